--- a/packages/members/src/contracts.ts
+++ b/packages/members/src/contracts.ts
@@ -1,7 +1,7 @@
-/** Which entries there are, and which of them a caller should use. */
+/** Contracts of the entry membership and of the entry lookup. */
 import type {Disposable} from '@skylarkfield/base';
 
-/** `suspect`: silent for too long. `leaving`: takes no new work. */
+/** `suspect`: missed its heartbeats. `leaving`: accepts no new work. */
 export type MemberState = 'live' | 'suspect' | 'leaving' | 'gone';
 
 /** One entry process. */
@@ -9,44 +9,44 @@
   readonly id: string;
   readonly incarnation: number;
   readonly state: MemberState;
-  /** Where callers connect, like `http://10.0.0.4:8080`. */
+  /** URL that callers connect to, like `http://10.0.0.4:8080`. */
   readonly callerUrl: string;
   readonly innerUrl: string;
   readonly failureDomain: string;
   readonly region: string;
-  /** Requests in flight there when last heard of. */
+  /** Requests in flight on that entry, as last reported. */
   readonly load: number;
-  /** Processor cores that it may use; undefined where its settings do not say. */
+  /** Processor cores available to the entry; undefined when not configured. */
   readonly cores?: number;
 }
 
-/** The entries as this one sees them, and its own leaving. */
+/** View of the cluster from this entry, and its own departure. */
 export interface Membership extends Disposable {
   readonly self: Member;
-  /** All that are known and not gone, this entry included. */
+  /** All known members that are not gone, including this entry. */
   members(): readonly Member[];
-  /** Those that take new work. */
+  /** Members that accept new work. */
   live(): readonly Member[];
   /**
-   * Number of entries that may take work: those that do, those lost a short
-   * while ago, which may be alive behind a cut, and for some seconds after the
-   * start those that the platform listed. Undefined until the platform or a peer
-   * has told of others.
+   * Number of entries that may accept work: live members, suspects and recently
+   * lost members, which may be alive behind a network partition; for some
+   * seconds after the start at least the number that the platform listed.
+   * Undefined until the platform or a peer has reported other members.
    */
   entryCount(): number | undefined;
   onDidChange(listener: (member: Member) => void): Disposable;
-  /** Announces that this entry leaves; before anything else in a shutdown. */
+  /** Announces that this entry leaves; must be the first step of a shutdown. */
   leave(): Promise<void>;
   /**
-   * False when this process was paused so long that others may have acted
-   * without it; true again once it has heard from peers or the platform.
+   * False after a pause of this process that was long enough for others to take
+   * over its work; true again once a peer or the platform has responded.
    */
   isCurrent(): boolean;
-  /** State of every machine and counter, for the dump. */
+  /** Returns member states and counters for the state dump. */
   dump(): unknown;
 }
 
-/** What the lookup answers to a caller. */
+/** Result of an entry lookup. */
 export interface LookupAnswer {
   /** Best first. */
   readonly entries: readonly {
@@ -54,14 +54,14 @@
     readonly url: string;
     readonly failureDomain: string;
   }[];
-  /** How long the caller may keep the answer, in milliseconds. */
+  /** Time that the caller may cache the result, in milliseconds. */
   readonly ttlMs: number;
 }
 
-/** What a caller says of the requests it wants an entry for. */
+/** Properties of the requests for which a caller looks up an entry. */
 export interface LookupQuestion {
   readonly customer?: string;
-  /** Session or prefix, so that long histories land where they are known. */
+  /** Session or prompt prefix; routes long histories to a warm cache. */
   readonly affinity?: string;
   readonly failureDomain?: string;
 }
--- a/packages/members/src/endpointDeparture.ts
+++ b/packages/members/src/endpointDeparture.ts
@@ -1,75 +1,75 @@
 /**
- * Whether an endpoint that left has plainly returned on its host.
+ * Detection of an endpoint that left and returned on the same host.
  *
- * The host list lags, so `live` alone may be from before the departure: work
- * sent there would be cut off. What the list says in order proves more: first
- * that the endpoint left, then that it lives. Even that may be a list that went
- * back in time, which happens when another source of it lags more, so a second
- * sign is asked for: the process has another address, or the time is over by
- * which the old one had to be gone. A process on a host that goes is no return.
+ * The host list lags, so `live` alone may predate the departure, and requests
+ * sent there would be cut off. A return therefore requires a list that shows
+ * the endpoint leaving or absent, followed by one that shows it live. As lists
+ * may arrive out of order, when another source lags more, it also requires a
+ * new URL or that the deadline of the old process has passed. A new process on
+ * a host that itself leaves is not a return.
  */
 import type {ListedEndpoint} from '@skylarkfield/providers';
 
-/** What the list has shown of an endpoint since it was known to leave. */
+/** Observations of the host list since an endpoint was reported leaving. */
 export interface Departure {
-  /** Address that the list gave for the process that left, once it was listed. */
+  /** Listed URL of the process that leaves; undefined until listed. */
   url: string | undefined;
-  /** The list has shown it as leaving, or has named it no more. */
-  isShown: boolean;
+  /** The list has shown the endpoint as leaving, or no longer contains it. */
+  isConfirmed: boolean;
 }
 
-/** What is known of the host that the endpoint left. */
+/** State of the host that the endpoint leaves. */
 export interface DepartureHost {
-  /** The host itself goes, with all its endpoints. */
+  /** The host itself leaves, with all its endpoints. */
   readonly isWhole: boolean;
-  /** Monotonic milliseconds by which what leaves is gone; undefined when no word said so. */
+  /** Monotonic milliseconds by which it is gone; undefined if not reported. */
   readonly goneBy: number | undefined;
 }
 
 /**
- * Starts to follow a departure. The last listed entry is undefined where the
- * list has not yet named the endpoint on that host.
+ * Creates the state of a departure. `listed` is undefined if the list has not
+ * shown the endpoint on that host yet.
  *
  * @example
- * departures.set(endpoint, beginDeparture(listed.get(endpoint)));
+ * departures.set(endpoint, createDeparture(listed.get(endpoint)));
  */
-export function beginDeparture(listed: ListedEndpoint | undefined): Departure {
-  return {url: listed?.url, isShown: listed?.state === 'leaving'};
+export function createDeparture(listed: ListedEndpoint | undefined): Departure {
+  return {url: listed?.url, isConfirmed: listed?.state === 'leaving'};
 }
 
 /**
- * Takes in what a new list says of the endpoint on that host, and whether it
- * names the endpoint at all. One that moved is not gone: an old list may come
- * after the new one and show it where it was.
+ * Updates a departure from a new list: the endpoint's item on that host, and
+ * whether the list contains the endpoint on any host. An endpoint that moved is
+ * not absent, as an older list may follow and show it on its former host.
  *
  * @example
- * followDeparture(departure, onHost.get(endpoint), byId.has(endpoint));
+ * updateDeparture(departure, onHost.get(endpoint), byId.has(endpoint));
  */
-export function followDeparture(
+export function updateDeparture(
   departure: Departure,
   listed: ListedEndpoint | undefined,
   isListed: boolean,
 ): void {
-  // A list that never named it may be too old to, so its absence says nothing.
+  // If it was never listed, the list may predate it and absence proves nothing.
   const wasListed = departure.url !== undefined;
-  departure.isShown ||= listed?.state === 'leaving';
-  departure.isShown ||= !isListed && wasListed;
+  departure.isConfirmed ||= listed?.state === 'leaving';
+  departure.isConfirmed ||= !isListed && wasListed;
   departure.url ??= listed?.url;
 }
 
 /**
- * Tells whether the listed process is a new one that may have work.
+ * Returns whether the listed process is a new one that may receive work.
  *
  * @example
- * if (isBack(departure, host, item, clock.now())) { takeBack(item.id); }
+ * if (hasReturned(departure, host, item, clock.now())) { readmit(item.id); }
  */
-export function isBack(
+export function hasReturned(
   departure: Departure,
   host: DepartureHost,
   listed: ListedEndpoint,
   now: number,
 ): boolean {
-  if (listed.state !== 'live' || !departure.isShown) {
+  if (listed.state !== 'live' || !departure.isConfirmed) {
     return false;
   }
   if (host.goneBy !== undefined && now > host.goneBy) {
--- a/packages/members/src/endpointLeaving.ts
+++ b/packages/members/src/endpointLeaving.ts
@@ -1,8 +1,8 @@
 /**
- * Which endpoints leave, by whichever word comes first: the cloud's notice, the
- * host list, or a peer. The list lags, so an endpoint that leaves is remembered
- * together with its host: an old list can't bring it back, while the same
- * endpoint on a new host is a new one, and so is one that plainly returned.
+ * Tracking of leaving endpoints from reclaim notices, the host list and peers,
+ * whichever reports first. The list lags, so a leaving endpoint is tracked per
+ * host: an outdated list cannot readmit it, while the same endpoint on another
+ * host, or one that verifiably returned, counts as new.
  */
 import {
   disposableStore,
@@ -19,11 +19,15 @@
   ReclaimNotice,
 } from '@skylarkfield/providers';
 import type {Messages, PeerNetwork} from '@skylarkfield/protocol';
-import {beginDeparture, followDeparture, isBack} from './endpointDeparture.js';
 import {
-  beginLeavingHost,
-  isRepeat,
-  postpone,
+  createDeparture,
+  updateDeparture,
+  hasReturned,
+} from './endpointDeparture.js';
+import {
+  createLeavingHost,
+  isRepeatedNotice,
+  extendDeadline,
   type LeavingHost,
   type LeavingSource,
 } from './leavingHost.js';
@@ -39,39 +43,42 @@
 }
 
 export interface EndpointLeaving extends Disposable {
-  /** Whether the endpoint must get no new work; a host says which of two with one id is meant. */
+  /**
+   * Whether the endpoint must receive no new work. The host distinguishes two
+   * processes of one id; by default it is the listed one.
+   */
   isLeaving(endpoint: string, host?: string): boolean;
-  /** Fires once for each endpoint and host, whatever the number of words. */
+  /** Fires once per endpoint and host, regardless of the number of reports. */
   onDidLeave(listener: (leaving: LeavingEndpoint) => void): Disposable;
-  /** Fires when an endpoint that was leaving is back, on its host or another, or stayed. */
+  /** Fires when a leaving endpoint returns, on any host, or did not leave. */
   onDidReturn(listener: (endpoint: string) => void): Disposable;
-  /** Takes in a word from elsewhere, like an endpoint that says so itself. */
+  /** Records a report of another source, such as the endpoint itself. */
   note(
     host: string,
     endpoints: readonly string[],
     goneAt: number,
     source: LeavingSource,
   ): void;
-  /** The host list with every leaving endpoint marked so, also those it still shows as live. */
+  /** Host list with all leaving endpoints marked, even if listed as live. */
   readonly hostList: HostList;
-  /** Whether this process watches the cloud's notices itself; others hear from peers. */
+  /** Sets whether this entry watches reclaim notices or relies on its peers. */
   setReader(isReader: boolean): void;
   dump(): unknown;
 }
 
-/** A failure domain of the largest fleet has fewer hosts than this. */
-const MOST_HOSTS = 4_000;
-/** Endpoints remembered for one host. */
-const MOST_ENDPOINTS_PER_HOST = 256;
-const FORGET_INTERVAL_MS = 30_000;
-/** Words younger than this are told to a peer that has just connected. */
-const REPEAT_MS = 120_000;
+/** Hosts tracked at most; exceeds a failure domain of the largest fleet. */
+const MAX_HOSTS = 4_000;
+/** Endpoints tracked for each host at most. */
+const MAX_ENDPOINTS_PER_HOST = 256;
+const EXPIRY_INTERVAL_MS = 30_000;
+/** Maximum age of reports that are resent to a newly connected peer. */
+const RESEND_WINDOW_MS = 120_000;
 
 /**
- * Follows all three sources until disposed.
+ * Creates a tracker that follows all three sources until disposed.
  *
  * @example
- * const leaving = createEndpointLeaving({cloud, hostList, network, clock, decisions});
+ * const leaving = createEndpointLeaving({cloud, hostList, network, ...rest});
  * leaving.onDidLeave(({endpoint}) => router.remove(endpoint));
  */
 export function createEndpointLeaving(options: {
@@ -83,19 +90,19 @@
 }): EndpointLeaving {
   const {cloud, network, clock, decisions} = options;
   const hosts = new Map<string, LeavingHost>();
-  const left = emitter<LeavingEndpoint>();
-  const returned = emitter<string>();
+  const didLeave = emitter<LeavingEndpoint>();
+  const didReturn = emitter<string>();
   const owned = disposableStore();
-  /** Hosts on which the last list showed an endpoint. */
-  let listed = new Map<string, ListedEndpoint>();
-  let latest: readonly ListedEndpoint[] | undefined;
-  const corrected = emitter<readonly ListedEndpoint[]>();
+  /** Items of the last host list by endpoint id. */
+  let listedById = new Map<string, ListedEndpoint>();
+  let latestList: readonly ListedEndpoint[] | undefined;
+  const didCorrectList = emitter<readonly ListedEndpoint[]>();
   let isCorrectionDue = false;
-  let notices: Disposable | undefined;
+  let noticeSubscription: Disposable | undefined;
 
   function isLeaving(
     endpoint: string,
-    host = listed.get(endpoint)?.host,
+    host = listedById.get(endpoint)?.host,
   ): boolean {
     if (host !== undefined) {
       const known = hosts.get(host);
@@ -108,20 +115,20 @@
     return [...hosts.values()].some(known => known.endpoints.has(endpoint));
   }
 
-  function remember(
+  function getOrAddHost(
     host: string,
     goneAt: number,
     source: LeavingSource,
   ): LeavingHost {
     const known = hosts.get(host);
     if (known !== undefined) {
-      postpone(known, goneAt, clock);
+      extendDeadline(known, goneAt, clock);
       return known;
     }
-    const added = beginLeavingHost(host, source, clock);
-    postpone(added, goneAt, clock);
+    const added = createLeavingHost(host, source, clock);
+    extendDeadline(added, goneAt, clock);
     hosts.set(host, added);
-    if (hosts.size > MOST_HOSTS) {
+    if (hosts.size > MAX_HOSTS) {
       const [oldest] = hosts.keys();
       hosts.delete(oldest!);
     }
@@ -129,154 +136,157 @@
   }
 
   function listedOn(host: string, endpoint: string) {
-    const item = listed.get(endpoint);
+    const item = listedById.get(endpoint);
     return item?.host === host ? item : undefined;
   }
 
-  /** Adds what is new and fires for it; tells whether anything was. */
-  function learn(
+  /** Adds new endpoints and fires `onDidLeave`; returns whether any changed. */
+  function recordLeaving(
     host: string,
     endpoints: readonly string[],
     isWhole: boolean,
     goneAt: number,
     source: LeavingSource,
   ): boolean {
-    const news = endpoints.filter(
-      endpoint => !isRepeat(hosts.get(host), goneAt, endpoint),
+    const candidates = endpoints.filter(
+      endpoint => !isRepeatedNotice(hosts.get(host), goneAt, endpoint),
     );
-    const known = remember(host, goneAt, source);
-    const fresh = news
+    const known = getOrAddHost(host, goneAt, source);
+    const added = candidates
       .filter(endpoint => !known.endpoints.has(endpoint))
-      .slice(0, MOST_ENDPOINTS_PER_HOST - known.endpoints.size);
-    const isNews = fresh.length > 0 || (isWhole && !known.isWhole);
+      .slice(0, MAX_ENDPOINTS_PER_HOST - known.endpoints.size);
+    const hasChanges = added.length > 0 || (isWhole && !known.isWhole);
     known.isWhole ||= isWhole;
-    for (const endpoint of fresh) {
-      known.endpoints.set(endpoint, beginDeparture(listedOn(host, endpoint)));
+    for (const endpoint of added) {
+      known.endpoints.set(endpoint, createDeparture(listedOn(host, endpoint)));
       known.back.delete(endpoint);
-      decisions.note('members', endpoint, 'give no new work', 'it leaves', {
+      decisions.note('members', endpoint, 'give no new work', 'leaving', {
         host,
         source,
         goneAt,
       });
-      left.fire({endpoint, host, goneAt, source});
+      didLeave.fire({endpoint, host, goneAt, source});
     }
-    if (isNews && source !== 'list') {
-      fireCorrectedSoon();
+    if (hasChanges && source !== 'list') {
+      scheduleCorrectedList();
     }
-    return isNews;
+    return hasChanges;
   }
 
-  function messageOf(known: LeavingHost): Messages['endpointLeaving'] {
+  function toMessage(known: LeavingHost): Messages['endpointLeaving'] {
     const {host, goneAt, isWhole} = known;
     return {endpoints: [...known.endpoints.keys()], host, goneAt, isWhole};
   }
 
-  /** Passed on by everyone who hears it first, so that it reaches all entries. */
-  function tell(host: string, except?: string) {
+  /** Called for each new report, so that reports reach all entries. */
+  function broadcastHost(host: string, except?: string) {
     const known = hosts.get(host);
     if (known === undefined) {
       return;
     }
     const receivers = network.connected().filter(peer => peer !== except);
-    network.broadcast('endpointLeaving', messageOf(known), receivers);
+    network.broadcast('endpointLeaving', toMessage(known), receivers);
   }
 
   function endpointsOn(host: string): string[] {
-    return [...listed.values()]
+    return [...listedById.values()]
       .filter(item => item.host === host)
       .map(({id}) => id);
   }
 
-  function correct(list: readonly ListedEndpoint[]): ListedEndpoint[] {
+  function markLeaving(list: readonly ListedEndpoint[]): ListedEndpoint[] {
     return list.map(item =>
       isLeaving(item.id, item.host) ? {...item, state: 'leaving'} : item,
     );
   }
 
-  function fireCorrected() {
+  function fireCorrectedList() {
     isCorrectionDue = false;
-    if (latest !== undefined && !owned.isDisposed) {
-      corrected.fire(correct(latest));
+    if (latestList !== undefined && !owned.isDisposed) {
+      didCorrectList.fire(markLeaving(latestList));
     }
   }
 
-  /** One list for all that a message or notice brought at once. */
-  function fireCorrectedSoon() {
+  /** Coalesces all changes of one message or notice into one list. */
+  function scheduleCorrectedList() {
     if (isCorrectionDue) {
       return;
     }
     isCorrectionDue = true;
-    clock.after(0, fireCorrected);
+    clock.after(0, fireCorrectedList);
   }
 
-  function hearNotice({host, goneAt}: ReclaimNotice) {
-    if (learn(host, endpointsOn(host), true, goneAt, 'notice')) {
-      tell(host);
+  function handleNotice({host, goneAt}: ReclaimNotice) {
+    if (recordLeaving(host, endpointsOn(host), true, goneAt, 'notice')) {
+      broadcastHost(host);
     }
   }
 
-  function hearPeer(from: string, body: Messages['endpointLeaving']) {
+  function handlePeerMessage(from: string, body: Messages['endpointLeaving']) {
     const {host, goneAt, endpoints, isWhole = false} = body;
     const all = isWhole ? [...endpoints, ...endpointsOn(host)] : endpoints;
-    if (learn(host, [...new Set(all)], isWhole, goneAt, 'peer')) {
-      tell(host, from);
+    if (recordLeaving(host, [...new Set(all)], isWhole, goneAt, 'peer')) {
+      broadcastHost(host, from);
     }
   }
 
-  function hearList(endpoints: readonly ListedEndpoint[]) {
-    const before = listed;
-    listed = new Map(endpoints.map(item => [item.id, item]));
-    takeBackReturned();
-    const changed = new Set<string>();
+  function handleHostList(endpoints: readonly ListedEndpoint[]) {
+    const previous = listedById;
+    listedById = new Map(endpoints.map(item => [item.id, item]));
+    updateDepartures();
+    const changedHosts = new Set<string>();
     for (const {id, host, state} of endpoints) {
       if (
         (state === 'leaving' || isLeaving(id, host)) &&
-        learn(host, [id], false, 0, 'list')
+        recordLeaving(host, [id], false, 0, 'list')
       ) {
-        changed.add(host);
+        changedHosts.add(host);
       }
     }
-    changed.forEach(host => tell(host));
-    fireReturns(before);
-    latest = endpoints;
-    fireCorrected();
+    changedHosts.forEach(host => broadcastHost(host));
+    fireMovedEndpoints(previous);
+    latestList = endpoints;
+    fireCorrectedList();
   }
 
-  /** Gives work again to what the list shows to have left and come back. */
-  function takeBackReturned() {
+  /** Updates all departures from the list and readmits returned endpoints. */
+  function updateDepartures() {
     for (const known of hosts.values()) {
       for (const [endpoint, departure] of known.endpoints) {
         const item = listedOn(known.host, endpoint);
-        if (item !== undefined && isBack(departure, known, item, clock.now())) {
+        if (
+          item !== undefined &&
+          hasReturned(departure, known, item, clock.now())
+        ) {
           known.endpoints.delete(endpoint);
           known.back.add(endpoint);
-          giveWorkAgain(endpoint, known.host, 'it left and is listed again');
+          readmit(endpoint, known.host, 'listed again after it left');
         } else {
-          followDeparture(departure, item, listed.has(endpoint));
+          updateDeparture(departure, item, listedById.has(endpoint));
         }
       }
     }
   }
 
-  function giveWorkAgain(endpoint: string, host: string, reason: string) {
+  function readmit(endpoint: string, host: string, reason: string) {
     decisions.note('members', endpoint, 'give work again', reason, {host});
-    returned.fire(endpoint);
+    didReturn.fire(endpoint);
   }
 
-  function fireReturns(before: ReadonlyMap<string, ListedEndpoint>) {
-    for (const [endpoint, {host}] of listed) {
-      const hasMoved = before.get(endpoint)?.host !== host;
+  function fireMovedEndpoints(previous: ReadonlyMap<string, ListedEndpoint>) {
+    for (const [endpoint, {host}] of listedById) {
+      const hasMoved = previous.get(endpoint)?.host !== host;
       const wasLeaving = [...hosts.values()].some(
         known => known.host !== host && known.endpoints.has(endpoint),
       );
       if (hasMoved && wasLeaving && !isLeaving(endpoint, host)) {
-        returned.fire(endpoint);
+        didReturn.fire(endpoint);
       }
     }
   }
 
-  /** Forgets hosts that no list can show any more, or that stayed after all. */
-  function forgetOld() {
+  /** Drops hosts that no list can still show, or that did not leave. */
+  function expireHosts() {
     const now = clock.now();
     for (const known of [...hosts.values()]) {
       if (now < known.forgetAt) {
@@ -285,63 +295,65 @@
       hosts.delete(known.host);
       for (const endpoint of known.endpoints.keys()) {
         if (listedOn(known.host, endpoint) !== undefined) {
-          giveWorkAgain(endpoint, known.host, 'still listed');
-          fireCorrectedSoon();
+          readmit(endpoint, known.host, 'still listed');
+          scheduleCorrectedList();
         }
       }
     }
   }
 
-  /** A peer that was away when the word went round. */
-  function catchUp(peer: string) {
+  /** Resends recent reports to a peer that may have missed the broadcast. */
+  function resendRecent(peer: string) {
     const now = clock.now();
     for (const known of hosts.values()) {
-      if (now - known.since <= REPEAT_MS) {
-        network.send(peer, 'endpointLeaving', messageOf(known));
+      if (now - known.since <= RESEND_WINDOW_MS) {
+        network.send(peer, 'endpointLeaving', toMessage(known));
       }
     }
   }
 
   function setReader(isReader: boolean) {
-    if (isReader === (notices !== undefined)) {
+    if (isReader === (noticeSubscription !== undefined)) {
       return;
     }
-    notices?.dispose();
-    notices = isReader ? cloud.watchNotices(hearNotice) : undefined;
+    noticeSubscription?.dispose();
+    noticeSubscription = isReader
+      ? cloud.watchNotices(handleNotice)
+      : undefined;
   }
 
-  owned.add(network.onDidReceive('endpointLeaving', hearPeer));
+  owned.add(network.onDidReceive('endpointLeaving', handlePeerMessage));
   owned.add(
     network.onDidChangePeer((peer, isOpen) => {
       if (isOpen) {
-        catchUp(peer);
+        resendRecent(peer);
       }
     }),
   );
-  owned.add(options.hostList.watch(hearList));
-  owned.add(every(clock, FORGET_INTERVAL_MS, forgetOld));
+  owned.add(options.hostList.watch(handleHostList));
+  owned.add(every(clock, EXPIRY_INTERVAL_MS, expireHosts));
   setReader(true);
 
   return {
     isLeaving,
-    onDidLeave: left.event,
-    onDidReturn: returned.event,
+    onDidLeave: didLeave.event,
+    onDidReturn: didReturn.event,
     hostList: {
       watch(listener) {
-        if (latest !== undefined) {
-          listener(correct(latest));
+        if (latestList !== undefined) {
+          listener(markLeaving(latestList));
         }
-        return corrected.event(listener);
+        return didCorrectList.event(listener);
       },
     },
     note(host, endpoints, goneAt, source) {
-      if (learn(host, endpoints, false, goneAt, source)) {
-        tell(host);
+      if (recordLeaving(host, endpoints, false, goneAt, source)) {
+        broadcastHost(host);
       }
     },
     setReader,
     dump: () => ({
-      isReader: notices !== undefined,
+      isReader: noticeSubscription !== undefined,
       hosts: [...hosts.values()].map(known => ({
         ...known,
         endpoints: [...known.endpoints.keys()],
--- a/packages/members/src/gossip.ts
+++ b/packages/members/src/gossip.ts
@@ -1,47 +1,47 @@
-/** News that waits to be sent with heartbeats. */
+/** Queue of member updates to be gossiped with heartbeats. */
 import type {MemberChange, MemberNews} from '@skylarkfield/protocol';
 
-/** What one heartbeat carries. */
-export interface GossipLoad {
+/** Updates carried by one heartbeat. */
+export interface GossipBatch {
   readonly news: readonly MemberNews[];
   readonly changes: readonly MemberChange[];
 }
 
-/** Queue of the news that this entry still has to pass on. */
-export interface Gossip {
-  /** Queues news for the next heartbeat; later news of the same member replaces it. */
-  add(news: MemberNews): void;
-  /** What the next heartbeat carries, within a bound. */
-  take(): GossipLoad;
+/** Queue of the updates that this entry still has to gossip. */
+export interface GossipQueue {
+  /** Queues an update; replaces a queued one of the same member. */
+  add(update: MemberNews): void;
+  /** Dequeues the updates for the next heartbeat, up to the size limit. */
+  take(): GossipBatch;
   size(): number;
 }
 
 /**
- * Bound on the news of one heartbeat, in bytes by the weights below: with six
- * neighbours it keeps an entry under 7 KB a second, sent and received, also
- * while a failure domain is lost.
+ * Maximum size of the updates in one heartbeat, in bytes as estimated below.
+ * With six neighbours it keeps an entry's traffic, sent and received, under
+ * 7 KB a second, even while a failure domain is being lost.
  */
-const HEARTBEAT_NEWS_BYTES = 500;
-/** About the encoded bytes of a member with its addresses. */
-const NEWS_BYTES = 90;
-/** About the encoded bytes of a change of state alone. */
+const MAX_GOSSIP_BYTES = 500;
+/** Approximate encoded size of a full update, in bytes. */
+const UPDATE_BYTES = 90;
+/** Approximate encoded size of a state change without addresses, in bytes. */
 const CHANGE_BYTES = 24;
 
 /**
- * Makes an empty queue, first in first out. Each item is sent once to every
- * neighbour, and each of them passes it on: what a lost message held is found
- * by comparing digests.
+ * Creates an empty FIFO queue. Each update is sent once to every neighbour,
+ * which in turn forwards it; updates in lost messages are recovered by
+ * comparing digests.
  *
  * @example
- * gossip.add(news);
+ * gossip.add(update);
  * network.broadcast('heartbeat', {...head, ...gossip.take()});
  */
-export function createGossip(): Gossip {
+export function createGossipQueue(): GossipQueue {
   const queue = new Map<string, MemberNews>();
   return {
-    add(news) {
-      queue.delete(news.id);
-      queue.set(news.id, news);
+    add(update) {
+      queue.delete(update.id);
+      queue.set(update.id, update);
     },
     take() {
       const news: MemberNews[] = [];
@@ -49,8 +49,8 @@
       let bytes = 0;
       for (const item of queue.values()) {
         const change = toChange(item);
-        bytes += change === undefined ? NEWS_BYTES : CHANGE_BYTES;
-        if (bytes > HEARTBEAT_NEWS_BYTES) {
+        bytes += change === undefined ? UPDATE_BYTES : CHANGE_BYTES;
+        if (bytes > MAX_GOSSIP_BYTES) {
           break;
         }
         queue.delete(item.id);
@@ -66,8 +66,8 @@
   };
 }
 
-function toChange(news: MemberNews): MemberChange | undefined {
-  const {id, incarnation, sequence, state} = news;
+function toChange(update: MemberNews): MemberChange | undefined {
+  const {id, incarnation, sequence, state} = update;
   if (state === 'leaving' || state === 'gone') {
     return {id, incarnation, sequence, state};
   }
--- a/packages/members/src/heartbeats.ts
+++ b/packages/members/src/heartbeats.ts
@@ -1,41 +1,49 @@
-/** Heartbeats between neighbours: sending them, and what is done with each one received. */
+/** Sending and processing of heartbeats between neighbours. */
 import type {Messages, PeerNetwork} from '@skylarkfield/protocol';
-import type {Gossip} from './gossip.js';
+import type {GossipQueue} from './gossip.js';
 import type {MemberTable} from './memberTable.js';
-import type {NewsIntake} from './newsIntake.js';
-import type {OwnEntry} from './ownEntry.js';
+import type {UpdateHandler} from './updateHandler.js';
+import type {LocalMember} from './localMember.js';
 import type {Reconciler} from './reconciler.js';
-import type {SilenceDetector} from './silence.js';
+import type {FailureDetector} from './failureDetector.js';
 
-/** Both directions of one entry's heartbeats. */
+/** Sends the heartbeats of one entry and processes received ones. */
 export interface Heartbeats {
   send(neighbours: readonly string[]): void;
   receive(from: string, body: Messages['heartbeat']): void;
 }
 
 /**
- * Makes the heartbeats of one entry.
+ * Creates the heartbeat handling of one entry.
  *
  * @example
- * const heartbeats = createHeartbeats({own, table, gossip, ...rest});
- * heartbeats.send(book.neighbours());
+ * const heartbeats = createHeartbeats({localMember, table, gossip, ...rest});
+ * heartbeats.send(peerDirectory.neighbours());
  */
 export function createHeartbeats(options: {
-  readonly own: OwnEntry;
+  readonly localMember: LocalMember;
   readonly table: MemberTable;
-  readonly gossip: Gossip;
-  readonly intake: NewsIntake;
-  readonly silence: SilenceDetector;
+  readonly gossip: GossipQueue;
+  readonly updateHandler: UpdateHandler;
+  readonly failureDetector: FailureDetector;
   readonly reconciler: Reconciler;
   readonly network: PeerNetwork;
 }): Heartbeats {
-  const {own, table, gossip, intake, silence, reconciler, network} = options;
+  const {
+    localMember,
+    table,
+    gossip,
+    updateHandler,
+    failureDetector,
+    reconciler,
+    network,
+  } = options;
 
   return {
     send(neighbours) {
       const {news, changes} = gossip.take();
-      const {incarnation, sequence, load} = own.news();
-      const digest = table.digestWith(own.base());
+      const {incarnation, sequence, load} = localMember.currentUpdate();
+      const digest = table.digestWith(localMember.baseUpdate());
       const body = {
         incarnation,
         sequence,
@@ -47,21 +55,21 @@
       network.broadcast('heartbeat', body, neighbours);
     },
     receive(from, body) {
-      body.news.forEach(intake.learn);
-      body.changes?.forEach(intake.learnChange);
+      body.news.forEach(updateHandler.applyUpdate);
+      body.changes?.forEach(updateHandler.applyChange);
       const known = table.get(from);
       const isKnown =
         known !== undefined &&
         known.machine.state() !== 'gone' &&
-        known.news.incarnation === body.incarnation &&
-        known.news.sequence >= body.sequence;
+        known.update.incarnation === body.incarnation &&
+        known.update.sequence >= body.sequence;
       if (!isKnown) {
-        // Its probe answer brings its addresses, and refutes what we believe.
-        void silence.probe(from);
+        // The probe response carries its addresses and refutes a stale state.
+        void failureDetector.probe(from);
         return;
       }
       known.load = body.load;
-      silence.heard(from);
+      failureDetector.recordHeartbeat(from);
       reconciler.compare(from, body.digest);
     },
   };
--- a/packages/members/src/index.ts
+++ b/packages/members/src/index.ts
@@ -1,4 +1,4 @@
-/** Entry membership, heartbeats, leaving, lookup answers. */
+/** Entry membership, failure detection, leaving endpoints and entry lookup. */
 export * from './contracts.js';
 export * from './endpointLeaving.js';
 export * from './lookup.js';
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -1,37 +1,37 @@
-/** What is remembered of a host from which endpoints leave. */
+/** State kept for a host that endpoints are leaving. */
 import type {Clock} from '@skylarkfield/base';
 import type {Departure} from './endpointDeparture.js';
 
-/** Where the first word came from. */
+/** Source of the first report. */
 export type LeavingSource = 'notice' | 'list' | 'peer' | 'fault';
 
 export interface LeavingHost {
   readonly host: string;
   goneAt: number;
-  /** Monotonic milliseconds by which it is gone; undefined when no word said so. */
+  /** Monotonic milliseconds by which it is gone; undefined if not reported. */
   goneBy: number | undefined;
-  /** Monotonic milliseconds. */
+  /** Monotonic milliseconds of the first report. */
   readonly since: number;
   forgetAt: number;
   readonly source: LeavingSource;
-  /** All endpoints there leave, also those not yet listed. */
+  /** The host itself leaves with all its endpoints, including unlisted ones. */
   isWhole: boolean;
   readonly endpoints: Map<string, Departure>;
-  /** Those that are back. */
+  /** Endpoints that have returned. */
   readonly back: Set<string>;
 }
 
-/** The host list is never older than this, in milliseconds. */
-const LONGEST_LIST_LAG_MS = 15 * 60_000;
-/** Longest notice that is believed, in milliseconds. */
-const LONGEST_NOTICE_MS = 60 * 60_000;
+/** Maximum lag of the host list, in milliseconds. */
+const MAX_LIST_LAG_MS = 15 * 60_000;
+/** Upper bound applied to the time of a reclaim notice, in milliseconds. */
+const MAX_NOTICE_MS = 60 * 60_000;
 /**
- * Begins to remember a host; its time is not known yet.
+ * Creates the state of a host without a deadline.
  *
  * @example
- * const known = beginLeavingHost('h1', 'notice', clock);
+ * const known = createLeavingHost('h1', 'notice', clock);
  */
-export function beginLeavingHost(
+export function createLeavingHost(
   host: string,
   source: LeavingSource,
   clock: Clock,
@@ -42,7 +42,7 @@
     goneAt: 0,
     goneBy: undefined,
     since: now,
-    forgetAt: now + LONGEST_LIST_LAG_MS,
+    forgetAt: now + MAX_LIST_LAG_MS,
     source,
     isWhole: false,
     endpoints: new Map(),
@@ -51,28 +51,34 @@
 }
 
 /**
- * Takes in a time that is later than the known one, as of a second notice.
+ * Applies a deadline that is later than the known one, like that of a second
+ * notice.
  *
  * @example
- * postpone(known, notice.goneAt, clock);
+ * extendDeadline(known, notice.goneAt, clock);
  */
-export function postpone(known: LeavingHost, goneAt: number, clock: Clock) {
+export function extendDeadline(
+  known: LeavingHost,
+  goneAt: number,
+  clock: Clock,
+) {
   if (goneAt <= known.goneAt) {
     return;
   }
   const noticeMs = Math.max(0, goneAt - clock.wall());
   known.goneAt = goneAt;
-  known.goneBy = clock.now() + Math.min(LONGEST_NOTICE_MS, noticeMs);
-  known.forgetAt = known.goneBy + LONGEST_LIST_LAG_MS;
+  known.goneBy = clock.now() + Math.min(MAX_NOTICE_MS, noticeMs);
+  known.forgetAt = known.goneBy + MAX_LIST_LAG_MS;
 }
 
 /**
- * A notice told again, as after a cut, says nothing of an endpoint that is back since.
+ * Returns whether a notice is a repetition, as after a network partition, that
+ * does not apply to an endpoint that has returned since.
  *
  * @example
- * const news = endpoints.filter(id => !isRepeat(known, goneAt, id));
+ * const added = endpoints.filter(id => !isRepeatedNotice(known, goneAt, id));
  */
-export function isRepeat(
+export function isRepeatedNotice(
   known: LeavingHost | undefined,
   goneAt: number,
   endpoint: string,
--- a/packages/members/src/lookup.ts
+++ b/packages/members/src/lookup.ts
@@ -1,43 +1,46 @@
-/** Which entries a caller should use. */
+/** Ranking of entries for a caller: bounded-load rendezvous hashing. */
 import {hashFraction, rendezvousOrder, type Random} from '@skylarkfield/base';
 import type {LookupAnswer, LookupQuestion, Member} from './contracts.js';
 
-/** Addresses in one answer: enough to go on when several entries vanish at once. */
-const MOST_ENTRIES = 8;
-/** Validity of an answer, in milliseconds. */
+/** Maximum entries in a result; enough for failover if several fail at once. */
+const MAX_ENTRIES = 8;
+/** Time to live of a result, in milliseconds. */
 const TTL_MS = 5_000;
-/** Validity while there are too few entries to choose among, in milliseconds. */
-const SHORT_TTL_MS = 1_000;
-/** An entry above this multiple of the mean load is passed by for affinity. */
-const LOAD_BOUND = 1.25;
-/** Requests by which loads may differ and still count as equal. */
-const EQUAL_LOAD = 4;
+/** Time to live while there is at most one live entry, in milliseconds. */
+const SINGLE_ENTRY_TTL_MS = 1_000;
+/** Multiple of the mean load above which affinity skips an entry. */
+const LOAD_BOUND_FACTOR = 1.25;
+/** Difference in requests in flight at which loads still count as equal. */
+const LOAD_TOLERANCE = 4;
 
 /**
- * Orders the entries that take new work, best first. With an affinity, callers
- * of one customer and session get the same entry from whichever entry they ask,
- * unless it is loaded beyond the bound; without one, callers are spread.
+ * Ranks the entries that accept new work, best first. With an affinity key,
+ * every entry returns the same first choice for a customer and session unless
+ * it is loaded beyond the bound; without one, callers are spread.
  *
  * @example
- * const answer = orderEntries(membership.members(), {customer: 'namu', affinity: 's1'});
+ * const query = {customer: 'namu', affinity: 's1'};
+ * const {entries} = orderEntries(membership.members(), query);
  */
 export function orderEntries(
   members: readonly Member[],
-  question: LookupQuestion,
+  query: LookupQuestion,
   random?: Random,
 ): LookupAnswer {
   const live = members.filter(member => member.state === 'live');
-  const loads = new Map(live.map(member => [member.id, costOf(member, live)]));
-  const preferred = preferenceOrder(live, question, random);
-  const place = new Map(preferred.map((id, index) => [id, index]));
-  const hasAffinity = question.affinity !== undefined;
+  const costs = new Map(
+    live.map(member => [member.id, overloadCost(member, live)]),
+  );
+  const preferredIds = preferenceOrder(live, query, random);
+  const positions = new Map(preferredIds.map((id, index) => [id, index]));
+  const hasAffinity = query.affinity !== undefined;
 
   function rank(member: Member): readonly number[] {
-    const cost = loads.get(member.id) ?? 0;
-    const distance = member.failureDomain === question.failureDomain ? 0 : 1;
-    const position = place.get(member.id) ?? 0;
-    // With affinity the load only passes by an entry beyond the bound; the
-    // failure domain never outweighs a warm cache.
+    const cost = costs.get(member.id) ?? 0;
+    const distance = member.failureDomain === query.failureDomain ? 0 : 1;
+    const position = positions.get(member.id) ?? 0;
+    // With affinity, load only matters beyond the bound, and the failure domain
+    // never outweighs a warm cache.
     return hasAffinity
       ? [Math.min(cost, 1), position]
       : [cost, distance, position];
@@ -46,36 +49,37 @@
   const entries = live
     .map(member => ({member, rank: rank(member)}))
     .sort((a, b) => compareRanks(a.rank, b.rank))
-    .slice(0, MOST_ENTRIES)
+    .slice(0, MAX_ENTRIES)
     .map(({member}) => ({
       id: member.id,
       url: member.callerUrl,
       failureDomain: member.failureDomain,
     }));
-  return {entries, ttlMs: live.length > 1 ? TTL_MS : SHORT_TTL_MS};
+  return {entries, ttlMs: live.length > 1 ? TTL_MS : SINGLE_ENTRY_TTL_MS};
 }
 
 /**
- * 0 up to the bound over the mean, then one more for each further mean: coarse,
- * so that a small lag in the reported loads doesn't send everyone to one entry.
+ * Returns 0 for a load up to the bound, plus 1 for each further mean load above
+ * it. Coarse steps keep slightly outdated loads from sending all callers to one
+ * entry.
  */
-function costOf(member: Member, live: readonly Member[]): number {
+function overloadCost(member: Member, live: readonly Member[]): number {
   const total = live.reduce((sum, other) => sum + other.load, 0);
   const mean = total / live.length;
-  const bound = mean * LOAD_BOUND + EQUAL_LOAD;
+  const bound = mean * LOAD_BOUND_FACTOR + LOAD_TOLERANCE;
   if (member.load <= bound) {
     return 0;
   }
-  return Math.ceil((member.load - bound) / Math.max(mean, EQUAL_LOAD));
+  return Math.ceil((member.load - bound) / Math.max(mean, LOAD_TOLERANCE));
 }
 
 function preferenceOrder(
   live: readonly Member[],
-  question: LookupQuestion,
+  query: LookupQuestion,
   random: Random | undefined,
 ): string[] {
   const ids = live.map(member => member.id);
-  const {customer = '', affinity} = question;
+  const {customer = '', affinity} = query;
   if (affinity !== undefined) {
     return rendezvousOrder(`${customer}\u0000${affinity}`, ids);
   }
--- a/packages/members/src/memberMachine.ts
+++ b/packages/members/src/memberMachine.ts
@@ -1,11 +1,11 @@
-/** The states of one member as another entry sees it, and every change between them. */
+/** State machine of a member as seen by another entry. */
 import {createMachine, interpret, state, transition} from 'robot3';
 import type {MemberState} from './contracts.js';
 
 /**
- * `heard`: proof of life. `suspected`: silent for too long. `left`: it said it
- * leaves. `lost`: silent and confirmed by another's word, or it announced its end.
- * `returned`: later news from itself, or a new incarnation.
+ * `heard`: a sign of life. `suspected`: no heartbeat within the timeout.
+ * `left`: it announced that it leaves. `lost`: a suspicion was confirmed, or it
+ * announced its end. `returned`: a newer update of its own or a new process.
  */
 export type MemberEvent = 'heard' | 'suspected' | 'left' | 'lost' | 'returned';
 
@@ -25,14 +25,14 @@
   gone: state(transition('returned', 'live'), transition('left', 'leaving')),
 });
 
-/** The state of one member, as this entry sees it. */
+/** State of one member as seen by this entry. */
 export interface MemberMachine {
   state(): MemberState;
   send(event: MemberEvent): void;
 }
 
 /**
- * Makes the machine of a member that is live at first.
+ * Creates the state machine of a member, initially live.
  *
  * @example
  * const machine = createMemberMachine();
--- a/packages/members/src/memberObjects.ts
+++ b/packages/members/src/memberObjects.ts
@@ -1,6 +1,7 @@
 /**
- * Member objects in the object API: how a new process finds the others, and how
- * groups that have lost each other meet again. Liveness never depends on them.
+ * Member objects in the platform's object store. New processes discover the
+ * cluster through them, and so do partitions that have lost contact. Liveness
+ * never depends on them.
  */
 import {
   rendezvousOrder,
@@ -25,33 +26,33 @@
   readonly region: string;
 }
 
-/** Keeps this entry's object, and finds others by theirs. */
+/** Maintains this entry's object and discovers members by their objects. */
 export interface MemberObjects extends Disposable {
-  /** Writes this entry's object and lists the others; tries on until it succeeds. */
+  /** Writes this entry's object and lists the others; retries on failure. */
   join(): void;
-  /** Looks at this entry's object soon: somebody took us for gone. */
-  checkOwn(): void;
-  /** Members that the platform listed when this entry joined, itself included; undefined before. */
+  /** Schedules a check of this entry's object after a refutation. */
+  checkOwnObject(): void;
+  /** Members listed on joining, including this entry; undefined before. */
   listedCount(): number | undefined;
   /** Removes this entry's object. */
   leave(signal: AbortSignal): Promise<void>;
-  /** Whether the platform answers a read that starts now. */
-  confirmReachable(): Promise<boolean>;
+  /** Reads from the platform; resolves with whether it responded. */
+  isPlatformReachable(): Promise<boolean>;
   dump(): unknown;
 }
 
 const KIND = 'member';
-/** Objects removed in one sweep: the rest waits for the next one. */
-const REMOVALS_PER_SWEEP = 30;
-/** Members from which a new process learns of the others. */
+/** Objects removed in one sweep; further ones wait for the next sweep. */
+const MAX_REMOVALS_PER_SWEEP = 30;
+/** Members that a new process contacts to fetch the member list. */
 const JOIN_CONTACTS = 3;
-const FIRST_RETRY_MS = 500;
-const LAST_RETRY_MS = 30_000;
-/** Sweeps in which an unknown member can't be reached before its object goes. */
-const UNREACHABLE_SWEEPS = 3;
+const MIN_RETRY_MS = 500;
+const MAX_RETRY_MS = 30_000;
+/** Sweeps with a failed contact until an unknown member's object is removed. */
+const MAX_UNREACHABLE_SWEEPS = 3;
 
 /**
- * Makes the keeper of this entry's object.
+ * Creates the member object maintenance of one entry.
  *
  * @example
  * const objects = createMemberObjects({store, table, clock, ...rest});
@@ -65,117 +66,127 @@
   readonly log: Logger;
   readonly decisions: DecisionLog;
   readonly timing: MemberTiming;
-  ownNews(): MemberNews;
-  /** A member of whom there is an object but no news; tells whether it answered. */
+  localUpdate(): MemberNews;
+  /** Contacts a member known only by its object; returns whether it replied. */
   contact(id: string, value: MemberObject): Promise<boolean>;
 }): MemberObjects {
   const {store, table, clock, random, log, decisions, timing} = options;
   const unreachable = new Map<string, number>();
-  const stop = new AbortController();
+  const abortController = new AbortController();
   const timers = new Set<Disposable>();
-  let retryMs = FIRST_RETRY_MS;
+  let retryMs = MIN_RETRY_MS;
   let isJoined = false;
   let listedCount: number | undefined;
-  let hasLeft = false;
+  let isStopped = false;
   let swept = 0;
 
-  function after(delayMs: number, action: () => Promise<void>) {
+  function schedule(delayMs: number, action: () => Promise<void>) {
     const timer = clock.after(delayMs * (0.75 + random.next() / 2), () => {
       timers.delete(timer);
-      if (hasLeft) {
+      if (isStopped) {
         return;
       }
       action().catch(error =>
-        log.warn({err: toServingError(error)}, 'member objects'),
+        log.warn({err: toServingError(error)}, 'member object task failed'),
       );
     });
     timers.add(timer);
   }
 
-  function ownValue(): MemberObject {
+  function ownObjectValue(): MemberObject {
     const {incarnation, callerUrl, innerUrl, failureDomain, region} =
-      options.ownNews();
+      options.localUpdate();
     return {incarnation, callerUrl, innerUrl, failureDomain, region};
   }
 
-  async function writeOwn(): Promise<void> {
-    const {id} = options.ownNews();
-    await store.put(KIND, id, ownValue(), {type: 'any'}, stop.signal);
+  async function writeOwnObject(): Promise<void> {
+    const {id} = options.localUpdate();
+    await store.put(
+      KIND,
+      id,
+      ownObjectValue(),
+      {type: 'any'},
+      abortController.signal,
+    );
   }
 
   /**
-   * First written, then listed: of two that start at once, one sees the other,
-   * or hears of it from the members that it contacts and the seeds.
+   * Writes before listing: of two entries that start at once, at least one sees
+   * the other in the list or learns of it from contacted members and seeds.
    */
   async function tryJoin(): Promise<void> {
-    await writeOwn();
+    await writeOwnObject();
     const {objects} = await store.list<MemberObject>(
       KIND,
-      stop.signal,
+      abortController.signal,
       'recent',
     );
     isJoined = true;
     listedCount = objects.length;
-    const {id} = options.ownNews();
-    void contactSome(objects.filter(object => object.name !== id));
-    after(timing.sweepMs, sweep);
-    after(timing.ownObjectMs, checkOwnAgain);
+    const {id} = options.localUpdate();
+    void contactMembers(objects.filter(object => object.name !== id));
+    schedule(timing.sweepIntervalMs, sweep);
+    schedule(timing.ownObjectCheckIntervalMs, checkOwnObjectPeriodically);
   }
 
   /**
-   * Each that answers tells of all others, so a few are enough; those that
-   * nobody told of are tried by the sweep. Trying all would cost a dial and a
-   * listing for every member at every start.
+   * Each member that answers returns all others, so a few contacts suffice; the
+   * sweep tries members that remain unknown. Contacting all would cost one
+   * connection and one listing for every member at every start.
    */
-  async function contactSome(
+  async function contactMembers(
     objects: readonly StoredObject<MemberObject>[],
   ): Promise<void> {
-    const rest = [...objects];
-    let answered = 0;
-    while (rest.length > 0 && answered < JOIN_CONTACTS) {
-      const at = random.integer(0, rest.length - 1);
-      const [object] = rest.splice(at, 1);
+    const candidates = [...objects];
+    let answeredCount = 0;
+    while (candidates.length > 0 && answeredCount < JOIN_CONTACTS) {
+      const index = random.integer(0, candidates.length - 1);
+      const [object] = candidates.splice(index, 1);
       if (await options.contact(object!.name, object!.value)) {
-        answered += 1;
+        answeredCount += 1;
       }
     }
   }
 
   function join() {
     tryJoin().catch(error => {
-      log.info({reason: String(error)}, 'the platform is not there to join');
-      after(retryMs, async () => join());
-      retryMs = Math.min(LAST_RETRY_MS, retryMs * 2);
+      log.info({reason: String(error)}, 'failed to join; retrying');
+      schedule(retryMs, async () => join());
+      retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
     });
   }
 
-  async function checkOwn(): Promise<void> {
-    const {id, incarnation} = options.ownNews();
-    const found = await store.get<MemberObject>(KIND, id, stop.signal);
+  async function checkOwnObject(): Promise<void> {
+    const {id, incarnation} = options.localUpdate();
+    const found = await store.get<MemberObject>(
+      KIND,
+      id,
+      abortController.signal,
+    );
     if (found === undefined || found.value.incarnation !== incarnation) {
-      await writeOwn();
+      await writeOwnObject();
     }
   }
 
-  async function checkOwnAgain(): Promise<void> {
-    after(timing.ownObjectMs, checkOwnAgain);
-    await checkOwn();
+  async function checkOwnObjectPeriodically(): Promise<void> {
+    schedule(timing.ownObjectCheckIntervalMs, checkOwnObjectPeriodically);
+    await checkOwnObject();
   }
 
-  /** One member sweeps, so that the platform's calls don't grow with the members. */
+  /** Only one member sweeps, so platform calls do not grow with the cluster. */
   function isSweeper(): boolean {
-    const {id} = options.ownNews();
+    const {id} = options.localUpdate();
     const live = [...table.all()]
       .filter(known => known.machine.state() === 'live')
-      .map(known => known.news.id);
+      .map(known => known.update.id);
     return rendezvousOrder('member-sweeper', [...live, id])[0] === id;
   }
 
   function isDead(known: KnownMember, value: MemberObject): boolean {
     return (
       known.machine.state() === 'gone' &&
-      value.incarnation <= known.news.incarnation &&
-      clock.now() - known.changedAt >= timing.sweepMs
+      value.incarnation <= known.update.incarnation &&
+      clock.now() - known.changedAt >= timing.sweepIntervalMs
     );
   }
 
@@ -188,7 +199,7 @@
     }
     const sweeps = (unreachable.get(object.name) ?? 0) + 1;
     unreachable.set(object.name, sweeps);
-    return sweeps >= UNREACHABLE_SWEEPS;
+    return sweeps >= MAX_UNREACHABLE_SWEEPS;
   }
 
   async function shouldRemove(
@@ -202,16 +213,19 @@
   }
 
   async function sweep(): Promise<void> {
-    after(timing.sweepMs, sweep);
+    schedule(timing.sweepIntervalMs, sweep);
     if (!isSweeper()) {
       unreachable.clear();
       return;
     }
-    const {id} = options.ownNews();
-    const {objects} = await store.list<MemberObject>(KIND, stop.signal);
+    const {id} = options.localUpdate();
+    const {objects} = await store.list<MemberObject>(
+      KIND,
+      abortController.signal,
+    );
     let removals = 0;
     for (const object of objects) {
-      if (object.name === id || removals >= REMOVALS_PER_SWEEP) {
+      if (object.name === id || removals >= MAX_REMOVALS_PER_SWEEP) {
         continue;
       }
       if (await shouldRemove(object)) {
@@ -223,29 +237,34 @@
 
   async function removeDead(object: StoredObject<MemberObject>) {
     const {name, version} = object;
-    // The condition spares a process that has just started again under the id.
-    await store.remove(KIND, name, {type: 'version', version}, stop.signal);
+    // The version condition protects a process just restarted under this id.
+    await store.remove(
+      KIND,
+      name,
+      {type: 'version', version},
+      abortController.signal,
+    );
     swept += 1;
     unreachable.delete(name);
-    decisions.note('members', name, 'remove its object', 'gone for long');
+    decisions.note('members', name, 'remove its object', 'gone or unreachable');
   }
 
   return {
     join,
-    checkOwn() {
+    checkOwnObject() {
       if (isJoined) {
-        after(timing.heartbeatMs, checkOwn);
+        schedule(timing.heartbeatIntervalMs, checkOwnObject);
       }
     },
     listedCount: () => listedCount,
     async leave(signal) {
-      hasLeft = true;
-      const {id} = options.ownNews();
+      isStopped = true;
+      const {id} = options.localUpdate();
       await store.remove(KIND, id, {type: 'any'}, signal);
     },
-    async confirmReachable() {
+    async isPlatformReachable() {
       try {
-        await store.get(KIND, options.ownNews().id, stop.signal);
+        await store.get(KIND, options.localUpdate().id, abortController.signal);
         return true;
       } catch {
         return false;
@@ -253,9 +272,9 @@
     },
     dump: () => ({isJoined, swept, unreachable: [...unreachable.keys()]}),
     dispose() {
-      // A failed attempt to join would else plan the next one after the end.
-      hasLeft = true;
-      stop.abort();
+      // Prevents a failed join attempt from scheduling a retry after disposal.
+      isStopped = true;
+      abortController.abort();
       timers.forEach(timer => timer.dispose());
     },
   };
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -1,4 +1,4 @@
-/** What one entry knows of all others, and the rule by which news replaces news. */
+/** Table of all members known to one entry, and the ordering of updates. */
 import {hash32, type Clock} from '@skylarkfield/base';
 import type {MemberNews} from '@skylarkfield/protocol';
 import type {Member} from './contracts.js';
@@ -7,53 +7,57 @@
   type MemberEvent,
   type MemberMachine,
 } from './memberMachine.js';
-import {viewOf} from './memberView.js';
+import {buildMember} from './memberView.js';
 
-/** What this entry knows of one other. */
+/** State that this entry keeps of another member. */
 export interface KnownMember {
-  news: MemberNews;
+  /** Most recent update of the member. */
+  update: MemberNews;
   readonly machine: MemberMachine;
-  /** Monotonic milliseconds of the last proof of life, direct or by another's word. */
+  /** Monotonic milliseconds of the last sign of life, direct or via a peer. */
   heardAt: number;
-  /** Like `heardAt`, but from itself: what it may tell others when they ask. */
+  /** Like `heardAt`, but direct only; reported to peers that ask. */
   heardDirectlyAt: number;
-  /** Monotonic milliseconds of the last change of state. */
+  /** Monotonic milliseconds of the last state change. */
   changedAt: number;
-  /** It announced its leaving, so it is not looked for afterwards. */
+  /** It announced its departure, so no reconnection is attempted. */
   hasLeft: boolean;
   load: number;
   readonly bucket: number;
 }
 
-/** All the members that this entry knows, by id. */
+/** Other members known to this entry, by id. */
 export interface MemberTable {
   get(id: string): KnownMember | undefined;
-  /** All, tombstones of gone ones included. */
+  /** All members, including tombstones of those that are gone. */
   all(): Iterable<KnownMember>;
-  /** All that are not gone. */
+  /** Members that are not gone. */
   present(): readonly KnownMember[];
-  /** Takes news in when it is newer than what is known; tells whether it was. */
-  apply(news: MemberNews): boolean;
-  /** Sends an event to a member's machine; tells whether its state changed. */
+  /** Applies an update if newer than the stored one; returns whether it was. */
+  apply(update: MemberNews): boolean;
+  /** Sends an event to a member's machine; returns whether the state changed. */
   send(known: KnownMember, event: MemberEvent): boolean;
   forget(id: string): void;
-  /** One hash for each bucket of members that are not gone, the given one included. */
-  bucketsWith(own: MemberNews): readonly number[];
-  /** One hash over all, the given one included. */
-  digestWith(own: MemberNews): number;
-  /** All news of the buckets in which another entry's hashes differ. */
-  differing(buckets: readonly number[], own: MemberNews): MemberNews[];
-  /** Counts changes of who is in or out, so that what is derived can be kept. */
+  /** Hash of each bucket over members not gone, including the local one. */
+  bucketHashesWith(localUpdate: MemberNews): readonly number[];
+  /** Hash over all buckets, including the local member. */
+  digestWith(localUpdate: MemberNews): number;
+  /** Updates of all buckets whose hash differs from the peer's. */
+  differingUpdates(
+    peerHashes: readonly number[],
+    localUpdate: MemberNews,
+  ): MemberNews[];
+  /** Number of membership changes so far; lets users cache derived values. */
   revision(): number;
 }
 
-/** Enough that one difference among 1,700 members costs about 50 items to reconcile. */
-export const BUCKETS = 32;
+/** With 1,700 members, reconciling one difference costs about 50 updates. */
+export const BUCKET_COUNT = 32;
 
-/** Of news with the same incarnation and sequence, the later in a life wins. */
+/** Precedence of states between updates of equal incarnation and sequence. */
 const STATE_RANK = {live: 0, suspect: 0, leaving: 1, gone: 2} as const;
 
-const EVENT_OF_STATE = {
+const EVENT_BY_STATE = {
   live: 'returned',
   suspect: 'returned',
   leaving: 'left',
@@ -61,10 +65,10 @@
 } as const;
 
 /**
- * Makes an empty table.
+ * Creates an empty table.
  *
  * @example
- * if (table.apply(news)) { gossip.add(news); }
+ * if (table.apply(update)) { gossip.add(update); }
  */
 export function createMemberTable(options: {
   readonly clock: Clock;
@@ -72,17 +76,20 @@
 }): MemberTable {
   const {clock, onDidChange} = options;
   const members = new Map<string, KnownMember>();
-  const buckets = new Array<number>(BUCKETS).fill(0);
+  const bucketHashes = new Array<number>(BUCKET_COUNT).fill(0);
   let revision = 0;
-  /** Cached digest, valid until the buckets or the own news change. */
-  let digest: {readonly own: MemberNews; readonly hash: number} | undefined;
+  /** Cached digest, valid until the buckets or the local update change. */
+  let digest:
+    | {readonly localUpdate: MemberNews; readonly hash: number}
+    | undefined;
 
-  /** Adds a member's hash to its bucket, or takes it out: XOR does both. */
+  /** Adds a member's hash to its bucket or removes it; XOR does both. */
   function toggleHash(known: KnownMember) {
-    if (known.news.state === 'gone') {
+    if (known.update.state === 'gone') {
       return;
     }
-    buckets[known.bucket] = (buckets[known.bucket]! ^ hashOf(known.news)) >>> 0;
+    bucketHashes[known.bucket] =
+      (bucketHashes[known.bucket]! ^ hashOf(known.update)) >>> 0;
     digest = undefined;
   }
 
@@ -98,51 +105,51 @@
     return true;
   }
 
-  function add(news: MemberNews): KnownMember {
+  function add(update: MemberNews): KnownMember {
     const now = clock.now();
     const known: KnownMember = {
-      news,
+      update,
       machine: createMemberMachine(),
       heardAt: now,
       heardDirectlyAt: -Infinity,
       changedAt: now,
-      hasLeft: news.state === 'leaving',
-      load: news.load,
-      bucket: bucketOf(news.id),
+      hasLeft: update.state === 'leaving',
+      load: update.load,
+      bucket: bucketOf(update.id),
     };
-    members.set(news.id, known);
+    members.set(update.id, known);
     toggleHash(known);
     revision += 1;
-    if (news.state === 'live' || news.state === 'suspect') {
+    if (update.state === 'live' || update.state === 'suspect') {
       onDidChange(known);
     } else {
-      send(known, EVENT_OF_STATE[news.state]);
+      send(known, EVENT_BY_STATE[update.state]);
     }
     return known;
   }
 
-  function replace(known: KnownMember, news: MemberNews) {
-    const isNewProcess = news.incarnation > known.news.incarnation;
+  function replace(known: KnownMember, update: MemberNews) {
+    const isNewProcess = update.incarnation > known.update.incarnation;
     toggleHash(known);
-    known.news = news;
+    known.update = update;
     toggleHash(known);
     known.heardAt = clock.now();
-    known.load = news.load;
+    known.load = update.load;
     known.hasLeft =
-      news.state === 'leaving' ||
-      (known.hasLeft && news.state === 'gone' && !isNewProcess);
-    const changed = send(known, EVENT_OF_STATE[news.state]);
+      update.state === 'leaving' ||
+      (known.hasLeft && update.state === 'gone' && !isNewProcess);
+    const changed = send(known, EVENT_BY_STATE[update.state]);
     if (!changed && isNewProcess) {
       revision += 1;
       onDidChange(known);
     }
   }
 
-  function bucketsWith(own: MemberNews): readonly number[] {
-    const all = [...buckets];
-    const at = bucketOf(own.id);
-    all[at] = (all[at]! ^ hashOf(own)) >>> 0;
-    return all;
+  function bucketHashesWith(localUpdate: MemberNews): readonly number[] {
+    const hashes = [...bucketHashes];
+    const index = bucketOf(localUpdate.id);
+    hashes[index] = (hashes[index]! ^ hashOf(localUpdate)) >>> 0;
+    return hashes;
   }
 
   return {
@@ -150,16 +157,16 @@
     all: () => members.values(),
     present: () =>
       [...members.values()].filter(known => known.machine.state() !== 'gone'),
-    apply(news) {
-      const known = members.get(news.id);
+    apply(update) {
+      const known = members.get(update.id);
       if (known === undefined) {
-        add(news);
+        add(update);
         return true;
       }
-      if (!isNewer(news, known.news)) {
+      if (!isNewer(update, known.update)) {
         return false;
       }
-      replace(known, news);
+      replace(known, update);
       return true;
     },
     send,
@@ -172,64 +179,71 @@
       members.delete(id);
       revision += 1;
     },
-    bucketsWith,
-    digestWith(own) {
-      if (digest?.own !== own) {
-        const hash = bucketsWith(own).reduce(
+    bucketHashesWith,
+    digestWith(localUpdate) {
+      if (digest?.localUpdate !== localUpdate) {
+        const hash = bucketHashesWith(localUpdate).reduce(
           (sum, bucket) => hash32(`${sum} ${bucket}`),
           0,
         );
-        digest = {own, hash};
+        digest = {localUpdate, hash};
       }
       return digest.hash;
     },
-    differing(theirs, own) {
-      const ours = bucketsWith(own);
-      const isDifferent = (bucket: number) => theirs[bucket] !== ours[bucket];
-      const found = [...members.values()]
+    differingUpdates(peerHashes, localUpdate) {
+      const localHashes = bucketHashesWith(localUpdate);
+      const isDifferent = (bucket: number) =>
+        peerHashes[bucket] !== localHashes[bucket];
+      const updates = [...members.values()]
         .filter(known => isDifferent(known.bucket))
-        // Who knows nobody of a bucket needs no tombstones of it.
-        .filter(known => known.news.state !== 'gone' || theirs[known.bucket])
-        .map(known => known.news);
-      return isDifferent(bucketOf(own.id)) ? [own, ...found] : found;
+        // A peer whose bucket is empty needs no tombstones for it.
+        .filter(
+          known => known.update.state !== 'gone' || peerHashes[known.bucket],
+        )
+        .map(known => known.update);
+      return isDifferent(bucketOf(localUpdate.id))
+        ? [localUpdate, ...updates]
+        : updates;
     },
     revision: () => revision,
   };
 }
 
 /**
- * Whether news replaces what is known. Only the member itself raises its
- * sequence, so a live process can always refute, and nobody else can bring
- * back one that left.
+ * Returns whether an update supersedes the known one. Only the member itself
+ * raises its sequence, so a live process can always refute a false state and no
+ * other member can revive one that left.
  *
  * @example
- * if (!isNewer(news, known.news)) { return false; }
+ * if (!isNewer(update, known.update)) { return false; }
  */
-export function isNewer(news: MemberNews, known: MemberNews): boolean {
-  if (news.incarnation !== known.incarnation) {
-    return news.incarnation > known.incarnation;
+export function isNewer(update: MemberNews, known: MemberNews): boolean {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation;
   }
-  if (news.sequence !== known.sequence) {
-    return news.sequence > known.sequence;
+  if (update.sequence !== known.sequence) {
+    return update.sequence > known.sequence;
   }
-  return STATE_RANK[news.state] > STATE_RANK[known.state];
+  return STATE_RANK[update.state] > STATE_RANK[known.state];
 }
 
 function bucketOf(id: string): number {
-  return hash32(id) % BUCKETS;
+  return hash32(id) % BUCKET_COUNT;
 }
 
-function hashOf(news: MemberNews): number {
-  const state = news.state === 'suspect' ? 'live' : news.state;
-  return hash32(`${news.id} ${news.incarnation} ${news.sequence} ${state}`);
+function hashOf(update: MemberNews): number {
+  const state = update.state === 'suspect' ? 'live' : update.state;
+  return hash32(
+    `${update.id} ${update.incarnation} ${update.sequence} ${state}`,
+  );
 }
 
 /**
- * The member as consumers see it.
+ * Converts a table item to the public `Member` type.
  *
  * @example
  * const members = [...table.all()].map(toMember);
  */
 export function toMember(known: KnownMember): Member {
-  return viewOf(known.news, known.machine.state(), known.load);
+  return buildMember(known.update, known.machine.state(), known.load);
 }
--- a/packages/members/src/memberView.ts
+++ b/packages/members/src/memberView.ts
@@ -1,20 +1,21 @@
-/** A member as consumers see it. */
+/** Conversion of member updates to the public `Member` type. */
 import type {MemberNews} from '@skylarkfield/protocol';
 import type {Member, MemberState} from './contracts.js';
 
 /**
- * Combines the news of a member with its state and load as seen here.
+ * Combines the last update of a member with its state and load as seen by this
+ * entry.
  *
  * @example
- * const member = viewOf(known.news, known.machine.state(), known.load);
+ * const member = buildMember(known.update, known.machine.state(), known.load);
  */
-export function viewOf(
-  news: MemberNews,
+export function buildMember(
+  update: MemberNews,
   state: MemberState,
   load: number,
 ): Member {
   const {id, incarnation, callerUrl, innerUrl, failureDomain, region, cores} =
-    news;
+    update;
   return {
     id,
     incarnation,
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -1,4 +1,4 @@
-/** Which entries there are, as seen by one of them. */
+/** Cluster membership as seen by one entry. */
 import {
   disposableStore,
   emitter,
@@ -16,80 +16,80 @@
   PeerNetwork,
 } from '@skylarkfield/protocol';
 import type {Member, Membership} from './contracts.js';
-import {createGossip} from './gossip.js';
+import {createGossipQueue} from './gossip.js';
 import {createHeartbeats} from './heartbeats.js';
-import {createLostMembers} from './lostMembers.js';
+import {createReconnector} from './reconnector.js';
 import {createMemberObjects} from './memberObjects.js';
 import {createMemberTable, toMember} from './memberTable.js';
-import {createNewsIntake} from './newsIntake.js';
-import {createOwnEntry, type OwnAddress} from './ownEntry.js';
+import {createUpdateHandler} from './updateHandler.js';
+import {createLocalMember, type LocalMemberInfo} from './localMember.js';
 import {createPauseRecovery} from './pauseRecovery.js';
-import {createPeerBook} from './peerBook.js';
+import {createPeerDirectory} from './peerDirectory.js';
 import {createReconciler} from './reconciler.js';
-import {createSilenceDetector} from './silence.js';
+import {createFailureDetector} from './failureDetector.js';
 import {DEFAULT_TIMING, type MemberTiming} from './timing.js';
-import {dropTombstones} from './tombstones.js';
-import {createWakeGuard} from './wakeGuard.js';
+import {pruneTombstones} from './tombstones.js';
+import {createPauseDetector} from './pauseDetector.js';
 
-export type {OwnAddress} from './ownEntry.js';
+export type {LocalMemberInfo} from './localMember.js';
 
-/** Time for removing the own object when leaving, in milliseconds. */
-const LEAVE_STORE_MS = 1_000;
+/** Time limit for removing this entry's object on leave, in milliseconds. */
+const LEAVE_STORE_TIMEOUT_MS = 1_000;
 
 /**
- * Joins the entries and follows them until disposed.
+ * Joins the cluster and tracks its members until disposed.
  *
  * @example
- * const membership = createMembership({self, store, network, clock, random, log, decisions});
+ * const membership = createMembership({self, store, network, clock, ...rest});
  * membership.onDidChange(member => log.info({member}, 'member changed'));
  */
 export function createMembership(options: {
-  readonly self: OwnAddress;
+  readonly self: LocalMemberInfo;
   readonly store: ObjectStore;
   readonly network: PeerNetwork;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
   readonly decisions: DecisionLog;
-  /** Inner addresses to join through when the platform does not answer. */
+  /** Inner URLs of peers to join through when the platform is unavailable. */
   readonly seeds?: readonly string[];
-  /** Requests in flight here. */
+  /** Number of requests in flight on this entry. */
   load?(): number;
   readonly timing?: Partial<MemberTiming>;
 }): Membership {
   const {network, clock, random, log, decisions} = options;
   const timing = {...DEFAULT_TIMING, ...options.timing};
   const owned = disposableStore();
-  const changed = emitter<Member>();
-  const gossip = createGossip();
-  const guard = createWakeGuard(clock, timing.pauseMs);
+  const didChange = emitter<Member>();
+  const gossip = createGossipQueue();
+  const pauseDetector = createPauseDetector(clock, timing.pauseThresholdMs);
   const table = createMemberTable({
     clock,
-    onDidChange: known => changed.fire(toMember(known)),
+    onDidChange: known => didChange.fire(toMember(known)),
   });
-  const own = createOwnEntry({
+  const localMember = createLocalMember({
     self: options.self,
     decisions,
     load: () => options.load?.() ?? 0,
   });
-  const intake = createNewsIntake({
-    own,
+  const updateHandler = createUpdateHandler({
+    localMember,
     table,
     gossip,
-    onDidRefute: () => objects.checkOwn(),
+    onDidRefute: () => objects.checkOwnObject(),
   });
-  const {learn} = intake;
-  const silence = createSilenceDetector({
+  const {applyUpdate} = updateHandler;
+  const failureDetector = createFailureDetector({
     table,
     network,
     clock,
     random,
     decisions,
     timing,
-    ownNews: own.news,
-    learn,
-    onDidLose(known) {
-      learn({...known.news, state: 'gone'});
+    localUpdate: localMember.currentUpdate,
+    applyUpdate,
+    onDidConfirmGone(known) {
+      applyUpdate({...known.update, state: 'gone'});
     },
   });
   const objects = createMemberObjects({
@@ -100,203 +100,225 @@
     log,
     decisions,
     timing,
-    ownNews: own.news,
-    contact: (id, value) => lostMembers.contactMember(id, value),
+    localUpdate: localMember.currentUpdate,
+    contact: (id, value) => reconnector.contactMember(id, value),
   });
   owned.add(objects);
-  const book = createPeerBook({table, network, own: own.base});
+  const peerDirectory = createPeerDirectory({
+    table,
+    network,
+    localUpdate: localMember.baseUpdate,
+  });
   const reconciler = createReconciler({
     table,
     network,
     clock,
     log,
     timing,
-    own: own.base,
-    learn,
+    localUpdate: localMember.baseUpdate,
+    applyUpdate,
   });
-  const lostMembers = createLostMembers({
-    book,
-    silence,
+  const reconnector = createReconnector({
+    peerDirectory,
+    failureDetector,
     reconciler,
     network,
     clock,
     random,
     log,
     seeds: options.seeds ?? [],
-    contactMs: timing.contactMs,
+    reconnectIntervalMs: timing.reconnectIntervalMs,
   });
   const heartbeats = createHeartbeats({
-    own,
+    localMember,
     table,
     gossip,
-    intake,
-    silence,
+    updateHandler,
+    failureDetector,
     reconciler,
     network,
   });
-  const recovery = createPauseRecovery({
+  const pauseRecovery = createPauseRecovery({
     id: options.self.id,
-    guard,
+    pauseDetector,
     table,
-    silence,
+    failureDetector,
     objects,
     network,
     clock,
     decisions,
   });
 
-  /** Answers a probe, and tells the asker when it is taken for leaving or gone here. */
+  /** Answers a probe; includes the sender's state if it is leaving or gone. */
   function answerProbe(body: Messages['memberProbe']): MemberProof {
     if (body.believed !== undefined) {
-      learn(body.believed);
+      applyUpdate(body.believed);
     }
-    learn(body.from);
-    const asker = table.get(body.from.id);
-    const isOut = asker !== undefined && asker.news.state !== 'live';
-    return {news: own.news(), ...(isOut && {believed: asker.news})};
+    applyUpdate(body.from);
+    const sender = table.get(body.from.id);
+    const isLeavingOrGone =
+      sender !== undefined && sender.update.state !== 'live';
+    return {
+      news: localMember.currentUpdate(),
+      ...(isLeavingOrGone && {believed: sender.update}),
+    };
   }
 
   function tick() {
-    recovery.check();
-    book.refresh();
-    heartbeats.send(book.neighbours());
-    silence.check(book.neighbours());
-    lostMembers.check();
-    dropTombstones(table, clock.now(), timing.tombstoneMs);
+    pauseRecovery.check();
+    peerDirectory.refresh();
+    heartbeats.send(peerDirectory.neighbours());
+    failureDetector.check(peerDirectory.neighbours());
+    reconnector.check();
+    pruneTombstones(table, clock.now(), timing.tombstoneTtlMs);
   }
 
-  /** Sends news to peers and waits for their answers; returns those that gave none. */
-  async function tell(news: MemberNews, receivers: readonly string[]) {
-    const told = await Promise.allSettled(
-      receivers.map(id => network.ask(id, 'leaving', {news}, timing.probeMs)),
+  /** Sends an update to peers and returns those that did not acknowledge it. */
+  async function notifyLeaving(
+    update: MemberNews,
+    receivers: readonly string[],
+  ) {
+    const results = await Promise.allSettled(
+      receivers.map(id =>
+        network.ask(id, 'leaving', {news: update}, timing.probeTimeoutMs),
+      ),
+    );
+    return receivers.filter(
+      (_, index) => results[index]?.status === 'rejected',
     );
-    return receivers.filter((_, index) => told[index]?.status === 'rejected');
   }
 
   async function leave(): Promise<void> {
-    if (!own.leave()) {
+    if (!localMember.leave()) {
       return;
     }
-    changed.fire(own.member());
+    didChange.fire(localMember.member());
     decisions.note(
       'members',
       options.self.id,
       'leave',
       'planned stop or reclaim',
     );
-    const news = own.news();
-    gossip.add(news);
-    const untold = await tell(news, book.neighbours());
-    await tell(news, untold);
+    const update = localMember.currentUpdate();
+    gossip.add(update);
+    const unacknowledged = await notifyLeaving(
+      update,
+      peerDirectory.neighbours(),
+    );
+    await notifyLeaving(update, unacknowledged);
     await objects
-      .leave(AbortSignal.timeout(LEAVE_STORE_MS))
+      .leave(AbortSignal.timeout(LEAVE_STORE_TIMEOUT_MS))
       .catch(error =>
-        log.info({reason: String(error)}, 'the own member object stays'),
+        log.info({reason: String(error)}, 'failed to remove own member object'),
       );
   }
 
-  function passOnLeaving(from: string, body: Messages['leaving']) {
-    if (learn(body.news)) {
-      // Not left to the next heartbeat: callers must not be sent there any more.
-      const rest = book
+  function relayLeaving(from: string, body: Messages['leaving']) {
+    if (applyUpdate(body.news)) {
+      // Sent before the next heartbeat so that callers are routed away at once.
+      const receivers = peerDirectory
         .neighbours()
         .filter(id => id !== from && id !== body.news.id);
-      network.broadcast('leaving', body, rest);
+      network.broadcast('leaving', body, receivers);
     }
     return {};
   }
 
   owned.add(network.onDidReceive('heartbeat', heartbeats.receive));
-  owned.add(network.onDidReceive('leaving', passOnLeaving));
+  owned.add(network.onDidReceive('leaving', relayLeaving));
   owned.add(
     network.onDidReceive('memberProbe', (_, body) => answerProbe(body)),
   );
   owned.add(
     network.onDidReceive('memberWord', (_, {id, incarnation}) =>
-      silence.word(id, incarnation),
+      failureDetector.lastHeard(id, incarnation),
     ),
   );
   owned.add(
     network.onDidReceive('membersWanted', (_, {buckets}) => ({
-      news: table.differing(buckets, own.news()),
+      news: table.differingUpdates(buckets, localMember.currentUpdate()),
     })),
   );
   owned.add(
     network.onDidChangePeer((peer, isOpen) => {
-      silence.connectionChanged(peer, isOpen);
+      failureDetector.connectionChanged(peer, isOpen);
       if (isOpen) {
-        void silence.probe(peer);
+        void failureDetector.probe(peer);
       }
     }),
   );
-  // A random start keeps entries that began together from sending at the same moments.
+  // Random phase: entries started together must not send heartbeats in sync.
   owned.add(
-    clock.after(random.next() * timing.heartbeatMs, () => {
+    clock.after(random.next() * timing.heartbeatIntervalMs, () => {
       tick();
-      owned.add(every(clock, timing.heartbeatMs, tick));
+      owned.add(every(clock, timing.heartbeatIntervalMs, tick));
     }),
   );
   const startedAt = clock.now();
 
   function live(): Member[] {
-    return [own.member(), ...table.present().map(toMember)].filter(
+    return [localMember.member(), ...table.present().map(toMember)].filter(
       member => member.state === 'live',
     );
   }
 
-  /** Members that are silent, or were lost so lately that they may still serve. */
-  function doubtfulCount(): number {
+  /** Number of suspects and recently lost members, which may still serve. */
+  function possiblyLiveCount(): number {
     const suspects = table
       .present()
       .filter(({machine}) => machine.state() === 'suspect');
-    const lost = book
+    const lost = peerDirectory
       .lost()
-      .filter(({changedAt}) => clock.now() - changedAt < timing.lostCountMs);
+      .filter(({changedAt}) => clock.now() - changedAt < timing.lostGraceMs);
     return suspects.length + lost.length;
   }
 
-  /** The listing counts only until all that are alive have been heard of: it also holds the dead. */
+  /** The platform's list includes dead members and counts only at the start. */
   function entryCount(): number | undefined {
-    const count = live().length + doubtfulCount();
+    const count = live().length + possiblyLiveCount();
     const listed = objects.listedCount();
     if (listed === undefined) {
       return count > 1 ? count : undefined;
     }
-    const isNew = clock.now() - startedAt < timing.contactMs;
-    return isNew ? Math.max(count, listed) : count;
+    const isStarting = clock.now() - startedAt < timing.reconnectIntervalMs;
+    return isStarting ? Math.max(count, listed) : count;
   }
 
-  gossip.add(own.news());
+  gossip.add(localMember.currentUpdate());
   objects.join();
-  lostMembers.contactSeeds();
+  reconnector.contactSeeds();
 
   return {
     get self() {
-      return own.member();
+      return localMember.member();
     },
-    members: () => [own.member(), ...table.present().map(toMember)],
+    members: () => [localMember.member(), ...table.present().map(toMember)],
     live,
     entryCount,
-    onDidChange: changed.event,
+    onDidChange: didChange.event,
     leave,
-    isCurrent: () => guard.isCurrent(),
+    isCurrent: () => pauseDetector.isCurrent(),
     dump: () => ({
-      self: own.member(),
+      self: localMember.member(),
       members: [...table.all()].map(known => ({
         ...toMember(known),
-        sequence: known.news.sequence,
+        sequence: known.update.sequence,
         heardAgoMs: Math.round(clock.now() - known.heardAt),
       })),
-      neighbours: book.neighbours(),
+      neighbours: peerDirectory.neighbours(),
       gossip: gossip.size(),
       reconciliations: reconciler.count(),
-      silence: silence.dump(),
+      silence: failureDetector.dump(),
       objects: objects.dump(),
-      pauses: guard.dump(),
+      pauses: pauseDetector.dump(),
     }),
     dispose() {
       network.broadcast('leaving', {
-        news: {...own.news(), state: 'gone', sequence: own.base().sequence + 1},
+        news: {
+          ...localMember.currentUpdate(),
+          state: 'gone',
+          sequence: localMember.baseUpdate().sequence + 1,
+        },
       });
       owned.dispose();
     },
--- a/packages/members/src/neighbours.ts
+++ b/packages/members/src/neighbours.ts
@@ -1,78 +1,106 @@
 /**
- * Who sends heartbeats to whom. Up to a bound everyone to all; beyond, a few
- * neighbours on rings of hashed ids, so that what one entry sends does not grow
- * with their number. The relation is symmetric: an entry expects heartbeats of
- * just those to whom it sends, and a one-sided neighbour would look silent.
+ * Selection of heartbeat neighbours. Small clusters form a full mesh; in larger
+ * ones each entry has a few neighbours on rings of hashed ids, so that its
+ * traffic does not grow with the cluster. The relation is symmetric: an entry
+ * expects heartbeats from exactly those it sends to, and a one-sided neighbour
+ * would become suspect.
  */
 import {hash32} from '@skylarkfield/base';
 
-/** What the choice of neighbours needs to know of a member. */
-export interface Node {
+/** Properties of a member that neighbour selection depends on. */
+export interface NeighbourCandidate {
   readonly id: string;
   readonly failureDomain: string;
 }
 
-/** Up to this many members, heartbeats go to all. */
-export const ALL_TO_ALL_MEMBERS = 24;
-/** Rings; each gives a neighbour on either side. */
-const RINGS = 3;
-/** Places looked at for another failure domain: bounds the neighbours of a rare one. */
-const SEARCH = 4;
+/** Largest cluster in which heartbeats go to all members. */
+export const MAX_FULL_MESH_MEMBERS = 24;
+/** Number of rings; each provides a neighbour on either side. */
+const RING_COUNT = 3;
+/**
+ * Ring positions searched for another failure domain; bounds the number of
+ * neighbours of a member in a rare failure domain.
+ */
+const MAX_SEARCH_STEPS = 4;
 
 /**
- * Gives the ids that a member exchanges heartbeats with. On each ring the next
- * member is the first of another failure domain, so that losing a failure
- * domain leaves each of its members with neighbours that notice.
+ * Returns the ids that a member exchanges heartbeats with. On each ring the
+ * successor is the next member of another failure domain, so that the members
+ * of a lost failure domain have neighbours elsewhere that detect the loss.
  *
  * @example
  * const ids = neighboursOf('a1', members);
  */
-export function neighboursOf(self: string, nodes: readonly Node[]): string[] {
-  if (nodes.length <= ALL_TO_ALL_MEMBERS) {
-    return nodes.map(node => node.id).filter(id => id !== self);
+export function neighboursOf(
+  self: string,
+  members: readonly NeighbourCandidate[],
+): string[] {
+  if (members.length <= MAX_FULL_MESH_MEMBERS) {
+    return members.map(member => member.id).filter(id => id !== self);
   }
-  const chosen = new Set<string>();
-  for (let ring = 0; ring < RINGS; ring++) {
-    const order = ringOrder(nodes, ring);
-    const at = order.findIndex(node => node.id === self);
-    if (at < 0) {
+  const neighbours = new Set<string>();
+  for (let ring = 0; ring < RING_COUNT; ring++) {
+    const order = ringOrder(members, ring);
+    const index = order.findIndex(member => member.id === self);
+    if (index < 0) {
       continue;
     }
-    const places = [successorOf(order, at), ...predecessorsOf(order, at)];
-    places.forEach(place => chosen.add(nodeAt(order, place).id));
+    const positions = [
+      successorOf(order, index),
+      ...predecessorsOf(order, index),
+    ];
+    positions.forEach(position => neighbours.add(memberAt(order, position).id));
   }
-  chosen.delete(self);
-  return [...chosen];
+  neighbours.delete(self);
+  return [...neighbours];
 }
 
-function ringOrder(nodes: readonly Node[], ring: number): Node[] {
-  return nodes
-    .map(node => ({node, place: hash32(node.id, ring + 1)}))
-    .sort((a, b) => a.place - b.place || (a.node.id < b.node.id ? -1 : 1))
-    .map(({node}) => node);
+function ringOrder(
+  members: readonly NeighbourCandidate[],
+  ring: number,
+): NeighbourCandidate[] {
+  return members
+    .map(member => ({member, hash: hash32(member.id, ring + 1)}))
+    .sort((a, b) => a.hash - b.hash || (a.member.id < b.member.id ? -1 : 1))
+    .map(({member}) => member);
 }
 
-function nodeAt(order: readonly Node[], at: number): Node {
-  return order[wrap(order, at)]!;
+function memberAt(
+  order: readonly NeighbourCandidate[],
+  index: number,
+): NeighbourCandidate {
+  return order[wrapIndex(order, index)]!;
 }
 
-function wrap(order: readonly Node[], at: number): number {
-  return (at + order.length) % order.length;
+function wrapIndex(
+  order: readonly NeighbourCandidate[],
+  index: number,
+): number {
+  return (index + order.length) % order.length;
 }
 
-/** Place of the first of another failure domain close by, or else of the next. */
-function successorOf(order: readonly Node[], at: number): number {
-  const own = nodeAt(order, at).failureDomain;
-  for (let step = 1; step <= SEARCH; step++) {
-    if (nodeAt(order, at + step).failureDomain !== own) {
-      return wrap(order, at + step);
+/** Position of the next member, preferably in another failure domain. */
+function successorOf(
+  order: readonly NeighbourCandidate[],
+  index: number,
+): number {
+  const ownDomain = memberAt(order, index).failureDomain;
+  for (let step = 1; step <= MAX_SEARCH_STEPS; step++) {
+    if (memberAt(order, index + step).failureDomain !== ownDomain) {
+      return wrapIndex(order, index + step);
     }
   }
-  return wrap(order, at + 1);
+  return wrapIndex(order, index + 1);
 }
 
-/** Places of those whose successor this one is. */
-function predecessorsOf(order: readonly Node[], at: number): number[] {
-  const before = Array.from({length: SEARCH}, (_, step) => at - 1 - step);
-  return before.filter(place => successorOf(order, place) === at);
+/** Positions of the members whose successor is the one at the index. */
+function predecessorsOf(
+  order: readonly NeighbourCandidate[],
+  index: number,
+): number[] {
+  const candidates = Array.from(
+    {length: MAX_SEARCH_STEPS},
+    (_, step) => index - 1 - step,
+  );
+  return candidates.filter(position => successorOf(order, position) === index);
 }
--- a/packages/members/src/pauseRecovery.ts
+++ b/packages/members/src/pauseRecovery.ts
@@ -1,48 +1,48 @@
 /**
- * What is done after a pause of this process. The others seem silent then
- * because nobody here listened: judged by it, live members would be dropped and
- * callers sent elsewhere.
+ * Recovery after a pause of this process. Peers appear silent because their
+ * heartbeats were not read; without recovery, live members would be declared
+ * gone and callers routed away from them.
  */
 import type {Clock, DecisionLog} from '@skylarkfield/base';
 import type {PeerNetwork} from '@skylarkfield/protocol';
 import type {MemberObjects} from './memberObjects.js';
 import type {MemberTable} from './memberTable.js';
-import type {SilenceDetector} from './silence.js';
-import type {WakeGuard} from './wakeGuard.js';
+import type {FailureDetector} from './failureDetector.js';
+import type {PauseDetector} from './pauseDetector.js';
 
-/** Peers asked at once after a pause. */
-const WAKE_PROBES = 3;
+/** Maximum number of peers probed concurrently after a pause. */
+const MAX_PROBES = 3;
 
-/** Looks for pauses of this process and acts on them. */
+/** Detects pauses of this process and recovers from them. */
 export interface PauseRecovery {
-  /** Looks for a pause that just ended; call it first with every timer run. */
+  /** Checks for a pause that just ended; must run first on every timer tick. */
   check(): void;
 }
 
 /**
- * Makes the recovery of one entry.
+ * Creates the pause recovery of one entry.
  *
  * @example
- * const recovery = createPauseRecovery({id, guard, table, ...rest});
- * recovery.check();
+ * const pauseRecovery = createPauseRecovery({id, pauseDetector, ...rest});
+ * pauseRecovery.check();
  */
 export function createPauseRecovery(options: {
   readonly id: string;
-  readonly guard: WakeGuard;
+  readonly pauseDetector: PauseDetector;
   readonly table: MemberTable;
-  readonly silence: SilenceDetector;
+  readonly failureDetector: FailureDetector;
   readonly objects: MemberObjects;
   readonly network: PeerNetwork;
   readonly clock: Clock;
   readonly decisions: DecisionLog;
 }): PauseRecovery {
-  const {id, guard, table, silence, objects} = options;
+  const {id, pauseDetector, table, failureDetector, objects} = options;
   const {network, clock, decisions} = options;
 
-  /** The silence during a pause was ours: nobody is judged by it. */
-  function forgiveSilence(pauseMs: number) {
+  /** Restarts the silence timeout of all members, as the pause was local. */
+  function resetSilence(pauseMs: number) {
     const now = clock.now();
-    decisions.note('members', id, 'hold back', 'was paused', {
+    decisions.note('members', id, 'hold back', 'process was paused', {
       pauseMs: Math.round(pauseMs),
     });
     for (const known of table.all()) {
@@ -51,19 +51,22 @@
   }
 
   async function confirmCurrent(): Promise<void> {
-    const askedAt = clock.now();
-    // Without others nobody can have acted while this process was paused.
+    const requestedAt = clock.now();
+    // Without other members nobody can have acted during the pause.
     if (table.present().length === 0) {
-      guard.confirm(askedAt);
+      pauseDetector.confirm(requestedAt);
       return;
     }
-    const reachable = objects.confirmReachable();
-    const peers = network.connected().slice(0, WAKE_PROBES);
-    const answers = [...peers.map(peer => silence.probe(peer)), reachable];
+    const platformAnswer = objects.isPlatformReachable();
+    const peers = network.connected().slice(0, MAX_PROBES);
+    const answers = [
+      ...peers.map(peer => failureDetector.probe(peer)),
+      platformAnswer,
+    ];
     for (const answer of answers) {
       void answer.then(isAnswered => {
         if (isAnswered) {
-          guard.confirm(askedAt);
+          pauseDetector.confirm(requestedAt);
         }
       });
     }
@@ -72,11 +75,11 @@
 
   return {
     check() {
-      const pauseMs = guard.tick();
+      const pauseMs = pauseDetector.tick();
       if (pauseMs > 0) {
-        forgiveSilence(pauseMs);
+        resetSilence(pauseMs);
       }
-      if (!guard.isCurrent()) {
+      if (!pauseDetector.isCurrent()) {
         void confirmCurrent();
       }
     },
--- a/packages/members/src/peerBook.ts
+++ b/packages/members/src/peerDirectory.ts
@@ -1,32 +1,32 @@
-/** Whom the network connects to: neighbours always, all others when needed. */
+/** Peers that the network connects to: neighbours always, others on demand. */
 import type {MemberNews, PeerNetwork} from '@skylarkfield/protocol';
 import type {KnownMember, MemberTable} from './memberTable.js';
 import {neighboursOf} from './neighbours.js';
 
 /** Neighbours and addresses, derived from the known members. */
-export interface PeerBook {
+export interface PeerDirectory {
   neighbours(): readonly string[];
-  /** Brings the network up to date when members have changed. */
+  /** Updates the network's peers and addresses if members have changed. */
   refresh(): void;
-  /** Makes an address usable that no member is known for yet. */
+  /** Adds the address of a peer that is not in the member table yet. */
   addContact(id: string, url: string): void;
   removeContact(id: string): void;
-  /** Members gone without having announced it: the network between may only be broken. */
+  /** Members gone without an announcement, possibly only partitioned. */
   lost(): readonly KnownMember[];
 }
 
 /**
- * Makes the book of one entry.
+ * Creates the peer directory of one entry.
  *
  * @example
- * book.refresh();
- * network.broadcast('heartbeat', body, book.neighbours());
+ * peerDirectory.refresh();
+ * network.broadcast('heartbeat', body, peerDirectory.neighbours());
  */
-export function createPeerBook(options: {
+export function createPeerDirectory(options: {
   readonly table: MemberTable;
   readonly network: PeerNetwork;
-  own(): MemberNews;
-}): PeerBook {
+  localUpdate(): MemberNews;
+}): PeerDirectory {
   const {table, network} = options;
   const contacts = new Map<string, string>();
   let neighbours: readonly string[] = [];
@@ -40,13 +40,13 @@
 
   function updateNetwork() {
     const addresses = table.present().map(addressOf);
-    const chosen = new Set(neighbours);
+    const neighbourIds = new Set(neighbours);
     network.setAddressBook([
       ...addresses,
       ...lost().map(addressOf),
       ...[...contacts].map(([id, url]) => ({id, incarnation: 0, url})),
     ]);
-    network.setPeers(addresses.filter(({id}) => chosen.has(id)));
+    network.setPeers(addresses.filter(({id}) => neighbourIds.has(id)));
   }
 
   return {
@@ -56,9 +56,9 @@
         return;
       }
       seenRevision = table.revision();
-      const own = options.own();
-      const nodes = table.present().map(known => known.news);
-      neighbours = neighboursOf(own.id, [own, ...nodes]);
+      const localUpdate = options.localUpdate();
+      const members = table.present().map(known => known.update);
+      neighbours = neighboursOf(localUpdate.id, [localUpdate, ...members]);
       updateNetwork();
     },
     addContact(id, url) {
@@ -71,6 +71,6 @@
 }
 
 function addressOf(known: KnownMember) {
-  const {id, incarnation, innerUrl} = known.news;
+  const {id, incarnation, innerUrl} = known.update;
   return {id, incarnation, url: innerUrl};
 }
--- a/packages/members/src/readers.ts
+++ b/packages/members/src/readers.ts
@@ -1,13 +1,17 @@
-/** Which entries watch something for all, so that watches don't grow with the entries. */
+/**
+ * Selection of the entries that watch a source on behalf of all others, so that
+ * the number of watches does not grow with the number of entries.
+ */
 import {rendezvousOrder} from '@skylarkfield/base';
 import type {Member} from './contracts.js';
 
-/** Readers in each failure domain: one may fail while the other goes on. */
+/** Readers in each failure domain; two, so that one may fail. */
 const READERS_PER_DOMAIN = 2;
 
 /**
- * Whether a member is a reader of a topic: the first few of its failure domain
- * by rendezvous hashing over the live members. In small installations all are.
+ * Returns whether a member is a reader of a topic, that is, among the first
+ * `READERS_PER_DOMAIN` live members of its failure domain in rendezvous hash
+ * order. In small installations all members are readers.
  *
  * @example
  * leaving.setReader(isReader(membership.live(), membership.self, 'notices'));
--- a/packages/members/src/reconciler.ts
+++ b/packages/members/src/reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * Brings in what gossip missed: two entries compare one hash with every heartbeat,
- * and one that differs for long fetches just the buckets that differ.
+ * Anti-entropy for updates that gossip missed: entries compare a digest with
+ * every heartbeat, and fetch the differing buckets when it differs for long.
  */
 import {toServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {
@@ -11,18 +11,18 @@
 import type {MemberTable} from './memberTable.js';
 import type {MemberTiming} from './timing.js';
 
-/** Compares what two entries know, and fetches the difference. */
+/** Compares the member tables of two entries and fetches the difference. */
 export interface Reconciler {
-  /** Compares a peer's digest with ours. */
+  /** Compares a peer's digest with the local one. */
   compare(peer: string, digest: number | undefined): void;
-  /** Fetches all that the peer knows otherwise. */
+  /** Fetches the peer's updates of all buckets that differ. */
   fetch(peer: string): Promise<void>;
-  /** Fetches made so far. */
+  /** Number of fetches so far. */
   count(): number;
 }
 
 /**
- * Makes the reconciler of one entry.
+ * Creates the reconciler of one entry.
  *
  * @example
  * reconciler.compare(from, heartbeat.digest);
@@ -33,31 +33,31 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly timing: MemberTiming;
-  own(): MemberNews;
-  learn(news: MemberNews): void;
+  localUpdate(): MemberNews;
+  applyUpdate(update: MemberNews): void;
 }): Reconciler {
   const {table, network, clock, log, timing} = options;
-  /** By peer: two that lack the same member agree, and prove nothing. */
+  /** By peer: agreement with a peer that lacks the same member proves nothing. */
   const differsSince = new Map<string, number>();
   let fetches = 0;
 
   async function fetch(peer: string): Promise<void> {
     fetches += 1;
-    const buckets = table.bucketsWith(options.own());
-    const given = await network
-      .ask(peer, 'membersWanted', {buckets}, timing.probeMs)
+    const buckets = table.bucketHashesWith(options.localUpdate());
+    const response = await network
+      .ask(peer, 'membersWanted', {buckets}, timing.probeTimeoutMs)
       .catch(() => undefined);
     try {
-      (given as MembersGiven | undefined)?.news.forEach(options.learn);
+      (response as MembersGiven | undefined)?.news.forEach(options.applyUpdate);
     } catch (error) {
-      log.warn({peer, err: toServingError(error)}, 'unusable list of members');
+      log.warn({peer, err: toServingError(error)}, 'invalid member list');
     }
   }
 
-  /** Former neighbours send no heartbeat that could take them out. */
-  function forgetOld(now: number) {
+  /** Former neighbours send no heartbeats that would remove their item. */
+  function dropStalePeers(now: number) {
     for (const [peer, since] of differsSince) {
-      if (now - since > 2 * timing.reconcileMs) {
+      if (now - since > 2 * timing.reconcileDelayMs) {
         differsSince.delete(peer);
       }
     }
@@ -65,7 +65,7 @@
 
   return {
     compare(peer, digest) {
-      const isSame = digest === table.digestWith(options.own());
+      const isSame = digest === table.digestWith(options.localUpdate());
       if (digest === undefined || isSame) {
         differsSince.delete(peer);
         return;
@@ -73,14 +73,14 @@
       const now = clock.now();
       const since = differsSince.get(peer);
       if (since === undefined) {
-        forgetOld(now);
+        dropStalePeers(now);
         differsSince.set(peer, now);
         return;
       }
-      if (now - since < timing.reconcileMs) {
+      if (now - since < timing.reconcileDelayMs) {
         return;
       }
-      // One exchange a time: while news is on its way, all peers differ.
+      // One fetch at a time: while an update propagates, all peers differ.
       differsSince.clear();
       void fetch(peer);
     },
--- a/packages/members/src/test/cluster.ts
+++ b/packages/members/src/test/cluster.ts
@@ -1,4 +1,4 @@
-/** Many entries in one test process, on a virtual clock. */
+/** Simulated cluster of entries in one test process, on a virtual clock. */
 import {
   decisionLog,
   hash32,
@@ -10,7 +10,7 @@
 import {MEMORY_SCHEME, createMemoryNetwork} from '@skylarkfield/protocol';
 import {createMembership, type Membership} from '../index.js';
 
-/** A cluster of entries that can be started, crashed, paused and cut. */
+/** Creates a cluster whose entries can be started, crashed and partitioned. */
 export function createCluster(seed = 1) {
   const clock = virtualClock();
   const random = seededRandom(seed);
@@ -28,13 +28,13 @@
         incarnation,
         callerUrl: `http://${id}`,
         innerUrl: MEMORY_SCHEME + id,
-        failureDomain: `domain-${hashDigit(id)}`,
+        failureDomain: `domain-${domainIndex(id)}`,
         region: 'region-1',
       },
       store: platform.client(id),
       network: peer.network,
       clock: peer.clock,
-      // Neighbouring small seeds give nearly the same first numbers.
+      // Hashed, as similar small seeds produce nearly the same first numbers.
       random: seededRandom(hash32(`${seed}/${incarnation}`)),
       log: silentLogger(),
       decisions: decisionLog(clock, silentLogger()),
@@ -49,7 +49,7 @@
     net,
     platform,
     running,
-    /** Ids of which the platform keeps an object. */
+    /** Ids of the member objects stored on the platform. */
     objectNames(): string[] {
       const {objects} = platform.table.list('member');
       return objects.map(object => object.name).sort();
@@ -68,7 +68,7 @@
       net.crash(id);
       running.delete(id);
     },
-    /** Leaves and ends, as a planned stop does. */
+    /** Performs a planned stop: leaves, then disposes. */
     async stop(id: string) {
       const membership = running.get(id)!;
       running.delete(id);
@@ -78,13 +78,13 @@
       membership.dispose();
       net.crash(id);
     },
-    cutOff(id: string, others: Iterable<string>) {
+    isolate(id: string, others: Iterable<string>) {
       for (const other of others) {
         net.cut(id, other);
         net.cut(other, id);
       }
     },
-    /** Ids that an entry offers to callers. */
+    /** Ids of the members that an entry considers live. */
     liveAt(id: string): string[] {
       const live = running.get(id)!.live();
       return live.map(member => member.id).sort();
@@ -94,8 +94,8 @@
 
 export type Cluster = ReturnType<typeof createCluster>;
 
-const DOMAINS = 4;
+const DOMAIN_COUNT = 4;
 
-function hashDigit(id: string): number {
-  return Number(id.replace(/\D/g, '') || 0) % DOMAINS;
+function domainIndex(id: string): number {
+  return Number(id.replace(/\D/g, '') || 0) % DOMAIN_COUNT;
 }
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -32,8 +32,8 @@
   };
 }
 
-/** Entries a, b and c in a row: a and c only hear each other through b. */
-function createRow() {
+/** Creates entries a, b and c in a chain: a and c are connected only via b. */
+function createChain() {
   const clock = virtualClock();
   const net = createMemoryNetwork({clock, random: seededRandom(1)});
   const ids = ['a', 'b', 'c'];
@@ -79,50 +79,50 @@
 
 interface ListStep {
   readonly afterMs?: number;
-  /** Not listed when undefined. */
+  /** Undefined if the endpoint is absent from the list. */
   readonly state?: 'live' | 'leaving';
   readonly url?: string;
 }
 
 /**
- * An endpoint restarts on its host under its id, as after an update. Were it
- * kept out for as long as a list can lag, a service of few endpoints would
- * lack it for a quarter of an hour; were it let in by an old list, calls would
- * go to a process that is gone.
+ * An endpoint restarts on its host under the same id, as after an update. If it
+ * stayed excluded for the maximum list lag, a service with few endpoints would
+ * lack it for a quarter of an hour; if an outdated list readmitted it, calls
+ * would go to a process that is gone.
  */
 const returns: ReadonlyArray<{
   readonly name: string;
-  /** 0 without a notice of the host. */
+  /** Time until the host is gone; 0 without a reclaim notice. */
   readonly noticeMs: number;
   readonly steps: readonly ListStep[];
   readonly isBack: boolean;
 }> = [
   {
-    name: 'takes back what was listed as leaving and lives at another address',
+    name: 'readmits an endpoint listed as leaving, then live at a new URL',
     noticeMs: 0,
     steps: [{state: 'leaving'}, {state: 'live', url: 'http://h1:2'}],
     isBack: true,
   },
   {
-    name: 'takes back what was gone and lives after the time of the notice',
+    name: 'readmits an endpoint that was unlisted, then live after the deadline',
     noticeMs: 30_000,
     steps: [{}, {afterMs: MINUTE_MS, state: 'live'}],
     isBack: true,
   },
   {
-    name: 'keeps out what the list only goes on to show as live',
+    name: 'excludes an endpoint that the list keeps showing as live',
     noticeMs: 30_000,
     steps: [{state: 'live'}, {afterMs: 5 * MINUTE_MS, state: 'live'}],
     isBack: false,
   },
   {
-    name: 'keeps out what lives again at the old address with no time known',
+    name: 'excludes an endpoint live again at the old URL without a deadline',
     noticeMs: 0,
     steps: [{state: 'leaving'}, {state: 'live'}],
     isBack: false,
   },
   {
-    name: 'keeps out a new process on a host that is about to go',
+    name: 'excludes a new process on a host that is about to be reclaimed',
     noticeMs: 30_000,
     steps: [{state: 'leaving'}, {state: 'live', url: 'http://h1:2'}],
     isBack: false,
@@ -130,10 +130,10 @@
 ];
 
 describe('leaving endpoints', () => {
-  it('tells every entry from one notice, once', async () => {
-    // The cloud takes a host back and only one entry hears the notice. Any entry
-    // that goes on sending work there loses it half a minute later.
-    const {clock, a, b, c} = createRow();
+  it('propagates a notice to every entry once', async () => {
+    // Only one entry receives the reclaim notice of a host. Any entry that kept
+    // sending work there would lose it half a minute later.
+    const {clock, a, b, c} = createChain();
     a.list(listedEndpoint('e1', 'h1'), listedEndpoint('e2', 'h2'));
     a.notice('h1');
     await clock.advance(10);
@@ -149,8 +149,8 @@
   });
 
   it('marks an endpoint that is listed only after the notice', async () => {
-    // The list lags: the notice names a host on which it shows nothing yet.
-    const {clock, a, c} = createRow();
+    // The list lags: it shows no endpoint on the host of the notice yet.
+    const {clock, a, c} = createChain();
     a.notice('h1');
     await clock.advance(10);
     assert.equal(c.leaving.isLeaving('e1', 'h1'), true);
@@ -158,10 +158,10 @@
     assert.deepEqual(c.seen, ['e1 by list']);
   });
 
-  it('hands on the list with leaving endpoints marked', async () => {
-    // What chooses endpoints reads the list; it must not see as live what is
-    // known to leave, also when the next old list arrives.
-    const {clock, a} = createRow();
+  it('publishes the host list with leaving endpoints marked', async () => {
+    // Endpoint selection reads this list; it must not show an endpoint known to
+    // leave as live, even when another outdated list arrives.
+    const {clock, a} = createChain();
     const states: string[] = [];
     a.leaving.hostList.watch(list => {
       states.push(list.map(({id, state}) => `${id} ${state}`).join());
@@ -174,10 +174,10 @@
     assert.deepEqual(states, ['e1 live,e2 live', marked, marked]);
   });
 
-  it('is not brought back by an old list, but by a new host', async () => {
+  it('readmits an endpoint on a new host, not from an outdated list', async () => {
     // The list still shows the endpoint as live minutes after the notice; later
     // its replacement starts under the same id on another host.
-    const {clock, a} = createRow();
+    const {clock, a} = createChain();
     a.list(listedEndpoint('e1', 'h1'));
     a.notice('h1');
     await clock.advance(10 * MINUTE_MS);
@@ -193,7 +193,7 @@
 
   for (const {name, noticeMs, steps, isBack} of returns) {
     it(name, async () => {
-      const {clock, a} = createRow();
+      const {clock, a} = createChain();
       a.list(listedEndpoint('e1', 'h1'));
       const goneAt = clock.wall() + noticeMs;
       if (noticeMs > 0) {
@@ -209,7 +209,7 @@
       }
       assert.equal(a.leaving.isLeaving('e1'), !isBack);
       assert.equal(a.seen.includes('e1 returns'), isBack);
-      // Nor does the same notice, told again after a cut, take it away again.
+      // The same notice, repeated after a partition, must not change that.
       if (noticeMs > 0) {
         a.notice('h1', goneAt);
         await clock.advance(10);
@@ -218,8 +218,8 @@
     });
   }
 
-  it('takes a returned endpoint away again by a second notice', async () => {
-    const {clock, a, b} = createRow();
+  it('excludes a returned endpoint again on a second notice', async () => {
+    const {clock, a, b} = createChain();
     a.list(listedEndpoint('e1', 'h1'));
     a.notice('h1');
     await clock.advance(MINUTE_MS);
@@ -234,9 +234,9 @@
     assert.equal(b.leaving.isLeaving('e1'), true);
   });
 
-  it('gives work again when the host stayed after all', async () => {
+  it('readmits endpoints when the host was not reclaimed', async () => {
     // A notice that the cloud did not carry out must not idle a host for good.
-    const {clock, a} = createRow();
+    const {clock, a} = createChain();
     a.list(listedEndpoint('e1', 'h1'));
     a.notice('h1');
     await clock.advance(17 * MINUTE_MS);
@@ -244,9 +244,9 @@
     assert.deepEqual(a.seen, ['e1 by notice', 'e1 returns']);
   });
 
-  it('tells a peer that was cut off when the word went round', async () => {
-    // A switch is down for a moment just when the notice comes.
-    const {clock, net, a, b, c} = createRow();
+  it('resends to a peer that was disconnected during the broadcast', async () => {
+    // A switch is down for a moment when the notice arrives.
+    const {clock, net, a, b, c} = createChain();
     net.crash('c');
     a.notice('h1');
     a.leaving.note('h1', ['e1'], 0, 'fault');
@@ -264,8 +264,8 @@
     assert.deepEqual(heard, ['e1']);
   });
 
-  it('keeps its memory bounded', async () => {
-    const {a} = createRow();
+  it('bounds the number of tracked hosts', async () => {
+    const {a} = createChain();
     for (let host = 0; host < 5_000; host++) {
       a.leaving.note(`h${host}`, [`e${host}`], 0, 'fault');
     }
--- a/packages/members/src/test/lookup.test.ts
+++ b/packages/members/src/test/lookup.test.ts
@@ -3,7 +3,7 @@
 import {seededRandom} from '@skylarkfield/base';
 import {orderEntries, type Member} from '../index.js';
 
-function member(index: number, change: Partial<Member> = {}): Member {
+function member(index: number, overrides: Partial<Member> = {}): Member {
   return {
     id: `m${index}`,
     incarnation: 1,
@@ -13,7 +13,7 @@
     failureDomain: `domain-${index % 4}`,
     region: 'r',
     load: 10,
-    ...change,
+    ...overrides,
   };
 }
 
@@ -23,7 +23,7 @@
 
 describe('lookup', () => {
   for (const state of ['leaving', 'suspect', 'gone'] as const) {
-    it(`leaves out a ${state} entry`, () => {
+    it(`excludes a ${state} entry`, () => {
       const all = [...members(3), member(3, {state})];
       const {entries} = orderEntries(all, {});
       assert.ok(!entries.some(entry => entry.id === 'm3'));
@@ -31,14 +31,14 @@
     });
   }
 
-  it('gives one session the same entry, and moves few when one leaves', () => {
+  it('maps a session to a stable entry, and few move when one leaves', () => {
     const all = members(7);
     let moved = 0;
     for (let session = 0; session < 700; session++) {
-      const question = {customer: 'namu', affinity: `s${session}`};
-      const [first] = orderEntries(all, question).entries;
-      const rest = all.filter(other => other.id !== 'm3');
-      const [after] = orderEntries(rest, question).entries;
+      const query = {customer: 'namu', affinity: `s${session}`};
+      const [first] = orderEntries(all, query).entries;
+      const remaining = all.filter(other => other.id !== 'm3');
+      const [after] = orderEntries(remaining, query).entries;
       if (first!.id !== after!.id) {
         assert.equal(first!.id, 'm3');
         moved += 1;
@@ -47,25 +47,25 @@
     assert.ok(moved > 50 && moved < 200, `${moved} of 700 moved`);
   });
 
-  it('passes by an entry loaded beyond the bound, also with affinity', () => {
-    const question = {customer: 'namu', affinity: 's1'};
-    const [first] = orderEntries(members(7), question).entries;
+  it('skips an entry loaded beyond the bound, also with affinity', () => {
+    const query = {customer: 'namu', affinity: 's1'};
+    const [first] = orderEntries(members(7), query).entries;
     const loaded = members(7).map(other =>
       other.id === first!.id ? {...other, load: 100} : other,
     );
-    const {entries} = orderEntries(loaded, question);
+    const {entries} = orderEntries(loaded, query);
     assert.notEqual(entries[0]!.id, first!.id);
     const ids = entries.map(entry => entry.id);
-    assert.equal(ids.at(-1), first!.id, 'it comes last of seven');
+    assert.equal(ids.at(-1), first!.id, 'it is ranked last of seven');
   });
 
-  it('prefers the own failure domain only at equal load', () => {
-    const question = {failureDomain: 'domain-1'};
-    assert.equal(orderEntries(members(4), question).entries[0]!.id, 'm1');
+  it("prefers the caller's failure domain only at equal load", () => {
+    const query = {failureDomain: 'domain-1'};
+    assert.equal(orderEntries(members(4), query).entries[0]!.id, 'm1');
     const loaded = members(4).map(other =>
       other.id === 'm1' ? {...other, load: 60} : other,
     );
-    assert.notEqual(orderEntries(loaded, question).entries[0]!.id, 'm1');
+    assert.notEqual(orderEntries(loaded, query).entries[0]!.id, 'm1');
   });
 
   it('spreads callers without affinity evenly', () => {
--- a/packages/members/src/test/membership.fuzz.test.ts
+++ b/packages/members/src/test/membership.fuzz.test.ts
@@ -7,7 +7,7 @@
 const IS_LONG = process.env.SKYLARKFIELD_FUZZ === 'long';
 const RUNS = IS_LONG ? 2_000 : 40;
 const SEED = IS_LONG ? Date.now() % 1_000_000_000 : 20_261;
-/** After all is well again: two rounds of contacting lost members, and detection. */
+/** Time for two reconnection rounds and failure detection after all faults. */
 const SETTLE_MS = 90_000;
 
 type Action =
@@ -59,7 +59,7 @@
   },
 );
 
-/** What must be true, kept apart from the members' own views. */
+/** Expected state, tracked independently of the members' views. */
 interface Oracle {
   readonly running: Set<string>;
   readonly pausedSince: Map<string, number>;
@@ -112,7 +112,7 @@
     cluster.net.heal(id, other);
   },
   cutOff(cluster, _, {id}) {
-    cluster.cutOff(
+    cluster.isolate(
       id,
       IDS.filter(other => other !== id),
     );
@@ -123,8 +123,8 @@
   wait: (cluster, _, {ms}) => cluster.clock.advance(ms),
 } satisfies Handlers as Handlers;
 
-/** A pause that others may have acted in must be noticed before anything else runs. */
-const CERTAIN_PAUSE_MS = 4_000;
+/** Pauses longer than this must be detected before any other code runs. */
+const DETECTABLE_PAUSE_MS = 4_000;
 
 function resume(cluster: Cluster, {pausedSince}: Oracle, id: string) {
   const since = pausedSince.get(id);
@@ -133,14 +133,14 @@
   }
   pausedSince.delete(id);
   const hasPeers = cluster.running.get(id)!.members().length > 1;
-  const wasLong = cluster.clock.now() - since > CERTAIN_PAUSE_MS;
+  const wasLong = cluster.clock.now() - since > DETECTABLE_PAUSE_MS;
   cluster.net.resume(id);
   if (wasLong && hasPeers) {
     assert.equal(cluster.running.get(id)!.isCurrent(), false, `${id} woke`);
   }
 }
 
-async function makeWell(cluster: Cluster, oracle: Oracle) {
+async function recover(cluster: Cluster, oracle: Oracle) {
   [...oracle.pausedSince.keys()].forEach(id => resume(cluster, oracle, id));
   cluster.net.healAll();
   cluster.net.setLoss(0);
@@ -159,7 +159,7 @@
     const run: Handler = handlers[next.type] as Handler;
     await run(cluster, oracle, next);
   }
-  await makeWell(cluster, oracle);
+  await recover(cluster, oracle);
   const expected = [...oracle.running].sort();
   for (const id of expected) {
     assert.deepEqual(cluster.liveAt(id), expected, `seen by ${id}`);
@@ -167,11 +167,11 @@
   }
 }
 
-describe('membership under any mix of faults', () => {
-  it('agrees on exactly the running entries when all is well again', async () => {
-    // Crashes, pauses, cuts and platform outages come in any order and overlap.
-    // An entry that stays unlisted idles a host; one that stays listed after
-    // its end costs every caller a timeout.
+describe('membership under random faults', () => {
+  it('converges to exactly the running entries after recovery', async () => {
+    // Crashes, pauses, partitions and platform outages overlap in any order. An
+    // entry that stays unlisted idles a host; one that stays listed after its
+    // end costs every caller a timeout.
     console.log(`membership fuzz: seed ${SEED}, ${RUNS} runs`);
     await fc.assert(
       fc.asyncProperty(fc.array(action, {maxLength: 25}), check),
--- a/packages/members/src/test/membership.test.ts
+++ b/packages/members/src/test/membership.test.ts
@@ -3,9 +3,9 @@
 import {createCluster, type Cluster} from './cluster.js';
 
 const SETTLE_MS = 10_000;
-const LOSE_MS = 15_000;
+const DETECTION_MS = 15_000;
 
-/** Every running entry lists exactly these. */
+/** Asserts that every running entry lists exactly the expected ids. */
 function assertAllList(cluster: Cluster, expected: readonly string[]) {
   for (const id of cluster.running.keys()) {
     assert.deepEqual(cluster.liveAt(id), [...expected].sort(), `seen by ${id}`);
@@ -22,26 +22,26 @@
 
 describe('membership', () => {
   for (const count of [1, 2, 7, 40]) {
-    it(`lists all of ${count} that start at once`, async () => {
+    it(`lists all of ${count} entries started at once`, async () => {
       await settledCluster(count);
     });
   }
 
-  it('counts a killed entry as gone, after another one confirmed it', async () => {
-    // An entry's host is taken without notice: its peers hear nothing more.
-    // While they list it, callers are sent to an address that doesn't answer.
+  it('declares a crashed entry gone after confirmation by a peer', async () => {
+    // An entry's host is lost without notice. While its peers list it, callers
+    // are sent to an address that does not respond.
     const {cluster, ids} = await settledCluster(7);
     cluster.crash('m3');
-    await cluster.clock.advance(LOSE_MS);
+    await cluster.clock.advance(DETECTION_MS);
     assertAllList(
       cluster,
       ids.filter(id => id !== 'm3'),
     );
   });
 
-  it('keeps an entry listed that one peer alone cannot hear', async () => {
-    // A broken way from m1 to m2 only: m2 hears nothing of m1, all others do.
-    // Without another's word m2 would send its callers away from a healthy entry.
+  it('keeps an entry that is unreachable from a single peer', async () => {
+    // Only the link from m1 to m2 is broken. Without confirmation by another
+    // member, m2 would route its callers away from a healthy entry.
     const {cluster, ids} = await settledCluster(7);
     cluster.net.cut('m1', 'm2');
     for (let second = 0; second < 60; second++) {
@@ -58,10 +58,10 @@
   });
 
   it('stops listing a leaving entry before leave() resolves', async () => {
-    // A planned stop: whoever still lists the entry sends it callers that it
-    // has to turn away.
+    // In a planned stop, an entry that still lists the leaving one sends it
+    // callers that it has to reject.
     const {cluster, ids} = await settledCluster(7);
-    const rest = ids.filter(id => id !== 'm3');
+    const remaining = ids.filter(id => id !== 'm3');
     let resolved = false;
     const leaving = cluster.running
       .get('m3')!
@@ -72,13 +72,13 @@
     }
     await leaving;
     assert.ok(cluster.clock.now() < SETTLE_MS + 100, 'acknowledged at once');
-    assertAllList(cluster, rest);
+    assertAllList(cluster, remaining);
     assert.ok(!cluster.objectNames().includes('m3'));
   });
 
-  it('takes a restarted entry for a new one at once', async () => {
-    // The process dies and comes back under the same id within a second; its
-    // peers must not mistake the new one for the silent old one.
+  it('recognizes a restarted entry as a new process', async () => {
+    // The process crashes and restarts under the same id within a second; its
+    // peers must not mistake the new process for the silent old one.
     const {cluster, ids} = await settledCluster(7);
     cluster.crash('m3');
     cluster.start('m3');
@@ -91,14 +91,13 @@
 
   for (const id of ['m1', 'm3']) {
     it(`is not current after a pause until a peer has answered: ${id}`, async () => {
-      // The process is stopped for a minute and goes on as if nothing had
-      // happened. Others have taken over what it held: acting before it has
-      // heard from them would do things twice.
+      // The process is suspended for a minute while others take over its work.
+      // Acting before a peer has responded would run that work twice.
       const {cluster, ids} = await settledCluster(7);
       const paused = cluster.running.get(id)!;
       cluster.net.pause(id);
       await cluster.clock.advance(60_000);
-      assert.ok(!cluster.liveAt('m0').includes(id), 'others count it as gone');
+      assert.ok(!cluster.liveAt('m0').includes(id), 'gone for its peers');
       assert.equal(paused.isCurrent(), false);
       const suspects: string[] = [];
       paused.onDidChange(member => {
@@ -107,16 +106,16 @@
         }
       });
       cluster.net.resume(id);
-      assert.equal(paused.isCurrent(), false, 'what waited proves nothing');
+      assert.equal(paused.isCurrent(), false, 'queued messages do not count');
       await cluster.clock.advance(SETTLE_MS);
-      assert.deepEqual(suspects, [], 'the silence was its own');
+      assert.deepEqual(suspects, [], 'no suspicion caused by its own pause');
       assert.equal(paused.isCurrent(), true);
       assertAllList(cluster, ids);
     });
   }
 
-  // Guards against new processes that each count themselves as the whole fleet.
-  it('knows of how many entries there are before it has heard of them', async () => {
+  // Guards against new processes that each count only themselves.
+  it('counts listed entries before receiving their updates', async () => {
     const cluster = createCluster();
     const ids = cluster.startMany(9);
     await cluster.clock.advance(10_000);
@@ -131,11 +130,11 @@
     assert.equal(again.entryCount(), 1);
   });
 
-  // Guards against two sides of a cut that each take themselves for the whole fleet within seconds.
-  it('counts entries behind a cut for a while', async () => {
+  // Guards against partition sides that count only themselves within seconds.
+  it('keeps counting entries behind a partition for a grace period', async () => {
     const {cluster, ids} = await settledCluster(9);
     const [side, others] = [ids.slice(0, 4), ids.slice(4)];
-    side.forEach(id => cluster.cutOff(id, others));
+    side.forEach(id => cluster.isolate(id, others));
     await cluster.clock.advance(12_000);
     assert.equal(cluster.running.get('m0')!.live().length, 4);
     assert.equal(cluster.running.get('m0')!.entryCount(), 9);
@@ -144,13 +143,13 @@
     assert.equal(cluster.running.get('m0')!.entryCount(), 4);
   });
 
-  it('finds both sides of a long cut again', async () => {
-    // Two regions lose each other: each side counts the other as gone, removes
-    // its objects and goes on. When the cut heals both must list all again.
+  it('merges both sides after a long partition', async () => {
+    // Each of two partitioned regions declares the other gone and removes its
+    // objects. When the partition heals, both must list all entries again.
     const {cluster, ids} = await settledCluster(7);
     const left = ids.slice(0, 3);
     const right = ids.slice(3);
-    left.forEach(id => cluster.cutOff(id, right));
+    left.forEach(id => cluster.isolate(id, right));
     await cluster.clock.advance(200_000);
     assert.deepEqual(cluster.liveAt('m0'), left);
     assert.deepEqual(cluster.liveAt('m6'), right);
@@ -159,25 +158,25 @@
     assertAllList(cluster, ids);
   });
 
-  it('mends by digests what gossip lost', async () => {
-    // News rides once to each neighbour. When some of it is lost an entry would
-    // list a dead one, or never hear of a new one, for as long as it runs.
+  it('recovers updates lost by gossip by comparing digests', async () => {
+    // An update is sent to each neighbour only once. If it is lost, an entry
+    // would keep listing a crashed member or never list a new one.
     const {cluster, ids} = await settledCluster(40);
     cluster.net.setLoss(0.7);
     cluster.crash('m3');
     cluster.start('m40');
-    await cluster.clock.advance(LOSE_MS);
+    await cluster.clock.advance(DETECTION_MS);
     cluster.net.setLoss(0);
-    await cluster.clock.advance(2 * LOSE_MS);
+    await cluster.clock.advance(2 * DETECTION_MS);
     assertAllList(
       cluster,
       [...ids, 'm40'].filter(id => id !== 'm3'),
     );
   });
 
-  it('keeps nothing of malformed news', async () => {
-    // A faulty release sends news without addresses. Passed on, it would reach
-    // every entry, and lookups would answer with holes.
+  it('rejects malformed member updates', async () => {
+    // A faulty release sends updates without addresses. Gossiped, they would
+    // reach every entry, and lookup results would lack URLs.
     const {cluster, ids} = await settledCluster(3);
     const {network} = cluster.net.start('odd');
     network.setPeers([{id: 'm0', incarnation: 1, url: 'memory://m0'}]);
@@ -192,13 +191,13 @@
   });
 
   it('joins through a seed while the platform is down', async () => {
-    // The platform is out for an hour and a host is replaced meanwhile: the new
-    // process can't read who is there and would otherwise serve nobody.
+    // A host is replaced during an hour-long platform outage: the new process
+    // cannot read the member list and would otherwise serve nobody.
     const {cluster, ids} = await settledCluster(7);
     cluster.platform.faults.setDown(true);
     cluster.start('m7', ['m0']);
     cluster.crash('m1');
-    await cluster.clock.advance(LOSE_MS);
+    await cluster.clock.advance(DETECTION_MS);
     const expected = [...ids, 'm7'].filter(id => id !== 'm1');
     assertAllList(cluster, expected);
     cluster.platform.faults.setDown(false);
@@ -206,9 +205,9 @@
     assert.ok(cluster.objectNames().includes('m7'));
   });
 
-  it('removes the objects of the dead with few calls', async () => {
-    // Without removal each new process would try ever more dead addresses; if
-    // every entry removed them, the platform would get a storm of calls.
+  it('removes the objects of crashed entries with few calls', async () => {
+    // Without removal each new process would contact ever more dead addresses;
+    // if every entry removed them, the platform would receive a burst of calls.
     const {cluster, ids} = await settledCluster(12);
     const dead = ids.slice(0, 4);
     dead.forEach(id => cluster.crash(id));
--- a/packages/members/src/test/neighbours.test.ts
+++ b/packages/members/src/test/neighbours.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {neighboursOf, type Node} from '../index.js';
+import {neighboursOf, type NeighbourCandidate} from '../index.js';
 
 interface Fleet {
   readonly name: string;
@@ -15,28 +15,30 @@
   {name: 'ten', count: 400, domain: i => `d${i % 10}`},
 ];
 
-function nodesOf(fleet: Fleet): Node[] {
+function createMembers(fleet: Fleet): NeighbourCandidate[] {
   return Array.from({length: fleet.count}, (_, index) => ({
     id: `m${index}`,
     failureDomain: fleet.domain(index),
   }));
 }
 
-function links(nodes: readonly Node[]): Map<string, string[]> {
-  return new Map(nodes.map(({id}) => [id, neighboursOf(id, nodes)]));
+function neighboursById(
+  members: readonly NeighbourCandidate[],
+): Map<string, string[]> {
+  return new Map(members.map(({id}) => [id, neighboursOf(id, members)]));
 }
 
 describe('neighbours', () => {
-  it('are all the others in a small installation', () => {
-    const nodes = nodesOf({...FLEETS[2]!, count: 24});
+  it('are all other members in a small cluster', () => {
+    const nodes = createMembers({...FLEETS[2]!, count: 24});
     assert.equal(neighboursOf('m0', nodes).length, 23);
   });
 
   for (const fleet of FLEETS) {
     it(`are mutual and few: ${fleet.name}`, () => {
-      // A neighbour that doesn't know it is one sends no heartbeats and would
-      // be suspected every few seconds for nothing.
-      const all = links(nodesOf(fleet));
+      // A one-sided neighbour sends no heartbeats and would be falsely
+      // suspected every few seconds.
+      const all = neighboursById(createMembers(fleet));
       for (const [id, neighbours] of all) {
         assert.ok(neighbours.length >= 2, `${id} has too few`);
         assert.ok(neighbours.length <= 15, `${id} has too many`);
@@ -47,10 +49,10 @@
     });
   }
 
-  it('connect all, and lie in other failure domains too', () => {
-    const nodes = nodesOf(FLEETS[3]!);
+  it('form a connected graph that spans failure domains', () => {
+    const nodes = createMembers(FLEETS[3]!);
     const domains = new Map(nodes.map(node => [node.id, node.failureDomain]));
-    const all = links(nodes);
+    const all = neighboursById(nodes);
     const reached = new Set(['m0']);
     for (const id of reached) {
       all.get(id)!.forEach(other => reached.add(other));
@@ -64,10 +66,10 @@
     }
   });
 
-  it('change for few when one member goes', () => {
-    const nodes = nodesOf(FLEETS[3]!);
-    const before = links(nodes);
-    const after = links(nodes.filter(node => node.id !== 'm7'));
+  it('change for few members when one is removed', () => {
+    const nodes = createMembers(FLEETS[3]!);
+    const before = neighboursById(nodes);
+    const after = neighboursById(nodes.filter(node => node.id !== 'm7'));
     const changed = [...after].filter(
       ([id, now]) => now.join() !== before.get(id)!.join(),
     );
--- a/packages/members/src/timing.ts
+++ b/packages/members/src/timing.ts
@@ -1,43 +1,43 @@
-/** Times of the membership, all in milliseconds. */
+/** Intervals and timeouts of the membership, all in milliseconds. */
 
 export interface MemberTiming {
-  /** Between two heartbeats to one neighbour. */
-  readonly heartbeatMs: number;
-  /** Silence after which a neighbour is suspect. */
-  readonly suspectMs: number;
-  /** The same when its connection has closed, as after a crash. */
-  readonly closedSuspectMs: number;
-  /** From suspect to gone, when another member confirms. */
-  readonly goneMs: number;
-  /** Limit of one probe or question. */
-  readonly probeMs: number;
-  /** Gap between two runs of our own timer that counts as a pause. */
-  readonly pauseMs: number;
-  /** Between two attempts to reach a member that is gone without having left. */
-  readonly contactMs: number;
-  /** How long a lost member is counted among the entries: it may be alive behind a cut. */
-  readonly lostCountMs: number;
-  /** How long a gone member is remembered, against old news of it. */
-  readonly tombstoneMs: number;
-  /** Difference of digests that lasts this long is reconciled. */
-  readonly reconcileMs: number;
-  /** Between two sweeps of dead member objects, and their least age. */
-  readonly sweepMs: number;
-  /** Between two looks at this entry's own object. */
-  readonly ownObjectMs: number;
+  /** Interval of heartbeats to each neighbour. */
+  readonly heartbeatIntervalMs: number;
+  /** Time without a heartbeat after which a neighbour becomes suspect. */
+  readonly silenceTimeoutMs: number;
+  /** The same after its connection has closed, as on a crash. */
+  readonly closedSilenceTimeoutMs: number;
+  /** Minimum time from suspect to gone; also needs confirmation by a member. */
+  readonly suspicionTimeoutMs: number;
+  /** Timeout of a probe or any other membership request. */
+  readonly probeTimeoutMs: number;
+  /** Gap between two runs of the local timer that counts as a process pause. */
+  readonly pauseThresholdMs: number;
+  /** Interval of attempts to reach a lost member, gone without having left. */
+  readonly reconnectIntervalMs: number;
+  /** Time that a lost member, possibly partitioned, remains in `entryCount`. */
+  readonly lostGraceMs: number;
+  /** Lifetime of a tombstone, which guards against outdated updates. */
+  readonly tombstoneTtlMs: number;
+  /** Time that a digest must differ before the members are reconciled. */
+  readonly reconcileDelayMs: number;
+  /** Interval of sweeps for dead member objects, and their minimum age. */
+  readonly sweepIntervalMs: number;
+  /** Interval of checks of this entry's own object. */
+  readonly ownObjectCheckIntervalMs: number;
 }
 
 export const DEFAULT_TIMING: MemberTiming = {
-  heartbeatMs: 1_000,
-  suspectMs: 3_500,
-  closedSuspectMs: 1_000,
-  goneMs: 3_000,
-  probeMs: 1_000,
-  pauseMs: 2_500,
-  contactMs: 5_000,
-  lostCountMs: 15_000,
-  tombstoneMs: 2 * 3_600_000,
-  reconcileMs: 5_000,
-  sweepMs: 60_000,
-  ownObjectMs: 600_000,
+  heartbeatIntervalMs: 1_000,
+  silenceTimeoutMs: 3_500,
+  closedSilenceTimeoutMs: 1_000,
+  suspicionTimeoutMs: 3_000,
+  probeTimeoutMs: 1_000,
+  pauseThresholdMs: 2_500,
+  reconnectIntervalMs: 5_000,
+  lostGraceMs: 15_000,
+  tombstoneTtlMs: 2 * 3_600_000,
+  reconcileDelayMs: 5_000,
+  sweepIntervalMs: 60_000,
+  ownObjectCheckIntervalMs: 600_000,
 };
--- a/packages/members/src/tombstones.ts
+++ b/packages/members/src/tombstones.ts
@@ -1,29 +1,29 @@
-/** How long members that are gone are remembered. */
+/** Expiry of tombstones, the table items of members that are gone. */
 import type {MemberTable} from './memberTable.js';
 
-/** Tombstones kept at most, the oldest dropped first. */
-const MOST_TOMBSTONES = 4_096;
+/** Maximum number of tombstones; the oldest are removed first. */
+const MAX_TOMBSTONES = 4_096;
 
 /**
- * Forgets members that have been gone for longer than the given milliseconds,
- * and the oldest of those above the bound.
+ * Removes tombstones older than `ttlMs` milliseconds, and the oldest ones above
+ * `MAX_TOMBSTONES`.
  *
  * @example
- * dropTombstones(table, clock.now(), timing.tombstoneMs);
+ * pruneTombstones(table, clock.now(), timing.tombstoneTtlMs);
  */
-export function dropTombstones(
+export function pruneTombstones(
   table: MemberTable,
   now: number,
-  tombstoneMs: number,
+  ttlMs: number,
 ): void {
   const gone = [...table.all()]
     .filter(known => known.machine.state() === 'gone')
     .sort((a, b) => a.changedAt - b.changedAt);
-  const surplus = gone.length - MOST_TOMBSTONES;
+  const surplus = gone.length - MAX_TOMBSTONES;
   gone.forEach((known, index) => {
-    const isOld = now - known.changedAt > tombstoneMs;
-    if (isOld || index < surplus) {
-      table.forget(known.news.id);
+    const isExpired = now - known.changedAt > ttlMs;
+    if (isExpired || index < surplus) {
+      table.forget(known.update.id);
     }
   });
 }
--- /dev/null
+++ b/packages/members/src/updateValidation.ts
@@ -0,0 +1,42 @@
+/** Validation of member updates before they are stored and gossiped. */
+import {ServingError} from '@skylarkfield/base';
+import type {MemberNews} from '@skylarkfield/protocol';
+
+const TEXT_FIELDS = [
+  'id',
+  'callerUrl',
+  'innerUrl',
+  'failureDomain',
+  'region',
+] as const;
+const NUMBER_FIELDS = ['incarnation', 'sequence', 'load'] as const;
+const STATES: readonly unknown[] = ['live', 'suspect', 'leaving', 'gone'];
+/** Maximum length of a text field; bounds the memory used for each member. */
+const MAX_TEXT_LENGTH = 512;
+
+/**
+ * Throws `protocol-violation` for a malformed member update. Without the check
+ * a faulty release would spread it to the member table of every entry.
+ *
+ * @example
+ * validateUpdate(proof.news);
+ */
+export function validateUpdate(update: MemberNews): void {
+  const fields: Partial<Record<keyof MemberNews, unknown>> = update ?? {};
+  const isValid =
+    TEXT_FIELDS.every(field => isText(fields[field])) &&
+    NUMBER_FIELDS.every(field => Number.isFinite(fields[field])) &&
+    STATES.includes(fields.state) &&
+    (fields.cores === undefined || isPositive(fields.cores));
+  if (!isValid) {
+    throw new ServingError('protocol-violation', 'malformed member update');
+  }
+}
+
+function isPositive(value: unknown): boolean {
+  return typeof value === 'number' && Number.isFinite(value) && value > 0;
+}
+
+function isText(value: unknown): boolean {
+  return typeof value === 'string' && value.length <= MAX_TEXT_LENGTH;
+}
