--- a/packages/members/src/endpointLeaving.ts
+++ b/packages/members/src/endpointLeaving.ts
@@ -53,7 +53,7 @@
   /** Fires when a leaving endpoint returns, on any host, or did not leave. */
   onDidReturn(listener: (endpoint: string) => void): Disposable;
   /** Records a report of another source, such as the endpoint itself. */
-  note(
+  reportLeaving(
     host: string,
     endpoints: readonly string[],
     goneAt: number,
@@ -346,7 +346,7 @@
         return didCorrectList.event(listener);
       },
     },
-    note(host, endpoints, goneAt, source) {
+    reportLeaving(host, endpoints, goneAt, source) {
       if (recordLeaving(host, endpoints, false, goneAt, source)) {
         broadcastHost(host);
       }
--- a/packages/members/src/memberObjects.ts
+++ b/packages/members/src/memberObjects.ts
@@ -150,7 +150,7 @@
 
   function join() {
     tryJoin().catch(error => {
-      log.info({reason: String(error)}, 'failed to join; retrying');
+      log.info({reason: String(error)}, 'platform join failed; retrying');
       schedule(retryMs, async () => join());
       retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
     });
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -35,7 +35,7 @@
   present(): readonly KnownMember[];
   /** Applies an update if newer than the stored one; returns whether it was. */
   apply(update: MemberNews): boolean;
-  /** Sends an event to a member's machine; returns whether the state changed. */
+  /** Sends an event to a member's machine; returns whether it changed state. */
   send(known: KnownMember, event: MemberEvent): boolean;
   forget(id: string): void;
   /** Hash of each bucket over members not gone, including the local one. */
--- a/packages/members/src/reconciler.ts
+++ b/packages/members/src/reconciler.ts
@@ -37,7 +37,7 @@
   applyUpdate(update: MemberNews): void;
 }): Reconciler {
   const {table, network, clock, log, timing} = options;
-  /** By peer: agreement with a peer that lacks the same member proves nothing. */
+  /** By peer: agreement with one lacking the same member proves nothing. */
   const differsSince = new Map<string, number>();
   let fetches = 0;
 
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -249,7 +249,7 @@
     const {clock, net, a, b, c} = createChain();
     net.crash('c');
     a.notice('h1');
-    a.leaving.note('h1', ['e1'], 0, 'fault');
+    a.leaving.reportLeaving('h1', ['e1'], 0, 'fault');
     await clock.advance(10);
     assert.deepEqual(c.seen, []);
     assert.deepEqual(b.seen, ['e1 by peer']);
@@ -267,7 +267,7 @@
   it('bounds the number of tracked hosts', async () => {
     const {a} = createChain();
     for (let host = 0; host < 5_000; host++) {
-      a.leaving.note(`h${host}`, [`e${host}`], 0, 'fault');
+      a.leaving.reportLeaving(`h${host}`, [`e${host}`], 0, 'fault');
     }
     const {hosts} = a.leaving.dump() as {hosts: unknown[]};
     assert.equal(hosts.length, 4_000);
