--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -1,50 +1,49 @@
-/** What this entry believes to be in one engine's prefix cache. */
+/** Expected content of one engine's prefix cache. */
 import type {Clock} from '@skylarkfield/base';
 import {BLOCK_TOKENS, type CacheEvent} from '@skylarkfield/endpoints';
 
 export interface CacheViewOptions {
   readonly clock: Clock;
-  /** The most blocks kept; the oldest are forgotten first. */
+  /** Largest number of blocks kept; the oldest are dropped first. */
   readonly maxBlocks?: number;
-  /** Tokens that one block stands for. */
+  /** Prompt tokens per block. */
   readonly blockTokens?: number;
 }
 
 export interface CacheView {
-  /** Tokens of a prompt that are expected to be found, after doubt. */
-  expectedTokens(blocks: readonly string[]): number;
-  /** True when the block is believed to be there. */
+  /** Prompt tokens expected to be cached, scaled by confidence. */
+  expectedCachedTokens(blocks: readonly string[]): number;
+  /** Whether the block is expected to be cached. */
   has(block: string): boolean;
-  /** A request with these blocks was sent there. */
+  /** Notes that a request with these blocks was sent to the engine. */
   noteSent(blocks: readonly string[]): void;
-  /** The engine said how many tokens of a request it found. */
-  noteFound(blocks: readonly string[], cachedTokens: number): void;
-  /** Takes events in; returns the sequence to ask from next, -1 for all content. */
+  /** Notes how many tokens of a request the engine found cached. */
+  noteCachedTokens(blocks: readonly string[], cachedTokens: number): void;
+  /** Applies events; returns the next sequence, -1 for a full resync. */
   apply(events: readonly CacheEvent[]): number;
   dump(): unknown;
 }
 
 const DEFAULT_MAX_BLOCKS = 16_000;
-/** How long a sent request stands for its blocks when the engine publishes events. */
-const SENT_LIFE_MS = 12_000;
-/** The same when the engine has never published any. */
-const SENT_LIFE_WITHOUT_EVENTS_MS = 300_000;
-/** Events come late: an eviction does not undo what was sent just now. */
-const EVENT_LAG_MS = 1500;
-/** Beliefs lose half their weight in this time after events were lost. */
-const DOUBT_HALF_LIFE_MS = 120_000;
-/** The whole content is asked for no more often than this. */
+/** Lifetime of unconfirmed blocks if the engine publishes events. */
+const SENT_BLOCK_TTL_MS = 12_000;
+/** The same if the engine has never published events. */
+const SENT_BLOCK_TTL_WITHOUT_EVENTS_MS = 300_000;
+/** Assumed event lag: evictions do not apply to blocks sent since. */
+const ASSUMED_EVENT_LAG_MS = 1500;
+/** Half-life of the confidence in the view after events were lost. */
+const CONFIDENCE_HALF_LIFE_MS = 120_000;
+/** Minimum interval between requests for the whole content. */
 const MIN_RESYNC_INTERVAL_MS = 4000;
-/** Answers in a row that contradict our belief before we ask for the whole content. */
-const MAX_CONTRADICTIONS = 2;
+/** Consecutive mismatching responses tolerated before a resync. */
+const MAX_MISMATCHES = 2;
 
 /**
- * Makes a view that believes nothing.
+ * Creates an empty view.
  *
- * Events can be lost. Then a block may be gone without our knowing, which one
- * would notice as tokens computed again although they were expected to be
- * cached; so the sequence is watched, belief is doubted after a gap, and the
- * whole content is asked for at a bounded rate.
+ * Lost events can hide evictions, so that tokens expected to be cached are
+ * computed again. Therefore gaps in the sequence lower the confidence in the
+ * view, and the whole content is requested at a bounded rate.
  *
  * @example
  * const view = createCacheView({clock});
@@ -53,19 +52,19 @@
 export function createCacheView(options: CacheViewOptions): CacheView {
   const {clock, maxBlocks = DEFAULT_MAX_BLOCKS} = options;
   const blockTokens = options.blockTokens ?? BLOCK_TOKENS;
-  /** Blocks confirmed by events or answers, oldest first. */
+  /** Blocks confirmed by events or responses, oldest first. */
   const confirmed = new Set<string>();
-  /** Blocks of requests sent there, with the time of sending. */
+  /** Unconfirmed blocks of sent requests, with the time of sending. */
   const sent = new Map<string, number>();
   let lastSequence = -1;
   let hasEvents = false;
-  let gapMs: number | undefined;
+  let gapAtMs: number | undefined;
   let lastResyncMs = Number.NEGATIVE_INFINITY;
-  let contradictions = 0;
+  let mismatches = 0;
   let gaps = 0;
 
-  function sentLifeMs(): number {
-    return hasEvents ? SENT_LIFE_MS : SENT_LIFE_WITHOUT_EVENTS_MS;
+  function sentBlockTtlMs(): number {
+    return hasEvents ? SENT_BLOCK_TTL_MS : SENT_BLOCK_TTL_WITHOUT_EVENTS_MS;
   }
 
   function has(block: string): boolean {
@@ -73,11 +72,11 @@
       return true;
     }
     const sentMs = sent.get(block);
-    return sentMs !== undefined && clock.now() - sentMs < sentLifeMs();
+    return sentMs !== undefined && clock.now() - sentMs < sentBlockTtlMs();
   }
 
-  /** Bisects: an engine evicts the end of a prefix before its start. */
-  function countPrefix(blocks: readonly string[]): number {
+  /** Binary search: an engine evicts the end of a prefix before its start. */
+  function countCachedPrefix(blocks: readonly string[]): number {
     let low = 0;
     let high = blocks.length;
     while (low < high) {
@@ -91,11 +90,11 @@
     return low;
   }
 
-  function trust(): number {
-    if (gapMs === undefined) {
+  function confidence(): number {
+    if (gapAtMs === undefined) {
       return 1;
     }
-    return 0.5 ** ((clock.now() - gapMs) / DOUBT_HALF_LIFE_MS);
+    return 0.5 ** ((clock.now() - gapAtMs) / CONFIDENCE_HALF_LIFE_MS);
   }
 
   function confirm(block: string) {
@@ -104,14 +103,14 @@
     sent.delete(block);
   }
 
-  function forgetOldest() {
+  function expireOldest() {
     for (const block of confirmed) {
       if (confirmed.size <= maxBlocks) {
         break;
       }
       confirmed.delete(block);
     }
-    const oldestMs = clock.now() - sentLifeMs();
+    const oldestMs = clock.now() - sentBlockTtlMs();
     for (const [block, sentMs] of sent) {
       if (sentMs > oldestMs && sent.size <= maxBlocks) {
         break;
@@ -123,7 +122,7 @@
   const handlers: Record<CacheEvent['type'], (event: CacheEvent) => void> = {
     stored: event => event.blocks.forEach(confirm),
     evicted(event) {
-      const settledMs = clock.now() - EVENT_LAG_MS;
+      const settledMs = clock.now() - ASSUMED_EVENT_LAG_MS;
       for (const block of event.blocks) {
         confirmed.delete(block);
         if ((sent.get(block) ?? 0) < settledMs) {
@@ -134,10 +133,10 @@
     cleared: () => confirmed.clear(),
   };
 
-  function noteSequence(sequence: number) {
+  function trackSequence(sequence: number) {
     if (lastSequence >= 0 && sequence > lastSequence + 1) {
       gaps += 1;
-      gapMs ??= clock.now();
+      gapAtMs ??= clock.now();
     }
     lastSequence = sequence;
   }
@@ -147,7 +146,8 @@
   }
 
   return {
-    expectedTokens: blocks => countPrefix(blocks) * blockTokens * trust(),
+    expectedCachedTokens: blocks =>
+      countCachedPrefix(blocks) * blockTokens * confidence(),
     has,
     noteSent(blocks) {
       for (const block of blocks) {
@@ -156,25 +156,25 @@
           sent.set(block, clock.now());
         }
       }
-      forgetOldest();
+      expireOldest();
     },
-    noteFound(blocks, cachedTokens) {
+    noteCachedTokens(blocks, cachedTokens) {
       const found = Math.ceil(cachedTokens / blockTokens);
       const missing = blocks.slice(found).filter(block => confirmed.has(block));
-      contradictions = missing.length > 0 ? contradictions + 1 : 0;
-      // The engine is computing what it lacked: true again in a moment.
+      mismatches = missing.length > 0 ? mismatches + 1 : 0;
+      // The engine is computing the missing blocks and will soon have them.
       for (const block of missing) {
         confirmed.delete(block);
         sent.set(block, clock.now());
       }
       blocks.slice(0, found).forEach(confirm);
-      forgetOldest();
+      expireOldest();
     },
     apply(events) {
       const isResync = lastSequence < 0;
       if (isResync && events.length > 0) {
-        gapMs = undefined;
-        contradictions = 0;
+        gapAtMs = undefined;
+        mismatches = 0;
         lastResyncMs = clock.now();
       }
       for (const event of events) {
@@ -182,13 +182,12 @@
           continue;
         }
         hasEvents = true;
-        noteSequence(event.sequence);
+        trackSequence(event.sequence);
         handlers[event.type](event);
       }
-      forgetOldest();
-      const isDoubtful =
-        gapMs !== undefined || contradictions > MAX_CONTRADICTIONS;
-      if (isDoubtful && mayResync()) {
+      expireOldest();
+      const isUnreliable = gapAtMs !== undefined || mismatches > MAX_MISMATCHES;
+      if (isUnreliable && mayResync()) {
         lastSequence = -1;
       }
       return lastSequence;
@@ -198,7 +197,7 @@
       sent: sent.size,
       lastSequence,
       gaps,
-      trust: trust(),
+      trust: confidence(),
     }),
   };
 }
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -1,11 +1,11 @@
-/** Which endpoint serves a request. */
+/** Types of endpoint selection. */
 import type {
   AttemptResult,
   CacheEvent,
   LoadReport,
 } from '@skylarkfield/endpoints';
 
-/** An endpoint as routing sees it. */
+/** An endpoint that requests can be routed to. */
 export interface Candidate {
   readonly id: string;
   readonly service: string;
@@ -15,71 +15,71 @@
   readonly type: 'model' | 'plain';
 }
 
-/** A request that needs an endpoint. */
+/** What routing needs to know about a request. */
 export interface RoutingRequest {
   readonly service: string;
   readonly version: string;
   /** Hashes of the prompt's blocks; empty for plain services. */
   readonly blocks: readonly string[];
   readonly promptTokens: number;
-  /** Prompt tokens at its end that no cache can hold; unknown when absent. */
+  /** Trailing prompt tokens that no cache can hold; unknown when absent. */
   readonly ownTokens?: number;
-  /** 0 (served first) to 9, where endpoints serve by urgency. */
+  /** 0 (served first) to 9, for endpoints that serve by urgency. */
   readonly urgency?: number;
-  /** Endpoints already tried in vain for this request. */
+  /** Endpoints on which an attempt of this request has already failed. */
   readonly excluded: ReadonlySet<string>;
-  /** May crash its endpoint: goes where it takes the fewest other requests along. */
+  /** May crash its endpoint; sent where the fewest others would be lost. */
   readonly isSuspected?: boolean;
 }
 
-/** The endpoint for one attempt; finished exactly once. */
+/** Endpoint chosen for one attempt; `finish` is called exactly once. */
 export interface Choice {
   readonly endpoint: string;
-  /** Prompt tokens believed to be cached there. */
+  /** Prompt tokens expected to be in the endpoint's prefix cache. */
   readonly cachedTokens: number;
-  /** What the endpoint had before this attempt. */
+  /** Load of the endpoint before this attempt. */
   readonly loadBefore: EntryLoad;
-  /** Prompt tokens there that are read before this attempt's. */
+  /** Pending prompt tokens that are computed before those of this attempt. */
   readonly tokensAhead: number;
-  /** The engine has begun and told what it found cached; optional, at most once. */
+  /** The engine started and reported cached tokens; at most once. */
   started(cachedTokens: number): void;
-  /** The first token has come, so the prompt is computed; optional, at most once. */
+  /** The first token arrived: the prompt is computed; at most once. */
   streaming(): void;
-  /** Tells the router how the attempt went; exactly once. */
+  /** Reports the result of the attempt; exactly once. */
   finish(result: AttemptResult): void;
 }
 
-/** What one entry has at an endpoint. */
+/** Load that one entry has placed on an endpoint. */
 export interface EntryLoad {
   readonly requests: number;
   /** Prompt tokens yet to be computed. */
   readonly pendingTokens: number;
-  /** The same by urgency, 0 first; absent when nothing is pending. */
+  /** Pending tokens indexed by urgency; absent when nothing is pending. */
   readonly pendingByUrgency?: readonly number[];
-  /** Prompt tokens of all its requests there, which every step of an answer looks at. */
+  /** Prompt tokens of all its requests; decode steps attend to all. */
   readonly contextTokens: number;
 }
 
-/** Chooses endpoints from what it was told of them and saw of attempts there. */
+/** Chooses endpoints from their reports and from the results of attempts. */
 export interface Router {
-  /** The whole list of endpoints, as the host list gives it. */
+  /** Replaces the list of endpoints with the current host list's. */
   setEndpoints(endpoints: readonly Candidate[]): void;
-  /** The endpoint gets no new work from now on; works before the endpoint is listed too. */
+  /** Sends the endpoint no new requests; may precede its listing. */
   markLeaving(endpoint: string): void;
-  /** A process that is new or stayed after all may have work, from the next list on. */
+  /** Makes a new or remaining process eligible from the next list on. */
   markReturned(endpoint: string): void;
-  /** Ids of the live entries, this one included: they share out the endpoints of large services. */
+  /** Ids of all live entries; they split the endpoints of large services. */
   setEntries(entries: readonly string[]): void;
-  /** Chooses; undefined when no endpoint may take the request. */
+  /** Chooses an endpoint; undefined when none can take the request. */
   choose(routingRequest: RoutingRequest): Choice | undefined;
   /**
-   * Milliseconds until an endpoint of the service may get a request within the
-   * limit that it has named; undefined when no limit keeps one from it now.
+   * Milliseconds until an endpoint's rate limit allows a request of the
+   * service; undefined when no endpoint is rate limited now.
    */
   limitWaitMs(service: string): number | undefined;
   /**
-   * Tokens of a prompt's start believed to be cached at the endpoint that has
-   * most of it, for the cost of a request before an endpoint is chosen.
+   * Tokens of the longest prefix expected in any endpoint's cache, to estimate
+   * the cost of a request before an endpoint is chosen.
    */
   cachedTokens(
     service: string,
@@ -87,21 +87,20 @@
     blocks: readonly string[],
   ): number;
   reportLoad(endpoint: string, report: LoadReport): void;
-  /** What this entry has at each endpoint where it has something, for the other entries. */
+  /** Load of this entry by endpoint, to be sent to the other entries. */
   ownLoads(): Readonly<Record<string, EntryLoad>>;
   /**
-   * What another entry has, in place of what it said before. Endpoints' own
-   * reports lag and only count requests; with this an endpoint's load is known
-   * by tokens, of all entries that are heard.
+   * Replaces the loads reported by another entry. Endpoints' own reports lag
+   * and count requests only; reports of entries give the load in tokens.
    */
   reportEntry(entry: string, loads: Readonly<Record<string, EntryLoad>>): void;
-  /** The endpoint could not be reached when it was asked for its load. */
+  /** Notes that a load poll could not reach the endpoint. */
   reportUnreachable(endpoint: string): void;
-  /** Cache events in the order of arrival; returns the sequence to ask from next (-1: resync). */
+  /** Applies cache events; returns the next sequence to poll (-1: resync). */
   reportCache(endpoint: string, events: readonly CacheEvent[]): number;
-  /** The endpoints that this entry uses, a part of them when a service is large. */
+  /** Endpoints assigned to this entry: a subset when a service is large. */
   held(): readonly Candidate[];
-  /** Sum of the slots of a service's usable endpoints. */
+  /** Estimated slots of all usable endpoints of a service. */
   slots(service: string): number;
   dump(): unknown;
 }
--- a/packages/routing/src/crashEvidence.ts
+++ b/packages/routing/src/crashEvidence.ts
@@ -1,81 +1,82 @@
-/** What is known of the endpoints that crashed under single requests, by where it was learned. */
+/** Crashes of endpoints by request, merged from several sources. */
 
 /** An endpoint that crashed while it was running a request. */
 export interface Crash {
   /** Fingerprint of the request. */
   readonly request: string;
   readonly endpoint: string;
-  /** Wall-clock milliseconds, alike at all entries. */
+  /** Wall-clock milliseconds, comparable between entries. */
   readonly atMs: number;
 }
 
-/** What one entry has seen, as it is kept and told. */
+/** Evidence of one entry, as it is stored and gossiped. */
 export interface CrashReport {
   readonly crashes: readonly Crash[];
-  /** Wall-clock milliseconds at which a suspected request was answered whole, by its fingerprint. */
+  /** Wall-clock milliseconds of complete responses, by request fingerprint. */
   readonly served: Readonly<Record<string, number>>;
 }
 
-export const EMPTY_REPORT: CrashReport = {crashes: [], served: {}};
+export const EMPTY_CRASH_REPORT: CrashReport = {crashes: [], served: {}};
 
 export interface CrashEvidence {
   isEmpty(): boolean;
-  /** Whether any source tells of a crash under the request. */
-  has(request: string): boolean;
-  /** Puts what a source says in place of what it said before; returns the requests that this touches. */
-  put(source: string, report: CrashReport): ReadonlySet<string>;
-  remove(source: string): ReadonlySet<string>;
-  /** What a source says. */
-  of(source: string): CrashReport;
+  /** Whether any source reports a crash under the request. */
+  hasCrashes(request: string): boolean;
+  /** Replaces the report of a source; returns the affected requests. */
+  setReport(source: string, report: CrashReport): ReadonlySet<string>;
+  /** Removes the report of a source; returns the affected requests. */
+  removeReport(source: string): ReadonlySet<string>;
+  /** Report of a source; empty when it has none. */
+  reportOf(source: string): CrashReport;
   sources(): readonly string[];
-  /** When endpoints crashed under a request since its last whole answer: wall-clock milliseconds, ascending. */
+  /** Wall-clock ms of crashes since the last complete response, ascending. */
   crashTimesMs(request: string): readonly number[];
-  /** All requests under which an endpoint crashed. */
+  /** Requests under which an endpoint crashed. */
   requests(): readonly string[];
 }
 
 /**
- * Creates an empty record.
+ * Creates an empty set of evidence.
  *
  * @example
- * evidence.put('own', {crashes: [{request, endpoint, atMs}], served: {}});
- * evidence.crashTimesMs(request).length; // 1
+ * evidence.setReport('own', {crashes: [crash], served: {}});
+ * evidence.crashTimesMs(crash.request).length; // 1
  */
 export function createCrashEvidence(): CrashEvidence {
   const reports = new Map<string, CrashReport>();
-  /** Sources that tell of crashes under a request. */
-  const sourcesOf = new Map<string, Set<string>>();
+  /** Sources that report crashes, by request. */
+  const sourcesByRequest = new Map<string, Set<string>>();
 
-  function link(source: string, {crashes}: CrashReport): void {
+  function indexCrashes(source: string, {crashes}: CrashReport): void {
     for (const {request} of crashes) {
-      const known = sourcesOf.get(request) ?? new Set<string>();
-      sourcesOf.set(request, known.add(source));
+      const known = sourcesByRequest.get(request) ?? new Set<string>();
+      sourcesByRequest.set(request, known.add(source));
     }
   }
 
-  function unlink(source: string): Set<string> {
-    const {crashes, served} = of(source);
+  function dropReport(source: string): Set<string> {
+    const {crashes, served} = reportOf(source);
     for (const {request} of crashes) {
-      const known = sourcesOf.get(request);
+      const known = sourcesByRequest.get(request);
       known?.delete(source);
       if (known?.size === 0) {
-        sourcesOf.delete(request);
+        sourcesByRequest.delete(request);
       }
     }
     reports.delete(source);
     return requestsOf({crashes, served});
   }
 
-  function of(source: string): CrashReport {
-    return reports.get(source) ?? EMPTY_REPORT;
+  function reportOf(source: string): CrashReport {
+    return reports.get(source) ?? EMPTY_CRASH_REPORT;
   }
 
-  function put(source: string, report: CrashReport): Set<string> {
-    const touched = unlink(source);
+  function setReport(source: string, report: CrashReport): Set<string> {
+    const affected = dropReport(source);
     reports.set(source, report);
-    link(source, report);
-    requestsOf(report).forEach(request => touched.add(request));
-    return touched;
+    indexCrashes(source, report);
+    requestsOf(report).forEach(request => affected.add(request));
+    return affected;
   }
 
   function servedAtMs(request: string): number {
@@ -86,21 +87,21 @@
   }
 
   return {
-    isEmpty: () => sourcesOf.size === 0,
-    has: request => sourcesOf.has(request),
-    put,
-    remove: unlink,
-    of,
+    isEmpty: () => sourcesByRequest.size === 0,
+    hasCrashes: request => sourcesByRequest.has(request),
+    setReport,
+    removeReport: dropReport,
+    reportOf,
     sources: () => [...reports.keys()],
     crashTimesMs(request) {
-      const sources = sourcesOf.get(request);
+      const sources = sourcesByRequest.get(request);
       if (sources === undefined) {
         return [];
       }
       const servedAt = servedAtMs(request);
       const byEndpoint = new Map<string, number>();
       for (const source of sources) {
-        for (const crash of of(source).crashes) {
+        for (const crash of reportOf(source).crashes) {
           if (crash.request === request && crash.atMs > servedAt) {
             const known = byEndpoint.get(crash.endpoint) ?? Infinity;
             byEndpoint.set(crash.endpoint, Math.min(known, crash.atMs));
@@ -109,7 +110,7 @@
       }
       return [...byEndpoint.values()].sort((a, b) => a - b);
     },
-    requests: () => [...sourcesOf.keys()],
+    requests: () => [...sourcesByRequest.keys()],
   };
 }
 
@@ -121,7 +122,7 @@
 }
 
 /**
- * What two reports say together: each crash once, and the latest whole answers.
+ * Merges two reports: each crash once, and the latest complete responses.
  *
  * @example
  * const all = mergeReports(before, {crashes: [crash], served: {}});
@@ -129,7 +130,7 @@
 export function mergeReports(a: CrashReport, b: CrashReport): CrashReport {
   const crashes = new Map<string, Crash>();
   for (const crash of [...a.crashes, ...b.crashes]) {
-    const key = keyOf(crash);
+    const key = crashKey(crash);
     if (!crashes.has(key)) {
       crashes.set(key, crash);
     }
@@ -142,28 +143,33 @@
 }
 
 /**
- * Whether a report tells of a crash or a whole answer that another one lacks.
+ * Returns whether a report has a crash or complete response that `known` lacks.
  *
  * @example
- * if (isNews(evidence.of(source), report)) { evidence.put(source, mergeReports(known, report)); }
+ * if (hasNewEvidence(known, report)) {
+ *   evidence.setReport(source, mergeReports(known, report));
+ * }
  */
-export function isNews(known: CrashReport, report: CrashReport): boolean {
-  const keys = new Set(known.crashes.map(keyOf));
+export function hasNewEvidence(
+  known: CrashReport,
+  report: CrashReport,
+): boolean {
+  const keys = new Set(known.crashes.map(crashKey));
   return (
-    report.crashes.some(crash => !keys.has(keyOf(crash))) ||
+    report.crashes.some(crash => !keys.has(crashKey(crash))) ||
     Object.entries(report.served).some(
       ([request, atMs]) => atMs > (known.served[request] ?? -Infinity),
     )
   );
 }
 
-function keyOf({request, endpoint}: Crash): string {
+function crashKey({request, endpoint}: Crash): string {
   return `${request} ${endpoint}`;
 }
 
 /**
- * The part of a report that is not older than a time; whole answers matter only
- * beside crashes.
+ * Returns the part of a report from a time on. Complete responses may expire
+ * too: they matter only beside crashes.
  *
  * @example
  * const recent = reportSince(report, nowMs - 10_000);
@@ -178,29 +184,29 @@
 }
 
 /**
- * Bounds a report: of many crashes those under the requests with the most are
- * kept, and among these the latest.
+ * Limits the crashes of a report. Those under the requests with the most
+ * crashes are kept, and among these the latest.
  *
  * @example
- * const kept = boundReport(report, 200, request => evidence.crashTimesMs(request).length);
+ * const truncated = truncateReport(report, 200, crashCountOf);
  */
-export function boundReport(
+export function truncateReport(
   report: CrashReport,
-  most: number,
-  countOf: (request: string) => number,
+  maxCrashes: number,
+  crashCountOf: (request: string) => number,
 ): CrashReport {
-  if (report.crashes.length <= most) {
+  if (report.crashes.length <= maxCrashes) {
     return report;
   }
   const counts = new Map<string, number>();
   for (const {request} of report.crashes) {
-    counts.set(request, counts.get(request) ?? countOf(request));
+    counts.set(request, counts.get(request) ?? crashCountOf(request));
   }
   const crashes = [...report.crashes]
     .sort(
       (a, b) =>
         counts.get(b.request)! - counts.get(a.request)! || b.atMs - a.atMs,
     )
-    .slice(0, most);
+    .slice(0, maxCrashes);
   return {crashes, served: report.served};
 }
--- /dev/null
+++ b/packages/routing/src/crashQuarantine.ts
@@ -0,0 +1,360 @@
+/**
+ * Quarantines requests that crash the endpoints that run them ("queries of
+ * death").
+ *
+ * Every request that a crashed endpoint was running is suspected. After several
+ * endpoints crashed under the same request, no entry forwards it until its
+ * quarantine ends. A complete response clears a request.
+ */
+import {
+  emitter,
+  rendezvousOrder,
+  type Clock,
+  type DecisionLog,
+  type Event,
+} from '@skylarkfield/base';
+import {
+  truncateReport,
+  EMPTY_CRASH_REPORT,
+  createCrashEvidence,
+  hasNewEvidence,
+  mergeReports,
+  reportSince,
+  type Crash,
+  type CrashReport,
+} from './crashEvidence.js';
+import {createCrashDetector, type CrashDetector} from './crashDetector.js';
+
+/** Whether a request may go to an endpoint. */
+export type Verdict =
+  | {readonly type: 'clear'}
+  /** Too few endpoints crashed under it to quarantine it. */
+  | {readonly type: 'suspected'; readonly crashes: number}
+  /** Its quarantine has ended, and this entry may send it once. */
+  | {readonly type: 'trial'; readonly crashes: number}
+  | {
+      readonly type: 'quarantined';
+      readonly crashes: number;
+      readonly retryAfterMs: number;
+    };
+
+export interface CrashSuspects extends Omit<CrashDetector, 'isUnconfirmed'> {
+  /** Whether no crash is known; every verdict is then `clear`. */
+  isEmpty(): boolean;
+  /** Returns whether the request may be sent. */
+  judge(request: string): Verdict;
+  /** Notes that this entry sends the request after its quarantine. */
+  beginTrial(request: string): void;
+  /** Notes a complete response to the request. */
+  noteServed(request: string): void;
+  /** Replaces another entry's stored report. */
+  takeKept(entry: string, report: CrashReport): void;
+  /** Removes the deleted report of an entry, which may be this one. */
+  dropKept(entry: string): void;
+  /** Merges a report gossiped by another entry, which may not be stored yet. */
+  hear(report: CrashReport): void;
+  /** Merges the report that this entry stored before a restart. */
+  restore(report: CrashReport): void;
+  /** Report of this entry to be stored: confirmed crashes only. */
+  own(): CrashReport;
+  /** Notes that a report of this entry was stored, where the others read it. */
+  noteKept(report: CrashReport): void;
+  /** New or not yet stored evidence to gossip; undefined for none. */
+  recent(): CrashReport | undefined;
+  /** Ids of the serving entries; one of them retries after a quarantine. */
+  setEntries(entries: readonly string[]): void;
+  /** Fires when the report to be stored changes. */
+  readonly onDidChange: Event<void>;
+}
+
+/** Crashes under one request from which on it is quarantined. */
+const QUARANTINE_CRASHES = 3;
+
+/**
+ * Milliseconds in which crashes count as one incident: they may share another
+ * cause, such as the loss of a failure domain.
+ */
+const INCIDENT_MS = 1_000;
+
+/** Lifetime of crash evidence in milliseconds. */
+export const CRASH_MEMORY_MS = 3_600_000;
+
+/**
+ * Milliseconds of quarantine after the last crash, by the number of incidents:
+ * a single one is weak evidence.
+ */
+const QUARANTINE_MS = [10_000, 60_000, CRASH_MEMORY_MS] as const;
+
+/** Milliseconds after which a trial without a result may be repeated. */
+const TRIAL_TIMEOUT_MS = 10_000;
+
+/** Milliseconds for which stored evidence is gossiped: several digests. */
+const GOSSIP_MS = 1_500;
+
+/** Crashes from which suspicions and complete responses are shared. */
+const NOTABLE_CRASHES = 2;
+
+/** Largest number of crashes stored by an entry, and learned by gossip. */
+const MAX_STORED_CRASHES = 100;
+const MAX_GOSSIPED_CRASHES = 1_000;
+
+/** Largest number of requests in a dump. */
+const MAX_DUMPED_REQUESTS = 50;
+
+/** Sources of evidence besides the stored reports of entries. */
+const OWN = 'own';
+const GOSSIP = 'gossip';
+/** Complete responses that only this entry takes into account. */
+const LOCAL = 'local';
+
+function storedBy(entry: string): string {
+  return `stored by ${entry}`;
+}
+
+/**
+ * Creates the crash quarantine of one entry.
+ *
+ * @example
+ * suspects.noteClosed({request: fingerprint, endpoint: 'i-1@7'});
+ * if (suspects.judge(fingerprint).type === 'quarantined') { return reject(); }
+ */
+export function createCrashSuspects(options: {
+  readonly clock: Clock;
+  readonly self: string;
+  readonly decisions: DecisionLog;
+  /** Wall-clock milliseconds, comparable between entries. */
+  wallMs(): number;
+}): CrashSuspects {
+  const {clock, self, decisions, wallMs} = options;
+  const evidence = createCrashEvidence();
+  const changed = emitter<void>();
+  const quarantined = new Set<string>();
+  /** Monotonic milliseconds at which trials began, by request. */
+  const trials = new Map<string, number>();
+  let storedReport: CrashReport = EMPTY_CRASH_REPORT;
+  let entries: readonly string[] = [self];
+  const detector = createCrashDetector({
+    clock,
+    wallMs,
+    // Counts at once, so that this entry does not forward the request
+    // meanwhile.
+    onDidSuspect: crash => addToOwnReport({crashes: [crash], served: {}}),
+    onDidRefute: removeOwnCrash,
+    onDidConfirm: confirm,
+  });
+
+  function recentCrashTimesMs(request: string): readonly number[] {
+    const from = wallMs() - CRASH_MEMORY_MS;
+    return evidence.crashTimesMs(request).filter(at => at >= from);
+  }
+
+  function crashCountOf(request: string): number {
+    return recentCrashTimesMs(request).length;
+  }
+
+  function isTrialRunning(request: string): boolean {
+    const startedAt = trials.get(request);
+    return (
+      startedAt !== undefined && clock.now() - startedAt < TRIAL_TIMEOUT_MS
+    );
+  }
+
+  function judge(request: string): Verdict {
+    const times = recentCrashTimesMs(request);
+    const crashes = times.length;
+    if (crashes === 0) {
+      return {type: 'clear'};
+    }
+    if (crashes < QUARANTINE_CRASHES) {
+      return {type: 'suspected', crashes};
+    }
+    const remainingMs = times.at(-1)! + quarantineMs(times) - wallMs();
+    if (remainingMs > 0) {
+      return {type: 'quarantined', crashes, retryAfterMs: remainingMs};
+    }
+    const [owner] = rendezvousOrder(request, entries);
+    return owner === self && !isTrialRunning(request)
+      ? {type: 'trial', crashes}
+      : {type: 'quarantined', crashes, retryAfterMs: TRIAL_TIMEOUT_MS};
+  }
+
+  function logQuarantineChanges(requests: ReadonlySet<string>): void {
+    for (const request of requests) {
+      const times = recentCrashTimesMs(request);
+      const isOverThreshold = times.length >= QUARANTINE_CRASHES;
+      if (isOverThreshold === quarantined.has(request)) {
+        continue;
+      }
+      const figures = {crashes: times.length, occasions: countIncidents(times)};
+      if (isOverThreshold) {
+        quarantined.add(request);
+        const why = 'endpoints crashed under it';
+        decisions.note('routing', request, 'quarantine', why, figures);
+      } else {
+        quarantined.delete(request);
+        const why = 'it was served, or its crashes have expired';
+        decisions.note('routing', request, 'end quarantine', why, figures);
+      }
+    }
+  }
+
+  function addToOwnReport(report: CrashReport): void {
+    const from = wallMs() - CRASH_MEMORY_MS;
+    const merged = mergeReports(evidence.reportOf(OWN), report);
+    const {crashes, served} = reportSince(merged, from);
+    // A complete response matters only beside crashes that others report.
+    const relevant = Object.entries(served).filter(([request]) =>
+      evidence.hasCrashes(request),
+    );
+    const current = {crashes, served: Object.fromEntries(relevant)};
+    const truncated = truncateReport(current, MAX_STORED_CRASHES, crashCountOf);
+    logQuarantineChanges(evidence.setReport(OWN, truncated));
+  }
+
+  /** Records a complete response, to be shared (`own`) or not (`local`). */
+  function recordServed(
+    request: string,
+    source: typeof OWN | typeof LOCAL,
+  ): void {
+    const {crashes, served} = evidence.reportOf(OWN);
+    const remaining = crashes.filter(crash => crash.request !== request);
+    logQuarantineChanges(evidence.setReport(OWN, {crashes: remaining, served}));
+    const relevant = Object.entries(evidence.reportOf(source).served).filter(
+      ([other]) => evidence.hasCrashes(other),
+    );
+    relevant.push([request, Math.round(wallMs())]);
+    const report = {
+      ...evidence.reportOf(source),
+      served: Object.fromEntries(relevant),
+    };
+    logQuarantineChanges(evidence.setReport(source, report));
+  }
+
+  function removeOwnCrash({request, endpoint}: Crash): void {
+    const {crashes, served} = evidence.reportOf(OWN);
+    const remaining = crashes.filter(
+      crash => crash.request !== request || crash.endpoint !== endpoint,
+    );
+    logQuarantineChanges(evidence.setReport(OWN, {crashes: remaining, served}));
+  }
+
+  function confirm(crash: Crash): void {
+    const {request, endpoint} = crash;
+    addToOwnReport({crashes: [crash], served: {}});
+    const crashes = crashCountOf(request);
+    if (crashes === 0) {
+      return;
+    }
+    trials.delete(request);
+    if (crashes >= NOTABLE_CRASHES) {
+      const why = 'its endpoint crashed';
+      const figures = {endpoint, crashes};
+      decisions.note('routing', request, 'suspect', why, figures);
+    }
+    changed.fire();
+  }
+
+  function own(): CrashReport {
+    const {crashes, served} = evidence.reportOf(OWN);
+    const confirmed = crashes.filter(crash => !detector.isUnconfirmed(crash));
+    return {crashes: confirmed, served};
+  }
+
+  return {
+    ...detector,
+    isEmpty: evidence.isEmpty,
+    judge,
+    beginTrial(request) {
+      trials.set(request, clock.now());
+      const figures = {crashes: crashCountOf(request)};
+      const why = 'its quarantine is over';
+      decisions.note('routing', request, 'try once', why, figures);
+    },
+    noteServed(request) {
+      const crashes = crashCountOf(request);
+      if (crashes === 0) {
+        return;
+      }
+      trials.delete(request);
+      const isNotable = crashes >= NOTABLE_CRASHES;
+      recordServed(request, isNotable ? OWN : LOCAL);
+      if (isNotable) {
+        changed.fire();
+      }
+    },
+    takeKept: (entry, report) =>
+      logQuarantineChanges(evidence.setReport(storedBy(entry), report)),
+    dropKept(entry) {
+      const source = entry === self ? OWN : storedBy(entry);
+      logQuarantineChanges(evidence.removeReport(source));
+      logQuarantineChanges(evidence.removeReport(GOSSIP));
+    },
+    hear(report) {
+      const known = evidence.reportOf(GOSSIP);
+      if (!hasNewEvidence(known, report)) {
+        return;
+      }
+      const merged = mergeReports(known, report);
+      const current = reportSince(merged, wallMs() - CRASH_MEMORY_MS);
+      const truncated = truncateReport(
+        current,
+        MAX_GOSSIPED_CRASHES,
+        crashCountOf,
+      );
+      logQuarantineChanges(evidence.setReport(GOSSIP, truncated));
+    },
+    restore: addToOwnReport,
+    own,
+    noteKept(report) {
+      storedReport = report;
+    },
+    recent() {
+      if (evidence.isEmpty()) {
+        return undefined;
+      }
+      const current = own();
+      if (hasNewEvidence(storedReport, current)) {
+        return current;
+      }
+      const report = reportSince(current, wallMs() - GOSSIP_MS);
+      const count = report.crashes.length + Object.keys(report.served).length;
+      return count > 0 ? report : undefined;
+    },
+    setEntries(ids) {
+      entries = ids;
+    },
+    onDidChange: changed.event,
+    dump: () => ({
+      requests: evidence.requests().length,
+      sources: evidence.sources().length,
+      losses: detector.dump(),
+      most: evidence
+        .requests()
+        .map(request => ({request, ...judge(request)}))
+        .sort((a, b) => crashesInVerdict(b) - crashesInVerdict(a))
+        .slice(0, MAX_DUMPED_REQUESTS),
+    }),
+  };
+}
+
+function crashesInVerdict(verdict: Verdict): number {
+  return verdict.type === 'clear' ? 0 : verdict.crashes;
+}
+
+/** Counts the incidents among ascending crash times. */
+function countIncidents(timesMs: readonly number[]): number {
+  let incidents = 0;
+  let startMs = -Infinity;
+  for (const atMs of timesMs) {
+    if (atMs - startMs >= INCIDENT_MS) {
+      incidents += 1;
+      startMs = atMs;
+    }
+  }
+  return incidents;
+}
+
+function quarantineMs(timesMs: readonly number[]): number {
+  const index = Math.min(countIncidents(timesMs), QUARANTINE_MS.length) - 1;
+  return QUARANTINE_MS[Math.max(0, index)]!;
+}
--- a/packages/routing/src/ejection.ts
+++ b/packages/routing/src/ejection.ts
@@ -1,126 +1,137 @@
-/** Judges an endpoint against its pool. */
+/** Outlier detection: compares an endpoint with its pool. */
 import {median} from './median.js';
 import type {Candidate} from './contracts.js';
-import type {Health, HealthFigures} from './health.js';
+import type {Health, HealthStats} from './health.js';
 import type {LoadView} from './loadView.js';
 
-/** One endpoint with what this entry knows of it, as far as judging needs. */
-export interface Judged {
+/** State of an endpoint that outlier detection needs. */
+export interface MonitoredEndpoint {
   readonly candidate: Candidate;
   readonly health: Health;
   readonly load: LoadView;
 }
 
-/** Why an endpoint is put aside; undefined when it is not. */
+/** Why an endpoint is ejected. */
 export type EjectionReason =
   | 'unreachable'
-  | 'failing'
-  | 'failing-more'
+  | 'consecutive-failures'
+  | 'failure-rate'
   | 'slow';
 
-const MAX_UNREACHABLE = 2;
-const MAX_FAILURES = 4;
+const CONSECUTIVE_UNREACHABLE_LIMIT = 2;
+const CONSECUTIVE_FAILURE_LIMIT = 4;
 const MIN_SAMPLES = 8;
 const MIN_FAILURE_RATE = 0.3;
-const FAILURE_FACTOR = 3;
-/** Waits vary by far more than engines do, so slowness needs more evidence than failing. */
+const FAILURE_RATE_FACTOR = 3;
+/** Higher than for failures: waits vary far more than engine speed. */
 const MIN_SLOW_SAMPLES = 24;
 const MIN_SLOWNESS = 5;
 const SLOWNESS_FACTOR = 4;
-/** The most of a pool's endpoints that may be aside for failing or slowness. */
+/** Largest unavailable share of a pool after ejecting a failing or slow one. */
 const MAX_EJECTED_SHARE = 0.34;
-/** The rest may be filled up to this fraction of its slots. */
-const MAX_FILL = 0.85;
+/** Largest fraction of the remaining slots that an ejection may fill. */
+const MAX_UTILIZATION = 0.85;
 
 /**
- * Decides by an endpoint's own figures and those of its pool. A fault that all
- * share is not the endpoint's, so rates are compared with the pool's median.
+ * Returns why the endpoint should be ejected, if at all. Its rates are compared
+ * with the pool's median, so that a fault shared by all ejects no endpoint.
  *
  * @example
  * const reason = ejectionReason(endpoint, pool);
  */
 export function ejectionReason(
-  endpoint: Judged,
-  pool: readonly Judged[],
+  endpoint: MonitoredEndpoint,
+  pool: readonly MonitoredEndpoint[],
 ): EjectionReason | undefined {
-  const {figures} = endpoint.health;
-  if (figures.unreachableInRow >= MAX_UNREACHABLE) {
+  const {stats} = endpoint.health;
+  if (stats.unreachableInRow >= CONSECUTIVE_UNREACHABLE_LIMIT) {
     return 'unreachable';
   }
-  const reason = relativeReason(figures, endpoint, pool);
+  const reason = reasonRelativeToPool(stats, endpoint, pool);
   if (reason === undefined || !mayEject(endpoint, pool)) {
     return undefined;
   }
   return reason;
 }
 
-function relativeReason(
-  figures: HealthFigures,
-  endpoint: Judged,
-  pool: readonly Judged[],
+function reasonRelativeToPool(
+  stats: HealthStats,
+  endpoint: MonitoredEndpoint,
+  pool: readonly MonitoredEndpoint[],
 ): EjectionReason | undefined {
   const others = pool.filter(other => other !== endpoint);
-  const usualFailures = median(
-    others.map(other => other.health.figures.failureRate),
+  const medianFailureRate = median(
+    others.map(other => other.health.stats.failureRate),
   );
-  const failureLimit = Math.max(
+  const failureRateLimit = Math.max(
     MIN_FAILURE_RATE,
-    FAILURE_FACTOR * usualFailures,
+    FAILURE_RATE_FACTOR * medianFailureRate,
   );
-  if (figures.failuresInRow >= MAX_FAILURES && usualFailures < 0.5) {
-    return 'failing';
+  if (
+    stats.failuresInRow >= CONSECUTIVE_FAILURE_LIMIT &&
+    medianFailureRate < 0.5
+  ) {
+    return 'consecutive-failures';
   }
-  if (figures.samples < MIN_SAMPLES) {
+  if (stats.samples < MIN_SAMPLES) {
     return undefined;
   }
-  if (figures.failureRate > failureLimit) {
-    return 'failing-more';
+  if (stats.failureRate > failureRateLimit) {
+    return 'failure-rate';
   }
-  if (figures.samples < MIN_SLOW_SAMPLES) {
+  if (stats.samples < MIN_SLOW_SAMPLES) {
     return undefined;
   }
-  const usualSlowness = median(
-    others.map(other => other.health.figures.slowness),
+  const medianSlowness = median(
+    others.map(other => other.health.stats.slowness),
   );
-  const slownessLimit = Math.max(MIN_SLOWNESS, SLOWNESS_FACTOR * usualSlowness);
-  return figures.slowness > slownessLimit ? 'slow' : undefined;
+  const slownessLimit = Math.max(
+    MIN_SLOWNESS,
+    SLOWNESS_FACTOR * medianSlowness,
+  );
+  return stats.slowness > slownessLimit ? 'slow' : undefined;
 }
 
 /**
- * False when putting the endpoint aside would drown the rest: an endpoint that
- * fails now and then serves more than others that are overrun serve for it.
+ * Returns false when ejecting would leave too few endpoints or overload them:
+ * one that sometimes fails serves more requests than overloaded others would.
  */
-function mayEject(endpoint: Judged, pool: readonly Judged[]): boolean {
-  const rest = pool.filter(
+function mayEject(
+  endpoint: MonitoredEndpoint,
+  pool: readonly MonitoredEndpoint[],
+): boolean {
+  const remaining = pool.filter(
     other => other !== endpoint && other.health.state === 'live',
   );
   const present = pool.filter(other => other.health.state !== 'leaving');
-  const asideAfter = present.length - rest.length;
-  if (asideAfter > Math.max(1, present.length * MAX_EJECTED_SHARE)) {
+  const unavailableAfter = present.length - remaining.length;
+  if (unavailableAfter > Math.max(1, present.length * MAX_EJECTED_SHARE)) {
     return false;
   }
   let requests = endpoint.load.estimate().requests;
   let slots = 0;
-  for (const other of rest) {
+  for (const other of remaining) {
     const estimate = other.load.estimate();
     requests += estimate.requests;
     slots += estimate.slots;
   }
-  return requests <= slots * MAX_FILL;
+  return requests <= slots * MAX_UTILIZATION;
 }
 
-/** Endpoints of one failure domain that must be unreachable before the others are doubted. */
-const MIN_LOST = 2;
-const LOST_SHARE = 0.4;
+/** Ejected or unreachable endpoints of a lost domain: number and share. */
+const MIN_UNREACHABLE_IN_DOMAIN = 2;
+const MIN_UNREACHABLE_SHARE = 0.4;
 
 /**
- * Endpoints that are doubted because their failure domain looks lost: a
- * sizeable part of it has become unreachable.
+ * Returns the live endpoints of the failure domain if it looks lost: a large
+ * share of it is ejected or unreachable.
  *
  * @example
- * doubtedByDomain(endpoint, pool).forEach(other => other.health.doubt());
+ * for (const {health} of liveEndpointsOfLostDomain(endpoint, pool)) {
+ *   health.requireProbe();
+ * }
  */
-export function doubtedByDomain<T extends Judged>(
+export function liveEndpointsOfLostDomain<T extends MonitoredEndpoint>(
   endpoint: T,
   pool: readonly T[],
 ): T[] {
@@ -128,12 +139,15 @@
   const domain = pool.filter(
     other => other.candidate.failureDomain === failureDomain,
   );
-  const lost = domain.filter(
+  const unreachable = domain.filter(
     other =>
       other.health.state === 'ejected' ||
-      other.health.figures.unreachableInRow > 0,
+      other.health.stats.unreachableInRow > 0,
   );
-  if (lost.length < MIN_LOST || lost.length < domain.length * LOST_SHARE) {
+  if (
+    unreachable.length < MIN_UNREACHABLE_IN_DOMAIN ||
+    unreachable.length < domain.length * MIN_UNREACHABLE_SHARE
+  ) {
     return [];
   }
   return domain.filter(other => other.health.state === 'live');
--- a/packages/routing/src/endpointPool.ts
+++ b/packages/routing/src/endpointPool.ts
@@ -1,4 +1,4 @@
-/** The endpoints that an entry uses, with what it knows of each. */
+/** Endpoint pools of an entry, by service and version. */
 import type {Clock, Random} from '@skylarkfield/base';
 import {createCacheView, type CacheView} from './cacheView.js';
 import type {Candidate} from './contracts.js';
@@ -6,8 +6,8 @@
 import {createLoadView, type LoadView} from './loadView.js';
 import {pickSubset} from './subset.js';
 
-/** One endpoint and what this entry knows of it. */
-export interface KnownEndpoint {
+/** An endpoint with its load, cache and health state. */
+export interface PooledEndpoint {
   candidate: Candidate;
   readonly load: LoadView;
   readonly cache: CacheView;
@@ -18,30 +18,30 @@
   setEndpoints(endpoints: readonly Candidate[]): void;
   setEntries(entries: readonly string[]): void;
   markLeaving(endpoint: string): void;
-  /** Forgets the mark and all that was known of the old process; the next list brings it. */
+  /** Clears the mark and old state; the next list adds the endpoint anew. */
   markReturned(endpoint: string): void;
-  get(endpoint: string): KnownEndpoint | undefined;
-  /** Endpoints that this entry uses for one version of a service. */
-  of(service: string, version: string): readonly KnownEndpoint[];
-  all(): readonly KnownEndpoint[];
-  /** Listed endpoints of a service, of which this entry may use only a part. */
+  get(endpoint: string): PooledEndpoint | undefined;
+  /** Endpoints assigned to this entry for one version of a service. */
+  endpointsOf(service: string, version: string): readonly PooledEndpoint[];
+  all(): readonly PooledEndpoint[];
+  /** Number of listed endpoints that are not leaving, assigned or not. */
   countListed(service: string): number;
-  leaving(): readonly string[];
+  leavingIds(): readonly string[];
 }
 
-/** An endpoint that leaves. */
+/** Marks an endpoint as leaving. */
 interface LeavingMark {
-  /** When it was last listed or marked. */
-  lastMs: number;
-  /** Its host; unknown until it is listed. */
+  /** Monotonic milliseconds at which it was last listed or marked. */
+  lastListedMs: number;
+  /** Host of the leaving process; unknown until it is listed. */
   host: string | undefined;
 }
 
-/** How long a mark outlives the endpoint's last listing: far longer than the list lags. */
-const LEAVING_MEMORY_MS = 600_000;
+/** Mark lifetime after the last listing: far longer than the list lags. */
+const LEAVING_MARK_TTL_MS = 600_000;
 
 /**
- * Makes pools with no endpoint.
+ * Creates empty pools.
  *
  * @example
  * const pools = createEndpointPools({clock, random, self: 'e1', isOwn});
@@ -51,13 +51,13 @@
   readonly random: Random;
   readonly self: string;
   readonly isOwn: (attempt: string) => boolean;
-  /** Tokens that each block of a routing request stands for. */
+  /** Prompt tokens per block of a routing request. */
   readonly blockTokens?: number;
 }): EndpointPools {
   const {clock, random, self, isOwn, blockTokens} = options;
-  const known = new Map<string, KnownEndpoint>();
-  const pools = new Map<string, KnownEndpoint[]>();
-  const leaving = new Map<string, LeavingMark>();
+  const endpointsById = new Map<string, PooledEndpoint>();
+  const pools = new Map<string, PooledEndpoint[]>();
+  const leavingMarks = new Map<string, LeavingMark>();
   let listed: readonly Candidate[] = [];
   let entries: readonly string[] = [self];
 
@@ -65,14 +65,14 @@
     return `${service} ${version}`;
   }
 
-  function create(candidate: Candidate): KnownEndpoint {
+  function create(candidate: Candidate): PooledEndpoint {
     const health = createHealth({
       clock,
       random,
-      recoversByReport: candidate.type === 'plain',
+      recoversOnReport: candidate.type === 'plain',
     });
-    if (leaving.has(candidate.id)) {
-      health.leave();
+    if (leavingMarks.has(candidate.id)) {
+      health.markLeaving();
     }
     return {
       candidate,
@@ -82,7 +82,7 @@
     };
   }
 
-  function pickHeld(): Candidate[] {
+  function pickAssigned(): Candidate[] {
     const byService = new Map<string, Candidate[]>();
     for (const candidate of listed) {
       const key = poolKey(candidate.service, candidate.version);
@@ -93,29 +93,29 @@
     return [...byService.values()].flatMap(group => {
       const ids = group.map(({id}) => id);
       const subset = pickSubset(self, entries, ids);
-      // A few entries and many endpoints can leave an entry with none.
-      const mine = group.filter(({id}) => subset.has(id));
-      return mine.length > 0 ? mine : group;
+      // With few entries and many endpoints an entry may be assigned none.
+      const assigned = group.filter(({id}) => subset.has(id));
+      return assigned.length > 0 ? assigned : group;
     });
   }
 
   function rebuild() {
-    const held = pickHeld();
-    const ids = new Set(held.map(({id}) => id));
-    for (const id of known.keys()) {
+    const assigned = pickAssigned();
+    const ids = new Set(assigned.map(({id}) => id));
+    for (const id of endpointsById.keys()) {
       if (!ids.has(id)) {
-        known.delete(id);
+        endpointsById.delete(id);
       }
     }
     pools.clear();
-    for (const candidate of held) {
-      const present = known.get(candidate.id);
-      // The same id on another host is another process: what was known of the
-      // old one, its leaving too, says nothing about it.
-      const isSame = present?.candidate.host === candidate.host;
-      const endpoint = present && isSame ? present : create(candidate);
+    for (const candidate of assigned) {
+      const existing = endpointsById.get(candidate.id);
+      // The same id on another host is a new process, to which neither the old
+      // one's state nor its leaving mark applies.
+      const isSame = existing?.candidate.host === candidate.host;
+      const endpoint = existing && isSame ? existing : create(candidate);
       endpoint.candidate = candidate;
-      known.set(candidate.id, endpoint);
+      endpointsById.set(candidate.id, endpoint);
       const key = poolKey(candidate.service, candidate.version);
       const pool = pools.get(key) ?? [];
       pool.push(endpoint);
@@ -123,22 +123,22 @@
     }
   }
 
-  function forgetLeft() {
+  function expireLeavingMarks() {
     const nowMs = clock.now();
     for (const {id, host} of listed) {
-      const mark = leaving.get(id);
+      const mark = leavingMarks.get(id);
       if (mark === undefined) {
         continue;
       }
       mark.host ??= host;
-      mark.lastMs = nowMs;
+      mark.lastListedMs = nowMs;
       if (mark.host !== host) {
-        leaving.delete(id);
+        leavingMarks.delete(id);
       }
     }
-    for (const [id, {lastMs}] of leaving) {
-      if (nowMs - lastMs > LEAVING_MEMORY_MS) {
-        leaving.delete(id);
+    for (const [id, {lastListedMs}] of leavingMarks) {
+      if (nowMs - lastListedMs > LEAVING_MARK_TTL_MS) {
+        leavingMarks.delete(id);
       }
     }
   }
@@ -146,7 +146,7 @@
   return {
     setEndpoints(endpoints) {
       listed = endpoints;
-      forgetLeft();
+      expireLeavingMarks();
       rebuild();
     },
     setEntries(next) {
@@ -154,24 +154,25 @@
       rebuild();
     },
     markLeaving(endpoint) {
-      const present = known.get(endpoint);
-      const host = present?.candidate.host;
-      leaving.set(endpoint, {lastMs: clock.now(), host});
-      present?.health.leave();
+      const existing = endpointsById.get(endpoint);
+      const host = existing?.candidate.host;
+      leavingMarks.set(endpoint, {lastListedMs: clock.now(), host});
+      existing?.health.markLeaving();
     },
     markReturned(endpoint) {
-      if (leaving.delete(endpoint)) {
-        known.delete(endpoint);
+      if (leavingMarks.delete(endpoint)) {
+        endpointsById.delete(endpoint);
       }
     },
-    get: endpoint => known.get(endpoint),
-    of: (service, version) => pools.get(poolKey(service, version)) ?? [],
-    all: () => [...known.values()],
+    get: endpoint => endpointsById.get(endpoint),
+    endpointsOf: (service, version) =>
+      pools.get(poolKey(service, version)) ?? [],
+    all: () => [...endpointsById.values()],
     countListed: service =>
       listed.filter(
         candidate =>
-          candidate.service === service && !leaving.has(candidate.id),
+          candidate.service === service && !leavingMarks.has(candidate.id),
       ).length,
-    leaving: () => [...leaving.keys()],
+    leavingIds: () => [...leavingMarks.keys()],
   };
 }
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -1,70 +1,71 @@
-/** Counts how an endpoint's attempts go and decides when it is put aside. */
+/** Tracks attempt results of an endpoint, its ejection and its recovery. */
 import type {Clock, Random} from '@skylarkfield/base';
 import type {AttemptResult} from '@skylarkfield/endpoints';
-import {createHealthStates, type HealthState} from './healthMachine.js';
+import {createHealthStateMachine, type HealthState} from './healthMachine.js';
 
 export interface Health {
   readonly state: HealthState;
-  /** True when the endpoint may get a request now. */
-  admits(): boolean;
-  /** True when a request should go there now to see whether it has recovered. */
-  wantsProbe(): boolean;
+  /** Whether the endpoint may receive a request now. */
+  allowsRequest(): boolean;
+  /** Whether a request should be sent now to probe for recovery. */
+  needsProbe(): boolean;
   noteSent(): void;
-  /** Notes a result; `slowness` is its latency relative to the expected one. */
-  note(outcome: AttemptResult['outcome'], slowness: number): void;
-  /** A load report has come from it. */
+  /** Notes a result; `slowness` is the ratio of actual to expected latency. */
+  noteOutcome(outcome: AttemptResult['outcome'], slowness: number): void;
+  /** Notes that the endpoint answered a load poll. */
   noteReport(): void;
   eject(): void;
-  /** Its failure domain looks lost: one request at a time until one goes well. */
-  doubt(): void;
-  leave(): void;
-  readonly figures: HealthFigures;
+  /** Probes because its failure domain looks lost; one success ends it. */
+  requireProbe(): void;
+  markLeaving(): void;
+  readonly stats: HealthStats;
 }
 
-/** What the judgement of an endpoint rests on. */
-export interface HealthFigures {
+/** Statistics that ejection decisions are based on. */
+export interface HealthStats {
   readonly failuresInRow: number;
   readonly unreachableInRow: number;
-  /** Smoothed share of failed attempts. */
+  /** Exponentially smoothed share of failed attempts. */
   readonly failureRate: number;
-  /** Smoothed latency relative to the expected one. */
+  /** Exponentially smoothed ratio of actual to expected latency. */
   readonly slowness: number;
-  /** Attempts noted since it was last put aside. */
+  /** Attempts counted since the last ejection or recovery. */
   readonly samples: number;
 }
 
-const RATE_WEIGHT = 0.1;
-/** One very late answer counts no more than this. */
-const MAX_SLOWNESS = 20;
-const FIRST_EJECTION_MS = 1500;
+/** Weight of the newest sample in the moving averages. */
+const SMOOTHING_FACTOR = 0.1;
+/** Upper bound of a sample, so that one late response cannot dominate. */
+const MAX_SLOWNESS_SAMPLE = 20;
+const BASE_EJECTION_MS = 1500;
 const MAX_EJECTION_MS = 45_000;
-/** Successes in a row that end probing. */
+/** Consecutive successes that end probing. */
 const PROBE_SUCCESSES = 2;
-/** Results in a row that go well before the next ejection is short again. */
-const FORGIVEN_AFTER = 200;
+/** Consecutive successes that reset the ejection backoff. */
+const BACKOFF_RESET_SUCCESSES = 200;
 
 /**
- * Makes the health of an endpoint that is thought to be well.
+ * Creates the health state of an endpoint, initially live.
  *
  * @example
- * const health = createHealth({clock, random, recoversByReport: false});
- * health.note('failed', 1);
+ * const health = createHealth({clock, random, recoversOnReport: false});
+ * health.noteOutcome('failed', 1);
  */
 export function createHealth(options: {
   readonly clock: Clock;
   readonly random: Random;
-  /** For plain services, whose calls may not be used as probes: a load report ends probing. */
-  readonly recoversByReport: boolean;
+  /** For plain services: their calls must not probe, so a report ends it. */
+  readonly recoversOnReport: boolean;
 }): Health {
-  const {clock, random, recoversByReport} = options;
-  const states = createHealthStates();
-  let probesOut = 0;
+  const {clock, random, recoversOnReport} = options;
+  const machine = createHealthStateMachine();
+  let probesInFlight = 0;
   let successesInRow = 0;
-  let ejections = 0;
+  let consecutiveEjections = 0;
   let ejectedUntilMs = 0;
-  let figures = freshFigures();
+  let stats = initialStats();
 
-  function freshFigures(): {-readonly [K in keyof HealthFigures]: number} {
+  function initialStats(): {-readonly [K in keyof HealthStats]: number} {
     return {
       failuresInRow: 0,
       unreachableInRow: 0,
@@ -74,55 +75,55 @@
     };
   }
 
-  function wake() {
-    if (states.current === 'ejected' && clock.now() >= ejectedUntilMs) {
-      states.send('probe');
-      probesOut = 0;
+  function endExpiredEjection() {
+    if (machine.current === 'ejected' && clock.now() >= ejectedUntilMs) {
+      machine.send('probe');
+      probesInFlight = 0;
       successesInRow = 0;
     }
   }
 
   function eject() {
-    if (states.current === 'ejected' || states.current === 'leaving') {
+    if (machine.current === 'ejected' || machine.current === 'leaving') {
       return;
     }
-    const spanMs = Math.min(
+    const durationMs = Math.min(
       MAX_EJECTION_MS,
-      FIRST_EJECTION_MS * 2 ** ejections,
+      BASE_EJECTION_MS * 2 ** consecutiveEjections,
     );
-    // Entries eject at the same time; spread, they do not probe in one wave.
-    ejectedUntilMs = clock.now() + spanMs * (0.75 + random.next() / 2);
-    ejections += 1;
-    figures = freshFigures();
-    states.send('eject');
+    // Entries eject at the same time; jitter keeps them from probing at once.
+    ejectedUntilMs = clock.now() + durationMs * (0.75 + random.next() / 2);
+    consecutiveEjections += 1;
+    stats = initialStats();
+    machine.send('eject');
   }
 
   function recover() {
-    states.send('recover');
-    figures = freshFigures();
+    machine.send('recover');
+    stats = initialStats();
   }
 
   function noteSuccess(slowness: number) {
     successesInRow += 1;
-    figures.failuresInRow = 0;
-    figures.unreachableInRow = 0;
-    figures.failureRate *= 1 - RATE_WEIGHT;
-    const seen = Math.min(slowness, MAX_SLOWNESS);
-    figures.slowness += (seen - figures.slowness) * RATE_WEIGHT;
-    if (successesInRow >= FORGIVEN_AFTER) {
-      ejections = 0;
+    stats.failuresInRow = 0;
+    stats.unreachableInRow = 0;
+    stats.failureRate *= 1 - SMOOTHING_FACTOR;
+    const sample = Math.min(slowness, MAX_SLOWNESS_SAMPLE);
+    stats.slowness += (sample - stats.slowness) * SMOOTHING_FACTOR;
+    if (successesInRow >= BACKOFF_RESET_SUCCESSES) {
+      consecutiveEjections = 0;
     }
-    if (states.current === 'probing' && successesInRow >= PROBE_SUCCESSES) {
+    if (machine.current === 'probing' && successesInRow >= PROBE_SUCCESSES) {
       recover();
     }
   }
 
   function noteFailure(isUnreachable: boolean) {
     successesInRow = 0;
-    figures.failuresInRow += 1;
-    figures.unreachableInRow = isUnreachable ? figures.unreachableInRow + 1 : 0;
-    figures.failureRate += (1 - figures.failureRate) * RATE_WEIGHT;
-    if (states.current === 'probing') {
+    stats.failuresInRow += 1;
+    stats.unreachableInRow = isUnreachable ? stats.unreachableInRow + 1 : 0;
+    stats.failureRate += (1 - stats.failureRate) * SMOOTHING_FACTOR;
+    if (machine.current === 'probing') {
       eject();
     }
   }
@@ -140,47 +141,49 @@
 
   return {
     get state() {
-      wake();
-      return states.current;
+      endExpiredEjection();
+      return machine.current;
     },
-    admits() {
-      wake();
-      if (states.current === 'probing') {
-        return probesOut === 0;
+    allowsRequest() {
+      endExpiredEjection();
+      if (machine.current === 'probing') {
+        return probesInFlight === 0;
       }
-      return states.current === 'live';
+      return machine.current === 'live';
     },
-    wantsProbe() {
-      wake();
+    needsProbe() {
+      endExpiredEjection();
       return (
-        states.current === 'probing' && probesOut === 0 && !recoversByReport
+        machine.current === 'probing' &&
+        probesInFlight === 0 &&
+        !recoversOnReport
       );
     },
     noteSent() {
-      probesOut += 1;
+      probesInFlight += 1;
     },
-    note(outcome, slowness) {
-      probesOut = Math.max(0, probesOut - 1);
+    noteOutcome(outcome, slowness) {
+      probesInFlight = Math.max(0, probesInFlight - 1);
       const handler = handlers[outcome];
       if (handler !== undefined) {
-        figures.samples += 1;
+        stats.samples += 1;
         handler(slowness);
       }
     },
     noteReport() {
-      wake();
-      if (recoversByReport && states.current === 'probing') {
+      endExpiredEjection();
+      if (recoversOnReport && machine.current === 'probing') {
         recover();
       }
     },
     eject,
-    doubt() {
-      states.send('doubt');
+    requireProbe() {
+      machine.send('requireProbe');
       successesInRow = PROBE_SUCCESSES - 1;
     },
-    leave: () => states.send('leave'),
-    get figures() {
-      return figures;
+    markLeaving: () => machine.send('leave'),
+    get stats() {
+      return stats;
     },
   };
 }
--- a/packages/routing/src/healthMachine.ts
+++ b/packages/routing/src/healthMachine.ts
@@ -1,47 +1,52 @@
-/** Whether an endpoint may get work: one state machine per endpoint. */
+/** State machine of one endpoint's health. */
 import {createMachine, interpret, state, transition} from 'robot3';
 
 export type HealthState =
-  /** Gets work. */
+  /** Receives requests. */
   | 'live'
-  /** Gets one request at a time until some have gone well. */
+  /** Receives one request at a time until enough succeed. */
   | 'probing'
-  /** Gets nothing until its time is up. */
+  /** Receives no requests until the ejection expires. */
   | 'ejected'
-  /** Gets nothing any more. */
+  /** Receives no new requests; final. */
   | 'leaving';
 
-export type HealthSignal = 'eject' | 'doubt' | 'probe' | 'recover' | 'leave';
+export type HealthEvent =
+  | 'eject'
+  | 'requireProbe'
+  | 'probe'
+  | 'recover'
+  | 'leave';
 
 const leave = transition('leave', 'leaving');
 const eject = transition('eject', 'ejected');
 
 const machine = createMachine('live', {
-  live: state(eject, leave, transition('doubt', 'probing')),
+  live: state(eject, leave, transition('requireProbe', 'probing')),
   probing: state(eject, leave, transition('recover', 'live')),
   ejected: state(leave, transition('probe', 'probing')),
   leaving: state(),
 });
 
-export interface HealthStates {
+export interface HealthStateMachine {
   readonly current: HealthState;
-  /** Goes to the next state; a signal that the state does not know is ignored. */
-  send(signal: HealthSignal): void;
+  /** Applies an event, if the current state has a transition for it. */
+  send(event: HealthEvent): void;
 }
 
 /**
- * Makes the states of an endpoint that is live.
+ * Creates a state machine in state `live`.
  *
  * @example
- * const states = createHealthStates();
- * states.send('eject');
+ * const machine = createHealthStateMachine();
+ * machine.send('eject');
  */
-export function createHealthStates(): HealthStates {
+export function createHealthStateMachine(): HealthStateMachine {
   const service = interpret(machine, () => {});
   return {
     get current() {
       return service.machine.current as HealthState;
     },
-    send: signal => service.send(signal),
+    send: event => service.send(event),
   };
 }
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Which endpoint serves a request. */
+/** Endpoint selection: routing, health, rate limits and crash quarantine. */
 export * from './contracts.js';
 export * from './router.js';
 export * from './requestLimits.js';
@@ -11,11 +11,11 @@
   CRASH_MEMORY_MS,
   type CrashSuspects,
   type Verdict,
-} from './crashSuspects.js';
+} from './crashQuarantine.js';
 export {
-  EMPTY_REPORT,
+  EMPTY_CRASH_REPORT,
   mergeReports,
   type Crash,
   type CrashReport,
 } from './crashEvidence.js';
-export type {LostRequest} from './crashLosses.js';
+export type {LostRequest} from './crashDetector.js';
--- a/packages/routing/src/loadView.ts
+++ b/packages/routing/src/loadView.ts
@@ -1,27 +1,27 @@
-/** The load of one endpoint now, from late reports and what this entry sent. */
+/** Load estimate of an endpoint from delayed reports and own requests. */
 import type {Clock} from '@skylarkfield/base';
 import type {LoadReport} from '@skylarkfield/endpoints';
 import type {EntryLoad} from './contracts.js';
 
 /** A request of this entry at the endpoint. */
 export interface OwnRequest {
-  /** Prompt tokens that it has yet to compute. */
+  /** Prompt tokens yet to be computed. */
   pendingTokens: number;
-  /** Tokens of its whole prompt. */
+  /** Tokens of the whole prompt. */
   readonly contextTokens: number;
   /** 0 (served first) to 9. */
   readonly urgency: number;
 }
 
 export interface LoadEstimate {
-  /** Requests running or waiting there. */
+  /** Running and waiting requests. */
   readonly requests: number;
   readonly slots: number;
   /** Prompt tokens to be computed before those of a new request. */
   readonly pendingTokens: number;
-  /** Pending tokens by urgency, as far as entries tell of them. */
+  /** Pending tokens by urgency, as far as entries report them. */
   readonly pendingByUrgency?: readonly number[];
-  /** Prompt tokens of the requests there, as far as entries tell of them. */
+  /** Prompt tokens of the requests there, as far as entries report them. */
   readonly contextTokens: number;
 }
 
@@ -33,13 +33,13 @@
   ): OwnRequest;
   remove(request: OwnRequest): void;
   report(report: LoadReport): void;
-  /** What another entry has there now; undefined for nothing. */
-  reportEntry(entry: string, load: EntryLoad | undefined): void;
-  /** What this entry has there. */
+  /** Replaces another entry's load; undefined for none. */
+  reportEntryLoad(entry: string, load: EntryLoad | undefined): void;
+  /** Load of this entry's requests. */
   ownLoad(): EntryLoad;
   estimate(): LoadEstimate;
-  /** Requests of this entry there. */
-  readonly own: number;
+  /** Number of this entry's requests in flight. */
+  readonly ownRequestCount: number;
   /** Milliseconds since the last report; infinite before the first. */
   reportAgeMs(): number;
   dump(): unknown;
@@ -47,55 +47,55 @@
 
 export interface LoadViewOptions {
   readonly clock: Clock;
-  /** Tells this entry's attempts in a report from those of other entries. */
+  /** Whether an attempt in a report is this entry's. */
   readonly isOwn: (attempt: string) => boolean;
 }
 
-/** Lag of a report that does not list its attempts. */
-const ASSUMED_LAG_MS = 400;
+/** Assumed lag of a report that does not list its attempts. */
+const ASSUMED_REPORT_LAG_MS = 400;
 const HISTORY_MS = 4000;
-/** From this age on a report counts for less and less. */
-const FRESH_MS = 2500;
-const STALE_HALF_LIFE_MS = 2500;
+/** Age from which on the weight of a report decays. */
+const FRESH_REPORT_MS = 2500;
+const STALE_REPORT_HALF_LIFE_MS = 2500;
 const DEFAULT_SLOTS = 8;
-/** What an entry said counts this long: four of its messages. */
-const ENTRY_FRESH_MS = 1_200;
-/** Entries count in place of the endpoint's reports while one of them was heard this lately. */
-const ENTRIES_HEARD_MS = 2_500;
+/** Lifetime of an entry's reported load: four of its messages. */
+const ENTRY_LOAD_TTL_MS = 1_200;
+/** Silence of all entries after which the endpoint's reports are used. */
+const ENTRY_REPORTS_TIMEOUT_MS = 2_500;
 
 /**
- * Makes a view of an endpoint with no load.
+ * Creates a view of an endpoint with no load.
  *
- * A report is late, so it still counts requests of ours that have ended and
- * lacks those just sent. What it says of other entries is kept, and our own
- * part, which we know exactly, is put in its place. Without this every request
- * within one interval would go to the endpoint that last looked idle.
+ * A delayed report still counts requests of this entry that have ended and
+ * lacks those just sent. So its figures for other entries are kept, and the
+ * exact load of this entry replaces its own part. Otherwise all requests within
+ * one report interval would go to the endpoint that last looked idle.
  *
  * @example
  * const load = createLoadView({clock, isOwn: id => id.startsWith('e1-')});
  */
 export function createLoadView(options: LoadViewOptions): LoadView {
   const {clock, isOwn} = options;
-  const own = new Set<OwnRequest>();
-  /** Own requests over the last seconds, for reports without a list. */
+  const ownRequests = new Set<OwnRequest>();
+  /** Number of own requests over time, for reports that list no attempts. */
   const history: {atMs: number; count: number}[] = [];
   let slots = DEFAULT_SLOTS;
-  let others = 0;
-  let othersTokens = 0;
+  let otherRequests = 0;
+  let otherPendingTokens = 0;
   let reportedMs = Number.NEGATIVE_INFINITY;
   let lastSequence = -1;
   const entries = new Map<string, {load: EntryLoad; atMs: number}>();
-  let entriesHeardMs = Number.NEGATIVE_INFINITY;
+  let lastEntryReportMs = Number.NEGATIVE_INFINITY;
 
-  function noteCount() {
+  function recordOwnCount() {
     const nowMs = clock.now();
-    history.push({atMs: nowMs, count: own.size});
+    history.push({atMs: nowMs, count: ownRequests.size});
     while (history.length > 1 && history[1]!.atMs < nowMs - HISTORY_MS) {
       history.shift();
     }
   }
 
-  function ownBefore(agoMs: number): number {
+  function ownCountAt(agoMs: number): number {
     const atMs = clock.now() - agoMs;
     let count = 0;
     for (const entry of history) {
@@ -107,28 +107,28 @@
     return count;
   }
 
-  function ownIn(report: LoadReport): number {
+  function countOwn(report: LoadReport): number {
     if (report.attempts === undefined) {
-      return ownBefore(ASSUMED_LAG_MS);
+      return ownCountAt(ASSUMED_REPORT_LAG_MS);
     }
     return report.attempts.filter(isOwn).length;
   }
 
-  function freshness(): number {
+  function reportWeight(): number {
     const ageMs = clock.now() - reportedMs;
-    if (ageMs <= FRESH_MS) {
+    if (ageMs <= FRESH_REPORT_MS) {
       return 1;
     }
-    return 0.5 ** ((ageMs - FRESH_MS) / STALE_HALF_LIFE_MS);
+    return 0.5 ** ((ageMs - FRESH_REPORT_MS) / STALE_REPORT_HALF_LIFE_MS);
   }
 
   function ownLoad(): EntryLoad {
-    return sumOf([...own].map(loadOf));
+    return sumLoads([...ownRequests].map(requestLoad));
   }
 
-  function entryLoads(): EntryLoad {
-    const oldestMs = clock.now() - ENTRY_FRESH_MS;
-    return sumOf(
+  function sumEntryLoads(): EntryLoad {
+    const oldestMs = clock.now() - ENTRY_LOAD_TTL_MS;
+    return sumLoads(
       [...entries.values()]
         .filter(({atMs}) => atMs >= oldestMs)
         .map(({load}) => load),
@@ -136,10 +136,10 @@
   }
 
   function reportedLoad(): EntryLoad {
-    const fresh = freshness();
+    const weight = reportWeight();
     return {
-      requests: others * fresh,
-      pendingTokens: othersTokens * fresh,
+      requests: otherRequests * weight,
+      pendingTokens: otherPendingTokens * weight,
       contextTokens: 0,
     };
   }
@@ -147,16 +147,16 @@
   return {
     add(pendingTokens, contextTokens, urgency) {
       const request = {pendingTokens, contextTokens, urgency};
-      own.add(request);
-      noteCount();
+      ownRequests.add(request);
+      recordOwnCount();
       return request;
     },
     remove(request) {
-      own.delete(request);
-      noteCount();
+      ownRequests.delete(request);
+      recordOwnCount();
     },
     report(report) {
-      // A report that is not newer was delayed on its way or sent twice.
+      // Drops a report that was overtaken by a newer one.
       if (
         report.sequence < lastSequence &&
         lastSequence - report.sequence < 50
@@ -166,13 +166,13 @@
       lastSequence = report.sequence;
       const total = report.running + report.waiting;
       slots = Math.max(1, report.slots);
-      others = Math.max(0, total - ownIn(report));
-      othersTokens =
-        total === 0 ? 0 : (report.waitingPromptTokens * others) / total;
+      otherRequests = Math.max(0, total - countOwn(report));
+      otherPendingTokens =
+        total === 0 ? 0 : (report.waitingPromptTokens * otherRequests) / total;
       reportedMs = clock.now();
     },
-    reportEntry(entry, load) {
-      entriesHeardMs = clock.now();
+    reportEntryLoad(entry, load) {
+      lastEntryReportMs = clock.now();
       if (load === undefined) {
         entries.delete(entry);
         return;
@@ -181,31 +181,36 @@
     },
     ownLoad,
     estimate() {
-      const mine = ownLoad();
-      const theirs =
-        clock.now() - entriesHeardMs <= ENTRIES_HEARD_MS
-          ? entryLoads()
+      const ownTotal = ownLoad();
+      const othersTotal =
+        clock.now() - lastEntryReportMs <= ENTRY_REPORTS_TIMEOUT_MS
+          ? sumEntryLoads()
           : reportedLoad();
       return {
-        requests: theirs.requests + mine.requests,
+        requests: othersTotal.requests + ownTotal.requests,
         slots,
-        pendingTokens: theirs.pendingTokens + mine.pendingTokens,
+        pendingTokens: othersTotal.pendingTokens + ownTotal.pendingTokens,
         pendingByUrgency: addByUrgency(
-          theirs.pendingByUrgency,
-          mine.pendingByUrgency,
+          othersTotal.pendingByUrgency,
+          ownTotal.pendingByUrgency,
         ),
-        contextTokens: theirs.contextTokens + mine.contextTokens,
+        contextTokens: othersTotal.contextTokens + ownTotal.contextTokens,
       };
     },
-    get own() {
-      return own.size;
+    get ownRequestCount() {
+      return ownRequests.size;
     },
     reportAgeMs: () => clock.now() - reportedMs,
-    dump: () => ({own: own.size, others, othersTokens, slots}),
+    dump: () => ({
+      own: ownRequests.size,
+      others: otherRequests,
+      othersTokens: otherPendingTokens,
+      slots,
+    }),
   };
 }
 
-function loadOf(request: OwnRequest): EntryLoad {
+function requestLoad(request: OwnRequest): EntryLoad {
   const {pendingTokens, contextTokens, urgency} = request;
   const load = {requests: 1, pendingTokens, contextTokens};
   if (pendingTokens === 0) {
@@ -216,7 +221,7 @@
   return {...load, pendingByUrgency};
 }
 
-function sumOf(loads: readonly EntryLoad[]): EntryLoad {
+function sumLoads(loads: readonly EntryLoad[]): EntryLoad {
   return loads.reduce(addLoads, {
     requests: 0,
     pendingTokens: 0,
@@ -225,7 +230,7 @@
 }
 
 /**
- * What two entries have at one endpoint together.
+ * Adds the loads of two entries on one endpoint.
  *
  * @example
  * const all = loads.reduce(addLoads);
@@ -252,8 +257,8 @@
 }
 
 /**
- * Pending tokens that are read before those of a new request of this urgency.
- * Without a division by urgency all count.
+ * Returns the pending tokens computed before those of a new request of this
+ * urgency; all of them when the load is not broken down by urgency.
  *
  * @example
  * const tokens = tokensAhead(load.estimate(), 2);
--- a/packages/routing/src/median.ts
+++ b/packages/routing/src/median.ts
@@ -1,7 +1,7 @@
-/** The median of a few numbers. */
+/** Median of small lists. */
 
 /**
- * The lower median; 0 for an empty list.
+ * Returns the lower median; 0 for an empty list.
  *
  * @example
  * median([3, 1, 2]); // 2
--- a/packages/routing/src/popularity.ts
+++ b/packages/routing/src/popularity.ts
@@ -1,56 +1,56 @@
-/** Which prefixes carry so much of the traffic that one endpoint can't serve them alone. */
+/** Detects prefixes with too large a share of the traffic for one endpoint. */
 
-export interface Popularity {
-  /** Counts a request. */
-  note(blocks: readonly string[]): void;
+export interface PrefixPopularity {
+  /** Counts a request's prefixes. */
+  noteRequest(blocks: readonly string[]): void;
   /**
-   * Number of leading blocks that are shared: they carry more than an
-   * endpoint's part of the traffic, when so many endpoints serve it.
+   * Returns the number of leading blocks that are shared: their share of the
+   * traffic exceeds an even share of one of `endpoints` endpoints.
    */
-  sharedBlocks(blocks: readonly string[], endpoints: number): number;
+  countSharedBlocks(blocks: readonly string[], endpoints: number): number;
 }
 
-/** Requests in one window; the window before counts too. */
+/** Requests per window; the previous window is counted as well. */
 const WINDOW_REQUESTS = 256;
-/** Only every so many blocks is counted, to keep a decision cheap. */
-const STRIDE = 4;
-/** Requests with a prefix before it can be called shared. */
-const MIN_COUNT = 4;
-/** Standard deviations by which a count may be too high by chance. */
-const DEVIATIONS = 1.5;
-/** A prefix is shared from this multiple of an even part of the traffic on. */
-const PART_FACTOR = 1;
+/** Counts only one block in this many, to keep decisions cheap. */
+const BLOCK_STRIDE = 4;
+/** Requests with a prefix below which it is not considered shared. */
+const MIN_PREFIX_REQUESTS = 4;
+/** Standard deviations subtracted from a count to exclude chance. */
+const CONFIDENCE_DEVIATIONS = 1.5;
+/** Multiple of an even traffic share above which a prefix is shared. */
+const SHARED_FACTOR = 1;
 
 /**
- * Makes an empty count.
+ * Creates an empty count.
  *
- * A system prompt is the start of every request. Were requests placed by it,
- * all would go to one endpoint; were it ignored as a whole, long histories that
- * several callers ask about would be scattered and computed again everywhere.
- * What tells the two apart is their part of the traffic.
+ * A system prompt starts every request: placing requests by it would send all
+ * to one endpoint. Ignoring every shared prefix would scatter long histories
+ * that several callers use and recompute them everywhere. The share of the
+ * traffic distinguishes the two.
  *
  * @example
- * const popularity = createPopularity();
- * popularity.note(routingRequest.blocks);
+ * const popularity = createPrefixPopularity();
+ * popularity.noteRequest(routingRequest.blocks);
  */
-export function createPopularity(): Popularity {
+export function createPrefixPopularity(): PrefixPopularity {
   let current = new Map<string, number>();
   let previous = new Map<string, number>();
   let currentTotal = 0;
   let previousTotal = 0;
 
-  function share(block: string): number {
+  function trafficShare(block: string): number {
     const count = (current.get(block) ?? 0) + (previous.get(block) ?? 0);
-    if (count < MIN_COUNT) {
+    if (count < MIN_PREFIX_REQUESTS) {
       return 0;
     }
-    // Few requests say little: what may be chance is not held for popularity.
-    const certain = count - DEVIATIONS * Math.sqrt(count);
-    return certain / (currentTotal + previousTotal);
+    // Uses a lower confidence bound, since small counts may be due to chance.
+    const lowerBound = count - CONFIDENCE_DEVIATIONS * Math.sqrt(count);
+    return lowerBound / (currentTotal + previousTotal);
   }
 
   return {
-    note(blocks) {
+    noteRequest(blocks) {
       if (currentTotal >= WINDOW_REQUESTS) {
         previous = current;
         previousTotal = currentTotal;
@@ -58,25 +58,26 @@
         currentTotal = 0;
       }
       currentTotal += 1;
-      for (let index = 0; index < blocks.length; index += STRIDE) {
+      for (let index = 0; index < blocks.length; index += BLOCK_STRIDE) {
         const block = blocks[index]!;
         current.set(block, (current.get(block) ?? 0) + 1);
       }
     },
-    sharedBlocks(blocks, endpoints) {
-      const limit = PART_FACTOR / Math.max(1, endpoints);
+    countSharedBlocks(blocks, endpoints) {
+      const limit = SHARED_FACTOR / Math.max(1, endpoints);
       let low = 0;
-      let high = Math.ceil(blocks.length / STRIDE);
-      // Bisects: the longer a prefix, the smaller its part of the traffic.
+      let high = Math.ceil(blocks.length / BLOCK_STRIDE);
+      // Binary search: the longer a prefix, the smaller its share of the
+      // traffic.
       while (low < high) {
         const middle = (low + high) >> 1;
-        if (share(blocks[middle * STRIDE]!) > limit) {
+        if (trafficShare(blocks[middle * BLOCK_STRIDE]!) > limit) {
           low = middle + 1;
         } else {
           high = middle;
         }
       }
-      return Math.min(blocks.length, low * STRIDE);
+      return Math.min(blocks.length, low * BLOCK_STRIDE);
     },
   };
 }
--- a/packages/routing/src/requestFingerprint.ts
+++ b/packages/routing/src/requestFingerprint.ts
@@ -1,9 +1,9 @@
-/** Identifies a request over the attempts of its caller. */
+/** Identifies a request across the attempts of its caller. */
 import {createHash} from 'node:crypto';
 
-/** What makes two attempts the same request. */
+/** Properties that are equal for all attempts of one request. */
 export interface RequestContent {
-  /** The customer that sends it; undefined where a route asks for no key. */
+  /** Customer that sends it; undefined where a route requires no key. */
   readonly customer: string | undefined;
   readonly authority: string;
   readonly method: string;
@@ -12,15 +12,17 @@
   readonly body: Buffer | undefined;
 }
 
-/** Hexadecimal digits of a fingerprint. */
-const DIGITS = 16;
+/** Length of a fingerprint in hexadecimal digits. */
+const FINGERPRINT_DIGITS = 16;
 
 /**
- * Returns a text that is the same for each attempt of a request, at every entry
- * and in every release, and differs between customers.
+ * Returns a fingerprint that is the same for each attempt of a request, at
+ * every entry and in every release, and differs between customers.
  *
  * @example
- * const fingerprint = requestFingerprint({customer, authority, method, path, body});
+ * const fingerprint = requestFingerprint({
+ *   customer, authority, method, path, body,
+ * });
  */
 export function requestFingerprint(content: RequestContent): string {
   const {customer = '', authority, method, path, body} = content;
@@ -29,5 +31,5 @@
   if (body !== undefined) {
     hash.update(body);
   }
-  return hash.digest('hex').slice(0, DIGITS);
+  return hash.digest('hex').slice(0, FINGERPRINT_DIGITS);
 }
--- a/packages/routing/src/requestLimits.ts
+++ b/packages/routing/src/requestLimits.ts
@@ -1,10 +1,10 @@
 /**
- * Limits on the requests that an endpoint takes a second from all entries
- * together, as endpoints in need name them in their answers.
+ * Rate limits that endpoints set in their responses, in requests per second of
+ * all entries together.
  *
- * A limit is small beside the number of entries, so it is not divided among all
- * of them: as many entries as it allows requests a second hold an equal share,
- * chosen alike at every entry, and the others send nothing there.
+ * Limits are small compared with the number of entries, so a limit of n
+ * requests per second is split among n entries only. Rendezvous hashing chooses
+ * the same ones at every entry; the others send nothing there.
  */
 import {
   rendezvousOrder,
@@ -12,32 +12,33 @@
   type DecisionLog,
 } from '@skylarkfield/base';
 
-/** What an answer said about the limit of its endpoint, as entries tell each other. */
-export interface LimitReport {
-  /** Requests a second from all entries; absent when the endpoint no longer names a limit. */
+/** Rate limit from an endpoint's response, as entries gossip it. */
+export interface RateLimitReport {
+  /** Requests per second of all entries; absent when the limit is removed. */
   readonly perSecond?: number;
-  /** Milliseconds since the answer came. */
+  /** Milliseconds since the response arrived. */
   readonly agoMs: number;
 }
 
-export type LimitReports = Readonly<Record<string, LimitReport>>;
+/** Reports by endpoint. */
+export type LimitReports = Readonly<Record<string, RateLimitReport>>;
 
 export interface RequestLimits {
-  /** Takes what an answer of the endpoint says; undefined when it names no limit. */
+  /** Notes the limit in a response; undefined when it sets none. */
   note(endpoint: string, perSecond: number | undefined): void;
-  /** Takes what other entries were told. */
+  /** Merges the reports of another entry. */
   report(reports: LimitReports): void;
-  /** What answers told this entry, where it knows of no newer answer. */
+  /** Limits set in responses to this entry, unless others have newer ones. */
   own(): LimitReports;
-  /** Ids of the entries that take work; this one holds no share while it is not among them. */
+  /** Ids of the entries that serve; this one has no share unless included. */
   setEntries(entries: readonly string[]): void;
-  /** Drops what is known of other endpoints than these. */
+  /** Drops the limits of all other endpoints. */
   keepOnly(endpoints: ReadonlySet<string>): void;
   /** Whether a request may be sent to the endpoint now. */
-  mayTake(endpoint: string): boolean;
-  /** Counts a request that is sent to the endpoint. */
-  take(endpoint: string): void;
-  /** Milliseconds until the endpoint may get a request from here; undefined when others hold its limit. */
+  allowsRequest(endpoint: string): boolean;
+  /** Takes a token for a request that is sent to the endpoint. */
+  consume(endpoint: string): void;
+  /** Milliseconds until this entry may send; undefined without a share. */
   waitMs(endpoint: string): number | undefined;
   dump(): unknown;
 }
@@ -46,37 +47,38 @@
   readonly perSecond: number | undefined;
   /** Monotonic milliseconds. */
   readonly at: number;
-  /** The answer came to this entry. */
+  /** The response came to this entry. */
   readonly isOwn: boolean;
 }
 
-interface Limit {
+interface TokenBucket {
   newest: Observation;
-  /** Requests that may be sent now. */
+  /** Tokens available: requests that may be sent now. */
   level: number;
-  filledAt: number;
+  /** Monotonic milliseconds. */
+  refilledAt: number;
 }
 
 const SECOND_MS = 1_000;
 
-/** Time for which a share is saved up while no request comes, in milliseconds; one request at least. */
-const SAVED_MS = 250;
+/** Bucket capacity in milliseconds of its rate; at least one request. */
+const BURST_MS = 250;
 
-/** Least relative change of a limit that is logged. */
-const LOGGED_CHANGE = 0.2;
+/** Relative change of a limit above which it is logged. */
+const MIN_LOGGED_CHANGE = 0.2;
 
-/** How long the end of a limit is told to others, in milliseconds: several digests. */
-const END_TOLD_MS = 10_000;
+/** Milliseconds for which a removal is gossiped: several digests. */
+const REMOVAL_GOSSIP_MS = 10_000;
 
-/** Requests a second by which an endpoint that takes none is asked whether that still holds. */
-const LEAST_PER_SECOND = 0.1;
+/** Requests per second that probe whether a limit of zero still holds. */
+const MIN_PER_SECOND = 0.1;
 
 /**
- * Creates the limits of one entry.
+ * Creates the rate limits of one entry.
  *
  * @example
  * limits.note('i-1', 2.9);
- * if (limits.mayTake('i-1')) { limits.take('i-1'); }
+ * if (limits.allowsRequest('i-1')) { limits.consume('i-1'); }
  */
 export function createRequestLimits(options: {
   readonly clock: Clock;
@@ -84,25 +86,25 @@
   readonly decisions: DecisionLog;
 }): RequestLimits {
   const {clock, self, decisions} = options;
-  const limits = new Map<string, Limit>();
+  const buckets = new Map<string, TokenBucket>();
   let entries: readonly string[] = [self];
-  /** Rate of this entry's share by endpoint, in requests per second; 0 where others hold it. */
+  /** This entry's share by endpoint, in requests per second; 0 for none. */
   const shares = new Map<string, number>();
 
   function hasLimit(endpoint: string): boolean {
-    return limits.get(endpoint)?.newest.perSecond !== undefined;
+    return buckets.get(endpoint)?.newest.perSecond !== undefined;
   }
 
   function observe(endpoint: string, newest: Observation): void {
-    const known = limits.get(endpoint);
+    const known = buckets.get(endpoint);
     if (known === undefined) {
-      limits.set(endpoint, {newest, level: 0, filledAt: clock.now()});
+      buckets.set(endpoint, {newest, level: 0, refilledAt: clock.now()});
       logChange(endpoint, undefined, newest);
       return;
     }
     if (newest.at >= known.newest.at) {
       logChange(endpoint, known.newest, newest);
-      fill(endpoint, known);
+      refill(endpoint, known);
       known.newest = newest;
       shares.delete(endpoint);
     }
@@ -113,14 +115,14 @@
     before: Observation | undefined,
     {perSecond, at}: Observation,
   ): void {
-    if (before !== undefined && isAlike(before.perSecond, perSecond)) {
+    if (before !== undefined && isSimilarRate(before.perSecond, perSecond)) {
       return;
     }
     decisions.note(
       'routing',
       endpoint,
       perSecond === undefined ? 'end its limit' : 'limit requests',
-      'its answers say so',
+      'according to its responses',
       {
         ...(perSecond !== undefined && {perSecond}),
         entries: entries.length,
@@ -134,32 +136,32 @@
     if (known !== undefined) {
       return known;
     }
-    const rate = Math.max(LEAST_PER_SECOND, perSecond);
+    const rate = Math.max(MIN_PER_SECOND, perSecond);
     const count = Math.min(entries.length, Math.max(1, Math.floor(rate)));
-    const holders = rendezvousOrder(endpoint, entries).slice(0, count);
-    const share = holders.includes(self) ? rate / count : 0;
+    const shareholders = rendezvousOrder(endpoint, entries).slice(0, count);
+    const share = shareholders.includes(self) ? rate / count : 0;
     shares.set(endpoint, share);
     return share;
   }
 
-  function fill(endpoint: string, limit: Limit): void {
+  function refill(endpoint: string, bucket: TokenBucket): void {
     const now = clock.now();
-    const {perSecond} = limit.newest;
+    const {perSecond} = bucket.newest;
     const rate = perSecond === undefined ? 0 : shareOf(endpoint, perSecond);
-    const grown = ((now - limit.filledAt) * rate) / SECOND_MS;
-    const most = Math.max(1, (rate * SAVED_MS) / SECOND_MS);
-    limit.level = Math.min(most, limit.level + grown);
-    limit.filledAt = now;
+    const added = ((now - bucket.refilledAt) * rate) / SECOND_MS;
+    const capacity = Math.max(1, (rate * BURST_MS) / SECOND_MS);
+    bucket.level = Math.min(capacity, bucket.level + added);
+    bucket.refilledAt = now;
   }
 
-  /** Limit in force, filled up to now; undefined when there is none. */
-  function inForce(endpoint: string): Limit | undefined {
-    const limit = limits.get(endpoint);
-    if (limit?.newest.perSecond === undefined) {
+  /** Returns the bucket, refilled up to now; undefined without a limit. */
+  function refilledBucket(endpoint: string): TokenBucket | undefined {
+    const bucket = buckets.get(endpoint);
+    if (bucket?.newest.perSecond === undefined) {
       return undefined;
     }
-    fill(endpoint, limit);
-    return limit;
+    refill(endpoint, bucket);
+    return bucket;
   }
 
   return {
@@ -178,56 +180,56 @@
       }
     },
     own() {
-      const told: Record<string, LimitReport> = {};
-      for (const [endpoint, {newest}] of limits) {
+      const reports: Record<string, RateLimitReport> = {};
+      for (const [endpoint, {newest}] of buckets) {
         const {perSecond, at, isOwn} = newest;
         const agoMs = clock.now() - at;
         if (isOwn && perSecond !== undefined) {
-          told[endpoint] = {perSecond, agoMs};
-        } else if (isOwn && agoMs <= END_TOLD_MS) {
-          told[endpoint] = {agoMs};
+          reports[endpoint] = {perSecond, agoMs};
+        } else if (isOwn && agoMs <= REMOVAL_GOSSIP_MS) {
+          reports[endpoint] = {agoMs};
         }
       }
-      return told;
+      return reports;
     },
     setEntries(ids) {
-      // What has grown so far belongs to the shares until now.
-      limits.forEach((limit, endpoint) => fill(endpoint, limit));
+      // Tokens earned so far accrue at the rates of the old shares.
+      buckets.forEach((bucket, endpoint) => refill(endpoint, bucket));
       entries = ids;
       shares.clear();
     },
     keepOnly(endpoints) {
-      for (const endpoint of limits.keys()) {
+      for (const endpoint of buckets.keys()) {
         if (!endpoints.has(endpoint)) {
-          limits.delete(endpoint);
+          buckets.delete(endpoint);
           shares.delete(endpoint);
         }
       }
     },
-    mayTake(endpoint) {
-      const limit = inForce(endpoint);
-      return limit === undefined || limit.level >= 1;
+    allowsRequest(endpoint) {
+      const bucket = refilledBucket(endpoint);
+      return bucket === undefined || bucket.level >= 1;
     },
-    take(endpoint) {
-      const limit = inForce(endpoint);
-      if (limit !== undefined) {
-        limit.level -= 1;
+    consume(endpoint) {
+      const bucket = refilledBucket(endpoint);
+      if (bucket !== undefined) {
+        bucket.level -= 1;
       }
     },
     waitMs(endpoint) {
-      const limit = inForce(endpoint);
-      if (limit?.newest.perSecond === undefined) {
+      const bucket = refilledBucket(endpoint);
+      if (bucket?.newest.perSecond === undefined) {
         return 0;
       }
-      const share = shareOf(endpoint, limit.newest.perSecond);
+      const share = shareOf(endpoint, bucket.newest.perSecond);
       if (share === 0) {
         return undefined;
       }
-      return Math.max(0, ((1 - limit.level) / share) * SECOND_MS);
+      return Math.max(0, ((1 - bucket.level) / share) * SECOND_MS);
     },
     dump: () =>
       Object.fromEntries(
-        [...limits].map(([endpoint, {newest, level}]) => [
+        [...buckets].map(([endpoint, {newest, level}]) => [
           endpoint,
           {...newest, level, share: shares.get(endpoint)},
         ]),
@@ -235,16 +237,16 @@
   };
 }
 
-function isAlike(a: number | undefined, b: number | undefined): boolean {
+function isSimilarRate(a: number | undefined, b: number | undefined): boolean {
   if (a === undefined || b === undefined) {
     return a === b;
   }
-  return Math.abs(a - b) <= LOGGED_CHANGE * Math.max(a, b);
+  return Math.abs(a - b) <= MIN_LOGGED_CHANGE * Math.max(a, b);
 }
 
 /**
- * The newest report about each endpoint; `sinceMs` is the time since the second
- * reports were sent.
+ * Returns the newest report for each endpoint; `elapsedMs` is the time since
+ * the second reports were sent.
  *
  * @example
  * const limits = newestLimits(own, digest.limits, clock.now() - heardAt);
@@ -252,11 +254,11 @@
 export function newestLimits(
   first: LimitReports,
   second: LimitReports,
-  sinceMs: number,
+  elapsedMs: number,
 ): LimitReports {
-  const newest: Record<string, LimitReport> = {...first};
+  const newest: Record<string, RateLimitReport> = {...first};
   for (const [endpoint, report] of Object.entries(second)) {
-    const agoMs = report.agoMs + sinceMs;
+    const agoMs = report.agoMs + elapsedMs;
     const known = newest[endpoint];
     if (known === undefined || agoMs < known.agoMs) {
       newest[endpoint] = {...report, agoMs};
--- a/packages/routing/src/routeCosts.ts
+++ b/packages/routing/src/routeCosts.ts
@@ -1,118 +1,123 @@
-/** Expected milliseconds to the first token at an endpoint. */
+/** Cost model of routing, in milliseconds to the first token. */
 import type {LoadEstimate} from './loadView.js';
 
-/** How choices are weighed; see docs/DECISIONS/routing.md. */
+/** Weights of the cost model; see docs/DECISIONS/routing.md. */
 export interface RouteWeights {
-  /** Time of a token of a shared part that is thought to be computed again, relative to one that surely is; 1 when absent. */
+  /**
+   * Expected time of a shareable token that seems uncached, relative to one
+   * that surely is; 1 when absent.
+   */
   readonly rereadPart?: number;
-  /** Weight of a token computed again relative to the time it takes: it also delays others. */
+  /** Weight of an uncached token's compute time: it delays others too. */
   readonly uncached: number;
-  /** The same for tokens of a prefix that every endpoint serves: computing it pays for later requests. */
-  readonly uncachedShared: number;
-  /** Milliseconds that each request there adds, by slowing every step. */
+  /** The same for tokens of a shared prefix: later requests reuse them. */
+  readonly uncachedSharedTokenWeight: number;
+  /** Milliseconds per request at the endpoint: each slows every step. */
   readonly perRequestMs: number;
-  /** Milliseconds that each prompt token of the requests there adds: every step of an answer looks at all of them. */
+  /** Milliseconds per prompt token there: every step attends to all. */
   readonly perContextTokenMs: number;
-  /** Milliseconds for computing a prompt token, before it was measured. */
+  /** Initial estimate of the milliseconds to compute a prompt token. */
   readonly initialMsPerToken: number;
-  /** The same where it is known from elsewhere; nothing is learned here then. */
+  /** Known milliseconds per prompt token; replaces the learned estimate. */
   readonly knownMsPerToken?: number;
-  /** Milliseconds that the endpoint preferred by hash is favoured by when nothing is known. */
+  /** Bonus in milliseconds for the endpoint preferred by prefix affinity. */
   readonly affinityMs: number;
-  /** Part of the weighted cost of uncached tokens that the preferred endpoint is favoured by as well. */
+  /** Additional bonus, as a share of the weighted uncached cost. */
   readonly affinityShare: number;
-  /** Milliseconds that the own failure domain is favoured by: a hop, no more. */
-  readonly ownDomainMs: number;
-  /** Milliseconds of random spread, so that entries with one view do not choose alike. */
-  readonly spreadMs: number;
+  /** Penalty for another failure domain, in milliseconds: one network hop. */
+  readonly crossDomainMs: number;
+  /** Random jitter in milliseconds, so that entries choose differently. */
+  readonly jitterMs: number;
 }
 
 export const defaultRouteWeights: RouteWeights = {
   uncached: 5,
-  uncachedShared: 1,
+  uncachedSharedTokenWeight: 1,
   perRequestMs: 8,
   perContextTokenMs: 0,
   initialMsPerToken: 0.12,
   affinityMs: 100,
   affinityShare: 0.25,
-  ownDomainMs: 2,
-  spreadMs: 2,
+  crossDomainMs: 2,
+  jitterMs: 2,
 };
 
-const RATE_WEIGHT = 0.05;
+/** Weight of the newest sample in the moving averages. */
+const SMOOTHING_FACTOR = 0.05;
 const MIN_OBSERVED_TOKENS = 100;
 const MIN_MS_PER_TOKEN = 0.001;
 const MAX_MS_PER_TOKEN = 10;
 
 export interface RouteCosts {
-  /** Milliseconds until a request's first token, were it sent there now. */
-  firstTokenMs(load: LoadEstimate, uncachedTokens: number): number;
-  /** `favour` is from 0 to 1: how much the prefix belongs there. Milliseconds with the weight that tokens computed again have in a choice. */
+  /** Expected milliseconds to the first token of a request sent now. */
+  expectedFirstTokenMs(load: LoadEstimate, uncachedTokens: number): number;
+  /** Cost in weighted milliseconds; `affinity` is from 0 to 1. */
   score(
     load: LoadEstimate,
-    ownTokens: number,
+    unsharedTokens: number,
     sharedTokens: number,
-    favour: number,
+    affinity: number,
   ): number;
-  /** The first token came so long after so many tokens had to be computed. */
+  /** Learns from the time to the first token, by tokens computed. */
   observeFirstToken(tokens: number, tookMs: number): void;
-  /** A request was there for so long. */
-  observeStay(tookMs: number): void;
+  /** Learns from the total duration of a request at the endpoint. */
+  observeDuration(tookMs: number): void;
   dump(): unknown;
 }
 
 /**
- * Makes the costs of one service, learning from what is seen. The weights are
- * asked for at each use: they may follow what others learn.
+ * Creates the cost model of one service, which learns from observations. The
+ * weights are read at each use, since they may be updated from outside.
  *
  * @example
  * const costs = createRouteCosts(() => defaultRouteWeights);
  */
-export function createRouteCosts(weightsNow: () => RouteWeights): RouteCosts {
-  let learnedMsPerToken = weightsNow().initialMsPerToken;
-  let stayMs = 1500;
+export function createRouteCosts(getWeights: () => RouteWeights): RouteCosts {
+  let learnedMsPerToken = getWeights().initialMsPerToken;
+  let durationMs = 1500;
 
-  function tokenMs(): number {
-    return weightsNow().knownMsPerToken ?? learnedMsPerToken;
+  function currentMsPerToken(): number {
+    return getWeights().knownMsPerToken ?? learnedMsPerToken;
   }
 
   function waitMs(load: LoadEstimate): number {
-    const weights = weightsNow();
-    const msPerToken = tokenMs();
+    const weights = getWeights();
+    const msPerToken = currentMsPerToken();
     const queued = Math.max(0, load.requests + 1 - load.slots);
     return (
       load.pendingTokens * msPerToken +
-      (queued * stayMs) / load.slots +
+      (queued * durationMs) / load.slots +
       load.requests * weights.perRequestMs +
       load.contextTokens * weights.perContextTokenMs
     );
   }
 
   return {
-    firstTokenMs: (load, uncachedTokens) =>
-      waitMs(load) + uncachedTokens * tokenMs(),
-    score(load, ownTokens, sharedTokens, favour) {
-      const weights = weightsNow();
-      const msPerToken = tokenMs();
-      const ownMs = ownTokens * weights.uncached * msPerToken;
-      const sharedMs = sharedTokens * weights.uncachedShared * msPerToken;
-      const favourMs =
-        favour * (weights.affinityMs + weights.affinityShare * ownMs);
-      return waitMs(load) + ownMs + sharedMs - favourMs;
+    expectedFirstTokenMs: (load, uncachedTokens) =>
+      waitMs(load) + uncachedTokens * currentMsPerToken(),
+    score(load, unsharedTokens, sharedTokens, affinity) {
+      const weights = getWeights();
+      const msPerToken = currentMsPerToken();
+      const unsharedMs = unsharedTokens * weights.uncached * msPerToken;
+      const sharedMs =
+        sharedTokens * weights.uncachedSharedTokenWeight * msPerToken;
+      const affinityMs =
+        affinity * (weights.affinityMs + weights.affinityShare * unsharedMs);
+      return waitMs(load) + unsharedMs + sharedMs - affinityMs;
     },
     observeFirstToken(tokens, tookMs) {
       if (tokens < MIN_OBSERVED_TOKENS) {
         return;
       }
-      const seen = Math.min(
+      const sample = Math.min(
         MAX_MS_PER_TOKEN,
         Math.max(MIN_MS_PER_TOKEN, tookMs / tokens),
       );
-      learnedMsPerToken += (seen - learnedMsPerToken) * RATE_WEIGHT;
+      learnedMsPerToken += (sample - learnedMsPerToken) * SMOOTHING_FACTOR;
     },
-    observeStay(tookMs) {
-      stayMs += (tookMs - stayMs) * RATE_WEIGHT;
+    observeDuration(tookMs) {
+      durationMs += (tookMs - durationMs) * SMOOTHING_FACTOR;
     },
-    dump: () => ({msPerToken: tokenMs(), stayMs}),
+    dump: () => ({msPerToken: currentMsPerToken(), stayMs: durationMs}),
   };
 }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -1,12 +1,12 @@
-/** Chooses endpoints by expected wait, cached prefix and health. */
+/** Router: chooses endpoints by expected wait, cached prefix and health. */
 import type {Clock, DecisionLog, Random} from '@skylarkfield/base';
 import {BLOCK_TOKENS, type AttemptResult} from '@skylarkfield/endpoints';
-import {favoursFor} from './affinity.js';
+import {affinitiesFor} from './affinity.js';
 import type {Choice, RoutingRequest, Router} from './contracts.js';
-import {doubtedByDomain, ejectionReason} from './ejection.js';
-import {createEndpointPools, type KnownEndpoint} from './endpointPool.js';
+import {liveEndpointsOfLostDomain, ejectionReason} from './ejection.js';
+import {createEndpointPools, type PooledEndpoint} from './endpointPool.js';
 import {tokensAhead} from './loadView.js';
-import {createPopularity, type Popularity} from './popularity.js';
+import {createPrefixPopularity, type PrefixPopularity} from './popularity.js';
 import type {RequestLimits} from './requestLimits.js';
 import {
   createRouteCosts,
@@ -19,62 +19,64 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly decisions: DecisionLog;
-  /** The failure domain of this entry. */
+  /** Failure domain of this entry. */
   readonly failureDomain: string;
   /** Id of this entry. */
   readonly self: string;
-  /** Tells this entry's attempts from others in load reports; by id prefix when not given. */
+  /** Whether an attempt is this entry's; by id prefix when absent. */
   readonly isOwn?: (attempt: string) => boolean;
   readonly weights?: Partial<RouteWeights>;
-  /** Weights of one service that go before the others; asked for at each choice. */
+  /** Weights that override the others for one service; read at each choice. */
   weightsOf?(service: string): Partial<RouteWeights> | undefined;
-  /** Limits that endpoints have named; none when absent. */
-  readonly limits?: Pick<RequestLimits, 'mayTake' | 'take' | 'waitMs'>;
-  /** Tokens that each of a routing request's blocks stands for; the engines' own blocks when not given. */
+  /** Rate limits set by endpoints; none when absent. */
+  readonly limits?: Pick<RequestLimits, 'allowsRequest' | 'consume' | 'waitMs'>;
+  /** Prompt tokens per block; the engines' block size when absent. */
   readonly blockTokens?: number;
 }
 
-/** Share of requests that go to an endpoint which waits to be probed: short prompts, and long ones. */
+/** Share of requests used as probes: short and long prompts. */
 const PROBE_SHARE = 0.3;
 const LONG_PROBE_SHARE = 0.03;
-/** Prompt tokens to compute from which on a request is a costly probe. */
+/** Uncached prompt tokens above which a request is a costly probe. */
 const LONG_PROBE_TOKENS = 512;
-/** Expected milliseconds below which a latency says nothing about slowness. */
-const MIN_EXPECTED_MS = 40;
+/** Lower bound of expected latency; below it slowness is not measurable. */
+const MIN_EXPECTED_LATENCY_MS = 40;
 const PERCENT = 100;
-/** Time after which to try again where other entries hold an endpoint's limit, in milliseconds. */
-const ELSEWHERE_MS = 300;
-/** Urgency of a request that names none, in the middle of ten. */
+/** Milliseconds to wait when only other entries share the rate limit. */
+const NO_SHARE_RETRY_MS = 300;
+/** Urgency of a request without one, in the middle of ten. */
 const DEFAULT_URGENCY = 5;
 
-/** Where a prompt's prefix belongs. */
-interface PrefixPlace {
-  /** Tokens of the start that all endpoints have to serve anyway. */
+/** Preferred placement of a prompt's prefix. */
+interface PrefixPlacement {
+  /** Leading tokens shared by so much traffic that all endpoints serve them. */
   readonly sharedTokens: number;
-  /** How much the endpoints are favoured for what follows, alike at every entry. */
-  readonly favours: ReadonlyMap<string, number>;
+  /** Affinity of endpoints for the remainder, the same at every entry. */
+  readonly affinities: ReadonlyMap<string, number>;
 }
 
-interface Scored {
-  readonly endpoint: KnownEndpoint;
+interface ScoredEndpoint {
+  readonly endpoint: PooledEndpoint;
   readonly cachedTokens: number;
   readonly score: number;
 }
 
-/** The endpoints that have the fewest requests. */
-function leastUsed(
-  endpoints: readonly KnownEndpoint[],
-): readonly KnownEndpoint[] {
+/** Returns the endpoints with the fewest requests. */
+function leastLoaded(
+  endpoints: readonly PooledEndpoint[],
+): readonly PooledEndpoint[] {
   const counts = endpoints.map(({load}) => load.estimate().requests);
   const least = Math.min(...counts);
   return endpoints.filter((_, index) => counts[index] === least);
 }
 
 /**
- * Makes a router that knows no endpoint yet.
+ * Creates a router without endpoints.
  *
  * @example
- * const router = createRouter({clock, random, decisions, failureDomain: 'a', self: 'e1'});
+ * const router = createRouter({
+ *   clock, random, decisions, failureDomain: 'a', self: 'e1',
+ * });
  * router.setEndpoints(candidates);
  * const choice = router.choose(routingRequest);
  */
@@ -92,12 +94,12 @@
     blockTokens,
   });
   const costsByService = new Map<string, RouteCosts>();
-  /** Merged once for each answer of `weightsOf`, not at each endpoint that is weighed. */
+  /** Merged once per object from `weightsOf`, not per scored endpoint. */
   const mergedWeights = new Map<
     string,
     {own: Partial<RouteWeights>; merged: RouteWeights}
   >();
-  const popularityByService = new Map<string, Popularity>();
+  const popularityByService = new Map<string, PrefixPopularity>();
   const totals = {choices: 0, probes: 0, forced: 0, ejections: 0};
 
   function weightsFor(service: string): RouteWeights {
@@ -124,83 +126,87 @@
     return costs;
   }
 
-  function popularityOf(service: string): Popularity {
-    const popularity = popularityByService.get(service) ?? createPopularity();
+  function popularityOf(service: string): PrefixPopularity {
+    const popularity =
+      popularityByService.get(service) ?? createPrefixPopularity();
     popularityByService.set(service, popularity);
     return popularity;
   }
 
-  /** Endpoints that may get the request; those aside only when no other is left. */
-  function usable(routingRequest: RoutingRequest): readonly KnownEndpoint[] {
+  /** Returns available endpoints; ejected ones only if none is available. */
+  function usableEndpoints(
+    routingRequest: RoutingRequest,
+  ): readonly PooledEndpoint[] {
     const present = pools
-      .of(routingRequest.service, routingRequest.version)
+      .endpointsOf(routingRequest.service, routingRequest.version)
       .filter(
         ({candidate, health}) =>
           health.state !== 'leaving' &&
           !routingRequest.excluded.has(candidate.id) &&
-          limits?.mayTake(candidate.id) !== false,
+          limits?.allowsRequest(candidate.id) !== false,
       );
-    const admitting = present.filter(({health}) => health.admits());
-    if (admitting.length > 0 || present.length === 0) {
-      return admitting;
+    const available = present.filter(({health}) => health.allowsRequest());
+    if (available.length > 0 || present.length === 0) {
+      return available;
     }
     totals.forced += 1;
     return present;
   }
 
   function score(
-    endpoint: KnownEndpoint,
+    endpoint: PooledEndpoint,
     routingRequest: RoutingRequest,
     costs: RouteCosts,
-    place: PrefixPlace,
-  ): Scored {
+    placement: PrefixPlacement,
+  ): ScoredEndpoint {
     const {candidate, cache, load} = endpoint;
     const cachedTokens = Math.min(
       routingRequest.promptTokens,
-      cache.expectedTokens(routingRequest.blocks),
+      cache.expectedCachedTokens(routingRequest.blocks),
     );
-    const sharedTokens = Math.max(0, place.sharedTokens - cachedTokens);
-    const ownTokens = routingRequest.promptTokens - cachedTokens - sharedTokens;
+    const sharedTokens = Math.max(0, placement.sharedTokens - cachedTokens);
+    const unsharedTokens =
+      routingRequest.promptTokens - cachedTokens - sharedTokens;
     let total = costs.score(
       load.estimate(),
-      ownTokens,
+      unsharedTokens,
       sharedTokens,
-      place.favours.get(candidate.id) ?? 0,
+      placement.affinities.get(candidate.id) ?? 0,
     );
-    total += random.next() * weights.spreadMs;
+    total += random.next() * weights.jitterMs;
     if (candidate.failureDomain !== failureDomain) {
-      total += weights.ownDomainMs;
+      total += weights.crossDomainMs;
     }
     return {endpoint, cachedTokens, score: total};
   }
 
-  /** Where a prefix belongs by hash, beyond what all endpoints have to serve. */
+  /** Computes affinities by hash of the prefix beyond its shared part. */
   function placePrefix(
     routingRequest: RoutingRequest,
-    candidates: readonly KnownEndpoint[],
-  ): PrefixPlace {
+    candidates: readonly PooledEndpoint[],
+  ): PrefixPlacement {
     const {blocks} = routingRequest;
     if (blocks.length === 0) {
-      return {sharedTokens: 0, favours: new Map()};
+      return {sharedTokens: 0, affinities: new Map()};
     }
     const popularity = popularityOf(routingRequest.service);
-    const shared = popularity.sharedBlocks(blocks, candidates.length);
-    const favours = favoursFor(
+    const shared = popularity.countSharedBlocks(blocks, candidates.length);
+    const affinities = affinitiesFor(
       blocks[shared] ?? blocks.at(-1)!,
       candidates.map(({candidate}) => candidate.id),
     );
-    return {sharedTokens: shared * blockTokens, favours};
+    return {sharedTokens: shared * blockTokens, affinities};
   }
 
-  function pick(
+  function pickBest(
     routingRequest: RoutingRequest,
-    candidates: readonly KnownEndpoint[],
-  ): Scored | undefined {
+    candidates: readonly PooledEndpoint[],
+  ): ScoredEndpoint | undefined {
     const costs = costsOf(routingRequest.service);
-    const place = placePrefix(routingRequest, candidates);
-    let best: Scored | undefined;
+    const placement = placePrefix(routingRequest, candidates);
+    let best: ScoredEndpoint | undefined;
     for (const endpoint of candidates) {
-      const scored = score(endpoint, routingRequest, costs, place);
+      const scored = score(endpoint, routingRequest, costs, placement);
       if (best === undefined || scored.score < best.score) {
         best = scored;
       }
@@ -210,14 +216,14 @@
 
   function probeTarget(
     routingRequest: RoutingRequest,
-    candidates: readonly KnownEndpoint[],
-  ): KnownEndpoint[] | undefined {
-    const waiting = candidates.filter(({health}) => health.wantsProbe());
-    const [first] = waiting;
+    candidates: readonly PooledEndpoint[],
+  ): PooledEndpoint[] | undefined {
+    const probeable = candidates.filter(({health}) => health.needsProbe());
+    const [first] = probeable;
     if (first === undefined) {
       return undefined;
     }
-    const cached = first.cache.expectedTokens(routingRequest.blocks);
+    const cached = first.cache.expectedCachedTokens(routingRequest.blocks);
     const isLong = routingRequest.promptTokens - cached > LONG_PROBE_TOKENS;
     if (!random.chance(isLong ? LONG_PROBE_SHARE : PROBE_SHARE)) {
       return undefined;
@@ -226,14 +232,14 @@
     return [first];
   }
 
-  function judge(endpoint: KnownEndpoint) {
+  function updateHealth(endpoint: PooledEndpoint) {
     const {candidate, health} = endpoint;
-    const pool = pools.of(candidate.service, candidate.version);
-    const lost = health.figures.unreachableInRow > 0;
+    const pool = pools.endpointsOf(candidate.service, candidate.version);
+    const isUnreachable = health.stats.unreachableInRow > 0;
     const reason =
       health.state === 'live' ? ejectionReason(endpoint, pool) : undefined;
     if (reason !== undefined) {
-      const {failuresInRow, failureRate, slowness} = health.figures;
+      const {failuresInRow, failureRate, slowness} = health.stats;
       decisions.note('routing', candidate.id, 'eject', reason, {
         failuresInRow,
         failurePercent: Math.round(failureRate * PERCENT),
@@ -242,47 +248,53 @@
       totals.ejections += 1;
       health.eject();
     }
-    if (!lost) {
+    if (!isUnreachable) {
       return;
     }
-    for (const other of doubtedByDomain(endpoint, pool)) {
+    for (const other of liveEndpointsOfLostDomain(endpoint, pool)) {
       decisions.note(
         'routing',
         other.candidate.id,
         'probe first',
         `its failure domain ${candidate.failureDomain} looks lost`,
       );
-      other.health.doubt();
+      other.health.requireProbe();
     }
   }
 
-  /** Tokens as far as they take an engine's time: shared parts that are thought to be read again mostly are cached after all. */
-  function pendingOf(routingRequest: RoutingRequest, uncached: number): number {
+  /** Expected tokens to compute; shareable ones mostly are cached after all. */
+  function expectedPendingTokens(
+    routingRequest: RoutingRequest,
+    uncached: number,
+  ): number {
     const {service, ownTokens = uncached} = routingRequest;
     const own = Math.min(uncached, ownTokens);
-    const part = weightsFor(service).rereadPart ?? 1;
-    return own + (uncached - own) * part;
+    const recomputedShare = weightsFor(service).rereadPart ?? 1;
+    return own + (uncached - own) * recomputedShare;
   }
 
-  function open(routingRequest: RoutingRequest, scored: Scored): Choice {
+  function startAttempt(
+    routingRequest: RoutingRequest,
+    scored: ScoredEndpoint,
+  ): Choice {
     const {endpoint, cachedTokens} = scored;
     const {candidate, cache, health, load} = endpoint;
     const costs = costsOf(routingRequest.service);
     const uncached = Math.max(0, routingRequest.promptTokens - cachedTokens);
     const before = load.estimate();
-    const expectedMs = costs.firstTokenMs(before, uncached);
+    const expectedMs = costs.expectedFirstTokenMs(before, uncached);
     const urgency = routingRequest.urgency ?? DEFAULT_URGENCY;
     const own = load.add(
-      pendingOf(routingRequest, uncached),
+      expectedPendingTokens(routingRequest, uncached),
       routingRequest.promptTokens,
       urgency,
     );
     const startMs = clock.now();
     let isFinished = false;
     cache.noteSent(routingRequest.blocks);
-    popularityOf(routingRequest.service).note(routingRequest.blocks);
+    popularityOf(routingRequest.service).noteRequest(routingRequest.blocks);
     health.noteSent();
-    limits?.take(candidate.id);
+    limits?.consume(candidate.id);
     totals.choices += 1;
 
     function finish(result: AttemptResult) {
@@ -292,18 +304,19 @@
       isFinished = true;
       load.remove(own);
       if (result.cachedTokens !== undefined) {
-        cache.noteFound(routingRequest.blocks, result.cachedTokens);
+        cache.noteCachedTokens(routingRequest.blocks, result.cachedTokens);
       }
-      const slowness = result.latencyMs / Math.max(MIN_EXPECTED_MS, expectedMs);
-      health.note(result.outcome, slowness);
+      const slowness =
+        result.latencyMs / Math.max(MIN_EXPECTED_LATENCY_MS, expectedMs);
+      health.noteOutcome(result.outcome, slowness);
       if (result.outcome === 'ok') {
-        costs.observeStay(clock.now() - startMs);
+        costs.observeDuration(clock.now() - startMs);
         costs.observeFirstToken(
           before.pendingTokens + uncached,
           result.latencyMs,
         );
       }
-      judge(endpoint);
+      updateHealth(endpoint);
     }
 
     return {
@@ -313,7 +326,7 @@
       tokensAhead: tokensAhead(before, urgency),
       started(found) {
         own.pendingTokens = Math.max(0, routingRequest.promptTokens - found);
-        cache.noteFound(routingRequest.blocks, found);
+        cache.noteCachedTokens(routingRequest.blocks, found);
       },
       streaming() {
         own.pendingTokens = 0;
@@ -326,20 +339,22 @@
     setEndpoints: endpoints => pools.setEndpoints(endpoints),
     setEntries: entries => pools.setEntries(entries),
     markLeaving(endpoint) {
-      if (!pools.leaving().includes(endpoint)) {
+      if (!pools.leavingIds().includes(endpoint)) {
         decisions.note('routing', endpoint, 'no new work', 'it leaves');
       }
       pools.markLeaving(endpoint);
     },
     markReturned: endpoint => pools.markReturned(endpoint),
     choose(routingRequest) {
-      const all = usable(routingRequest);
-      const candidates = routingRequest.isSuspected ? leastUsed(all) : all;
-      const scored = pick(
+      const all = usableEndpoints(routingRequest);
+      const candidates = routingRequest.isSuspected ? leastLoaded(all) : all;
+      const scored = pickBest(
         routingRequest,
         probeTarget(routingRequest, candidates) ?? candidates,
       );
-      return scored === undefined ? undefined : open(routingRequest, scored);
+      return scored === undefined
+        ? undefined
+        : startAttempt(routingRequest, scored);
     },
     limitWaitMs(service) {
       const limited = pools
@@ -348,19 +363,19 @@
         .filter(
           candidate =>
             candidate.service === service &&
-            limits?.mayTake(candidate.id) === false,
+            limits?.allowsRequest(candidate.id) === false,
         );
       return limited.length === 0
         ? undefined
         : Math.min(
-            ...limited.map(({id}) => limits?.waitMs(id) ?? ELSEWHERE_MS),
+            ...limited.map(({id}) => limits?.waitMs(id) ?? NO_SHARE_RETRY_MS),
           );
     },
     cachedTokens(service, version, blocks) {
       const counts = pools
-        .of(service, version)
+        .endpointsOf(service, version)
         .filter(({health}) => health.state === 'live')
-        .map(({cache}) => cache.expectedTokens(blocks));
+        .map(({cache}) => cache.expectedCachedTokens(blocks));
       return Math.max(0, ...counts);
     },
     reportLoad(endpoint, report) {
@@ -372,35 +387,35 @@
       Object.fromEntries(
         pools
           .all()
-          .filter(({load}) => load.own > 0)
+          .filter(({load}) => load.ownRequestCount > 0)
           .map(({candidate, load}) => [candidate.id, load.ownLoad()]),
       ),
     reportEntry(entry, loads) {
       for (const {candidate, load} of pools.all()) {
-        load.reportEntry(entry, loads[candidate.id]);
+        load.reportEntryLoad(entry, loads[candidate.id]);
       }
     },
     reportUnreachable(endpoint) {
       const known = pools.get(endpoint);
       if (known?.health.state === 'live') {
-        known.health.note('unreachable', 1);
-        judge(known);
+        known.health.noteOutcome('unreachable', 1);
+        updateHealth(known);
       }
     },
     reportCache: (endpoint, events) =>
       pools.get(endpoint)?.cache.apply(events) ?? -1,
     held: () => pools.all().map(({candidate}) => candidate),
     slots(service) {
-      const held = pools
+      const assigned = pools
         .all()
         .filter(
           ({candidate, health}) =>
             candidate.service === service && health.state !== 'leaving',
         );
-      const sum = held
+      const sum = assigned
         .filter(({health}) => health.state !== 'ejected')
         .reduce((total, {load}) => total + load.estimate().slots, 0);
-      const share = held.length / Math.max(1, pools.countListed(service));
+      const share = assigned.length / Math.max(1, pools.countListed(service));
       return share === 0 ? 0 : Math.round(sum / Math.min(1, share));
     },
     dump: () => ({
@@ -408,11 +423,11 @@
       costs: Object.fromEntries(
         [...costsByService].map(([service, costs]) => [service, costs.dump()]),
       ),
-      leaving: pools.leaving(),
+      leaving: pools.leavingIds(),
       endpoints: pools.all().map(({candidate, health, load, cache}) => ({
         ...candidate,
         health: health.state,
-        figures: {...health.figures},
+        figures: {...health.stats},
         load: load.dump(),
         cache: cache.dump(),
       })),
--- a/packages/routing/src/subset.ts
+++ b/packages/routing/src/subset.ts
@@ -1,13 +1,13 @@
-/** Which endpoints of a large service an entry uses. */
+/** Deterministic subsetting: assigns endpoints of large services to entries. */
 import {hash32} from '@skylarkfield/base';
 
-/** Services with no more endpoints than this are used whole by every entry. */
+/** Target subset size; smaller services are used whole by every entry. */
 export const SUBSET_SIZE = 48;
-/** An endpoint is used by at least so many entries, whatever the sizes. */
-const MIN_HOLDERS = 8;
+/** Lower bound of the number of entries that use an endpoint. */
+const MIN_ENTRIES_PER_ENDPOINT = 8;
 
-/** Mixes two hashes into one; a cheap rendezvous score. */
-function mix(a: number, b: number): number {
+/** Combines two hashes into a cheap rendezvous score. */
+function mixHashes(a: number, b: number): number {
   let value = Math.imul(a ^ b, 0x9e3779b1);
   value = Math.imul(value ^ (value >>> 15), 0x85ebca6b) ^ b;
   value = Math.imul(value ^ (value >>> 13), 0xc2b2ae35);
@@ -15,28 +15,27 @@
 }
 
 /**
- * Entries that should use each endpoint, so that an entry uses about
- * `SUBSET_SIZE` of them.
+ * Returns the number of entries that use each endpoint, so that an entry uses
+ * about `SUBSET_SIZE` endpoints.
  *
  * @example
- * holdersPerEndpoint(4800, 1700); // 17
+ * entriesPerEndpoint(4800, 1700); // 17
  */
-export function holdersPerEndpoint(endpoints: number, entries: number): number {
+export function entriesPerEndpoint(endpoints: number, entries: number): number {
   if (endpoints <= SUBSET_SIZE) {
     return entries;
   }
-  const wanted = Math.ceil((SUBSET_SIZE * entries) / endpoints);
-  return Math.min(entries, Math.max(MIN_HOLDERS, wanted));
+  const needed = Math.ceil((SUBSET_SIZE * entries) / endpoints);
+  return Math.min(entries, Math.max(MIN_ENTRIES_PER_ENDPOINT, needed));
 }
 
 /**
- * The endpoints that the entry `self` uses.
+ * Returns the endpoints that the entry `self` uses.
  *
- * Each endpoint is used by the same number of entries, the first ones of its
- * rendezvous order. Had each entry picked its endpoints by itself, some
- * endpoints would by chance be picked by far more entries than others and
- * carry more load; this way the numbers are even, and a change of one entry or
- * endpoint moves few pairs.
+ * Each endpoint is assigned to the same number of entries, the first of its
+ * rendezvous order. If each entry picked its own endpoints, some would by
+ * chance be picked by far more entries and carry more load. Adding or removing
+ * one entry or endpoint changes few assignments.
  *
  * @example
  * const mine = pickSubset('e1', entryIds, endpointIds);
@@ -46,8 +45,8 @@
   entries: readonly string[],
   endpoints: readonly string[],
 ): Set<string> {
-  const holders = holdersPerEndpoint(endpoints.length, entries.length);
-  if (holders >= entries.length) {
+  const assigneeCount = entriesPerEndpoint(endpoints.length, entries.length);
+  if (assigneeCount >= entries.length) {
     return new Set(endpoints);
   }
   const selfHash = hash32(self);
@@ -56,24 +55,24 @@
     .map(entry => hash32(entry));
   return new Set(
     endpoints.filter(endpoint =>
-      isHolder(selfHash, otherHashes, hash32(endpoint), holders),
+      isAssigned(selfHash, otherHashes, hash32(endpoint), assigneeCount),
     ),
   );
 }
 
-/** True when fewer than `holders` others come before self; stops counting there. */
-function isHolder(
+/** Whether fewer than `assigneeCount` other entries rank before self. */
+function isAssigned(
   selfHash: number,
   otherHashes: readonly number[],
   endpointHash: number,
-  holders: number,
+  assigneeCount: number,
 ): boolean {
-  const own = mix(selfHash, endpointHash);
-  let before = 0;
+  const selfScore = mixHashes(selfHash, endpointHash);
+  let higherRanked = 0;
   for (const other of otherHashes) {
-    if (mix(other, endpointHash) > own) {
-      before += 1;
-      if (before >= holders) {
+    if (mixHashes(other, endpointHash) > selfScore) {
+      higherRanked += 1;
+      if (higherRanked >= assigneeCount) {
         return false;
       }
     }
--- a/packages/routing/src/test/crashSuspects.test.ts
+++ b/packages/routing/src/test/crashQuarantine.test.ts
@@ -6,7 +6,7 @@
   silentLogger,
   virtualClock,
 } from '@skylarkfield/base';
-import {CRASH_MEMORY_MS, createCrashSuspects} from '../crashSuspects.js';
+import {CRASH_MEMORY_MS, createCrashSuspects} from '../crashQuarantine.js';
 import type {CrashReport} from '../crashEvidence.js';
 
 const REQUEST = 'f00d';
@@ -55,7 +55,8 @@
     assert.equal(verdict(), 'suspected');
   });
 
-  // Guards against rejecting a popular request that sat on endpoints which crashed for other reasons.
+  // Guards against rejecting a popular request that sat on endpoints which
+  // crashed for other reasons.
   it('are cleared by a whole answer, at every entry that hears of it', () => {
     const one = createEntry('a1');
     const other = createEntry('a2', one.clock);
--- a/packages/routing/src/test/ejection.test.ts
+++ b/packages/routing/src/test/ejection.test.ts
@@ -21,7 +21,7 @@
     let sent = 0;
     send(400, id => (id === 'r3' && (sent += 1) % 2 === 0 ? 'failed' : 'ok'));
     assert.equal(healthOf('r3'), 'ejected');
-    assert.equal(decisions.list().at(-1)?.why, 'failing-more');
+    assert.equal(decisions.list().at(-1)?.why, 'failure-rate');
   });
 
   // A fault that all share, such as a bad prompt or a broken weight store, is
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -34,10 +34,10 @@
   }
 
   function sendFrom(entry: RequestLimits, limit: number | undefined): number {
-    if (!entry.mayTake(ENDPOINT)) {
+    if (!entry.allowsRequest(ENDPOINT)) {
       return 0;
     }
-    entry.take(ENDPOINT);
+    entry.consume(ENDPOINT);
     entry.note(ENDPOINT, limit);
     return 1;
   }
@@ -45,7 +45,9 @@
   return {
     clock,
     entries,
-    /** Every entry sends all that it may to an endpoint that names this limit. */
+    /**
+     * Every entry sends all that it may to an endpoint that names this limit.
+     */
     flood(seconds: number, limit: number | undefined): void {
       for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
         if (at % DIGEST_MS === 0) {
@@ -57,7 +59,10 @@
         clock.advanceSync(STEP_MS);
       }
     },
-    /** The most requests in a window since so many seconds ago, and their number in all. */
+    /**
+     * The most requests in a window since so many seconds ago, and their number
+     * in all.
+     */
     seen(seconds: number): {most: number; total: number} {
       const recent = sent.slice((-seconds * 1_000) / STEP_MS);
       const length = (WINDOW_SECONDS * 1_000) / STEP_MS;
@@ -72,7 +77,8 @@
 }
 
 describe('limits that endpoints name', () => {
-  // Guards against entries that each take the whole limit, and against a limit that is hardly used.
+  // Guards against entries that each take the whole limit, and against a limit
+  // that is hardly used.
   it('hold for all entries together and are used', () => {
     for (const count of [1, 2, 7, 60]) {
       for (const limit of [0.4, 1.2, 2.9, 12, 300]) {
@@ -93,7 +99,7 @@
     const fleet = createFleet(7);
     fleet.flood(5, 2);
     fleet.flood(5, undefined);
-    assert.ok(fleet.entries.every(entry => entry.mayTake(ENDPOINT)));
+    assert.ok(fleet.entries.every(entry => entry.allowsRequest(ENDPOINT)));
     assert.ok(fleet.seen(2).total > 100);
   });
 
@@ -150,13 +156,13 @@
     clock.advanceSync(20_000);
     late.report(first.own());
     late.report(second.own());
-    assert.ok(late.mayTake(ENDPOINT));
+    assert.ok(late.allowsRequest(ENDPOINT));
   });
 
   it('are not made up for endpoints that name none', () => {
     const {entries} = createFleet(1);
     entries[0]!.note(ENDPOINT, undefined);
     assert.deepEqual(entries[0]!.own(), {});
-    assert.ok(entries[0]!.mayTake(ENDPOINT));
+    assert.ok(entries[0]!.allowsRequest(ENDPOINT));
   });
 });
--- a/packages/routing/src/test/subset.test.ts
+++ b/packages/routing/src/test/subset.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {SUBSET_SIZE, holdersPerEndpoint, pickSubset} from '../subset.js';
+import {SUBSET_SIZE, entriesPerEndpoint, pickSubset} from '../subset.js';
 
 function names(prefix: string, count: number): string[] {
   return Array.from({length: count}, (_, index) => `${prefix}${index}`);
@@ -17,7 +17,7 @@
   });
 
   it('gives every endpoint the same number of entries', () => {
-    const expected = holdersPerEndpoint(endpoints.length, entries.length);
+    const expected = entriesPerEndpoint(endpoints.length, entries.length);
     for (const endpoint of endpoints) {
       const holders = subsets.filter(subset => subset.has(endpoint)).length;
       assert.equal(holders, expected);
