--- a/packages/routing/src/test/crashQuarantine.test.ts
+++ b/packages/routing/src/test/crashQuarantine.test.ts
@@ -23,7 +23,7 @@
     clock,
     suspects,
     verdict: (request = REQUEST) => suspects.judge(request).type,
-    /** Endpoints crash one after the other under a request. */
+    /** Crashes endpoints one after the other while they run a request. */
     crash(endpoints: readonly string[], gapMs = 2_000, request = REQUEST) {
       for (const endpoint of endpoints) {
         suspects.noteClosed({request, endpoint});
@@ -46,7 +46,7 @@
     assert.equal(verdict('another'), 'clear');
   });
 
-  it('count an endpoint once, however many entries saw it crash', () => {
+  it('count each crashed endpoint once for all entries that report it', () => {
     const {crash, verdict, suspects, clock} = createEntry();
     crash(['e1', 'e2']);
     const seen = {request: REQUEST, endpoint: 'e2', atMs: clock.wall()};
@@ -55,9 +55,9 @@
     assert.equal(verdict(), 'suspected');
   });
 
-  // Guards against rejecting a popular request that sat on endpoints which
+  // A popular request must not be rejected because it ran on endpoints that
   // crashed for other reasons.
-  it('are cleared by a whole answer, at every entry that hears of it', () => {
+  it('are cleared by a complete response at all informed entries', () => {
     const one = createEntry('a1');
     const other = createEntry('a2', one.clock);
     one.crash(['e1', 'e2', 'e3']);
@@ -69,7 +69,7 @@
     assert.equal(other.verdict(), 'clear');
   });
 
-  it('are not suspected for an endpoint that goes on answering', () => {
+  it('are not suspected if the endpoint answers a later request', () => {
     const {suspects, clock, verdict} = createEntry();
     suspects.noteClosed({request: REQUEST, endpoint: 'e1'});
     clock.advanceSync(CONFIRM_MS / 2);
@@ -79,7 +79,7 @@
     assert.deepEqual(suspects.own().crashes, []);
   });
 
-  it('stay suspected when an answer comes to what was sent before the crash', () => {
+  it('stay suspected if the endpoint answers an earlier request only', () => {
     const {suspects, clock, verdict} = createEntry();
     const sentAt = clock.now();
     clock.advanceSync(10);
@@ -88,8 +88,8 @@
     assert.equal(verdict(), 'suspected');
   });
 
-  // Guards against taking a slow endpoint for one that crashed without a word.
-  it('are suspected for a silent endpoint only once it is gone', () => {
+  // A slow endpoint must not be taken for a crashed one.
+  it('are suspected once an unresponsive endpoint is deregistered', () => {
     const {suspects, clock, verdict} = createEntry();
     suspects.noteSilent({request: REQUEST, endpoint: 'e1'});
     clock.advanceSync(3_000);
@@ -98,15 +98,15 @@
     assert.equal(verdict(), 'suspected');
   });
 
-  it('are suspected for a silence that is noticed after its endpoint has gone', () => {
+  it('are suspected if a deregistered endpoint does not respond', () => {
     const {suspects, verdict} = createEntry();
     suspects.noteGone('e1');
     suspects.noteSilent({request: REQUEST, endpoint: 'e1'});
     assert.equal(verdict(), 'suspected');
   });
 
-  // Guards against registrations that lapse while the platform's store is down.
-  it('are not suspected for an endpoint that is registered again and answers', () => {
+  // Registrations can lapse while the platform's store is down.
+  it('are not suspected if a deregistered endpoint answered since', () => {
     const {suspects, clock, verdict} = createEntry();
     suspects.noteGone('e1');
     suspects.noteHeard('e1', clock.now());
@@ -114,7 +114,7 @@
     assert.equal(verdict(), 'clear');
   });
 
-  it('fire for what is to be kept once a crash is confirmed', () => {
+  it('fire a change once a crash is confirmed', () => {
     const {suspects, clock} = createEntry();
     let fired = 0;
     suspects.onDidChange(() => (fired += 1));
@@ -125,7 +125,7 @@
     assert.equal(suspects.own().crashes.length, 1);
   });
 
-  it('are told to the others until they are kept, and a while longer', () => {
+  it('are gossiped until they are stored, and for a while after that', () => {
     const {suspects, crash, clock} = createEntry();
     assert.equal(suspects.recent(), undefined);
     crash(['e1'], CONFIRM_MS);
@@ -140,7 +140,7 @@
     assert.equal(suspects.recent(), undefined);
   });
 
-  it('are cleared here alone where one crash is all that others could know', () => {
+  it('are cleared locally if only one crash is known', () => {
     const {suspects, crash, verdict} = createEntry();
     crash(['e1']);
     suspects.noteKept(suspects.own());
@@ -149,7 +149,7 @@
     assert.equal(suspects.recent(), undefined);
   });
 
-  it('are suspected again for a crash after the whole answer', () => {
+  it('are suspected again for a crash after the complete response', () => {
     const {suspects, crash, clock, verdict} = createEntry();
     crash(['e1', 'e2', 'e3']);
     suspects.noteServed(REQUEST);
@@ -158,7 +158,7 @@
     assert.equal(verdict(), 'suspected');
   });
 
-  it('are known again from what the entry had kept', () => {
+  it('are restored from the report that the entry stored', () => {
     const before = createEntry();
     before.crash(['e1', 'e2', 'e3']);
     const after = createEntry('a1', before.clock);
@@ -167,7 +167,7 @@
     assert.equal(after.suspects.own().crashes.length, 3);
   });
 
-  it('are cleared when what was kept is taken away', () => {
+  it('are cleared when the stored reports are deleted', () => {
     const {suspects, crash, verdict, clock} = createEntry();
     crash(['e1', 'e2']);
     const seen = {request: REQUEST, endpoint: 'e3', atMs: clock.wall()};
@@ -181,7 +181,7 @@
 });
 
 describe('a quarantine', () => {
-  it('is short where all endpoints crashed at once', () => {
+  it('is short if all endpoints crashed at once', () => {
     const {crash, suspects, clock} = createEntry();
     crash(['e1', 'e2', 'e3'], 0);
     const verdict = suspects.judge(REQUEST);
@@ -191,7 +191,7 @@
     assert.equal(suspects.judge(REQUEST).type, 'trial');
   });
 
-  it('lasts as long as the crashes are remembered where they came one by one', () => {
+  it('lasts until the crashes expire if they came one by one', () => {
     const {crash, verdict, clock} = createEntry();
     crash(['e1', 'e2', 'e3']);
     clock.advanceSync(CRASH_MEMORY_MS - 10_000);
@@ -200,7 +200,7 @@
     assert.equal(verdict(), 'clear');
   });
 
-  // Guards against as many trials as there are entries.
+  // Otherwise each entry would run a trial of its own.
   it('ends with a trial of one request at one entry', () => {
     const clock = virtualClock();
     const ids = ['a1', 'a2', 'a3'];
@@ -220,12 +220,12 @@
     entries.forEach(({verdict}, index) =>
       assert.equal(verdict(), ids[index] === owner ? 'trial' : 'quarantined'),
     );
-    const trying = entries[ids.indexOf(owner!)]!;
-    trying.suspects.beginTrial(REQUEST);
-    assert.equal(trying.verdict(), 'quarantined');
-    trying.crash(['e4']);
+    const trialEntry = entries[ids.indexOf(owner!)]!;
+    trialEntry.suspects.beginTrial(REQUEST);
+    assert.equal(trialEntry.verdict(), 'quarantined');
+    trialEntry.crash(['e4']);
     clock.advanceSync(10_000);
-    assert.equal(trying.verdict(), 'quarantined');
+    assert.equal(trialEntry.verdict(), 'quarantined');
   });
 
   it('ends with a trial that is served', () => {
@@ -238,19 +238,19 @@
   });
 });
 
-describe('the memory of crashes', () => {
-  // Guards against a caller who makes up crashing requests without end.
+describe('crash evidence', () => {
+  // A caller may generate any number of distinct crashing requests.
   it('is bounded, and keeps the requests with the most crashes', () => {
     const {crash, suspects, verdict} = createEntry();
     crash(['e1', 'e2', 'e3'], 1_100);
     for (let index = 0; index < 1_000; index++) {
-      crash([`x${index}`], CONFIRM_MS, `made-up ${index}`);
+      crash([`x${index}`], CONFIRM_MS, `generated ${index}`);
     }
     assert.ok(suspects.own().crashes.length <= 100);
     assert.equal(verdict(), 'quarantined');
   });
 
-  it('is bounded for what others tell', () => {
+  it('is bounded for gossip', () => {
     const {suspects, clock} = createEntry();
     const report = (index: number): CrashReport => ({
       crashes: [
--- a/packages/routing/src/test/ejection.test.ts
+++ b/packages/routing/src/test/ejection.test.ts
@@ -2,41 +2,43 @@
 import {describe, it} from 'node:test';
 import {candidate, createRig, routingRequest, loadReport} from './routerRig.js';
 
-const eight = Array.from({length: 8}, (_, index) =>
+const candidates = Array.from({length: 8}, (_, index) =>
   candidate(`r${index}`, `d${index % 4}`),
 );
 
 describe('ejection', () => {
-  // An engine process is gone. Every request sent there costs the caller a
-  // failed attempt, so a few have to be enough to leave it alone.
-  it('puts an unreachable endpoint aside after two attempts', () => {
-    const {send, healthOf} = createRig(eight);
+  // Each request to a dead engine process costs the caller a failed attempt, so
+  // few of them must suffice to eject it.
+  it('ejects an unreachable endpoint after two attempts', () => {
+    const {send, healthOf} = createRig(candidates);
     const counts = send(200, id => (id === 'r3' ? 'unreachable' : 'ok'));
     assert.equal(counts.get('r3'), 2);
     assert.equal(healthOf('r3'), 'ejected');
   });
 
-  it('puts aside what fails far more often than the others', () => {
-    const {send, healthOf, decisions} = createRig(eight);
+  it('ejects an endpoint that fails far more often than the others', () => {
+    const {send, healthOf, decisions} = createRig(candidates);
     let sent = 0;
     send(400, id => (id === 'r3' && (sent += 1) % 2 === 0 ? 'failed' : 'ok'));
     assert.equal(healthOf('r3'), 'ejected');
     assert.equal(decisions.list().at(-1)?.why, 'failure-rate');
   });
 
-  // A fault that all share, such as a bad prompt or a broken weight store, is
-  // no endpoint's own. Putting endpoints aside for it would drown the rest.
-  it('never puts more than a third aside for failing', () => {
-    const {send, router} = createRig(eight);
+  // Ejecting endpoints for a shared fault, such as a bad prompt or a broken
+  // weight store, would overload the remaining ones.
+  it('never ejects more than a third for failures', () => {
+    const {send, router} = createRig(candidates);
     send(600, id => (Number(id.slice(1)) < 6 ? 'failed' : 'ok'));
     const {endpoints} = router.dump() as {endpoints: {health: string}[]};
-    const aside = endpoints.filter(({health}) => health !== 'live').length;
-    assert.ok(aside <= 3, `${aside} of 8 are aside`);
+    const unavailable = endpoints.filter(
+      ({health}) => health !== 'live',
+    ).length;
+    assert.ok(unavailable <= 3, `${unavailable} of 8 are unavailable`);
   });
 
   it('keeps a failing endpoint when the others are full', () => {
-    const {send, router, healthOf} = createRig(eight);
-    for (const {id} of eight) {
+    const {send, router, healthOf} = createRig(candidates);
+    for (const {id} of candidates) {
       const busy = loadReport({running: 8, slots: 8, attempts: undefined});
       router.reportLoad(id, busy);
     }
@@ -44,8 +46,8 @@
     assert.equal(healthOf('r3'), 'live');
   });
 
-  it('takes an endpoint back after probes that went well', () => {
-    const {clock, send, healthOf} = createRig(eight);
+  it('readmits an endpoint after successful probes', () => {
+    const {clock, send, healthOf} = createRig(candidates);
     send(200, id => (id === 'r3' ? 'unreachable' : 'ok'));
     clock.pause(5000);
     const counts = send(100, () => 'ok');
@@ -53,8 +55,8 @@
     assert.ok((counts.get('r3') ?? 0) > 2);
   });
 
-  it('lets only one request at a time probe an endpoint', () => {
-    const {clock, send, router} = createRig(eight);
+  it('probes an endpoint with only one request at a time', () => {
+    const {clock, send, router} = createRig(candidates);
     send(200, id => (id === 'r3' ? 'unreachable' : 'ok'));
     clock.pause(5000);
     const chosen = Array.from(
@@ -64,9 +66,9 @@
     assert.equal(chosen.filter(id => id === 'r3').length, 1);
   });
 
-  // A failure domain goes at once. Two of its endpoints are found dead; without
-  // doubt in the others, each would cost further callers their attempts.
-  it('doubts the rest of a failure domain that looks lost', () => {
+  // A failure domain fails as a whole. Unless the loss of two endpoints makes
+  // the others probe first, each of them costs further attempts.
+  it('probes the other endpoints of a failure domain that looks lost', () => {
     const many = Array.from({length: 16}, (_, index) =>
       candidate(`r${index}`, `d${index % 4}`),
     );
@@ -81,7 +83,7 @@
     assert.ok(decisions.list().some(({what}) => what === 'probe first'));
   });
 
-  it('still serves when every endpoint is aside', () => {
+  it('still chooses an endpoint when all are ejected', () => {
     const {send, router} = createRig([candidate('r0'), candidate('r1')]);
     send(20, () => 'unreachable');
     assert.notEqual(router.choose(routingRequest()), undefined);
--- a/packages/routing/src/test/popularity.test.ts
+++ b/packages/routing/src/test/popularity.test.ts
@@ -9,7 +9,7 @@
 describe('popularity of prefixes', () => {
   const system = blocks('system', 40);
 
-  it('finds where the part that all requests share ends', () => {
+  it('finds the end of the prefix that all requests share', () => {
     const popularity = createPrefixPopularity();
     for (let request = 0; request < 100; request++) {
       popularity.noteRequest([...system, ...blocks(`own${request}-`, 40)]);
@@ -18,7 +18,7 @@
     assert.equal(popularity.countSharedBlocks(next, 8), system.length);
   });
 
-  it('does not call a history shared that one endpoint can serve', () => {
+  it('does not count a history as shared that one endpoint can serve', () => {
     const popularity = createPrefixPopularity();
     const history = [...system, ...blocks('crew', 200)];
     for (let request = 0; request < 100; request++) {
@@ -30,7 +30,7 @@
     assert.equal(popularity.countSharedBlocks(history, 8), system.length);
   });
 
-  it('does not take the first few requests for popularity', () => {
+  it('does not count a prefix as shared after a few requests', () => {
     const popularity = createPrefixPopularity();
     popularity.noteRequest(system);
     popularity.noteRequest(system);
--- a/packages/routing/src/test/requestFingerprint.test.ts
+++ b/packages/routing/src/test/requestFingerprint.test.ts
@@ -29,13 +29,13 @@
     'missing body': {body: undefined},
   };
   for (const [name, change] of Object.entries(others)) {
-    it(`differs for another or a ${name}`, () => {
+    it(`differs by ${name}`, () => {
       const other = requestFingerprint({...CONTENT, ...change});
       assert.notEqual(other, requestFingerprint(CONTENT));
     });
   }
 
-  it('does not take a part of the body for a part of the path', () => {
+  it('distinguishes the end of the path from the start of the body', () => {
     const split = requestFingerprint({
       ...CONTENT,
       path: '/a',
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -12,7 +12,7 @@
 const DIGEST_MS = 300;
 const ENDPOINT = 'i-1@7';
 
-/** Entries of which each sends the endpoint what it may. */
+/** Creates entries that send requests to one rate-limited endpoint. */
 function createFleet(count: number) {
   const clock = virtualClock();
   const ids = Array.from({length: count}, (_, index) => `entry-${index}`);
@@ -25,9 +25,9 @@
   const sent: number[] = [];
 
   function exchangeDigests(): void {
-    const told = entries.map(entry => entry.own());
+    const digests = entries.map(entry => entry.own());
     entries.forEach((to, index) =>
-      told
+      digests
         .filter((_, from) => from !== index)
         .forEach(reports => to.report(reports)),
     );
@@ -45,10 +45,8 @@
   return {
     clock,
     entries,
-    /**
-     * Every entry sends all that it may to an endpoint that names this limit.
-     */
-    flood(seconds: number, limit: number | undefined): void {
+    /** Sends all allowed requests to an endpoint that sets this limit. */
+    sendAllowed(seconds: number, limit: number | undefined): void {
       for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
         if (at % DIGEST_MS === 0) {
           exchangeDigests();
@@ -59,15 +57,12 @@
         clock.advanceSync(STEP_MS);
       }
     },
-    /**
-     * The most requests in a window since so many seconds ago, and their number
-     * in all.
-     */
-    seen(seconds: number): {most: number; total: number} {
+    /** Maximum per window and total of the requests in the last seconds. */
+    countSent(seconds: number): {maxInWindow: number; total: number} {
       const recent = sent.slice((-seconds * 1_000) / STEP_MS);
       const length = (WINDOW_SECONDS * 1_000) / STEP_MS;
       const sums = recent.map((_, at) => sum(recent.slice(at, at + length)));
-      return {most: Math.max(...sums), total: sum(recent)};
+      return {maxInWindow: Math.max(...sums), total: sum(recent)};
     },
   };
 }
@@ -76,44 +71,46 @@
   return numbers.reduce((total, number) => total + number, 0);
 }
 
-describe('limits that endpoints name', () => {
-  // Guards against entries that each take the whole limit, and against a limit
-  // that is hardly used.
-  it('hold for all entries together and are used', () => {
+describe('rate limits set by endpoints', () => {
+  // Entries must neither each use the whole limit nor leave it mostly unused.
+  it('bound all entries together and are used', () => {
     for (const count of [1, 2, 7, 60]) {
       for (const limit of [0.4, 1.2, 2.9, 12, 300]) {
         const fleet = createFleet(count);
-        fleet.flood(0.4, limit);
-        fleet.flood(12, limit);
-        const {most, total} = fleet.seen(11);
+        fleet.sendAllowed(0.4, limit);
+        fleet.sendAllowed(12, limit);
+        const {maxInWindow, total} = fleet.countSent(11);
         const allowed = 1.5 * limit * WINDOW_SECONDS + 5;
-        assert.ok(most <= allowed, `${count}, ${limit}: ${most} of ${allowed}`);
+        assert.ok(
+          maxInWindow <= allowed,
+          `${count}, ${limit}: ${maxInWindow} of ${allowed}`,
+        );
         const least = 0.8 * Math.min(limit, count / (STEP_MS / 1_000)) * 11 - 2;
         assert.ok(total >= least, `${count}, ${limit}: ${total} of ${least}`);
       }
     }
   });
 
-  // Guards against a limit that is kept when the endpoint no longer names it.
-  it('end when an answer names none', () => {
+  // A limit must not outlast its removal by the endpoint.
+  it('end when a response sets none', () => {
     const fleet = createFleet(7);
-    fleet.flood(5, 2);
-    fleet.flood(5, undefined);
+    fleet.sendAllowed(5, 2);
+    fleet.sendAllowed(5, undefined);
     assert.ok(fleet.entries.every(entry => entry.allowsRequest(ENDPOINT)));
-    assert.ok(fleet.seen(2).total > 100);
+    assert.ok(fleet.countSent(2).total > 100);
   });
 
-  // Guards against two shares when the entry that held a limit dies.
-  it('pass to other entries when their holder is gone', () => {
+  // When the entry with the share leaves, exactly one other must take it over.
+  it('pass to another entry when the entry with the share leaves', () => {
     const fleet = createFleet(3);
-    fleet.flood(5, 1);
+    fleet.sendAllowed(5, 1);
     const holder = fleet.entries.findIndex(
       entry => entry.waitMs(ENDPOINT) !== undefined,
     );
-    const rest = [0, 1, 2]
+    const remaining = [0, 1, 2]
       .filter(index => index !== holder)
       .map(index => `entry-${index}`);
-    fleet.entries.forEach(entry => entry.setEntries(rest));
+    fleet.entries.forEach(entry => entry.setEntries(remaining));
     const holders = fleet.entries.filter(
       entry => entry.waitMs(ENDPOINT) !== undefined,
     );
@@ -121,7 +118,7 @@
     assert.notEqual(holders[0], fleet.entries[holder]);
   });
 
-  it('follow the newest answer, wherever it came', () => {
+  it('follow the newest response at any entry', () => {
     const {clock, entries} = createFleet(2);
     const [first, second] = entries as [RequestLimits, RequestLimits];
     first.note(ENDPOINT, 1);
@@ -136,12 +133,12 @@
       ]!;
       assert.equal(perSecond, 5);
     }
-    const sums = newestLimits(first.own(), second.own(), 50);
-    assert.deepEqual(sums[ENDPOINT], {perSecond: 5, agoMs: 150});
+    const merged = newestLimits(first.own(), second.own(), 50);
+    assert.deepEqual(merged[ENDPOINT], {perSecond: 5, agoMs: 150});
   });
 
-  // Guards against an end that is told to nobody who starts later.
-  it('are no longer told by who has heard of their end', () => {
+  // An entry that starts later must not learn a limit that was removed.
+  it('are no longer gossiped by entries that learned of their removal', () => {
     const {clock, entries} = createFleet(3);
     const [first, second, late] = entries as [
       RequestLimits,
@@ -159,7 +156,7 @@
     assert.ok(late.allowsRequest(ENDPOINT));
   });
 
-  it('are not made up for endpoints that name none', () => {
+  it('do not exist for endpoints that set none', () => {
     const {entries} = createFleet(1);
     entries[0]!.note(ENDPOINT, undefined);
     assert.deepEqual(entries[0]!.own(), {});
--- a/packages/routing/src/test/routerRig.ts
+++ b/packages/routing/src/test/routerRig.ts
@@ -1,4 +1,4 @@
-/** A router over a few endpoints, with a virtual clock. */
+/** Test rig: a router over a few endpoints, with a virtual clock. */
 import {
   decisionLog,
   seededRandom,
@@ -58,7 +58,7 @@
   });
   router.setEndpoints(endpoints);
 
-  /** Sends requests that end as `outcomeOf` says; counts them by endpoint. */
+  /** Sends requests with outcomes from `outcomeOf`; counts them by endpoint. */
   function send(
     count: number,
     outcomeOf: (endpoint: string) => AttemptResult['outcome'],
--- a/packages/routing/src/test/subset.test.ts
+++ b/packages/routing/src/test/subset.test.ts
@@ -19,16 +19,16 @@
   it('gives every endpoint the same number of entries', () => {
     const expected = entriesPerEndpoint(endpoints.length, entries.length);
     for (const endpoint of endpoints) {
-      const holders = subsets.filter(subset => subset.has(endpoint)).length;
-      assert.equal(holders, expected);
+      const assignees = subsets.filter(subset => subset.has(endpoint)).length;
+      assert.equal(assignees, expected);
     }
   });
 
-  it('moves few endpoints when an entry goes', () => {
-    const rest = entries.slice(1);
-    rest.forEach((entry, index) => {
+  it('reassigns few endpoints when an entry leaves', () => {
+    const remaining = entries.slice(1);
+    remaining.forEach((entry, index) => {
       const before = subsets[index + 1]!;
-      const after = pickSubset(entry, rest, endpoints);
+      const after = pickSubset(entry, remaining, endpoints);
       const kept = [...before].filter(endpoint => after.has(endpoint));
       assert.equal(kept.length, before.size);
       assert.ok(after.size <= before.size + 12);
