--- a/packages/capacity/src/capacitySums.ts
+++ b/packages/capacity/src/capacityStats.ts
@@ -1,28 +1,28 @@
-/** Sums of what entries have seen, added up and faded. */
-import type {CapacitySums, PaceSums, ServiceSums} from './contracts.js';
-import {addSums, scaleSums} from './regression.js';
+/** Adds and scales the capacity statistics of entries. */
+import type {CapacitySums, PaceStats, ServiceStats} from './contracts.js';
+import {addStats, scaleStats} from './regression.js';
 
 /**
- * Adds up what several entries have seen.
+ * Adds up the statistics of several entries.
  *
  * @example
- * const all = addCapacity([model.sums(), ...peers]);
+ * const total = addCapacity([model.sums(), ...peers]);
  */
 export function addCapacity(parts: readonly CapacitySums[]): CapacitySums {
   const names = new Set(parts.flatMap(part => Object.keys(part)));
   return Object.fromEntries(
     [...names].map(name => [
       name,
-      addServices(parts.flatMap(part => part[name] ?? [])),
+      addServiceStats(parts.flatMap(part => part[name] ?? [])),
     ]),
   );
 }
 
 /**
- * What was seen, counting for a part of what it did.
+ * Scales the weight of statistics by a factor.
  *
  * @example
- * const older = scaleCapacity(sums, 0.5);
+ * const decayed = scaleCapacity(stats, 0.5);
  */
 export function scaleCapacity(
   sums: CapacitySums,
@@ -32,8 +32,8 @@
     Object.entries(sums).map(([name, {prompts, answers, paces}]) => [
       name,
       {
-        prompts: scaleSums(prompts, factor),
-        answers: scaleSums(answers, factor),
+        prompts: scaleStats(prompts, factor),
+        answers: scaleStats(answers, factor),
         paces: Object.fromEntries(
           Object.entries(paces).map(([route, pace]) => [
             route,
@@ -46,12 +46,12 @@
 }
 
 /**
- * Adds what two entries have seen of one route's answers.
+ * Adds two statistics of one route's answers.
  *
  * @example
- * const all = addPaces(own, theirs);
+ * const total = addPaces(own, peers);
  */
-export function addPaces(a: PaceSums, b: PaceSums): PaceSums {
+export function addPaces(a: PaceStats, b: PaceStats): PaceStats {
   return {
     count: a.count + b.count,
     tokens: a.tokens + b.tokens,
@@ -61,12 +61,12 @@
 }
 
 /**
- * What was seen of a route's answers, counting for a part of what it did.
+ * Scales the weight of the statistics of one route's answers by a factor.
  *
  * @example
- * const older = scalePace(sums, 0.5);
+ * const decayed = scalePace(pace, 0.5);
  */
-export function scalePace(pace: PaceSums, factor: number): PaceSums {
+export function scalePace(pace: PaceStats, factor: number): PaceStats {
   return {
     count: pace.count * factor,
     tokens: pace.tokens * factor,
@@ -75,8 +75,8 @@
   };
 }
 
-function addServices(parts: readonly ServiceSums[]): ServiceSums {
-  const paces: Record<string, PaceSums> = {};
+function addServiceStats(parts: readonly ServiceStats[]): ServiceStats {
+  const paces: Record<string, PaceStats> = {};
   for (const [route, sums] of parts.flatMap(part =>
     Object.entries(part.paces),
   )) {
@@ -84,10 +84,10 @@
     paces[route] = known ? addPaces(known, sums) : sums;
   }
   return {
-    prompts: addSums(
+    prompts: addStats(
       parts.map(({prompts}) => prompts).filter(({count}) => count > 0),
     ),
-    answers: addSums(
+    answers: addStats(
       parts.map(({answers}) => answers).filter(({count}) => count > 0),
     ),
     paces,
--- a/packages/capacity/src/contracts.ts
+++ b/packages/capacity/src/contracts.ts
@@ -1,102 +1,104 @@
-/** What entries learn of a service's engines and tell each other. */
-import type {RegressionSums} from './regression.js';
+/** Samples, statistics and estimates of engine performance. */
+import type {RegressionStats} from './regression.js';
 
-/** A prompt that was read, from its sending to the first event of its answer. */
+/** Measured processing of one prompt, up to the first event of its answer. */
 export interface PromptSample {
   readonly service: string;
   readonly route: string;
-  /** Tokens that only this request has, which no cache holds. */
+  /** Tokens that belong to this request alone, so that no cache holds them. */
   readonly ownTokens: number;
   readonly promptTokens: number;
-  /** Tokens of shared parts that are thought to be read again. */
+  /** Tokens of shared parts that are expected to be uncached. */
   readonly rereadTokens: number;
-  /** Prompt tokens that the endpoint had to read before. */
+  /** Prompt tokens queued at the endpoint ahead of this prompt. */
   readonly pendingTokens: number;
+  /** Time from sending the request to the first event, in milliseconds. */
   readonly tookMs: number;
 }
 
-/** The answer of one request, as it came from one endpoint. */
+/** Measured answer of one request at one endpoint. */
 export interface AnswerSample {
   readonly service: string;
   readonly route: string;
   readonly tokens: number;
-  /** Milliseconds of a step of the engine while no prompt was read. */
+  /** Decode step time while no prompt was processed, in milliseconds. */
   readonly stepMs: number;
-  /** Requests that ran there beside it. */
+  /** Requests running at the endpoint, this one included. */
   readonly requests: number;
-  /** Tokens of all prompts that ran there. */
+  /** Tokens of the prompts of all running requests. */
   readonly contextTokens: number;
-  /** Time in which the whole answer is of use, in milliseconds. */
+  /** Time within which the whole answer is useful, in milliseconds. */
   readonly allowedMs: number;
 }
 
-/** How many tokens a second answers of one route need to be whole in time. */
-export interface PaceSums {
+/** Statistics of the tokens per second that answers of a route need. */
+export interface PaceStats {
   readonly count: number;
-  /** Tokens of the answers. */
+  /** Sum of the answers' tokens. */
   readonly tokens: number;
+  /** Sum of the needed tokens per second, and of their squares. */
   readonly total: number;
   readonly squares: number;
 }
 
-/** What one or more entries have seen of a service's engines. */
-export interface ServiceSums {
-  readonly prompts: RegressionSums;
-  readonly answers: RegressionSums;
-  readonly paces: Readonly<Record<string, PaceSums>>;
+/** Statistics of a service's engines from one or more entries. */
+export interface ServiceStats {
+  readonly prompts: RegressionStats;
+  readonly answers: RegressionStats;
+  readonly paces: Readonly<Record<string, PaceStats>>;
 }
 
-export type CapacitySums = Readonly<Record<string, ServiceSums>>;
+export type CapacitySums = Readonly<Record<string, ServiceStats>>;
 
-/** What a route asks of its service's engines. */
+/** Latency goals of a route. */
 export interface RouteAim {
-  /** Time to the first event that callers hope for, in milliseconds. */
+  /** Target time to the first event, in milliseconds. */
   readonly goalMs: number;
-  /** The longest that a caller waits for the whole answer, in milliseconds. */
+  /** Upper bound of the time to the whole answer, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** An engine's speed, as far as it is known. */
+/** Estimated performance of a service's engines. */
 export interface EngineFigures {
-  /** Milliseconds for a token of a prompt, without its look at the tokens before it. */
+  /** Milliseconds per prompt token, without attention to earlier tokens. */
   readonly promptTokenMs: number;
-  /** Milliseconds for a million pairs of a prompt's token with one before it. */
+  /** Milliseconds per million pairs of a prompt token with one before it. */
   readonly pairsMs: number;
-  /** Milliseconds for a token of a shared part that is thought to be read again, and mostly is cached. */
+  /** Milliseconds per shared token expected to be uncached; most are cached. */
   readonly rereadTokenMs: number;
-  /** Tokens of the usual prompt that no cache holds. */
+  /** Mean number of a prompt's tokens that no cache holds. */
   readonly usualOwnTokens: number;
-  /** Milliseconds for a prompt token of the usual prompt, all in all. */
+  /** Total milliseconds per uncached token of the mean prompt. */
   readonly usualTokenMs: number;
-  /** Milliseconds for reading the usual prompt. */
+  /** Milliseconds to process the mean prompt. */
   readonly usualPromptMs: number;
-  /** Milliseconds of a step at the usual load while no prompt is read. */
+  /** Mean decode step while no prompt is processed, in milliseconds. */
   readonly stepMs: number;
-  /** Milliseconds that a running request adds to every step. */
+  /** Milliseconds that a running request adds to a step. */
   readonly requestStepMs: number;
-  /** Milliseconds that a thousand tokens in memory add to every step. */
+  /** Milliseconds that a thousand context tokens add to a step. */
   readonly contextStepMs: number;
-  /** Tokens of the usual answer. */
+  /** Mean number of an answer's tokens. */
   readonly usualAnswerTokens: number;
-  /** Tokens a second that the longer answers of the most demanding route need. */
+  /** Tokens per second that long answers of the most demanding route need. */
   readonly neededPace: number;
-  /** Prompts that the figures rest on, older ones counting for less. */
+  /** Prompts behind the estimate, with exponentially decayed weights. */
   readonly prompts: number;
-  /** Standard error of the usual prompt's time relative to it. */
+  /** Relative standard error of `usualPromptMs`. */
   readonly errorPart: number;
-  /** Enough was seen to send endpoints away by these figures. */
+  /** Whether the estimate is good enough to release endpoints by it. */
   readonly isSure: boolean;
 }
 
-/** Work that callers of one service bring in a second. */
+/** Work that arrives for one service, per second. */
 export interface WorkRate {
   /** Prompt tokens that belong to one request alone. */
   readonly ownTokens: number;
-  /** Pairs of such a token with one before it, in millions. */
+  /** Millions of pairs of such a token with one before it. */
   readonly pairs: number;
-  /** Tokens of shared parts that are thought to be read again. */
+  /** Tokens of shared parts that are expected to be uncached. */
   readonly rereadTokens: number;
   readonly answerTokens: number;
-  /** Each answer's tokens times the thousands of tokens of its prompt. */
+  /** Sum of each answer's tokens times its prompt's thousands of tokens. */
   readonly answerContext: number;
 }
--- /dev/null
+++ b/packages/capacity/src/engineEstimate.ts
@@ -0,0 +1,163 @@
+/** Estimates engine performance from statistics and priors. */
+import type {
+  EngineFigures,
+  PaceStats,
+  RouteAim,
+  ServiceStats,
+} from './contracts.js';
+import {fitSlopes, type Prior, type RegressionStats} from './regression.js';
+
+/** Number of answer features, and index of the step time after them. */
+const ANSWER_FEATURES = 2;
+
+/** Minimum prompts and maximum relative error to release endpoints. */
+const MIN_CONFIDENT_PROMPTS = 60;
+const MAX_CONFIDENT_ERROR = 0.3;
+
+/**
+ * Prior time of the mean prompt as a fraction of the goal, which is taken as
+ * feasible.
+ */
+const PRIOR_GOAL_FRACTION = 0.1;
+
+/**
+ * Lower bound of a prompt's time as a fraction of the prior. Where queueing
+ * masks the work, the fit may be zero, and every prompt would seem free.
+ */
+const MIN_PRIOR_FRACTION = 0.01;
+
+/**
+ * Prior standard deviation of the attention time, as a fraction of a prompt's
+ * time.
+ */
+const PRIOR_PAIRS_FRACTION = 0.2;
+
+/** Mean uncached tokens of a prompt until one was sampled. */
+const PRIOR_PROMPT_TOKENS = 1_000;
+/** Goal of a service whose routes declare none, in milliseconds. */
+const DEFAULT_GOAL_MS = 1_000;
+
+/** Prior step time per thousand context tokens, in times of a prompt token. */
+const PRIOR_CONTEXT_FRACTION = 0.5;
+
+/** Standard deviations above a route's mean pace that are planned for. */
+const HIGH_PACE_DEVIATIONS = 1.5;
+
+/** Minimum fraction of all answers for a route's pace to count. */
+const MIN_ROUTE_FRACTION = 0.03;
+
+/** Minimum number of answers for a route's pace to count. */
+const MIN_ROUTE_ANSWERS = 5;
+
+/**
+ * Estimates engine performance from statistics. Without samples the estimate
+ * follows from the routes' goals, which operators set to what engines can do.
+ *
+ * @example
+ * const {usualPromptMs} = engineFigures(stats.chat, [{goalMs: 800, timeoutMs: 10_000}]);
+ */
+export function engineFigures(
+  stats: ServiceStats | undefined,
+  latencyGoals: readonly RouteAim[],
+): EngineFigures {
+  const {
+    prompts = emptyStats(),
+    answers = emptyStats(),
+    paces = {},
+  } = stats ?? {};
+  const meanOwnTokens = meanOf(prompts, 0, PRIOR_PROMPT_TOKENS);
+  const meanPairs = meanOf(prompts, 1, 0);
+  const goalsMs = latencyGoals
+    .map(({goalMs}) => goalMs)
+    .filter(goal => goal > 0);
+  const goalMs = goalsMs.length > 0 ? Math.min(...goalsMs) : DEFAULT_GOAL_MS;
+  const priorTokenMs =
+    (goalMs * PRIOR_GOAL_FRACTION) / Math.max(1, meanOwnTokens);
+  const pairsPerToken = meanPairs / Math.max(1, meanOwnTokens);
+  const promptFit = fitSlopes(
+    prompts,
+    promptPrior(priorTokenMs, pairsPerToken),
+  );
+  const [promptTokenMs = 0, pairsMs = 0, rereadTokenMs = 0] = promptFit.slopes;
+  const usualPromptMs = Math.max(
+    promptTokenMs * meanOwnTokens + pairsMs * meanPairs,
+    priorTokenMs * meanOwnTokens * MIN_PRIOR_FRACTION,
+  );
+  const errorMs = promptFit.errorAt([meanOwnTokens, meanPairs, 0, 0]);
+  const stepFit = fitSlopes(answers, stepPrior(priorTokenMs));
+  const [requestStepMs = 0, contextStepMs = 0] = stepFit.slopes;
+  return {
+    promptTokenMs,
+    pairsMs,
+    rereadTokenMs,
+    usualOwnTokens: meanOwnTokens,
+    usualTokenMs: usualPromptMs / Math.max(1, meanOwnTokens),
+    usualPromptMs,
+    stepMs: meanOf(answers, ANSWER_FEATURES, 0),
+    requestStepMs,
+    contextStepMs,
+    usualAnswerTokens: meanAnswerTokens(Object.values(paces)),
+    neededPace: neededPace(Object.values(paces)),
+    prompts: Math.round(prompts.count),
+    errorPart: errorMs / Math.max(Number.EPSILON, usualPromptMs),
+    isSure:
+      prompts.count >= MIN_CONFIDENT_PROMPTS &&
+      errorMs <= usualPromptMs * MAX_CONFIDENT_ERROR,
+  };
+}
+
+/**
+ * Returns a prior with the same time for every token, and half of it for
+ * pending tokens: on average half of these are processed before the prompt
+ * arrives.
+ */
+function promptPrior(tokenMs: number, pairsPerToken: number): Prior {
+  const pairsMs =
+    (tokenMs * PRIOR_PAIRS_FRACTION) / Math.max(Number.EPSILON, pairsPerToken);
+  return {
+    slopes: [tokenMs, 0, tokenMs, tokenMs / 2],
+    standardDeviations: [tokenMs, pairsMs, tokenMs, tokenMs],
+  };
+}
+
+function stepPrior(tokenMs: number): Prior {
+  const contextMs = tokenMs * PRIOR_CONTEXT_FRACTION;
+  return {slopes: [0, contextMs], standardDeviations: [tokenMs, contextMs]};
+}
+
+function emptyStats(): RegressionStats {
+  return {count: 0, weight: 0, totals: [], products: []};
+}
+
+function meanOf(
+  stats: RegressionStats,
+  index: number,
+  fallback: number,
+): number {
+  return stats.count > 0 ? (stats.totals[index] ?? 0) / stats.count : fallback;
+}
+
+function meanPace({count, total}: PaceStats): number {
+  return count > 0 ? total / count : 0;
+}
+
+function highPace(stats: PaceStats): number {
+  const mean = meanPace(stats);
+  const variance = Math.max(0, stats.squares / stats.count - mean * mean);
+  return mean + HIGH_PACE_DEVIATIONS * Math.sqrt(variance);
+}
+
+function neededPace(paces: readonly PaceStats[]): number {
+  const totalCount = paces.reduce((sum, {count}) => sum + count, 0);
+  const significant = paces.filter(
+    ({count}) =>
+      count >= Math.max(MIN_ROUTE_ANSWERS, totalCount * MIN_ROUTE_FRACTION),
+  );
+  return Math.max(0, ...significant.map(highPace));
+}
+
+function meanAnswerTokens(paces: readonly PaceStats[]): number {
+  const count = paces.reduce((sum, pace) => sum + pace.count, 0);
+  const tokens = paces.reduce((sum, pace) => sum + pace.tokens, 0);
+  return count > 0 ? tokens / count : 0;
+}
--- a/packages/capacity/src/engineModel.ts
+++ b/packages/capacity/src/engineModel.ts
@@ -1,65 +1,66 @@
 /**
- * How fast a service's engines are, learned from the requests that they serve.
+ * Collects statistics of engine performance from the requests that engines
+ * serve.
  *
- * Engines differ by a factor of ten between customers and nobody declares their
- * speed. Taken for faster than they are, too few are kept and requests run into
- * their deadlines; taken for slower, they cost more than they bring.
+ * Engines differ by a factor of ten between customers, and their speed is not
+ * configured. Overestimated, too few endpoints run and requests miss their
+ * deadlines; underestimated, too many are paid for.
  */
 import type {Clock} from '@skylarkfield/base';
-import {addPaces, scalePace} from './capacitySums.js';
+import {addPaces, scalePace} from './capacityStats.js';
 import type {
   AnswerSample,
   CapacitySums,
-  PaceSums,
+  PaceStats,
   PromptSample,
 } from './contracts.js';
 import {createRegression, type Regression} from './regression.js';
 
-/** What one entry has seen of engines. */
+/** Performance statistics of engines from the requests of one entry. */
 export interface EngineModel {
   notePrompt(sample: PromptSample): void;
   noteAnswer(sample: AnswerSample): void;
-  /** What this entry has seen, for the others. */
+  /** Returns this entry's statistics, to be merged with those of its peers. */
   sums(): CapacitySums;
 }
 
-/** Half of what was seen this long ago still counts: endpoints and versions change. */
+/** Half-life of samples, in milliseconds: endpoints and versions change. */
 export const HALF_LIFE_MS = 20_000;
 
-const PAIRS_UNIT = 1e6;
-const CONTEXT_UNIT = 1e3;
+const PAIRS_PER_UNIT = 1e6;
+const CONTEXT_TOKENS_PER_UNIT = 1e3;
 const SECOND_MS = 1e3;
 
 /**
- * A prompt behind others waits for reasons that are seen only in part, so it
- * counts for less than one that is read at once; under overload, when all wait,
- * they still count for so much.
+ * Minimum weight of a prompt sample. A queued prompt weighs less than one that
+ * is processed at once, as its wait is explained only in part; under overload,
+ * when all are queued, they must still count.
  */
-const LEAST_WEIGHT = 0.1;
+const MIN_SAMPLE_WEIGHT = 0.1;
 
-/** The features of a prompt's reading time, in order. */
+/** Returns the regression features of a prompt's processing time, in order. */
 function promptFeatures(sample: PromptSample): number[] {
   const {ownTokens, promptTokens, rereadTokens, pendingTokens} = sample;
-  const pairs = (ownTokens * promptTokens) / PAIRS_UNIT;
+  const pairs = (ownTokens * promptTokens) / PAIRS_PER_UNIT;
   return [ownTokens, pairs, rereadTokens, pendingTokens];
 }
 const PROMPT_FEATURES = 4;
-/** Requests and context there; the step's time is the outcome, behind them. */
+/** Running requests and context tokens; the outcome is the step time. */
 const ANSWER_FEATURES = 2;
 
 interface ServiceState {
   readonly prompts: Regression;
   readonly answers: Regression;
-  readonly paces: Map<string, NotedPace>;
+  readonly paces: Map<string, DecayingPace>;
 }
 
-interface NotedPace {
+interface DecayingPace {
   readonly at: number;
-  readonly sums: PaceSums;
+  readonly stats: PaceStats;
 }
 
 /**
- * Makes the model of one entry, with nothing seen yet.
+ * Creates the model of one entry, without samples.
  *
  * @example
  * model.notePrompt({service: 'chat', route: 'r1', ownTokens: 900, ...rest, tookMs: 62});
@@ -67,7 +68,7 @@
 export function createEngineModel(clock: Clock): EngineModel {
   const services = new Map<string, ServiceState>();
 
-  function stateOf(service: string): ServiceState {
+  function serviceState(service: string): ServiceState {
     const known = services.get(service);
     if (known !== undefined) {
       return known;
@@ -82,44 +83,44 @@
     return state;
   }
 
-  function notePace({paces}: ServiceState, sample: AnswerSample): void {
+  function recordPace({paces}: ServiceState, sample: AnswerSample): void {
     const {route, tokens, allowedMs} = sample;
     const pace = (tokens * SECOND_MS) / Math.max(1, allowedMs);
     const now = clock.now();
     const last = paces.get(route);
     const own = {count: 1, tokens, total: pace, squares: pace * pace};
-    const sums = last ? addPaces(aged(last), own) : own;
-    paces.set(route, {at: now, sums});
+    const stats = last ? addPaces(decayed(last), own) : own;
+    paces.set(route, {at: now, stats});
   }
 
-  function aged({at, sums}: NotedPace): PaceSums {
-    return scalePace(sums, 2 ** ((at - clock.now()) / HALF_LIFE_MS));
+  function decayed({at, stats}: DecayingPace): PaceStats {
+    return scalePace(stats, 2 ** ((at - clock.now()) / HALF_LIFE_MS));
   }
 
   return {
     notePrompt(sample) {
-      const {prompts} = stateOf(sample.service);
+      const {prompts} = serviceState(sample.service);
       const {ownTokens, pendingTokens, route, tookMs} = sample;
-      const clearPart = ownTokens / Math.max(1, ownTokens + pendingTokens);
-      const weight = Math.max(LEAST_WEIGHT, clearPart ** 2);
-      prompts.note(route, promptFeatures(sample), tookMs, weight);
+      const ownFraction = ownTokens / Math.max(1, ownTokens + pendingTokens);
+      const weight = Math.max(MIN_SAMPLE_WEIGHT, ownFraction ** 2);
+      prompts.add(route, promptFeatures(sample), tookMs, weight);
     },
     noteAnswer(sample) {
-      const state = stateOf(sample.service);
+      const state = serviceState(sample.service);
       const {route, requests, contextTokens, stepMs} = sample;
-      const features = [requests, contextTokens / CONTEXT_UNIT];
-      state.answers.note(route, features, stepMs);
-      notePace(state, sample);
+      const features = [requests, contextTokens / CONTEXT_TOKENS_PER_UNIT];
+      state.answers.add(route, features, stepMs);
+      recordPace(state, sample);
     },
     sums: () =>
       Object.fromEntries(
         [...services].map(([name, {prompts, answers, paces}]) => [
           name,
           {
-            prompts: prompts.sums(),
-            answers: answers.sums(),
+            prompts: prompts.stats(),
+            answers: answers.stats(),
             paces: Object.fromEntries(
-              [...paces].map(([route, pace]) => [route, aged(pace)]),
+              [...paces].map(([route, pace]) => [route, decayed(pace)]),
             ),
           },
         ]),
--- a/packages/capacity/src/outcomeMeter.ts
+++ b/packages/capacity/src/outcomeMeter.ts
@@ -1,12 +1,12 @@
 /**
- * Whether a service's callers get what they hope for.
+ * Measures the fraction of late requests by service.
  *
- * Whatever is believed of engines may be wrong, and then nothing but the callers
- * shows it: first events come late, requests are refused or die.
+ * The estimate of engine speed may be wrong, and only request outcomes show it:
+ * first events are late, requests are rejected or fail.
  */
 import type {Clock} from '@skylarkfield/base';
 
-/** Requests seen lately, older ones counting for less. */
+/** Exponentially decayed counts of recent requests. */
 export interface OutcomeSums {
   readonly count: number;
   readonly late: number;
@@ -17,11 +17,14 @@
   sums(): Readonly<Record<string, OutcomeSums>>;
 }
 
-/** Half of what was seen this long ago still counts: an endpoint takes as long to start. */
+/**
+ * Half-life of counts, in milliseconds: about as long as an endpoint takes to
+ * start.
+ */
 const HALF_LIFE_MS = 2_000;
 
 /**
- * Makes a meter with nothing seen.
+ * Creates a meter without counts.
  *
  * @example
  * outcomes.note('chat', firstMs > route.goalMs);
@@ -29,7 +32,7 @@
 export function createOutcomeMeter(clock: Clock): OutcomeMeter {
   const services = new Map<string, OutcomeSums & {readonly at: number}>();
 
-  function aged(service: string): OutcomeSums {
+  function decayed(service: string): OutcomeSums {
     const {count, late, at} = services.get(service) ?? {
       count: 0,
       late: 0,
@@ -41,7 +44,7 @@
 
   return {
     note(service, isLate) {
-      const {count, late} = aged(service);
+      const {count, late} = decayed(service);
       services.set(service, {
         count: count + 1,
         late: late + (isLate ? 1 : 0),
@@ -49,21 +52,23 @@
       });
     },
     sums: () =>
-      Object.fromEntries([...services.keys()].map(name => [name, aged(name)])),
+      Object.fromEntries(
+        [...services.keys()].map(name => [name, decayed(name)]),
+      ),
   };
 }
 
-/** Fewer requests than this say nothing about a share. */
-const LEAST_COUNT = 8;
+/** Minimum number of requests for a meaningful fraction. */
+const MIN_COUNT = 8;
 
 /**
- * The late part of all requests, 0 while too few were seen.
+ * Returns the fraction of late requests, 0 for too few requests.
  *
  * @example
- * const part = latePart([own.chat, ...peers]);
+ * const fraction = latePart([own.chat, ...peers]);
  */
 export function latePart(parts: readonly OutcomeSums[]): number {
   const count = parts.reduce((sum, part) => sum + part.count, 0);
   const late = parts.reduce((sum, part) => sum + part.late, 0);
-  return count < LEAST_COUNT ? 0 : late / count;
+  return count < MIN_COUNT ? 0 : late / count;
 }
--- a/packages/capacity/src/regression.ts
+++ b/packages/capacity/src/regression.ts
@@ -1,75 +1,80 @@
 /**
- * A linear regression over samples that come one by one, as sums that can be
- * added up over entries.
+ * Incremental linear regression whose sufficient statistics can be added up
+ * over entries.
  *
- * Samples belong to groups. Each group has its own level, and only what varies
- * within a group counts for the slopes: requests of one route may wait longer
- * than those of another for reasons that no feature shows, and their level would
- * pass for a slope.
+ * Samples belong to groups, each with its own intercept, and only variation
+ * within a group determines the slopes: requests of one route may wait longer
+ * than those of another for reasons that no feature captures, which would bias
+ * the slopes.
  */
 import type {Clock} from '@skylarkfield/base';
 import {Matrix, solve} from 'ml-matrix';
 
-/** What the samples of one or more entries add up to. */
-export interface RegressionSums {
-  /** Samples, older ones counting for less. */
+/** Sufficient statistics of the samples of one or more entries. */
+export interface RegressionStats {
+  /** Exponentially decayed number of samples. */
   readonly count: number;
-  /** The same by their weights. */
+  /** Exponentially decayed sum of the samples' weights. */
   readonly weight: number;
-  /** Sum of each feature and, last, of the outcome, whatever the samples' weights. */
+  /** Unweighted sums of the features and, last, of the outcome. */
   readonly totals: readonly number[];
-  /** Products of the deviations from the group's means: the upper triangle by rows, the outcome last. */
+  /**
+   * Weighted products of deviations from the group means: the upper triangle by
+   * rows, the outcome last.
+   */
   readonly products: readonly number[];
 }
 
 export interface Regression {
-  /** A sample that says less counts for less than 1. */
-  note(
+  /** Adds a sample; `weight` is below 1 for a less informative one. */
+  add(
     group: string,
     features: readonly number[],
     outcome: number,
     weight?: number,
   ): void;
-  sums(): RegressionSums;
+  stats(): RegressionStats;
 }
 
-/** What the slopes are taken for before anything was seen. */
-export interface Belief {
+/** Prior distribution of the slopes. */
+export interface Prior {
   readonly slopes: readonly number[];
-  /** How far each may be from that: the standard deviation of the belief. */
-  readonly deviations: readonly number[];
+  readonly standardDeviations: readonly number[];
 }
 
-/** Slopes with what is known of their errors. */
+/** Fitted slopes and their errors. */
 export interface RegressionFit {
   readonly slopes: readonly number[];
-  /** Standard error of the outcome that the slopes give for so much of each feature. */
+  /** Returns the standard error of the outcome predicted for these features. */
   errorAt(features: readonly number[]): number;
 }
 
-/** A group's outcome counts up to this many standard deviations above its mean: an answer that hung says nothing about speed. */
-const MOST_DEVIATIONS = 3;
+/**
+ * Outcomes are clamped to this many standard deviations above the group's mean:
+ * a hung request is no evidence of speed.
+ */
+const MAX_OUTCOME_DEVIATIONS = 3;
 
-/** Samples of a group before its deviation is known well enough to cut by it. */
-const LEAST_FOR_CUT = 8;
+/** Minimum samples of a group for its standard deviation to clamp outcomes. */
+const MIN_SAMPLES_TO_CLAMP = 8;
 
 interface Group {
   count: number;
   weight: number;
   at: number;
   readonly totals: Float64Array;
-  /** By the samples' weights. */
+  /** Means weighted by the samples' weights. */
   readonly means: Float64Array;
   readonly products: Float64Array;
 }
 
 /**
- * Makes a regression without samples; half of a sample's weight is gone after
- * the half-life in milliseconds.
+ * Creates a regression without samples. Samples decay exponentially with the
+ * half-life in milliseconds.
  *
  * @example
  * const regression = createRegression({clock, features: 2, halfLifeMs: 20_000});
- * regression.note('chat', [1_200, 40], 85);
+ * regression.add('chat', [1_200, 40], 85);
  */
 export function createRegression(options: {
   readonly clock: Clock;
@@ -97,49 +102,52 @@
     return group;
   }
 
-  function age(group: Group): void {
+  function decay(group: Group): void {
     const factor = 2 ** ((group.at - clock.now()) / halfLifeMs);
     group.at = clock.now();
     group.count *= factor;
     group.weight *= factor;
-    scale(group.totals, factor);
-    scale(group.products, factor);
+    scaleInPlace(group.totals, factor);
+    scaleInPlace(group.products, factor);
   }
 
-  function cut(group: Group, outcome: number): number {
-    if (group.count < LEAST_FOR_CUT) {
+  function clampOutcome(group: Group, outcome: number): number {
+    if (group.count < MIN_SAMPLES_TO_CLAMP) {
       return outcome;
     }
     const variance = group.products.at(-1)! / group.weight;
-    const most = group.means.at(-1)! + MOST_DEVIATIONS * Math.sqrt(variance);
-    return Math.min(outcome, most);
+    const upperBound =
+      group.means.at(-1)! + MAX_OUTCOME_DEVIATIONS * Math.sqrt(variance);
+    return Math.min(outcome, upperBound);
   }
 
   return {
-    note(name, values, outcome, weight = 1) {
+    add(name, values, outcome, weight = 1) {
       const group = groupOf(name);
-      age(group);
-      const row = [...values, cut(group, outcome)];
-      const before = row.map((value, index) => value - group.means[index]!);
+      decay(group);
+      const row = [...values, clampOutcome(group, outcome)];
+      const deltasBefore = row.map(
+        (value, index) => value - group.means[index]!,
+      );
       group.count += 1;
       group.weight += weight;
-      before.forEach((difference, index) => {
+      deltasBefore.forEach((delta, index) => {
         group.totals[index]! += row[index]!;
-        group.means[index]! += (weight * difference) / group.weight;
+        group.means[index]! += (weight * delta) / group.weight;
       });
       let at = 0;
       for (let i = 0; i < width; i++) {
-        const after = row[i]! - group.means[i]!;
+        const deltaAfter = row[i]! - group.means[i]!;
         for (let j = i; j < width; j++) {
-          group.products[at]! += weight * after * before[j]!;
+          group.products[at]! += weight * deltaAfter * deltasBefore[j]!;
           at += 1;
         }
       }
     },
-    sums() {
+    stats() {
       const all = [...groups.values()];
-      all.forEach(age);
-      return addSums(
+      all.forEach(decay);
+      return addStats(
         all.map(({count, weight, totals, products}) => ({
           count,
           weight,
@@ -151,26 +159,26 @@
   };
 }
 
-function scale(values: Float64Array, factor: number): void {
+function scaleInPlace(values: Float64Array, factor: number): void {
   values.forEach((value, index) => (values[index] = value * factor));
 }
 
 /**
- * Adds up sums over groups or entries; sums of another shape, as an older
- * version may send, are left out.
+ * Adds up statistics of groups or entries. Statistics of another size than the
+ * first, which an older version may send, are left out.
  *
  * @example
- * const all = addSums([own.sums(), ...peers]);
+ * const total = addStats([own.stats(), ...peers]);
  */
-export function addSums(parts: readonly RegressionSums[]): RegressionSums {
+export function addStats(parts: readonly RegressionStats[]): RegressionStats {
   const [first, ...rest] = parts;
   if (first === undefined) {
     return {count: 0, weight: 0, totals: [], products: []};
   }
-  const alike = rest.filter(
+  const compatible = rest.filter(
     ({products}) => products.length === first.products.length,
   );
-  return alike.reduce(
+  return compatible.reduce(
     (sum, part) => ({
       count: sum.count + part.count,
       weight: sum.weight + part.weight,
@@ -184,43 +192,46 @@
 }
 
 /**
- * Sums that count for a part of what they did.
+ * Scales the weight of statistics by a factor.
  *
  * @example
- * const older = scaleSums(sums, 0.5);
+ * const decayed = scaleStats(stats, 0.5);
  */
-export function scaleSums(
-  sums: RegressionSums,
+export function scaleStats(
+  stats: RegressionStats,
   factor: number,
-): RegressionSums {
+): RegressionStats {
   return {
-    count: sums.count * factor,
-    weight: sums.weight * factor,
-    totals: sums.totals.map(total => total * factor),
-    products: sums.products.map(product => product * factor),
+    count: stats.count * factor,
+    weight: stats.weight * factor,
+    totals: stats.totals.map(total => total * factor),
+    products: stats.products.map(product => product * factor),
   };
 }
 
 /**
- * The slopes that fit best, none below zero: nothing that is asked for makes an
- * engine faster. The belief yields as far as the samples are clearer than it:
- * few samples, or samples that vary for other reasons, leave it in force.
+ * Fits non-negative slopes by Bayesian linear regression with an active set: no
+ * feature makes an engine faster. With few or noisy samples the prior
+ * dominates.
  *
  * @example
- * const {slopes} = fitSlopes(sums, {slopes: [0.02], deviations: [0.02]});
+ * const prior = {slopes: [0.02], standardDeviations: [0.02]};
+ * const {slopes} = fitSlopes(stats, prior);
  */
-export function fitSlopes(sums: RegressionSums, belief: Belief): RegressionFit {
-  const width = belief.slopes.length;
-  const isSeen = sums.count > 1 && sums.totals.length === width + 1;
-  const product = isSeen ? triangle(sums.products, width + 1) : () => 0;
-  const noise = isSeen
-    ? Math.max(product(width, width) / sums.weight, TINY)
+export function fitSlopes(stats: RegressionStats, prior: Prior): RegressionFit {
+  const width = prior.slopes.length;
+  const hasSamples = stats.count > 1 && stats.totals.length === width + 1;
+  const product = hasSamples
+    ? productLookup(stats.products, width + 1)
+    : () => 0;
+  const noise = hasSamples
+    ? Math.max(product(width, width) / stats.weight, EPSILON)
     : 1;
-  const slopes = [...belief.slopes];
+  const slopes = [...prior.slopes];
   let free = slopes.map((_, index) => index);
   while (free.length > 0) {
-    const found = fitFree(belief, product, noise, free);
-    free.forEach((index, place) => (slopes[index] = found[place]!));
+    const solution = fitFree(prior, product, noise, free);
+    free.forEach((index, place) => (slopes[index] = solution[place]!));
     const negative = free.filter(index => slopes[index]! < 0);
     if (negative.length === 0) {
       break;
@@ -232,9 +243,9 @@
     slopes,
     errorAt(features) {
       const all = features.map((_, index) => index);
-      const left = precision(belief, product, noise, all);
+      const posterior = precisionMatrix(prior, product, noise, all);
       const direction = Matrix.columnVector([...features]);
-      const variance = direction.transpose().mmul(solve(left, direction));
+      const variance = direction.transpose().mmul(solve(posterior, direction));
       return Math.sqrt(noise * Math.max(0, variance.get(0, 0)));
     },
   };
@@ -242,48 +253,50 @@
 
 type Product = (i: number, j: number) => number;
 
-/** Keeps the precision of a belief finite where it leaves no room. */
-const TINY = 1e-12;
+/** Keeps the precision of a prior with zero deviation finite. */
+const EPSILON = 1e-12;
 
-/** What samples and belief together know, in units of one sample's noise. */
-function precision(
-  {deviations}: Belief,
+/** Returns the posterior precision matrix, in units of one sample's noise. */
+function precisionMatrix(
+  {standardDeviations}: Prior,
   product: Product,
   noise: number,
   free: readonly number[],
 ): Matrix {
-  const left = Matrix.zeros(free.length, free.length);
+  const matrix = Matrix.zeros(free.length, free.length);
   free.forEach((i, row) => {
     free.forEach((j, column) => {
-      const believed = i === j ? noise / (deviations[i]! ** 2 + TINY) : 0;
-      left.set(row, column, product(i, j) + believed);
+      const priorPrecision =
+        i === j ? noise / (standardDeviations[i]! ** 2 + EPSILON) : 0;
+      matrix.set(row, column, product(i, j) + priorPrecision);
     });
   });
-  return left;
+  return matrix;
 }
 
-/** Solves for the free slopes; those that are not free are taken for zero. */
+/** Solves for the free slopes; the others are fixed at zero. */
 function fitFree(
-  belief: Belief,
+  prior: Prior,
   product: Product,
   noise: number,
   free: readonly number[],
 ): number[] {
-  const {slopes, deviations} = belief;
+  const {slopes, standardDeviations} = prior;
   const outcome = slopes.length;
-  const right = free.map(
+  const rhs = free.map(
     i =>
-      product(i, outcome) + (noise * slopes[i]!) / (deviations[i]! ** 2 + TINY),
+      product(i, outcome) +
+      (noise * slopes[i]!) / (standardDeviations[i]! ** 2 + EPSILON),
   );
-  const left = precision(belief, product, noise, free);
-  return solve(left, Matrix.columnVector(right)).to1DArray();
+  const lhs = precisionMatrix(prior, product, noise, free);
+  return solve(lhs, Matrix.columnVector(rhs)).to1DArray();
 }
 
-function triangle(products: readonly number[], width: number): Product {
+function productLookup(products: readonly number[], width: number): Product {
   return (i, j) => {
     const row = Math.min(i, j);
     const column = Math.max(i, j);
-    const before = row * width - (row * (row - 1)) / 2;
-    return products[before + column - row]!;
+    const rowStart = row * width - (row * (row - 1)) / 2;
+    return products[rowStart + column - row]!;
   };
 }
--- a/packages/capacity/src/test/engineModel.test.ts
+++ b/packages/capacity/src/test/engineModel.test.ts
@@ -10,14 +10,14 @@
   type RouteAim,
 } from '../index.js';
 
-/** A true engine, as no entry is told of it. */
+/** True performance of a simulated engine, hidden from the model. */
 interface Profile {
   readonly name: string;
   readonly tokenMs: number;
   readonly pairsMs: number;
   readonly stepMs: number;
   readonly contextStepMs: number;
-  /** Mean of the wait that no feature explains, in milliseconds. */
+  /** Mean wait that no feature explains, in milliseconds. */
   readonly waitMs: number;
 }
 
@@ -31,7 +31,7 @@
     waitMs: 15,
   },
   {
-    name: 'a slow engine that looks far back',
+    name: 'a slow engine with costly attention',
     tokenMs: 1 / 38,
     pairsMs: 1.2,
     stepMs: 4.7,
@@ -48,28 +48,28 @@
   },
 ];
 
-const AIMS: readonly RouteAim[] = [
+const LATENCY_GOALS: readonly RouteAim[] = [
   {goalMs: 1_000, timeoutMs: 10_000},
   {goalMs: 600, timeoutMs: 15_000},
 ];
 
-/** Kinds of requests that the engine serves in turn. */
+/** Kinds of requests, served in turn. */
 const KINDS = [
   {route: 'long', own: 2_900, shared: 6_300, answer: 50, levelMs: 20},
   {route: 'short', own: 550, shared: 170, answer: 280, levelMs: 250},
 ];
 
-/** Mean of the square of an own part over the square of its mean, as `feed` draws them. */
-const SPREAD = 1.163;
+/** Mean square of `ownTokens` over its squared mean in `addSamples`. */
+const SQUARED_MEAN_RATIO = 1.163;
 
-/** Feeds samples of a true engine; waits spread like those of a queue. */
-function feed(
+/** Adds samples of a simulated engine with exponentially distributed waits. */
+function addSamples(
   model: EngineModel,
   profile: Profile,
   count: number,
   random: Random,
 ): void {
-  const spread = () => -Math.log(1 - random.next());
+  const exponential = () => -Math.log(1 - random.next());
   for (let index = 0; index < count; index++) {
     const kind = KINDS[index % KINDS.length]!;
     const ownTokens = kind.own * (0.3 + 1.4 * random.next());
@@ -85,7 +85,7 @@
       pendingTokens,
       tookMs:
         kind.levelMs +
-        profile.waitMs * spread() +
+        profile.waitMs * exponential() +
         ownTokens * profile.tokenMs +
         pairs * profile.pairsMs +
         pendingTokens * profile.tokenMs * 0.5,
@@ -94,7 +94,7 @@
     model.noteAnswer({
       service: 'chat',
       route: kind.route,
-      tokens: kind.answer * spread(),
+      tokens: kind.answer * exponential(),
       stepMs: profile.stepMs + (contextTokens * profile.contextStepMs) / 1e3,
       requests: 10,
       contextTokens,
@@ -103,70 +103,76 @@
   }
 }
 
-function usualMs({tokenMs, pairsMs}: Profile): number {
+function meanPromptMs({tokenMs, pairsMs}: Profile): number {
   const works = KINDS.map(
     ({own, shared}) =>
-      own * tokenMs + (own * (shared + own * SPREAD) * pairsMs) / 1e6,
+      own * tokenMs +
+      (own * (shared + own * SQUARED_MEAN_RATIO) * pairsMs) / 1e6,
   );
   return works.reduce((sum, work) => sum + work, 0) / works.length;
 }
 
-function within(actual: number, expected: number, part: number): void {
+function assertWithin(
+  actual: number,
+  expected: number,
+  fraction: number,
+): void {
   assert.ok(
-    Math.abs(actual - expected) <= expected * part,
-    `${actual} is not within ${part * 100} % of ${expected}`,
+    Math.abs(actual - expected) <= expected * fraction,
+    `${actual} is not within ${fraction * 100} % of ${expected}`,
   );
 }
 
 describe('engine model', () => {
   for (const profile of PROFILES) {
-    it(`finds the speed of ${profile.name} from what it answers`, () => {
-      // Nobody declares an engine's speed. Requests of one route wait longer
-      // than those of the other, and all wait for reasons that no entry sees; a
-      // model that took these for the prompt's work would order far too much.
+    it(`estimates the speed of ${profile.name}`, () => {
+      // Engine speed is not configured. Requests of one route wait longer than
+      // those of the other, and all have waits that no feature explains. A
+      // model that attributed these to the prompts would order far too many
+      // endpoints.
       const model = createEngineModel(virtualClock());
-      feed(model, profile, 600, seededRandom(1_000));
-      const figures = engineFigures(model.sums()['chat'], AIMS);
-      within(figures.usualPromptMs, usualMs(profile), 0.2);
-      within(figures.contextStepMs, profile.contextStepMs, 0.2);
+      addSamples(model, profile, 600, seededRandom(1_000));
+      const figures = engineFigures(model.sums()['chat'], LATENCY_GOALS);
+      assertWithin(figures.usualPromptMs, meanPromptMs(profile), 0.2);
+      assertWithin(figures.contextStepMs, profile.contextStepMs, 0.2);
       assert.ok(figures.isSure);
     });
   }
 
-  it('learns from all entries together what none has seen enough of', () => {
-    // Nine entries see a few requests each. Alone each would be unsure for long.
+  it('is confident with the statistics of all entries before a single one is', () => {
+    // Nine entries have a few requests each, too few for a confident estimate.
     const [, profile] = PROFILES;
     const random = seededRandom(5);
     const sums = Array.from({length: 9}, () => {
       const model = createEngineModel(virtualClock());
-      feed(model, profile!, 30, random);
+      addSamples(model, profile!, 30, random);
       return model.sums();
     });
-    const alone = engineFigures(sums[0]!['chat'], AIMS);
-    const together = engineFigures(addCapacity(sums)['chat'], AIMS);
+    const alone = engineFigures(sums[0]!['chat'], LATENCY_GOALS);
+    const together = engineFigures(addCapacity(sums)['chat'], LATENCY_GOALS);
     assert.equal(alone.isSure, false);
     assert.equal(together.isSure, true);
-    within(together.usualPromptMs, usualMs(profile!), 0.2);
+    assertWithin(together.usualPromptMs, meanPromptMs(profile!), 0.2);
   });
 
   it('follows engines that become slower', () => {
-    // A new version reads prompts at a third of the speed. What the old one
-    // taught must not hide it for long.
+    // A new version processes prompts at a third of the speed. Samples of the
+    // old version must not hide it for long.
     const clock = virtualClock();
     const model = createEngineModel(clock);
-    feed(model, PROFILES[0]!, 300, seededRandom(1));
+    addSamples(model, PROFILES[0]!, 300, seededRandom(1));
     clock.advanceSync(60_000);
-    feed(model, PROFILES[1]!, 300, seededRandom(2));
-    const figures = engineFigures(model.sums()['chat'], AIMS);
-    within(figures.usualPromptMs, usualMs(PROFILES[1]!), 0.3);
+    addSamples(model, PROFILES[1]!, 300, seededRandom(2));
+    const figures = engineFigures(model.sums()['chat'], LATENCY_GOALS);
+    assertWithin(figures.usualPromptMs, meanPromptMs(PROFILES[1]!), 0.3);
   });
 
-  it('is not led astray by answers that hung', () => {
-    // One answer in fifty stands still for seconds at a failing endpoint.
+  it('is robust against hung requests', () => {
+    // One request in fifty hangs for seconds at a failing endpoint.
     const [, profile] = PROFILES;
     const model = createEngineModel(virtualClock());
     const random = seededRandom(3);
-    feed(model, profile!, 600, random);
+    addSamples(model, profile!, 600, random);
     for (let index = 0; index < 12; index++) {
       const ownTokens = 900 + 4_000 * random.next();
       model.notePrompt({
@@ -179,14 +185,14 @@
         tookMs: 5_000,
       });
     }
-    const figures = engineFigures(model.sums()['chat'], AIMS);
-    within(figures.usualPromptMs, usualMs(profile!), 0.3);
+    const figures = engineFigures(model.sums()['chat'], LATENCY_GOALS);
+    assertWithin(figures.usualPromptMs, meanPromptMs(profile!), 0.3);
   });
 
-  it('never takes an engine for infinitely fast', () => {
-    // Long answers hold all places, so that every prompt waits for seconds,
-    // long ones no longer than short ones. A model without any work would let
-    // every choice go to one endpoint and send the others away.
+  it('never estimates zero time for a prompt', () => {
+    // Long answers occupy all slots, so every prompt waits for seconds, long
+    // ones no longer than short ones. With an estimate of zero work, routing
+    // would choose one endpoint every time, and the others would be released.
     const model = createEngineModel(virtualClock());
     const random = seededRandom(6);
     for (let index = 0; index < 400; index++) {
@@ -201,14 +207,14 @@
         tookMs: 6_000 - ownTokens / 2 + 2_000 * random.next(),
       });
     }
-    const figures = engineFigures(model.sums()['chat'], AIMS);
+    const figures = engineFigures(model.sums()['chat'], LATENCY_GOALS);
     assert.ok(figures.usualTokenMs > 0);
     assert.equal(figures.isSure, false);
   });
 
-  it('forgets the pace of a route that is gone', () => {
-    // An operator takes the route with the longest answers away. Planned for
-    // its pace for ever, the service would keep endpoints that nobody needs.
+  it('decays the pace of a removed route', () => {
+    // An operator removes the route with the longest answers. If its pace
+    // stayed in the plan, the service would keep endpoints that are not needed.
     const clock = virtualClock();
     const model = createEngineModel(clock);
     const answer = {service: 'chat', stepMs: 5, requests: 1, contextTokens: 9};
@@ -221,35 +227,47 @@
       const short = {route: 'kept', tokens: 90, allowedMs: 9_000};
       model.noteAnswer({...answer, ...short});
     }
-    const {neededPace} = engineFigures(model.sums()['chat'], AIMS);
+    const {neededPace} = engineFigures(model.sums()['chat'], LATENCY_GOALS);
     assert.ok(neededPace < 20, `${neededPace}`);
   });
 
-  it('takes goals for reachable until anything was seen', () => {
-    const figures = engineFigures(undefined, AIMS);
+  it('assumes feasible goals without samples', () => {
+    const figures = engineFigures(undefined, LATENCY_GOALS);
     assert.equal(figures.isSure, false);
     assert.ok(figures.usualPromptMs > 0);
     assert.ok(figures.usualPromptMs < 600);
   });
 });
 
-describe('planned use', () => {
-  function useOf(profile: Profile, aims: readonly RouteAim[]): number {
+describe('target utilization', () => {
+  function utilizationOf(
+    profile: Profile,
+    latencyGoals: readonly RouteAim[],
+  ): number {
     const model = createEngineModel(virtualClock());
-    feed(model, profile, 300, seededRandom(4));
-    return plannedUse(engineFigures(model.sums()['chat'], aims), aims).usual;
+    addSamples(model, profile, 300, seededRandom(4));
+    return plannedUse(
+      engineFigures(model.sums()['chat'], latencyGoals),
+      latencyGoals,
+    ).usual;
   }
 
-  it('is lower where goals are tight against the time of a prompt', () => {
-    const wide = useOf(PROFILES[1]!, AIMS);
-    const tight = useOf(PROFILES[1]!, [{goalMs: 250, timeoutMs: 10_000}]);
+  it('is lower for goals close to the time of a prompt', () => {
+    const wide = utilizationOf(PROFILES[1]!, LATENCY_GOALS);
+    const tight = utilizationOf(PROFILES[1]!, [
+      {goalMs: 250, timeoutMs: 10_000},
+    ]);
     assert.ok(tight < wide, `${tight} is not below ${wide}`);
   });
 
-  it('leaves long answers the time that they need', () => {
-    // While a prompt is read every running answer stands still. An engine with
-    // slow steps has to read less, or its long answers outlast their callers.
+  it('leaves enough time for long answers', () => {
+    // Processing a prompt stalls all running answers. With slow decode steps
+    // less time may go to prompts, or long answers exceed their callers'
+    // timeouts.
     const [, slow, verySlow] = PROFILES;
-    assert.ok(useOf(verySlow!, AIMS) < useOf(slow!, AIMS));
+    assert.ok(
+      utilizationOf(verySlow!, LATENCY_GOALS) <
+        utilizationOf(slow!, LATENCY_GOALS),
+    );
   });
 });
