--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -1,10 +1,9 @@
 /**
- * When a copy of what the platform holds was last known to be the newest.
+ * Tracks when a replica of the platform's data was last confirmed up to date.
  *
- * A customer's key that was taken away must stop working everywhere within
- * seconds, also at an entry that can't hear of it. Only positive knowledge
- * helps: an entry that can't show that its copy was the newest a moment ago
- * refuses requests with a key.
+ * A revoked customer key must stop working everywhere within seconds, also at
+ * an entry that is cut off from updates. So an entry without a recent
+ * confirmation rejects requests with a key.
  */
 import type {Clock} from '@skylarkfield/base';
 
@@ -15,30 +14,33 @@
 }
 
 export interface Confirmation {
-  /** Confirms that the replica was up to date at this time; older confirmations are ignored. */
+  /**
+   * Confirms that the replica was up to date at this time; older confirmations
+   * are ignored.
+   */
   confirm(timestamp: Timestamp): void;
-  /** Milliseconds since the copy was last known to be the newest; infinite before the first time. */
+  /** Milliseconds since the last confirmation; Infinity before the first. */
   ageMs(): number;
 }
 
 /**
- * The present time, for `confirm`. Taken before the question is sent: an
- * answer may have been made any time after that.
+ * Returns the present time for `confirm`. Take it before sending the request:
+ * the response may reflect any moment after that.
  *
  * @example
- * const asked = timestampOf(clock);
+ * const requestedAt = timestampOf(clock);
  * await store.get('policy', 'main');
- * confirmation.confirm(asked);
+ * confirmation.confirm(requestedAt);
  */
 export function timestampOf(clock: Clock): Timestamp {
   return {monotonicMs: clock.now(), wallMs: clock.wall()};
 }
 
 /**
- * Returns the timestamp so many milliseconds earlier.
+ * Returns the timestamp `spanMs` milliseconds earlier.
  *
  * @example
- * confirmation.confirm(before(heard, ageThereMs));
+ * confirmation.confirm(before(receivedAt, ageAtPeerMs));
  */
 export function before(timestamp: Timestamp, spanMs: number): Timestamp {
   return {
@@ -48,15 +50,14 @@
 }
 
 /**
- * Makes a confirmation that is infinitely old.
+ * Creates a confirmation of infinite age.
  *
- * The age is the larger of what both clocks say: a host that was suspended
- * wakes with a monotonic clock that has stood still, and its copy would look
- * fresh when it is not.
+ * The age is the larger one of both clocks: the monotonic clock stops while a
+ * host is suspended, so a stale replica would look fresh by it.
  *
  * @example
  * const confirmation = createConfirmation(clock);
- * if (confirmation.ageMs() > 4_500) { refuse(); }
+ * if (confirmation.ageMs() > 4_500) { reject(); }
  */
 export function createConfirmation(clock: Clock): Confirmation {
   let last: Timestamp | undefined;
--- a/packages/traffic/src/contracts.ts
+++ b/packages/traffic/src/contracts.ts
@@ -1,19 +1,16 @@
-/**
- * What operators declare about traffic and what endpoints say of themselves,
- * in the product's own terms.
- */
+/** Traffic configuration, registered endpoints and rollouts as domain types. */
 
-/** Whether a request may run again, and how its answer comes. */
+/** Whether requests may be retried, and whether responses are streamed. */
 export type RouteKind = 'idempotent' | 'at-most-once' | 'streaming';
 
-/** A part of a route's traffic that goes to one service. */
+/** Share of a route's traffic that goes to one service. */
 export interface WeightedService {
   readonly service: string;
   /** Relative to the other weights of the route. */
   readonly weight: number;
 }
 
-/** Where requests to one authority below one path go, and on which terms. */
+/** Services and limits of requests to one authority and path prefix. */
 export interface Route {
   readonly name: string;
   /** Value of the `Host` header. */
@@ -21,100 +18,102 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** The longest that a caller is kept waiting, in milliseconds. */
+  /** Upper bound of the time that a caller waits, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time to the answer, or a stream's first event, that callers hope for, in milliseconds. */
+  /** Target time to the response or a stream's first event, in milliseconds. */
   readonly goalMs: number;
-  /** 0 is the most important. */
+  /** 0 is the highest. */
   readonly priority: number;
   readonly services: readonly WeightedService[];
-  /** The most endpoints that may run one request. */
+  /** Maximum number of endpoints that may run one request. */
   readonly attempts: number;
-  /** Needs no key. */
+  /** Whether requests need no key. */
   readonly isPublic: boolean;
-  /** A broken stream may go on at another endpoint after the last event delivered. */
+  /** Whether a broken stream may resume after the last event delivered. */
   readonly isResumable: boolean;
-  /** The longest pause between events of a stream that is still on time, in milliseconds; 0 when not declared. */
+  /** Longest pause between events of a stream, in milliseconds; 0 if unset. */
   readonly longestPauseMs: number;
 }
 
-/** How many endpoints of a service may be ordered, and at what price. */
+/** Bounds and prices of the endpoints that may be ordered for a service. */
 export interface FleetTerms {
-  /** The least and most endpoints in each failure domain, both markets together. */
+  /** Bounds of the endpoints in each failure domain, both markets together. */
   readonly least: number;
   readonly most: number;
-  /** From an order to the first request served, in milliseconds. */
+  /** Time from an order to the first request served, in milliseconds. */
   readonly bootMs: number;
-  /** Price of a reclaimable endpoint relative to one that is not; undefined when there are none. */
+  /** Price relative to on-demand; undefined if none are reclaimable. */
   readonly reclaimablePrice: number | undefined;
-  /** Price of an endpoint by failure domain. */
+  /** Price of an on-demand endpoint by failure domain. */
   readonly prices: Readonly<Record<string, number>>;
 }
 
-/** What is declared of a model engine. */
+/** Configuration of a model engine. */
 export interface EngineTerms {
-  /** Requests that run at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Tokens that the engine's memory holds. */
+  /** Capacity of the engine's memory, in tokens. */
   readonly memoryTokens: number;
-  /** Tokens of an answer that one event of its stream holds. */
+  /** Answer tokens in one event of a stream. */
   readonly tokensPerEvent: number;
 }
 
-/** A service as operators declare it. */
+/** Configuration of a service. */
 export interface DeclaredService {
   readonly name: string;
-  /** Connections that one endpoint takes from all callers together. */
+  /** Maximum connections to one endpoint, over all callers. */
   readonly mostConnections: number;
   /** Undefined for a plain service. */
   readonly engine: EngineTerms | undefined;
-  /** Undefined when the system orders no endpoints of it. */
+  /** Undefined when its endpoints are not autoscaled. */
   readonly fleet: FleetTerms | undefined;
 }
 
-/** A customer's limit over all entries. */
+/** Rate limit of a customer over all entries. */
 export interface Quota {
   readonly unit: 'requests' | 'tokens';
   readonly perSecond: number;
   readonly burst: number;
-  /** What a request counts that names no tokens. */
+  /** Cost of a request that declares no token counts. */
   readonly plainTokens: number;
 }
 
-/** A customer with the keys that its callers show. */
+/** A customer with the keys that its callers authenticate with. */
 export interface KeyedCustomer {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the route's priority; undefined when not declared. */
+  /** Overrides the route's priority unless undefined. */
   readonly priority: number | undefined;
   /** Undefined for no limit. */
   readonly quota: Quota | undefined;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on requests and connections of callers. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
-  /** Time for sending a request's head, in milliseconds. */
+  /** Timeout for a request's head, in milliseconds. */
   readonly headerMs: number;
-  /** Time that a connection may stay idle, in milliseconds. */
+  /** Timeout of idle connections, in milliseconds. */
   readonly idleMs: number;
 }
 
-/** All that is declared about traffic, as one versioned document. */
+/** The whole traffic configuration, as one versioned document. */
 export interface TrafficPolicy {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly DeclaredService[];
-  /** Empty when no keys are asked for. */
+  /** Empty when no keys are required. */
   readonly customers: readonly KeyedCustomer[];
   readonly limits: CallerLimits;
 }
 
-/** One process of a service, as it registers itself. */
+/** One process of a service, as registered by itself. */
 export interface RegisteredEndpoint {
   readonly id: string;
-  /** Wall-clock milliseconds of its start, where it says so; tells a restart under the same id. */
+  /**
+   * Wall-clock start time in milliseconds; tells restarts under one id apart.
+   */
   readonly bornAt: number;
   readonly service: string;
   /** `IP:port`. */
@@ -129,29 +128,29 @@
 
 export type RolloutState = 'running' | 'done' | 'rolled-back';
 
-/** An operator's wish that a service's traffic goes to another version. */
+/** An operator's request to move a service's traffic to another version. */
 export interface Rollout {
   readonly service: string;
   readonly target: string;
-  /** Time from the order to its deadline, in milliseconds. */
+  /** Time from the request to its deadline, in milliseconds. */
   readonly periodMs: number;
-  /** What the system has written of it; undefined before the first time. */
+  /** State last written by the system; undefined before the first write. */
   readonly state: RolloutState | undefined;
-  /** The target that the state is about. */
+  /** Target to which the state applies. */
   readonly stateTarget: string | undefined;
 }
 
-/** A part of a prompt that requests may share. */
+/** A part of a prompt, which several requests may have in common. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** A model request's size, as its caller declares it. */
+/** Size of a model request as declared by its caller. */
 export interface ModelDemand {
   readonly model: string;
   readonly promptTokens: number;
   readonly mostOutputTokens: number;
-  /** In order; the last belongs to the request alone. */
+  /** In order; the last is not shared with other requests. */
   readonly parts: readonly PromptPart[];
 }
--- a/packages/traffic/src/customerTable.ts
+++ b/packages/traffic/src/customerTable.ts
@@ -1,15 +1,16 @@
-/** Finds the customer who holds a key. */
+/** Looks up customers by their keys. */
 import type {KeyedCustomer} from './contracts.js';
 
 export interface CustomerTable {
-  /** Whether requests need a key at all. */
+  /** Whether requests need a key. */
   readonly isKeyed: boolean;
   holderOf(key: string): KeyedCustomer | undefined;
 }
 
 /**
- * Makes the table of all customers' keys. Keys are looked up as a whole in a
- * hash table, so that no comparison ends early at the first differing letter.
+ * Creates the table of all customers' keys. A hash lookup of the whole key
+ * avoids comparisons that stop at the first differing character (a timing side
+ * channel).
  *
  * @example
  * const customer = createCustomerTable(policy.customers).holderOf(key);
--- a/packages/traffic/src/engineWork.ts
+++ b/packages/traffic/src/engineWork.ts
@@ -1,11 +1,11 @@
-/** How much of an engine's time requests take, by what is known of its speed. */
+/** Amounts of work that requests cause, and the engine time that they take. */
 import type {EngineFigures, WorkRate} from '@skylarkfield/capacity';
 import type {EngineTerms, ModelDemand} from './contracts.js';
 
-const PAIRS_UNIT = 1e6;
-const CONTEXT_UNIT = 1e3;
+const PAIRS_PER_UNIT = 1e6;
+const CONTEXT_TOKENS_PER_UNIT = 1e3;
 
-/** No work at all. */
+/** Zero work. */
 export const NO_WORK: WorkRate = {
   ownTokens: 0,
   pairs: 0,
@@ -15,8 +15,8 @@
 };
 
 /**
- * The tokens that no cache holds: the prompt's last part belongs to the request
- * alone.
+ * Returns the tokens that no cache holds: those of the prompt's last part,
+ * which is not shared with other requests.
  *
  * @example
  * const tokens = ownTokens(demand);
@@ -27,9 +27,9 @@
 }
 
 /**
- * Whether an engine's memory can hold the prompt at all. Callers write what they
- * like into a request: counted as work, one absurd size would order endpoints
- * without end and drown all that was learned.
+ * Returns whether an engine's memory can hold the prompt. The declared size is
+ * untrusted: counted as work, one absurd value would order endpoints without
+ * bound and distort the learned estimates.
  *
  * @example
  * if (fitsMemory(demand, service.engine)) { work.note(name, promptWork(demand)); }
@@ -42,22 +42,23 @@
 }
 
 /**
- * Work of a prompt whose shared parts are cached. Every token looks at those
- * before it, so long prompts take more than their tokens.
+ * Returns the work of a prompt whose shared parts are cached. Every token
+ * attends to those before it, so the work grows faster than the number of
+ * tokens.
  *
  * @example
  * work.note('chat', promptWork(demand));
  */
 export function promptWork(demand: ModelDemand): WorkRate {
   const own = ownTokens(demand);
-  const pairs = (own * demand.promptTokens) / PAIRS_UNIT;
+  const pairs = (own * demand.promptTokens) / PAIRS_PER_UNIT;
   return {...NO_WORK, ownTokens: own, pairs};
 }
 
 /**
- * Work that an answer of so many tokens adds. Counted when it has ended: callers
- * allow far more tokens than answers have. A step's fixed part is left out: all
- * that run together share it.
+ * Returns the work of an answer. Counted when the answer has ended: the
+ * declared maximum is far above the actual length. The fixed cost of a step is
+ * left out: all requests of a batch share it.
  *
  * @example
  * work.note('chat', answerWork(demand, 48 * 8));
@@ -66,13 +67,14 @@
   demand: ModelDemand,
   answerTokens: number,
 ): WorkRate {
-  const answerContext = (answerTokens * demand.promptTokens) / CONTEXT_UNIT;
+  const answerContext =
+    (answerTokens * demand.promptTokens) / CONTEXT_TOKENS_PER_UNIT;
   return {...NO_WORK, answerTokens, answerContext};
 }
 
 /**
- * Milliseconds of one engine that the work takes, by what is known of engines
- * now.
+ * Returns the milliseconds of one engine that the work takes, by the current
+ * estimate of its speed.
  *
  * @example
  * const busyMs = workMs(work.rates().chat, figures);
@@ -91,7 +93,7 @@
  * Adds two amounts of work.
  *
  * @example
- * const all = addWork(own, theirs);
+ * const total = addWork(own, peers);
  */
 export function addWork(a: WorkRate, b: WorkRate): WorkRate {
   return {
@@ -104,7 +106,7 @@
 }
 
 /**
- * Work times a factor.
+ * Multiplies an amount of work by a factor.
  *
  * @example
  * const half = scaleWork(work, 0.5);
--- a/packages/traffic/src/fleetDemand.ts
+++ b/packages/traffic/src/fleetDemand.ts
@@ -1,131 +1,152 @@
 /**
- * How many endpoints a service needs, from work that comes in clumps and waves.
+ * Number of endpoints that a service needs for bursty work.
  *
  * An endpoint takes seconds to start and is paid for from then on. Following
- * each clump would order endpoints that are there when it is over, and send
- * away those that the next one needs: so the need rises with the work and falls
- * only when the work has been lower for a while.
+ * each burst would order endpoints that are ready when it is over, and release
+ * those that the next one needs. So the need rises with the work at once and
+ * falls only after the work has been lower for a while.
  *
- * What is known of engines may be wrong. Then callers show it: while many of
- * them wait too long, more endpoints are needed than there are, whatever the
- * work says, and none is sent away before they have been served well for a while.
+ * The estimated engine speed may be wrong, which shows in late requests. While
+ * many are late, more endpoints are needed than are present, whatever the work
+ * rate, and none is released until requests have been on time for a while.
  */
 import type {Clock} from '@skylarkfield/base';
 import type {UsePlan} from '@skylarkfield/capacity';
 import {endpointsNeeded, type EndpointNeed} from './fleetPlan.js';
 
-/** What the need follows from. */
+/** Inputs of the estimated need. */
 export interface DemandSigns {
-  /** Work that comes in, in milliseconds of one endpoint a second. */
+  /** Arriving work, in milliseconds of one endpoint per second. */
   readonly workRate: number;
-  /** Parts of an endpoint's time that may be planned for. */
+  /** Target utilization of an endpoint. */
   readonly use: UsePlan;
-  /** Endpoints that take requests now. */
+  /** Endpoints that accept requests now. */
   readonly present: number;
-  /** Part of the callers that waited too long lately. */
+  /** Fraction of recent requests that were late. */
   readonly latePart: number;
-  /** Enough was seen of engines to send endpoints away by it. */
+  /** Whether the engine estimate is good enough to release endpoints by it. */
   readonly isSure: boolean;
 }
 
 export interface FleetDemand {
-  /** Notes what is seen now and returns the endpoints needed. */
-  note(signs: DemandSigns): EndpointNeed;
+  /** Records the present signals and returns the endpoints needed. */
+  note(signals: DemandSigns): EndpointNeed;
 }
 
-/** The need falls only to the most of this span, in milliseconds: longer than a wave's trough is deep. */
-const MEMORY_MS = 8_000;
+/**
+ * The need is the maximum over this window, in milliseconds. It is longer than
+ * the lulls between bursts.
+ */
+const SCALE_DOWN_WINDOW_MS = 8_000;
 
 /**
- * Before any work was seen, this part of the endpoints found at the start is
- * kept: operators size them for the busiest hour.
+ * Fraction of the endpoints found at the start that is kept until work was
+ * seen: operators size the initial fleet for the busiest hour.
  */
-const INITIAL_PART = 0.6;
+const INITIAL_FRACTION = 0.6;
 
-/** After the first work was seen, the initial part is kept this long: the rate is still rising to what it is. */
-const LEARNING_MS = 8_000;
+/**
+ * Time after the first work during which the initial fraction is kept, in
+ * milliseconds: the smoothed work rate is still rising.
+ */
+const WARMUP_MS = 8_000;
 
-/** A rate below this is a stray request, in milliseconds of one endpoint a second. */
-const LEAST_WORK = 50;
+/**
+ * Lower bound of a work rate that is more than a stray request, in milliseconds
+ * of one endpoint per second.
+ */
+const MIN_WORK_RATE = 50;
 
-/** From this part of late callers on there are too few endpoints. */
-const MANY_LATE = 0.2;
+/** Fraction of late requests from which on there are too few endpoints. */
+const LATE_FRACTION_LIMIT = 0.2;
 
-/** Endpoints beyond those present that are asked for while many callers are late. */
-const MORE_FACTOR = 1.25;
+/** Endpoints needed per endpoint present while many requests are late. */
+const SCALE_UP_FACTOR = 1.25;
 
-/** Callers may be late for other reasons, like failing endpoints: no more than this multiple of what the work needs. */
-const MOST_OVER_WORK = 2;
+/**
+ * Upper bound of the need from late requests, as a multiple of the need from
+ * work: requests may be late for other reasons, such as failing endpoints.
+ */
+const MAX_SCALE_UP_OVER_WORK = 2;
 
-interface NotedNeed extends EndpointNeed {
+interface NeedSample extends EndpointNeed {
   readonly at: number;
 }
 
 /**
- * Makes the demand of one service.
+ * Creates the demand estimator of one service.
  *
  * @example
  * const {usual} = demand.note({workRate: 1_400, use, present: 6, latePart: 0, isSure: true});
  */
 export function createFleetDemand(clock: Clock): FleetDemand {
-  let noted: NotedNeed[] = [];
-  let found = 0;
-  let workSince: number | undefined;
+  let recentNeeds: NeedSample[] = [];
+  let initialCount = 0;
+  let firstWorkAt: number | undefined;
   let wasSure = false;
 
-  function floor(isSure: boolean): number {
-    const isLearning =
+  function minEndpoints(isSure: boolean): number {
+    const isWarmingUp =
       !isSure ||
-      workSince === undefined ||
-      clock.now() - workSince < LEARNING_MS;
-    return isLearning ? Math.ceil(found * INITIAL_PART) : 1;
+      firstWorkAt === undefined ||
+      clock.now() - firstWorkAt < WARMUP_MS;
+    return isWarmingUp ? Math.ceil(initialCount * INITIAL_FRACTION) : 1;
   }
 
-  /** What callers show: more than there is while many of them are late. */
-  function needOfCallers({latePart, present}: DemandSigns): number {
-    return latePart < MANY_LATE ? 1 : Math.ceil(present * MORE_FACTOR);
+  /** Returns more endpoints than are present while many requests are late. */
+  function needFromLateness({latePart, present}: DemandSigns): number {
+    return latePart < LATE_FRACTION_LIMIT
+      ? 1
+      : Math.ceil(present * SCALE_UP_FACTOR);
   }
 
-  function needOfWork(signs: DemandSigns, use: number): number {
-    const needed = endpointsNeeded(signs.workRate, use);
-    // A guess must not order beyond what the operator had found enough.
-    return signs.isSure ? needed : Math.min(needed, Math.max(1, found));
+  function needFromWork(signals: DemandSigns, utilization: number): number {
+    const needed = endpointsNeeded(signals.workRate, utilization);
+    // An uncertain estimate must not exceed the operator's initial fleet.
+    return signals.isSure
+      ? needed
+      : Math.min(needed, Math.max(1, initialCount));
   }
 
-  function needNow(signs: DemandSigns): NotedNeed {
-    const usual = needOfWork(signs, signs.use.usual);
-    const brief = needOfWork(signs, signs.use.brief);
-    const late = Math.min(needOfCallers(signs), usual * MOST_OVER_WORK);
+  function currentNeed(signals: DemandSigns): NeedSample {
+    const usual = needFromWork(signals, signals.use.usual);
+    const brief = needFromWork(signals, signals.use.brief);
+    const lateNeed = Math.min(
+      needFromLateness(signals),
+      usual * MAX_SCALE_UP_OVER_WORK,
+    );
     return {
       at: clock.now(),
-      usual: Math.max(usual, late),
-      brief: Math.max(brief, late),
+      usual: Math.max(usual, lateNeed),
+      brief: Math.max(brief, lateNeed),
     };
   }
 
-  function noteStart({workRate, present, isSure}: DemandSigns): void {
-    if (workSince === undefined) {
-      // Endpoints register one after the other when a system starts.
-      found = Math.max(found, present);
+  function recordStart({workRate, present, isSure}: DemandSigns): void {
+    if (firstWorkAt === undefined) {
+      // Endpoints register one by one when the system starts.
+      initialCount = Math.max(initialCount, present);
     }
-    if (workRate >= LEAST_WORK) {
-      workSince ??= clock.now();
+    if (workRate >= MIN_WORK_RATE) {
+      firstWorkAt ??= clock.now();
     }
     if (isSure && !wasSure) {
-      noted = [];
+      recentNeeds = [];
     }
     wasSure = isSure;
   }
 
   return {
-    note(signs) {
-      noteStart(signs);
-      noted.push(needNow(signs));
-      noted = noted.filter(({at}) => clock.now() - at <= MEMORY_MS);
-      const least = floor(signs.isSure);
+    note(signals) {
+      recordStart(signals);
+      recentNeeds.push(currentNeed(signals));
+      recentNeeds = recentNeeds.filter(
+        ({at}) => clock.now() - at <= SCALE_DOWN_WINDOW_MS,
+      );
+      const minNeed = minEndpoints(signals.isSure);
       return {
-        usual: Math.max(least, ...noted.map(({usual}) => usual)),
-        brief: Math.max(least, ...noted.map(({brief}) => brief)),
+        usual: Math.max(minNeed, ...recentNeeds.map(({usual}) => usual)),
+        brief: Math.max(minNeed, ...recentNeeds.map(({brief}) => brief)),
       };
     },
   };
--- a/packages/traffic/src/fleetPlan.ts
+++ b/packages/traffic/src/fleetPlan.ts
@@ -1,18 +1,19 @@
 /**
- * How many endpoints of a service to have in each failure domain and market.
+ * Number of endpoints of a service in each failure domain and market.
  *
- * Reclaimable endpoints cost a fraction and are taken back a failure domain at a
- * time, with seconds of notice, and for a while none may be had. So the plan
- * holds a base of endpoints that stay, and spreads reclaimable ones so that the
- * loss of any one failure domain leaves what is bearable until others have
- * started. While none may be had, endpoints that stay fill up to that, and no
- * further: the rest is worth the price of reclaimable ones only.
+ * Reclaimable endpoints cost a fraction, but a whole failure domain of them is
+ * reclaimed at once with seconds of notice, and then none may be available for
+ * a while. So the plan has a base of on-demand endpoints and spreads
+ * reclaimable ones so that the loss of any one failure domain leaves the brief
+ * need until replacements have started. While none are available, on-demand
+ * endpoints fill up to the brief need only: the remainder is not worth their
+ * price.
  */
 import type {FleetTerms} from './contracts.js';
 
 /** Endpoints of one service in one failure domain. */
 export interface DomainFleet {
-  /** Not reclaimable. */
+  /** Endpoints that are not reclaimable. */
   readonly onDemand: number;
   readonly reclaimable: number;
 }
@@ -21,33 +22,39 @@
 
 /** Endpoints that a service needs. */
 export interface EndpointNeed {
-  /** While all is well. */
+  /** In normal operation. */
   readonly usual: number;
-  /** For the seconds after a failure domain was lost. */
+  /** For the seconds after a failure domain is lost. */
   readonly brief: number;
 }
 
-export interface FleetNeed {
+export interface FleetPlanInput {
   readonly terms: FleetTerms;
   readonly needed: EndpointNeed;
-  /** Failure domains where no reclaimable ones are to be had at present, with how many are there. */
+  /**
+   * Number of reclaimable endpoints present in the failure domains where no more
+   * are available.
+   */
   readonly scarce: ReadonlyMap<string, number>;
 }
 
-/** Part of the demand that endpoints which can't be reclaimed carry by themselves. */
-const STANDING_PART = 0.25;
+/** Fraction of the usual need that on-demand endpoints cover. */
+const ON_DEMAND_FRACTION = 0.25;
 
 const SECOND_MS = 1_000;
 
 /**
- * Endpoints that the work needs, in milliseconds of one endpoint a second, when
- * such a part of their time may be planned for.
+ * Returns the endpoints needed for a work rate, in milliseconds of one endpoint
+ * per second, at a target utilization.
  *
  * @example
  * const count = endpointsNeeded(2_600, 0.34); // 8
  */
-export function endpointsNeeded(workRate: number, plannedUse: number): number {
-  return Math.max(1, Math.ceil(workRate / (SECOND_MS * plannedUse)));
+export function endpointsNeeded(
+  workRate: number,
+  targetUtilization: number,
+): number {
+  return Math.max(1, Math.ceil(workRate / (SECOND_MS * targetUtilization)));
 }
 
 /**
@@ -56,7 +63,7 @@
  * @example
  * const plan = planFleet({terms, needed: {usual: 4, brief: 3}, scarce: new Map()});
  */
-export function planFleet({terms, needed, scarce}: FleetNeed): FleetPlan {
+export function planFleet({terms, needed, scarce}: FleetPlanInput): FleetPlan {
   const domains = Object.keys(terms.prices).sort(
     (a, b) => terms.prices[a]! - terms.prices[b]!,
   );
@@ -66,17 +73,17 @@
       {onDemand: 0, reclaimable: scarce.get(domain) ?? 0},
     ]),
   );
-  const isReclaimable = (domain: string) =>
+  const canAddReclaimable = (domain: string) =>
     terms.reclaimablePrice !== undefined && !scarce.has(domain);
 
-  function total(domain: string): number {
+  function domainTotal(domain: string): number {
     const {onDemand, reclaimable} = counts.get(domain)!;
     return onDemand + reclaimable;
   }
 
-  function addStanding(count: number): void {
-    for (let left = count; left > 0; left--) {
-      const domain = domains.find(name => total(name) < terms.most);
+  function addOnDemand(count: number): void {
+    for (let remaining = count; remaining > 0; remaining--) {
+      const domain = domains.find(name => domainTotal(name) < terms.most);
       if (domain === undefined) {
         return;
       }
@@ -84,32 +91,34 @@
     }
   }
 
-  function sum(): number {
-    return domains.reduce((all, domain) => all + total(domain), 0);
+  function fleetTotal(): number {
+    return domains.reduce((all, domain) => all + domainTotal(domain), 0);
   }
 
-  /** What is left when the failure domain with most reclaimable ones loses them. */
-  function leftAfterLoss(): number {
-    const lost = [...counts.values()].map(({reclaimable}) => reclaimable);
-    return sum() - Math.max(0, ...lost);
+  /** Endpoints left when one failure domain loses its reclaimable ones. */
+  function remainingAfterLoss(): number {
+    const reclaimableCounts = [...counts.values()].map(
+      ({reclaimable}) => reclaimable,
+    );
+    return fleetTotal() - Math.max(0, ...reclaimableCounts);
   }
 
-  addStanding(Math.max(1, Math.round(needed.usual * STANDING_PART)));
+  addOnDemand(Math.max(1, Math.round(needed.usual * ON_DEMAND_FRACTION)));
   for (const domain of domains) {
-    const missing = terms.least - total(domain);
-    if (missing > 0 && isReclaimable(domain)) {
+    const missing = terms.least - domainTotal(domain);
+    if (missing > 0 && canAddReclaimable(domain)) {
       counts.get(domain)!.reclaimable += missing;
     }
   }
-  while (leftAfterLoss() < needed.brief || sum() < needed.usual) {
+  while (remainingAfterLoss() < needed.brief || fleetTotal() < needed.usual) {
     const domain = domains
-      .filter(name => isReclaimable(name) && total(name) < terms.most)
-      .sort((a, b) => total(a) - total(b))[0];
+      .filter(name => canAddReclaimable(name) && domainTotal(name) < terms.most)
+      .sort((a, b) => domainTotal(a) - domainTotal(b))[0];
     if (domain === undefined) {
       break;
     }
     counts.get(domain)!.reclaimable += 1;
   }
-  addStanding(needed.brief - sum());
+  addOnDemand(needed.brief - fleetTotal());
   return Object.fromEntries(counts);
 }
--- a/packages/traffic/src/index.ts
+++ b/packages/traffic/src/index.ts
@@ -1,4 +1,4 @@
-/** Routes, keys, quotas, usage and fleets: decisions about traffic, without I/O. */
+/** Routes, keys, quotas, usage and fleets: traffic decisions without I/O. */
 export * from './confirmation.js';
 export * from './contracts.js';
 export * from './customerTable.js';
--- a/packages/traffic/src/quotaWindow.ts
+++ b/packages/traffic/src/quotaWindow.ts
@@ -1,14 +1,17 @@
 /** Sliding window over one customer's usage, at this entry and at its peers. */
 
-/** Resolution of a window. */
-const SLOTS = 32;
+/** Number of slots that a window is divided into. */
+const SLOTS_PER_WINDOW = 32;
 
 export interface QuotaWindow {
   /** Records usage; negative amounts are refunds. */
   add(now: number, source: UsageSource, amount: number): void;
   /** Weighted usage within the window. */
   used(now: number, weights: UsageWeights): number;
-  /** Milliseconds until usage falls below a limit without new requests, at most the window. */
+  /**
+   * Milliseconds until usage without new requests is below a limit, at most the
+   * window.
+   */
   msUntilBelow(now: number, weights: UsageWeights, limit: number): number;
   /** Scales all recorded usage. */
   scale(factor: number): void;
@@ -26,8 +29,8 @@
 const SOURCES = ['own', 'others', 'before'] as const;
 
 /**
- * Creates a window that ends at `now`, in monotonic milliseconds, with an initial
- * usage spread evenly over it.
+ * Creates a window that ends at `now`, in monotonic milliseconds, with an
+ * initial usage spread evenly over it.
  *
  * @example
  * const window = createQuotaWindow({windowMs: 8_000, now: clock.now(), initial: 700});
@@ -38,70 +41,70 @@
   readonly now: number;
   readonly initial: number;
 }): QuotaWindow {
-  const slotMs = options.windowMs / SLOTS;
+  const slotMs = options.windowMs / SLOTS_PER_WINDOW;
   // One more than the window, since the newest slot is incomplete.
-  const length = SLOTS + 1;
+  const slotCount = SLOTS_PER_WINDOW + 1;
   const slots: Record<UsageSource, number[]> = {
-    own: new Array<number>(length).fill(0),
-    others: new Array<number>(length).fill(0),
-    before: new Array<number>(length).fill(options.initial / length),
+    own: new Array<number>(slotCount).fill(0),
+    others: new Array<number>(slotCount).fill(0),
+    before: new Array<number>(slotCount).fill(options.initial / slotCount),
   };
   const totals: Record<UsageSource, number> = {
     own: 0,
     others: 0,
     before: options.initial,
   };
-  let newest = Math.floor(options.now / slotMs);
+  let newestSlot = Math.floor(options.now / slotMs);
 
   function advance(now: number): void {
-    const target = Math.floor(now / slotMs);
-    newest = Math.max(newest, target - length);
-    while (newest < target) {
-      newest += 1;
-      SOURCES.forEach(source => drop(source, newest % length));
+    const currentSlot = Math.floor(now / slotMs);
+    newestSlot = Math.max(newestSlot, currentSlot - slotCount);
+    while (newestSlot < currentSlot) {
+      newestSlot += 1;
+      SOURCES.forEach(source => clearSlot(source, newestSlot % slotCount));
     }
   }
 
-  function drop(source: UsageSource, place: number): void {
-    totals[source] -= slots[source][place]!;
-    slots[source][place] = 0;
+  function clearSlot(source: UsageSource, index: number): void {
+    totals[source] -= slots[source][index]!;
+    slots[source][index] = 0;
   }
 
-  function weighted(
+  function weightedSum(
     {own, others, before}: Readonly<Record<UsageSource, number>>,
     weights: UsageWeights,
   ): number {
     return own + others * weights.others + before * weights.before;
   }
 
-  function slotAt(place: number): Record<UsageSource, number> {
+  function slotAt(index: number): Record<UsageSource, number> {
     return {
-      own: slots.own[place]!,
-      others: slots.others[place]!,
-      before: slots.before[place]!,
+      own: slots.own[index]!,
+      others: slots.others[index]!,
+      before: slots.before[index]!,
     };
   }
 
   return {
     add(now, source, amount) {
       advance(now);
-      const place = newest % length;
-      slots[source][place] = slots[source][place]! + amount;
+      const index = newestSlot % slotCount;
+      slots[source][index] = slots[source][index]! + amount;
       totals[source] += amount;
     },
     used(now, weights) {
       advance(now);
-      return weighted(totals, weights);
+      return weightedSum(totals, weights);
     },
     msUntilBelow(now, weights, limit) {
       advance(now);
-      let rest = weighted(totals, weights);
-      for (let step = 1; step <= length; step++) {
-        if (rest < limit) {
-          return step === 1 ? 0 : (newest + step - 1) * slotMs - now;
+      let remaining = weightedSum(totals, weights);
+      for (let step = 1; step <= slotCount; step++) {
+        if (remaining < limit) {
+          return step === 1 ? 0 : (newestSlot + step - 1) * slotMs - now;
         }
-        const place = (newest + step) % length;
-        rest -= weighted(slotAt(place), weights);
+        const index = (newestSlot + step) % slotCount;
+        remaining -= weightedSum(slotAt(index), weights);
       }
       return options.windowMs;
     },
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -3,8 +3,9 @@
  *
  * A quota allows rate times window plus burst in any window. Entries exchange
  * their cumulative usage, and each enforces the fleet-wide quota on its own and
- * the reported usage. An entry that hears only some peers grants a proportional
- * part, so that both sides of a partition together stay within the quota.
+ * the reported usage. An entry that has reports from only some peers grants a
+ * proportional fraction, so that both sides of a partition together stay within
+ * the quota.
  */
 import type {Clock, Logger} from '@skylarkfield/base';
 import type {KeyedCustomer, Quota} from './contracts.js';
@@ -14,8 +15,8 @@
   type UsageWeights,
 } from './quotaWindow.js';
 
-/** Usage by customer; of an entry, since its process started. */
-export type UsedAmounts = Readonly<Record<string, number>>;
+/** Usage by customer; that of an entry counts from the start of its process. */
+export type UsageByCustomer = Readonly<Record<string, number>>;
 
 export interface Quotas {
   /** Charges the customer's quota; false when it is exhausted. */
@@ -23,31 +24,36 @@
   /** Refunds a request that has not run. */
   giveBack(customer: KeyedCustomer, amount: number): void;
   /**
-   * Retry-After of a rejected request, in milliseconds, queued behind the
-   * retries that were announced before it.
+   * Returns the Retry-After of a rejected request in milliseconds, staggered
+   * behind the retries already announced.
    */
   waitMs(customer: KeyedCustomer, amount: number): number;
-  /** Usage at this entry, to report to peers. */
-  used(): UsedAmounts;
-  /** Takes what peers have used since they last reported. */
-  noteIncrease(increase: UsedAmounts): void;
+  /** Returns the usage at this entry, to report to peers. */
+  used(): UsageByCustomer;
+  /** Adds the usage of peers since their last report. */
+  noteIncrease(increase: UsageByCustomer): void;
   /**
-   * Fraction of the peers heard recently, 0 to 1, and the number of entries.
-   * `silentMs` is how long peers have been silent that are no longer heard.
+   * Sets the fraction of peers with a recent report, 0 to 1, and the number of
+   * entries. `silentMs` is the time without a report after which a peer no
+   * longer counts as reporting.
    */
-  setHeard(heardFraction: number, entryCount: number, silentMs?: number): void;
+  setHeard(
+    reportingFraction: number,
+    entryCount: number,
+    silentMs?: number,
+  ): void;
   dump(): unknown;
 }
 
 interface Account {
-  /** Tokens left; negative after an overshoot, which later requests pay back. */
+  /** Tokens left; negative after an overshoot, until the refill repays it. */
   level: number;
-  filledAt: number;
+  refilledAt: number;
   readonly window: QuotaWindow;
   /** Allowance per window under the quota last seen. */
   allowance: number;
   /** End of the announced retries, in monotonic milliseconds. */
-  promisedUntil: number;
+  retriesAnnouncedUntil: number;
   /** Time of the last log line about its usage, in monotonic milliseconds. */
   loggedAt: number;
 }
@@ -57,25 +63,29 @@
 /** Default quota window, in milliseconds. */
 const DEFAULT_WINDOW_MS = 8_000;
 
-/** Least time between the last request that a process admits and the first of its successor, in milliseconds. */
-const START_MS = 1_000;
+/**
+ * Lower bound of the time between the last request that a process admits and
+ * the first of its successor, in milliseconds.
+ */
+const MIN_RESTART_MS = 1_000;
 
 /** Upper bound of Retry-After, in milliseconds. */
-const MAX_WAIT_MS = 8_000;
+const MAX_RETRY_AFTER_MS = 8_000;
 
-/** Fraction of the allowance from which usage is logged, and the least time between two lines. */
-const LOGGED_FRACTION = 0.5;
-const LOG_EVERY_MS = 1_000;
+/** Fraction of the allowance above which usage is logged. */
+const MIN_LOGGED_FRACTION = 0.5;
+/** Minimum time between usage log lines of one customer, in milliseconds. */
+const LOG_INTERVAL_MS = 1_000;
 
-/** Least change of the granted fraction that is logged. */
-const LOGGED_CHANGE = 0.05;
+/** Minimum change of the granted fraction that is logged. */
+const MIN_LOGGED_CHANGE = 0.05;
 
 /**
  * Creates the quotas of one entry.
  *
  * @example
  * const quotas = createQuotas(clock, 8_000);
- * if (!quotas.tryTake(customer, 1_540)) { refuse(quotas.waitMs(customer, 1_540)); }
+ * if (!quotas.tryTake(customer, 1_540)) { reject(quotas.waitMs(customer, 1_540)); }
  */
 export function createQuotas(
   clock: Clock,
@@ -83,38 +93,38 @@
   log?: Logger,
 ): Quotas {
   const accounts = new Map<string, Account>();
-  const own: Record<string, number> = {};
+  const ownUsage: Record<string, number> = {};
   /** Fraction of the quota that this entry may grant. */
-  let part = 1;
+  let grantedFraction = 1;
   let weights: UsageWeights = {others: 1, before: 1};
-  let loggedPart = part;
-  /** Number of peers heard. */
-  let heard = 0;
+  let loggedFraction = grantedFraction;
+  /** Number of peers with a recent report. */
+  let reportingPeers = 0;
   const startedAt = clock.now();
 
-  function allowanceOf({perSecond, burst}: Quota): number {
+  function windowAllowance({perSecond, burst}: Quota): number {
     return (perSecond * windowMs) / SECOND_MS + burst;
   }
 
-  /** Refill rate in tokens per millisecond; spreads the whole allowance over the window. */
-  function perMs({perSecond, burst}: Quota): number {
-    return (perSecond / SECOND_MS + burst / windowMs) * part;
+  /** Tokens refilled per millisecond; spreads the allowance over the window. */
+  function refillPerMs({perSecond, burst}: Quota): number {
+    return (perSecond / SECOND_MS + burst / windowMs) * grantedFraction;
   }
 
   /**
-   * An entry that starts does not know what was granted before. At worst the
-   * customer has just overdrawn its burst, so the bucket starts with what a
-   * start takes to refill, and gets nothing more until that is paid back.
+   * Creates an account without knowledge of what was granted before the start.
+   * At worst the customer has just overdrawn its burst, so the bucket starts
+   * with the refill of one restart and gets no more until that is repaid.
    */
-  function openAccount(quota: Quota): Account {
+  function createAccount(quota: Quota): Account {
     const now = clock.now();
-    const allowance = allowanceOf(quota);
-    const refill = allowance / windowMs;
-    const level = Math.min(quota.burst, refill * START_MS);
-    const paidBackAt = startedAt + (quota.burst + level) / refill;
+    const allowance = windowAllowance(quota);
+    const refillRate = allowance / windowMs;
+    const level = Math.min(quota.burst, refillRate * MIN_RESTART_MS);
+    const repaidAt = startedAt + (quota.burst + level) / refillRate;
     return {
       level,
-      filledAt: Math.max(now, paidBackAt),
+      refilledAt: Math.max(now, repaidAt),
       // Earlier usage is unknown, so all but the burst counts as used.
       window: createQuotaWindow({
         windowMs,
@@ -122,69 +132,74 @@
         initial: allowance - quota.burst,
       }),
       allowance,
-      promisedUntil: 0,
+      retriesAnnouncedUntil: 0,
       loggedAt: now,
     };
   }
 
-  function opened(name: string, quota: Quota): Account {
-    const account = openAccount(quota);
+  function openAccount(name: string, quota: Quota): Account {
+    const account = createAccount(quota);
     accounts.set(name, account);
     log?.info(
-      {customer: name, part, ...stateOf(account)},
+      {customer: name, part: grantedFraction, ...accountState(account)},
       'quota account opened',
     );
     return account;
   }
 
-  function accountOf(name: string, quota: Quota): Account {
-    const account = accounts.get(name) ?? opened(name, quota);
+  function currentAccount(name: string, quota: Quota): Account {
+    const account = accounts.get(name) ?? openAccount(name, quota);
     const now = clock.now();
-    const grown = Math.max(0, now - account.filledAt) * perMs(quota);
-    account.level = Math.min(quota.burst, account.level + grown);
-    account.filledAt = Math.max(now, account.filledAt);
-    const allowance = allowanceOf(quota);
+    const refill = Math.max(0, now - account.refilledAt) * refillPerMs(quota);
+    account.level = Math.min(quota.burst, account.level + refill);
+    account.refilledAt = Math.max(now, account.refilledAt);
+    const allowance = windowAllowance(quota);
     if (allowance < account.allowance) {
-      // Usage under a higher quota would otherwise block the customer for a window.
+      // Else usage under a higher quota would block the customer for a window.
       account.window.scale(allowance / account.allowance);
     }
     account.allowance = allowance;
     return account;
   }
 
-  function usedOf({window}: Account): number {
+  function windowUsage({window}: Account): number {
     return window.used(clock.now(), weights);
   }
 
-  function stateOf(account: Account) {
+  function accountState(account: Account) {
     return {
       level: Math.round(account.level),
-      used: Math.round(usedOf(account)),
+      used: Math.round(windowUsage(account)),
       allowance: Math.round(account.allowance),
     };
   }
 
-  function count(name: string, account: Account, amount: number): void {
+  function recordUsage(name: string, account: Account, amount: number): void {
     account.window.add(clock.now(), 'own', amount);
     account.level -= amount;
-    own[name] = (own[name] ?? 0) + amount;
+    ownUsage[name] = (ownUsage[name] ?? 0) + amount;
   }
 
-  function noteUsage(name: string, account: Account): void {
+  function logUsage(name: string, account: Account): void {
     const now = clock.now();
-    const isDue = now - account.loggedAt >= LOG_EVERY_MS;
-    const limit = account.allowance * part * LOGGED_FRACTION;
-    if (log !== undefined && isDue && usedOf(account) > limit) {
+    const isDue = now - account.loggedAt >= LOG_INTERVAL_MS;
+    const limit = account.allowance * grantedFraction * MIN_LOGGED_FRACTION;
+    if (log !== undefined && isDue && windowUsage(account) > limit) {
       account.loggedAt = now;
       log.info(
-        {customer: name, part, own: own[name], ...stateOf(account)},
+        {
+          customer: name,
+          part: grantedFraction,
+          own: ownUsage[name],
+          ...accountState(account),
+        },
         'quota in use',
       );
     }
   }
 
-  /** Takes back what was granted for lost peers' part while they may have granted it too. */
-  function payBack(refilledMs: number): void {
+  /** Subtracts the refill of lost peers' share, which they may have granted. */
+  function undoRefill(refilledMs: number): void {
     for (const account of accounts.values()) {
       account.level -= (account.allowance / windowMs) * refilledMs;
     }
@@ -195,40 +210,51 @@
       if (quota === undefined) {
         return true;
       }
-      const account = accountOf(name, quota);
-      noteUsage(name, account);
-      // The amount is not compared: at the limit, large requests would starve.
-      const isUsedUp =
-        account.level <= 0 || usedOf(account) >= account.allowance * part;
-      if (isUsedUp) {
+      const account = currentAccount(name, quota);
+      logUsage(name, account);
+      // Compared with the level, large amounts would starve at the limit.
+      const isExhausted =
+        account.level <= 0 ||
+        windowUsage(account) >= account.allowance * grantedFraction;
+      if (isExhausted) {
         return false;
       }
-      count(name, account, amount);
+      recordUsage(name, account, amount);
       return true;
     },
     giveBack({name, quota}, amount) {
       if (quota !== undefined) {
-        count(name, accountOf(name, quota), -amount);
+        recordUsage(name, currentAccount(name, quota), -amount);
       }
     },
     waitMs({name, quota}, amount) {
       if (quota === undefined) {
         return 0;
       }
-      const account = accountOf(name, quota);
+      const account = currentAccount(name, quota);
       const now = clock.now();
-      const rate = perMs(quota);
-      const {level, filledAt} = account;
-      const freeInMs = Math.max(
-        level > 0 ? 0 : filledAt - now - level / rate,
-        account.window.msUntilBelow(now, weights, account.allowance * part),
+      const rate = refillPerMs(quota);
+      const {level, refilledAt} = account;
+      const availableInMs = Math.max(
+        level > 0 ? 0 : refilledAt - now - level / rate,
+        account.window.msUntilBelow(
+          now,
+          weights,
+          account.allowance * grantedFraction,
+        ),
       );
       // Staggered, since requests that return together would be rejected again.
-      const free = Math.max(now + freeInMs, account.promisedUntil);
-      account.promisedUntil = Math.min(now + MAX_WAIT_MS, free + amount / rate);
-      return Math.max(0, free - now);
+      const availableAt = Math.max(
+        now + availableInMs,
+        account.retriesAnnouncedUntil,
+      );
+      account.retriesAnnouncedUntil = Math.min(
+        now + MAX_RETRY_AFTER_MS,
+        availableAt + amount / rate,
+      );
+      return Math.max(0, availableAt - now);
     },
-    used: () => own,
+    used: () => ownUsage,
     noteIncrease(increase) {
       for (const [name, amount] of Object.entries(increase)) {
         const account = accounts.get(name);
@@ -238,22 +264,33 @@
         }
       }
     },
-    setHeard(heardFraction, entryCount, silentMs = 0) {
-      const others = Math.max(0, entryCount - 1);
-      const lost = Math.max(0, heard - others * heardFraction);
-      heard = others * heardFraction;
-      payBack((lost / Math.max(1, entryCount)) * silentMs);
-      part = (1 + others * heardFraction) / Math.max(1, entryCount);
-      weights = {others: heardFraction, before: part};
-      if (Math.abs(part - loggedPart) >= LOGGED_CHANGE) {
-        loggedPart = part;
-        log?.info({part, heardFraction, entryCount}, 'quota part changed');
+    setHeard(reportingFraction, entryCount, silentMs = 0) {
+      const peerCount = Math.max(0, entryCount - 1);
+      const lostPeers = Math.max(
+        0,
+        reportingPeers - peerCount * reportingFraction,
+      );
+      reportingPeers = peerCount * reportingFraction;
+      undoRefill((lostPeers / Math.max(1, entryCount)) * silentMs);
+      grantedFraction =
+        (1 + peerCount * reportingFraction) / Math.max(1, entryCount);
+      weights = {others: reportingFraction, before: grantedFraction};
+      if (Math.abs(grantedFraction - loggedFraction) >= MIN_LOGGED_CHANGE) {
+        loggedFraction = grantedFraction;
+        log?.info(
+          {
+            part: grantedFraction,
+            heardFraction: reportingFraction,
+            entryCount,
+          },
+          'granted quota fraction changed',
+        );
       }
     },
     dump: () => ({
-      part,
+      part: grantedFraction,
       accounts: Object.fromEntries(
-        [...accounts].map(([name, account]) => [name, stateOf(account)]),
+        [...accounts].map(([name, account]) => [name, accountState(account)]),
       ),
     }),
   };
--- a/packages/traffic/src/repeatability.ts
+++ b/packages/traffic/src/repeatability.ts
@@ -1,9 +1,9 @@
-/** Whether a request may run more than once. */
+/** Whether requests may run more than once. */
 import type {Route} from './contracts.js';
 
 /**
- * Whether requests of a route may run again at another endpoint although they
- * may have run before: idempotent ones, and streams that can be resumed.
+ * Returns whether requests of a route may run at another endpoint although they
+ * may already have run: idempotent ones and resumable streams.
  *
  * @example
  * if (isRepeatable(call.route)) { retry(); }
--- a/packages/traffic/src/rolloutStates.ts
+++ b/packages/traffic/src/rolloutStates.ts
@@ -1,9 +1,9 @@
-/** What the system has said of an operator's rollout. */
+/** State of a rollout that was written for its present target. */
 import type {Rollout, RolloutState} from './contracts.js';
 
 /**
- * The state that was written about the rollout's present target; undefined when
- * none was: a state of an earlier target says nothing of this one.
+ * Returns the state written for the rollout's present target; undefined if
+ * there is none, as the state of an earlier target does not apply.
  *
  * @example
  * if (writtenState(rollout) === 'done') { useTarget(); }
--- a/packages/traffic/src/routeTable.ts
+++ b/packages/traffic/src/routeTable.ts
@@ -1,13 +1,13 @@
-/** Finds the route of a request. */
+/** Matches requests to routes. */
 import type {Route, TrafficPolicy} from './contracts.js';
 
 export interface RouteTable {
-  /** The route with the longest path prefix of that authority; undefined when none matches. */
+  /** Returns the route with the longest matching path prefix, if any. */
   match(authority: string, path: string): Route | undefined;
 }
 
 /**
- * Makes the table of a policy's routes.
+ * Creates the table of a policy's routes.
  *
  * @example
  * const table = createRouteTable(policy.routes);
@@ -16,29 +16,31 @@
 export function createRouteTable(routes: TrafficPolicy['routes']): RouteTable {
   const byAuthority = new Map<string, Route[]>();
   for (const route of routes) {
-    const authority = normalize(route.authority);
-    const known = byAuthority.get(authority) ?? [];
-    known.push(route);
-    byAuthority.set(authority, known);
+    const authority = normalizeAuthority(route.authority);
+    const authorityRoutes = byAuthority.get(authority) ?? [];
+    authorityRoutes.push(route);
+    byAuthority.set(authority, authorityRoutes);
   }
-  for (const known of byAuthority.values()) {
-    known.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
+  for (const authorityRoutes of byAuthority.values()) {
+    authorityRoutes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
   }
   return {
     match(authority, path) {
-      const known = byAuthority.get(normalize(authority));
-      const pathname = withoutQuery(path);
-      return known?.find(route => pathname.startsWith(route.pathPrefix));
+      const authorityRoutes = byAuthority.get(normalizeAuthority(authority));
+      const pathname = stripQuery(path);
+      return authorityRoutes?.find(route =>
+        pathname.startsWith(route.pathPrefix),
+      );
     },
   };
 }
 
-/** Authorities compare without case and without a port. */
-function normalize(authority: string): string {
+/** Lowercases an authority and removes its port. */
+function normalizeAuthority(authority: string): string {
   return authority.toLowerCase().replace(/:\d+$/, '');
 }
 
-function withoutQuery(path: string): string {
-  const at = path.indexOf('?');
-  return at < 0 ? path : path.slice(0, at);
+function stripQuery(path: string): string {
+  const queryStart = path.indexOf('?');
+  return queryStart < 0 ? path : path.slice(0, queryStart);
 }
--- a/packages/traffic/src/test/fleet.test.ts
+++ b/packages/traffic/src/test/fleet.test.ts
@@ -10,7 +10,7 @@
 } from '../fleetDemand.js';
 import {endpointsNeeded, planFleet, type FleetPlan} from '../fleetPlan.js';
 
-const USE = {usual: 0.34, brief: 0.5};
+const UTILIZATION = {usual: 0.34, brief: 0.5};
 
 const terms: FleetTerms = {
   least: 1,
@@ -26,10 +26,10 @@
 
 describe('fleet plan', () => {
   for (const needed of [1, 2, 4, 6, 8]) {
-    it(`withstands the loss of any failure domain's reclaimable endpoints when ${needed} are needed`, () => {
-      // All reclaimable endpoints of a failure domain are taken back at once.
-      // If those that are left did not carry the work, callers would wait as
-      // long as a new endpoint takes to start.
+    it(`survives the loss of any failure domain's reclaimable endpoints when ${needed} are needed`, () => {
+      // All reclaimable endpoints of a failure domain are reclaimed at once. If
+      // those that are left could not carry the work, requests would wait for
+      // as long as a new endpoint takes to start.
       const plan = planFleet({
         terms,
         needed: {usual: needed, brief: needed},
@@ -42,7 +42,7 @@
     });
   }
 
-  it('keeps to the bounds of every failure domain', () => {
+  it('respects the bounds of every failure domain', () => {
     for (const needed of [1, 5, 40]) {
       const plan = planFleet({
         terms,
@@ -56,7 +56,7 @@
     }
   });
 
-  it('puts endpoints that stay where they are cheapest', () => {
+  it('places on-demand endpoints in the cheapest failure domain', () => {
     const plan = planFleet({
       terms,
       needed: {usual: 4, brief: 4},
@@ -65,8 +65,9 @@
     assert.equal(plan['b']?.onDemand, count(plan, 'onDemand'));
   });
 
-  it('fills up with endpoints that stay while no reclaimable ones are to be had', () => {
-    // Two failure domains were reclaimed and no more are sold for a while.
+  it('fills up with on-demand endpoints while no reclaimable ones are available', () => {
+    // Two failure domains were reclaimed, and no more are available for a
+    // while.
     const scarce = new Map([
       ['a', 1],
       ['b', 0],
@@ -78,9 +79,9 @@
     assert.equal(count(plan, 'onDemand'), 3);
   });
 
-  it('keeps what is bearable after a loss, and what is usual before', () => {
-    // Endpoints that are lost are back after seconds. Keeping as many for them
-    // as for an ordinary hour would pay for a third that is rarely of use.
+  it('covers the usual need, and the brief need after a loss', () => {
+    // Lost endpoints are replaced within seconds. Covering the usual need after
+    // a loss would cost a third more for endpoints that are rarely used.
     const needed = {usual: 8, brief: 5};
     const plan = planFleet({terms, needed, scarce: new Map()});
     const all = count(plan, 'onDemand') + count(plan, 'reclaimable');
@@ -90,7 +91,7 @@
     }
   });
 
-  it('orders none of a market that is not sold', () => {
+  it('orders no reclaimable endpoints when none are offered', () => {
     const plan = planFleet({
       terms: {...terms, reclaimablePrice: undefined},
       needed: {usual: 3, brief: 3},
@@ -101,8 +102,8 @@
   });
 });
 
-/** Signs of a service whose callers are served well. */
-function signs(
+/** Signals of a service whose requests are on time. */
+function signalsOf(
   workRate: number,
   present: number,
   other: Partial<DemandSigns> = {},
@@ -110,90 +111,96 @@
   return {
     workRate,
     present,
-    use: USE,
+    use: UTILIZATION,
     latePart: 0,
     isSure: true,
     ...other,
   };
 }
 
-function usual(demand: FleetDemand, now: DemandSigns): number {
+function usualNeed(demand: FleetDemand, now: DemandSigns): number {
   return demand.note(now).usual;
 }
 
 describe('fleet demand', () => {
-  it('keeps part of what it found until work was seen for a while', () => {
-    // The system starts before its callers. Sending the endpoints away because
-    // nobody asks yet would meet the first callers with none.
+  it('keeps a fraction of the initial endpoints until work was seen for a while', () => {
+    // The system starts before its callers. If idle endpoints were released at
+    // once, none would be left for the first callers.
     const clock = virtualClock();
     const demand = createFleetDemand(clock);
-    demand.note(signs(0, 3));
-    assert.equal(usual(demand, signs(0, 10)), 6);
+    demand.note(signalsOf(0, 3));
+    assert.equal(usualNeed(demand, signalsOf(0, 10)), 6);
     clock.advanceSync(60_000);
-    assert.equal(usual(demand, signs(0, 5)), 6);
-    assert.equal(usual(demand, signs(400, 5)), 6);
+    assert.equal(usualNeed(demand, signalsOf(0, 5)), 6);
+    assert.equal(usualNeed(demand, signalsOf(400, 5)), 6);
     clock.advanceSync(20_000);
-    assert.equal(usual(demand, signs(400, 5)), endpointsNeeded(400, USE.usual));
+    assert.equal(
+      usualNeed(demand, signalsOf(400, 5)),
+      endpointsNeeded(400, UTILIZATION.usual),
+    );
   });
 
-  it('keeps what it found for as long as engines are not known', () => {
-    // Little traffic teaches little. Endpoints sent away by a guess would be
-    // missed by the first callers of the busy hour.
+  it('keeps a fraction of the initial endpoints while the estimate is uncertain', () => {
+    // Little traffic gives few samples. Endpoints released by an uncertain
+    // estimate would be missing when the busy hour starts.
     const clock = virtualClock();
     const demand = createFleetDemand(clock);
-    demand.note(signs(0, 10));
-    demand.note(signs(400, 10, {isSure: false}));
+    demand.note(signalsOf(0, 10));
+    demand.note(signalsOf(400, 10, {isSure: false}));
     clock.advanceSync(60_000);
-    assert.equal(usual(demand, signs(400, 10, {isSure: false})), 6);
-    assert.equal(usual(demand, signs(400, 10)), 2);
+    assert.equal(usualNeed(demand, signalsOf(400, 10, {isSure: false})), 6);
+    assert.equal(usualNeed(demand, signalsOf(400, 10)), 2);
   });
 
   it('rises at once and falls only after a while', () => {
     const clock = virtualClock();
     const demand = createFleetDemand(clock);
-    demand.note(signs(100, 1));
+    demand.note(signalsOf(100, 1));
     clock.advanceSync(20_000);
-    const high = usual(demand, signs(3_000, 1));
-    assert.equal(high, endpointsNeeded(3_000, USE.usual));
+    const high = usualNeed(demand, signalsOf(3_000, 1));
+    assert.equal(high, endpointsNeeded(3_000, UTILIZATION.usual));
     clock.advanceSync(4_000);
-    assert.equal(usual(demand, signs(400, 8)), high);
+    assert.equal(usualNeed(demand, signalsOf(400, 8)), high);
     clock.advanceSync(5_000);
-    assert.equal(usual(demand, signs(400, 8)), endpointsNeeded(400, USE.usual));
+    assert.equal(
+      usualNeed(demand, signalsOf(400, 8)),
+      endpointsNeeded(400, UTILIZATION.usual),
+    );
   });
 
-  it('does not order by a guess, nor remembers one', () => {
-    // The first prompts are read with empty caches, and a model of a few
-    // requests took them for three times the work that they were.
+  it('neither orders by an uncertain estimate nor remembers it', () => {
+    // The first prompts are processed with empty caches, and a model of a few
+    // requests estimated three times the actual work.
     const clock = virtualClock();
     const demand = createFleetDemand(clock);
-    demand.note(signs(0, 10));
-    const guess = signs(8_000, 10, {isSure: false});
-    assert.equal(usual(demand, guess), 10);
+    demand.note(signalsOf(0, 10));
+    const uncertain = signalsOf(8_000, 10, {isSure: false});
+    assert.equal(usualNeed(demand, uncertain), 10);
     clock.advanceSync(1_000);
-    assert.equal(usual(demand, signs(400, 10)), 6);
+    assert.equal(usualNeed(demand, signalsOf(400, 10)), 6);
   });
 
-  it('asks for more than there is while callers are late, whatever the work says', () => {
-    // A new version reads prompts at half the speed that the old ones taught.
-    // The work looks as small as before, and callers wait in vain.
+  it('needs more than are present while requests are late, whatever the work rate', () => {
+    // A new version processes prompts at half the estimated speed. The work
+    // looks as small as before while requests time out.
     const clock = virtualClock();
     const demand = createFleetDemand(clock);
-    demand.note(signs(1_200, 4));
+    demand.note(signalsOf(1_200, 4));
     clock.advanceSync(20_000);
-    assert.equal(usual(demand, signs(1_200, 4)), 4);
-    assert.equal(usual(demand, signs(1_200, 4, {latePart: 0.5})), 5);
+    assert.equal(usualNeed(demand, signalsOf(1_200, 4)), 4);
+    assert.equal(usualNeed(demand, signalsOf(1_200, 4, {latePart: 0.5})), 5);
     clock.advanceSync(4_000);
-    assert.equal(usual(demand, signs(1_200, 5)), 5);
+    assert.equal(usualNeed(demand, signalsOf(1_200, 5)), 5);
   });
 
-  it('does not order without bound when callers are late for another reason', () => {
-    // Every endpoint fails for a while. More of them would fail as well.
+  it('is bounded when requests are late for another reason', () => {
+    // Every endpoint fails for a while. More endpoints would fail as well.
     const clock = virtualClock();
     const demand = createFleetDemand(clock);
-    demand.note(signs(1_200, 4));
+    demand.note(signalsOf(1_200, 4));
     clock.advanceSync(20_000);
     const late = {latePart: 1};
-    assert.equal(usual(demand, signs(1_200, 30, late)), 8);
+    assert.equal(usualNeed(demand, signalsOf(1_200, 30, late)), 8);
   });
 });
 
@@ -205,15 +212,15 @@
     return {model: 'm', promptTokens, mostOutputTokens: 100, parts};
   }
 
-  it('leaves out sizes that no engine can hold', () => {
-    // A caller's header says that its prompt has as many tokens as there are
-    // atoms. Counted, it would order every endpoint that is sold.
+  it('rejects sizes that no engine can hold', () => {
+    // A caller declares an absurd number of prompt tokens. If it were counted,
+    // every available endpoint would be ordered.
     assert.equal(fitsMemory(demandOf(1e200, 10), engine), false);
     assert.equal(fitsMemory(demandOf(12_000, 4_000), engine), true);
     assert.equal(fitsMemory(demandOf(12_000, 4_000), undefined), false);
   });
 
-  it('takes no part for longer than its prompt', () => {
+  it('counts no part as longer than its prompt', () => {
     const {ownTokens, pairs} = promptWork(demandOf(2_000, 1e200));
     assert.equal(ownTokens, 2_000);
     assert.equal(pairs, 4);
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -2,20 +2,20 @@
 import {describe, it} from 'node:test';
 import {seededRandom, virtualClock} from '@skylarkfield/base';
 import type {KeyedCustomer} from '../contracts.js';
-import {createQuotas, type Quotas, type UsedAmounts} from '../quotas.js';
+import {createQuotas, type Quotas, type UsageByCustomer} from '../quotas.js';
 
 const PER_SECOND = 1_000;
 const BURST = 1_000;
 const STEP_MS = 10;
-const DIGEST_MS = 300;
+const EXCHANGE_INTERVAL_MS = 300;
 const WINDOW_SECONDS = 8;
 const SLICES_PER_SECOND = 10;
 
-/** What a quota gives when it is used all the time, against its rate alone. */
-const SUSTAINED = 1 + BURST / PER_SECOND / WINDOW_SECONDS;
+/** Sustained throughput of a quota relative to its rate. */
+const SUSTAINED_FACTOR = 1 + BURST / PER_SECOND / WINDOW_SECONDS;
 
-/** Part by which a window may go over, for what entries have not heard of each other yet. */
-const OVER = 1.1;
+/** Factor by which a window may exceed the quota: reports are delayed. */
+const MAX_OVERSHOOT = 1.1;
 
 const customer: KeyedCustomer = {
   name: 'chain',
@@ -24,54 +24,60 @@
   quota: {unit: 'tokens', perSecond: PER_SECOND, burst: BURST, plainTokens: 1},
 };
 
-/** Lets entries take as much as they can for a while, each step an amount; returns what passed in all. */
-function press(
+/** Takes an amount from every entry at each step; returns the total granted. */
+function takeRepeatedly(
   clock: ReturnType<typeof virtualClock>,
   entries: readonly Quotas[],
-  options: {readonly spanMs: number; readonly amount: number; canHear: boolean},
+  options: {
+    readonly spanMs: number;
+    readonly amount: number;
+    exchangesUsage: boolean;
+  },
 ): number {
-  let passed = 0;
+  let granted = 0;
   for (let at = 0; at < options.spanMs; at += STEP_MS) {
     for (const entry of entries) {
       if (entry.tryTake(customer, options.amount)) {
-        passed += options.amount;
+        granted += options.amount;
       }
     }
-    if (options.canHear && at % DIGEST_MS === 0) {
-      tellAll(entries);
+    if (options.exchangesUsage && at % EXCHANGE_INTERVAL_MS === 0) {
+      exchangeUsage(entries);
     }
     clock.advanceSync(STEP_MS);
   }
-  return passed;
+  return granted;
 }
 
-/** Presses so many entries that hear each other; returns all that passed, and the most in one window. */
-function pressed(
+/** Runs connected entries; returns the total and the peak window granted. */
+function runConnected(
   count: number,
   options: {readonly seconds: number; readonly amount: number},
-): {passed: number; most: number} {
+): {granted: number; peak: number} {
   const clock = virtualClock();
   const entries = Array.from({length: count}, () =>
     createQuotas(clock, WINDOW_SECONDS * 1_000),
   );
   entries.forEach(entry => entry.setHeard(1, count));
-  tellAll(entries);
+  exchangeUsage(entries);
   const perSlice: number[] = [];
   const slices = options.seconds * SLICES_PER_SECOND;
   for (let slice = 0; slice < slices; slice++) {
     const spanMs = 1_000 / SLICES_PER_SECOND;
     const {amount} = options;
-    perSlice.push(press(clock, entries, {spanMs, amount, canHear: true}));
+    perSlice.push(
+      takeRepeatedly(clock, entries, {spanMs, amount, exchangesUsage: true}),
+    );
   }
   const length = WINDOW_SECONDS * SLICES_PER_SECOND;
   const sums = perSlice.map((_, at) => sum(perSlice.slice(at, at + length)));
-  return {passed: sum(perSlice), most: Math.max(...sums)};
+  return {granted: sum(perSlice), peak: Math.max(...sums)};
 }
 
-/** Time in which an entry that has started knows no others, nor they it. */
+/** Time after its start in which an entry and its peers are not connected. */
 const JOIN_MS = 600;
 
-/** A fleet under a flood of many times the quota; some of its entries are replaced by new processes. */
+/** Entries under a flood of many times the quota, which may restart. */
 function floodedFleet(count: number) {
   const clock = virtualClock();
   const spanMs = 1_000 / SLICES_PER_SECOND;
@@ -82,9 +88,9 @@
 
   function startProcess(name: string, startedAt = clock.now()) {
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
-    /** Usage of others as last reported. */
-    const heard = new Map<string, UsedAmounts>();
-    return {name, startedAt, quotas, heard};
+    /** Usage last reported by peers. */
+    const lastReports = new Map<string, UsageByCustomer>();
+    return {name, startedAt, quotas, lastReports};
   }
 
   function joined(): typeof processes {
@@ -94,24 +100,24 @@
   }
 
   function exchangeDigests(): void {
-    const known = joined();
+    const members = joined();
     for (const {quotas, name} of processes) {
-      const isJoined = known.some(process => process.name === name);
-      quotas.setHeard(1, isJoined ? known.length : 1);
+      const isJoined = members.some(process => process.name === name);
+      quotas.setHeard(1, isJoined ? members.length : 1);
     }
-    for (const from of known) {
+    for (const from of members) {
       const used = {...from.quotas.used()};
       const isNew = clock.now() - from.startedAt < WINDOW_SECONDS * 1_000;
-      for (const to of known.filter(other => other !== from)) {
-        const before = to.heard.get(from.name) ?? (isNew ? {} : used);
+      for (const to of members.filter(other => other !== from)) {
+        const before = to.lastReports.get(from.name) ?? (isNew ? {} : used);
         to.quotas.noteIncrease(increaseOf(before, used));
-        to.heard.set(from.name, used);
+        to.lastReports.set(from.name, used);
       }
     }
   }
 
   return {
-    /** Each entry takes what it can, several times what all may take. */
+    /** Requests five times the quota's rate over all entries. */
     flood(seconds: number): void {
       const amount = (5 * PER_SECOND * STEP_MS) / 1_000 / count;
       const entries = () => processes.map(({quotas}) => quotas);
@@ -119,8 +125,8 @@
         if (slice % 3 === 0) {
           exchangeDigests();
         }
-        const options = {spanMs, amount, canHear: false};
-        perSlice.push(press(clock, entries(), options));
+        const options = {spanMs, amount, exchangesUsage: false};
+        perSlice.push(takeRepeatedly(clock, entries(), options));
       }
     },
     idle(seconds: number): void {
@@ -133,7 +139,7 @@
         processes[index] = startProcess(`${name} again`);
       }
     },
-    mostInWindow(): number {
+    peakWindow(): number {
       const length = WINDOW_SECONDS * SLICES_PER_SECOND;
       return Math.max(
         ...perSlice.map((_, at) => sum(perSlice.slice(at, at + length))),
@@ -146,14 +152,14 @@
   return numbers.reduce((total, number) => total + number, 0);
 }
 
-/** Usage of an entry as it last reported it. */
-const reported = new WeakMap<Quotas, UsedAmounts>();
+/** Usage last reported by each entry. */
+const lastReported = new WeakMap<Quotas, UsageByCustomer>();
 
-function tellAll(entries: readonly Quotas[]): void {
+function exchangeUsage(entries: readonly Quotas[]): void {
   for (const from of entries) {
     const used = {...from.used()};
-    const increase = increaseOf(reported.get(from), used);
-    reported.set(from, used);
+    const increase = increaseOf(lastReported.get(from), used);
+    lastReported.set(from, used);
     entries
       .filter(other => other !== from)
       .forEach(other => other.noteIncrease(increase));
@@ -161,9 +167,9 @@
 }
 
 function increaseOf(
-  before: UsedAmounts | undefined,
-  used: UsedAmounts,
-): UsedAmounts {
+  before: UsageByCustomer | undefined,
+  used: UsageByCustomer,
+): UsageByCustomer {
   return Object.fromEntries(
     Object.entries(used).map(([name, amount]) => [
       name,
@@ -173,61 +179,68 @@
 }
 
 describe('quotas', () => {
-  // Guards against entries that each grant the quota by themselves.
-  it('lets the quota through in every window when all entries are pressed', () => {
+  // Guards against entries that each grant the whole quota.
+  it('grants the quota in every window when all entries are saturated', () => {
     for (const count of [1, 7, 60]) {
       // All together ask for two and a half times the quota.
       const amount = (2.5 * PER_SECOND * STEP_MS) / 1_000 / count;
-      const {passed, most} = pressed(count, {seconds: 40, amount});
+      const {granted, peak} = runConnected(count, {seconds: 40, amount});
       const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
-      assert.ok(most <= allowed * OVER, `${count}: ${most} of ${allowed}`);
-      const sustained = PER_SECOND * SUSTAINED * 40;
-      assert.ok(passed >= 0.9 * sustained, `${count}: ${passed}`);
+      assert.ok(
+        peak <= allowed * MAX_OVERSHOOT,
+        `${count}: ${peak} of ${allowed}`,
+      );
+      const sustained = PER_SECOND * SUSTAINED_FACTOR * 40;
+      assert.ok(granted >= 0.9 * sustained, `${count}: ${granted}`);
     }
   });
 
-  // Guards against a quota for each entry when a customer floods all of them.
-  it('bounds what a flood of many times the quota gets', () => {
+  // Guards against one quota per entry when a customer floods all of them.
+  it('bounds the grants under a flood of many times the quota', () => {
     const seconds = 20;
-    const {passed} = pressed(7, {seconds, amount: 30});
-    const allowed = PER_SECOND * SUSTAINED * seconds + BURST;
-    assert.ok(passed > 0.8 * allowed, `${passed} of ${allowed}`);
-    // Seven entries that take 30 each 10 ms use 6,300 between two digests.
-    assert.ok(passed < allowed + 6_300, `${passed} of ${allowed}`);
+    const {granted} = runConnected(7, {seconds, amount: 30});
+    const allowed = PER_SECOND * SUSTAINED_FACTOR * seconds + BURST;
+    assert.ok(granted > 0.8 * allowed, `${granted} of ${allowed}`);
+    // Seven entries that take 30 every 10 ms use 6,300 between two exchanges.
+    assert.ok(granted < allowed + 6_300, `${granted} of ${allowed}`);
   });
 
-  // Guards against a customer that is held to its rate and never gets its burst again.
-  it('refuses nothing to a customer that stays within rate and burst in every window', () => {
+  // Guards against a customer held to its rate that never regains its burst.
+  it('rejects nothing of a customer that stays within rate and burst in every window', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
-    let refused = 0;
+    let rejected = 0;
     for (let at = 0; at < 80_000; at += 100) {
       const isGranted = quotas.tryTake(customer, 108);
-      // What the process could not know at its start is out of the window by then.
-      refused += !isGranted && at > 9_000 ? 1 : 0;
+      // By then, usage assumed from before the start has left the window.
+      rejected += !isGranted && at > 9_000 ? 1 : 0;
       clock.advanceSync(100);
     }
-    assert.equal(refused, 0);
+    assert.equal(rejected, 0);
   });
 
-  // Guards against two halves of a cut system that each grant the whole quota.
-  it('grants only its part when it hears nobody', () => {
+  // Guards against both sides of a partition granting the whole quota.
+  it('grants only its fraction without reports from peers', () => {
     const clock = virtualClock();
     const entries = Array.from({length: 4}, () => createQuotas(clock));
     entries.forEach(entry => entry.setHeard(0, 4));
-    press(clock, entries, {spanMs: 10_000, amount: 50, canHear: false});
-    const passed = press(clock, entries, {
+    takeRepeatedly(clock, entries, {
+      spanMs: 10_000,
+      amount: 50,
+      exchangesUsage: false,
+    });
+    const granted = takeRepeatedly(clock, entries, {
       spanMs: WINDOW_SECONDS * 1_000,
       amount: 50,
-      canHear: false,
+      exchangesUsage: false,
     });
     const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
-    assert.ok(passed <= allowed + 4 * 50, `${passed}`);
-    assert.ok(passed >= allowed * 0.9, `${passed}`);
+    assert.ok(granted <= allowed + 4 * 50, `${granted}`);
+    assert.ok(granted >= allowed * 0.9, `${granted}`);
   });
 
-  // Guards against new processes that take a customer's latest use for use spread over the window.
-  it('keeps the quota in a window in which all entries lose power', () => {
+  // Guards against new processes assuming that recent usage was spread evenly.
+  it('keeps the quota in a window in which all entries restart', () => {
     const fleet = floodedFleet(9);
     fleet.idle(9);
     fleet.flood(4);
@@ -235,12 +248,12 @@
     fleet.restart([0, 1, 2, 3, 4, 5, 6, 7, 8]);
     fleet.flood(4);
     const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
-    const most = fleet.mostInWindow();
-    assert.ok(most <= allowed * OVER, `${most} of ${allowed}`);
+    const peak = fleet.peakWindow();
+    assert.ok(peak <= allowed * MAX_OVERSHOOT, `${peak} of ${allowed}`);
   });
 
-  // Guards against a whole burst from each entry that restarts.
-  it('keeps the quota while entries restart one after the other', () => {
+  // Guards against a full burst granted by each restarted entry.
+  it('keeps the quota during a rolling restart', () => {
     const fleet = floodedFleet(9);
     fleet.idle(9);
     fleet.flood(4);
@@ -250,12 +263,12 @@
     }
     fleet.flood(4);
     const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
-    const most = fleet.mostInWindow();
-    assert.ok(most <= allowed * OVER, `${most} of ${allowed}`);
+    const peak = fleet.peakWindow();
+    assert.ok(peak <= allowed * MAX_OVERSHOOT, `${peak} of ${allowed}`);
   });
 
-  // Guards against a burst and an empty window at each start of a process that crashes in a loop.
-  it('keeps the quota while a process restarts again and again', () => {
+  // Guards against a burst and an empty window at each start in a crash loop.
+  it('keeps the quota while a process restarts repeatedly', () => {
     const fleet = floodedFleet(1);
     fleet.idle(9);
     fleet.flood(2);
@@ -264,47 +277,51 @@
       fleet.flood(1);
     }
     const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
-    const most = fleet.mostInWindow();
-    assert.ok(most <= allowed * OVER, `${most} of ${allowed}`);
+    const peak = fleet.peakWindow();
+    assert.ok(peak <= allowed * MAX_OVERSHOOT, `${peak} of ${allowed}`);
   });
 
-  // Guards against refusals after a restart of all, before entries hear each other.
-  it('grants a part of the burst while it has heard nobody yet', () => {
+  // Guards against rejections after all entries restart, before they connect.
+  it('grants a fraction of the burst before the first report from a peer', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
     assert.ok(quotas.tryTake(customer, 1));
     quotas.setHeard(0, 7);
     clock.advanceSync(100);
-    let passed = 0;
+    let granted = 0;
     while (quotas.tryTake(customer, 10)) {
-      passed += 10;
+      granted += 10;
     }
-    assert.ok(passed >= BURST / 7 - 20, `${passed}`);
-    assert.ok(passed <= BURST / 7 + 50, `${passed}`);
+    assert.ok(granted >= BURST / 7 - 20, `${granted}`);
+    assert.ok(granted <= BURST / 7 + 50, `${granted}`);
   });
 
-  // Guards against an outage for a customer whose quota an operator lowers.
-  it('goes on granting by a quota that was lowered', () => {
+  // Guards against an outage of a customer whose quota an operator lowers.
+  it('keeps granting after the quota is lowered', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock);
-    press(clock, [quotas], {spanMs: 20_000, amount: 50, canHear: false});
+    takeRepeatedly(clock, [quotas], {
+      spanMs: 20_000,
+      amount: 50,
+      exchangesUsage: false,
+    });
     const lowered: KeyedCustomer = {
       ...customer,
       quota: {...customer.quota!, perSecond: 250, burst: 250},
     };
-    let passed = 0;
+    let granted = 0;
     for (let at = 0; at < 8_000; at += STEP_MS) {
-      passed += quotas.tryTake(lowered, 50) ? 50 : 0;
+      granted += quotas.tryTake(lowered, 50) ? 50 : 0;
       clock.advanceSync(STEP_MS);
     }
     const allowed = 250 * WINDOW_SECONDS + 250;
-    assert.ok(passed <= allowed * OVER + 50, `${passed}`);
-    assert.ok(passed >= allowed * 0.8, `${passed}`);
+    assert.ok(granted <= allowed * MAX_OVERSHOOT + 50, `${granted}`);
+    assert.ok(granted >= allowed * 0.8, `${granted}`);
   });
 
   it('serves large requests as often as small ones at the limit', () => {
     // At the limit the bucket is nearly empty all the time. If a request had to
-    // fit into what is there, callers with long prompts would never be served.
+    // fit into the remaining level, callers with long prompts would starve.
     const clock = virtualClock();
     const quotas = createQuotas(clock);
     const random = seededRandom(7);
@@ -318,20 +335,20 @@
     assert.ok(served.large > served.small / 2, JSON.stringify(served));
   });
 
-  it('tells refused requests to come back one after the other', () => {
-    // Many requests are refused in the same moment. Told the same time to come
-    // back, all but one would be refused again.
+  it('staggers the retries of rejected requests', () => {
+    // Many requests are rejected at the same moment. With the same Retry-After,
+    // all but one would be rejected again.
     const clock = virtualClock();
     const quotas = createQuotas(clock);
     while (quotas.tryTake(customer, 100));
     const waits = [1, 2, 3].map(() => quotas.waitMs(customer, 500));
     assert.deepEqual(
       waits.map(wait => Math.round(wait - waits[0]!)),
-      [0, 500, 1_000].map(ms => Math.round(ms / SUSTAINED)),
+      [0, 500, 1_000].map(ms => Math.round(ms / SUSTAINED_FACTOR)),
     );
   });
 
-  it('takes back what was counted for a request that has not run', () => {
+  it('refunds a request that has not run', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock);
     assert.ok(quotas.tryTake(customer, 600));
--- a/packages/traffic/src/test/traffic.test.ts
+++ b/packages/traffic/src/test/traffic.test.ts
@@ -50,7 +50,7 @@
 });
 
 describe('customer table', () => {
-  it('finds the holder of a key and nobody for another', () => {
+  it('finds the customer of a key, and none for an unknown key', () => {
     const table = createCustomerTable([
       {name: 'a', keys: ['k1', 'k2'], priority: 1, quota: undefined},
     ]);
@@ -61,8 +61,8 @@
   });
 });
 
-describe('choice of a service by weight', () => {
-  it('follows the weights and is the same for the same key', () => {
+describe('weighted choice of a service', () => {
+  it('follows the weights and is stable for a key', () => {
     const services = [
       {service: 'a', weight: 90},
       {service: 'b', weight: 10},
@@ -78,7 +78,7 @@
 });
 
 describe('prompt keys', () => {
-  it('has the same keys for the same shared parts, and none for the last', () => {
+  it('are the same for the same shared parts, without keys for the last part', () => {
     const shared = [
       {id: 'a', tokens: 512},
       {id: 'b', tokens: 70},
@@ -92,21 +92,21 @@
 });
 
 describe('confirmation', () => {
-  it('is as old as the question, not as the answer', () => {
+  it('has the age of the request, not of the response', () => {
     const clock = virtualClock();
     const confirmation = createConfirmation(clock);
     assert.equal(confirmation.ageMs(), Infinity);
-    const asked = timestampOf(clock);
+    const requestedAt = timestampOf(clock);
     clock.advanceSync(800);
-    confirmation.confirm(asked);
+    confirmation.confirm(requestedAt);
     assert.equal(confirmation.ageMs(), 800);
     confirmation.confirm(before(timestampOf(clock), 5_000));
     assert.equal(confirmation.ageMs(), 800);
   });
 
-  it('counts the time that a suspended host has slept', () => {
-    // A host is suspended for ten seconds and wakes: its monotonic clock has
-    // stood still. A key that was revoked meanwhile would be served.
+  it('includes the time for which a host was suspended', () => {
+    // The monotonic clock stops while a host is suspended, here for ten
+    // seconds. A key revoked meanwhile would still be accepted.
     const clock = virtualClock();
     const confirmation = createConfirmation(clock);
     confirmation.confirm(timestampOf(clock));
@@ -114,7 +114,7 @@
     assert.equal(confirmation.ageMs(), 10_000);
   });
 
-  it('does not get younger when the wall clock is set back', () => {
+  it('does not get a lower age when the wall clock is set back', () => {
     const clock = virtualClock();
     const confirmation = createConfirmation(clock);
     confirmation.confirm(timestampOf(clock));
@@ -127,7 +127,7 @@
 describe('usage windows', () => {
   const WINDOW_MS = 5_000;
 
-  it('adds what all processes counted, each once', () => {
+  it('adds the counts of all processes, each once', () => {
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     usage.note('chain', 12_000);
     usage.note('chain', 14_999);
@@ -137,18 +137,18 @@
     assert.deepEqual(usage.total(3), {});
   });
 
-  it('keeps what a process counted before it was killed and started again', () => {
-    // An entry dies in the middle of a window and comes back with counts from
-    // zero. Its earlier requests were served and must stand in the report.
+  it('keeps the counts of a process from before its restart', () => {
+    // An entry crashes in the middle of a window and restarts with zero counts.
+    // The report must include the requests that it served before.
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     usage.noteCounts('b.1', {2: {chain: 40}});
     usage.noteCounts('b.2', {2: {chain: 2}});
     assert.deepEqual(usage.total(2), {chain: 42});
   });
 
-  it('sums up its group, and takes no lower sum from a relay that has just started', () => {
-    // A relay dies and its successor has not heard all of the group yet. The
-    // report would lack what the first one had told before.
+  it('sums up its failure domain, and ignores lower sums of a restarted relay', () => {
+    // A relay crashes and its successor lacks the counts of some entries so
+    // far. The report would lose counts that the first relay had already sent.
     const relay = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     relay.note('chain', 12_000);
     relay.noteCounts('b.1', {2: {chain: 3}}, true);
@@ -161,7 +161,7 @@
     assert.deepEqual(reporter.total(2), {chain: 4, shop: 2});
   });
 
-  it('forgets windows that are long past', () => {
+  it('drops old windows', () => {
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     usage.note('chain', 0);
     usage.note('chain', WINDOW_MS * 20);
--- a/packages/traffic/src/usageWindows.ts
+++ b/packages/traffic/src/usageWindows.ts
@@ -1,8 +1,9 @@
 /**
- * Requests that began to run, by customer and window of the wall clock.
+ * Counts started requests by customer and wall-clock window.
  *
- * Every entry counts its own and tells the others its counts of the last
- * windows, so that whoever reports a window has them all, and a successor too.
+ * Every entry counts its own requests and sends its counts of the last windows
+ * to its peers, so that the reporter of a window and its successor have them
+ * all.
  */
 
 /** Requests by customer. */
@@ -12,29 +13,36 @@
 export type WindowCounts = Readonly<Record<string, CustomerCounts>>;
 
 export interface UsageWindows {
-  /** A request of the customer began to run at this wall-clock millisecond. */
+  /** Counts a request that started at this wall-clock time in milliseconds. */
   note(customer: string, wallMs: number): void;
-  /** This process's counts of the windows that are kept. */
+  /** Returns this process's counts of the retained windows. */
   own(): WindowCounts;
-  /** Counts of the kept windows over this process and all others that are near. */
+  /** Returns counts of the retained windows over the failure domain. */
   near(): WindowCounts;
   /**
-   * Takes over counts of another process, named with its incarnation, or of a
-   * group of processes. `isNear` tells whether `near` includes them.
+   * Merges counts of another process, identified with its incarnation, or of a
+   * group of processes. `isSameDomain` sets whether `near` includes them.
    */
-  noteCounts(source: string, counts: WindowCounts, isNear?: boolean): void;
-  /** Counts of a window over all processes heard of. */
+  noteCounts(
+    source: string,
+    counts: WindowCounts,
+    isSameDomain?: boolean,
+  ): void;
+  /** Returns the counts of a window over all known processes. */
   total(window: number): CustomerCounts;
   windowAt(wallMs: number): number;
 }
 
-/** Windows kept at least, counted back from the newest: a report may wait for the platform that long. */
-const LEAST_KEPT_WINDOWS = 8;
-/** Windows kept beyond those that may still be reported, for clocks that differ. */
+/**
+ * Minimum number of windows retained, the newest included: a report may be
+ * delayed that long by a platform outage.
+ */
+const MIN_KEPT_WINDOWS = 8;
+/** Windows retained beyond those still reportable, for clock skew. */
 const SPARE_WINDOWS = 3;
 
 /**
- * Makes the counts of one process.
+ * Creates the usage windows of one process.
  *
  * @example
  * const usage = createUsageWindows({windowMs: 5_000, self: 'a1.17'});
@@ -42,25 +50,28 @@
  */
 export function createUsageWindows(options: {
   readonly windowMs: number;
-  /** This process with its incarnation. */
+  /** Identifies this process and its incarnation. */
   readonly self: string;
-  /** How long after its end a window may be reported, in milliseconds. */
+  /** Time after its end that a window may be reported, in milliseconds. */
   readonly lateMs?: number;
 }): UsageWindows {
   const {windowMs, self, lateMs = 0} = options;
   const keptWindows = Math.max(
-    LEAST_KEPT_WINDOWS,
+    MIN_KEPT_WINDOWS,
     Math.ceil(lateMs / windowMs) + SPARE_WINDOWS,
   );
   const bySource = new Map<string, Record<string, Record<string, number>>>();
-  const nearSources = new Set([self]);
+  const domainSources = new Set([self]);
   bySource.set(self, {});
 
   function windowAt(wallMs: number): number {
     return Math.floor(wallMs / windowMs);
   }
 
-  function dropOld(counts: Record<string, unknown>, newest: number): void {
+  function dropOldWindows(
+    counts: Record<string, unknown>,
+    newest: number,
+  ): void {
     for (const window of Object.keys(counts)) {
       if (Number(window) <= newest - keptWindows) {
         delete counts[window];
@@ -72,11 +83,11 @@
     return window => Number(window) <= newest - keptWindows;
   }
 
-  function forgetOldSources(newest: number): void {
+  function dropOldSources(newest: number): void {
     for (const [source, counts] of bySource) {
       if (source !== self && Object.keys(counts).every(isOlderThan(newest))) {
         bySource.delete(source);
-        nearSources.delete(source);
+        domainSources.delete(source);
       }
     }
   }
@@ -86,32 +97,32 @@
     note(customer, wallMs) {
       const window = windowAt(wallMs);
       const counts = bySource.get(self)!;
-      const counted = (counts[window] ??= {});
-      counted[customer] = (counted[customer] ?? 0) + 1;
-      dropOld(counts, window);
+      const customerCounts = (counts[window] ??= {});
+      customerCounts[customer] = (customerCounts[customer] ?? 0) + 1;
+      dropOldWindows(counts, window);
     },
     own: () => bySource.get(self)!,
     near() {
       const sum: Record<string, Record<string, number>> = {};
-      for (const source of nearSources) {
+      for (const source of domainSources) {
         for (const [window, counts] of Object.entries(bySource.get(source)!)) {
           addCounts((sum[window] ??= {}), counts);
         }
       }
       return sum;
     },
-    noteCounts(source, counts, isNear = false) {
-      const kept = bySource.get(source) ?? {};
-      bySource.set(source, kept);
-      if (isNear) {
-        nearSources.add(source);
+    noteCounts(source, counts, isSameDomain = false) {
+      const sourceCounts = bySource.get(source) ?? {};
+      bySource.set(source, sourceCounts);
+      if (isSameDomain) {
+        domainSources.add(source);
       }
-      for (const [window, counted] of Object.entries(counts)) {
-        raiseCounts((kept[window] ??= {}), counted);
+      for (const [window, customerCounts] of Object.entries(counts)) {
+        mergeMaxCounts((sourceCounts[window] ??= {}), customerCounts);
       }
-      const newest = Math.max(0, ...Object.keys(kept).map(Number));
-      dropOld(kept, newest);
-      forgetOldSources(newest);
+      const newest = Math.max(0, ...Object.keys(sourceCounts).map(Number));
+      dropOldWindows(sourceCounts, newest);
+      dropOldSources(newest);
     },
     total(window) {
       const sum: Record<string, number> = {};
@@ -130,10 +141,13 @@
 }
 
 /**
- * Counts only grow: a lower one is from a relay that has not heard all of its
- * group again since its start.
+ * Merges counts by their maximum. Counts only grow: a lower one is from a relay
+ * that has restarted and not yet received all reports of its group.
  */
-function raiseCounts(to: Record<string, number>, from: CustomerCounts): void {
+function mergeMaxCounts(
+  to: Record<string, number>,
+  from: CustomerCounts,
+): void {
   for (const [customer, count] of Object.entries(from)) {
     to[customer] = Math.max(to[customer] ?? 0, count);
   }
--- a/packages/traffic/src/weightedChoice.ts
+++ b/packages/traffic/src/weightedChoice.ts
@@ -1,10 +1,10 @@
-/** Which of a route's services takes a request. */
+/** Chooses one of a route's services for a request. */
 import {hashFraction} from '@skylarkfield/base';
 import type {WeightedService} from './contracts.js';
 
 /**
- * Chooses by weight from a key, the same at every entry, so that a request that
- * is sent again meets the same service.
+ * Chooses a service by weight and the hash of a key. The choice is the same at
+ * every entry, so that a resent request reaches the same service.
  *
  * @example
  * const service = chooseService(route.services, requestId);
@@ -17,10 +17,10 @@
     return services[0]?.service;
   }
   const total = services.reduce((sum, {weight}) => sum + weight, 0);
-  let rest = hashFraction(key) * total;
+  let remaining = hashFraction(key) * total;
   for (const {service, weight} of services) {
-    rest -= weight;
-    if (rest < 0) {
+    remaining -= weight;
+    if (remaining < 0) {
       return service;
     }
   }
--- a/packages/traffic/src/workMeter.ts
+++ b/packages/traffic/src/workMeter.ts
@@ -1,39 +1,39 @@
-/** Work that comes in, as a smoothed rate. */
+/** Smoothed rate of arriving work. */
 import type {Clock} from '@skylarkfield/base';
 import type {WorkRate} from '@skylarkfield/capacity';
 import {addWork, NO_WORK, scaleWork} from './engineWork.js';
 
 export interface WorkMeter {
   note(service: string, work: WorkRate): void;
-  /** Work a second, by service. */
+  /** Returns the work per second by service. */
   rates(): Readonly<Record<string, WorkRate>>;
 }
 
 /**
- * Half of what came in this long ago still counts. Callers come in clumps, and
- * a replica takes seconds to start: following each clump would order replicas
- * that are there when it is over.
+ * Half-life of the exponential decay. Requests arrive in bursts, and a replica
+ * takes seconds to start: following each burst would order replicas that are
+ * ready when it is over.
  */
 const HALF_LIFE_MS = 4_000;
 const SECOND_MS = 1_000;
 
-interface Sum {
+interface DecayingSum {
   work: WorkRate;
   at: number;
 }
 
 /**
- * Makes a meter at zero. It counts tokens, not their time: what is believed of
- * engines may change after the work has come.
+ * Creates a meter at zero. It counts tokens, not their time: the estimate of
+ * engine speed may change after the work has arrived.
  *
  * @example
  * meter.note('chat', promptWork(demand));
  * const {chat} = meter.rates();
  */
 export function createWorkMeter(clock: Clock): WorkMeter {
-  const sums = new Map<string, Sum>();
+  const sums = new Map<string, DecayingSum>();
 
-  function decayed({work, at}: Sum): WorkRate {
+  function decayed({work, at}: DecayingSum): WorkRate {
     return scaleWork(work, 2 ** ((at - clock.now()) / HALF_LIFE_MS));
   }
 
