--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -14,10 +14,7 @@
 const MIN_CONFIDENT_PROMPTS = 60;
 const MAX_CONFIDENT_ERROR = 0.3;
 
-/**
- * Prior time of the mean prompt as a fraction of the goal, which is taken as
- * feasible.
- */
+/** Prior time of a prompt as a fraction of the goal, assumed feasible. */
 const PRIOR_GOAL_FRACTION = 0.1;
 
 /**
@@ -26,10 +23,7 @@
  */
 const MIN_PRIOR_FRACTION = 0.01;
 
-/**
- * Prior standard deviation of the attention time, as a fraction of a prompt's
- * time.
- */
+/** Prior deviation of attention time, as a fraction of a prompt's time. */
 const PRIOR_PAIRS_FRACTION = 0.2;
 
 /** Mean uncached tokens of a prompt until one was sampled. */
--- a/packages/capacity/src/outcomeMeter.ts
+++ b/packages/capacity/src/outcomeMeter.ts
@@ -17,10 +17,7 @@
   sums(): Readonly<Record<string, OutcomeSums>>;
 }
 
-/**
- * Half-life of counts, in milliseconds: about as long as an endpoint takes to
- * start.
- */
+/** Half-life in milliseconds, about the time that an endpoint takes to start. */
 const HALF_LIFE_MS = 2_000;
 
 /**
--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -14,10 +14,7 @@
 }
 
 export interface Confirmation {
-  /**
-   * Confirms that the replica was up to date at this time; older confirmations
-   * are ignored.
-   */
+  /** Confirms that the replica was up to date; ignored if older than the last. */
   confirm(timestamp: Timestamp): void;
   /** Milliseconds since the last confirmation; Infinity before the first. */
   ageMs(): number;
--- a/packages/traffic/src/fleetDemand.ts
+++ b/packages/traffic/src/fleetDemand.ts
@@ -33,10 +33,7 @@
   note(signals: DemandSigns): EndpointNeed;
 }
 
-/**
- * The need is the maximum over this window, in milliseconds. It is longer than
- * the lulls between bursts.
- */
+/** Window of the maximum need in ms, longer than the lulls between bursts. */
 const SCALE_DOWN_WINDOW_MS = 8_000;
 
 /**
@@ -51,10 +48,7 @@
  */
 const WARMUP_MS = 8_000;
 
-/**
- * Lower bound of a work rate that is more than a stray request, in milliseconds
- * of one endpoint per second.
- */
+/** Lower rates, in ms of one endpoint per second, are from stray requests. */
 const MIN_WORK_RATE = 50;
 
 /** Fraction of late requests from which on there are too few endpoints. */
--- a/packages/traffic/src/fleetPlan.ts
+++ b/packages/traffic/src/fleetPlan.ts
@@ -31,10 +31,7 @@
 export interface FleetPlanInput {
   readonly terms: FleetTerms;
   readonly needed: EndpointNeed;
-  /**
-   * Number of reclaimable endpoints present in the failure domains where no more
-   * are available.
-   */
+  /** Reclaimable endpoints present where no more are available, by domain. */
   readonly scarce: ReadonlyMap<string, number>;
 }
 
