--- a/packages/capacity/src/capacityStats.ts
+++ b/packages/capacity/src/capacityStats.ts
@@ -25,11 +25,11 @@
  * const decayed = scaleCapacity(stats, 0.5);
  */
 export function scaleCapacity(
-  sums: CapacitySums,
+  stats: CapacitySums,
   factor: number,
 ): CapacitySums {
   return Object.fromEntries(
-    Object.entries(sums).map(([name, {prompts, answers, paces}]) => [
+    Object.entries(stats).map(([name, {prompts, answers, paces}]) => [
       name,
       {
         prompts: scaleStats(prompts, factor),
@@ -77,11 +77,11 @@
 
 function addServiceStats(parts: readonly ServiceStats[]): ServiceStats {
   const paces: Record<string, PaceStats> = {};
-  for (const [route, sums] of parts.flatMap(part =>
+  for (const [route, stats] of parts.flatMap(part =>
     Object.entries(part.paces),
   )) {
     const known = paces[route];
-    paces[route] = known ? addPaces(known, sums) : sums;
+    paces[route] = known ? addPaces(known, stats) : stats;
   }
   return {
     prompts: addStats(
