--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -1,4 +1,4 @@
-/** The bulkheads of all services at one entry. */
+/** Admission control of one entry: one bulkhead per service. */
 import {
   ServingError,
   type Clock,
@@ -9,49 +9,54 @@
 import type {LimitPolicy} from './concurrencyLimit.js';
 import type {Admission} from './contracts.js';
 
-export interface AdmissionOptions {
+export interface AdmissionControllerOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly decisions: DecisionLog;
-  /** How limits adapt; `aimd` unless a measurement compares others. */
+  /** Limit algorithm, `aimd` by default; benchmarks compare the others. */
   readonly limitPolicy?: LimitPolicy;
 }
 
-/** Weight of a customer whose record says nothing, and the least that counts. */
+/** Default weight of a customer, and the lower bound of weights. */
 const DEFAULT_WEIGHT = 1;
-const LEAST_WEIGHT = 0.001;
+const MIN_WEIGHT = 0.001;
 
 /**
- * Makes the admission of one entry.
+ * Creates the admission controller of one entry.
  *
  * @example
  * const admission = createAdmission({clock, random, decisions});
  * admission.setService('booking', service);
- * const permit = await admission.admit(ask, signal);
+ * const permit = await admission.admit(request, signal);
  */
-export function createAdmission(options: AdmissionOptions): Admission {
+export function createAdmission(
+  options: AdmissionControllerOptions,
+): Admission {
   const bulkheads = new Map<string, Bulkhead>();
   const weights = new Map<string, number>();
   let entryCount = 1;
 
   return {
-    async admit(ask, signal) {
-      const bulkhead = bulkheads.get(ask.service);
+    async admit(request, signal) {
+      const bulkhead = bulkheads.get(request.service);
       if (bulkhead === undefined) {
-        throw new ServingError('unknown-service', `no service ${ask.service}`);
+        throw new ServingError(
+          'unknown-service',
+          `no service ${request.service}`,
+        );
       }
-      return bulkhead.admit(ask, signal);
+      return bulkhead.admit(request, signal);
     },
-    tryRetry: service => bulkheads.get(service)?.tryRetry() ?? false,
+    tryRetry: service => bulkheads.get(service)?.tryAcquireRetry() ?? false,
     setService(name, service) {
       if (service === undefined) {
         bulkheads.get(name)?.close();
         bulkheads.delete(name);
         return;
       }
-      const known = bulkheads.get(name);
-      if (known !== undefined) {
-        known.configure(service);
+      const existing = bulkheads.get(name);
+      if (existing !== undefined) {
+        existing.configure(service);
         return;
       }
       const bulkhead = createBulkhead({
@@ -70,7 +75,7 @@
         weights.delete(customer);
         return;
       }
-      weights.set(customer, Math.max(LEAST_WEIGHT, weight));
+      weights.set(customer, Math.max(MIN_WEIGHT, weight));
     },
     setEntryCount(count) {
       entryCount = Math.max(1, count);
@@ -78,8 +83,8 @@
         bulkhead.setEntryCount(entryCount);
       }
     },
-    setReportedSlots(service, slots, busy) {
-      bulkheads.get(service)?.reportSlots(slots, busy);
+    setReportedSlots(service, slots, outstanding) {
+      bulkheads.get(service)?.setReportedSlots(slots, outstanding);
     },
     loadFraction: service => bulkheads.get(service)?.loadFraction() ?? 0,
     dump: () => ({
--- a/packages/admission/src/bulkhead.ts
+++ b/packages/admission/src/bulkhead.ts
@@ -1,6 +1,6 @@
 /**
- * One service's own concurrency, queue and retry budget, so that a service that
- * hangs, slows, fails or is flooded takes nothing from the others.
+ * Concurrency limit, queue and retry budget of one service, so that a service
+ * that hangs, slows down, fails or is overloaded does not affect the others.
  */
 import {
   ServingError,
@@ -14,29 +14,29 @@
 import {createConcurrencyLimit, type LimitPolicy} from './concurrencyLimit.js';
 import type {
   AdmissionRequest,
-  Ending,
-  GuardedService,
+  RequestResult,
+  ServiceAdmissionConfig,
   Permit,
 } from './contracts.js';
 import {createFairQueue} from './fairQueue.js';
 import {createRetryBudget} from './retryBudget.js';
-import {createWaitEstimate} from './waitEstimate.js';
+import {createWaitEstimator} from './waitEstimate.js';
 
 export interface Bulkhead {
-  admit(ask: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
-  tryRetry(): boolean;
-  configure(service: GuardedService): void;
+  admit(request: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
+  tryAcquireRetry(): boolean;
+  configure(service: ServiceAdmissionConfig): void;
   setEntryCount(count: number): void;
-  reportSlots(slots: number, busy: number | undefined): void;
-  /** Requests in flight relative to the limit, 0 to 1. */
+  setReportedSlots(slots: number, outstanding: number | undefined): void;
+  /** Returns the requests in flight relative to the limit, 0 to 1. */
   loadFraction(): number;
-  /** Ends every waiting request as `not-run`. */
+  /** Rejects every queued request as `not-run`. */
   close(): void;
   dump(): unknown;
 }
 
 export interface BulkheadOptions {
-  readonly service: GuardedService;
+  readonly service: ServiceAdmissionConfig;
   readonly clock: Clock;
   readonly random: Random;
   readonly decisions: DecisionLog;
@@ -46,76 +46,76 @@
 }
 
 /** A request in the queue. */
-interface Waiter {
-  readonly ask: AdmissionRequest;
+interface QueuedRequest {
+  readonly request: AdmissionRequest;
   readonly customer: string;
   readonly urgency: number;
   readonly cost: number;
-  readonly askedAt: number;
+  readonly requestedAt: number;
   resolve(permit: Permit): void;
   reject(error: ServingError): void;
-  /** Ends the waiter's timer and its hold on the caller's signal. */
+  /** Disposes the deadline timer and removes the abort listener. */
   detach(): void;
 }
 
-/** RFC 9218's urgency of a request that names none; lower ones are more important. */
+/** RFC 9218 urgency of a request without one; lower values are more urgent. */
 const DEFAULT_URGENCY = 3;
 
-const LEAST_RETRY_AFTER_MS = 100;
-const MOST_RETRY_AFTER_MS = 30_000;
+const MIN_RETRY_AFTER_MS = 100;
+const MAX_RETRY_AFTER_MS = 30_000;
 
-/** Spread of Retry-After, so that those refused together do not return together. */
+/** Jitter of Retry-After, so that rejected requests do not retry together. */
 const RETRY_AFTER_JITTER = 0.5;
 
 /**
- * A deadline is looked at again after no less than this. The time left is a
- * difference of fractions: a rest too small to move the clock would call the
- * check again at the same instant for ever, and the process would stand still.
+ * Minimum delay of a deadline check. The remaining time is a difference of
+ * floating-point numbers: a remainder too small to advance the clock would
+ * rerun the check at the same instant forever and hang the process.
  */
-const LEAST_RECHECK_MS = 1;
+const MIN_RECHECK_MS = 1;
 
-/** A change of state is noted as a decision at most this often. */
-const NOTE_INTERVAL_MS = 5000;
+/** Minimum interval between logged state changes. */
+const DECISION_INTERVAL_MS = 5000;
 
-/** Why a state was entered, for the decision log. */
+/** Reason for entering each state, for the decision log. */
 const stateReasons: Readonly<Record<BulkheadState, string>> = {
-  flowing: 'the queue is empty again',
-  queueing: 'all places of this entry are taken',
-  refusing: 'the queue is full or deadlines cannot be met',
+  flowing: 'the queue is empty',
+  queueing: 'the concurrency limit of this entry is reached',
+  refusing: 'the queue is full or requests cannot meet their deadlines',
   closed: 'the service was removed',
 };
 
 /**
- * Makes the bulkhead of one service.
+ * Creates the bulkhead of one service.
  *
  * @example
- * const permit = await bulkhead.admit(ask, signal);
+ * const permit = await bulkhead.admit(request, signal);
  * permit.release({outcome: 'ok', latencyMs: 12});
  */
 export function createBulkhead(options: BulkheadOptions): Bulkhead {
   const {clock, random, decisions} = options;
   let service = options.service;
-  const queue = createFairQueue<Waiter>(options.weightOf);
+  const queue = createFairQueue<QueuedRequest>(options.weightOf);
   const share = createCapacityShare(service.concurrency);
-  const retries = createRetryBudget();
-  const estimate = createWaitEstimate(clock);
+  const retryBudget = createRetryBudget();
+  const waitEstimator = createWaitEstimator(clock);
   const limit = createConcurrencyLimit(options.limitPolicy, {
     ceiling: service.concurrency,
     targetMs: service.targetMs,
   });
-  const machine = createBulkheadMachine(noteState);
+  const machine = createBulkheadMachine(recordStateChange);
   let inFlight = 0;
   let refusals = 0;
-  let notedAt = -Infinity;
+  let lastDecisionAt = -Infinity;
   share.setEntryCount(options.entryCount);
   limit.setCeiling(share.current());
 
-  function noteState(entered: BulkheadState) {
-    const isTooSoon = clock.now() - notedAt < NOTE_INTERVAL_MS;
-    if (entered === 'queueing' || (entered !== 'closed' && isTooSoon)) {
+  function recordStateChange(entered: BulkheadState) {
+    const isRateLimited = clock.now() - lastDecisionAt < DECISION_INTERVAL_MS;
+    if (entered === 'queueing' || (entered !== 'closed' && isRateLimited)) {
       return;
     }
-    notedAt = clock.now();
+    lastDecisionAt = clock.now();
     decisions.note('admission', service.name, entered, stateReasons[entered], {
       limit: currentLimit(),
       inFlight,
@@ -125,160 +125,177 @@
   }
 
   function currentLimit(urgency = DEFAULT_URGENCY): number {
-    const own = Math.floor(limit.current());
+    const ownLimit = Math.floor(limit.current());
     if (urgency < DEFAULT_URGENCY) {
-      return Math.max(1, own + share.overdraft());
+      return Math.max(1, ownLimit + share.overdraft());
     }
-    return Math.max(1, Math.floor(own * share.ordinaryFraction()));
+    return Math.max(1, Math.floor(ownLimit * share.ordinaryFraction()));
   }
 
-  /** Nobody who is as important waits: what waits may have no place where this request has one. */
-  function isNext(ask: AdmissionRequest): boolean {
-    return ask.urgency < (queue.headUrgency() ?? Infinity);
+  /** Less urgent requests may be queued while the overdraft admits this one. */
+  function isMoreUrgentThanQueue(request: AdmissionRequest): boolean {
+    return request.urgency < (queue.headUrgency() ?? Infinity);
   }
 
-  function expectedWaitMs(ask: AdmissionRequest): number {
-    if (inFlight < currentLimit(ask.urgency) && isNext(ask)) {
+  function expectedWaitMs(request: AdmissionRequest): number {
+    if (
+      inFlight < currentLimit(request.urgency) &&
+      isMoreUrgentThanQueue(request)
+    ) {
       return 0;
     }
-    const ahead =
-      queue.costBefore(ask.urgency) + queue.costAheadWithin(ask) + ask.cost / 2;
-    return estimate.waitMs(ahead, currentLimit(ask.urgency), ask.urgency);
+    const costAhead =
+      queue.costOfMoreUrgent(request.urgency) +
+      queue.costAheadAtSameUrgency(request) +
+      request.cost / 2;
+    return waitEstimator.waitMs(
+      costAhead,
+      currentLimit(request.urgency),
+      request.urgency,
+    );
   }
 
-  function retryAfterMs(ask: AdmissionRequest): number {
+  function retryAfterMs(request: AdmissionRequest): number {
     const jitter = 1 + random.next() * RETRY_AFTER_JITTER;
-    const waitMs = Math.max(LEAST_RETRY_AFTER_MS, expectedWaitMs(ask));
-    return Math.ceil(Math.min(waitMs * jitter, MOST_RETRY_AFTER_MS));
+    const waitMs = Math.max(MIN_RETRY_AFTER_MS, expectedWaitMs(request));
+    return Math.ceil(Math.min(waitMs * jitter, MAX_RETRY_AFTER_MS));
   }
 
-  function overloaded(ask: AdmissionRequest): ServingError {
+  function overloadedRejection(request: AdmissionRequest): ServingError {
     refusals += 1;
     machine.send('refuse');
-    const message = `all places of ${service.name} are taken and its queue is full`;
+    const message = `the concurrency limit of ${service.name} is reached and its queue is full`;
     return new ServingError('overloaded', message, {
       run: 'not-run',
-      retryAfterMs: retryAfterMs(ask),
+      retryAfterMs: retryAfterMs(request),
     });
   }
 
-  function tooLate(ask: AdmissionRequest): ServingError {
+  function deadlineRejection(request: AdmissionRequest): ServingError {
     refusals += 1;
     machine.send('refuse');
-    const message = `${service.name} cannot answer before the deadline`;
+    const message = `${service.name} cannot respond before the deadline`;
     return new ServingError('deadline-exceeded', message, {
       run: 'not-run',
-      retryAfterMs: retryAfterMs(ask),
+      retryAfterMs: retryAfterMs(request),
     });
   }
 
   /**
-   * With nothing in flight a request whose deadline is still ahead is let
-   * through whatever the estimate says. Else a service that was slow once would
-   * be refused for ever, since only requests let through can show that it is
-   * fast again.
+   * Ignores the estimate while nothing is in flight and the deadline has not
+   * passed. Otherwise requests to a service that was slow once would be
+   * rejected forever, since only admitted requests can show that it is fast
+   * again.
    */
-  function isHopeless(ask: AdmissionRequest, waitMs: number): boolean {
-    const leftMs = ask.deadline - clock.now();
-    if (leftMs <= 0) {
+  function isDeadlineUnreachable(
+    request: AdmissionRequest,
+    waitMs: number,
+  ): boolean {
+    const remainingMs = request.deadline - clock.now();
+    if (remainingMs <= 0) {
       return true;
     }
-    return inFlight > 0 && waitMs + estimate.serviceMs() > leftMs;
+    return inFlight > 0 && waitMs + waitEstimator.serviceMs() > remainingMs;
   }
 
-  function start(ask: AdmissionRequest, askedAt: number): Permit {
-    const startedAt = clock.now();
+  function grantPermit(request: AdmissionRequest, requestedAt: number): Permit {
+    const admittedAt = clock.now();
     inFlight += 1;
-    estimate.noteStart();
-    retries.earn();
+    waitEstimator.recordAdmission();
+    retryBudget.deposit();
     let isReleased = false;
     return {
-      waitedMs: startedAt - askedAt,
-      release(ending) {
+      waitedMs: admittedAt - requestedAt,
+      release(result) {
         if (isReleased) {
           return;
         }
         isReleased = true;
-        learn(ask, startedAt, ending);
+        recordResult(request, admittedAt, result);
         inFlight -= 1;
-        drain();
+        admitQueued();
       },
     };
   }
 
-  function learn(ask: AdmissionRequest, startedAt: number, ending: Ending) {
-    const isLimitUsed = inFlight >= currentLimit() || queue.size > 0;
-    estimate.noteEnd(startedAt, ask.cost);
-    if (ending.outcome === 'ok') {
-      estimate.noteLatency(ending.latencyMs);
+  function recordResult(
+    request: AdmissionRequest,
+    admittedAt: number,
+    result: RequestResult,
+  ) {
+    const isLimitReached = inFlight >= currentLimit() || queue.size > 0;
+    waitEstimator.recordRelease(admittedAt, request.cost);
+    if (result.outcome === 'ok') {
+      waitEstimator.recordLatency(result.latencyMs);
     }
-    // A fast failure is no sign of room, and a caller that left early shows nothing.
-    const isSlow = ending.latencyMs > service.targetMs;
-    if (ending.outcome === 'ok' || ending.outcome === 'overloaded' || isSlow) {
+    // Fast failures and cancellations give no evidence of spare capacity.
+    const isSlow = result.latencyMs > service.targetMs;
+    if (result.outcome === 'ok' || result.outcome === 'overloaded' || isSlow) {
       limit.observe({
-        latencyMs: ending.latencyMs,
-        isOverload: ending.outcome === 'overloaded',
-        isLimitUsed,
+        latencyMs: result.latencyMs,
+        isOverload: result.outcome === 'overloaded',
+        isLimitReached,
       });
     }
   }
 
-  function drain() {
+  function admitQueued() {
     while (inFlight < currentLimit(queue.headUrgency())) {
-      const waiter = queue.shift();
-      if (waiter === undefined) {
+      const queued = queue.dequeue();
+      if (queued === undefined) {
         machine.send('clear');
         return;
       }
-      waiter.detach();
-      if (isHopeless(waiter.ask, 0)) {
-        waiter.reject(tooLate(waiter.ask));
+      queued.detach();
+      if (isDeadlineUnreachable(queued.request, 0)) {
+        queued.reject(deadlineRejection(queued.request));
       } else {
-        waiter.resolve(start(waiter.ask, waiter.askedAt));
+        queued.resolve(grantPermit(queued.request, queued.requestedAt));
       }
     }
   }
 
-  function drop(waiter: Waiter, error: ServingError) {
-    queue.remove(waiter);
-    waiter.detach();
-    waiter.reject(error);
+  function rejectQueued(queued: QueuedRequest, error: ServingError) {
+    queue.remove(queued);
+    queued.detach();
+    queued.reject(error);
   }
 
-  function refuseDisplaced(waiter: Waiter | undefined) {
-    waiter?.detach();
-    waiter?.reject(overloaded(waiter.ask));
+  function rejectEvicted(queued: QueuedRequest | undefined) {
+    queued?.detach();
+    queued?.reject(overloadedRejection(queued.request));
   }
 
-  /** Refuses at the moment when the deadline comes out of reach, not when it passes. */
-  function watchDeadline(waiter: Waiter): Disposable {
+  /** Rejects the request as soon as its deadline can no longer be met. */
+  function startDeadlineTimer(queued: QueuedRequest): Disposable {
     let timer = arm();
     function arm(): Disposable {
-      const leftMs = waiter.ask.deadline - clock.now() - estimate.serviceMs();
-      return clock.after(Math.max(LEAST_RECHECK_MS, leftMs), check);
+      const remainingMs =
+        queued.request.deadline - clock.now() - waitEstimator.serviceMs();
+      return clock.after(Math.max(MIN_RECHECK_MS, remainingMs), checkDeadline);
     }
-    function check() {
-      const leftMs = waiter.ask.deadline - clock.now();
-      if (leftMs > estimate.serviceMs()) {
+    function checkDeadline() {
+      const remainingMs = queued.request.deadline - clock.now();
+      if (remainingMs > waitEstimator.serviceMs()) {
         timer = arm();
         return;
       }
-      drop(waiter, tooLate(waiter.ask));
+      rejectQueued(queued, deadlineRejection(queued.request));
     }
     return {dispose: () => timer.dispose()};
   }
 
   function enqueue(
-    ask: AdmissionRequest,
+    request: AdmissionRequest,
     signal: AbortSignal,
   ): Promise<Permit> {
     return new Promise((resolve, reject) => {
-      const waiter: Waiter = {
-        ask,
-        customer: ask.customer,
-        urgency: ask.urgency,
-        cost: ask.cost,
-        askedAt: clock.now(),
+      const queued: QueuedRequest = {
+        request,
+        customer: request.customer,
+        urgency: request.urgency,
+        cost: request.cost,
+        requestedAt: clock.now(),
         resolve,
         reject,
         detach() {
@@ -286,65 +303,68 @@
           signal.removeEventListener('abort', onAbort);
         },
       };
-      const timer = watchDeadline(waiter);
-      const onAbort = () => drop(waiter, cancelled());
+      const timer = startDeadlineTimer(queued);
+      const onAbort = () => rejectQueued(queued, cancelledError());
       signal.addEventListener('abort', onAbort, {once: true});
-      queue.push(waiter);
+      queue.enqueue(queued);
       machine.send('wait');
     });
   }
 
   return {
-    async admit(ask, signal) {
+    async admit(request, signal) {
       if (signal.aborted) {
-        throw cancelled();
+        throw cancelledError();
       }
       if (machine.state() === 'closed') {
-        throw removed(service.name);
+        throw serviceRemovedError(service.name);
       }
-      estimate.noteAsk(ask.urgency, ask.cost);
-      if (isHopeless(ask, expectedWaitMs(ask))) {
-        throw tooLate(ask);
+      waitEstimator.recordArrival(request.urgency, request.cost);
+      if (isDeadlineUnreachable(request, expectedWaitMs(request))) {
+        throw deadlineRejection(request);
       }
-      if (inFlight < currentLimit(ask.urgency) && isNext(ask)) {
-        return start(ask, clock.now());
+      if (
+        inFlight < currentLimit(request.urgency) &&
+        isMoreUrgentThanQueue(request)
+      ) {
+        return grantPermit(request, clock.now());
       }
       if (queue.size >= service.queue) {
-        const displaced = queue.displaceFor(ask);
-        if (displaced === undefined) {
-          throw overloaded(ask);
+        const evicted = queue.evictFor(request);
+        if (evicted === undefined) {
+          throw overloadedRejection(request);
         }
-        refuseDisplaced(displaced);
+        rejectEvicted(evicted);
       }
-      return enqueue(ask, signal);
+      return enqueue(request, signal);
     },
-    tryRetry: () => retries.tryTake(),
+    tryAcquireRetry: () => retryBudget.tryWithdraw(),
     configure(next) {
       service = next;
       share.setConcurrency(next.concurrency);
       limit.setCeiling(share.current());
       limit.setTarget(next.targetMs);
       while (queue.size > service.queue) {
-        refuseDisplaced(queue.pop());
+        rejectEvicted(queue.evict());
       }
-      drain();
+      admitQueued();
     },
     setEntryCount(count) {
       share.setEntryCount(count);
       limit.setCeiling(share.current());
-      drain();
+      admitQueued();
     },
-    reportSlots(slots, busy) {
-      const isWanted = inFlight >= currentLimit();
-      share.report(slots, busy, isWanted);
+    setReportedSlots(slots, outstanding) {
+      const isLimitReached = inFlight >= currentLimit();
+      share.report(slots, outstanding, isLimitReached);
       limit.setCeiling(share.current());
-      drain();
+      admitQueued();
     },
     loadFraction: () => Math.min(1, inFlight / currentLimit()),
     close() {
       machine.send('close');
-      for (const waiter of queue.items()) {
-        drop(waiter, removed(service.name));
+      for (const queued of queue.items()) {
+        rejectQueued(queued, serviceRemovedError(service.name));
       }
     },
     dump: () => ({
@@ -359,18 +379,22 @@
       queueLimit: service.queue,
       customers: queue.flowCount(),
       refusals,
-      retriesLeft: retries.available(),
-      serviceMs: estimate.serviceMs(),
+      retriesLeft: retryBudget.balance(),
+      serviceMs: waitEstimator.serviceMs(),
     }),
   };
 }
 
-function cancelled(): ServingError {
-  return new ServingError('cancelled', 'the caller gave up while waiting', {
-    run: 'not-run',
-  });
+function cancelledError(): ServingError {
+  return new ServingError(
+    'cancelled',
+    'the caller cancelled the queued request',
+    {
+      run: 'not-run',
+    },
+  );
 }
 
-function removed(name: string): ServingError {
+function serviceRemovedError(name: string): ServingError {
   return new ServingError('unknown-service', `the service ${name} was removed`);
 }
--- a/packages/admission/src/bulkheadMachine.ts
+++ b/packages/admission/src/bulkheadMachine.ts
@@ -1,9 +1,9 @@
-/** The states of a service's bulkhead, as the dump and the decision log show them. */
+/** State machine of a bulkhead, shown in dumps and the decision log. */
 import {createMachine, interpret, state, transition} from 'robot3';
 
 /**
- * `flowing`: requests start at once. `queueing`: they wait. `refusing`: some
- * were turned away since the queue was last empty. `closed`: the service is gone.
+ * `flowing`: admits at once. `queueing`: queues. `refusing`: rejected requests
+ * since the queue was last empty. `closed`: the service was removed.
  */
 export type BulkheadState = 'flowing' | 'queueing' | 'refusing' | 'closed';
 
@@ -15,10 +15,10 @@
 }
 
 /**
- * Makes the machine; `onEnter` hears each change of state.
+ * Creates the state machine; `onEnter` is called on each change of state.
  *
  * @example
- * const machine = createBulkheadMachine(state => note(state));
+ * const machine = createBulkheadMachine(state => states.push(state));
  * machine.send('wait');
  */
 export function createBulkheadMachine(
@@ -41,11 +41,11 @@
     ),
     closed: state(),
   });
-  let last: BulkheadState = 'flowing';
+  let lastState: BulkheadState = 'flowing';
   const service = interpret(machine, () => {
     const entered = service.machine.current as BulkheadState;
-    if (entered !== last) {
-      last = entered;
+    if (entered !== lastState) {
+      lastState = entered;
       onEnter(entered);
     }
   });
--- a/packages/admission/src/capacityShare.ts
+++ b/packages/admission/src/capacityShare.ts
@@ -1,47 +1,51 @@
 /**
- * This entry's part of a service's concurrency, found without talking to the
- * other entries.
+ * This entry's share of a service's concurrency, computed without coordination
+ * between entries.
  *
- * Each entry may always use an even part. Customers keep to few entries, so
- * load is uneven and even parts alone would refuse at one entry what stands
- * idle at another. Where the endpoints report how busy they are, an entry that
- * needs more takes its part of what is idle with each report, and gives it back
- * when the reports show that the others use theirs.
+ * Each entry may always use an equal share. Customers connect to few entries,
+ * so load is uneven, and with equal shares alone one entry would reject
+ * requests while capacity is idle at another. If the endpoints report their
+ * load, an entry at its limit borrows its part of the idle slots with each
+ * report, and returns them when the reports show no idle slots.
  */
 
 export interface CapacityShare {
-  /** Requests at once that this entry may have, at least 1. */
+  /** Returns the concurrency that this entry may use, at least 1. */
   current(): number;
   /**
-   * Places above the share that requests more important than the default may
-   * use. Importance has to hold over all entries: where a customer's important
-   * requests gather at one entry, the others' less important ones make room.
+   * Returns the extra slots for requests more urgent than the default. Urgency
+   * has to hold across entries: if a customer's urgent requests arrive at one
+   * entry, the other entries throttle less urgent ones.
    */
   overdraft(): number;
-  /** Part of the limit that the other requests may use: falls while the endpoints have more than they can carry. */
+  /** Returns the fraction of the limit for others; falls on overload. */
   ordinaryFraction(): number;
   setConcurrency(concurrency: number): void;
   setEntryCount(count: number): void;
-  /** A report of the endpoints: slots, and how many of them are taken, if known. */
-  report(slots: number, busy: number | undefined, isWanted: boolean): void;
+  /** Applies reported slots and, if known, outstanding requests. */
+  report(
+    slots: number,
+    outstanding: number | undefined,
+    isLimitReached: boolean,
+  ): void;
 }
 
-/** Part of the borrowed places given back with each report that shows no idle slot. */
+/** Fraction of borrowed slots returned with each report that adds none. */
 const RETURN_FRACTION = 0.5;
 
-/** The overdraft relative to the even part. */
+/** Overdraft relative to the equal share. */
 const OVERDRAFT_FRACTION = 1;
 
-/** Reports lag, so a little more than the endpoints can carry proves nothing. */
-const TOLERATED_EXCESS = 0.1;
+/** Tolerated overload relative to the total concurrency, as reports lag. */
+const TOLERATED_EXCESS_FRACTION = 0.1;
 
-/** How the ordinary part falls and rises with each report, and its least value. */
-const ORDINARY_DECREASE = 0.85;
-const ORDINARY_INCREASE = 0.04;
-const LEAST_ORDINARY = 0.25;
+/** Change of the ordinary fraction with each report, and its lower bound. */
+const ORDINARY_DECREASE_FACTOR = 0.85;
+const ORDINARY_INCREASE_STEP = 0.04;
+const MIN_ORDINARY_FRACTION = 0.25;
 
 /**
- * Makes the share of one service at this entry.
+ * Creates the capacity share of one service at this entry.
  *
  * @example
  * const share = createCapacityShare(40);
@@ -52,55 +56,65 @@
   let entryCount = 1;
   let slots: number | undefined;
   let borrowed = 0;
-  let ordinary = 1;
-  let isReported = false;
+  let ordinaryFraction = 1;
+  let isLoadReported = false;
 
-  function adjustOrdinary(idle: number) {
-    ordinary =
-      idle < -total() * TOLERATED_EXCESS
-        ? Math.max(LEAST_ORDINARY, ordinary * ORDINARY_DECREASE)
-        : Math.min(1, ordinary + ORDINARY_INCREASE);
+  function adjustOrdinaryFraction(idle: number) {
+    ordinaryFraction =
+      idle < -totalConcurrency() * TOLERATED_EXCESS_FRACTION
+        ? Math.max(
+            MIN_ORDINARY_FRACTION,
+            ordinaryFraction * ORDINARY_DECREASE_FACTOR,
+          )
+        : Math.min(1, ordinaryFraction + ORDINARY_INCREASE_STEP);
   }
 
-  function total(): number {
+  function totalConcurrency(): number {
     return slots === undefined ? concurrency : Math.min(concurrency, slots);
   }
-  function evenPart(): number {
-    return total() / entryCount;
+  function equalShare(): number {
+    return totalConcurrency() / entryCount;
   }
   return {
     current() {
-      const most = Math.min(total(), evenPart() + borrowed);
-      return Math.max(1, Math.floor(most));
+      const maxConcurrency = Math.min(
+        totalConcurrency(),
+        equalShare() + borrowed,
+      );
+      return Math.max(1, Math.floor(maxConcurrency));
     },
-    // Without reports of load nobody would see that others have to make room.
+    // Without load reports no other entry would lower its ordinary fraction.
     overdraft: () =>
-      isReported && entryCount > 1
-        ? Math.ceil(evenPart() * OVERDRAFT_FRACTION)
+      isLoadReported && entryCount > 1
+        ? Math.ceil(equalShare() * OVERDRAFT_FRACTION)
         : 0,
-    ordinaryFraction: () => ordinary,
+    ordinaryFraction: () => ordinaryFraction,
     setConcurrency(next) {
       concurrency = Math.max(1, next);
     },
     setEntryCount(count) {
       entryCount = Math.max(1, count);
     },
-    report(reportedSlots, busy, isWanted) {
+    report(reportedSlots, outstanding, isLimitReached) {
       slots = reportedSlots > 0 ? reportedSlots : undefined;
-      isReported = busy !== undefined;
-      if (busy === undefined) {
+      isLoadReported = outstanding !== undefined;
+      if (outstanding === undefined) {
         borrowed = 0;
-        ordinary = 1;
+        ordinaryFraction = 1;
         return;
       }
-      const idle = total() - busy;
-      adjustOrdinary(idle);
-      if (idle <= 0 || !isWanted) {
+      const idle = totalConcurrency() - outstanding;
+      adjustOrdinaryFraction(idle);
+      if (idle <= 0 || !isLimitReached) {
         borrowed *= 1 - RETURN_FRACTION;
         return;
       }
-      // Every entry may take this much at once without using more than is idle.
-      borrowed = Math.min(borrowed + idle / entryCount, total() - evenPart());
+      // All entries may borrow this much at once without exceeding the idle
+      // slots.
+      borrowed = Math.min(
+        borrowed + idle / entryCount,
+        totalConcurrency() - equalShare(),
+      );
     },
   };
 }
--- a/packages/admission/src/concurrencyLimit.ts
+++ b/packages/admission/src/concurrencyLimit.ts
@@ -1,26 +1,26 @@
 /**
- * Adaptive limits on requests at once, from measured latency.
+ * Adaptive concurrency limits based on measured latency.
  *
- * A service may carry less than its record allows: replicas are lost, slow or
- * cold. Requests above what it carries wait inside it, first come first served,
- * where importance no longer counts. A limit that follows the latency keeps the
- * waiting at the entry.
+ * A service may sustain less load than its record allows: replicas are lost,
+ * slow or cold. Excess requests then queue inside the service in FIFO order,
+ * where urgency has no effect. A limit that follows the latency keeps the queue
+ * at the entry.
  */
 
-/** What one finished request tells about the load it met. */
+/** Load sample of one finished request. */
 export interface LimitSample {
   readonly latencyMs: number;
-  /** The service said or showed that it had too much. */
+  /** Whether the service was overloaded. */
   readonly isOverload: boolean;
-  /** The limit was in use when the request ended; else it proves nothing about more. */
-  readonly isLimitUsed: boolean;
+  /** Whether the limit was reached; only then may the sample raise it. */
+  readonly isLimitReached: boolean;
 }
 
 export interface ConcurrencyLimit {
-  /** The limit now, a fraction; at least 1. */
+  /** Returns the current limit, at least 1; not necessarily an integer. */
   current(): number;
   observe(sample: LimitSample): void;
-  /** The most it may be. */
+  /** Sets the upper bound of the limit. */
   setCeiling(ceiling: number): void;
   setTarget(targetMs: number): void;
 }
@@ -29,12 +29,12 @@
 
 export interface LimitOptions {
   readonly ceiling: number;
-  /** Latency that users want for 95 in 100, in milliseconds. */
+  /** 95th percentile latency target, in milliseconds. */
   readonly targetMs: number;
 }
 
-/** A limit below one would never let a request through to measure again. */
-const LOWEST_LIMIT = 1;
+/** A limit below 1 would admit no request to measure latency with. */
+const MIN_LIMIT = 1;
 
 const limitPolicies: Readonly<
   Record<LimitPolicy, (options: LimitOptions) => ConcurrencyLimit>
@@ -45,7 +45,7 @@
 };
 
 /**
- * Makes a limit of the given policy.
+ * Creates a concurrency limit with the given policy.
  *
  * @example
  * const limit = createConcurrencyLimit('aimd', {ceiling: 40, targetMs: 800});
@@ -58,7 +58,7 @@
 }
 
 function clampLimit(value: number, ceiling: number): number {
-  return Math.max(LOWEST_LIMIT, Math.min(value, ceiling));
+  return Math.max(MIN_LIMIT, Math.min(value, ceiling));
 }
 
 function createFixedLimit(options: LimitOptions): ConcurrencyLimit {
@@ -71,48 +71,49 @@
   };
 }
 
-/** Factor on the limit when a round of requests was too slow. */
-const AIMD_DECREASE = 0.85;
+/** Multiplier of the limit after a round with too many slow requests. */
+const AIMD_DECREASE_FACTOR = 0.85;
 
-/** Fraction of a round's requests above the target that means too much load; 1 in 20 may be. */
-const AIMD_SLOW_FRACTION = 0.15;
+/** Slow fraction above which the limit falls; the target allows 1 in 20. */
+const AIMD_MAX_SLOW_FRACTION = 0.15;
 
-/** Fewest requests in a round; fewer say too little about a fraction. */
-const AIMD_LEAST_ROUND = 12;
+/** Minimum number of requests in a round; fewer give no reliable fraction. */
+const AIMD_MIN_ROUND_SIZE = 12;
 
 /**
- * Additive increase, multiplicative decrease: once for each round of as many
- * requests as the limit, down when too many missed the target, else up by one.
+ * Additive increase, multiplicative decrease. A round has as many requests as
+ * the limit; after it the limit falls if too many requests missed the target,
+ * or else rises by one if most of them ended while the limit was reached.
  */
 function createAimdLimit(options: LimitOptions): ConcurrencyLimit {
   let {ceiling, targetMs} = options;
   let limit = ceiling;
-  let seen = 0;
-  let slow = 0;
-  let used = 0;
+  let sampleCount = 0;
+  let slowCount = 0;
+  let limitReachedCount = 0;
   function endRound() {
-    if (slow > seen * AIMD_SLOW_FRACTION) {
-      limit = clampLimit(limit * AIMD_DECREASE, ceiling);
-    } else if (used > seen / 2) {
+    if (slowCount > sampleCount * AIMD_MAX_SLOW_FRACTION) {
+      limit = clampLimit(limit * AIMD_DECREASE_FACTOR, ceiling);
+    } else if (limitReachedCount > sampleCount / 2) {
       limit = clampLimit(limit + 1, ceiling);
     }
-    seen = 0;
-    slow = 0;
-    used = 0;
+    sampleCount = 0;
+    slowCount = 0;
+    limitReachedCount = 0;
   }
   return {
     current: () => clampLimit(limit, ceiling),
     observe(sample) {
-      seen += 1;
-      used += sample.isLimitUsed ? 1 : 0;
+      sampleCount += 1;
+      limitReachedCount += sample.isLimitReached ? 1 : 0;
       const isSlow = sample.isOverload || sample.latencyMs > targetMs;
-      slow += isSlow ? 1 : 0;
-      if (seen >= Math.max(limit, AIMD_LEAST_ROUND)) {
+      slowCount += isSlow ? 1 : 0;
+      if (sampleCount >= Math.max(limit, AIMD_MIN_ROUND_SIZE)) {
         endRound();
       }
     },
     setCeiling(next) {
-      // What had no reason to be below the old ceiling starts from the new one.
+      // A limit that was not below the old ceiling moves to the new one.
       limit = limit >= ceiling ? next : Math.min(limit, next);
       ceiling = next;
     },
@@ -120,37 +121,38 @@
   };
 }
 
-/** Weight of a new latency in the slow and the fast average. */
-const GRADIENT_SLOW_WEIGHT = 1 / 600;
-const GRADIENT_FAST_WEIGHT = 1 / 20;
+/** Weights of a sample in the long-term and the short-term moving average. */
+const GRADIENT_LONG_TERM_WEIGHT = 1 / 600;
+const GRADIENT_SHORT_TERM_WEIGHT = 1 / 20;
 
-/** The fast average may be this much above the slow one before the limit falls. */
+/** Ratio of short-term to long-term average that does not lower the limit. */
 const GRADIENT_TOLERANCE = 1.5;
 const GRADIENT_SMOOTHING = 0.2;
-const GRADIENT_STEEPEST = 0.5;
+const MIN_GRADIENT = 0.5;
 
-/** The ratio of the slow to the fast average of latency scales the limit; a square root of it probes for more. */
+/** Scales the limit by a latency ratio and adds its square root to probe. */
 function createGradientLimit(options: LimitOptions): ConcurrencyLimit {
   let ceiling = options.ceiling;
   let limit = ceiling;
-  let slowMs: number | undefined;
-  let fastMs = 0;
+  let longTermMs: number | undefined;
+  let shortTermMs = 0;
   return {
     current: () => clampLimit(limit, ceiling),
-    observe({latencyMs, isOverload, isLimitUsed}) {
-      slowMs = slowMs === undefined ? latencyMs : slowMs;
-      fastMs = fastMs === 0 ? latencyMs : fastMs;
-      slowMs += (latencyMs - slowMs) * GRADIENT_SLOW_WEIGHT;
-      fastMs += (latencyMs - fastMs) * GRADIENT_FAST_WEIGHT;
-      if (!isLimitUsed && !isOverload) {
+    observe({latencyMs, isOverload, isLimitReached}) {
+      longTermMs = longTermMs === undefined ? latencyMs : longTermMs;
+      shortTermMs = shortTermMs === 0 ? latencyMs : shortTermMs;
+      longTermMs += (latencyMs - longTermMs) * GRADIENT_LONG_TERM_WEIGHT;
+      shortTermMs += (latencyMs - shortTermMs) * GRADIENT_SHORT_TERM_WEIGHT;
+      if (!isLimitReached && !isOverload) {
         return;
       }
-      const ratio = (GRADIENT_TOLERANCE * slowMs) / Math.max(fastMs, 1e-6);
+      const ratio =
+        (GRADIENT_TOLERANCE * longTermMs) / Math.max(shortTermMs, 1e-6);
       const gradient = isOverload
-        ? GRADIENT_STEEPEST
-        : Math.max(GRADIENT_STEEPEST, Math.min(1, ratio));
-      const wanted = limit * gradient + Math.sqrt(limit);
-      const step = (wanted - limit) * (GRADIENT_SMOOTHING / limit);
+        ? MIN_GRADIENT
+        : Math.max(MIN_GRADIENT, Math.min(1, ratio));
+      const targetLimit = limit * gradient + Math.sqrt(limit);
+      const step = (targetLimit - limit) * (GRADIENT_SMOOTHING / limit);
       limit = clampLimit(limit + step, ceiling);
     },
     setCeiling(next) {
--- a/packages/admission/src/contracts.ts
+++ b/packages/admission/src/contracts.ts
@@ -1,59 +1,59 @@
-/** Who may use a service's capacity now, who waits, and who is refused. */
+/** Admission control: admits, queues or rejects requests for each service. */
 import type {Service} from '@skylarkfield/records';
 
-/** A service as the admission guards it. */
-export type GuardedService = Partial<Service> &
+/** Fields of a service record that admission control reads. */
+export type ServiceAdmissionConfig = Partial<Service> &
   Pick<Service, 'name' | 'concurrency' | 'queue' | 'targetMs'>;
 
-/** A request that asks for capacity. */
+/** Attributes of a request that admission control decides by. */
 export interface AdmissionRequest {
   readonly service: string;
   readonly customer: string;
-  /** RFC 9218 urgency after the customer's bound, 0 (most important) to 7. */
+  /** RFC 9218 urgency, 0 (most urgent) to 7, after the customer's cap. */
   readonly urgency: number;
-  /** Monotonic milliseconds by which the answer has to be complete (plain) or begun (model). */
+  /** Monotonic time in ms to complete (plain) or begin (model) the response. */
   readonly deadline: number;
-  /** Expected work relative to a typical request of the service, 1 when not known. */
+  /** Expected work relative to a typical request; 1 if unknown. */
   readonly cost: number;
 }
 
-/** How an admitted request ended. */
-export interface Ending {
+/** Result of an admitted request. */
+export interface RequestResult {
   readonly outcome: 'ok' | 'failed' | 'overloaded' | 'cancelled';
-  /** Milliseconds from admission to the first token or the whole answer. */
+  /** Milliseconds from admission to the first token or full response. */
   readonly latencyMs: number;
 }
 
-/** Leave to work on a request; released exactly once. */
+/** Permit of an admitted request, to be released exactly once. */
 export interface Permit {
   readonly waitedMs: number;
-  release(ending: Ending): void;
+  release(result: RequestResult): void;
 }
 
-/** Capacity of all services at this entry. */
+/** Admission controller of this entry for all services. */
 export interface Admission {
   /**
-   * Waits for capacity.
+   * Admits a request, queueing it while no slot is free.
    * Throws `overloaded` (with `retryAfterMs` from the drain rate),
-   * `deadline-exceeded` as soon as the deadline cannot be met, or `cancelled`;
-   * each of them `not-run`.
+   * `deadline-exceeded` as soon as the deadline cannot be met, `cancelled` or
+   * `unknown-service`; each of them `not-run`.
    */
-  admit(ask: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
-  /** Takes one retry from the service's budget; false when it is used up. */
+  admit(request: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
+  /** Takes one retry from the service's budget; false if it is exhausted. */
   tryRetry(service: string): boolean;
-  /** Adds, changes or removes (undefined) a service's bulkhead. */
-  setService(name: string, service: GuardedService | undefined): void;
-  /** Customers' weights for fairness within an urgency. */
+  /** Adds, reconfigures or removes (undefined) a service's bulkhead. */
+  setService(name: string, service: ServiceAdmissionConfig | undefined): void;
+  /** Sets or resets (undefined) a customer's weight within an urgency. */
   setCustomerWeight(customer: string, weight: number | undefined): void;
-  /** How many live entries share the service's capacity. */
+  /** Sets the number of live entries that share each service's capacity. */
   setEntryCount(count: number): void;
   /**
-   * Capacity in requests at once that the service's endpoints report together,
-   * and how many requests (of all entries) they have, running and waiting.
-   * Without `busy` each entry keeps to an even part.
+   * Sets the total concurrency that the service's endpoints report and the
+   * number of requests (of all entries) that they run or queue.
+   * Without `outstanding` each entry keeps to an equal share.
    */
-  setReportedSlots(service: string, slots: number, busy?: number): void;
-  /** Requests in flight of a service at this entry relative to its limit, 0 to 1. */
+  setReportedSlots(service: string, slots: number, outstanding?: number): void;
+  /** Returns this entry's requests in flight relative to its limit, 0 to 1. */
   loadFraction(service: string): number;
   dump(): unknown;
 }
--- a/packages/admission/src/fairQueue.ts
+++ b/packages/admission/src/fairQueue.ts
@@ -1,119 +1,124 @@
 /**
- * Waiting requests of one service: strictly by urgency, and fair by cost among
- * the customers within an urgency (start-time fair queueing).
+ * Queue of one service's requests: strict priority by urgency, and start-time
+ * fair queueing by cost among the customers of an urgency.
  *
- * Each customer's next request carries a start tag, the cost the customer has
- * been given so far divided by its weight. The smallest tag goes first, so over
- * any span two waiting customers differ by at most one request each.
+ * Each customer's next request has a start tag, the customer's served cost
+ * divided by its weight. The smallest tag is served first, so over any interval
+ * the service of two backlogged customers differs by at most one request each.
  */
 
-/** What the queue has to know of an item. */
-export interface Queued {
+/** Attributes of an item that the queue orders by. */
+export interface QueueItem {
   readonly customer: string;
   readonly urgency: number;
   readonly cost: number;
 }
 
-export interface FairQueue<T extends Queued> {
+export interface FairQueue<T extends QueueItem> {
   readonly size: number;
-  push(item: T): void;
-  /** Urgency of the next item. */
+  enqueue(item: T): void;
+  /** Returns the urgency of the next item. */
   headUrgency(): number | undefined;
-  /** Takes the next item by urgency and fairness. */
-  shift(): T | undefined;
-  /** Takes an item out of turn; false when it is not there. */
+  /** Removes and returns the next item by urgency and fairness. */
+  dequeue(): T | undefined;
+  /** Removes an item from any position; returns false if it is not queued. */
   remove(item: T): boolean;
   /**
-   * Takes the waiting item that has the least claim to its place, if the
-   * newcomer's claim is better: a less important one, or one of a customer
-   * that holds more than its part of the newcomer's urgency.
+   * Removes and returns the item with the lowest priority if the incoming item
+   * has a higher one: an item that is less urgent, or one of a customer with
+   * more weighted cost queued at the same urgency.
    */
-  displaceFor(newcomer: Queued): T | undefined;
-  /** Takes the item with the least claim to its place. */
-  pop(): T | undefined;
-  /** Cost waiting at urgencies more important than the given one. */
-  costBefore(urgency: number): number;
-  /** Cost that is served before a new request of this customer at this urgency. */
-  costAheadWithin(newcomer: Queued): number;
-  /** Customers that are remembered, for the bound on memory. */
+  evictFor(incoming: QueueItem): T | undefined;
+  /** Removes and returns the item with the lowest priority. */
+  evict(): T | undefined;
+  /** Returns the cost queued at more urgent levels than the given one. */
+  costOfMoreUrgent(urgency: number): number;
+  /** Returns the cost at the same urgency that is served before `incoming`. */
+  costAheadAtSameUrgency(incoming: QueueItem): number;
+  /** Returns the number of flows in memory over all urgencies. */
   flowCount(): number;
   items(): readonly T[];
 }
 
+/** Items of one customer at one urgency. */
 interface Flow<T> {
   readonly customer: string;
   readonly items: T[];
-  /** Virtual time at which the customer's last served request ends. */
+  /** Virtual finish time of the customer's last served item. */
   finishTag: number;
-  waitingCost: number;
+  queuedCost: number;
 }
 
-interface Level<T> {
+interface UrgencyLevel<T> {
   readonly flows: Map<string, Flow<T>>;
   virtualTime: number;
-  waitingCost: number;
+  queuedCost: number;
   size: number;
 }
 
 export const URGENCY_COUNT = 8;
 
-/** A flow map is swept when it is this much larger than the last sweep left it. */
-const SWEEP_MARGIN = 32;
+/** Number of flows beyond a level's queued items that triggers pruning. */
+const PRUNE_MARGIN = 32;
 
 /**
- * Makes an empty queue.
+ * Creates an empty queue.
  *
  * @example
- * const queue = createFairQueue<Waiter>(customer => weights.get(customer) ?? 1);
+ * const queue = createFairQueue<QueuedRequest>(customer => weights.get(customer) ?? 1);
  */
-export function createFairQueue<T extends Queued>(
+export function createFairQueue<T extends QueueItem>(
   weightOf: (customer: string) => number,
 ): FairQueue<T> {
-  const levels = Array.from({length: URGENCY_COUNT}, () => createLevel<T>());
+  const levels = Array.from({length: URGENCY_COUNT}, () =>
+    createUrgencyLevel<T>(),
+  );
   let size = 0;
 
-  function levelOf(urgency: number): Level<T> {
+  function levelOf(urgency: number): UrgencyLevel<T> {
     const index = Math.min(URGENCY_COUNT - 1, Math.max(0, Math.trunc(urgency)));
-    return levels[index] as Level<T>;
+    return levels[index] as UrgencyLevel<T>;
   }
 
-  /** How much of the level a flow holds relative to its weight. */
-  function holding(flow: Flow<T>): number {
-    return flow.waitingCost / weightOf(flow.customer);
+  /** Returns the flow's queued cost divided by its customer's weight. */
+  function weightedQueuedCost(flow: Flow<T>): number {
+    return flow.queuedCost / weightOf(flow.customer);
   }
 
-  function largestFlow(level: Level<T>): Flow<T> | undefined {
+  function largestFlow(level: UrgencyLevel<T>): Flow<T> | undefined {
     let largest: Flow<T> | undefined;
     for (const flow of level.flows.values()) {
       if (flow.items.length === 0) {
         continue;
       }
-      if (largest === undefined || holding(flow) > holding(largest)) {
+      if (
+        largest === undefined ||
+        weightedQueuedCost(flow) > weightedQueuedCost(largest)
+      ) {
         largest = flow;
       }
     }
     return largest;
   }
 
-  function takeFrom(level: Level<T>, flow: Flow<T>, index: number): T {
+  function removeAt(level: UrgencyLevel<T>, flow: Flow<T>, index: number): T {
     const [item] = flow.items.splice(index, 1);
     if (item === undefined) {
       throw new RangeError('the flow has no such item');
     }
-    flow.waitingCost =
-      flow.items.length === 0 ? 0 : flow.waitingCost - item.cost;
+    flow.queuedCost = flow.items.length === 0 ? 0 : flow.queuedCost - item.cost;
     level.size -= 1;
-    level.waitingCost = level.size === 0 ? 0 : level.waitingCost - item.cost;
+    level.queuedCost = level.size === 0 ? 0 : level.queuedCost - item.cost;
     size -= 1;
     return item;
   }
 
-  function takeNewestOf(level: Level<T>): T | undefined {
+  function evictNewest(level: UrgencyLevel<T>): T | undefined {
     const flow = largestFlow(level);
-    return flow && takeFrom(level, flow, flow.items.length - 1);
+    return flow && removeAt(level, flow, flow.items.length - 1);
   }
 
-  function serve(level: Level<T>): T | undefined {
+  function dequeueFrom(level: UrgencyLevel<T>): T | undefined {
     let next: Flow<T> | undefined;
     let nextTag = Infinity;
     for (const flow of level.flows.values()) {
@@ -126,10 +131,10 @@
     if (next === undefined) {
       return undefined;
     }
-    const item = takeFrom(level, next, 0);
+    const item = removeAt(level, next, 0);
     level.virtualTime = nextTag;
     next.finishTag = nextTag + item.cost / weightOf(next.customer);
-    forgetIdle(level);
+    pruneIdleFlows(level);
     return item;
   }
 
@@ -137,7 +142,7 @@
     get size() {
       return size;
     },
-    push(item) {
+    enqueue(item) {
       const level = levelOf(item.urgency);
       let flow = level.flows.get(item.customer);
       if (flow === undefined) {
@@ -145,17 +150,17 @@
           customer: item.customer,
           items: [],
           finishTag: level.virtualTime,
-          waitingCost: 0,
+          queuedCost: 0,
         };
         level.flows.set(item.customer, flow);
       }
-      // A customer that waited with nothing to do earns no credit for it.
+      // An idle customer accumulates no credit.
       if (flow.items.length === 0) {
         flow.finishTag = Math.max(flow.finishTag, level.virtualTime);
       }
       flow.items.push(item);
-      flow.waitingCost += item.cost;
-      level.waitingCost += item.cost;
+      flow.queuedCost += item.cost;
+      level.queuedCost += item.cost;
       level.size += 1;
       size += 1;
     },
@@ -163,9 +168,9 @@
       const index = levels.findIndex(level => level.size > 0);
       return index < 0 ? undefined : index;
     },
-    shift() {
+    dequeue() {
       const level = levels.find(candidate => candidate.size > 0);
-      return level && serve(level);
+      return level && dequeueFrom(level);
     },
     remove(item) {
       const level = levelOf(item.urgency);
@@ -174,52 +179,58 @@
       if (flow === undefined || index < 0) {
         return false;
       }
-      takeFrom(level, flow, index);
-      forgetIdle(level);
+      removeAt(level, flow, index);
+      pruneIdleFlows(level);
       return true;
     },
-    displaceFor(newcomer) {
-      const own = levelOf(newcomer.urgency);
+    evictFor(incoming) {
+      const ownLevel = levelOf(incoming.urgency);
       for (let index = URGENCY_COUNT - 1; index >= 0; index--) {
-        const level = levels[index] as Level<T>;
-        if (level === own) {
+        const level = levels[index] as UrgencyLevel<T>;
+        if (level === ownLevel) {
           break;
         }
         if (level.size > 0) {
-          return takeNewestOf(level);
+          return evictNewest(level);
         }
       }
-      const largest = largestFlow(own);
-      const held = own.flows.get(newcomer.customer)?.waitingCost ?? 0;
-      const wanted = (held + newcomer.cost) / weightOf(newcomer.customer);
-      if (largest === undefined || largest.customer === newcomer.customer) {
+      const largest = largestFlow(ownLevel);
+      const ownCost = ownLevel.flows.get(incoming.customer)?.queuedCost ?? 0;
+      const weightedOwnCost =
+        (ownCost + incoming.cost) / weightOf(incoming.customer);
+      if (largest === undefined || largest.customer === incoming.customer) {
         return undefined;
       }
-      return holding(largest) > wanted ? takeNewestOf(own) : undefined;
+      return weightedQueuedCost(largest) > weightedOwnCost
+        ? evictNewest(ownLevel)
+        : undefined;
     },
-    pop() {
+    evict() {
       const level = levels.findLast(candidate => candidate.size > 0);
-      return level && takeNewestOf(level);
+      return level && evictNewest(level);
     },
-    costBefore(urgency) {
+    costOfMoreUrgent(urgency) {
       let cost = 0;
       for (const level of levels) {
         if (level === levelOf(urgency)) {
           break;
         }
-        cost += level.waitingCost;
+        cost += level.queuedCost;
       }
       return cost;
     },
-    costAheadWithin(newcomer) {
-      const level = levelOf(newcomer.urgency);
-      const ownWeight = weightOf(newcomer.customer);
-      const own = level.flows.get(newcomer.customer)?.waitingCost ?? 0;
-      const span = (own + newcomer.cost) / ownWeight;
-      let cost = own;
+    costAheadAtSameUrgency(incoming) {
+      const level = levelOf(incoming.urgency);
+      const ownWeight = weightOf(incoming.customer);
+      const ownLevel = level.flows.get(incoming.customer)?.queuedCost ?? 0;
+      const normalizedCost = (ownLevel + incoming.cost) / ownWeight;
+      let cost = ownLevel;
       for (const flow of level.flows.values()) {
-        if (flow.customer !== newcomer.customer) {
-          cost += Math.min(flow.waitingCost, span * weightOf(flow.customer));
+        if (flow.customer !== incoming.customer) {
+          cost += Math.min(
+            flow.queuedCost,
+            normalizedCost * weightOf(flow.customer),
+          );
         }
       }
       return cost;
@@ -232,22 +243,22 @@
   };
 }
 
-function createLevel<T>(): Level<T> {
-  return {flows: new Map(), virtualTime: 0, waitingCost: 0, size: 0};
+function createUrgencyLevel<T>(): UrgencyLevel<T> {
+  return {flows: new Map(), virtualTime: 0, queuedCost: 0, size: 0};
 }
 
 /**
- * Drops flows that hold nothing and have no debt left. Customers come and go;
- * without this the map would grow with every customer ever seen.
+ * Drops flows without items whose finish tag has passed. Without this the map
+ * would grow with every customer ever seen.
  */
-function forgetIdle<T>(level: Level<T>) {
+function pruneIdleFlows<T>(level: UrgencyLevel<T>) {
   if (level.size === 0) {
-    // Nobody waits, so there is nobody to be fair to and all debts end.
+    // No customer is backlogged, so the virtual time of the level can be reset.
     level.flows.clear();
     level.virtualTime = 0;
     return;
   }
-  if (level.flows.size < level.size + SWEEP_MARGIN) {
+  if (level.flows.size < level.size + PRUNE_MARGIN) {
     return;
   }
   for (const [customer, flow] of level.flows) {
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -1,4 +1,4 @@
-/** Bulkheads, importance, customer fairness, limits, deadlines, retry budgets. */
+/** Admission control: bulkheads, fair queueing, limits, retry budgets. */
 export * from './contracts.js';
 export * from './admission.js';
 export type {LimitPolicy} from './concurrencyLimit.js';
--- a/packages/admission/src/retryBudget.ts
+++ b/packages/admission/src/retryBudget.ts
@@ -1,46 +1,46 @@
 /**
- * A budget for retries as a part of the requests that came in.
+ * Token bucket that limits retries to a fraction of the admitted requests.
  *
- * When a service fails, every failed request wants another try; without a bound
- * that multiplies the load just when the service can carry least of it.
+ * When a service fails, every failed request may be retried; without a bound
+ * the retries multiply the load when the service can sustain the least.
  */
 
 export interface RetryBudget {
-  /** A first attempt was admitted. */
-  earn(): void;
-  /** Takes one retry; false when the budget is used up. */
-  tryTake(): boolean;
-  available(): number;
+  /** Adds the tokens of one admitted request. */
+  deposit(): void;
+  /** Takes the token of one retry; returns false if none is left. */
+  tryWithdraw(): boolean;
+  balance(): number;
 }
 
-/** Retries allowed for each admitted request. */
+/** Tokens added by each admitted request; one retry costs one token. */
 const RETRIES_PER_REQUEST = 0.1;
 
-/** The most retries that may be saved up, so that a quiet hour earns no storm. */
-const MOST_SAVED = 10;
+/** Maximum saved tokens, so that a quiet hour does not allow a retry storm. */
+const MAX_TOKENS = 10;
 
-/** What a service starts with, so that its first failures may be retried. */
-const INITIAL = 3;
+/** Initial tokens, so that the first failures of a service may be retried. */
+const INITIAL_TOKENS = 3;
 
 /**
- * Makes the budget of one service.
+ * Creates the retry budget of one service.
  *
  * @example
- * if (budget.tryTake()) { return attempt(next); }
+ * if (budget.tryWithdraw()) { return attempt(next); }
  */
 export function createRetryBudget(): RetryBudget {
-  let tokens = INITIAL;
+  let tokens = INITIAL_TOKENS;
   return {
-    earn() {
-      tokens = Math.min(MOST_SAVED, tokens + RETRIES_PER_REQUEST);
+    deposit() {
+      tokens = Math.min(MAX_TOKENS, tokens + RETRIES_PER_REQUEST);
     },
-    tryTake() {
+    tryWithdraw() {
       if (tokens < 1) {
         return false;
       }
       tokens -= 1;
       return true;
     },
-    available: () => tokens,
+    balance: () => tokens,
   };
 }
--- a/packages/admission/src/test/admission.fuzz.test.ts
+++ b/packages/admission/src/test/admission.fuzz.test.ts
@@ -15,22 +15,22 @@
 
 type Setup = ReturnType<typeof setUp>;
 
-/** One request as the oracle sees it. */
-interface Tracked {
+/** Expected state of one request. */
+interface TrackedRequest {
   readonly urgency: number;
-  readonly stop: AbortController;
+  readonly abortController: AbortController;
   state: 'waiting' | 'admitted' | 'released' | 'refused';
-  ends: number;
+  endCount: number;
   permit?: Permit;
-  /** How many requests had been admitted before this one. */
-  rank?: number;
+  /** Number of requests admitted before this one. */
+  admissionIndex?: number;
 }
 
-/** The oracle: what was asked and how each request ended. */
+/** Test oracle: all requests and their expected states. */
 interface Oracle {
   readonly setup: Setup;
-  readonly tracked: Tracked[];
-  admissions: number;
+  readonly requests: TrackedRequest[];
+  admittedCount: number;
 }
 
 interface Dump {
@@ -42,79 +42,91 @@
   readonly queueLimit: number;
 }
 
-function count(oracle: Oracle, state: Tracked['state']): number {
-  return oracle.tracked.filter(request => request.state === state).length;
+function countRequests(oracle: Oracle, state: TrackedRequest['state']): number {
+  return oracle.requests.filter(request => request.state === state).length;
 }
 
 function dumpOf({admission}: Setup): Dump {
   return (admission.dump() as {services: Dump[]}).services[0] as Dump;
 }
 
-function track(oracle: Oracle, wanted: Partial<AdmissionRequest>) {
+function track(oracle: Oracle, overrides: Partial<AdmissionRequest>) {
   const {setup} = oracle;
-  const stop = new AbortController();
-  const request: Tracked = {
-    urgency: wanted.urgency ?? 3,
-    stop,
+  const abortController = new AbortController();
+  const request: TrackedRequest = {
+    urgency: overrides.urgency ?? 3,
+    abortController,
     state: 'waiting',
-    ends: 0,
+    endCount: 0,
   };
-  oracle.tracked.push(request);
-  setup.ask(wanted, stop.signal).then(
+  oracle.requests.push(request);
+  setup.admit(overrides, abortController.signal).then(
     permit => {
       request.state = 'admitted';
       request.permit = permit;
-      request.rank = oracle.admissions;
-      oracle.admissions += 1;
-      request.ends += 1;
+      request.admissionIndex = oracle.admittedCount;
+      oracle.admittedCount += 1;
+      request.endCount += 1;
     },
     (error: unknown) => {
       assert.ok(isServingError(error));
       assert.equal(error.run, 'not-run');
       request.state = 'refused';
-      request.ends += 1;
+      request.endCount += 1;
     },
   );
 }
 
 const DEFAULT_URGENCY = 3;
 
-/** Places that requests of an urgency may fill: only the more important ones use the overdraft. */
-function placesOf({limit, overdraft, ordinaryFraction}: Dump, urgency: number) {
-  const own = Math.floor(limit);
-  const places =
+/** Returns the limit of an urgency; only the more urgent use the overdraft. */
+function limitForUrgency(
+  {limit, overdraft, ordinaryFraction}: Dump,
+  urgency: number,
+) {
+  const ownLimit = Math.floor(limit);
+  const urgencyLimit =
     urgency < DEFAULT_URGENCY
-      ? own + overdraft
-      : Math.floor(own * ordinaryFraction);
-  return Math.max(1, places);
+      ? ownLimit + overdraft
+      : Math.floor(ownLimit * ordinaryFraction);
+  return Math.max(1, urgencyLimit);
 }
 
-/** Lets promises settle and compares the admission with the oracle. */
-async function check(oracle: Oracle, admittedBefore: ReadonlySet<Tracked>) {
+/** Settles promises and compares the admission controller with the oracle. */
+async function check(
+  oracle: Oracle,
+  admittedBefore: ReadonlySet<TrackedRequest>,
+) {
   await settlePromises();
   const dump = dumpOf(oracle.setup);
-  const inFlight = count(oracle, 'admitted');
-  function isNew(request: Tracked): boolean {
+  const inFlight = countRequests(oracle, 'admitted');
+  function isNewlyAdmitted(request: TrackedRequest): boolean {
     return request.state === 'admitted' && !admittedBefore.has(request);
   }
   assert.equal(dump.inFlight, inFlight);
-  assert.equal(dump.waiting, count(oracle, 'waiting'));
+  assert.equal(dump.waiting, countRequests(oracle, 'waiting'));
   assert.ok(dump.waiting <= dump.queueLimit);
-  const added = oracle.tracked
-    .filter(isNew)
-    .sort((a, b) => (a.rank ?? 0) - (b.rank ?? 0));
-  for (const [index, {urgency}] of added.entries()) {
-    const found = inFlight - added.length + index;
-    assert.ok(found < placesOf(dump, urgency), `${found} in flight`);
+  const admitted = oracle.requests
+    .filter(isNewlyAdmitted)
+    .sort((a, b) => (a.admissionIndex ?? 0) - (b.admissionIndex ?? 0));
+  for (const [index, {urgency}] of admitted.entries()) {
+    const inFlightBefore = inFlight - admitted.length + index;
+    assert.ok(
+      inFlightBefore < limitForUrgency(dump, urgency),
+      `${inFlightBefore} in flight`,
+    );
   }
-  const best = Math.min(
-    ...oracle.tracked
+  const mostUrgentWaiting = Math.min(
+    ...oracle.requests
       .filter(request => request.state === 'waiting')
       .map(request => request.urgency),
   );
-  for (const request of oracle.tracked) {
-    assert.ok(request.ends <= 1);
-    assert.ok(!isNew(request) || request.urgency <= best, 'importance order');
+  for (const request of oracle.requests) {
+    assert.ok(request.endCount <= 1);
+    assert.ok(
+      !isNewlyAdmitted(request) || request.urgency <= mostUrgentWaiting,
+      'urgency order',
+    );
   }
 }
 
@@ -128,7 +140,7 @@
     check: () => true,
     async run(_model, oracle) {
       const before = new Set(
-        oracle.tracked.filter(request => request.state === 'admitted'),
+        oracle.requests.filter(request => request.state === 'admitted'),
       );
       await run(oracle);
       await check(oracle, before);
@@ -137,9 +149,13 @@
   };
 }
 
-function pickOf(oracle: Oracle, state: Tracked['state'], index: number) {
-  const some = oracle.tracked.filter(request => request.state === state);
-  return some[index % Math.max(1, some.length)];
+function pickRequest(
+  oracle: Oracle,
+  state: TrackedRequest['state'],
+  index: number,
+) {
+  const candidates = oracle.requests.filter(request => request.state === state);
+  return candidates[index % Math.max(1, candidates.length)];
 }
 
 const outcomes = ['ok', 'failed', 'overloaded', 'cancelled'] as const;
@@ -152,11 +168,11 @@
       cost: fc.constantFrom(0.5, 1, 4),
       leftMs: fc.constantFrom(0, 5, 50, 500, 5000, Infinity),
     })
-    .map(wanted =>
-      step(`ask ${JSON.stringify(wanted)}`, oracle =>
+    .map(overrides =>
+      step(`admit ${JSON.stringify(overrides)}`, oracle =>
         track(oracle, {
-          ...wanted,
-          deadline: oracle.setup.clock.now() + wanted.leftMs,
+          ...overrides,
+          deadline: oracle.setup.clock.now() + overrides.leftMs,
         }),
       ),
     ),
@@ -164,7 +180,7 @@
     .tuple(fc.nat(20), fc.constantFrom(...outcomes), fc.nat(300))
     .map(([index, outcome, latencyMs]) =>
       step(`release ${index} ${outcome} ${latencyMs}`, oracle => {
-        const request = pickOf(oracle, 'admitted', index);
+        const request = pickRequest(oracle, 'admitted', index);
         if (request !== undefined) {
           request.state = 'released';
           request.permit?.release({outcome, latencyMs});
@@ -174,7 +190,7 @@
     ),
   fc.nat(20).map(index =>
     step(`abort ${index}`, oracle => {
-      pickOf(oracle, 'waiting', index)?.stop.abort();
+      pickRequest(oracle, 'waiting', index)?.abortController.abort();
     }),
   ),
   fc
@@ -206,25 +222,25 @@
 ];
 
 describe('admission fuzz', () => {
-  it('keeps limit, importance and one end for each request', async () => {
+  it('keeps the limit and the urgency order and ends each request once', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.commands(commands, {maxCommands: 60, size: 'max'}),
         async run => {
           const setup = setUp({concurrency: 3, queue: 4});
-          const oracle: Oracle = {setup, tracked: [], admissions: 0};
+          const oracle: Oracle = {setup, requests: [], admittedCount: 0};
           await fc.asyncModelRun(() => ({model: {}, real: oracle}), run);
           setup.admission.setService('booking', undefined);
           await settlePromises();
-          assert.equal(count(oracle, 'waiting'), 0);
-          assert.ok(oracle.tracked.every(request => request.ends === 1));
+          assert.equal(countRequests(oracle, 'waiting'), 0);
+          assert.ok(oracle.requests.every(request => request.endCount === 1));
         },
       ),
       parameters,
     );
   });
 
-  it('serves waiting customers within one request each of their weights', () => {
+  it('serves backlogged customers by weight, within one request each', () => {
     const customer = fc.record({
       weight: fc.constantFrom(0.5, 1, 2, 5),
       costs: fc.array(fc.constantFrom(0.2, 1, 3), {
@@ -242,13 +258,13 @@
           const queue = createFairQueue(weightOf);
           for (const [index, {costs}] of customers.entries()) {
             for (const cost of costs) {
-              queue.push({customer: String(index), urgency: 3, cost});
+              queue.enqueue({customer: String(index), urgency: 3, cost});
             }
           }
           const served = customers.map(() => 0);
           const taken = customers.map(() => 0);
           for (let turn = 0; turn < servings; turn++) {
-            const item = queue.shift();
+            const item = queue.dequeue();
             const index = Number(item?.customer);
             served[index] = (served[index] ?? 0) + (item?.cost ?? 0);
             taken[index] = (taken[index] ?? 0) + 1;
@@ -277,16 +293,16 @@
     );
   });
 
-  it('remembers no more customers than a bound however many come and go', () => {
-    // Customers come and go for months. A queue that kept every customer it
-    // ever saw would grow until the process runs out of memory.
+  it('bounds the number of flows in memory', () => {
+    // Over months requests come from ever more customers. A queue that kept a
+    // flow for each of them would grow until the process runs out of memory.
     const queue = createFairQueue(() => 1);
-    queue.push({customer: 'steady', urgency: 3, cost: 1});
+    queue.enqueue({customer: 'steady', urgency: 3, cost: 1});
     for (let customer = 0; customer < 10_000; customer++) {
-      queue.push({customer: `c${customer}`, urgency: 3, cost: 1});
-      queue.push({customer: 'steady', urgency: 3, cost: 1});
-      queue.shift();
-      queue.shift();
+      queue.enqueue({customer: `c${customer}`, urgency: 3, cost: 1});
+      queue.enqueue({customer: 'steady', urgency: 3, cost: 1});
+      queue.dequeue();
+      queue.dequeue();
     }
     assert.ok(queue.flowCount() < 100, `${queue.flowCount()}`);
   });
--- a/packages/admission/src/test/admission.test.ts
+++ b/packages/admission/src/test/admission.test.ts
@@ -5,21 +5,21 @@
 import {booking, ok, setUp} from './fixtures.js';
 
 describe('admission', () => {
-  it('admits a waiting request when a permit is released', async () => {
-    const {ask} = setUp();
-    const first = await ask();
-    const second = ask();
+  it('admits a queued request when a permit is released', async () => {
+    const {admit} = setUp();
+    const first = await admit();
+    const second = admit();
     first.release(ok);
     assert.equal((await second).waitedMs, 0);
   });
 
-  it('counts a permit once however often it is released', async () => {
+  it('ignores repeated releases of a permit', async () => {
     // Two error paths of one request both release its permit. Counted twice,
-    // the service would get more requests at once than it can carry.
-    const {ask, admission} = setUp({queue: 2});
-    const first = await ask();
-    const second = ask();
-    const third = ask();
+    // the service would get more concurrent requests than its limit.
+    const {admit, admission} = setUp({queue: 2});
+    const first = await admit();
+    const second = admit();
+    const third = admit();
     first.release(ok);
     first.release(ok);
     const permit = await second;
@@ -28,70 +28,70 @@
     await third;
   });
 
-  const refusals: readonly {
+  const fullQueueCases: readonly {
     readonly title: string;
     readonly held: Partial<AdmissionRequest>;
     readonly queued: Partial<AdmissionRequest>;
-    readonly newcomer: Partial<AdmissionRequest>;
-    readonly loser: 'queued' | 'newcomer';
+    readonly incoming: Partial<AdmissionRequest>;
+    readonly rejected: 'queued' | 'incoming';
   }[] = [
     {
-      title: 'a less important waiting request',
+      title: 'a less urgent queued request',
       held: {},
       queued: {urgency: 5},
-      newcomer: {urgency: 1},
-      loser: 'queued',
+      incoming: {urgency: 1},
+      rejected: 'queued',
     },
     {
-      title: 'an equally important newcomer of the same customer',
+      title: 'an equally urgent incoming request of the same customer',
       held: {},
       queued: {urgency: 3},
-      newcomer: {urgency: 3},
-      loser: 'newcomer',
+      incoming: {urgency: 3},
+      rejected: 'incoming',
     },
     {
-      title: 'a less important newcomer',
+      title: 'a less urgent incoming request',
       held: {},
       queued: {urgency: 2},
-      newcomer: {urgency: 3, customer: 'other'},
-      loser: 'newcomer',
+      incoming: {urgency: 3, customer: 'other'},
+      rejected: 'incoming',
     },
     {
-      title: 'the costly request of a customer that holds more than its part',
+      title: 'the costly request of a customer above its fair share',
       held: {},
       queued: {cost: 8},
-      newcomer: {customer: 'small'},
-      loser: 'queued',
+      incoming: {customer: 'small'},
+      rejected: 'queued',
     },
   ];
-  for (const {title, held, queued, newcomer, loser} of refusals) {
-    it(`refuses ${title} when the queue is full`, async () => {
-      // More requests wait than the queue holds. Whoever matters least has to
-      // go, else the caller who matters most is turned away.
-      const {ask} = setUp();
-      const permit = await ask(held);
-      const waiting = {queued: ask(queued), newcomer: ask(newcomer)};
-      const winner = loser === 'queued' ? 'newcomer' : 'queued';
-      await assert.rejects(waiting[loser], error => {
+  for (const {title, held, queued, incoming, rejected} of fullQueueCases) {
+    it(`rejects ${title} when the queue is full`, async () => {
+      // The queue is full. Without eviction of the lowest priority the most
+      // urgent request would be rejected.
+      const {admit} = setUp();
+      const permit = await admit(held);
+      const waiting = {queued: admit(queued), incoming: admit(incoming)};
+      const admitted = rejected === 'queued' ? 'incoming' : 'queued';
+      await assert.rejects(waiting[rejected], error => {
         assert.ok(isServingError(error, 'overloaded'));
         assert.equal(error.run, 'not-run');
         assert.ok((error.retryAfterMs ?? 0) > 0);
         return true;
       });
       permit.release(ok);
-      await waiting[winner];
+      await waiting[admitted];
     });
   }
 
-  it('refuses at once what cannot be answered in time', async () => {
-    // Ten requests of 100 ms wait for one place. A caller with half a second
-    // left would wait in vain and could have asked elsewhere.
-    const {clock, ask, warmUp} = setUp({queue: 20});
+  it('rejects a request at once if its deadline cannot be met', async () => {
+    // Ten requests of 100 ms are queued for one slot. A request with 500 ms
+    // left would time out in the queue instead of being sent elsewhere at once.
+    const {clock, admit, warmUp} = setUp({queue: 20});
     await warmUp(8, 100);
-    void ask();
-    const waiting = Array.from({length: 10}, () => ask({deadline: Infinity}));
+    void admit();
+    const waiting = Array.from({length: 10}, () => admit({deadline: Infinity}));
     const before = clock.now();
-    await assert.rejects(ask({deadline: before + 500}), {
+    await assert.rejects(admit({deadline: before + 500}), {
       kind: 'deadline-exceeded',
       run: 'not-run',
     });
@@ -99,49 +99,49 @@
     assert.equal(waiting.length, 10);
   });
 
-  it('refuses a waiting request as soon as its deadline is out of reach', async () => {
-    // The one permit is never released. The caller learns 100 ms before the
-    // deadline that the answer, which takes 100 ms, will not come.
-    const {clock, ask, warmUp} = setUp({queue: 20});
+  it('rejects a queued request as soon as its deadline cannot be met', async () => {
+    // The only permit is never released. Responses take 100 ms, so the request
+    // has to be rejected 100 ms before its deadline, not when it passes.
+    const {clock, admit, warmUp} = setUp({queue: 20});
     await warmUp(8, 100);
-    void ask();
+    void admit();
     let endedAt = 0;
-    const late = ask({deadline: clock.now() + 400}).catch(() => {
+    const expired = admit({deadline: clock.now() + 400}).catch(() => {
       endedAt = clock.now();
     });
     const start = clock.now();
     await clock.advance(1000);
-    await late;
+    await expired;
     assert.equal(endedAt - start, 300);
   });
 
-  it('goes on when the time left is a fraction too small for the clock', async () => {
-    // Deadlines are differences of fractions. A check planned for a rest that
-    // does not move the clock called itself for ever and the entry stood still.
-    const {clock, ask, warmUp} = setUp({queue: 20});
+  it('delays deadline checks by at least 1 ms', async () => {
+    // The remaining time is a difference of floating-point numbers. A timer too
+    // short to advance the clock reran the check forever and hung the entry.
+    const {clock, admit, warmUp} = setUp({queue: 20});
     await warmUp(8, 100.1);
-    void ask();
-    const timers: number[] = [];
-    const after = clock.after;
+    void admit();
+    const delays: number[] = [];
+    const originalAfter = clock.after;
     clock.after = (delayMs, callback) => {
-      timers.push(delayMs);
-      return after(delayMs, callback);
+      delays.push(delayMs);
+      return originalAfter(delayMs, callback);
     };
     const deadline = clock.now() + 300.3;
-    void ask({deadline}).catch(() => undefined);
+    void admit({deadline}).catch(() => undefined);
     await clock.advance(400);
-    assert.ok(timers.length > 0 && timers.every(delayMs => delayMs >= 1));
+    assert.ok(delays.length > 0 && delays.every(delayMs => delayMs >= 1));
   });
 
-  it('gives important requests places above the share, and others fewer', async () => {
-    // A customer's important requests gather at one entry. With even parts they
-    // would be refused there while other entries run less important ones.
-    const {ask, admission} = setUp({concurrency: 16, queue: 50});
+  it('admits urgent requests above the share and throttles the others', async () => {
+    // A customer's urgent requests arrive at one entry. With equal shares they
+    // would be rejected there while other entries run less urgent ones.
+    const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
     admission.setReportedSlots('booking', 16, 16);
     let admitted = 0;
     for (let request = 0; request < 12; request++) {
-      void ask({urgency: 1}).then(() => (admitted += 1));
+      void admit({urgency: 1}).then(() => (admitted += 1));
     }
     await settlePromises();
     assert.equal(admitted, 8);
@@ -154,84 +154,84 @@
     assert.equal(services[0]?.ordinaryFraction, 0.25);
   });
 
-  it('lets a request through to a service that was slow when nothing is in flight', async () => {
-    // Every answer took longer than today's deadlines allow. If the estimate
-    // alone decided, nothing would ever show that the service is fast again.
-    const {clock, ask, warmUp} = setUp();
+  it('admits a request to a formerly slow service if nothing is in flight', async () => {
+    // Every response took longer than the new request's deadline allows. If the
+    // estimate alone decided, no request could show that the service recovered.
+    const {clock, admit, warmUp} = setUp();
     await warmUp(40, 5000);
-    await ask({deadline: clock.now() + 1000});
+    await admit({deadline: clock.now() + 1000});
   });
 
   it('grows Retry-After when a service hangs', async () => {
-    // A service stops answering and its places stay taken. Callers told to come
-    // back in a moment would only be refused again, many times over.
-    const {clock, ask, warmUp} = setUp({queue: 1});
+    // A service hangs and its permits are never released. With a short
+    // Retry-After callers would retry and be rejected many times.
+    const {clock, admit, warmUp} = setUp({queue: 1});
     await warmUp(8, 100);
-    void ask({deadline: Infinity});
-    void ask({deadline: Infinity});
-    const early = await retryAfter(ask({deadline: Infinity}));
+    void admit({deadline: Infinity});
+    void admit({deadline: Infinity});
+    const early = await retryAfter(admit({deadline: Infinity}));
     await clock.advance(10_000);
-    const later = await retryAfter(ask({deadline: Infinity}));
+    const later = await retryAfter(admit({deadline: Infinity}));
     assert.ok(later > 10 * early, `${early} then ${later}`);
   });
 
-  it('ends a waiting request whose caller gives up', async () => {
-    // The caller closes its connection while the request waits. Left in the
-    // queue it would take a place and then be run for nobody.
-    const {ask, admission} = setUp();
-    await ask();
+  it('removes a queued request that its caller cancels', async () => {
+    // The caller closes its connection while the request is queued. Left in the
+    // queue it would occupy a slot and be run without a caller.
+    const {admit, admission} = setUp();
+    await admit();
     const stop = new AbortController();
-    const waiting = ask({}, stop.signal);
+    const waiting = admit({}, stop.signal);
     stop.abort();
     await assert.rejects(waiting, {kind: 'cancelled', run: 'not-run'});
     const {services} = admission.dump() as {services: {waiting: number}[]};
     assert.equal(services[0]?.waiting, 0);
   });
 
-  it('ends waiting requests of a removed service', async () => {
-    // An operator removes a service while callers wait for it. They would
-    // otherwise wait until their deadlines for a service that is gone.
-    const {ask, admission} = setUp();
-    const held = await ask();
-    const waiting = ask();
+  it('rejects queued requests of a removed service', async () => {
+    // An operator removes a service while requests for it are queued. Otherwise
+    // they would stay queued until their deadlines.
+    const {admit, admission} = setUp();
+    const held = await admit();
+    const waiting = admit();
     admission.setService('booking', undefined);
     await assert.rejects(waiting, {kind: 'unknown-service', run: 'not-run'});
     held.release(ok);
-    await assert.rejects(ask(), {kind: 'unknown-service'});
+    await assert.rejects(admit(), {kind: 'unknown-service'});
   });
 
-  it('keeps a hung service from taking places of another', async () => {
-    // All places of one service are held by calls that never end. Requests for
-    // the other service must not notice.
-    const {ask, admission} = setUp();
+  it('isolates a service from a hung one', async () => {
+    // All permits of one service are held by requests that never end. Requests
+    // to the other service must not be queued.
+    const {admit, admission} = setUp();
     admission.setService('roster', {...booking, name: 'roster'});
-    await ask();
-    void ask().catch(() => undefined);
-    const permit = await ask({service: 'roster'});
+    await admit();
+    void admit().catch(() => undefined);
+    const permit = await admit({service: 'roster'});
     assert.equal(permit.waitedMs, 0);
   });
 
-  it('lets retries be about a tenth of requests', async () => {
-    // Every request fails and wants another try. Without a budget the load on
-    // the failing service would double.
-    const {ask, admission} = setUp();
+  it('limits retries to about a tenth of the requests', async () => {
+    // Every request fails and is retried. Without a budget the load on the
+    // failing service would double.
+    const {admit, admission} = setUp();
     let retries = 0;
     for (let request = 0; request < 1000; request++) {
-      (await ask()).release({outcome: 'failed', latencyMs: 1});
+      (await admit()).release({outcome: 'failed', latencyMs: 1});
       retries += admission.tryRetry('booking') ? 1 : 0;
     }
     assert.ok(retries >= 95 && retries <= 110, `${retries}`);
   });
 
-  it('divides concurrency over entries and lends what is idle', async () => {
-    // Three of four entries are idle since customers keep to one. With even
-    // parts alone three quarters of the service would stand still while callers
-    // at the fourth entry are refused.
-    const {ask, admission} = setUp({concurrency: 16, queue: 50});
+  it('divides concurrency among entries and borrows idle slots', async () => {
+    // Three of four entries are idle since customers connect to one. With equal
+    // shares alone three quarters of the service would be idle while requests
+    // at the fourth entry are rejected.
+    const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
     let admitted = 0;
     for (let request = 0; request < 30; request++) {
-      void ask({deadline: Infinity}).then(() => (admitted += 1));
+      void admit({deadline: Infinity}).then(() => (admitted += 1));
     }
     await settlePromises();
     assert.equal(admitted, 4);
@@ -242,21 +242,21 @@
     assert.ok(admitted >= 14 && admitted <= 16, `${admitted}`);
   });
 
-  it('does not take a wait for hopeless because small requests ended', async () => {
-    // Requests of very different cost hold their places for much the same time.
-    // Were the time for each unit of cost an average of ratios, the small ones
-    // would make it many times too long, and callers with seconds left would be
-    // refused by a service that could answer them.
-    const {ask, clock} = setUp({concurrency: 1, queue: 50});
+  it('does not overestimate the wait after requests of small cost', async () => {
+    // Requests of very different cost hold their permits for the same time. If
+    // the hold time per unit of cost were an average of ratios, the small ones
+    // would inflate it many times, and requests with seconds left would be
+    // rejected although the service can respond in time.
+    const {admit, clock} = setUp({concurrency: 1, queue: 50});
     for (let done = 0; done < 60; done++) {
       const cost = done % 2 === 0 ? 1 / 16 : 4;
-      const permit = await ask({deadline: Infinity, cost});
+      const permit = await admit({deadline: Infinity, cost});
       await clock.advance(100);
       permit.release({outcome: 'ok', latencyMs: 100});
     }
-    await ask({deadline: Infinity});
-    const second = ask({deadline: clock.now() + 1_000});
-    const third = ask({deadline: clock.now() + 1_000, cost: 4});
+    await admit({deadline: Infinity});
+    const second = admit({deadline: clock.now() + 1_000});
+    const third = admit({deadline: clock.now() + 1_000, cost: 4});
     let refusals = 0;
     second.catch(() => (refusals += 1));
     third.catch(() => (refusals += 1));
@@ -264,19 +264,21 @@
     assert.equal(refusals, 0);
   });
 
-  it('gives borrowed places back when others need theirs', async () => {
-    // The other entries become busy. An entry that kept its borrowed places
-    // would hold the service above what it can carry.
-    const {ask, admission} = setUp({concurrency: 16, queue: 50});
+  it('returns borrowed slots when the other entries become busy', async () => {
+    // The other entries become busy. An entry that kept its borrowed slots
+    // would overload the service.
+    const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
     for (let request = 0; request < 30; request++) {
-      void ask({deadline: Infinity});
+      void admit({deadline: Infinity});
     }
     for (let report = 0; report < 20; report++) {
       admission.setReportedSlots('booking', 16, 4);
     }
-    const {services: lent} = admission.dump() as {services: {share: number}[]};
-    assert.equal(lent[0]?.share, 16);
+    const {services: borrowed} = admission.dump() as {
+      services: {share: number}[];
+    };
+    assert.equal(borrowed[0]?.share, 16);
     for (let report = 0; report < 20; report++) {
       admission.setReportedSlots('booking', 16, 28);
     }
@@ -290,8 +292,8 @@
   return services[0]?.inFlight;
 }
 
-async function retryAfter(asked: Promise<unknown>): Promise<number> {
-  const error = await asked.then(
+async function retryAfter(admission: Promise<unknown>): Promise<number> {
+  const error = await admission.then(
     () => undefined,
     (reason: unknown) => reason,
   );
--- a/packages/admission/src/test/fixtures.ts
+++ b/packages/admission/src/test/fixtures.ts
@@ -1,4 +1,4 @@
-/** What the tests of admission share. */
+/** Fixtures shared by the admission tests. */
 import {
   decisionLog,
   seededRandom,
@@ -22,8 +22,8 @@
 
 export const ok = {outcome: 'ok', latencyMs: 10} as const;
 
-/** An admission on a virtual clock with one service of the given changes. */
-export function setUp(change: Partial<Service> = {}) {
+/** Creates an admission controller on a virtual clock with one service. */
+export function setUp(overrides: Partial<Service> = {}) {
   const clock = virtualClock();
   const decisions = decisionLog(clock, silentLogger());
   const admission = createAdmission({
@@ -31,9 +31,9 @@
     random: seededRandom(1),
     decisions,
   });
-  admission.setService('booking', {...booking, ...change});
-  function ask(
-    wanted: Partial<AdmissionRequest> = {},
+  admission.setService('booking', {...booking, ...overrides});
+  function admit(
+    overrides: Partial<AdmissionRequest> = {},
     signal: AbortSignal = new AbortController().signal,
   ): Promise<Permit> {
     const defaults = {
@@ -43,15 +43,15 @@
       cost: 1,
     };
     const deadline = clock.now() + 1000;
-    return admission.admit({...defaults, deadline, ...wanted}, signal);
+    return admission.admit({...defaults, deadline, ...overrides}, signal);
   }
-  /** Admits and releases requests that take the given time each. */
+  /** Admits and releases requests one by one, each with the given latency. */
   async function warmUp(count: number, latencyMs: number) {
     for (let done = 0; done < count; done++) {
-      const permit = await ask({deadline: Infinity});
+      const permit = await admit({deadline: Infinity});
       await clock.advance(latencyMs);
       permit.release({outcome: 'ok', latencyMs});
     }
   }
-  return {clock, admission, decisions, ask, warmUp};
+  return {clock, admission, decisions, admit, warmUp};
 }
--- a/packages/admission/src/waitEstimate.ts
+++ b/packages/admission/src/waitEstimate.ts
@@ -1,144 +1,149 @@
 /**
- * How long a new request would wait, from how long requests hold their permits
- * (drain rate = limit / time held) and how much more important work comes in.
+ * Estimates the queueing time of a new request from the hold time of permits
+ * (drain rate = limit / hold time) and the arrival rate of more urgent work.
  */
 import type {Clock} from '@skylarkfield/base';
 import {URGENCY_COUNT} from './fairQueue.js';
 
-export interface WaitEstimate {
-  /** A request of this urgency asked for capacity. */
-  noteAsk(urgency: number, cost: number): void;
-  noteStart(): void;
-  noteEnd(startedAt: number, cost: number): void;
-  noteLatency(latencyMs: number): void;
-  /** Expected wait behind this much cost, at the given limit and urgency, in milliseconds. */
+export interface WaitEstimator {
+  /** Records the arrival of a request, admitted or not. */
+  recordArrival(urgency: number, cost: number): void;
+  recordAdmission(): void;
+  recordRelease(admittedAt: number, cost: number): void;
+  recordLatency(latencyMs: number): void;
+  /** Returns the expected wait behind the given cost, in milliseconds. */
   waitMs(costAhead: number, limit: number, urgency: number): number;
-  /** Time that a request needs once admitted when it goes well, in milliseconds. */
+  /** Returns the lower-quartile latency of successes, in milliseconds. */
   serviceMs(): number;
-  /** Cost per second that the service gets done now. */
+  /** Returns the drain rate at the given limit, in cost per second. */
   drainPerSecond(limit: number): number;
 }
 
-/** Weight of a finished request in the average of time held. */
-const HELD_WEIGHT = 0.05;
+/** Weight of a new sample in the moving averages of hold time and cost. */
+const HOLD_TIME_WEIGHT = 0.05;
 
-/** Keeps the time for each unit of cost finite. */
-const LEAST_COST = 1e-3;
+/** Lower bound of the mean cost, to keep the hold time per cost finite. */
+const MIN_COST = 1e-3;
 
-/** Half of what came in this long ago still counts in the arrival rates. */
+/** Half-life of arrivals in the arrival rates. */
 const ARRIVAL_HALF_LIFE_MS = 2000;
 
-/** However much important work comes in, this part of the drain is assumed to be left. */
-const LEAST_DRAIN_FRACTION = 0.005;
+/** Minimum fraction of the drain rate assumed left by more urgent work. */
+const MIN_DRAIN_FRACTION = 0.005;
 
-/** Latencies kept for the quantile. */
-const LATENCY_WINDOW = 32;
+/** Number of recent latencies kept for the quantile. */
+const LATENCY_WINDOW_SIZE = 32;
 
 /**
- * A request is taken for hopeless when even a latency that only one in four
- * beats would come too late; a higher quantile would refuse what can be served.
+ * Latency quantile used as the service time: only 1 in 4 requests is faster.
+ * A higher quantile would reject requests that can still be served in time.
  */
-const HOPE_QUANTILE = 0.25;
+const SERVICE_TIME_QUANTILE = 0.25;
 
-/** The quantile is worked out again after this many new latencies. */
-const QUANTILE_REFRESH = 4;
+/** Number of new latencies after which the quantile is recomputed. */
+const QUANTILE_REFRESH_SAMPLES = 4;
 
 /**
- * Makes the estimate of one service.
+ * Creates the wait estimator of one service.
  *
  * @example
- * const waitMs = estimate.waitMs(queue.costBefore(urgency), limit, urgency);
+ * const waitMs = waitEstimator.waitMs(queue.costOfMoreUrgent(urgency), limit, urgency);
  */
-export function createWaitEstimate(clock: Clock): WaitEstimate {
+export function createWaitEstimator(clock: Clock): WaitEstimator {
   const arrivals = new Float64Array(URGENCY_COUNT);
   const latencies: number[] = [];
-  let arrivalsAt = clock.now();
-  let held: {ms: number; cost: number} | undefined;
+  let decayedAt = clock.now();
+  let averages: {ms: number; cost: number} | undefined;
   let running = 0;
-  let startSum = 0;
-  let latencyCount = 0;
+  let admittedAtSum = 0;
+  let latencySampleCount = 0;
   let quantileMs = 0;
 
   function decayArrivals() {
     const now = clock.now();
-    const factor = 2 ** ((arrivalsAt - now) / ARRIVAL_HALF_LIFE_MS);
-    arrivalsAt = now;
+    const factor = 2 ** ((decayedAt - now) / ARRIVAL_HALF_LIFE_MS);
+    decayedAt = now;
     for (let urgency = 0; urgency < URGENCY_COUNT; urgency++) {
       arrivals[urgency] = (arrivals[urgency] as number) * factor;
     }
   }
 
-  /** Cost per millisecond that comes in at more important urgencies. */
-  function arrivalRateBefore(urgency: number): number {
+  /** Returns the arrival rate of more urgent work, in cost per millisecond. */
+  function arrivalRateOfMoreUrgent(urgency: number): number {
     decayArrivals();
     let sum = 0;
-    for (let more = 0; more < urgency; more++) {
-      sum += arrivals[more] as number;
+    for (let other = 0; other < urgency; other++) {
+      sum += arrivals[other] as number;
     }
     return (sum * Math.LN2) / ARRIVAL_HALF_LIFE_MS;
   }
 
   /**
-   * The ratio of two averages, not the average of ratios: a small cost has a
-   * large ratio, since each request also holds its permit for reasons that grow
-   * with no cost, and a few small ones would make all waits look hopeless.
+   * Divides two averages instead of averaging ratios: part of the hold time
+   * does not depend on the cost, so requests of small cost have a large ratio,
+   * and a few of them would inflate all wait estimates.
    */
-  function heldPerCostMs(): number {
-    return held === undefined ? 0 : held.ms / Math.max(held.cost, LEAST_COST);
+  function meanHoldPerCostMs(): number {
+    return averages === undefined
+      ? 0
+      : averages.ms / Math.max(averages.cost, MIN_COST);
   }
 
   /**
-   * A hung service finishes nothing, so finished requests alone would go on
-   * showing the last good figure: the age of those that run is a lower bound.
+   * Takes the mean age of running requests as a lower bound. A hung service
+   * finishes no requests, so the mean of finished ones alone would not change.
    */
-  function heldMs(): number {
-    const ageMs = running === 0 ? 0 : clock.now() - startSum / running;
-    return Math.max(heldPerCostMs(), ageMs);
+  function holdPerCostMs(): number {
+    const ageMs = running === 0 ? 0 : clock.now() - admittedAtSum / running;
+    return Math.max(meanHoldPerCostMs(), ageMs);
   }
 
   return {
-    noteAsk(urgency, cost) {
+    recordArrival(urgency, cost) {
       decayArrivals();
       const index = Math.min(URGENCY_COUNT - 1, Math.max(0, urgency));
       arrivals[index] = (arrivals[index] as number) + cost;
     },
-    noteStart() {
+    recordAdmission() {
       running += 1;
-      startSum += clock.now();
+      admittedAtSum += clock.now();
     },
-    noteEnd(startedAt, cost) {
+    recordRelease(admittedAt, cost) {
       running -= 1;
-      startSum -= startedAt;
-      const ms = clock.now() - startedAt;
-      held ??= {ms, cost};
-      held.ms += (ms - held.ms) * HELD_WEIGHT;
-      held.cost += (cost - held.cost) * HELD_WEIGHT;
+      admittedAtSum -= admittedAt;
+      const ms = clock.now() - admittedAt;
+      averages ??= {ms, cost};
+      averages.ms += (ms - averages.ms) * HOLD_TIME_WEIGHT;
+      averages.cost += (cost - averages.cost) * HOLD_TIME_WEIGHT;
     },
-    noteLatency(latencyMs) {
-      latencies[latencyCount % LATENCY_WINDOW] = latencyMs;
-      latencyCount += 1;
-      if (latencyCount % QUANTILE_REFRESH === 0 || latencyCount === 1) {
+    recordLatency(latencyMs) {
+      latencies[latencySampleCount % LATENCY_WINDOW_SIZE] = latencyMs;
+      latencySampleCount += 1;
+      if (
+        latencySampleCount % QUANTILE_REFRESH_SAMPLES === 0 ||
+        latencySampleCount === 1
+      ) {
         const sorted = [...latencies].sort((a, b) => a - b);
         quantileMs = sorted[
-          Math.floor(sorted.length * HOPE_QUANTILE)
+          Math.floor(sorted.length * SERVICE_TIME_QUANTILE)
         ] as number;
       }
     },
     waitMs(costAhead, limit, urgency) {
-      const perCostMs = heldMs();
+      const perCostMs = holdPerCostMs();
       if (perCostMs === 0 || costAhead <= 0) {
         return 0;
       }
-      const drain = limit / perCostMs;
-      const left = Math.max(
-        drain * LEAST_DRAIN_FRACTION,
-        drain - arrivalRateBefore(urgency),
+      const drainRate = limit / perCostMs;
+      const availableRate = Math.max(
+        drainRate * MIN_DRAIN_FRACTION,
+        drainRate - arrivalRateOfMoreUrgent(urgency),
       );
-      return costAhead / left;
+      return costAhead / availableRate;
     },
     serviceMs: () => quantileMs,
     drainPerSecond(limit) {
-      const perCostMs = heldMs();
+      const perCostMs = holdPerCostMs();
       return perCostMs === 0 ? Infinity : (1000 * limit) / perCostMs;
     },
   };
