--- a/packages/duties/src/contest.ts
+++ b/packages/duties/src/contest.ts
@@ -1,6 +1,6 @@
 /**
- * One process's part in the contest for one duty: looks at the lease, takes it
- * when it is free, renews it and gives it up.
+ * Leader election of one process for one duty: reads the lease, acquires it
+ * when it is free, renews it and releases it.
  */
 import {createMachine, interpret, state, transition} from 'robot3';
 import {
@@ -27,8 +27,8 @@
 } from './lease.js';
 import {createLeaseObserver} from './leaseObserver.js';
 
-/** `standby`: not among the candidates. `watching`: another holds it. */
-export type ContestState =
+/** `standby`: not a candidate. `watching`: another process holds the lease. */
+export type LeaseElectionState =
   | 'standby'
   | 'watching'
   | 'acquiring'
@@ -36,38 +36,38 @@
   | 'releasing'
   | 'ended';
 
-/** This process's part in one duty. */
-export interface Contest {
+/** Participation of this process in the election for one duty. */
+export interface LeaseElection {
   readonly duty: DutyName;
-  state(): ContestState;
+  state(): LeaseElectionState;
   tenure(): Tenure | undefined;
-  /** Ends the tenure and gives the lease up; later rounds do nothing. */
-  release(): Promise<void>;
+  /** Ends the tenure, releases the lease and stops competing. */
+  resign(): Promise<void>;
   dump(): {
-    readonly state: ContestState;
+    readonly state: LeaseElectionState;
     readonly fencing: number;
     readonly validForMs: number;
   };
 }
 
-export interface ContestOptions {
+export interface LeaseElectionOptions {
   readonly duty: DutyName;
   readonly clock: Clock;
   readonly random: Random;
   readonly store: ObjectStore;
-  /** This process with its incarnation. */
+  /** Id of this process with its incarnation. */
   readonly self: string;
   readonly timing: LeaseTiming;
   readonly log: Logger;
   readonly decisions?: DecisionLog;
-  /** Whether this process is among those that compete for the duty now. */
+  /** Whether this process currently competes for the duty. */
   readonly isCandidate: () => boolean;
-  /** Whether this process may go on holding the duty. */
+  /** Whether this process may keep holding the duty. */
   readonly mayHold: () => boolean;
   readonly start: (tenure: Tenure) => Disposable;
 }
 
-interface Holding {
+interface HeldLease {
   readonly fencing: number;
   readonly tenure: Tenure;
   readonly work: Disposable;
@@ -75,98 +75,102 @@
 }
 
 /**
- * Starts to compete.
+ * Starts competing for a duty.
  *
  * @example
- * const contest = startContest({duty: 'acceptance', ...parts, start: tenure => accept(tenure)});
+ * const election = startLeaseElection({...options, start: accept});
  */
-export function startContest(options: ContestOptions): Contest {
+export function startLeaseElection(
+  options: LeaseElectionOptions,
+): LeaseElection {
   const {duty, clock, random, store, self, timing, log} = options;
-  const service = interpret(contestMachine(), () => {});
+  const service = interpret(createElectionMachine(), () => {});
   const observer = createLeaseObserver(clock, timing, self);
-  let object: StoredObject | undefined;
-  let holding: Holding | undefined;
-  /** Monotonic and wall milliseconds until which the lease is certainly ours. */
+  let leaseObject: StoredObject | undefined;
+  let heldLease: HeldLease | undefined;
+  /** Monotonic and wall-clock milliseconds until which the lease is held. */
   let validUntil = 0;
   let validUntilWall = 0;
-  let timer: Disposable = toDisposable(() => {});
-  let expiry: Disposable = toDisposable(() => {});
-  let isEnded = false;
-  /** Monotonic milliseconds before which a duty that was handed over is not taken again. */
-  let competesFrom = -Infinity;
+  let roundTimer: Disposable = toDisposable(() => {});
+  let expiryTimer: Disposable = toDisposable(() => {});
+  let isResigned = false;
+  /** Monotonic time before which a handed-over duty is not reacquired. */
+  let acquireNotBefore = -Infinity;
 
-  function current(): ContestState {
-    return service.machine.current as ContestState;
+  function currentState(): LeaseElectionState {
+    return service.machine.current as LeaseElectionState;
   }
 
   /**
-   * The wall clock is looked at too: a host that is suspended as a whole may
-   * stop its monotonic clock, and the holder would wake with a lease that is
-   * long gone and looks fresh.
+   * Checks the wall clock too: the monotonic clock of a suspended host may
+   * stop, so that on resume a lease that expired long ago would look valid.
    */
   function isValid(): boolean {
     return clock.now() < validUntil && clock.wall() < validUntilWall;
   }
 
-  function extend(sentAt: number, sentAtWall: number): void {
+  function extendValidity(sentAt: number, sentAtWall: number): void {
     const spanMs = timing.durationMs - timing.marginMs;
     validUntil = sentAt + spanMs;
     validUntilWall = sentAtWall + spanMs;
-    expiry.dispose();
-    expiry = clock.after(validUntil - clock.now(), () =>
-      lose('the lease ran out before it could be renewed'),
+    expiryTimer.dispose();
+    expiryTimer = clock.after(validUntil - clock.now(), () =>
+      loseLease('the lease expired before it was renewed'),
     );
   }
 
-  async function round(): Promise<void> {
+  async function runRound(): Promise<void> {
     try {
-      await (holding === undefined ? look() : keep(holding));
+      await (heldLease === undefined
+        ? tryAcquire()
+        : renewOrHandOver(heldLease));
     } catch (error) {
-      log.debug({err: error, duty}, 'a lease round failed');
+      log.debug({err: error, duty}, 'lease election round failed');
     }
-    plan();
+    scheduleRound();
   }
 
-  function plan(): void {
-    if (isEnded) {
+  function scheduleRound(): void {
+    if (isResigned) {
       return;
     }
-    const spanMs = holding === undefined ? timing.pollMs : timing.renewEveryMs;
-    timer.dispose();
-    timer = clock.after(spanMs * (0.75 + random.next() / 2), () => {
-      void round();
+    const spanMs =
+      heldLease === undefined ? timing.pollMs : timing.renewEveryMs;
+    roundTimer.dispose();
+    roundTimer = clock.after(spanMs * (0.75 + random.next() / 2), () => {
+      void runRound();
     });
   }
 
-  async function look(): Promise<void> {
-    if (!options.isCandidate() || clock.now() < competesFrom) {
+  async function tryAcquire(): Promise<void> {
+    if (!options.isCandidate() || clock.now() < acquireNotBefore) {
       service.send('stepBack');
       return;
     }
     service.send('compete');
-    // Most polls find the lease held; only one that does not is repeated with the latest state.
-    if ((await isFreeBy('recent')) && (await isFreeBy('latest'))) {
+    // Most polls find the lease held; a free one is read again as `latest`.
+    if ((await readIsFree('recent')) && (await readIsFree('latest'))) {
       await acquire();
     }
   }
 
-  async function isFreeBy(freshness: Freshness): Promise<boolean> {
-    object = await store.get(LEASE_KIND, duty, undefined, freshness);
-    observer.note(object);
-    return !isEnded && observer.isFree();
+  async function readIsFree(freshness: Freshness): Promise<boolean> {
+    leaseObject = await store.get(LEASE_KIND, duty, undefined, freshness);
+    observer.recordRead(leaseObject);
+    return !isResigned && observer.isFree();
   }
 
   async function acquire(): Promise<void> {
     service.send('acquire');
-    const former = readLease(object);
+    const previous = readLease(leaseObject);
     try {
-      const fencing = (former?.fencing ?? (await fencingFloor())) + 1;
-      await write({fencing, sequence: 0, isReleased: false});
-      if (isEnded) {
-        await giveUp(fencing);
+      const fencing = (previous?.fencing ?? (await fencingFloor())) + 1;
+      await writeLease({fencing, sequence: 0, isReleased: false});
+      if (isResigned) {
+        await releaseLease(fencing);
         return;
       }
-      begin(fencing, former);
+      beginTenure(fencing, previous);
     } catch (error) {
       service.send('fail');
       throw error;
@@ -174,18 +178,18 @@
   }
 
   /**
-   * A number that no earlier tenure can exceed, for a lease object that is not
-   * there. Someone may have removed it, and counting from 1 again would make
-   * endpoints refuse the new holder's orders as old. Store versions rise at
-   * least as fast as fencing numbers.
+   * Returns an upper bound of all earlier fencing tokens, for a missing lease
+   * object. It may have been removed, and endpoints would reject the new
+   * holder's orders as stale if tokens restarted at 1. Store versions rise at
+   * least as fast as fencing tokens.
    */
   async function fencingFloor(): Promise<number> {
     const {version} = await store.list(LEASE_KIND);
     return version;
   }
 
-  /** Writes our lease on what was last read; the validity counts from before the call. */
-  async function write(
+  /** Writes the lease if unchanged; its validity starts before the call. */
+  async function writeLease(
     change: Pick<Lease, 'fencing' | 'sequence' | 'isReleased'>,
   ): Promise<void> {
     const sentAt = clock.now();
@@ -195,166 +199,172 @@
       holder: self,
       durationMs: timing.durationMs,
     };
-    const condition = leaseCondition(object);
-    object = await store.put(LEASE_KIND, duty, lease, condition);
+    const condition = leaseCondition(leaseObject);
+    leaseObject = await store.put(LEASE_KIND, duty, lease, condition);
     if (!change.isReleased) {
-      extend(sentAt, sentAtWall);
+      extendValidity(sentAt, sentAtWall);
     }
   }
 
-  function begin(fencing: number, former: Lease | undefined): void {
+  function beginTenure(fencing: number, previous: Lease | undefined): void {
     const controller = new AbortController();
     const tenure: Tenure = {
       duty,
       fencing,
       acquiredAt: clock.now(),
-      isValid: () => holding?.fencing === fencing && isValid(),
+      isValid: () => heldLease?.fencing === fencing && isValid(),
       signal: controller.signal,
     };
     if (!isValid()) {
-      // The reply came after the lease had run out.
+      // The reply arrived after the lease had expired.
       service.send('fail');
       return;
     }
     service.send('acquired');
-    const why = former === undefined ? 'nobody held it' : describe(former);
+    const why =
+      previous === undefined
+        ? 'no process held the lease'
+        : describeVacancy(previous);
     options.decisions?.note('duties', duty, 'take', why, {fencing});
-    // Set before the work starts: it may ask whether the tenure is valid.
-    holding = {fencing, tenure, controller, work: toDisposable(() => {})};
-    holding = {...holding, work: options.start(tenure)};
+    // Set before `start` runs, which may check whether the tenure is valid.
+    heldLease = {fencing, tenure, controller, work: toDisposable(() => {})};
+    heldLease = {...heldLease, work: options.start(tenure)};
   }
 
-  async function keep(held: Holding): Promise<void> {
+  async function renewOrHandOver(held: HeldLease): Promise<void> {
     await (options.mayHold() ? renew(held) : handOver(held));
   }
 
   /**
-   * Gives the duty to others while this process lives on. It does not take it
-   * back before a lease's time is over: platforms that do not check fencing
-   * numbers would see two holders act by turns.
+   * Releases the duty while this process keeps running, and does not reacquire
+   * it for one lease duration. Otherwise platforms that do not check fencing
+   * tokens could get orders from two holders alternately.
    */
-  async function handOver({fencing}: Holding): Promise<void> {
-    competesFrom = clock.now() + timing.durationMs + timing.marginMs;
-    end();
+  async function handOver({fencing}: HeldLease): Promise<void> {
+    acquireNotBefore = clock.now() + timing.durationMs + timing.marginMs;
+    endTenure();
     service.send('lose');
     options.decisions?.note(
       'duties',
       duty,
       'hand over',
-      'this process may not hold it',
+      'this process is no longer eligible to hold the lease',
       {fencing},
     );
-    await giveUp(fencing);
+    await releaseLease(fencing);
   }
 
-  async function renew({fencing}: Holding): Promise<void> {
-    const lease = readLease(object);
+  async function renew({fencing}: HeldLease): Promise<void> {
+    const lease = readLease(leaseObject);
     try {
-      await write({
+      await writeLease({
         fencing,
         sequence: (lease?.sequence ?? 0) + 1,
         isReleased: false,
       });
     } catch (error) {
       if (isServingError(error, 'version-conflict')) {
-        lose('another process has changed the lease');
+        loseLease('another process changed the lease');
         return;
       }
       if (isServingError(error, 'outcome-unknown')) {
-        await readBack(fencing);
+        await confirmRenewal(fencing);
       }
     }
   }
 
-  /** A renewal whose outcome is unknown: go on from what is there now. */
-  async function readBack(fencing: number): Promise<void> {
-    const present = await store.get(LEASE_KIND, duty);
-    const lease = readLease(present);
+  /** Reads the lease after a renewal with an unknown outcome. */
+  async function confirmRenewal(fencing: number): Promise<void> {
+    const stored = await store.get(LEASE_KIND, duty);
+    const lease = readLease(stored);
     if (lease?.holder !== self || lease.fencing !== fencing) {
-      lose('another process holds the lease');
+      loseLease('another process holds the lease');
       return;
     }
-    object = present;
+    leaseObject = stored;
   }
 
-  function lose(why: string): void {
-    if (holding === undefined) {
+  function loseLease(why: string): void {
+    if (heldLease === undefined) {
       return;
     }
-    const {fencing} = holding;
-    end();
+    const {fencing} = heldLease;
+    endTenure();
     service.send('lose');
     options.decisions?.note('duties', duty, 'lose', why, {fencing});
   }
 
-  function end(): void {
-    const ended = holding;
-    holding = undefined;
+  function endTenure(): void {
+    const endedLease = heldLease;
+    heldLease = undefined;
     validUntil = 0;
-    expiry.dispose();
-    ended?.controller.abort();
-    ended?.work.dispose();
+    expiryTimer.dispose();
+    endedLease?.controller.abort();
+    endedLease?.work.dispose();
   }
 
-  async function giveUp(fencing: number): Promise<void> {
+  async function releaseLease(fencing: number): Promise<void> {
     try {
-      await write({fencing, sequence: 0, isReleased: true});
+      await writeLease({fencing, sequence: 0, isReleased: true});
     } catch (error) {
-      // The lease runs out by itself; a successor only waits longer.
-      log.info({err: error, duty}, 'a lease was not given up');
+      // The lease expires anyway; the successor only waits longer.
+      log.info(
+        {err: error, duty},
+        'failed to release the lease; it expires by itself',
+      );
     }
   }
 
-  void round();
+  void runRound();
   return {
     duty,
-    state: current,
-    tenure: () => holding?.tenure,
-    async release() {
-      isEnded = true;
-      timer.dispose();
-      const held = holding;
-      end();
+    state: currentState,
+    tenure: () => heldLease?.tenure,
+    async resign() {
+      isResigned = true;
+      roundTimer.dispose();
+      const held = heldLease;
+      endTenure();
       if (held !== undefined) {
         service.send('release');
-        await giveUp(held.fencing);
+        await releaseLease(held.fencing);
       }
       service.send('end');
     },
     dump: () => ({
-      state: current(),
-      fencing: holding?.fencing ?? readLease(object)?.fencing ?? 0,
+      state: currentState(),
+      fencing: heldLease?.fencing ?? readLease(leaseObject)?.fencing ?? 0,
       validForMs: Math.max(0, validUntil - clock.now()),
     }),
   };
 }
 
-function describe(former: Lease): string {
-  return former.isReleased
-    ? `${former.holder} gave it up`
-    : `the lease of ${former.holder} ran out`;
+function describeVacancy(previous: Lease): string {
+  return previous.isReleased
+    ? `${previous.holder} released the lease`
+    : `the lease of ${previous.holder} expired`;
 }
 
-function contestMachine() {
-  const endings = [transition('end', 'ended')] as const;
+function createElectionMachine() {
+  const endTransitions = [transition('end', 'ended')] as const;
   return createMachine('standby', {
-    standby: state(transition('compete', 'watching'), ...endings),
+    standby: state(transition('compete', 'watching'), ...endTransitions),
     watching: state(
       transition('stepBack', 'standby'),
       transition('acquire', 'acquiring'),
-      ...endings,
+      ...endTransitions,
     ),
     acquiring: state(
       transition('acquired', 'held'),
       transition('fail', 'watching'),
-      ...endings,
+      ...endTransitions,
     ),
     held: state(
       transition('lose', 'watching'),
       transition('release', 'releasing'),
-      ...endings,
+      ...endTransitions,
     ),
-    releasing: state(...endings),
+    releasing: state(...endTransitions),
     ended: state(),
   });
 }
--- a/packages/duties/src/contracts.ts
+++ b/packages/duties/src/contracts.ts
@@ -1,28 +1,31 @@
-/** Control work that must have one active holder, held by leases in the object API. */
+/** Control-plane tasks with one active holder, elected through leases. */
 import type {Disposable} from '@skylarkfield/base';
 
-/** `acceptance`: validates records. `moves:…`: one move. `fleet`: hosts and endpoint orders. */
+/** `acceptance`: checks records. `fleet`: hosts, orders. `moves`: rollouts. */
 export type DutyName = 'acceptance' | 'moves' | 'fleet' | `shard:${number}`;
 
-/** A duty while it is held. */
+/** Period during which this process holds a duty's lease. */
 export interface Tenure {
   readonly duty: DutyName;
-  /** Rises with every change of holder. */
+  /** Fencing token; increases with every change of holder. */
   readonly fencing: number;
-  /** Monotonic milliseconds since when it is held. */
+  /** Monotonic time of the acquisition in milliseconds. */
   readonly acquiredAt: number;
-  /** True while the lease is certainly ours, with a margin; check right before each effect. */
+  /** Whether the lease is held, with a margin; check before any side effect. */
   isValid(): boolean;
   /** Aborted when the tenure ends. */
   readonly signal: AbortSignal;
 }
 
 export interface Duties extends Disposable {
-  /** Competes for a duty until disposed; `start` runs for each tenure and its result is disposed at the end. */
+  /**
+   * Competes for a duty until disposed. Calls `start` for each tenure and
+   * disposes its result at the end.
+   */
   compete(duty: DutyName, start: (tenure: Tenure) => Disposable): Disposable;
-  /** The tenure held here now, if any. */
+  /** Returns this process's current tenure of a duty, if any. */
   held(duty: DutyName): Tenure | undefined;
-  /** Gives up all leases, for a planned stop. */
+  /** Releases all leases, for a planned shutdown. */
   release(): Promise<void>;
   dump(): unknown;
 }
--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -1,4 +1,4 @@
-/** All duties that one process competes for. */
+/** Lease elections of one process for all its duties. */
 import {
   rendezvousOrder,
   silentLogger,
@@ -9,19 +9,19 @@
   type Random,
 } from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
-import {startContest, type Contest} from './contest.js';
+import {startLeaseElection, type LeaseElection} from './contest.js';
 import type {Duties, DutyName, Tenure} from './contracts.js';
 import {defaultLeaseTiming, type LeaseTiming} from './lease.js';
 
-/** Members that compete for one duty; more would only look at the lease more often. */
+/** Candidates for one duty; more would only add reads of the lease. */
 const CANDIDATES_PER_DUTY = 3;
 
 /**
- * Makes the duties of a process.
+ * Creates the lease elections of a process.
  *
- * Only a few members compete for each duty, chosen by rendezvous hashing: the
- * calls for leases then don't grow with the fleet, and the duties spread over
- * it. Whether two processes ever hold a duty does not depend on that choice.
+ * Rendezvous hashing selects a few candidates for each duty, so that lease
+ * calls do not grow with the fleet and duties spread over it. Mutual exclusion
+ * does not depend on this selection.
  *
  * @example
  * const duties = createDuties({clock, random, store, self: {id: 'a1', incarnation: 7}, members});
@@ -32,11 +32,11 @@
   readonly random: Random;
   readonly store: ObjectStore;
   readonly self: {readonly id: string; readonly incarnation: number};
-  /** Ids of the live members, this one included. */
+  /** Ids of the live members, including this one. */
   readonly members: () => readonly string[];
   /**
-   * Whether this process may go on holding a duty that it holds; it hands it
-   * over when not. Always, when not given.
+   * Whether this process may keep holding a duty; it hands the duty over if
+   * not. Defaults to always.
    */
   readonly mayHold?: () => boolean;
   readonly log?: Logger;
@@ -44,7 +44,7 @@
   readonly timing?: LeaseTiming;
 }): Duties {
   const {clock, random, store, self, members, decisions} = options;
-  const contests = new Map<DutyName, Contest>();
+  const elections = new Map<DutyName, LeaseElection>();
 
   function isCandidate(duty: DutyName): boolean {
     return rendezvousOrder(`duty/${duty}`, members())
@@ -52,22 +52,22 @@
       .includes(self.id);
   }
 
-  function stop(duty: DutyName): Promise<void> {
-    const contest = contests.get(duty);
-    contests.delete(duty);
-    return contest?.release() ?? Promise.resolve();
+  function stopElection(duty: DutyName): Promise<void> {
+    const election = elections.get(duty);
+    elections.delete(duty);
+    return election?.resign() ?? Promise.resolve();
   }
 
   async function release(): Promise<void> {
-    await Promise.all([...contests.keys()].map(stop));
+    await Promise.all([...elections.keys()].map(stopElection));
   }
 
   return {
     compete(duty, start) {
-      void stop(duty);
-      contests.set(
+      void stopElection(duty);
+      elections.set(
         duty,
-        startContest({
+        startLeaseElection({
           duty,
           clock,
           random,
@@ -81,15 +81,18 @@
           start,
         }),
       );
-      return toDisposable(() => void stop(duty));
+      return toDisposable(() => void stopElection(duty));
     },
     held(duty): Tenure | undefined {
-      return contests.get(duty)?.tenure();
+      return elections.get(duty)?.tenure();
     },
     release,
     dump: () =>
       Object.fromEntries(
-        [...contests.values()].map(contest => [contest.duty, contest.dump()]),
+        [...elections.values()].map(election => [
+          election.duty,
+          election.dump(),
+        ]),
       ),
     dispose: () => void release(),
   };
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -1,4 +1,4 @@
-/** Leases and fencing numbers. */
+/** Leader election for duties by leases with fencing tokens. */
 export * from './contracts.js';
 export * from './duties.js';
 export * from './lease.js';
--- a/packages/duties/src/lease.ts
+++ b/packages/duties/src/lease.ts
@@ -1,33 +1,33 @@
-/** The lease of one duty as an object of the object API. */
+/** Lease of one duty, stored as an object in the object store. */
 import type {StoredObject, WriteCondition} from '@skylarkfield/providers';
 
-/** The kind of the objects that hold leases; a lease is named like its duty. */
+/** Object kind of leases; a lease has the name of its duty. */
 export const LEASE_KIND = 'lease';
 
-/** What a lease object holds. */
+/** Value of a lease object. */
 export interface Lease {
-  /** Process that holds it, with its incarnation. */
+  /** Id of the holding process with its incarnation. */
   readonly holder: string;
-  /** Rises with every change of holder and never goes down. */
+  /** Fencing token; increases with each change of holder, never decreases. */
   readonly fencing: number;
-  /** How long the holder may act after a renewal, in milliseconds. */
+  /** Time in milliseconds for which a renewal is valid. */
   readonly durationMs: number;
-  /** Rises with every renewal, so that each one changes the object's version. */
+  /** Increases with each renewal, so that the object's version changes. */
   readonly sequence: number;
-  /** The holder has given it up: anyone may take it at once. */
+  /** Whether the holder released the lease; it may then be acquired at once. */
   readonly isReleased: boolean;
 }
 
-/** How long leases last and with which margins both sides count. */
+/** Durations, intervals and safety margin of leases. */
 export interface LeaseTiming {
   readonly durationMs: number;
   readonly renewEveryMs: number;
-  /** How often a candidate looks at the lease. */
+  /** Interval at which a candidate reads the lease, in milliseconds. */
   readonly pollMs: number;
   /**
-   * The holder stops this much before the end and a successor waits this much
-   * longer: monotonic clocks of two hosts drift apart, and a holder needs time
-   * from its last check to its effect.
+   * Safety margin: the holder stops this much before the expiry and a successor
+   * waits this much longer. Monotonic clocks of two hosts drift apart, and time
+   * passes between a holder's validity check and its side effect.
    */
   readonly marginMs: number;
 }
@@ -40,7 +40,7 @@
 };
 
 /**
- * Reads a lease object; undefined for one that is no lease.
+ * Parses a lease object; returns undefined if it is not a valid lease.
  *
  * @example
  * const lease = readLease(await store.get('lease', 'acceptance'));
@@ -65,7 +65,7 @@
 }
 
 /**
- * The condition that the lease object is still as it was read.
+ * Returns the condition that the lease object is unchanged since its read.
  *
  * @example
  * await store.put(LEASE_KIND, duty, lease, leaseCondition(object));
--- a/packages/duties/src/leaseObserver.ts
+++ b/packages/duties/src/leaseObserver.ts
@@ -1,58 +1,58 @@
 /**
- * Tells when another's lease has certainly run out.
+ * Detects when the lease of another process has certainly expired.
  *
- * Clocks of different hosts are not compared. A candidate counts on its own
- * monotonic clock from when it first saw a version of the lease, which is later
- * than the moment from which the holder counts.
+ * Clocks of different hosts are not compared. A candidate measures on its own
+ * monotonic clock from its first read of a lease version, which is later than
+ * the start of the holder's own measurement.
  */
 import type {StoredObject} from '@skylarkfield/providers';
 import type {Clock} from '@skylarkfield/base';
 import {readLease, type LeaseTiming} from './lease.js';
 
 export interface LeaseObserver {
-  /** Notes a reading; call it when the reading has arrived. */
-  note(object: StoredObject | undefined): void;
-  /** Whether the lease as last read may be taken over. */
+  /** Records a read of the lease; call it when the result arrives. */
+  recordRead(object: StoredObject | undefined): void;
+  /** Whether the lease as last read may be acquired. */
   isFree(): boolean;
 }
 
 /**
- * Makes an observer for one lease.
+ * Creates the observer of one lease.
  *
  * @example
- * observer.note(await store.get('lease', 'acceptance'));
- * if (observer.isFree()) { await takeOver(); }
+ * observer.recordRead(await store.get('lease', 'acceptance'));
+ * if (observer.isFree()) { await acquire(); }
  */
 export function createLeaseObserver(
   clock: Clock,
   timing: LeaseTiming,
   self: string,
 ): LeaseObserver {
-  let seen: StoredObject | undefined;
-  let seenAt = 0;
-  let hasLooked = false;
+  let lastRead: StoredObject | undefined;
+  let versionSeenAt = 0;
+  let hasRead = false;
 
   return {
-    note(object) {
-      // Readings may be stale and arrive out of order.
-      if ((object?.version ?? Infinity) < (seen?.version ?? 0)) {
+    recordRead(object) {
+      // Reads may be stale and arrive out of order.
+      if ((object?.version ?? Infinity) < (lastRead?.version ?? 0)) {
         return;
       }
-      if (!hasLooked || object?.version !== seen?.version) {
-        seenAt = clock.now();
+      if (!hasRead || object?.version !== lastRead?.version) {
+        versionSeenAt = clock.now();
       }
-      hasLooked = true;
-      seen = object;
+      hasRead = true;
+      lastRead = object;
     },
     isFree() {
-      if (!hasLooked) {
+      if (!hasRead) {
         return false;
       }
-      const lease = readLease(seen);
+      const lease = readLease(lastRead);
       if (lease === undefined || lease.isReleased || lease.holder === self) {
         return true;
       }
-      return clock.now() - seenAt >= lease.durationMs + timing.marginMs;
+      return clock.now() - versionSeenAt >= lease.durationMs + timing.marginMs;
     },
   };
 }
--- a/packages/duties/src/orderGate.ts
+++ b/packages/duties/src/orderGate.ts
@@ -1,27 +1,27 @@
 /**
- * Orders to endpoints that don't check fencing numbers.
+ * Delays orders to endpoints that do not check fencing tokens.
  *
- * Such an endpoint obeys an order of the former holder that is still on its way
- * and undoes what the new holder has ordered. Each order carries a deadline
- * after which its sender gives it up, so a new holder waits until the last one
- * of its predecessor is past.
+ * Such an endpoint would execute a delayed order of the previous holder and
+ * undo an order of the new one. Each order has a deadline after which its
+ * sender abandons it, so a new holder waits until the deadlines of all orders
+ * of the previous holder have passed.
  */
 import type {Clock} from '@skylarkfield/base';
 import type {Tenure} from './contracts.js';
 import {defaultLeaseTiming} from './lease.js';
 
-/** Tells when a new holder may give orders to an endpoint. */
+/** Decides when a new holder may send orders to an endpoint. */
 export interface OrderGate {
-  /** Whether an order may be sent now to an endpoint. */
+  /** Whether an order may be sent to the endpoint now. */
   isOpen(endpoint: {readonly checksFencing: boolean}): boolean;
-  /** Milliseconds until orders may go to endpoints that don't check. */
+  /** Milliseconds until endpoints without token checks may be sent orders. */
   opensInMs(): number;
 }
 
 /**
- * Makes the gate of a tenure.
+ * Creates the order gate of a tenure.
  *
- * @param options.orderDeadlineMs The longest that any order is under way.
+ * @param options.orderDeadlineMs Maximum deadline of orders in milliseconds.
  * @example
  * const gate = createOrderGate({clock, tenure, orderDeadlineMs: 5000});
  * if (gate.isOpen(endpoint)) { await model.order(order, tenure.fencing); }
--- a/packages/duties/src/test/dutyWorld.ts
+++ b/packages/duties/src/test/dutyWorld.ts
@@ -1,4 +1,4 @@
-/** Several simulated processes that compete for one duty on one platform. */
+/** Simulated processes that compete for one duty on one platform. */
 import assert from 'node:assert/strict';
 import {
   pausableClock,
@@ -11,126 +11,132 @@
 import type {Duties, Tenure} from '../contracts.js';
 import {createDuties} from '../duties.js';
 
-/** One simulated process. */
-export interface Player {
+export interface SimulatedProcess {
   readonly id: string;
   readonly clock: PausableClock;
   readonly store: MemoryClient;
   readonly duties: Duties;
 }
 
-const NAMES = ['a', 'b', 'c', 'd'];
-/** Clocks of hosts drift by far less than this. */
-const DRIFT = 0.01;
-/** So that every reply goes through a clock and waits while a process is paused. */
-const NETWORK_MS = 4;
-const CHECK_EVERY_MS = 250;
+const PROCESS_IDS = ['a', 'b', 'c', 'd'];
+/** Maximum simulated clock drift; real hosts drift far less. */
+const MAX_CLOCK_DRIFT = 0.01;
+/** Nonzero, so that replies need a timer and wait while a process is paused. */
+const NETWORK_LATENCY_MS = 4;
+const CHECK_INTERVAL_MS = 250;
 
 /**
- * Makes the world; every tenure is checked against the oracle as it starts.
+ * Creates the simulation; checks the invariants at the start of each tenure.
  *
  * @example
- * const world = createDutyWorld(7);
- * await world.advance(10_000);
+ * const simulation = createDutySimulation(7);
+ * await simulation.advance(10_000);
  */
-export function createDutyWorld(seed: number) {
+export function createDutySimulation(seed: number) {
   const clock = virtualClock();
   const random = seededRandom(seed);
   const platform = memoryPlatform({clock, random});
-  platform.faults.setSlow(NETWORK_MS);
-  const players = new Map<string, Player>();
+  platform.faults.setSlow(NETWORK_LATENCY_MS);
+  const processes = new Map<string, SimulatedProcess>();
   let lastFencing = 0;
-  let tenures = 0;
-  let incarnations = 0;
+  let tenureCount = 0;
+  let incarnationCount = 0;
 
   function start(id: string): void {
-    incarnations += 1;
-    const drift = 1 + DRIFT * (2 * random.next() - 1);
-    const own = pausableClock(clock, drift);
-    const store = platform.client(id, {clock: own});
+    incarnationCount += 1;
+    const drift = 1 + MAX_CLOCK_DRIFT * (2 * random.next() - 1);
+    const processClock = pausableClock(clock, drift);
+    const store = platform.client(id, {clock: processClock});
     const duties = createDuties({
-      clock: own,
+      clock: processClock,
       random: seededRandom(random.integer(0, 1_000_000)),
       store,
-      self: {id, incarnation: incarnations},
-      members: () => [...players.keys()],
+      self: {id, incarnation: incarnationCount},
+      members: () => [...processes.keys()],
     });
-    const player = {id, clock: own, store, duties};
-    players.set(id, player);
-    duties.compete('fleet', tenure => begin(tenure));
+    const simulated = {id, clock: processClock, store, duties};
+    processes.set(id, simulated);
+    duties.compete('fleet', tenure => beginTenure(tenure));
   }
 
-  function begin(tenure: Tenure) {
-    tenures += 1;
+  function beginTenure(tenure: Tenure) {
+    tenureCount += 1;
     assert.ok(
       tenure.fencing > lastFencing,
-      `fencing ${tenure.fencing} came after ${lastFencing}`,
+      `fencing token ${tenure.fencing} follows ${lastFencing}`,
     );
     lastFencing = tenure.fencing;
-    check();
+    checkSingleHolder();
     return toDisposable(() => {});
   }
 
-  /** A paused process looks at the clock before it acts, so it is judged by it too. */
+  /** Returns all processes, even paused, with a tenure valid by their clock. */
   function holders(): readonly string[] {
-    return [...players.values()]
-      .filter(player => player.duties.held('fleet')?.isValid())
-      .map(player => player.id);
+    return [...processes.values()]
+      .filter(simulated => simulated.duties.held('fleet')?.isValid())
+      .map(simulated => simulated.id);
   }
 
-  function check(): void {
-    const valid = holders();
-    assert.ok(valid.length <= 1, `held at once by ${valid.join(' and ')}`);
+  function checkSingleHolder(): void {
+    const validHolders = holders();
+    assert.ok(
+      validHolders.length <= 1,
+      `held by ${validHolders.join(' and ')} at the same time`,
+    );
   }
 
   function crash(id: string): void {
-    const player = players.get(id);
-    players.delete(id);
-    player?.clock.kill();
-    player?.store.faults.setDown(true);
+    const simulated = processes.get(id);
+    processes.delete(id);
+    simulated?.clock.kill();
+    simulated?.store.faults.setDown(true);
   }
 
-  NAMES.forEach(start);
+  PROCESS_IDS.forEach(start);
   return {
     platform,
-    players,
+    processes,
     holders,
-    tenures: () => tenures,
-    names: NAMES,
+    tenureCount: () => tenureCount,
+    processIds: PROCESS_IDS,
     async advance(spanMs: number) {
-      for (let left = spanMs; left > 0; left -= CHECK_EVERY_MS) {
-        await clock.advance(Math.min(left, CHECK_EVERY_MS));
-        check();
+      for (
+        let remainingMs = spanMs;
+        remainingMs > 0;
+        remainingMs -= CHECK_INTERVAL_MS
+      ) {
+        await clock.advance(Math.min(remainingMs, CHECK_INTERVAL_MS));
+        checkSingleHolder();
       }
     },
     crash,
-    /** A planned stop: gives the duty up and ends a little later. */
+    /** Shuts a process down gracefully: it releases the duty. */
     leave(id: string) {
-      const player = players.get(id);
-      if (player === undefined) {
+      const simulated = processes.get(id);
+      if (simulated === undefined) {
         return;
       }
-      players.delete(id);
-      void player.duties.release();
+      processes.delete(id);
+      void simulated.duties.release();
     },
     restart(id: string) {
       crash(id);
       start(id);
     },
-    /** Ends every fault and waits until leases had time to change hands. */
+    /** Ends all faults and waits until leases had time to change hands. */
     async heal() {
       platform.faults.setDown(false);
-      platform.faults.setSlow(NETWORK_MS);
+      platform.faults.setSlow(NETWORK_LATENCY_MS);
       platform.faults.loseReplies(0);
-      for (const id of NAMES) {
-        const player = players.get(id);
-        if (player === undefined) {
+      for (const id of PROCESS_IDS) {
+        const simulated = processes.get(id);
+        if (simulated === undefined) {
           start(id);
           continue;
         }
-        player.store.faults.setDown(false);
-        player.store.faults.loseReplies(0);
-        player.clock.resume();
+        simulated.store.faults.setDown(false);
+        simulated.store.faults.loseReplies(0);
+        simulated.clock.resume();
       }
       await this.advance(40_000);
     },
