--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -9,7 +9,7 @@
   type Random,
 } from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
-import {startLeaseElection, type LeaseElection} from './contest.js';
+import {startLeaseElection, type LeaseElection} from './leaseElection.js';
 import type {Duties, DutyName, Tenure} from './contracts.js';
 import {defaultLeaseTiming, type LeaseTiming} from './lease.js';
 
--- a/packages/duties/src/test/duties.fuzz.test.ts
+++ b/packages/duties/src/test/duties.fuzz.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {createDutySimulation} from './dutyWorld.js';
+import {createDutySimulation} from './dutySimulation.js';
 
 const isLong = process.env['SKYLARKFIELD_FUZZ'] === 'long';
 const runs = isLong
