--- /dev/null
+++ b/packages/duties/src/test/dutySimulation.ts
@@ -0,0 +1,144 @@
+/** Simulated processes that compete for one duty on one platform. */
+import assert from 'node:assert/strict';
+import {
+  pausableClock,
+  seededRandom,
+  toDisposable,
+  virtualClock,
+  type PausableClock,
+} from '@skylarkfield/base';
+import {memoryPlatform, type MemoryClient} from '@skylarkfield/providers';
+import type {Duties, Tenure} from '../contracts.js';
+import {createDuties} from '../duties.js';
+
+export interface SimulatedProcess {
+  readonly id: string;
+  readonly clock: PausableClock;
+  readonly store: MemoryClient;
+  readonly duties: Duties;
+}
+
+const PROCESS_IDS = ['a', 'b', 'c', 'd'];
+/** Maximum simulated clock drift; real hosts drift far less. */
+const MAX_CLOCK_DRIFT = 0.01;
+/** Nonzero, so that replies need a timer and wait while a process is paused. */
+const NETWORK_LATENCY_MS = 4;
+const CHECK_INTERVAL_MS = 250;
+
+/**
+ * Creates the simulation; checks the invariants at the start of each tenure.
+ *
+ * @example
+ * const simulation = createDutySimulation(7);
+ * await simulation.advance(10_000);
+ */
+export function createDutySimulation(seed: number) {
+  const clock = virtualClock();
+  const random = seededRandom(seed);
+  const platform = memoryPlatform({clock, random});
+  platform.faults.setSlow(NETWORK_LATENCY_MS);
+  const processes = new Map<string, SimulatedProcess>();
+  let lastFencing = 0;
+  let tenureCount = 0;
+  let incarnationCount = 0;
+
+  function start(id: string): void {
+    incarnationCount += 1;
+    const drift = 1 + MAX_CLOCK_DRIFT * (2 * random.next() - 1);
+    const processClock = pausableClock(clock, drift);
+    const store = platform.client(id, {clock: processClock});
+    const duties = createDuties({
+      clock: processClock,
+      random: seededRandom(random.integer(0, 1_000_000)),
+      store,
+      self: {id, incarnation: incarnationCount},
+      members: () => [...processes.keys()],
+    });
+    const simulated = {id, clock: processClock, store, duties};
+    processes.set(id, simulated);
+    duties.compete('fleet', tenure => beginTenure(tenure));
+  }
+
+  function beginTenure(tenure: Tenure) {
+    tenureCount += 1;
+    assert.ok(
+      tenure.fencing > lastFencing,
+      `fencing token ${tenure.fencing} follows ${lastFencing}`,
+    );
+    lastFencing = tenure.fencing;
+    checkSingleHolder();
+    return toDisposable(() => {});
+  }
+
+  /** Returns all processes, even paused, with a tenure valid by their clock. */
+  function holders(): readonly string[] {
+    return [...processes.values()]
+      .filter(simulated => simulated.duties.held('fleet')?.isValid())
+      .map(simulated => simulated.id);
+  }
+
+  function checkSingleHolder(): void {
+    const validHolders = holders();
+    assert.ok(
+      validHolders.length <= 1,
+      `held by ${validHolders.join(' and ')} at the same time`,
+    );
+  }
+
+  function crash(id: string): void {
+    const simulated = processes.get(id);
+    processes.delete(id);
+    simulated?.clock.kill();
+    simulated?.store.faults.setDown(true);
+  }
+
+  PROCESS_IDS.forEach(start);
+  return {
+    platform,
+    processes,
+    holders,
+    tenureCount: () => tenureCount,
+    processIds: PROCESS_IDS,
+    async advance(spanMs: number) {
+      for (
+        let remainingMs = spanMs;
+        remainingMs > 0;
+        remainingMs -= CHECK_INTERVAL_MS
+      ) {
+        await clock.advance(Math.min(remainingMs, CHECK_INTERVAL_MS));
+        checkSingleHolder();
+      }
+    },
+    crash,
+    /** Shuts a process down gracefully: it releases the duty. */
+    leave(id: string) {
+      const simulated = processes.get(id);
+      if (simulated === undefined) {
+        return;
+      }
+      processes.delete(id);
+      void simulated.duties.release();
+    },
+    restart(id: string) {
+      crash(id);
+      start(id);
+    },
+    /** Ends all faults and waits until leases had time to change hands. */
+    async heal() {
+      platform.faults.setDown(false);
+      platform.faults.setSlow(NETWORK_LATENCY_MS);
+      platform.faults.loseReplies(0);
+      for (const id of PROCESS_IDS) {
+        const simulated = processes.get(id);
+        if (simulated === undefined) {
+          start(id);
+          continue;
+        }
+        simulated.store.faults.setDown(false);
+        simulated.store.faults.loseReplies(0);
+        simulated.clock.resume();
+      }
+      await this.advance(40_000);
+    },
+  };
+}
