--- a/packages/gateway/src/policyInForce.ts
+++ b/packages/gateway/src/activePolicy.ts
@@ -12,7 +12,7 @@
 import type {CallHead} from './contracts.js';
 import type {Mirror} from './mirror.js';
 
-export interface PolicyInForce {
+export interface ActivePolicy {
   /** False until a policy is known. */
   isKnown(): boolean;
   version(): number;
@@ -42,7 +42,7 @@
 };
 
 /** When a caller may come back while the policy's age is too high, in milliseconds. */
-const UNCONFIRMED_RETRY_MS = 300;
+const STALE_POLICY_RETRY_MS = 300;
 
 /**
  * Makes the policy in force over the mirrored documents.
@@ -54,14 +54,14 @@
  * @example
  * const policy = createPolicyInForce({mirror, clock, log, keyLifeMs: 4_600});
  */
-export function createPolicyInForce(options: {
+export function createActivePolicy(options: {
   readonly mirror: Mirror<TrafficPolicy>;
   readonly clock: Clock;
   readonly log: Logger;
   /** The oldest policy by which a key still counts, in milliseconds. */
-  readonly keyLifeMs: number;
-}): PolicyInForce {
-  const {mirror, log, keyLifeMs} = options;
+  readonly maxPolicyAgeMs: number;
+}): ActivePolicy {
+  const {mirror, log, maxPolicyAgeMs} = options;
   const listeners: (() => void)[] = [];
   let current: TrafficPolicy | undefined;
   let routes = createRouteTable([]);
@@ -70,19 +70,19 @@
   function update(): void {
     for (const {value} of mirror.items()) {
       if (current === undefined || value.version > current.version) {
-        adopt(value);
+        activate(value);
       }
     }
   }
 
-  function adopt(next: TrafficPolicy): void {
-    const former = current?.version;
+  function activate(next: TrafficPolicy): void {
+    const previousVersion = current?.version;
     current = next;
     routes = createRouteTable(next.routes);
     customers = createCustomerTable(next.customers);
     log.info(
       {
-        former,
+        former: previousVersion,
         version: next.version,
         routes: next.routes.length,
         customers: next.customers.length,
@@ -113,11 +113,11 @@
       if (route.isPublic || !customers.isKeyed) {
         return undefined;
       }
-      if (mirror.ageMs() > keyLifeMs) {
+      if (mirror.ageMs() > maxPolicyAgeMs) {
         throw new ServingError(
           'not-ready',
           `nothing shows for ${Math.round(mirror.ageMs())} ms that the key still counts`,
-          {retryAfterMs: UNCONFIRMED_RETRY_MS},
+          {retryAfterMs: STALE_POLICY_RETRY_MS},
         );
       }
       const customer = key === undefined ? undefined : customers.holderOf(key);
--- a/packages/gateway/src/admissionFeed.ts
+++ b/packages/gateway/src/admissionConfigurator.ts
@@ -2,7 +2,7 @@
 import type {Admission} from '@skylarkfield/admission';
 import type {DeclaredService} from '@skylarkfield/traffic';
 import type {EndpointDirectory} from './endpointDirectory.js';
-import type {PolicyInForce} from './policyInForce.js';
+import type {ActivePolicy} from './activePolicy.js';
 
 /**
  * Requests at an endpoint for each of its places. Endpoints queue a few
@@ -15,9 +15,9 @@
 const QUEUE_PER_SLOT = 4;
 
 /** What the admission measures latency against; fixed limits do not use it. */
-const TARGET_MS = 1_000;
+const TARGET_LATENCY_MS = 1_000;
 
-export interface AdmissionFeed {
+export interface AdmissionConfigurator {
   /**
    * Counts the places anew. Called as soon as endpoints change: an entry that
    * has just started would take one place for all until the next count, and
@@ -32,35 +32,37 @@
  * @example
  * const feed = createAdmissionFeed({admission, directory, policy});
  */
-export function createAdmissionFeed(options: {
+export function createAdmissionConfigurator(options: {
   readonly admission: Admission;
   readonly directory: EndpointDirectory;
-  readonly policy: PolicyInForce;
-}): AdmissionFeed {
+  readonly policy: ActivePolicy;
+}): AdmissionConfigurator {
   const {admission, directory, policy} = options;
-  let known = new Set<string>();
+  let configured = new Set<string>();
 
   function slotsOf({name}: DeclaredService): number {
-    const present = directory.of(name).filter(({state}) => state === 'ready');
-    return present.reduce((sum, {slots}) => sum + slots, 0);
+    const ready = directory
+      .forService(name)
+      .filter(({state}) => state === 'ready');
+    return ready.reduce((sum, {slots}) => sum + slots, 0);
   }
 
   function update(): void {
     const services = policy.services();
     const names = new Set(services.map(({name}) => name));
-    for (const name of known) {
+    for (const name of configured) {
       if (!names.has(name)) {
         admission.setService(name, undefined);
       }
     }
-    known = names;
+    configured = names;
     for (const service of services) {
       const slots = Math.max(1, slotsOf(service));
       admission.setService(service.name, {
         name: service.name,
         concurrency: slots * REQUESTS_PER_SLOT,
         queue: slots * QUEUE_PER_SLOT,
-        targetMs: TARGET_MS,
+        targetMs: TARGET_LATENCY_MS,
       });
     }
   }
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -1,7 +1,7 @@
 /** One attempt of a request at one endpoint. */
 import {ServingError, type Clock, type Disposable} from '@skylarkfield/base';
 import type {CallFormat, ReplyHead, ReplyHeaders} from './contracts.js';
-import {createEventFrames, type EventFrame} from './eventFrames.js';
+import {createEventFramer, type EventFrame} from './eventFramer.js';
 import type {UpstreamRequest, Upstreams} from './upstream.js';
 
 /** How an attempt ended. */
@@ -22,14 +22,14 @@
       readonly type: 'failed';
       readonly error: ServingError;
       /** Undefined when the attempt did not end by the endpoint's close or silence. */
-      readonly loss?: AttemptLoss;
+      readonly loss?: ConnectionLoss;
     };
 
 /**
  * How a request that may have been running lost its endpoint. `closed`: the
  * connection ended. `silent`: nothing had come until the attempt was given up.
  */
-export type AttemptLoss = 'closed' | 'silent';
+export type ConnectionLoss = 'closed' | 'silent';
 
 /** Takes the events of a stream, over all attempts of one request. */
 export interface EventSink {
@@ -55,9 +55,9 @@
   /** Where the events of a stream go; undefined for a request with a whole answer. */
   readonly sink: EventSink | undefined;
   /** Silence after which the attempt is given up, in milliseconds; undefined to wait for the signal alone. */
-  readonly silenceMs: number | undefined;
+  readonly idleTimeoutMs: number | undefined;
   /** Whether the endpoint was told to stop the request: an end of its connection then proves nothing. */
-  isStopping(): boolean;
+  isStopRequested(): boolean;
   /** The head of the endpoint's answer to this attempt has come, whatever it says. */
   onDidRespond(head: ReplyHead): void;
   /** The endpoint's answer has begun; for a stream, its first event has come. */
@@ -80,50 +80,51 @@
  */
 export function runAttempt(options: AttemptOptions): Promise<AttemptEnd> {
   return new Promise(resolve => {
-    const {clock, format, signal, sink, silenceMs} = options;
+    const {clock, format, signal, sink, idleTimeoutMs} = options;
     const chunks: Buffer[] = [];
-    const frames = createEventFrames();
+    const framer = createEventFramer();
     let reply: {status: number; headers: ReplyHeaders} | undefined;
     let head: ReplyHead | undefined;
     let isStream = false;
     let hasBegun = false;
-    let isOver = false;
-    let heardAt = clock.now();
-    let silence = silenceMs === undefined ? undefined : watch(silenceMs);
+    let isSettled = false;
+    let lastActivityAt = clock.now();
+    let idleTimer =
+      idleTimeoutMs === undefined ? undefined : startIdleTimer(idleTimeoutMs);
 
     /** Gives up after a silence; a check in between is cheaper than a timer for each event. */
-    function watch(limitMs: number): Disposable {
-      const remainingMs = limitMs - (clock.now() - heardAt);
+    function startIdleTimer(limitMs: number): Disposable {
+      const remainingMs = limitMs - (clock.now() - lastActivityAt);
       return clock.after(remainingMs, () => {
-        if (clock.now() - heardAt < limitMs) {
-          silence = watch(limitMs);
+        if (clock.now() - lastActivityAt < limitMs) {
+          idleTimer = startIdleTimer(limitMs);
           return;
         }
-        giveUp(interrupted(`no data for ${limitMs} ms`), 'silent');
+        abort(interrupted(`no data for ${limitMs} ms`), 'silent');
       });
     }
 
-    function heard(): void {
-      heardAt = clock.now();
+    function noteActivity(): void {
+      lastActivityAt = clock.now();
     }
 
     function settle(end: AttemptEnd): void {
-      if (isOver) {
+      if (isSettled) {
         return;
       }
-      isOver = true;
-      silence?.dispose();
+      isSettled = true;
+      idleTimer?.dispose();
       signal.removeEventListener('abort', onAbort);
       resolve(end);
     }
 
-    function giveUp(error: ServingError, loss?: AttemptLoss): void {
+    function abort(error: ServingError, loss?: ConnectionLoss): void {
       exchange.abort();
       settle({type: 'failed', error, ...(loss && {loss})});
     }
 
     function onAbort(): void {
-      giveUp(reasonOf(signal), 'silent');
+      abort(abortReason(signal), 'silent');
     }
 
     function begin(): void {
@@ -135,15 +136,15 @@
     }
 
     function onDidRespond(status: number, headers: ReplyHeaders): void {
-      heard();
+      noteActivity();
       head = format.readReply(headers, status);
       reply = {status, headers};
       if (head.attemptId !== options.attemptId) {
-        giveUp(violation('the answer names another request'));
+        abort(protocolViolation('the answer names another request'));
         return;
       }
       if (headers['content-encoding'] !== undefined) {
-        giveUp(violation('the answer is encoded'));
+        abort(protocolViolation('the answer is encoded'));
         return;
       }
       options.onDidRespond(head);
@@ -154,7 +155,7 @@
       }
     }
 
-    function passOn(frame: EventFrame): void {
+    function forwardFrame(frame: EventFrame): void {
       if (reply === undefined || sink === undefined) {
         return;
       }
@@ -164,31 +165,34 @@
       }
       if (!sink.write(frame)) {
         exchange.pause();
-        silence?.dispose();
+        idleTimer?.dispose();
         sink.whenDrained(() => {
-          heard();
-          silence = silenceMs === undefined ? undefined : watch(silenceMs);
+          noteActivity();
+          idleTimer =
+            idleTimeoutMs === undefined
+              ? undefined
+              : startIdleTimer(idleTimeoutMs);
           exchange.resume();
         });
       }
     }
 
     function onDidReceive(chunk: Buffer): void {
-      heard();
+      noteActivity();
       if (!isStream) {
         chunks.push(chunk);
         return;
       }
-      frames.push(chunk).forEach(passOn);
+      framer.push(chunk).forEach(forwardFrame);
     }
 
-    function onDidEnd(isProven: boolean): void {
-      if (!isProven && options.isStopping()) {
-        giveUp(interrupted('the request was stopped'));
+    function onDidEnd(isDelimited: boolean): void {
+      if (!isDelimited && options.isStopRequested()) {
+        abort(interrupted('the request was stopped'));
         return;
       }
       if (reply === undefined || head === undefined) {
-        giveUp(interrupted('the answer has no head'), 'closed');
+        abort(interrupted('the answer has no head'), 'closed');
         return;
       }
       if (head.isNotRun) {
@@ -200,7 +204,7 @@
           begin();
           sink.begin(reply.status, reply.headers);
         }
-        sink.finish(frames.rest());
+        sink.finish(framer.remainder());
         settle({type: 'streamed'});
         return;
       }
@@ -208,7 +212,7 @@
     }
 
     if (signal.aborted) {
-      settle({type: 'failed', error: unsent()});
+      settle({type: 'failed', error: cancelledBeforeSend()});
       return;
     }
     signal.addEventListener('abort', onAbort, {once: true});
@@ -216,20 +220,20 @@
       onDidRespond,
       onDidReceive,
       onDidEnd,
-      onDidFail: error => settle(lost(error)),
+      onDidFail: error => settle(connectionLost(error)),
     });
   });
 }
 
 /** The end of a connection; before the request was sent it tells nothing about the endpoint's runs. */
-function lost(error: ServingError): AttemptEnd {
+function connectionLost(error: ServingError): AttemptEnd {
   return error.run === 'not-run'
     ? {type: 'failed', error}
     : {type: 'failed', error, loss: 'closed'};
 }
 
 /** Why nobody waits any more: the signal's own error, or the caller has left. */
-function reasonOf(signal: AbortSignal): ServingError {
+function abortReason(signal: AbortSignal): ServingError {
   if (signal.reason instanceof ServingError) {
     return signal.reason;
   }
@@ -242,13 +246,13 @@
   return new ServingError('interrupted', message, {run: 'may-have-run'});
 }
 
-function violation(message: string): ServingError {
+function protocolViolation(message: string): ServingError {
   return new ServingError('protocol-violation', message, {
     run: 'may-have-run',
   });
 }
 
-function unsent(): ServingError {
+function cancelledBeforeSend(): ServingError {
   return new ServingError('cancelled', 'given up before it was sent', {
     run: 'not-run',
   });
--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -7,10 +7,10 @@
 export type AttemptOutcome = Parameters<Choice['finish']>[0]['outcome'];
 
 /** Nobody is told to come back sooner, in milliseconds: what is known of the load is older. */
-const LEAST_RETRY_MS = 300;
+const MIN_RETRY_MS = 300;
 
 /** Statuses by which a service says that it failed. */
-const FIRST_SERVER_FAULT = 500;
+const FIRST_SERVER_ERROR = 500;
 
 /**
  * Whether a status says that the server failed.
@@ -18,8 +18,8 @@
  * @example
  * isServerFault(502); // true
  */
-export function isServerFault(status: number): boolean {
-  return status >= FIRST_SERVER_FAULT;
+export function isServerError(status: number): boolean {
+  return status >= FIRST_SERVER_ERROR;
 }
 
 /**
@@ -59,7 +59,7 @@
     return 'ok';
   }
   if (end.type === 'answered') {
-    return isServerFault(end.status) ? 'failed' : 'ok';
+    return isServerError(end.status) ? 'failed' : 'ok';
   }
   if (end.type === 'declined') {
     return 'overloaded';
@@ -77,7 +77,7 @@
  * @example
  * reply.refuse(withRuns(error, progress.runs));
  */
-export function withRuns(error: ServingError, runs: number): ServingError {
+export function withRunState(error: ServingError, runs: number): ServingError {
   if (runs === 0 || error.run === 'may-have-run') {
     return error;
   }
@@ -106,7 +106,7 @@
  * @example
  * throw withRuns(noRoom('chat', 3), 0);
  */
-export function noRoom(service: string, asked: number): ServingError {
+export function allDeclined(service: string, asked: number): ServingError {
   return new ServingError(
     'overloaded',
     `${asked} endpoints of ${service} have no room`,
@@ -121,14 +121,14 @@
  * @example
  * throw noPlaceInTime('chat', {ms: 2_400, longestMs: 900});
  */
-export function noPlaceInTime(
+export function waitTooLong(
   service: string,
   {ms, longestMs}: {readonly ms: number; readonly longestMs: number},
 ): ServingError {
   return new ServingError(
     'overloaded',
     `${service} has ${Math.round(ms)} ms of prompts to read first`,
-    {run: 'not-run', retryAfterMs: Math.max(LEAST_RETRY_MS, ms - longestMs)},
+    {run: 'not-run', retryAfterMs: Math.max(MIN_RETRY_MS, ms - longestMs)},
   );
 }
 
@@ -158,10 +158,10 @@
  * @example
  * throw limited('chat', 350);
  */
-export function limited(service: string, waitMs: number): ServingError {
+export function rateLimited(service: string, waitMs: number): ServingError {
   return new ServingError(
     'overloaded',
     `the endpoints of ${service} take no more requests for ${Math.round(waitMs)} ms`,
-    {run: 'not-run', retryAfterMs: Math.max(LEAST_RETRY_MS, waitMs)},
+    {run: 'not-run', retryAfterMs: Math.max(MIN_RETRY_MS, waitMs)},
   );
 }
--- a/packages/gateway/src/callerBody.ts
+++ b/packages/gateway/src/callerBody.ts
@@ -12,7 +12,7 @@
  */
 export function readBody(
   request: IncomingMessage,
-  mostBytes: number,
+  maxBytes: number,
   signal: AbortSignal,
 ): Promise<Buffer | undefined> {
   const declared = Number(request.headers['content-length'] ?? 0);
@@ -20,34 +20,36 @@
   if (declared === 0 && !isChunked) {
     return Promise.resolve(undefined);
   }
-  if (declared > mostBytes) {
-    return Promise.reject(tooLarge(mostBytes));
+  if (declared > maxBytes) {
+    return Promise.reject(tooLarge(maxBytes));
   }
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
     request.on('data', (chunk: Buffer) => {
       bytes += chunk.length;
-      if (bytes > mostBytes) {
-        reject(tooLarge(mostBytes));
+      if (bytes > maxBytes) {
+        reject(tooLarge(maxBytes));
         return;
       }
       chunks.push(chunk);
     });
     request.once('end', () => resolve(Buffer.concat(chunks)));
-    request.once('error', () => reject(left()));
-    signal.addEventListener('abort', () => reject(left()), {once: true});
+    request.once('error', () => reject(callerDisconnected()));
+    signal.addEventListener('abort', () => reject(callerDisconnected()), {
+      once: true,
+    });
   });
 }
 
-function tooLarge(mostBytes: number): ServingError {
+function tooLarge(maxBytes: number): ServingError {
   return new ServingError(
     'too-large',
-    `the body has more than ${mostBytes} bytes`,
+    `the body has more than ${maxBytes} bytes`,
   );
 }
 
-function left(): ServingError {
+function callerDisconnected(): ServingError {
   return new ServingError(
     'cancelled',
     'the caller left while it sent its body',
--- a/packages/gateway/src/callerFront.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -21,21 +21,21 @@
 } from '@skylarkfield/traffic';
 import {quarantined} from './attemptOutcome.js';
 import {readBody} from './callerBody.js';
-import {checkPresence} from './callerPresence.js';
+import {checkConnected} from './callerPresence.js';
 import {createCallerReply, type CallerReply} from './callerReply.js';
 import type {CallFormat, CallHead} from './contracts.js';
 import type {VersionGroup} from './endpointDirectory.js';
-import type {FleetShare} from './fleetShare.js';
+import type {PeerVisibility} from './peerVisibility.js';
 import type {
   ForwardedCall,
   Forwarding,
   ForwardingResult,
 } from './forwarding.js';
 import {watchOutcome} from './outcomeWatch.js';
-import type {PolicyInForce} from './policyInForce.js';
+import type {ActivePolicy} from './activePolicy.js';
 import {createRequestLog} from './requestLog.js';
 import type {RequestMetrics} from './requestMetrics.js';
-import {verdictOn} from './suspicion.js';
+import {verdictFor} from './crashGuard.js';
 
 /** What the process as a whole allows at the moment. */
 export interface ServingState {
@@ -45,15 +45,15 @@
   isClosing(): boolean;
 }
 
-export interface CallerFront {
+export interface CallerHandler {
   handle(request: IncomingMessage, response: ServerResponse): Promise<void>;
 }
 
-interface FrontOptions {
-  readonly policy: PolicyInForce;
+interface CallerHandlerOptions {
+  readonly policy: ActivePolicy;
   readonly quotas: Quotas;
   readonly suspects: Pick<CrashSuspects, 'isEmpty' | 'judge'>;
-  readonly share: FleetShare;
+  readonly visibility: PeerVisibility;
   readonly admission: Admission;
   readonly forwarding: Forwarding;
   readonly format: CallFormat;
@@ -80,7 +80,7 @@
 }
 
 /** A request with what was found out about it. */
-interface Accepted {
+interface AcceptedRequest {
   readonly head: CallHead;
   readonly attemptId: string;
   readonly route: Route;
@@ -96,16 +96,16 @@
  * steps of two leave room between them.
  */
 const URGENCY_PER_PRIORITY = 2;
-const LEAST_URGENT = 9;
+const LOWEST_URGENCY = 9;
 
 /** The bulkheads know eight urgencies. */
-const LEAST_ADMITTED_URGENCY = 7;
+const LOWEST_ADMISSION_URGENCY = 7;
 
 /** No request weighs less than this part of the usual one in the queue: each also takes a place. */
-const LEAST_COST = 0.1;
+const MIN_COST = 0.1;
 
 /** Why a request's signal is aborted when its time is over. */
-const DEADLINE_PASSED = new ServingError(
+const DEADLINE_EXCEEDED = new ServingError(
   'deadline-exceeded',
   'no answer came in the time that the request has',
   {run: 'may-have-run'},
@@ -123,11 +123,16 @@
  * @example
  * const server = http.createServer((request, response) => void front.handle(request, response));
  */
-export function createCallerFront(options: FrontOptions): CallerFront {
+export function createCallerHandler(
+  options: CallerHandlerOptions,
+): CallerHandler {
   const {policy, quotas, admission, forwarding, format, clock} = options;
   const requestLog = createRequestLog(options);
 
-  function accept(request: IncomingMessage, arrivedAt: number): Accepted {
+  function accept(
+    request: IncomingMessage,
+    arrivedAt: number,
+  ): AcceptedRequest {
     const head = format.readCall(request.headers);
     const {attemptId} = head;
     if (!options.state.isServing()) {
@@ -167,18 +172,18 @@
   }
 
   function rejectQuarantined(fingerprint: () => string): void {
-    const verdict = verdictOn({fingerprint}, options.suspects);
+    const verdict = verdictFor({fingerprint}, options.suspects);
     if (verdict.type === 'quarantined') {
       throw quarantined(verdict);
     }
   }
 
-  function takeQuota({customer, head}: Accepted): () => void {
+  function takeQuota({customer, head}: AcceptedRequest): () => void {
     const amount = quotaAmount(customer, head);
     if (customer === undefined || amount === 0) {
       return () => {};
     }
-    if (!options.share.isKnown()) {
+    if (!options.visibility.isKnown()) {
       throw notReady('the other entries are not known here yet');
     }
     if (!quotas.tryTake(customer, amount)) {
@@ -195,24 +200,27 @@
   }
 
   /** Fairness among customers goes by work: a long prompt weighs as much as several usual ones. */
-  function costOf(service: string, {demand}: CallHead): number {
+  function admissionCost(service: string, {demand}: CallHead): number {
     if (demand === undefined) {
       return 1;
     }
     const usual = Math.max(1, options.usualOwnTokens(service));
-    return Math.max(LEAST_COST, ownTokens(demand) / usual);
+    return Math.max(MIN_COST, ownTokens(demand) / usual);
   }
 
-  function admit(accepted: Accepted, signal: AbortSignal): Promise<Permit> {
+  function admit(
+    accepted: AcceptedRequest,
+    signal: AbortSignal,
+  ): Promise<Permit> {
     const {service, customer, priority, deadlineAt, head} = accepted;
     options.onDidAccept(service, head);
     return admission.admit(
       {
         service,
         customer: customer?.name ?? '',
-        urgency: Math.min(priority, LEAST_ADMITTED_URGENCY),
+        urgency: Math.min(priority, LOWEST_ADMISSION_URGENCY),
         deadline: deadlineAt,
-        cost: costOf(service, head),
+        cost: admissionCost(service, head),
       },
       signal,
     );
@@ -221,14 +229,14 @@
   async function serve(
     request: IncomingMessage,
     reply: CallerReply,
-    accepted: Accepted,
+    accepted: AcceptedRequest,
     caller: AbortSignal,
   ): Promise<ForwardingResult> {
     const {head, attemptId, route, service, customer, priority, deadlineAt} =
       accepted;
     const body = await readBody(request, policy.limits().bodyBytes, caller);
-    await checkPresence(caller);
-    const fingerprint = once(() =>
+    await checkConnected(caller);
+    const fingerprint = lazy(() =>
       requestFingerprint({
         customer: customer?.name,
         authority: head.authority,
@@ -238,20 +246,20 @@
       }),
     );
     rejectQuarantined(fingerprint);
-    const giveBack = takeQuota(accepted);
+    const refundQuota = takeQuota(accepted);
     const outcome = watchOutcome(accepted, reply, options);
     let permit: Permit;
     try {
       permit = await admit(accepted, caller);
     } catch (error) {
       outcome.end(toServingError(error));
-      giveBack();
+      refundQuota();
       throw error;
     }
     const admittedAt = clock.now();
     const deadline = new AbortController();
     const timer = clock.after(deadlineAt - admittedAt, () =>
-      deadline.abort(DEADLINE_PASSED),
+      deadline.abort(DEADLINE_EXCEEDED),
     );
     const version = options.chooseGroup(
       service,
@@ -270,7 +278,7 @@
           urgency:
             head.demand === undefined
               ? undefined
-              : Math.min(LEAST_URGENT, priority * URGENCY_PER_PRIORITY),
+              : Math.min(LOWEST_URGENCY, priority * URGENCY_PER_PRIORITY),
           method: request.method ?? 'GET',
           path: request.url ?? '/',
           rawHeaders: request.rawHeaders,
@@ -286,10 +294,10 @@
       options.onDidAnswer(service, head, reply.eventCount());
       options.onDidConclude({service, version, route}, result);
       if (result.error?.run === 'not-run') {
-        giveBack();
+        refundQuota();
       }
       permit.release({
-        outcome: endingOf(result, caller),
+        outcome: permitOutcome(result, caller),
         latencyMs: result.firstMs ?? clock.now() - admittedAt,
       });
       return result;
@@ -302,10 +310,10 @@
   return {
     async handle(request, response) {
       const arrivedAt = clock.now();
-      const gone = new AbortController();
+      const disconnected = new AbortController();
       response.once('close', () => {
         if (!response.writableFinished) {
-          gone.abort();
+          disconnected.abort();
         }
       });
       const reply = createCallerReply({
@@ -314,14 +322,14 @@
         isClosing: options.state.isClosing,
       });
       options.inFlight.begin();
-      let accepted: Accepted | undefined;
+      let accepted: AcceptedRequest | undefined;
       let result: ForwardingResult;
       try {
         accepted = accept(request, arrivedAt);
-        result = await serve(request, reply, accepted, gone.signal);
+        result = await serve(request, reply, accepted, disconnected.signal);
       } catch (caught) {
         const error = toServingError(caught);
-        const status = reply.refuse(error);
+        const status = reply.sendError(error);
         result = {status, error, firstMs: undefined, endpoints: []};
         // Node reads the rest of a body that nobody wants only when it is told to.
         request.resume();
@@ -333,7 +341,7 @@
         attemptId:
           accepted?.attemptId ?? format.readCall(request.headers).attemptId,
         result,
-        hasLeft: gone.signal.aborted,
+        hasDisconnected: disconnected.signal.aborted,
         arrivedAt,
         events: reply.eventCount(),
       });
@@ -356,7 +364,7 @@
     : demand.promptTokens + demand.mostOutputTokens;
 }
 
-function endingOf({error}: ForwardingResult, caller: AbortSignal) {
+function permitOutcome({error}: ForwardingResult, caller: AbortSignal) {
   if (error === undefined) {
     return 'ok';
   }
@@ -373,10 +381,10 @@
 }
 
 /** Computes a value when it is first asked for. */
-function once<T>(compute: () => T): () => T {
-  let known: {readonly value: T} | undefined;
+function lazy<T>(compute: () => T): () => T {
+  let cached: {readonly value: T} | undefined;
   return () => {
-    known ??= {value: compute()};
-    return known.value;
+    cached ??= {value: compute()};
+    return cached.value;
   };
 }
--- a/packages/gateway/src/callerPresence.ts
+++ b/packages/gateway/src/callerPresence.ts
@@ -9,7 +9,7 @@
  * @example
  * await checkPresence(callerSignal);
  */
-export async function checkPresence(caller: AbortSignal): Promise<void> {
+export async function checkConnected(caller: AbortSignal): Promise<void> {
   await nextTurn();
   await nextTurn();
   if (caller.aborted) {
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -2,9 +2,9 @@
 import type {ServerResponse} from 'node:http';
 import {errorAnswers, type ServingError} from '@skylarkfield/base';
 import type {CallFormat, ReplyHeaders} from './contracts.js';
-import type {EventFrame} from './eventFrames.js';
+import type {EventFrame} from './eventFramer.js';
 import type {EventSink} from './attempt.js';
-import {isServerFault} from './attemptOutcome.js';
+import {isServerError} from './attemptOutcome.js';
 
 export interface CallerReply {
   /** Whether a part of an answer has gone out. */
@@ -14,19 +14,19 @@
   /** Events passed on so far. */
   eventCount(): number;
   readonly sink: EventSink;
-  whole(status: number, headers: ReplyHeaders, body: Buffer): void;
-  refuse(error: ServingError): number;
+  sendWhole(status: number, headers: ReplyHeaders, body: Buffer): void;
+  sendError(error: ServingError): number;
   /** Ends an answer that can't be completed so that it does not look complete. */
-  breakOff(): void;
+  abort(): void;
 }
 
 const MS_PER_SECOND = 1_000;
 
 /** Statuses that promise nothing about whether the request ran. */
-const FAILED_STATUS = 502;
-const TIMED_OUT_STATUS = 504;
+const BAD_GATEWAY_STATUS = 502;
+const GATEWAY_TIMEOUT_STATUS = 504;
 /** Promises that the request has not run and won't. */
-const NOT_RUN_STATUS = 503;
+const UNAVAILABLE_STATUS = 503;
 
 /** When a caller may come back that was refused without a better figure, in milliseconds. */
 const DEFAULT_RETRY_MS = 300;
@@ -48,7 +48,10 @@
   let lastId: number | undefined;
   let events = 0;
 
-  function head(status: number, headers: Record<string, string | string[]>) {
+  function writeHead(
+    status: number,
+    headers: Record<string, string | string[]>,
+  ) {
     if (options.isClosing()) {
       headers['connection'] = 'close';
     }
@@ -62,7 +65,7 @@
     sink: {
       begin(status, headers) {
         if (!response.headersSent) {
-          head(status, format.replyHeaders(headers));
+          writeHead(status, format.replyHeaders(headers));
         }
       },
       write({bytes, id}: EventFrame) {
@@ -81,13 +84,13 @@
         response.end(rest.length > 0 ? rest : undefined);
       },
     },
-    whole(status, headers, body) {
-      const passed = format.replyHeaders(headers);
-      passed['content-length'] = String(body.length);
-      head(status, passed);
+    sendWhole(status, headers, body) {
+      const replyHeaders = format.replyHeaders(headers);
+      replyHeaders['content-length'] = String(body.length);
+      writeHead(status, replyHeaders);
       response.end(body);
     },
-    refuse(error) {
+    sendError(error) {
       const status = statusOf(error);
       if (response.headersSent || response.destroyed) {
         response.destroy();
@@ -109,11 +112,11 @@
         const waitMs = error.retryAfterMs ?? DEFAULT_RETRY_MS;
         headers['retry-after'] = (waitMs / MS_PER_SECOND).toFixed(2);
       }
-      head(status, headers);
+      writeHead(status, headers);
       response.end(body);
       return status;
     },
-    breakOff: () => response.destroy(),
+    abort: () => response.destroy(),
   };
 }
 
@@ -125,7 +128,9 @@
 function statusOf(error: ServingError): number {
   const {status} = errorAnswers[error.kind];
   if (error.run === 'not-run') {
-    return isServerFault(status) ? NOT_RUN_STATUS : status;
+    return isServerError(status) ? UNAVAILABLE_STATUS : status;
   }
-  return error.kind === 'deadline-exceeded' ? TIMED_OUT_STATUS : FAILED_STATUS;
+  return error.kind === 'deadline-exceeded'
+    ? GATEWAY_TIMEOUT_STATUS
+    : BAD_GATEWAY_STATUS;
 }
--- a/packages/gateway/src/dutyPart.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -1,10 +1,10 @@
 /** What this entry does for all while it holds the duty. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {Tenure} from '@skylarkfield/duties';
-import type {AgreementPart} from './agreementPart.js';
+import type {Coordination} from './coordination.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
 import {startFleetDuty} from './fleetDuty.js';
-import type {TrafficPart} from './trafficPart.js';
+import type {TrafficPipeline} from './trafficPipeline.js';
 import {startUsageDuty} from './usageDuty.js';
 
 /**
@@ -14,10 +14,10 @@
  * @example
  * const duty = competeForDuty(context, agreement, traffic);
  */
-export function competeForDuty(
+export function competeForClusterDuty(
   context: GatewayContext,
-  agreement: AgreementPart,
-  traffic: TrafficPart,
+  coordination: Coordination,
+  traffic: TrafficPipeline,
 ): Disposable {
   const {settings, platform, clock, log} = context;
 
@@ -33,7 +33,7 @@
     work.add(
       startUsageDuty({
         ...common,
-        store: agreement.store,
+        store: coordination.store,
         usage: traffic.usage,
         lateMs: settings.usageLateSeconds * MS_PER_SECOND,
         commonWallMs: traffic.digests.commonWallMs,
@@ -48,12 +48,14 @@
           traffic.policy
             .services()
             .filter(({name}) => !traffic.rollouts.isOpen(name)),
-        signs: traffic.engines.signs,
+        demandSigns: traffic.engines.signs,
       }),
     );
-    work.add(traffic.memory.keep(traffic.engines.allSeen));
+    work.add(
+      traffic.engineStore.startPersisting(traffic.engines.fleetCapacity),
+    );
     return work;
   }
 
-  return agreement.duties.compete('fleet', start);
+  return coordination.duties.compete('fleet', start);
 }
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -38,11 +38,11 @@
   readonly urgency: number | undefined;
   readonly lastEventId: string | undefined;
   /** Memory of the same request from which the endpoint goes on. */
-  readonly memory: MovedMemory | undefined;
+  readonly memory: KvCacheRef | undefined;
 }
 
 /** A request's memory that was copied from one engine to another. */
-export interface MovedMemory {
+export interface KvCacheRef {
   /** `IP:port` of the engine that ran the request before. */
   readonly source: string;
   readonly handle: string;
@@ -51,9 +51,9 @@
 /** What came of moving a request's memory. */
 export type MoveAnswer =
   /** The request has stopped at its source; the copy is at the target. */
-  | {readonly type: 'moved'; readonly memory: MovedMemory}
+  | {readonly type: 'moved'; readonly memory: KvCacheRef}
   /** The request has stopped, and only its source has the memory. */
-  | {readonly type: 'stopped'; readonly memory: MovedMemory}
+  | {readonly type: 'stopped'; readonly memory: KvCacheRef}
   /** The request runs on where it is, or has ended. */
   | {readonly type: 'refused'}
   /** Nobody knows. */
--- a/packages/gateway/src/agreementPart.ts
+++ b/packages/gateway/src/coordination.ts
@@ -21,7 +21,7 @@
 import type {Address} from './settings.js';
 import {DEFAULT_CORES} from './lookup.js';
 
-export interface AgreementPart extends Disposable {
+export interface Coordination extends Disposable {
   readonly network: PeerNetwork;
   readonly store: ObjectStore;
   readonly membership: Membership;
@@ -44,7 +44,7 @@
 };
 
 /** Time for one call to the store, in milliseconds: it answers in a few. */
-const STORE_CALL_MS = 1_000;
+const STORE_CALL_TIMEOUT_MS = 1_000;
 
 /**
  * Opens the inner port and joins the other entries. Throws `bad-settings` when
@@ -53,9 +53,9 @@
  * @example
  * const agreement = await createAgreementPart(context);
  */
-export async function createAgreementPart(
+export async function createCoordination(
   context: GatewayContext,
-): Promise<AgreementPart> {
+): Promise<Coordination> {
   const {settings, platform, incarnation, clock, random, log, decisions} =
     context;
   const owned = disposableStore();
@@ -70,7 +70,7 @@
       clock,
       random,
       writer: settings.id,
-      callDeadlineMs: STORE_CALL_MS,
+      callDeadlineMs: STORE_CALL_TIMEOUT_MS,
       platformCallsPerSecond: settings.platform.callsPerSecond,
     }),
   );
@@ -94,15 +94,15 @@
       load: context.inFlight.count,
     }),
   );
-  let known: RelayPlan | undefined;
-  owned.add(membership.onDidChange(() => (known = undefined)));
+  let cachedPlan: RelayPlan | undefined;
+  owned.add(membership.onDidChange(() => (cachedPlan = undefined)));
 
   function plan(): RelayPlan {
-    known ??= planRelays(
+    cachedPlan ??= planRelays(
       toNode(membership.self),
       membership.members().map(toNode),
     );
-    return known;
+    return cachedPlan;
   }
 
   const duties = owned.add(
@@ -114,7 +114,7 @@
       members: () => plan().coordinators,
       // Behind a relay an entry does not hear what all have counted. It may have
       // taken a duty before it knew of so many others.
-      mayHold: () => plan().upstream.length === 0,
+      mayHold: () => plan().ownRelays.length === 0,
       log,
       decisions,
       timing: LEASE_TIMING,
--- a/packages/gateway/src/suspicion.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -1,21 +1,28 @@
 /** Keeps requests that crash endpoints from being sent on, and notes what shows which they are. */
 import type {CrashSuspects, Verdict} from '@skylarkfield/routing';
 import type {AttemptEnd} from './attempt.js';
-import {isServerFault} from './attemptOutcome.js';
+import {isServerError} from './attemptOutcome.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
-import type {Progress} from './sendRules.js';
+import type {Progress} from './retryRules.js';
 
-interface SuspectedCall {
+interface FingerprintedCall {
   fingerprint(): string;
 }
 
-export interface Suspicion {
+export interface CrashGuard {
   /** Whether the request may be sent now; begins its trial where the verdict allows one. */
-  judge(call: SuspectedCall, progress: Pick<Progress, 'continuation'>): Verdict;
-  isSuspected(call: SuspectedCall): boolean;
-  isQuarantined(call: SuspectedCall): boolean;
+  checkSend(
+    call: FingerprintedCall,
+    progress: Pick<Progress, 'continuation'>,
+  ): Verdict;
+  isSuspected(call: FingerprintedCall): boolean;
+  isQuarantined(call: FingerprintedCall): boolean;
   /** An attempt at an endpoint has ended, and nobody had told the endpoint to stop it. */
-  noteEnd(call: SuspectedCall, endpoint: string, end: AttemptEnd): void;
+  noteAttemptEnd(
+    call: FingerprintedCall,
+    endpoint: string,
+    end: AttemptEnd,
+  ): void;
 }
 
 const CLEAR: Verdict = {type: 'clear'};
@@ -27,8 +34,8 @@
  * @example
  * if (verdictOn(call, suspects).type === 'quarantined') { return reject(); }
  */
-export function verdictOn(
-  call: SuspectedCall,
+export function verdictFor(
+  call: FingerprintedCall,
   suspects: Pick<CrashSuspects, 'isEmpty' | 'judge'>,
 ): Verdict {
   return suspects.isEmpty() ? CLEAR : suspects.judge(call.fingerprint());
@@ -40,21 +47,21 @@
  * @example
  * const verdict = suspicion.judge(call, progress);
  */
-export function createSuspicion(options: {
+export function createCrashGuard(options: {
   readonly suspects: CrashSuspects;
   readonly directory: Pick<EndpointDirectory, 'get'>;
-}): Suspicion {
+}): CrashGuard {
   const {suspects, directory} = options;
 
-  function isServed(end: AttemptEnd): boolean {
+  function isSuccess(end: AttemptEnd): boolean {
     return (
       end.type === 'streamed' ||
-      (end.type === 'answered' && !isServerFault(end.status))
+      (end.type === 'answered' && !isServerError(end.status))
     );
   }
 
   function noteLoss(
-    call: SuspectedCall,
+    call: FingerprintedCall,
     endpoint: string,
     loss: 'closed' | 'silent',
   ): void {
@@ -62,34 +69,34 @@
     if (state === 'draining') {
       return;
     }
-    const lost = {request: call.fingerprint(), endpoint};
+    const lostRequest = {request: call.fingerprint(), endpoint};
     if (loss === 'closed' && state === 'ready') {
-      suspects.noteClosed(lost);
+      suspects.noteClosed(lostRequest);
     } else {
-      suspects.noteSilent(lost);
+      suspects.noteSilent(lostRequest);
     }
   }
 
   return {
-    judge(call, {continuation}) {
+    checkSend(call, {continuation}) {
       // A stream that is being moved off its endpoint runs well so far.
       if (continuation !== undefined) {
         return CLEAR;
       }
-      const verdict = verdictOn(call, suspects);
+      const verdict = verdictFor(call, suspects);
       if (verdict.type === 'trial') {
         suspects.beginTrial(call.fingerprint());
       }
       return verdict;
     },
-    isSuspected: call => verdictOn(call, suspects).type !== 'clear',
-    isQuarantined: call => verdictOn(call, suspects).type === 'quarantined',
-    noteEnd(call, endpoint, end) {
+    isSuspected: call => verdictFor(call, suspects).type !== 'clear',
+    isQuarantined: call => verdictFor(call, suspects).type === 'quarantined',
+    noteAttemptEnd(call, endpoint, end) {
       if (end.type === 'failed' && end.loss !== undefined) {
         noteLoss(call, endpoint, end.loss);
         return;
       }
-      if (isServed(end) && !suspects.isEmpty()) {
+      if (isSuccess(end) && !suspects.isEmpty()) {
         suspects.noteServed(call.fingerprint());
       }
     },
--- a/packages/gateway/src/crashMemory.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -25,21 +25,21 @@
 import type {Mirror} from './mirror.js';
 
 /** Kind of the objects; each is named after the entry that keeps it. */
-const KIND = 'endpoint-crashes';
+const OBJECT_KIND = 'endpoint-crashes';
 
 /** Time for one call, in milliseconds. */
-const CALL_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
 /** Time in which the requests that one endpoint takes down are gathered into one write, in milliseconds. */
-const GATHER_MS = 50;
+const WRITE_BATCH_MS = 50;
 
 /** Pause before a write that failed is repeated, in milliseconds, of which half to all is waited. */
-const WRITE_AGAIN_MS = 500;
+const WRITE_RETRY_MS = 500;
 
 /** Interval in which objects are removed that hold nothing that still counts, in milliseconds. */
-const CLEAN_MS = 300_000;
+const CLEANUP_INTERVAL_MS = 300_000;
 
-const reportShape = z.object({
+const reportSchema = z.object({
   crashes: z.array(
     z.object({request: z.string(), endpoint: z.string(), atMs: z.number()}),
   ),
@@ -52,8 +52,8 @@
  * @example
  * const view = createPlatformView({crashReports: crashReportsOf(platform), ...rest});
  */
-export function crashReportsOf(platform: Platform): Source<CrashReport> {
-  return platform.ownObjects(KIND, value => reportShape.parse(value));
+export function crashReportSource(platform: Platform): Source<CrashReport> {
+  return platform.ownObjects(OBJECT_KIND, value => reportSchema.parse(value));
 }
 
 /**
@@ -62,7 +62,7 @@
  * @example
  * const memory = owned.add(startCrashMemory({mirror: view.crashes, suspects, store, self, ...rest}));
  */
-export function startCrashMemory(options: {
+export function startCrashPersistence(options: {
   readonly mirror: Mirror<CrashReport>;
   readonly suspects: CrashSuspects;
   readonly store: ObjectStore;
@@ -81,12 +81,12 @@
   let isWriting = false;
   let isDisposed = false;
 
-  function takeItems(): void {
+  function applyItems(): void {
     const items = mirror.items();
     for (const {name, revision, value} of items) {
       if (revisions.get(name) !== revision) {
         revisions.set(name, revision);
-        take(name, value);
+        applyReport(name, value);
       }
     }
     for (const name of revisions.keys()) {
@@ -99,7 +99,7 @@
     isRestored = true;
   }
 
-  function take(name: string, report: CrashReport): void {
+  function applyReport(name: string, report: CrashReport): void {
     if (name !== self) {
       suspects.takeKept(name, report);
     } else if (!isRestored) {
@@ -108,34 +108,34 @@
   }
 
   /** Writes until the store has what is known here. */
-  async function write(): Promise<void> {
+  async function flush(): Promise<void> {
     if (isWriting) {
       return;
     }
     isWriting = true;
-    await pause(GATHER_MS);
+    await pause(WRITE_BATCH_MS);
     let failures = 0;
     while (isDirty && !isDisposed) {
       // Before the object of an earlier process is known it would be lost.
       const isDone = isRestored && (await writeOnce(failures));
       if (!isDone) {
         failures += 1;
-        await pause(WRITE_AGAIN_MS * (0.5 + random.next() / 2));
+        await pause(WRITE_RETRY_MS * (0.5 + random.next() / 2));
       }
     }
     isWriting = false;
   }
 
-  function pause(spanMs: number): Promise<void> {
-    return new Promise(resolve => clock.after(spanMs, resolve));
+  function pause(delayMs: number): Promise<void> {
+    return new Promise(resolve => clock.after(delayMs, resolve));
   }
 
   async function writeOnce(failures: number): Promise<boolean> {
     isDirty = false;
     const report = suspects.own();
     try {
-      const signal = AbortSignal.timeout(CALL_MS);
-      await store.put(KIND, self, report, {type: 'any'}, signal);
+      const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
+      await store.put(OBJECT_KIND, self, report, {type: 'any'}, signal);
       suspects.noteKept(report);
       log.info({crashes: report.crashes.length, failures}, 'crashes kept');
       return true;
@@ -149,17 +149,17 @@
     }
   }
 
-  function clean(): void {
+  function removeExpired(): void {
     if (!options.isReader()) {
       return;
     }
-    const from = clock.wall() - CRASH_MEMORY_MS;
+    const oldestMs = clock.wall() - CRASH_MEMORY_MS;
     for (const {name, revision, value} of mirror.items()) {
-      if (value.crashes.some(({atMs}) => atMs >= from)) {
+      if (value.crashes.some(({atMs}) => atMs >= oldestMs)) {
         continue;
       }
       store
-        .remove(KIND, name, {type: 'version', version: revision})
+        .remove(OBJECT_KIND, name, {type: 'version', version: revision})
         .catch(error => {
           const {kind, message} = toServingError(error);
           log.warn({kind, message, entry: name}, 'old crashes not removed');
@@ -167,12 +167,12 @@
     }
   }
 
-  mirror.onDidChange(takeItems);
+  mirror.onDidChange(applyItems);
   suspects.onDidChange(() => {
     isDirty = true;
-    void write();
+    void flush();
   });
-  owned.add(every(clock, CLEAN_MS, clean));
+  owned.add(every(clock, CLEANUP_INTERVAL_MS, removeExpired));
   owned.add({dispose: () => (isDisposed = true)});
   return owned;
 }
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -35,12 +35,12 @@
 const INTERVAL_MS = 300;
 
 /** Time without a digest after which a peer counts as silent, in milliseconds. */
-export const SILENCE_MS = 1_200;
+export const PEER_TIMEOUT_MS = 1_200;
 
 /** One digest in so many goes to the standby relay; its data must be fresh when it takes over. */
-const STANDBY_EVERY = 3;
+const STANDBY_INTERVAL_TICKS = 3;
 
-interface Heard {
+interface PeerContact {
   readonly at: number;
   readonly stamp: number;
   /** Peer's wall clock minus the local one, in milliseconds. */
@@ -68,7 +68,7 @@
    */
   content(): (scope: DigestScope, receiver: string) => DigestContent;
   /** Called for each digest; `timestamp` is a local time before it was sent, if known. */
-  onDidHear(
+  onDidReceive(
     peer: string,
     digest: Digest,
     timestamp: Timestamp | undefined,
@@ -76,7 +76,7 @@
 }): Digests {
   const {network, clock, self} = options;
   const owned = disposableStore();
-  const heard = new Map<string, Heard>();
+  const contacts = new Map<string, PeerContact>();
   /** Wall time of each stamp sent, by stamp. */
   const wallAtStamp = new Map<number, number>();
   const startedAt = clock.now();
@@ -84,8 +84,8 @@
 
   /** Whether a target is a standby relay whose predecessor is alive. */
   function isStandby(peer: string, upstream: readonly string[]): boolean {
-    const place = upstream.indexOf(peer);
-    return place > 0 && upstream.slice(0, place).some(isHeard);
+    const position = upstream.indexOf(peer);
+    return position > 0 && upstream.slice(0, position).some(isAlive);
   }
 
   function send(): void {
@@ -94,7 +94,11 @@
     const wallMs = clock.wall();
     wallAtStamp.set(stamp, wallMs);
     forgetOldStamps(stamp);
-    const {targets, precedence, upstream} = options.plan();
+    const {
+      targets,
+      activeRelay: precedence,
+      ownRelays: upstream,
+    } = options.plan();
     const content = options.content();
     const shared = new Map<DigestScope, DigestContent>();
 
@@ -107,16 +111,16 @@
       return known;
     }
 
-    const isSpare = precedence !== undefined && isHeard(precedence);
+    const isActiveRelayAlive = precedence !== undefined && isAlive(precedence);
     for (const [peer, scope] of targets) {
       // Two active relays would double the traffic.
-      if (isSpare && scope !== 'own') {
+      if (isActiveRelayAlive && scope !== 'own') {
         continue;
       }
-      if (ticks % STANDBY_EVERY !== 0 && isStandby(peer, upstream)) {
+      if (ticks % STANDBY_INTERVAL_TICKS !== 0 && isStandby(peer, upstream)) {
         continue;
       }
-      const echo = heard.get(peer)?.stamp;
+      const echo = contacts.get(peer)?.stamp;
       network.send(peer, 'digest', {
         ...contentFor(scope, peer),
         ...self,
@@ -129,14 +133,14 @@
     }
   }
 
-  function isHeard(peer: string): boolean {
-    const last = heard.get(peer);
-    return last !== undefined && clock.now() - last.at < SILENCE_MS;
+  function isAlive(peer: string): boolean {
+    const last = contacts.get(peer);
+    return last !== undefined && clock.now() - last.at < PEER_TIMEOUT_MS;
   }
 
   function forgetOldStamps(now: number): void {
     for (const stamp of wallAtStamp.keys()) {
-      if (now - stamp < SILENCE_MS * 4) {
+      if (now - stamp < PEER_TIMEOUT_MS * 4) {
         return;
       }
       wallAtStamp.delete(stamp);
@@ -156,16 +160,18 @@
   }
 
   function receive(peer: string, digest: Digest): void {
-    heard.set(peer, {
+    contacts.set(peer, {
       at: clock.now(),
       stamp: digest.stamp,
       wallOffsetMs: digest.wallMs - clock.wall(),
     });
-    options.onDidHear(peer, digest, sentAfter(digest));
+    options.onDidReceive(peer, digest, sentAfter(digest));
   }
 
-  function lately(): [string, Heard][] {
-    return [...heard].filter(([, {at}]) => clock.now() - at < SILENCE_MS);
+  function liveContacts(): [string, PeerContact][] {
+    return [...contacts].filter(
+      ([, {at}]) => clock.now() - at < PEER_TIMEOUT_MS,
+    );
   }
 
   owned.add(network.onDidReceive('digest', receive));
@@ -174,7 +180,7 @@
     commonWallMs() {
       const offsets = [
         0,
-        ...lately().map(([, {wallOffsetMs}]) => wallOffsetMs),
+        ...liveContacts().map(([, {wallOffsetMs}]) => wallOffsetMs),
       ];
       offsets.sort((a, b) => a - b);
       return clock.wall() + offsets[Math.floor((offsets.length - 1) / 2)]!;
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -16,7 +16,7 @@
   /** By the key that the router knows it by. */
   get(key: string): RegisteredEndpoint | undefined;
   /** All that are registered for a service, leaving ones included. */
-  of(service: string): readonly RegisteredEndpoint[];
+  forService(service: string): readonly RegisteredEndpoint[];
   /** Those that take new work. */
   ready(service: string, group: VersionGroup): readonly RegisteredEndpoint[];
   /** Takes the present registrations over to the router. */
@@ -44,7 +44,7 @@
   isModel(service: string): boolean;
 }): EndpointDirectory {
   const {endpoints, rollouts, router, upstreams, log} = options;
-  const left = emitter<string>();
+  const leaving = emitter<string>();
   const vanished = emitter<string>();
   let byKey = new Map<string, RegisteredEndpoint>();
 
@@ -52,7 +52,7 @@
    * Versions that only a rollout may send requests to. One that was taken back
    * stays among them: its endpoints are there for some seconds more.
    */
-  function targetsOf(service: string): string[] {
+  function rolloutTargets(service: string): string[] {
     return rollouts
       .items()
       .filter(({value}) => value.service === service)
@@ -61,7 +61,7 @@
   }
 
   function groupOf(endpoint: RegisteredEndpoint): VersionGroup {
-    return targetsOf(endpoint.service).includes(endpoint.version)
+    return rolloutTargets(endpoint.service).includes(endpoint.version)
       ? 'candidate'
       : 'incumbent';
   }
@@ -79,7 +79,7 @@
 
   return {
     get: key => byKey.get(key),
-    of: service =>
+    forService: service =>
       [...byKey.values()].filter(endpoint => endpoint.service === service),
     ready: (service, group) =>
       [...byKey.values()].filter(
@@ -88,7 +88,7 @@
           endpoint.state === 'ready' &&
           groupOf(endpoint) === group,
       ),
-    onDidLeave: left.event,
+    onDidLeave: leaving.event,
     onDidVanish: vanished.event,
     refresh() {
       const present = endpoints.items().map(({value}) => value);
@@ -111,14 +111,14 @@
           'endpoint registered',
         );
         if (state === 'draining') {
-          left.fire(id);
+          leaving.fire(id);
         }
       }
     }
     for (const [id, {state}] of before) {
       if (!byKey.has(id)) {
         log.info({endpoint: id}, 'endpoint gone');
-        left.fire(id);
+        leaving.fire(id);
         if (state === 'ready') {
           vanished.fire(id);
         }
--- a/packages/gateway/src/engineMemory.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -21,34 +21,34 @@
 import * as z from 'zod';
 
 /** Kind and name of the object. */
-const KIND = 'engine-capacity';
-const NAME = 'learned';
+const OBJECT_KIND = 'engine-capacity';
+const OBJECT_NAME = 'learned';
 
 /** How often the holder of the duty writes, in milliseconds: figures change slowly, and each call is paid for. */
-const KEEP_MS = 10_000;
+const WRITE_INTERVAL_MS = 10_000;
 
 /** Pause after a reading that failed, and the most readings: what others tell is soon better. */
-const READ_AGAIN_MS = 1_500;
-const MOST_READINGS = 4;
+const READ_RETRY_MS = 1_500;
+const MAX_READS = 4;
 
 /** Time for one call, in milliseconds. */
-const CALL_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
 /** What was kept counts this part of what it did when it was written, as it may be old. */
-const KEPT_PART = 0.5;
+const RESTORED_WEIGHT = 0.5;
 
-const regressionShape = z.object({
+const regressionSchema = z.object({
   count: z.number(),
   weight: z.number(),
   totals: z.array(z.number()),
   products: z.array(z.number()),
 });
 
-const capacityShape = z.record(
+const capacitySchema = z.record(
   z.string(),
   z.object({
-    prompts: regressionShape,
-    answers: regressionShape,
+    prompts: regressionSchema,
+    answers: regressionSchema,
     paces: z.record(
       z.string(),
       z.object({
@@ -61,11 +61,11 @@
   }),
 );
 
-export interface EngineMemory extends Disposable {
+export interface EngineCapacityStore extends Disposable {
   /** What was found at the start, fading with time; empty before it was read. */
-  recalled(): CapacitySums;
+  restored(): CapacitySums;
   /** Writes what all have seen, for as long as it is not disposed. */
-  keep(sums: () => CapacitySums): Disposable;
+  startPersisting(sums: () => CapacitySums): Disposable;
 }
 
 /**
@@ -74,36 +74,44 @@
  * @example
  * const memory = createEngineMemory({store, clock, log});
  */
-export function createEngineMemory(options: {
+export function createEngineCapacityStore(options: {
   readonly store: ObjectStore;
   readonly clock: Clock;
   readonly log: Logger;
-}): EngineMemory {
+}): EngineCapacityStore {
   const {store, clock, log} = options;
-  let found: {at: number; sums: CapacitySums} | undefined;
+  let stored: {at: number; sums: CapacitySums} | undefined;
   let readings = 0;
   let isDisposed = false;
 
   async function read(): Promise<void> {
     readings += 1;
     try {
-      const kept = await store.get<unknown>(KIND, NAME, undefined, 'recent');
-      if (kept === undefined) {
+      const object = await store.get<unknown>(
+        OBJECT_KIND,
+        OBJECT_NAME,
+        undefined,
+        'recent',
+      );
+      if (object === undefined) {
         return;
       }
-      const sums = scaleCapacity(capacityShape.parse(kept.value), KEPT_PART);
-      found = {at: clock.now(), sums};
+      const sums = scaleCapacity(
+        capacitySchema.parse(object.value),
+        RESTORED_WEIGHT,
+      );
+      stored = {at: clock.now(), sums};
       log.info({services: Object.keys(sums)}, 'engines recalled');
     } catch (error) {
       const {kind, message} = toServingError(error);
       log.warn({kind, message, readings}, 'engines not recalled');
-      readAgain();
+      scheduleRetry();
     }
   }
 
-  function readAgain(): void {
-    if (readings < MOST_READINGS) {
-      clock.after(READ_AGAIN_MS, () => {
+  function scheduleRetry(): void {
+    if (readings < MAX_READS) {
+      clock.after(READ_RETRY_MS, () => {
         if (!isDisposed) {
           void read();
         }
@@ -117,11 +125,11 @@
     }
     try {
       await store.put(
-        KIND,
-        NAME,
+        OBJECT_KIND,
+        OBJECT_NAME,
         sums,
         {type: 'any'},
-        AbortSignal.timeout(CALL_MS),
+        AbortSignal.timeout(CALL_TIMEOUT_MS),
       );
     } catch (error) {
       const {kind, message} = toServingError(error);
@@ -131,14 +139,15 @@
 
   void read();
   return {
-    recalled() {
-      if (found === undefined) {
+    restored() {
+      if (stored === undefined) {
         return {};
       }
-      const ageMs = clock.now() - found.at;
-      return scaleCapacity(found.sums, 2 ** (-ageMs / HALF_LIFE_MS));
+      const ageMs = clock.now() - stored.at;
+      return scaleCapacity(stored.sums, 2 ** (-ageMs / HALF_LIFE_MS));
     },
-    keep: sums => every(clock, KEEP_MS, () => void write(sums())),
+    startPersisting: sums =>
+      every(clock, WRITE_INTERVAL_MS, () => void write(sums())),
     dispose() {
       isDisposed = true;
     },
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -41,20 +41,20 @@
   ): AttemptObserver;
 }
 
-const NOTHING_SEEN: AttemptObserver = {
+const NO_OBSERVER: AttemptObserver = {
   watched: sink => sink,
   noteBegin() {},
   noteEnd() {},
 };
 
 /** Answers of fewer events say nothing of the steps between them. */
-const LEAST_EVENTS = 3;
+const MIN_EVENTS = 3;
 
 /** No wait that anything is known of. */
 const NO_WAIT: ExpectedWait = {ms: 0, longestMs: Infinity, isTooLong: false};
 
 /** Part of a caller's time that a request may wait: the answer takes time as well. */
-const MAX_WAIT_PART = 0.6;
+const MAX_WAIT_FRACTION = 0.6;
 
 /**
  * Makes the observer of one entry.
@@ -82,13 +82,13 @@
         return NO_WAIT;
       }
       const ms = tokensAhead * figures.usualTokenMs;
-      const longestMs = leftMs * MAX_WAIT_PART;
+      const longestMs = leftMs * MAX_WAIT_FRACTION;
       return {ms, longestMs, isTooLong: ms > longestMs};
     },
     observe({head, route, service}, choice, isFresh) {
       const {demand} = head;
       if (demand === undefined || !options.fits(service, demand)) {
-        return NOTHING_SEEN;
+        return NO_OBSERVER;
       }
       const own = ownTokens(demand);
       const uncached = Math.max(0, demand.promptTokens - choice.cachedTokens);
@@ -122,9 +122,9 @@
           });
         },
         noteEnd() {
-          const events = steps.events();
-          const eventMs = steps.eventMs();
-          if (events < LEAST_EVENTS || eventMs === undefined) {
+          const events = steps.eventCount();
+          const eventMs = steps.eventIntervalMs();
+          if (events < MIN_EVENTS || eventMs === undefined) {
             return;
           }
           const perEvent = options.tokensPerEvent(service);
--- a/packages/gateway/src/enginesView.ts
+++ b/packages/gateway/src/enginesView.ts
@@ -37,20 +37,20 @@
   /** What a choice among its endpoints weighs; undefined for a plain service. */
   routeWeights(service: string): Partial<RouteWeights> | undefined;
   /** What this entry has seen, for the others; undefined when they were told lately. */
-  news(): CapacitySums | undefined;
+  unpublishedCapacity(): CapacitySums | undefined;
   /** What all entries have seen. */
-  allSeen(): CapacitySums;
+  fleetCapacity(): CapacitySums;
   dump(): unknown;
 }
 
 /** How often the figures are worked out anew, in milliseconds. */
-const REFRESH_MS = 1_000;
+const REFRESH_INTERVAL_MS = 1_000;
 
 /** How often others are told, in milliseconds: what is learned changes slowly. */
-const TELL_MS = 1_000;
+const PUBLISH_INTERVAL_MS = 1_000;
 
 /** Figures are logged again when the usual prompt's time has changed by this part. */
-const CHANGE_TO_LOG = 0.25;
+const LOGGED_CHANGE = 0.25;
 
 /** The endpoint that a prefix belongs to is favoured by this many times the usual prompt's reading. */
 const AFFINITY_PROMPTS = 1.5;
@@ -58,7 +58,7 @@
 /** A prefix that is read again counts this many times its reading: it delays all answers beside it. */
 const REREAD_WEIGHT = 4;
 
-interface Known {
+interface CachedFigures {
   readonly at: number;
   readonly figures: EngineFigures;
   readonly weights: Partial<RouteWeights>;
@@ -83,36 +83,36 @@
   const model = createEngineModel(clock);
   const outcomes = createOutcomeMeter(clock);
   const work = createWorkMeter(clock);
-  const known = new Map<string, Known>();
+  const cache = new Map<string, CachedFigures>();
   const logged = new Map<string, EngineFigures>();
-  let toldAt = -Infinity;
+  let publishedAt = -Infinity;
 
-  function allSeen(): CapacitySums {
+  function fleetCapacity(): CapacitySums {
     return addCapacity([model.sums(), ...reports.capacity()]);
   }
 
-  function learn(service: string): Known {
-    const all = addCapacity([allSeen(), options.recalled()]);
+  function computeFigures(service: string): CachedFigures {
+    const all = addCapacity([fleetCapacity(), options.recalled()]);
     const figures = engineFigures(all[service], options.aims(service));
-    return {at: clock.now(), figures, weights: weightsOf(figures)};
+    return {at: clock.now(), figures, weights: routeWeightsFor(figures)};
   }
 
-  function knownOf(service: string): Known {
-    const last = known.get(service);
-    if (last !== undefined && clock.now() - last.at < REFRESH_MS) {
+  function cachedFigures(service: string): CachedFigures {
+    const last = cache.get(service);
+    if (last !== undefined && clock.now() - last.at < REFRESH_INTERVAL_MS) {
       return last;
     }
-    const fresh = learn(service);
-    known.set(service, fresh);
-    noteChange(service, fresh.figures);
+    const fresh = computeFigures(service);
+    cache.set(service, fresh);
+    logChange(service, fresh.figures);
     return fresh;
   }
 
   /** Logs figures that are new, or far from those logged last. */
-  function noteChange(service: string, figures: EngineFigures): void {
+  function logChange(service: string, figures: EngineFigures): void {
     const last = logged.get(service);
     const ratio = last ? figures.usualPromptMs / last.usualPromptMs : Infinity;
-    const isNear = Math.abs(ratio - 1) < CHANGE_TO_LOG;
+    const isNear = Math.abs(ratio - 1) < LOGGED_CHANGE;
     if (isNear && figures.isSure === last?.isSure) {
       return;
     }
@@ -125,17 +125,17 @@
     return addWork(own, reports.workOf(service));
   }
 
-  function lateOf(service: string): number {
+  function lateFraction(service: string): number {
     const parts = [outcomes.sums(), ...reports.outcomes()];
     return latePart(parts.flatMap(part => part[service] ?? []));
   }
 
-  function signs(service: string): Omit<DemandSigns, 'present'> {
-    const {figures} = knownOf(service);
+  function demandSigns(service: string): Omit<DemandSigns, 'present'> {
+    const {figures} = cachedFigures(service);
     return {
       workRate: workMs(workOf(service), figures),
       use: plannedUse(figures, options.aims(service)),
-      latePart: lateOf(service),
+      latePart: lateFraction(service),
       isSure: figures.isSure,
     };
   }
@@ -144,30 +144,30 @@
     model,
     outcomes,
     work,
-    figures: service => knownOf(service).figures,
+    figures: service => cachedFigures(service).figures,
     workOf,
-    signs,
+    signs: demandSigns,
     routeWeights: service =>
-      options.isModel(service) ? knownOf(service).weights : undefined,
-    news() {
-      if (clock.now() - toldAt < TELL_MS) {
+      options.isModel(service) ? cachedFigures(service).weights : undefined,
+    unpublishedCapacity() {
+      if (clock.now() - publishedAt < PUBLISH_INTERVAL_MS) {
         return undefined;
       }
-      toldAt = clock.now();
+      publishedAt = clock.now();
       return model.sums();
     },
-    allSeen,
+    fleetCapacity,
     dump: () =>
       Object.fromEntries(
-        [...known].map(([service, {figures}]) => [
+        [...cache].map(([service, {figures}]) => [
           service,
-          {...figures, ...signs(service)},
+          {...figures, ...demandSigns(service)},
         ]),
       ),
   };
 }
 
-function weightsOf(figures: EngineFigures): Partial<RouteWeights> {
+function routeWeightsFor(figures: EngineFigures): Partial<RouteWeights> {
   const {usualTokenMs, usualPromptMs, usualAnswerTokens} = figures;
   return {
     knownMsPerToken: usualTokenMs,
--- a/packages/gateway/src/eventFrames.ts
+++ b/packages/gateway/src/eventFramer.ts
@@ -13,11 +13,11 @@
   readonly id: number | undefined;
 }
 
-export interface EventFrames {
+export interface EventFramer {
   /** Events that the bytes complete. */
   push(chunk: Buffer): EventFrame[];
   /** Bytes of an event that is not complete. */
-  rest(): Buffer;
+  remainder(): Buffer;
 }
 
 const LINE_FEED = 0x0a;
@@ -29,7 +29,7 @@
  * @example
  * for (const frame of frames.push(chunk)) { response.write(frame.bytes); }
  */
-export function createEventFrames(): EventFrames {
+export function createEventFramer(): EventFramer {
   let pending: Buffer = Buffer.alloc(0);
   return {
     push(chunk) {
@@ -44,7 +44,7 @@
       }
       return frames;
     },
-    rest: () => pending,
+    remainder: () => pending,
   };
 }
 
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -22,23 +22,23 @@
 import type {EndpointDirectory} from './endpointDirectory.js';
 
 /** How often the plan is made anew, in milliseconds. */
-const PLAN_MS = 500;
+const PLAN_INTERVAL_MS = 500;
 
 /** An order that is not carried out by then is given again. */
-const REPEAT_MS = 6_000;
+const ORDER_TIMEOUT_MS = 6_000;
 
 /** How often a failure domain that had no reclaimable endpoints is asked for one. */
-const SCARCE_RETRY_MS = 3_000;
+const SCARCE_RETRY_INTERVAL_MS = 3_000;
 
 /** Nothing is sent away this soon after the duty was taken: when a system starts, its endpoints register over some seconds. */
-const SETTLE_MS = 5_000;
+const SCALE_DOWN_DELAY_MS = 5_000;
 
 /** Time for one call, in milliseconds. */
-const CALL_MS = 1_500;
+const CALL_TIMEOUT_MS = 1_500;
 
 type Market = keyof DomainFleet;
 
-interface GivenOrder {
+interface IssuedOrder {
   readonly count: number;
   readonly at: number;
 }
@@ -50,7 +50,7 @@
   readonly directory: EndpointDirectory;
   services(): readonly DeclaredService[];
   /** What a service is asked for over all entries, and how its callers fare. */
-  signs(service: string): Omit<DemandSigns, 'present'>;
+  demandSigns(service: string): Omit<DemandSigns, 'present'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -63,16 +63,20 @@
  */
 export function startFleetDuty(options: FleetDutyOptions): Disposable {
   const {tenure, orders, directory, clock, log} = options;
-  const given = new Map<string, GivenOrder>();
+  const issuedOrders = new Map<string, IssuedOrder>();
   /** When a failure domain without reclaimable endpoints is asked again. */
   const scarceRetryAt = new Map<string, number>();
   const demands = new Map<string, FleetDemand>();
   const startedAt = clock.now();
   let isBusy = false;
 
-  function present(service: string, domain: string, market: Market): number {
+  function readyInMarket(
+    service: string,
+    domain: string,
+    market: Market,
+  ): number {
     return directory
-      .of(service)
+      .forService(service)
       .filter(
         endpoint =>
           endpoint.state === 'ready' &&
@@ -82,20 +86,21 @@
   }
 
   function readyCount(service: string): number {
-    return directory.of(service).filter(({state}) => state === 'ready').length;
+    return directory.forService(service).filter(({state}) => state === 'ready')
+      .length;
   }
 
   /** A reclaimable endpoint that leaves shows that its failure domain is being reclaimed. */
   function noteReclaims(service: string): void {
-    for (const endpoint of directory.of(service)) {
+    for (const endpoint of directory.forService(service)) {
       if (endpoint.isReclaimable && endpoint.state === 'draining') {
-        noteScarce(service, endpoint.failureDomain);
+        markScarce(service, endpoint.failureDomain);
       }
     }
   }
 
-  function noteScarce(service: string, domain: string): void {
-    const at = clock.now() + SCARCE_RETRY_MS;
+  function markScarce(service: string, domain: string): void {
+    const at = clock.now() + SCARCE_RETRY_INTERVAL_MS;
     scarceRetryAt.set(`${service}/${domain}`, at);
   }
 
@@ -103,11 +108,11 @@
     return new Map(
       domains
         .filter(domain => scarceRetryAt.has(`${service}/${domain}`))
-        .map(domain => [domain, present(service, domain, 'reclaimable')]),
+        .map(domain => [domain, readyInMarket(service, domain, 'reclaimable')]),
     );
   }
 
-  function neededOf(
+  function updateNeed(
     service: string,
     signs: Omit<DemandSigns, 'present'>,
   ): EndpointNeed {
@@ -117,8 +122,8 @@
   }
 
   /** How many may leave: what is ready beyond the need, since a new one takes seconds to start. */
-  function mostSurplus(service: string, needed: number): number {
-    if (clock.now() - startedAt < SETTLE_MS) {
+  function surplusLimit(service: string, needed: number): number {
+    if (clock.now() - startedAt < SCALE_DOWN_DELAY_MS) {
       return 0;
     }
     return Math.max(0, readyCount(service) - needed);
@@ -127,44 +132,50 @@
   /** What to order of one market now, on the way to what the plan wants. */
   function nextCount(
     planned: number,
-    have: number,
-    others: number,
+    current: number,
+    otherMarketCount: number,
     most: number,
     surplus: number,
   ): number {
-    if (have > planned) {
-      return Math.max(planned, have - surplus);
+    if (current > planned) {
+      return Math.max(planned, current - surplus);
     }
     // Both markets count for the bound: an order beyond it is cut without a word.
-    return Math.max(have, Math.min(planned, most - others));
+    return Math.max(current, Math.min(planned, most - otherMarketCount));
   }
 
-  function isAsked(key: string, count: number): boolean {
-    const last = given.get(key);
-    return last?.count === count && clock.now() - last.at < REPEAT_MS;
+  function isPending(key: string, count: number): boolean {
+    const last = issuedOrders.get(key);
+    return last?.count === count && clock.now() - last.at < ORDER_TIMEOUT_MS;
   }
 
-  function wantedOrders(
+  function planOrders(
     service: string,
     plan: FleetPlan,
     most: number,
     needed: number,
   ) {
     const wanted: EndpointOrder[] = [];
-    let surplus = mostSurplus(service, needed);
+    let surplus = surplusLimit(service, needed);
     for (const [failureDomain, fleet] of Object.entries(plan)) {
       for (const market of ['reclaimable', 'onDemand'] as const) {
         const other = market === 'onDemand' ? 'reclaimable' : 'onDemand';
         const key = `${service}/${failureDomain}/${market}`;
-        const have = present(service, failureDomain, market);
-        const others = present(service, failureDomain, other);
-        const count = nextCount(fleet[market], have, others, most, surplus);
-        const last = given.get(key);
-        const isSettled = have === count && (last?.count ?? count) === count;
-        if (isSettled || isAsked(key, count)) {
+        const current = readyInMarket(service, failureDomain, market);
+        const otherMarketCount = readyInMarket(service, failureDomain, other);
+        const count = nextCount(
+          fleet[market],
+          current,
+          otherMarketCount,
+          most,
+          surplus,
+        );
+        const last = issuedOrders.get(key);
+        const isSettled = current === count && (last?.count ?? count) === count;
+        if (isSettled || isPending(key, count)) {
           continue;
         }
-        surplus -= Math.max(0, have - count);
+        surplus -= Math.max(0, current - count);
         wanted.push({
           service,
           failureDomain,
@@ -176,24 +187,24 @@
     return wanted;
   }
 
-  async function give(order: EndpointOrder): Promise<OrderAnswer> {
+  async function issueOrder(order: EndpointOrder): Promise<OrderAnswer> {
     const market: Market = order.isReclaimable ? 'reclaimable' : 'onDemand';
     const key = `${order.service}/${order.failureDomain}/${market}`;
     if (!tenure.isValid()) {
       return 'failed';
     }
-    given.set(key, {count: order.count, at: clock.now()});
+    issuedOrders.set(key, {count: order.count, at: clock.now()});
     const answer = await orders.orderEndpoints(
       {holder: options.holder, fencing: tenure.fencing},
       order,
-      AbortSignal.any([tenure.signal, AbortSignal.timeout(CALL_MS)]),
+      AbortSignal.any([tenure.signal, AbortSignal.timeout(CALL_TIMEOUT_MS)]),
     );
     log.info({...order, answer, fencing: tenure.fencing}, 'endpoints ordered');
     if (answer === 'unavailable') {
-      noteScarce(order.service, order.failureDomain);
+      markScarce(order.service, order.failureDomain);
     }
     if (answer !== 'accepted') {
-      given.delete(key);
+      issuedOrders.delete(key);
     }
     return answer;
   }
@@ -203,41 +214,48 @@
    * planned with again just because time has passed, endpoints that stay would be
    * sent away for reclaimable ones that are not to be had.
    */
-  async function askScarce(service: string, {most}: FleetTerms): Promise<void> {
+  async function probeScarceDomains(
+    service: string,
+    {most}: FleetTerms,
+  ): Promise<void> {
     for (const [key, retryAt] of scarceRetryAt) {
       const [name, failureDomain = ''] = key.split('/');
-      const have = present(service, failureDomain, 'reclaimable');
-      const others = present(service, failureDomain, 'onDemand');
+      const current = readyInMarket(service, failureDomain, 'reclaimable');
+      const otherMarketCount = readyInMarket(
+        service,
+        failureDomain,
+        'onDemand',
+      );
       if (name !== service || retryAt > clock.now()) {
         continue;
       }
-      if (have + others >= most) {
-        noteScarce(service, failureDomain);
+      if (current + otherMarketCount >= most) {
+        markScarce(service, failureDomain);
         continue;
       }
       const order = {
         service,
         failureDomain,
-        count: have + 1,
+        count: current + 1,
         isReclaimable: true,
       };
-      if ((await give(order)) === 'accepted') {
+      if ((await issueOrder(order)) === 'accepted') {
         scarceRetryAt.delete(key);
       }
     }
   }
 
   async function planService({name, fleet}: DeclaredService): Promise<void> {
-    if (fleet === undefined || directory.of(name).length === 0) {
+    if (fleet === undefined || directory.forService(name).length === 0) {
       return;
     }
     noteReclaims(name);
-    await askScarce(name, fleet);
-    const signs = options.signs(name);
-    const needed = neededOf(name, signs);
+    await probeScarceDomains(name, fleet);
+    const signs = options.demandSigns(name);
+    const needed = updateNeed(name, signs);
     const scarce = scarceDomains(name, Object.keys(fleet.prices));
     const plan = planFleet({terms: fleet, needed, scarce});
-    const wanted = wantedOrders(name, plan, fleet.most, needed.usual);
+    const wanted = planOrders(name, plan, fleet.most, needed.usual);
     if (wanted.length > 0) {
       log.info(
         {service: name, ...signs, needed, scarce: [...scarce.keys()], plan},
@@ -245,7 +263,7 @@
       );
     }
     for (const order of wanted) {
-      await give(order);
+      await issueOrder(order);
     }
   }
 
@@ -266,5 +284,5 @@
     }
   }
 
-  return every(clock, PLAN_MS, () => void planAll());
+  return every(clock, PLAN_INTERVAL_MS, () => void planAll());
 }
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -11,23 +11,23 @@
 import {runAttempt, type AttemptEnd} from './attempt.js';
 import {
   describeEnd,
-  isServerFault,
-  limited,
+  isServerError,
+  rateLimited,
   mayHaveRun,
-  noPlaceInTime,
-  noRoom,
+  waitTooLong,
+  allDeclined,
   outcomeOf,
   quarantined,
   unavailable,
-  withRuns,
+  withRunState,
 } from './attemptOutcome.js';
 import type {CallerReply} from './callerReply.js';
 import type {CallFormat, CallHead, ReplyHead} from './contracts.js';
 import type {EngineObserver} from './engineObserver.js';
 import type {EndpointDirectory, VersionGroup} from './endpointDirectory.js';
-import {beginProgress, createSendRules, type Progress} from './sendRules.js';
-import {createSuspicion} from './suspicion.js';
-import type {Continuation, StreamMoves} from './streamMove.js';
+import {createProgress, createRetryRules, type Progress} from './retryRules.js';
+import {createCrashGuard} from './crashGuard.js';
+import type {Continuation, StreamMigrator} from './streamMigration.js';
 import type {Upstreams} from './upstream.js';
 
 /** A request that has leave to be sent. */
@@ -75,7 +75,7 @@
 }
 
 /** Where an attempt is made, and from which memory it goes on. */
-interface AttemptStart {
+interface AttemptTarget {
   readonly choice: Choice;
   readonly memory?: Continuation['memory'];
 }
@@ -93,7 +93,7 @@
   readonly directory: EndpointDirectory;
   readonly admission: Admission;
   readonly upstreams: Upstreams;
-  readonly moves: StreamMoves;
+  readonly migrator: StreamMigrator;
   readonly engines: EngineObserver;
   readonly format: CallFormat;
   readonly clock: Clock;
@@ -101,10 +101,10 @@
   /** A request of the customer began to run at this wall-clock millisecond. */
   onDidRun(customer: string | undefined, wallMs: number): void;
 }): Forwarding {
-  const {router, directory, upstreams, moves, engines, format, clock, log} =
+  const {router, directory, upstreams, migrator, engines, format, clock, log} =
     options;
-  const suspicion = createSuspicion(options);
-  const rules = createSendRules({admission: options.admission, clock});
+  const crashGuard = createCrashGuard(options);
+  const rules = createRetryRules({admission: options.admission, clock});
 
   /** An endpoint of the call's group, else one of those that have served all along. */
   function choose(call: ForwardedCall, excluded: ReadonlySet<string>) {
@@ -117,7 +117,7 @@
       ...(demand && {ownTokens: ownTokens(demand)}),
       ...(call.urgency !== undefined && {urgency: call.urgency}),
       excluded,
-      isSuspected: suspicion.isSuspected(call),
+      isSuspected: crashGuard.isSuspected(call),
     };
     return (
       router.choose(routingRequest) ??
@@ -129,7 +129,7 @@
     call: ForwardedCall,
     reply: CallerReply,
     progress: Progress,
-    {choice, memory}: AttemptStart,
+    {choice, memory}: AttemptTarget,
   ): Promise<AttemptEnd> {
     const endpoint = directory.get(choice.endpoint);
     if (endpoint === undefined) {
@@ -149,13 +149,13 @@
     let beganAt: number | undefined;
     const lastEventId = reply.lastEventId() ?? call.head.lastEventId;
     const isFresh = memory === undefined && lastEventId === undefined;
-    const seen = engines.observe(call, choice, isFresh);
-    const watched = moves.watch({
+    const observer = engines.observe(call, choice, isFresh);
+    const watchedStream = migrator.watch({
       endpoint: choice.endpoint,
       attemptId: call.attemptId,
       hasBegun: () => isStream && beganAt !== undefined,
       choose: () =>
-        suspicion.isQuarantined(call)
+        crashGuard.isQuarantined(call)
           ? undefined
           : choose(call, progress.excluded),
     });
@@ -180,34 +180,34 @@
       format,
       clock,
       signal: call.signal,
-      sink: isStream ? seen.watched(reply.sink) : undefined,
-      silenceMs: rules.silenceMs(call, progress),
-      isStopping: watched.isStopping,
+      sink: isStream ? observer.watched(reply.sink) : undefined,
+      idleTimeoutMs: rules.idleTimeoutMs(call, progress),
+      isStopRequested: watchedStream.isStopRequested,
       onDidRespond({limitPerSecond}) {
         options.limits.note(choice.endpoint, limitPerSecond);
         options.suspects.noteHeard(choice.endpoint, sentAt);
       },
       onDidBegin(head) {
         beganAt = clock.now();
-        seen.noteBegin();
-        progress.firstMs ??= beganAt - progress.sentAt;
+        observer.noteBegin();
+        progress.firstMs ??= beganAt - progress.startedAt;
         choice.streaming();
         noteLoad(choice.endpoint, head);
         countRun(isStream ? clock.wall() : sentWallMs);
       },
     });
-    watched.dispose();
-    progress.continuation = await watched.continuation();
+    watchedStream.dispose();
+    progress.continuation = await watchedStream.continuation();
     const latencyMs = (beganAt ?? clock.now()) - sentAt;
     // A stream that was moved has stopped because it was told to.
     const outcome = progress.continuation ? 'ok' : outcomeOf(end);
     choice.finish({outcome, latencyMs});
-    seen.noteEnd();
+    observer.noteEnd();
     if (end.type === 'failed' && end.loss === 'closed') {
       progress.fingerprint = call.fingerprint();
     }
-    if (!watched.isStopping()) {
-      suspicion.noteEnd(call, choice.endpoint, end);
+    if (!watchedStream.isStopRequested()) {
+      crashGuard.noteAttemptEnd(call, choice.endpoint, end);
     }
     if (mayHaveRun(end) && memory === undefined) {
       progress.runs += 1;
@@ -251,40 +251,40 @@
       return {status: 200};
     }
     if (end.type === 'answered') {
-      const isFault = isServerFault(end.status);
-      if (isFault && !reply.hasBegun() && rules.mayRunAgain(call, progress)) {
+      const isFault = isServerError(end.status);
+      if (isFault && !reply.hasBegun() && rules.mayRerun(call, progress)) {
         return undefined;
       }
       if (reply.hasBegun()) {
-        return failed(
+        return respondWithError(
           reply,
           new ServingError('interrupted', 'the stream could not go on'),
         );
       }
-      reply.whole(end.status, end.headers, end.body);
+      reply.sendWhole(end.status, end.headers, end.body);
       return {status: end.status};
     }
     if (end.type === 'declined') {
-      if (rules.maySendOn(call, progress)) {
+      if (rules.mayResend(call, progress)) {
         return undefined;
       }
       const {endpoints, runs} = progress;
-      const error = noRoom(call.service, endpoints.length);
-      return failed(reply, withRuns(error, runs));
+      const error = allDeclined(call.service, endpoints.length);
+      return respondWithError(reply, withRunState(error, runs));
     }
     const hasRun = end.error.run === 'may-have-run';
-    const mayGoOn = hasRun
-      ? rules.mayRunAgain(call, progress)
-      : rules.maySendOn(call, progress);
-    return mayGoOn
+    const mayRetry = hasRun
+      ? rules.mayRerun(call, progress)
+      : rules.mayResend(call, progress);
+    return mayRetry
       ? undefined
-      : failed(reply, withRuns(end.error, progress.runs));
+      : respondWithError(reply, withRunState(end.error, progress.runs));
   }
 
-  function next(
+  function nextTarget(
     call: ForwardedCall,
     progress: Progress,
-  ): AttemptStart | undefined {
+  ): AttemptTarget | undefined {
     const {continuation} = progress;
     progress.continuation = undefined;
     if (continuation !== undefined) {
@@ -295,11 +295,11 @@
   }
 
   /** Why no endpoint of a service may be asked. */
-  function noEndpoint(service: string): ServingError {
+  function noEndpointError(service: string): ServingError {
     const waitMs = router.limitWaitMs(service);
     return waitMs === undefined
       ? unavailable(service, 'none is left')
-      : limited(service, waitMs);
+      : rateLimited(service, waitMs);
   }
 
   /**
@@ -307,10 +307,10 @@
    * caller's time even at the endpoint that suits it best: the caller learns now
    * when to come back, and those before it are not held up by work in vain.
    */
-  function refusal(
+  function rejectIfTooLate(
     call: ForwardedCall,
     progress: Progress,
-    {choice, memory}: AttemptStart,
+    {choice, memory}: AttemptTarget,
   ): ServingError | undefined {
     if (progress.runs > 0 || memory !== undefined) {
       return undefined;
@@ -331,11 +331,11 @@
       },
       'no place in time',
     );
-    return noPlaceInTime(call.service, wait);
+    return waitTooLong(call.service, wait);
   }
 
   /** Whether the request goes on where its memory was moved to. */
-  function isMoved(
+  function isMigrated(
     {signal}: ForwardedCall,
     progress: Progress,
     end: AttemptEnd,
@@ -352,45 +352,45 @@
     return false;
   }
 
-  function failed(reply: CallerReply, error: ServingError) {
+  function respondWithError(reply: CallerReply, error: ServingError) {
     if (reply.hasBegun()) {
-      reply.breakOff();
+      reply.abort();
       return {status: 0, error};
     }
-    return {status: reply.refuse(error), error};
+    return {status: reply.sendError(error), error};
   }
 
   return {
     async forward(call, reply) {
-      const progress = beginProgress(clock.now());
+      const progress = createProgress(clock.now());
       for (;;) {
-        const verdict = suspicion.judge(call, progress);
+        const verdict = crashGuard.checkSend(call, progress);
         if (verdict.type === 'quarantined') {
-          const error = withRuns(quarantined(verdict), progress.runs);
-          return result(failed(reply, error), progress);
+          const error = withRunState(quarantined(verdict), progress.runs);
+          return toResult(respondWithError(reply, error), progress);
         }
-        const start = next(call, progress);
-        if (start === undefined) {
-          const error = noEndpoint(call.service);
-          const refusal = withRuns(error, progress.runs);
-          return result(failed(reply, refusal), progress);
+        const target = nextTarget(call, progress);
+        if (target === undefined) {
+          const error = noEndpointError(call.service);
+          const rejection = withRunState(error, progress.runs);
+          return toResult(respondWithError(reply, rejection), progress);
         }
-        const refused = refusal(call, progress, start);
-        if (refused !== undefined) {
-          return result(failed(reply, refused), progress);
+        const rejection = rejectIfTooLate(call, progress, target);
+        if (rejection !== undefined) {
+          return toResult(respondWithError(reply, rejection), progress);
         }
-        const end = await attempt(call, reply, progress, start);
-        if (isMoved(call, progress, end)) {
+        const end = await attempt(call, reply, progress, target);
+        if (isMigrated(call, progress, end)) {
           continue;
         }
         const conclusion = conclude(call, reply, progress, end);
         if (conclusion !== undefined) {
-          return result(conclusion, progress);
+          return toResult(conclusion, progress);
         }
         log.info(
           {
             request: call.attemptId,
-            endpoint: start.choice.endpoint,
+            endpoint: target.choice.endpoint,
             end: describeEnd(end),
             runs: progress.runs,
             sends: progress.endpoints.length,
@@ -403,7 +403,7 @@
   };
 }
 
-function result(
+function toResult(
   {status, error}: {status: number; error?: ServingError},
   {firstMs, endpoints, tokensAhead, firstSendAt, fingerprint}: Progress,
 ): ForwardingResult {
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -1,15 +1,15 @@
 /** Listening ports of a gateway and their handlers. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {disposableStore, type Disposable} from '@skylarkfield/base';
-import type {AgreementPart} from './agreementPart.js';
+import type {Coordination} from './coordination.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
 import {openPort} from './listeners.js';
-import {entriesFor} from './lookup.js';
+import {selectEntries} from './lookup.js';
 import {createStatusHandler} from './statusPages.js';
-import type {TrafficPart} from './trafficPart.js';
+import type {TrafficPipeline} from './trafficPipeline.js';
 
 /** Upper bound of a lookup answer's TTL, in milliseconds, so that callers drop a failed entry soon. */
-const LOOKUP_MS = 2_000;
+const MAX_LOOKUP_TTL_MS = 2_000;
 
 const READY = 200;
 const NOT_READY = 503;
@@ -24,8 +24,8 @@
  */
 export async function openPorts(
   context: GatewayContext,
-  {membership}: AgreementPart,
-  {policy, front}: TrafficPart,
+  {membership}: Coordination,
+  {policy, handler}: TrafficPipeline,
 ): Promise<Disposable> {
   const {settings, platform, life} = context;
   const {lookups} = platform;
@@ -36,25 +36,31 @@
 
   function answerReadiness(request: IncomingMessage, response: ServerResponse) {
     const status = isReady() ? READY : NOT_READY;
-    end(response, lookups.isReadiness(request.url ?? '') ? status : NOT_FOUND);
+    sendStatus(
+      response,
+      lookups.isReadiness(request.url ?? '') ? status : NOT_FOUND,
+    );
   }
 
   function answerLookup(request: IncomingMessage, response: ServerResponse) {
-    const question = lookups.readLookup(request.url ?? '');
-    if (question === undefined) {
-      end(response, NOT_FOUND);
+    const query = lookups.readLookup(request.url ?? '');
+    if (query === undefined) {
+      sendStatus(response, NOT_FOUND);
       return;
     }
     const members = membership
       .live()
       .filter(({id}) => isReady() || id !== settings.id);
     const caller = request.socket.remoteAddress ?? '';
-    const addresses = entriesFor(members, question.failureDomain, caller);
+    const addresses = selectEntries(members, query.failureDomain, caller);
     if (addresses.length === 0) {
-      end(response, NOT_READY);
+      sendStatus(response, NOT_READY);
       return;
     }
-    const ttlMs = Math.min(LOOKUP_MS, settings.lookupSeconds * MS_PER_SECOND);
+    const ttlMs = Math.min(
+      MAX_LOOKUP_TTL_MS,
+      settings.lookupSeconds * MS_PER_SECOND,
+    );
     response.setHeader('content-type', 'application/json');
     response.end(lookups.writeAnswer(addresses, ttlMs));
   }
@@ -66,7 +72,7 @@
     ports.add(await openPort(settings.status, createStatusHandler(context)));
     const callers = await openPort(
       settings.callers,
-      (request, response) => void front.handle(request, response),
+      (request, response) => void handler.handle(request, response),
       'limited',
     );
     ports.add(callers);
@@ -79,7 +85,7 @@
   }
 }
 
-function end(response: ServerResponse, status: number): void {
+function sendStatus(response: ServerResponse, status: number): void {
   response.statusCode = status;
   response.end();
 }
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -11,14 +11,14 @@
   systemClock,
   type Logger,
 } from '@skylarkfield/base';
-import {createAgreementPart} from './agreementPart.js';
+import {createCoordination} from './coordination.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
 import type {Platform} from './contracts.js';
-import {competeForDuty} from './dutyPart.js';
+import {competeForClusterDuty} from './clusterDuty.js';
 import {openPorts} from './gatewayPorts.js';
 import {createRequestMetrics} from './requestMetrics.js';
 import type {GatewaySettings} from './settings.js';
-import {createTrafficPart} from './trafficPart.js';
+import {createTrafficPipeline} from './trafficPipeline.js';
 
 export interface GatewayProcess {
   /** A planned stop: leaves the lookups, serves on, then ends what is in flight. */
@@ -35,7 +35,7 @@
 const LINGER_MS = 2_700;
 
 /** Time before the end of the grace that the process keeps for itself, in milliseconds. */
-const END_MARGIN_MS = 700;
+const SHUTDOWN_MARGIN_MS = 700;
 
 /**
  * Starts a gateway. Throws `bad-settings` when a port can't be opened; what was
@@ -53,16 +53,16 @@
   const owned = disposableStore();
   try {
     const context = createContext(settings, platform, log);
-    const agreement = owned.add(await createAgreementPart(context));
-    const traffic = owned.add(createTrafficPart(context, agreement));
-    owned.add(competeForDuty(context, agreement, traffic));
-    owned.add(await openPorts(context, agreement, traffic));
+    const coordination = owned.add(await createCoordination(context));
+    const traffic = owned.add(createTrafficPipeline(context, coordination));
+    owned.add(competeForClusterDuty(context, coordination, traffic));
+    owned.add(await openPorts(context, coordination, traffic));
     log.info({incarnation: context.incarnation}, 'started');
 
     let stopping: Promise<void> | undefined;
     return {
       stop() {
-        stopping ??= stop(context, agreement).then(async () => {
+        stopping ??= shutDown(context, coordination).then(async () => {
           owned.dispose();
           await context.metrics.shutDown();
         });
@@ -113,7 +113,7 @@
  * The farewell to peers and platform is not waited for beyond the linger: with
  * the platform away it would take the time that answers in flight need.
  */
-async function stop(
+async function shutDown(
   {settings, clock, log, life, inFlight}: GatewayContext,
   {
     membership,
@@ -124,11 +124,11 @@
   },
 ): Promise<void> {
   const graceMs = settings.graceSeconds * MS_PER_SECOND;
-  const endAt = clock.now() + graceMs - END_MARGIN_MS;
+  const endAt = clock.now() + graceMs - SHUTDOWN_MARGIN_MS;
   log.info({inFlight: inFlight.count(), graceMs}, 'stopping');
   life.send('announce');
-  const farewell = Promise.allSettled([membership.leave(), duties.release()]);
-  void farewell.then(outcomes => {
+  const departure = Promise.allSettled([membership.leave(), duties.release()]);
+  void departure.then(outcomes => {
     const failed = outcomes.filter(({status}) => status === 'rejected');
     log.info({failed: failed.length}, 'peers and platform told');
   });
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -27,18 +27,18 @@
  * @example
  * const addresses = entriesFor(membership.live(), 'zone-a', '10.9.0.4');
  */
-export function entriesFor(
+export function selectEntries(
   live: readonly Member[],
   failureDomain: string,
   caller: string,
 ): readonly string[] {
-  const near = live.filter(member => member.failureDomain === failureDomain);
-  const far = live.filter(member => member.failureDomain !== failureDomain);
-  const missing = Math.max(0, MIN_ENTRIES - near.length);
-  const byLoad = [...far].sort((a, b) => a.load - b.load);
-  const named =
-    near.length === 0 ? byLoad : [...near, ...byLoad.slice(0, missing)];
-  return chooseByCores(named, caller).map(({callerUrl}) =>
+  const local = live.filter(member => member.failureDomain === failureDomain);
+  const remote = live.filter(member => member.failureDomain !== failureDomain);
+  const missing = Math.max(0, MIN_ENTRIES - local.length);
+  const byLoad = [...remote].sort((a, b) => a.load - b.load);
+  const selected =
+    local.length === 0 ? byLoad : [...local, ...byLoad.slice(0, missing)];
+  return chooseByCores(selected, caller).map(({callerUrl}) =>
     addressOf(callerUrl),
   );
 }
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -31,15 +31,15 @@
   /** Fires after the content has changed. */
   readonly onDidChange: Event<void>;
   /** Applies a listing; `asked` is when it was requested, undefined for one that may be stale. */
-  takeListing(listing: SourceListing<T>, asked: Timestamp | undefined): void;
+  applyListing(listing: SourceListing<T>, asked: Timestamp | undefined): void;
   /** Applies changes read from the store; returns the step to pass on, if anything changed. */
-  takeChanges(
+  applyChanges(
     changes: SourceChanges<T>,
     asked: Timestamp,
   ): MirrorStep | undefined;
   /** Applies a step from a peer; false on a gap, when the whole copy is needed. */
-  takeStep(step: MirrorStep): boolean;
-  takeCopy(copy: MirrorCopy): void;
+  applyStep(step: MirrorStep): boolean;
+  applyCopy(copy: MirrorCopy): void;
   /** Confirms the replica by a peer's, up to date at that moment; true when both are the same. */
   confirmBy(syncStatus: SyncStatus, timestamp: Timestamp): boolean;
   copy(): MirrorCopy;
@@ -68,8 +68,8 @@
   let changedAt = 0;
 
   function put(name: string, itemRevision: number, value: T): boolean {
-    const known = items.get(name);
-    if (known !== undefined && known.revision >= itemRevision) {
+    const existing = items.get(name);
+    if (existing !== undefined && existing.revision >= itemRevision) {
       return false;
     }
     items.set(name, {name, revision: itemRevision, value});
@@ -80,9 +80,9 @@
     if (value !== undefined) {
       return put(name, at, value as T);
     }
-    const known = items.get(name);
+    const existing = items.get(name);
     // The object may have been recreated after this removal.
-    if (known === undefined || known.revision > at) {
+    if (existing === undefined || existing.revision > at) {
       return false;
     }
     return items.delete(name);
@@ -136,13 +136,13 @@
     revision: () => revision ?? 0,
     ageMs: () => (revision === undefined ? Infinity : confirmation.ageMs()),
     onDidChange: changed.event,
-    takeListing(listing, asked) {
+    applyListing(listing, requestedAt) {
       replace(listing.revision, listing.revision, listing.items);
-      if (asked !== undefined) {
-        confirmation.confirm(asked);
+      if (requestedAt !== undefined) {
+        confirmation.confirm(requestedAt);
       }
     },
-    takeChanges(read, asked) {
+    applyChanges(read, requestedAt) {
       const from = revision ?? 0;
       if (read.revision < from) {
         // A peer's step has overtaken this answer.
@@ -154,14 +154,14 @@
           : {name, revision: item.revision, value: item.value},
       );
       revision = read.revision;
-      confirmation.confirm(asked);
+      confirmation.confirm(requestedAt);
       if (changes.length === 0) {
         return undefined;
       }
       applyAll(changes, read.revision);
       return {from, to: read.revision, changes};
     },
-    takeStep({from, to, changes}) {
+    applyStep({from, to, changes}) {
       if (revision === undefined || revision < from) {
         return false;
       }
@@ -171,7 +171,7 @@
       }
       return true;
     },
-    takeCopy: copy => replace(copy.revision, copy.changedAt, copy.items),
+    applyCopy: copy => replace(copy.revision, copy.changedAt, copy.items),
     confirmBy(syncStatus, timestamp) {
       if (revision === undefined || revision < syncStatus.changedAt) {
         return false;
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -35,7 +35,7 @@
 
 /** Backoff after a failed call, in milliseconds; short enough to notice the platform's return within a second. */
 const FIRST_RETRY_MS = 100;
-const LONGEST_RETRY_MS = 500;
+const MAX_RETRY_MS = 500;
 
 /**
  * Pause after the first listing, in milliseconds. Until it knows its peers, a
@@ -44,7 +44,7 @@
 const SETTLE_MS = 1_000;
 
 /** Interval of checks whether this entry has to read, in milliseconds. */
-const TURN_CHECK_MS = 200;
+const READ_CHECK_INTERVAL_MS = 200;
 
 /**
  * Starts the reader.
@@ -60,27 +60,27 @@
   readonly log: Logger;
   readonly timing: ReadTiming;
   /** Whether no entry before this one in the order reads. */
-  isTurn(): boolean;
+  shouldRead(): boolean;
   /** Changes to pass on to the other entries. */
   onDidStep(step: MirrorStep): void;
 }): MirrorReader {
   const {mirror, source, clock, random, log, timing} = options;
   const stop = new AbortController();
-  let answeredAt = -Infinity;
+  let succeededAt = -Infinity;
   let failures = 0;
   let calls = 0;
   let isCompacted = false;
 
   function isReading(): boolean {
-    return clock.now() - answeredAt < timing.waitMs + timing.graceMs;
+    return clock.now() - succeededAt < timing.waitMs + timing.graceMs;
   }
 
-  async function bounded<R>(
-    spanMs: number,
+  async function callWithTimeout<R>(
+    timeoutMs: number,
     call: (signal: AbortSignal) => Promise<R>,
   ): Promise<R> {
     const limit = new AbortController();
-    const timer = clock.after(spanMs, () => limit.abort());
+    const timer = clock.after(timeoutMs, () => limit.abort());
     calls += 1;
     try {
       return await call(AbortSignal.any([limit.signal, stop.signal]));
@@ -90,26 +90,30 @@
   }
 
   async function readList(): Promise<void> {
-    const asked = timestampOf(clock);
+    const requestedAt = timestampOf(clock);
     // A stale listing could predate the compaction, and its changes are gone.
     const freshness = isCompacted ? 'latest' : timing.firstListing;
-    const listing = await bounded(timing.graceMs, signal =>
+    const listing = await callWithTimeout(timing.graceMs, signal =>
       source.list(signal, freshness),
     );
-    mirror.takeListing(listing, freshness === 'latest' ? asked : undefined);
+    mirror.applyListing(
+      listing,
+      freshness === 'latest' ? requestedAt : undefined,
+    );
     isCompacted = false;
   }
 
   async function readChanges(): Promise<void> {
-    const asked = timestampOf(clock);
-    const changes = await bounded(timing.waitMs + timing.graceMs, signal =>
-      source.changes(mirror.revision(), timing.waitMs, signal),
+    const requestedAt = timestampOf(clock);
+    const changes = await callWithTimeout(
+      timing.waitMs + timing.graceMs,
+      signal => source.changes(mirror.revision(), timing.waitMs, signal),
     );
     if (changes === undefined) {
       isCompacted = true;
       return;
     }
-    const step = mirror.takeChanges(changes, asked);
+    const step = mirror.applyChanges(changes, requestedAt);
     if (step !== undefined) {
       options.onDidStep(step);
     }
@@ -122,7 +126,7 @@
         log.info({mirror: mirror.kind, failures}, 'platform answers again');
       }
       failures = 0;
-      answeredAt = clock.now();
+      succeededAt = clock.now();
       return 0;
     } catch (error) {
       failures += 1;
@@ -131,7 +135,7 @@
         log.warn({mirror: mirror.kind, kind, message}, 'platform read failed');
       }
       const delayMs = FIRST_RETRY_MS * 2 ** Math.min(failures, 6);
-      return Math.min(LONGEST_RETRY_MS, delayMs) * (0.5 + random.next());
+      return Math.min(MAX_RETRY_MS, delayMs) * (0.5 + random.next());
     }
   }
 
@@ -139,7 +143,9 @@
     while (!stop.signal.aborted) {
       const wasKnown = mirror.isKnown();
       const wasCompacted = isCompacted;
-      let pauseMs = options.isTurn() ? await readOnce() : TURN_CHECK_MS;
+      let pauseMs = options.shouldRead()
+        ? await readOnce()
+        : READ_CHECK_INTERVAL_MS;
       if (!wasKnown && mirror.isKnown()) {
         pauseMs = SETTLE_MS * (0.75 + random.next() / 2);
       } else if (wasCompacted) {
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -28,7 +28,7 @@
 type Amounts = Readonly<Record<string, number>>;
 
 /** Use and load of one or more entries. */
-export interface ReportSum {
+export interface AggregateReport {
   /** Entries that it covers. */
   readonly entries: number;
   readonly used: Amounts;
@@ -44,20 +44,24 @@
 }
 
 /** A digest that counts. */
-export interface TakenReport {
+export interface AcceptedReport {
   /** The part of the system that it is about. */
-  readonly part: string;
+  readonly source: string;
   /** Quota amounts that the part has used since its previous report. */
   readonly increase: Amounts;
 }
 
 export interface PeerReports {
   /** Takes a digest; undefined when another speaker is heard for the same part. */
-  take(peer: string, digest: Digest): TakenReport | undefined;
+  take(peer: string, digest: Digest): AcceptedReport | undefined;
   /** The own part with what others have said, as far as a receiver of the scope does not hear it elsewhere. */
-  sumFor(scope: DigestScope, receiver: string, own: ReportSum): ReportSum;
+  aggregateFor(
+    scope: DigestScope,
+    receiver: string,
+    own: AggregateReport,
+  ): AggregateReport;
   /** Entries, other than this one, covered by reports that are not overdue. */
-  entriesHeard(): number;
+  visiblePeers(): number;
   /** Work that the others report for a service. */
   workOf(service: string): WorkRate;
   /** What each other part has seen of engines. */
@@ -67,9 +71,9 @@
   dump(): unknown;
 }
 
-interface Part {
-  speaker: string;
-  heardAt: number;
+interface SourceState {
+  reporter: string;
+  receivedAt: number;
   digest: Digest;
   /** As last told: not every digest repeats it. */
   capacity: CapacitySums;
@@ -103,10 +107,10 @@
   readonly quotaWindowMs: number;
 }): PeerReports {
   const {clock, failureDomain, silenceMs, quotaWindowMs} = options;
-  const parts = new Map<string, Part>();
+  const sources = new Map<string, SourceState>();
   const lastUsed = new Map<string, {incarnation: number; used: Amounts}>();
 
-  function partOf(peer: string, digest: Digest): string {
+  function sourceOf(peer: string, digest: Digest): string {
     const names: Readonly<Record<DigestScope, string>> = {
       own: peer,
       domain: `failure domain ${digest.failureDomain ?? ''}`,
@@ -115,17 +119,17 @@
     return names[digest.scope ?? 'own'];
   }
 
-  function isFresh({heardAt}: Part): boolean {
+  function isFresh({receivedAt: heardAt}: SourceState): boolean {
     return clock.now() - heardAt < silenceMs;
   }
 
-  function isOverdue({heardAt, digest}: Part): boolean {
+  function isOverdue({receivedAt: heardAt, digest}: SourceState): boolean {
     const isOwn = (digest.scope ?? 'own') === 'own';
     return clock.now() - heardAt >= (isOwn ? OVERDUE_MS : silenceMs);
   }
 
-  function freshParts(): Part[] {
-    return [...parts.values()].filter(isFresh);
+  function freshSources(): SourceState[] {
+    return [...sources.values()].filter(isFresh);
   }
 
   /**
@@ -151,62 +155,64 @@
     );
   }
 
-  function isNear(part: string, {digest}: Part): boolean {
+  function isLocalEntry(source: string, {digest}: SourceState): boolean {
     return (
-      part !== REST &&
+      source !== REST &&
       (digest.scope ?? 'own') === 'own' &&
       digest.failureDomain === failureDomain
     );
   }
 
-  function partsFor(scope: DigestScope, receiver: string): Part[] {
-    const chosen: Readonly<Record<DigestScope, () => [string, Part][]>> = {
-      own: () => [],
-      domain: () => [...parts].filter(([name, part]) => isNear(name, part)),
-      rest: () => [...parts].filter(([name]) => name !== REST),
-    };
+  function sourcesFor(scope: DigestScope, receiver: string): SourceState[] {
+    const chosen: Readonly<Record<DigestScope, () => [string, SourceState][]>> =
+      {
+        own: () => [],
+        domain: () =>
+          [...sources].filter(([name, source]) => isLocalEntry(name, source)),
+        rest: () => [...sources].filter(([name]) => name !== REST),
+      };
     return chosen[scope]()
       .filter(([name]) => name !== receiver)
-      .map(([, part]) => part);
+      .map(([, source]) => source);
   }
 
   return {
     take(peer, digest) {
-      const name = partOf(peer, digest);
+      const name = sourceOf(peer, digest);
       const increase = increases(peer, digest);
-      const part = parts.get(name);
-      if (part !== undefined && part.speaker !== peer && isFresh(part)) {
+      const source = sources.get(name);
+      if (source !== undefined && source.reporter !== peer && isFresh(source)) {
         return undefined;
       }
-      const used = part?.used ?? {};
+      const used = source?.used ?? {};
       addAmounts(used, increase);
-      const capacity = digest.capacity ?? part?.capacity ?? {};
-      parts.set(name, {
-        speaker: peer,
-        heardAt: clock.now(),
+      const capacity = digest.capacity ?? source?.capacity ?? {};
+      sources.set(name, {
+        reporter: peer,
+        receivedAt: clock.now(),
         digest,
         capacity,
         used,
       });
-      return {part: name, increase};
+      return {source: name, increase};
     },
-    sumFor(scope, receiver, own) {
-      const chosen = partsFor(scope, receiver);
+    aggregateFor(scope, receiver, own) {
+      const chosen = sourcesFor(scope, receiver);
       const used = {...own.used};
       const loads: Record<string, EndpointLoad> = {...own.loads};
       const work = {...own.work};
       const outcomes = {...own.outcomes};
       let {entries, limits, crashes} = own;
-      for (const part of chosen) {
-        addAmounts(used, part.used);
-        if (isFresh(part)) {
-          addLoadsTo(loads, part.digest.loads);
-          addWorkRates(work, part.digest.work);
-          addOutcomes(outcomes, part.digest.outcomes);
-          const sinceMs = clock.now() - part.heardAt;
-          limits = newestLimits(limits, part.digest.limits ?? {}, sinceMs);
-          crashes = addCrashes(crashes, part.digest.crashes);
-          entries += part.digest.entries ?? 1;
+      for (const source of chosen) {
+        addAmounts(used, source.used);
+        if (isFresh(source)) {
+          addLoadsTo(loads, source.digest.loads);
+          addWorkRates(work, source.digest.work);
+          addOutcomes(outcomes, source.digest.outcomes);
+          const sinceMs = clock.now() - source.receivedAt;
+          limits = newestLimits(limits, source.digest.limits ?? {}, sinceMs);
+          crashes = addCrashes(crashes, source.digest.crashes);
+          entries += source.digest.entries ?? 1;
         }
       }
       const sum = {
@@ -224,25 +230,25 @@
       const seen = chosen.filter(isFresh).map(({capacity}) => capacity);
       return {...sum, capacity: addCapacity([own.capacity, ...seen])};
     },
-    entriesHeard: () =>
-      [...parts.values()]
-        .filter(part => !isOverdue(part))
+    visiblePeers: () =>
+      [...sources.values()]
+        .filter(source => !isOverdue(source))
         .reduce((sum, {digest}) => sum + (digest.entries ?? 1), 0),
     workOf: service =>
-      freshParts().reduce(
+      freshSources().reduce(
         (sum, {digest}) => addWork(sum, digest.work[service] ?? NO_WORK),
         NO_WORK,
       ),
-    capacity: () => freshParts().map(({capacity}) => capacity),
-    outcomes: () => freshParts().map(({digest}) => digest.outcomes),
+    capacity: () => freshSources().map(({capacity}) => capacity),
+    outcomes: () => freshSources().map(({digest}) => digest.outcomes),
     dump: () =>
       Object.fromEntries(
-        [...parts].map(([name, part]) => [
+        [...sources].map(([name, source]) => [
           name,
           {
-            speaker: part.speaker,
-            agoMs: Math.round(clock.now() - part.heardAt),
-            entries: part.digest.entries ?? 1,
+            speaker: source.reporter,
+            agoMs: Math.round(clock.now() - source.receivedAt),
+            entries: source.digest.entries ?? 1,
           },
         ]),
       ),
--- a/packages/gateway/src/fleetShare.ts
+++ b/packages/gateway/src/peerVisibility.ts
@@ -4,7 +4,7 @@
  */
 import type {Clock} from '@skylarkfield/base';
 
-export interface FleetShare {
+export interface PeerVisibility {
   /** Takes over what is known now. */
   refresh(): void;
   /**
@@ -15,10 +15,10 @@
 }
 
 /** Time after the start from which an entry that was told of no others counts as the only one, in milliseconds. */
-const JOIN_LIMIT_MS = 900;
+const JOIN_TIMEOUT_MS = 900;
 
 /** Age at which a request refreshes the share, in milliseconds. */
-const REFRESH_MS = 100;
+const REFRESH_INTERVAL_MS = 100;
 
 /**
  * Makes the share of an entry that has just started.
@@ -26,13 +26,13 @@
  * @example
  * const share = createFleetShare({clock, membership, reports, onDidRefresh: quotas.setHeard});
  */
-export function createFleetShare(options: {
+export function createPeerVisibility(options: {
   readonly clock: Clock;
   readonly membership: {entryCount(): number | undefined};
-  readonly reports: {entriesHeard(): number};
+  readonly reports: {visiblePeers(): number};
   /** Gets the fraction of the other entries that are heard, 0 to 1, and the number of entries. */
-  onDidRefresh(heardFraction: number, entryCount: number): void;
-}): FleetShare {
+  onDidRefresh(visibleFraction: number, entryCount: number): void;
+}): PeerVisibility {
   const {clock, membership, reports} = options;
   const startedAt = clock.now();
   let isKnown = false;
@@ -40,10 +40,11 @@
 
   function refresh(): void {
     refreshedAt = clock.now();
-    const others = (membership.entryCount() ?? 1) - 1;
-    const heard = reports.entriesHeard();
-    const heardFraction = others <= 0 ? 1 : Math.min(1, heard / others);
-    options.onDidRefresh(heardFraction, others + 1);
+    const peerCount = (membership.entryCount() ?? 1) - 1;
+    const visible = reports.visiblePeers();
+    const visibleFraction =
+      peerCount <= 0 ? 1 : Math.min(1, visible / peerCount);
+    options.onDidRefresh(visibleFraction, peerCount + 1);
   }
 
   return {
@@ -51,8 +52,8 @@
     isKnown() {
       isKnown ||=
         membership.entryCount() !== undefined ||
-        clock.now() - startedAt >= JOIN_LIMIT_MS;
-      if (isKnown && clock.now() - refreshedAt >= REFRESH_MS) {
+        clock.now() - startedAt >= JOIN_TIMEOUT_MS;
+      if (isKnown && clock.now() - refreshedAt >= REFRESH_INTERVAL_MS) {
         refresh();
       }
       return isKnown;
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -67,7 +67,7 @@
 const COPY_TIMEOUT_MS = 1_000;
 
 /** What a peer said of its reading counts this long: three missed digests. */
-const HEARD_MS = 1_000;
+const STATUS_TTL_MS = 1_000;
 
 /**
  * Makes the view and starts to read what is this entry's turn.
@@ -99,12 +99,16 @@
   };
   const kinds = Object.keys(mirrors) as MirrorKind[];
   const readers = new Map<MirrorKind, MirrorReader>();
-  const heard = new Map<string, {at: number; syncStatuses: SyncStatuses}>();
-  const copying = new Set<MirrorKind>();
+  const peerStatuses = new Map<
+    string,
+    {at: number; syncStatuses: SyncStatuses}
+  >();
+  const fetching = new Set<MirrorKind>();
 
   function isReadBy(peer: string, kind: MirrorKind): boolean {
     return (
-      isHeard(peer) && heard.get(peer)!.syncStatuses[kind]?.isReader === true
+      hasFreshStatus(peer) &&
+      peerStatuses.get(peer)!.syncStatuses[kind]?.isReader === true
     );
   }
 
@@ -112,19 +116,20 @@
    * Nobody before this entry in the order gets answers. An entry behind relays
    * reads only while it hears none of them.
    */
-  function isTurn(kind: MirrorKind): boolean {
-    const {coordinators, upstream} = options.plan();
+  function shouldRead(kind: MirrorKind): boolean {
+    const {coordinators, ownRelays: upstream} = options.plan();
     if (upstream.length > 0) {
-      return !upstream.some(isHeard);
+      return !upstream.some(hasFreshStatus);
     }
-    const place = coordinators.indexOf(self);
-    const before = place < 0 ? coordinators : coordinators.slice(0, place);
+    const position = coordinators.indexOf(self);
+    const before =
+      position < 0 ? coordinators : coordinators.slice(0, position);
     return !before.some(id => isReadBy(id, kind));
   }
 
-  function isHeard(peer: string): boolean {
-    const last = heard.get(peer);
-    return last !== undefined && clock.now() - last.at < HEARD_MS;
+  function hasFreshStatus(peer: string): boolean {
+    const last = peerStatuses.get(peer);
+    return last !== undefined && clock.now() - last.at < STATUS_TTL_MS;
   }
 
   function isRelay(): boolean {
@@ -139,17 +144,17 @@
       random,
       log,
       timing: READ_TIMINGS[mirror.kind],
-      isTurn: () => isTurn(mirror.kind),
-      onDidStep: step => passOn({kind: mirror.kind, ...step}, self),
+      shouldRead: () => shouldRead(mirror.kind),
+      onDidStep: step => broadcastStep({kind: mirror.kind, ...step}, self),
     });
     readers.set(mirror.kind, owned.add(reader));
   }
 
   async function fetchCopy(kind: MirrorKind, peer: string): Promise<void> {
-    if (copying.has(kind)) {
+    if (fetching.has(kind)) {
       return;
     }
-    copying.add(kind);
+    fetching.add(kind);
     try {
       const answer = await network.ask(
         peer,
@@ -157,11 +162,11 @@
         {kind},
         COPY_TIMEOUT_MS,
       );
-      mirrors[kind].takeCopy(answer as MirrorCopy);
+      mirrors[kind].applyCopy(answer as MirrorCopy);
     } catch (error) {
       log.info({mirror: kind, peer, reason: String(error)}, 'copy not given');
     } finally {
-      copying.delete(kind);
+      fetching.delete(kind);
     }
   }
 
@@ -184,7 +189,7 @@
     mirror.confirmBy(syncStatus, before(timestamp, syncStatus.confirmedAgoMs));
   }
 
-  function passOn(step: Messages['mirrorChanges'], from: string): void {
+  function broadcastStep(step: Messages['mirrorChanges'], from: string): void {
     const receivers = [...options.plan().targets.keys()];
     network.broadcast(
       'mirrorChanges',
@@ -196,14 +201,14 @@
   owned.add(
     network.onDidReceive('mirrorChanges', (from, step) => {
       const mirror = mirrors[step.kind];
-      const former = mirror.revision();
-      if (!mirror.takeStep(step)) {
+      const previousRevision = mirror.revision();
+      if (!mirror.applyStep(step)) {
         void fetchCopy(step.kind, from);
         return;
       }
       // Who tells everyone has told them all; behind a relay nobody else does.
-      if (mirror.revision() > former && isRelay()) {
-        passOn(step, from);
+      if (mirror.revision() > previousRevision && isRelay()) {
+        broadcastStep(step, from);
       }
     }),
   );
@@ -224,7 +229,7 @@
       crashes: mirrors.crashes.syncStatus(isReading('crashes')),
     }),
     noteSyncStatuses(peer, syncStatuses, timestamp) {
-      heard.set(peer, {at: clock.now(), syncStatuses});
+      peerStatuses.set(peer, {at: clock.now(), syncStatuses});
       for (const kind of kinds) {
         const syncStatus = syncStatuses[kind];
         if (syncStatus !== undefined) {
--- a/packages/gateway/src/relayPlan.ts
+++ b/packages/gateway/src/relayPlan.ts
@@ -29,15 +29,15 @@
   /** Receivers of this entry's digests, with the scope for each. */
   readonly targets: ReadonlyMap<string, DigestScope>;
   /** Active relay of the failure domain while this entry is its standby; undefined otherwise. */
-  readonly precedence: string | undefined;
+  readonly activeRelay: string | undefined;
   /** Entries that read the platform and compete for leases, in order of precedence. */
   readonly coordinators: readonly string[];
   /** Relays of this entry, active one first; empty for a relay and in a full mesh. */
-  readonly upstream: readonly string[];
+  readonly ownRelays: readonly string[];
 }
 
 /** Largest fleet that uses a full mesh. */
-export const FLAT_ENTRIES = 24;
+export const MAX_FULL_MESH_ENTRIES = 24;
 
 /** One active and one standby. */
 const RELAYS_PER_DOMAIN = 2;
@@ -58,23 +58,23 @@
 ): RelayPlan {
   const others = nodes.filter(({id}) => id !== self.id);
   const live = nodes.filter(({isLive}) => isLive);
-  if (nodes.length <= FLAT_ENTRIES) {
+  if (nodes.length <= MAX_FULL_MESH_ENTRIES) {
     return {
       targets: new Map(others.map(({id}) => [id, 'own'])),
-      precedence: undefined,
+      activeRelay: undefined,
       coordinators: rendezvousOrder(COORDINATOR_KEY, idsOf(live)),
-      upstream: [],
+      ownRelays: [],
     };
   }
   const relays = relaysByDomain(live);
   const ownRelays = relays.get(self.failureDomain) ?? [];
-  const coordinators = inTurns([...relays.values()]);
+  const coordinators = activeFirst([...relays.values()]);
   if (!ownRelays.includes(self.id)) {
     return {
       targets: new Map(ownRelays.map(id => [id, 'own'])),
-      precedence: undefined,
+      activeRelay: undefined,
       coordinators,
-      upstream: ownRelays,
+      ownRelays,
     };
   }
   const targets = new Map<string, DigestScope>();
@@ -87,9 +87,9 @@
   }
   return {
     targets,
-    precedence: ownRelays[0] === self.id ? undefined : ownRelays[0],
+    activeRelay: ownRelays[0] === self.id ? undefined : ownRelays[0],
     coordinators,
-    upstream: [],
+    ownRelays: [],
   };
 }
 
@@ -98,7 +98,7 @@
   return new Map(
     [...domains].map(domain => {
       const members = live.filter(node => node.failureDomain === domain);
-      const order = byCores(members).flatMap(equal =>
+      const order = groupByCores(members).flatMap(equal =>
         rendezvousOrder(`${RELAY_KEY}/${domain}`, idsOf(equal)),
       );
       return [domain, order.slice(0, RELAYS_PER_DOMAIN)];
@@ -107,7 +107,7 @@
 }
 
 /** Groups of nodes with equal cores, largest first, since a relay carries its whole failure domain. */
-function byCores(nodes: readonly RelayNode[]): RelayNode[][] {
+function groupByCores(nodes: readonly RelayNode[]): RelayNode[][] {
   const sizes = new Set(nodes.map(({cores}) => cores));
   return [...sizes]
     .sort((a, b) => b - a)
@@ -115,7 +115,7 @@
 }
 
 /** Active relays before standbys, which other failure domains do not hear. */
-function inTurns(relays: readonly (readonly string[])[]): string[] {
+function activeFirst(relays: readonly (readonly string[])[]): string[] {
   return Array.from({length: RELAYS_PER_DOMAIN}, (_, place) =>
     rendezvousOrder(
       COORDINATOR_KEY,
--- a/packages/gateway/src/requestLog.ts
+++ b/packages/gateway/src/requestLog.ts
@@ -3,7 +3,7 @@
 import type {KeyedCustomer, Route} from '@skylarkfield/traffic';
 import type {CallHead} from './contracts.js';
 import type {ForwardingResult} from './forwarding.js';
-import type {PolicyInForce} from './policyInForce.js';
+import type {ActivePolicy} from './activePolicy.js';
 import type {RequestMetrics} from './requestMetrics.js';
 
 /** A request that has ended. */
@@ -20,7 +20,7 @@
   readonly attemptId: string | undefined;
   readonly result: ForwardingResult;
   /** The caller has left before its answer was complete. */
-  readonly hasLeft: boolean;
+  readonly hasDisconnected: boolean;
   /** Monotonic milliseconds. */
   readonly arrivedAt: number;
   /** Events that were passed on. */
@@ -38,14 +38,14 @@
  * requestLog.note({accepted, attemptId, result, hasLeft: false, arrivedAt, events: 0});
  */
 export function createRequestLog(options: {
-  readonly policy: Pick<PolicyInForce, 'version' | 'ageMs'>;
+  readonly policy: Pick<ActivePolicy, 'version' | 'ageMs'>;
   readonly metrics: RequestMetrics;
   readonly clock: Clock;
   readonly log: Logger;
 }): RequestLog {
   const {policy, metrics, clock, log} = options;
   return {
-    note({accepted, attemptId, result, hasLeft, arrivedAt, events}) {
+    note({accepted, attemptId, result, hasDisconnected, arrivedAt, events}) {
       const {status, error, firstMs, firstSendAt, fingerprint} = result;
       const tookMs = clock.now() - arrivedAt;
       metrics.note({
@@ -69,12 +69,12 @@
             retryAfterMs: Math.round(error.retryAfterMs),
           }),
           ...(fingerprint !== undefined && {fingerprint}),
-          ...(hasLeft && {hasLeft}),
+          ...(hasDisconnected && {hasLeft: hasDisconnected}),
           ...(firstSendAt !== undefined && {
             queuedMs: Math.round(firstSendAt - arrivedAt),
           }),
           ...(firstMs !== undefined && {firstMs: Math.round(firstMs)}),
-          ...demandFigures(accepted?.head, result, events),
+          ...demandFields(accepted?.head, result, events),
           tookMs: Math.round(tookMs),
         },
         'request',
@@ -83,7 +83,7 @@
   };
 }
 
-function demandFigures(
+function demandFields(
   head: CallHead | undefined,
   {tokensAhead}: ForwardingResult,
   events: number,
--- a/packages/gateway/src/sendRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -2,10 +2,10 @@
 import type {Admission} from '@skylarkfield/admission';
 import type {Clock} from '@skylarkfield/base';
 import {isRepeatable, type Route} from '@skylarkfield/traffic';
-import type {Continuation} from './streamMove.js';
+import type {Continuation} from './streamMigration.js';
 
 /** What of a call the rules look at. */
-export interface RuledCall {
+export interface RetryableCall {
   readonly route: Pick<
     Route,
     'kind' | 'attempts' | 'goalMs' | 'longestPauseMs' | 'isResumable'
@@ -24,7 +24,7 @@
   tokensAhead: number | undefined;
   /** Endpoints that may have run it. */
   runs: number;
-  sentAt: number;
+  startedAt: number;
   /** Monotonic milliseconds of the first send to an endpoint; undefined before. */
   firstSendAt: number | undefined;
   firstMs: number | undefined;
@@ -37,31 +37,31 @@
 }
 
 /** What decides over one request's sends. */
-export interface SendRules {
+export interface RetryRules {
   /** Whether a request that may have run may run at another endpoint. */
-  mayRunAgain(call: RuledCall, progress: Progress): boolean;
+  mayRerun(call: RetryableCall, progress: Progress): boolean;
   /**
    * Whether a request that has certainly not run at one endpoint may be sent on.
    * It may have run at another one before: a stream that was moved, and whose
    * new endpoint declines it.
    */
-  maySendOn(call: RuledCall, progress: Progress): boolean;
+  mayResend(call: RetryableCall, progress: Progress): boolean;
   /** Silence after which an endpoint is given up, in milliseconds; undefined to wait for it alone. */
-  silenceMs(call: RuledCall, progress: Progress): number | undefined;
+  idleTimeoutMs(call: RetryableCall, progress: Progress): number | undefined;
 }
 
 /** Sends of one request that endpoints declined or could not be reached for; more say that the service has no room. */
-const MOST_SENDS = 3;
+const MAX_SENDS = 3;
 
 /** An idempotent request waits this part of its time for one endpoint while another may still be tried. */
-const SILENCE_PART = 0.4;
+const IDLE_TIMEOUT_FRACTION = 0.4;
 
 /**
  * A resumable stream that pauses for this multiple of its declared longest
  * pause goes on elsewhere: by then the answer is late, and callers leave after
  * eight pauses.
  */
-const PAUSES_TO_RESUME = 3;
+const RESUME_PAUSE_MULTIPLE = 3;
 
 /**
  * A request that was not sent yet.
@@ -69,13 +69,13 @@
  * @example
  * const progress = beginProgress(clock.now());
  */
-export function beginProgress(now: number): Progress {
+export function createProgress(now: number): Progress {
   return {
     endpoints: [],
     excluded: new Set(),
     tokensAhead: undefined,
     runs: 0,
-    sentAt: now,
+    startedAt: now,
     firstSendAt: undefined,
     firstMs: undefined,
     fingerprint: undefined,
@@ -90,45 +90,45 @@
  * @example
  * if (rules.maySendOn(call, progress)) { return attempt(next); }
  */
-export function createSendRules(options: {
+export function createRetryRules(options: {
   readonly admission: Pick<Admission, 'tryRetry'>;
   readonly clock: Clock;
-}): SendRules {
+}): RetryRules {
   const {admission, clock} = options;
 
-  function mayRunAgain(call: RuledCall, progress: Progress): boolean {
+  function mayRerun(call: RetryableCall, progress: Progress): boolean {
     return (
       isRepeatable(call.route) &&
       progress.runs < call.route.attempts &&
-      progress.endpoints.length < MOST_SENDS &&
+      progress.endpoints.length < MAX_SENDS &&
       !call.signal.aborted &&
       admission.tryRetry(call.service)
     );
   }
 
-  function maySendOn(call: RuledCall, progress: Progress): boolean {
+  function mayResend(call: RetryableCall, progress: Progress): boolean {
     if (progress.runs > 0) {
-      return mayRunAgain(call, progress);
+      return mayRerun(call, progress);
     }
     return (
-      progress.endpoints.length < MOST_SENDS &&
+      progress.endpoints.length < MAX_SENDS &&
       !call.signal.aborted &&
       admission.tryRetry(call.service)
     );
   }
 
-  function silenceMs(call: RuledCall, progress: Progress) {
+  function idleTimeoutMs(call: RetryableCall, progress: Progress) {
     if (!isRepeatable(call.route) || progress.runs + 1 >= call.route.attempts) {
       return undefined;
     }
     if (call.route.kind === 'streaming') {
       return (
         Math.max(call.route.goalMs, call.route.longestPauseMs) *
-        PAUSES_TO_RESUME
+        RESUME_PAUSE_MULTIPLE
       );
     }
-    return (call.deadlineAt - clock.now()) * SILENCE_PART;
+    return (call.deadlineAt - clock.now()) * IDLE_TIMEOUT_FRACTION;
   }
 
-  return {mayRunAgain, maySendOn, silenceMs};
+  return {mayRerun, mayResend, idleTimeoutMs};
 }
--- a/packages/gateway/src/rolloutPart.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -33,7 +33,7 @@
   readonly isRepeatable: boolean;
 }
 
-export interface RolloutPart extends Disposable {
+export interface RolloutController extends Disposable {
   /** The group of endpoints that takes a request; alike at every entry for one key. */
   groupFor(service: string, key: string, isRepeatable: boolean): VersionGroup;
   observe(sample: RolloutSample): void;
@@ -53,10 +53,10 @@
 }
 
 /** How often the split hears which groups have endpoints, in milliseconds; a new version starts in seconds. */
-const AVAILABILITY_MS = 500;
+const AVAILABILITY_INTERVAL_MS = 500;
 
 /** Time for telling the operator, in milliseconds. */
-const CALL_MS = 1_500;
+const CALL_TIMEOUT_MS = 1_500;
 
 const GROUPS: readonly VersionGroup[] = ['incumbent', 'candidate'];
 
@@ -68,23 +68,23 @@
  * const rollouts = createRolloutPart(context, parts);
  * const group = rollouts.groupFor('chat', attemptId, true);
  */
-export function createRolloutPart(
+export function createRolloutController(
   context: GatewayContext,
   options: RolloutOptions,
-): RolloutPart {
+): RolloutController {
   const {clock, decisions, log, dumps} = context;
   const moves = createRolloutMoves(options.rollouts, clock);
   const split = createTrafficSplit({clock, decisions});
   const owned = disposableStore();
-  let following: Disposable | undefined;
+  let activeRollouts: Disposable | undefined;
 
   function update(): void {
-    if (moves.hasOpen() && following === undefined) {
-      following = follow(context, options, moves, split);
+    if (moves.hasOpen() && activeRollouts === undefined) {
+      activeRollouts = startRollouts(context, options, moves, split);
       log.info({}, 'a rollout is open');
-    } else if (!moves.hasOpen() && following !== undefined) {
-      following.dispose();
-      following = undefined;
+    } else if (!moves.hasOpen() && activeRollouts !== undefined) {
+      activeRollouts.dispose();
+      activeRollouts = undefined;
       split.setMoves([]);
       log.info({}, 'no rollout is open');
     }
@@ -111,13 +111,13 @@
       }),
     isOpen: moves.isOpen,
     dispose() {
-      following?.dispose();
+      activeRollouts?.dispose();
       owned.dispose();
     },
   };
 }
 
-function follow(
+function startRollouts(
   context: GatewayContext,
   options: RolloutOptions,
   moves: RolloutMoves,
@@ -127,40 +127,40 @@
   const {directory, store, duties} = options;
   const owned = disposableStore();
   const judge = createMoveJudge({clock, decisions});
-  const telling = new Set<string>();
+  const inFlightUpdates = new Set<string>();
 
-  function groupsOf(service: string): VersionGroup[] {
+  function availableGroups(service: string): VersionGroup[] {
     return GROUPS.filter(group => directory.ready(service, group).length > 0);
   }
 
-  function setAvailable(): void {
+  function updateAvailability(): void {
     for (const {service} of moves.records.list('move')) {
-      split.setAvailableVersions(service, groupsOf(service));
+      split.setAvailableVersions(service, availableGroups(service));
     }
   }
 
   function onDidAdvance(states: readonly MoveState[]): void {
     moves.noteStates(states);
-    for (const word of moves.wordsDue(states)) {
-      if (!telling.has(word.name)) {
-        void tell(word);
+    for (const update of moves.pendingUpdates(states)) {
+      if (!inFlightUpdates.has(update.name)) {
+        void writeState(update);
       }
     }
   }
 
   /** Written again with the next look if it fails: the mirror still shows the former state then. */
-  async function tell({
+  async function writeState({
     name,
     target,
     state,
-  }: ReturnType<RolloutMoves['wordsDue']>[number]): Promise<void> {
-    telling.add(name);
+  }: ReturnType<RolloutMoves['pendingUpdates']>[number]): Promise<void> {
+    inFlightUpdates.add(name);
     try {
       await context.platform.writeRolloutState(
         name,
         target,
         state,
-        AbortSignal.timeout(CALL_MS),
+        AbortSignal.timeout(CALL_TIMEOUT_MS),
       );
       log.info({rollout: name, target, state}, 'rollout state written');
     } catch (error) {
@@ -170,7 +170,7 @@
         'rollout state not written',
       );
     } finally {
-      telling.delete(name);
+      inFlightUpdates.delete(name);
     }
   }
 
@@ -184,7 +184,7 @@
       judge,
     }),
   );
-  owned.add(every(clock, AVAILABILITY_MS, setAvailable));
+  owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
   owned.add(
     duties.compete('moves', tenure =>
       createMoveDuty({
@@ -195,12 +195,12 @@
         judge,
         tenure,
         hasEndpoints: (service, group) =>
-          groupsOf(service).some(name => name === group),
+          availableGroups(service).some(name => name === group),
         onDidAdvance,
       }),
     ),
   );
-  setAvailable();
+  updateAvailability();
   return owned;
 }
 
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -17,7 +17,7 @@
 >;
 
 /** A state that the operator should read of a rollout. */
-export interface RolloutWord {
+export interface RolloutStateUpdate {
   /** Name of the rollout's object. */
   readonly name: string;
   readonly target: string;
@@ -33,17 +33,17 @@
   /** Takes the durable states over; their start counts where this process has seen the order later. */
   noteStates(states: readonly MoveState[]): void;
   /** What is to be written now, from the durable states. */
-  wordsDue(states: readonly MoveState[]): readonly RolloutWord[];
+  pendingUpdates(states: readonly MoveState[]): readonly RolloutStateUpdate[];
   /** Fires when a rollout was ordered, changed or settled. */
   readonly onDidChange: Event<void>;
 }
 
 /** The groups of a service's endpoints between which traffic moves. */
-const FROM: VersionGroup = 'incumbent';
-const TO: VersionGroup = 'candidate';
+const FROM_GROUP: VersionGroup = 'incumbent';
+const TO_GROUP: VersionGroup = 'candidate';
 
 /** The most of the traffic that an unproven version may get; operators allow a tenth and some requests. */
-const MOST_UNPROVEN_SHARE = 0.08;
+const MAX_UNPROVEN_SHARE = 0.08;
 
 /**
  * The old endpoints stop as soon as a rollout is said to be done, with whatever
@@ -53,7 +53,7 @@
 const DONE_MARGIN_MS = 1_000;
 
 /** A rollout is settled for good in these states. */
-const SETTLED: ReadonlySet<RolloutState | undefined> = new Set([
+const SETTLED_STATES: ReadonlySet<RolloutState | undefined> = new Set([
   'done',
   'rolled-back',
 ]);
@@ -82,7 +82,7 @@
   /** Wall-clock milliseconds of each order, as early as this process knows. */
   const orderedAt = new Map<string, number>();
 
-  function open(): {name: string; rollout: Rollout}[] {
+  function openRollouts(): {name: string; rollout: Rollout}[] {
     return mirror
       .items()
       .map(({name, value}) => ({name, rollout: value}))
@@ -94,15 +94,15 @@
     return {
       name: id,
       service,
-      from: FROM,
-      to: TO,
+      from: FROM_GROUP,
+      to: TO_GROUP,
       deadline: (orderedAt.get(id) ?? clock.wall()) + periodMs,
-      maxUnprovenShare: MOST_UNPROVEN_SHARE,
+      maxUnprovenShare: MAX_UNPROVEN_SHARE,
     };
   }
 
   function noteOrders(): void {
-    for (const {name, rollout} of open()) {
+    for (const {name, rollout} of openRollouts()) {
       const id = moveName(name, rollout.target);
       orderedAt.set(id, orderedAt.get(id) ?? clock.wall());
     }
@@ -110,10 +110,10 @@
   }
 
   function moves(): Move[] {
-    return open().map(({name, rollout}) => toMove(name, rollout));
+    return openRollouts().map(({name, rollout}) => toMove(name, rollout));
   }
 
-  function stateDue(rollout: Rollout, state: MoveState, move: Move) {
+  function stateToReport(rollout: Rollout, state: MoveState, move: Move) {
     const due = rolloutStates[state.phase];
     const isEarly = clock.wall() < move.deadline - DONE_MARGIN_MS;
     return due === 'done' && isEarly ? 'running' : due;
@@ -129,8 +129,9 @@
       onDidChange: listener =>
         changed.event(() => listener('move', 'rollouts')),
     },
-    hasOpen: () => open().length > 0,
-    isOpen: service => open().some(({rollout}) => rollout.service === service),
+    hasOpen: () => openRollouts().length > 0,
+    isOpen: service =>
+      openRollouts().some(({rollout}) => rollout.service === service),
     noteStates(states) {
       for (const {move, startedAt = Infinity} of states) {
         const known = orderedAt.get(move) ?? Infinity;
@@ -139,17 +140,17 @@
         }
       }
     },
-    wordsDue(states) {
-      return open().flatMap(({name, rollout}) => {
+    pendingUpdates(states) {
+      return openRollouts().flatMap(({name, rollout}) => {
         const move = toMove(name, rollout);
         const state = states.find(({move: of}) => of === move.name);
         if (state === undefined) {
           return [];
         }
         const {target} = rollout;
-        const due = stateDue(rollout, state, move);
-        const isSaid = writtenState(rollout) === due;
-        return isSaid ? [] : [{name, target, state: due}];
+        const due = stateToReport(rollout, state, move);
+        const isWritten = writtenState(rollout) === due;
+        return isWritten ? [] : [{name, target, state: due}];
       });
     },
     onDidChange: changed.event,
@@ -163,5 +164,5 @@
 
 /** Whether a rollout waits for the system. */
 function isUnsettled(rollout: Rollout): boolean {
-  return !SETTLED.has(writtenState(rollout));
+  return !SETTLED_STATES.has(writtenState(rollout));
 }
--- a/packages/gateway/src/rolloutSample.ts
+++ b/packages/gateway/src/rolloutSample.ts
@@ -1,9 +1,9 @@
 /** What a request that has ended says about the version that served it. */
 import type {ErrorKind} from '@skylarkfield/base';
 import {isRepeatable} from '@skylarkfield/traffic';
-import {isServerFault} from './attemptOutcome.js';
+import {isServerError} from './attemptOutcome.js';
 import type {ForwardedCall, ForwardingResult} from './forwarding.js';
-import type {RolloutSample} from './rolloutPart.js';
+import type {RolloutSample} from './rolloutController.js';
 
 /** Errors that say nothing of the version: the caller left, or nobody had room. */
 const NEUTRAL_ERRORS: ReadonlySet<ErrorKind> = new Set([
@@ -32,7 +32,7 @@
     return undefined;
   }
   const isError =
-    error !== undefined || isServerFault(status) || endpoints.length > 1;
+    error !== undefined || isServerError(status) || endpoints.length > 1;
   return {
     service,
     group: version,
--- a/packages/gateway/src/stepMeter.ts
+++ b/packages/gateway/src/stepMeter.ts
@@ -3,19 +3,19 @@
 
 export interface StepMeter {
   noteEvent(): void;
-  events(): number;
+  eventCount(): number;
   /** Milliseconds from one event to the next; undefined before the second. */
-  eventMs(): number | undefined;
+  eventIntervalMs(): number | undefined;
 }
 
 /** Events this close came together, in milliseconds: this process read them late. */
-const TOGETHER_MS = 0.5;
+const COALESCED_MS = 0.5;
 
 /**
  * Gaps are longer while the engine reads a prompt, which is most of the time
  * under load; the shorter ones show a step alone.
  */
-const REST_QUANTILE = 0.25;
+const STEP_QUANTILE = 0.25;
 
 /**
  * Makes a meter for one stream.
@@ -27,7 +27,7 @@
 export function createStepMeter(clock: Clock): StepMeter {
   const gaps: number[] = [];
   let events = 0;
-  let together = 0;
+  let coalesced = 0;
   let lastAt: number | undefined;
 
   return {
@@ -38,18 +38,18 @@
         lastAt = now;
         return;
       }
-      together += 1;
-      if (now - lastAt < TOGETHER_MS) {
+      coalesced += 1;
+      if (now - lastAt < COALESCED_MS) {
         return;
       }
-      gaps.push((now - lastAt) / together);
-      together = 0;
+      gaps.push((now - lastAt) / coalesced);
+      coalesced = 0;
       lastAt = now;
     },
-    events: () => events,
-    eventMs() {
+    eventCount: () => events,
+    eventIntervalMs() {
       const sorted = [...gaps].sort((a, b) => a - b);
-      return sorted[Math.floor(sorted.length * REST_QUANTILE)];
+      return sorted[Math.floor(sorted.length * STEP_QUANTILE)];
     },
   };
 }
--- a/packages/gateway/src/streamMove.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -12,24 +12,24 @@
   type Logger,
 } from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
-import type {EngineMoves, MovedMemory} from './contracts.js';
+import type {EngineMoves, KvCacheRef} from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
 /** Where a stream goes on. */
 export interface Continuation {
   readonly choice: Choice;
-  readonly memory: MovedMemory;
+  readonly memory: KvCacheRef;
 }
 
 /** A stream while it runs at one endpoint. */
 export interface WatchedStream extends Disposable {
   /** Whether its endpoint was told to stop it. */
-  isStopping(): boolean;
+  isStopRequested(): boolean;
   /** Where it goes on; undefined when it was not moved. Waits for a move that is under way. */
   continuation(): Promise<Continuation | undefined>;
 }
 
-export interface StreamMoves {
+export interface StreamMigrator {
   /** Watches a stream until it is disposed; `choose` names another endpoint. */
   watch(options: {
     readonly endpoint: string;
@@ -44,10 +44,10 @@
  * Time from the notice to the move, in milliseconds: most answers end within it,
  * and of a notice of two seconds half is left for the copy.
  */
-const GRACE_MS = 800;
+const MIGRATION_DELAY_MS = 800;
 
 /** Time for the copy, in milliseconds: it is queued behind those of all other streams that leave. */
-const MOVE_MS = 1_000;
+const MIGRATION_TIMEOUT_MS = 1_000;
 
 /**
  * Makes the moves of one entry.
@@ -56,15 +56,15 @@
  * const watched = moves.watch({endpoint, attemptId, hasBegun, choose});
  * const next = await watched.continuation();
  */
-export function createStreamMoves(options: {
+export function createStreamMigrator(options: {
   readonly directory: EndpointDirectory;
   readonly engines: EngineMoves;
   readonly clock: Clock;
   readonly log: Logger;
-}): StreamMoves {
+}): StreamMigrator {
   const {directory, engines, clock, log} = options;
 
-  async function move(
+  async function migrate(
     endpoint: string,
     attemptId: string,
     choose: () => Choice | undefined,
@@ -76,13 +76,13 @@
       choice?.finish({outcome: 'cancelled', latencyMs: 0});
       return undefined;
     }
-    const askedAt = clock.now();
+    const startedAt = clock.now();
     const answer = await engines
       .move(
         source.address,
         attemptId,
         target.address,
-        AbortSignal.timeout(MOVE_MS),
+        AbortSignal.timeout(MIGRATION_TIMEOUT_MS),
       )
       .catch(error => {
         const {kind, message} = toServingError(error);
@@ -98,7 +98,7 @@
         from: endpoint,
         to: choice.endpoint,
         answer: answer.type,
-        tookMs: Math.round(clock.now() - askedAt),
+        tookMs: Math.round(clock.now() - startedAt),
       },
       'stream moved off a leaving endpoint',
     );
@@ -111,21 +111,21 @@
 
   return {
     watch({endpoint, attemptId, hasBegun, choose}) {
-      let moving: Promise<Continuation | undefined> | undefined;
+      let migration: Promise<Continuation | undefined> | undefined;
       let timer: Disposable | undefined;
-      const subscription = directory.onDidLeave(left => {
-        if (left !== endpoint || timer !== undefined) {
+      const subscription = directory.onDidLeave(leavingEndpoint => {
+        if (leavingEndpoint !== endpoint || timer !== undefined) {
           return;
         }
-        timer = clock.after(GRACE_MS, () => {
+        timer = clock.after(MIGRATION_DELAY_MS, () => {
           if (hasBegun()) {
-            moving = move(endpoint, attemptId, choose);
+            migration = migrate(endpoint, attemptId, choose);
           }
         });
       });
       return {
-        isStopping: () => moving !== undefined,
-        continuation: () => moving ?? Promise.resolve(undefined),
+        isStopRequested: () => migration !== undefined,
+        continuation: () => migration ?? Promise.resolve(undefined),
         dispose() {
           subscription.dispose();
           timer?.dispose();
--- a/packages/gateway/src/test/suspicion.test.ts
+++ b/packages/gateway/src/test/crashGuard.test.ts
@@ -8,8 +8,8 @@
 } from '@skylarkfield/base';
 import {createCrashSuspects} from '@skylarkfield/routing';
 import type {RegisteredEndpoint} from '@skylarkfield/traffic';
-import type {AttemptEnd, AttemptLoss} from '../attempt.js';
-import {createSuspicion} from '../suspicion.js';
+import type {AttemptEnd, ConnectionLoss} from '../attempt.js';
+import {createCrashGuard} from '../crashGuard.js';
 
 const CALL = {fingerprint: () => 'f00d'};
 const FIRST = {continuation: undefined};
@@ -20,7 +20,7 @@
   body: Buffer.from(''),
 };
 
-function lost(loss: AttemptLoss): AttemptEnd {
+function lost(loss: ConnectionLoss): AttemptEnd {
   const error = new ServingError('interrupted', 'other side closed');
   return {type: 'failed', error, loss};
 }
@@ -40,14 +40,14 @@
         ? undefined
         : ({id, state: states[id]} as RegisteredEndpoint),
   };
-  const suspicion = createSuspicion({suspects, directory});
+  const suspicion = createCrashGuard({suspects, directory});
   return {
     clock,
     suspects,
     suspicion,
-    lose(endpoints: readonly string[], loss: AttemptLoss = 'closed') {
+    lose(endpoints: readonly string[], loss: ConnectionLoss = 'closed') {
       for (const endpoint of endpoints) {
-        suspicion.noteEnd(CALL, endpoint, lost(loss));
+        suspicion.noteAttemptEnd(CALL, endpoint, lost(loss));
         clock.advanceSync(2_000);
       }
     },
@@ -60,24 +60,24 @@
   it('rejects it once three endpoints have crashed under it', () => {
     const {suspicion, lose} = createWorld(READY);
     lose(['e1', 'e2']);
-    assert.equal(suspicion.judge(CALL, FIRST).type, 'suspected');
+    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'suspected');
     assert.ok(suspicion.isSuspected(CALL));
     lose(['e3']);
-    assert.equal(suspicion.judge(CALL, FIRST).type, 'quarantined');
+    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'quarantined');
     assert.ok(suspicion.isQuarantined(CALL));
   });
 
   it('ends with its whole answer', () => {
     const {suspicion, lose} = createWorld(READY);
     lose(['e1', 'e2', 'e3']);
-    suspicion.noteEnd(CALL, 'e4', SERVED);
-    assert.equal(suspicion.judge(CALL, FIRST).type, 'clear');
+    suspicion.noteAttemptEnd(CALL, 'e4', SERVED);
+    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'clear');
   });
 
   it('does not end with an answer by which an endpoint failed', () => {
     const {suspicion, lose} = createWorld(READY);
     lose(['e1', 'e2', 'e3']);
-    suspicion.noteEnd(CALL, 'e4', {...SERVED, status: 500});
+    suspicion.noteAttemptEnd(CALL, 'e4', {...SERVED, status: 500});
     assert.ok(suspicion.isQuarantined(CALL));
   });
 
@@ -86,21 +86,21 @@
     const {suspicion, lose} = createWorld({e1: 'draining'});
     lose(['e1']);
     lose(['e1'], 'silent');
-    assert.equal(suspicion.judge(CALL, FIRST).type, 'clear');
+    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'clear');
   });
 
   it('arises from endpoints that are gone before their connections close', () => {
     const {suspicion, suspects, lose} = createWorld({});
     suspects.noteGone('e1');
     lose(['e1']);
-    assert.equal(suspicion.judge(CALL, FIRST).type, 'suspected');
+    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'suspected');
   });
 
   it('does not break off a stream that is being moved', () => {
     const {suspicion, lose} = createWorld(READY);
     lose(['e1', 'e2', 'e3']);
     const continuation = {} as never;
-    assert.equal(suspicion.judge(CALL, {continuation}).type, 'clear');
+    assert.equal(suspicion.checkSend(CALL, {continuation}).type, 'clear');
   });
 
   it('allows a trial one send', () => {
@@ -109,7 +109,7 @@
       suspects.noteClosed({request: 'f00d', endpoint});
     }
     clock.advanceSync(10_000);
-    assert.equal(suspicion.judge(CALL, FIRST).type, 'trial');
-    assert.equal(suspicion.judge(CALL, FIRST).type, 'quarantined');
+    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'trial');
+    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'quarantined');
   });
 });
--- a/packages/gateway/src/test/crashMemory.test.ts
+++ b/packages/gateway/src/test/crashPersistence.test.ts
@@ -10,7 +10,7 @@
 } from '@skylarkfield/base';
 import {memoryPlatform, type ObjectStore} from '@skylarkfield/providers';
 import {createCrashSuspects, type CrashReport} from '@skylarkfield/routing';
-import {startCrashMemory} from '../crashMemory.js';
+import {startCrashPersistence} from '../crashPersistence.js';
 import {createMirror} from '../mirror.js';
 
 const KIND = 'endpoint-crashes';
@@ -27,7 +27,7 @@
     wallMs: () => clock.wall(),
   });
   const mirror = createMirror<CrashReport>({kind: 'crashes', clock, log});
-  const memory = startCrashMemory({
+  const memory = startCrashPersistence({
     mirror,
     suspects,
     store,
@@ -46,7 +46,7 @@
         ...object,
         revision: object.version,
       }));
-      mirror.takeListing({revision: version, items}, undefined);
+      mirror.applyListing({revision: version, items}, undefined);
     },
     async crash(...endpoints: string[]) {
       for (const endpoint of endpoints) {
--- a/packages/gateway/src/test/digests.test.ts
+++ b/packages/gateway/src/test/digests.test.ts
@@ -44,9 +44,9 @@
       ['first', 'own'],
       ['second', 'own'],
     ]),
-    precedence: undefined,
+    activeRelay: undefined,
     coordinators: [],
-    upstream: ['first', 'second'],
+    ownRelays: ['first', 'second'],
   };
   startDigests({
     network,
@@ -54,7 +54,7 @@
     self: {failureDomain: 'a', incarnation: 1},
     plan: () => plan,
     content: () => () => CONTENT,
-    onDidHear: () => {},
+    onDidReceive: () => {},
   });
   return {
     sent,
--- a/packages/gateway/src/test/engineMemory.test.ts
+++ b/packages/gateway/src/test/engineCapacityStore.test.ts
@@ -7,7 +7,7 @@
   type CapacitySums,
 } from '@skylarkfield/capacity';
 import {memoryPlatform, type ObjectStore} from '@skylarkfield/providers';
-import {createEngineMemory} from '../engineMemory.js';
+import {createEngineCapacityStore} from '../engineCapacityStore.js';
 
 const AIMS = [{goalMs: 800, timeoutMs: 10_000}];
 const TOKEN_MS = 0.04;
@@ -45,16 +45,16 @@
     const store = createStore();
     const clock = virtualClock();
     const log = silentLogger();
-    const before = createEngineMemory({store, clock, log});
-    const keeping = before.keep(learned);
+    const before = createEngineCapacityStore({store, clock, log});
+    const keeping = before.startPersisting(learned);
     clock.advanceSync(10_000);
     await settle();
     keeping.dispose();
     before.dispose();
 
-    const after = createEngineMemory({store, clock, log});
+    const after = createEngineCapacityStore({store, clock, log});
     await settle();
-    const figures = engineFigures(after.recalled()['chat'], AIMS);
+    const figures = engineFigures(after.restored()['chat'], AIMS);
     assert.ok(Math.abs(figures.usualTokenMs - TOKEN_MS) < TOKEN_MS * 0.2);
     assert.ok(figures.isSure);
   });
@@ -66,10 +66,10 @@
     const clock = virtualClock();
     const log = silentLogger();
     await store.put('engine-capacity', 'learned', learned(), {type: 'any'});
-    const memory = createEngineMemory({store, clock, log});
+    const memory = createEngineCapacityStore({store, clock, log});
     await settle();
     clock.advanceSync(120_000);
-    const figures = engineFigures(memory.recalled()['chat'], AIMS);
+    const figures = engineFigures(memory.restored()['chat'], AIMS);
     assert.ok(figures.prompts < 10, `${figures.prompts}`);
   });
 
@@ -78,12 +78,12 @@
     // over it would serve nobody.
     const store = createStore();
     await store.put('engine-capacity', 'learned', {chat: 7}, {type: 'any'});
-    const memory = createEngineMemory({
+    const memory = createEngineCapacityStore({
       store,
       clock: virtualClock(),
       log: silentLogger(),
     });
     await settle();
-    assert.deepEqual(memory.recalled(), {});
+    assert.deepEqual(memory.restored(), {});
   });
 });
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -7,7 +7,7 @@
   type EngineFigures,
 } from '@skylarkfield/capacity';
 import type {Choice} from '@skylarkfield/routing';
-import {noPlaceInTime} from '../attemptOutcome.js';
+import {waitTooLong} from '../attemptOutcome.js';
 import {createEngineObserver} from '../engineObserver.js';
 
 const known: EngineFigures = {
@@ -56,7 +56,7 @@
     // answer and then nothing.
     const wait = waitOf({tokensAhead: 100_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, true);
-    const refusal = noPlaceInTime('chat', wait);
+    const refusal = waitTooLong('chat', wait);
     assert.equal(refusal.run, 'not-run');
     assert.equal(refusal.retryAfterMs, 600);
   });
--- a/packages/gateway/src/test/eventFrames.test.ts
+++ b/packages/gateway/src/test/eventFramer.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createEventFrames} from '../eventFrames.js';
+import {createEventFramer} from '../eventFramer.js';
 
 const STREAM =
   'x-weight-versions: 3\nid: 1\ndata: one\n\nid: 2\ndata: two\n\n: note\n\nid:30\r\ndata: three\r\n\r\nid: 4\nda';
@@ -10,7 +10,7 @@
     it(`cuts a stream that comes in pieces of ${size} bytes into whole events`, () => {
       // An endpoint may stop in the middle of an event. Its half must not stand
       // before the first event of the endpoint that goes on.
-      const frames = createEventFrames();
+      const frames = createEventFramer();
       const bytes = Buffer.from(STREAM);
       const cut = [];
       for (let at = 0; at < bytes.length; at += size) {
@@ -21,8 +21,8 @@
         [1, 2, undefined, 30],
       );
       const whole = Buffer.concat(cut.map(frame => frame.bytes)).toString();
-      assert.equal(whole + frames.rest().toString(), STREAM);
-      assert.equal(frames.rest().toString(), 'id: 4\nda');
+      assert.equal(whole + frames.remainder().toString(), STREAM);
+      assert.equal(frames.remainder().toString(), 'id: 4\nda');
     });
   }
 });
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -17,7 +17,7 @@
 import type {EndpointDirectory} from '../endpointDirectory.js';
 import {createEngineObserver} from '../engineObserver.js';
 import {createForwarding, type ForwardingResult} from '../forwarding.js';
-import type {StreamMoves} from '../streamMove.js';
+import type {StreamMigrator} from '../streamMigration.js';
 import {createUpstreams} from '../upstream.js';
 import {
   answers,
@@ -62,23 +62,23 @@
   longestPauseMs: 0,
 };
 /** Moves no stream. */
-const noMoves: StreamMoves = {
+const noMoves: StreamMigrator = {
   watch: () => ({
-    isStopping: () => false,
+    isStopRequested: () => false,
     continuation: async () => undefined,
     dispose: () => {},
   }),
 };
 
 /** Moves the first attempt's stream to another endpoint. */
-function movesOnce(): StreamMoves {
+function movesOnce(): StreamMigrator {
   let isFirst = true;
   return {
     watch({choose}) {
       const isMoved = isFirst;
       isFirst = false;
       return {
-        isStopping: () => isMoved,
+        isStopRequested: () => isMoved,
         async continuation() {
           const choice = isMoved ? choose() : undefined;
           const memory = {source: '10.0.0.1:1', handle: 'h'};
@@ -112,7 +112,7 @@
 async function forwardTo(
   route: Route,
   behaviours: readonly Behaviour[],
-  moves: StreamMoves = noMoves,
+  moves: StreamMigrator = noMoves,
 ): Promise<Outcome> {
   const clock = systemClock();
   const log = silentLogger();
@@ -175,7 +175,7 @@
     directory: {get: id => registered.get(id)} as EndpointDirectory,
     admission,
     upstreams,
-    moves,
+    migrator: moves,
     engines: createEngineObserver({
       model: createEngineModel(clock),
       clock,
--- a/packages/gateway/src/test/lookup.test.ts
+++ b/packages/gateway/src/test/lookup.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import type {Member} from '@skylarkfield/members';
-import {entriesFor} from '../lookup.js';
+import {selectEntries} from '../lookup.js';
 
 function member(
   id: number,
@@ -37,7 +37,7 @@
 function shares(members: readonly Member[]): Map<string, number> {
   const share = new Map<string, number>();
   for (const caller of CALLERS) {
-    const addresses = entriesFor(members, 'a', caller);
+    const addresses = selectEntries(members, 'a', caller);
     for (const address of addresses) {
       const part = 1 / addresses.length / CALLERS.length;
       share.set(address, (share.get(address) ?? 0) + part);
@@ -49,11 +49,11 @@
 describe('lookup', () => {
   it('names the entries beside the caller, and farther ones only where there are too few', () => {
     const members = [member(1, 'a'), member(1, 'b', 1, 5), member(2, 'b', 1)];
-    assert.deepEqual(entriesFor(members, 'a', 'x'), [
+    assert.deepEqual(selectEntries(members, 'a', 'x'), [
       '10.0.97.1:8080',
       '10.0.98.2:8080',
     ]);
-    assert.deepEqual(entriesFor(members, 'c', 'x'), [
+    assert.deepEqual(selectEntries(members, 'c', 'x'), [
       '10.0.97.1:8080',
       '10.0.98.2:8080',
       '10.0.98.1:8080',
@@ -78,12 +78,12 @@
   // Guards against callers that close their connections at every new answer.
   it('gives a caller the same entries while they live', () => {
     const members = domain('a', 3, 27);
-    const first = entriesFor(members, 'a', '10.9.0.1');
-    assert.deepEqual(entriesFor(members, 'a', '10.9.0.1'), first);
+    const first = selectEntries(members, 'a', '10.9.0.1');
+    assert.deepEqual(selectEntries(members, 'a', '10.9.0.1'), first);
     const fewer = members.filter(
       ({callerUrl}) => new URL(callerUrl).host !== first[0],
     );
-    const next = entriesFor(fewer, 'a', '10.9.0.1');
+    const next = selectEntries(fewer, 'a', '10.9.0.1');
     assert.equal(next.filter(address => first.includes(address)).length, 7);
   });
 
--- a/packages/gateway/src/test/mirror.test.ts
+++ b/packages/gateway/src/test/mirror.test.ts
@@ -20,12 +20,12 @@
     const {clock, make} = setUp();
     const reader = make();
     const listener = make();
-    reader.takeListing(
+    reader.applyListing(
       {revision: 5, items: [item('a', 2), item('b', 5)]},
       timestampOf(clock),
     );
-    listener.takeCopy(reader.copy());
-    const step = reader.takeChanges(
+    listener.applyCopy(reader.copy());
+    const step = reader.applyChanges(
       {
         revision: 9,
         changes: [
@@ -35,7 +35,7 @@
       },
       timestampOf(clock),
     );
-    assert.ok(step !== undefined && listener.takeStep(step));
+    assert.ok(step !== undefined && listener.applyStep(step));
     assert.deepEqual(listener.items(), reader.items());
     assert.equal(listener.get('a'), undefined);
     assert.equal(listener.get('c'), 'c');
@@ -46,8 +46,8 @@
     // an endpoint in use that the lost one told to be leaving.
     const {clock, make} = setUp();
     const mirror = make();
-    mirror.takeListing({revision: 5, items: []}, timestampOf(clock));
-    assert.ok(!mirror.takeStep({from: 7, to: 9, changes: []}));
+    mirror.applyListing({revision: 5, items: []}, timestampOf(clock));
+    assert.ok(!mirror.applyStep({from: 7, to: 9, changes: []}));
     assert.equal(mirror.revision(), 5);
   });
 
@@ -55,24 +55,24 @@
   it('does not take a listing that may be old for the newest', () => {
     const {clock, make} = setUp();
     const mirror = make();
-    mirror.takeListing({revision: 5, items: [item('a', 2)]}, undefined);
+    mirror.applyListing({revision: 5, items: [item('a', 2)]}, undefined);
     assert.ok(mirror.isKnown());
     assert.equal(mirror.get('a'), 'a');
     assert.equal(mirror.ageMs(), Infinity);
-    mirror.takeChanges({revision: 6, changes: []}, timestampOf(clock));
+    mirror.applyChanges({revision: 6, changes: []}, timestampOf(clock));
     assert.equal(mirror.ageMs(), 0);
   });
 
   it('never goes back to an older object or an older copy', () => {
     const {clock, make} = setUp();
     const mirror = make();
-    mirror.takeListing(
+    mirror.applyListing(
       {revision: 9, items: [item('a', 9, 'new')]},
       timestampOf(clock),
     );
-    mirror.takeStep({from: 3, to: 10, changes: [item('a', 4, 'old')]});
-    mirror.takeCopy({revision: 6, changedAt: 6, items: [item('a', 6, 'old')]});
-    mirror.takeStep({from: 3, to: 11, changes: [{name: 'a', revision: 8}]});
+    mirror.applyStep({from: 3, to: 10, changes: [item('a', 4, 'old')]});
+    mirror.applyCopy({revision: 6, changedAt: 6, items: [item('a', 6, 'old')]});
+    mirror.applyStep({from: 3, to: 11, changes: [{name: 'a', revision: 8}]});
     assert.equal(mirror.get('a'), 'new');
   });
 
@@ -81,18 +81,18 @@
     // tells.
     const {clock, make} = setUp();
     const mirror = make();
-    mirror.takeListing(
+    mirror.applyListing(
       {revision: 5, items: [item('a', 2)]},
       timestampOf(clock),
     );
-    mirror.takeListing({revision: 8, items: []}, timestampOf(clock));
+    mirror.applyListing({revision: 8, items: []}, timestampOf(clock));
     assert.equal(mirror.get('a'), undefined);
   });
 
   it('is confirmed by a peer only when it has all that the peer has', () => {
     const {clock, make} = setUp();
     const mirror = make();
-    mirror.takeListing({revision: 5, items: []}, timestampOf(clock));
+    mirror.applyListing({revision: 5, items: []}, timestampOf(clock));
     clock.advanceSync(4_000);
     const syncStatus = {confirmedAgoMs: 100, isReader: true};
     const now = timestampOf(clock);
--- a/packages/gateway/src/test/mirrorReader.test.ts
+++ b/packages/gateway/src/test/mirrorReader.test.ts
@@ -39,7 +39,7 @@
     random: seededRandom(1),
     log,
     timing: TIMING,
-    isTurn: () => isTurn,
+    shouldRead: () => isTurn,
     onDidStep: () => {},
   });
   return {
--- a/packages/gateway/src/test/fleetShare.test.ts
+++ b/packages/gateway/src/test/peerVisibility.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {virtualClock} from '@skylarkfield/base';
-import {createFleetShare} from '../fleetShare.js';
+import {createPeerVisibility} from '../peerVisibility.js';
 
 /** An entry that has just started, with what the platform and peers tell it. */
 function setUp() {
@@ -11,10 +11,10 @@
     heard: 0,
   };
   let known: readonly [number, number] | undefined;
-  const share = createFleetShare({
+  const share = createPeerVisibility({
     clock,
     membership: {entryCount: () => told.entryCount},
-    reports: {entriesHeard: () => told.heard},
+    reports: {visiblePeers: () => told.heard},
     onDidRefresh: (heardFraction, entryCount) => {
       known = [heardFraction, entryCount];
     },
--- a/packages/gateway/src/test/quotaCut.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {virtualClock} from '@skylarkfield/base';
 import {createQuotas, NO_WORK, type KeyedCustomer} from '@skylarkfield/traffic';
-import {createFleetShare} from '../fleetShare.js';
+import {createPeerVisibility} from '../peerVisibility.js';
 import {createPeerReports, OVERDUE_MS} from '../peerReports.js';
 
 const ENTRIES = 9;
@@ -42,7 +42,7 @@
       silenceMs: 1_200,
       quotaWindowMs: WINDOW_MS,
     });
-    const share = createFleetShare({
+    const share = createPeerVisibility({
       clock,
       membership: {entryCount: () => ENTRIES},
       reports,
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -6,7 +6,7 @@
 import {createQuotas, NO_WORK} from '@skylarkfield/traffic';
 import {createPeerReports, type PeerReports} from '../peerReports.js';
 import {
-  FLAT_ENTRIES,
+  MAX_FULL_MESH_ENTRIES,
   planRelays,
   type DigestScope,
   type RelayNode,
@@ -86,7 +86,7 @@
         rollouts: syncStatus,
       },
       usage: {},
-      ...reports.sumFor(scope, receiver, {
+      ...reports.aggregateFor(scope, receiver, {
         entries: 1,
         used: {chain: used},
         loads: {
@@ -107,7 +107,7 @@
       }
       const plan = planRelays(entry.node, nodes);
       const isSpare =
-        plan.precedence !== undefined && !silent.has(plan.precedence);
+        plan.activeRelay !== undefined && !silent.has(plan.activeRelay);
       for (const [to, scope] of plan.targets) {
         if (silent.has(to) || (isSpare && scope !== 'own')) {
           continue;
@@ -126,9 +126,9 @@
     }
     const taken = receiver.reports.take(from.node.id, digest);
     if (taken !== undefined) {
-      const heard = receiver.heardUsed.get(taken.part) ?? 0;
+      const heard = receiver.heardUsed.get(taken.source) ?? 0;
       receiver.heardUsed.set(
-        taken.part,
+        taken.source,
         heard + (taken.increase['chain'] ?? 0),
       );
     }
@@ -166,7 +166,7 @@
     work: {},
     outcomes: {},
   };
-  const sum = reports.sumFor('rest', id, nothing);
+  const sum = reports.aggregateFor('rest', id, nothing);
   return sum.loads['shared']?.requests ?? 0;
 }
 
@@ -176,11 +176,11 @@
 
 describe('relays', () => {
   it('lets everyone tell everyone up to a bound', () => {
-    const nodes = fleetOf(FLAT_ENTRIES);
+    const nodes = fleetOf(MAX_FULL_MESH_ENTRIES);
     for (const plan of plans(nodes).values()) {
-      assert.equal(plan.targets.size, FLAT_ENTRIES - 1);
-      assert.equal(plan.coordinators.length, FLAT_ENTRIES);
-      assert.deepEqual(plan.upstream, []);
+      assert.equal(plan.targets.size, MAX_FULL_MESH_ENTRIES - 1);
+      assert.equal(plan.coordinators.length, MAX_FULL_MESH_ENTRIES);
+      assert.deepEqual(plan.ownRelays, []);
     }
   });
 
@@ -212,8 +212,8 @@
     fleet.entries.forEach(entry => (entry.used += 10));
     fleet.rounds(5);
     for (const [id, entry] of fleet.entries) {
-      const {coordinators, upstream} = planRelays(entry.node, nodes);
-      assert.equal(entry.reports.entriesHeard(), 76, id);
+      const {coordinators, ownRelays: upstream} = planRelays(entry.node, nodes);
+      assert.equal(entry.reports.visiblePeers(), 76, id);
       assert.equal(entry.reports.workOf('chat').ownTokens, 76 * 5, id);
       assert.equal(heardOf(entry), 76 * 10, id);
       if (upstream.length === 0) {
@@ -232,9 +232,9 @@
     const fleet = createFleet(nodes);
     fleet.rounds(5);
     const leaf = nodes.find(
-      node => planRelays(node, nodes).upstream.length > 0,
+      node => planRelays(node, nodes).ownRelays.length > 0,
     )!;
-    const [first = ''] = planRelays(leaf, nodes).upstream;
+    const [first = ''] = planRelays(leaf, nodes).ownRelays;
     fleet.entries.forEach(entry => (entry.used += 10));
     fleet.rounds(5);
     fleet.silent.add(first);
@@ -243,7 +243,7 @@
     fleet.rounds(5);
     const heard = heardOf(fleet.entries.get(leaf.id)!);
     assert.equal(heard, 39 * 10 + 38);
-    assert.equal(fleet.entries.get(leaf.id)!.reports.entriesHeard(), 38);
+    assert.equal(fleet.entries.get(leaf.id)!.reports.visiblePeers(), 38);
   });
 
   it('charges a customer at this entry for what it uses at another', () => {
@@ -316,7 +316,11 @@
       isLive: node.failureDomain !== 'a' || node.id === 'entry-0',
     }));
     const leaving = nodes.find(node => !node.isLive)!;
-    const {targets, upstream, coordinators} = planRelays(leaving, nodes);
+    const {
+      targets,
+      ownRelays: upstream,
+      coordinators,
+    } = planRelays(leaving, nodes);
     assert.deepEqual(upstream, ['entry-0']);
     assert.deepEqual([...targets], [['entry-0', 'own']]);
     assert.ok(!coordinators.includes(leaving.id));
@@ -329,7 +333,7 @@
       cores: index < 12 ? 1.35 : 0.324,
     }));
     const relays = nodes.filter(
-      node => planRelays(node, nodes).upstream.length === 0,
+      node => planRelays(node, nodes).ownRelays.length === 0,
     );
     assert.equal(relays.length, 2 * DOMAINS.length);
     assert.ok(relays.every(({cores}) => cores === 1.35));
--- a/packages/gateway/src/test/rolloutMoves.test.ts
+++ b/packages/gateway/src/test/rolloutMoves.test.ts
@@ -27,7 +27,7 @@
       stateTarget: undefined,
       ...change,
     };
-    mirror.takeListing(
+    mirror.applyListing(
       {revision, items: [{name: 'chat', revision, value}]},
       {monotonicMs: clock.now(), wallMs: clock.wall()},
     );
@@ -78,12 +78,12 @@
     const finished = [stateOf('finished')];
     clock.advanceSync(PERIOD_MS / 2);
     assert.deepEqual(
-      moves.wordsDue(finished).map(({state}) => state),
+      moves.pendingUpdates(finished).map(({state}) => state),
       ['running'],
     );
     clock.advanceSync(PERIOD_MS / 2 - 500);
     assert.deepEqual(
-      moves.wordsDue(finished).map(({state}) => state),
+      moves.pendingUpdates(finished).map(({state}) => state),
       ['done'],
     );
   });
@@ -92,11 +92,11 @@
     const {moves, order} = setUp();
     order();
     const states = [stateOf('taken-back')];
-    assert.deepEqual(moves.wordsDue(states), [
+    assert.deepEqual(moves.pendingUpdates(states), [
       {name: 'chat', target: 'v2', state: 'rolled-back'},
     ]);
     order({state: 'rolled-back', stateTarget: 'v2'});
-    assert.deepEqual(moves.wordsDue(states), []);
+    assert.deepEqual(moves.pendingUpdates(states), []);
   });
 
   it('counts the time from the start that an earlier process has noted', () => {
--- a/packages/gateway/src/test/stepMeter.test.ts
+++ b/packages/gateway/src/test/stepMeter.test.ts
@@ -14,8 +14,8 @@
       steps.noteEvent();
       clock.advanceSync(index % 2 === 0 ? 15 : 70);
     }
-    assert.equal(steps.eventMs(), 15);
-    assert.equal(steps.events(), 20);
+    assert.equal(steps.eventIntervalMs(), 15);
+    assert.equal(steps.eventCount(), 20);
   });
 
   it('divides a gap among events that were read together', () => {
@@ -28,12 +28,12 @@
       steps.noteEvent();
       clock.advanceSync(30);
     }
-    assert.ok(steps.eventMs()! >= 10, `${steps.eventMs()}`);
+    assert.ok(steps.eventIntervalMs()! >= 10, `${steps.eventIntervalMs()}`);
   });
 
   it('knows nothing before the second event', () => {
     const steps = createStepMeter(virtualClock());
     steps.noteEvent();
-    assert.equal(steps.eventMs(), undefined);
+    assert.equal(steps.eventIntervalMs(), undefined);
   });
 });
--- a/packages/gateway/src/trafficPart.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -20,40 +20,46 @@
   type UsageWindows,
   type WindowCounts,
 } from '@skylarkfield/traffic';
-import {createAdmissionFeed} from './admissionFeed.js';
-import type {AgreementPart} from './agreementPart.js';
-import {createCallerFront, type CallerFront} from './callerFront.js';
+import {createAdmissionConfigurator} from './admissionConfigurator.js';
+import type {Coordination} from './coordination.js';
+import {createCallerHandler, type CallerHandler} from './callerHandler.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
 import type {CallHead} from './contracts.js';
-import {crashReportsOf, startCrashMemory} from './crashMemory.js';
-import {SILENCE_MS, startDigests, type Digests} from './digests.js';
+import {crashReportSource, startCrashPersistence} from './crashPersistence.js';
+import {PEER_TIMEOUT_MS, startDigests, type Digests} from './digests.js';
 import {
   createEndpointDirectory,
   type EndpointDirectory,
 } from './endpointDirectory.js';
-import {createEngineMemory, type EngineMemory} from './engineMemory.js';
+import {
+  createEngineCapacityStore,
+  type EngineCapacityStore,
+} from './engineCapacityStore.js';
 import {createEngineObserver} from './engineObserver.js';
 import {createEnginesView, type EnginesView} from './enginesView.js';
-import {createFleetShare} from './fleetShare.js';
+import {createPeerVisibility} from './peerVisibility.js';
 import {createForwarding} from './forwarding.js';
 import {createPeerReports, OVERDUE_MS} from './peerReports.js';
 import {createPlatformView} from './platformView.js';
-import {createPolicyInForce, type PolicyInForce} from './policyInForce.js';
+import {createActivePolicy, type ActivePolicy} from './activePolicy.js';
 import type {DigestScope} from './relayPlan.js';
-import {createStreamMoves} from './streamMove.js';
-import {createRolloutPart, type RolloutPart} from './rolloutPart.js';
+import {createStreamMigrator} from './streamMigration.js';
+import {
+  createRolloutController,
+  type RolloutController,
+} from './rolloutController.js';
 import {sampleOf} from './rolloutSample.js';
 import {createUpstreams} from './upstream.js';
 
-export interface TrafficPart extends Disposable {
-  readonly policy: PolicyInForce;
-  readonly front: CallerFront;
+export interface TrafficPipeline extends Disposable {
+  readonly policy: ActivePolicy;
+  readonly handler: CallerHandler;
   readonly directory: EndpointDirectory;
   readonly usage: UsageWindows;
   readonly digests: Digests;
-  readonly rollouts: RolloutPart;
+  readonly rollouts: RolloutController;
   readonly engines: EnginesView;
-  readonly memory: EngineMemory;
+  readonly engineStore: EngineCapacityStore;
 }
 
 /** Time before the key's last moment at which requests with it are refused: a request may wait that long before it runs. */
@@ -65,58 +71,58 @@
  * @example
  * const traffic = createTrafficPart(context, agreement);
  */
-export function createTrafficPart(
+export function createTrafficPipeline(
   context: GatewayContext,
-  agreement: AgreementPart,
-): TrafficPart {
+  coordination: Coordination,
+): TrafficPipeline {
   const {settings, platform, clock, random, log, decisions, life} = context;
-  const {network, membership} = agreement;
+  const {network, membership} = coordination;
   const owned = disposableStore();
   const view = owned.add(
     createPlatformView({
       platform,
-      crashReports: crashReportsOf(platform),
+      crashReports: crashReportSource(platform),
       network,
       self: settings.id,
-      plan: agreement.plan,
+      plan: coordination.plan,
       clock,
       random,
       log,
     }),
   );
-  const policy = createPolicyInForce({
+  const policy = createActivePolicy({
     mirror: view.policy,
     clock,
     log,
-    keyLifeMs: settings.keyRevocationMs - KEY_MARGIN_MS,
+    maxPolicyAgeMs: settings.keyRevocationMs - KEY_MARGIN_MS,
   });
-  const declared = (name: string): DeclaredService | undefined =>
+  const findService = (name: string): DeclaredService | undefined =>
     policy.services().find(service => service.name === name);
   const isModel = (service: string): boolean =>
-    declared(service)?.engine !== undefined;
+    findService(service)?.engine !== undefined;
   const fits = (service: string, demand: ModelDemand): boolean =>
-    fitsMemory(demand, declared(service)?.engine);
+    fitsMemory(demand, findService(service)?.engine);
   const quotaWindowMs = settings.quotaWindowSeconds * MS_PER_SECOND;
   const reports = createPeerReports({
     clock,
     failureDomain: settings.failureDomain,
-    silenceMs: SILENCE_MS,
+    silenceMs: PEER_TIMEOUT_MS,
     quotaWindowMs,
   });
-  const memory = owned.add(
-    createEngineMemory({store: agreement.store, clock, log}),
+  const engineStore = owned.add(
+    createEngineCapacityStore({store: coordination.store, clock, log}),
   );
   const engines = createEnginesView({
     clock,
     reports,
     log,
-    recalled: memory.recalled,
+    recalled: engineStore.restored,
     isModel,
     aims: policy.routesTo,
   });
   const {work} = engines;
   const tokensPerEvent = (service: string): number =>
-    declared(service)?.engine?.tokensPerEvent ?? 1;
+    findService(service)?.engine?.tokensPerEvent ?? 1;
   const upstreams = owned.add(createUpstreams());
   const limits = createRequestLimits({clock, self: settings.id, decisions});
   const router = createRouter({
@@ -145,10 +151,10 @@
   });
   directory.onDidVanish(suspects.noteGone);
   owned.add(
-    startCrashMemory({
+    startCrashPersistence({
       mirror: view.crashes,
       suspects,
-      store: agreement.store,
+      store: coordination.store,
       self: settings.id,
       clock,
       random,
@@ -162,7 +168,11 @@
     decisions,
     limitPolicy: 'fixed',
   });
-  const feed = createAdmissionFeed({admission, directory, policy});
+  const admissionConfigurator = createAdmissionConfigurator({
+    admission,
+    directory,
+    policy,
+  });
   view.endpoints.onDidChange(refreshEndpoints);
   view.rollouts.onDidChange(refreshEndpoints);
 
@@ -172,12 +182,12 @@
     self: `${settings.id}.${context.incarnation}`,
     lateMs: settings.usageLateSeconds * MS_PER_SECOND,
   });
-  const share = createFleetShare({
+  const visibility = createPeerVisibility({
     clock,
     membership,
     reports,
-    onDidRefresh(heardFraction, entryCount) {
-      quotas.setHeard(heardFraction, entryCount, OVERDUE_MS);
+    onDidRefresh(visibleFraction, entryCount) {
+      quotas.setHeard(visibleFraction, entryCount, OVERDUE_MS);
     },
   });
   /** Only who reports usage needs the others' counts, and that is a relay. */
@@ -194,9 +204,9 @@
         failureDomain: settings.failureDomain,
         incarnation: context.incarnation,
       },
-      plan: agreement.plan,
+      plan: coordination.plan,
       content() {
-        share.refresh();
+        visibility.refresh();
         admission.setEntryCount(membership.live().length);
         const mirrors = view.syncStatuses();
         const own = {
@@ -207,25 +217,25 @@
           crashes: suspects.recent(),
           work: work.rates(),
           outcomes: engines.outcomes.sums(),
-          capacity: engines.news(),
+          capacity: engines.unpublishedCapacity(),
         };
         return (scope, receiver) => ({
           mirrors,
           usage: usageFor[scope](),
-          ...reports.sumFor(scope, receiver, own),
+          ...reports.aggregateFor(scope, receiver, own),
         });
       },
-      onDidHear(peer, digest, timestamp) {
+      onDidReceive(peer, digest, timestamp) {
         limits.report(digest.limits ?? {});
         if (digest.crashes !== undefined) {
           suspects.hear(digest.crashes);
         }
         view.noteSyncStatuses(peer, digest.mirrors, timestamp);
         noteUsage(peer, digest);
-        const taken = reports.take(peer, digest);
-        if (taken !== undefined) {
-          quotas.noteIncrease(taken.increase);
-          router.reportEntry(taken.part, digest.loads);
+        const accepted = reports.take(peer, digest);
+        if (accepted !== undefined) {
+          quotas.noteIncrease(accepted.increase);
+          router.reportEntry(accepted.source, digest.loads);
         }
       },
     }),
@@ -235,33 +245,33 @@
     const {scope = 'own', incarnation, failureDomain, usage: counts} = digest;
     const isOwn = scope === 'own';
     const source = isOwn ? `${peer}.${incarnation}` : `all of ${failureDomain}`;
-    const isNear = isOwn && failureDomain === settings.failureDomain;
-    usage.noteCounts(source, counts, isNear);
+    const isLocal = isOwn && failureDomain === settings.failureDomain;
+    usage.noteCounts(source, counts, isLocal);
   }
 
-  function shareEntries(): void {
+  function updateEntries(): void {
     const ids = membership.live().map(({id}) => id);
     limits.setEntries(ids);
     suspects.setEntries(ids);
   }
 
-  owned.add(membership.onDidChange(shareEntries));
-  shareEntries();
+  owned.add(membership.onDidChange(updateEntries));
+  updateEntries();
 
   function refreshEndpoints(): void {
     directory.refresh();
     limits.keepOnly(new Set(router.held().map(({id}) => id)));
-    feed.update();
+    admissionConfigurator.update();
   }
 
   const rollouts = owned.add(
-    createRolloutPart(context, {
+    createRolloutController(context, {
       rollouts: view.rollouts,
       directory,
       network,
-      store: agreement.store,
-      duties: agreement.duties,
-      plan: agreement.plan,
+      store: coordination.store,
+      duties: coordination.duties,
+      plan: coordination.plan,
       others: () =>
         membership
           .members()
@@ -277,7 +287,7 @@
     directory,
     admission,
     upstreams,
-    moves: createStreamMoves({
+    migrator: createStreamMigrator({
       directory,
       engines: platform.engines,
       clock,
@@ -301,11 +311,11 @@
       }
     },
   });
-  const front = createCallerFront({
+  const handler = createCallerHandler({
     policy,
     quotas,
     suspects,
-    share,
+    visibility,
     admission,
     forwarding,
     format: platform.calls,
@@ -350,13 +360,13 @@
   context.dumps.add('upstreams', () => upstreams.dump());
   return {
     policy,
-    front,
+    handler,
     directory,
     usage,
     digests,
     rollouts,
     engines,
-    memory,
+    engineStore,
     dispose: () => owned.dispose(),
   };
 }
--- a/packages/gateway/src/upstream.ts
+++ b/packages/gateway/src/upstream.ts
@@ -18,7 +18,7 @@
   onDidRespond(status: number, headers: ReplyHeaders): void;
   onDidReceive(chunk: Buffer): void;
   /** `isProven` is false for an answer that shows its end by the end of its connection alone. */
-  onDidEnd(isProven: boolean): void;
+  onDidEnd(isDelimited: boolean): void;
   /** `endpoint-unavailable` when no byte was sent (not run), else `interrupted` (may have run). */
   onDidFail(error: ServingError): void;
 }
@@ -47,13 +47,13 @@
 const CONNECT_TIMEOUT_MS = 1_000;
 
 /** An idle connection without a word from the endpoint on how long it keeps it, is dropped after this. */
-const IDLE_MS = 4_000;
+const IDLE_TIMEOUT_MS = 4_000;
 
 /** Dropped this much before the endpoint would, so that a request does not cross its close. */
 const IDLE_MARGIN_MS = 1_000;
 
 /** Connections of this entry to one endpoint; well below an endpoint's bound over the entries that share it. */
-const MOST_CONNECTIONS = 48;
+const MAX_CONNECTIONS = 48;
 
 /**
  * How a connection is ending at this very moment.
@@ -65,21 +65,23 @@
  */
 type ConnectionEnd = 'none' | 'closed' | 'failed';
 
-interface EndWatch {
-  now: ConnectionEnd;
+interface ConnectionEndState {
+  current: ConnectionEnd;
 }
 
-function watchedConnector(watch: EndWatch): buildConnector.connector {
+function createConnector(
+  endState: ConnectionEndState,
+): buildConnector.connector {
   const connect = buildConnector({timeout: CONNECT_TIMEOUT_MS});
-  function during(end: ConnectionEnd): void {
-    watch.now = end;
-    queueMicrotask(() => (watch.now = 'none'));
+  function setEnd(end: ConnectionEnd): void {
+    endState.current = end;
+    queueMicrotask(() => (endState.current = 'none'));
   }
   return (options, callback) =>
     connect(options, (...outcome) => {
       const [, socket] = outcome;
-      socket?.on('end', () => during(isReset(socket) ? 'failed' : 'closed'));
-      socket?.on('error', () => during('failed'));
+      socket?.on('end', () => setEnd(isReset(socket) ? 'failed' : 'closed'));
+      socket?.on('error', () => setEnd('failed'));
       callback(...outcome);
     });
 }
@@ -113,18 +115,18 @@
  */
 export function createUpstreams(): Upstreams {
   const pools = new Map<string, Pool>();
-  const endWatch: EndWatch = {now: 'none'};
+  const endState: ConnectionEndState = {current: 'none'};
 
   function poolOf(address: string): Pool {
-    const known = pools.get(address);
-    if (known !== undefined) {
-      return known;
+    const existing = pools.get(address);
+    if (existing !== undefined) {
+      return existing;
     }
     const pool = new Pool(`http://${address}`, {
-      connections: MOST_CONNECTIONS,
+      connections: MAX_CONNECTIONS,
       pipelining: 1,
-      connect: watchedConnector(endWatch),
-      keepAliveTimeout: IDLE_MS,
+      connect: createConnector(endState),
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       headersTimeout: 0,
       bodyTimeout: 0,
@@ -135,7 +137,7 @@
 
   return {
     send: (address, request, listener) =>
-      dispatch(poolOf(address), endWatch, request, listener),
+      dispatch(poolOf(address), endState, request, listener),
     keepOnly(addresses) {
       for (const [address, pool] of pools) {
         if (!addresses.has(address)) {
@@ -167,19 +169,19 @@
 
 function dispatch(
   pool: Pool,
-  endWatch: EndWatch,
+  endState: ConnectionEndState,
   request: UpstreamRequest,
   listener: UpstreamListener,
 ): UpstreamExchange {
   let controller: Dispatcher.DispatchController | undefined;
-  let isOver = false;
+  let isSettled = false;
   let framing: Framing = 'length';
 
   function fail(error: Error): void {
-    if (isOver) {
+    if (isSettled) {
       return;
     }
-    isOver = true;
+    isSettled = true;
     listener.onDidFail(
       controller === undefined
         ? new ServingError('endpoint-unavailable', error.message, {
@@ -200,28 +202,28 @@
       // From here on bytes may have left this process.
       onRequestStart(started) {
         controller = started;
-        if (isOver) {
+        if (isSettled) {
           started.abort(new Error('given up'));
         }
       },
       onResponseStart(_, status, headers) {
-        if (!isOver) {
+        if (!isSettled) {
           framing = framingOf(headers as ReplyHeaders);
           listener.onDidRespond(status, headers as ReplyHeaders);
         }
       },
       onResponseData(_, chunk) {
-        if (!isOver) {
+        if (!isSettled) {
           listener.onDidReceive(chunk);
         }
       },
       onResponseEnd() {
-        if (!isComplete[framing](endWatch.now)) {
+        if (!isComplete[framing](endState.current)) {
           fail(new Error('the connection ended in the middle of the answer'));
           return;
         }
-        if (!isOver) {
-          isOver = true;
+        if (!isSettled) {
+          isSettled = true;
           listener.onDidEnd(framing !== 'close');
         }
       },
@@ -230,7 +232,7 @@
   );
   return {
     abort() {
-      isOver = true;
+      isSettled = true;
       controller?.abort(new Error('given up'));
     },
     pause: () => controller?.pause(),
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -19,22 +19,22 @@
 import type {PlatformOrders} from './contracts.js';
 
 /** Kind of the objects that hold what is reported, named by window. */
-const KIND = 'usage-report';
+const OBJECT_KIND = 'usage-report';
 
 /** How often the holder looks for a window that is due, in milliseconds. */
-const CHECK_MS = 500;
+const CHECK_INTERVAL_MS = 500;
 
 /** Time after a window's end for the other entries' last counts to arrive: three digests and a margin. */
-const SETTLE_MS = 1_500;
+const REPORT_DELAY_MS = 1_500;
 
 /**
  * Windows kept in the store beyond those that a successor may still report: one
  * for the window that has begun, and two for clocks that differ.
  */
-const SPARE_REPORTS = 3;
+const EXTRA_RETAINED_REPORTS = 3;
 
 /** Time for one call, in milliseconds. */
-const CALL_MS = 1_500;
+const CALL_TIMEOUT_MS = 1_500;
 
 export interface UsageDutyOptions {
   readonly tenure: Tenure;
@@ -58,15 +58,16 @@
  */
 export function startUsageDuty(options: UsageDutyOptions): Disposable {
   const {tenure, store, orders, usage, clock, log} = options;
-  const oldest = usage.windowAt(options.commonWallMs() - options.lateMs);
-  const keptReports = usage.windowAt(options.lateMs) + SPARE_REPORTS;
+  const firstWindow = usage.windowAt(options.commonWallMs() - options.lateMs);
+  const retainedReports =
+    usage.windowAt(options.lateMs) + EXTRA_RETAINED_REPORTS;
   const reported = new Set<number>();
   let isBusy = false;
 
   function dueWindow(): number | undefined {
-    const newest = usage.windowAt(options.commonWallMs() - SETTLE_MS) - 1;
+    const newest = usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
     const first = Math.max(
-      oldest,
+      firstWindow,
       usage.windowAt(options.commonWallMs() - options.lateMs) - 1,
     );
     for (let window = first; window <= newest; window++) {
@@ -78,28 +79,31 @@
   }
 
   /** What is to be said of a window: what a predecessor wrote, or else our counts. */
-  async function written(window: number): Promise<CustomerCounts> {
+  async function persistedCounts(window: number): Promise<CustomerCounts> {
     const counts = usage.total(window);
     try {
       await store.put(
-        KIND,
+        OBJECT_KIND,
         String(window),
         counts,
         {type: 'absent'},
-        AbortSignal.timeout(CALL_MS),
+        AbortSignal.timeout(CALL_TIMEOUT_MS),
       );
       return counts;
     } catch (error) {
       if (!isServingError(error, 'version-conflict')) {
         throw error;
       }
-      const found = await store.get<CustomerCounts>(KIND, String(window));
+      const found = await store.get<CustomerCounts>(
+        OBJECT_KIND,
+        String(window),
+      );
       return found?.value ?? counts;
     }
   }
 
   async function report(window: number): Promise<void> {
-    const counts = await written(window);
+    const counts = await persistedCounts(window);
     if (!tenure.isValid()) {
       return;
     }
@@ -108,7 +112,7 @@
       authority,
       window,
       counts,
-      AbortSignal.any([tenure.signal, AbortSignal.timeout(CALL_MS)]),
+      AbortSignal.any([tenure.signal, AbortSignal.timeout(CALL_TIMEOUT_MS)]),
     );
     log.info(
       {window, counts, answer, fencing: tenure.fencing},
@@ -118,13 +122,13 @@
       return;
     }
     reported.add(window);
-    const past = window - keptReports;
-    if (reported.delete(past)) {
+    const expiredWindow = window - retainedReports;
+    if (reported.delete(expiredWindow)) {
       await store.remove(
-        KIND,
-        String(past),
+        OBJECT_KIND,
+        String(expiredWindow),
         {type: 'any'},
-        AbortSignal.timeout(CALL_MS),
+        AbortSignal.timeout(CALL_TIMEOUT_MS),
       );
     }
   }
@@ -145,5 +149,5 @@
     }
   }
 
-  return every(clock, CHECK_MS, () => void check());
+  return every(clock, CHECK_INTERVAL_MS, () => void check());
 }
