--- a/packages/gateway/src/activePolicy.ts
+++ b/packages/gateway/src/activePolicy.ts
@@ -1,4 +1,6 @@
-/** The traffic policy by which this entry serves, with its keys and routes looked up. */
+/**
+ * The traffic policy that this entry applies, with indexes for keys and routes.
+ */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
 import {
   createCustomerTable,
@@ -13,27 +15,27 @@
 import type {Mirror} from './mirror.js';
 
 export interface ActivePolicy {
-  /** False until a policy is known. */
+  /** False until the first policy has arrived. */
   isKnown(): boolean;
   version(): number;
-  /** Milliseconds since the policy was known to be the newest. */
+  /** Milliseconds since the policy was last confirmed up to date. */
   ageMs(): number;
   limits(): CallerLimits;
   services(): readonly DeclaredService[];
-  /** All routes whose requests may go to a service. */
+  /** All routes that may send requests to a service. */
   routesTo(service: string): readonly Route[];
   routeOf(authority: string, path: string): Route | undefined;
   /**
-   * The customer who holds the request's key; undefined on a public route.
-   * Throws `unauthenticated`, or `not-ready` when nothing shows that the key
-   * still counts.
+   * Returns the customer that holds the request's key; undefined on a public
+   * route. Throws `unauthenticated`, or `not-ready` if the policy is too old to
+   * trust the key.
    */
   customerOf(route: Route, head: CallHead): KeyedCustomer | undefined;
-  /** Fires with each policy that takes the place of an older one. */
+  /** Fires after a policy has replaced an older one. */
   onDidChange(listener: () => void): void;
 }
 
-/** Used before the first policy is known. */
+/** Limits before the first policy has arrived. */
 const INITIAL_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
@@ -41,24 +43,25 @@
   idleMs: 15_000,
 };
 
-/** When a caller may come back while the policy's age is too high, in milliseconds. */
+/** Retry-After while the policy is too old, in milliseconds. */
 const STALE_POLICY_RETRY_MS = 300;
 
 /**
- * Makes the policy in force over the mirrored documents.
+ * Creates the active policy over the mirrored documents.
  *
- * Among several documents the one with the highest version counts, and a lower
- * version never replaces a higher one in the life of a process: a caller would
- * see a route or key come back that an operator has removed.
+ * The document with the highest version applies, and a process never returns to
+ * a lower version: callers would see routes or keys reappear that an operator
+ * has removed.
  *
  * @example
- * const policy = createPolicyInForce({mirror, clock, log, keyLifeMs: 4_600});
+ * const policy = createActivePolicy({mirror, clock, log, maxPolicyAgeMs:
+ *   4_600});
  */
 export function createActivePolicy(options: {
   readonly mirror: Mirror<TrafficPolicy>;
   readonly clock: Clock;
   readonly log: Logger;
-  /** The oldest policy by which a key still counts, in milliseconds. */
+  /** Maximum age of the policy at which keys are accepted, in milliseconds. */
   readonly maxPolicyAgeMs: number;
 }): ActivePolicy {
   const {mirror, log, maxPolicyAgeMs} = options;
@@ -91,7 +94,7 @@
         ),
         revision: mirror.revision(),
       },
-      'policy in force',
+      'policy activated',
     );
     listeners.forEach(listener => listener());
   }
@@ -116,7 +119,7 @@
       if (mirror.ageMs() > maxPolicyAgeMs) {
         throw new ServingError(
           'not-ready',
-          `nothing shows for ${Math.round(mirror.ageMs())} ms that the key still counts`,
+          `the policy has not been confirmed for ${Math.round(mirror.ageMs())} ms`,
           {retryAfterMs: STALE_POLICY_RETRY_MS},
         );
       }
--- a/packages/gateway/src/admissionConfigurator.ts
+++ b/packages/gateway/src/admissionConfigurator.ts
@@ -1,36 +1,44 @@
-/** Keeps the admission in step with the policy's services and the endpoints that are there. */
+/**
+ * Keeps the admission limits in sync with the policy's services and the ready
+ * endpoints.
+ */
 import type {Admission} from '@skylarkfield/admission';
 import type {DeclaredService} from '@skylarkfield/traffic';
 import type {EndpointDirectory} from './endpointDirectory.js';
 import type {ActivePolicy} from './activePolicy.js';
 
 /**
- * Requests at an endpoint for each of its places. Endpoints queue a few
- * themselves, by urgency, and see there what no entry sees: the requests of all
- * the others.
+ * Admitted requests per endpoint slot. Endpoints queue a few themselves, by
+ * urgency, since only they see the requests of all entries.
  */
 const REQUESTS_PER_SLOT = 2;
 
-/** Requests that wait at one entry for each place of its service: about as long as they are of use. */
+/**
+ * Queued requests of one entry per slot of the service: more would time out in
+ * the queue.
+ */
 const QUEUE_PER_SLOT = 4;
 
-/** What the admission measures latency against; fixed limits do not use it. */
+/**
+ * Target latency of adaptive limits, in milliseconds; unused with fixed limits.
+ */
 const TARGET_LATENCY_MS = 1_000;
 
 export interface AdmissionConfigurator {
   /**
-   * Counts the places anew. Called as soon as endpoints change: an entry that
-   * has just started would take one place for all until the next count, and
-   * refuse while endpoints are free.
+   * Recomputes the limits. Called on each change of the endpoints: an entry
+   * that has just started would otherwise keep a limit of one slot and reject
+   * requests while endpoints are idle.
    */
   update(): void;
 }
 
 /**
- * Makes the feed; it follows the policy by itself.
+ * Creates the configurator; it follows policy changes on its own.
  *
  * @example
- * const feed = createAdmissionFeed({admission, directory, policy});
+ * const configurator = createAdmissionConfigurator({admission, directory,
+ *   policy});
  */
 export function createAdmissionConfigurator(options: {
   readonly admission: Admission;
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -1,12 +1,12 @@
-/** One attempt of a request at one endpoint. */
+/** A single attempt of a request at one endpoint. */
 import {ServingError, type Clock, type Disposable} from '@skylarkfield/base';
 import type {CallFormat, ReplyHead, ReplyHeaders} from './contracts.js';
 import {createEventFramer, type EventFrame} from './eventFramer.js';
 import type {UpstreamRequest, Upstreams} from './upstream.js';
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptEnd =
-  /** A whole answer, whatever its status. */
+  /** A complete response of any status. */
   | {
       readonly type: 'answered';
       readonly status: number;
@@ -15,31 +15,36 @@
     }
   /** A stream that was delivered to its end. */
   | {readonly type: 'streamed'}
-  /** The endpoint promised that it has not run the request and won't. */
+  /** The endpoint guarantees that the request has not run and will not run. */
   | {readonly type: 'declined'; readonly status: number}
-  /** No complete answer; the error tells whether the request may have run. */
+  /**
+   * No complete response; the error states whether the request may have run.
+   */
   | {
       readonly type: 'failed';
       readonly error: ServingError;
-      /** Undefined when the attempt did not end by the endpoint's close or silence. */
+      /** Undefined unless the endpoint closed the connection or timed out. */
       readonly loss?: ConnectionLoss;
     };
 
 /**
- * How a request that may have been running lost its endpoint. `closed`: the
- * connection ended. `silent`: nothing had come until the attempt was given up.
+ * How the endpoint of a possibly running request was lost. `closed`: the
+ * connection ended. `silent`: no data arrived before the attempt was aborted.
  */
 export type ConnectionLoss = 'closed' | 'silent';
 
-/** Takes the events of a stream, over all attempts of one request. */
+/** Receives the events of a stream over all attempts of one request. */
 export interface EventSink {
-  /** The first attempt's status and headers; later ones are not passed on. */
+  /**
+   * Passes on the first attempt's status and headers; those of later attempts
+   * are dropped.
+   */
   begin(status: number, headers: ReplyHeaders): void;
-  /** Passes an event on; false when the caller reads too slowly and the endpoint must wait. */
+  /** Passes on an event; false applies backpressure to the endpoint. */
   write(frame: EventFrame): boolean;
-  /** Calls back once when the caller takes more. */
+  /** Calls back once when the caller can take more data. */
   whenDrained(callback: () => void): void;
-  /** Passes on what follows the last event of a complete stream. */
+  /** Passes on the bytes after the last event of a complete stream. */
   finish(rest: Buffer): void;
 }
 
@@ -50,33 +55,40 @@
   readonly upstreams: Upstreams;
   readonly format: CallFormat;
   readonly clock: Clock;
-  /** Aborted when nobody waits for the answer any more. */
+  /** Aborted when the response is no longer needed. */
   readonly signal: AbortSignal;
-  /** Where the events of a stream go; undefined for a request with a whole answer. */
+  /** Receives the events of a stream; undefined for a request without one. */
   readonly sink: EventSink | undefined;
-  /** Silence after which the attempt is given up, in milliseconds; undefined to wait for the signal alone. */
+  /**
+   * Time without data after which the attempt is aborted, in milliseconds;
+   * undefined to rely on the signal alone.
+   */
   readonly idleTimeoutMs: number | undefined;
-  /** Whether the endpoint was told to stop the request: an end of its connection then proves nothing. */
+  /**
+   * Whether the endpoint was told to stop the request, so that a closed
+   * connection does not mean that the response is complete.
+   */
   isStopRequested(): boolean;
-  /** The head of the endpoint's answer to this attempt has come, whatever it says. */
+  /** Called with the response head of this attempt, whatever its status. */
   onDidRespond(head: ReplyHead): void;
-  /** The endpoint's answer has begun; for a stream, its first event has come. */
+  /** Called when the response has begun; for a stream, with its first event. */
   onDidBegin(head: ReplyHead): void;
 }
 
-/** Statuses of an answer that has a stream as its body. */
+/** Range of statuses whose body is a stream. */
 const FIRST_SUCCESS = 200;
 const FIRST_REDIRECT = 300;
 
 /**
  * Runs one attempt.
  *
- * An answer is taken only when it names this attempt: an endpoint may send a
- * second answer to an earlier request on the same connection, and its caller's
- * data would go to somebody else.
+ * A response is accepted only if it carries this attempt's id: an endpoint may
+ * send a second response to an earlier request on the same connection, which
+ * would leak another caller's data.
  *
  * @example
- * const end = await runAttempt({address: '10.0.0.7:8000', request, attemptId, ...rest});
+ * const end = await runAttempt({address: '10.0.0.7:8000', request, attemptId,
+ *   ...rest});
  */
 export function runAttempt(options: AttemptOptions): Promise<AttemptEnd> {
   return new Promise(resolve => {
@@ -92,7 +104,10 @@
     let idleTimer =
       idleTimeoutMs === undefined ? undefined : startIdleTimer(idleTimeoutMs);
 
-    /** Gives up after a silence; a check in between is cheaper than a timer for each event. */
+    /**
+     * Aborts after the idle timeout. Rechecking on expiry is cheaper than a
+     * timer per event.
+     */
     function startIdleTimer(limitMs: number): Disposable {
       const remainingMs = limitMs - (clock.now() - lastActivityAt);
       return clock.after(remainingMs, () => {
@@ -100,7 +115,7 @@
           idleTimer = startIdleTimer(limitMs);
           return;
         }
-        abort(interrupted(`no data for ${limitMs} ms`), 'silent');
+        abort(interrupted(`no data received for ${limitMs} ms`), 'silent');
       });
     }
 
@@ -140,11 +155,11 @@
       head = format.readReply(headers, status);
       reply = {status, headers};
       if (head.attemptId !== options.attemptId) {
-        abort(protocolViolation('the answer names another request'));
+        abort(protocolViolation('the response has the id of another attempt'));
         return;
       }
       if (headers['content-encoding'] !== undefined) {
-        abort(protocolViolation('the answer is encoded'));
+        abort(protocolViolation('the response has a content encoding'));
         return;
       }
       options.onDidRespond(head);
@@ -192,7 +207,7 @@
         return;
       }
       if (reply === undefined || head === undefined) {
-        abort(interrupted('the answer has no head'), 'closed');
+        abort(interrupted('the response has no head'), 'closed');
         return;
       }
       if (head.isNotRun) {
@@ -225,19 +240,24 @@
   });
 }
 
-/** The end of a connection; before the request was sent it tells nothing about the endpoint's runs. */
+/**
+ * Before the request was sent, the end of a connection does not implicate the
+ * request.
+ */
 function connectionLost(error: ServingError): AttemptEnd {
   return error.run === 'not-run'
     ? {type: 'failed', error}
     : {type: 'failed', error, loss: 'closed'};
 }
 
-/** Why nobody waits any more: the signal's own error, or the caller has left. */
+/**
+ * Returns the signal's own error, or `cancelled` if the caller disconnected.
+ */
 function abortReason(signal: AbortSignal): ServingError {
   if (signal.reason instanceof ServingError) {
     return signal.reason;
   }
-  return new ServingError('cancelled', 'the caller has left', {
+  return new ServingError('cancelled', 'the caller disconnected', {
     run: 'may-have-run',
   });
 }
@@ -253,7 +273,7 @@
 }
 
 function cancelledBeforeSend(): ServingError {
-  return new ServingError('cancelled', 'given up before it was sent', {
+  return new ServingError('cancelled', 'cancelled before it was sent', {
     run: 'not-run',
   });
 }
--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -1,29 +1,35 @@
-/** What the end of an attempt says of its endpoint, of the request's run and to the caller. */
+/**
+ * Classifies the end of an attempt for the router, the retry rules and the
+ * caller.
+ */
 import {ServingError} from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
 import type {AttemptEnd} from './attempt.js';
 
-/** How an endpoint did with an attempt. */
+/** Outcome of an attempt as reported to the router. */
 export type AttemptOutcome = Parameters<Choice['finish']>[0]['outcome'];
 
-/** Nobody is told to come back sooner, in milliseconds: what is known of the load is older. */
+/**
+ * Minimum Retry-After, in milliseconds, since the load data behind it is older
+ * than that.
+ */
 const MIN_RETRY_MS = 300;
 
-/** Statuses by which a service says that it failed. */
+/** Lowest status of the server error class. */
 const FIRST_SERVER_ERROR = 500;
 
 /**
- * Whether a status says that the server failed.
+ * Whether a status is a server error.
  *
  * @example
- * isServerFault(502); // true
+ * isServerError(502); // true
  */
 export function isServerError(status: number): boolean {
   return status >= FIRST_SERVER_ERROR;
 }
 
 /**
- * Whether an endpoint may have worked on the request.
+ * Whether the endpoint may have run the request.
  *
  * @example
  * runs += mayHaveRun(end) ? 1 : 0;
@@ -36,10 +42,10 @@
 }
 
 /**
- * The end in a few words, for the log.
+ * Returns a short description for the log.
  *
  * @example
- * log.info({end: describeEnd(end)}, 'another endpoint');
+ * log.info({end: describeEnd(end)}, 'retrying at another endpoint');
  */
 export function describeEnd(end: AttemptEnd): string {
   if (end.type === 'failed') {
@@ -49,7 +55,7 @@
 }
 
 /**
- * How the endpoint did, as the router takes it.
+ * Returns the outcome to report to the router.
  *
  * @example
  * choice.finish({outcome: outcomeOf(end), latencyMs});
@@ -71,11 +77,12 @@
 }
 
 /**
- * The error with the run state of all attempts: what ran before is not undone by
- * a later refusal. `runs` is how many endpoints may have run the request.
+ * Returns the error with the run state of all attempts: a later refusal does
+ * not undo an earlier run. `runs` counts the endpoints that may have run the
+ * request.
  *
  * @example
- * reply.refuse(withRuns(error, progress.runs));
+ * reply.sendError(withRunState(error, progress.runs));
  */
 export function withRunState(error: ServingError, runs: number): ServingError {
   if (runs === 0 || error.run === 'may-have-run') {
@@ -88,38 +95,38 @@
 }
 
 /**
- * No endpoint of a service could be asked.
+ * No endpoint of the service can be tried.
  *
  * @example
- * throw unavailable('chat', 'none is left');
+ * throw unavailable('chat', 'none is left to try');
  */
 export function unavailable(service: string, why: string): ServingError {
   return new ServingError(
     'endpoint-unavailable',
-    `no endpoint of ${service}: ${why}`,
+    `no endpoint of ${service} is available: ${why}`,
   );
 }
 
 /**
- * All endpoints that were asked have said that they have no room.
+ * All endpoints that were tried have declined the request.
  *
  * @example
- * throw withRuns(noRoom('chat', 3), 0);
+ * throw withRunState(allDeclined('chat', 3), 0);
  */
 export function allDeclined(service: string, asked: number): ServingError {
   return new ServingError(
     'overloaded',
-    `${asked} endpoints of ${service} have no room`,
+    `${asked} endpoints of ${service} declined the request`,
     {run: 'not-run'},
   );
 }
 
 /**
- * Every endpoint of a service has so much to read that a new request's first
- * event would come far too late. It may come back when that has been read.
+ * The prompts queued at every endpoint of the service would delay the first
+ * event of a new request too far. Retry-After is the time to process them.
  *
  * @example
- * throw noPlaceInTime('chat', {ms: 2_400, longestMs: 900});
+ * throw waitTooLong('chat', {ms: 2_400, longestMs: 900});
  */
 export function waitTooLong(
   service: string,
@@ -127,13 +134,13 @@
 ): ServingError {
   return new ServingError(
     'overloaded',
-    `${service} has ${Math.round(ms)} ms of prompts to read first`,
+    `${service} has an expected wait of ${Math.round(ms)} ms`,
     {run: 'not-run', retryAfterMs: Math.max(MIN_RETRY_MS, ms - longestMs)},
   );
 }
 
 /**
- * Endpoints crashed under the request, so it is not sent to any other.
+ * Endpoints crashed while running the request, so it is not sent to any other.
  *
  * @example
  * throw quarantined({crashes: 3, retryAfterMs: 60_000});
@@ -147,21 +154,21 @@
 }): ServingError {
   return new ServingError(
     'quarantined',
-    `${crashes} endpoints crashed under this request`,
+    `${crashes} endpoints crashed while running this request`,
     {run: 'not-run', retryAfterMs},
   );
 }
 
 /**
- * The endpoints of a service that are left have named limits, and those are used up.
+ * The request limits of the service's remaining endpoints are exhausted.
  *
  * @example
- * throw limited('chat', 350);
+ * throw rateLimited('chat', 350);
  */
 export function rateLimited(service: string, waitMs: number): ServingError {
   return new ServingError(
     'overloaded',
-    `the endpoints of ${service} take no more requests for ${Math.round(waitMs)} ms`,
+    `the endpoints of ${service} are at their request limits for ${Math.round(waitMs)} ms`,
     {run: 'not-run', retryAfterMs: Math.max(MIN_RETRY_MS, waitMs)},
   );
 }
--- a/packages/gateway/src/callerBody.ts
+++ b/packages/gateway/src/callerBody.ts
@@ -3,9 +3,9 @@
 import {ServingError} from '@skylarkfield/base';
 
 /**
- * Reads a whole body; undefined for a request without one. It is kept whole, so
- * that it can be sent again to another endpoint. Throws `too-large`, or
- * `cancelled` when the caller leaves before its end.
+ * Reads the whole body; undefined if the request has none. The body is buffered
+ * so that it can be sent again to another endpoint. Throws `too-large`, or
+ * `cancelled` if the caller disconnects before its end.
  *
  * @example
  * const body = await readBody(request, 4_194_304, signal);
@@ -43,16 +43,13 @@
 }
 
 function tooLarge(maxBytes: number): ServingError {
-  return new ServingError(
-    'too-large',
-    `the body has more than ${maxBytes} bytes`,
-  );
+  return new ServingError('too-large', `the body exceeds ${maxBytes} bytes`);
 }
 
 function callerDisconnected(): ServingError {
   return new ServingError(
     'cancelled',
-    'the caller left while it sent its body',
+    'the caller disconnected while sending the body',
     {
       run: 'not-run',
     },
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -1,4 +1,4 @@
-/** What happens to a caller's request from its head to its answer. */
+/** Handles a caller's request from its headers to its response. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {
   ServingError,
@@ -37,11 +37,14 @@
 import type {RequestMetrics} from './requestMetrics.js';
 import {verdictFor} from './crashGuard.js';
 
-/** What the process as a whole allows at the moment. */
+/** Serving state of the process. */
 export interface ServingState {
-  /** Takes requests at all. */
+  /** Whether requests are accepted at all. */
   isServing(): boolean;
-  /** Connections should end with the next answer: the process stops soon. */
+  /**
+   * Whether connections are closed after the next response because the process
+   * is stopping.
+   */
   isClosing(): boolean;
 }
 
@@ -59,69 +62,85 @@
   readonly format: CallFormat;
   readonly state: ServingState;
   readonly inFlight: InFlight;
-  /** Tokens of the usual prompt to a model service that no cache holds. */
+  /** Uncached prompt tokens of a typical request to a model service. */
   usualOwnTokens(service: string): number;
-  /** How callers of model services fare. */
+  /** Share of model requests whose first event is late. */
   readonly outcomes: OutcomeMeter;
   readonly metrics: RequestMetrics;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Which group of a service's versions takes the request; alike at every entry for one key. */
+  /**
+   * Selects the version group that serves the request; the same at every entry
+   * for one key.
+   */
   chooseGroup(service: string, key: string, mayRepeat: boolean): VersionGroup;
-  /** Says how much work a request brings, before it is sent. */
+  /**
+   * Called before a request is queued and sent, to record the work it brings.
+   */
   onDidAccept(service: string, head: CallHead): void;
-  /** An answer of so many events has ended, whole or not. */
+  /**
+   * Called when a response has ended, complete or not, after that many events.
+   */
   onDidAnswer(service: string, head: CallHead, events: number): void;
-  /** A request was served, or failed, by a group of a service's versions. */
+  /** Called when a version group has served or failed a request. */
   onDidConclude(
     call: Pick<ForwardedCall, 'service' | 'version' | 'route'>,
     result: ForwardingResult,
   ): void;
 }
 
-/** A request with what was found out about it. */
+/** A request after validation and routing. */
 interface AcceptedRequest {
   readonly head: CallHead;
   readonly attemptId: string;
   readonly route: Route;
   readonly service: string;
   readonly customer: KeyedCustomer | undefined;
-  /** 0 is the most important. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   readonly deadlineAt: number;
 }
 
 /**
- * Endpoints know ten urgencies and callers' priorities are small numbers, so
- * steps of two leave room between them.
+ * Endpoints have ten urgency levels and callers' priorities are small numbers,
+ * so steps of two leave room between them.
  */
 const URGENCY_PER_PRIORITY = 2;
 const LOWEST_URGENCY = 9;
 
-/** The bulkheads know eight urgencies. */
+/** Admission has eight urgency levels. */
 const LOWEST_ADMISSION_URGENCY = 7;
 
-/** No request weighs less than this part of the usual one in the queue: each also takes a place. */
+/**
+ * Minimum cost of a request in the queue relative to the typical one, since
+ * each also takes a slot.
+ */
 const MIN_COST = 0.1;
 
-/** Why a request's signal is aborted when its time is over. */
+/** Abort reason of a request's signal at its deadline. */
 const DEADLINE_EXCEEDED = new ServingError(
   'deadline-exceeded',
-  'no answer came in the time that the request has',
+  'no complete response before the deadline',
   {run: 'may-have-run'},
 );
 
-/** Another entry can take the request at once, in milliseconds. */
+/**
+ * Retry-After while this entry is stopping, in milliseconds: another entry can
+ * serve the request at once.
+ */
 const LEAVING_RETRY_MS = 50;
 
-/** Rejected requests may come back after this when a copy of the policy is awaited, in milliseconds. */
+/**
+ * Retry-After while the policy or the peers are not known yet, in milliseconds.
+ */
 const NOT_READY_RETRY_MS = 400;
 
 /**
- * Makes the front.
+ * Creates the handler.
  *
  * @example
- * const server = http.createServer((request, response) => void front.handle(request, response));
+ * const server = http.createServer((request, response) => void
+ *   handler.handle(request, response));
  */
 export function createCallerHandler(
   options: CallerHandlerOptions,
@@ -136,12 +155,12 @@
     const head = format.readCall(request.headers);
     const {attemptId} = head;
     if (!options.state.isServing()) {
-      throw new ServingError('leaving', 'this entry stops', {
+      throw new ServingError('leaving', 'this entry is stopping', {
         retryAfterMs: LEAVING_RETRY_MS,
       });
     }
     if (!policy.isKnown()) {
-      throw notReady('no policy is known here yet');
+      throw notReady('the traffic policy has not been loaded yet');
     }
     if (attemptId === undefined) {
       throw new ServingError('bad-request', 'the request has no attempt id');
@@ -184,12 +203,12 @@
       return () => {};
     }
     if (!options.visibility.isKnown()) {
-      throw notReady('the other entries are not known here yet');
+      throw notReady('the number of entries is not known yet');
     }
     if (!quotas.tryTake(customer, amount)) {
       throw new ServingError(
         'overloaded',
-        `the quota of ${customer.name} is used up`,
+        `the quota of ${customer.name} is exhausted`,
         {
           run: 'not-run',
           retryAfterMs: quotas.waitMs(customer, amount),
@@ -199,7 +218,10 @@
     return () => quotas.giveBack(customer, amount);
   }
 
-  /** Fairness among customers goes by work: a long prompt weighs as much as several usual ones. */
+  /**
+   * Returns the cost for fair queueing, which goes by work: a long prompt costs
+   * as much as several typical ones.
+   */
   function admissionCost(service: string, {demand}: CallHead): number {
     if (demand === undefined) {
       return 1;
@@ -331,7 +353,7 @@
         const error = toServingError(caught);
         const status = reply.sendError(error);
         result = {status, error, firstMs: undefined, endpoints: []};
-        // Node reads the rest of a body that nobody wants only when it is told to.
+        // Node reads the remainder of an unread body only after `resume`.
         request.resume();
       } finally {
         options.inFlight.end();
@@ -380,7 +402,7 @@
   });
 }
 
-/** Computes a value when it is first asked for. */
+/** Defers a computation to its first use and caches the result. */
 function lazy<T>(compute: () => T): () => T {
   let cached: {readonly value: T} | undefined;
   return () => {
--- a/packages/gateway/src/callerPresence.ts
+++ b/packages/gateway/src/callerPresence.ts
@@ -1,19 +1,19 @@
-/** Finds out whether a caller is still there once its request has been read. */
+/** Detects callers that disconnected while their request was being read. */
 import {ServingError} from '@skylarkfield/base';
 
 /**
- * Throws `cancelled`, as not run, when the caller has left. A process that is
- * behind reads a request and the end of its connection in two turns of the event
- * loop, and would work for nobody in between.
+ * Throws `cancelled`, as not run, if the caller has disconnected. An overloaded
+ * process reads a request and the end of its connection in two turns of the
+ * event loop, and would serve an absent caller in between.
  *
  * @example
- * await checkPresence(callerSignal);
+ * await checkConnected(callerSignal);
  */
 export async function checkConnected(caller: AbortSignal): Promise<void> {
   await nextTurn();
   await nextTurn();
   if (caller.aborted) {
-    throw new ServingError('cancelled', 'the caller has left', {
+    throw new ServingError('cancelled', 'the caller disconnected', {
       run: 'not-run',
     });
   }
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -1,4 +1,4 @@
-/** The answer to one caller's request, written at most once. */
+/** The response to one caller's request, written at most once. */
 import type {ServerResponse} from 'node:http';
 import {errorAnswers, type ServingError} from '@skylarkfield/base';
 import type {CallFormat, ReplyHeaders} from './contracts.js';
@@ -7,41 +7,46 @@
 import {isServerError} from './attemptOutcome.js';
 
 export interface CallerReply {
-  /** Whether a part of an answer has gone out. */
+  /** Whether the response headers have been sent. */
   hasBegun(): boolean;
-  /** The id of the last event passed on. */
+  /** Id of the last event passed on. */
   lastEventId(): number | undefined;
-  /** Events passed on so far. */
+  /** Number of events passed on so far. */
   eventCount(): number;
   readonly sink: EventSink;
   sendWhole(status: number, headers: ReplyHeaders, body: Buffer): void;
   sendError(error: ServingError): number;
-  /** Ends an answer that can't be completed so that it does not look complete. */
+  /**
+   * Aborts an incomplete response so that the caller does not take it as
+   * complete.
+   */
   abort(): void;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** Statuses that promise nothing about whether the request ran. */
+/** Statuses that leave open whether the request ran. */
 const BAD_GATEWAY_STATUS = 502;
 const GATEWAY_TIMEOUT_STATUS = 504;
-/** Promises that the request has not run and won't. */
+/** Guarantees that the request has not run and will not run. */
 const UNAVAILABLE_STATUS = 503;
 
-/** When a caller may come back that was refused without a better figure, in milliseconds. */
+/**
+ * Retry-After of a rejected request without a better estimate, in milliseconds.
+ */
 const DEFAULT_RETRY_MS = 300;
 
 /**
- * Makes the reply of one request.
+ * Creates the reply to one request.
  *
  * @example
  * const reply = createCallerReply({response, format, isClosing});
- * reply.refuse(error);
+ * reply.sendError(error);
  */
 export function createCallerReply(options: {
   readonly response: ServerResponse;
   readonly format: CallFormat;
-  /** Whether the connection should end with this answer. */
+  /** Whether to close the connection after this response. */
   isClosing(): boolean;
 }): CallerReply {
   const {response, format} = options;
@@ -70,7 +75,7 @@
       },
       write({bytes, id}: EventFrame) {
         if (id !== undefined) {
-          // An endpoint that goes on may repeat what the caller already has.
+          // A resumed stream may repeat events that the caller already has.
           if (lastId !== undefined && id <= lastId) {
             return true;
           }
@@ -121,9 +126,9 @@
 }
 
 /**
- * The status of a refusal. A caller repeats what can't be repeated safely only
- * after a status that promises that nothing ran, so that status is given exactly
- * when it is true.
+ * Returns the status of an error. Callers retry non-idempotent requests only on
+ * the status that guarantees that nothing ran, so it is sent exactly when that
+ * holds.
  */
 function statusOf(error: ServingError): number {
   const {status} = errorAnswers[error.kind];
--- a/packages/gateway/src/clusterDuty.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -1,4 +1,4 @@
-/** What this entry does for all while it holds the duty. */
+/** Work that one entry does on behalf of all while it holds the duty. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {Tenure} from '@skylarkfield/duties';
 import type {Coordination} from './coordination.js';
@@ -8,11 +8,11 @@
 import {startUsageDuty} from './usageDuty.js';
 
 /**
- * Competes for the duty of reporting use and ordering endpoints. One lease holds
- * both: each lease costs calls for its renewals whether or not there is work.
+ * Competes for the duty to report usage and scale endpoints. One lease covers
+ * both, since the renewals of a lease are billed even without work.
  *
  * @example
- * const duty = competeForDuty(context, agreement, traffic);
+ * const duty = competeForClusterDuty(context, coordination, traffic);
  */
 export function competeForClusterDuty(
   context: GatewayContext,
@@ -43,7 +43,7 @@
       startFleetDuty({
         ...common,
         directory: traffic.directory,
-        // While a version starts beside the old one, the platform decides on both.
+        // During a rollout the platform sets the counts of both versions.
         services: () =>
           traffic.policy
             .services()
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -1,4 +1,4 @@
-/** What every part of a gateway process gets. */
+/** Dependencies shared by all components of a gateway process. */
 import type {
   Clock,
   DecisionLog,
@@ -15,7 +15,10 @@
 export interface GatewayContext {
   readonly settings: GatewaySettings;
   readonly platform: Platform;
-  /** Wall-clock milliseconds of this process's start, by which a restart is told from a pause. */
+  /**
+   * Start time of this process in wall-clock milliseconds; distinguishes a
+   * restart from a pause.
+   */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly random: Random;
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -1,6 +1,6 @@
 /**
- * What the gateway needs of the platform it runs on. The platform's adapter
- * implements these; nothing here knows the platform's names or formats.
+ * Interfaces that the gateway requires of its platform. The platform's adapter
+ * implements them; the platform's own names and formats stay there.
  */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Freshness, ObjectTransport} from '@skylarkfield/providers';
@@ -13,55 +13,62 @@
   TrafficPolicy,
 } from '@skylarkfield/traffic';
 
-/** What a caller's request says about itself. */
+/** Metadata of a caller's request, read from its headers. */
 export interface CallHead {
-  /** Unique for each attempt of a caller; undefined when the caller sent none. */
+  /** Unique for each attempt of a caller; undefined if the caller sent none. */
   readonly attemptId: string | undefined;
   readonly authority: string;
   readonly key: string | undefined;
-  /** How long the caller waits, in milliseconds; undefined when it does not say. */
+  /** Timeout of the caller, in milliseconds; undefined if not specified. */
   readonly timeoutMs: number | undefined;
   /** Undefined for a request to a plain service. */
   readonly demand: ModelDemand | undefined;
-  /** The last event that the caller has of an earlier answer. */
+  /** Id of the last event that the caller received from an earlier response. */
   readonly lastEventId: string | undefined;
 }
 
-/** What the gateway tells an endpoint besides the caller's own request. */
+/** Fields that the gateway adds to a request when it forwards it. */
 export interface SendTerms {
-  /** How long the answer is of use, in milliseconds. */
+  /** Time left for the response, in milliseconds. */
   readonly timeoutMs: number;
-  /** The process that must answer; any other one refuses. */
+  /**
+   * Id of the process that must respond; any other process refuses the request.
+   */
   readonly endpointId: string;
   readonly customer: string | undefined;
-  /** 0 (most important) to 9; undefined where the service has no order of its own. */
+  /**
+   * 0 (most urgent) to 9; undefined if the service does not order by urgency.
+   */
   readonly urgency: number | undefined;
   readonly lastEventId: string | undefined;
-  /** Memory of the same request from which the endpoint goes on. */
+  /** KV cache from which the endpoint resumes the request. */
   readonly memory: KvCacheRef | undefined;
 }
 
-/** A request's memory that was copied from one engine to another. */
+/** Reference to the KV cache of a request that was migrated between engines. */
 export interface KvCacheRef {
   /** `IP:port` of the engine that ran the request before. */
   readonly source: string;
   readonly handle: string;
 }
 
-/** What came of moving a request's memory. */
+/** Result of migrating a request. */
 export type MoveAnswer =
-  /** The request has stopped at its source; the copy is at the target. */
+  /**
+   * The request was stopped at its source and its KV cache copied to the
+   * target.
+   */
   | {readonly type: 'moved'; readonly memory: KvCacheRef}
-  /** The request has stopped, and only its source has the memory. */
+  /** The request was stopped, and its KV cache is only at the source. */
   | {readonly type: 'stopped'; readonly memory: KvCacheRef}
-  /** The request runs on where it is, or has ended. */
+  /** The request still runs at its source, or has already ended. */
   | {readonly type: 'refused'}
-  /** Nobody knows. */
+  /** The call failed, so the state of the request is unknown. */
   | {readonly type: 'unknown'};
 
-/** Orders to model engines about single requests. */
+/** Migration of running requests between model engines. */
 export interface EngineMoves {
-  /** Stops a running request and copies its memory to another engine. */
+  /** Stops a running request and copies its KV cache to another engine. */
   move(
     source: string,
     attemptId: string,
@@ -70,84 +77,93 @@
   ): Promise<MoveAnswer>;
 }
 
-/** Requests at an endpoint as it says itself. */
+/** Load of an endpoint as reported by the endpoint itself. */
 export interface SelfReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** What an endpoint's answer says about itself. */
+/** Metadata of an endpoint's response, read from its headers and status. */
 export interface ReplyHead {
   readonly attemptId: string | undefined;
-  /** The endpoint promises that it has not run the request and won't. */
+  /** The endpoint guarantees that the request has not run and will not run. */
   readonly isNotRun: boolean;
   readonly load: SelfReportedLoad | undefined;
-  /** Requests a second that the endpoint takes from all entries together; undefined when it names no limit. */
+  /**
+   * Requests per second that the endpoint accepts from all entries together;
+   * undefined if unlimited.
+   */
   readonly limitPerSecond: number | undefined;
 }
 
-/** Headers as undici gives them. */
+/** Response headers in the form that undici passes them. */
 export type ReplyHeaders = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
-/** The form in which callers and endpoints speak. */
+/** Codec for the headers exchanged with callers and endpoints. */
 export interface CallFormat {
   readCall(headers: IncomingHttpHeaders): CallHead;
-  /** Headers for the endpoint, as names and values in turn. */
+  /** Returns headers for the endpoint as alternating names and values. */
   sendHeaders(rawHeaders: readonly string[], terms: SendTerms): string[];
   readReply(headers: ReplyHeaders, status: number): ReplyHead;
-  /** Headers of an endpoint's answer that go back to the caller. */
+  /**
+   * Returns the headers of an endpoint's response that are passed to the
+   * caller.
+   */
   replyHeaders(headers: ReplyHeaders): Record<string, string | string[]>;
 }
 
-/** Where a caller should connect. */
+/** Codec for service discovery by callers and for readiness checks. */
 export interface LookupFormat {
-  /** The failure domain that a lookup comes from; undefined when the path is no lookup. */
+  /**
+   * Returns the failure domain that a lookup asks for; undefined if the path is
+   * not a lookup.
+   */
   readLookup(url: string): {readonly failureDomain: string} | undefined;
-  /** The body of an answer; addresses are `IP:port`. */
+  /** Returns a response body; addresses are `IP:port`. */
   writeAnswer(addresses: readonly string[], ttlMs: number): string;
-  /** Whether the path asks if this process is ready. */
+  /** Whether the path is that of the readiness check. */
   isReadiness(url: string): boolean;
 }
 
-/** An object with the store's revision of its last change. */
+/** An object with the store revision of its last change. */
 export interface SourceItem<T> {
   readonly name: string;
   readonly revision: number;
   readonly value: T;
 }
 
-/** All objects of a kind at one revision of the store. */
+/** All objects of one kind at one store revision. */
 export interface SourceListing<T> {
   readonly revision: number;
   readonly items: readonly SourceItem<T>[];
 }
 
-/** One change of a kind; without an item the object is gone. */
+/** A change to one object; `item` is undefined if the object was removed. */
 export interface SourceChange<T> {
   readonly name: string;
   readonly item: SourceItem<T> | undefined;
 }
 
-/** Changes after a revision, up to another one. */
+/** The changes from one store revision to another. */
 export interface SourceChanges<T> {
   readonly revision: number;
   readonly changes: readonly SourceChange<T>[];
 }
 
 /**
- * One kind of objects that others write, decoded. Objects that can't be decoded
- * are left out and logged.
+ * Decoded objects of one kind, written by other systems. Objects that cannot be
+ * decoded are omitted and logged.
  *
  * Errors: `platform-unavailable`, `overloaded`, `cancelled`.
  */
 export interface Source<T> {
   list(signal: AbortSignal, freshness: Freshness): Promise<SourceListing<T>>;
   /**
-   * Changes after a revision; waits up to so many milliseconds for the first.
-   * Undefined when the store no longer keeps them.
+   * Returns the changes after a revision, long-polling up to `waitMs` for the
+   * first. Undefined if the store has compacted them.
    */
   changes(
     after: number,
@@ -156,13 +172,15 @@
   ): Promise<SourceChanges<T> | undefined>;
 }
 
-/** The holder of a duty with its fencing number, as each order carries them. */
+/** The duty's holder and its fencing token, sent with each order. */
 export interface OrderAuthority {
   readonly holder: string;
   readonly fencing: number;
 }
 
-/** How many endpoints of one market a service should have in a failure domain. */
+/**
+ * Desired number of a service's endpoints in one market of a failure domain.
+ */
 export interface EndpointOrder {
   readonly service: string;
   readonly failureDomain: string;
@@ -170,16 +188,15 @@
   readonly isReclaimable: boolean;
 }
 
-/** How the platform answered an order. */
+/** Result of an order. */
 export type OrderAnswer =
-  /** Done. */
   | 'accepted'
-  /** None are to be had at present. */
+  /** No capacity is available at present. */
   | 'unavailable'
-  /** Not done for another reason; worth another try later. */
+  /** Failed for another reason; may be retried later. */
   | 'failed';
 
-/** Calls that one holder at a time makes. */
+/** Platform calls that only the holder of the duty makes. */
 export interface PlatformOrders {
   reportUsage(
     authority: OrderAuthority,
@@ -194,20 +211,25 @@
   ): Promise<OrderAnswer>;
 }
 
-/** The platform as the gateway uses it. */
+/** The platform as used by the gateway. */
 export interface Platform {
   readonly calls: CallFormat;
   readonly lookups: LookupFormat;
   readonly policy: Source<TrafficPolicy>;
   readonly endpoints: Source<RegisteredEndpoint>;
   readonly rollouts: Source<Rollout>;
-  /** Objects of the system's own: members, leases, usage reports, crashes. */
+  /**
+   * Objects written by the gateway: members, leases, usage reports, crashes.
+   */
   readonly objects: ObjectTransport;
-  /** One kind of them as a source to mirror; `read` throws on a value that it does not understand. */
+  /**
+   * Returns one kind of these as a source to mirror; `read` throws on an
+   * invalid value.
+   */
   ownObjects<T>(kind: string, read: (value: unknown) => T): Source<T>;
   readonly orders: PlatformOrders;
   readonly engines: EngineMoves;
-  /** Tells the operator how a rollout stands. */
+  /** Publishes the state of a rollout to the operator. */
   writeRolloutState(
     name: string,
     target: string,
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -1,4 +1,7 @@
-/** The other entries, the store that all share, and the duties that one at a time holds. */
+/**
+ * Coordination with the other entries: peer network, shared store, membership
+ * and duties.
+ */
 import {
   disposableStore,
   ServingError,
@@ -26,15 +29,17 @@
   readonly store: ObjectStore;
   readonly membership: Membership;
   readonly duties: Duties;
-  /** Whom this entry tells of its use and load, and who takes turns at what one does for all. */
+  /**
+   * Receivers of this entry's digests, and the entries that compete for duties.
+   */
   plan(): RelayPlan;
 }
 
 /**
- * A successor takes over within about four seconds of the holder's death: as
- * long as a new endpoint takes to start, so that a reclaim and the holder's
- * death together leave callers waiting no longer than either alone. Each renewal
- * and each look of a candidate is a call, three a second in all.
+ * A successor takes over within about four seconds of the holder's failure. A
+ * new endpoint takes as long to start, so a reclaim together with the holder's
+ * failure delays callers no longer than either alone. Each renewal and each
+ * poll of a candidate is a call, three per second in total.
  */
 const LEASE_TIMING: LeaseTiming = {
   durationMs: 3_000,
@@ -43,15 +48,18 @@
   marginMs: 400,
 };
 
-/** Time for one call to the store, in milliseconds: it answers in a few. */
+/**
+ * Timeout of one call to the store, in milliseconds; it normally responds
+ * within a few.
+ */
 const STORE_CALL_TIMEOUT_MS = 1_000;
 
 /**
- * Opens the inner port and joins the other entries. Throws `bad-settings` when
- * the port can't be opened.
+ * Opens the inner port and joins the other entries. Throws `bad-settings` if
+ * the port cannot be opened.
  *
  * @example
- * const agreement = await createAgreementPart(context);
+ * const coordination = await createCoordination(context);
  */
 export async function createCoordination(
   context: GatewayContext,
@@ -112,8 +120,8 @@
       store,
       self,
       members: () => plan().coordinators,
-      // Behind a relay an entry does not hear what all have counted. It may have
-      // taken a duty before it knew of so many others.
+      // Behind a relay an entry lacks the fleet-wide counts. It may have
+      // acquired a duty before it discovered that many peers.
       mayHold: () => plan().ownRelays.length === 0,
       log,
       decisions,
@@ -147,7 +155,7 @@
   if (port === 0) {
     throw new ServingError(
       'bad-settings',
-      'a port that others use can not be 0',
+      'a port that peers connect to must not be 0',
     );
   }
   return `${scheme}://${host}:${port}`;
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -1,4 +1,7 @@
-/** Keeps requests that crash endpoints from being sent on, and notes what shows which they are. */
+/**
+ * Stops requests that crash endpoints from being sent again, and collects the
+ * evidence.
+ */
 import type {CrashSuspects, Verdict} from '@skylarkfield/routing';
 import type {AttemptEnd} from './attempt.js';
 import {isServerError} from './attemptOutcome.js';
@@ -10,14 +13,17 @@
 }
 
 export interface CrashGuard {
-  /** Whether the request may be sent now; begins its trial where the verdict allows one. */
+  /**
+   * Returns the verdict on sending the request now; starts its trial if the
+   * verdict permits one.
+   */
   checkSend(
     call: FingerprintedCall,
     progress: Pick<Progress, 'continuation'>,
   ): Verdict;
   isSuspected(call: FingerprintedCall): boolean;
   isQuarantined(call: FingerprintedCall): boolean;
-  /** An attempt at an endpoint has ended, and nobody had told the endpoint to stop it. */
+  /** Records the end of an attempt that its endpoint was not told to stop. */
   noteAttemptEnd(
     call: FingerprintedCall,
     endpoint: string,
@@ -28,11 +34,11 @@
 const CLEAR: Verdict = {type: 'clear'};
 
 /**
- * The verdict on a call. Fingerprints cost processor time, so none is computed
- * while nothing is suspected.
+ * Returns the verdict on a call. Fingerprints cost processor time, so none is
+ * computed while no request is suspected.
  *
  * @example
- * if (verdictOn(call, suspects).type === 'quarantined') { return reject(); }
+ * if (verdictFor(call, suspects).type === 'quarantined') { return reject(); }
  */
 export function verdictFor(
   call: FingerprintedCall,
@@ -42,10 +48,10 @@
 }
 
 /**
- * Makes the suspicion of one entry's forwarding.
+ * Creates the guard of one entry's forwarding.
  *
  * @example
- * const verdict = suspicion.judge(call, progress);
+ * const verdict = crashGuard.checkSend(call, progress);
  */
 export function createCrashGuard(options: {
   readonly suspects: CrashSuspects;
@@ -79,7 +85,7 @@
 
   return {
     checkSend(call, {continuation}) {
-      // A stream that is being moved off its endpoint runs well so far.
+      // A stream that is being migrated has not failed so far.
       if (continuation !== undefined) {
         return CLEAR;
       }
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps in the platform's store which requests crash endpoints.
+ * Persists the requests that crash endpoints in the platform's store.
  *
- * Entries restart, are cut off from each other and are lost together; each of
- * them must still know within seconds what any of them has learned. Every entry
- * keeps one object with what it has seen itself, and mirrors those of the others.
+ * Entries restart, are partitioned and fail together, yet each of them must
+ * know within seconds what any of them has observed. Each entry writes its own
+ * observations to one object and mirrors those of the others.
  */
 import {
   disposableStore,
@@ -24,19 +24,28 @@
 import type {Platform, Source} from './contracts.js';
 import type {Mirror} from './mirror.js';
 
-/** Kind of the objects; each is named after the entry that keeps it. */
+/** Kind of the objects, each named after the entry that writes it. */
 const OBJECT_KIND = 'endpoint-crashes';
 
-/** Time for one call, in milliseconds. */
+/** Timeout of one call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_000;
 
-/** Time in which the requests that one endpoint takes down are gathered into one write, in milliseconds. */
+/**
+ * Delay before a write, in milliseconds, to batch the requests that one
+ * endpoint's crash affects.
+ */
 const WRITE_BATCH_MS = 50;
 
-/** Pause before a write that failed is repeated, in milliseconds, of which half to all is waited. */
+/**
+ * Delay before a failed write is retried, in milliseconds; jittered down to one
+ * half.
+ */
 const WRITE_RETRY_MS = 500;
 
-/** Interval in which objects are removed that hold nothing that still counts, in milliseconds. */
+/**
+ * Interval at which objects without unexpired crashes are removed, in
+ * milliseconds.
+ */
 const CLEANUP_INTERVAL_MS = 300_000;
 
 const reportSchema = z.object({
@@ -47,20 +56,22 @@
 });
 
 /**
- * The kept reports, to be mirrored.
+ * Returns the persisted reports as a source to mirror.
  *
  * @example
- * const view = createPlatformView({crashReports: crashReportsOf(platform), ...rest});
+ * const view = createPlatformView({crashReports: crashReportSource(platform),
+ *   ...rest});
  */
 export function crashReportSource(platform: Platform): Source<CrashReport> {
   return platform.ownObjects(OBJECT_KIND, value => reportSchema.parse(value));
 }
 
 /**
- * Starts to keep what this entry sees and to take what the others have kept.
+ * Starts to persist this entry's observations and to apply those of the others.
  *
  * @example
- * const memory = owned.add(startCrashMemory({mirror: view.crashes, suspects, store, self, ...rest}));
+ * const persistence = owned.add(startCrashPersistence({mirror: view.crashes,
+ *   suspects, store, self, ...rest}));
  */
 export function startCrashPersistence(options: {
   readonly mirror: Mirror<CrashReport>;
@@ -70,7 +81,10 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
-  /** Whether this entry mirrors the objects on behalf of others, and so cleans up. */
+  /**
+   * Whether this entry reads the objects from the store for all entries, and so
+   * removes expired ones.
+   */
   isReader(): boolean;
 }): Disposable {
   const {mirror, suspects, store, self, clock, random, log} = options;
@@ -92,7 +106,7 @@
     for (const name of revisions.keys()) {
       if (mirror.get(name) === undefined) {
         revisions.delete(name);
-        log.info({entry: name}, 'crashes taken away');
+        log.info({entry: name}, 'persisted crashes removed');
         suspects.dropKept(name);
       }
     }
@@ -107,7 +121,7 @@
     }
   }
 
-  /** Writes until the store has what is known here. */
+  /** Writes until the store has the current report. */
   async function flush(): Promise<void> {
     if (isWriting) {
       return;
@@ -116,7 +130,8 @@
     await pause(WRITE_BATCH_MS);
     let failures = 0;
     while (isDirty && !isDisposed) {
-      // Before the object of an earlier process is known it would be lost.
+      // Writing before the previous process's object is restored would
+      // overwrite it.
       const isDone = isRestored && (await writeOnce(failures));
       if (!isDone) {
         failures += 1;
@@ -137,13 +152,13 @@
       const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
       await store.put(OBJECT_KIND, self, report, {type: 'any'}, signal);
       suspects.noteKept(report);
-      log.info({crashes: report.crashes.length, failures}, 'crashes kept');
+      log.info({crashes: report.crashes.length, failures}, 'crashes persisted');
       return true;
     } catch (error) {
       isDirty = true;
       const {kind, message} = toServingError(error);
       if (failures === 0) {
-        log.warn({kind, message}, 'crashes not kept');
+        log.warn({kind, message}, 'persisting crashes failed');
       }
       return false;
     }
@@ -162,7 +177,10 @@
         .remove(OBJECT_KIND, name, {type: 'version', version: revision})
         .catch(error => {
           const {kind, message} = toServingError(error);
-          log.warn({kind, message, entry: name}, 'old crashes not removed');
+          log.warn(
+            {kind, message, entry: name},
+            'removing expired crashes failed',
+          );
         });
     }
   }
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -1,4 +1,7 @@
-/** Periodic reports between entries: usage, load, and sync status of the mirrors. */
+/**
+ * Periodic reports between entries: usage, load, and sync status of the
+ * mirrors.
+ */
 import {
   disposableStore,
   every,
@@ -24,20 +27,28 @@
 >;
 
 export interface Digests extends Disposable {
-  /** Wall clock corrected to the median of the peers' clocks, in milliseconds. */
+  /**
+   * Wall clock corrected to the median of the peers' clocks, in milliseconds.
+   */
   commonWallMs(): number;
 }
 
 /**
- * Interval of digests, in milliseconds. Processor time grows as it shrinks, and
- * overshoot of quotas as it grows.
+ * Interval of digests, in milliseconds. A shorter one costs processor time, a
+ * longer one lets quotas overshoot more.
  */
 const INTERVAL_MS = 300;
 
-/** Time without a digest after which a peer counts as silent, in milliseconds. */
+/**
+ * Time without a digest after which a peer is considered unreachable, in
+ * milliseconds.
+ */
 export const PEER_TIMEOUT_MS = 1_200;
 
-/** One digest in so many goes to the standby relay; its data must be fresh when it takes over. */
+/**
+ * Ticks between digests to the standby relay, whose data must be fresh when it
+ * takes over.
+ */
 const STANDBY_INTERVAL_TICKS = 3;
 
 interface PeerContact {
@@ -51,7 +62,8 @@
  * Starts to exchange digests with the targets of the relay plan.
  *
  * @example
- * const digests = startDigests({network, clock, self, plan, content, onDidHear});
+ * const digests = startDigests({network, clock, self, plan, content,
+ *   onDidReceive});
  */
 export function startDigests(options: {
   readonly network: PeerNetwork;
@@ -60,14 +72,17 @@
     readonly failureDomain: string;
     readonly incarnation: number;
   };
-  /** Present relay plan; it changes with the members. */
+  /** Current relay plan; it changes with the membership. */
   plan(): RelayPlan;
   /**
-   * Snapshots the local state once per tick; the result renders it for a scope.
-   * Only `rest` depends on the receiver.
+   * Takes a snapshot of the local state once per tick; the result returns its
+   * content for a scope. Only `rest` depends on the receiver.
    */
   content(): (scope: DigestScope, receiver: string) => DigestContent;
-  /** Called for each digest; `timestamp` is a local time before it was sent, if known. */
+  /**
+   * Called for each digest; `timestamp` is a local time before it was sent, if
+   * known.
+   */
   onDidReceive(
     peer: string,
     digest: Digest,
@@ -77,7 +92,7 @@
   const {network, clock, self} = options;
   const owned = disposableStore();
   const contacts = new Map<string, PeerContact>();
-  /** Wall time of each stamp sent, by stamp. */
+  /** Wall-clock milliseconds of each stamp sent. */
   const wallAtStamp = new Map<number, number>();
   const startedAt = clock.now();
   let ticks = 0;
@@ -113,7 +128,7 @@
 
     const isActiveRelayAlive = precedence !== undefined && isAlive(precedence);
     for (const [peer, scope] of targets) {
-      // Two active relays would double the traffic.
+      // A second active relay would double the traffic.
       if (isActiveRelayAlive && scope !== 'own') {
         continue;
       }
@@ -148,8 +163,9 @@
   }
 
   /**
-   * Local time that the sender had echoed, a lower bound of when it sent: a
-   * digest may have been delayed for seconds and must not look newer than it is.
+   * Returns the local stamp that the sender echoed, a lower bound of the send
+   * time: a digest may have been delayed for seconds and must not appear newer
+   * than it is.
    */
   function sentAfter({echo}: Digest): Timestamp | undefined {
     const wallMs = echo === undefined ? undefined : wallAtStamp.get(echo);
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -1,4 +1,4 @@
-/** The endpoints that may be used, kept in step with what they register. */
+/** The registered endpoints, kept in sync with the mirrored registrations. */
 import {emitter, type Event, type Logger} from '@skylarkfield/base';
 import type {Candidate, Router} from '@skylarkfield/routing';
 import {
@@ -9,29 +9,35 @@
 import type {Mirror} from './mirror.js';
 import type {Upstreams} from './upstream.js';
 
-/** Which group of a service's versions an endpoint belongs to. */
+/** Side of a rollout to which an endpoint's version belongs. */
 export type VersionGroup = 'incumbent' | 'candidate';
 
 export interface EndpointDirectory {
-  /** By the key that the router knows it by. */
+  /** Looks up an endpoint by its key in the router. */
   get(key: string): RegisteredEndpoint | undefined;
-  /** All that are registered for a service, leaving ones included. */
+  /** All registered endpoints of a service, draining ones included. */
   forService(service: string): readonly RegisteredEndpoint[];
-  /** Those that take new work. */
+  /** Endpoints that accept new requests. */
   ready(service: string, group: VersionGroup): readonly RegisteredEndpoint[];
-  /** Takes the present registrations over to the router. */
+  /** Applies the current registrations to the router and the upstreams. */
   refresh(): void;
-  /** Fires with the key of an endpoint that says it leaves, or is no longer registered. */
+  /**
+   * Fires with the key of an endpoint that starts to drain or is no longer
+   * registered.
+   */
   readonly onDidLeave: Event<string>;
-  /** Fires with the key of an endpoint that is no longer registered and has not said that it leaves. */
+  /**
+   * Fires with the key of an endpoint that was removed without draining first.
+   */
   readonly onDidVanish: Event<string>;
 }
 
 /**
- * Makes the directory over the mirrored registrations.
+ * Creates the directory over the mirrored registrations.
  *
  * @example
- * const directory = createEndpointDirectory({endpoints, rollouts, router, upstreams, log, isModel});
+ * const directory = createEndpointDirectory({endpoints, rollouts, router,
+ *   upstreams, log, isModel});
  * endpoints.onDidChange(() => directory.refresh());
  */
 export function createEndpointDirectory(options: {
@@ -49,8 +55,8 @@
   let byKey = new Map<string, RegisteredEndpoint>();
 
   /**
-   * Versions that only a rollout may send requests to. One that was taken back
-   * stays among them: its endpoints are there for some seconds more.
+   * Versions that receive requests only through a rollout. Includes rolled back
+   * ones, whose endpoints remain for some seconds.
    */
   function rolloutTargets(service: string): string[] {
     return rollouts
@@ -108,7 +114,7 @@
           endpoint;
         log.info(
           {endpoint: id, service, state, failureDomain, version, isReclaimable},
-          'endpoint registered',
+          'endpoint state changed',
         );
         if (state === 'draining') {
           leaving.fire(id);
@@ -117,7 +123,7 @@
     }
     for (const [id, {state}] of before) {
       if (!byKey.has(id)) {
-        log.info({endpoint: id}, 'endpoint gone');
+        log.info({endpoint: id}, 'endpoint no longer registered');
         leaving.fire(id);
         if (state === 'ready') {
           vanished.fire(id);
@@ -128,8 +134,8 @@
 }
 
 /**
- * A process that starts again under its old id knows nothing of before: under a
- * key of its own the router does not expect its caches there.
+ * A process that restarts under its old id has an empty cache; a separate key
+ * keeps the router from expecting the old one.
  */
 function keyOf({id, bornAt}: RegisteredEndpoint): string {
   return `${id}@${bornAt}`;
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -1,9 +1,9 @@
 /**
- * What was learned of engines, kept in the platform's store.
+ * Persists the measured capacity of engines in the platform's store.
  *
- * When all entries lose power together nobody is left to tell what engines can
- * do. Callers come back at once, and until enough of them were served again the
- * fleet and every choice would rest on guesses.
+ * If all entries lose power at once, no peer has the measurements. Callers
+ * return at once, and until enough of them are served, scaling and routing
+ * would rest on guesses.
  */
 import {
   every,
@@ -24,17 +24,23 @@
 const OBJECT_KIND = 'engine-capacity';
 const OBJECT_NAME = 'learned';
 
-/** How often the holder of the duty writes, in milliseconds: figures change slowly, and each call is paid for. */
+/**
+ * Interval at which the duty's holder writes, in milliseconds: measurements
+ * change slowly, and each call is billed.
+ */
 const WRITE_INTERVAL_MS = 10_000;
 
-/** Pause after a reading that failed, and the most readings: what others tell is soon better. */
+/**
+ * Delay before a failed read is retried, in milliseconds, and the maximum
+ * reads: peers soon have better data.
+ */
 const READ_RETRY_MS = 1_500;
 const MAX_READS = 4;
 
-/** Time for one call, in milliseconds. */
+/** Timeout of one call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_000;
 
-/** What was kept counts this part of what it did when it was written, as it may be old. */
+/** Weight of restored measurements, which may be outdated. */
 const RESTORED_WEIGHT = 0.5;
 
 const regressionSchema = z.object({
@@ -62,17 +68,20 @@
 );
 
 export interface EngineCapacityStore extends Disposable {
-  /** What was found at the start, fading with time; empty before it was read. */
+  /**
+   * Returns the restored measurements, decayed by age; empty until they are
+   * read.
+   */
   restored(): CapacitySums;
-  /** Writes what all have seen, for as long as it is not disposed. */
+  /** Writes the measurements periodically until disposed. */
   startPersisting(sums: () => CapacitySums): Disposable;
 }
 
 /**
- * Makes the memory and starts to read.
+ * Creates the store and starts to read.
  *
  * @example
- * const memory = createEngineMemory({store, clock, log});
+ * const engineStore = createEngineCapacityStore({store, clock, log});
  */
 export function createEngineCapacityStore(options: {
   readonly store: ObjectStore;
@@ -101,10 +110,10 @@
         RESTORED_WEIGHT,
       );
       stored = {at: clock.now(), sums};
-      log.info({services: Object.keys(sums)}, 'engines recalled');
+      log.info({services: Object.keys(sums)}, 'engine capacity restored');
     } catch (error) {
       const {kind, message} = toServingError(error);
-      log.warn({kind, message, readings}, 'engines not recalled');
+      log.warn({kind, message, readings}, 'restoring engine capacity failed');
       scheduleRetry();
     }
   }
@@ -133,7 +142,7 @@
       );
     } catch (error) {
       const {kind, message} = toServingError(error);
-      log.warn({kind, message}, 'engines not kept');
+      log.warn({kind, message}, 'persisting engine capacity failed');
     }
   }
 
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -1,4 +1,4 @@
-/** Sees how fast engines answer, attempt by attempt. */
+/** Observes the speed of engines, per attempt. */
 import type {EngineFigures, EngineModel} from '@skylarkfield/capacity';
 import type {Clock} from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
@@ -7,33 +7,39 @@
 import type {CallHead} from './contracts.js';
 import {createStepMeter} from './stepMeter.js';
 
-/** What of a call says how much work it is. */
+/** The properties of a call that determine its work. */
 export interface ObservedCall {
   readonly head: Pick<CallHead, 'demand'>;
   readonly route: Pick<Route, 'name' | 'goalMs' | 'timeoutMs'>;
   readonly service: string;
 }
 
-/** One attempt of a model request while it runs. */
+/** Observes one attempt of a model request. */
 export interface AttemptObserver {
-  /** The same sink, watched. */
+  /** Returns a sink that also records the events. */
   watched(sink: EventSink): EventSink;
   noteBegin(): void;
   noteEnd(): void;
 }
 
-/** How long a request would wait for those before it. */
+/** Expected queueing delay of a request. */
 export interface ExpectedWait {
   readonly ms: number;
-  /** The longest wait with which it is still of use. */
+  /** Maximum delay at which the response is still useful. */
   readonly longestMs: number;
   readonly isTooLong: boolean;
 }
 
 export interface EngineObserver {
-  /** The wait at the chosen endpoint for a caller who stays for so many milliseconds. */
+  /**
+   * Returns the delay at the chosen endpoint; `leftMs` is the time until the
+   * caller's deadline.
+   */
   wait(call: ObservedCall, choice: Choice, leftMs: number): ExpectedWait;
-  /** `isFresh` is false for a request that goes on from what ran elsewhere: it reads little of its prompt. */
+  /**
+   * `isFresh` is false for a resumed request, which processes only a small part
+   * of its prompt.
+   */
   observe(
     call: ObservedCall,
     choice: Choice,
@@ -47,37 +53,43 @@
   noteEnd() {},
 };
 
-/** Answers of fewer events say nothing of the steps between them. */
+/** Minimum events of a response for measuring its steps. */
 const MIN_EVENTS = 3;
 
-/** No wait that anything is known of. */
+/** Used when no delay can be estimated. */
 const NO_WAIT: ExpectedWait = {ms: 0, longestMs: Infinity, isTooLong: false};
 
-/** Part of a caller's time that a request may wait: the answer takes time as well. */
+/**
+ * Maximum fraction of a request's remaining time spent queueing, since the
+ * response takes time as well.
+ */
 const MAX_WAIT_FRACTION = 0.6;
 
 /**
- * Makes the observer of one entry.
+ * Creates the observer of one entry.
  *
  * @example
- * const seen = engines.observe(call, choice, true);
+ * const observer = engines.observe(call, choice, true);
  */
 export function createEngineObserver(options: {
   readonly model: EngineModel;
   readonly clock: Clock;
   figures(service: string): EngineFigures;
-  /** Whether an engine can hold the request at all. */
+  /** Whether the request fits into an engine's memory. */
   fits(service: string, demand: ModelDemand): boolean;
-  /** Tokens of an answer that one event of the service's streams holds. */
+  /** Tokens per event of the service's streams. */
   tokensPerEvent(service: string): number;
-  /** A prompt goes to an endpoint that is thought to read so many tokens of shared parts again. */
+  /**
+   * Called with the shared prompt tokens that the endpoint is expected to
+   * compute again.
+   */
   onDidReread(service: string, tokens: number): void;
 }): EngineObserver {
   const {model, clock} = options;
   return {
     wait({head, service}, {tokensAhead}, leftMs) {
       const figures = options.figures(service);
-      // Before engines are known a guess would turn callers away.
+      // Until the figures are reliable, a guess could reject callers wrongly.
       if (head.demand === undefined || !figures.isSure) {
         return NO_WAIT;
       }
--- a/packages/gateway/src/enginesView.ts
+++ b/packages/gateway/src/enginesView.ts
@@ -1,4 +1,4 @@
-/** What is known of services' engines and of the work for them, from all entries. */
+/** Estimates of engines' capacity and load, combined from all entries. */
 import type {Clock, Logger} from '@skylarkfield/base';
 import {
   addCapacity,
@@ -30,32 +30,52 @@
   readonly outcomes: OutcomeMeter;
   readonly work: WorkMeter;
   figures(service: string): EngineFigures;
-  /** Work for a service over all entries. */
+  /** Returns the work rate of a service over all entries. */
   workOf(service: string): WorkRate;
-  /** How much this service is asked for, and how its callers fare. */
+  /**
+   * Returns the demand for a service, and how many of its callers are served
+   * late.
+   */
   signs(service: string): Omit<DemandSigns, 'present'>;
-  /** What a choice among its endpoints weighs; undefined for a plain service. */
+  /**
+   * Returns the routing weights of a service; undefined for a plain service.
+   */
   routeWeights(service: string): Partial<RouteWeights> | undefined;
-  /** What this entry has seen, for the others; undefined when they were told lately. */
+  /**
+   * Returns this entry's observations for its peers; undefined if published
+   * recently.
+   */
   unpublishedCapacity(): CapacitySums | undefined;
-  /** What all entries have seen. */
+  /** Returns the observations of all entries. */
   fleetCapacity(): CapacitySums;
   dump(): unknown;
 }
 
-/** How often the figures are worked out anew, in milliseconds. */
+/** Interval at which the figures are recomputed, in milliseconds. */
 const REFRESH_INTERVAL_MS = 1_000;
 
-/** How often others are told, in milliseconds: what is learned changes slowly. */
+/**
+ * Interval at which observations are published, in milliseconds: they change
+ * slowly.
+ */
 const PUBLISH_INTERVAL_MS = 1_000;
 
-/** Figures are logged again when the usual prompt's time has changed by this part. */
+/**
+ * Relative change of the typical prompt's time at which the figures are logged
+ * again.
+ */
 const LOGGED_CHANGE = 0.25;
 
-/** The endpoint that a prefix belongs to is favoured by this many times the usual prompt's reading. */
+/**
+ * Affinity of a prefix to its endpoint, as a multiple of the typical prompt's
+ * processing time.
+ */
 const AFFINITY_PROMPTS = 1.5;
 
-/** A prefix that is read again counts this many times its reading: it delays all answers beside it. */
+/**
+ * Cost factor of a prefix that is computed again: it delays all responses
+ * beside it.
+ */
 const REREAD_WEIGHT = 4;
 
 interface CachedFigures {
@@ -65,16 +85,17 @@
 }
 
 /**
- * Makes the view; `aims` are those of the routes to a service.
+ * Creates the view; `aims` are the targets of the routes to a service.
  *
  * @example
- * const engines = createEnginesView({clock, reports, log, recalled: memory.recalled, isModel, aims});
+ * const engines = createEnginesView({clock, reports, log, recalled:
+ *   store.restored, isModel, aims});
  */
 export function createEnginesView(options: {
   readonly clock: Clock;
   readonly reports: PeerReports;
   readonly log: Logger;
-  /** What was known before all entries were lost, as far as it still counts. */
+  /** Observations from before all entries were lost, decayed by age. */
   recalled(): CapacitySums;
   isModel(service: string): boolean;
   aims(service: string): readonly RouteAim[];
@@ -108,7 +129,7 @@
     return fresh;
   }
 
-  /** Logs figures that are new, or far from those logged last. */
+  /** Logs figures that are new or differ enough from those logged last. */
   function logChange(service: string, figures: EngineFigures): void {
     const last = logged.get(service);
     const ratio = last ? figures.usualPromptMs / last.usualPromptMs : Infinity;
@@ -117,7 +138,7 @@
       return;
     }
     logged.set(service, figures);
-    log.info({service, ...figures}, 'engines known');
+    log.info({service, ...figures}, 'engine figures updated');
   }
 
   function workOf(service: string): WorkRate {
--- a/packages/gateway/src/eventFramer.ts
+++ b/packages/gateway/src/eventFramer.ts
@@ -1,22 +1,22 @@
 /**
- * Cuts a stream of server-sent events into whole events.
+ * Splits a stream of server-sent events into complete events.
  *
- * An endpoint may stop in the middle of an event. Passed on as it came, half an
- * event would stand before the first one of the endpoint that goes on, and the
- * caller would read two as one; so only whole events are passed on.
+ * An endpoint may fail in the middle of an event. If the partial event were
+ * passed on, the caller would read it and the first event of the resumed stream
+ * as one, so only complete events are passed on.
  */
 
-/** One event with its bytes as they came, the empty line included. */
+/** One event with its raw bytes, the terminating empty line included. */
 export interface EventFrame {
   readonly bytes: Buffer;
-  /** Undefined for an event without an id, like a comment. */
+  /** Undefined for an event without an id, such as a comment. */
   readonly id: number | undefined;
 }
 
 export interface EventFramer {
-  /** Events that the bytes complete. */
+  /** Returns the events that the chunk completes. */
   push(chunk: Buffer): EventFrame[];
-  /** Bytes of an event that is not complete. */
+  /** Returns the bytes of the incomplete last event. */
   remainder(): Buffer;
 }
 
@@ -24,10 +24,10 @@
 const CARRIAGE_RETURN = 0x0d;
 
 /**
- * Makes a cutter with nothing pending.
+ * Creates a framer with an empty buffer.
  *
  * @example
- * for (const frame of frames.push(chunk)) { response.write(frame.bytes); }
+ * for (const frame of framer.push(chunk)) { response.write(frame.bytes); }
  */
 export function createEventFramer(): EventFramer {
   let pending: Buffer = Buffer.alloc(0);
@@ -48,7 +48,7 @@
   };
 }
 
-/** Position after the first empty line; 0 when there is none yet. */
+/** Returns the position after the first empty line; 0 if there is none yet. */
 function endOfEvent(bytes: Buffer): number {
   let at = bytes.indexOf(LINE_FEED);
   while (at >= 0) {
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -1,4 +1,4 @@
-/** Orders endpoints so that each service has what its work needs, for as long as the duty is held. */
+/** Scales each service's endpoints to its demand while the duty is held. */
 import {
   every,
   toServingError,
@@ -21,19 +21,25 @@
 import type {EndpointOrder, OrderAnswer, PlatformOrders} from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
-/** How often the plan is made anew, in milliseconds. */
+/** Planning interval, in milliseconds. */
 const PLAN_INTERVAL_MS = 500;
 
-/** An order that is not carried out by then is given again. */
+/** Time after which an unfulfilled order is issued again, in milliseconds. */
 const ORDER_TIMEOUT_MS = 6_000;
 
-/** How often a failure domain that had no reclaimable endpoints is asked for one. */
+/**
+ * Interval at which a failure domain without reclaimable capacity is probed, in
+ * milliseconds.
+ */
 const SCARCE_RETRY_INTERVAL_MS = 3_000;
 
-/** Nothing is sent away this soon after the duty was taken: when a system starts, its endpoints register over some seconds. */
+/**
+ * Time after taking the duty without scaling down, in milliseconds: at a
+ * system's start, its endpoints register over some seconds.
+ */
 const SCALE_DOWN_DELAY_MS = 5_000;
 
-/** Time for one call, in milliseconds. */
+/** Timeout of one call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_500;
 
 type Market = keyof DomainFleet;
@@ -49,14 +55,17 @@
   readonly orders: PlatformOrders;
   readonly directory: EndpointDirectory;
   services(): readonly DeclaredService[];
-  /** What a service is asked for over all entries, and how its callers fare. */
+  /**
+   * A service's demand over all entries, and how many of its callers are served
+   * late.
+   */
   demandSigns(service: string): Omit<DemandSigns, 'present'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
 /**
- * Starts to order for as long as the tenure lasts.
+ * Starts to issue orders for the duration of the tenure.
  *
  * @example
  * duties.compete('fleet', tenure => startFleetDuty({tenure, ...rest}));
@@ -64,7 +73,10 @@
 export function startFleetDuty(options: FleetDutyOptions): Disposable {
   const {tenure, orders, directory, clock, log} = options;
   const issuedOrders = new Map<string, IssuedOrder>();
-  /** When a failure domain without reclaimable endpoints is asked again. */
+  /**
+   * Time of the next probe for each failure domain without reclaimable
+   * capacity.
+   */
   const scarceRetryAt = new Map<string, number>();
   const demands = new Map<string, FleetDemand>();
   const startedAt = clock.now();
@@ -90,7 +102,10 @@
       .length;
   }
 
-  /** A reclaimable endpoint that leaves shows that its failure domain is being reclaimed. */
+  /**
+   * A draining reclaimable endpoint indicates that its failure domain is being
+   * reclaimed.
+   */
   function noteReclaims(service: string): void {
     for (const endpoint of directory.forService(service)) {
       if (endpoint.isReclaimable && endpoint.state === 'draining') {
@@ -121,7 +136,10 @@
     return demand.note({...signs, present: readyCount(service)});
   }
 
-  /** How many may leave: what is ready beyond the need, since a new one takes seconds to start. */
+  /**
+   * Number of endpoints that may be removed: those ready beyond the need, since
+   * a replacement takes seconds to start.
+   */
   function surplusLimit(service: string, needed: number): number {
     if (clock.now() - startedAt < SCALE_DOWN_DELAY_MS) {
       return 0;
@@ -129,7 +147,10 @@
     return Math.max(0, readyCount(service) - needed);
   }
 
-  /** What to order of one market now, on the way to what the plan wants. */
+  /**
+   * Returns the next count to order in one market on the way to the planned
+   * one.
+   */
   function nextCount(
     planned: number,
     current: number,
@@ -140,7 +161,8 @@
     if (current > planned) {
       return Math.max(planned, current - surplus);
     }
-    // Both markets count for the bound: an order beyond it is cut without a word.
+    // The limit covers both markets; the platform truncates an order beyond it
+    // without an error.
     return Math.max(current, Math.min(planned, most - otherMarketCount));
   }
 
@@ -210,9 +232,9 @@
   }
 
   /**
-   * Asks scarce failure domains for one more endpoint now and then. Were they
-   * planned with again just because time has passed, endpoints that stay would be
-   * sent away for reclaimable ones that are not to be had.
+   * Orders one more endpoint in scarce failure domains now and then. If they
+   * were planned with again after some time alone, on-demand endpoints would be
+   * removed for reclaimable ones that are not available.
    */
   async function probeScarceDomains(
     service: string,
@@ -278,7 +300,7 @@
       }
     } catch (error) {
       const {kind, message} = toServingError(error);
-      log.warn({kind, message}, 'endpoints not ordered');
+      log.warn({kind, message}, 'ordering endpoints failed');
     } finally {
       isBusy = false;
     }
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -1,4 +1,7 @@
-/** Takes an admitted request to an endpoint, and to another one where that is allowed. */
+/**
+ * Forwards an admitted request to an endpoint, and retries it at others where
+ * permitted.
+ */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {Admission} from '@skylarkfield/admission';
 import type {
@@ -30,7 +33,7 @@
 import type {Continuation, StreamMigrator} from './streamMigration.js';
 import type {Upstreams} from './upstream.js';
 
-/** A request that has leave to be sent. */
+/** A request that was admitted. */
 export interface ForwardedCall {
   readonly head: CallHead;
   readonly attemptId: string;
@@ -43,30 +46,36 @@
   readonly path: string;
   readonly rawHeaders: readonly string[];
   readonly body: Buffer | undefined;
-  /** The same for each attempt of the caller; computed when it is first asked for. */
+  /** Identical for all attempts of the caller; computed on first use. */
   fingerprint(): string;
   /** Keys of the prompt's shared parts; empty for a plain service. */
   readonly promptKeys: readonly string[];
   /** Monotonic milliseconds. */
   readonly deadlineAt: number;
-  /** Aborted when the caller leaves or the deadline passes. */
+  /** Aborted when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
 }
 
-/** How a forwarded call ended. */
+/** Result of a forwarded call. */
 export interface ForwardingResult {
   readonly status: number;
-  /** Milliseconds from the first send to the first byte or event; undefined when none came. */
+  /**
+   * Milliseconds from the start of forwarding to the first byte or event;
+   * undefined if none arrived.
+   */
   readonly firstMs: number | undefined;
-  /** Endpoints it was sent to, in order. */
+  /** Endpoints that it was sent to, in order. */
   readonly endpoints: readonly string[];
-  /** Monotonic milliseconds of the first send; undefined when it was not sent. */
+  /** Monotonic milliseconds of the first send; undefined if it was not sent. */
   readonly firstSendAt?: number;
-  /** Prompt tokens to be read before its own where it was sent first, as known then; undefined when it was not sent. */
+  /**
+   * Estimated prompt tokens queued ahead of it at the first endpoint; undefined
+   * if it was not sent.
+   */
   readonly tokensAhead?: number;
-  /** Present when an endpoint closed its connection on the request. */
+  /** Set if an endpoint closed its connection during the request. */
   readonly fingerprint?: string;
-  /** Why it failed; undefined when an endpoint's whole answer was passed on. */
+  /** Undefined if an endpoint's complete response was passed on. */
   readonly error: ServingError | undefined;
 }
 
@@ -74,14 +83,14 @@
   forward(call: ForwardedCall, reply: CallerReply): Promise<ForwardingResult>;
 }
 
-/** Where an attempt is made, and from which memory it goes on. */
+/** The endpoint of an attempt, and the KV cache it resumes from. */
 interface AttemptTarget {
   readonly choice: Choice;
   readonly memory?: Continuation['memory'];
 }
 
 /**
- * Makes the forwarding of one entry.
+ * Creates the forwarding of one entry.
  *
  * @example
  * const {status} = await forwarding.forward(call, reply);
@@ -98,7 +107,10 @@
   readonly format: CallFormat;
   readonly clock: Clock;
   readonly log: Logger;
-  /** A request of the customer began to run at this wall-clock millisecond. */
+  /**
+   * Called with the wall-clock milliseconds at which a customer's request
+   * started to run.
+   */
   onDidRun(customer: string | undefined, wallMs: number): void;
 }): Forwarding {
   const {router, directory, upstreams, migrator, engines, format, clock, log} =
@@ -106,7 +118,10 @@
   const crashGuard = createCrashGuard(options);
   const rules = createRetryRules({admission: options.admission, clock});
 
-  /** An endpoint of the call's group, else one of those that have served all along. */
+  /**
+   * Chooses an endpoint of the call's version group, falling back to the
+   * incumbent.
+   */
   function choose(call: ForwardedCall, excluded: ReadonlySet<string>) {
     const {demand} = call.head;
     const routingRequest = {
@@ -136,7 +151,7 @@
       choice.finish({outcome: 'unreachable', latencyMs: 0});
       return {
         type: 'failed',
-        error: unavailable(call.service, 'it has just gone'),
+        error: unavailable(call.service, 'the chosen one was just removed'),
       };
     }
     progress.endpoints.push(endpoint.id);
@@ -199,7 +214,7 @@
     watchedStream.dispose();
     progress.continuation = await watchedStream.continuation();
     const latencyMs = (beganAt ?? clock.now()) - sentAt;
-    // A stream that was moved has stopped because it was told to.
+    // A migrated stream ended because its endpoint was told to stop it.
     const outcome = progress.continuation ? 'ok' : outcomeOf(end);
     choice.finish({outcome, latencyMs});
     observer.noteEnd();
@@ -217,7 +232,10 @@
     }
     return end;
 
-    /** A plain request runs from its sending on, a model's from its first event; counted once for all attempts. */
+    /**
+     * Counts a call once over all attempts. A plain request runs from its send,
+     * a model request from its first event.
+     */
     function countRun(wallMs: number): void {
       if (!progress.isCounted) {
         progress.isCounted = true;
@@ -240,7 +258,7 @@
     });
   }
 
-  /** What follows an attempt: an answer, an error, or undefined for another attempt. */
+  /** Returns the final result of the call, or undefined to retry. */
   function conclude(
     call: ForwardedCall,
     reply: CallerReply,
@@ -258,7 +276,7 @@
       if (reply.hasBegun()) {
         return respondWithError(
           reply,
-          new ServingError('interrupted', 'the stream could not go on'),
+          new ServingError('interrupted', 'the stream could not be resumed'),
         );
       }
       reply.sendWhole(end.status, end.headers, end.body);
@@ -294,18 +312,18 @@
     return choice && {choice};
   }
 
-  /** Why no endpoint of a service may be asked. */
+  /** Returns the reason why no endpoint can be tried. */
   function noEndpointError(service: string): ServingError {
     const waitMs = router.limitWaitMs(service);
     return waitMs === undefined
-      ? unavailable(service, 'none is left')
+      ? unavailable(service, 'none is left to try')
       : rateLimited(service, waitMs);
   }
 
   /**
-   * Refuses a request that nobody has run yet and that can't be answered in its
-   * caller's time even at the endpoint that suits it best: the caller learns now
-   * when to come back, and those before it are not held up by work in vain.
+   * Rejects a request that has not run yet and cannot be answered before its
+   * deadline even at the best endpoint: the caller learns early when to retry,
+   * and no capacity is wasted on it.
    */
   function rejectIfTooLate(
     call: ForwardedCall,
@@ -329,12 +347,15 @@
         waitMs: Math.round(wait.ms),
         longestMs: Math.round(wait.longestMs),
       },
-      'no place in time',
+      'rejected because of the expected wait',
     );
     return waitTooLong(call.service, wait);
   }
 
-  /** Whether the request goes on where its memory was moved to. */
+  /**
+   * Whether the request continues at the endpoint that its KV cache was copied
+   * to.
+   */
   function isMigrated(
     {signal}: ForwardedCall,
     progress: Progress,
@@ -396,7 +417,7 @@
             sends: progress.endpoints.length,
             fingerprint: progress.fingerprint,
           },
-          'another endpoint',
+          'retrying at another endpoint',
         );
       }
     },
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -1,4 +1,4 @@
-/** Listening ports of a gateway and their handlers. */
+/** The listening ports of a gateway and their handlers. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {Coordination} from './coordination.js';
@@ -8,7 +8,10 @@
 import {createStatusHandler} from './statusPages.js';
 import type {TrafficPipeline} from './trafficPipeline.js';
 
-/** Upper bound of a lookup answer's TTL, in milliseconds, so that callers drop a failed entry soon. */
+/**
+ * Maximum TTL of a lookup's response, in milliseconds, so that callers drop a
+ * failed entry soon.
+ */
 const MAX_LOOKUP_TTL_MS = 2_000;
 
 const READY = 200;
@@ -16,11 +19,11 @@
 const NOT_FOUND = 404;
 
 /**
- * Opens all ports. Throws `bad-settings` when one cannot be opened, and closes
+ * Opens all ports. Throws `bad-settings` if one cannot be opened, after closing
  * the others, which would still accept callers.
  *
  * @example
- * const ports = owned.add(await openPorts(context, agreement, traffic));
+ * const ports = owned.add(await openPorts(context, coordination, traffic));
  */
 export async function openPorts(
   context: GatewayContext,
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -1,4 +1,4 @@
-/** One gateway process: how it starts and how it stops. */
+/** Startup and graceful shutdown of a gateway process. */
 import {
   createDumps,
   createInFlight,
@@ -21,28 +21,35 @@
 import {createTrafficPipeline} from './trafficPipeline.js';
 
 export interface GatewayProcess {
-  /** A planned stop: leaves the lookups, serves on, then ends what is in flight. */
+  /**
+   * Shuts down gracefully: leaves the lookups, serves on for a while, then
+   * waits for requests in flight.
+   */
   stop(): Promise<void>;
-  /** Takes over what can change while running: the log's level. */
+  /** Applies the settings that can change at run time: the log level. */
   reload(settings: GatewaySettings): void;
 }
 
 /**
- * How long a stopping process still takes new requests, in milliseconds: callers
- * keep a lookup's answer for 2 s. What comes later is refused, since a long
- * answer could not end within the grace.
+ * Time for which a stopping process still accepts new requests, in
+ * milliseconds: callers cache lookups for 2 s. Later requests are rejected,
+ * since a long response could not end within the grace period.
  */
 const LINGER_MS = 2_700;
 
-/** Time before the end of the grace that the process keeps for itself, in milliseconds. */
+/**
+ * Part of the grace period reserved for the process's own shutdown, in
+ * milliseconds.
+ */
 const SHUTDOWN_MARGIN_MS = 700;
 
 /**
- * Starts a gateway. Throws `bad-settings` when a port can't be opened; what was
- * opened by then is closed again.
+ * Starts a gateway. Throws `bad-settings` if a port cannot be opened, after
+ * releasing everything opened before.
  *
  * @example
- * const gateway = await startGateway(settings, createPlatform(settings.platform, log), log);
+ * const gateway = await startGateway(settings,
+ *   createPlatform(settings.platform, log), log);
  * await gateway.stop();
  */
 export async function startGateway(
@@ -110,8 +117,9 @@
 }
 
 /**
- * The farewell to peers and platform is not waited for beyond the linger: with
- * the platform away it would take the time that answers in flight need.
+ * Shuts the process down. Leaving the membership and releasing leases is not
+ * awaited beyond the linger time: if the platform is down, it would use up the
+ * time for responses in flight.
  */
 async function shutDown(
   {settings, clock, log, life, inFlight}: GatewayContext,
@@ -130,7 +138,10 @@
   const departure = Promise.allSettled([membership.leave(), duties.release()]);
   void departure.then(outcomes => {
     const failed = outcomes.filter(({status}) => status === 'rejected');
-    log.info({failed: failed.length}, 'peers and platform told');
+    log.info(
+      {failed: failed.length},
+      'left the membership and released leases',
+    );
   });
   await new Promise<void>(resolve => {
     clock.after(Math.min(LINGER_MS, graceMs / 2), resolve);
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,6 @@
-/** The gateway: requests of any service, by declared routes. */
+/**
+ * The gateway: routes requests to services as declared in the traffic policy.
+ */
 export * from './contracts.js';
 export {createEngineObserver, type EngineObserver} from './engineObserver.js';
 export {createEnginesView, type EnginesView} from './enginesView.js';
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -17,13 +17,19 @@
   setLimits(limits: CallerLimits): void;
 }
 
-/** Interval of Node's checks for request timeouts, in milliseconds: on the port with caller limits, and elsewhere. */
+/**
+ * Interval of Node's checks for request timeouts, in milliseconds: on the port
+ * with caller limits, and elsewhere.
+ */
 const CHECK_MS = {limited: 1_000, free: 30_000};
 
 /** Listen backlog; callers reconnect in bursts when an entry fails. */
 const BACKLOG = 1_024;
 
-/** Upper bound of a request's headers, in bytes; fixed per server, so policies can only lower it. */
+/**
+ * Upper bound of a request's headers, in bytes; fixed per server, so policies
+ * can only lower it.
+ */
 const HEADER_BYTES = 16_384;
 
 /**
@@ -40,7 +46,7 @@
   const server = http.createServer({
     maxHeaderSize: HEADER_BYTES,
     connectionsCheckingInterval: CHECK_MS[senders],
-    // Only the headers are timed; bodies may be long.
+    // Only the headers have a timeout; bodies may take long.
     requestTimeout: 0,
   });
   const app = polka({server, onNoMatch: handler});
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -3,29 +3,35 @@
 import type {Member} from '@skylarkfield/members';
 
 /**
- * Upper bound of the entries in one answer. Callers spread their requests evenly
- * over them, so a weighted subset shifts load to larger entries.
+ * Maximum entries in one response. Callers spread their requests evenly over
+ * them, so a weighted subset shifts load to larger entries.
  */
 const MAX_ENTRIES = 8;
 
-/** Minimum of the entries in one answer, so that a caller has another one when an entry fails. */
+/**
+ * Minimum entries in one response, so that a caller has an alternative when one
+ * fails.
+ */
 const MIN_ENTRIES = 2;
 
-/** Cores assumed for an entry that does not report them. */
+/** Assumed cores of an entry that does not report them. */
 export const DEFAULT_CORES = 1;
 
-/** Divisor that maps a 32-bit hash plus one to a fraction between 0 and 1, exclusive. */
+/**
+ * Divisor that maps a 32-bit hash plus one to a fraction between 0 and 1,
+ * exclusive.
+ */
 const HASH_RANGE = 2 ** 32 + 1;
 
 /**
  * Returns addresses of live entries in the caller's failure domain, where
- * traffic is free, and of others only when there are too few.
+ * traffic is free, and of others only if there are too few.
  *
- * Large failure domains are subset per caller, weighted by cores. The subset is
- * stable, since callers close connections to entries that are no longer listed.
+ * In large failure domains each caller gets a stable subset, weighted by cores:
+ * callers close connections to entries that are no longer listed.
  *
  * @example
- * const addresses = entriesFor(membership.live(), 'zone-a', '10.9.0.4');
+ * const addresses = selectEntries(membership.live(), 'zone-a', '10.9.0.4');
  */
 export function selectEntries(
   live: readonly Member[],
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -12,7 +12,7 @@
 import {createConfirmation, type Timestamp} from '@skylarkfield/traffic';
 import type {SourceChanges, SourceItem, SourceListing} from './contracts.js';
 
-/** Changes that take a copy from one revision to another. */
+/** Changes that take a replica from one revision to another. */
 export interface MirrorStep {
   readonly from: number;
   readonly to: number;
@@ -26,24 +26,40 @@
   get(name: string): T | undefined;
   items(): readonly SourceItem<T>[];
   revision(): number;
-  /** Milliseconds since the replica was last confirmed up to date; Infinity before that. */
+  /**
+   * Milliseconds since the replica was last confirmed up to date; Infinity
+   * before that.
+   */
   ageMs(): number;
   /** Fires after the content has changed. */
   readonly onDidChange: Event<void>;
-  /** Applies a listing; `asked` is when it was requested, undefined for one that may be stale. */
+  /**
+   * Applies a listing; `requestedAt` is undefined if the listing may be stale.
+   */
   applyListing(listing: SourceListing<T>, asked: Timestamp | undefined): void;
-  /** Applies changes read from the store; returns the step to pass on, if anything changed. */
+  /**
+   * Applies changes read from the store; returns the step to broadcast, if
+   * anything changed.
+   */
   applyChanges(
     changes: SourceChanges<T>,
     asked: Timestamp,
   ): MirrorStep | undefined;
-  /** Applies a step from a peer; false on a gap, when the whole copy is needed. */
+  /**
+   * Applies a step from a peer; false on a gap, which requires the whole copy.
+   */
   applyStep(step: MirrorStep): boolean;
   applyCopy(copy: MirrorCopy): void;
-  /** Confirms the replica by a peer's, up to date at that moment; true when both are the same. */
+  /**
+   * Confirms the replica by a peer's that was up to date at the timestamp;
+   * false if it lacks changes.
+   */
   confirmBy(syncStatus: SyncStatus, timestamp: Timestamp): boolean;
   copy(): MirrorCopy;
-  /** Sync status for the peers; `isReader` is whether this entry reads the store itself. */
+  /**
+   * Returns the sync status for peers; `isReader` is whether this entry reads
+   * the store itself.
+   */
   syncStatus(isReader: boolean): SyncStatus;
 }
 
@@ -51,7 +67,8 @@
  * Creates an empty replica.
  *
  * @example
- * const endpoints = createMirror<RegisteredEndpoint>({kind: 'endpoints', clock, log});
+ * const endpoints = createMirror<RegisteredEndpoint>({kind: 'endpoints',
+ *   clock, log});
  * endpoints.onDidChange(() => router.setEndpoints(endpoints.items()));
  */
 export function createMirror<T>(options: {
@@ -63,7 +80,10 @@
   const changed = emitter<void>();
   const confirmation = createConfirmation(clock);
   const items = new Map<string, SourceItem<T>>();
-  /** Store revision up to which the replica is complete; undefined before the first listing. */
+  /**
+   * Store revision up to which the replica is complete; undefined before the
+   * first listing.
+   */
   let revision: number | undefined;
   let changedAt = 0;
 
@@ -103,7 +123,7 @@
     }
   }
 
-  /** Replaces the content unless the new one is older. */
+  /** Replaces the content unless the new content is older. */
   function replace(
     to: number,
     at: number,
@@ -145,7 +165,7 @@
     applyChanges(read, requestedAt) {
       const from = revision ?? 0;
       if (read.revision < from) {
-        // A peer's step has overtaken this answer.
+        // A peer's step has overtaken this response.
         return undefined;
       }
       const changes = read.changes.map(({name, item}) =>
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -1,9 +1,10 @@
 /**
  * Reads one kind of objects from the platform on behalf of all entries.
  *
- * Calls are priced and rate-limited for the whole fleet, so one entry reads and
- * passes changes on. Entries take over in a fixed order when no predecessor
- * reports successful reads: it may be dead, or the platform may reject it alone.
+ * Calls are billed and rate-limited for the whole fleet, so one entry reads and
+ * broadcasts the changes. Entries take over in a fixed order when no
+ * predecessor reports successful reads: it may be down, or the platform may
+ * reject it alone.
  */
 import {
   toServingError,
@@ -23,7 +24,10 @@
   readonly waitMs: number;
   /** Time beyond the long poll after which a call counts as failed. */
   readonly graceMs: number;
-  /** Freshness of the first listing; later changes come from the next read or from peers. */
+  /**
+   * Freshness of the first listing; later changes come from the next read or
+   * from peers.
+   */
   readonly firstListing: Freshness;
 }
 
@@ -33,24 +37,28 @@
   dump(): unknown;
 }
 
-/** Backoff after a failed call, in milliseconds; short enough to notice the platform's return within a second. */
+/**
+ * Backoff after a failed call, in milliseconds; short enough to notice the
+ * platform's return within a second.
+ */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 500;
 
 /**
- * Pause after the first listing, in milliseconds. Until it knows its peers, a
- * new process would act as a reader beside the present ones.
+ * Pause after the first listing, in milliseconds. Until it has discovered its
+ * peers, a new process would read in addition to the current readers.
  */
 const SETTLE_MS = 1_000;
 
-/** Interval of checks whether this entry has to read, in milliseconds. */
+/** Interval at which `shouldRead` is checked, in milliseconds. */
 const READ_CHECK_INTERVAL_MS = 200;
 
 /**
  * Starts the reader.
  *
  * @example
- * const reader = startMirrorReader({mirror, source, clock, random, log, timing, isTurn, onDidStep});
+ * const reader = startMirrorReader({mirror, source, clock, random, log,
+ *   timing, shouldRead, onDidStep});
  */
 export function startMirrorReader<T>(options: {
   readonly mirror: Mirror<T>;
@@ -61,7 +69,7 @@
   readonly timing: ReadTiming;
   /** Whether no entry before this one in the order reads. */
   shouldRead(): boolean;
-  /** Changes to pass on to the other entries. */
+  /** Called with changes to broadcast. */
   onDidStep(step: MirrorStep): void;
 }): MirrorReader {
   const {mirror, source, clock, random, log, timing} = options;
@@ -123,7 +131,7 @@
     try {
       await (mirror.isKnown() && !isCompacted ? readChanges() : readList());
       if (failures > 0) {
-        log.info({mirror: mirror.kind, failures}, 'platform answers again');
+        log.info({mirror: mirror.kind, failures}, 'platform reads recovered');
       }
       failures = 0;
       succeededAt = clock.now();
--- a/packages/gateway/src/outcomeWatch.ts
+++ b/packages/gateway/src/outcomeWatch.ts
@@ -1,31 +1,37 @@
-/** Sees whether one caller of a model service gets what it hopes for. */
+/** Records whether requests to model services meet their latency goal. */
 import type {Clock, ErrorKind, ServingError} from '@skylarkfield/base';
 import type {OutcomeMeter} from '@skylarkfield/capacity';
 import type {Route} from '@skylarkfield/traffic';
 import type {CallerReply} from './callerReply.js';
 import type {CallHead} from './contracts.js';
 
-/** A request while it is watched. */
+/** A request being watched. */
 export interface WatchedOutcome {
-  /** It has ended, with an error or a whole answer. */
+  /**
+   * Called when the request has ended, with an error or a complete response.
+   */
   end(error: ServingError | undefined): void;
 }
 
-/** Errors by which a service shows that it has too few endpoints. */
+/** Errors that indicate too few endpoints. */
 const SHORTAGE_ERRORS: ReadonlySet<ErrorKind> = new Set([
   'overloaded',
   'deadline-exceeded',
 ]);
 
-/** Requests to plain services, and to routes without a goal, say nothing. */
+/**
+ * Requests to plain services, and on routes without a goal, are not recorded.
+ */
 const UNWATCHED: WatchedOutcome = {end() {}};
 
 /**
- * Notes whether the first event comes within the route's goal, as soon as that is
- * known: under overload the events themselves come far too late to tell.
+ * Records whether the first event arrives within the route's goal as soon as
+ * that is known: under overload the events themselves arrive far too late to be
+ * a signal.
  *
  * @example
- * const outcome = watchOutcome({head, route, service}, reply, {clock, outcomes});
+ * const outcome = watchOutcome({head, route, service}, reply, {clock,
+ *   outcomes});
  * outcome.end(result.error);
  */
 export function watchOutcome(
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -1,10 +1,10 @@
 /**
- * What the other entries have said of their use and load, and sums of it for
- * those who do not hear them.
+ * Latest usage and load reports of peers, and aggregates for entries that do
+ * not receive those reports.
  *
- * Each part of the system has one speaker at a time: an entry for itself, a
- * relay for its failure domain or for all the rest. Two relays that both spoke
- * for a part would count it twice.
+ * Each source has one reporter at a time: an entry for itself, a relay for its
+ * failure domain or for all other entries. Reports of two relays for one source
+ * would count it twice.
  */
 import type {Clock} from '@skylarkfield/base';
 import {
@@ -27,46 +27,52 @@
 type Digest = Messages['digest'];
 type Amounts = Readonly<Record<string, number>>;
 
-/** Use and load of one or more entries. */
+/** Usage and load of one or more entries. */
 export interface AggregateReport {
-  /** Entries that it covers. */
+  /** Number of entries covered. */
   readonly entries: number;
   readonly used: Amounts;
   readonly loads: Readonly<Record<string, EndpointLoad>>;
-  /** Limits that endpoints have named to them. */
+  /** Request limits announced by endpoints. */
   readonly limits: LimitReports;
-  /** Crashes of endpoints that are told now; undefined when there are none. */
+  /** Crashes of endpoints to propagate now; undefined if there are none. */
   readonly crashes?: CrashReport | undefined;
   readonly work: Readonly<Record<string, WorkRate>>;
-  /** What was seen of engines; undefined when it is not to be told now. */
+  /** Measurements of engines; undefined if not published this time. */
   readonly capacity?: CapacitySums;
   readonly outcomes: Readonly<Record<string, OutcomeSums>>;
 }
 
-/** A digest that counts. */
+/** An accepted digest. */
 export interface AcceptedReport {
-  /** The part of the system that it is about. */
+  /** The entries that the digest covers. */
   readonly source: string;
-  /** Quota amounts that the part has used since its previous report. */
+  /** Quota usage of the source since its previous report. */
   readonly increase: Amounts;
 }
 
 export interface PeerReports {
-  /** Takes a digest; undefined when another speaker is heard for the same part. */
+  /**
+   * Applies a digest; undefined if another reporter is active for the same
+   * source.
+   */
   take(peer: string, digest: Digest): AcceptedReport | undefined;
-  /** The own part with what others have said, as far as a receiver of the scope does not hear it elsewhere. */
+  /**
+   * Returns this entry's report combined with those of the sources that a
+   * receiver of the scope has no other reports from.
+   */
   aggregateFor(
     scope: DigestScope,
     receiver: string,
     own: AggregateReport,
   ): AggregateReport;
-  /** Entries, other than this one, covered by reports that are not overdue. */
+  /** Number of other entries covered by reports that are not overdue. */
   visiblePeers(): number;
-  /** Work that the others report for a service. */
+  /** Returns the work rate of a service reported by the peers. */
   workOf(service: string): WorkRate;
-  /** What each other part has seen of engines. */
+  /** Returns the engine measurements of each source. */
   capacity(): readonly CapacitySums[];
-  /** How callers fare at each other part. */
+  /** Returns the counts of late requests of each source. */
   outcomes(): readonly Readonly<Record<string, OutcomeSums>>[];
   dump(): unknown;
 }
@@ -75,24 +81,29 @@
   reporter: string;
   receivedAt: number;
   digest: Digest;
-  /** As last told: not every digest repeats it. */
+  /** Latest value, since not every digest contains it. */
   capacity: CapacitySums;
-  /** Sum of the increases heard; it never falls when a speaker restarts or changes. */
+  /**
+   * Sum of the increases; it never falls when a reporter restarts or changes.
+   */
   readonly used: Record<string, number>;
 }
 
 /**
- * Age from which an entry's report is overdue, in milliseconds: two digests are
- * missed. It may be cut off, and both sides would grant from the same quota.
- * Sums of relays come over more hops and are given the whole silence.
+ * Age at which an entry's report is overdue, in milliseconds: two digests are
+ * missed. The entry may be partitioned, and both sides would grant from the
+ * same quota. Aggregates of relays take more hops and get the whole peer
+ * timeout.
  */
 export const OVERDUE_MS = 700;
 
-/** Name of the part that a relay speaks of to the entries of its own failure domain. */
+/**
+ * Source name of a relay's reports to the entries of its own failure domain.
+ */
 const REST = 'the rest';
 
 /**
- * Makes the reports of one entry.
+ * Creates the reports of one entry.
  *
  * @example
  * const taken = reports.take('a2', digest);
@@ -101,7 +112,10 @@
 export function createPeerReports(options: {
   readonly clock: Clock;
   readonly failureDomain: string;
-  /** Silence after which a part may get another speaker, in milliseconds. */
+  /**
+   * Time without a report after which a source may get another reporter, in
+   * milliseconds.
+   */
   readonly silenceMs: number;
   /** Window of the quotas, in milliseconds. */
   readonly quotaWindowMs: number;
@@ -133,10 +147,10 @@
   }
 
   /**
-   * Usage since the speaker's previous report. The first report of a process
-   * counts in full when all of it lies within the quota window; otherwise it
-   * only sets the base, and so do first sums of a relay, parts of which were
-   * heard from its predecessor.
+   * Returns usage since the reporter's previous report. The first report of a
+   * process counts in full if all of it lies within the quota window. Otherwise
+   * it only sets the baseline, as do the first sums of a relay, which its
+   * predecessor has partly reported already.
    */
   function increases(peer: string, digest: Digest): Record<string, number> {
     const {incarnation = 0, used, scope = 'own', upMs = Infinity} = digest;
--- a/packages/gateway/src/peerVisibility.ts
+++ b/packages/gateway/src/peerVisibility.ts
@@ -1,36 +1,43 @@
 /**
- * How much of the fleet an entry hears, which decides the part of customers'
- * quotas that it may grant by itself.
+ * Fraction of the peers that an entry receives reports from, which bounds the
+ * part of customers' quotas that it may grant on its own.
  */
 import type {Clock} from '@skylarkfield/base';
 
 export interface PeerVisibility {
-  /** Takes over what is known now. */
+  /** Recomputes the fraction. */
   refresh(): void;
   /**
-   * False for a moment after the start, while it is not known how many entries
-   * there are. Called for each request; refreshes what is out of date.
+   * False shortly after the start, until the number of entries is known. Called
+   * for each request; refreshes an outdated fraction.
    */
   isKnown(): boolean;
 }
 
-/** Time after the start from which an entry that was told of no others counts as the only one, in milliseconds. */
+/**
+ * Time after the start at which an entry that has found no peers counts as the
+ * only one, in milliseconds.
+ */
 const JOIN_TIMEOUT_MS = 900;
 
-/** Age at which a request refreshes the share, in milliseconds. */
+/** Age at which a request refreshes the fraction, in milliseconds. */
 const REFRESH_INTERVAL_MS = 100;
 
 /**
- * Makes the share of an entry that has just started.
+ * Creates the visibility of an entry that has just started.
  *
  * @example
- * const share = createFleetShare({clock, membership, reports, onDidRefresh: quotas.setHeard});
+ * const visibility = createPeerVisibility({clock, membership, reports,
+ *   onDidRefresh: quotas.setHeard});
  */
 export function createPeerVisibility(options: {
   readonly clock: Clock;
   readonly membership: {entryCount(): number | undefined};
   readonly reports: {visiblePeers(): number};
-  /** Gets the fraction of the other entries that are heard, 0 to 1, and the number of entries. */
+  /**
+   * Called with the fraction of peers that report, 0 to 1, and the number of
+   * entries.
+   */
   onDidRefresh(visibleFraction: number, entryCount: number): void;
 }): PeerVisibility {
   const {clock, membership, reports} = options;
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -1,4 +1,7 @@
-/** Copies of what the platform holds, read by few entries and told to all. */
+/**
+ * Mirrors of the platform's objects, read by a few entries and replicated to
+ * all.
+ */
 import {
   disposableStore,
   type Clock,
@@ -37,10 +40,13 @@
   readonly policy: Mirror<TrafficPolicy>;
   readonly endpoints: Mirror<RegisteredEndpoint>;
   readonly rollouts: Mirror<Rollout>;
-  /** What each entry has kept of endpoints that crashed. */
+  /** Crashes of endpoints that each entry has persisted. */
   readonly crashes: Mirror<CrashReport>;
   syncStatuses(): SyncStatuses;
-  /** What a peer's digest says; it was sent after `timestamp`, on this entry's clocks. */
+  /**
+   * Applies the statuses in a peer's digest; `timestamp` is a local time before
+   * it was sent.
+   */
   noteSyncStatuses(
     peer: string,
     syncStatuses: SyncStatuses,
@@ -50,11 +56,10 @@
 }
 
 /**
- * The policy is read most often: the age of its copy decides whether a key
- * still counts, and its first listing counts for that too. Changes of the other
- * kinds come as soon as they happen; their wait only bounds how long a
- * connection that died silently goes unnoticed. What crashes endpoints has to be
- * known to all entries within three seconds.
+ * The policy is read most often, and its first listing must be the latest: the
+ * age of its copy decides whether a key is accepted. Changes of the other kinds
+ * arrive as they happen; their wait only bounds how long a dead connection goes
+ * undetected. Crashes have to reach all entries within three seconds.
  */
 const READ_TIMINGS: Readonly<Record<MirrorKind, ReadTiming>> = {
   policy: {waitMs: 1_000, graceMs: 700, firstListing: 'latest'},
@@ -63,17 +68,20 @@
   crashes: {waitMs: 2_400, graceMs: 600, firstListing: 'recent'},
 };
 
-/** Time for a peer to send its whole copy. */
+/** Timeout of fetching a peer's whole copy, in milliseconds. */
 const COPY_TIMEOUT_MS = 1_000;
 
-/** What a peer said of its reading counts this long: three missed digests. */
+/**
+ * Time for which a peer's status counts, in milliseconds: three missed digests.
+ */
 const STATUS_TTL_MS = 1_000;
 
 /**
- * Makes the view and starts to read what is this entry's turn.
+ * Creates the view and starts its readers.
  *
  * @example
- * const view = createPlatformView({platform, crashReports, network, self: 'a1', plan, clock, random, log});
+ * const view = createPlatformView({platform, crashReports, network, self:
+ *   'a1', plan, clock, random, log});
  */
 export function createPlatformView(options: {
   readonly platform: Platform;
@@ -113,8 +121,8 @@
   }
 
   /**
-   * Nobody before this entry in the order gets answers. An entry behind relays
-   * reads only while it hears none of them.
+   * Whether no entry before this one in the order reads successfully. An entry
+   * behind relays reads only while none of them reports.
    */
   function shouldRead(kind: MirrorKind): boolean {
     const {coordinators, ownRelays: upstream} = options.plan();
@@ -164,7 +172,10 @@
       );
       mirrors[kind].applyCopy(answer as MirrorCopy);
     } catch (error) {
-      log.info({mirror: kind, peer, reason: String(error)}, 'copy not given');
+      log.info(
+        {mirror: kind, peer, reason: String(error)},
+        'fetching the mirror copy failed',
+      );
     } finally {
       fetching.delete(kind);
     }
@@ -206,7 +217,8 @@
         void fetchCopy(step.kind, from);
         return;
       }
-      // Who tells everyone has told them all; behind a relay nobody else does.
+      // In a full mesh the sender has reached all entries; behind a relay, only
+      // the relay forwards.
       if (mirror.revision() > previousRevision && isRelay()) {
         broadcastStep(step, from);
       }
--- a/packages/gateway/src/relayPlan.ts
+++ b/packages/gateway/src/relayPlan.ts
@@ -1,8 +1,9 @@
 /**
  * Topology of the digests: a full mesh in small fleets, relays in large ones.
  *
- * A full mesh costs the square of the entries. Beyond a bound, an entry reports
- * to the two relays of its failure domain; relays aggregate and exchange sums.
+ * The cost of a full mesh grows with the square of the entries. Above a limit,
+ * an entry reports to the two relays of its failure domain; relays aggregate
+ * and exchange sums.
  */
 import {rendezvousOrder} from '@skylarkfield/base';
 
@@ -19,20 +20,29 @@
 export interface RelayNode {
   readonly id: string;
   readonly failureDomain: string;
-  /** False while it drains; it exchanges digests but is no relay. */
+  /** False while draining; the entry then exchanges digests but is no relay. */
   readonly isLive: boolean;
-  /** Processor cores that it may use. */
+  /** Available processor cores. */
   readonly cores: number;
 }
 
 export interface RelayPlan {
-  /** Receivers of this entry's digests, with the scope for each. */
+  /** Receivers of this entry's digests, with the scope of each. */
   readonly targets: ReadonlyMap<string, DigestScope>;
-  /** Active relay of the failure domain while this entry is its standby; undefined otherwise. */
+  /**
+   * Active relay of the failure domain while this entry is its standby;
+   * undefined otherwise.
+   */
   readonly activeRelay: string | undefined;
-  /** Entries that read the platform and compete for leases, in order of precedence. */
+  /**
+   * Entries that read the platform and compete for leases, in order of
+   * precedence.
+   */
   readonly coordinators: readonly string[];
-  /** Relays of this entry, active one first; empty for a relay and in a full mesh. */
+  /**
+   * Relays of this entry, active one first; empty for a relay and in a full
+   * mesh.
+   */
   readonly ownRelays: readonly string[];
 }
 
@@ -42,7 +52,7 @@
 /** One active and one standby. */
 const RELAYS_PER_DOMAIN = 2;
 
-/** Hash keys, so that the same entries do not come first in every order. */
+/** Hash keys, so that different entries come first in the two orders. */
 const RELAY_KEY = 'relay';
 const COORDINATOR_KEY = 'platform-reader';
 
@@ -50,7 +60,8 @@
  * Plans for one entry; plans from the same nodes are consistent.
  *
  * @example
- * const {targets} = planRelays({id: 'a1', failureDomain: 'a', isLive: true, cores: 1}, nodes);
+ * const {targets} = planRelays({id: 'a1', failureDomain: 'a', isLive: true,
+ *   cores: 1}, nodes);
  */
 export function planRelays(
   self: RelayNode,
@@ -106,7 +117,10 @@
   );
 }
 
-/** Groups of nodes with equal cores, largest first, since a relay carries its whole failure domain. */
+/**
+ * Groups of nodes with equal cores, largest first, since a relay carries its
+ * whole failure domain.
+ */
 function groupByCores(nodes: readonly RelayNode[]): RelayNode[][] {
   const sizes = new Set(nodes.map(({cores}) => cores));
   return [...sizes]
@@ -114,7 +128,10 @@
     .map(size => nodes.filter(({cores}) => cores === size));
 }
 
-/** Active relays before standbys, which other failure domains do not hear. */
+/**
+ * Orders active relays before standbys, which send no digests to other failure
+ * domains.
+ */
 function activeFirst(relays: readonly (readonly string[])[]): string[] {
   return Array.from({length: RELAYS_PER_DOMAIN}, (_, place) =>
     rendezvousOrder(
--- a/packages/gateway/src/requestLog.ts
+++ b/packages/gateway/src/requestLog.ts
@@ -1,4 +1,4 @@
-/** The log line and the metrics of a caller's request that has ended. */
+/** Log line and metrics of a completed request. */
 import type {Clock, Logger} from '@skylarkfield/base';
 import type {KeyedCustomer, Route} from '@skylarkfield/traffic';
 import type {CallHead} from './contracts.js';
@@ -8,7 +8,7 @@
 
 /** A request that has ended. */
 export interface EndedRequest {
-  /** What was found out about it; undefined when it was rejected before that. */
+  /** The request after routing; undefined if it was rejected earlier. */
   readonly accepted:
     | {
         readonly head: CallHead;
@@ -19,11 +19,11 @@
     | undefined;
   readonly attemptId: string | undefined;
   readonly result: ForwardingResult;
-  /** The caller has left before its answer was complete. */
+  /** Whether the caller disconnected before its response was complete. */
   readonly hasDisconnected: boolean;
   /** Monotonic milliseconds. */
   readonly arrivedAt: number;
-  /** Events that were passed on. */
+  /** Number of events passed on. */
   readonly events: number;
 }
 
@@ -35,7 +35,8 @@
  * Creates the log of one entry's requests.
  *
  * @example
- * requestLog.note({accepted, attemptId, result, hasLeft: false, arrivedAt, events: 0});
+ * requestLog.note({accepted, attemptId, result, hasDisconnected: false,
+ *   arrivedAt, events: 0});
  */
 export function createRequestLog(options: {
   readonly policy: Pick<ActivePolicy, 'version' | 'ageMs'>;
--- a/packages/gateway/src/requestMetrics.ts
+++ b/packages/gateway/src/requestMetrics.ts
@@ -1,35 +1,39 @@
 /** Counters and latency histograms of callers' requests. */
 import type {ErrorKind, Logger, Meter, Metrics} from '@skylarkfield/base';
 
-/** One request as the metrics count it. */
+/** Measurements of one request. */
 export interface RequestObservation {
   readonly service: string | undefined;
   readonly kind: ErrorKind | 'ok';
-  /** Milliseconds to the first byte or event; undefined when none came. */
+  /** Milliseconds to the first byte or event; undefined if none arrived. */
   readonly firstMs: number | undefined;
   readonly tookMs: number;
 }
 
 export interface RequestMetrics {
   note(observation: RequestObservation): void;
-  /** All metrics in Prometheus text form. */
+  /** Returns all metrics in the Prometheus text format. */
   render(): Promise<string>;
   shutDown(): Promise<void>;
 }
 
-/** Bucket bounds in milliseconds: from a quick plain answer to the longest timeout. */
+/**
+ * Histogram bounds in milliseconds, from a fast plain response to the longest
+ * timeout.
+ */
 const BOUNDARIES_MS = [10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000];
 
 /** Observations buffered before the metrics SDK is loaded. */
 const MAX_PENDING = 4_096;
 
 /**
- * Creates the metrics. The SDK is loaded when the page is first read or the
- * buffer is full, so that a restarted process serves callers first. The policy
- * bounds the number of services, the only label with external names.
+ * Creates the metrics. The SDK is loaded when the page is first requested or
+ * the buffer is full, so that a restarted process serves callers first. The
+ * policy bounds the number of services, the only label with external names.
  *
  * @example
- * const metrics = createRequestMetrics(() => createMetrics('skylarkfield'), log);
+ * const metrics = createRequestMetrics(() => createMetrics('skylarkfield'),
+ *   log);
  * metrics.note({service: 'booking', kind: 'ok', firstMs: 21, tookMs: 23});
  */
 export function createRequestMetrics(
@@ -44,7 +48,7 @@
       loadOnce().catch(error => {
         log.warn(
           {reason: String(error), dropped: pending.length},
-          'no metrics',
+          'loading the metrics SDK failed',
         );
         pending = [];
       });
--- a/packages/gateway/src/retryRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -1,10 +1,10 @@
-/** Whether a request may be sent to another endpoint, and how long one may be silent. */
+/** Rules for retries at other endpoints and for idle timeouts of attempts. */
 import type {Admission} from '@skylarkfield/admission';
 import type {Clock} from '@skylarkfield/base';
 import {isRepeatable, type Route} from '@skylarkfield/traffic';
 import type {Continuation} from './streamMigration.js';
 
-/** What of a call the rules look at. */
+/** The properties of a call that the rules depend on. */
 export interface RetryableCall {
   readonly route: Pick<
     Route,
@@ -16,58 +16,76 @@
   readonly signal: AbortSignal;
 }
 
-/** What one request has been through. */
+/** State of one request over its attempts. */
 export interface Progress {
   readonly endpoints: string[];
   readonly excluded: Set<string>;
-  /** Prompt tokens to be read before its own where it was sent first; undefined before. */
+  /**
+   * Estimated prompt tokens queued ahead of it at the first endpoint; undefined
+   * before the first send.
+   */
   tokensAhead: number | undefined;
-  /** Endpoints that may have run it. */
+  /** Number of endpoints that may have run it. */
   runs: number;
   startedAt: number;
-  /** Monotonic milliseconds of the first send to an endpoint; undefined before. */
+  /**
+   * Monotonic milliseconds of the first send to an endpoint; undefined before
+   * that.
+   */
   firstSendAt: number | undefined;
   firstMs: number | undefined;
-  /** The request's fingerprint, once an endpoint has closed its connection on it. */
+  /**
+   * Fingerprint of the request, once an endpoint has closed its connection on
+   * it.
+   */
   fingerprint: string | undefined;
-  /** It stands in the usage of its customer. */
+  /** Whether it is already counted in the customer's usage. */
   isCounted: boolean;
-  /** Where it goes on after it was moved off a leaving endpoint. */
+  /** Target of the request's migration off a draining endpoint. */
   continuation: Continuation | undefined;
 }
 
-/** What decides over one request's sends. */
+/** Retry and timeout decisions of one entry. */
 export interface RetryRules {
   /** Whether a request that may have run may run at another endpoint. */
   mayRerun(call: RetryableCall, progress: Progress): boolean;
   /**
-   * Whether a request that has certainly not run at one endpoint may be sent on.
-   * It may have run at another one before: a stream that was moved, and whose
-   * new endpoint declines it.
+   * Whether a request that has certainly not run at this endpoint may be sent
+   * to another. It may still have run elsewhere: a migrated stream whose new
+   * endpoint declines it.
    */
   mayResend(call: RetryableCall, progress: Progress): boolean;
-  /** Silence after which an endpoint is given up, in milliseconds; undefined to wait for it alone. */
+  /**
+   * Returns the idle timeout of the next attempt, in milliseconds; undefined
+   * for none.
+   */
   idleTimeoutMs(call: RetryableCall, progress: Progress): number | undefined;
 }
 
-/** Sends of one request that endpoints declined or could not be reached for; more say that the service has no room. */
+/**
+ * Maximum sends of a request to endpoints that decline it or cannot be reached;
+ * more failures mean that the service has no room.
+ */
 const MAX_SENDS = 3;
 
-/** An idempotent request waits this part of its time for one endpoint while another may still be tried. */
+/**
+ * Fraction of its remaining time that an idempotent request waits for one
+ * endpoint while a retry is left.
+ */
 const IDLE_TIMEOUT_FRACTION = 0.4;
 
 /**
- * A resumable stream that pauses for this multiple of its declared longest
- * pause goes on elsewhere: by then the answer is late, and callers leave after
+ * A resumable stream is retried after a pause of this multiple of its declared
+ * longest pause: by then the response is late, and callers disconnect after
  * eight pauses.
  */
 const RESUME_PAUSE_MULTIPLE = 3;
 
 /**
- * A request that was not sent yet.
+ * Returns the state of a request before its first attempt.
  *
  * @example
- * const progress = beginProgress(clock.now());
+ * const progress = createProgress(clock.now());
  */
 export function createProgress(now: number): Progress {
   return {
@@ -85,10 +103,11 @@
 }
 
 /**
- * Makes the rules of one entry.
+ * Creates the rules of one entry.
  *
  * @example
- * if (rules.maySendOn(call, progress)) { return attempt(next); }
+ * if (rules.mayResend(call, progress)) { return attempt(nextTarget(call,
+ *   progress)); }
  */
 export function createRetryRules(options: {
   readonly admission: Pick<Admission, 'tryRetry'>;
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -1,4 +1,6 @@
-/** Moves traffic between versions while operators want it, and tells them how it stands. */
+/**
+ * Splits traffic between versions during rollouts, and publishes their state.
+ */
 import {
   disposableStore,
   every,
@@ -23,7 +25,7 @@
 import type {RelayPlan} from './relayPlan.js';
 import {createRolloutMoves, type RolloutMoves} from './rolloutMoves.js';
 
-/** How one request went, as evidence about its version. */
+/** Result of one request, as evidence about its version. */
 export interface RolloutSample {
   readonly service: string;
   readonly group: VersionGroup;
@@ -34,10 +36,13 @@
 }
 
 export interface RolloutController extends Disposable {
-  /** The group of endpoints that takes a request; alike at every entry for one key. */
+  /**
+   * Returns the version group that serves a request; the same at every entry
+   * for one key.
+   */
   groupFor(service: string, key: string, isRepeatable: boolean): VersionGroup;
   observe(sample: RolloutSample): void;
-  /** Whether a service's traffic is being moved. */
+  /** Whether a rollout of the service is in progress. */
   isOpen(service: string): boolean;
 }
 
@@ -52,20 +57,23 @@
   others(): readonly string[];
 }
 
-/** How often the split hears which groups have endpoints, in milliseconds; a new version starts in seconds. */
+/**
+ * Interval at which the groups with endpoints are updated, in milliseconds; a
+ * new version starts in seconds.
+ */
 const AVAILABILITY_INTERVAL_MS = 500;
 
-/** Time for telling the operator, in milliseconds. */
+/** Timeout of publishing a rollout state, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_500;
 
 const GROUPS: readonly VersionGroup[] = ['incumbent', 'candidate'];
 
 /**
- * Makes the rollouts of one entry. Nothing is read from the store and no lease
- * is renewed while no rollout is open: each of these is a priced call.
+ * Creates the controller of one entry. Without an open rollout it neither reads
+ * the store nor renews a lease, since each of these calls is billed.
  *
  * @example
- * const rollouts = createRolloutPart(context, parts);
+ * const rollouts = createRolloutController(context, options);
  * const group = rollouts.groupFor('chat', attemptId, true);
  */
 export function createRolloutController(
@@ -81,12 +89,12 @@
   function update(): void {
     if (moves.hasOpen() && activeRollouts === undefined) {
       activeRollouts = startRollouts(context, options, moves, split);
-      log.info({}, 'a rollout is open');
+      log.info({}, 'rollout in progress');
     } else if (!moves.hasOpen() && activeRollouts !== undefined) {
       activeRollouts.dispose();
       activeRollouts = undefined;
       split.setMoves([]);
-      log.info({}, 'no rollout is open');
+      log.info({}, 'no rollout in progress');
     }
   }
 
@@ -106,7 +114,8 @@
         ...sample,
         version: group,
         isIdempotent: isRepeatable,
-        // Entries do not know a service's use as a whole; faults under load show on the routes.
+        // Entries do not know a service's total load; failures under load show
+        // on the routes.
         loadFraction: 0,
       }),
     isOpen: moves.isOpen,
@@ -148,7 +157,10 @@
     }
   }
 
-  /** Written again with the next look if it fails: the mirror still shows the former state then. */
+  /**
+   * Failed writes are retried at the next check, when the mirror still shows
+   * the previous state.
+   */
   async function writeState({
     name,
     target,
@@ -167,7 +179,7 @@
       const {kind, message} = toServingError(error);
       log.warn(
         {rollout: name, target, state, kind, message},
-        'rollout state not written',
+        'writing the rollout state failed',
       );
     } finally {
       inFlightUpdates.delete(name);
@@ -205,8 +217,8 @@
 }
 
 /**
- * Evidence goes to those who may judge, so that its cost does not grow with the
- * square of the entries; a cut goes to all.
+ * Sends evidence only to the entries that may judge moves, so that its cost
+ * does not grow with the square of the entries; cuts go to all.
  */
 function evidenceNetwork(options: RolloutOptions) {
   const {network} = options;
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -1,4 +1,6 @@
-/** Operators' rollouts as moves of traffic from one group of endpoints to another. */
+/**
+ * Represents operators' rollouts as traffic moves between two version groups.
+ */
 import {emitter, type Clock, type Event} from '@skylarkfield/base';
 import type {MoveState} from '@skylarkfield/moves';
 import type {Configuration, Move} from '@skylarkfield/records';
@@ -10,15 +12,15 @@
 import type {VersionGroup} from './endpointDirectory.js';
 import type {Mirror} from './mirror.js';
 
-/** What the parts of a move ask of the records. */
+/** The part of the records API that the move components use. */
 export type MoveRecords = Pick<
   Configuration,
   'list' | 'isReady' | 'onDidChange'
 >;
 
-/** A state that the operator should read of a rollout. */
+/** A rollout state to publish to the operator. */
 export interface RolloutStateUpdate {
-  /** Name of the rollout's object. */
+  /** Name of the rollout object. */
   readonly name: string;
   readonly target: string;
   readonly state: RolloutState;
@@ -26,33 +28,37 @@
 
 export interface RolloutMoves {
   readonly records: MoveRecords;
-  /** Whether traffic of any service is to be moved. */
+  /** Whether any rollout is in progress. */
   hasOpen(): boolean;
-  /** Whether a service's traffic is to be moved. */
+  /** Whether a rollout of the service is in progress. */
   isOpen(service: string): boolean;
-  /** Takes the durable states over; their start counts where this process has seen the order later. */
+  /** Applies durable states; the earliest known start of a move counts. */
   noteStates(states: readonly MoveState[]): void;
-  /** What is to be written now, from the durable states. */
+  /** Returns the rollout states to publish, derived from the durable states. */
   pendingUpdates(states: readonly MoveState[]): readonly RolloutStateUpdate[];
-  /** Fires when a rollout was ordered, changed or settled. */
+  /** Fires when a rollout was created, changed or settled. */
   readonly onDidChange: Event<void>;
 }
 
-/** The groups of a service's endpoints between which traffic moves. */
+/** Version groups between which traffic moves. */
 const FROM_GROUP: VersionGroup = 'incumbent';
 const TO_GROUP: VersionGroup = 'candidate';
 
-/** The most of the traffic that an unproven version may get; operators allow a tenth and some requests. */
+/**
+ * Maximum traffic fraction of an unproven version; operators allow a tenth plus
+ * a few requests.
+ */
 const MAX_UNPROVEN_SHARE = 0.08;
 
 /**
- * The old endpoints stop as soon as a rollout is said to be done, with whatever
- * they still run. So it is said this much before the deadline, in milliseconds:
- * long after traffic has moved, with time for a call that has to be repeated.
+ * The old endpoints are terminated as soon as a rollout is reported done, with
+ * the requests that they still run. It is therefore reported only this much
+ * before the deadline, in milliseconds: long after traffic has moved, with time
+ * to retry the call.
  */
 const DONE_MARGIN_MS = 1_000;
 
-/** A rollout is settled for good in these states. */
+/** Terminal states of a rollout. */
 const SETTLED_STATES: ReadonlySet<RolloutState | undefined> = new Set([
   'done',
   'rolled-back',
@@ -68,7 +74,7 @@
 };
 
 /**
- * Makes the moves over the mirrored rollouts.
+ * Creates the moves over the mirrored rollouts.
  *
  * @example
  * const moves = createRolloutMoves(view.rollouts, clock);
@@ -79,7 +85,10 @@
   clock: Clock,
 ): RolloutMoves {
   const changed = emitter<void>();
-  /** Wall-clock milliseconds of each order, as early as this process knows. */
+  /**
+   * Start of each rollout in wall-clock milliseconds, as early as known to this
+   * process.
+   */
   const orderedAt = new Map<string, number>();
 
   function openRollouts(): {name: string; rollout: Rollout}[] {
@@ -123,7 +132,7 @@
   noteOrders();
   return {
     records: {
-      // Rollouts are the only records that are moves here, and there are no others.
+      // The gateway has no records other than rollouts.
       list: kind => (kind === 'move' ? (moves() as never[]) : []),
       isReady: () => mirror.isKnown(),
       onDidChange: listener =>
@@ -157,12 +166,14 @@
   };
 }
 
-/** Another target under the same name is another move, with evidence of its own. */
+/**
+ * Another target under the same name is a separate move with its own evidence.
+ */
 function moveName(name: string, target: string): string {
   return `${name}.${target}`;
 }
 
-/** Whether a rollout waits for the system. */
+/** Whether a rollout is still in progress. */
 function isUnsettled(rollout: Rollout): boolean {
   return !SETTLED_STATES.has(writtenState(rollout));
 }
--- a/packages/gateway/src/rolloutSample.ts
+++ b/packages/gateway/src/rolloutSample.ts
@@ -1,11 +1,14 @@
-/** What a request that has ended says about the version that served it. */
+/** Evidence about a version from the result of a request. */
 import type {ErrorKind} from '@skylarkfield/base';
 import {isRepeatable} from '@skylarkfield/traffic';
 import {isServerError} from './attemptOutcome.js';
 import type {ForwardedCall, ForwardingResult} from './forwarding.js';
 import type {RolloutSample} from './rolloutController.js';
 
-/** Errors that say nothing of the version: the caller left, or nobody had room. */
+/**
+ * Errors unrelated to the version: the caller disconnected, or no endpoint had
+ * capacity.
+ */
 const NEUTRAL_ERRORS: ReadonlySet<ErrorKind> = new Set([
   'cancelled',
   'overloaded',
@@ -14,8 +17,8 @@
 ]);
 
 /**
- * The evidence of one request; undefined when it is none. A request that needed
- * a second endpoint was failed by the first.
+ * Returns the evidence from one request; undefined if there is none. A request
+ * that needed a second endpoint counts as an error of the first.
  *
  * @example
  * const sample = sampleOf(call, result);
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -1,9 +1,9 @@
-/** Settings of a gateway process: schema, defaults, and how they are read. */
+/** Settings of a gateway process: schema, defaults and loading. */
 import {readFileSync} from 'node:fs';
 import {checkShape, parseJson, ServingError} from '@skylarkfield/base';
 import * as z from 'zod';
 
-/** An address as `IP:port`; port 0 takes any free one. */
+/** An address as `IP:port`; port 0 selects any free port. */
 const address = z
   .string()
   .regex(/^[\d.]+:\d{1,5}$/, {message: 'an address like 10.0.0.4:8080'})
@@ -15,55 +15,58 @@
 const milliseconds = z.number().int().min(1).max(3_600_000);
 const seconds = z.number().min(0.001).max(3_600);
 
-/** Schema of a gateway's settings; unknown keys are refused. */
+/** Schema of the settings; unknown keys are rejected. */
 export const gatewaySettingsSchema = z.strictObject({
-  /** Unique among entries; a restarted process may keep it. */
+  /** Unique among entries; may be reused after a restart. */
   id: z.string().min(1).max(63),
   failureDomain: z.string().min(1),
   region: z.string().min(1),
-  /** Where callers' requests come in. */
+  /** Listen address for callers' requests. */
   callers: address,
-  /** Where the platform asks whether this process is ready. */
+  /** Listen address for the platform's readiness checks. */
   readiness: address,
-  /** Where callers ask which entries to use. */
+  /** Listen address for callers' lookups of entries. */
   lookup: address,
-  /** Where other entries connect. */
+  /** Listen address for other entries. */
   inner: address,
-  /** Where metrics and the state dump are served. */
+  /** Listen address for metrics and state dumps. */
   status: address,
-  /** What this process may use of its host's processor; all entries count as equal where it is left out. */
+  /**
+   * Processor capacity available to this process; entries without it count as
+   * equal.
+   */
   processor: z
     .strictObject({
-      /** Part of a core. */
+      /** Number of cores; may be a fraction. */
       share: z.number().positive().max(1_024),
-      /** Speed of a core against the usual one. */
+      /** Speed of a core relative to the standard one. */
       speed: z.number().positive().max(1_024).default(1),
     })
     .transform(({share, speed}) => ({cores: share * speed}))
     .optional(),
-  /** `IP:port` of other entries' inner ports; some may be stale. */
+  /** `IP:port` of other entries' inner ports; some may be outdated. */
   seeds: z.array(z.string()).default([]),
   platform: z.strictObject({
     /** `IP:port` of the store. */
     store: z.string().min(1),
-    /** `IP:port` that takes orders and usage reports. */
+    /** `IP:port` of the API for orders and usage reports. */
     orders: z.string().min(1),
-    /** Calls a second that all entries together may make. */
+    /** Calls per second allowed for all entries together. */
     callsPerSecond: z.number().min(1).max(1_000_000),
   }),
-  /** Text that all entries share, by which they know each other. */
+  /** Shared secret with which entries authenticate each other. */
   innerKey: z.string().min(8),
-  /** Time from a request to stop until the process is killed. */
+  /** Time from the stop request until the process is killed. */
   graceSeconds: seconds,
-  /** The longest that callers keep a lookup's answer. */
+  /** Maximum time for which callers cache a lookup's response. */
   lookupSeconds: seconds,
-  /** How long a revoked key may still be served. */
+  /** Maximum time for which a revoked key is still accepted. */
   keyRevocationMs: milliseconds,
-  /** Window over which a customer's quota counts. */
+  /** Length of the window of customers' quotas. */
   quotaWindowSeconds: seconds.default(8),
-  /** Length of a window of the usage reports. */
+  /** Length of a usage report's window. */
   usageWindowSeconds: seconds,
-  /** How long after its end a window may be reported. */
+  /** Time after a window's end during which it may be reported. */
   usageLateSeconds: seconds,
   log: z
     .strictObject({
@@ -78,7 +81,8 @@
 export type Address = GatewaySettings['callers'];
 
 /**
- * Checks settings and fills in defaults. Throws `bad-settings` with every fault.
+ * Checks settings and fills in defaults. Throws `bad-settings` listing every
+ * fault.
  *
  * @example
  * const settings = checkGatewaySettings(JSON.parse(text));
--- a/packages/gateway/src/statusPages.ts
+++ b/packages/gateway/src/statusPages.ts
@@ -1,4 +1,4 @@
-/** Metrics, state dump and decisions, for operators. */
+/** Metrics, state dump and decision log for operators. */
 import type {DecisionLog, Dumps} from '@skylarkfield/base';
 import type {RequestHandler} from './listeners.js';
 import type {RequestMetrics} from './requestMetrics.js';
@@ -15,7 +15,7 @@
 }
 
 /**
- * Makes the handler of the status port.
+ * Creates the handler of the status port.
  *
  * @example
  * const port = await openPort(settings.status, createStatusHandler(parts));
--- a/packages/gateway/src/stepMeter.ts
+++ b/packages/gateway/src/stepMeter.ts
@@ -1,28 +1,31 @@
-/** Time between the events of a stream while its engine reads no prompt. */
+/** Measures the decode step time of an engine from the events of a stream. */
 import type {Clock} from '@skylarkfield/base';
 
 export interface StepMeter {
   noteEvent(): void;
   eventCount(): number;
-  /** Milliseconds from one event to the next; undefined before the second. */
+  /** Returns milliseconds between events; undefined before the second. */
   eventIntervalMs(): number | undefined;
 }
 
-/** Events this close came together, in milliseconds: this process read them late. */
+/**
+ * Events closer than this, in milliseconds, arrived together: this process read
+ * them late.
+ */
 const COALESCED_MS = 0.5;
 
 /**
- * Gaps are longer while the engine reads a prompt, which is most of the time
- * under load; the shorter ones show a step alone.
+ * Gaps are longer while the engine processes a prompt, which is most of the
+ * time under load; a low quantile shows a step alone.
  */
 const STEP_QUANTILE = 0.25;
 
 /**
- * Makes a meter for one stream.
+ * Creates a meter for one stream.
  *
  * @example
  * steps.noteEvent();
- * const stepMs = steps.eventMs();
+ * const stepMs = steps.eventIntervalMs();
  */
 export function createStepMeter(clock: Clock): StepMeter {
   const gaps: number[] = [];
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -1,9 +1,9 @@
 /**
- * Moves running streams off an endpoint that leaves.
+ * Migrates running streams off a draining endpoint.
  *
- * An endpoint that is reclaimed is gone two to three seconds after its notice.
- * Short answers end by themselves in that time; a long one would break off, and
- * its caller would have to ask again and wait for the whole prompt to be read.
+ * A reclaimed endpoint terminates two to three seconds after its notice. Short
+ * responses end in that time; a long one would be cut off, and its caller would
+ * have to retry and wait for the whole prompt to be processed again.
  */
 import {
   toServingError,
@@ -15,7 +15,7 @@
 import type {EngineMoves, KvCacheRef} from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
-/** Where a stream goes on. */
+/** Target of a migrated stream. */
 export interface Continuation {
   readonly choice: Choice;
   readonly memory: KvCacheRef;
@@ -25,35 +25,44 @@
 export interface WatchedStream extends Disposable {
   /** Whether its endpoint was told to stop it. */
   isStopRequested(): boolean;
-  /** Where it goes on; undefined when it was not moved. Waits for a move that is under way. */
+  /**
+   * Returns the target after a migration in progress has ended; undefined if
+   * the stream was not migrated.
+   */
   continuation(): Promise<Continuation | undefined>;
 }
 
 export interface StreamMigrator {
-  /** Watches a stream until it is disposed; `choose` names another endpoint. */
+  /** Watches a stream until disposed; `choose` selects another endpoint. */
   watch(options: {
     readonly endpoint: string;
     readonly attemptId: string;
-    /** Whether its first event has come: before it there is nothing to move. */
+    /**
+     * Whether its first event has arrived; before that there is no state to
+     * migrate.
+     */
     hasBegun(): boolean;
     choose(): Choice | undefined;
   }): WatchedStream;
 }
 
 /**
- * Time from the notice to the move, in milliseconds: most answers end within it,
- * and of a notice of two seconds half is left for the copy.
+ * Time from the notice to the migration, in milliseconds: most responses end
+ * within it, and it leaves half of a two-second notice for the copy.
  */
 const MIGRATION_DELAY_MS = 800;
 
-/** Time for the copy, in milliseconds: it is queued behind those of all other streams that leave. */
+/**
+ * Timeout of the copy, in milliseconds: it queues behind those of all other
+ * streams on the endpoint.
+ */
 const MIGRATION_TIMEOUT_MS = 1_000;
 
 /**
- * Makes the moves of one entry.
+ * Creates the migrator of one entry.
  *
  * @example
- * const watched = moves.watch({endpoint, attemptId, hasBegun, choose});
+ * const watched = migrator.watch({endpoint, attemptId, hasBegun, choose});
  * const next = await watched.continuation();
  */
 export function createStreamMigrator(options: {
@@ -88,7 +97,7 @@
         const {kind, message} = toServingError(error);
         log.warn(
           {request: attemptId, endpoint, kind, message},
-          'stream not moved',
+          'stream migration failed',
         );
         return {type: 'unknown'} as const;
       });
@@ -100,7 +109,7 @@
         answer: answer.type,
         tookMs: Math.round(clock.now() - startedAt),
       },
-      'stream moved off a leaving endpoint',
+      'stream migration finished',
     );
     if (answer.type === 'moved') {
       return {choice, memory: answer.memory};
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -1,4 +1,6 @@
-/** All that a caller's request goes through, and what entries tell each other about it. */
+/**
+ * The request path of a gateway, and the exchange of its state between entries.
+ */
 import {createAdmission} from '@skylarkfield/admission';
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {Messages} from '@skylarkfield/protocol';
@@ -62,14 +64,17 @@
   readonly engineStore: EngineCapacityStore;
 }
 
-/** Time before the key's last moment at which requests with it are refused: a request may wait that long before it runs. */
+/**
+ * Margin by which keys expire early, in milliseconds: a request may wait that
+ * long before it runs.
+ */
 const KEY_MARGIN_MS = 500;
 
 /**
- * Builds the way of a request and starts to follow the platform.
+ * Creates the request path and starts to mirror the platform.
  *
  * @example
- * const traffic = createTrafficPart(context, agreement);
+ * const traffic = createTrafficPipeline(context, coordination);
  */
 export function createTrafficPipeline(
   context: GatewayContext,
@@ -190,7 +195,10 @@
       quotas.setHeard(visibleFraction, entryCount, OVERDUE_MS);
     },
   });
-  /** Only who reports usage needs the others' counts, and that is a relay. */
+  /**
+   * Only the holder of the cluster duty needs the counts of others, and it is
+   * never behind a relay.
+   */
   const usageFor: Readonly<Record<DigestScope, () => WindowCounts>> = {
     own: usage.own,
     domain: usage.near,
--- a/packages/gateway/src/upstream.ts
+++ b/packages/gateway/src/upstream.ts
@@ -1,67 +1,85 @@
-/** Connections to endpoints, and one request over one of them. */
+/** Connection pools to endpoints, and HTTP exchanges over them. */
 import type {Socket} from 'node:net';
 import {buildConnector, Pool, type Dispatcher} from 'undici';
 import {ServingError, type Disposable} from '@skylarkfield/base';
 import type {ReplyHeaders} from './contracts.js';
 
-/** A request as it goes to an endpoint. */
+/** A request as sent to an endpoint. */
 export interface UpstreamRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | undefined;
 }
 
-/** What happens to a request at an endpoint, in order; one of the last two comes last. */
+/** Events of an exchange, in order; it ends with either of the last two. */
 export interface UpstreamListener {
   onDidRespond(status: number, headers: ReplyHeaders): void;
   onDidReceive(chunk: Buffer): void;
-  /** `isProven` is false for an answer that shows its end by the end of its connection alone. */
+  /**
+   * `isDelimited` is false if only the end of the connection marks the end of
+   * the response.
+   */
   onDidEnd(isDelimited: boolean): void;
-  /** `endpoint-unavailable` when no byte was sent (not run), else `interrupted` (may have run). */
+  /**
+   * `endpoint-unavailable` if no byte was sent (not run), else `interrupted`
+   * (may have run).
+   */
   onDidFail(error: ServingError): void;
 }
 
-/** A request on its way. */
+/** A request in flight. */
 export interface UpstreamExchange {
-  /** Closes the connection; the listener hears nothing more. */
+  /** Closes the connection; the listener is not called again. */
   abort(): void;
   pause(): void;
   resume(): void;
 }
 
-/** Connections to all endpoints. */
+/** Connection pools of all endpoints. */
 export interface Upstreams extends Disposable {
   send(
     address: string,
     request: UpstreamRequest,
     listener: UpstreamListener,
   ): UpstreamExchange;
-  /** Closes the connections to addresses that are not among these. */
+  /** Closes the pools of all other addresses. */
   keepOnly(addresses: ReadonlySet<string>): void;
   dump(): unknown;
 }
 
-/** Time for a connection to an endpoint: a thousand times the round trip between failure domains. */
+/**
+ * Connect timeout, in milliseconds: a thousand times the round trip between
+ * failure domains.
+ */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** An idle connection without a word from the endpoint on how long it keeps it, is dropped after this. */
+/**
+ * Time after which an idle connection is closed unless the endpoint announces
+ * its own timeout, in milliseconds.
+ */
 const IDLE_TIMEOUT_MS = 4_000;
 
-/** Dropped this much before the endpoint would, so that a request does not cross its close. */
+/**
+ * Connections are closed this much before the endpoint's own timeout, in
+ * milliseconds, so that a request does not race with its close.
+ */
 const IDLE_MARGIN_MS = 1_000;
 
-/** Connections of this entry to one endpoint; well below an endpoint's bound over the entries that share it. */
+/**
+ * Maximum connections of this entry to one endpoint; well below the endpoint's
+ * limit divided by the entries that share it.
+ */
 const MAX_CONNECTIONS = 48;
 
 /**
- * How a connection is ending at this very moment.
+ * How a connection is ending in the current event loop turn.
  *
- * Where an answer closes its connection, undici takes any end of the connection
- * for the end of the answer: a reset, and a close in the middle of a chunk too.
- * Half an answer would be passed on as a whole one. The listeners set here run
- * before undici's own, in the same turn.
+ * If a response closes its connection, undici takes any end of the connection
+ * for the end of the response, even a reset or a close in the middle of a
+ * chunk, and a truncated response would be passed on as complete. The listeners
+ * set here run before undici's own, in the same turn.
  */
 type ConnectionEnd = 'none' | 'closed' | 'failed';
 
@@ -87,28 +105,31 @@
 }
 
 /**
- * Whether the connection was reset although it looks closed in order: where a
- * reset arrives together with data, libuv reports an end without reading on. The
- * address of the other side can then no longer be asked for; nothing else in
- * this process asks for it, so it is not remembered from before.
+ * Whether a connection that appears closed in order was reset: if a reset
+ * arrives together with data, libuv reports an end without reading on. The
+ * remote address is then no longer available; this relies on nothing having
+ * read it before, since Node caches it.
  */
 function isReset(socket: Socket): boolean {
   return socket.remoteAddress === undefined;
 }
 
-/** By what an answer's end is known. */
+/** How the end of a response is marked. */
 type Framing = 'length' | 'chunks' | 'close';
 
-/** Whether an answer that undici takes for complete is so, by how its connection ends just now. */
+/**
+ * Whether a response that undici reports as complete is so, given how its
+ * connection is ending.
+ */
 const isComplete: Readonly<Record<Framing, (end: ConnectionEnd) => boolean>> = {
-  // undici compares the length itself.
+  // undici checks the length itself.
   length: () => true,
   chunks: end => end === 'none',
   close: end => end === 'closed',
 };
 
 /**
- * Makes the connections; none is opened before it is used.
+ * Creates the pools; connections are opened on demand.
  *
  * @example
  * const exchange = upstreams.send('10.0.0.7:8000', request, listener);
@@ -142,7 +163,7 @@
       for (const [address, pool] of pools) {
         if (!addresses.has(address)) {
           pools.delete(address);
-          // Requests in flight end by themselves; the pool closes after them.
+          // The pool closes after its requests in flight have ended.
           pool.close().catch(() => pool.destroy());
         }
       }
@@ -199,11 +220,11 @@
       body: request.body ?? null,
     },
     {
-      // From here on bytes may have left this process.
+      // From here on, bytes may have left this process.
       onRequestStart(started) {
         controller = started;
         if (isSettled) {
-          started.abort(new Error('given up'));
+          started.abort(new Error('aborted'));
         }
       },
       onResponseStart(_, status, headers) {
@@ -219,7 +240,7 @@
       },
       onResponseEnd() {
         if (!isComplete[framing](endState.current)) {
-          fail(new Error('the connection ended in the middle of the answer'));
+          fail(new Error('the connection ended in the middle of the response'));
           return;
         }
         if (!isSettled) {
@@ -233,7 +254,7 @@
   return {
     abort() {
       isSettled = true;
-      controller?.abort(new Error('given up'));
+      controller?.abort(new Error('aborted'));
     },
     pause: () => controller?.pause(),
     resume: () => controller?.resume(),
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -1,9 +1,10 @@
 /**
- * Reports each window of use once, whatever happens to the reporter.
+ * Reports each usage window exactly once, even if the reporter fails over.
  *
- * Two reports of one window that differ would make the operator bill twice. So
- * the counts are written to the store before they are sent: a successor that
- * does not know whether its predecessor's report arrived sends exactly the same.
+ * Two different reports of one window would bill customers twice. Counts are
+ * therefore written to the store before they are sent, and a successor that
+ * cannot tell whether its predecessor's report arrived sends the same counts
+ * again.
  */
 import {
   every,
@@ -18,22 +19,25 @@
 import type {CustomerCounts, UsageWindows} from '@skylarkfield/traffic';
 import type {PlatformOrders} from './contracts.js';
 
-/** Kind of the objects that hold what is reported, named by window. */
+/** Kind of the objects that hold the reported counts, named by window. */
 const OBJECT_KIND = 'usage-report';
 
-/** How often the holder looks for a window that is due, in milliseconds. */
+/** Interval at which the holder checks for a due window, in milliseconds. */
 const CHECK_INTERVAL_MS = 500;
 
-/** Time after a window's end for the other entries' last counts to arrive: three digests and a margin. */
+/**
+ * Delay after a window's end for the last counts of other entries to arrive, in
+ * milliseconds: three digests and a margin.
+ */
 const REPORT_DELAY_MS = 1_500;
 
 /**
- * Windows kept in the store beyond those that a successor may still report: one
- * for the window that has begun, and two for clocks that differ.
+ * Windows retained in the store beyond those that a successor may still report:
+ * one for the current window, and two for clock skew.
  */
 const EXTRA_RETAINED_REPORTS = 3;
 
-/** Time for one call, in milliseconds. */
+/** Timeout of one call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_500;
 
 export interface UsageDutyOptions {
@@ -42,16 +46,18 @@
   readonly store: ObjectStore;
   readonly orders: PlatformOrders;
   readonly usage: UsageWindows;
-  /** How long after its end a window may still be reported. */
+  /**
+   * Time after a window's end during which it may be reported, in milliseconds.
+   */
   readonly lateMs: number;
   readonly clock: Clock;
-  /** The wall clock as the entries have it in common. */
+  /** Wall clock that the entries agree on, in milliseconds. */
   commonWallMs(): number;
   readonly log: Logger;
 }
 
 /**
- * Starts to report for as long as the tenure lasts.
+ * Starts to report for the duration of the tenure.
  *
  * @example
  * duties.compete('usage', tenure => startUsageDuty({tenure, ...rest}));
@@ -78,7 +84,10 @@
     return undefined;
   }
 
-  /** What is to be said of a window: what a predecessor wrote, or else our counts. */
+  /**
+   * Returns the counts to report: those a predecessor persisted, else the local
+   * ones.
+   */
   async function persistedCounts(window: number): Promise<CustomerCounts> {
     const counts = usage.total(window);
     try {
@@ -143,7 +152,7 @@
       await report(window);
     } catch (error) {
       const {kind, message} = toServingError(error);
-      log.warn({window, kind, message}, 'usage not reported yet');
+      log.warn({window, kind, message}, 'usage report failed; retrying');
     } finally {
       isBusy = false;
     }
