--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -113,10 +113,10 @@
  * @example
  * throw withRunState(allDeclined('chat', 3), 0);
  */
-export function allDeclined(service: string, asked: number): ServingError {
+export function allDeclined(service: string, tried: number): ServingError {
   return new ServingError(
     'overloaded',
-    `${asked} endpoints of ${service} declined the request`,
+    `${tried} endpoints of ${service} declined the request`,
     {run: 'not-run'},
   );
 }
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -109,30 +109,27 @@
     const wallMs = clock.wall();
     wallAtStamp.set(stamp, wallMs);
     forgetOldStamps(stamp);
-    const {
-      targets,
-      activeRelay: precedence,
-      ownRelays: upstream,
-    } = options.plan();
+    const {targets, activeRelay, ownRelays} = options.plan();
     const content = options.content();
-    const shared = new Map<DigestScope, DigestContent>();
+    const contentByScope = new Map<DigestScope, DigestContent>();
 
     function contentFor(scope: DigestScope, receiver: string): DigestContent {
       if (scope === 'rest') {
         return content(scope, receiver);
       }
-      const known = shared.get(scope) ?? content(scope, receiver);
-      shared.set(scope, known);
+      const known = contentByScope.get(scope) ?? content(scope, receiver);
+      contentByScope.set(scope, known);
       return known;
     }
 
-    const isActiveRelayAlive = precedence !== undefined && isAlive(precedence);
+    const isActiveRelayAlive =
+      activeRelay !== undefined && isAlive(activeRelay);
     for (const [peer, scope] of targets) {
       // A second active relay would double the traffic.
       if (isActiveRelayAlive && scope !== 'own') {
         continue;
       }
-      if (ticks % STANDBY_INTERVAL_TICKS !== 0 && isStandby(peer, upstream)) {
+      if (ticks % STANDBY_INTERVAL_TICKS !== 0 && isStandby(peer, ownRelays)) {
         continue;
       }
       const echo = contacts.get(peer)?.stamp;
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -155,7 +155,7 @@
     planned: number,
     current: number,
     otherMarketCount: number,
-    most: number,
+    maxEndpoints: number,
     surplus: number,
   ): number {
     if (current > planned) {
@@ -163,7 +163,10 @@
     }
     // The limit covers both markets; the platform truncates an order beyond it
     // without an error.
-    return Math.max(current, Math.min(planned, most - otherMarketCount));
+    return Math.max(
+      current,
+      Math.min(planned, maxEndpoints - otherMarketCount),
+    );
   }
 
   function isPending(key: string, count: number): boolean {
@@ -174,7 +177,7 @@
   function planOrders(
     service: string,
     plan: FleetPlan,
-    most: number,
+    maxEndpoints: number,
     needed: number,
   ) {
     const wanted: EndpointOrder[] = [];
@@ -189,7 +192,7 @@
           fleet[market],
           current,
           otherMarketCount,
-          most,
+          maxEndpoints,
           surplus,
         );
         const last = issuedOrders.get(key);
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -96,13 +96,17 @@
     return true;
   }
 
-  function apply({name, revision: at, value}: MirrorChange): boolean {
+  function apply({
+    name,
+    revision: changeRevision,
+    value,
+  }: MirrorChange): boolean {
     if (value !== undefined) {
-      return put(name, at, value as T);
+      return put(name, changeRevision, value as T);
     }
     const existing = items.get(name);
     // The object may have been recreated after this removal.
-    if (existing === undefined || existing.revision > at) {
+    if (existing === undefined || existing.revision > changeRevision) {
       return false;
     }
     return items.delete(name);
@@ -126,22 +130,22 @@
   /** Replaces the content unless the new content is older. */
   function replace(
     to: number,
-    at: number,
-    next: readonly MirrorChange[],
+    changeRevision: number,
+    newItems: readonly MirrorChange[],
   ): void {
     if (revision !== undefined && to < revision) {
       return;
     }
-    const names = new Set(next.map(({name}) => name));
+    const names = new Set(newItems.map(({name}) => name));
     const removed = [...items.keys()].filter(name => !names.has(name));
     removed.forEach(name => items.delete(name));
     const isFirst = revision === undefined;
     revision = to;
     let isDifferent = isFirst || removed.length > 0;
-    for (const change of next) {
+    for (const change of newItems) {
       isDifferent = apply(change) || isDifferent;
     }
-    changedAt = Math.max(changedAt, at);
+    changedAt = Math.max(changedAt, changeRevision);
     if (isDifferent) {
       log.info({mirror: kind, to, objects: items.size}, 'mirror replaced');
       changed.fire();
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -87,11 +87,11 @@
     timeoutMs: number,
     call: (signal: AbortSignal) => Promise<R>,
   ): Promise<R> {
-    const limit = new AbortController();
-    const timer = clock.after(timeoutMs, () => limit.abort());
+    const timeout = new AbortController();
+    const timer = clock.after(timeoutMs, () => timeout.abort());
     calls += 1;
     try {
-      return await call(AbortSignal.any([limit.signal, stop.signal]));
+      return await call(AbortSignal.any([timeout.signal, stop.signal]));
     } finally {
       timer.dispose();
     }
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -46,7 +46,7 @@
 /** An accepted digest. */
 export interface AcceptedReport {
   /** The entries that the digest covers. */
-  readonly source: string;
+  readonly origin: string;
   /** Quota usage of the source since its previous report. */
   readonly increase: Amounts;
 }
@@ -77,7 +77,7 @@
   dump(): unknown;
 }
 
-interface SourceState {
+interface OriginState {
   reporter: string;
   receivedAt: number;
   digest: Digest;
@@ -100,7 +100,7 @@
 /**
  * Source name of a relay's reports to the entries of its own failure domain.
  */
-const REST = 'the rest';
+const REST_ORIGIN = 'the rest';
 
 /**
  * Creates the reports of one entry.
@@ -121,29 +121,29 @@
   readonly quotaWindowMs: number;
 }): PeerReports {
   const {clock, failureDomain, silenceMs, quotaWindowMs} = options;
-  const sources = new Map<string, SourceState>();
+  const origins = new Map<string, OriginState>();
   const lastUsed = new Map<string, {incarnation: number; used: Amounts}>();
 
-  function sourceOf(peer: string, digest: Digest): string {
+  function originOf(peer: string, digest: Digest): string {
     const names: Readonly<Record<DigestScope, string>> = {
       own: peer,
       domain: `failure domain ${digest.failureDomain ?? ''}`,
-      rest: REST,
+      rest: REST_ORIGIN,
     };
     return names[digest.scope ?? 'own'];
   }
 
-  function isFresh({receivedAt: heardAt}: SourceState): boolean {
-    return clock.now() - heardAt < silenceMs;
+  function isFresh({receivedAt}: OriginState): boolean {
+    return clock.now() - receivedAt < silenceMs;
   }
 
-  function isOverdue({receivedAt: heardAt, digest}: SourceState): boolean {
+  function isOverdue({receivedAt, digest}: OriginState): boolean {
     const isOwn = (digest.scope ?? 'own') === 'own';
-    return clock.now() - heardAt >= (isOwn ? OVERDUE_MS : silenceMs);
+    return clock.now() - receivedAt >= (isOwn ? OVERDUE_MS : silenceMs);
   }
 
-  function freshSources(): SourceState[] {
-    return [...sources.values()].filter(isFresh);
+  function freshOrigins(): OriginState[] {
+    return [...origins.values()].filter(isFresh);
   }
 
   /**
@@ -155,78 +155,79 @@
   function increases(peer: string, digest: Digest): Record<string, number> {
     const {incarnation = 0, used, scope = 'own', upMs = Infinity} = digest;
     const key = `${peer} ${scope}`;
-    const before = lastUsed.get(key);
+    const previous = lastUsed.get(key);
     lastUsed.set(key, {incarnation, used});
-    if (before === undefined || before.incarnation !== incarnation) {
+    if (previous === undefined || previous.incarnation !== incarnation) {
       const isWhole = scope === 'own' && upMs < quotaWindowMs;
       return isWhole ? {...used} : {};
     }
     return Object.fromEntries(
       Object.entries(used).map(([name, amount]) => [
         name,
-        amount - (before.used[name] ?? 0),
+        amount - (previous.used[name] ?? 0),
       ]),
     );
   }
 
-  function isLocalEntry(source: string, {digest}: SourceState): boolean {
+  function isLocalEntry(origin: string, {digest}: OriginState): boolean {
     return (
-      source !== REST &&
+      origin !== REST_ORIGIN &&
       (digest.scope ?? 'own') === 'own' &&
       digest.failureDomain === failureDomain
     );
   }
 
-  function sourcesFor(scope: DigestScope, receiver: string): SourceState[] {
-    const chosen: Readonly<Record<DigestScope, () => [string, SourceState][]>> =
-      {
-        own: () => [],
-        domain: () =>
-          [...sources].filter(([name, source]) => isLocalEntry(name, source)),
-        rest: () => [...sources].filter(([name]) => name !== REST),
-      };
-    return chosen[scope]()
+  function originsFor(scope: DigestScope, receiver: string): OriginState[] {
+    const selected: Readonly<
+      Record<DigestScope, () => [string, OriginState][]>
+    > = {
+      own: () => [],
+      domain: () =>
+        [...origins].filter(([name, origin]) => isLocalEntry(name, origin)),
+      rest: () => [...origins].filter(([name]) => name !== REST_ORIGIN),
+    };
+    return selected[scope]()
       .filter(([name]) => name !== receiver)
-      .map(([, source]) => source);
+      .map(([, origin]) => origin);
   }
 
   return {
     take(peer, digest) {
-      const name = sourceOf(peer, digest);
+      const name = originOf(peer, digest);
       const increase = increases(peer, digest);
-      const source = sources.get(name);
-      if (source !== undefined && source.reporter !== peer && isFresh(source)) {
+      const origin = origins.get(name);
+      if (origin !== undefined && origin.reporter !== peer && isFresh(origin)) {
         return undefined;
       }
-      const used = source?.used ?? {};
+      const used = origin?.used ?? {};
       addAmounts(used, increase);
-      const capacity = digest.capacity ?? source?.capacity ?? {};
-      sources.set(name, {
+      const capacity = digest.capacity ?? origin?.capacity ?? {};
+      origins.set(name, {
         reporter: peer,
         receivedAt: clock.now(),
         digest,
         capacity,
         used,
       });
-      return {source: name, increase};
+      return {origin: name, increase};
     },
     aggregateFor(scope, receiver, own) {
-      const chosen = sourcesFor(scope, receiver);
+      const selected = originsFor(scope, receiver);
       const used = {...own.used};
       const loads: Record<string, EndpointLoad> = {...own.loads};
       const work = {...own.work};
       const outcomes = {...own.outcomes};
       let {entries, limits, crashes} = own;
-      for (const source of chosen) {
-        addAmounts(used, source.used);
-        if (isFresh(source)) {
-          addLoadsTo(loads, source.digest.loads);
-          addWorkRates(work, source.digest.work);
-          addOutcomes(outcomes, source.digest.outcomes);
-          const sinceMs = clock.now() - source.receivedAt;
-          limits = newestLimits(limits, source.digest.limits ?? {}, sinceMs);
-          crashes = addCrashes(crashes, source.digest.crashes);
-          entries += source.digest.entries ?? 1;
+      for (const origin of selected) {
+        addAmounts(used, origin.used);
+        if (isFresh(origin)) {
+          addLoadsTo(loads, origin.digest.loads);
+          addWorkRates(work, origin.digest.work);
+          addOutcomes(outcomes, origin.digest.outcomes);
+          const sinceMs = clock.now() - origin.receivedAt;
+          limits = newestLimits(limits, origin.digest.limits ?? {}, sinceMs);
+          crashes = addCrashes(crashes, origin.digest.crashes);
+          entries += origin.digest.entries ?? 1;
         }
       }
       const sum = {
@@ -241,28 +242,28 @@
       if (own.capacity === undefined) {
         return sum;
       }
-      const seen = chosen.filter(isFresh).map(({capacity}) => capacity);
+      const seen = selected.filter(isFresh).map(({capacity}) => capacity);
       return {...sum, capacity: addCapacity([own.capacity, ...seen])};
     },
     visiblePeers: () =>
-      [...sources.values()]
-        .filter(source => !isOverdue(source))
+      [...origins.values()]
+        .filter(origin => !isOverdue(origin))
         .reduce((sum, {digest}) => sum + (digest.entries ?? 1), 0),
     workOf: service =>
-      freshSources().reduce(
+      freshOrigins().reduce(
         (sum, {digest}) => addWork(sum, digest.work[service] ?? NO_WORK),
         NO_WORK,
       ),
-    capacity: () => freshSources().map(({capacity}) => capacity),
-    outcomes: () => freshSources().map(({digest}) => digest.outcomes),
+    capacity: () => freshOrigins().map(({capacity}) => capacity),
+    outcomes: () => freshOrigins().map(({digest}) => digest.outcomes),
     dump: () =>
       Object.fromEntries(
-        [...sources].map(([name, source]) => [
+        [...origins].map(([name, origin]) => [
           name,
           {
-            speaker: source.reporter,
-            agoMs: Math.round(clock.now() - source.receivedAt),
-            entries: source.digest.entries ?? 1,
+            speaker: origin.reporter,
+            agoMs: Math.round(clock.now() - origin.receivedAt),
+            entries: origin.digest.entries ?? 1,
           },
         ]),
       ),
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -125,9 +125,9 @@
    * behind relays reads only while none of them reports.
    */
   function shouldRead(kind: MirrorKind): boolean {
-    const {coordinators, ownRelays: upstream} = options.plan();
-    if (upstream.length > 0) {
-      return !upstream.some(hasFreshStatus);
+    const {coordinators, ownRelays} = options.plan();
+    if (ownRelays.length > 0) {
+      return !ownRelays.some(hasFreshStatus);
     }
     const position = coordinators.indexOf(self);
     const before =
--- a/packages/gateway/src/relayPlan.ts
+++ b/packages/gateway/src/relayPlan.ts
@@ -109,8 +109,8 @@
   return new Map(
     [...domains].map(domain => {
       const members = live.filter(node => node.failureDomain === domain);
-      const order = groupByCores(members).flatMap(equal =>
-        rendezvousOrder(`${RELAY_KEY}/${domain}`, idsOf(equal)),
+      const order = groupByCores(members).flatMap(group =>
+        rendezvousOrder(`${RELAY_KEY}/${domain}`, idsOf(group)),
       );
       return [domain, order.slice(0, RELAYS_PER_DOMAIN)];
     }),
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -123,9 +123,9 @@
   }
 
   function stateToReport(rollout: Rollout, state: MoveState, move: Move) {
-    const due = rolloutStates[state.phase];
+    const newState = rolloutStates[state.phase];
     const isEarly = clock.wall() < move.deadline - DONE_MARGIN_MS;
-    return due === 'done' && isEarly ? 'running' : due;
+    return newState === 'done' && isEarly ? 'running' : newState;
   }
 
   mirror.onDidChange(noteOrders);
@@ -157,9 +157,9 @@
           return [];
         }
         const {target} = rollout;
-        const due = stateToReport(rollout, state, move);
-        const isWritten = writtenState(rollout) === due;
-        return isWritten ? [] : [{name, target, state: due}];
+        const newState = stateToReport(rollout, state, move);
+        const isWritten = writtenState(rollout) === newState;
+        return isWritten ? [] : [{name, target, state: newState}];
       });
     },
     onDidChange: changed.event,
--- a/packages/gateway/src/test/crashGuard.test.ts
+++ b/packages/gateway/src/test/crashGuard.test.ts
@@ -12,21 +12,21 @@
 import {createCrashGuard} from '../crashGuard.js';
 
 const CALL = {fingerprint: () => 'f00d'};
-const FIRST = {continuation: undefined};
-const SERVED: AttemptEnd = {
+const FIRST_ATTEMPT = {continuation: undefined};
+const SUCCESS: AttemptEnd = {
   type: 'answered',
   status: 200,
   headers: {},
   body: Buffer.from(''),
 };
 
-function lost(loss: ConnectionLoss): AttemptEnd {
+function connectionLost(loss: ConnectionLoss): AttemptEnd {
   const error = new ServingError('interrupted', 'other side closed');
   return {type: 'failed', error, loss};
 }
 
-/** Endpoints that have these states in the directory. */
-function createWorld(states: Readonly<Record<string, 'ready' | 'draining'>>) {
+/** Creates a guard over endpoints with these states in the directory. */
+function createGuard(states: Readonly<Record<string, 'ready' | 'draining'>>) {
   const clock = virtualClock();
   const suspects = createCrashSuspects({
     clock,
@@ -40,14 +40,17 @@
         ? undefined
         : ({id, state: states[id]} as RegisteredEndpoint),
   };
-  const suspicion = createCrashGuard({suspects, directory});
+  const guard = createCrashGuard({suspects, directory});
   return {
     clock,
     suspects,
-    suspicion,
-    lose(endpoints: readonly string[], loss: ConnectionLoss = 'closed') {
+    guard,
+    loseConnections(
+      endpoints: readonly string[],
+      loss: ConnectionLoss = 'closed',
+    ) {
       for (const endpoint of endpoints) {
-        suspicion.noteAttemptEnd(CALL, endpoint, lost(loss));
+        guard.noteAttemptEnd(CALL, endpoint, connectionLost(loss));
         clock.advanceSync(2_000);
       }
     },
@@ -56,60 +59,60 @@
 
 const READY = {e1: 'ready', e2: 'ready', e3: 'ready'} as const;
 
-describe('suspicion of a request', () => {
-  it('rejects it once three endpoints have crashed under it', () => {
-    const {suspicion, lose} = createWorld(READY);
-    lose(['e1', 'e2']);
-    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'suspected');
-    assert.ok(suspicion.isSuspected(CALL));
-    lose(['e3']);
-    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'quarantined');
-    assert.ok(suspicion.isQuarantined(CALL));
+describe('crash guard', () => {
+  it('quarantines a request after three crashes', () => {
+    const {guard, loseConnections} = createGuard(READY);
+    loseConnections(['e1', 'e2']);
+    assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'suspected');
+    assert.ok(guard.isSuspected(CALL));
+    loseConnections(['e3']);
+    assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'quarantined');
+    assert.ok(guard.isQuarantined(CALL));
   });
 
-  it('ends with its whole answer', () => {
-    const {suspicion, lose} = createWorld(READY);
-    lose(['e1', 'e2', 'e3']);
-    suspicion.noteAttemptEnd(CALL, 'e4', SERVED);
-    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'clear');
+  it('clears a request after a complete response', () => {
+    const {guard, loseConnections} = createGuard(READY);
+    loseConnections(['e1', 'e2', 'e3']);
+    guard.noteAttemptEnd(CALL, 'e4', SUCCESS);
+    assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'clear');
   });
 
-  it('does not end with an answer by which an endpoint failed', () => {
-    const {suspicion, lose} = createWorld(READY);
-    lose(['e1', 'e2', 'e3']);
-    suspicion.noteAttemptEnd(CALL, 'e4', {...SERVED, status: 500});
-    assert.ok(suspicion.isQuarantined(CALL));
+  it('does not clear a request after a server error', () => {
+    const {guard, loseConnections} = createGuard(READY);
+    loseConnections(['e1', 'e2', 'e3']);
+    guard.noteAttemptEnd(CALL, 'e4', {...SUCCESS, status: 500});
+    assert.ok(guard.isQuarantined(CALL));
   });
 
-  // Guards against taking the planned end of an endpoint for a crash.
-  it('does not arise from endpoints that drain', () => {
-    const {suspicion, lose} = createWorld({e1: 'draining'});
-    lose(['e1']);
-    lose(['e1'], 'silent');
-    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'clear');
+  // Guards against taking the planned termination of an endpoint for a crash.
+  it('ignores connections lost by draining endpoints', () => {
+    const {guard, loseConnections} = createGuard({e1: 'draining'});
+    loseConnections(['e1']);
+    loseConnections(['e1'], 'silent');
+    assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'clear');
   });
 
-  it('arises from endpoints that are gone before their connections close', () => {
-    const {suspicion, suspects, lose} = createWorld({});
+  it('suspects a request whose endpoint was removed before the connection closed', () => {
+    const {guard, suspects, loseConnections} = createGuard({});
     suspects.noteGone('e1');
-    lose(['e1']);
-    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'suspected');
+    loseConnections(['e1']);
+    assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'suspected');
   });
 
-  it('does not break off a stream that is being moved', () => {
-    const {suspicion, lose} = createWorld(READY);
-    lose(['e1', 'e2', 'e3']);
+  it('does not abort a stream that is being migrated', () => {
+    const {guard, loseConnections} = createGuard(READY);
+    loseConnections(['e1', 'e2', 'e3']);
     const continuation = {} as never;
-    assert.equal(suspicion.checkSend(CALL, {continuation}).type, 'clear');
+    assert.equal(guard.checkSend(CALL, {continuation}).type, 'clear');
   });
 
-  it('allows a trial one send', () => {
-    const {suspicion, suspects, clock} = createWorld(READY);
+  it('permits one send in a trial', () => {
+    const {guard, suspects, clock} = createGuard(READY);
     for (const endpoint of ['e1', 'e2', 'e3']) {
       suspects.noteClosed({request: 'f00d', endpoint});
     }
     clock.advanceSync(10_000);
-    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'trial');
-    assert.equal(suspicion.checkSend(CALL, FIRST).type, 'quarantined');
+    assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'trial');
+    assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'quarantined');
   });
 });
--- a/packages/gateway/src/test/crashPersistence.test.ts
+++ b/packages/gateway/src/test/crashPersistence.test.ts
@@ -17,7 +17,7 @@
 const REQUEST = 'f00d';
 const CONFIRM_MS = 300;
 
-/** An entry whose mirror shows what is in the store when it is told to look. */
+/** Creates an entry whose mirror reads the store only on `refresh`. */
 function startEntry(self: string, store: ObjectStore, clock: VirtualClock) {
   const log = silentLogger();
   const suspects = createCrashSuspects({
@@ -27,7 +27,7 @@
     wallMs: () => clock.wall(),
   });
   const mirror = createMirror<CrashReport>({kind: 'crashes', clock, log});
-  const memory = startCrashPersistence({
+  const persistence = startCrashPersistence({
     mirror,
     suspects,
     store,
@@ -39,8 +39,8 @@
   });
   return {
     suspects,
-    memory,
-    async look() {
+    persistence,
+    async refresh() {
       const {version, objects} = await store.list<CrashReport>(KIND);
       const items = objects.map(object => ({
         ...object,
@@ -57,46 +57,47 @@
   };
 }
 
-function createWorld() {
+function createFleet() {
   const clock = virtualClock();
   const store: ObjectStore = memoryPlatform({clock}).client('e1');
   const start = (self: string, over = store) => startEntry(self, over, clock);
   return {clock, store, start};
 }
 
-describe('the memory of crashes', () => {
-  // Guards against a verdict that is lost with the entries that reached it.
-  it('tells entries that all were replaced', async () => {
-    const {start} = createWorld();
+describe('crash persistence', () => {
+  // Guards against verdicts that are lost together with the entries that
+  // reached them.
+  it('restores verdicts after all entries were replaced', async () => {
+    const {start} = createFleet();
     const before = start('a1');
-    await before.look();
+    await before.refresh();
     await before.crash('e1', 'e2', 'e3');
-    before.memory.dispose();
+    before.persistence.dispose();
     const after = start('b1');
-    await after.look();
+    await after.refresh();
     assert.equal(after.suspects.judge(REQUEST).type, 'quarantined');
   });
 
-  // Guards against a restarted entry that overwrites what it had kept.
-  it('adds to what the entry had kept before it was started again', async () => {
-    const {start, store} = createWorld();
+  // Guards against a restarted entry that overwrites its persisted report.
+  it('merges new crashes into the report from before a restart', async () => {
+    const {start, store} = createFleet();
     const before = start('a1');
-    await before.look();
+    await before.refresh();
     await before.crash('e1', 'e2');
-    before.memory.dispose();
+    before.persistence.dispose();
     const after = start('a1');
     await after.crash('e3');
     const untouched = await store.get<CrashReport>(KIND, 'a1');
     assert.equal(untouched?.value.crashes.length, 2);
-    await after.look();
+    await after.refresh();
     await after.crash();
     await new Promise(resolve => setImmediate(resolve));
     assert.equal(after.suspects.judge(REQUEST).type, 'quarantined');
     assert.equal(after.suspects.own().crashes.length, 3);
   });
 
-  it('writes until the store has taken it', async () => {
-    const {clock, store, start} = createWorld();
+  it('retries failed writes', async () => {
+    const {clock, store, start} = createFleet();
     let isDown = true;
     const flaky: ObjectStore = {
       ...store,
@@ -106,7 +107,7 @@
           : store.put(...call),
     };
     const entry = start('a1', flaky);
-    await entry.look();
+    await entry.refresh();
     await entry.crash('e1');
     assert.equal(await store.get(KIND, 'a1'), undefined);
     isDown = false;
@@ -115,8 +116,8 @@
     assert.equal(kept?.value.crashes.length, 1);
   });
 
-  it('writes once for all requests that an endpoint takes down', async () => {
-    const {clock, store, start} = createWorld();
+  it('batches the requests of one crash into one write', async () => {
+    const {clock, store, start} = createFleet();
     let writes = 0;
     const counting: ObjectStore = {
       ...store,
@@ -126,7 +127,7 @@
       },
     };
     const entry = start('a1', counting);
-    await entry.look();
+    await entry.refresh();
     for (let index = 0; index < 40; index++) {
       entry.suspects.noteClosed({request: `r${index}`, endpoint: 'e1'});
     }
@@ -136,25 +137,25 @@
     assert.equal(kept?.value.crashes.length, 40);
   });
 
-  it('lifts verdicts whose objects an operator takes away', async () => {
-    const {start, store} = createWorld();
+  it('lifts verdicts whose objects an operator removes', async () => {
+    const {start, store} = createFleet();
     const entry = start('a1');
-    await entry.look();
+    await entry.refresh();
     await entry.crash('e1', 'e2', 'e3');
-    await entry.look();
+    await entry.refresh();
     await store.remove(KIND, 'a1', {type: 'any'});
-    await entry.look();
+    await entry.refresh();
     assert.equal(entry.suspects.judge(REQUEST).type, 'clear');
   });
 
-  it('removes objects that hold nothing that still counts', async () => {
-    const {clock, start, store} = createWorld();
+  it('removes objects whose crashes have all expired', async () => {
+    const {clock, start, store} = createFleet();
     const gone = start('a1');
-    await gone.look();
+    await gone.refresh();
     await gone.crash('e1');
-    gone.memory.dispose();
+    gone.persistence.dispose();
     const reader = start('b1');
-    await reader.look();
+    await reader.refresh();
     await clock.advance(3_600_000 + 300_000);
     assert.equal(await store.get(KIND, 'a1'), undefined);
   });
--- a/packages/gateway/src/test/digests.test.ts
+++ b/packages/gateway/src/test/digests.test.ts
@@ -24,7 +24,7 @@
   entries: 1,
 };
 
-/** One entry behind two relays, and what it sends to each. */
+/** Creates an entry behind two relays, and counts its digests to each. */
 function setUp() {
   const clock = virtualClock();
   const sent: Record<string, number> = {first: 0, second: 0};
@@ -58,11 +58,11 @@
   });
   return {
     sent,
-    async run(ticks: number, isFirstHeard: boolean) {
+    async run(ticks: number, isFirstAlive: boolean) {
       sent['first'] = 0;
       sent['second'] = 0;
       for (let tick = 0; tick < ticks; tick++) {
-        if (isFirstHeard) {
+        if (isFirstAlive) {
           receive('first', {...CONTENT, stamp: tick, wallMs: clock.wall()});
         }
         await clock.advance(300);
@@ -72,14 +72,15 @@
 }
 
 describe('digests', () => {
-  it('go to a relay that stands by at a third of the rate', async () => {
+  it('go to the standby relay at a third of the rate', async () => {
     const {sent, run} = setUp();
     await run(12, true);
     assert.deepEqual(sent, {first: 12, second: 4});
   });
 
-  // Guards against a relay that takes over and knows its entries only as they were.
-  it('go to the second relay each time once the first is silent', async () => {
+  // Guards against a standby relay that takes over with stale data of its
+  // entries.
+  it('go to the second relay at the full rate once the first is unreachable', async () => {
     const {sent, run} = setUp();
     await run(6, true);
     await run(4, false);
--- a/packages/gateway/src/test/engineCapacityStore.test.ts
+++ b/packages/gateway/src/test/engineCapacityStore.test.ts
@@ -16,7 +16,7 @@
   return memoryPlatform({clock: virtualClock()}).client('e1');
 }
 
-function learned(): CapacitySums {
+function measuredCapacity(): CapacitySums {
   const random = seededRandom(7);
   const model = createEngineModel(virtualClock());
   for (let index = 0; index < 400; index++) {
@@ -38,15 +38,15 @@
   await new Promise(resolve => setImmediate(resolve));
 }
 
-describe('engine memory', () => {
-  it('tells entries that all lost power what engines can do', async () => {
-    // A whole system loses power and starts again with its callers at the door.
-    // By a guess it would send endpoints away that they need at once.
+describe('engine capacity store', () => {
+  it('restores the capacity after all entries lost power', async () => {
+    // After a power loss the callers of a system return at once. With guessed
+    // capacity it would remove endpoints that it needs immediately.
     const store = createStore();
     const clock = virtualClock();
     const log = silentLogger();
     const before = createEngineCapacityStore({store, clock, log});
-    const keeping = before.startPersisting(learned);
+    const keeping = before.startPersisting(measuredCapacity);
     clock.advanceSync(10_000);
     await settle();
     keeping.dispose();
@@ -59,13 +59,15 @@
     assert.ok(figures.isSure);
   });
 
-  it('forgets by and by', async () => {
-    // Engines may have been replaced while the system was down. What was kept
-    // must not outweigh what is seen now.
+  it('decays restored measurements', async () => {
+    // Engines may have been replaced during the outage, so current measurements
+    // must soon outweigh restored ones.
     const store = createStore();
     const clock = virtualClock();
     const log = silentLogger();
-    await store.put('engine-capacity', 'learned', learned(), {type: 'any'});
+    await store.put('engine-capacity', 'learned', measuredCapacity(), {
+      type: 'any',
+    });
     const memory = createEngineCapacityStore({store, clock, log});
     await settle();
     clock.advanceSync(120_000);
@@ -73,9 +75,9 @@
     assert.ok(figures.prompts < 10, `${figures.prompts}`);
   });
 
-  it('starts without what it can not read', async () => {
-    // Another program may have written under this name. An entry that failed
-    // over it would serve nobody.
+  it('starts empty if the object is invalid', async () => {
+    // Another program may have written an object of this name; an entry that
+    // failed on it would serve no requests.
     const store = createStore();
     await store.put('engine-capacity', 'learned', {chat: 7}, {type: 'any'});
     const memory = createEngineCapacityStore({
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -10,7 +10,7 @@
 import {waitTooLong} from '../attemptOutcome.js';
 import {createEngineObserver} from '../engineObserver.js';
 
-const known: EngineFigures = {
+const reliableFigures: EngineFigures = {
   ...engineFigures(undefined, []),
   usualTokenMs: 0.03,
   isSure: true,
@@ -33,7 +33,7 @@
   const observer = createEngineObserver({
     model: createEngineModel(clock),
     clock,
-    figures: () => options.figures ?? known,
+    figures: () => options.figures ?? reliableFigures,
     fits: () => true,
     tokensPerEvent: () => 4,
     onDidReread() {},
@@ -49,11 +49,11 @@
   return observer.wait(call, choice, options.leftMs);
 }
 
-describe('wait of a request', () => {
-  it('is too long when others take the time that the caller has', () => {
-    // After a reclaim the endpoints that are left have 100,000 tokens to read,
-    // which takes 3 s. A caller who stays for 4 s would get the start of an
-    // answer and then nothing.
+describe('expected wait', () => {
+  it('is too long if queued prompts use up the time until the deadline', () => {
+    // After a reclaim the remaining endpoints have 100,000 prompt tokens
+    // queued, which take 3 s. A caller with a timeout of 4 s would receive only
+    // the start of a response.
     const wait = waitOf({tokensAhead: 100_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, true);
     const refusal = waitTooLong('chat', wait);
@@ -61,21 +61,22 @@
     assert.equal(refusal.retryAfterMs, 600);
   });
 
-  it('is borne while the answer can still come in time', () => {
-    // Late is better than never: the goal has passed, the caller is still there.
+  it('is accepted while the response can still meet the deadline', () => {
+    // A late response is better than none: the goal is missed, but the caller
+    // is still waiting.
     const wait = waitOf({tokensAhead: 60_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, false);
   });
 
-  it('turns nobody away by a guess', () => {
-    // A system that has just started believes something of its engines. Refused
-    // by that, callers would be turned away from free endpoints.
-    const figures = {...known, isSure: false};
+  it('rejects no request before the figures are reliable', () => {
+    // A system that has just started only has guesses about its engines, which
+    // must not reject callers while endpoints are idle.
+    const figures = {...reliableFigures, isSure: false};
     const wait = waitOf({figures, tokensAhead: 1_000_000, leftMs: 100});
     assert.equal(wait.isTooLong, false);
   });
 
-  it('is not known for a plain service', () => {
+  it('is not estimated for a plain service', () => {
     const wait = waitOf({isModel: false, tokensAhead: 1e6, leftMs: 100});
     assert.equal(wait.isTooLong, false);
   });
--- a/packages/gateway/src/test/eventFramer.test.ts
+++ b/packages/gateway/src/test/eventFramer.test.ts
@@ -5,11 +5,11 @@
 const STREAM =
   'x-weight-versions: 3\nid: 1\ndata: one\n\nid: 2\ndata: two\n\n: note\n\nid:30\r\ndata: three\r\n\r\nid: 4\nda';
 
-describe('event frames', () => {
+describe('event framer', () => {
   for (const size of [1, 2, 7, 1_000]) {
-    it(`cuts a stream that comes in pieces of ${size} bytes into whole events`, () => {
-      // An endpoint may stop in the middle of an event. Its half must not stand
-      // before the first event of the endpoint that goes on.
+    it(`splits a stream received in chunks of ${size} bytes into complete events`, () => {
+      // An endpoint may fail in the middle of an event. The partial event must
+      // not precede the first event of the resumed stream.
       const frames = createEventFramer();
       const bytes = Buffer.from(STREAM);
       const cut = [];
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -61,8 +61,8 @@
   isResumable: false,
   longestPauseMs: 0,
 };
-/** Moves no stream. */
-const noMoves: StreamMigrator = {
+/** Migrates no stream. */
+const noMigration: StreamMigrator = {
   watch: () => ({
     isStopRequested: () => false,
     continuation: async () => undefined,
@@ -70,17 +70,17 @@
   }),
 };
 
-/** Moves the first attempt's stream to another endpoint. */
-function movesOnce(): StreamMigrator {
+/** Migrates the first attempt's stream to another endpoint. */
+function migratesOnce(): StreamMigrator {
   let isFirst = true;
   return {
     watch({choose}) {
-      const isMoved = isFirst;
+      const isMigrated = isFirst;
       isFirst = false;
       return {
-        isStopRequested: () => isMoved,
+        isStopRequested: () => isMigrated,
         async continuation() {
-          const choice = isMoved ? choose() : undefined;
+          const choice = isMigrated ? choose() : undefined;
           const memory = {source: '10.0.0.1:1', handle: 'h'};
           return choice && {choice, memory};
         },
@@ -98,9 +98,9 @@
   readonly status: number;
   readonly body: string;
   readonly retryAfter: string | undefined;
-  /** The caller saw the answer break off. */
+  /** Whether the caller received an incomplete response. */
   readonly isBroken: boolean;
-  /** Requests that reached endpoints. */
+  /** Number of requests that reached endpoints. */
   readonly arrivals: number;
   readonly lastEventIds: readonly (string | undefined)[];
   readonly result: ForwardingResult;
@@ -108,11 +108,11 @@
 
 const ENDPOINTS = 3;
 
-/** Sends one request through the forwarding; the endpoints it reaches behave in turn. */
+/** Forwards one request to endpoints that run the behaviours in turn. */
 async function forwardTo(
   route: Route,
   behaviours: readonly Behaviour[],
-  moves: StreamMigrator = noMoves,
+  moves: StreamMigrator = noMigration,
 ): Promise<Outcome> {
   const clock = systemClock();
   const log = silentLogger();
@@ -282,22 +282,22 @@
 }
 
 describe('forwarding', () => {
-  it('never sends an order again that may have run', async () => {
-    // The endpoint has read the order and its connection is reset. Sent to
-    // another endpoint, it would be carried out twice: two parcels for a shop.
+  it('does not retry an order that may have run', async () => {
+    // The endpoint has read the order when its connection is reset. A retry
+    // would execute the order twice.
     const outcome = await forwardTo(order, [resets, answers('done')]);
     assert.equal(outcome.status, 502);
     assert.equal(outcome.retryAfter, undefined);
     assert.equal(outcome.arrivals, 1);
   });
 
-  it('lets a request run on no more endpoints than its route allows', async () => {
+  it('limits the runs of a request to the attempts of its route', async () => {
     const outcome = await forwardTo(plain, [resets, resets, answers('late')]);
     assert.equal(outcome.arrivals, 2);
     assert.equal(outcome.status, 502);
   });
 
-  it('tells when a request was first sent, whatever came of that send', async () => {
+  it('records the time of the first send even if that attempt fails', async () => {
     const before = systemClock().now();
     const {result} = await forwardTo(plain, [resets, answers('ok')]);
     const at = result.firstSendAt ?? NaN;
@@ -305,20 +305,20 @@
     assert.ok((result.firstMs ?? NaN) >= 0);
   });
 
-  it('gives the answer of the second endpoint when the first one fails', async () => {
+  it('returns the response of the second endpoint if the first one fails', async () => {
     const outcome = await forwardTo(plain, [resets, answers('ok')]);
     assert.equal(outcome.status, 200);
     assert.equal(outcome.body, 'ok');
   });
 
-  it('sends an order on that an endpoint has declined', async () => {
+  it('sends a declined order to another endpoint', async () => {
     const outcome = await forwardTo(order, [declines, answers('done')]);
     assert.equal(outcome.status, 200);
     assert.equal(outcome.body, 'done');
   });
 
-  it('says that an order was not run only when every endpoint has declined it', async () => {
-    // A caller repeats an order after this status, so it must be true.
+  it('reports an order as not run only if every endpoint declined it', async () => {
+    // Callers retry an order after this status, so it must be accurate.
     const declined = await forwardTo(order, [declines]);
     assert.ok([429, 503].includes(declined.status), `${declined.status}`);
     assert.ok(declined.retryAfter !== undefined);
@@ -326,24 +326,25 @@
     assert.equal(reset.status, 502);
   });
 
-  it('passes no answer on that names another request', async () => {
-    // An endpoint answers an earlier request once more, on the connection that
-    // now carries another caller's. It holds somebody else's data.
+  it('drops a response with the id of another request', async () => {
+    // An endpoint repeats its response to an earlier request on a connection
+    // that now carries another caller's request. The response contains the
+    // first caller's data.
     const outcome = await forwardTo(order, [answers('secret', 200, 'other')]);
     assert.equal(outcome.status, 502);
     assert.ok(!outcome.body.includes('secret'));
   });
 
-  it("passes an endpoint's own failure on unchanged", async () => {
+  it("passes on an endpoint's own error unchanged", async () => {
     const outcome = await forwardTo(order, [answers('no', 500)]);
     assert.equal(outcome.status, 500);
     assert.equal(outcome.body, 'no');
     assert.equal(outcome.arrivals, 1);
   });
 
-  it('goes on with a resumable stream after the last event delivered', async () => {
+  it('resumes a stream after the last delivered event', async () => {
     // The endpoint is reclaimed in the middle of an event, and the next one
-    // repeats what the caller has. The caller must see each event once.
+    // repeats events. The caller must receive each event once.
     const outcome = await forwardTo(resumable, [
       streams(1, 3, 'cut'),
       streams(2, 6, 'whole'),
@@ -353,32 +354,32 @@
     assert.equal(outcome.isBroken, false);
   });
 
-  it('does not let a stream that broke off look complete', async () => {
+  it('does not end an interrupted stream as if it were complete', async () => {
     const outcome = await forwardTo(stream, [streams(1, 3, 'cut')]);
     assert.equal(outcome.body, events(1, 3));
     assert.ok(outcome.isBroken);
     assert.equal(outcome.arrivals, 1);
   });
 
-  it('goes on with a moved stream at its new endpoint', async () => {
+  it('continues a migrated stream at its new endpoint', async () => {
     const outcome = await forwardTo(
       stream,
       [streams(1, 3, 'cut'), streams(4, 6, 'whole')],
-      movesOnce(),
+      migratesOnce(),
     );
     assert.equal(outcome.body, events(1, 6));
     assert.equal(outcome.isBroken, false);
   });
 
-  it('breaks a moved stream off when its new endpoint declines it', async () => {
-    // The endpoint with the copied memory crashes before the stream goes on, and
-    // another process answers at its address. Sent to a third endpoint the
-    // request would run from its start once more, and its caller would get two
-    // answers joined.
+  it('aborts a migrated stream if its new endpoint declines it', async () => {
+    // The endpoint with the copied KV cache crashes before the stream resumes,
+    // and another process responds at its address. A third endpoint would run
+    // the request from its start, and the caller would receive two responses
+    // joined.
     const outcome = await forwardTo(
       stream,
       [streams(1, 3, 'cut'), declines, streams(1, 6, 'whole')],
-      movesOnce(),
+      migratesOnce(),
     );
     assert.equal(outcome.body, events(1, 3));
     assert.ok(outcome.isBroken);
--- a/packages/gateway/src/test/lookup.test.ts
+++ b/packages/gateway/src/test/lookup.test.ts
@@ -33,8 +33,11 @@
   (_, index) => `10.9.${index >> 8}.${index & 255}`,
 );
 
-/** Share of the requests that each entry gets when callers choose evenly among their answers. */
-function shares(members: readonly Member[]): Map<string, number> {
+/**
+ * Returns each entry's fraction of the requests if callers choose evenly among
+ * their addresses.
+ */
+function requestShares(members: readonly Member[]): Map<string, number> {
   const share = new Map<string, number>();
   for (const caller of CALLERS) {
     const addresses = selectEntries(members, 'a', caller);
@@ -47,7 +50,7 @@
 }
 
 describe('lookup', () => {
-  it('names the entries beside the caller, and farther ones only where there are too few', () => {
+  it('returns local entries, and remote ones only if there are too few', () => {
     const members = [member(1, 'a'), member(1, 'b', 1, 5), member(2, 'b', 1)];
     assert.deepEqual(selectEntries(members, 'a', 'x'), [
       '10.0.97.1:8080',
@@ -61,9 +64,9 @@
   });
 
   // Guards against slow hosts that get as many callers as fast ones.
-  it('gives entries requests in proportion to their cores', () => {
+  it('distributes requests in proportion to cores', () => {
     const members = domain('a', 3, 27);
-    const share = shares(members);
+    const share = requestShares(members);
     const cores = members.reduce((sum, each) => sum + each.cores!, 0);
     for (const {callerUrl, cores: own} of members) {
       const wanted = own! / cores;
@@ -75,8 +78,8 @@
     }
   });
 
-  // Guards against callers that close their connections at every new answer.
-  it('gives a caller the same entries while they live', () => {
+  // Guards against callers that close their connections at each new response.
+  it('returns a stable subset for a caller', () => {
     const members = domain('a', 3, 27);
     const first = selectEntries(members, 'a', '10.9.0.1');
     assert.deepEqual(selectEntries(members, 'a', '10.9.0.1'), first);
@@ -87,11 +90,11 @@
     assert.equal(next.filter(address => first.includes(address)).length, 7);
   });
 
-  it('treats entries that do not say as equal', () => {
+  it('treats entries without reported cores as equal', () => {
     const members = Array.from({length: 20}, (_, index) =>
       member(index + 1, 'a'),
     );
-    const got = [...shares(members).values()];
+    const got = [...requestShares(members).values()];
     assert.equal(got.length, 20);
     assert.ok(Math.max(...got) < 0.08);
   });
--- a/packages/gateway/src/test/mirror.test.ts
+++ b/packages/gateway/src/test/mirror.test.ts
@@ -6,9 +6,9 @@
 
 function setUp() {
   const clock = virtualClock();
-  const make = () =>
+  const createReplica = () =>
     createMirror<string>({kind: 'endpoints', clock, log: silentLogger()});
-  return {clock, make};
+  return {clock, createReplica};
 }
 
 function item(name: string, revision: number, value = name) {
@@ -16,10 +16,10 @@
 }
 
 describe('mirror', () => {
-  it('hands what it reads on in steps that give others the same copy', () => {
-    const {clock, make} = setUp();
-    const reader = make();
-    const listener = make();
+  it('returns steps that replicate its changes to another mirror', () => {
+    const {clock, createReplica} = setUp();
+    const reader = createReplica();
+    const listener = createReplica();
     reader.applyListing(
       {revision: 5, items: [item('a', 2), item('b', 5)]},
       timestampOf(clock),
@@ -41,20 +41,20 @@
     assert.equal(listener.get('c'), 'c');
   });
 
-  it('refuses a step that begins after what it has', () => {
-    // A message between two entries was lost. Applying the next one would leave
-    // an endpoint in use that the lost one told to be leaving.
-    const {clock, make} = setUp();
-    const mirror = make();
+  it('rejects a step after a gap', () => {
+    // A message between two entries was lost. Applying the next one would keep
+    // an endpoint in use that the lost message reported as draining.
+    const {clock, createReplica} = setUp();
+    const mirror = createReplica();
     mirror.applyListing({revision: 5, items: []}, timestampOf(clock));
     assert.ok(!mirror.applyStep({from: 7, to: 9, changes: []}));
     assert.equal(mirror.revision(), 5);
   });
 
-  // Guards against a revoked key that counts because an old listing does.
-  it('does not take a listing that may be old for the newest', () => {
-    const {clock, make} = setUp();
-    const mirror = make();
+  // Guards against accepting a revoked key because of a stale listing.
+  it('does not confirm itself by a listing that may be stale', () => {
+    const {clock, createReplica} = setUp();
+    const mirror = createReplica();
     mirror.applyListing({revision: 5, items: [item('a', 2)]}, undefined);
     assert.ok(mirror.isKnown());
     assert.equal(mirror.get('a'), 'a');
@@ -63,9 +63,9 @@
     assert.equal(mirror.ageMs(), 0);
   });
 
-  it('never goes back to an older object or an older copy', () => {
-    const {clock, make} = setUp();
-    const mirror = make();
+  it('ignores older objects and older copies', () => {
+    const {clock, createReplica} = setUp();
+    const mirror = createReplica();
     mirror.applyListing(
       {revision: 9, items: [item('a', 9, 'new')]},
       timestampOf(clock),
@@ -76,11 +76,11 @@
     assert.equal(mirror.get('a'), 'new');
   });
 
-  it('drops what is missing in a newer listing', () => {
-    // The store forgot its history while an endpoint left: only its absence
-    // tells.
-    const {clock, make} = setUp();
-    const mirror = make();
+  it('removes objects that a newer listing lacks', () => {
+    // The store was compacted while an endpoint left, so only its absence from
+    // the listing shows that it is gone.
+    const {clock, createReplica} = setUp();
+    const mirror = createReplica();
     mirror.applyListing(
       {revision: 5, items: [item('a', 2)]},
       timestampOf(clock),
@@ -89,9 +89,9 @@
     assert.equal(mirror.get('a'), undefined);
   });
 
-  it('is confirmed by a peer only when it has all that the peer has', () => {
-    const {clock, make} = setUp();
-    const mirror = make();
+  it('is confirmed by a peer only if it has all changes of the peer', () => {
+    const {clock, createReplica} = setUp();
+    const mirror = createReplica();
     mirror.applyListing({revision: 5, items: []}, timestampOf(clock));
     clock.advanceSync(4_000);
     const syncStatus = {confirmedAgoMs: 100, isReader: true};
--- a/packages/gateway/src/test/mirrorReader.test.ts
+++ b/packages/gateway/src/test/mirrorReader.test.ts
@@ -53,8 +53,8 @@
 }
 
 describe('mirror reader', () => {
-  // Guards against a wave of calls when all entries start at once.
-  it('makes one call at its start, and none more where others read', async () => {
+  // Guards against a burst of calls when all entries start at once.
+  it('makes a single call at its start if another entry reads', async () => {
     const {clock, calls, setTurn} = setUp();
     await clock.advance(500);
     setTurn(false);
@@ -62,7 +62,7 @@
     assert.deepEqual(calls, ['list recent']);
   });
 
-  it('reads changes once it has settled, and confirms the copy by them alone', async () => {
+  it('reads changes after the pause, and confirms the mirror only by them', async () => {
     const {clock, calls, mirror} = setUp();
     await clock.advance(700);
     assert.equal(mirror.ageMs(), Infinity);
@@ -71,8 +71,9 @@
     assert.ok(mirror.ageMs() <= TIMING.waitMs * 2);
   });
 
-  // Guards against a listing from before the lost history, read again and again.
-  it('lists the newest state after the history is lost', async () => {
+  // Guards against repeatedly reading a stale listing from before the
+  // compaction.
+  it('requests the latest listing after a compaction', async () => {
     const {clock, calls, compact} = setUp();
     await clock.advance(1_300);
     compact();
--- a/packages/gateway/src/test/peerVisibility.test.ts
+++ b/packages/gateway/src/test/peerVisibility.test.ts
@@ -3,44 +3,47 @@
 import {virtualClock} from '@skylarkfield/base';
 import {createPeerVisibility} from '../peerVisibility.js';
 
-/** An entry that has just started, with what the platform and peers tell it. */
+/**
+ * Creates an entry that has just started, with the counts from the platform and
+ * peers.
+ */
 function setUp() {
   const clock = virtualClock();
-  const told: {entryCount: number | undefined; heard: number} = {
+  const peers: {entryCount: number | undefined; visible: number} = {
     entryCount: undefined,
-    heard: 0,
+    visible: 0,
   };
-  let known: readonly [number, number] | undefined;
-  const share = createPeerVisibility({
+  let reported: readonly [number, number] | undefined;
+  const visibility = createPeerVisibility({
     clock,
-    membership: {entryCount: () => told.entryCount},
-    reports: {visiblePeers: () => told.heard},
-    onDidRefresh: (heardFraction, entryCount) => {
-      known = [heardFraction, entryCount];
+    membership: {entryCount: () => peers.entryCount},
+    reports: {visiblePeers: () => peers.visible},
+    onDidRefresh: (visibleFraction, entryCount) => {
+      reported = [visibleFraction, entryCount];
     },
   });
-  return {clock, told, share, known: () => known};
+  return {clock, peers, visibility, reported: () => reported};
 }
 
-describe('share of the fleet', () => {
-  // Guards against a new process that takes itself for the whole fleet.
-  it('counts entries that were listed before any of them is heard', () => {
-    const {told, share, known} = setUp();
-    assert.ok(!share.isKnown());
-    told.entryCount = 9;
-    assert.ok(share.isKnown());
-    assert.deepEqual(known(), [0, 9]);
-    told.heard = 4;
-    share.refresh();
-    assert.deepEqual(known(), [0.5, 9]);
+describe('peer visibility', () => {
+  // Guards against a new process that considers itself the whole fleet.
+  it('counts listed entries before any of them reports', () => {
+    const {peers, visibility, reported} = setUp();
+    assert.ok(!visibility.isKnown());
+    peers.entryCount = 9;
+    assert.ok(visibility.isKnown());
+    assert.deepEqual(reported(), [0, 9]);
+    peers.visible = 4;
+    visibility.refresh();
+    assert.deepEqual(reported(), [0.5, 9]);
   });
 
-  it('counts an entry that nobody was told of as the only one after a while', () => {
-    const {clock, share, known} = setUp();
+  it('counts an entry without peers as the only one after the join timeout', () => {
+    const {clock, visibility, reported} = setUp();
     clock.advanceSync(899);
-    assert.ok(!share.isKnown());
+    assert.ok(!visibility.isKnown());
     clock.advanceSync(1);
-    assert.ok(share.isKnown());
-    assert.deepEqual(known(), [1, 1]);
+    assert.ok(visibility.isKnown());
+    assert.deepEqual(reported(), [1, 1]);
   });
 });
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -12,8 +12,10 @@
 const PER_SECOND = 1_000;
 const BURST = 1_000;
 
-/** Part by which a window may go over, for what entries have not heard of each other yet. */
-const OVER = 1.1;
+/**
+ * Allowed overshoot of a window, for usage that entries have not exchanged yet.
+ */
+const ALLOWED_OVERSHOOT = 1.1;
 
 const customer: KeyedCustomer = {
   name: 'chain',
@@ -22,18 +24,18 @@
   quota: {unit: 'tokens', perSecond: PER_SECOND, burst: BURST, plainTokens: 1},
 };
 
-const unread = {
+const emptyStatus = {
   revision: 0,
   changedAt: 0,
   confirmedAgoMs: -1,
   isReader: false,
 };
 
-/** Entries that exchange digests unless a cut lies between them. */
+/** Creates entries that exchange digests unless a partition separates them. */
 function createFleet() {
   const clock = virtualClock();
   const granted: number[] = [];
-  let isCut = false;
+  let isPartitioned = false;
   const entries = Array.from({length: ENTRIES}, (_, index) => {
     const quotas = createQuotas(clock, WINDOW_MS);
     const reports = createPeerReports({
@@ -42,83 +44,90 @@
       silenceMs: 1_200,
       quotaWindowMs: WINDOW_MS,
     });
-    const share = createPeerVisibility({
+    const visibility = createPeerVisibility({
       clock,
       membership: {entryCount: () => ENTRIES},
       reports,
-      onDidRefresh: (heard, count) => quotas.setHeard(heard, count, OVERDUE_MS),
+      onDidRefresh: (visibleFraction, count) =>
+        quotas.setHeard(visibleFraction, count, OVERDUE_MS),
     });
-    return {index, id: `entry-${index}`, quotas, reports, share};
+    return {index, id: `entry-${index}`, quotas, reports, visibility};
   });
 
   function exchangeDigests(): void {
-    for (const from of entries) {
-      from.share.refresh();
+    for (const sender of entries) {
+      sender.visibility.refresh();
       const digest = {
         incarnation: 1,
         upMs: clock.now(),
         stamp: 0,
         wallMs: 0,
-        mirrors: {policy: unread, endpoints: unread, rollouts: unread},
+        mirrors: {
+          policy: emptyStatus,
+          endpoints: emptyStatus,
+          rollouts: emptyStatus,
+        },
         usage: {},
         loads: {},
         work: {chat: NO_WORK},
         outcomes: {},
-        used: {...from.quotas.used()},
+        used: {...sender.quotas.used()},
       };
-      for (const to of entries) {
-        const isReached = !isCut || from.index % 2 === to.index % 2;
-        if (to !== from && isReached) {
-          const taken = to.reports.take(from.id, digest);
-          to.quotas.noteIncrease(taken?.increase ?? {});
+      for (const receiver of entries) {
+        const isReached =
+          !isPartitioned || sender.index % 2 === receiver.index % 2;
+        if (receiver !== sender && isReached) {
+          const taken = receiver.reports.take(sender.id, digest);
+          receiver.quotas.noteIncrease(taken?.increase ?? {});
         }
       }
     }
   }
 
   return {
-    cut(value: boolean): void {
-      isCut = value;
+    setPartitioned(value: boolean): void {
+      isPartitioned = value;
     },
-    /** Each entry takes what it can, several times what all may take. */
-    flood(seconds: number): void {
+    /** Each entry tries to take its part of three times the quota. */
+    sendLoad(seconds: number): void {
       const amount = (3 * PER_SECOND * STEP_MS) / 1_000 / ENTRIES;
       for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
         if (at % DIGEST_MS === 0) {
           exchangeDigests();
         }
         const passed = entries.filter(
-          ({share, quotas}) =>
-            share.isKnown() && quotas.tryTake(customer, amount),
+          ({visibility, quotas}) =>
+            visibility.isKnown() && quotas.tryTake(customer, amount),
         );
         granted.push(passed.length * amount);
         clock.advanceSync(STEP_MS);
       }
     },
-    mostInWindow(): number {
+    maxInWindow(): number {
       const length = WINDOW_MS / STEP_MS;
       let sum = 0;
-      let most = 0;
+      let max = 0;
       granted.forEach((amount, at) => {
         sum += amount - (granted[at - length] ?? 0);
-        most = Math.max(most, sum);
+        max = Math.max(max, sum);
       });
-      return most;
+      return max;
     },
   };
 }
 
-describe('quotas under a cut', () => {
-  // Guards against both sides of a cut that grant the whole quota until each misses the other.
-  it('keeps the quota when half of the entries are cut off', () => {
+describe('quotas under a partition', () => {
+  // Guards against both sides of a partition granting the whole quota until
+  // they notice it.
+  it('enforces the quota while half of the entries are partitioned', () => {
     const fleet = createFleet();
-    fleet.flood(18);
-    fleet.cut(true);
-    fleet.flood(6);
-    fleet.cut(false);
-    fleet.flood(12);
+    fleet.sendLoad(18);
+    fleet.setPartitioned(true);
+    fleet.sendLoad(6);
+    fleet.setPartitioned(false);
+    fleet.sendLoad(12);
     const allowed = (PER_SECOND * WINDOW_MS) / 1_000 + BURST;
-    const most = fleet.mostInWindow();
-    assert.ok(most <= allowed * OVER, `${most} of ${allowed}`);
+    const most = fleet.maxInWindow();
+    assert.ok(most <= allowed * ALLOWED_OVERSHOOT, `${most} of ${allowed}`);
   });
 });
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -15,7 +15,7 @@
 
 type Digest = Messages['digest'];
 
-const SILENCE_MS = 1_200;
+const PEER_TIMEOUT_MS = 1_200;
 const QUOTA_WINDOW_MS = 8_000;
 const DIGEST_MS = 300;
 const DOMAINS = ['a', 'b', 'c', 'd'];
@@ -36,7 +36,10 @@
   isReader: false,
 };
 
-/** Entries that exchange digests by the plan, each with one request at its own endpoint. */
+/**
+ * Creates entries that exchange digests by the plan, each with one request at
+ * its own endpoint.
+ */
 function createFleet(nodes: readonly RelayNode[]) {
   const clock = virtualClock();
   const entries = new Map(
@@ -49,21 +52,21 @@
         reports: createPeerReports({
           clock,
           failureDomain: node.failureDomain,
-          silenceMs: SILENCE_MS,
+          silenceMs: PEER_TIMEOUT_MS,
           quotaWindowMs: QUOTA_WINDOW_MS,
         }),
         /** Milliseconds since its process started. */
         upMs: 3_600_000,
-        /** Quota amounts of others, as an entry's buckets get them. */
-        heardUsed: new Map<string, number>(),
-        /** Fingerprints under which endpoints crashed, as others tell. */
-        heardCrashes: new Set<string>(),
+        /** Quota usage of others, as passed to an entry's quotas. */
+        usedByOthers: new Map<string, number>(),
+        /** Fingerprints of crash reports received from others. */
+        receivedCrashes: new Set<string>(),
       },
     ]),
   );
-  const silent = new Set<string>();
-  /** Crashes that entries tell. */
-  const crashes = new Map<string, CrashReport>();
+  const failed = new Set<string>();
+  /** Crash reports to propagate, by entry. */
+  const crashReports = new Map<string, CrashReport>();
   let sent = 0;
 
   type Entry = NonNullable<ReturnType<typeof entries.get>>;
@@ -93,7 +96,9 @@
           shared: {requests: 1, pendingTokens: 10, contextTokens: 100},
         },
         limits: {},
-        ...(crashes.get(node.id) && {crashes: crashes.get(node.id)}),
+        ...(crashReports.get(node.id) && {
+          crashes: crashReports.get(node.id),
+        }),
         work: {chat: {...NO_WORK, ownTokens: 5}},
         outcomes: {chat: {count: 2, late: 1}},
       }),
@@ -102,14 +107,14 @@
 
   function round(): void {
     for (const entry of entries.values()) {
-      if (silent.has(entry.node.id)) {
+      if (failed.has(entry.node.id)) {
         continue;
       }
       const plan = planRelays(entry.node, nodes);
-      const isSpare =
-        plan.activeRelay !== undefined && !silent.has(plan.activeRelay);
+      const isActiveRelayAlive =
+        plan.activeRelay !== undefined && !failed.has(plan.activeRelay);
       for (const [to, scope] of plan.targets) {
-        if (silent.has(to) || (isSpare && scope !== 'own')) {
+        if (failed.has(to) || (isActiveRelayAlive && scope !== 'own')) {
           continue;
         }
         sent += 1;
@@ -122,22 +127,22 @@
   function deliver(from: Entry, to: string, digest: Digest): void {
     const receiver = entries.get(to)!;
     for (const {request} of digest.crashes?.crashes ?? []) {
-      receiver.heardCrashes.add(request);
+      receiver.receivedCrashes.add(request);
     }
     const taken = receiver.reports.take(from.node.id, digest);
     if (taken !== undefined) {
-      const heard = receiver.heardUsed.get(taken.source) ?? 0;
-      receiver.heardUsed.set(
-        taken.source,
-        heard + (taken.increase['chain'] ?? 0),
+      const used = receiver.usedByOthers.get(taken.origin) ?? 0;
+      receiver.usedByOthers.set(
+        taken.origin,
+        used + (taken.increase['chain'] ?? 0),
       );
     }
   }
 
   return {
     entries,
-    silent,
-    crashes,
+    failed,
+    crashReports,
     digestFrom: (from: string, to: string) =>
       digestOf(entries.get(from)!, 'own', to),
     rounds(count: number) {
@@ -153,11 +158,15 @@
   };
 }
 
-function heardOf({heardUsed}: {heardUsed: Map<string, number>}): number {
-  return [...heardUsed.values()].reduce((sum, amount) => sum + amount, 0);
+function usedByOthersTotal({
+  usedByOthers,
+}: {
+  usedByOthers: Map<string, number>;
+}): number {
+  return [...usedByOthers.values()].reduce((sum, amount) => sum + amount, 0);
 }
 
-function requestsSeen(reports: PeerReports, id: string): number {
+function reportedRequests(reports: PeerReports, id: string): number {
   const nothing = {
     entries: 0,
     used: {},
@@ -175,7 +184,7 @@
 }
 
 describe('relays', () => {
-  it('lets everyone tell everyone up to a bound', () => {
+  it('uses a full mesh up to a maximum size', () => {
     const nodes = fleetOf(MAX_FULL_MESH_ENTRIES);
     for (const plan of plans(nodes).values()) {
       assert.equal(plan.targets.size, MAX_FULL_MESH_ENTRIES - 1);
@@ -193,41 +202,42 @@
     }
   });
 
-  // Guards against a crashing request that entries behind other relays go on sending.
-  it('tells every entry of the crashes that others saw', () => {
+  // Guards against entries behind other relays that still send a crashing
+  // request.
+  it('propagates crashes to every entry', () => {
     const fleet = createFleet(fleetOf(77));
     const [first, ...others] = fleet.entries.keys();
     const crash = {request: 'f00d', endpoint: 'i-1@7', atMs: 0};
-    fleet.crashes.set(first!, {crashes: [crash], served: {}});
+    fleet.crashReports.set(first!, {crashes: [crash], served: {}});
     fleet.rounds(5);
     for (const id of others) {
-      assert.ok(fleet.entries.get(id)!.heardCrashes.has('f00d'), id);
+      assert.ok(fleet.entries.get(id)!.receivedCrashes.has('f00d'), id);
     }
   });
 
-  it('gives every entry the load, work and use of all others', () => {
+  it('propagates the load, work and usage of all entries', () => {
     const nodes = fleetOf(77);
     const fleet = createFleet(nodes);
     fleet.rounds(5);
     fleet.entries.forEach(entry => (entry.used += 10));
     fleet.rounds(5);
     for (const [id, entry] of fleet.entries) {
-      const {coordinators, ownRelays: upstream} = planRelays(entry.node, nodes);
+      const {coordinators, ownRelays} = planRelays(entry.node, nodes);
       assert.equal(entry.reports.visiblePeers(), 76, id);
       assert.equal(entry.reports.workOf('chat').ownTokens, 76 * 5, id);
-      assert.equal(heardOf(entry), 76 * 10, id);
-      if (upstream.length === 0) {
+      assert.equal(usedByOthersTotal(entry), 76 * 10, id);
+      if (ownRelays.length === 0) {
         assert.ok(coordinators.includes(id));
-        assert.equal(requestsSeen(entry.reports, id), 76, id);
+        assert.equal(reportedRequests(entry.reports, id), 76, id);
       }
     }
   });
 
-  it('goes on through the second relay when the first dies, and counts nothing twice', () => {
-    // A first relay is killed while a customer uses its quota all over the
-    // system. If the second one's sums were taken as new use, the customer
-    // would be refused for seconds; if nobody spoke, it would have the quota
-    // once at each entry.
+  it('fails over to the standby relay without counting usage twice', () => {
+    // The active relay is killed while a customer uses its quota at all
+    // entries. If the standby's sums counted as new usage, the customer would
+    // be rejected for seconds; without a relay, it would have the whole quota
+    // at each entry.
     const nodes = fleetOf(40);
     const fleet = createFleet(nodes);
     fleet.rounds(5);
@@ -237,19 +247,19 @@
     const [first = ''] = planRelays(leaf, nodes).ownRelays;
     fleet.entries.forEach(entry => (entry.used += 10));
     fleet.rounds(5);
-    fleet.silent.add(first);
+    fleet.failed.add(first);
     fleet.rounds(8);
     fleet.entries.forEach(entry => (entry.used += 1));
     fleet.rounds(5);
-    const heard = heardOf(fleet.entries.get(leaf.id)!);
+    const heard = usedByOthersTotal(fleet.entries.get(leaf.id)!);
     assert.equal(heard, 39 * 10 + 38);
     assert.equal(fleet.entries.get(leaf.id)!.reports.visiblePeers(), 38);
   });
 
-  it('charges a customer at this entry for what it uses at another', () => {
-    // One customer is spread over entries. If a report changed after it was
-    // handed on, the next one would show no increase, and each entry would
-    // grant the whole quota.
+  it('charges a customer for its usage at other entries', () => {
+    // The customer's requests are spread over entries. If a stored report
+    // changed after it was passed on, the next one would show no increase, and
+    // each entry would grant the whole quota.
     const nodes = fleetOf(2);
     const fleet = createFleet(nodes);
     const quotas = createQuotas(virtualClock());
@@ -273,9 +283,9 @@
     assert.ok(!quotas.tryTake(customer, 1));
   });
 
-  it('takes a restarted entry for a new one', () => {
-    // A process is killed and starts again with counters at zero. Taken as
-    // decreases, they would give its customers their used quota back.
+  it('treats a restarted entry as a new one', () => {
+    // A process is killed and restarts with counters at zero. Taken as
+    // decreases, these would refund its customers' quota.
     const nodes = fleetOf(3);
     const fleet = createFleet(nodes);
     fleet.rounds(2);
@@ -287,47 +297,44 @@
     fleet.rounds(2);
     restarted.used = 7;
     fleet.rounds(2);
-    assert.equal(heardOf(fleet.entries.get('entry-0')!), 507);
+    assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 507);
   });
 
-  // Guards against what a new process granted before its first report, and hours of an old one's use.
-  it('counts what an entry used before it was first heard when it has just started', () => {
+  // Guards against ignoring the usage of a new process before its first report,
+  // and against counting hours of usage of an old one.
+  it('counts usage before the first report of an entry that has just started', () => {
     const nodes = fleetOf(3);
     const fleet = createFleet(nodes);
     const [first, second] = ['entry-1', 'entry-2'].map(
       id => fleet.entries.get(id)!,
     );
     first!.used = 1_000_000;
-    fleet.silent.add('entry-2');
+    fleet.failed.add('entry-2');
     fleet.rounds(2);
-    assert.equal(heardOf(fleet.entries.get('entry-0')!), 0);
+    assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 0);
     second!.used = 500;
     second!.upMs = 600;
-    fleet.silent.delete('entry-2');
+    fleet.failed.delete('entry-2');
     fleet.rounds(1);
     second!.used = 507;
     fleet.rounds(2);
-    assert.equal(heardOf(fleet.entries.get('entry-0')!), 507);
+    assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 507);
   });
 
-  it('lets leaving entries speak but not relay', () => {
+  it('does not use draining entries as relays', () => {
     const nodes = fleetOf(40).map(node => ({
       ...node,
       isLive: node.failureDomain !== 'a' || node.id === 'entry-0',
     }));
     const leaving = nodes.find(node => !node.isLive)!;
-    const {
-      targets,
-      ownRelays: upstream,
-      coordinators,
-    } = planRelays(leaving, nodes);
-    assert.deepEqual(upstream, ['entry-0']);
+    const {targets, ownRelays, coordinators} = planRelays(leaving, nodes);
+    assert.deepEqual(ownRelays, ['entry-0']);
     assert.deepEqual([...targets], [['entry-0', 'own']]);
     assert.ok(!coordinators.includes(leaving.id));
   });
 
-  // Guards against a relay on a host that its own callers keep busy.
-  it('relays on the entries with the most cores', () => {
+  // Guards against a relay on a host that is busy with its own callers.
+  it('selects the entries with the most cores as relays', () => {
     const nodes = fleetOf(120).map((node, index) => ({
       ...node,
       cores: index < 12 ? 1.35 : 0.324,
--- a/packages/gateway/src/test/requestMetrics.test.ts
+++ b/packages/gateway/src/test/requestMetrics.test.ts
@@ -7,7 +7,7 @@
   return {service: 'booking', kind: 'ok', firstMs: tookMs, tookMs} as const;
 }
 
-test('observations from before the first read are on the page', async () => {
+test('observations from before the first read are rendered', async () => {
   let loads = 0;
   const metrics = createRequestMetrics(() => {
     loads += 1;
@@ -26,8 +26,9 @@
   await metrics.shutDown();
 });
 
-// Guards against observations that pile up in a process whose page nobody reads.
-test('the library is loaded when many observations wait', async () => {
+// Guards against observations that accumulate in a process whose metrics are
+// never read.
+test('the SDK is loaded when the buffer is full', async () => {
   let loads = 0;
   const metrics = createRequestMetrics(() => {
     loads += 1;
@@ -46,7 +47,7 @@
   await metrics.shutDown();
 });
 
-test('a process that nobody asked for metrics stops without loading them', async () => {
+test('a process whose metrics were never read stops without loading the SDK', async () => {
   const metrics = createRequestMetrics(
     () => Promise.reject(new Error('loaded')),
     silentLogger(),
--- a/packages/gateway/src/test/rolloutMoves.test.ts
+++ b/packages/gateway/src/test/rolloutMoves.test.ts
@@ -17,7 +17,7 @@
   });
   const moves = createRolloutMoves(mirror, clock);
   let revision = 0;
-  function order(change: Partial<Rollout> = {}) {
+  function setRollout(change: Partial<Rollout> = {}) {
     revision += 1;
     const value = {
       service: 'chat',
@@ -32,7 +32,7 @@
       {monotonicMs: clock.now(), wallMs: clock.wall()},
     );
   }
-  return {clock, moves, order};
+  return {clock, moves, setRollout};
 }
 
 function stateOf(phase: MoveState['phase'], startedAt?: number): MoveState {
@@ -48,33 +48,34 @@
   };
 }
 
-describe('rollouts as moves', () => {
-  it('has one open move for an order, and none once it is settled', () => {
-    const {moves, order} = setUp();
+describe('rollout moves', () => {
+  it('has a move for a rollout until it is settled', () => {
+    const {moves, setRollout} = setUp();
     assert.equal(moves.hasOpen(), false);
-    order();
+    setRollout();
     assert.deepEqual(
       moves.records.list('move').map(({name, from, to}) => [name, from, to]),
       [['chat.v2', 'incumbent', 'candidate']],
     );
     assert.ok(moves.isOpen('chat'));
-    order({state: 'done', stateTarget: 'v2'});
+    setRollout({state: 'done', stateTarget: 'v2'});
     assert.equal(moves.hasOpen(), false);
   });
 
-  it('opens again for another target under the same name', () => {
-    const {moves, order} = setUp();
-    order({state: 'rolled-back', stateTarget: 'v2'});
+  it('opens a new move for another target under the same name', () => {
+    const {moves, setRollout} = setUp();
+    setRollout({state: 'rolled-back', stateTarget: 'v2'});
     assert.equal(moves.hasOpen(), false);
-    order({target: 'v3', state: 'rolled-back', stateTarget: 'v2'});
+    setRollout({target: 'v3', state: 'rolled-back', stateTarget: 'v2'});
     assert.equal(moves.records.list('move')[0]?.name, 'chat.v3');
   });
 
-  it('says done shortly before the deadline only', () => {
-    // The old endpoints stop the moment that a rollout is said to be done. Said
-    // as soon as traffic has moved, answers still running there would break off.
-    const {clock, moves, order} = setUp();
-    order();
+  it('reports done only shortly before the deadline', () => {
+    // The old endpoints are terminated the moment a rollout is reported done.
+    // Reported as soon as traffic has moved, it would cut off the responses
+    // still running there.
+    const {clock, moves, setRollout} = setUp();
+    setRollout();
     const finished = [stateOf('finished')];
     clock.advanceSync(PERIOD_MS / 2);
     assert.deepEqual(
@@ -88,22 +89,22 @@
     );
   });
 
-  it('says at once that a version was taken back, and only once', () => {
-    const {moves, order} = setUp();
-    order();
+  it('reports a rollback at once, and only once', () => {
+    const {moves, setRollout} = setUp();
+    setRollout();
     const states = [stateOf('taken-back')];
     assert.deepEqual(moves.pendingUpdates(states), [
       {name: 'chat', target: 'v2', state: 'rolled-back'},
     ]);
-    order({state: 'rolled-back', stateTarget: 'v2'});
+    setRollout({state: 'rolled-back', stateTarget: 'v2'});
     assert.deepEqual(moves.pendingUpdates(states), []);
   });
 
-  it('counts the time from the start that an earlier process has noted', () => {
-    // The process that judged a rollout dies, and its successor has started in
-    // the middle of it. Counted from its own start the deadline would pass.
-    const {clock, moves, order} = setUp();
-    order();
+  it('measures the deadline from the start that an earlier process recorded', () => {
+    // The process that judged a rollout fails, and its successor starts in the
+    // middle. Measured from its own start, the deadline would be missed.
+    const {clock, moves, setRollout} = setUp();
+    setRollout();
     const startedAt = clock.wall() - 5_000;
     moves.noteStates([stateOf('proving', startedAt)]);
     assert.equal(
--- a/packages/gateway/src/test/stepMeter.test.ts
+++ b/packages/gateway/src/test/stepMeter.test.ts
@@ -4,8 +4,8 @@
 import {createStepMeter} from '../stepMeter.js';
 
 describe('step meter', () => {
-  it('shows the steps of an answer, not the prompts that are read between them', () => {
-    // Beside an answer the engine reads others' long prompts, and a gap of 15 ms
+  it('measures decode steps, excluding the prompts processed between them', () => {
+    // While the engine processes other requests' long prompts, a gap of 15 ms
     // becomes one of 70 ms. Taken for steps, these would make the engine look
     // so slow that twice the endpoints were ordered.
     const clock = virtualClock();
@@ -18,9 +18,9 @@
     assert.equal(steps.eventCount(), 20);
   });
 
-  it('divides a gap among events that were read together', () => {
-    // A busy entry reads two events in one turn. A gap of nothing between them
-    // would make the engine look infinitely fast.
+  it('divides a gap among events that arrived together', () => {
+    // A busy entry reads two events in one turn. A zero gap between them would
+    // make the engine look infinitely fast.
     const clock = virtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 5; index++) {
@@ -31,7 +31,7 @@
     assert.ok(steps.eventIntervalMs()! >= 10, `${steps.eventIntervalMs()}`);
   });
 
-  it('knows nothing before the second event', () => {
+  it('returns undefined before the second event', () => {
     const steps = createStepMeter(virtualClock());
     steps.noteEvent();
     assert.equal(steps.eventIntervalMs(), undefined);
--- a/packages/gateway/src/test/testEndpoint.ts
+++ b/packages/gateway/src/test/testEndpoint.ts
@@ -1,7 +1,7 @@
-/** An endpoint over a plain socket, for tests of what endpoints may do. */
+/** An endpoint over a plain socket that simulates failures for tests. */
 import {createServer, type AddressInfo, type Socket} from 'node:net';
 
-/** A request as it arrived. */
+/** A received request. */
 export interface Arrival {
   readonly attemptId: string;
   readonly lastEventId: string | undefined;
@@ -13,12 +13,12 @@
   close(): void;
 }
 
-/** What an endpoint does with a request. */
+/** Handles one request. */
 export type Behaviour = (socket: Socket, arrival: Arrival) => void;
 
 /**
- * A behaviour that takes the given ones in turn, the last one from then on, over
- * all endpoints that share it.
+ * Returns a behaviour that runs the given ones in turn, and the last one from
+ * then on, over all endpoints that share it.
  *
  * @example
  * const shared = inTurn([resets, answers('ok')]);
@@ -33,7 +33,7 @@
 }
 
 /**
- * Starts an endpoint that treats all requests alike.
+ * Starts an endpoint with the same behaviour for all requests.
  *
  * @example
  * const endpoint = await startTestEndpoint(answers('hello'));
@@ -75,7 +75,7 @@
   return new RegExp(`^${name}: (.*)\r$`, 'im').exec(text)?.[1];
 }
 
-/** Answers with a body and its length. */
+/** Sends a response with a content length. */
 export function answers(body: string, status = 200, id?: string): Behaviour {
   return (socket, {attemptId}) =>
     socket.write(
@@ -83,16 +83,16 @@
     );
 }
 
-/** Promises that the request was not run. */
+/** Sends a response that guarantees that the request was not run. */
 export const declines: Behaviour = (socket, {attemptId}) =>
   socket.write(
     `HTTP/1.1 503 X\r\nattempt: ${attemptId}\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n`,
   );
 
-/** Resets the connection without a word. */
+/** Resets the connection without a response. */
 export const resets: Behaviour = socket => socket.resetAndDestroy();
 
-/** Streams the events from the first to the last number; `end` tells how it ends. */
+/** Streams the events of these ids; `end` is how the stream ends. */
 export function streams(
   first: number,
   last: number,
--- a/packages/gateway/src/test/upstream.test.ts
+++ b/packages/gateway/src/test/upstream.test.ts
@@ -3,14 +3,14 @@
 import {describe, it} from 'node:test';
 import {createUpstreams} from '../upstream.js';
 
-/** How the endpoint ends the connection after what it has sent. */
+/** How the endpoint ends the connection after its response. */
 type Ending = 'open' | 'close' | 'reset';
 
 interface Answer {
   readonly name: string;
   readonly bytes: string;
   readonly ending: Ending;
-  /** What the caller must be told: the whole body, or that it is not whole. */
+  /** Expected result: a complete or a broken response. */
   readonly expected: 'whole' | 'broken';
 }
 
@@ -20,13 +20,13 @@
 
 const answers: readonly Answer[] = [
   {
-    name: 'with its whole announced length',
+    name: 'with its full content length',
     bytes: `${HEAD}Content-Length: 5\r\n\r\nhello`,
     ending: 'open',
     expected: 'whole',
   },
   {
-    name: 'shorter than announced, then closed',
+    name: 'shorter than its content length, then closed',
     bytes: `${HEAD}Content-Length: 9\r\n\r\nhello`,
     ending: 'close',
     expected: 'broken',
@@ -44,31 +44,31 @@
     expected: 'broken',
   },
   {
-    name: 'in chunks to the last one',
+    name: 'with all its chunks',
     bytes: `${HEAD}${CHUNKED}\r\n5\r\nhello\r\n0\r\n\r\n`,
     ending: 'open',
     expected: 'whole',
   },
   {
-    name: 'in chunks, closed before the last one',
+    name: 'closed before its last chunk',
     bytes: `${HEAD}${CLOSE}${CHUNKED}\r\n5\r\nhello\r\n`,
     ending: 'close',
     expected: 'broken',
   },
   {
-    name: 'in chunks, reset before the last one',
+    name: 'reset before its last chunk',
     bytes: `${HEAD}${CLOSE}${CHUNKED}\r\n5\r\nhello\r\n`,
     ending: 'reset',
     expected: 'broken',
   },
   {
-    name: 'that is no answer',
+    name: 'that is not HTTP',
     bytes: 'what is this\r\n\r\n',
     ending: 'open',
     expected: 'broken',
   },
   {
-    name: 'that never comes, closed',
+    name: 'that is empty, then closed',
     bytes: '',
     ending: 'close',
     expected: 'broken',
@@ -81,7 +81,10 @@
   reset: socket => socket.resetAndDestroy(),
 };
 
-/** Serves one connection with the answer; the ending follows when the bytes have been sent. */
+/**
+ * Serves one connection with the response, and ends it after the bytes have
+ * been sent.
+ */
 async function serveOnce({bytes, ending}: Answer) {
   const server = createServer(socket => {
     socket.on('error', () => {});
@@ -100,11 +103,11 @@
   return {address: `127.0.0.1:${port}`, close: () => server.close()};
 }
 
-describe('answers of endpoints', () => {
+describe('upstream responses', () => {
   for (const answer of answers) {
-    it(`takes one ${answer.name} for ${answer.expected}`, async () => {
-      // Endpoints crash, are reclaimed or send what is no answer. A caller that
-      // got half an answer as a whole one would ship the wrong kit.
+    it(`reports a response ${answer.name} as ${answer.expected}`, async () => {
+      // Endpoints crash, are reclaimed or send invalid responses. A truncated
+      // response must not be reported as complete.
       const endpoint = await serveOnce(answer);
       const upstreams = createUpstreams();
       const chunks: Buffer[] = [];
@@ -130,7 +133,7 @@
     });
   }
 
-  it('says that a request was not run when nobody listens', async () => {
+  it('reports a request as not run if the connection is refused', async () => {
     const endpoint = await serveOnce(answers[0]!);
     endpoint.close();
     const upstreams = createUpstreams();
--- a/packages/gateway/src/test/usageDuty.test.ts
+++ b/packages/gateway/src/test/usageDuty.test.ts
@@ -20,7 +20,7 @@
   readonly fencing: number;
 }
 
-function recorder(answers: OrderAnswer[]) {
+function createRecorder(answers: OrderAnswer[]) {
   const reports: Report[] = [];
   const orders: PlatformOrders = {
     async reportUsage({fencing}, window, counts) {
@@ -75,26 +75,30 @@
   return {tenure, duty, usage};
 }
 
-function checkEachWindowIsSaidInOneWay(reports: readonly Report[]): void {
+function assertOneReportPerWindow(reports: readonly Report[]): void {
   const byWindow = new Map<number, Set<string>>();
   for (const {window, counts} of reports) {
-    const said = byWindow.get(window) ?? new Set();
-    said.add(JSON.stringify(counts));
-    byWindow.set(window, said);
+    const variants = byWindow.get(window) ?? new Set();
+    variants.add(JSON.stringify(counts));
+    byWindow.set(window, variants);
   }
-  for (const [window, said] of byWindow) {
-    assert.equal(said.size, 1, `window ${window}: ${[...said].join(' and ')}`);
+  for (const [window, variants] of byWindow) {
+    assert.equal(
+      variants.size,
+      1,
+      `window ${window}: ${[...variants].join(' and ')}`,
+    );
   }
 }
 
 describe('usage duty', () => {
-  it('repeats exactly what a predecessor wrote down', async () => {
-    // The holder dies after its report has reached the platform and before it
-    // knows. Its successor has counted otherwise; a second report that differs
+  it('reports the counts that a predecessor persisted', async () => {
+    // The holder fails after its report has reached the platform but before it
+    // learns so. Its successor has other counts; a second, different report
     // would bill the customer twice.
     const clock = virtualClock();
     const platform = memoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = recorder(['failed', 'accepted']);
+    const {reports, orders} = createRecorder(['failed', 'accepted']);
     const store = platform.client('e1');
     const first = startHolder({clock, store, orders, fencing: 1, ownCount: 7});
     await clock.advance(WINDOW_MS + 2_000);
@@ -110,17 +114,17 @@
       ownCount: 99,
     });
     await clock.advance(2_000);
-    checkEachWindowIsSaidInOneWay(reports);
+    assertOneReportPerWindow(reports);
   });
 
-  it('says nothing else of a window whose last counts come late', async () => {
-    // Windows are short against the time in which they may be reported, and an
-    // entry that was cut off tells its counts when the window was reported long
-    // ago. Were the report forgotten before that time, the window would be
-    // reported once more, with other counts, and the customer billed twice.
+  it('does not report a window again if its last counts arrive late', async () => {
+    // Windows are short compared to the time in which they may be reported, and
+    // a partitioned entry delivers its counts long after the window was
+    // reported. If the report were forgotten by then, the window would be
+    // reported again with other counts, billing the customer twice.
     const clock = virtualClock();
     const platform = memoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = recorder([]);
+    const {reports, orders} = createRecorder([]);
     const startedAt = clock.wall();
     const {usage} = startHolder({
       clock,
@@ -134,13 +138,13 @@
     usage.note('chain', startedAt);
     await clock.advance(10_000);
     assert.ok(reports.some(({counts}) => counts['chain'] === 7));
-    checkEachWindowIsSaidInOneWay(reports);
+    assertOneReportPerWindow(reports);
   });
 
-  it('sends nothing once its tenure has ended', async () => {
+  it('sends nothing after its tenure has ended', async () => {
     const clock = virtualClock();
     const platform = memoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = recorder([]);
+    const {reports, orders} = createRecorder([]);
     const {tenure} = startHolder({
       clock,
       store: platform.client('e1'),
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -243,7 +243,7 @@
         const accepted = reports.take(peer, digest);
         if (accepted !== undefined) {
           quotas.noteIncrease(accepted.increase);
-          router.reportEntry(accepted.source, digest.loads);
+          router.reportEntry(accepted.origin, digest.loads);
         }
       },
     }),
@@ -252,9 +252,9 @@
   function noteUsage(peer: string, digest: Messages['digest']): void {
     const {scope = 'own', incarnation, failureDomain, usage: counts} = digest;
     const isOwn = scope === 'own';
-    const source = isOwn ? `${peer}.${incarnation}` : `all of ${failureDomain}`;
+    const origin = isOwn ? `${peer}.${incarnation}` : `all of ${failureDomain}`;
     const isLocal = isOwn && failureDomain === settings.failureDomain;
-    usage.noteCounts(source, counts, isLocal);
+    usage.noteCounts(origin, counts, isLocal);
   }
 
   function updateEntries(): void {
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -71,12 +71,12 @@
   let isBusy = false;
 
   function dueWindow(): number | undefined {
-    const newest = usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
-    const first = Math.max(
+    const latest = usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
+    const earliest = Math.max(
       firstWindow,
       usage.windowAt(options.commonWallMs() - options.lateMs) - 1,
     );
-    for (let window = first; window <= newest; window++) {
+    for (let window = earliest; window <= latest; window++) {
       if (!reported.has(window)) {
         return window;
       }
