--- a/packages/gateway/src/activePolicy.ts
+++ b/packages/gateway/src/activePolicy.ts
@@ -1,6 +1,4 @@
-/**
- * The traffic policy that this entry applies, with indexes for keys and routes.
- */
+/** The traffic policy that this entry applies, indexed by key and route. */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
 import {
   createCustomerTable,
--- a/packages/gateway/src/admissionConfigurator.ts
+++ b/packages/gateway/src/admissionConfigurator.ts
@@ -1,7 +1,4 @@
-/**
- * Keeps the admission limits in sync with the policy's services and the ready
- * endpoints.
- */
+/** Keeps admission limits in sync with the policy and the ready endpoints. */
 import type {Admission} from '@skylarkfield/admission';
 import type {DeclaredService} from '@skylarkfield/traffic';
 import type {EndpointDirectory} from './endpointDirectory.js';
@@ -13,15 +10,10 @@
  */
 const REQUESTS_PER_SLOT = 2;
 
-/**
- * Queued requests of one entry per slot of the service: more would time out in
- * the queue.
- */
+/** Queued requests per entry and slot of the service; more would time out. */
 const QUEUE_PER_SLOT = 4;
 
-/**
- * Target latency of adaptive limits, in milliseconds; unused with fixed limits.
- */
+/** Target latency of adaptive limits, in milliseconds; unused by fixed ones. */
 const TARGET_LATENCY_MS = 1_000;
 
 export interface AdmissionConfigurator {
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -17,9 +17,7 @@
   | {readonly type: 'streamed'}
   /** The endpoint guarantees that the request has not run and will not run. */
   | {readonly type: 'declined'; readonly status: number}
-  /**
-   * No complete response; the error states whether the request may have run.
-   */
+  /** No complete response; the error states if the request may have run. */
   | {
       readonly type: 'failed';
       readonly error: ServingError;
@@ -35,10 +33,7 @@
 
 /** Receives the events of a stream over all attempts of one request. */
 export interface EventSink {
-  /**
-   * Passes on the first attempt's status and headers; those of later attempts
-   * are dropped.
-   */
+  /** Passes on the status and headers of the first attempt only. */
   begin(status: number, headers: ReplyHeaders): void;
   /** Passes on an event; false applies backpressure to the endpoint. */
   write(frame: EventFrame): boolean;
@@ -105,8 +100,7 @@
       idleTimeoutMs === undefined ? undefined : startIdleTimer(idleTimeoutMs);
 
     /**
-     * Aborts after the idle timeout. Rechecking on expiry is cheaper than a
-     * timer per event.
+     * Aborts when idle. Rechecking on expiry is cheaper than a timer per event.
      */
     function startIdleTimer(limitMs: number): Disposable {
       const remainingMs = limitMs - (clock.now() - lastActivityAt);
@@ -240,19 +234,14 @@
   });
 }
 
-/**
- * Before the request was sent, the end of a connection does not implicate the
- * request.
- */
+/** Connections that end before the request was sent do not implicate it. */
 function connectionLost(error: ServingError): AttemptEnd {
   return error.run === 'not-run'
     ? {type: 'failed', error}
     : {type: 'failed', error, loss: 'closed'};
 }
 
-/**
- * Returns the signal's own error, or `cancelled` if the caller disconnected.
- */
+/** Returns the signal's own error, or `cancelled` if the caller is gone. */
 function abortReason(signal: AbortSignal): ServingError {
   if (signal.reason instanceof ServingError) {
     return signal.reason;
--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -1,7 +1,4 @@
-/**
- * Classifies the end of an attempt for the router, the retry rules and the
- * caller.
- */
+/** Classifies the end of an attempt for the router, retries and the caller. */
 import {ServingError} from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
 import type {AttemptEnd} from './attempt.js';
@@ -9,10 +6,7 @@
 /** Outcome of an attempt as reported to the router. */
 export type AttemptOutcome = Parameters<Choice['finish']>[0]['outcome'];
 
-/**
- * Minimum Retry-After, in milliseconds, since the load data behind it is older
- * than that.
- */
+/** Minimum Retry-After, in milliseconds: the load data is older than that. */
 const MIN_RETRY_MS = 300;
 
 /** Lowest status of the server error class. */
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -41,10 +41,7 @@
 export interface ServingState {
   /** Whether requests are accepted at all. */
   isServing(): boolean;
-  /**
-   * Whether connections are closed after the next response because the process
-   * is stopping.
-   */
+  /** Whether connections close after the next response, before a stop. */
   isClosing(): boolean;
 }
 
@@ -64,23 +61,16 @@
   readonly inFlight: InFlight;
   /** Uncached prompt tokens of a typical request to a model service. */
   usualOwnTokens(service: string): number;
-  /** Share of model requests whose first event is late. */
+  /** Counts model requests whose first event is late. */
   readonly outcomes: OutcomeMeter;
   readonly metrics: RequestMetrics;
   readonly clock: Clock;
   readonly log: Logger;
-  /**
-   * Selects the version group that serves the request; the same at every entry
-   * for one key.
-   */
+  /** Selects a request's version group; the same at every entry for one key. */
   chooseGroup(service: string, key: string, mayRepeat: boolean): VersionGroup;
-  /**
-   * Called before a request is queued and sent, to record the work it brings.
-   */
+  /** Called before a request is queued, to record the work it brings. */
   onDidAccept(service: string, head: CallHead): void;
-  /**
-   * Called when a response has ended, complete or not, after that many events.
-   */
+  /** Called when a response has ended, complete or not. */
   onDidAnswer(service: string, head: CallHead, events: number): void;
   /** Called when a version group has served or failed a request. */
   onDidConclude(
@@ -111,10 +101,7 @@
 /** Admission has eight urgency levels. */
 const LOWEST_ADMISSION_URGENCY = 7;
 
-/**
- * Minimum cost of a request in the queue relative to the typical one, since
- * each also takes a slot.
- */
+/** Minimum cost relative to a typical request, since each takes a slot. */
 const MIN_COST = 0.1;
 
 /** Abort reason of a request's signal at its deadline. */
@@ -130,9 +117,7 @@
  */
 const LEAVING_RETRY_MS = 50;
 
-/**
- * Retry-After while the policy or the peers are not known yet, in milliseconds.
- */
+/** Retry-After until the policy and the peers are known, in milliseconds. */
 const NOT_READY_RETRY_MS = 400;
 
 /**
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -16,10 +16,7 @@
   readonly sink: EventSink;
   sendWhole(status: number, headers: ReplyHeaders, body: Buffer): void;
   sendError(error: ServingError): number;
-  /**
-   * Aborts an incomplete response so that the caller does not take it as
-   * complete.
-   */
+  /** Aborts an incomplete response so that it does not appear complete. */
   abort(): void;
 }
 
@@ -31,9 +28,7 @@
 /** Guarantees that the request has not run and will not run. */
 const UNAVAILABLE_STATUS = 503;
 
-/**
- * Retry-After of a rejected request without a better estimate, in milliseconds.
- */
+/** Retry-After of a rejection without a better estimate, in milliseconds. */
 const DEFAULT_RETRY_MS = 300;
 
 /**
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -15,10 +15,7 @@
 export interface GatewayContext {
   readonly settings: GatewaySettings;
   readonly platform: Platform;
-  /**
-   * Start time of this process in wall-clock milliseconds; distinguishes a
-   * restart from a pause.
-   */
+  /** Wall-clock milliseconds of the start; tells a restart from a pause. */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly random: Random;
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -31,14 +31,10 @@
 export interface SendTerms {
   /** Time left for the response, in milliseconds. */
   readonly timeoutMs: number;
-  /**
-   * Id of the process that must respond; any other process refuses the request.
-   */
+  /** Id of the process that must respond; any other refuses the request. */
   readonly endpointId: string;
   readonly customer: string | undefined;
-  /**
-   * 0 (most urgent) to 9; undefined if the service does not order by urgency.
-   */
+  /** 0 (most urgent) to 9; undefined if the service ignores urgency. */
   readonly urgency: number | undefined;
   readonly lastEventId: string | undefined;
   /** KV cache from which the endpoint resumes the request. */
@@ -54,10 +50,7 @@
 
 /** Result of migrating a request. */
 export type MoveAnswer =
-  /**
-   * The request was stopped at its source and its KV cache copied to the
-   * target.
-   */
+  /** The request was stopped and its KV cache copied to the target. */
   | {readonly type: 'moved'; readonly memory: KvCacheRef}
   /** The request was stopped, and its KV cache is only at the source. */
   | {readonly type: 'stopped'; readonly memory: KvCacheRef}
@@ -108,19 +101,13 @@
   /** Returns headers for the endpoint as alternating names and values. */
   sendHeaders(rawHeaders: readonly string[], terms: SendTerms): string[];
   readReply(headers: ReplyHeaders, status: number): ReplyHead;
-  /**
-   * Returns the headers of an endpoint's response that are passed to the
-   * caller.
-   */
+  /** Returns the headers of an endpoint's response for the caller. */
   replyHeaders(headers: ReplyHeaders): Record<string, string | string[]>;
 }
 
 /** Codec for service discovery by callers and for readiness checks. */
 export interface LookupFormat {
-  /**
-   * Returns the failure domain that a lookup asks for; undefined if the path is
-   * not a lookup.
-   */
+  /** Returns the failure domain of a lookup; undefined for other paths. */
   readLookup(url: string): {readonly failureDomain: string} | undefined;
   /** Returns a response body; addresses are `IP:port`. */
   writeAnswer(addresses: readonly string[], ttlMs: number): string;
@@ -178,9 +165,7 @@
   readonly fencing: number;
 }
 
-/**
- * Desired number of a service's endpoints in one market of a failure domain.
- */
+/** Number of a service's endpoints in one market of a failure domain. */
 export interface EndpointOrder {
   readonly service: string;
   readonly failureDomain: string;
@@ -218,14 +203,9 @@
   readonly policy: Source<TrafficPolicy>;
   readonly endpoints: Source<RegisteredEndpoint>;
   readonly rollouts: Source<Rollout>;
-  /**
-   * Objects written by the gateway: members, leases, usage reports, crashes.
-   */
+  /** Objects that the gateway writes: members, leases, usage, crashes. */
   readonly objects: ObjectTransport;
-  /**
-   * Returns one kind of these as a source to mirror; `read` throws on an
-   * invalid value.
-   */
+  /** Returns one kind of these as a source; `read` throws on invalid values. */
   ownObjects<T>(kind: string, read: (value: unknown) => T): Source<T>;
   readonly orders: PlatformOrders;
   readonly engines: EngineMoves;
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -1,7 +1,4 @@
-/**
- * Coordination with the other entries: peer network, shared store, membership
- * and duties.
- */
+/** Peer network, shared store, membership and duties of an entry. */
 import {
   disposableStore,
   ServingError,
@@ -29,9 +26,7 @@
   readonly store: ObjectStore;
   readonly membership: Membership;
   readonly duties: Duties;
-  /**
-   * Receivers of this entry's digests, and the entries that compete for duties.
-   */
+  /** Receivers of this entry's digests, and candidates for duties. */
   plan(): RelayPlan;
 }
 
@@ -48,10 +43,7 @@
   marginMs: 400,
 };
 
-/**
- * Timeout of one call to the store, in milliseconds; it normally responds
- * within a few.
- */
+/** Timeout of a store call, in milliseconds; it normally takes a few. */
 const STORE_CALL_TIMEOUT_MS = 1_000;
 
 /**
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -1,7 +1,4 @@
-/**
- * Stops requests that crash endpoints from being sent again, and collects the
- * evidence.
- */
+/** Stops resending requests that crash endpoints, and collects the evidence. */
 import type {CrashSuspects, Verdict} from '@skylarkfield/routing';
 import type {AttemptEnd} from './attempt.js';
 import {isServerError} from './attemptOutcome.js';
@@ -13,10 +10,7 @@
 }
 
 export interface CrashGuard {
-  /**
-   * Returns the verdict on sending the request now; starts its trial if the
-   * verdict permits one.
-   */
+  /** Returns the verdict on a send; starts a trial if the verdict allows it. */
   checkSend(
     call: FingerprintedCall,
     progress: Pick<Progress, 'continuation'>,
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -30,22 +30,13 @@
 /** Timeout of one call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_000;
 
-/**
- * Delay before a write, in milliseconds, to batch the requests that one
- * endpoint's crash affects.
- */
+/** Delay before a write, in milliseconds, to batch one crash's requests. */
 const WRITE_BATCH_MS = 50;
 
-/**
- * Delay before a failed write is retried, in milliseconds; jittered down to one
- * half.
- */
+/** Maximum delay before a write is retried, in milliseconds; at least half. */
 const WRITE_RETRY_MS = 500;
 
-/**
- * Interval at which objects without unexpired crashes are removed, in
- * milliseconds.
- */
+/** Interval at which expired objects are removed, in milliseconds. */
 const CLEANUP_INTERVAL_MS = 300_000;
 
 const reportSchema = z.object({
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -1,7 +1,4 @@
-/**
- * Periodic reports between entries: usage, load, and sync status of the
- * mirrors.
- */
+/** Periodic reports between entries: usage, load and mirrors' sync status. */
 import {
   disposableStore,
   every,
@@ -27,9 +24,7 @@
 >;
 
 export interface Digests extends Disposable {
-  /**
-   * Wall clock corrected to the median of the peers' clocks, in milliseconds.
-   */
+  /** Wall clock corrected to the peers' median, in milliseconds. */
   commonWallMs(): number;
 }
 
@@ -39,16 +34,10 @@
  */
 const INTERVAL_MS = 300;
 
-/**
- * Time without a digest after which a peer is considered unreachable, in
- * milliseconds.
- */
+/** Time without digests until a peer is unreachable, in milliseconds. */
 export const PEER_TIMEOUT_MS = 1_200;
 
-/**
- * Ticks between digests to the standby relay, whose data must be fresh when it
- * takes over.
- */
+/** Ticks between digests to a standby relay, whose data must be fresh. */
 const STANDBY_INTERVAL_TICKS = 3;
 
 interface PeerContact {
@@ -79,10 +68,7 @@
    * content for a scope. Only `rest` depends on the receiver.
    */
   content(): (scope: DigestScope, receiver: string) => DigestContent;
-  /**
-   * Called for each digest; `timestamp` is a local time before it was sent, if
-   * known.
-   */
+  /** Called for each digest; it was sent after `timestamp`, if known. */
   onDidReceive(
     peer: string,
     digest: Digest,
@@ -98,9 +84,9 @@
   let ticks = 0;
 
   /** Whether a target is a standby relay whose predecessor is alive. */
-  function isStandby(peer: string, upstream: readonly string[]): boolean {
-    const position = upstream.indexOf(peer);
-    return position > 0 && upstream.slice(0, position).some(isAlive);
+  function isStandby(peer: string, ownRelays: readonly string[]): boolean {
+    const position = ownRelays.indexOf(peer);
+    return position > 0 && ownRelays.slice(0, position).some(isAlive);
   }
 
   function send(): void {
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -21,14 +21,9 @@
   ready(service: string, group: VersionGroup): readonly RegisteredEndpoint[];
   /** Applies the current registrations to the router and the upstreams. */
   refresh(): void;
-  /**
-   * Fires with the key of an endpoint that starts to drain or is no longer
-   * registered.
-   */
+  /** Fires with the key of an endpoint that starts to drain or is removed. */
   readonly onDidLeave: Event<string>;
-  /**
-   * Fires with the key of an endpoint that was removed without draining first.
-   */
+  /** Fires with the key of an endpoint that is removed without draining. */
   readonly onDidVanish: Event<string>;
 }
 
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -68,10 +68,7 @@
 );
 
 export interface EngineCapacityStore extends Disposable {
-  /**
-   * Returns the restored measurements, decayed by age; empty until they are
-   * read.
-   */
+  /** Returns the restored measurements, decayed by age; initially empty. */
   restored(): CapacitySums;
   /** Writes the measurements periodically until disposed. */
   startPersisting(sums: () => CapacitySums): Disposable;
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -31,15 +31,9 @@
 }
 
 export interface EngineObserver {
-  /**
-   * Returns the delay at the chosen endpoint; `leftMs` is the time until the
-   * caller's deadline.
-   */
+  /** Returns the delay at an endpoint; `leftMs` remains until the deadline. */
   wait(call: ObservedCall, choice: Choice, leftMs: number): ExpectedWait;
-  /**
-   * `isFresh` is false for a resumed request, which processes only a small part
-   * of its prompt.
-   */
+  /** `isFresh` is false for a resumed request, which reads little prompt. */
   observe(
     call: ObservedCall,
     choice: Choice,
@@ -79,10 +73,7 @@
   fits(service: string, demand: ModelDemand): boolean;
   /** Tokens per event of the service's streams. */
   tokensPerEvent(service: string): number;
-  /**
-   * Called with the shared prompt tokens that the endpoint is expected to
-   * compute again.
-   */
+  /** Called with the shared prompt tokens that are likely computed again. */
   onDidReread(service: string, tokens: number): void;
 }): EngineObserver {
   const {model, clock} = options;
--- a/packages/gateway/src/enginesView.ts
+++ b/packages/gateway/src/enginesView.ts
@@ -32,19 +32,11 @@
   figures(service: string): EngineFigures;
   /** Returns the work rate of a service over all entries. */
   workOf(service: string): WorkRate;
-  /**
-   * Returns the demand for a service, and how many of its callers are served
-   * late.
-   */
+  /** Returns the demand for a service, and the fraction served late. */
   signs(service: string): Omit<DemandSigns, 'present'>;
-  /**
-   * Returns the routing weights of a service; undefined for a plain service.
-   */
+  /** Returns the routing weights; undefined for a plain service. */
   routeWeights(service: string): Partial<RouteWeights> | undefined;
-  /**
-   * Returns this entry's observations for its peers; undefined if published
-   * recently.
-   */
+  /** Returns this entry's observations; undefined if published recently. */
   unpublishedCapacity(): CapacitySums | undefined;
   /** Returns the observations of all entries. */
   fleetCapacity(): CapacitySums;
@@ -54,28 +46,16 @@
 /** Interval at which the figures are recomputed, in milliseconds. */
 const REFRESH_INTERVAL_MS = 1_000;
 
-/**
- * Interval at which observations are published, in milliseconds: they change
- * slowly.
- */
+/** Interval of publishing observations, in milliseconds: they change slowly. */
 const PUBLISH_INTERVAL_MS = 1_000;
 
-/**
- * Relative change of the typical prompt's time at which the figures are logged
- * again.
- */
+/** Relative change of the typical prompt's time that is logged. */
 const LOGGED_CHANGE = 0.25;
 
-/**
- * Affinity of a prefix to its endpoint, as a multiple of the typical prompt's
- * processing time.
- */
+/** Affinity of a prefix, as a multiple of the typical prompt's time. */
 const AFFINITY_PROMPTS = 1.5;
 
-/**
- * Cost factor of a prefix that is computed again: it delays all responses
- * beside it.
- */
+/** Cost factor of recomputing a prefix, which delays concurrent responses. */
 const REREAD_WEIGHT = 4;
 
 interface CachedFigures {
@@ -133,8 +113,8 @@
   function logChange(service: string, figures: EngineFigures): void {
     const last = logged.get(service);
     const ratio = last ? figures.usualPromptMs / last.usualPromptMs : Infinity;
-    const isNear = Math.abs(ratio - 1) < LOGGED_CHANGE;
-    if (isNear && figures.isSure === last?.isSure) {
+    const isSimilar = Math.abs(ratio - 1) < LOGGED_CHANGE;
+    if (isSimilar && figures.isSure === last?.isSure) {
       return;
     }
     logged.set(service, figures);
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -27,10 +27,7 @@
 /** Time after which an unfulfilled order is issued again, in milliseconds. */
 const ORDER_TIMEOUT_MS = 6_000;
 
-/**
- * Interval at which a failure domain without reclaimable capacity is probed, in
- * milliseconds.
- */
+/** Interval of probing for reclaimable capacity, in milliseconds. */
 const SCARCE_RETRY_INTERVAL_MS = 3_000;
 
 /**
@@ -55,10 +52,7 @@
   readonly orders: PlatformOrders;
   readonly directory: EndpointDirectory;
   services(): readonly DeclaredService[];
-  /**
-   * A service's demand over all entries, and how many of its callers are served
-   * late.
-   */
+  /** Demand for a service over all entries, and the fraction served late. */
   demandSigns(service: string): Omit<DemandSigns, 'present'>;
   readonly clock: Clock;
   readonly log: Logger;
@@ -73,10 +67,7 @@
 export function startFleetDuty(options: FleetDutyOptions): Disposable {
   const {tenure, orders, directory, clock, log} = options;
   const issuedOrders = new Map<string, IssuedOrder>();
-  /**
-   * Time of the next probe for each failure domain without reclaimable
-   * capacity.
-   */
+  /** Next probe of each failure domain without reclaimable capacity. */
   const scarceRetryAt = new Map<string, number>();
   const demands = new Map<string, FleetDemand>();
   const startedAt = clock.now();
@@ -103,7 +94,7 @@
   }
 
   /**
-   * A draining reclaimable endpoint indicates that its failure domain is being
+   * Draining reclaimable endpoints indicate that their failure domain is being
    * reclaimed.
    */
   function noteReclaims(service: string): void {
@@ -147,10 +138,7 @@
     return Math.max(0, readyCount(service) - needed);
   }
 
-  /**
-   * Returns the next count to order in one market on the way to the planned
-   * one.
-   */
+  /** Returns the next count to order in a market, towards the planned one. */
   function nextCount(
     planned: number,
     current: number,
@@ -170,17 +158,20 @@
   }
 
   function isPending(key: string, count: number): boolean {
-    const last = issuedOrders.get(key);
-    return last?.count === count && clock.now() - last.at < ORDER_TIMEOUT_MS;
+    const lastOrder = issuedOrders.get(key);
+    return (
+      lastOrder?.count === count &&
+      clock.now() - lastOrder.at < ORDER_TIMEOUT_MS
+    );
   }
 
-  function planOrders(
+  function ordersFor(
     service: string,
     plan: FleetPlan,
     maxEndpoints: number,
     needed: number,
   ) {
-    const wanted: EndpointOrder[] = [];
+    const newOrders: EndpointOrder[] = [];
     let surplus = surplusLimit(service, needed);
     for (const [failureDomain, fleet] of Object.entries(plan)) {
       for (const market of ['reclaimable', 'onDemand'] as const) {
@@ -195,13 +186,14 @@
           maxEndpoints,
           surplus,
         );
-        const last = issuedOrders.get(key);
-        const isSettled = current === count && (last?.count ?? count) === count;
+        const lastOrder = issuedOrders.get(key);
+        const isSettled =
+          current === count && (lastOrder?.count ?? count) === count;
         if (isSettled || isPending(key, count)) {
           continue;
         }
         surplus -= Math.max(0, current - count);
-        wanted.push({
+        newOrders.push({
           service,
           failureDomain,
           count,
@@ -209,7 +201,7 @@
         });
       }
     }
-    return wanted;
+    return newOrders;
   }
 
   async function issueOrder(order: EndpointOrder): Promise<OrderAnswer> {
@@ -280,14 +272,14 @@
     const needed = updateNeed(name, signs);
     const scarce = scarceDomains(name, Object.keys(fleet.prices));
     const plan = planFleet({terms: fleet, needed, scarce});
-    const wanted = planOrders(name, plan, fleet.most, needed.usual);
-    if (wanted.length > 0) {
+    const newOrders = ordersFor(name, plan, fleet.most, needed.usual);
+    if (newOrders.length > 0) {
       log.info(
         {service: name, ...signs, needed, scarce: [...scarce.keys()], plan},
         'endpoints planned',
       );
     }
-    for (const order of wanted) {
+    for (const order of newOrders) {
       await issueOrder(order);
     }
   }
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -1,7 +1,4 @@
-/**
- * Forwards an admitted request to an endpoint, and retries it at others where
- * permitted.
- */
+/** Forwards an admitted request to an endpoint, with retries at others. */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {Admission} from '@skylarkfield/admission';
 import type {
@@ -68,10 +65,7 @@
   readonly endpoints: readonly string[];
   /** Monotonic milliseconds of the first send; undefined if it was not sent. */
   readonly firstSendAt?: number;
-  /**
-   * Estimated prompt tokens queued ahead of it at the first endpoint; undefined
-   * if it was not sent.
-   */
+  /** Prompt tokens queued ahead of it at the first endpoint, if it was sent. */
   readonly tokensAhead?: number;
   /** Set if an endpoint closed its connection during the request. */
   readonly fingerprint?: string;
@@ -107,10 +101,7 @@
   readonly format: CallFormat;
   readonly clock: Clock;
   readonly log: Logger;
-  /**
-   * Called with the wall-clock milliseconds at which a customer's request
-   * started to run.
-   */
+  /** Called with the wall-clock time at which a request started to run. */
   onDidRun(customer: string | undefined, wallMs: number): void;
 }): Forwarding {
   const {router, directory, upstreams, migrator, engines, format, clock, log} =
@@ -118,10 +109,7 @@
   const crashGuard = createCrashGuard(options);
   const rules = createRetryRules({admission: options.admission, clock});
 
-  /**
-   * Chooses an endpoint of the call's version group, falling back to the
-   * incumbent.
-   */
+  /** Chooses an endpoint of the call's version group, else an incumbent. */
   function choose(call: ForwardedCall, excluded: ReadonlySet<string>) {
     const {demand} = call.head;
     const routingRequest = {
@@ -352,10 +340,7 @@
     return waitTooLong(call.service, wait);
   }
 
-  /**
-   * Whether the request continues at the endpoint that its KV cache was copied
-   * to.
-   */
+  /** Whether the request continues at its migration target. */
   function isMigrated(
     {signal}: ForwardedCall,
     progress: Progress,
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -8,10 +8,7 @@
 import {createStatusHandler} from './statusPages.js';
 import type {TrafficPipeline} from './trafficPipeline.js';
 
-/**
- * Maximum TTL of a lookup's response, in milliseconds, so that callers drop a
- * failed entry soon.
- */
+/** Maximum TTL of lookups, in milliseconds, to drop failed entries soon. */
 const MAX_LOOKUP_TTL_MS = 2_000;
 
 const READY = 200;
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -37,10 +37,7 @@
  */
 const LINGER_MS = 2_700;
 
-/**
- * Part of the grace period reserved for the process's own shutdown, in
- * milliseconds.
- */
+/** Grace time reserved for the process's own shutdown, in milliseconds. */
 const SHUTDOWN_MARGIN_MS = 700;
 
 /**
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,6 +1,4 @@
-/**
- * The gateway: routes requests to services as declared in the traffic policy.
- */
+/** The gateway: routes requests to services by the traffic policy. */
 export * from './contracts.js';
 export {createEngineObserver, type EngineObserver} from './engineObserver.js';
 export {createEnginesView, type EnginesView} from './enginesView.js';
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -27,8 +27,8 @@
 const BACKLOG = 1_024;
 
 /**
- * Upper bound of a request's headers, in bytes; fixed per server, so policies
- * can only lower it.
+ * Maximum header size, in bytes; fixed per server, so policies can only lower
+ * it.
  */
 const HEADER_BYTES = 16_384;
 
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -8,19 +8,13 @@
  */
 const MAX_ENTRIES = 8;
 
-/**
- * Minimum entries in one response, so that a caller has an alternative when one
- * fails.
- */
+/** Minimum entries in one response, as alternatives to a failed one. */
 const MIN_ENTRIES = 2;
 
 /** Assumed cores of an entry that does not report them. */
 export const DEFAULT_CORES = 1;
 
-/**
- * Divisor that maps a 32-bit hash plus one to a fraction between 0 and 1,
- * exclusive.
- */
+/** Divisor that maps a 32-bit hash plus one to a fraction in (0, 1). */
 const HASH_RANGE = 2 ** 32 + 1;
 
 /**
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -26,28 +26,21 @@
   get(name: string): T | undefined;
   items(): readonly SourceItem<T>[];
   revision(): number;
-  /**
-   * Milliseconds since the replica was last confirmed up to date; Infinity
-   * before that.
-   */
+  /** Milliseconds since the replica was last confirmed; initially Infinity. */
   ageMs(): number;
   /** Fires after the content has changed. */
   readonly onDidChange: Event<void>;
-  /**
-   * Applies a listing; `requestedAt` is undefined if the listing may be stale.
-   */
-  applyListing(listing: SourceListing<T>, asked: Timestamp | undefined): void;
-  /**
-   * Applies changes read from the store; returns the step to broadcast, if
-   * anything changed.
-   */
+  /** Applies a listing; `requestedAt` is undefined if it may be stale. */
+  applyListing(
+    listing: SourceListing<T>,
+    requestedAt: Timestamp | undefined,
+  ): void;
+  /** Applies changes from the store; returns the step to broadcast, if any. */
   applyChanges(
     changes: SourceChanges<T>,
-    asked: Timestamp,
+    requestedAt: Timestamp,
   ): MirrorStep | undefined;
-  /**
-   * Applies a step from a peer; false on a gap, which requires the whole copy.
-   */
+  /** Applies a step from a peer; false on a gap, which requires a copy. */
   applyStep(step: MirrorStep): boolean;
   applyCopy(copy: MirrorCopy): void;
   /**
@@ -56,10 +49,7 @@
    */
   confirmBy(syncStatus: SyncStatus, timestamp: Timestamp): boolean;
   copy(): MirrorCopy;
-  /**
-   * Returns the sync status for peers; `isReader` is whether this entry reads
-   * the store itself.
-   */
+  /** Returns the status for peers; `isReader` if this entry reads the store. */
   syncStatus(isReader: boolean): SyncStatus;
 }
 
@@ -80,10 +70,7 @@
   const changed = emitter<void>();
   const confirmation = createConfirmation(clock);
   const items = new Map<string, SourceItem<T>>();
-  /**
-   * Store revision up to which the replica is complete; undefined before the
-   * first listing.
-   */
+  /** Store revision of the replica; undefined before the first listing. */
   let revision: number | undefined;
   let changedAt = 0;
 
--- a/packages/gateway/src/outcomeWatch.ts
+++ b/packages/gateway/src/outcomeWatch.ts
@@ -7,9 +7,7 @@
 
 /** A request being watched. */
 export interface WatchedOutcome {
-  /**
-   * Called when the request has ended, with an error or a complete response.
-   */
+  /** Called at the end of the request, with its error if it failed. */
   end(error: ServingError | undefined): void;
 }
 
@@ -19,9 +17,7 @@
   'deadline-exceeded',
 ]);
 
-/**
- * Requests to plain services, and on routes without a goal, are not recorded.
- */
+/** Used for plain services and routes without a goal. */
 const UNWATCHED: WatchedOutcome = {end() {}};
 
 /**
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -2,8 +2,8 @@
  * Latest usage and load reports of peers, and aggregates for entries that do
  * not receive those reports.
  *
- * Each source has one reporter at a time: an entry for itself, a relay for its
- * failure domain or for all other entries. Reports of two relays for one source
+ * Each origin has one reporter at a time: an entry for itself, a relay for its
+ * failure domain or for all other entries. Reports of two relays for one origin
  * would count it twice.
  */
 import type {Clock} from '@skylarkfield/base';
@@ -47,18 +47,15 @@
 export interface AcceptedReport {
   /** The entries that the digest covers. */
   readonly origin: string;
-  /** Quota usage of the source since its previous report. */
+  /** Quota usage of the origin since its previous report. */
   readonly increase: Amounts;
 }
 
 export interface PeerReports {
-  /**
-   * Applies a digest; undefined if another reporter is active for the same
-   * source.
-   */
+  /** Applies a digest; undefined if the origin has another active reporter. */
   take(peer: string, digest: Digest): AcceptedReport | undefined;
   /**
-   * Returns this entry's report combined with those of the sources that a
+   * Returns this entry's report combined with those of the origins that a
    * receiver of the scope has no other reports from.
    */
   aggregateFor(
@@ -70,9 +67,9 @@
   visiblePeers(): number;
   /** Returns the work rate of a service reported by the peers. */
   workOf(service: string): WorkRate;
-  /** Returns the engine measurements of each source. */
+  /** Returns the engine measurements of each origin. */
   capacity(): readonly CapacitySums[];
-  /** Returns the counts of late requests of each source. */
+  /** Returns the counts of late requests of each origin. */
   outcomes(): readonly Readonly<Record<string, OutcomeSums>>[];
   dump(): unknown;
 }
@@ -83,9 +80,7 @@
   digest: Digest;
   /** Latest value, since not every digest contains it. */
   capacity: CapacitySums;
-  /**
-   * Sum of the increases; it never falls when a reporter restarts or changes.
-   */
+  /** Sum of the increases; never falls when a reporter restarts or changes. */
   readonly used: Record<string, number>;
 }
 
@@ -97,9 +92,7 @@
  */
 export const OVERDUE_MS = 700;
 
-/**
- * Source name of a relay's reports to the entries of its own failure domain.
- */
+/** Origin of a relay's reports to the entries of its own failure domain. */
 const REST_ORIGIN = 'the rest';
 
 /**
@@ -112,10 +105,7 @@
 export function createPeerReports(options: {
   readonly clock: Clock;
   readonly failureDomain: string;
-  /**
-   * Time without a report after which a source may get another reporter, in
-   * milliseconds.
-   */
+  /** Time until a silent reporter may be replaced, in milliseconds. */
   readonly silenceMs: number;
   /** Window of the quotas, in milliseconds. */
   readonly quotaWindowMs: number;
@@ -162,9 +152,9 @@
       return isWhole ? {...used} : {};
     }
     return Object.fromEntries(
-      Object.entries(used).map(([name, amount]) => [
-        name,
-        amount - (previous.used[name] ?? 0),
+      Object.entries(used).map(([customer, amount]) => [
+        customer,
+        amount - (previous.used[customer] ?? 0),
       ]),
     );
   }
@@ -183,33 +173,36 @@
     > = {
       own: () => [],
       domain: () =>
-        [...origins].filter(([name, origin]) => isLocalEntry(name, origin)),
-      rest: () => [...origins].filter(([name]) => name !== REST_ORIGIN),
+        [...origins].filter(([originName, origin]) =>
+          isLocalEntry(originName, origin),
+        ),
+      rest: () =>
+        [...origins].filter(([originName]) => originName !== REST_ORIGIN),
     };
     return selected[scope]()
-      .filter(([name]) => name !== receiver)
+      .filter(([originName]) => originName !== receiver)
       .map(([, origin]) => origin);
   }
 
   return {
     take(peer, digest) {
-      const name = originOf(peer, digest);
+      const originName = originOf(peer, digest);
       const increase = increases(peer, digest);
-      const origin = origins.get(name);
+      const origin = origins.get(originName);
       if (origin !== undefined && origin.reporter !== peer && isFresh(origin)) {
         return undefined;
       }
       const used = origin?.used ?? {};
       addAmounts(used, increase);
       const capacity = digest.capacity ?? origin?.capacity ?? {};
-      origins.set(name, {
+      origins.set(originName, {
         reporter: peer,
         receivedAt: clock.now(),
         digest,
         capacity,
         used,
       });
-      return {origin: name, increase};
+      return {origin: originName, increase};
     },
     aggregateFor(scope, receiver, own) {
       const selected = originsFor(scope, receiver);
@@ -258,8 +251,8 @@
     outcomes: () => freshOrigins().map(({digest}) => digest.outcomes),
     dump: () =>
       Object.fromEntries(
-        [...origins].map(([name, origin]) => [
-          name,
+        [...origins].map(([originName, origin]) => [
+          originName,
           {
             speaker: origin.reporter,
             agoMs: Math.round(clock.now() - origin.receivedAt),
--- a/packages/gateway/src/peerVisibility.ts
+++ b/packages/gateway/src/peerVisibility.ts
@@ -48,9 +48,9 @@
   function refresh(): void {
     refreshedAt = clock.now();
     const peerCount = (membership.entryCount() ?? 1) - 1;
-    const visible = reports.visiblePeers();
+    const visibleCount = reports.visiblePeers();
     const visibleFraction =
-      peerCount <= 0 ? 1 : Math.min(1, visible / peerCount);
+      peerCount <= 0 ? 1 : Math.min(1, visibleCount / peerCount);
     options.onDidRefresh(visibleFraction, peerCount + 1);
   }
 
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -1,7 +1,4 @@
-/**
- * Mirrors of the platform's objects, read by a few entries and replicated to
- * all.
- */
+/** Mirrors of the platform's objects, read by few entries and sent to all. */
 import {
   disposableStore,
   type Clock,
@@ -43,10 +40,7 @@
   /** Crashes of endpoints that each entry has persisted. */
   readonly crashes: Mirror<CrashReport>;
   syncStatuses(): SyncStatuses;
-  /**
-   * Applies the statuses in a peer's digest; `timestamp` is a local time before
-   * it was sent.
-   */
+  /** Applies the statuses in a peer's digest, sent after `timestamp`. */
   noteSyncStatuses(
     peer: string,
     syncStatuses: SyncStatuses,
@@ -71,9 +65,7 @@
 /** Timeout of fetching a peer's whole copy, in milliseconds. */
 const COPY_TIMEOUT_MS = 1_000;
 
-/**
- * Time for which a peer's status counts, in milliseconds: three missed digests.
- */
+/** Validity of a peer's status, in milliseconds: three missed digests. */
 const STATUS_TTL_MS = 1_000;
 
 /**
@@ -130,9 +122,9 @@
       return !ownRelays.some(hasFreshStatus);
     }
     const position = coordinators.indexOf(self);
-    const before =
+    const predecessors =
       position < 0 ? coordinators : coordinators.slice(0, position);
-    return !before.some(id => isReadBy(id, kind));
+    return !predecessors.some(id => isReadBy(id, kind));
   }
 
   function hasFreshStatus(peer: string): boolean {
--- a/packages/gateway/src/relayPlan.ts
+++ b/packages/gateway/src/relayPlan.ts
@@ -29,20 +29,11 @@
 export interface RelayPlan {
   /** Receivers of this entry's digests, with the scope of each. */
   readonly targets: ReadonlyMap<string, DigestScope>;
-  /**
-   * Active relay of the failure domain while this entry is its standby;
-   * undefined otherwise.
-   */
+  /** Active relay while this entry is its standby; undefined otherwise. */
   readonly activeRelay: string | undefined;
-  /**
-   * Entries that read the platform and compete for leases, in order of
-   * precedence.
-   */
+  /** Entries that read the platform and compete for leases, in order. */
   readonly coordinators: readonly string[];
-  /**
-   * Relays of this entry, active one first; empty for a relay and in a full
-   * mesh.
-   */
+  /** Relays of this entry, active one first; empty in a mesh or for relays. */
   readonly ownRelays: readonly string[];
 }
 
--- a/packages/gateway/src/requestMetrics.ts
+++ b/packages/gateway/src/requestMetrics.ts
@@ -17,10 +17,7 @@
   shutDown(): Promise<void>;
 }
 
-/**
- * Histogram bounds in milliseconds, from a fast plain response to the longest
- * timeout.
- */
+/** Histogram bounds in milliseconds, from fast responses to long timeouts. */
 const BOUNDARIES_MS = [10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000];
 
 /** Observations buffered before the metrics SDK is loaded. */
--- a/packages/gateway/src/retryRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -20,24 +20,15 @@
 export interface Progress {
   readonly endpoints: string[];
   readonly excluded: Set<string>;
-  /**
-   * Estimated prompt tokens queued ahead of it at the first endpoint; undefined
-   * before the first send.
-   */
+  /** Prompt tokens queued ahead of it at the first endpoint, once sent. */
   tokensAhead: number | undefined;
   /** Number of endpoints that may have run it. */
   runs: number;
   startedAt: number;
-  /**
-   * Monotonic milliseconds of the first send to an endpoint; undefined before
-   * that.
-   */
+  /** Monotonic milliseconds of the first send; undefined before that. */
   firstSendAt: number | undefined;
   firstMs: number | undefined;
-  /**
-   * Fingerprint of the request, once an endpoint has closed its connection on
-   * it.
-   */
+  /** Fingerprint, once an endpoint has closed its connection on the request. */
   fingerprint: string | undefined;
   /** Whether it is already counted in the customer's usage. */
   isCounted: boolean;
@@ -55,10 +46,7 @@
    * endpoint declines it.
    */
   mayResend(call: RetryableCall, progress: Progress): boolean;
-  /**
-   * Returns the idle timeout of the next attempt, in milliseconds; undefined
-   * for none.
-   */
+  /** Returns the idle timeout of the next attempt, in milliseconds, if any. */
   idleTimeoutMs(call: RetryableCall, progress: Progress): number | undefined;
 }
 
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -1,6 +1,4 @@
-/**
- * Splits traffic between versions during rollouts, and publishes their state.
- */
+/** Splits traffic between versions during rollouts and publishes the state. */
 import {
   disposableStore,
   every,
@@ -36,10 +34,7 @@
 }
 
 export interface RolloutController extends Disposable {
-  /**
-   * Returns the version group that serves a request; the same at every entry
-   * for one key.
-   */
+  /** Returns a request's version group; the same at every entry for one key. */
   groupFor(service: string, key: string, isRepeatable: boolean): VersionGroup;
   observe(sample: RolloutSample): void;
   /** Whether a rollout of the service is in progress. */
@@ -58,8 +53,8 @@
 }
 
 /**
- * Interval at which the groups with endpoints are updated, in milliseconds; a
- * new version starts in seconds.
+ * Interval of updating which groups have endpoints, in milliseconds; a new
+ * version starts in seconds.
  */
 const AVAILABILITY_INTERVAL_MS = 500;
 
@@ -157,10 +152,7 @@
     }
   }
 
-  /**
-   * Failed writes are retried at the next check, when the mirror still shows
-   * the previous state.
-   */
+  /** Failed writes are retried at the next check: the mirror is unchanged. */
   async function writeState({
     name,
     target,
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -1,6 +1,4 @@
-/**
- * Represents operators' rollouts as traffic moves between two version groups.
- */
+/** Represents rollouts as traffic moves between two version groups. */
 import {emitter, type Clock, type Event} from '@skylarkfield/base';
 import type {MoveState} from '@skylarkfield/moves';
 import type {Configuration, Move} from '@skylarkfield/records';
@@ -45,8 +43,8 @@
 const TO_GROUP: VersionGroup = 'candidate';
 
 /**
- * Maximum traffic fraction of an unproven version; operators allow a tenth plus
- * a few requests.
+ * Maximum fraction of an unproven version; operators allow a tenth plus a few
+ * requests.
  */
 const MAX_UNPROVEN_SHARE = 0.08;
 
@@ -85,11 +83,8 @@
   clock: Clock,
 ): RolloutMoves {
   const changed = emitter<void>();
-  /**
-   * Start of each rollout in wall-clock milliseconds, as early as known to this
-   * process.
-   */
-  const orderedAt = new Map<string, number>();
+  /** Earliest known start of each rollout, in wall-clock milliseconds. */
+  const startTimes = new Map<string, number>();
 
   function openRollouts(): {name: string; rollout: Rollout}[] {
     return mirror
@@ -105,15 +100,15 @@
       service,
       from: FROM_GROUP,
       to: TO_GROUP,
-      deadline: (orderedAt.get(id) ?? clock.wall()) + periodMs,
+      deadline: (startTimes.get(id) ?? clock.wall()) + periodMs,
       maxUnprovenShare: MAX_UNPROVEN_SHARE,
     };
   }
 
-  function noteOrders(): void {
+  function noteStarts(): void {
     for (const {name, rollout} of openRollouts()) {
       const id = moveName(name, rollout.target);
-      orderedAt.set(id, orderedAt.get(id) ?? clock.wall());
+      startTimes.set(id, startTimes.get(id) ?? clock.wall());
     }
     changed.fire();
   }
@@ -128,8 +123,8 @@
     return newState === 'done' && isEarly ? 'running' : newState;
   }
 
-  mirror.onDidChange(noteOrders);
-  noteOrders();
+  mirror.onDidChange(noteStarts);
+  noteStarts();
   return {
     records: {
       // The gateway has no records other than rollouts.
@@ -143,9 +138,9 @@
       openRollouts().some(({rollout}) => rollout.service === service),
     noteStates(states) {
       for (const {move, startedAt = Infinity} of states) {
-        const known = orderedAt.get(move) ?? Infinity;
+        const known = startTimes.get(move) ?? Infinity;
         if (startedAt < known) {
-          orderedAt.set(move, startedAt);
+          startTimes.set(move, startedAt);
         }
       }
     },
@@ -166,9 +161,7 @@
   };
 }
 
-/**
- * Another target under the same name is a separate move with its own evidence.
- */
+/** Another target under the same name is a move with its own evidence. */
 function moveName(name: string, target: string): string {
   return `${name}.${target}`;
 }
--- a/packages/gateway/src/rolloutSample.ts
+++ b/packages/gateway/src/rolloutSample.ts
@@ -5,10 +5,7 @@
 import type {ForwardedCall, ForwardingResult} from './forwarding.js';
 import type {RolloutSample} from './rolloutController.js';
 
-/**
- * Errors unrelated to the version: the caller disconnected, or no endpoint had
- * capacity.
- */
+/** Errors unrelated to the version: the caller left, or no capacity. */
 const NEUTRAL_ERRORS: ReadonlySet<ErrorKind> = new Set([
   'cancelled',
   'overloaded',
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -31,10 +31,7 @@
   inner: address,
   /** Listen address for metrics and state dumps. */
   status: address,
-  /**
-   * Processor capacity available to this process; entries without it count as
-   * equal.
-   */
+  /** Available processor capacity; entries without it count as equal. */
   processor: z
     .strictObject({
       /** Number of cores; may be a fraction. */
--- a/packages/gateway/src/stepMeter.ts
+++ b/packages/gateway/src/stepMeter.ts
@@ -8,10 +8,7 @@
   eventIntervalMs(): number | undefined;
 }
 
-/**
- * Events closer than this, in milliseconds, arrived together: this process read
- * them late.
- */
+/** Events closer than this were read late together, in milliseconds. */
 const COALESCED_MS = 0.5;
 
 /**
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -37,10 +37,7 @@
   watch(options: {
     readonly endpoint: string;
     readonly attemptId: string;
-    /**
-     * Whether its first event has arrived; before that there is no state to
-     * migrate.
-     */
+    /** Whether the first event has arrived; before it there is no state. */
     hasBegun(): boolean;
     choose(): Choice | undefined;
   }): WatchedStream;
--- a/packages/gateway/src/test/lookup.test.ts
+++ b/packages/gateway/src/test/lookup.test.ts
@@ -33,10 +33,7 @@
   (_, index) => `10.9.${index >> 8}.${index & 255}`,
 );
 
-/**
- * Returns each entry's fraction of the requests if callers choose evenly among
- * their addresses.
- */
+/** Returns each entry's fraction of the requests. */
 function requestShares(members: readonly Member[]): Map<string, number> {
   const share = new Map<string, number>();
   for (const caller of CALLERS) {
--- a/packages/gateway/src/test/peerVisibility.test.ts
+++ b/packages/gateway/src/test/peerVisibility.test.ts
@@ -3,10 +3,7 @@
 import {virtualClock} from '@skylarkfield/base';
 import {createPeerVisibility} from '../peerVisibility.js';
 
-/**
- * Creates an entry that has just started, with the counts from the platform and
- * peers.
- */
+/** Creates an entry that has just started. */
 function setUp() {
   const clock = virtualClock();
   const peers: {entryCount: number | undefined; visible: number} = {
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -12,9 +12,7 @@
 const PER_SECOND = 1_000;
 const BURST = 1_000;
 
-/**
- * Allowed overshoot of a window, for usage that entries have not exchanged yet.
- */
+/** Allowed overshoot of a window, for usage not exchanged yet. */
 const ALLOWED_OVERSHOOT = 1.1;
 
 const customer: KeyedCustomer = {
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -36,10 +36,7 @@
   isReader: false,
 };
 
-/**
- * Creates entries that exchange digests by the plan, each with one request at
- * its own endpoint.
- */
+/** Creates entries that exchange digests by the plan. */
 function createFleet(nodes: readonly RelayNode[]) {
   const clock = virtualClock();
   const entries = new Map(
--- a/packages/gateway/src/test/upstream.test.ts
+++ b/packages/gateway/src/test/upstream.test.ts
@@ -81,10 +81,7 @@
   reset: socket => socket.resetAndDestroy(),
 };
 
-/**
- * Serves one connection with the response, and ends it after the bytes have
- * been sent.
- */
+/** Serves one connection, and ends it after the bytes have been sent. */
 async function serveOnce({bytes, ending}: Answer) {
   const server = createServer(socket => {
     socket.on('error', () => {});
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -1,6 +1,4 @@
-/**
- * The request path of a gateway, and the exchange of its state between entries.
- */
+/** The request path of a gateway, and its state exchange with other entries. */
 import {createAdmission} from '@skylarkfield/admission';
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {Messages} from '@skylarkfield/protocol';
--- a/packages/gateway/src/upstream.ts
+++ b/packages/gateway/src/upstream.ts
@@ -17,10 +17,7 @@
 export interface UpstreamListener {
   onDidRespond(status: number, headers: ReplyHeaders): void;
   onDidReceive(chunk: Buffer): void;
-  /**
-   * `isDelimited` is false if only the end of the connection marks the end of
-   * the response.
-   */
+  /** `isDelimited` is false if only a closed connection marks the end. */
   onDidEnd(isDelimited: boolean): void;
   /**
    * `endpoint-unavailable` if no byte was sent (not run), else `interrupted`
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -1,5 +1,5 @@
 /**
- * Reports each usage window exactly once, even if the reporter fails over.
+ * Reports each usage window with one set of counts, even after a failover.
  *
  * Two different reports of one window would bill customers twice. Counts are
  * therefore written to the store before they are sent, and a successor that
@@ -46,9 +46,7 @@
   readonly store: ObjectStore;
   readonly orders: PlatformOrders;
   readonly usage: UsageWindows;
-  /**
-   * Time after a window's end during which it may be reported, in milliseconds.
-   */
+  /** Time after a window's end in which it may be reported, in milliseconds. */
   readonly lateMs: number;
   readonly clock: Clock;
   /** Wall clock that the entries agree on, in milliseconds. */
@@ -84,10 +82,7 @@
     return undefined;
   }
 
-  /**
-   * Returns the counts to report: those a predecessor persisted, else the local
-   * ones.
-   */
+  /** Returns the counts to report: a predecessor's, else the local ones. */
   async function persistedCounts(window: number): Promise<CustomerCounts> {
     const counts = usage.total(window);
     try {
