--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -137,7 +137,7 @@
     const failed = outcomes.filter(({status}) => status === 'rejected');
     log.info(
       {failed: failed.length},
-      'left the membership and released leases',
+      'departure from membership and leases finished',
     );
   });
   await new Promise<void>(resolve => {
