--- a/packages/gateway/src/policyInForce.ts
+++ b/packages/gateway/src/activePolicy.ts
@@ -1,4 +1,4 @@
-/** The traffic policy by which this entry serves, with its keys and routes looked up. */
+/** The traffic policy that this entry applies, indexed by key and route. */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
 import {
   createCustomerTable,
@@ -12,28 +12,28 @@
 import type {CallHead} from './contracts.js';
 import type {Mirror} from './mirror.js';
 
-export interface PolicyInForce {
-  /** False until a policy is known. */
+export interface ActivePolicy {
+  /** False until the first policy has arrived. */
   isKnown(): boolean;
   version(): number;
-  /** Milliseconds since the policy was known to be the newest. */
+  /** Milliseconds since the policy was last confirmed up to date. */
   ageMs(): number;
   limits(): CallerLimits;
   services(): readonly DeclaredService[];
-  /** All routes whose requests may go to a service. */
+  /** All routes that may send requests to a service. */
   routesTo(service: string): readonly Route[];
   routeOf(authority: string, path: string): Route | undefined;
   /**
-   * The customer who holds the request's key; undefined on a public route.
-   * Throws `unauthenticated`, or `not-ready` when nothing shows that the key
-   * still counts.
+   * Returns the customer that holds the request's key; undefined on a public
+   * route. Throws `unauthenticated`, or `not-ready` if the policy is too old to
+   * trust the key.
    */
   customerOf(route: Route, head: CallHead): KeyedCustomer | undefined;
-  /** Fires with each policy that takes the place of an older one. */
+  /** Fires after a policy has replaced an older one. */
   onDidChange(listener: () => void): void;
 }
 
-/** Used before the first policy is known. */
+/** Limits before the first policy has arrived. */
 const INITIAL_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
@@ -41,27 +41,28 @@
   idleMs: 15_000,
 };
 
-/** When a caller may come back while the policy's age is too high, in milliseconds. */
-const UNCONFIRMED_RETRY_MS = 300;
+/** Retry-After while the policy is too old, in milliseconds. */
+const STALE_POLICY_RETRY_MS = 300;
 
 /**
- * Makes the policy in force over the mirrored documents.
+ * Creates the active policy over the mirrored documents.
  *
- * Among several documents the one with the highest version counts, and a lower
- * version never replaces a higher one in the life of a process: a caller would
- * see a route or key come back that an operator has removed.
+ * The document with the highest version applies, and a process never returns to
+ * a lower version: callers would see routes or keys reappear that an operator
+ * has removed.
  *
  * @example
- * const policy = createPolicyInForce({mirror, clock, log, keyLifeMs: 4_600});
+ * const policy = createActivePolicy({mirror, clock, log, maxPolicyAgeMs:
+ *   4_600});
  */
-export function createPolicyInForce(options: {
+export function createActivePolicy(options: {
   readonly mirror: Mirror<TrafficPolicy>;
   readonly clock: Clock;
   readonly log: Logger;
-  /** The oldest policy by which a key still counts, in milliseconds. */
-  readonly keyLifeMs: number;
-}): PolicyInForce {
-  const {mirror, log, keyLifeMs} = options;
+  /** Maximum age of the policy at which keys are accepted, in milliseconds. */
+  readonly maxPolicyAgeMs: number;
+}): ActivePolicy {
+  const {mirror, log, maxPolicyAgeMs} = options;
   const listeners: (() => void)[] = [];
   let current: TrafficPolicy | undefined;
   let routes = createRouteTable([]);
@@ -70,19 +71,19 @@
   function update(): void {
     for (const {value} of mirror.items()) {
       if (current === undefined || value.version > current.version) {
-        adopt(value);
+        activate(value);
       }
     }
   }
 
-  function adopt(next: TrafficPolicy): void {
-    const former = current?.version;
+  function activate(next: TrafficPolicy): void {
+    const previousVersion = current?.version;
     current = next;
     routes = createRouteTable(next.routes);
     customers = createCustomerTable(next.customers);
     log.info(
       {
-        former,
+        former: previousVersion,
         version: next.version,
         routes: next.routes.length,
         customers: next.customers.length,
@@ -91,7 +92,7 @@
         ),
         revision: mirror.revision(),
       },
-      'policy in force',
+      'policy activated',
     );
     listeners.forEach(listener => listener());
   }
@@ -113,11 +114,11 @@
       if (route.isPublic || !customers.isKeyed) {
         return undefined;
       }
-      if (mirror.ageMs() > keyLifeMs) {
+      if (mirror.ageMs() > maxPolicyAgeMs) {
         throw new ServingError(
           'not-ready',
-          `nothing shows for ${Math.round(mirror.ageMs())} ms that the key still counts`,
-          {retryAfterMs: UNCONFIRMED_RETRY_MS},
+          `the policy has not been confirmed for ${Math.round(mirror.ageMs())} ms`,
+          {retryAfterMs: STALE_POLICY_RETRY_MS},
         );
       }
       const customer = key === undefined ? undefined : customers.holderOf(key);
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -1,12 +1,12 @@
-/** One attempt of a request at one endpoint. */
+/** A single attempt of a request at one endpoint. */
 import {ServingError, type Clock, type Disposable} from '@skylarkfield/base';
 import type {CallFormat, ReplyHead, ReplyHeaders} from './contracts.js';
-import {createEventFrames, type EventFrame} from './eventFrames.js';
+import {createEventFramer, type EventFrame} from './eventFramer.js';
 import type {UpstreamRequest, Upstreams} from './upstream.js';
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptEnd =
-  /** A whole answer, whatever its status. */
+  /** A complete response of any status. */
   | {
       readonly type: 'answered';
       readonly status: number;
@@ -15,31 +15,31 @@
     }
   /** A stream that was delivered to its end. */
   | {readonly type: 'streamed'}
-  /** The endpoint promised that it has not run the request and won't. */
+  /** The endpoint guarantees that the request has not run and will not run. */
   | {readonly type: 'declined'; readonly status: number}
-  /** No complete answer; the error tells whether the request may have run. */
+  /** No complete response; the error states if the request may have run. */
   | {
       readonly type: 'failed';
       readonly error: ServingError;
-      /** Undefined when the attempt did not end by the endpoint's close or silence. */
-      readonly loss?: AttemptLoss;
+      /** Undefined unless the endpoint closed the connection or timed out. */
+      readonly loss?: ConnectionLoss;
     };
 
 /**
- * How a request that may have been running lost its endpoint. `closed`: the
- * connection ended. `silent`: nothing had come until the attempt was given up.
+ * How the endpoint of a possibly running request was lost. `closed`: the
+ * connection ended. `silent`: no data arrived before the attempt was aborted.
  */
-export type AttemptLoss = 'closed' | 'silent';
+export type ConnectionLoss = 'closed' | 'silent';
 
-/** Takes the events of a stream, over all attempts of one request. */
+/** Receives the events of a stream over all attempts of one request. */
 export interface EventSink {
-  /** The first attempt's status and headers; later ones are not passed on. */
+  /** Passes on the status and headers of the first attempt only. */
   begin(status: number, headers: ReplyHeaders): void;
-  /** Passes an event on; false when the caller reads too slowly and the endpoint must wait. */
+  /** Passes on an event; false applies backpressure to the endpoint. */
   write(frame: EventFrame): boolean;
-  /** Calls back once when the caller takes more. */
+  /** Calls back once when the caller can take more data. */
   whenDrained(callback: () => void): void;
-  /** Passes on what follows the last event of a complete stream. */
+  /** Passes on the bytes after the last event of a complete stream. */
   finish(rest: Buffer): void;
 }
 
@@ -50,80 +50,90 @@
   readonly upstreams: Upstreams;
   readonly format: CallFormat;
   readonly clock: Clock;
-  /** Aborted when nobody waits for the answer any more. */
+  /** Aborted when the response is no longer needed. */
   readonly signal: AbortSignal;
-  /** Where the events of a stream go; undefined for a request with a whole answer. */
+  /** Receives the events of a stream; undefined for a request without one. */
   readonly sink: EventSink | undefined;
-  /** Silence after which the attempt is given up, in milliseconds; undefined to wait for the signal alone. */
-  readonly silenceMs: number | undefined;
-  /** Whether the endpoint was told to stop the request: an end of its connection then proves nothing. */
-  isStopping(): boolean;
-  /** The head of the endpoint's answer to this attempt has come, whatever it says. */
+  /**
+   * Time without data after which the attempt is aborted, in milliseconds;
+   * undefined to rely on the signal alone.
+   */
+  readonly idleTimeoutMs: number | undefined;
+  /**
+   * Whether the endpoint was told to stop the request, so that a closed
+   * connection does not mean that the response is complete.
+   */
+  isStopRequested(): boolean;
+  /** Called with the response head of this attempt, whatever its status. */
   onDidRespond(head: ReplyHead): void;
-  /** The endpoint's answer has begun; for a stream, its first event has come. */
+  /** Called when the response has begun; for a stream, with its first event. */
   onDidBegin(head: ReplyHead): void;
 }
 
-/** Statuses of an answer that has a stream as its body. */
+/** Range of statuses whose body is a stream. */
 const FIRST_SUCCESS = 200;
 const FIRST_REDIRECT = 300;
 
 /**
  * Runs one attempt.
  *
- * An answer is taken only when it names this attempt: an endpoint may send a
- * second answer to an earlier request on the same connection, and its caller's
- * data would go to somebody else.
+ * A response is accepted only if it carries this attempt's id: an endpoint may
+ * send a second response to an earlier request on the same connection, which
+ * would leak another caller's data.
  *
  * @example
- * const end = await runAttempt({address: '10.0.0.7:8000', request, attemptId, ...rest});
+ * const end = await runAttempt({address: '10.0.0.7:8000', request, attemptId,
+ *   ...rest});
  */
 export function runAttempt(options: AttemptOptions): Promise<AttemptEnd> {
   return new Promise(resolve => {
-    const {clock, format, signal, sink, silenceMs} = options;
+    const {clock, format, signal, sink, idleTimeoutMs} = options;
     const chunks: Buffer[] = [];
-    const frames = createEventFrames();
+    const framer = createEventFramer();
     let reply: {status: number; headers: ReplyHeaders} | undefined;
     let head: ReplyHead | undefined;
     let isStream = false;
     let hasBegun = false;
-    let isOver = false;
-    let heardAt = clock.now();
-    let silence = silenceMs === undefined ? undefined : watch(silenceMs);
+    let isSettled = false;
+    let lastActivityAt = clock.now();
+    let idleTimer =
+      idleTimeoutMs === undefined ? undefined : startIdleTimer(idleTimeoutMs);
 
-    /** Gives up after a silence; a check in between is cheaper than a timer for each event. */
-    function watch(limitMs: number): Disposable {
-      const remainingMs = limitMs - (clock.now() - heardAt);
+    /**
+     * Aborts when idle. Rechecking on expiry is cheaper than a timer per event.
+     */
+    function startIdleTimer(limitMs: number): Disposable {
+      const remainingMs = limitMs - (clock.now() - lastActivityAt);
       return clock.after(remainingMs, () => {
-        if (clock.now() - heardAt < limitMs) {
-          silence = watch(limitMs);
+        if (clock.now() - lastActivityAt < limitMs) {
+          idleTimer = startIdleTimer(limitMs);
           return;
         }
-        giveUp(interrupted(`no data for ${limitMs} ms`), 'silent');
+        abort(interrupted(`no data received for ${limitMs} ms`), 'silent');
       });
     }
 
-    function heard(): void {
-      heardAt = clock.now();
+    function noteActivity(): void {
+      lastActivityAt = clock.now();
     }
 
     function settle(end: AttemptEnd): void {
-      if (isOver) {
+      if (isSettled) {
         return;
       }
-      isOver = true;
-      silence?.dispose();
+      isSettled = true;
+      idleTimer?.dispose();
       signal.removeEventListener('abort', onAbort);
       resolve(end);
     }
 
-    function giveUp(error: ServingError, loss?: AttemptLoss): void {
+    function abort(error: ServingError, loss?: ConnectionLoss): void {
       exchange.abort();
       settle({type: 'failed', error, ...(loss && {loss})});
     }
 
     function onAbort(): void {
-      giveUp(reasonOf(signal), 'silent');
+      abort(abortReason(signal), 'silent');
     }
 
     function begin(): void {
@@ -135,15 +145,15 @@
     }
 
     function onDidRespond(status: number, headers: ReplyHeaders): void {
-      heard();
+      noteActivity();
       head = format.readReply(headers, status);
       reply = {status, headers};
       if (head.attemptId !== options.attemptId) {
-        giveUp(violation('the answer names another request'));
+        abort(protocolViolation('the response has the id of another attempt'));
         return;
       }
       if (headers['content-encoding'] !== undefined) {
-        giveUp(violation('the answer is encoded'));
+        abort(protocolViolation('the response has a content encoding'));
         return;
       }
       options.onDidRespond(head);
@@ -154,7 +164,7 @@
       }
     }
 
-    function passOn(frame: EventFrame): void {
+    function forwardFrame(frame: EventFrame): void {
       if (reply === undefined || sink === undefined) {
         return;
       }
@@ -164,31 +174,34 @@
       }
       if (!sink.write(frame)) {
         exchange.pause();
-        silence?.dispose();
+        idleTimer?.dispose();
         sink.whenDrained(() => {
-          heard();
-          silence = silenceMs === undefined ? undefined : watch(silenceMs);
+          noteActivity();
+          idleTimer =
+            idleTimeoutMs === undefined
+              ? undefined
+              : startIdleTimer(idleTimeoutMs);
           exchange.resume();
         });
       }
     }
 
     function onDidReceive(chunk: Buffer): void {
-      heard();
+      noteActivity();
       if (!isStream) {
         chunks.push(chunk);
         return;
       }
-      frames.push(chunk).forEach(passOn);
+      framer.push(chunk).forEach(forwardFrame);
     }
 
-    function onDidEnd(isProven: boolean): void {
-      if (!isProven && options.isStopping()) {
-        giveUp(interrupted('the request was stopped'));
+    function onDidEnd(isDelimited: boolean): void {
+      if (!isDelimited && options.isStopRequested()) {
+        abort(interrupted('the request was stopped'));
         return;
       }
       if (reply === undefined || head === undefined) {
-        giveUp(interrupted('the answer has no head'), 'closed');
+        abort(interrupted('the response has no head'), 'closed');
         return;
       }
       if (head.isNotRun) {
@@ -200,7 +213,7 @@
           begin();
           sink.begin(reply.status, reply.headers);
         }
-        sink.finish(frames.rest());
+        sink.finish(framer.remainder());
         settle({type: 'streamed'});
         return;
       }
@@ -208,7 +221,7 @@
     }
 
     if (signal.aborted) {
-      settle({type: 'failed', error: unsent()});
+      settle({type: 'failed', error: cancelledBeforeSend()});
       return;
     }
     signal.addEventListener('abort', onAbort, {once: true});
@@ -216,24 +229,24 @@
       onDidRespond,
       onDidReceive,
       onDidEnd,
-      onDidFail: error => settle(lost(error)),
+      onDidFail: error => settle(connectionLost(error)),
     });
   });
 }
 
-/** The end of a connection; before the request was sent it tells nothing about the endpoint's runs. */
-function lost(error: ServingError): AttemptEnd {
+/** Connections that end before the request was sent do not implicate it. */
+function connectionLost(error: ServingError): AttemptEnd {
   return error.run === 'not-run'
     ? {type: 'failed', error}
     : {type: 'failed', error, loss: 'closed'};
 }
 
-/** Why nobody waits any more: the signal's own error, or the caller has left. */
-function reasonOf(signal: AbortSignal): ServingError {
+/** Returns the signal's own error, or `cancelled` if the caller is gone. */
+function abortReason(signal: AbortSignal): ServingError {
   if (signal.reason instanceof ServingError) {
     return signal.reason;
   }
-  return new ServingError('cancelled', 'the caller has left', {
+  return new ServingError('cancelled', 'the caller disconnected', {
     run: 'may-have-run',
   });
 }
@@ -242,14 +255,14 @@
   return new ServingError('interrupted', message, {run: 'may-have-run'});
 }
 
-function violation(message: string): ServingError {
+function protocolViolation(message: string): ServingError {
   return new ServingError('protocol-violation', message, {
     run: 'may-have-run',
   });
 }
 
-function unsent(): ServingError {
-  return new ServingError('cancelled', 'given up before it was sent', {
+function cancelledBeforeSend(): ServingError {
+  return new ServingError('cancelled', 'cancelled before it was sent', {
     run: 'not-run',
   });
 }
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -1,54 +1,57 @@
-/** The answer to one caller's request, written at most once. */
+/** The response to one caller's request, written at most once. */
 import type {ServerResponse} from 'node:http';
 import {errorAnswers, type ServingError} from '@skylarkfield/base';
 import type {CallFormat, ReplyHeaders} from './contracts.js';
-import type {EventFrame} from './eventFrames.js';
+import type {EventFrame} from './eventFramer.js';
 import type {EventSink} from './attempt.js';
-import {isServerFault} from './attemptOutcome.js';
+import {isServerError} from './attemptOutcome.js';
 
 export interface CallerReply {
-  /** Whether a part of an answer has gone out. */
+  /** Whether the response headers have been sent. */
   hasBegun(): boolean;
-  /** The id of the last event passed on. */
+  /** Id of the last event passed on. */
   lastEventId(): number | undefined;
-  /** Events passed on so far. */
+  /** Number of events passed on so far. */
   eventCount(): number;
   readonly sink: EventSink;
-  whole(status: number, headers: ReplyHeaders, body: Buffer): void;
-  refuse(error: ServingError): number;
-  /** Ends an answer that can't be completed so that it does not look complete. */
-  breakOff(): void;
+  sendWhole(status: number, headers: ReplyHeaders, body: Buffer): void;
+  sendError(error: ServingError): number;
+  /** Aborts an incomplete response so that it does not appear complete. */
+  abort(): void;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** Statuses that promise nothing about whether the request ran. */
-const FAILED_STATUS = 502;
-const TIMED_OUT_STATUS = 504;
-/** Promises that the request has not run and won't. */
-const NOT_RUN_STATUS = 503;
+/** Statuses that leave open whether the request ran. */
+const BAD_GATEWAY_STATUS = 502;
+const GATEWAY_TIMEOUT_STATUS = 504;
+/** Guarantees that the request has not run and will not run. */
+const UNAVAILABLE_STATUS = 503;
 
-/** When a caller may come back that was refused without a better figure, in milliseconds. */
+/** Retry-After of a rejection without a better estimate, in milliseconds. */
 const DEFAULT_RETRY_MS = 300;
 
 /**
- * Makes the reply of one request.
+ * Creates the reply to one request.
  *
  * @example
  * const reply = createCallerReply({response, format, isClosing});
- * reply.refuse(error);
+ * reply.sendError(error);
  */
 export function createCallerReply(options: {
   readonly response: ServerResponse;
   readonly format: CallFormat;
-  /** Whether the connection should end with this answer. */
+  /** Whether to close the connection after this response. */
   isClosing(): boolean;
 }): CallerReply {
   const {response, format} = options;
   let lastId: number | undefined;
   let events = 0;
 
-  function head(status: number, headers: Record<string, string | string[]>) {
+  function writeHead(
+    status: number,
+    headers: Record<string, string | string[]>,
+  ) {
     if (options.isClosing()) {
       headers['connection'] = 'close';
     }
@@ -62,12 +65,12 @@
     sink: {
       begin(status, headers) {
         if (!response.headersSent) {
-          head(status, format.replyHeaders(headers));
+          writeHead(status, format.replyHeaders(headers));
         }
       },
       write({bytes, id}: EventFrame) {
         if (id !== undefined) {
-          // An endpoint that goes on may repeat what the caller already has.
+          // A resumed stream may repeat events that the caller already has.
           if (lastId !== undefined && id <= lastId) {
             return true;
           }
@@ -81,13 +84,13 @@
         response.end(rest.length > 0 ? rest : undefined);
       },
     },
-    whole(status, headers, body) {
-      const passed = format.replyHeaders(headers);
-      passed['content-length'] = String(body.length);
-      head(status, passed);
+    sendWhole(status, headers, body) {
+      const replyHeaders = format.replyHeaders(headers);
+      replyHeaders['content-length'] = String(body.length);
+      writeHead(status, replyHeaders);
       response.end(body);
     },
-    refuse(error) {
+    sendError(error) {
       const status = statusOf(error);
       if (response.headersSent || response.destroyed) {
         response.destroy();
@@ -109,23 +112,25 @@
         const waitMs = error.retryAfterMs ?? DEFAULT_RETRY_MS;
         headers['retry-after'] = (waitMs / MS_PER_SECOND).toFixed(2);
       }
-      head(status, headers);
+      writeHead(status, headers);
       response.end(body);
       return status;
     },
-    breakOff: () => response.destroy(),
+    abort: () => response.destroy(),
   };
 }
 
 /**
- * The status of a refusal. A caller repeats what can't be repeated safely only
- * after a status that promises that nothing ran, so that status is given exactly
- * when it is true.
+ * Returns the status of an error. Callers retry non-idempotent requests only on
+ * the status that guarantees that nothing ran, so it is sent exactly when that
+ * holds.
  */
 function statusOf(error: ServingError): number {
   const {status} = errorAnswers[error.kind];
   if (error.run === 'not-run') {
-    return isServerFault(status) ? NOT_RUN_STATUS : status;
+    return isServerError(status) ? UNAVAILABLE_STATUS : status;
   }
-  return error.kind === 'deadline-exceeded' ? TIMED_OUT_STATUS : FAILED_STATUS;
+  return error.kind === 'deadline-exceeded'
+    ? GATEWAY_TIMEOUT_STATUS
+    : BAD_GATEWAY_STATUS;
 }
--- a/packages/gateway/src/dutyPart.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -1,23 +1,23 @@
-/** What this entry does for all while it holds the duty. */
+/** Work that one entry does on behalf of all while it holds the duty. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {Tenure} from '@skylarkfield/duties';
-import type {AgreementPart} from './agreementPart.js';
+import type {Coordination} from './coordination.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
 import {startFleetDuty} from './fleetDuty.js';
-import type {TrafficPart} from './trafficPart.js';
+import type {TrafficPipeline} from './trafficPipeline.js';
 import {startUsageDuty} from './usageDuty.js';
 
 /**
- * Competes for the duty of reporting use and ordering endpoints. One lease holds
- * both: each lease costs calls for its renewals whether or not there is work.
+ * Competes for the duty to report usage and scale endpoints. One lease covers
+ * both, since the renewals of a lease are billed even without work.
  *
  * @example
- * const duty = competeForDuty(context, agreement, traffic);
+ * const duty = competeForClusterDuty(context, coordination, traffic);
  */
-export function competeForDuty(
+export function competeForClusterDuty(
   context: GatewayContext,
-  agreement: AgreementPart,
-  traffic: TrafficPart,
+  coordination: Coordination,
+  traffic: TrafficPipeline,
 ): Disposable {
   const {settings, platform, clock, log} = context;
 
@@ -33,7 +33,7 @@
     work.add(
       startUsageDuty({
         ...common,
-        store: agreement.store,
+        store: coordination.store,
         usage: traffic.usage,
         lateMs: settings.usageLateSeconds * MS_PER_SECOND,
         commonWallMs: traffic.digests.commonWallMs,
@@ -43,17 +43,19 @@
       startFleetDuty({
         ...common,
         directory: traffic.directory,
-        // While a version starts beside the old one, the platform decides on both.
+        // During a rollout the platform sets the counts of both versions.
         services: () =>
           traffic.policy
             .services()
             .filter(({name}) => !traffic.rollouts.isOpen(name)),
-        signs: traffic.engines.signs,
+        demandSigns: traffic.engines.signs,
       }),
     );
-    work.add(traffic.memory.keep(traffic.engines.allSeen));
+    work.add(
+      traffic.engineStore.startPersisting(traffic.engines.fleetCapacity),
+    );
     return work;
   }
 
-  return agreement.duties.compete('fleet', start);
+  return coordination.duties.compete('fleet', start);
 }
--- a/packages/gateway/src/agreementPart.ts
+++ b/packages/gateway/src/coordination.ts
@@ -1,4 +1,4 @@
-/** The other entries, the store that all share, and the duties that one at a time holds. */
+/** Peer network, shared store, membership and duties of an entry. */
 import {
   disposableStore,
   ServingError,
@@ -21,20 +21,20 @@
 import type {Address} from './settings.js';
 import {DEFAULT_CORES} from './lookup.js';
 
-export interface AgreementPart extends Disposable {
+export interface Coordination extends Disposable {
   readonly network: PeerNetwork;
   readonly store: ObjectStore;
   readonly membership: Membership;
   readonly duties: Duties;
-  /** Whom this entry tells of its use and load, and who takes turns at what one does for all. */
+  /** Receivers of this entry's digests, and candidates for duties. */
   plan(): RelayPlan;
 }
 
 /**
- * A successor takes over within about four seconds of the holder's death: as
- * long as a new endpoint takes to start, so that a reclaim and the holder's
- * death together leave callers waiting no longer than either alone. Each renewal
- * and each look of a candidate is a call, three a second in all.
+ * A successor takes over within about four seconds of the holder's failure. A
+ * new endpoint takes as long to start, so a reclaim together with the holder's
+ * failure delays callers no longer than either alone. Each renewal and each
+ * poll of a candidate is a call, three per second in total.
  */
 const LEASE_TIMING: LeaseTiming = {
   durationMs: 3_000,
@@ -43,19 +43,19 @@
   marginMs: 400,
 };
 
-/** Time for one call to the store, in milliseconds: it answers in a few. */
-const STORE_CALL_MS = 1_000;
+/** Timeout of a store call, in milliseconds; it normally takes a few. */
+const STORE_CALL_TIMEOUT_MS = 1_000;
 
 /**
- * Opens the inner port and joins the other entries. Throws `bad-settings` when
- * the port can't be opened.
+ * Opens the inner port and joins the other entries. Throws `bad-settings` if
+ * the port cannot be opened.
  *
  * @example
- * const agreement = await createAgreementPart(context);
+ * const coordination = await createCoordination(context);
  */
-export async function createAgreementPart(
+export async function createCoordination(
   context: GatewayContext,
-): Promise<AgreementPart> {
+): Promise<Coordination> {
   const {settings, platform, incarnation, clock, random, log, decisions} =
     context;
   const owned = disposableStore();
@@ -70,7 +70,7 @@
       clock,
       random,
       writer: settings.id,
-      callDeadlineMs: STORE_CALL_MS,
+      callDeadlineMs: STORE_CALL_TIMEOUT_MS,
       platformCallsPerSecond: settings.platform.callsPerSecond,
     }),
   );
@@ -94,15 +94,15 @@
       load: context.inFlight.count,
     }),
   );
-  let known: RelayPlan | undefined;
-  owned.add(membership.onDidChange(() => (known = undefined)));
+  let cachedPlan: RelayPlan | undefined;
+  owned.add(membership.onDidChange(() => (cachedPlan = undefined)));
 
   function plan(): RelayPlan {
-    known ??= planRelays(
+    cachedPlan ??= planRelays(
       toNode(membership.self),
       membership.members().map(toNode),
     );
-    return known;
+    return cachedPlan;
   }
 
   const duties = owned.add(
@@ -112,9 +112,9 @@
       store,
       self,
       members: () => plan().coordinators,
-      // Behind a relay an entry does not hear what all have counted. It may have
-      // taken a duty before it knew of so many others.
-      mayHold: () => plan().upstream.length === 0,
+      // Behind a relay an entry lacks the fleet-wide counts. It may have
+      // acquired a duty before it discovered that many peers.
+      mayHold: () => plan().ownRelays.length === 0,
       log,
       decisions,
       timing: LEASE_TIMING,
@@ -147,7 +147,7 @@
   if (port === 0) {
     throw new ServingError(
       'bad-settings',
-      'a port that others use can not be 0',
+      'a port that peers connect to must not be 0',
     );
   }
   return `${scheme}://${host}:${port}`;
--- /dev/null
+++ b/packages/gateway/src/crashGuard.ts
@@ -0,0 +1,104 @@
+/** Stops resending requests that crash endpoints, and collects the evidence. */
+import type {CrashSuspects, Verdict} from '@skylarkfield/routing';
+import type {AttemptEnd} from './attempt.js';
+import {isServerError} from './attemptOutcome.js';
+import type {EndpointDirectory} from './endpointDirectory.js';
+import type {Progress} from './retryRules.js';
+
+interface FingerprintedCall {
+  fingerprint(): string;
+}
+
+export interface CrashGuard {
+  /** Returns the verdict on a send; starts a trial if the verdict allows it. */
+  checkSend(
+    call: FingerprintedCall,
+    progress: Pick<Progress, 'continuation'>,
+  ): Verdict;
+  isSuspected(call: FingerprintedCall): boolean;
+  isQuarantined(call: FingerprintedCall): boolean;
+  /** Records the end of an attempt that its endpoint was not told to stop. */
+  noteAttemptEnd(
+    call: FingerprintedCall,
+    endpoint: string,
+    end: AttemptEnd,
+  ): void;
+}
+
+const CLEAR: Verdict = {type: 'clear'};
+
+/**
+ * Returns the verdict on a call. Fingerprints cost processor time, so none is
+ * computed while no request is suspected.
+ *
+ * @example
+ * if (verdictFor(call, suspects).type === 'quarantined') { return reject(); }
+ */
+export function verdictFor(
+  call: FingerprintedCall,
+  suspects: Pick<CrashSuspects, 'isEmpty' | 'judge'>,
+): Verdict {
+  return suspects.isEmpty() ? CLEAR : suspects.judge(call.fingerprint());
+}
+
+/**
+ * Creates the guard of one entry's forwarding.
+ *
+ * @example
+ * const verdict = crashGuard.checkSend(call, progress);
+ */
+export function createCrashGuard(options: {
+  readonly suspects: CrashSuspects;
+  readonly directory: Pick<EndpointDirectory, 'get'>;
+}): CrashGuard {
+  const {suspects, directory} = options;
+
+  function isSuccess(end: AttemptEnd): boolean {
+    return (
+      end.type === 'streamed' ||
+      (end.type === 'answered' && !isServerError(end.status))
+    );
+  }
+
+  function noteLoss(
+    call: FingerprintedCall,
+    endpoint: string,
+    loss: 'closed' | 'silent',
+  ): void {
+    const state = directory.get(endpoint)?.state;
+    if (state === 'draining') {
+      return;
+    }
+    const lostRequest = {request: call.fingerprint(), endpoint};
+    if (loss === 'closed' && state === 'ready') {
+      suspects.noteClosed(lostRequest);
+    } else {
+      suspects.noteSilent(lostRequest);
+    }
+  }
+
+  return {
+    checkSend(call, {continuation}) {
+      // A stream that is being migrated has not failed so far.
+      if (continuation !== undefined) {
+        return CLEAR;
+      }
+      const verdict = verdictFor(call, suspects);
+      if (verdict.type === 'trial') {
+        suspects.beginTrial(call.fingerprint());
+      }
+      return verdict;
+    },
+    isSuspected: call => verdictFor(call, suspects).type !== 'clear',
+    isQuarantined: call => verdictFor(call, suspects).type === 'quarantined',
+    noteAttemptEnd(call, endpoint, end) {
+      if (end.type === 'failed' && end.loss !== undefined) {
+        noteLoss(call, endpoint, end.loss);
+        return;
+      }
+      if (isSuccess(end) && !suspects.isEmpty()) {
+        suspects.noteServed(call.fingerprint());
+      }
+    },
+  };
+}
--- /dev/null
+++ b/packages/gateway/src/crashPersistence.ts
@@ -0,0 +1,187 @@
+/**
+ * Persists the requests that crash endpoints in the platform's store.
+ *
+ * Entries restart, are partitioned and fail together, yet each of them must
+ * know within seconds what any of them has observed. Each entry writes its own
+ * observations to one object and mirrors those of the others.
+ */
+import {
+  disposableStore,
+  every,
+  toServingError,
+  type Clock,
+  type Disposable,
+  type Logger,
+  type Random,
+} from '@skylarkfield/base';
+import type {ObjectStore} from '@skylarkfield/providers';
+import {
+  CRASH_MEMORY_MS,
+  type CrashReport,
+  type CrashSuspects,
+} from '@skylarkfield/routing';
+import * as z from 'zod';
+import type {Platform, Source} from './contracts.js';
+import type {Mirror} from './mirror.js';
+
+/** Kind of the objects, each named after the entry that writes it. */
+const OBJECT_KIND = 'endpoint-crashes';
+
+/** Timeout of one call, in milliseconds. */
+const CALL_TIMEOUT_MS = 1_000;
+
+/** Delay before a write, in milliseconds, to batch one crash's requests. */
+const WRITE_BATCH_MS = 50;
+
+/** Maximum delay before a write is retried, in milliseconds; at least half. */
+const WRITE_RETRY_MS = 500;
+
+/** Interval at which expired objects are removed, in milliseconds. */
+const CLEANUP_INTERVAL_MS = 300_000;
+
+const reportSchema = z.object({
+  crashes: z.array(
+    z.object({request: z.string(), endpoint: z.string(), atMs: z.number()}),
+  ),
+  served: z.record(z.string(), z.number()),
+});
+
+/**
+ * Returns the persisted reports as a source to mirror.
+ *
+ * @example
+ * const view = createPlatformView({crashReports: crashReportSource(platform),
+ *   ...rest});
+ */
+export function crashReportSource(platform: Platform): Source<CrashReport> {
+  return platform.ownObjects(OBJECT_KIND, value => reportSchema.parse(value));
+}
+
+/**
+ * Starts to persist this entry's observations and to apply those of the others.
+ *
+ * @example
+ * const persistence = owned.add(startCrashPersistence({mirror: view.crashes,
+ *   suspects, store, self, ...rest}));
+ */
+export function startCrashPersistence(options: {
+  readonly mirror: Mirror<CrashReport>;
+  readonly suspects: CrashSuspects;
+  readonly store: ObjectStore;
+  readonly self: string;
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly log: Logger;
+  /**
+   * Whether this entry reads the objects from the store for all entries, and so
+   * removes expired ones.
+   */
+  isReader(): boolean;
+}): Disposable {
+  const {mirror, suspects, store, self, clock, random, log} = options;
+  const owned = disposableStore();
+  const revisions = new Map<string, number>();
+  let isRestored = false;
+  let isDirty = false;
+  let isWriting = false;
+  let isDisposed = false;
+
+  function applyItems(): void {
+    const items = mirror.items();
+    for (const {name, revision, value} of items) {
+      if (revisions.get(name) !== revision) {
+        revisions.set(name, revision);
+        applyReport(name, value);
+      }
+    }
+    for (const name of revisions.keys()) {
+      if (mirror.get(name) === undefined) {
+        revisions.delete(name);
+        log.info({entry: name}, 'persisted crashes removed');
+        suspects.dropKept(name);
+      }
+    }
+    isRestored = true;
+  }
+
+  function applyReport(name: string, report: CrashReport): void {
+    if (name !== self) {
+      suspects.takeKept(name, report);
+    } else if (!isRestored) {
+      suspects.restore(report);
+    }
+  }
+
+  /** Writes until the store has the current report. */
+  async function flush(): Promise<void> {
+    if (isWriting) {
+      return;
+    }
+    isWriting = true;
+    await pause(WRITE_BATCH_MS);
+    let failures = 0;
+    while (isDirty && !isDisposed) {
+      // Writing before the previous process's object is restored would
+      // overwrite it.
+      const isDone = isRestored && (await writeOnce(failures));
+      if (!isDone) {
+        failures += 1;
+        await pause(WRITE_RETRY_MS * (0.5 + random.next() / 2));
+      }
+    }
+    isWriting = false;
+  }
+
+  function pause(delayMs: number): Promise<void> {
+    return new Promise(resolve => clock.after(delayMs, resolve));
+  }
+
+  async function writeOnce(failures: number): Promise<boolean> {
+    isDirty = false;
+    const report = suspects.own();
+    try {
+      const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
+      await store.put(OBJECT_KIND, self, report, {type: 'any'}, signal);
+      suspects.noteKept(report);
+      log.info({crashes: report.crashes.length, failures}, 'crashes persisted');
+      return true;
+    } catch (error) {
+      isDirty = true;
+      const {kind, message} = toServingError(error);
+      if (failures === 0) {
+        log.warn({kind, message}, 'persisting crashes failed');
+      }
+      return false;
+    }
+  }
+
+  function removeExpired(): void {
+    if (!options.isReader()) {
+      return;
+    }
+    const oldestMs = clock.wall() - CRASH_MEMORY_MS;
+    for (const {name, revision, value} of mirror.items()) {
+      if (value.crashes.some(({atMs}) => atMs >= oldestMs)) {
+        continue;
+      }
+      store
+        .remove(OBJECT_KIND, name, {type: 'version', version: revision})
+        .catch(error => {
+          const {kind, message} = toServingError(error);
+          log.warn(
+            {kind, message, entry: name},
+            'removing expired crashes failed',
+          );
+        });
+    }
+  }
+
+  mirror.onDidChange(applyItems);
+  suspects.onDidChange(() => {
+    isDirty = true;
+    void flush();
+  });
+  owned.add(every(clock, CLEANUP_INTERVAL_MS, removeExpired));
+  owned.add({dispose: () => (isDisposed = true)});
+  return owned;
+}
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -1,4 +1,4 @@
-/** Periodic reports between entries: usage, load, and sync status of the mirrors. */
+/** Periodic reports between entries: usage, load and mirrors' sync status. */
 import {
   disposableStore,
   every,
@@ -24,23 +24,23 @@
 >;
 
 export interface Digests extends Disposable {
-  /** Wall clock corrected to the median of the peers' clocks, in milliseconds. */
+  /** Wall clock corrected to the peers' median, in milliseconds. */
   commonWallMs(): number;
 }
 
 /**
- * Interval of digests, in milliseconds. Processor time grows as it shrinks, and
- * overshoot of quotas as it grows.
+ * Interval of digests, in milliseconds. A shorter one costs processor time, a
+ * longer one lets quotas overshoot more.
  */
 const INTERVAL_MS = 300;
 
-/** Time without a digest after which a peer counts as silent, in milliseconds. */
-export const SILENCE_MS = 1_200;
+/** Time without digests until a peer is unreachable, in milliseconds. */
+export const PEER_TIMEOUT_MS = 1_200;
 
-/** One digest in so many goes to the standby relay; its data must be fresh when it takes over. */
-const STANDBY_EVERY = 3;
+/** Ticks between digests to a standby relay, whose data must be fresh. */
+const STANDBY_INTERVAL_TICKS = 3;
 
-interface Heard {
+interface PeerContact {
   readonly at: number;
   readonly stamp: number;
   /** Peer's wall clock minus the local one, in milliseconds. */
@@ -51,7 +51,8 @@
  * Starts to exchange digests with the targets of the relay plan.
  *
  * @example
- * const digests = startDigests({network, clock, self, plan, content, onDidHear});
+ * const digests = startDigests({network, clock, self, plan, content,
+ *   onDidReceive});
  */
 export function startDigests(options: {
   readonly network: PeerNetwork;
@@ -60,15 +61,15 @@
     readonly failureDomain: string;
     readonly incarnation: number;
   };
-  /** Present relay plan; it changes with the members. */
+  /** Current relay plan; it changes with the membership. */
   plan(): RelayPlan;
   /**
-   * Snapshots the local state once per tick; the result renders it for a scope.
-   * Only `rest` depends on the receiver.
+   * Takes a snapshot of the local state once per tick; the result returns its
+   * content for a scope. Only `rest` depends on the receiver.
    */
   content(): (scope: DigestScope, receiver: string) => DigestContent;
-  /** Called for each digest; `timestamp` is a local time before it was sent, if known. */
-  onDidHear(
+  /** Called for each digest; it was sent after `timestamp`, if known. */
+  onDidReceive(
     peer: string,
     digest: Digest,
     timestamp: Timestamp | undefined,
@@ -76,16 +77,16 @@
 }): Digests {
   const {network, clock, self} = options;
   const owned = disposableStore();
-  const heard = new Map<string, Heard>();
-  /** Wall time of each stamp sent, by stamp. */
+  const contacts = new Map<string, PeerContact>();
+  /** Wall-clock milliseconds of each stamp sent. */
   const wallAtStamp = new Map<number, number>();
   const startedAt = clock.now();
   let ticks = 0;
 
   /** Whether a target is a standby relay whose predecessor is alive. */
-  function isStandby(peer: string, upstream: readonly string[]): boolean {
-    const place = upstream.indexOf(peer);
-    return place > 0 && upstream.slice(0, place).some(isHeard);
+  function isStandby(peer: string, ownRelays: readonly string[]): boolean {
+    const position = ownRelays.indexOf(peer);
+    return position > 0 && ownRelays.slice(0, position).some(isAlive);
   }
 
   function send(): void {
@@ -94,29 +95,30 @@
     const wallMs = clock.wall();
     wallAtStamp.set(stamp, wallMs);
     forgetOldStamps(stamp);
-    const {targets, precedence, upstream} = options.plan();
+    const {targets, activeRelay, ownRelays} = options.plan();
     const content = options.content();
-    const shared = new Map<DigestScope, DigestContent>();
+    const contentByScope = new Map<DigestScope, DigestContent>();
 
     function contentFor(scope: DigestScope, receiver: string): DigestContent {
       if (scope === 'rest') {
         return content(scope, receiver);
       }
-      const known = shared.get(scope) ?? content(scope, receiver);
-      shared.set(scope, known);
+      const known = contentByScope.get(scope) ?? content(scope, receiver);
+      contentByScope.set(scope, known);
       return known;
     }
 
-    const isSpare = precedence !== undefined && isHeard(precedence);
+    const isActiveRelayAlive =
+      activeRelay !== undefined && isAlive(activeRelay);
     for (const [peer, scope] of targets) {
-      // Two active relays would double the traffic.
-      if (isSpare && scope !== 'own') {
+      // A second active relay would double the traffic.
+      if (isActiveRelayAlive && scope !== 'own') {
         continue;
       }
-      if (ticks % STANDBY_EVERY !== 0 && isStandby(peer, upstream)) {
+      if (ticks % STANDBY_INTERVAL_TICKS !== 0 && isStandby(peer, ownRelays)) {
         continue;
       }
-      const echo = heard.get(peer)?.stamp;
+      const echo = contacts.get(peer)?.stamp;
       network.send(peer, 'digest', {
         ...contentFor(scope, peer),
         ...self,
@@ -129,14 +131,14 @@
     }
   }
 
-  function isHeard(peer: string): boolean {
-    const last = heard.get(peer);
-    return last !== undefined && clock.now() - last.at < SILENCE_MS;
+  function isAlive(peer: string): boolean {
+    const last = contacts.get(peer);
+    return last !== undefined && clock.now() - last.at < PEER_TIMEOUT_MS;
   }
 
   function forgetOldStamps(now: number): void {
     for (const stamp of wallAtStamp.keys()) {
-      if (now - stamp < SILENCE_MS * 4) {
+      if (now - stamp < PEER_TIMEOUT_MS * 4) {
         return;
       }
       wallAtStamp.delete(stamp);
@@ -144,8 +146,9 @@
   }
 
   /**
-   * Local time that the sender had echoed, a lower bound of when it sent: a
-   * digest may have been delayed for seconds and must not look newer than it is.
+   * Returns the local stamp that the sender echoed, a lower bound of the send
+   * time: a digest may have been delayed for seconds and must not appear newer
+   * than it is.
    */
   function sentAfter({echo}: Digest): Timestamp | undefined {
     const wallMs = echo === undefined ? undefined : wallAtStamp.get(echo);
@@ -156,16 +159,18 @@
   }
 
   function receive(peer: string, digest: Digest): void {
-    heard.set(peer, {
+    contacts.set(peer, {
       at: clock.now(),
       stamp: digest.stamp,
       wallOffsetMs: digest.wallMs - clock.wall(),
     });
-    options.onDidHear(peer, digest, sentAfter(digest));
+    options.onDidReceive(peer, digest, sentAfter(digest));
   }
 
-  function lately(): [string, Heard][] {
-    return [...heard].filter(([, {at}]) => clock.now() - at < SILENCE_MS);
+  function liveContacts(): [string, PeerContact][] {
+    return [...contacts].filter(
+      ([, {at}]) => clock.now() - at < PEER_TIMEOUT_MS,
+    );
   }
 
   owned.add(network.onDidReceive('digest', receive));
@@ -174,7 +179,7 @@
     commonWallMs() {
       const offsets = [
         0,
-        ...lately().map(([, {wallOffsetMs}]) => wallOffsetMs),
+        ...liveContacts().map(([, {wallOffsetMs}]) => wallOffsetMs),
       ];
       offsets.sort((a, b) => a - b);
       return clock.wall() + offsets[Math.floor((offsets.length - 1) / 2)]!;
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -1,4 +1,4 @@
-/** The endpoints that may be used, kept in step with what they register. */
+/** The registered endpoints, kept in sync with the mirrored registrations. */
 import {emitter, type Event, type Logger} from '@skylarkfield/base';
 import type {Candidate, Router} from '@skylarkfield/routing';
 import {
@@ -9,29 +9,30 @@
 import type {Mirror} from './mirror.js';
 import type {Upstreams} from './upstream.js';
 
-/** Which group of a service's versions an endpoint belongs to. */
+/** Side of a rollout to which an endpoint's version belongs. */
 export type VersionGroup = 'incumbent' | 'candidate';
 
 export interface EndpointDirectory {
-  /** By the key that the router knows it by. */
+  /** Looks up an endpoint by its key in the router. */
   get(key: string): RegisteredEndpoint | undefined;
-  /** All that are registered for a service, leaving ones included. */
-  of(service: string): readonly RegisteredEndpoint[];
-  /** Those that take new work. */
+  /** All registered endpoints of a service, draining ones included. */
+  forService(service: string): readonly RegisteredEndpoint[];
+  /** Endpoints that accept new requests. */
   ready(service: string, group: VersionGroup): readonly RegisteredEndpoint[];
-  /** Takes the present registrations over to the router. */
+  /** Applies the current registrations to the router and the upstreams. */
   refresh(): void;
-  /** Fires with the key of an endpoint that says it leaves, or is no longer registered. */
+  /** Fires with the key of an endpoint that starts to drain or is removed. */
   readonly onDidLeave: Event<string>;
-  /** Fires with the key of an endpoint that is no longer registered and has not said that it leaves. */
+  /** Fires with the key of an endpoint that is removed without draining. */
   readonly onDidVanish: Event<string>;
 }
 
 /**
- * Makes the directory over the mirrored registrations.
+ * Creates the directory over the mirrored registrations.
  *
  * @example
- * const directory = createEndpointDirectory({endpoints, rollouts, router, upstreams, log, isModel});
+ * const directory = createEndpointDirectory({endpoints, rollouts, router,
+ *   upstreams, log, isModel});
  * endpoints.onDidChange(() => directory.refresh());
  */
 export function createEndpointDirectory(options: {
@@ -44,15 +45,15 @@
   isModel(service: string): boolean;
 }): EndpointDirectory {
   const {endpoints, rollouts, router, upstreams, log} = options;
-  const left = emitter<string>();
+  const leaving = emitter<string>();
   const vanished = emitter<string>();
   let byKey = new Map<string, RegisteredEndpoint>();
 
   /**
-   * Versions that only a rollout may send requests to. One that was taken back
-   * stays among them: its endpoints are there for some seconds more.
+   * Versions that receive requests only through a rollout. Includes rolled back
+   * ones, whose endpoints remain for some seconds.
    */
-  function targetsOf(service: string): string[] {
+  function rolloutTargets(service: string): string[] {
     return rollouts
       .items()
       .filter(({value}) => value.service === service)
@@ -61,7 +62,7 @@
   }
 
   function groupOf(endpoint: RegisteredEndpoint): VersionGroup {
-    return targetsOf(endpoint.service).includes(endpoint.version)
+    return rolloutTargets(endpoint.service).includes(endpoint.version)
       ? 'candidate'
       : 'incumbent';
   }
@@ -79,7 +80,7 @@
 
   return {
     get: key => byKey.get(key),
-    of: service =>
+    forService: service =>
       [...byKey.values()].filter(endpoint => endpoint.service === service),
     ready: (service, group) =>
       [...byKey.values()].filter(
@@ -88,7 +89,7 @@
           endpoint.state === 'ready' &&
           groupOf(endpoint) === group,
       ),
-    onDidLeave: left.event,
+    onDidLeave: leaving.event,
     onDidVanish: vanished.event,
     refresh() {
       const present = endpoints.items().map(({value}) => value);
@@ -108,17 +109,17 @@
           endpoint;
         log.info(
           {endpoint: id, service, state, failureDomain, version, isReclaimable},
-          'endpoint registered',
+          'endpoint state changed',
         );
         if (state === 'draining') {
-          left.fire(id);
+          leaving.fire(id);
         }
       }
     }
     for (const [id, {state}] of before) {
       if (!byKey.has(id)) {
-        log.info({endpoint: id}, 'endpoint gone');
-        left.fire(id);
+        log.info({endpoint: id}, 'endpoint no longer registered');
+        leaving.fire(id);
         if (state === 'ready') {
           vanished.fire(id);
         }
@@ -128,8 +129,8 @@
 }
 
 /**
- * A process that starts again under its old id knows nothing of before: under a
- * key of its own the router does not expect its caches there.
+ * A process that restarts under its old id has an empty cache; a separate key
+ * keeps the router from expecting the old one.
  */
 function keyOf({id, bornAt}: RegisteredEndpoint): string {
   return `${id}@${bornAt}`;
--- /dev/null
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -0,0 +1,161 @@
+/**
+ * Persists the measured capacity of engines in the platform's store.
+ *
+ * If all entries lose power at once, no peer has the measurements. Callers
+ * return at once, and until enough of them are served, scaling and routing
+ * would rest on guesses.
+ */
+import {
+  every,
+  toServingError,
+  type Clock,
+  type Disposable,
+  type Logger,
+} from '@skylarkfield/base';
+import {
+  HALF_LIFE_MS,
+  scaleCapacity,
+  type CapacitySums,
+} from '@skylarkfield/capacity';
+import type {ObjectStore} from '@skylarkfield/providers';
+import * as z from 'zod';
+
+/** Kind and name of the object. */
+const OBJECT_KIND = 'engine-capacity';
+const OBJECT_NAME = 'learned';
+
+/**
+ * Interval at which the duty's holder writes, in milliseconds: measurements
+ * change slowly, and each call is billed.
+ */
+const WRITE_INTERVAL_MS = 10_000;
+
+/**
+ * Delay before a failed read is retried, in milliseconds, and the maximum
+ * reads: peers soon have better data.
+ */
+const READ_RETRY_MS = 1_500;
+const MAX_READS = 4;
+
+/** Timeout of one call, in milliseconds. */
+const CALL_TIMEOUT_MS = 1_000;
+
+/** Weight of restored measurements, which may be outdated. */
+const RESTORED_WEIGHT = 0.5;
+
+const regressionSchema = z.object({
+  count: z.number(),
+  weight: z.number(),
+  totals: z.array(z.number()),
+  products: z.array(z.number()),
+});
+
+const capacitySchema = z.record(
+  z.string(),
+  z.object({
+    prompts: regressionSchema,
+    answers: regressionSchema,
+    paces: z.record(
+      z.string(),
+      z.object({
+        count: z.number(),
+        tokens: z.number(),
+        total: z.number(),
+        squares: z.number(),
+      }),
+    ),
+  }),
+);
+
+export interface EngineCapacityStore extends Disposable {
+  /** Returns the restored measurements, decayed by age; initially empty. */
+  restored(): CapacitySums;
+  /** Writes the measurements periodically until disposed. */
+  startPersisting(sums: () => CapacitySums): Disposable;
+}
+
+/**
+ * Creates the store and starts to read.
+ *
+ * @example
+ * const engineStore = createEngineCapacityStore({store, clock, log});
+ */
+export function createEngineCapacityStore(options: {
+  readonly store: ObjectStore;
+  readonly clock: Clock;
+  readonly log: Logger;
+}): EngineCapacityStore {
+  const {store, clock, log} = options;
+  let stored: {at: number; sums: CapacitySums} | undefined;
+  let readings = 0;
+  let isDisposed = false;
+
+  async function read(): Promise<void> {
+    readings += 1;
+    try {
+      const object = await store.get<unknown>(
+        OBJECT_KIND,
+        OBJECT_NAME,
+        undefined,
+        'recent',
+      );
+      if (object === undefined) {
+        return;
+      }
+      const sums = scaleCapacity(
+        capacitySchema.parse(object.value),
+        RESTORED_WEIGHT,
+      );
+      stored = {at: clock.now(), sums};
+      log.info({services: Object.keys(sums)}, 'engine capacity restored');
+    } catch (error) {
+      const {kind, message} = toServingError(error);
+      log.warn({kind, message, readings}, 'restoring engine capacity failed');
+      scheduleRetry();
+    }
+  }
+
+  function scheduleRetry(): void {
+    if (readings < MAX_READS) {
+      clock.after(READ_RETRY_MS, () => {
+        if (!isDisposed) {
+          void read();
+        }
+      });
+    }
+  }
+
+  async function write(sums: CapacitySums): Promise<void> {
+    if (Object.keys(sums).length === 0) {
+      return;
+    }
+    try {
+      await store.put(
+        OBJECT_KIND,
+        OBJECT_NAME,
+        sums,
+        {type: 'any'},
+        AbortSignal.timeout(CALL_TIMEOUT_MS),
+      );
+    } catch (error) {
+      const {kind, message} = toServingError(error);
+      log.warn({kind, message}, 'persisting engine capacity failed');
+    }
+  }
+
+  void read();
+  return {
+    restored() {
+      if (stored === undefined) {
+        return {};
+      }
+      const ageMs = clock.now() - stored.at;
+      return scaleCapacity(stored.sums, 2 ** (-ageMs / HALF_LIFE_MS));
+    },
+    startPersisting: sums =>
+      every(clock, WRITE_INTERVAL_MS, () => void write(sums())),
+    dispose() {
+      isDisposed = true;
+    },
+  };
+}
--- a/packages/gateway/src/enginesView.ts
+++ b/packages/gateway/src/enginesView.ts
@@ -1,4 +1,4 @@
-/** What is known of services' engines and of the work for them, from all entries. */
+/** Estimates of engines' capacity and load, combined from all entries. */
 import type {Clock, Logger} from '@skylarkfield/base';
 import {
   addCapacity,
@@ -30,51 +30,52 @@
   readonly outcomes: OutcomeMeter;
   readonly work: WorkMeter;
   figures(service: string): EngineFigures;
-  /** Work for a service over all entries. */
+  /** Returns the work rate of a service over all entries. */
   workOf(service: string): WorkRate;
-  /** How much this service is asked for, and how its callers fare. */
+  /** Returns the demand for a service, and the fraction served late. */
   signs(service: string): Omit<DemandSigns, 'present'>;
-  /** What a choice among its endpoints weighs; undefined for a plain service. */
+  /** Returns the routing weights; undefined for a plain service. */
   routeWeights(service: string): Partial<RouteWeights> | undefined;
-  /** What this entry has seen, for the others; undefined when they were told lately. */
-  news(): CapacitySums | undefined;
-  /** What all entries have seen. */
-  allSeen(): CapacitySums;
+  /** Returns this entry's observations; undefined if published recently. */
+  unpublishedCapacity(): CapacitySums | undefined;
+  /** Returns the observations of all entries. */
+  fleetCapacity(): CapacitySums;
   dump(): unknown;
 }
 
-/** How often the figures are worked out anew, in milliseconds. */
-const REFRESH_MS = 1_000;
+/** Interval at which the figures are recomputed, in milliseconds. */
+const REFRESH_INTERVAL_MS = 1_000;
 
-/** How often others are told, in milliseconds: what is learned changes slowly. */
-const TELL_MS = 1_000;
+/** Interval of publishing observations, in milliseconds: they change slowly. */
+const PUBLISH_INTERVAL_MS = 1_000;
 
-/** Figures are logged again when the usual prompt's time has changed by this part. */
-const CHANGE_TO_LOG = 0.25;
+/** Relative change of the typical prompt's time that is logged. */
+const LOGGED_CHANGE = 0.25;
 
-/** The endpoint that a prefix belongs to is favoured by this many times the usual prompt's reading. */
+/** Affinity of a prefix, as a multiple of the typical prompt's time. */
 const AFFINITY_PROMPTS = 1.5;
 
-/** A prefix that is read again counts this many times its reading: it delays all answers beside it. */
+/** Cost factor of recomputing a prefix, which delays concurrent responses. */
 const REREAD_WEIGHT = 4;
 
-interface Known {
+interface CachedFigures {
   readonly at: number;
   readonly figures: EngineFigures;
   readonly weights: Partial<RouteWeights>;
 }
 
 /**
- * Makes the view; `aims` are those of the routes to a service.
+ * Creates the view; `aims` are the targets of the routes to a service.
  *
  * @example
- * const engines = createEnginesView({clock, reports, log, recalled: memory.recalled, isModel, aims});
+ * const engines = createEnginesView({clock, reports, log, recalled:
+ *   store.restored, isModel, aims});
  */
 export function createEnginesView(options: {
   readonly clock: Clock;
   readonly reports: PeerReports;
   readonly log: Logger;
-  /** What was known before all entries were lost, as far as it still counts. */
+  /** Observations from before all entries were lost, decayed by age. */
   recalled(): CapacitySums;
   isModel(service: string): boolean;
   aims(service: string): readonly RouteAim[];
@@ -83,41 +84,41 @@
   const model = createEngineModel(clock);
   const outcomes = createOutcomeMeter(clock);
   const work = createWorkMeter(clock);
-  const known = new Map<string, Known>();
+  const cache = new Map<string, CachedFigures>();
   const logged = new Map<string, EngineFigures>();
-  let toldAt = -Infinity;
+  let publishedAt = -Infinity;
 
-  function allSeen(): CapacitySums {
+  function fleetCapacity(): CapacitySums {
     return addCapacity([model.sums(), ...reports.capacity()]);
   }
 
-  function learn(service: string): Known {
-    const all = addCapacity([allSeen(), options.recalled()]);
+  function computeFigures(service: string): CachedFigures {
+    const all = addCapacity([fleetCapacity(), options.recalled()]);
     const figures = engineFigures(all[service], options.aims(service));
-    return {at: clock.now(), figures, weights: weightsOf(figures)};
+    return {at: clock.now(), figures, weights: routeWeightsFor(figures)};
   }
 
-  function knownOf(service: string): Known {
-    const last = known.get(service);
-    if (last !== undefined && clock.now() - last.at < REFRESH_MS) {
+  function cachedFigures(service: string): CachedFigures {
+    const last = cache.get(service);
+    if (last !== undefined && clock.now() - last.at < REFRESH_INTERVAL_MS) {
       return last;
     }
-    const fresh = learn(service);
-    known.set(service, fresh);
-    noteChange(service, fresh.figures);
+    const fresh = computeFigures(service);
+    cache.set(service, fresh);
+    logChange(service, fresh.figures);
     return fresh;
   }
 
-  /** Logs figures that are new, or far from those logged last. */
-  function noteChange(service: string, figures: EngineFigures): void {
+  /** Logs figures that are new or differ enough from those logged last. */
+  function logChange(service: string, figures: EngineFigures): void {
     const last = logged.get(service);
     const ratio = last ? figures.usualPromptMs / last.usualPromptMs : Infinity;
-    const isNear = Math.abs(ratio - 1) < CHANGE_TO_LOG;
-    if (isNear && figures.isSure === last?.isSure) {
+    const isSimilar = Math.abs(ratio - 1) < LOGGED_CHANGE;
+    if (isSimilar && figures.isSure === last?.isSure) {
       return;
     }
     logged.set(service, figures);
-    log.info({service, ...figures}, 'engines known');
+    log.info({service, ...figures}, 'engine figures updated');
   }
 
   function workOf(service: string): WorkRate {
@@ -125,17 +126,17 @@
     return addWork(own, reports.workOf(service));
   }
 
-  function lateOf(service: string): number {
+  function lateFraction(service: string): number {
     const parts = [outcomes.sums(), ...reports.outcomes()];
     return latePart(parts.flatMap(part => part[service] ?? []));
   }
 
-  function signs(service: string): Omit<DemandSigns, 'present'> {
-    const {figures} = knownOf(service);
+  function demandSigns(service: string): Omit<DemandSigns, 'present'> {
+    const {figures} = cachedFigures(service);
     return {
       workRate: workMs(workOf(service), figures),
       use: plannedUse(figures, options.aims(service)),
-      latePart: lateOf(service),
+      latePart: lateFraction(service),
       isSure: figures.isSure,
     };
   }
@@ -144,30 +145,30 @@
     model,
     outcomes,
     work,
-    figures: service => knownOf(service).figures,
+    figures: service => cachedFigures(service).figures,
     workOf,
-    signs,
+    signs: demandSigns,
     routeWeights: service =>
-      options.isModel(service) ? knownOf(service).weights : undefined,
-    news() {
-      if (clock.now() - toldAt < TELL_MS) {
+      options.isModel(service) ? cachedFigures(service).weights : undefined,
+    unpublishedCapacity() {
+      if (clock.now() - publishedAt < PUBLISH_INTERVAL_MS) {
         return undefined;
       }
-      toldAt = clock.now();
+      publishedAt = clock.now();
       return model.sums();
     },
-    allSeen,
+    fleetCapacity,
     dump: () =>
       Object.fromEntries(
-        [...known].map(([service, {figures}]) => [
+        [...cache].map(([service, {figures}]) => [
           service,
-          {...figures, ...signs(service)},
+          {...figures, ...demandSigns(service)},
         ]),
       ),
   };
 }
 
-function weightsOf(figures: EngineFigures): Partial<RouteWeights> {
+function routeWeightsFor(figures: EngineFigures): Partial<RouteWeights> {
   const {usualTokenMs, usualPromptMs, usualAnswerTokens} = figures;
   return {
     knownMsPerToken: usualTokenMs,
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -1,4 +1,4 @@
-/** Takes an admitted request to an endpoint, and to another one where that is allowed. */
+/** Forwards an admitted request to an endpoint, with retries at others. */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {Admission} from '@skylarkfield/admission';
 import type {
@@ -11,26 +11,26 @@
 import {runAttempt, type AttemptEnd} from './attempt.js';
 import {
   describeEnd,
-  isServerFault,
-  limited,
+  isServerError,
+  rateLimited,
   mayHaveRun,
-  noPlaceInTime,
-  noRoom,
+  waitTooLong,
+  allDeclined,
   outcomeOf,
   quarantined,
   unavailable,
-  withRuns,
+  withRunState,
 } from './attemptOutcome.js';
 import type {CallerReply} from './callerReply.js';
 import type {CallFormat, CallHead, ReplyHead} from './contracts.js';
 import type {EngineObserver} from './engineObserver.js';
 import type {EndpointDirectory, VersionGroup} from './endpointDirectory.js';
-import {beginProgress, createSendRules, type Progress} from './sendRules.js';
-import {createSuspicion} from './suspicion.js';
-import type {Continuation, StreamMoves} from './streamMove.js';
+import {createProgress, createRetryRules, type Progress} from './retryRules.js';
+import {createCrashGuard} from './crashGuard.js';
+import type {Continuation, StreamMigrator} from './streamMigration.js';
 import type {Upstreams} from './upstream.js';
 
-/** A request that has leave to be sent. */
+/** A request that was admitted. */
 export interface ForwardedCall {
   readonly head: CallHead;
   readonly attemptId: string;
@@ -43,30 +43,33 @@
   readonly path: string;
   readonly rawHeaders: readonly string[];
   readonly body: Buffer | undefined;
-  /** The same for each attempt of the caller; computed when it is first asked for. */
+  /** Identical for all attempts of the caller; computed on first use. */
   fingerprint(): string;
   /** Keys of the prompt's shared parts; empty for a plain service. */
   readonly promptKeys: readonly string[];
   /** Monotonic milliseconds. */
   readonly deadlineAt: number;
-  /** Aborted when the caller leaves or the deadline passes. */
+  /** Aborted when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
 }
 
-/** How a forwarded call ended. */
+/** Result of a forwarded call. */
 export interface ForwardingResult {
   readonly status: number;
-  /** Milliseconds from the first send to the first byte or event; undefined when none came. */
+  /**
+   * Milliseconds from the start of forwarding to the first byte or event;
+   * undefined if none arrived.
+   */
   readonly firstMs: number | undefined;
-  /** Endpoints it was sent to, in order. */
+  /** Endpoints that it was sent to, in order. */
   readonly endpoints: readonly string[];
-  /** Monotonic milliseconds of the first send; undefined when it was not sent. */
+  /** Monotonic milliseconds of the first send; undefined if it was not sent. */
   readonly firstSendAt?: number;
-  /** Prompt tokens to be read before its own where it was sent first, as known then; undefined when it was not sent. */
+  /** Prompt tokens queued ahead of it at the first endpoint, if it was sent. */
   readonly tokensAhead?: number;
-  /** Present when an endpoint closed its connection on the request. */
+  /** Set if an endpoint closed its connection during the request. */
   readonly fingerprint?: string;
-  /** Why it failed; undefined when an endpoint's whole answer was passed on. */
+  /** Undefined if an endpoint's complete response was passed on. */
   readonly error: ServingError | undefined;
 }
 
@@ -74,14 +77,14 @@
   forward(call: ForwardedCall, reply: CallerReply): Promise<ForwardingResult>;
 }
 
-/** Where an attempt is made, and from which memory it goes on. */
-interface AttemptStart {
+/** The endpoint of an attempt, and the KV cache it resumes from. */
+interface AttemptTarget {
   readonly choice: Choice;
   readonly memory?: Continuation['memory'];
 }
 
 /**
- * Makes the forwarding of one entry.
+ * Creates the forwarding of one entry.
  *
  * @example
  * const {status} = await forwarding.forward(call, reply);
@@ -93,20 +96,20 @@
   readonly directory: EndpointDirectory;
   readonly admission: Admission;
   readonly upstreams: Upstreams;
-  readonly moves: StreamMoves;
+  readonly migrator: StreamMigrator;
   readonly engines: EngineObserver;
   readonly format: CallFormat;
   readonly clock: Clock;
   readonly log: Logger;
-  /** A request of the customer began to run at this wall-clock millisecond. */
+  /** Called with the wall-clock time at which a request started to run. */
   onDidRun(customer: string | undefined, wallMs: number): void;
 }): Forwarding {
-  const {router, directory, upstreams, moves, engines, format, clock, log} =
+  const {router, directory, upstreams, migrator, engines, format, clock, log} =
     options;
-  const suspicion = createSuspicion(options);
-  const rules = createSendRules({admission: options.admission, clock});
+  const crashGuard = createCrashGuard(options);
+  const rules = createRetryRules({admission: options.admission, clock});
 
-  /** An endpoint of the call's group, else one of those that have served all along. */
+  /** Chooses an endpoint of the call's version group, else an incumbent. */
   function choose(call: ForwardedCall, excluded: ReadonlySet<string>) {
     const {demand} = call.head;
     const routingRequest = {
@@ -117,7 +120,7 @@
       ...(demand && {ownTokens: ownTokens(demand)}),
       ...(call.urgency !== undefined && {urgency: call.urgency}),
       excluded,
-      isSuspected: suspicion.isSuspected(call),
+      isSuspected: crashGuard.isSuspected(call),
     };
     return (
       router.choose(routingRequest) ??
@@ -129,14 +132,14 @@
     call: ForwardedCall,
     reply: CallerReply,
     progress: Progress,
-    {choice, memory}: AttemptStart,
+    {choice, memory}: AttemptTarget,
   ): Promise<AttemptEnd> {
     const endpoint = directory.get(choice.endpoint);
     if (endpoint === undefined) {
       choice.finish({outcome: 'unreachable', latencyMs: 0});
       return {
         type: 'failed',
-        error: unavailable(call.service, 'it has just gone'),
+        error: unavailable(call.service, 'the chosen one was just removed'),
       };
     }
     progress.endpoints.push(endpoint.id);
@@ -149,13 +152,13 @@
     let beganAt: number | undefined;
     const lastEventId = reply.lastEventId() ?? call.head.lastEventId;
     const isFresh = memory === undefined && lastEventId === undefined;
-    const seen = engines.observe(call, choice, isFresh);
-    const watched = moves.watch({
+    const observer = engines.observe(call, choice, isFresh);
+    const watchedStream = migrator.watch({
       endpoint: choice.endpoint,
       attemptId: call.attemptId,
       hasBegun: () => isStream && beganAt !== undefined,
       choose: () =>
-        suspicion.isQuarantined(call)
+        crashGuard.isQuarantined(call)
           ? undefined
           : choose(call, progress.excluded),
     });
@@ -180,34 +183,34 @@
       format,
       clock,
       signal: call.signal,
-      sink: isStream ? seen.watched(reply.sink) : undefined,
-      silenceMs: rules.silenceMs(call, progress),
-      isStopping: watched.isStopping,
+      sink: isStream ? observer.watched(reply.sink) : undefined,
+      idleTimeoutMs: rules.idleTimeoutMs(call, progress),
+      isStopRequested: watchedStream.isStopRequested,
       onDidRespond({limitPerSecond}) {
         options.limits.note(choice.endpoint, limitPerSecond);
         options.suspects.noteHeard(choice.endpoint, sentAt);
       },
       onDidBegin(head) {
         beganAt = clock.now();
-        seen.noteBegin();
-        progress.firstMs ??= beganAt - progress.sentAt;
+        observer.noteBegin();
+        progress.firstMs ??= beganAt - progress.startedAt;
         choice.streaming();
         noteLoad(choice.endpoint, head);
         countRun(isStream ? clock.wall() : sentWallMs);
       },
     });
-    watched.dispose();
-    progress.continuation = await watched.continuation();
+    watchedStream.dispose();
+    progress.continuation = await watchedStream.continuation();
     const latencyMs = (beganAt ?? clock.now()) - sentAt;
-    // A stream that was moved has stopped because it was told to.
+    // A migrated stream ended because its endpoint was told to stop it.
     const outcome = progress.continuation ? 'ok' : outcomeOf(end);
     choice.finish({outcome, latencyMs});
-    seen.noteEnd();
+    observer.noteEnd();
     if (end.type === 'failed' && end.loss === 'closed') {
       progress.fingerprint = call.fingerprint();
     }
-    if (!watched.isStopping()) {
-      suspicion.noteEnd(call, choice.endpoint, end);
+    if (!watchedStream.isStopRequested()) {
+      crashGuard.noteAttemptEnd(call, choice.endpoint, end);
     }
     if (mayHaveRun(end) && memory === undefined) {
       progress.runs += 1;
@@ -217,7 +220,10 @@
     }
     return end;
 
-    /** A plain request runs from its sending on, a model's from its first event; counted once for all attempts. */
+    /**
+     * Counts a call once over all attempts. A plain request runs from its send,
+     * a model request from its first event.
+     */
     function countRun(wallMs: number): void {
       if (!progress.isCounted) {
         progress.isCounted = true;
@@ -240,7 +246,7 @@
     });
   }
 
-  /** What follows an attempt: an answer, an error, or undefined for another attempt. */
+  /** Returns the final result of the call, or undefined to retry. */
   function conclude(
     call: ForwardedCall,
     reply: CallerReply,
@@ -251,40 +257,40 @@
       return {status: 200};
     }
     if (end.type === 'answered') {
-      const isFault = isServerFault(end.status);
-      if (isFault && !reply.hasBegun() && rules.mayRunAgain(call, progress)) {
+      const isFault = isServerError(end.status);
+      if (isFault && !reply.hasBegun() && rules.mayRerun(call, progress)) {
         return undefined;
       }
       if (reply.hasBegun()) {
-        return failed(
+        return respondWithError(
           reply,
-          new ServingError('interrupted', 'the stream could not go on'),
+          new ServingError('interrupted', 'the stream could not be resumed'),
         );
       }
-      reply.whole(end.status, end.headers, end.body);
+      reply.sendWhole(end.status, end.headers, end.body);
       return {status: end.status};
     }
     if (end.type === 'declined') {
-      if (rules.maySendOn(call, progress)) {
+      if (rules.mayResend(call, progress)) {
         return undefined;
       }
       const {endpoints, runs} = progress;
-      const error = noRoom(call.service, endpoints.length);
-      return failed(reply, withRuns(error, runs));
+      const error = allDeclined(call.service, endpoints.length);
+      return respondWithError(reply, withRunState(error, runs));
     }
     const hasRun = end.error.run === 'may-have-run';
-    const mayGoOn = hasRun
-      ? rules.mayRunAgain(call, progress)
-      : rules.maySendOn(call, progress);
-    return mayGoOn
+    const mayRetry = hasRun
+      ? rules.mayRerun(call, progress)
+      : rules.mayResend(call, progress);
+    return mayRetry
       ? undefined
-      : failed(reply, withRuns(end.error, progress.runs));
+      : respondWithError(reply, withRunState(end.error, progress.runs));
   }
 
-  function next(
+  function nextTarget(
     call: ForwardedCall,
     progress: Progress,
-  ): AttemptStart | undefined {
+  ): AttemptTarget | undefined {
     const {continuation} = progress;
     progress.continuation = undefined;
     if (continuation !== undefined) {
@@ -294,23 +300,23 @@
     return choice && {choice};
   }
 
-  /** Why no endpoint of a service may be asked. */
-  function noEndpoint(service: string): ServingError {
+  /** Returns the reason why no endpoint can be tried. */
+  function noEndpointError(service: string): ServingError {
     const waitMs = router.limitWaitMs(service);
     return waitMs === undefined
-      ? unavailable(service, 'none is left')
-      : limited(service, waitMs);
+      ? unavailable(service, 'none is left to try')
+      : rateLimited(service, waitMs);
   }
 
   /**
-   * Refuses a request that nobody has run yet and that can't be answered in its
-   * caller's time even at the endpoint that suits it best: the caller learns now
-   * when to come back, and those before it are not held up by work in vain.
+   * Rejects a request that has not run yet and cannot be answered before its
+   * deadline even at the best endpoint: the caller learns early when to retry,
+   * and no capacity is wasted on it.
    */
-  function refusal(
+  function rejectIfTooLate(
     call: ForwardedCall,
     progress: Progress,
-    {choice, memory}: AttemptStart,
+    {choice, memory}: AttemptTarget,
   ): ServingError | undefined {
     if (progress.runs > 0 || memory !== undefined) {
       return undefined;
@@ -329,13 +335,13 @@
         waitMs: Math.round(wait.ms),
         longestMs: Math.round(wait.longestMs),
       },
-      'no place in time',
+      'rejected because of the expected wait',
     );
-    return noPlaceInTime(call.service, wait);
+    return waitTooLong(call.service, wait);
   }
 
-  /** Whether the request goes on where its memory was moved to. */
-  function isMoved(
+  /** Whether the request continues at its migration target. */
+  function isMigrated(
     {signal}: ForwardedCall,
     progress: Progress,
     end: AttemptEnd,
@@ -352,58 +358,58 @@
     return false;
   }
 
-  function failed(reply: CallerReply, error: ServingError) {
+  function respondWithError(reply: CallerReply, error: ServingError) {
     if (reply.hasBegun()) {
-      reply.breakOff();
+      reply.abort();
       return {status: 0, error};
     }
-    return {status: reply.refuse(error), error};
+    return {status: reply.sendError(error), error};
   }
 
   return {
     async forward(call, reply) {
-      const progress = beginProgress(clock.now());
+      const progress = createProgress(clock.now());
       for (;;) {
-        const verdict = suspicion.judge(call, progress);
+        const verdict = crashGuard.checkSend(call, progress);
         if (verdict.type === 'quarantined') {
-          const error = withRuns(quarantined(verdict), progress.runs);
-          return result(failed(reply, error), progress);
+          const error = withRunState(quarantined(verdict), progress.runs);
+          return toResult(respondWithError(reply, error), progress);
         }
-        const start = next(call, progress);
-        if (start === undefined) {
-          const error = noEndpoint(call.service);
-          const refusal = withRuns(error, progress.runs);
-          return result(failed(reply, refusal), progress);
+        const target = nextTarget(call, progress);
+        if (target === undefined) {
+          const error = noEndpointError(call.service);
+          const rejection = withRunState(error, progress.runs);
+          return toResult(respondWithError(reply, rejection), progress);
         }
-        const refused = refusal(call, progress, start);
-        if (refused !== undefined) {
-          return result(failed(reply, refused), progress);
+        const rejection = rejectIfTooLate(call, progress, target);
+        if (rejection !== undefined) {
+          return toResult(respondWithError(reply, rejection), progress);
         }
-        const end = await attempt(call, reply, progress, start);
-        if (isMoved(call, progress, end)) {
+        const end = await attempt(call, reply, progress, target);
+        if (isMigrated(call, progress, end)) {
           continue;
         }
         const conclusion = conclude(call, reply, progress, end);
         if (conclusion !== undefined) {
-          return result(conclusion, progress);
+          return toResult(conclusion, progress);
         }
         log.info(
           {
             request: call.attemptId,
-            endpoint: start.choice.endpoint,
+            endpoint: target.choice.endpoint,
             end: describeEnd(end),
             runs: progress.runs,
             sends: progress.endpoints.length,
             fingerprint: progress.fingerprint,
           },
-          'another endpoint',
+          'retrying at another endpoint',
         );
       }
     },
   };
 }
 
-function result(
+function toResult(
   {status, error}: {status: number; error?: ServingError},
   {firstMs, endpoints, tokensAhead, firstSendAt, fingerprint}: Progress,
 ): ForwardingResult {
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -1,4 +1,4 @@
-/** One gateway process: how it starts and how it stops. */
+/** Startup and graceful shutdown of a gateway process. */
 import {
   createDumps,
   createInFlight,
@@ -11,38 +11,42 @@
   systemClock,
   type Logger,
 } from '@skylarkfield/base';
-import {createAgreementPart} from './agreementPart.js';
+import {createCoordination} from './coordination.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
 import type {Platform} from './contracts.js';
-import {competeForDuty} from './dutyPart.js';
+import {competeForClusterDuty} from './clusterDuty.js';
 import {openPorts} from './gatewayPorts.js';
 import {createRequestMetrics} from './requestMetrics.js';
 import type {GatewaySettings} from './settings.js';
-import {createTrafficPart} from './trafficPart.js';
+import {createTrafficPipeline} from './trafficPipeline.js';
 
 export interface GatewayProcess {
-  /** A planned stop: leaves the lookups, serves on, then ends what is in flight. */
+  /**
+   * Shuts down gracefully: leaves the lookups, serves on for a while, then
+   * waits for requests in flight.
+   */
   stop(): Promise<void>;
-  /** Takes over what can change while running: the log's level. */
+  /** Applies the settings that can change at run time: the log level. */
   reload(settings: GatewaySettings): void;
 }
 
 /**
- * How long a stopping process still takes new requests, in milliseconds: callers
- * keep a lookup's answer for 2 s. What comes later is refused, since a long
- * answer could not end within the grace.
+ * Time for which a stopping process still accepts new requests, in
+ * milliseconds: callers cache lookups for 2 s. Later requests are rejected,
+ * since a long response could not end within the grace period.
  */
 const LINGER_MS = 2_700;
 
-/** Time before the end of the grace that the process keeps for itself, in milliseconds. */
-const END_MARGIN_MS = 700;
+/** Grace time reserved for the process's own shutdown, in milliseconds. */
+const SHUTDOWN_MARGIN_MS = 700;
 
 /**
- * Starts a gateway. Throws `bad-settings` when a port can't be opened; what was
- * opened by then is closed again.
+ * Starts a gateway. Throws `bad-settings` if a port cannot be opened, after
+ * releasing everything opened before.
  *
  * @example
- * const gateway = await startGateway(settings, createPlatform(settings.platform, log), log);
+ * const gateway = await startGateway(settings,
+ *   createPlatform(settings.platform, log), log);
  * await gateway.stop();
  */
 export async function startGateway(
@@ -53,16 +57,16 @@
   const owned = disposableStore();
   try {
     const context = createContext(settings, platform, log);
-    const agreement = owned.add(await createAgreementPart(context));
-    const traffic = owned.add(createTrafficPart(context, agreement));
-    owned.add(competeForDuty(context, agreement, traffic));
-    owned.add(await openPorts(context, agreement, traffic));
+    const coordination = owned.add(await createCoordination(context));
+    const traffic = owned.add(createTrafficPipeline(context, coordination));
+    owned.add(competeForClusterDuty(context, coordination, traffic));
+    owned.add(await openPorts(context, coordination, traffic));
     log.info({incarnation: context.incarnation}, 'started');
 
     let stopping: Promise<void> | undefined;
     return {
       stop() {
-        stopping ??= stop(context, agreement).then(async () => {
+        stopping ??= shutDown(context, coordination).then(async () => {
           owned.dispose();
           await context.metrics.shutDown();
         });
@@ -110,10 +114,11 @@
 }
 
 /**
- * The farewell to peers and platform is not waited for beyond the linger: with
- * the platform away it would take the time that answers in flight need.
+ * Shuts the process down. Leaving the membership and releasing leases is not
+ * awaited beyond the linger time: if the platform is down, it would use up the
+ * time for responses in flight.
  */
-async function stop(
+async function shutDown(
   {settings, clock, log, life, inFlight}: GatewayContext,
   {
     membership,
@@ -124,13 +129,16 @@
   },
 ): Promise<void> {
   const graceMs = settings.graceSeconds * MS_PER_SECOND;
-  const endAt = clock.now() + graceMs - END_MARGIN_MS;
+  const endAt = clock.now() + graceMs - SHUTDOWN_MARGIN_MS;
   log.info({inFlight: inFlight.count(), graceMs}, 'stopping');
   life.send('announce');
-  const farewell = Promise.allSettled([membership.leave(), duties.release()]);
-  void farewell.then(outcomes => {
+  const departure = Promise.allSettled([membership.leave(), duties.release()]);
+  void departure.then(outcomes => {
     const failed = outcomes.filter(({status}) => status === 'rejected');
-    log.info({failed: failed.length}, 'peers and platform told');
+    log.info(
+      {failed: failed.length},
+      'departure from membership and leases finished',
+    );
   });
   await new Promise<void>(resolve => {
     clock.after(Math.min(LINGER_MS, graceMs / 2), resolve);
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The gateway: requests of any service, by declared routes. */
+/** The gateway: routes requests to services by the traffic policy. */
 export * from './contracts.js';
 export {createEngineObserver, type EngineObserver} from './engineObserver.js';
 export {createEnginesView, type EnginesView} from './enginesView.js';
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -12,7 +12,7 @@
 import {createConfirmation, type Timestamp} from '@skylarkfield/traffic';
 import type {SourceChanges, SourceItem, SourceListing} from './contracts.js';
 
-/** Changes that take a copy from one revision to another. */
+/** Changes that take a replica from one revision to another. */
 export interface MirrorStep {
   readonly from: number;
   readonly to: number;
@@ -26,24 +26,30 @@
   get(name: string): T | undefined;
   items(): readonly SourceItem<T>[];
   revision(): number;
-  /** Milliseconds since the replica was last confirmed up to date; Infinity before that. */
+  /** Milliseconds since the replica was last confirmed; initially Infinity. */
   ageMs(): number;
   /** Fires after the content has changed. */
   readonly onDidChange: Event<void>;
-  /** Applies a listing; `asked` is when it was requested, undefined for one that may be stale. */
-  takeListing(listing: SourceListing<T>, asked: Timestamp | undefined): void;
-  /** Applies changes read from the store; returns the step to pass on, if anything changed. */
-  takeChanges(
+  /** Applies a listing; `requestedAt` is undefined if it may be stale. */
+  applyListing(
+    listing: SourceListing<T>,
+    requestedAt: Timestamp | undefined,
+  ): void;
+  /** Applies changes from the store; returns the step to broadcast, if any. */
+  applyChanges(
     changes: SourceChanges<T>,
-    asked: Timestamp,
+    requestedAt: Timestamp,
   ): MirrorStep | undefined;
-  /** Applies a step from a peer; false on a gap, when the whole copy is needed. */
-  takeStep(step: MirrorStep): boolean;
-  takeCopy(copy: MirrorCopy): void;
-  /** Confirms the replica by a peer's, up to date at that moment; true when both are the same. */
+  /** Applies a step from a peer; false on a gap, which requires a copy. */
+  applyStep(step: MirrorStep): boolean;
+  applyCopy(copy: MirrorCopy): void;
+  /**
+   * Confirms the replica by a peer's that was up to date at the timestamp;
+   * false if it lacks changes.
+   */
   confirmBy(syncStatus: SyncStatus, timestamp: Timestamp): boolean;
   copy(): MirrorCopy;
-  /** Sync status for the peers; `isReader` is whether this entry reads the store itself. */
+  /** Returns the status for peers; `isReader` if this entry reads the store. */
   syncStatus(isReader: boolean): SyncStatus;
 }
 
@@ -51,7 +57,8 @@
  * Creates an empty replica.
  *
  * @example
- * const endpoints = createMirror<RegisteredEndpoint>({kind: 'endpoints', clock, log});
+ * const endpoints = createMirror<RegisteredEndpoint>({kind: 'endpoints',
+ *   clock, log});
  * endpoints.onDidChange(() => router.setEndpoints(endpoints.items()));
  */
 export function createMirror<T>(options: {
@@ -63,26 +70,30 @@
   const changed = emitter<void>();
   const confirmation = createConfirmation(clock);
   const items = new Map<string, SourceItem<T>>();
-  /** Store revision up to which the replica is complete; undefined before the first listing. */
+  /** Store revision of the replica; undefined before the first listing. */
   let revision: number | undefined;
   let changedAt = 0;
 
   function put(name: string, itemRevision: number, value: T): boolean {
-    const known = items.get(name);
-    if (known !== undefined && known.revision >= itemRevision) {
+    const existing = items.get(name);
+    if (existing !== undefined && existing.revision >= itemRevision) {
       return false;
     }
     items.set(name, {name, revision: itemRevision, value});
     return true;
   }
 
-  function apply({name, revision: at, value}: MirrorChange): boolean {
+  function apply({
+    name,
+    revision: changeRevision,
+    value,
+  }: MirrorChange): boolean {
     if (value !== undefined) {
-      return put(name, at, value as T);
+      return put(name, changeRevision, value as T);
     }
-    const known = items.get(name);
+    const existing = items.get(name);
     // The object may have been recreated after this removal.
-    if (known === undefined || known.revision > at) {
+    if (existing === undefined || existing.revision > changeRevision) {
       return false;
     }
     return items.delete(name);
@@ -103,25 +114,25 @@
     }
   }
 
-  /** Replaces the content unless the new one is older. */
+  /** Replaces the content unless the new content is older. */
   function replace(
     to: number,
-    at: number,
-    next: readonly MirrorChange[],
+    changeRevision: number,
+    newItems: readonly MirrorChange[],
   ): void {
     if (revision !== undefined && to < revision) {
       return;
     }
-    const names = new Set(next.map(({name}) => name));
+    const names = new Set(newItems.map(({name}) => name));
     const removed = [...items.keys()].filter(name => !names.has(name));
     removed.forEach(name => items.delete(name));
     const isFirst = revision === undefined;
     revision = to;
     let isDifferent = isFirst || removed.length > 0;
-    for (const change of next) {
+    for (const change of newItems) {
       isDifferent = apply(change) || isDifferent;
     }
-    changedAt = Math.max(changedAt, at);
+    changedAt = Math.max(changedAt, changeRevision);
     if (isDifferent) {
       log.info({mirror: kind, to, objects: items.size}, 'mirror replaced');
       changed.fire();
@@ -136,16 +147,16 @@
     revision: () => revision ?? 0,
     ageMs: () => (revision === undefined ? Infinity : confirmation.ageMs()),
     onDidChange: changed.event,
-    takeListing(listing, asked) {
+    applyListing(listing, requestedAt) {
       replace(listing.revision, listing.revision, listing.items);
-      if (asked !== undefined) {
-        confirmation.confirm(asked);
+      if (requestedAt !== undefined) {
+        confirmation.confirm(requestedAt);
       }
     },
-    takeChanges(read, asked) {
+    applyChanges(read, requestedAt) {
       const from = revision ?? 0;
       if (read.revision < from) {
-        // A peer's step has overtaken this answer.
+        // A peer's step has overtaken this response.
         return undefined;
       }
       const changes = read.changes.map(({name, item}) =>
@@ -154,14 +165,14 @@
           : {name, revision: item.revision, value: item.value},
       );
       revision = read.revision;
-      confirmation.confirm(asked);
+      confirmation.confirm(requestedAt);
       if (changes.length === 0) {
         return undefined;
       }
       applyAll(changes, read.revision);
       return {from, to: read.revision, changes};
     },
-    takeStep({from, to, changes}) {
+    applyStep({from, to, changes}) {
       if (revision === undefined || revision < from) {
         return false;
       }
@@ -171,7 +182,7 @@
       }
       return true;
     },
-    takeCopy: copy => replace(copy.revision, copy.changedAt, copy.items),
+    applyCopy: copy => replace(copy.revision, copy.changedAt, copy.items),
     confirmBy(syncStatus, timestamp) {
       if (revision === undefined || revision < syncStatus.changedAt) {
         return false;
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -1,9 +1,10 @@
 /**
  * Reads one kind of objects from the platform on behalf of all entries.
  *
- * Calls are priced and rate-limited for the whole fleet, so one entry reads and
- * passes changes on. Entries take over in a fixed order when no predecessor
- * reports successful reads: it may be dead, or the platform may reject it alone.
+ * Calls are billed and rate-limited for the whole fleet, so one entry reads and
+ * broadcasts the changes. Entries take over in a fixed order when no
+ * predecessor reports successful reads: it may be down, or the platform may
+ * reject it alone.
  */
 import {
   toServingError,
@@ -23,7 +24,10 @@
   readonly waitMs: number;
   /** Time beyond the long poll after which a call counts as failed. */
   readonly graceMs: number;
-  /** Freshness of the first listing; later changes come from the next read or from peers. */
+  /**
+   * Freshness of the first listing; later changes come from the next read or
+   * from peers.
+   */
   readonly firstListing: Freshness;
 }
 
@@ -33,24 +37,28 @@
   dump(): unknown;
 }
 
-/** Backoff after a failed call, in milliseconds; short enough to notice the platform's return within a second. */
+/**
+ * Backoff after a failed call, in milliseconds; short enough to notice the
+ * platform's return within a second.
+ */
 const FIRST_RETRY_MS = 100;
-const LONGEST_RETRY_MS = 500;
+const MAX_RETRY_MS = 500;
 
 /**
- * Pause after the first listing, in milliseconds. Until it knows its peers, a
- * new process would act as a reader beside the present ones.
+ * Pause after the first listing, in milliseconds. Until it has discovered its
+ * peers, a new process would read in addition to the current readers.
  */
 const SETTLE_MS = 1_000;
 
-/** Interval of checks whether this entry has to read, in milliseconds. */
-const TURN_CHECK_MS = 200;
+/** Interval at which `shouldRead` is checked, in milliseconds. */
+const READ_CHECK_INTERVAL_MS = 200;
 
 /**
  * Starts the reader.
  *
  * @example
- * const reader = startMirrorReader({mirror, source, clock, random, log, timing, isTurn, onDidStep});
+ * const reader = startMirrorReader({mirror, source, clock, random, log,
+ *   timing, shouldRead, onDidStep});
  */
 export function startMirrorReader<T>(options: {
   readonly mirror: Mirror<T>;
@@ -60,56 +68,60 @@
   readonly log: Logger;
   readonly timing: ReadTiming;
   /** Whether no entry before this one in the order reads. */
-  isTurn(): boolean;
-  /** Changes to pass on to the other entries. */
+  shouldRead(): boolean;
+  /** Called with changes to broadcast. */
   onDidStep(step: MirrorStep): void;
 }): MirrorReader {
   const {mirror, source, clock, random, log, timing} = options;
   const stop = new AbortController();
-  let answeredAt = -Infinity;
+  let succeededAt = -Infinity;
   let failures = 0;
   let calls = 0;
   let isCompacted = false;
 
   function isReading(): boolean {
-    return clock.now() - answeredAt < timing.waitMs + timing.graceMs;
+    return clock.now() - succeededAt < timing.waitMs + timing.graceMs;
   }
 
-  async function bounded<R>(
-    spanMs: number,
+  async function callWithTimeout<R>(
+    timeoutMs: number,
     call: (signal: AbortSignal) => Promise<R>,
   ): Promise<R> {
-    const limit = new AbortController();
-    const timer = clock.after(spanMs, () => limit.abort());
+    const timeout = new AbortController();
+    const timer = clock.after(timeoutMs, () => timeout.abort());
     calls += 1;
     try {
-      return await call(AbortSignal.any([limit.signal, stop.signal]));
+      return await call(AbortSignal.any([timeout.signal, stop.signal]));
     } finally {
       timer.dispose();
     }
   }
 
   async function readList(): Promise<void> {
-    const asked = timestampOf(clock);
+    const requestedAt = timestampOf(clock);
     // A stale listing could predate the compaction, and its changes are gone.
     const freshness = isCompacted ? 'latest' : timing.firstListing;
-    const listing = await bounded(timing.graceMs, signal =>
+    const listing = await callWithTimeout(timing.graceMs, signal =>
       source.list(signal, freshness),
     );
-    mirror.takeListing(listing, freshness === 'latest' ? asked : undefined);
+    mirror.applyListing(
+      listing,
+      freshness === 'latest' ? requestedAt : undefined,
+    );
     isCompacted = false;
   }
 
   async function readChanges(): Promise<void> {
-    const asked = timestampOf(clock);
-    const changes = await bounded(timing.waitMs + timing.graceMs, signal =>
-      source.changes(mirror.revision(), timing.waitMs, signal),
+    const requestedAt = timestampOf(clock);
+    const changes = await callWithTimeout(
+      timing.waitMs + timing.graceMs,
+      signal => source.changes(mirror.revision(), timing.waitMs, signal),
     );
     if (changes === undefined) {
       isCompacted = true;
       return;
     }
-    const step = mirror.takeChanges(changes, asked);
+    const step = mirror.applyChanges(changes, requestedAt);
     if (step !== undefined) {
       options.onDidStep(step);
     }
@@ -119,10 +131,10 @@
     try {
       await (mirror.isKnown() && !isCompacted ? readChanges() : readList());
       if (failures > 0) {
-        log.info({mirror: mirror.kind, failures}, 'platform answers again');
+        log.info({mirror: mirror.kind, failures}, 'platform reads recovered');
       }
       failures = 0;
-      answeredAt = clock.now();
+      succeededAt = clock.now();
       return 0;
     } catch (error) {
       failures += 1;
@@ -131,7 +143,7 @@
         log.warn({mirror: mirror.kind, kind, message}, 'platform read failed');
       }
       const delayMs = FIRST_RETRY_MS * 2 ** Math.min(failures, 6);
-      return Math.min(LONGEST_RETRY_MS, delayMs) * (0.5 + random.next());
+      return Math.min(MAX_RETRY_MS, delayMs) * (0.5 + random.next());
     }
   }
 
@@ -139,7 +151,9 @@
     while (!stop.signal.aborted) {
       const wasKnown = mirror.isKnown();
       const wasCompacted = isCompacted;
-      let pauseMs = options.isTurn() ? await readOnce() : TURN_CHECK_MS;
+      let pauseMs = options.shouldRead()
+        ? await readOnce()
+        : READ_CHECK_INTERVAL_MS;
       if (!wasKnown && mirror.isKnown()) {
         pauseMs = SETTLE_MS * (0.75 + random.next() / 2);
       } else if (wasCompacted) {
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -1,10 +1,10 @@
 /**
- * What the other entries have said of their use and load, and sums of it for
- * those who do not hear them.
+ * Latest usage and load reports of peers, and aggregates for entries that do
+ * not receive those reports.
  *
- * Each part of the system has one speaker at a time: an entry for itself, a
- * relay for its failure domain or for all the rest. Two relays that both spoke
- * for a part would count it twice.
+ * Each origin has one reporter at a time: an entry for itself, a relay for its
+ * failure domain or for all other entries. Reports of two relays for one origin
+ * would count it twice.
  */
 import type {Clock} from '@skylarkfield/base';
 import {
@@ -27,68 +27,76 @@
 type Digest = Messages['digest'];
 type Amounts = Readonly<Record<string, number>>;
 
-/** Use and load of one or more entries. */
-export interface ReportSum {
-  /** Entries that it covers. */
+/** Usage and load of one or more entries. */
+export interface AggregateReport {
+  /** Number of entries covered. */
   readonly entries: number;
   readonly used: Amounts;
   readonly loads: Readonly<Record<string, EndpointLoad>>;
-  /** Limits that endpoints have named to them. */
+  /** Request limits announced by endpoints. */
   readonly limits: LimitReports;
-  /** Crashes of endpoints that are told now; undefined when there are none. */
+  /** Crashes of endpoints to propagate now; undefined if there are none. */
   readonly crashes?: CrashReport | undefined;
   readonly work: Readonly<Record<string, WorkRate>>;
-  /** What was seen of engines; undefined when it is not to be told now. */
+  /** Measurements of engines; undefined if not published this time. */
   readonly capacity?: CapacitySums;
   readonly outcomes: Readonly<Record<string, OutcomeSums>>;
 }
 
-/** A digest that counts. */
-export interface TakenReport {
-  /** The part of the system that it is about. */
-  readonly part: string;
-  /** Quota amounts that the part has used since its previous report. */
+/** An accepted digest. */
+export interface AcceptedReport {
+  /** The entries that the digest covers. */
+  readonly origin: string;
+  /** Quota usage of the origin since its previous report. */
   readonly increase: Amounts;
 }
 
 export interface PeerReports {
-  /** Takes a digest; undefined when another speaker is heard for the same part. */
-  take(peer: string, digest: Digest): TakenReport | undefined;
-  /** The own part with what others have said, as far as a receiver of the scope does not hear it elsewhere. */
-  sumFor(scope: DigestScope, receiver: string, own: ReportSum): ReportSum;
-  /** Entries, other than this one, covered by reports that are not overdue. */
-  entriesHeard(): number;
-  /** Work that the others report for a service. */
+  /** Applies a digest; undefined if the origin has another active reporter. */
+  take(peer: string, digest: Digest): AcceptedReport | undefined;
+  /**
+   * Returns this entry's report combined with those of the origins that a
+   * receiver of the scope has no other reports from.
+   */
+  aggregateFor(
+    scope: DigestScope,
+    receiver: string,
+    own: AggregateReport,
+  ): AggregateReport;
+  /** Number of other entries covered by reports that are not overdue. */
+  visiblePeers(): number;
+  /** Returns the work rate of a service reported by the peers. */
   workOf(service: string): WorkRate;
-  /** What each other part has seen of engines. */
+  /** Returns the engine measurements of each origin. */
   capacity(): readonly CapacitySums[];
-  /** How callers fare at each other part. */
+  /** Returns the counts of late requests of each origin. */
   outcomes(): readonly Readonly<Record<string, OutcomeSums>>[];
   dump(): unknown;
 }
 
-interface Part {
-  speaker: string;
-  heardAt: number;
+interface OriginState {
+  reporter: string;
+  receivedAt: number;
   digest: Digest;
-  /** As last told: not every digest repeats it. */
+  /** Latest value, since not every digest contains it. */
   capacity: CapacitySums;
-  /** Sum of the increases heard; it never falls when a speaker restarts or changes. */
+  /** Sum of the increases; never falls when a reporter restarts or changes. */
   readonly used: Record<string, number>;
 }
 
 /**
- * Age from which an entry's report is overdue, in milliseconds: two digests are
- * missed. It may be cut off, and both sides would grant from the same quota.
- * Sums of relays come over more hops and are given the whole silence.
+ * Age at which an entry's report is overdue, in milliseconds: two digests are
+ * missed. The entry may be partitioned, and both sides would grant from the
+ * same quota. Aggregates of relays take more hops and get the whole peer
+ * timeout.
  */
 export const OVERDUE_MS = 700;
 
-/** Name of the part that a relay speaks of to the entries of its own failure domain. */
-const REST = 'the rest';
+/** Origin of a relay's reports to the entries of its own failure domain. */
+const REST_ORIGIN = 'the rest';
 
 /**
- * Makes the reports of one entry.
+ * Creates the reports of one entry.
  *
  * @example
  * const taken = reports.take('a2', digest);
@@ -97,116 +105,122 @@
 export function createPeerReports(options: {
   readonly clock: Clock;
   readonly failureDomain: string;
-  /** Silence after which a part may get another speaker, in milliseconds. */
+  /** Time until a silent reporter may be replaced, in milliseconds. */
   readonly silenceMs: number;
   /** Window of the quotas, in milliseconds. */
   readonly quotaWindowMs: number;
 }): PeerReports {
   const {clock, failureDomain, silenceMs, quotaWindowMs} = options;
-  const parts = new Map<string, Part>();
+  const origins = new Map<string, OriginState>();
   const lastUsed = new Map<string, {incarnation: number; used: Amounts}>();
 
-  function partOf(peer: string, digest: Digest): string {
+  function originOf(peer: string, digest: Digest): string {
     const names: Readonly<Record<DigestScope, string>> = {
       own: peer,
       domain: `failure domain ${digest.failureDomain ?? ''}`,
-      rest: REST,
+      rest: REST_ORIGIN,
     };
     return names[digest.scope ?? 'own'];
   }
 
-  function isFresh({heardAt}: Part): boolean {
-    return clock.now() - heardAt < silenceMs;
+  function isFresh({receivedAt}: OriginState): boolean {
+    return clock.now() - receivedAt < silenceMs;
   }
 
-  function isOverdue({heardAt, digest}: Part): boolean {
+  function isOverdue({receivedAt, digest}: OriginState): boolean {
     const isOwn = (digest.scope ?? 'own') === 'own';
-    return clock.now() - heardAt >= (isOwn ? OVERDUE_MS : silenceMs);
+    return clock.now() - receivedAt >= (isOwn ? OVERDUE_MS : silenceMs);
   }
 
-  function freshParts(): Part[] {
-    return [...parts.values()].filter(isFresh);
+  function freshOrigins(): OriginState[] {
+    return [...origins.values()].filter(isFresh);
   }
 
   /**
-   * Usage since the speaker's previous report. The first report of a process
-   * counts in full when all of it lies within the quota window; otherwise it
-   * only sets the base, and so do first sums of a relay, parts of which were
-   * heard from its predecessor.
+   * Returns usage since the reporter's previous report. The first report of a
+   * process counts in full if all of it lies within the quota window. Otherwise
+   * it only sets the baseline, as do the first sums of a relay, which its
+   * predecessor has partly reported already.
    */
   function increases(peer: string, digest: Digest): Record<string, number> {
     const {incarnation = 0, used, scope = 'own', upMs = Infinity} = digest;
     const key = `${peer} ${scope}`;
-    const before = lastUsed.get(key);
+    const previous = lastUsed.get(key);
     lastUsed.set(key, {incarnation, used});
-    if (before === undefined || before.incarnation !== incarnation) {
+    if (previous === undefined || previous.incarnation !== incarnation) {
       const isWhole = scope === 'own' && upMs < quotaWindowMs;
       return isWhole ? {...used} : {};
     }
     return Object.fromEntries(
-      Object.entries(used).map(([name, amount]) => [
-        name,
-        amount - (before.used[name] ?? 0),
+      Object.entries(used).map(([customer, amount]) => [
+        customer,
+        amount - (previous.used[customer] ?? 0),
       ]),
     );
   }
 
-  function isNear(part: string, {digest}: Part): boolean {
+  function isLocalEntry(origin: string, {digest}: OriginState): boolean {
     return (
-      part !== REST &&
+      origin !== REST_ORIGIN &&
       (digest.scope ?? 'own') === 'own' &&
       digest.failureDomain === failureDomain
     );
   }
 
-  function partsFor(scope: DigestScope, receiver: string): Part[] {
-    const chosen: Readonly<Record<DigestScope, () => [string, Part][]>> = {
+  function originsFor(scope: DigestScope, receiver: string): OriginState[] {
+    const selected: Readonly<
+      Record<DigestScope, () => [string, OriginState][]>
+    > = {
       own: () => [],
-      domain: () => [...parts].filter(([name, part]) => isNear(name, part)),
-      rest: () => [...parts].filter(([name]) => name !== REST),
+      domain: () =>
+        [...origins].filter(([originName, origin]) =>
+          isLocalEntry(originName, origin),
+        ),
+      rest: () =>
+        [...origins].filter(([originName]) => originName !== REST_ORIGIN),
     };
-    return chosen[scope]()
-      .filter(([name]) => name !== receiver)
-      .map(([, part]) => part);
+    return selected[scope]()
+      .filter(([originName]) => originName !== receiver)
+      .map(([, origin]) => origin);
   }
 
   return {
     take(peer, digest) {
-      const name = partOf(peer, digest);
+      const originName = originOf(peer, digest);
       const increase = increases(peer, digest);
-      const part = parts.get(name);
-      if (part !== undefined && part.speaker !== peer && isFresh(part)) {
+      const origin = origins.get(originName);
+      if (origin !== undefined && origin.reporter !== peer && isFresh(origin)) {
         return undefined;
       }
-      const used = part?.used ?? {};
+      const used = origin?.used ?? {};
       addAmounts(used, increase);
-      const capacity = digest.capacity ?? part?.capacity ?? {};
-      parts.set(name, {
-        speaker: peer,
-        heardAt: clock.now(),
+      const capacity = digest.capacity ?? origin?.capacity ?? {};
+      origins.set(originName, {
+        reporter: peer,
+        receivedAt: clock.now(),
         digest,
         capacity,
         used,
       });
-      return {part: name, increase};
+      return {origin: originName, increase};
     },
-    sumFor(scope, receiver, own) {
-      const chosen = partsFor(scope, receiver);
+    aggregateFor(scope, receiver, own) {
+      const selected = originsFor(scope, receiver);
       const used = {...own.used};
       const loads: Record<string, EndpointLoad> = {...own.loads};
       const work = {...own.work};
       const outcomes = {...own.outcomes};
       let {entries, limits, crashes} = own;
-      for (const part of chosen) {
-        addAmounts(used, part.used);
-        if (isFresh(part)) {
-          addLoadsTo(loads, part.digest.loads);
-          addWorkRates(work, part.digest.work);
-          addOutcomes(outcomes, part.digest.outcomes);
-          const sinceMs = clock.now() - part.heardAt;
-          limits = newestLimits(limits, part.digest.limits ?? {}, sinceMs);
-          crashes = addCrashes(crashes, part.digest.crashes);
-          entries += part.digest.entries ?? 1;
+      for (const origin of selected) {
+        addAmounts(used, origin.used);
+        if (isFresh(origin)) {
+          addLoadsTo(loads, origin.digest.loads);
+          addWorkRates(work, origin.digest.work);
+          addOutcomes(outcomes, origin.digest.outcomes);
+          const sinceMs = clock.now() - origin.receivedAt;
+          limits = newestLimits(limits, origin.digest.limits ?? {}, sinceMs);
+          crashes = addCrashes(crashes, origin.digest.crashes);
+          entries += origin.digest.entries ?? 1;
         }
       }
       const sum = {
@@ -221,28 +235,28 @@
       if (own.capacity === undefined) {
         return sum;
       }
-      const seen = chosen.filter(isFresh).map(({capacity}) => capacity);
+      const seen = selected.filter(isFresh).map(({capacity}) => capacity);
       return {...sum, capacity: addCapacity([own.capacity, ...seen])};
     },
-    entriesHeard: () =>
-      [...parts.values()]
-        .filter(part => !isOverdue(part))
+    visiblePeers: () =>
+      [...origins.values()]
+        .filter(origin => !isOverdue(origin))
         .reduce((sum, {digest}) => sum + (digest.entries ?? 1), 0),
     workOf: service =>
-      freshParts().reduce(
+      freshOrigins().reduce(
         (sum, {digest}) => addWork(sum, digest.work[service] ?? NO_WORK),
         NO_WORK,
       ),
-    capacity: () => freshParts().map(({capacity}) => capacity),
-    outcomes: () => freshParts().map(({digest}) => digest.outcomes),
+    capacity: () => freshOrigins().map(({capacity}) => capacity),
+    outcomes: () => freshOrigins().map(({digest}) => digest.outcomes),
     dump: () =>
       Object.fromEntries(
-        [...parts].map(([name, part]) => [
-          name,
+        [...origins].map(([originName, origin]) => [
+          originName,
           {
-            speaker: part.speaker,
-            agoMs: Math.round(clock.now() - part.heardAt),
-            entries: part.digest.entries ?? 1,
+            speaker: origin.reporter,
+            agoMs: Math.round(clock.now() - origin.receivedAt),
+            entries: origin.digest.entries ?? 1,
           },
         ]),
       ),
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -1,4 +1,4 @@
-/** Copies of what the platform holds, read by few entries and told to all. */
+/** Mirrors of the platform's objects, read by few entries and sent to all. */
 import {
   disposableStore,
   type Clock,
@@ -37,10 +37,10 @@
   readonly policy: Mirror<TrafficPolicy>;
   readonly endpoints: Mirror<RegisteredEndpoint>;
   readonly rollouts: Mirror<Rollout>;
-  /** What each entry has kept of endpoints that crashed. */
+  /** Crashes of endpoints that each entry has persisted. */
   readonly crashes: Mirror<CrashReport>;
   syncStatuses(): SyncStatuses;
-  /** What a peer's digest says; it was sent after `timestamp`, on this entry's clocks. */
+  /** Applies the statuses in a peer's digest, sent after `timestamp`. */
   noteSyncStatuses(
     peer: string,
     syncStatuses: SyncStatuses,
@@ -50,11 +50,10 @@
 }
 
 /**
- * The policy is read most often: the age of its copy decides whether a key
- * still counts, and its first listing counts for that too. Changes of the other
- * kinds come as soon as they happen; their wait only bounds how long a
- * connection that died silently goes unnoticed. What crashes endpoints has to be
- * known to all entries within three seconds.
+ * The policy is read most often, and its first listing must be the latest: the
+ * age of its copy decides whether a key is accepted. Changes of the other kinds
+ * arrive as they happen; their wait only bounds how long a dead connection goes
+ * undetected. Crashes have to reach all entries within three seconds.
  */
 const READ_TIMINGS: Readonly<Record<MirrorKind, ReadTiming>> = {
   policy: {waitMs: 1_000, graceMs: 700, firstListing: 'latest'},
@@ -63,17 +62,18 @@
   crashes: {waitMs: 2_400, graceMs: 600, firstListing: 'recent'},
 };
 
-/** Time for a peer to send its whole copy. */
+/** Timeout of fetching a peer's whole copy, in milliseconds. */
 const COPY_TIMEOUT_MS = 1_000;
 
-/** What a peer said of its reading counts this long: three missed digests. */
-const HEARD_MS = 1_000;
+/** Validity of a peer's status, in milliseconds: three missed digests. */
+const STATUS_TTL_MS = 1_000;
 
 /**
- * Makes the view and starts to read what is this entry's turn.
+ * Creates the view and starts its readers.
  *
  * @example
- * const view = createPlatformView({platform, crashReports, network, self: 'a1', plan, clock, random, log});
+ * const view = createPlatformView({platform, crashReports, network, self:
+ *   'a1', plan, clock, random, log});
  */
 export function createPlatformView(options: {
   readonly platform: Platform;
@@ -99,32 +99,37 @@
   };
   const kinds = Object.keys(mirrors) as MirrorKind[];
   const readers = new Map<MirrorKind, MirrorReader>();
-  const heard = new Map<string, {at: number; syncStatuses: SyncStatuses}>();
-  const copying = new Set<MirrorKind>();
+  const peerStatuses = new Map<
+    string,
+    {at: number; syncStatuses: SyncStatuses}
+  >();
+  const fetching = new Set<MirrorKind>();
 
   function isReadBy(peer: string, kind: MirrorKind): boolean {
     return (
-      isHeard(peer) && heard.get(peer)!.syncStatuses[kind]?.isReader === true
+      hasFreshStatus(peer) &&
+      peerStatuses.get(peer)!.syncStatuses[kind]?.isReader === true
     );
   }
 
   /**
-   * Nobody before this entry in the order gets answers. An entry behind relays
-   * reads only while it hears none of them.
+   * Whether no entry before this one in the order reads successfully. An entry
+   * behind relays reads only while none of them reports.
    */
-  function isTurn(kind: MirrorKind): boolean {
-    const {coordinators, upstream} = options.plan();
-    if (upstream.length > 0) {
-      return !upstream.some(isHeard);
+  function shouldRead(kind: MirrorKind): boolean {
+    const {coordinators, ownRelays} = options.plan();
+    if (ownRelays.length > 0) {
+      return !ownRelays.some(hasFreshStatus);
     }
-    const place = coordinators.indexOf(self);
-    const before = place < 0 ? coordinators : coordinators.slice(0, place);
-    return !before.some(id => isReadBy(id, kind));
+    const position = coordinators.indexOf(self);
+    const predecessors =
+      position < 0 ? coordinators : coordinators.slice(0, position);
+    return !predecessors.some(id => isReadBy(id, kind));
   }
 
-  function isHeard(peer: string): boolean {
-    const last = heard.get(peer);
-    return last !== undefined && clock.now() - last.at < HEARD_MS;
+  function hasFreshStatus(peer: string): boolean {
+    const last = peerStatuses.get(peer);
+    return last !== undefined && clock.now() - last.at < STATUS_TTL_MS;
   }
 
   function isRelay(): boolean {
@@ -139,17 +144,17 @@
       random,
       log,
       timing: READ_TIMINGS[mirror.kind],
-      isTurn: () => isTurn(mirror.kind),
-      onDidStep: step => passOn({kind: mirror.kind, ...step}, self),
+      shouldRead: () => shouldRead(mirror.kind),
+      onDidStep: step => broadcastStep({kind: mirror.kind, ...step}, self),
     });
     readers.set(mirror.kind, owned.add(reader));
   }
 
   async function fetchCopy(kind: MirrorKind, peer: string): Promise<void> {
-    if (copying.has(kind)) {
+    if (fetching.has(kind)) {
       return;
     }
-    copying.add(kind);
+    fetching.add(kind);
     try {
       const answer = await network.ask(
         peer,
@@ -157,11 +162,14 @@
         {kind},
         COPY_TIMEOUT_MS,
       );
-      mirrors[kind].takeCopy(answer as MirrorCopy);
+      mirrors[kind].applyCopy(answer as MirrorCopy);
     } catch (error) {
-      log.info({mirror: kind, peer, reason: String(error)}, 'copy not given');
+      log.info(
+        {mirror: kind, peer, reason: String(error)},
+        'fetching the mirror copy failed',
+      );
     } finally {
-      copying.delete(kind);
+      fetching.delete(kind);
     }
   }
 
@@ -184,7 +192,7 @@
     mirror.confirmBy(syncStatus, before(timestamp, syncStatus.confirmedAgoMs));
   }
 
-  function passOn(step: Messages['mirrorChanges'], from: string): void {
+  function broadcastStep(step: Messages['mirrorChanges'], from: string): void {
     const receivers = [...options.plan().targets.keys()];
     network.broadcast(
       'mirrorChanges',
@@ -196,14 +204,15 @@
   owned.add(
     network.onDidReceive('mirrorChanges', (from, step) => {
       const mirror = mirrors[step.kind];
-      const former = mirror.revision();
-      if (!mirror.takeStep(step)) {
+      const previousRevision = mirror.revision();
+      if (!mirror.applyStep(step)) {
         void fetchCopy(step.kind, from);
         return;
       }
-      // Who tells everyone has told them all; behind a relay nobody else does.
-      if (mirror.revision() > former && isRelay()) {
-        passOn(step, from);
+      // In a full mesh the sender has reached all entries; behind a relay, only
+      // the relay forwards.
+      if (mirror.revision() > previousRevision && isRelay()) {
+        broadcastStep(step, from);
       }
     }),
   );
@@ -224,7 +233,7 @@
       crashes: mirrors.crashes.syncStatus(isReading('crashes')),
     }),
     noteSyncStatuses(peer, syncStatuses, timestamp) {
-      heard.set(peer, {at: clock.now(), syncStatuses});
+      peerStatuses.set(peer, {at: clock.now(), syncStatuses});
       for (const kind of kinds) {
         const syncStatus = syncStatuses[kind];
         if (syncStatus !== undefined) {
--- a/packages/gateway/src/relayPlan.ts
+++ b/packages/gateway/src/relayPlan.ts
@@ -1,8 +1,9 @@
 /**
  * Topology of the digests: a full mesh in small fleets, relays in large ones.
  *
- * A full mesh costs the square of the entries. Beyond a bound, an entry reports
- * to the two relays of its failure domain; relays aggregate and exchange sums.
+ * The cost of a full mesh grows with the square of the entries. Above a limit,
+ * an entry reports to the two relays of its failure domain; relays aggregate
+ * and exchange sums.
  */
 import {rendezvousOrder} from '@skylarkfield/base';
 
@@ -19,30 +20,30 @@
 export interface RelayNode {
   readonly id: string;
   readonly failureDomain: string;
-  /** False while it drains; it exchanges digests but is no relay. */
+  /** False while draining; the entry then exchanges digests but is no relay. */
   readonly isLive: boolean;
-  /** Processor cores that it may use. */
+  /** Available processor cores. */
   readonly cores: number;
 }
 
 export interface RelayPlan {
-  /** Receivers of this entry's digests, with the scope for each. */
+  /** Receivers of this entry's digests, with the scope of each. */
   readonly targets: ReadonlyMap<string, DigestScope>;
-  /** Active relay of the failure domain while this entry is its standby; undefined otherwise. */
-  readonly precedence: string | undefined;
-  /** Entries that read the platform and compete for leases, in order of precedence. */
+  /** Active relay while this entry is its standby; undefined otherwise. */
+  readonly activeRelay: string | undefined;
+  /** Entries that read the platform and compete for leases, in order. */
   readonly coordinators: readonly string[];
-  /** Relays of this entry, active one first; empty for a relay and in a full mesh. */
-  readonly upstream: readonly string[];
+  /** Relays of this entry, active one first; empty in a mesh or for relays. */
+  readonly ownRelays: readonly string[];
 }
 
 /** Largest fleet that uses a full mesh. */
-export const FLAT_ENTRIES = 24;
+export const MAX_FULL_MESH_ENTRIES = 24;
 
 /** One active and one standby. */
 const RELAYS_PER_DOMAIN = 2;
 
-/** Hash keys, so that the same entries do not come first in every order. */
+/** Hash keys, so that different entries come first in the two orders. */
 const RELAY_KEY = 'relay';
 const COORDINATOR_KEY = 'platform-reader';
 
@@ -50,7 +51,8 @@
  * Plans for one entry; plans from the same nodes are consistent.
  *
  * @example
- * const {targets} = planRelays({id: 'a1', failureDomain: 'a', isLive: true, cores: 1}, nodes);
+ * const {targets} = planRelays({id: 'a1', failureDomain: 'a', isLive: true,
+ *   cores: 1}, nodes);
  */
 export function planRelays(
   self: RelayNode,
@@ -58,23 +60,23 @@
 ): RelayPlan {
   const others = nodes.filter(({id}) => id !== self.id);
   const live = nodes.filter(({isLive}) => isLive);
-  if (nodes.length <= FLAT_ENTRIES) {
+  if (nodes.length <= MAX_FULL_MESH_ENTRIES) {
     return {
       targets: new Map(others.map(({id}) => [id, 'own'])),
-      precedence: undefined,
+      activeRelay: undefined,
       coordinators: rendezvousOrder(COORDINATOR_KEY, idsOf(live)),
-      upstream: [],
+      ownRelays: [],
     };
   }
   const relays = relaysByDomain(live);
   const ownRelays = relays.get(self.failureDomain) ?? [];
-  const coordinators = inTurns([...relays.values()]);
+  const coordinators = activeFirst([...relays.values()]);
   if (!ownRelays.includes(self.id)) {
     return {
       targets: new Map(ownRelays.map(id => [id, 'own'])),
-      precedence: undefined,
+      activeRelay: undefined,
       coordinators,
-      upstream: ownRelays,
+      ownRelays,
     };
   }
   const targets = new Map<string, DigestScope>();
@@ -87,9 +89,9 @@
   }
   return {
     targets,
-    precedence: ownRelays[0] === self.id ? undefined : ownRelays[0],
+    activeRelay: ownRelays[0] === self.id ? undefined : ownRelays[0],
     coordinators,
-    upstream: [],
+    ownRelays: [],
   };
 }
 
@@ -98,24 +100,30 @@
   return new Map(
     [...domains].map(domain => {
       const members = live.filter(node => node.failureDomain === domain);
-      const order = byCores(members).flatMap(equal =>
-        rendezvousOrder(`${RELAY_KEY}/${domain}`, idsOf(equal)),
+      const order = groupByCores(members).flatMap(group =>
+        rendezvousOrder(`${RELAY_KEY}/${domain}`, idsOf(group)),
       );
       return [domain, order.slice(0, RELAYS_PER_DOMAIN)];
     }),
   );
 }
 
-/** Groups of nodes with equal cores, largest first, since a relay carries its whole failure domain. */
-function byCores(nodes: readonly RelayNode[]): RelayNode[][] {
+/**
+ * Groups of nodes with equal cores, largest first, since a relay carries its
+ * whole failure domain.
+ */
+function groupByCores(nodes: readonly RelayNode[]): RelayNode[][] {
   const sizes = new Set(nodes.map(({cores}) => cores));
   return [...sizes]
     .sort((a, b) => b - a)
     .map(size => nodes.filter(({cores}) => cores === size));
 }
 
-/** Active relays before standbys, which other failure domains do not hear. */
-function inTurns(relays: readonly (readonly string[])[]): string[] {
+/**
+ * Orders active relays before standbys, which send no digests to other failure
+ * domains.
+ */
+function activeFirst(relays: readonly (readonly string[])[]): string[] {
   return Array.from({length: RELAYS_PER_DOMAIN}, (_, place) =>
     rendezvousOrder(
       COORDINATOR_KEY,
--- a/packages/gateway/src/rolloutPart.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -1,4 +1,4 @@
-/** Moves traffic between versions while operators want it, and tells them how it stands. */
+/** Splits traffic between versions during rollouts and publishes the state. */
 import {
   disposableStore,
   every,
@@ -23,7 +23,7 @@
 import type {RelayPlan} from './relayPlan.js';
 import {createRolloutMoves, type RolloutMoves} from './rolloutMoves.js';
 
-/** How one request went, as evidence about its version. */
+/** Result of one request, as evidence about its version. */
 export interface RolloutSample {
   readonly service: string;
   readonly group: VersionGroup;
@@ -33,11 +33,11 @@
   readonly isRepeatable: boolean;
 }
 
-export interface RolloutPart extends Disposable {
-  /** The group of endpoints that takes a request; alike at every entry for one key. */
+export interface RolloutController extends Disposable {
+  /** Returns a request's version group; the same at every entry for one key. */
   groupFor(service: string, key: string, isRepeatable: boolean): VersionGroup;
   observe(sample: RolloutSample): void;
-  /** Whether a service's traffic is being moved. */
+  /** Whether a rollout of the service is in progress. */
   isOpen(service: string): boolean;
 }
 
@@ -52,41 +52,44 @@
   others(): readonly string[];
 }
 
-/** How often the split hears which groups have endpoints, in milliseconds; a new version starts in seconds. */
-const AVAILABILITY_MS = 500;
+/**
+ * Interval of updating which groups have endpoints, in milliseconds; a new
+ * version starts in seconds.
+ */
+const AVAILABILITY_INTERVAL_MS = 500;
 
-/** Time for telling the operator, in milliseconds. */
-const CALL_MS = 1_500;
+/** Timeout of publishing a rollout state, in milliseconds. */
+const CALL_TIMEOUT_MS = 1_500;
 
 const GROUPS: readonly VersionGroup[] = ['incumbent', 'candidate'];
 
 /**
- * Makes the rollouts of one entry. Nothing is read from the store and no lease
- * is renewed while no rollout is open: each of these is a priced call.
+ * Creates the controller of one entry. Without an open rollout it neither reads
+ * the store nor renews a lease, since each of these calls is billed.
  *
  * @example
- * const rollouts = createRolloutPart(context, parts);
+ * const rollouts = createRolloutController(context, options);
  * const group = rollouts.groupFor('chat', attemptId, true);
  */
-export function createRolloutPart(
+export function createRolloutController(
   context: GatewayContext,
   options: RolloutOptions,
-): RolloutPart {
+): RolloutController {
   const {clock, decisions, log, dumps} = context;
   const moves = createRolloutMoves(options.rollouts, clock);
   const split = createTrafficSplit({clock, decisions});
   const owned = disposableStore();
-  let following: Disposable | undefined;
+  let activeRollouts: Disposable | undefined;
 
   function update(): void {
-    if (moves.hasOpen() && following === undefined) {
-      following = follow(context, options, moves, split);
-      log.info({}, 'a rollout is open');
-    } else if (!moves.hasOpen() && following !== undefined) {
-      following.dispose();
-      following = undefined;
+    if (moves.hasOpen() && activeRollouts === undefined) {
+      activeRollouts = startRollouts(context, options, moves, split);
+      log.info({}, 'rollout in progress');
+    } else if (!moves.hasOpen() && activeRollouts !== undefined) {
+      activeRollouts.dispose();
+      activeRollouts = undefined;
       split.setMoves([]);
-      log.info({}, 'no rollout is open');
+      log.info({}, 'no rollout in progress');
     }
   }
 
@@ -106,18 +109,19 @@
         ...sample,
         version: group,
         isIdempotent: isRepeatable,
-        // Entries do not know a service's use as a whole; faults under load show on the routes.
+        // Entries do not know a service's total load; failures under load show
+        // on the routes.
         loadFraction: 0,
       }),
     isOpen: moves.isOpen,
     dispose() {
-      following?.dispose();
+      activeRollouts?.dispose();
       owned.dispose();
     },
   };
 }
 
-function follow(
+function startRollouts(
   context: GatewayContext,
   options: RolloutOptions,
   moves: RolloutMoves,
@@ -127,50 +131,50 @@
   const {directory, store, duties} = options;
   const owned = disposableStore();
   const judge = createMoveJudge({clock, decisions});
-  const telling = new Set<string>();
+  const inFlightUpdates = new Set<string>();
 
-  function groupsOf(service: string): VersionGroup[] {
+  function availableGroups(service: string): VersionGroup[] {
     return GROUPS.filter(group => directory.ready(service, group).length > 0);
   }
 
-  function setAvailable(): void {
+  function updateAvailability(): void {
     for (const {service} of moves.records.list('move')) {
-      split.setAvailableVersions(service, groupsOf(service));
+      split.setAvailableVersions(service, availableGroups(service));
     }
   }
 
   function onDidAdvance(states: readonly MoveState[]): void {
     moves.noteStates(states);
-    for (const word of moves.wordsDue(states)) {
-      if (!telling.has(word.name)) {
-        void tell(word);
+    for (const update of moves.pendingUpdates(states)) {
+      if (!inFlightUpdates.has(update.name)) {
+        void writeState(update);
       }
     }
   }
 
-  /** Written again with the next look if it fails: the mirror still shows the former state then. */
-  async function tell({
+  /** Failed writes are retried at the next check: the mirror is unchanged. */
+  async function writeState({
     name,
     target,
     state,
-  }: ReturnType<RolloutMoves['wordsDue']>[number]): Promise<void> {
-    telling.add(name);
+  }: ReturnType<RolloutMoves['pendingUpdates']>[number]): Promise<void> {
+    inFlightUpdates.add(name);
     try {
       await context.platform.writeRolloutState(
         name,
         target,
         state,
-        AbortSignal.timeout(CALL_MS),
+        AbortSignal.timeout(CALL_TIMEOUT_MS),
       );
       log.info({rollout: name, target, state}, 'rollout state written');
     } catch (error) {
       const {kind, message} = toServingError(error);
       log.warn(
         {rollout: name, target, state, kind, message},
-        'rollout state not written',
+        'writing the rollout state failed',
       );
     } finally {
-      telling.delete(name);
+      inFlightUpdates.delete(name);
     }
   }
 
@@ -184,7 +188,7 @@
       judge,
     }),
   );
-  owned.add(every(clock, AVAILABILITY_MS, setAvailable));
+  owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
   owned.add(
     duties.compete('moves', tenure =>
       createMoveDuty({
@@ -195,18 +199,18 @@
         judge,
         tenure,
         hasEndpoints: (service, group) =>
-          groupsOf(service).some(name => name === group),
+          availableGroups(service).some(name => name === group),
         onDidAdvance,
       }),
     ),
   );
-  setAvailable();
+  updateAvailability();
   return owned;
 }
 
 /**
- * Evidence goes to those who may judge, so that its cost does not grow with the
- * square of the entries; a cut goes to all.
+ * Sends evidence only to the entries that may judge moves, so that its cost
+ * does not grow with the square of the entries; cuts go to all.
  */
 function evidenceNetwork(options: RolloutOptions) {
   const {network} = options;
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -1,4 +1,4 @@
-/** Operators' rollouts as moves of traffic from one group of endpoints to another. */
+/** Represents rollouts as traffic moves between two version groups. */
 import {emitter, type Clock, type Event} from '@skylarkfield/base';
 import type {MoveState} from '@skylarkfield/moves';
 import type {Configuration, Move} from '@skylarkfield/records';
@@ -10,15 +10,15 @@
 import type {VersionGroup} from './endpointDirectory.js';
 import type {Mirror} from './mirror.js';
 
-/** What the parts of a move ask of the records. */
+/** The part of the records API that the move components use. */
 export type MoveRecords = Pick<
   Configuration,
   'list' | 'isReady' | 'onDidChange'
 >;
 
-/** A state that the operator should read of a rollout. */
-export interface RolloutWord {
-  /** Name of the rollout's object. */
+/** A rollout state to publish to the operator. */
+export interface RolloutStateUpdate {
+  /** Name of the rollout object. */
   readonly name: string;
   readonly target: string;
   readonly state: RolloutState;
@@ -26,34 +26,38 @@
 
 export interface RolloutMoves {
   readonly records: MoveRecords;
-  /** Whether traffic of any service is to be moved. */
+  /** Whether any rollout is in progress. */
   hasOpen(): boolean;
-  /** Whether a service's traffic is to be moved. */
+  /** Whether a rollout of the service is in progress. */
   isOpen(service: string): boolean;
-  /** Takes the durable states over; their start counts where this process has seen the order later. */
+  /** Applies durable states; the earliest known start of a move counts. */
   noteStates(states: readonly MoveState[]): void;
-  /** What is to be written now, from the durable states. */
-  wordsDue(states: readonly MoveState[]): readonly RolloutWord[];
-  /** Fires when a rollout was ordered, changed or settled. */
+  /** Returns the rollout states to publish, derived from the durable states. */
+  pendingUpdates(states: readonly MoveState[]): readonly RolloutStateUpdate[];
+  /** Fires when a rollout was created, changed or settled. */
   readonly onDidChange: Event<void>;
 }
 
-/** The groups of a service's endpoints between which traffic moves. */
-const FROM: VersionGroup = 'incumbent';
-const TO: VersionGroup = 'candidate';
+/** Version groups between which traffic moves. */
+const FROM_GROUP: VersionGroup = 'incumbent';
+const TO_GROUP: VersionGroup = 'candidate';
 
-/** The most of the traffic that an unproven version may get; operators allow a tenth and some requests. */
-const MOST_UNPROVEN_SHARE = 0.08;
+/**
+ * Maximum fraction of an unproven version; operators allow a tenth plus a few
+ * requests.
+ */
+const MAX_UNPROVEN_SHARE = 0.08;
 
 /**
- * The old endpoints stop as soon as a rollout is said to be done, with whatever
- * they still run. So it is said this much before the deadline, in milliseconds:
- * long after traffic has moved, with time for a call that has to be repeated.
+ * The old endpoints are terminated as soon as a rollout is reported done, with
+ * the requests that they still run. It is therefore reported only this much
+ * before the deadline, in milliseconds: long after traffic has moved, with time
+ * to retry the call.
  */
 const DONE_MARGIN_MS = 1_000;
 
-/** A rollout is settled for good in these states. */
-const SETTLED: ReadonlySet<RolloutState | undefined> = new Set([
+/** Terminal states of a rollout. */
+const SETTLED_STATES: ReadonlySet<RolloutState | undefined> = new Set([
   'done',
   'rolled-back',
 ]);
@@ -68,7 +72,7 @@
 };
 
 /**
- * Makes the moves over the mirrored rollouts.
+ * Creates the moves over the mirrored rollouts.
  *
  * @example
  * const moves = createRolloutMoves(view.rollouts, clock);
@@ -79,10 +83,10 @@
   clock: Clock,
 ): RolloutMoves {
   const changed = emitter<void>();
-  /** Wall-clock milliseconds of each order, as early as this process knows. */
-  const orderedAt = new Map<string, number>();
+  /** Earliest known start of each rollout, in wall-clock milliseconds. */
+  const startTimes = new Map<string, number>();
 
-  function open(): {name: string; rollout: Rollout}[] {
+  function openRollouts(): {name: string; rollout: Rollout}[] {
     return mirror
       .items()
       .map(({name, value}) => ({name, rollout: value}))
@@ -94,74 +98,75 @@
     return {
       name: id,
       service,
-      from: FROM,
-      to: TO,
-      deadline: (orderedAt.get(id) ?? clock.wall()) + periodMs,
-      maxUnprovenShare: MOST_UNPROVEN_SHARE,
+      from: FROM_GROUP,
+      to: TO_GROUP,
+      deadline: (startTimes.get(id) ?? clock.wall()) + periodMs,
+      maxUnprovenShare: MAX_UNPROVEN_SHARE,
     };
   }
 
-  function noteOrders(): void {
-    for (const {name, rollout} of open()) {
+  function noteStarts(): void {
+    for (const {name, rollout} of openRollouts()) {
       const id = moveName(name, rollout.target);
-      orderedAt.set(id, orderedAt.get(id) ?? clock.wall());
+      startTimes.set(id, startTimes.get(id) ?? clock.wall());
     }
     changed.fire();
   }
 
   function moves(): Move[] {
-    return open().map(({name, rollout}) => toMove(name, rollout));
+    return openRollouts().map(({name, rollout}) => toMove(name, rollout));
   }
 
-  function stateDue(rollout: Rollout, state: MoveState, move: Move) {
-    const due = rolloutStates[state.phase];
+  function stateToReport(rollout: Rollout, state: MoveState, move: Move) {
+    const newState = rolloutStates[state.phase];
     const isEarly = clock.wall() < move.deadline - DONE_MARGIN_MS;
-    return due === 'done' && isEarly ? 'running' : due;
+    return newState === 'done' && isEarly ? 'running' : newState;
   }
 
-  mirror.onDidChange(noteOrders);
-  noteOrders();
+  mirror.onDidChange(noteStarts);
+  noteStarts();
   return {
     records: {
-      // Rollouts are the only records that are moves here, and there are no others.
+      // The gateway has no records other than rollouts.
       list: kind => (kind === 'move' ? (moves() as never[]) : []),
       isReady: () => mirror.isKnown(),
       onDidChange: listener =>
         changed.event(() => listener('move', 'rollouts')),
     },
-    hasOpen: () => open().length > 0,
-    isOpen: service => open().some(({rollout}) => rollout.service === service),
+    hasOpen: () => openRollouts().length > 0,
+    isOpen: service =>
+      openRollouts().some(({rollout}) => rollout.service === service),
     noteStates(states) {
       for (const {move, startedAt = Infinity} of states) {
-        const known = orderedAt.get(move) ?? Infinity;
+        const known = startTimes.get(move) ?? Infinity;
         if (startedAt < known) {
-          orderedAt.set(move, startedAt);
+          startTimes.set(move, startedAt);
         }
       }
     },
-    wordsDue(states) {
-      return open().flatMap(({name, rollout}) => {
+    pendingUpdates(states) {
+      return openRollouts().flatMap(({name, rollout}) => {
         const move = toMove(name, rollout);
         const state = states.find(({move: of}) => of === move.name);
         if (state === undefined) {
           return [];
         }
         const {target} = rollout;
-        const due = stateDue(rollout, state, move);
-        const isSaid = writtenState(rollout) === due;
-        return isSaid ? [] : [{name, target, state: due}];
+        const newState = stateToReport(rollout, state, move);
+        const isWritten = writtenState(rollout) === newState;
+        return isWritten ? [] : [{name, target, state: newState}];
       });
     },
     onDidChange: changed.event,
   };
 }
 
-/** Another target under the same name is another move, with evidence of its own. */
+/** Another target under the same name is a move with its own evidence. */
 function moveName(name: string, target: string): string {
   return `${name}.${target}`;
 }
 
-/** Whether a rollout waits for the system. */
+/** Whether a rollout is still in progress. */
 function isUnsettled(rollout: Rollout): boolean {
-  return !SETTLED.has(writtenState(rollout));
+  return !SETTLED_STATES.has(writtenState(rollout));
 }
--- a/packages/gateway/src/streamMove.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -1,9 +1,9 @@
 /**
- * Moves running streams off an endpoint that leaves.
+ * Migrates running streams off a draining endpoint.
  *
- * An endpoint that is reclaimed is gone two to three seconds after its notice.
- * Short answers end by themselves in that time; a long one would break off, and
- * its caller would have to ask again and wait for the whole prompt to be read.
+ * A reclaimed endpoint terminates two to three seconds after its notice. Short
+ * responses end in that time; a long one would be cut off, and its caller would
+ * have to retry and wait for the whole prompt to be processed again.
  */
 import {
   toServingError,
@@ -12,59 +12,65 @@
   type Logger,
 } from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
-import type {EngineMoves, MovedMemory} from './contracts.js';
+import type {EngineMoves, KvCacheRef} from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
-/** Where a stream goes on. */
+/** Target of a migrated stream. */
 export interface Continuation {
   readonly choice: Choice;
-  readonly memory: MovedMemory;
+  readonly memory: KvCacheRef;
 }
 
 /** A stream while it runs at one endpoint. */
 export interface WatchedStream extends Disposable {
   /** Whether its endpoint was told to stop it. */
-  isStopping(): boolean;
-  /** Where it goes on; undefined when it was not moved. Waits for a move that is under way. */
+  isStopRequested(): boolean;
+  /**
+   * Returns the target after a migration in progress has ended; undefined if
+   * the stream was not migrated.
+   */
   continuation(): Promise<Continuation | undefined>;
 }
 
-export interface StreamMoves {
-  /** Watches a stream until it is disposed; `choose` names another endpoint. */
+export interface StreamMigrator {
+  /** Watches a stream until disposed; `choose` selects another endpoint. */
   watch(options: {
     readonly endpoint: string;
     readonly attemptId: string;
-    /** Whether its first event has come: before it there is nothing to move. */
+    /** Whether the first event has arrived; before it there is no state. */
     hasBegun(): boolean;
     choose(): Choice | undefined;
   }): WatchedStream;
 }
 
 /**
- * Time from the notice to the move, in milliseconds: most answers end within it,
- * and of a notice of two seconds half is left for the copy.
+ * Time from the notice to the migration, in milliseconds: most responses end
+ * within it, and it leaves half of a two-second notice for the copy.
  */
-const GRACE_MS = 800;
+const MIGRATION_DELAY_MS = 800;
 
-/** Time for the copy, in milliseconds: it is queued behind those of all other streams that leave. */
-const MOVE_MS = 1_000;
+/**
+ * Timeout of the copy, in milliseconds: it queues behind those of all other
+ * streams on the endpoint.
+ */
+const MIGRATION_TIMEOUT_MS = 1_000;
 
 /**
- * Makes the moves of one entry.
+ * Creates the migrator of one entry.
  *
  * @example
- * const watched = moves.watch({endpoint, attemptId, hasBegun, choose});
+ * const watched = migrator.watch({endpoint, attemptId, hasBegun, choose});
  * const next = await watched.continuation();
  */
-export function createStreamMoves(options: {
+export function createStreamMigrator(options: {
   readonly directory: EndpointDirectory;
   readonly engines: EngineMoves;
   readonly clock: Clock;
   readonly log: Logger;
-}): StreamMoves {
+}): StreamMigrator {
   const {directory, engines, clock, log} = options;
 
-  async function move(
+  async function migrate(
     endpoint: string,
     attemptId: string,
     choose: () => Choice | undefined,
@@ -76,19 +82,19 @@
       choice?.finish({outcome: 'cancelled', latencyMs: 0});
       return undefined;
     }
-    const askedAt = clock.now();
+    const startedAt = clock.now();
     const answer = await engines
       .move(
         source.address,
         attemptId,
         target.address,
-        AbortSignal.timeout(MOVE_MS),
+        AbortSignal.timeout(MIGRATION_TIMEOUT_MS),
       )
       .catch(error => {
         const {kind, message} = toServingError(error);
         log.warn(
           {request: attemptId, endpoint, kind, message},
-          'stream not moved',
+          'stream migration failed',
         );
         return {type: 'unknown'} as const;
       });
@@ -98,9 +104,9 @@
         from: endpoint,
         to: choice.endpoint,
         answer: answer.type,
-        tookMs: Math.round(clock.now() - askedAt),
+        tookMs: Math.round(clock.now() - startedAt),
       },
-      'stream moved off a leaving endpoint',
+      'stream migration finished',
     );
     if (answer.type === 'moved') {
       return {choice, memory: answer.memory};
@@ -111,21 +117,21 @@
 
   return {
     watch({endpoint, attemptId, hasBegun, choose}) {
-      let moving: Promise<Continuation | undefined> | undefined;
+      let migration: Promise<Continuation | undefined> | undefined;
       let timer: Disposable | undefined;
-      const subscription = directory.onDidLeave(left => {
-        if (left !== endpoint || timer !== undefined) {
+      const subscription = directory.onDidLeave(leavingEndpoint => {
+        if (leavingEndpoint !== endpoint || timer !== undefined) {
           return;
         }
-        timer = clock.after(GRACE_MS, () => {
+        timer = clock.after(MIGRATION_DELAY_MS, () => {
           if (hasBegun()) {
-            moving = move(endpoint, attemptId, choose);
+            migration = migrate(endpoint, attemptId, choose);
           }
         });
       });
       return {
-        isStopping: () => moving !== undefined,
-        continuation: () => moving ?? Promise.resolve(undefined),
+        isStopRequested: () => migration !== undefined,
+        continuation: () => migration ?? Promise.resolve(undefined),
         dispose() {
           subscription.dispose();
           timer?.dispose();
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -1,9 +1,10 @@
 /**
- * Reports each window of use once, whatever happens to the reporter.
+ * Reports each usage window with one set of counts, even after a failover.
  *
- * Two reports of one window that differ would make the operator bill twice. So
- * the counts are written to the store before they are sent: a successor that
- * does not know whether its predecessor's report arrived sends exactly the same.
+ * Two different reports of one window would bill customers twice. Counts are
+ * therefore written to the store before they are sent, and a successor that
+ * cannot tell whether its predecessor's report arrived sends the same counts
+ * again.
  */
 import {
   every,
@@ -18,23 +19,26 @@
 import type {CustomerCounts, UsageWindows} from '@skylarkfield/traffic';
 import type {PlatformOrders} from './contracts.js';
 
-/** Kind of the objects that hold what is reported, named by window. */
-const KIND = 'usage-report';
+/** Kind of the objects that hold the reported counts, named by window. */
+const OBJECT_KIND = 'usage-report';
 
-/** How often the holder looks for a window that is due, in milliseconds. */
-const CHECK_MS = 500;
+/** Interval at which the holder checks for a due window, in milliseconds. */
+const CHECK_INTERVAL_MS = 500;
 
-/** Time after a window's end for the other entries' last counts to arrive: three digests and a margin. */
-const SETTLE_MS = 1_500;
+/**
+ * Delay after a window's end for the last counts of other entries to arrive, in
+ * milliseconds: three digests and a margin.
+ */
+const REPORT_DELAY_MS = 1_500;
 
 /**
- * Windows kept in the store beyond those that a successor may still report: one
- * for the window that has begun, and two for clocks that differ.
+ * Windows retained in the store beyond those that a successor may still report:
+ * one for the current window, and two for clock skew.
  */
-const SPARE_REPORTS = 3;
+const EXTRA_RETAINED_REPORTS = 3;
 
-/** Time for one call, in milliseconds. */
-const CALL_MS = 1_500;
+/** Timeout of one call, in milliseconds. */
+const CALL_TIMEOUT_MS = 1_500;
 
 export interface UsageDutyOptions {
   readonly tenure: Tenure;
@@ -42,34 +46,35 @@
   readonly store: ObjectStore;
   readonly orders: PlatformOrders;
   readonly usage: UsageWindows;
-  /** How long after its end a window may still be reported. */
+  /** Time after a window's end in which it may be reported, in milliseconds. */
   readonly lateMs: number;
   readonly clock: Clock;
-  /** The wall clock as the entries have it in common. */
+  /** Wall clock that the entries agree on, in milliseconds. */
   commonWallMs(): number;
   readonly log: Logger;
 }
 
 /**
- * Starts to report for as long as the tenure lasts.
+ * Starts to report for the duration of the tenure.
  *
  * @example
  * duties.compete('usage', tenure => startUsageDuty({tenure, ...rest}));
  */
 export function startUsageDuty(options: UsageDutyOptions): Disposable {
   const {tenure, store, orders, usage, clock, log} = options;
-  const oldest = usage.windowAt(options.commonWallMs() - options.lateMs);
-  const keptReports = usage.windowAt(options.lateMs) + SPARE_REPORTS;
+  const firstWindow = usage.windowAt(options.commonWallMs() - options.lateMs);
+  const retainedReports =
+    usage.windowAt(options.lateMs) + EXTRA_RETAINED_REPORTS;
   const reported = new Set<number>();
   let isBusy = false;
 
   function dueWindow(): number | undefined {
-    const newest = usage.windowAt(options.commonWallMs() - SETTLE_MS) - 1;
-    const first = Math.max(
-      oldest,
+    const latest = usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
+    const earliest = Math.max(
+      firstWindow,
       usage.windowAt(options.commonWallMs() - options.lateMs) - 1,
     );
-    for (let window = first; window <= newest; window++) {
+    for (let window = earliest; window <= latest; window++) {
       if (!reported.has(window)) {
         return window;
       }
@@ -77,29 +82,32 @@
     return undefined;
   }
 
-  /** What is to be said of a window: what a predecessor wrote, or else our counts. */
-  async function written(window: number): Promise<CustomerCounts> {
+  /** Returns the counts to report: a predecessor's, else the local ones. */
+  async function persistedCounts(window: number): Promise<CustomerCounts> {
     const counts = usage.total(window);
     try {
       await store.put(
-        KIND,
+        OBJECT_KIND,
         String(window),
         counts,
         {type: 'absent'},
-        AbortSignal.timeout(CALL_MS),
+        AbortSignal.timeout(CALL_TIMEOUT_MS),
       );
       return counts;
     } catch (error) {
       if (!isServingError(error, 'version-conflict')) {
         throw error;
       }
-      const found = await store.get<CustomerCounts>(KIND, String(window));
+      const found = await store.get<CustomerCounts>(
+        OBJECT_KIND,
+        String(window),
+      );
       return found?.value ?? counts;
     }
   }
 
   async function report(window: number): Promise<void> {
-    const counts = await written(window);
+    const counts = await persistedCounts(window);
     if (!tenure.isValid()) {
       return;
     }
@@ -108,7 +116,7 @@
       authority,
       window,
       counts,
-      AbortSignal.any([tenure.signal, AbortSignal.timeout(CALL_MS)]),
+      AbortSignal.any([tenure.signal, AbortSignal.timeout(CALL_TIMEOUT_MS)]),
     );
     log.info(
       {window, counts, answer, fencing: tenure.fencing},
@@ -118,13 +126,13 @@
       return;
     }
     reported.add(window);
-    const past = window - keptReports;
-    if (reported.delete(past)) {
+    const expiredWindow = window - retainedReports;
+    if (reported.delete(expiredWindow)) {
       await store.remove(
-        KIND,
-        String(past),
+        OBJECT_KIND,
+        String(expiredWindow),
         {type: 'any'},
-        AbortSignal.timeout(CALL_MS),
+        AbortSignal.timeout(CALL_TIMEOUT_MS),
       );
     }
   }
@@ -139,11 +147,11 @@
       await report(window);
     } catch (error) {
       const {kind, message} = toServingError(error);
-      log.warn({window, kind, message}, 'usage not reported yet');
+      log.warn({window, kind, message}, 'usage report failed; retrying');
     } finally {
       isBusy = false;
     }
   }
 
-  return every(clock, CHECK_MS, () => void check());
+  return every(clock, CHECK_INTERVAL_MS, () => void check());
 }
