--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -1,10 +1,10 @@
 /**
- * The acceptance duty: checks what operators write, converts it, writes the
- * accepted form and reports a status.
+ * The acceptance duty: validates the records that operators write, converts
+ * them, stores the accepted form and reports a status.
  *
- * Nothing here relies on being the only acceptor. Each write depends on the
- * version that was read, and a source version never goes down, so acceptors
- * that race or wake from a pause cannot take back what another accepted.
+ * Correctness does not depend on a single acceptor. Each write is conditional
+ * on the version that was read, and a source version never decreases, so
+ * acceptors that race or resume after a pause cannot revert what was accepted.
  */
 import {
   disposableStore,
@@ -19,14 +19,17 @@
 } from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {RecordVersion} from '@skylarkfield/protocol';
-import {decideRecord, type AcceptanceDecision} from './acceptanceDecision.js';
-import {createAcceptanceView} from './acceptanceView.js';
-import type {AcceptedObject} from './acceptedShapes.js';
+import {
+  decideAcceptance,
+  type AcceptanceDecision,
+} from './acceptanceDecision.js';
+import type {AcceptedObject} from './acceptedSchemas.js';
 import {ACCEPTED_KIND} from './configuration.js';
 import {createMoveClaims} from './moveClaims.js';
+import {createRecordCache} from './recordCache.js';
 import {recordKey} from './recordTable.js';
 import {createStatusWriter} from './statusWriter.js';
-import {conditionOn} from './writeCondition.js';
+import {unchangedCondition} from './writeCondition.js';
 
 export interface Acceptance extends Disposable {
   dump(): {
@@ -43,43 +46,47 @@
   readonly log: Logger;
   readonly decisions?: DecisionLog;
   /**
-   * Takes every accepted object to the own configuration and from there to
-   * peers. The acceptor reaches the platform; the readers may be cut off from it.
+   * Receives every accepted object, to be applied here and relayed to peers:
+   * the readers may be cut off from the platform while the acceptor is not.
    */
   readonly onDidAccept?: (key: string, accepted: AcceptedObject) => void;
-  /** Whether the duty is certainly held; asked right before each effect. */
+  /** Whether the duty is certainly held; checked right before each effect. */
   readonly canAct: () => boolean;
-  /** Ids of live members that lack one of the records or did not answer. */
+  /** Returns the ids of live members that lack a record or did not respond. */
   readonly lacking: (
     records: readonly RecordVersion[],
   ) => Promise<readonly string[]>;
 }
 
 const CONFIRM_INTERVAL_MS = 250;
-/** A move may be refused because of one whose deadline passes later. */
-const MOVES_AGAIN_MS = 10_000;
-const RETRY_MS = 300;
+/** A refused move may become valid when the deadline of another move passes. */
+const MOVE_RECHECK_INTERVAL_MS = 10_000;
+const RETRY_DELAY_MS = 300;
 
 /**
- * Starts to accept records, for as long as the duty is held.
+ * Starts to accept records; disposed when the duty is lost.
  *
  * @example
  * duties.compete('acceptance', tenure =>
- *   createAcceptance({...parts, canAct: () => tenure.isValid(), lacking: configuration.lacking}),
+ *   createAcceptance({
+ *     ...parts,
+ *     canAct: () => tenure.isValid(),
+ *     lacking: configuration.lacking,
+ *   }),
  * );
  */
 export function createAcceptance(options: AcceptanceOptions): Acceptance {
   const {clock, random, store, log, decisions} = options;
   const owned = disposableStore();
-  const stopping = new AbortController();
-  const dirty = new Set<string>();
-  let isWorking = false;
+  const abortController = new AbortController();
+  const dirtyKeys = new Set<string>();
+  let isProcessing = false;
   let isConfirming = false;
 
-  const view = owned.add(
-    createAcceptanceView({
+  const cache = owned.add(
+    createRecordCache({
       store,
-      onDidChange: key => mark([key]),
+      onDidChange: key => markDirty([key]),
       onDidAccept: options.onDidAccept,
     }),
   );
@@ -87,88 +94,88 @@
     clock,
     store,
     canAct,
-    signal: stopping.signal,
+    signal: abortController.signal,
   });
 
   const claims = createMoveClaims({
     clock,
     store,
-    view,
-    signal: stopping.signal,
+    cache,
+    signal: abortController.signal,
   });
 
   function canAct(): boolean {
     return !owned.isDisposed && options.canAct();
   }
 
-  function mark(keys: readonly string[]): void {
+  function markDirty(keys: readonly string[]): void {
     for (const key of keys) {
-      dirty.add(key);
+      dirtyKeys.add(key);
     }
-    void work();
+    void processDirtyKeys();
   }
 
-  /** Takes marked records one after the other until none is left. */
-  async function work(): Promise<void> {
-    if (isWorking || !view.isComplete()) {
+  /** Reconciles the dirty records one at a time until none is left. */
+  async function processDirtyKeys(): Promise<void> {
+    if (isProcessing || !cache.isComplete()) {
       return;
     }
-    isWorking = true;
+    isProcessing = true;
     try {
-      for (const key of view.inOrder(dirty)) {
+      for (const key of cache.sortByDependency(dirtyKeys)) {
         if (!canAct()) {
           return;
         }
-        dirty.delete(key);
-        await settle(key);
+        dirtyKeys.delete(key);
+        await reconcileWithRetry(key);
       }
     } finally {
-      isWorking = false;
+      isProcessing = false;
     }
-    if (dirty.size > 0 && canAct()) {
-      void work();
+    if (dirtyKeys.size > 0 && canAct()) {
+      void processDirtyKeys();
     }
   }
 
-  async function settle(key: string): Promise<void> {
+  async function reconcileWithRetry(key: string): Promise<void> {
     try {
       await reconcile(key);
     } catch (error) {
-      if (stopping.signal.aborted) {
+      if (abortController.signal.aborted) {
         return;
       }
-      dirty.add(key);
+      dirtyKeys.add(key);
       if (isServingError(error, 'version-conflict')) {
-        await refresh(key);
+        await reloadAfterConflict(key);
         return;
       }
-      log.warn({err: error, record: key}, 'a record has to wait');
-      await pause();
+      log.warn({err: error, record: key}, 'record not reconciled; retrying');
+      await waitBeforeRetry();
     }
   }
 
-  async function pause(): Promise<void> {
-    const spanMs = RETRY_MS * (0.5 + random.next());
-    await sleep(clock, spanMs, stopping.signal).catch(() => undefined);
+  async function waitBeforeRetry(): Promise<void> {
+    const delayMs = RETRY_DELAY_MS * (0.5 + random.next());
+    await sleep(clock, delayMs, abortController.signal).catch(() => undefined);
   }
 
-  /** Another acceptor was first: its result is the new ground. */
-  async function refresh(key: string): Promise<void> {
+  /** Loads the result of another acceptor after a version conflict. */
+  async function reloadAfterConflict(key: string): Promise<void> {
     try {
-      const signal = stopping.signal;
-      view.noteAccepted(
+      const signal = abortController.signal;
+      cache.updateAccepted(
         key,
         await store.get<AcceptedObject>(ACCEPTED_KIND, key, signal),
       );
-      await statuses.refresh(key);
+      await statuses.reload(key);
     } catch {
-      await pause();
+      await waitBeforeRetry();
     }
   }
 
   async function reconcile(key: string): Promise<void> {
-    const record = view.caseOf(key, clock.wall());
-    const decision = decideRecord(record);
+    const input = cache.acceptanceInput(key, clock.wall());
+    const decision = decideAcceptance(input);
     switch (decision.type) {
       case 'accept':
         if (!(await accept(key, decision))) {
@@ -176,43 +183,43 @@
         }
         break;
       case 'refuse':
-        await refuse(key, decision, record.accepted?.sourceVersion);
+        await refuse(key, decision, input.accepted?.sourceVersion);
         return;
       case 'nothing':
         break;
     }
-    await report(key);
+    await reportStatus(key);
   }
 
   async function accept(
     key: string,
     {object}: Extract<AcceptanceDecision, {type: 'accept'}>,
   ): Promise<boolean> {
-    const present = view.acceptedObject(key);
+    const current = cache.acceptedObject(key);
     const faults = await claims.claim(key, object);
     if (faults.length > 0) {
       const {sourceVersion} = object;
       const decision = {type: 'refuse', sourceVersion, faults} as const;
-      await refuse(key, decision, present?.value.sourceVersion);
+      await refuse(key, decision, current?.value.sourceVersion);
       return false;
     }
     const written = await store.put(
       ACCEPTED_KIND,
       key,
       object,
-      conditionOn(present),
-      stopping.signal,
+      unchangedCondition(current),
+      abortController.signal,
     );
-    view.noteAccepted(key, written);
+    cache.updateAccepted(key, written);
     decisions?.note(
       'records',
       key,
       object.isRemoved ? 'remove' : 'accept',
       `record version ${object.sourceVersion}`,
     );
-    // A move that was refused may now be possible, and the other way round.
-    if (view.canAffectMoves(key)) {
-      mark(view.moves());
+    // Refused moves may have become valid, and valid ones invalid.
+    if (cache.canAffectMoves(key)) {
+      markDirty(cache.moveKeys());
     }
     return true;
   }
@@ -223,24 +230,24 @@
     acceptedVersion: number | undefined,
   ): Promise<void> {
     const {sourceVersion, faults} = decision;
-    const isNews = await statuses.write(key, {
+    const isWritten = await statuses.write(key, {
       state: 'refused',
       sourceVersion,
       acceptedVersion,
       faults,
       waitingFor: [],
     });
-    if (isNews) {
-      const why = faults.map(fault => `${fault.path}: ${fault.expected}`);
-      decisions?.note('records', key, 'refuse', why.join('; '));
+    if (isWritten) {
+      const reasons = faults.map(fault => `${fault.path}: ${fault.expected}`);
+      decisions?.note('records', key, 'refuse', reasons.join('; '));
     }
   }
 
   /** Reports an accepted record until every live member has confirmed it. */
-  async function report(key: string): Promise<void> {
-    const accepted = view.acceptedObject(key)?.value;
+  async function reportStatus(key: string): Promise<void> {
+    const accepted = cache.acceptedObject(key)?.value;
     if (accepted === undefined) {
-      await dropStatusOfNothing(key);
+      await removeOrphanedStatus(key);
       return;
     }
     if (await statuses.isInForce(key, accepted)) {
@@ -254,25 +261,25 @@
       faults: [],
       waitingFor: [],
     });
-    statuses.expectConfirmation(key, accepted);
+    statuses.awaitConfirmation(key, accepted);
   }
 
-  /** A refused record that the operator has removed leaves a status behind. */
-  async function dropStatusOfNothing(key: string): Promise<void> {
-    if (view.caseOf(key, clock.wall()).source === undefined) {
-      await statuses.drop(key);
+  /** Removes the status left by a refused record after its removal. */
+  async function removeOrphanedStatus(key: string): Promise<void> {
+    if (cache.acceptanceInput(key, clock.wall()).source === undefined) {
+      await statuses.remove(key);
     }
   }
 
   async function loadStatuses(): Promise<void> {
     try {
-      mark(await statuses.load());
+      markDirty(await statuses.load());
     } catch (error) {
-      log.warn({err: error}, 'the statuses were not listed');
+      log.warn({err: error}, 'record statuses not listed');
     }
   }
 
-  async function confirm(): Promise<void> {
+  async function checkConfirmations(): Promise<void> {
     const pending = statuses.unconfirmed();
     if (isConfirming || pending.length === 0 || !canAct()) {
       return;
@@ -281,32 +288,34 @@
     try {
       const lacking = await options.lacking(pending);
       if (canAct()) {
-        await statuses.confirm(pending, lacking);
+        await statuses.handleConfirmation(pending, lacking);
       }
     } catch (error) {
-      log.warn({err: error}, 'a confirmation has to wait');
+      log.warn({err: error}, 'confirmations not checked; retrying');
     } finally {
       isConfirming = false;
     }
   }
 
   function tick(): void {
-    // Work that stopped while a renewal was late goes on here.
-    void work();
-    void confirm();
+    // Resumes processing that stopped while the lease renewal was late.
+    void processDirtyKeys();
+    void checkConfirmations();
   }
 
   void loadStatuses();
   owned.add(every(clock, CONFIRM_INTERVAL_MS, tick));
-  owned.add(every(clock, MOVES_AGAIN_MS, () => mark(view.moves())));
+  owned.add(
+    every(clock, MOVE_RECHECK_INTERVAL_MS, () => markDirty(cache.moveKeys())),
+  );
   return {
     dump: () => ({
-      isComplete: view.isComplete(),
-      waiting: [...dirty].map(key => recordKey(view.identityOf(key))),
+      isComplete: cache.isComplete(),
+      waiting: [...dirtyKeys].map(key => recordKey(cache.parseRecordKey(key))),
       unconfirmed: statuses.unconfirmed(),
     }),
     dispose() {
-      stopping.abort();
+      abortController.abort();
       owned.dispose();
     },
   };
--- a/packages/records/src/acceptanceDecision.ts
+++ b/packages/records/src/acceptanceDecision.ts
@@ -1,9 +1,9 @@
-/** What is to be done about one record; no I/O, so that every case can be tried. */
+/** Decision on a record, without I/O so that every case can be tested. */
 import {isServingError, type Fault} from '@skylarkfield/base';
-import type {AcceptedObject} from './acceptedShapes.js';
+import type {AcceptedObject} from './acceptedSchemas.js';
 import type {Move, RecordKind} from './contracts.js';
 import {convertRecord} from './convertRecord.js';
-import {rivalFault} from './moveClaims.js';
+import {conflictingMoveFault} from './moveClaims.js';
 
 /** A record as an operator wrote it. */
 export interface SourceRecord {
@@ -11,23 +11,25 @@
   readonly value: unknown;
 }
 
-/** What is known of a record when it is decided on. */
-export interface AcceptanceCase {
+/** State that the decision on a record is based on. */
+export interface AcceptanceInput {
   readonly kind: RecordKind;
   readonly name: string;
-  /** Undefined when the operator has removed it. */
+  /** Undefined if the operator has removed it. */
   readonly source: SourceRecord | undefined;
-  /** A store version at which it was seen to be gone; only without a source. */
-  readonly goneAt: number;
+  /**
+   * Store version at which the record was found absent; only without a source.
+   */
+  readonly removalVersion: number;
   readonly accepted: AcceptedObject | undefined;
-  /** Checks across records; the faults of an otherwise valid record. */
-  readonly others: AcceptedView;
+  /** Accepted records for the checks across records. */
+  readonly acceptedIndex: AcceptedIndex;
   /** Wall-clock milliseconds. */
-  readonly wall: number;
+  readonly wallMs: number;
 }
 
-/** The accepted records that others are checked against. */
-export interface AcceptedView {
+/** Accepted records that other records are validated against. */
+export interface AcceptedIndex {
   hasService(name: string): boolean;
   moves(): readonly Move[];
 }
@@ -42,26 +44,25 @@
     };
 
 /**
- * Decides on a record. The source version of what is accepted only rises: an
- * acceptor that reads an old listing has nothing to do, and can take nothing back.
+ * Decides on a record. The accepted source version never decreases: an acceptor
+ * that reads a stale listing decides on `nothing` and cannot revert anything.
  *
  * @example
- * const decision = decideRecord({kind: 'service', name: 'booking', source, goneAt: 0, accepted, others, wall});
+ * const record = {kind: 'service', name: 'booking', source, accepted} as const;
+ * const context = {removalVersion: 0, acceptedIndex, wallMs};
+ * const decision = decideAcceptance({...record, ...context});
  */
-export function decideRecord(record: AcceptanceCase): AcceptanceDecision {
-  if (record.source === undefined) {
-    return decideRemoval(record);
+export function decideAcceptance(input: AcceptanceInput): AcceptanceDecision {
+  if (input.source === undefined) {
+    return decideRemoval(input);
   }
-  const {version, value} = record.source;
-  if (
-    record.accepted !== undefined &&
-    record.accepted.sourceVersion >= version
-  ) {
+  const {version, value} = input.source;
+  if (input.accepted !== undefined && input.accepted.sourceVersion >= version) {
     return {type: 'nothing'};
   }
   try {
-    const accepted = convertRecord(record.kind, record.name, value);
-    const faults = faultsAmongOthers(record, accepted);
+    const accepted = convertRecord(input.kind, input.name, value);
+    const faults = crossRecordFaults(input, accepted);
     if (faults.length > 0) {
       return {type: 'refuse', sourceVersion: version, faults};
     }
@@ -77,20 +78,26 @@
   }
 }
 
-/** The removal is kept as a record of its own, so that no peer brings the record back. */
-function decideRemoval({accepted, goneAt}: AcceptanceCase): AcceptanceDecision {
+/** Keeps a removal as a tombstone, so that no peer restores the record. */
+function decideRemoval({
+  accepted,
+  removalVersion,
+}: AcceptanceInput): AcceptanceDecision {
   if (
     accepted === undefined ||
     accepted.isRemoved ||
-    accepted.sourceVersion >= goneAt
+    accepted.sourceVersion >= removalVersion
   ) {
     return {type: 'nothing'};
   }
-  return {type: 'accept', object: {sourceVersion: goneAt, isRemoved: true}};
+  return {
+    type: 'accept',
+    object: {sourceVersion: removalVersion, isRemoved: true},
+  };
 }
 
-function faultsAmongOthers(
-  {kind, others, wall}: AcceptanceCase,
+function crossRecordFaults(
+  {kind, acceptedIndex, wallMs}: AcceptanceInput,
   accepted: unknown,
 ): readonly Fault[] {
   if (kind !== 'move') {
@@ -98,19 +105,19 @@
   }
   const move = accepted as Move;
   const faults: Fault[] = [];
-  if (!others.hasService(move.service)) {
+  if (!acceptedIndex.hasService(move.service)) {
     faults.push({path: 'service', expected: 'an accepted service'});
   }
-  const rival = others
+  const conflictingMove = acceptedIndex
     .moves()
     .find(
       other =>
         other.name !== move.name &&
         other.service === move.service &&
-        other.deadline > wall,
+        other.deadline > wallMs,
     );
-  if (rival !== undefined) {
-    faults.push(rivalFault(rival.name));
+  if (conflictingMove !== undefined) {
+    faults.push(conflictingMoveFault(conflictingMove.name));
   }
   return faults;
 }
--- a/packages/records/src/configuration.ts
+++ b/packages/records/src/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force on one process: from the platform where this entry
- * is a reader, from peers everywhere, and never to an older version.
+ * The configuration in force in one process. It is read from the platform on
+ * entries that are readers and from peers on all; versions never decrease.
  */
 import {
   disposableStore,
@@ -18,32 +18,32 @@
   RecordVersion,
   RelayedRecord,
 } from '@skylarkfield/protocol';
-import {readAccepted, type AcceptedObject} from './acceptedShapes.js';
+import {parseAcceptedRecord, type AcceptedObject} from './acceptedSchemas.js';
 import type {Configuration, RecordKind} from './contracts.js';
 import {createRecordConfirmation} from './recordConfirmation.js';
-import {readersOf, type RecordMember} from './recordReaders.js';
-import {createRecordSpread} from './recordSpread.js';
+import {selectReaders, type RecordMember} from './recordReaders.js';
+import {createRecordGossip} from './recordGossip.js';
 import {createRecordTable} from './recordTable.js';
 
-/** The kind of the objects that hold accepted records. */
+/** Kind of the stored objects that hold accepted records. */
 export const ACCEPTED_KIND = 'accepted';
 
-/** The configuration with what its process needs besides reading it. */
+/** Configuration with the operations of the process that maintains it. */
 export interface ConfigurationClient extends Configuration, Disposable {
-  /** Puts an accepted object in force that this process has read or written itself. */
+  /** Applies an accepted object that this process has read or written. */
   offer(key: string, accepted: AcceptedObject): void;
-  /** Ids of live members that lack one of the records or did not answer. */
+  /** Returns the ids of live members that lack a record or did not respond. */
   lacking(records: readonly RecordVersion[]): Promise<readonly string[]>;
   dump(): ConfigurationDump;
 }
 
 export interface ConfigurationDump {
   readonly isReady: boolean;
-  /** Where the first complete configuration came from. */
+  /** Source of the first complete configuration. */
   readonly readyFrom: 'nowhere' | 'platform' | 'peers';
   readonly isReading: boolean;
   readonly records: number;
-  /** Records that this release could not use. */
+  /** Number of accepted records that this release could not use. */
   readonly unusable: number;
   readonly versions: readonly RecordVersion[];
 }
@@ -54,20 +54,20 @@
   readonly store: ObjectStore;
   readonly network: PeerNetwork;
   readonly self: RecordMember;
-  /** All live members, this one included. */
+  /** All live members, including this one. */
   readonly members: () => readonly RecordMember[];
   readonly log: Logger;
 }
 
-const ROUND_MS = 1000;
-/** An entry that hears from no peer for so long reads from the platform itself. */
-const LONELY_MS = 5000;
+const ROUND_INTERVAL_MS = 1000;
+/** Time without record messages after which an entry watches the platform. */
+const PEER_SILENCE_TIMEOUT_MS = 5000;
 
 /**
- * Starts to follow the accepted configuration.
+ * Starts to maintain the configuration in force.
  *
  * @example
- * const configuration = createConfiguration({clock, random, store, network, self, members, log});
+ * const configuration = createConfiguration({clock, store, ...options});
  * configuration.get('service', 'booking')?.timeoutMs;
  */
 export function createConfiguration(
@@ -75,23 +75,23 @@
 ): ConfigurationClient {
   const {clock, random, store, network, self, members, log} = options;
   const table = createRecordTable();
-  const changed = emitter<{kind: RecordKind; name: string}>();
+  const didChange = emitter<{kind: RecordKind; name: string}>();
   const owned = disposableStore();
   let readyFrom: ConfigurationDump['readyFrom'] = 'nowhere';
-  let reading: Disposable | undefined;
+  let watch: Disposable | undefined;
   let isPulling = false;
-  let shouldPull = false;
+  let isPullRequested = false;
   let isListing = false;
   let unusable = 0;
 
-  const spread = owned.add(
-    createRecordSpread({
+  const gossip = owned.add(
+    createRecordGossip({
       table,
       network,
       clock,
       random,
       isReady,
-      apply: applyAll,
+      apply: applyRecords,
     }),
   );
   const confirmation = owned.add(
@@ -102,26 +102,32 @@
     return readyFrom !== 'nowhere';
   }
 
-  function applyAll(
+  function applyRecords(
     records: readonly RelayedRecord[],
   ): readonly RelayedRecord[] {
-    const news = records.filter(record => table.apply(record));
-    for (const {kind, name} of news) {
-      changed.fire({kind: kind as RecordKind, name});
+    const newRecords = records.filter(record => table.apply(record));
+    for (const {kind, name} of newRecords) {
+      didChange.fire({kind: kind as RecordKind, name});
     }
-    return news;
+    return newRecords;
   }
 
-  function read(name: string, value: unknown): RelayedRecord | undefined {
-    const record = readAccepted(name, value);
+  function parseAccepted(
+    name: string,
+    value: unknown,
+  ): RelayedRecord | undefined {
+    const record = parseAcceptedRecord(name, value);
     if (record === undefined) {
       unusable += 1;
-      log.warn({record: name}, 'an accepted record cannot be used');
+      log.warn(
+        {record: name},
+        'skipped accepted record that this release cannot use',
+      );
     }
     return record;
   }
 
-  function becomeReady(from: 'platform' | 'peers'): void {
+  function markReady(from: 'platform' | 'peers'): void {
     if (isReady()) {
       return;
     }
@@ -129,76 +135,80 @@
     log.info({from, records: table.digest().count}, 'configuration complete');
   }
 
-  function takeListing(listing: ObjectListing): void {
+  function applyListing(listing: ObjectListing): void {
     const records = listing.objects
-      .map(object => read(object.name, object.value))
+      .map(object => parseAccepted(object.name, object.value))
       .filter(record => record !== undefined);
-    const news = applyAll(records);
-    // What every starting entry lists, its peers have long had.
+    const newRecords = applyRecords(records);
+    // The first listing of a starting entry is not pushed: its peers have it.
     if (isReady()) {
-      spread.push(news);
+      gossip.push(newRecords);
     }
-    becomeReady('platform');
+    markReady('platform');
   }
 
-  /** An accepted object is never removed: one that is gone stays in force. */
-  function startReading(): Disposable {
+  /**
+   * Accepted objects are never deleted; if one is missing, it stays in force.
+   */
+  function startWatch(): Disposable {
     return store.watch<AcceptedObject>(ACCEPTED_KIND, {
-      onDidList: takeListing,
-      onDidPut: object => offer(object.name, object.value),
+      onDidList: applyListing,
+      onDidPut: object => applyAccepted(object.name, object.value),
       onDidRemove: () => {},
     });
   }
 
-  function offer(key: string, accepted: AcceptedObject): void {
-    const record = read(key, accepted);
+  function applyAccepted(key: string, accepted: AcceptedObject): void {
+    const record = parseAccepted(key, accepted);
     if (record !== undefined) {
-      spread.push(applyAll([record]));
+      gossip.push(applyRecords([record]));
     }
   }
 
-  function shouldRead(): boolean {
-    const isLonely = clock.now() - spread.heardAt() > LONELY_MS;
+  function shouldWatch(): boolean {
+    const isIsolated =
+      clock.now() - gossip.lastReceivedAt() > PEER_SILENCE_TIMEOUT_MS;
     return (
-      isLonely || readersOf(self.failureDomain, members()).includes(self.id)
+      isIsolated ||
+      selectReaders(self.failureDomain, members()).includes(self.id)
     );
   }
 
-  function updateReading(): void {
-    if (shouldRead()) {
-      reading ??= startReading();
+  function updateWatch(): void {
+    if (shouldWatch()) {
+      watch ??= startWatch();
       return;
     }
-    reading?.dispose();
-    reading = undefined;
+    watch?.dispose();
+    watch = undefined;
   }
 
   async function listOnce(): Promise<void> {
-    if (isListing || reading !== undefined) {
+    if (isListing || watch !== undefined) {
       return;
     }
     isListing = true;
     try {
-      takeListing(await store.list(ACCEPTED_KIND));
+      applyListing(await store.list(ACCEPTED_KIND));
     } catch {
-      // The next round tries again, and peers may answer before.
+      // Retried in the next round; peers may respond earlier.
     } finally {
       isListing = false;
     }
   }
 
-  /** Peers that connect while others are asked are asked next. */
+  /** Pulls again for peers that connect during a pull. */
   async function pullFromPeers(): Promise<void> {
-    shouldPull = true;
+    isPullRequested = true;
     if (isPulling) {
       return;
     }
     isPulling = true;
     try {
-      while (shouldPull && !isReady() && !owned.isDisposed) {
-        shouldPull = false;
-        if ((await spread.pull()) > 0) {
-          becomeReady('peers');
+      while (isPullRequested && !isReady() && !owned.isDisposed) {
+        isPullRequested = false;
+        if ((await gossip.pull()) > 0) {
+          markReady('peers');
         }
       }
     } finally {
@@ -206,8 +216,8 @@
     }
   }
 
-  function round(): void {
-    updateReading();
+  function runRound(): void {
+    updateWatch();
     if (isReady()) {
       return;
     }
@@ -222,24 +232,24 @@
       }
     }),
   );
-  owned.add(every(clock, ROUND_MS, round));
-  owned.add(toDisposable(() => reading?.dispose()));
-  owned.add(changed);
-  round();
+  owned.add(every(clock, ROUND_INTERVAL_MS, runRound));
+  owned.add(toDisposable(() => watch?.dispose()));
+  owned.add(didChange);
+  runRound();
 
   return {
     get: (kind, name) => table.get(kind, name),
     list: kind => table.list(kind),
     onDidChange: listener =>
-      changed.event(({kind, name}) => listener(kind, name)),
+      didChange.event(({kind, name}) => listener(kind, name)),
     isReady,
     versions: () => table.versions(),
-    offer,
-    lacking: records => confirmation.lacking(records),
+    offer: applyAccepted,
+    lacking: records => confirmation.membersLacking(records),
     dump: () => ({
       isReady: isReady(),
       readyFrom,
-      isReading: reading !== undefined,
+      isReading: watch !== undefined,
       records: table.digest().count,
       unusable,
       versions: table.versions(),
--- a/packages/records/src/contracts.ts
+++ b/packages/records/src/contracts.ts
@@ -1,48 +1,54 @@
-/** Record kinds in the form that processes act on, and the configuration in force. */
+/** Accepted forms of the record kinds, and the configuration in force. */
 import type {Disposable} from '@skylarkfield/base';
 import type {RecordVersion} from '@skylarkfield/protocol';
 
 export type RecordKind = 'customer' | 'service' | 'move' | 'endpoint-class';
 
-/** A firm or department that calls; authenticates with keys. */
+/** A firm or department whose calls authenticate with keys. */
 export interface Customer {
   readonly name: string;
   /** SHA-256 of each valid key, as lower-case hex. */
   readonly keyHashes: readonly string[];
-  /** The most important RFC 9218 urgency it may ask for, 0 to 7. */
+  /** Highest priority it may request, as RFC 9218 urgency: 0 (highest) to 7. */
   readonly bestUrgency: number;
-  /** Its share of a busy service relative to other customers. */
+  /** Share of a busy service, relative to other customers. */
   readonly weight: number;
-  /** Services it may call; empty for all. */
+  /** Services the customer may call; empty for all. */
   readonly services: readonly string[];
 }
 
-/** How calls on one path of a plain service may be treated. */
+/** Idempotency of the calls below a path of a plain service. */
 export interface Route {
-  /** Method, or `*` for all. */
+  /** HTTP method, or `*` for all. */
   readonly method: string;
   readonly pathPrefix: string;
-  /** False: at most once; runs through the order ledger. */
+  /** False: calls run at most once, through the order ledger. */
   readonly isIdempotent: boolean;
 }
 
-/** One service: model pool or plain service. */
+/** A pool of model replicas or a plain service. */
 export interface Service {
   readonly name: string;
   readonly type: 'model' | 'plain';
-  /** The version that serves when no move is under way. */
+  /** Version that serves while no move is in progress. */
   readonly version: string;
-  /** Longest prefix wins; a call that matches no route is not idempotent unless GET, HEAD or OPTIONS. */
+  /**
+   * The longest prefix applies; a call that matches no route is idempotent only
+   * if it is GET, HEAD or OPTIONS.
+   */
   readonly routes: readonly Route[];
-  /** Latency that users want for 95 in 100: first token for models, whole answer for plain services. */
+  /**
+   * Target of the 95th percentile latency: time to first token for models, to
+   * the full response for plain services.
+   */
   readonly targetMs: number;
-  /** Time a request gets when the caller names none, and the most it may ask for. */
+  /** Default and upper bound of the timeout of a request. */
   readonly timeoutMs: number;
-  /** The most requests in flight over all entries. */
+  /** Maximum number of requests in flight over all entries. */
   readonly concurrency: number;
-  /** The most requests waiting at one entry. */
+  /** Maximum number of requests queued at one entry. */
   readonly queue: number;
-  /** Replicas to keep, and their machine class. */
+  /** Number of replicas to keep, their machine class and weights. */
   readonly fleet: {
     readonly minReplicas: number;
     readonly maxReplicas: number;
@@ -51,43 +57,43 @@
   };
 }
 
-/** Traffic of a service goes from one version to another by a deadline. */
+/** Moves the traffic of a service from one version to another by a deadline. */
 export interface Move {
   readonly name: string;
   readonly service: string;
   readonly from: string;
   readonly to: string;
-  /** Wall-clock milliseconds by which it is finished or taken back. */
+  /** Wall-clock milliseconds by which the move is finished or rolled back. */
   readonly deadline: number;
-  /** The most of the traffic that an unproven candidate may get, 0 to 1. */
+  /** Upper bound of the traffic share of an unproven candidate, 0 to 1. */
   readonly maxUnprovenShare: number;
 }
 
-/** What is known of one class of endpoints. */
+/** Properties of a class of endpoints. */
 export interface EndpointClass {
   readonly name: string;
-  /** Whether its endpoints refuse orders with an old fencing number. */
+  /** Whether the endpoints reject orders with an outdated fencing token. */
   readonly checksFencing: boolean;
 }
 
-export interface AcceptedRecords {
+export interface AcceptedRecordTypes {
   customer: Customer;
   service: Service;
   move: Move;
   'endpoint-class': EndpointClass;
 }
 
-/** The accepted configuration that this process acts on. */
+/** The configuration in force in this process. */
 export interface Configuration {
   get<K extends RecordKind>(
     kind: K,
     name: string,
-  ): AcceptedRecords[K] | undefined;
-  list<K extends RecordKind>(kind: K): readonly AcceptedRecords[K][];
-  /** Fires after a record was put in force or removed. */
+  ): AcceptedRecordTypes[K] | undefined;
+  list<K extends RecordKind>(kind: K): readonly AcceptedRecordTypes[K][];
+  /** Fires after a record was applied or removed. */
   onDidChange(listener: (kind: RecordKind, name: string) => void): Disposable;
-  /** False until a first snapshot came from the platform or a peer. */
+  /** False until a complete snapshot came from the platform or a peer. */
   isReady(): boolean;
-  /** Versions in force here, removed records included. */
+  /** Versions in force in this process, including removed records. */
   versions(): readonly RecordVersion[];
 }
--- a/packages/records/src/convertRecord.ts
+++ b/packages/records/src/convertRecord.ts
@@ -1,6 +1,6 @@
-/** From what operators write to the accepted form, in any schema version. */
+/** Conversion of records in any schema version to the accepted form. */
 import {ServingError, type Fault} from '@skylarkfield/base';
-import type {AcceptedRecords, RecordKind} from './contracts.js';
+import type {AcceptedRecordTypes, RecordKind} from './contracts.js';
 import type {Conversions} from './schemas/conversion.js';
 import {customerConversions} from './schemas/customerSchemas.js';
 import {endpointClassConversions} from './schemas/endpointClassSchemas.js';
@@ -8,7 +8,7 @@
 import {moveConversions} from './schemas/moveSchemas.js';
 import {serviceConversions} from './schemas/serviceSchemas.js';
 
-/** All record kinds, services before the moves that name them. */
+/** All record kinds, services before the moves that refer to them. */
 export const recordKinds: readonly RecordKind[] = [
   'endpoint-class',
   'service',
@@ -17,7 +17,7 @@
 ];
 
 const conversions: {
-  readonly [K in RecordKind]: Conversions<AcceptedRecords[K]>;
+  readonly [K in RecordKind]: Conversions<AcceptedRecordTypes[K]>;
 } = {
   customer: customerConversions,
   service: serviceConversions,
@@ -26,43 +26,49 @@
 };
 
 /**
- * Checks a record and converts it.
- * Throws `bad-record` that names every field at fault.
+ * Validates a record and converts it to the accepted form.
+ * Throws `bad-record` that lists every invalid field.
  *
  * @example
- * const service = convertRecord('service', 'booking', {schema: 2, type: 'plain', ...fields});
+ * const value = {schema: 2, type: 'plain', ...fields};
+ * const service = convertRecord('service', 'booking', value);
  */
 export function convertRecord<K extends RecordKind>(
   kind: K,
   name: string,
   value: unknown,
-): AcceptedRecords[K] {
+): AcceptedRecordTypes[K] {
   if (!nameField.safeParse(name).success) {
-    throw refusal([
+    throw badRecordError([
       {
         path: 'name',
         expected: 'lower-case letters, digits, dot, hyphen and underscore',
       },
     ]);
   }
-  const known = conversions[kind] as Conversions<AcceptedRecords[K]>;
-  const schema = schemaOf(value);
-  const convert = schema === undefined ? undefined : known[schema];
+  const conversionsOfKind = conversions[kind] as Conversions<
+    AcceptedRecordTypes[K]
+  >;
+  const schemaVersion = schemaVersionOf(value);
+  const convert =
+    schemaVersion === undefined ? undefined : conversionsOfKind[schemaVersion];
   if (convert === undefined) {
-    const versions = Object.keys(known).join(' or ');
-    throw refusal([{path: 'schema', expected: `schema version ${versions}`}]);
+    const versions = Object.keys(conversionsOfKind).join(' or ');
+    throw badRecordError([
+      {path: 'schema', expected: `schema version ${versions}`},
+    ]);
   }
   return convert(name, value);
 }
 
-function schemaOf(value: unknown): number | undefined {
+function schemaVersionOf(value: unknown): number | undefined {
   if (typeof value !== 'object' || value === null || !('schema' in value)) {
     return undefined;
   }
   return typeof value.schema === 'number' ? value.schema : undefined;
 }
 
-function refusal(faults: readonly Fault[]): ServingError {
-  const lines = faults.map(fault => `${fault.path}: ${fault.expected}`);
-  return new ServingError('bad-record', lines.join('; '), {faults});
+function badRecordError(faults: readonly Fault[]): ServingError {
+  const messages = faults.map(fault => `${fault.path}: ${fault.expected}`);
+  return new ServingError('bad-record', messages.join('; '), {faults});
 }
--- a/packages/records/src/index.ts
+++ b/packages/records/src/index.ts
@@ -1,7 +1,7 @@
 /** Record kinds and schemas, acceptance, the configuration in force. */
 export * from './acceptance.js';
 export * from './acceptanceDecision.js';
-export * from './acceptedShapes.js';
+export * from './acceptedSchemas.js';
 export * from './configuration.js';
 export * from './contracts.js';
 export * from './convertRecord.js';
--- a/packages/records/src/messageShapes.ts
+++ b/packages/records/src/messageSchemas.ts
@@ -1,24 +1,27 @@
-/** Shapes of the answers that peers give about records. */
+/** Schemas of the responses of peers to queries about records. */
 import type {
   RecordDifference,
   RecordsInForceAnswer,
 } from '@skylarkfield/protocol';
 import * as z from 'zod';
 
-const version = z.object({
+const versionSchema = z.object({
   kind: z.string(),
   name: z.string(),
   sourceVersion: z.number(),
 });
 
-export const differenceShape = z.object({
+export const differenceSchema = z.object({
   isReady: z.boolean(),
   records: z.array(
-    version.extend({isRemoved: z.boolean(), value: z.unknown().optional()}),
+    versionSchema.extend({
+      isRemoved: z.boolean(),
+      value: z.unknown().optional(),
+    }),
   ),
-  wanted: z.array(version),
+  wanted: z.array(versionSchema),
 }) satisfies z.ZodType<RecordDifference>;
 
-export const inForceShape = z.object({
+export const inForceSchema = z.object({
   lacking: z.array(z.string()),
 }) satisfies z.ZodType<RecordsInForceAnswer>;
--- a/packages/records/src/moveClaims.ts
+++ b/packages/records/src/moveClaims.ts
@@ -1,32 +1,34 @@
 /**
- * One move at a time per service, also when acceptors race.
+ * Ensures one move at a time per service, even when acceptors race.
  *
- * Two acceptors that each look first and then accept another move of the same
- * service would both succeed: their writes go to different objects. So the move
- * is first written into one object per service, which only one of them can do.
+ * Two acceptors that check first and then accept different moves of a service
+ * would both succeed, since they write different objects. So a move first
+ * claims one object per service, which only one of them can write.
  */
 import type {Clock, Fault} from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import * as z from 'zod';
-import type {AcceptanceView} from './acceptanceView.js';
-import type {AcceptedObject} from './acceptedShapes.js';
+import type {AcceptedObject} from './acceptedSchemas.js';
 import {ACCEPTED_KIND} from './configuration.js';
 import type {Move} from './contracts.js';
+import type {RecordCache} from './recordCache.js';
 import {recordKey} from './recordTable.js';
-import {conditionOn} from './writeCondition.js';
+import {unchangedCondition} from './writeCondition.js';
 
-/** The kind of the objects that name the move of each service. */
+/** Kind of the stored objects that name the move of each service. */
 export const MOVE_CLAIM_KIND = 'move-claim';
 
 export interface MoveClaims {
-  /** Claims the service of an accepted move; the faults when another move has it. */
+  /**
+   * Claims the service of a move; returns the faults if another move holds it.
+   */
   claim(key: string, object: AcceptedObject): Promise<readonly Fault[]>;
 }
 
-const claimShape = z.object({move: z.string()});
+const claimSchema = z.object({move: z.string()});
 
 /**
- * Makes the claims of an acceptor.
+ * Creates the move claims of an acceptor.
  *
  * @example
  * const faults = await claims.claim('move.booking-v2', accepted);
@@ -34,58 +36,64 @@
 export function createMoveClaims(options: {
   readonly clock: Clock;
   readonly store: ObjectStore;
-  readonly view: AcceptanceView;
+  readonly cache: RecordCache;
   readonly signal: AbortSignal;
 }): MoveClaims {
-  const {clock, store, view, signal} = options;
+  const {clock, store, cache, signal} = options;
 
-  function isOver(name: string): boolean {
-    const record = view.caseOf(recordKey({kind: 'move', name}), clock.wall());
-    const accepted = record.accepted;
+  function hasEnded(name: string): boolean {
+    const input = cache.acceptanceInput(
+      recordKey({kind: 'move', name}),
+      clock.wall(),
+    );
+    const accepted = input.accepted;
     if (accepted === undefined || accepted.isRemoved) {
-      return record.source === undefined || accepted !== undefined;
+      return input.source === undefined || accepted !== undefined;
     }
     return (accepted.value as Move).deadline <= clock.wall();
   }
 
   /**
-   * An acceptor that claimed for a move and was paused before it accepted it
-   * must not do so now: a removal in its place makes that write fail.
+   * Writes a tombstone in place of the accepted move: an acceptor that claimed
+   * the service for it and was then paused must not accept it any more.
    */
-  async function closeOff(name: string): Promise<void> {
+  async function writeTombstone(name: string): Promise<void> {
     const key = recordKey({kind: 'move', name});
-    if (view.acceptedObject(key) !== undefined) {
+    if (cache.acceptedObject(key) !== undefined) {
       return;
     }
-    const {goneAt} = view.caseOf(key, clock.wall());
-    const removal: AcceptedObject = {sourceVersion: goneAt, isRemoved: true};
+    const {removalVersion} = cache.acceptanceInput(key, clock.wall());
+    const tombstone: AcceptedObject = {
+      sourceVersion: removalVersion,
+      isRemoved: true,
+    };
     const condition = {type: 'absent'} as const;
-    view.noteAccepted(
+    cache.updateAccepted(
       key,
-      await store.put(ACCEPTED_KIND, key, removal, condition, signal),
+      await store.put(ACCEPTED_KIND, key, tombstone, condition, signal),
     );
   }
 
   return {
     async claim(key, object) {
-      const {kind, name} = view.identityOf(key);
+      const {kind, name} = cache.parseRecordKey(key);
       if (kind !== 'move' || object.isRemoved) {
         return [];
       }
       const {service} = object.value as Move;
-      const present = await store.get(MOVE_CLAIM_KIND, service, signal);
-      const holder = claimShape.safeParse(present?.value).data?.move;
+      const current = await store.get(MOVE_CLAIM_KIND, service, signal);
+      const holder = claimSchema.safeParse(current?.value).data?.move;
       if (holder === name) {
         return [];
       }
       if (holder !== undefined) {
-        if (!isOver(holder)) {
-          return [rivalFault(holder)];
+        if (!hasEnded(holder)) {
+          return [conflictingMoveFault(holder)];
         }
-        await closeOff(holder);
+        await writeTombstone(holder);
       }
       const claim = {move: name};
-      const condition = conditionOn(present);
+      const condition = unchangedCondition(current);
       await store.put(MOVE_CLAIM_KIND, service, claim, condition, signal);
       return [];
     },
@@ -93,14 +101,14 @@
 }
 
 /**
- * The fault of a move whose service has another one under way.
+ * Returns the fault of a move whose service has another one in progress.
  *
  * @example
- * return [rivalFault('booking-v7')];
+ * return [conflictingMoveFault('booking-v7')];
  */
-export function rivalFault(rival: string): Fault {
+export function conflictingMoveFault(conflictingMove: string): Fault {
   return {
     path: 'service',
-    expected: `a service without another move under way; ${rival} is, remove it first`,
+    expected: `a service without another move in progress; to start this one, remove ${conflictingMove}`,
   };
 }
--- a/packages/records/src/recordConfirmation.ts
+++ b/packages/records/src/recordConfirmation.ts
@@ -1,98 +1,99 @@
 /**
- * Finds out which live members lack a record.
+ * Determines which live members lack a record.
  *
- * In a small fleet every member is asked. In a large one a reader of each
- * failure domain asks the members of its own, so that the asker's messages
- * grow with the failure domains and not with the fleet.
+ * In a small fleet every member is queried. In a large one a reader of each
+ * failure domain queries the members of its domain, so that the messages of the
+ * querying entry grow with the failure domains and not with the fleet.
  */
 import type {Disposable} from '@skylarkfield/base';
 import type {PeerNetwork, RecordVersion} from '@skylarkfield/protocol';
-import {inForceShape} from './messageShapes.js';
-import {readersOf, type RecordMember} from './recordReaders.js';
+import {inForceSchema} from './messageSchemas.js';
+import {selectReaders, type RecordMember} from './recordReaders.js';
 import type {RecordTable} from './recordTable.js';
 
 export interface RecordConfirmation extends Disposable {
-  /** Ids of live members that lack one of the records or did not answer. */
-  lacking(records: readonly RecordVersion[]): Promise<readonly string[]>;
+  /** Returns the ids of live members that lack a record or did not respond. */
+  membersLacking(records: readonly RecordVersion[]): Promise<readonly string[]>;
 }
 
-/** Above this, members are asked through readers. */
-const DIRECT_MEMBERS = 24;
-const SELF_TIMEOUT_MS = 1000;
-/** A reader waits for its members first. */
+/** Largest fleet whose members are queried directly, not through readers. */
+const MAX_DIRECT_MEMBERS = 24;
+const MEMBER_TIMEOUT_MS = 1000;
+/** Longer than `MEMBER_TIMEOUT_MS`: the reader queries its members in turn. */
 const DOMAIN_TIMEOUT_MS = 2500;
 
 /**
- * Answers peers' questions and asks them.
+ * Answers the queries of peers and sends queries to them.
  *
  * @example
- * const confirmation = createRecordConfirmation({table, network, self, members});
- * const missing = await confirmation.lacking([{kind: 'service', name: 'booking', sourceVersion: 7}]);
+ * const confirmation = createRecordConfirmation(options);
+ * const version = {kind: 'service', name: 'booking', sourceVersion: 7};
+ * const lacking = await confirmation.membersLacking([version]);
  */
 export function createRecordConfirmation(options: {
   readonly table: RecordTable;
   readonly network: PeerNetwork;
   readonly self: RecordMember;
-  /** All live members, this one included. */
+  /** All live members, including this one. */
   readonly members: () => readonly RecordMember[];
 }): RecordConfirmation {
   const {table, network, self, members} = options;
 
-  function hasAll(records: readonly RecordVersion[]): boolean {
-    return records.every(record => table.has(record));
+  function areAllInForce(records: readonly RecordVersion[]): boolean {
+    return records.every(record => table.isInForce(record));
   }
 
-  async function askMember(
+  async function queryMember(
     member: string,
     records: readonly RecordVersion[],
   ): Promise<readonly string[]> {
     if (member === self.id) {
-      return hasAll(records) ? [] : [self.id];
+      return areAllInForce(records) ? [] : [self.id];
     }
-    return ask(member, records, 'self', [member]);
+    return query(member, records, 'self', [member]);
   }
 
-  async function ask(
+  async function query(
     to: string,
     records: readonly RecordVersion[],
     scope: 'self' | 'domain',
-    unheard: readonly string[],
+    lackingIfUnanswered: readonly string[],
   ): Promise<readonly string[]> {
-    const timeoutMs = scope === 'self' ? SELF_TIMEOUT_MS : DOMAIN_TIMEOUT_MS;
+    const timeoutMs = scope === 'self' ? MEMBER_TIMEOUT_MS : DOMAIN_TIMEOUT_MS;
     try {
       const body = {records, scope};
       const answer = await network.ask(to, 'recordsInForce', body, timeoutMs);
-      return inForceShape.parse(answer).lacking;
+      return inForceSchema.parse(answer).lacking;
     } catch {
-      // No answer counts as lacking: in force is said only of what was confirmed.
-      return unheard;
+      // No response counts as lacking: only confirmed records are in force.
+      return lackingIfUnanswered;
     }
   }
 
-  async function askMembers(
+  async function queryMembers(
     ids: readonly string[],
     records: readonly RecordVersion[],
   ): Promise<readonly string[]> {
-    const answers = await Promise.all(ids.map(id => askMember(id, records)));
+    const answers = await Promise.all(ids.map(id => queryMember(id, records)));
     return answers.flat();
   }
 
-  function idsIn(failureDomain: string): string[] {
+  function memberIdsIn(failureDomain: string): string[] {
     return members()
       .filter(member => member.failureDomain === failureDomain)
       .map(member => member.id);
   }
 
-  async function askDomain(
+  async function queryDomain(
     failureDomain: string,
     records: readonly RecordVersion[],
   ): Promise<readonly string[]> {
-    const ids = idsIn(failureDomain);
+    const ids = memberIdsIn(failureDomain);
     if (failureDomain === self.failureDomain) {
-      return askMembers(ids, records);
+      return queryMembers(ids, records);
     }
-    for (const reader of readersOf(failureDomain, members())) {
-      const lacking = await ask(reader, records, 'domain', ids);
+    for (const reader of selectReaders(failureDomain, members())) {
+      const lacking = await query(reader, records, 'domain', ids);
       if (lacking.length < ids.length) {
         return lacking;
       }
@@ -105,23 +106,25 @@
     async (_from, {records, scope}) => ({
       lacking:
         scope === 'self'
-          ? await askMember(self.id, records)
-          : await askMembers(idsIn(self.failureDomain), records),
+          ? await queryMember(self.id, records)
+          : await queryMembers(memberIdsIn(self.failureDomain), records),
     }),
   );
 
   return {
-    async lacking(records) {
-      const all = members();
-      if (all.length <= DIRECT_MEMBERS) {
-        return askMembers(
-          all.map(member => member.id),
+    async membersLacking(records) {
+      const liveMembers = members();
+      if (liveMembers.length <= MAX_DIRECT_MEMBERS) {
+        return queryMembers(
+          liveMembers.map(member => member.id),
           records,
         );
       }
-      const domains = [...new Set(all.map(member => member.failureDomain))];
+      const domains = [
+        ...new Set(liveMembers.map(member => member.failureDomain)),
+      ];
       const answers = await Promise.all(
-        domains.map(domain => askDomain(domain, records)),
+        domains.map(domain => queryDomain(domain, records)),
       );
       return answers.flat();
     },
--- /dev/null
+++ b/packages/records/src/recordGossip.ts
@@ -0,0 +1,228 @@
+/**
+ * Gossip of accepted records among entries.
+ *
+ * New records are pushed at once to a few peers, each of which relays a record
+ * when it first receives it. Digests sent to a few peers every second find what
+ * the pushes missed, so an entry that was cut off catches up from any peer.
+ */
+import {
+  disposableStore,
+  every,
+  type Clock,
+  type Disposable,
+  type Random,
+} from '@skylarkfield/base';
+import type {
+  PeerNetwork,
+  RecordDifference,
+  RecordDigest,
+  RelayedRecord,
+} from '@skylarkfield/protocol';
+import {parseRelayedRecord} from './acceptedSchemas.js';
+import {differenceSchema} from './messageSchemas.js';
+import {randomSample} from './randomSample.js';
+import type {RecordTable} from './recordTable.js';
+
+export interface RecordGossip extends Disposable {
+  /** Pushes newly applied records to a few peers. */
+  push(records: readonly RelayedRecord[], excludedPeer?: string): void;
+  /**
+   * Fetches all records that are not in force here from a few peers.
+   * Resolves with the number of peers that returned a complete configuration.
+   */
+  pull(): Promise<number>;
+  /** Monotonic milliseconds of the last message about records from any peer. */
+  lastReceivedAt(): number;
+}
+
+/**
+ * Peers that each entry pushes to; with 4, pushes reach about 98 in 100
+ * entries.
+ */
+const PUSH_FANOUT = 4;
+const DIGEST_FANOUT = 2;
+const DIGEST_INTERVAL_MS = 1000;
+/** Delay before a sync; a push in flight usually resolves the difference. */
+const SYNC_DELAY_MS = 50;
+const PULL_FANOUT = 3;
+const SYNC_TIMEOUT_MS = 2000;
+/** Keeps one message far below the size limit of the protocol. */
+const MAX_RECORDS_PER_MESSAGE = 200;
+
+/**
+ * Starts the gossip of records.
+ *
+ * @param options.apply Applies records and returns those that are new.
+ * @example
+ * const gossip = createRecordGossip({table, network, clock, ...options});
+ */
+export function createRecordGossip(options: {
+  readonly table: RecordTable;
+  readonly network: PeerNetwork;
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly isReady: () => boolean;
+  readonly apply: (
+    records: readonly RelayedRecord[],
+  ) => readonly RelayedRecord[];
+}): RecordGossip {
+  const {table, network, clock, random} = options;
+  const owned = disposableStore();
+  const syncingPeers = new Set<string>();
+  let lastReceivedAt = clock.now();
+
+  function applyFromPeer(
+    from: string,
+    records: readonly RelayedRecord[],
+  ): void {
+    const usable = records
+      .map(parseRelayedRecord)
+      .filter(record => record !== undefined);
+    const newRecords = options.apply(usable);
+    push(newRecords, from);
+  }
+
+  function push(
+    records: readonly RelayedRecord[],
+    excludedPeer?: string,
+  ): void {
+    if (records.length === 0) {
+      return;
+    }
+    const targets = network.connected().filter(peer => peer !== excludedPeer);
+    for (const peer of randomSample(random, targets, PUSH_FANOUT)) {
+      sendRecords(peer, records);
+    }
+  }
+
+  function sendRecords(peer: string, records: readonly RelayedRecord[]): void {
+    for (
+      let offset = 0;
+      offset < records.length;
+      offset += MAX_RECORDS_PER_MESSAGE
+    ) {
+      const batch = records.slice(offset, offset + MAX_RECORDS_PER_MESSAGE);
+      network.send(peer, 'records', {records: batch});
+    }
+  }
+
+  function sendDigests(): void {
+    const digest = table.digest();
+    for (const peer of randomSample(
+      random,
+      network.connected(),
+      DIGEST_FANOUT,
+    )) {
+      network.send(peer, 'recordDigest', digest);
+    }
+  }
+
+  function handleDigest(from: string, remoteDigest: RecordDigest): void {
+    lastReceivedAt = clock.now();
+    if (
+      syncingPeers.has(from) ||
+      differingBuckets(table.digest(), remoteDigest).size === 0
+    ) {
+      return;
+    }
+    syncingPeers.add(from);
+    owned.add(
+      clock.after(SYNC_DELAY_MS, () => {
+        const buckets = differingBuckets(table.digest(), remoteDigest);
+        void syncBuckets(from, buckets).finally(() =>
+          syncingPeers.delete(from),
+        );
+      }),
+    );
+  }
+
+  async function syncBuckets(
+    from: string,
+    buckets: ReadonlySet<number>,
+  ): Promise<void> {
+    if (buckets.size > 0) {
+      await syncWithPeer(from, buckets);
+    }
+  }
+
+  /** Fetches the records missing here and sends those missing at the peer. */
+  async function syncWithPeer(
+    peer: string,
+    buckets?: ReadonlySet<number>,
+  ): Promise<RecordDifference | undefined> {
+    try {
+      const answer = await network.ask(
+        peer,
+        'recordsWanted',
+        {
+          known: table.versions(buckets),
+          buckets: buckets === undefined ? undefined : [...buckets],
+        },
+        SYNC_TIMEOUT_MS,
+      );
+      const difference = differenceSchema.parse(answer);
+      if (owned.isDisposed) {
+        return undefined;
+      }
+      lastReceivedAt = clock.now();
+      applyFromPeer(peer, difference.records);
+      sendRecords(peer, table.records(difference.wanted));
+      return difference;
+    } catch {
+      // The next round selects another peer.
+      return undefined;
+    }
+  }
+
+  owned.add(
+    network.onDidReceive('records', (from, body) => {
+      lastReceivedAt = clock.now();
+      applyFromPeer(from, body.records);
+    }),
+  );
+  owned.add(network.onDidReceive('recordDigest', handleDigest));
+  owned.add(
+    network.onDidReceive('recordsWanted', (_from, body): RecordDifference => {
+      const buckets =
+        body.buckets === undefined ? undefined : new Set(body.buckets);
+      return {
+        isReady: options.isReady(),
+        records: table.newerThan(body.known, buckets),
+        wanted: table.notInForce(body.known),
+      };
+    }),
+  );
+  // A random initial delay desynchronizes entries that started together.
+  owned.add(
+    clock.after(DIGEST_INTERVAL_MS * random.next(), () => {
+      sendDigests();
+      owned.add(every(clock, DIGEST_INTERVAL_MS, sendDigests));
+    }),
+  );
+
+  return {
+    push,
+    async pull() {
+      const peers = randomSample(random, network.connected(), PULL_FANOUT);
+      const answers = await Promise.all(peers.map(peer => syncWithPeer(peer)));
+      return answers.filter(answer => answer?.isReady === true).length;
+    },
+    lastReceivedAt: () => lastReceivedAt,
+    dispose: () => owned.dispose(),
+  };
+}
+
+/** Buckets whose sums differ; nearly all if the numbers of buckets differ. */
+function differingBuckets(
+  local: RecordDigest,
+  remote: RecordDigest,
+): Set<number> {
+  const buckets = new Set<number>();
+  const length = Math.max(local.buckets.length, remote.buckets.length);
+  for (let bucket = 0; bucket < length; bucket++) {
+    if (local.buckets[bucket] !== remote.buckets[bucket]) {
+      buckets.add(bucket);
+    }
+  }
+  return buckets;
+}
--- a/packages/records/src/recordReaders.ts
+++ b/packages/records/src/recordReaders.ts
@@ -1,29 +1,30 @@
 /**
- * Which entries read accepted records from the platform themselves.
+ * Selection of the readers: the entries that watch the accepted records on the
+ * platform.
  *
- * The platform counts a waiting watch as a call, and its rates grow more slowly
- * than the fleet: with a watch at every entry the watches alone would use them
- * up. A few readers per failure domain are enough, and losing a whole failure
- * domain leaves the readers of all others.
+ * The platform counts an open watch as a call, and its rate limits grow more
+ * slowly than the fleet: a watch at every entry would exhaust them. A few
+ * readers per failure domain suffice, and the loss of a failure domain leaves
+ * the readers of all others.
  */
 import {rendezvousOrder} from '@skylarkfield/base';
 
-/** What is needed of a member to share out the reading. */
+/** Properties of a member that the selection of readers depends on. */
 export interface RecordMember {
   readonly id: string;
   readonly failureDomain: string;
 }
 
-/** Readers per failure domain: one may fail and nobody has to notice. */
+/** Readers per failure domain; with 2, the failure of one has no effect. */
 export const READERS_PER_FAILURE_DOMAIN = 2;
 
 /**
- * The readers of a failure domain among the live members, the first one first.
+ * Returns the ids of the readers of a failure domain, the preferred one first.
  *
  * @example
- * const isReader = readersOf('a', members).includes(self.id);
+ * const isReader = selectReaders('a', members).includes(self.id);
  */
-export function readersOf(
+export function selectReaders(
   failureDomain: string,
   members: readonly RecordMember[],
 ): readonly string[] {
--- a/packages/records/src/recordStatus.ts
+++ b/packages/records/src/recordStatus.ts
@@ -1,32 +1,32 @@
-/** What operators read about a record: the object kind `status`, named like the record. */
+/** Status of a record for operators, in a stored object named by the key. */
 import type {Fault} from '@skylarkfield/base';
 import * as z from 'zod';
 
-/** The kind of the objects that report on records. */
+/** Kind of the stored objects that hold record statuses. */
 export const STATUS_KIND = 'status';
 
 /**
- * `accepted`: on its way to all entries. `in-force`: every live entry has
- * confirmed it. `refused`: see the faults; an older accepted version stays in
- * force. `removed`: deleted, and on its way to all entries.
+ * `accepted`: being propagated to all entries. `in-force`: confirmed by every
+ * live entry. `refused`: invalid, see the faults; an older accepted version
+ * stays in force. `removed`: the removal is being propagated to all entries.
  */
 export type RecordState = 'accepted' | 'in-force' | 'refused' | 'removed';
 
 export interface RecordStatus {
   readonly state: RecordState;
-  /** Version of the record that the status is about. */
+  /** Version of the record that the status describes. */
   readonly sourceVersion: number;
-  /** Version of the record that is in force or on its way; absent when none is. */
+  /** Version of the record in force or being propagated, if any. */
   readonly acceptedVersion?: number;
-  /** Why it was refused, field by field. */
+  /** Reasons for a refusal, by field. */
   readonly faults: readonly Fault[];
-  /** Entries that have not confirmed yet, some of them when there are many. */
+  /** Entries that have not confirmed yet; truncated if there are many. */
   readonly waitingFor: readonly string[];
-  /** Wall-clock milliseconds of this status. */
+  /** Wall-clock milliseconds at which the status was written. */
   readonly at: number;
 }
 
-const statusShape = z.object({
+const statusSchema = z.object({
   state: z.enum(['accepted', 'in-force', 'refused', 'removed']),
   sourceVersion: z.number(),
   acceptedVersion: z.number().optional(),
@@ -36,21 +36,22 @@
 });
 
 /**
- * Reads a status object; undefined when it is none.
+ * Parses a status object; returns undefined if it is not one.
  *
  * @example
- * const status = readStatus((await store.get('status', 'service.booking'))?.value);
+ * const object = await store.get('status', 'service.booking');
+ * const status = parseStatus(object?.value);
  */
-export function readStatus(value: unknown): RecordStatus | undefined {
-  const status = statusShape.safeParse(value);
+export function parseStatus(value: unknown): RecordStatus | undefined {
+  const status = statusSchema.safeParse(value);
   return status.success ? status.data : undefined;
 }
 
 /**
- * Whether two statuses tell an operator the same, times aside.
+ * Returns whether two statuses are equal apart from their times.
  *
  * @example
- * if (isSameStatus(present, next)) { return false; }
+ * if (isSameStatus(current, next)) { return false; }
  */
 export function isSameStatus(a: RecordStatus, b: RecordStatus): boolean {
   return JSON.stringify({...a, at: 0}) === JSON.stringify({...b, at: 0});
--- a/packages/records/src/recordTable.ts
+++ b/packages/records/src/recordTable.ts
@@ -1,9 +1,9 @@
 /**
- * The accepted records that one process has in force.
+ * The accepted records in force in one process.
  *
- * A record only ever rises in its source version, whoever brings the news: a
- * late relay or a listing from a peer that was cut off would otherwise take an
- * accepted change back on this process alone.
+ * The source version of a record never decreases, wherever it comes from: a
+ * late relay or a listing from a peer that was partitioned would otherwise
+ * revert an accepted change in this process alone.
  */
 import {hash32} from '@skylarkfield/base';
 import type {
@@ -11,55 +11,59 @@
   RecordVersion,
   RelayedRecord,
 } from '@skylarkfield/protocol';
-import type {AcceptedRecords, RecordKind} from './contracts.js';
+import type {AcceptedRecordTypes, RecordKind} from './contracts.js';
 
 export interface RecordTable {
-  /** Puts a record in force; false when this or a higher version already is. */
+  /** Applies a record; false if this or a higher version is in force. */
   apply(record: RelayedRecord): boolean;
   get<K extends RecordKind>(
     kind: K,
     name: string,
-  ): AcceptedRecords[K] | undefined;
-  list<K extends RecordKind>(kind: K): readonly AcceptedRecords[K][];
-  /** Removed records included; restricted to some buckets when they are given. */
+  ): AcceptedRecordTypes[K] | undefined;
+  list<K extends RecordKind>(kind: K): readonly AcceptedRecordTypes[K][];
+  /** Returns the versions, also of removed records, of all or some buckets. */
   versions(buckets?: ReadonlySet<number>): readonly RecordVersion[];
-  /** Records whose version here is higher than in the given list, or missing there. */
+  /**
+   * Returns the records whose version is higher than in `known` or not in it.
+   */
   newerThan(
     known: readonly RecordVersion[],
     buckets?: ReadonlySet<number>,
   ): readonly RelayedRecord[];
-  /** Records whose version here is lower than in the given list. */
-  olderThan(known: readonly RecordVersion[]): readonly RecordVersion[];
-  /** The records of the given versions, in the version that is in force here. */
+  /** Returns the versions of `known` that are higher or missing here. */
+  notInForce(known: readonly RecordVersion[]): readonly RecordVersion[];
+  /** Returns the given records in the version that is in force here. */
   records(versions: readonly RecordVersion[]): readonly RelayedRecord[];
-  /** Whether this version or a higher one is in force. */
-  has(version: RecordVersion): boolean;
+  /** Returns whether this version or a higher one is in force. */
+  isInForce(version: RecordVersion): boolean;
   digest(): RecordDigest;
 }
 
-const BUCKETS = 16;
-const UINT32 = 0x1_0000_0000;
+const DIGEST_BUCKETS = 16;
+const UINT32_RANGE = 0x1_0000_0000;
 
 /**
- * Makes an empty table.
+ * Creates an empty table.
  *
  * @example
  * const table = createRecordTable();
- * table.apply({kind: 'service', name: 'booking', sourceVersion: 7, isRemoved: false, value});
+ * const version = {kind: 'service', name: 'booking', sourceVersion: 7};
+ * table.apply({...version, isRemoved: false, value});
  */
 export function createRecordTable(): RecordTable {
   const records = new Map<string, RelayedRecord>();
-  const sums = new Array<number>(BUCKETS).fill(0);
+  const bucketSums = new Array<number>(DIGEST_BUCKETS).fill(0);
 
-  /** Sums make the digest independent of order and cheap to change. */
-  function addToSum(record: RelayedRecord, sign: 1 | -1): void {
+  /** Sums make the digest independent of order and cheap to update. */
+  function addToBucketSum(record: RelayedRecord, sign: 1 | -1): void {
     const key = recordKey(record);
     const bucket = bucketOf(key);
-    const term = hash32(`${key}@${record.sourceVersion}`);
-    sums[bucket] = ((sums[bucket] ?? 0) + sign * term + UINT32) % UINT32;
+    const hash = hash32(`${key}@${record.sourceVersion}`);
+    bucketSums[bucket] =
+      ((bucketSums[bucket] ?? 0) + sign * hash + UINT32_RANGE) % UINT32_RANGE;
   }
 
-  function select(buckets?: ReadonlySet<number>): RelayedRecord[] {
+  function selectRecords(buckets?: ReadonlySet<number>): RelayedRecord[] {
     const all = [...records.values()];
     if (buckets === undefined) {
       return all;
@@ -68,57 +72,57 @@
   }
 
   function isInForce(version: RecordVersion): boolean {
-    const present = records.get(recordKey(version));
+    const current = records.get(recordKey(version));
     return (
-      present !== undefined && present.sourceVersion >= version.sourceVersion
+      current !== undefined && current.sourceVersion >= version.sourceVersion
     );
   }
 
   return {
     apply(record) {
       const key = recordKey(record);
-      const present = records.get(key);
-      if (present !== undefined) {
-        if (present.sourceVersion >= record.sourceVersion) {
+      const current = records.get(key);
+      if (current !== undefined) {
+        if (current.sourceVersion >= record.sourceVersion) {
           return false;
         }
-        addToSum(present, -1);
+        addToBucketSum(current, -1);
       }
       records.set(key, record);
-      addToSum(record, 1);
+      addToBucketSum(record, 1);
       return true;
     },
     get<K extends RecordKind>(kind: K, name: string) {
       const record = records.get(recordKey({kind, name}));
-      return record?.value as AcceptedRecords[K] | undefined;
+      return record?.value as AcceptedRecordTypes[K] | undefined;
     },
     list<K extends RecordKind>(kind: K) {
       return [...records.values()]
         .filter(record => record.kind === kind && !record.isRemoved)
-        .map(record => record.value as AcceptedRecords[K]);
+        .map(record => record.value as AcceptedRecordTypes[K]);
     },
-    versions: buckets => select(buckets).map(toVersion),
+    versions: buckets => selectRecords(buckets).map(toVersion),
     newerThan(known, buckets) {
       const versions = new Map(
         known.map(version => [recordKey(version), version.sourceVersion]),
       );
-      return select(buckets).filter(
+      return selectRecords(buckets).filter(
         record =>
           record.sourceVersion > (versions.get(recordKey(record)) ?? -1),
       );
     },
-    olderThan: known => known.filter(version => !isInForce(version)),
+    notInForce: known => known.filter(version => !isInForce(version)),
     records: versions =>
       versions
         .map(version => records.get(recordKey(version)))
         .filter(record => record !== undefined),
-    has: isInForce,
-    digest: () => ({count: records.size, buckets: [...sums]}),
+    isInForce,
+    digest: () => ({count: records.size, buckets: [...bucketSums]}),
   };
 }
 
 /**
- * The key of a record within its process, also the name of its accepted object.
+ * Returns the key of a record, which is also the name of its accepted object.
  *
  * @example
  * await store.get('accepted', recordKey({kind: 'service', name: 'booking'}));
@@ -131,7 +135,7 @@
 }
 
 function bucketOf(key: string): number {
-  return hash32(key) % BUCKETS;
+  return hash32(key) % DIGEST_BUCKETS;
 }
 
 function toVersion({kind, name, sourceVersion}: RelayedRecord): RecordVersion {
--- a/packages/records/src/schemas/conversion.ts
+++ b/packages/records/src/schemas/conversion.ts
@@ -1,8 +1,8 @@
-/** How a schema version of a record kind becomes the accepted form. */
+/** Conversion of the schema versions of a record kind to the accepted form. */
 import {checkShape} from '@skylarkfield/base';
 import type * as z from 'zod';
 
-/** Checks a record of one schema version and converts it; throws `bad-record` with its faults. */
+/** Validates and converts a record; throws `bad-record` with its faults. */
 export type Conversion<Accepted> = (name: string, value: unknown) => Accepted;
 
 /** Conversions by schema version. */
@@ -11,12 +11,12 @@
 >;
 
 /**
- * Makes a conversion from a schema and a mapping to the accepted form.
+ * Creates a conversion from a schema and a mapping to the accepted form.
  *
  * @example
- * conversion(first, (name, record) => ({name, checksFencing: record.checksFencing}));
+ * createConversion(schemaV1, (name, {weight}) => ({name, weight}));
  */
-export function conversion<Schema extends z.ZodType, Accepted>(
+export function createConversion<Schema extends z.ZodType, Accepted>(
   schema: Schema,
   toAccepted: (name: string, record: z.output<Schema>) => Accepted,
 ): Conversion<Accepted> {
--- a/packages/records/src/schemas/customerSchemas.ts
+++ b/packages/records/src/schemas/customerSchemas.ts
@@ -2,11 +2,11 @@
 import * as z from 'zod';
 import type {Customer} from '../contracts.js';
 import {keyHashField, nameField, urgencyField, weightField} from './fields.js';
-import {conversion, type Conversions} from './conversion.js';
+import {createConversion, type Conversions} from './conversion.js';
 
 const DEFAULT_URGENCY = 3;
 
-const first = z.strictObject({
+const schemaV1 = z.strictObject({
   schema: z.literal(1),
   keyHashes: z.array(keyHashField).min(1),
   bestUrgency: urgencyField.default(DEFAULT_URGENCY),
@@ -14,8 +14,8 @@
   services: z.array(nameField).default([]),
 });
 
-/** Keys may carry a note, and being allowed everything is said outright. */
-const second = z.strictObject({
+/** Allows a note per key; access to all services is granted explicitly. */
+const schemaV2 = z.strictObject({
   schema: z.literal(2),
   keys: z
     .array(
@@ -34,16 +34,16 @@
   allow: z.union([z.literal('all'), z.array(nameField).min(1)]),
 });
 
-/** From each schema version to the accepted form. */
+/** Conversions from each schema version to the accepted form. */
 export const customerConversions: Conversions<Customer> = {
-  1: conversion(first, (name, record) => ({
+  1: createConversion(schemaV1, (name, record) => ({
     name,
     keyHashes: record.keyHashes,
     bestUrgency: record.bestUrgency,
     weight: record.weight,
     services: record.services,
   })),
-  2: conversion(second, (name, record) => ({
+  2: createConversion(schemaV2, (name, record) => ({
     name,
     keyHashes: record.keys.map(key => key.sha256),
     bestUrgency: record.priority.bestUrgency,
--- a/packages/records/src/schemas/endpointClassSchemas.ts
+++ b/packages/records/src/schemas/endpointClassSchemas.ts
@@ -1,26 +1,26 @@
 /** The two schema versions of endpoint class records. */
 import * as z from 'zod';
 import type {EndpointClass} from '../contracts.js';
-import {conversion, type Conversions} from './conversion.js';
+import {createConversion, type Conversions} from './conversion.js';
 
-const first = z.strictObject({
+const schemaV1 = z.strictObject({
   schema: z.literal(1),
   checksFencing: z.boolean(),
 });
 
-/** Says what the endpoints do with an order that carries an old number. */
-const second = z.strictObject({
+/** Defines how the endpoints treat an order with an outdated fencing token. */
+const schemaV2 = z.strictObject({
   schema: z.literal(2),
   staleOrders: z.enum(['refused', 'obeyed']),
 });
 
-/** From each schema version to the accepted form. */
+/** Conversions from each schema version to the accepted form. */
 export const endpointClassConversions: Conversions<EndpointClass> = {
-  1: conversion(first, (name, record) => ({
+  1: createConversion(schemaV1, (name, record) => ({
     name,
     checksFencing: record.checksFencing,
   })),
-  2: conversion(second, (name, record) => ({
+  2: createConversion(schemaV2, (name, record) => ({
     name,
     checksFencing: record.staleOrders === 'refused',
   })),
--- a/packages/records/src/schemas/fields.ts
+++ b/packages/records/src/schemas/fields.ts
@@ -1,9 +1,9 @@
-/** Fields that several record kinds share. */
+/** Schemas of fields that several record kinds share. */
 import * as z from 'zod';
 
 const MAX_NAME_LENGTH = 80;
 
-/** Names of services, versions, classes and the like. */
+/** Name of a record or of a service version. */
 export const nameField = z
   .string()
   .min(1)
@@ -18,7 +18,7 @@
   .string()
   .regex(/^[0-9a-f]{64}$/, 'SHA-256 as 64 lower-case hex digits');
 
-/** RFC 9218 urgency: 0 is the most important. */
+/** RFC 9218 urgency; 0 is the highest priority. */
 export const urgencyField = z.int().min(0).max(7);
 
 export const weightField = z.number().positive().max(1000);
@@ -29,14 +29,14 @@
   .regex(/^([A-Z]+|\*)$/, 'an upper-case method or *');
 
 const MS_PER_SECOND = 1000;
-const MAX_TIMEOUT_MS = 3_600_000;
+const MAX_DURATION_MS = 3_600_000;
 
-/** A time span in milliseconds. */
-export const millisField = z.int().positive().max(MAX_TIMEOUT_MS);
+/** Duration in milliseconds. */
+export const durationMsField = z.int().positive().max(MAX_DURATION_MS);
 
-/** A time span in seconds, as milliseconds. */
-export const secondsField = z
+/** Duration in seconds, converted to milliseconds. */
+export const durationSecondsField = z
   .number()
   .positive()
-  .max(MAX_TIMEOUT_MS / MS_PER_SECOND)
+  .max(MAX_DURATION_MS / MS_PER_SECOND)
   .transform(seconds => Math.round(seconds * MS_PER_SECOND));
--- a/packages/records/src/schemas/moveSchemas.ts
+++ b/packages/records/src/schemas/moveSchemas.ts
@@ -1,12 +1,12 @@
 /** The two schema versions of move records. */
 import * as z from 'zod';
 import type {Move} from '../contracts.js';
-import {conversion, type Conversions} from './conversion.js';
+import {createConversion, type Conversions} from './conversion.js';
 import {nameField} from './fields.js';
 
-const DEFAULT_UNPROVEN_SHARE = 0.05;
+const DEFAULT_MAX_UNPROVEN_SHARE = 0.05;
 
-const first = z
+const schemaV1 = z
   .strictObject({
     schema: z.literal(1),
     service: nameField,
@@ -14,15 +14,19 @@
     to: nameField,
     /** Wall-clock milliseconds since 1970. */
     deadline: z.int().positive(),
-    maxUnprovenShare: z.number().gt(0).max(1).default(DEFAULT_UNPROVEN_SHARE),
+    maxUnprovenShare: z
+      .number()
+      .gt(0)
+      .max(1)
+      .default(DEFAULT_MAX_UNPROVEN_SHARE),
   })
   .refine(record => record.from !== record.to, {
     path: ['to'],
-    message: 'another version than from',
+    message: 'a version other than from',
   });
 
-/** The deadline is a time in ISO 8601 and the share is in percent. */
-const second = z
+/** Gives the deadline in ISO 8601 and the share in percent. */
+const schemaV2 = z
   .strictObject({
     schema: z.literal(2),
     service: nameField,
@@ -32,16 +36,16 @@
       .number()
       .gt(0)
       .max(100)
-      .default(DEFAULT_UNPROVEN_SHARE * 100),
+      .default(DEFAULT_MAX_UNPROVEN_SHARE * 100),
   })
   .refine(({versions}) => versions.from !== versions.to, {
     path: ['versions', 'to'],
-    message: 'another version than from',
+    message: 'a version other than from',
   });
 
-/** From each schema version to the accepted form. */
+/** Conversions from each schema version to the accepted form. */
 export const moveConversions: Conversions<Move> = {
-  1: conversion(first, (name, record) => ({
+  1: createConversion(schemaV1, (name, record) => ({
     name,
     service: record.service,
     from: record.from,
@@ -49,7 +53,7 @@
     deadline: record.deadline,
     maxUnprovenShare: record.maxUnprovenShare,
   })),
-  2: conversion(second, (name, record) => ({
+  2: createConversion(schemaV2, (name, record) => ({
     name,
     service: record.service,
     from: record.versions.from,
--- a/packages/records/src/schemas/serviceSchemas.ts
+++ b/packages/records/src/schemas/serviceSchemas.ts
@@ -1,24 +1,24 @@
 /** The two schema versions of service records. */
 import * as z from 'zod';
 import type {Service} from '../contracts.js';
-import {conversion, type Conversions} from './conversion.js';
+import {createConversion, type Conversions} from './conversion.js';
 import {
   countField,
+  durationMsField,
+  durationSecondsField,
   methodField,
-  millisField,
   nameField,
   pathField,
-  secondsField,
 } from './fields.js';
 
 const DEFAULT_CONCURRENCY = 64;
-const DEFAULT_QUEUE = 128;
-const serviceType = z.enum(['model', 'plain']);
+const DEFAULT_QUEUE_LENGTH = 128;
+const serviceTypeField = z.enum(['model', 'plain']);
 
-const first = z
+const schemaV1 = z
   .strictObject({
     schema: z.literal(1),
-    type: serviceType,
+    type: serviceTypeField,
     version: nameField,
     routes: z
       .array(
@@ -29,10 +29,10 @@
         }),
       )
       .default([]),
-    targetMs: millisField,
-    timeoutMs: millisField,
+    targetMs: durationMsField,
+    timeoutMs: durationMsField,
     concurrency: countField.min(1).default(DEFAULT_CONCURRENCY),
-    queue: countField.default(DEFAULT_QUEUE),
+    queue: countField.default(DEFAULT_QUEUE_LENGTH),
     minReplicas: countField.default(0),
     maxReplicas: countField.default(0),
     machineClass: z.string().max(80).default(''),
@@ -47,11 +47,13 @@
     message: 'at least minReplicas',
   });
 
-/** Groups fields by concern, gives times in seconds and routes as one line. */
-const second = z
+/**
+ * Groups fields by concern; durations are in seconds and routes are strings.
+ */
+const schemaV2 = z
   .strictObject({
     schema: z.literal(2),
-    type: serviceType,
+    type: serviceTypeField,
     version: nameField,
     routes: z
       .array(
@@ -67,15 +69,15 @@
       )
       .default([]),
     latency: z.strictObject({
-      targetSeconds: secondsField,
-      timeoutSeconds: secondsField,
+      targetSeconds: durationSecondsField,
+      timeoutSeconds: durationSecondsField,
     }),
     limits: z
       .strictObject({
         concurrency: countField.min(1).default(DEFAULT_CONCURRENCY),
-        queue: countField.default(DEFAULT_QUEUE),
+        queue: countField.default(DEFAULT_QUEUE_LENGTH),
       })
-      .default({concurrency: DEFAULT_CONCURRENCY, queue: DEFAULT_QUEUE}),
+      .default({concurrency: DEFAULT_CONCURRENCY, queue: DEFAULT_QUEUE_LENGTH}),
     fleet: z
       .strictObject({
         replicas: z.strictObject({min: countField, max: countField}),
@@ -93,9 +95,9 @@
     message: 'at least min',
   });
 
-/** From each schema version to the accepted form. */
+/** Conversions from each schema version to the accepted form. */
 export const serviceConversions: Conversions<Service> = {
-  1: conversion(first, (name, record) => ({
+  1: createConversion(schemaV1, (name, record) => ({
     name,
     type: record.type,
     version: record.version,
@@ -115,7 +117,7 @@
       weights: record.weights,
     },
   })),
-  2: conversion(second, (name, record) => ({
+  2: createConversion(schemaV2, (name, record) => ({
     name,
     type: record.type,
     version: record.version,
--- a/packages/records/src/statusWriter.ts
+++ b/packages/records/src/statusWriter.ts
@@ -1,46 +1,47 @@
-/** Writes the statuses of records, and never an older one over a newer. */
+/** Writes record statuses, never an older one over a newer one. */
 import {isServingError, type Clock} from '@skylarkfield/base';
 import type {ObjectStore, StoredObject} from '@skylarkfield/providers';
 import type {RecordVersion} from '@skylarkfield/protocol';
-import type {AcceptedObject} from './acceptedShapes.js';
+import type {AcceptedObject} from './acceptedSchemas.js';
 import {
   isSameStatus,
-  readStatus,
+  parseStatus,
   STATUS_KIND,
   type RecordStatus,
 } from './recordStatus.js';
-import {conditionOn} from './writeCondition.js';
+import {unchangedCondition} from './writeCondition.js';
 
 export interface StatusWriter {
-  /** Writes unless the same or a newer status stands; true when written. */
+  /** Writes unless an equal or newer status is stored; true if written. */
   write(key: string, status: Omit<RecordStatus, 'at'>): Promise<boolean>;
-  /** Whether the status already says that this accepted form is in force. */
+  /** Returns whether the status reports this accepted form as in force. */
   isInForce(key: string, accepted: AcceptedObject): Promise<boolean>;
-  expectConfirmation(key: string, accepted: AcceptedObject): void;
-  /** Accepted versions that not every live member has confirmed. */
+  awaitConfirmation(key: string, accepted: AcceptedObject): void;
+  /** Returns accepted versions that not every live member has confirmed. */
   unconfirmed(): readonly RecordVersion[];
-  confirm(
-    asked: readonly RecordVersion[],
+  handleConfirmation(
+    queried: readonly RecordVersion[],
     lacking: readonly string[],
   ): Promise<void>;
-  /** Removes the status of a record that is neither there nor accepted. */
-  drop(key: string): Promise<void>;
+  /** Removes the status of a record without a source and an accepted form. */
+  remove(key: string): Promise<void>;
   /** Lists all statuses and returns their keys. */
   load(): Promise<readonly string[]>;
   /** Reads a status again after another acceptor wrote it. */
-  refresh(key: string): Promise<void>;
+  reload(key: string): Promise<void>;
 }
 
-/** Names of waiting members in a status; more help nobody. */
-const MAX_WAITING_NAMES = 10;
-/** How often a status says anew who is waited for. */
-const WAITING_UPDATE_MS = 5000;
+/** Maximum number of members in `waitingFor`; more do not help an operator. */
+const MAX_WAITING_MEMBERS = 10;
+/** Minimum interval between updates of `waitingFor`. */
+const WAITING_UPDATE_INTERVAL_MS = 5000;
 
 /**
- * Makes a writer.
+ * Creates a status writer.
  *
  * @example
- * await statuses.write('service.booking', {state: 'refused', sourceVersion: 7, faults, waitingFor: []});
+ * const status = {state: 'refused', sourceVersion: 7, faults, waitingFor: []};
+ * await statuses.write('service.booking', status);
  */
 export function createStatusWriter(options: {
   readonly clock: Clock;
@@ -49,45 +50,51 @@
   readonly signal: AbortSignal;
 }): StatusWriter {
   const {clock, store, signal} = options;
-  const known = new Map<string, StoredObject | undefined>();
+  const cached = new Map<string, StoredObject | undefined>();
   const pending = new Map<string, RecordVersion>();
-  let waitingSaidAt = -Infinity;
+  let waitingWrittenAt = -Infinity;
 
   async function read(key: string): Promise<StoredObject | undefined> {
-    if (!known.has(key)) {
-      known.set(key, await store.get(STATUS_KIND, key, signal));
+    if (!cached.has(key)) {
+      cached.set(key, await store.get(STATUS_KIND, key, signal));
     }
-    return known.get(key);
+    return cached.get(key);
   }
 
   async function write(
     key: string,
     status: Omit<RecordStatus, 'at'>,
   ): Promise<boolean> {
-    const present = await read(key);
-    const syncStatus = readStatus(present?.value);
+    const current = await read(key);
+    const currentStatus = parseStatus(current?.value);
     const next = {...status, at: clock.wall()};
-    if (syncStatus !== undefined) {
-      if (isOvertaken(next, syncStatus) || isSameStatus(syncStatus, next)) {
+    if (currentStatus !== undefined) {
+      if (
+        isSuperseded(next, currentStatus) ||
+        isSameStatus(currentStatus, next)
+      ) {
         return false;
       }
     }
     if (!options.canAct()) {
       return false;
     }
-    known.delete(key);
-    const condition = conditionOn(present);
-    known.set(key, await store.put(STATUS_KIND, key, next, condition, signal));
+    cached.delete(key);
+    const condition = unchangedCondition(current);
+    cached.set(key, await store.put(STATUS_KIND, key, next, condition, signal));
     return true;
   }
 
-  async function sayInForce(record: RecordVersion, key: string): Promise<void> {
-    const syncStatus = readStatus((await read(key))?.value);
-    if (syncStatus?.state === 'removed') {
+  async function writeInForce(
+    record: RecordVersion,
+    key: string,
+  ): Promise<void> {
+    const currentStatus = parseStatus((await read(key))?.value);
+    if (currentStatus?.state === 'removed') {
       await removeStatus(key);
       return;
     }
-    if (syncStatus?.state !== 'accepted') {
+    if (currentStatus?.state !== 'accepted') {
       return;
     }
     await write(key, {
@@ -100,21 +107,21 @@
   }
 
   async function removeStatus(key: string): Promise<void> {
-    const present = await read(key);
-    known.delete(key);
-    await store.remove(STATUS_KIND, key, conditionOn(present), signal);
+    const current = await read(key);
+    cached.delete(key);
+    await store.remove(STATUS_KIND, key, unchangedCondition(current), signal);
   }
 
-  async function sayWaiting(lacking: readonly string[]): Promise<void> {
-    if (clock.now() - waitingSaidAt < WAITING_UPDATE_MS) {
+  async function writeWaiting(lacking: readonly string[]): Promise<void> {
+    if (clock.now() - waitingWrittenAt < WAITING_UPDATE_INTERVAL_MS) {
       return;
     }
-    waitingSaidAt = clock.now();
-    const waitingFor = [...lacking].sort().slice(0, MAX_WAITING_NAMES);
+    waitingWrittenAt = clock.now();
+    const waitingFor = [...lacking].sort().slice(0, MAX_WAITING_MEMBERS);
     for (const key of pending.keys()) {
-      const syncStatus = readStatus((await read(key))?.value);
-      if (syncStatus !== undefined) {
-        await write(key, {...syncStatus, waitingFor});
+      const currentStatus = parseStatus((await read(key))?.value);
+      if (currentStatus !== undefined) {
+        await write(key, {...currentStatus, waitingFor});
       }
     }
   }
@@ -122,77 +129,77 @@
   return {
     write,
     async isInForce(key, accepted) {
-      const syncStatus = readStatus((await read(key))?.value);
+      const currentStatus = parseStatus((await read(key))?.value);
       if (accepted.isRemoved) {
-        return syncStatus === undefined;
+        return currentStatus === undefined;
       }
       return (
-        syncStatus?.state === 'in-force' &&
-        syncStatus.sourceVersion === accepted.sourceVersion
+        currentStatus?.state === 'in-force' &&
+        currentStatus.sourceVersion === accepted.sourceVersion
       );
     },
-    expectConfirmation(key, {sourceVersion}) {
-      const dot = key.indexOf('.');
-      const kind = key.slice(0, dot);
-      const name = key.slice(dot + 1);
+    awaitConfirmation(key, {sourceVersion}) {
+      const separator = key.indexOf('.');
+      const kind = key.slice(0, separator);
+      const name = key.slice(separator + 1);
       pending.set(key, {kind, name, sourceVersion});
     },
     unconfirmed: () => [...pending.values()],
-    async confirm(asked, lacking) {
+    async handleConfirmation(queried, lacking) {
       if (lacking.length > 0) {
-        await sayWaiting(lacking);
+        await writeWaiting(lacking);
         return;
       }
-      const askedVersions = new Set(asked);
+      const queriedVersions = new Set(queried);
       for (const [key, record] of [...pending]) {
-        // A version accepted since the question was asked has not been confirmed.
-        if (!askedVersions.has(record)) {
+        // The query does not confirm a version accepted after it was sent.
+        if (!queriedVersions.has(record)) {
           continue;
         }
         try {
-          await sayInForce(record, key);
+          await writeInForce(record, key);
           pending.delete(key);
         } catch (error) {
-          known.delete(key);
+          cached.delete(key);
           if (!isServingError(error, 'version-conflict')) {
             throw error;
           }
         }
       }
     },
-    async drop(key) {
+    async remove(key) {
       if ((await read(key)) !== undefined) {
         await removeStatus(key);
       }
     },
     async load() {
       const {objects} = await store.list(STATUS_KIND, signal);
-      const own = objects.filter(
-        object => readStatus(object.value) !== undefined,
+      const statuses = objects.filter(
+        object => parseStatus(object.value) !== undefined,
       );
-      for (const object of own) {
-        known.set(object.name, object);
+      for (const object of statuses) {
+        cached.set(object.name, object);
       }
-      return own.map(object => object.name);
+      return statuses.map(object => object.name);
     },
-    async refresh(key) {
-      known.delete(key);
+    async reload(key) {
+      cached.delete(key);
       await read(key);
     },
   };
 }
 
-/** Whether another acceptor has already reported something newer. */
-function isOvertaken(
+/** Returns whether another acceptor has already reported a newer status. */
+function isSuperseded(
   next: Omit<RecordStatus, 'at'>,
-  syncStatus: RecordStatus,
+  currentStatus: RecordStatus,
 ): boolean {
-  if (syncStatus.sourceVersion > next.sourceVersion) {
+  if (currentStatus.sourceVersion > next.sourceVersion) {
     return true;
   }
-  // An acceptor with an old view refuses what has been accepted since.
+  // An acceptor with a stale cache refuses a version accepted since.
   return (
     next.state === 'refused' &&
-    (syncStatus.acceptedVersion ?? -1) >= next.sourceVersion
+    (currentStatus.acceptedVersion ?? -1) >= next.sourceVersion
   );
 }
--- a/packages/records/src/test/acceptance.test.ts
+++ b/packages/records/src/test/acceptance.test.ts
@@ -2,26 +2,26 @@
 import {describe, it} from 'node:test';
 import {isServingError, virtualClock} from '@skylarkfield/base';
 import {createMemoryObjectStore} from '@skylarkfield/providers';
-import {decideRecord, type AcceptanceCase} from '../acceptanceDecision.js';
-import {createAcceptanceView} from '../acceptanceView.js';
+import {decideAcceptance, type AcceptanceInput} from '../acceptanceDecision.js';
 import type {RecordKind} from '../contracts.js';
 import {convertRecord} from '../convertRecord.js';
 import {createMoveClaims} from '../moveClaims.js';
+import {createRecordCache} from '../recordCache.js';
 import {createRecordTable} from '../recordTable.js';
 import {
-  customer1,
-  customer2,
-  move1,
-  move2,
-  service1,
-  service2,
+  customerV1,
+  customerV2,
+  moveV1,
+  moveV2,
+  serviceV1,
+  serviceV2,
 } from './sampleRecords.js';
 
-/** Records that say the same in schema 1 and schema 2. */
-const pairs: readonly [RecordKind, unknown, unknown][] = [
-  ['service', service1, service2],
-  ['customer', customer1, customer2],
-  ['move', move1('booking'), move2('booking')],
+/** Equivalent records in schema versions 1 and 2. */
+const equivalentRecords: readonly [RecordKind, unknown, unknown][] = [
+  ['service', serviceV1, serviceV2],
+  ['customer', customerV1, customerV2],
+  ['move', moveV1('booking'), moveV2('booking')],
   [
     'endpoint-class',
     {schema: 1, checksFencing: true},
@@ -29,30 +29,35 @@
   ],
 ];
 
-/** Records that are refused, and the paths of their faults. */
-const refusals: readonly [RecordKind, string, unknown, readonly string[]][] = [
+/** Invalid records and the paths of their faults. */
+const invalidRecords: readonly [
+  RecordKind,
+  string,
+  unknown,
+  readonly string[],
+][] = [
   ['service', 'booking', undefined, ['schema']],
-  ['service', 'booking', {...service1, schema: 3}, ['schema']],
-  ['service', 'Booking!', service1, ['name']],
-  ['service', 'booking', {...service1, extra: 1}, ['']],
-  ['service', 'booking', {...service1, timeoutMs: 100}, ['timeoutMs']],
-  ['service', 'booking', {...service1, maxReplicas: 1}, ['maxReplicas']],
+  ['service', 'booking', {...serviceV1, schema: 3}, ['schema']],
+  ['service', 'Booking!', serviceV1, ['name']],
+  ['service', 'booking', {...serviceV1, extra: 1}, ['']],
+  ['service', 'booking', {...serviceV1, timeoutMs: 100}, ['timeoutMs']],
+  ['service', 'booking', {...serviceV1, maxReplicas: 1}, ['maxReplicas']],
   [
     'service',
     'booking',
-    {...service2, routes: [{match: 'POST', repeatable: true}]},
+    {...serviceV2, routes: [{match: 'POST', repeatable: true}]},
     ['routes.0.match'],
   ],
   [
     'service',
     'booking',
-    {...service2, latency: {targetSeconds: 9, timeoutSeconds: 5}},
+    {...serviceV2, latency: {targetSeconds: 9, timeoutSeconds: 5}},
     ['latency.timeoutSeconds'],
   ],
-  ['customer', 'namu', {...customer1, keyHashes: ['abc']}, ['keyHashes.0']],
-  ['customer', 'namu', {...customer2, allow: undefined}, ['allow']],
-  ['move', 'm', move1('booking', 'v1'), ['to']],
-  ['move', 'm', {...move2('booking'), finishBy: 'Monday'}, ['finishBy']],
+  ['customer', 'namu', {...customerV1, keyHashes: ['abc']}, ['keyHashes.0']],
+  ['customer', 'namu', {...customerV2, allow: undefined}, ['allow']],
+  ['move', 'm', moveV1('booking', 'v1'), ['to']],
+  ['move', 'm', {...moveV2('booking'), finishBy: 'Monday'}, ['finishBy']],
   [
     'endpoint-class',
     'x',
@@ -62,17 +67,17 @@
 ];
 
 describe('record schemas', () => {
-  for (const [kind, first, second] of pairs) {
-    it(`convert both versions of a ${kind} to the same accepted form`, () => {
+  for (const [kind, recordV1, recordV2] of equivalentRecords) {
+    it(`convert both versions to the same accepted form: ${kind}`, () => {
       assert.deepEqual(
-        convertRecord(kind, 'x', second),
-        convertRecord(kind, 'x', first),
+        convertRecord(kind, 'x', recordV2),
+        convertRecord(kind, 'x', recordV1),
       );
     });
   }
 
-  for (const [kind, name, value, paths] of refusals) {
-    it(`name the fields at fault: ${kind} ${paths.join()}`, () => {
+  for (const [kind, name, value, paths] of invalidRecords) {
+    it(`report the invalid fields: ${kind} ${paths.join()}`, () => {
       assert.throws(
         () => convertRecord(kind, name, value),
         error => {
@@ -86,96 +91,117 @@
   }
 });
 
-const base: AcceptanceCase = {
+const baseInput: AcceptanceInput = {
   kind: 'service',
   name: 'booking',
-  source: {version: 7, value: service1},
-  goneAt: 0,
+  source: {version: 7, value: serviceV1},
+  removalVersion: 0,
   accepted: undefined,
-  others: {hasService: () => true, moves: () => []},
-  wall: 0,
+  acceptedIndex: {hasService: () => true, moves: () => []},
+  wallMs: 0,
 };
 
-/** Acceptors that woke up or read an old listing must not take anything back. */
-const decisions: readonly [string, Partial<AcceptanceCase>, string][] = [
+/**
+ * Acceptors that were paused or read a stale listing must not revert a record.
+ */
+const decisionCases: readonly [string, Partial<AcceptanceInput>, string][] = [
   ['a new record', {}, 'accept'],
-  ['an accepted record', {accepted: accepted(7)}, 'nothing'],
-  ['an older record than is accepted', {accepted: accepted(9)}, 'nothing'],
-  ['a newer record', {accepted: accepted(5)}, 'accept'],
+  ['an accepted record', {accepted: acceptedObject(7)}, 'nothing'],
   [
-    'a record that is gone',
-    {source: undefined, goneAt: 8, accepted: accepted(7)},
+    'a record older than the accepted version',
+    {accepted: acceptedObject(9)},
+    'nothing',
+  ],
+  ['a newer record', {accepted: acceptedObject(5)}, 'accept'],
+  [
+    'a removed record',
+    {source: undefined, removalVersion: 8, accepted: acceptedObject(7)},
     'accept',
   ],
   [
-    'a record that was gone before the accepted version',
-    {source: undefined, goneAt: 6, accepted: accepted(7)},
+    'a record removed before the accepted version',
+    {source: undefined, removalVersion: 6, accepted: acceptedObject(7)},
     'nothing',
   ],
   [
-    'a record that is removed already',
-    {source: undefined, goneAt: 8, accepted: {...accepted(7), isRemoved: true}},
+    'a removal that is already accepted',
+    {
+      source: undefined,
+      removalVersion: 8,
+      accepted: {...acceptedObject(7), isRemoved: true},
+    },
     'nothing',
   ],
   [
     'a move of an unknown service',
     {
       kind: 'move',
-      source: {version: 7, value: move1('booking')},
-      others: {hasService: () => false, moves: () => []},
+      source: {version: 7, value: moveV1('booking')},
+      acceptedIndex: {hasService: () => false, moves: () => []},
     },
     'refuse',
   ],
 ];
 
-function accepted(sourceVersion: number) {
+function acceptedObject(sourceVersion: number) {
   return {sourceVersion, isRemoved: false, value: {}};
 }
 
 describe('acceptance', () => {
-  for (const [what, change, expected] of decisions) {
-    it(`decides on ${what}: ${expected}`, () => {
-      assert.equal(decideRecord({...base, ...change}).type, expected);
+  for (const [description, changes, expected] of decisionCases) {
+    it(`decides on ${description}: ${expected}`, () => {
+      assert.equal(decideAcceptance({...baseInput, ...changes}).type, expected);
     });
   }
 
-  // Two acceptors race, and each sees only one of two moves of a service. Both
-  // accepted, half of the traffic would go to each candidate.
-  it('gives a service to one of two moves that race', async () => {
+  // Two acceptors race, and each sees only one of two moves of a service. If
+  // both were accepted, half of the traffic would go to each candidate.
+  it('lets one of two concurrent moves claim a service', async () => {
     const clock = virtualClock();
     const store = createMemoryObjectStore({clock});
     const {signal} = new AbortController();
-    const view = createAcceptanceView({store, onDidChange: () => {}});
-    const claims = createMoveClaims({clock, store, view, signal});
-    const accept = (name: string) => ({
+    const cache = createRecordCache({store, onDidChange: () => {}});
+    const claims = createMoveClaims({clock, store, cache, signal});
+    const acceptedMove = (name: string) => ({
       sourceVersion: 7,
       isRemoved: false,
-      value: convertRecord('move', name, move1('booking')),
+      value: convertRecord('move', name, moveV1('booking')),
     });
-    await store.put('move', 'first', move1('booking'), {type: 'absent'});
+    await store.put('move', 'first', moveV1('booking'), {type: 'absent'});
     await clock.advance(10);
-    assert.deepEqual(await claims.claim('move.first', accept('first')), []);
-    assert.deepEqual(await claims.claim('move.first', accept('first')), []);
-    const faults = await claims.claim('move.second', accept('second'));
+    assert.deepEqual(
+      await claims.claim('move.first', acceptedMove('first')),
+      [],
+    );
+    assert.deepEqual(
+      await claims.claim('move.first', acceptedMove('first')),
+      [],
+    );
+    const faults = await claims.claim('move.second', acceptedMove('second'));
     assert.match(faults[0]?.expected ?? '', /first/);
-    // The first is withdrawn before it was accepted: whoever still means to
-    // accept it finds a removal in its place.
+    // The first is removed before it was accepted: an acceptor that still tries
+    // to accept it finds a tombstone in its place.
     await store.remove('move', 'first', {type: 'any'});
     await clock.advance(10);
-    assert.deepEqual(await claims.claim('move.second', accept('second')), []);
+    assert.deepEqual(
+      await claims.claim('move.second', acceptedMove('second')),
+      [],
+    );
     await assert.rejects(
-      store.put('accepted', 'move.first', accept('first'), {type: 'absent'}),
+      store.put('accepted', 'move.first', acceptedMove('first'), {
+        type: 'absent',
+      }),
     );
-    view.dispose();
+    cache.dispose();
   });
 });
 
 describe('records in force', () => {
   const record = {kind: 'service', name: 'booking', isRemoved: false};
 
-  // A peer that was cut off relays what it has. Taken over, an accepted change
-  // would be undone on this entry alone.
-  it('never go back to a lower version', () => {
+  // A peer that was cut off relays old records. Applying them would revert an
+  // accepted change on this entry alone.
+  it('never revert to a lower version', () => {
     const table = createRecordTable();
     assert.equal(
       table.apply({...record, sourceVersion: 7, value: 'new'}),
@@ -195,7 +221,7 @@
     assert.equal(table.get('service', 'booking'), undefined);
   });
 
-  it('have equal digests whatever order they came in', () => {
+  it('have equal digests regardless of the order of arrival', () => {
     const [one, two] = [createRecordTable(), createRecordTable()];
     const roster = {...record, name: 'roster', sourceVersion: 3};
     one.apply({...record, sourceVersion: 2});
--- a/packages/records/src/test/configuration.fuzz.test.ts
+++ b/packages/records/src/test/configuration.fuzz.test.ts
@@ -1,17 +1,17 @@
-/** Random schedules against the oracle of `recordWorld`: nothing reverts, and in the end all agree. */
+/** Random schedules: no record reverts, and all entries converge. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {convertRecord} from '../convertRecord.js';
 import type {RecordKind} from '../contracts.js';
-import {createRecordWorld} from './recordWorld.js';
+import {createRecordSimulation} from './recordSimulation.js';
 import {
-  customer1,
-  customer2,
-  move1,
-  move2,
-  service1,
-  service2,
+  customerV1,
+  customerV2,
+  moveV1,
+  moveV2,
+  serviceV1,
+  serviceV2,
 } from './sampleRecords.js';
 
 const isLong = process.env['SKYLARKFIELD_FUZZ'] === 'long';
@@ -19,59 +19,61 @@
   ? Number(process.env['SKYLARKFIELD_FUZZ_RUNS'] ?? 1000)
   : 25;
 const seed = isLong ? Date.now() % 1_000_000_000 : 42;
-const TIMEOUT_MS = isLong ? 230_000 : 60_000;
-const IDS = ['a1', 'a2', 'b1', 'b2', 'c1'];
+const TEST_TIMEOUT_MS = isLong ? 230_000 : 60_000;
+const ENTRY_IDS = ['a1', 'a2', 'b1', 'b2', 'c1'];
 
-type World = ReturnType<typeof createRecordWorld>;
+type Simulation = ReturnType<typeof createRecordSimulation>;
 
-/** Kind, name and record, a few of them wrong. */
+/** Kind, name and value of the records to write, some of them invalid. */
 const writes: readonly [RecordKind, string, unknown][] = [
-  ['service', 'booking', service1],
-  ['service', 'booking', {...service2, version: 'v2'}],
-  ['service', 'booking', {...service1, queue: -1}],
-  ['service', 'roster', service2],
-  ['customer', 'namu', customer1],
-  ['customer', 'namu', customer2],
+  ['service', 'booking', serviceV1],
+  ['service', 'booking', {...serviceV2, version: 'v2'}],
+  ['service', 'booking', {...serviceV1, queue: -1}],
+  ['service', 'roster', serviceV2],
+  ['customer', 'namu', customerV1],
+  ['customer', 'namu', customerV2],
   ['customer', 'namu', {schema: 3}],
-  ['move', 'm1', move1('booking')],
-  ['move', 'm2', move2('booking', 'v3')],
-  ['move', 'm3', move1('roster')],
+  ['move', 'm1', moveV1('booking')],
+  ['move', 'm2', moveV2('booking', 'v3')],
+  ['move', 'm3', moveV1('roster')],
 ];
 
-/** What can happen; each handler takes an entry's id, another's and a size from 0 to 1. */
-const handlers = {
-  advance: (world, _id, _other, size) => world.advance(20 + size * 6000),
-  write(world, _id, _other, size) {
+/** Events of a schedule; each takes two entry ids and a size from 0 to 1. */
+const eventHandlers = {
+  advance: (simulation, _id, _other, size) =>
+    simulation.advance(20 + size * 6000),
+  write(simulation, _id, _other, size) {
     const [kind, name, value] = pickWrite(size);
-    world.write(kind, name, value);
+    simulation.write(kind, name, value);
   },
-  remove(world, _id, _other, size) {
+  remove(simulation, _id, _other, size) {
     const [kind, name] = pickWrite(size);
-    world.remove(kind, name);
+    simulation.remove(kind, name);
   },
-  accept: (world, id) => world.accept(id),
-  restart: (world, id) => void world.start(id),
-  stop: (world, id) => world.stop(id),
-  pause: (world, id) => world.net.pause(id),
-  resume: (world, id) => world.net.resume(id),
-  cut: (world, id, other) => world.net.cut(id, other),
-  healCuts: world => world.net.healAll(),
-  loss: (world, _id, _other, size) => world.net.setLoss(size / 2),
-  loseReplies: (world, id, _other, size) =>
-    world.entries.get(id)?.store.faults.loseReplies(Math.ceil(size * 3)),
-  cutPlatform: (world, id) => world.entries.get(id)?.store.faults.setDown(true),
-  healPlatform: (world, id) =>
-    world.entries.get(id)?.store.faults.setDown(false),
-  silence: (world, id) =>
-    world.entries.get(id)?.store.faults.silenceWatches(true),
-  platformDown: world => world.platform.faults.setDown(true),
-  platformUp: world => world.platform.faults.setDown(false),
-  slow: (world, _id, _other, size) =>
-    world.platform.faults.setSlow(2 + size * 3000),
-  compact: world => world.platform.table.compact(),
+  accept: (simulation, id) => simulation.startAcceptor(id),
+  restart: (simulation, id) => void simulation.start(id),
+  stop: (simulation, id) => simulation.stop(id),
+  pause: (simulation, id) => simulation.net.pause(id),
+  resume: (simulation, id) => simulation.net.resume(id),
+  cut: (simulation, id, other) => simulation.net.cut(id, other),
+  healCuts: simulation => simulation.net.healAll(),
+  loss: (simulation, _id, _other, size) => simulation.net.setLoss(size / 2),
+  loseReplies: (simulation, id, _other, size) =>
+    simulation.entries.get(id)?.store.faults.loseReplies(Math.ceil(size * 3)),
+  cutPlatform: (simulation, id) =>
+    simulation.entries.get(id)?.store.faults.setDown(true),
+  healPlatform: (simulation, id) =>
+    simulation.entries.get(id)?.store.faults.setDown(false),
+  silence: (simulation, id) =>
+    simulation.entries.get(id)?.store.faults.silenceWatches(true),
+  platformDown: simulation => simulation.platform.faults.setDown(true),
+  platformUp: simulation => simulation.platform.faults.setDown(false),
+  slow: (simulation, _id, _other, size) =>
+    simulation.platform.faults.setSlow(2 + size * 3000),
+  compact: simulation => simulation.platform.table.compact(),
 } satisfies Record<
   string,
-  (world: World, id: string, other: string, size: number) => unknown
+  (simulation: Simulation, id: string, other: string, size: number) => unknown
 >;
 
 function pickWrite(size: number) {
@@ -79,39 +81,47 @@
   return writes[index] as (typeof writes)[number];
 }
 
-const names = Object.keys(handlers) as (keyof typeof handlers)[];
-const commands = fc.record({
+const eventNames = Object.keys(eventHandlers) as (keyof typeof eventHandlers)[];
+const events = fc.record({
   what: fc.oneof(
     {weight: 10, arbitrary: fc.constant('advance' as const)},
     {weight: 8, arbitrary: fc.constant('write' as const)},
     {weight: 3, arbitrary: fc.constantFrom('accept' as const, 'remove')},
-    {weight: 12, arbitrary: fc.constantFrom(...names)},
+    {weight: 12, arbitrary: fc.constantFrom(...eventNames)},
   ),
-  id: fc.constantFrom(...IDS),
-  other: fc.constantFrom(...IDS),
+  id: fc.constantFrom(...ENTRY_IDS),
+  other: fc.constantFrom(...ENTRY_IDS),
   size: fc.integer({min: 0, max: 100}).map(percent => percent / 100),
 });
 
-/** After everything healed: the same on every entry, and what the operators wrote last if it is valid. */
-function checkAgreement(world: World): void {
-  for (const [key, versions] of world.written) {
-    const dot = key.indexOf('.');
-    const kind = key.slice(0, dot) as RecordKind;
-    const name = key.slice(dot + 1);
-    const inForce = [...world.entries.values()].map(entry =>
-      world.versionOn(entry, key),
+/** Asserts that all entries agree, on the last version if it is valid. */
+function checkAgreement(simulation: Simulation): void {
+  for (const [key, versions] of simulation.written) {
+    const separator = key.indexOf('.');
+    const kind = key.slice(0, separator) as RecordKind;
+    const name = key.slice(separator + 1);
+    const inForce = [...simulation.entries.values()].map(entry =>
+      simulation.versionOn(entry, key),
     );
-    assert.equal(new Set(inForce).size, 1, `${key} differs: ${inForce.join()}`);
-    const source = world.platform.table.get(kind, name);
-    const [first] = world.entries.values();
+    assert.equal(
+      new Set(inForce).size,
+      1,
+      `${key} differs between entries: ${inForce.join()}`,
+    );
+    const source = simulation.platform.table.get(kind, name);
+    const [first] = simulation.entries.values();
     const value = first?.configuration.get(kind, name);
     if (source === undefined) {
-      assert.equal(value, undefined, `${key} was removed`);
+      assert.equal(
+        value,
+        undefined,
+        `${key} is in force although it was removed`,
+      );
       continue;
     }
     if (kind !== 'move' && isValid(kind, name, versions.get(source.version))) {
-      assert.equal(inForce[0], source.version, `${key} was not put in force`);
-      assert.equal(world.status(key)?.state, 'in-force', key);
+      assert.equal(inForce[0], source.version, `${key} is not in force`);
+      assert.equal(simulation.status(key)?.state, 'in-force', key);
     }
   }
 }
@@ -125,27 +135,30 @@
   }
 }
 
-// Acceptors race and are paused, entries die and start anew, the platform and
-// the peers come and go. A record that goes back on a single entry takes an
-// operator's change away from some callers without anybody noticing.
+// Acceptors race and are paused, entries crash and restart, and the platform
+// and peers fail and recover. A record that reverts on a single entry silently
+// undoes an operator's change for some callers.
 test(
-  `configuration: nothing reverts (${runs} schedules, seed ${seed})`,
-  {timeout: TIMEOUT_MS},
+  `configuration: no record reverts (${runs} schedules, seed ${seed})`,
+  {timeout: TEST_TIMEOUT_MS},
   async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer(),
-        fc.array(commands, {minLength: 5, maxLength: 40, size: 'max'}),
-        async (worldSeed, schedule) => {
-          const world = createRecordWorld({seed: worldSeed, ids: IDS});
-          world.accept('a1');
-          world.accept('b1');
+        fc.array(events, {minLength: 5, maxLength: 40, size: 'max'}),
+        async (simulationSeed, schedule) => {
+          const simulation = createRecordSimulation({
+            seed: simulationSeed,
+            ids: ENTRY_IDS,
+          });
+          simulation.startAcceptor('a1');
+          simulation.startAcceptor('b1');
           for (const {what, id, other, size} of schedule) {
-            await handlers[what](world, id, other, size);
+            await eventHandlers[what](simulation, id, other, size);
           }
-          await world.heal();
-          checkAgreement(world);
-          IDS.forEach(id => world.stop(id));
+          await simulation.heal();
+          checkAgreement(simulation);
+          ENTRY_IDS.forEach(id => simulation.stop(id));
         },
       ),
       {numRuns: runs, seed, endOnFailure: isLong},
--- a/packages/records/src/test/configuration.test.ts
+++ b/packages/records/src/test/configuration.test.ts
@@ -1,135 +1,135 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createRecordWorld} from './recordWorld.js';
-import {move1, move2, service1, service2} from './sampleRecords.js';
+import {createRecordSimulation} from './recordSimulation.js';
+import {moveV1, moveV2, serviceV1, serviceV2} from './sampleRecords.js';
 
-const IDS = ['a1', 'a2', 'a3', 'b1', 'b2', 'b3', 'c1'];
+const ENTRY_IDS = ['a1', 'a2', 'a3', 'b1', 'b2', 'b3', 'c1'];
 
-/** A world with an acceptor and one service in force. */
-async function createSettledWorld() {
-  const world = createRecordWorld({seed: 11, ids: IDS});
-  world.accept('a1');
-  await world.advance(1000);
-  const version = world.write('service', 'booking', service1);
-  await world.advance(3000);
-  return {world, version};
+/** Creates a simulation with an acceptor and one service in force. */
+async function createSettledSimulation() {
+  const simulation = createRecordSimulation({seed: 11, ids: ENTRY_IDS});
+  simulation.startAcceptor('a1');
+  await simulation.advance(1000);
+  const version = simulation.write('service', 'booking', serviceV1);
+  await simulation.advance(3000);
+  return {simulation, version};
 }
 
 describe('configuration', () => {
-  it('is in force on every entry, and the status says so', async () => {
-    const {world, version} = await createSettledWorld();
-    for (const entry of world.entries.values()) {
+  it('is in force on every entry and reported so in the status', async () => {
+    const {simulation, version} = await createSettledSimulation();
+    for (const entry of simulation.entries.values()) {
       const service = entry.configuration.get('service', 'booking');
       assert.equal(service?.timeoutMs, 5000);
     }
-    const status = world.status('service.booking');
+    const status = simulation.status('service.booking');
     assert.equal(status?.state, 'in-force');
     assert.equal(status.sourceVersion, version);
   });
 
-  // Two watches per failure domain, however many entries there are: more would
-  // use up the platform's calls.
-  it('keeps few watches on the platform', async () => {
-    const {world} = await createSettledWorld();
-    await world.advance(10_000);
-    const reading = [...world.entries.values()].filter(
+  // Two watches per failure domain, regardless of the number of entries: more
+  // would exhaust the platform's rate limit.
+  it('limits the number of watches on the platform', async () => {
+    const {simulation} = await createSettledSimulation();
+    await simulation.advance(10_000);
+    const reading = [...simulation.entries.values()].filter(
       entry => entry.configuration.dump().isReading,
     );
     assert.equal(reading.length, 5);
   });
 
-  // The platform's watches are lost to all entries but one. The others would go
-  // on with the old record if they heard of changes from the platform alone.
-  it('hears over peers when the platform is cut off', async () => {
-    const {world} = await createSettledWorld();
-    for (const entry of world.entries.values()) {
+  // All entries but one lose their connection to the platform. If changes came
+  // from the platform alone, they would keep the old record.
+  it('propagates over peers when entries are cut off from the platform', async () => {
+    const {simulation} = await createSettledSimulation();
+    for (const entry of simulation.entries.values()) {
       if (entry.id !== 'a1') {
         entry.store.faults.setDown(true);
       }
     }
-    const version = world.write('service', 'booking', {
-      ...service1,
+    const version = simulation.write('service', 'booking', {
+      ...serviceV1,
       timeoutMs: 7000,
     });
-    await world.advance(2000);
-    for (const entry of world.entries.values()) {
-      assert.equal(world.versionOn(entry, 'service.booking'), version);
+    await simulation.advance(2000);
+    for (const entry of simulation.entries.values()) {
+      assert.equal(simulation.versionOn(entry, 'service.booking'), version);
     }
   });
 
-  // The acceptor alone reaches the platform, and it is none of the readers. What
-  // it accepts would stay on the platform, read by nobody.
-  it('goes out from the acceptor when all readers are cut off', async () => {
-    const world = createRecordWorld({seed: 11, ids: IDS});
-    await world.advance(3000);
-    const acceptor = [...world.entries.values()].find(
+  // Only the acceptor reaches the platform, and it is not a reader. Unless it
+  // pushes accepted records itself, no entry receives them.
+  it('propagates from the acceptor when all readers are cut off', async () => {
+    const simulation = createRecordSimulation({seed: 11, ids: ENTRY_IDS});
+    await simulation.advance(3000);
+    const acceptor = [...simulation.entries.values()].find(
       entry => !entry.configuration.dump().isReading,
     );
     assert.ok(acceptor !== undefined);
-    world.accept(acceptor.id);
-    await world.advance(1000);
-    for (const entry of world.entries.values()) {
+    simulation.startAcceptor(acceptor.id);
+    await simulation.advance(1000);
+    for (const entry of simulation.entries.values()) {
       entry.store.faults.setDown(entry !== acceptor);
     }
-    const version = world.write('service', 'booking', service1);
-    await world.advance(2000);
-    for (const entry of world.entries.values()) {
-      assert.equal(world.versionOn(entry, 'service.booking'), version);
+    const version = simulation.write('service', 'booking', serviceV1);
+    await simulation.advance(2000);
+    for (const entry of simulation.entries.values()) {
+      assert.equal(simulation.versionOn(entry, 'service.booking'), version);
     }
   });
 
-  // An entry hears neither the platform nor its peers while a record changes.
-  // When the cut heals it has to catch up without anybody writing again.
-  it('catches up after a cut', async () => {
-    const {world} = await createSettledWorld();
-    world.entries.get('c1')?.store.faults.setDown(true);
-    world.net.pause('c1');
-    const version = world.write('service', 'booking', service2);
-    await world.advance(5000);
-    assert.deepEqual(world.status('service.booking')?.waitingFor, ['c1']);
-    world.net.resume('c1');
-    await world.advance(3000);
-    const entry = world.entries.get('c1');
+  // An entry reaches neither the platform nor its peers while a record changes.
+  // When the partition heals it must catch up without another write.
+  it('catches up after a partition', async () => {
+    const {simulation} = await createSettledSimulation();
+    simulation.entries.get('c1')?.store.faults.setDown(true);
+    simulation.net.pause('c1');
+    const version = simulation.write('service', 'booking', serviceV2);
+    await simulation.advance(5000);
+    assert.deepEqual(simulation.status('service.booking')?.waitingFor, ['c1']);
+    simulation.net.resume('c1');
+    await simulation.advance(3000);
+    const entry = simulation.entries.get('c1');
     assert.ok(entry !== undefined);
-    assert.equal(world.versionOn(entry, 'service.booking'), version);
-    assert.equal(world.status('service.booking')?.state, 'in-force');
+    assert.equal(simulation.versionOn(entry, 'service.booking'), version);
+    assert.equal(simulation.status('service.booking')?.state, 'in-force');
   });
 
-  // An entry is replaced while the platform is down. It keeps nothing, and with
-  // an empty configuration it would turn every caller away as unknown.
-  it('comes from peers when an entry starts during an outage', async () => {
-    const {world, version} = await createSettledWorld();
-    world.platform.faults.setDown(true);
-    const entry = world.start('c1');
+  // An entry is replaced while the platform is down. It has no stored state and
+  // with an empty configuration would reject every caller as unknown.
+  it('comes from peers when an entry starts during a platform outage', async () => {
+    const {simulation, version} = await createSettledSimulation();
+    simulation.platform.faults.setDown(true);
+    const entry = simulation.start('c1');
     assert.equal(entry.configuration.isReady(), false);
-    await world.advance(1000);
+    await simulation.advance(1000);
     assert.equal(entry.configuration.isReady(), true);
-    assert.equal(world.versionOn(entry, 'service.booking'), version);
+    assert.equal(simulation.versionOn(entry, 'service.booking'), version);
     assert.equal(entry.configuration.dump().readyFrom, 'peers');
   });
 
   it('is not ready without platform and peers', async () => {
-    const world = createRecordWorld({seed: 2, ids: []});
-    world.platform.faults.setDown(true);
-    const entry = world.start('a1');
-    await world.advance(20_000);
+    const simulation = createRecordSimulation({seed: 2, ids: []});
+    simulation.platform.faults.setDown(true);
+    const entry = simulation.start('a1');
+    await simulation.advance(20_000);
     assert.equal(entry.configuration.isReady(), false);
-    world.platform.faults.setDown(false);
-    await world.advance(10_000);
+    simulation.platform.faults.setDown(false);
+    await simulation.advance(10_000);
     assert.equal(entry.configuration.isReady(), true);
   });
 
-  // An operator makes a mistake in a running service's record. The service has
-  // to go on as before, and the operator has to see what is wrong where.
+  // An operator writes an invalid record of a running service. The service must
+  // keep running unchanged, and the status must list the invalid fields.
   it('keeps the older version in force when a newer one is refused', async () => {
-    const {world, version} = await createSettledWorld();
-    const refused = world.write('service', 'booking', {
-      ...service1,
+    const {simulation, version} = await createSettledSimulation();
+    const refused = simulation.write('service', 'booking', {
+      ...serviceV1,
       timeoutMs: 'soon',
       colour: 'red',
     });
-    await world.advance(3000);
-    const status = world.status('service.booking');
+    await simulation.advance(3000);
+    const status = simulation.status('service.booking');
     assert.equal(status?.state, 'refused');
     assert.equal(status.sourceVersion, refused);
     assert.equal(status.acceptedVersion, version);
@@ -137,63 +137,63 @@
       '',
       'timeoutMs',
     ]);
-    for (const entry of world.entries.values()) {
-      assert.equal(world.versionOn(entry, 'service.booking'), version);
+    for (const entry of simulation.entries.values()) {
+      assert.equal(simulation.versionOn(entry, 'service.booking'), version);
     }
   });
 
-  it('removes a record everywhere and takes its status away', async () => {
-    const {world} = await createSettledWorld();
-    world.remove('service', 'booking');
-    await world.advance(4000);
-    for (const entry of world.entries.values()) {
+  it('removes a record from every entry and deletes its status', async () => {
+    const {simulation} = await createSettledSimulation();
+    simulation.remove('service', 'booking');
+    await simulation.advance(4000);
+    for (const entry of simulation.entries.values()) {
       assert.equal(entry.configuration.get('service', 'booking'), undefined);
       assert.deepEqual(entry.configuration.list('service'), []);
     }
-    assert.equal(world.status('service.booking'), undefined);
+    assert.equal(simulation.status('service.booking'), undefined);
   });
 
-  // Two moves of one service would send its traffic to two versions at once.
+  // Two moves of one service would send its traffic to two candidates at once.
   it('refuses a second move of a service until the first is removed', async () => {
-    const {world} = await createSettledWorld();
-    world.write('move', 'first', move1('booking'));
-    await world.advance(2000);
-    world.write('move', 'second', move2('booking', 'v3'));
-    await world.advance(2000);
-    assert.equal(world.status('move.first')?.state, 'in-force');
-    const status = world.status('move.second');
+    const {simulation} = await createSettledSimulation();
+    simulation.write('move', 'first', moveV1('booking'));
+    await simulation.advance(2000);
+    simulation.write('move', 'second', moveV2('booking', 'v3'));
+    await simulation.advance(2000);
+    assert.equal(simulation.status('move.first')?.state, 'in-force');
+    const status = simulation.status('move.second');
     assert.equal(status?.state, 'refused');
     assert.match(status.faults[0]?.expected ?? '', /first/);
-    world.remove('move', 'first');
-    await world.advance(3000);
-    assert.equal(world.status('move.second')?.state, 'in-force');
+    simulation.remove('move', 'first');
+    await simulation.advance(3000);
+    assert.equal(simulation.status('move.second')?.state, 'in-force');
   });
 
-  it('accepts a move as soon as its service is there', async () => {
-    const {world} = await createSettledWorld();
-    world.write('move', 'early', move2('roster'));
-    await world.advance(2000);
-    assert.equal(world.status('move.early')?.state, 'refused');
-    world.write('service', 'roster', service2);
-    await world.advance(3000);
-    assert.equal(world.status('move.early')?.state, 'in-force');
+  it('accepts a move once its service is accepted', async () => {
+    const {simulation} = await createSettledSimulation();
+    simulation.write('move', 'early', moveV2('roster'));
+    await simulation.advance(2000);
+    assert.equal(simulation.status('move.early')?.state, 'refused');
+    simulation.write('service', 'roster', serviceV2);
+    await simulation.advance(3000);
+    assert.equal(simulation.status('move.early')?.state, 'in-force');
   });
 
-  // The acceptor dies right after writing the accepted form. Without its
-  // successor the status would say for ever that the record is on its way.
-  it('has its status finished by the next acceptor', async () => {
-    const {world} = await createSettledWorld();
-    const landed = world.platform.table.onDidChange(change => {
+  // The acceptor crashes right after writing the accepted form. Unless its
+  // successor resumes, the status would remain `accepted` forever.
+  it('has its status completed by the next acceptor', async () => {
+    const {simulation} = await createSettledSimulation();
+    const subscription = simulation.platform.table.onDidChange(change => {
       if (change.kind === 'accepted') {
-        landed.dispose();
-        world.stop('a1');
+        subscription.dispose();
+        simulation.stop('a1');
       }
     });
-    const version = world.write('service', 'booking', service2);
-    await world.advance(2000);
-    world.accept('b1');
-    await world.advance(4000);
-    const status = world.status('service.booking');
+    const version = simulation.write('service', 'booking', serviceV2);
+    await simulation.advance(2000);
+    simulation.startAcceptor('b1');
+    await simulation.advance(4000);
+    const status = simulation.status('service.booking');
     assert.equal(status?.state, 'in-force');
     assert.equal(status.sourceVersion, version);
   });
--- a/packages/records/src/test/recordWorld.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -1,4 +1,6 @@
-/** Several simulated entries with peers, a platform and acceptors, and the oracle's checks. */
+/**
+ * Simulated entries with peers, a platform and acceptors; checks invariants.
+ */
 import assert from 'node:assert/strict';
 import {
   seededRandom,
@@ -10,7 +12,7 @@
 import {memoryPlatform, type MemoryClient} from '@skylarkfield/providers';
 import {createMemoryNetwork, MEMORY_SCHEME} from '@skylarkfield/protocol';
 import {createAcceptance, type Acceptance} from '../acceptance.js';
-import type {AcceptedObject} from '../acceptedShapes.js';
+import type {AcceptedObject} from '../acceptedSchemas.js';
 import {
   ACCEPTED_KIND,
   createConfiguration,
@@ -18,46 +20,46 @@
 } from '../configuration.js';
 import type {Move, RecordKind} from '../contracts.js';
 import {convertRecord} from '../convertRecord.js';
-import {readStatus, STATUS_KIND} from '../recordStatus.js';
+import {parseStatus, STATUS_KIND} from '../recordStatus.js';
 import {recordKey} from '../recordTable.js';
 
-/** One simulated entry. */
-export interface Entry {
+/** A simulated entry. */
+export interface SimulatedEntry {
   readonly id: string;
   readonly clock: Clock;
   readonly store: MemoryClient;
   readonly configuration: ConfigurationClient;
   readonly startedAt: number;
   acceptance: Acceptance | undefined;
-  /** Highest version seen in force here, per record. */
-  readonly seen: Map<string, number>;
+  /** Highest version observed in force on this entry, by record key. */
+  readonly highestVersions: Map<string, number>;
   /** Versions that were in force on every entry when this one started. */
-  readonly floor: ReadonlyMap<string, number>;
+  readonly minVersions: ReadonlyMap<string, number>;
 }
 
-const NETWORK_MS = 2;
-const CHECK_EVERY_MS = 250;
-/** An entry this young is not counted on when a status says in force. */
-const YOUNG_MS = 5000;
+const NETWORK_LATENCY_MS = 2;
+const CHECK_INTERVAL_MS = 250;
+/** Time after its start in which an entry may lack a record in force. */
+const STARTUP_GRACE_MS = 5000;
 
 /**
- * Makes the world without entries.
+ * Creates a simulation and starts its entries.
  *
  * @example
- * const world = createRecordWorld({seed: 1, ids: ['a1', 'a2', 'b1']});
- * world.write('service', 'booking', record);
- * await world.advance(2000);
+ * const simulation = createRecordSimulation({seed: 1, ids: ['a1', 'b1']});
+ * simulation.write('service', 'booking', record);
+ * await simulation.advance(2000);
  */
-export function createRecordWorld(options: {
+export function createRecordSimulation(options: {
   readonly seed: number;
   readonly ids: readonly string[];
 }) {
   const clock = virtualClock();
   const random = seededRandom(options.seed);
   const platform = memoryPlatform({clock, random, historyLimit: 40});
-  platform.faults.setSlow(NETWORK_MS);
+  platform.faults.setSlow(NETWORK_LATENCY_MS);
   const net = createMemoryNetwork({clock, random, delayMs: 1});
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, SimulatedEntry>();
   /** Every version that operators wrote, by key and source version. */
   const written = new Map<string, Map<number, unknown>>();
   const confirmed = new Map<string, number>();
@@ -73,13 +75,13 @@
   });
 
   function checkAccepted(key: string, accepted: AcceptedObject): void {
-    const former = acceptedVersions.get(key) ?? -1;
+    const previous = acceptedVersions.get(key) ?? -1;
     assert.ok(
-      accepted.sourceVersion > former,
-      `${key} accepted at ${accepted.sourceVersion} after ${former}`,
+      accepted.sourceVersion > previous,
+      `${key} accepted at version ${accepted.sourceVersion} after ${previous}`,
     );
     acceptedVersions.set(key, accepted.sourceVersion);
-    const moves = platform.table
+    const movedServices = platform.table
       .list(ACCEPTED_KIND)
       .objects.filter(object => object.name.startsWith('move.'))
       .map(object => object.value as AcceptedObject)
@@ -87,64 +89,68 @@
       .map(object => object.value as Move)
       .filter(move => move.deadline > clock.wall())
       .map(move => move.service);
-    assert.equal(new Set(moves).size, moves.length, 'two moves on one service');
+    assert.equal(
+      new Set(movedServices).size,
+      movedServices.length,
+      'two moves of one service',
+    );
   }
 
   function checkStatus(key: string, value: unknown): void {
-    const status = readStatus(value);
+    const status = parseStatus(value);
     if (status?.state !== 'in-force') {
       return;
     }
     confirmed.set(key, status.sourceVersion);
     for (const entry of entries.values()) {
-      if (clock.now() - entry.startedAt < YOUNG_MS) {
+      if (clock.now() - entry.startedAt < STARTUP_GRACE_MS) {
         continue;
       }
       const version = versionOn(entry, key);
       assert.ok(
         version >= status.sourceVersion,
-        `${key} is said to be in force at ${status.sourceVersion}, ${entry.id} has ${version}`,
+        `${key} is reported in force at ${status.sourceVersion}, but ${entry.id} has ${version}`,
       );
     }
   }
 
-  function versionOn(entry: Entry, key: string): number {
+  function versionOn(entry: SimulatedEntry, key: string): number {
     const found = entry.configuration
       .versions()
       .find(version => recordKey(version) === key);
     return found?.sourceVersion ?? -1;
   }
 
-  function check(): void {
+  function checkInvariants(): void {
     for (const entry of entries.values()) {
       const {configuration} = entry;
       for (const {kind, name, sourceVersion} of configuration.versions()) {
         const key = recordKey({kind, name});
-        const former = entry.seen.get(key) ?? -1;
+        const previous = entry.highestVersions.get(key) ?? -1;
         assert.ok(
-          sourceVersion >= former,
-          `${key} went from ${former} back to ${sourceVersion} on ${entry.id}`,
+          sourceVersion >= previous,
+          `${key} reverted from ${previous} to ${sourceVersion} on ${entry.id}`,
         );
-        if (sourceVersion > former) {
-          entry.seen.set(key, sourceVersion);
+        if (sourceVersion > previous) {
+          entry.highestVersions.set(key, sourceVersion);
           checkValue(entry, kind as RecordKind, name, sourceVersion);
         }
       }
       if (!configuration.isReady()) {
         continue;
       }
-      for (const [key, version] of entry.floor) {
-        const present = versionOn(entry, key);
+      for (const [key, version] of entry.minVersions) {
+        const current = versionOn(entry, key);
         assert.ok(
-          present >= version,
-          `${entry.id} started with ${key} at ${present}, in force was ${version}`,
+          current >= version,
+          `${entry.id} started with ${key} at ${current}, but ${version} was in force`,
         );
       }
     }
   }
 
   function checkValue(
-    entry: Entry,
+    entry: SimulatedEntry,
     kind: RecordKind,
     name: string,
     sourceVersion: number,
@@ -169,34 +175,34 @@
   }
   const networks = new Map<string, ReturnType<typeof net.start>['network']>();
 
-  function member(id: string) {
+  function memberOf(id: string) {
     return {id, failureDomain: id.slice(0, 1)};
   }
 
-  function start(id: string): Entry {
+  function start(id: string): SimulatedEntry {
     stop(id);
     const peer = net.start(id);
     networks.set(id, peer.network);
     const store = platform.client(id, {clock: peer.clock});
-    const own = seededRandom(random.integer(0, 1_000_000));
+    const entryRandom = seededRandom(random.integer(0, 1_000_000));
     const configuration = createConfiguration({
       clock: peer.clock,
-      random: own,
+      random: entryRandom,
       store,
       network: peer.network,
-      self: member(id),
-      members: () => [...entries.keys()].map(member),
+      self: memberOf(id),
+      members: () => [...entries.keys()].map(memberOf),
       log: silentLogger(),
     });
-    const entry: Entry = {
+    const entry: SimulatedEntry = {
       id,
       clock: peer.clock,
       store,
       configuration,
       startedAt: clock.now(),
       acceptance: undefined,
-      seen: new Map(),
-      floor: new Map(confirmed),
+      highestVersions: new Map(),
+      minVersions: new Map(confirmed),
     };
     entries.set(id, entry);
     connectAll();
@@ -216,8 +222,8 @@
     entry.store.dispose();
   }
 
-  /** No lease stands behind it: acceptors race as they like. */
-  function accept(id: string): void {
+  /** Starts an acceptor without a lease, so that acceptors race. */
+  function startAcceptor(id: string): void {
     const entry = entries.get(id);
     if (entry === undefined || entry.acceptance !== undefined) {
       return;
@@ -238,15 +244,19 @@
     const versions = written.get(key) ?? new Map<number, unknown>();
     written.set(key, versions);
     versions.set(platform.table.version() + 1, value);
-    const write = {kind, name, writeId: 'operator', condition: any};
+    const write = {kind, name, writeId: 'operator', condition: unconditional};
     return platform.table.put(write, value).version;
   }
 
-  async function advance(spanMs: number): Promise<void> {
-    for (let left = spanMs; left > 0; left -= CHECK_EVERY_MS) {
-      await clock.advance(Math.min(left, CHECK_EVERY_MS));
+  async function advance(durationMs: number): Promise<void> {
+    for (
+      let remainingMs = durationMs;
+      remainingMs > 0;
+      remainingMs -= CHECK_INTERVAL_MS
+    ) {
+      await clock.advance(Math.min(remainingMs, CHECK_INTERVAL_MS));
       await settlePromises();
-      check();
+      checkInvariants();
     }
   }
 
@@ -259,19 +269,24 @@
     written,
     start,
     stop,
-    accept,
+    startAcceptor,
     write,
     advance,
     versionOn,
     remove(kind: RecordKind, name: string) {
-      platform.table.remove({kind, name, writeId: 'operator', condition: any});
+      platform.table.remove({
+        kind,
+        name,
+        writeId: 'operator',
+        condition: unconditional,
+      });
     },
     status: (key: string) =>
-      readStatus(platform.table.get(STATUS_KIND, key)?.value),
-    /** Ends every fault and lets everything settle. */
+      parseStatus(platform.table.get(STATUS_KIND, key)?.value),
+    /** Ends every fault and advances until the entries have converged. */
     async heal() {
       platform.faults.setDown(false);
-      platform.faults.setSlow(NETWORK_MS);
+      platform.faults.setSlow(NETWORK_LATENCY_MS);
       platform.faults.loseReplies(0);
       platform.faults.rejectWatches(false);
       platform.faults.silenceWatches(false);
@@ -286,10 +301,10 @@
         net.resume(id);
       }
       connectAll();
-      accept(options.ids[0] as string);
+      startAcceptor(options.ids[0] as string);
       await advance(45_000);
     },
   };
 }
 
-const any = {type: 'any'} as const;
+const unconditional = {type: 'any'} as const;
--- a/packages/records/src/test/sampleRecords.ts
+++ b/packages/records/src/test/sampleRecords.ts
@@ -1,6 +1,6 @@
 /** Records as operators write them, in both schema versions. */
 
-export const service1 = {
+export const serviceV1 = {
   schema: 1,
   type: 'plain',
   version: 'v1',
@@ -14,8 +14,8 @@
   machineClass: 'cpu-small',
 };
 
-/** Says the same as `service1`. */
-export const service2 = {
+/** Equivalent to `serviceV1`. */
+export const serviceV2 = {
   schema: 2,
   type: 'plain',
   version: 'v1',
@@ -25,24 +25,24 @@
   fleet: {replicas: {min: 2, max: 4}, machineClass: 'cpu-small'},
 };
 
-const HASH = 'ab'.repeat(32);
+const KEY_HASH = 'ab'.repeat(32);
 
-export const customer1 = {schema: 1, keyHashes: [HASH], weight: 3};
-export const customer2 = {
+export const customerV1 = {schema: 1, keyHashes: [KEY_HASH], weight: 3};
+export const customerV2 = {
   schema: 2,
-  keys: [{sha256: HASH, note: 'till'}],
+  keys: [{sha256: KEY_HASH, note: 'till'}],
   priority: {weight: 3},
   allow: 'all',
 };
 
-/** Long after any test's clock. */
+/** Later than the clock of any test. */
 export const DEADLINE = 1_900_000_000_000;
 
-export function move1(service: string, to = 'v2') {
+export function moveV1(service: string, to = 'v2') {
   return {schema: 1, service, from: 'v1', to, deadline: DEADLINE};
 }
 
-export function move2(service: string, to = 'v2') {
+export function moveV2(service: string, to = 'v2') {
   return {
     schema: 2,
     service,
--- a/packages/records/src/writeCondition.ts
+++ b/packages/records/src/writeCondition.ts
@@ -1,15 +1,17 @@
-/** Conditions of writes that depend on what was read. */
+/** Conditions of writes that depend on a previous read. */
 import type {StoredObject, WriteCondition} from '@skylarkfield/providers';
 
 /**
- * The condition that nobody has written since the object was read.
+ * Returns the condition that the object is unchanged since it was read.
  *
  * @example
- * await store.put('status', key, status, conditionOn(present));
+ * await store.put('status', key, status, unchangedCondition(current));
  */
-export function conditionOn(present: StoredObject | undefined): WriteCondition {
-  if (present === undefined) {
+export function unchangedCondition(
+  current: StoredObject | undefined,
+): WriteCondition {
+  if (current === undefined) {
     return {type: 'absent'};
   }
-  return {type: 'version', version: present.version};
+  return {type: 'version', version: current.version};
 }
