--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -68,11 +68,7 @@
  *
  * @example
  * duties.compete('acceptance', tenure =>
- *   createAcceptance({
- *     ...parts,
- *     canAct: () => tenure.isValid(),
- *     lacking: configuration.lacking,
- *   }),
+ *   createAcceptance({...options, canAct: () => tenure.isValid()}),
  * );
  */
 export function createAcceptance(options: AcceptanceOptions): Acceptance {
--- a/packages/records/src/acceptanceDecision.ts
+++ b/packages/records/src/acceptanceDecision.ts
@@ -17,9 +17,7 @@
   readonly name: string;
   /** Undefined if the operator has removed it. */
   readonly source: SourceRecord | undefined;
-  /**
-   * Store version at which the record was found absent; only without a source.
-   */
+  /** Store version at which the source was absent; only without a source. */
   readonly removalVersion: number;
   readonly accepted: AcceptedObject | undefined;
   /** Accepted records for the checks across records. */
@@ -48,9 +46,7 @@
  * that reads a stale listing decides on `nothing` and cannot revert anything.
  *
  * @example
- * const record = {kind: 'service', name: 'booking', source, accepted} as const;
- * const context = {removalVersion: 0, acceptedIndex, wallMs};
- * const decision = decideAcceptance({...record, ...context});
+ * const decision = decideAcceptance(cache.acceptanceInput(key, clock.wall()));
  */
 export function decideAcceptance(input: AcceptanceInput): AcceptanceDecision {
   if (input.source === undefined) {
--- a/packages/records/src/acceptedSchemas.ts
+++ b/packages/records/src/acceptedSchemas.ts
@@ -103,9 +103,7 @@
  * Validates a record from a peer; undefined if this release cannot use it.
  *
  * @example
- * const usable = body.records
- *   .map(parseRelayedRecord)
- *   .filter(record => record !== undefined);
+ * const records = body.records.map(parseRelayedRecord);
  */
 export function parseRelayedRecord(
   record: RelayedRecord,
--- a/packages/records/src/configuration.ts
+++ b/packages/records/src/configuration.ts
@@ -147,9 +147,7 @@
     markReady('platform');
   }
 
-  /**
-   * Accepted objects are never deleted; if one is missing, it stays in force.
-   */
+  /** Accepted objects are never deleted; a missing one stays in force. */
   function startWatch(): Disposable {
     return store.watch<AcceptedObject>(ACCEPTED_KIND, {
       onDidList: applyListing,
--- a/packages/records/src/contracts.ts
+++ b/packages/records/src/contracts.ts
@@ -32,15 +32,9 @@
   readonly type: 'model' | 'plain';
   /** Version that serves while no move is in progress. */
   readonly version: string;
-  /**
-   * The longest prefix applies; a call that matches no route is idempotent only
-   * if it is GET, HEAD or OPTIONS.
-   */
+  /** Longest prefix wins; without one, GET, HEAD and OPTIONS are idempotent. */
   readonly routes: readonly Route[];
-  /**
-   * Target of the 95th percentile latency: time to first token for models, to
-   * the full response for plain services.
-   */
+  /** Target of p95 latency: first token of models, full response of plain. */
   readonly targetMs: number;
   /** Default and upper bound of the timeout of a request. */
   readonly timeoutMs: number;
--- a/packages/records/src/convertRecord.ts
+++ b/packages/records/src/convertRecord.ts
@@ -30,8 +30,7 @@
  * Throws `bad-record` that lists every invalid field.
  *
  * @example
- * const value = {schema: 2, type: 'plain', ...fields};
- * const service = convertRecord('service', 'booking', value);
+ * const service = convertRecord('service', 'booking', {schema: 2, ...fields});
  */
 export function convertRecord<K extends RecordKind>(
   kind: K,
--- a/packages/records/src/moveClaims.ts
+++ b/packages/records/src/moveClaims.ts
@@ -19,9 +19,7 @@
 export const MOVE_CLAIM_KIND = 'move-claim';
 
 export interface MoveClaims {
-  /**
-   * Claims the service of a move; returns the faults if another move holds it.
-   */
+  /** Claims the service of a move; returns faults if another move holds it. */
   claim(key: string, object: AcceptedObject): Promise<readonly Fault[]>;
 }
 
--- a/packages/records/src/recordCache.ts
+++ b/packages/records/src/recordCache.ts
@@ -9,9 +9,7 @@
 import {recordKey} from './recordTable.js';
 
 export interface RecordCache extends Disposable {
-  /**
-   * False until every kind is listed; before, missing does not mean removed.
-   */
+  /** False until every kind is listed; before, missing is not removed. */
   isComplete(): boolean;
   acceptanceInput(key: string, wallMs: number): AcceptanceInput;
   acceptedObject(key: string): StoredObject<AcceptedObject> | undefined;
--- a/packages/records/src/recordConfirmation.ts
+++ b/packages/records/src/recordConfirmation.ts
@@ -27,8 +27,7 @@
  *
  * @example
  * const confirmation = createRecordConfirmation(options);
- * const version = {kind: 'service', name: 'booking', sourceVersion: 7};
- * const lacking = await confirmation.membersLacking([version]);
+ * const lacking = await confirmation.membersLacking([recordVersion]);
  */
 export function createRecordConfirmation(options: {
   readonly table: RecordTable;
--- a/packages/records/src/recordGossip.ts
+++ b/packages/records/src/recordGossip.ts
@@ -35,10 +35,7 @@
   lastReceivedAt(): number;
 }
 
-/**
- * Peers that each entry pushes to; with 4, pushes reach about 98 in 100
- * entries.
- */
+/** Peers that each entry pushes to; 4 reach about 98 in 100 by pushes alone. */
 const PUSH_FANOUT = 4;
 const DIGEST_FANOUT = 2;
 const DIGEST_INTERVAL_MS = 1000;
--- a/packages/records/src/recordReaders.ts
+++ b/packages/records/src/recordReaders.ts
@@ -1,6 +1,5 @@
 /**
- * Selection of the readers: the entries that watch the accepted records on the
- * platform.
+ * Selection of readers: entries that watch accepted records on the platform.
  *
  * The platform counts an open watch as a call, and its rate limits grow more
  * slowly than the fleet: a watch at every entry would exhaust them. A few
--- a/packages/records/src/recordStatus.ts
+++ b/packages/records/src/recordStatus.ts
@@ -39,8 +39,7 @@
  * Parses a status object; returns undefined if it is not one.
  *
  * @example
- * const object = await store.get('status', 'service.booking');
- * const status = parseStatus(object?.value);
+ * const status = parseStatus((await store.get('status', key))?.value);
  */
 export function parseStatus(value: unknown): RecordStatus | undefined {
   const status = statusSchema.safeParse(value);
--- a/packages/records/src/recordTable.ts
+++ b/packages/records/src/recordTable.ts
@@ -23,9 +23,7 @@
   list<K extends RecordKind>(kind: K): readonly AcceptedRecordTypes[K][];
   /** Returns the versions, also of removed records, of all or some buckets. */
   versions(buckets?: ReadonlySet<number>): readonly RecordVersion[];
-  /**
-   * Returns the records whose version is higher than in `known` or not in it.
-   */
+  /** Returns records whose version is higher than in `known` or not in it. */
   newerThan(
     known: readonly RecordVersion[],
     buckets?: ReadonlySet<number>,
@@ -47,8 +45,7 @@
  *
  * @example
  * const table = createRecordTable();
- * const version = {kind: 'service', name: 'booking', sourceVersion: 7};
- * table.apply({...version, isRemoved: false, value});
+ * table.apply({kind, name, sourceVersion: 7, isRemoved: false, value});
  */
 export function createRecordTable(): RecordTable {
   const records = new Map<string, RelayedRecord>();
--- a/packages/records/src/statusWriter.ts
+++ b/packages/records/src/statusWriter.ts
@@ -40,8 +40,7 @@
  * Creates a status writer.
  *
  * @example
- * const status = {state: 'refused', sourceVersion: 7, faults, waitingFor: []};
- * await statuses.write('service.booking', status);
+ * await statuses.write('service.booking', {state: 'refused', ...fields});
  */
 export function createStatusWriter(options: {
   readonly clock: Clock;
--- a/packages/records/src/test/acceptance.test.ts
+++ b/packages/records/src/test/acceptance.test.ts
@@ -101,9 +101,7 @@
   wallMs: 0,
 };
 
-/**
- * Acceptors that were paused or read a stale listing must not revert a record.
- */
+/** Acceptors that were paused or read a stale listing must not revert any. */
 const decisionCases: readonly [string, Partial<AcceptanceInput>, string][] = [
   ['a new record', {}, 'accept'],
   ['an accepted record', {accepted: acceptedObject(7)}, 'nothing'],
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -1,6 +1,4 @@
-/**
- * Simulated entries with peers, a platform and acceptors; checks invariants.
- */
+/** Simulated entries with peers, platform and acceptors; checks invariants. */
 import assert from 'node:assert/strict';
 import {
   seededRandom,
