--- a/packages/records/src/contracts.ts
+++ b/packages/records/src/contracts.ts
@@ -32,9 +32,9 @@
   readonly type: 'model' | 'plain';
   /** Version that serves while no move is in progress. */
   readonly version: string;
-  /** Longest prefix wins; without one, GET, HEAD and OPTIONS are idempotent. */
+  /** Longest prefix wins; else only GET, HEAD and OPTIONS are idempotent. */
   readonly routes: readonly Route[];
-  /** Target of p95 latency: first token of models, full response of plain. */
+  /** Target p95 latency: first token for models, full response for plain ones. */
   readonly targetMs: number;
   /** Default and upper bound of the timeout of a request. */
   readonly timeoutMs: number;
