--- a/packages/moves/src/contracts.ts
+++ b/packages/moves/src/contracts.ts
@@ -1,29 +1,32 @@
-/** Version moves: shares, judging, deadline, taking back. */
+/**
+ * Interfaces of version moves: rollouts of a candidate version with rollback
+ * and deadline.
+ */
 import type {Move} from '@skylarkfield/records';
 import type {EvidenceSum, MoveState} from '@skylarkfield/protocol';
 
 export type {MovePhase, MoveState, RouteProof} from '@skylarkfield/protocol';
 
-/** How one request went, as evidence. */
+/** Outcome of one request, as evidence about its version. */
 export interface Sample {
   readonly service: string;
   readonly version: string;
   readonly route: string;
   readonly isError: boolean;
   readonly latencyMs: number;
-  /** Requests in flight of the service relative to its limit, 0 to 1. */
+  /** In-flight requests of the service relative to its limit, 0 to 1. */
   readonly loadFraction: number;
-  /** False for calls that run at most once; true when absent. */
+  /** False for non-idempotent requests; true when absent. */
   readonly isIdempotent?: boolean;
 }
 
-/** The part of moves that every entry runs. */
+/** Selects each request's version and detects faults; runs on every entry. */
 export interface TrafficSplit {
   setMoves(moves: readonly Move[]): void;
   setStates(states: readonly MoveState[]): void;
   /**
-   * The version for a request: the same on every entry for one session.
-   * `incumbent` is the service's version when no move concerns it.
+   * Returns the version for a request, which is the same on every entry for one
+   * session. `incumbent` is the version in the service's record.
    */
   versionFor(request: {
     readonly service: string;
@@ -32,39 +35,39 @@
     readonly isIdempotent: boolean;
   }): string;
   /**
-   * The version for a request whose candidate version has no endpoint that can
-   * take it: what it would have got without the move under way.
+   * Returns the version for a request without the move in progress; the
+   * fallback when no endpoint of the candidate can accept the request.
    */
   incumbentFor(service: string, incumbent: string): string;
-  /** Notes how a request went; may cut the candidate at once. */
+  /** Records a request; cuts the candidate's share to 0 on a fault. */
   observe(sample: Sample): void;
-  /** Another entry has cut a candidate. */
+  /** Applies the cut of a candidate by another entry. */
   applyCut(move: string, why: string): void;
-  /** Evidence since the last call, to share. */
+  /** Returns and clears the evidence since the last call, for broadcast. */
   takeEvidence(): readonly {
     readonly move: string;
     readonly sums: readonly EvidenceSum[];
   }[];
   onDidCut(listener: (move: string, why: string) => void): {dispose(): void};
   /**
-   * Versions of a service that have usable endpoints, once known: a candidate
-   * without any gets no traffic, and that is no fault of it.
+   * Sets the versions of a service that have usable endpoints; all are assumed
+   * available until set. A candidate without any gets no traffic and no fault.
    */
   setAvailableVersions(service: string, versions: readonly string[]): void;
   dump(): unknown;
 }
 
-/** The part that only the duty's holder runs: steps, judging, deadline. */
-export interface MoveJudge {
-  /** Adds evidence that an entry shared. */
+/** Decides the states of moves; only the duty's holder advances them. */
+export interface MoveController {
+  /** Adds evidence that this entry or a peer collected. */
   addEvidence(move: string, sums: readonly EvidenceSum[]): void;
-  /** An entry has cut the candidate: taken back, for good. */
+  /** Records a cut; the next advance rolls the move back for good. */
   reportCut(move: string, why: string): void;
-  /** The state that the move should have now; ends a window of evidence. */
+  /** Evaluates the evidence; returns the new state or an unchanged `state`. */
   advance(move: Move, state: MoveState | undefined, wallMs: number): MoveState;
-  /** Keeps the evidence of a move that another entry judges, to be ready to take over. */
-  follow(move: Move, state: MoveState, wallMs: number): void;
-  /** Drops what is kept of moves other than these. */
-  keepOnly(moves: readonly string[]): void;
+  /** Evaluates a move that another entry advances, for a later takeover. */
+  track(move: Move, state: MoveState, wallMs: number): void;
+  /** Drops the evidence and cuts of all other moves. */
+  retainMoves(moves: readonly string[]): void;
   dump(): unknown;
 }
--- a/packages/moves/src/evidence.ts
+++ b/packages/moves/src/evidence.ts
@@ -1,137 +1,141 @@
-/** Sums of evidence in cells of one route at one load level, candidate beside incumbent. */
+/**
+ * Request statistics of candidate and incumbent, stratified by route and load
+ * level.
+ */
 import type {EvidenceSum} from '@skylarkfield/protocol';
 
 export type LoadLevel = EvidenceSum['loadLevel'];
 
-/** Sums over requests of one version. */
-export interface Sums {
+/** Sums over the requests of one version. */
+export interface RequestStats {
   requests: number;
   errors: number;
   logLatency: number;
   logLatencySquared: number;
 }
 
-/** One route at one load level over one window. */
-export interface Cell {
+/** Statistics of both versions on one route at one load level in one window. */
+export interface Stratum {
   readonly route: string;
   readonly loadLevel: LoadLevel;
   readonly isOrder: boolean;
-  readonly candidate: Sums;
-  readonly incumbent: Sums;
+  readonly candidate: RequestStats;
+  readonly incumbent: RequestStats;
 }
 
-const MIDDLE_LOAD = 0.5;
-const HIGH_LOAD = 0.8;
+const MIDDLE_LOAD_FRACTION = 0.5;
+const HIGH_LOAD_FRACTION = 0.8;
 
 /**
- * The level of a load fraction.
+ * Returns the load level of a load fraction.
  *
  * @example
  * loadLevelOf(0.9); // 'high'
  */
 export function loadLevelOf(loadFraction: number): LoadLevel {
-  if (loadFraction >= HIGH_LOAD) {
+  if (loadFraction >= HIGH_LOAD_FRACTION) {
     return 'high';
   }
-  return loadFraction >= MIDDLE_LOAD ? 'middle' : 'low';
+  return loadFraction >= MIDDLE_LOAD_FRACTION ? 'middle' : 'low';
 }
 
 /**
- * Sums of no request.
+ * Creates statistics of zero requests.
  *
  * @example
- * const total = emptySums();
- * addSums(total, sums);
+ * const total = emptyStats();
+ * addStats(total, stats);
  */
-export function emptySums(): Sums {
+export function emptyStats(): RequestStats {
   return {requests: 0, errors: 0, logLatency: 0, logLatencySquared: 0};
 }
 
 /**
- * Adds sums to others in place.
+ * Adds `from` to `to` in place.
  *
  * @example
- * addSums(total, sums);
+ * addStats(total, stats);
  */
-export function addSums(to: Sums, from: Readonly<Sums>) {
+export function addStats(to: RequestStats, from: Readonly<RequestStats>) {
   to.requests += from.requests;
   to.errors += from.errors;
   to.logLatency += from.logLatency;
   to.logLatencySquared += from.logLatencySquared;
 }
 
-/** Collects sums and gives out the cells that can be compared. */
+/** Accumulates evidence into strata until both versions can be compared. */
 export interface EvidenceWindow {
   add(sums: readonly EvidenceSum[]): void;
-  /** Takes the cells that hold enough of both versions; the rest stay for a later window. */
-  takeComparable(): Cell[];
-  /** Drops what is pending: the shares have changed, and a cell must not mix two shares. */
+  /** Removes and returns the strata with enough requests of both versions. */
+  takeComparable(): Stratum[];
+  /** Drops all strata, since a stratum must not mix two shares. */
   clear(): void;
 }
 
-/** Fewest incumbent requests beside which a candidate's request says anything. */
-const LEAST_INCUMBENT = 4;
+/** Lower bound of incumbent requests in a comparable stratum. */
+const MIN_INCUMBENT_REQUESTS = 4;
 
-/** Routes told apart; the requests of more are summed under one name, so memory is bounded. */
-const MOST_ROUTES = 24;
+/** Bounds memory; further routes are summed under `OTHER_ROUTES`. */
+const MAX_ROUTES = 24;
 const OTHER_ROUTES = 'other routes';
 
 /**
- * Makes an empty window for a move between two versions.
+ * Creates an empty window for a move between two versions.
  *
  * @example
  * const window = createEvidenceWindow('v1', 'v2');
  */
 export function createEvidenceWindow(from: string, to: string): EvidenceWindow {
-  const cells = new Map<string, Cell>();
+  const strata = new Map<string, Stratum>();
   const routes = new Set<string>();
 
-  function routeName(route: string): string {
-    if (routes.has(route) || routes.size < MOST_ROUTES) {
+  function boundedRouteName(route: string): string {
+    if (routes.has(route) || routes.size < MAX_ROUTES) {
       routes.add(route);
       return route;
     }
     return OTHER_ROUTES;
   }
 
-  function cellFor(sum: EvidenceSum): Cell {
-    const route = routeName(sum.route);
+  function stratumFor(sum: EvidenceSum): Stratum {
+    const route = boundedRouteName(sum.route);
     const isOrder = sum.isOrder ?? false;
     const id = `${route}\u0000${sum.loadLevel}\u0000${isOrder}`;
-    let cell = cells.get(id);
-    if (cell === undefined) {
-      cell = {
+    let stratum = strata.get(id);
+    if (stratum === undefined) {
+      stratum = {
         route,
         loadLevel: sum.loadLevel,
         isOrder,
-        candidate: emptySums(),
-        incumbent: emptySums(),
+        candidate: emptyStats(),
+        incumbent: emptyStats(),
       };
-      cells.set(id, cell);
+      strata.set(id, stratum);
     }
-    return cell;
+    return stratum;
   }
 
   return {
     add(sums) {
       for (const sum of sums) {
         if (sum.version === to) {
-          addSums(cellFor(sum).candidate, sum);
+          addStats(stratumFor(sum).candidate, sum);
         } else if (sum.version === from) {
-          addSums(cellFor(sum).incumbent, sum);
+          addStats(stratumFor(sum).incumbent, sum);
         }
       }
     },
     takeComparable() {
-      const taken = [...cells].filter(
+      const comparable = [...strata].filter(
         ([, {candidate, incumbent}]) =>
-          candidate.requests > 0 && incumbent.requests >= LEAST_INCUMBENT,
+          candidate.requests > 0 &&
+          incumbent.requests >= MIN_INCUMBENT_REQUESTS,
       );
-      for (const [id] of taken) {
-        cells.delete(id);
+      for (const [id] of comparable) {
+        strata.delete(id);
       }
-      return taken.map(([, cell]) => cell);
+      return comparable.map(([, stratum]) => stratum);
     },
-    clear: () => cells.clear(),
+    clear: () => strata.clear(),
   };
 }
--- a/packages/moves/src/faultDetector.ts
+++ b/packages/moves/src/faultDetector.ts
@@ -1,82 +1,86 @@
 /**
- * Watches a candidate for faults on any route and at any load level.
+ * Detects faults of a candidate on any route and at any load level.
  *
- * Each scope (everything, each route, each route at each level) has a test for
- * errors and one for slowness. Their values are averaged with weights that sum
- * to at most 1, which is again a valid test: however many routes there are, the
- * chance of a false alarm stays below alpha.
+ * Each scope (the service, each route, each route at each load level) has one
+ * sequential test for errors and one for latency. Averaging their values with
+ * weights that sum to at most 1 gives a valid test again, so the false alarm
+ * probability stays below alpha for any number of routes.
  */
 import {
-  createVarianceEstimate,
-  errorRatio,
-  excessRatio,
+  createVarianceEstimator,
+  errorLogLikelihoodRatio,
+  latencyLogLikelihoodRatio,
   latencyExcess,
-  type VarianceEstimate,
-} from './comparison.js';
-import type {Cell} from './evidence.js';
+  type VarianceEstimator,
+} from './likelihoodRatios.js';
+import type {Stratum} from './evidence.js';
 import {
-  addLogs,
+  logAddExp,
   createSequentialTest,
   type SequentialTest,
 } from './sequentialTest.js';
 
-/** What was found. */
-export interface Finding {
+/** Fault that the detector found. */
+export interface DetectedFault {
   readonly why: string;
   readonly logValue: number;
 }
 
 export interface FaultDetector {
-  /** Adds the cells of one window; a finding ends the matter. */
-  add(cells: readonly Cell[]): Finding | undefined;
-  /** Logarithm of the evidence for a fault, for the dump. */
+  /** Adds one window; returns a fault once the threshold is reached. */
+  add(strata: readonly Stratum[]): DetectedFault | undefined;
+  /** Returns the logarithm of the combined test value, for the state dump. */
   logValue(): number;
 }
 
 export interface FaultDetectorOptions {
-  /** Chance of a false alarm over the whole move. */
+  /** Upper bound of the false alarm probability over the whole move. */
   readonly alpha: number;
-  /** Windows until the deadline, over which the begin of a fault is spread. */
-  readonly windows: number;
+  /** Windows until the deadline; the onset prior is spread over them. */
+  readonly windowCount: number;
 }
 
-/** Errors up to this factor, and log latency up to this excess, are no fault. */
+/** Error factor and log latency excess that do not count as a fault. */
 const TOLERATED_ERROR_FACTOR = 1.15;
-const TOLERATED_EXCESS = 0.05;
+const TOLERATED_LATENCY_EXCESS = 0.05;
 
-/** Error factors and excesses of log latency that are looked for. */
+/** Alternative hypotheses: error factors and log latency excesses. */
 const ERROR_FACTORS = [2, 4, 16, 100];
-const EXCESSES = [0.25, 0.5, 1, 2];
+const LATENCY_EXCESSES = [0.25, 0.5, 1, 2];
 
-/** Part of the weight for faults that are there from the start. */
-const FIRST_WEIGHT = 0.4;
+/** Prior weight of faults that exist from the start. */
+const INITIAL_WEIGHT = 0.4;
 
 type ScopeType = 'service' | 'route' | 'level';
-const SCOPE_TYPES = 3;
+const SCOPE_TYPE_COUNT = 3;
 
 interface Scope {
   readonly name: string;
   readonly logWeight: number;
-  readonly errors: SequentialTest;
-  readonly slowness: SequentialTest;
-  windows: number;
+  readonly errorTest: SequentialTest;
+  readonly latencyTest: SequentialTest;
+  windowCount: number;
 }
 
 /**
- * Makes a detector.
+ * Creates the detector of one move.
  *
  * @example
- * const detector = createFaultDetector({alpha: 0.002, windows: 3600});
- * const finding = detector.add(window.takeComparable());
+ * const detector = createFaultDetector({alpha: 0.002, windowCount: 3600});
+ * const fault = detector.add(window.takeComparable());
  */
 export function createFaultDetector(
   options: FaultDetectorOptions,
 ): FaultDetector {
   const scopes = new Map<string, Scope>();
-  const variances = new Map<string, VarianceEstimate>();
-  const counts: Record<ScopeType, number> = {service: 0, route: 0, level: 0};
-  const windowWeight = (1 - FIRST_WEIGHT) / Math.max(1, options.windows);
-  const threshold = Math.log(1 / options.alpha);
+  const varianceEstimators = new Map<string, VarianceEstimator>();
+  const scopeCounts: Record<ScopeType, number> = {
+    service: 0,
+    route: 0,
+    level: 0,
+  };
+  const onsetWeight = (1 - INITIAL_WEIGHT) / Math.max(1, options.windowCount);
+  const logThreshold = Math.log(1 / options.alpha);
 
   function scopeFor(type: ScopeType, name: string): Scope {
     const id = `${type}\u0000${name}`;
@@ -84,104 +88,123 @@
     if (scope === undefined) {
       scope = {
         name,
-        logWeight: Math.log(weightOf(type, counts[type]++) / 2),
-        errors: createSequentialTest(ERROR_FACTORS.length, FIRST_WEIGHT),
-        slowness: createSequentialTest(EXCESSES.length, FIRST_WEIGHT),
-        windows: 0,
+        logWeight: Math.log(scopeWeight(type, scopeCounts[type]++) / 2),
+        errorTest: createSequentialTest(ERROR_FACTORS.length, INITIAL_WEIGHT),
+        latencyTest: createSequentialTest(
+          LATENCY_EXCESSES.length,
+          INITIAL_WEIGHT,
+        ),
+        windowCount: 0,
       };
       scopes.set(id, scope);
     }
     return scope;
   }
 
-  function varianceOf(route: string): VarianceEstimate {
-    let variance = variances.get(route);
-    if (variance === undefined) {
-      variance = createVarianceEstimate();
-      variances.set(route, variance);
+  function varianceEstimatorFor(route: string): VarianceEstimator {
+    let estimator = varianceEstimators.get(route);
+    if (estimator === undefined) {
+      estimator = createVarianceEstimator();
+      varianceEstimators.set(route, estimator);
     }
-    return variance;
+    return estimator;
   }
 
-  /** Adds cells to one scope: strata of one window, whose ratios multiply. */
-  function addTo(scope: Scope, cells: readonly Cell[]) {
-    scope.windows += 1;
-    // The weights of all windows together stay below 1, else the test is not valid.
-    if (scope.windows <= options.windows) {
-      scope.errors.begin(windowWeight);
-      scope.slowness.begin(windowWeight);
+  /** Adds the strata of one window; their likelihood ratios multiply. */
+  function addToScope(scope: Scope, strata: readonly Stratum[]) {
+    scope.windowCount += 1;
+    // Valid only while the onset weights of all windows sum to at most 1.
+    if (scope.windowCount <= options.windowCount) {
+      scope.errorTest.addOnset(onsetWeight);
+      scope.latencyTest.addOnset(onsetWeight);
     }
-    scope.errors.add(
+    scope.errorTest.add(
       ERROR_FACTORS.map(factor =>
-        sum(cells, cell => errorRatio(cell, factor, TOLERATED_ERROR_FACTOR)),
+        sum(strata, stratum =>
+          errorLogLikelihoodRatio(stratum, factor, TOLERATED_ERROR_FACTOR),
+        ),
       ),
     );
-    const found = cells.flatMap(cell => {
-      const excess = latencyExcess(cell, varianceOf(cell.route).value());
+    const excesses = strata.flatMap(stratum => {
+      const excess = latencyExcess(
+        stratum,
+        varianceEstimatorFor(stratum.route).value(),
+      );
       return excess === undefined ? [] : [excess];
     });
-    scope.slowness.add(
-      EXCESSES.map(worse =>
-        sum(found, excess => excessRatio(excess, worse, TOLERATED_EXCESS)),
+    scope.latencyTest.add(
+      LATENCY_EXCESSES.map(alternative =>
+        sum(excesses, excess =>
+          latencyLogLikelihoodRatio(
+            excess,
+            alternative,
+            TOLERATED_LATENCY_EXCESS,
+          ),
+        ),
       ),
     );
   }
 
-  function total(): number {
+  function combinedLogValue(): number {
     let value = -Infinity;
     for (const scope of scopes.values()) {
-      value = addLogs(value, scope.logWeight + scope.errors.logValue());
-      value = addLogs(value, scope.logWeight + scope.slowness.logValue());
+      value = logAddExp(value, scope.logWeight + scope.errorTest.logValue());
+      value = logAddExp(value, scope.logWeight + scope.latencyTest.logValue());
     }
     return value;
   }
 
-  function strongest(): string {
-    let best = {why: '', value: -Infinity};
+  function strongestReason(): string {
+    let strongest = {why: '', value: -Infinity};
     for (const scope of scopes.values()) {
       for (const [kind, test] of [
-        ['more errors', scope.errors],
-        ['slower answers', scope.slowness],
+        ['more errors', scope.errorTest],
+        ['higher latency', scope.latencyTest],
       ] as const) {
         const value = scope.logWeight + test.logValue();
-        if (value > best.value) {
-          best = {why: `${kind} than the incumbent on ${scope.name}`, value};
+        if (value > strongest.value) {
+          strongest = {
+            why: `${kind} than the incumbent on ${scope.name}`,
+            value,
+          };
         }
       }
     }
-    return best.why;
+    return strongest.why;
   }
 
   return {
-    add(cells) {
-      if (cells.length === 0) {
+    add(strata) {
+      if (strata.length === 0) {
         return undefined;
       }
-      addTo(scopeFor('service', 'the whole service'), cells);
-      for (const route of new Set(cells.map(cell => cell.route))) {
-        const own = cells.filter(cell => cell.route === route);
-        addTo(scopeFor('route', route), own);
+      addToScope(scopeFor('service', 'all routes'), strata);
+      for (const route of new Set(strata.map(stratum => stratum.route))) {
+        const ownStrata = strata.filter(stratum => stratum.route === route);
+        addToScope(scopeFor('route', route), ownStrata);
       }
-      for (const cell of cells) {
-        const name = `${cell.route} under ${cell.loadLevel} load`;
-        addTo(scopeFor('level', name), [cell]);
+      for (const stratum of strata) {
+        const name = `${stratum.route} under ${stratum.loadLevel} load`;
+        addToScope(scopeFor('level', name), [stratum]);
       }
-      for (const cell of cells) {
-        varianceOf(cell.route).add(cell.incumbent);
+      for (const stratum of strata) {
+        varianceEstimatorFor(stratum.route).add(stratum.incumbent);
       }
-      const logValue = total();
-      return logValue >= threshold ? {why: strongest(), logValue} : undefined;
+      const logValue = combinedLogValue();
+      return logValue >= logThreshold
+        ? {why: strongestReason(), logValue}
+        : undefined;
     },
-    logValue: total,
+    logValue: combinedLogValue,
   };
 }
 
-/** Weights over scopes whose number is not known beforehand; each type's sum is below 1/3. */
-function weightOf(type: ScopeType, index: number): number {
+/** Weights of an unknown number of scopes; each type sums to at most 1/3. */
+function scopeWeight(type: ScopeType, index: number): number {
   if (type === 'service') {
-    return 1 / SCOPE_TYPES;
+    return 1 / SCOPE_TYPE_COUNT;
   }
-  return 1 / (SCOPE_TYPES * (index + 1) * (index + 2));
+  return 1 / (SCOPE_TYPE_COUNT * (index + 1) * (index + 2));
 }
 
 function sum<T>(items: readonly T[], valueOf: (item: T) => number): number {
--- a/packages/moves/src/index.ts
+++ b/packages/moves/src/index.ts
@@ -1,7 +1,9 @@
-/** Version moves: shares, judging, deadline, taking back. */
+/**
+ * Version moves: rollouts of a candidate version with rollback and deadline.
+ */
 export * from './contracts.js';
 export {LATENCY_OFFSET_MS} from './localEvidence.js';
 export * from './moveDuty.js';
 export * from './moveFollower.js';
-export * from './moveJudge.js';
+export * from './moveController.js';
 export * from './trafficSplit.js';
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -1,4 +1,4 @@
-/** What the holder of the duty `moves` does: advances every move and writes its state. */
+/** Duty `moves`: its holder advances every move and writes its state. */
 import {
   disposableStore,
   every,
@@ -11,8 +11,8 @@
 import type {Tenure} from '@skylarkfield/duties';
 import type {ObjectStore, StoredObject} from '@skylarkfield/providers';
 import type {Configuration, Move} from '@skylarkfield/records';
-import type {MoveJudge, MoveState} from './contracts.js';
-import {activeMove, isAbout, withStates} from './moveChoice.js';
+import type {MoveController, MoveState} from './contracts.js';
+import {activeMove, isStateOf, withStates} from './moveSelection.js';
 import {MOVE_STATE_KIND} from './moveFollower.js';
 import {isFinal, nextPhase} from './moveMachine.js';
 
@@ -21,21 +21,21 @@
   readonly log: Logger;
   readonly objects: Pick<ObjectStore, 'get' | 'list' | 'put' | 'remove'>;
   readonly configuration: Pick<Configuration, 'list' | 'isReady'>;
-  readonly judge: MoveJudge;
+  readonly judge: MoveController;
   readonly tenure: Tenure;
-  /** Whether any endpoint runs the version; a move does not start before. */
+  /** Returns whether any endpoint runs the version, so a move may start. */
   hasEndpoints?(service: string, version: string): boolean;
-  /** All states as they stand in the store, after each look at the moves. */
+  /** Called with all stored states after each round. */
   onDidAdvance?(states: readonly MoveState[]): void;
 }
 
 const ADVANCE_INTERVAL_MS = 1000;
 
-/** States of moves whose records are gone are kept this long, so that operators can read the end. */
-const KEEP_ENDED_MS = 7 * 24 * 3_600_000;
+/** Retention of removed moves' states, for operators to read the outcome. */
+const ENDED_STATE_RETENTION_MS = 7 * 24 * 3_600_000;
 
 /**
- * Starts the duty for one tenure; disposed at its end.
+ * Starts the duty for one tenure; the result is disposed at the tenure's end.
  *
  * @example
  * duties.compete('moves', tenure => createMoveDuty({...parts, tenure}));
@@ -43,76 +43,79 @@
 export function createMoveDuty(options: MoveDutyOptions): Disposable {
   const {clock, log, objects, configuration, judge, tenure} = options;
   const store = disposableStore();
-  const stored = new Map<string, StoredObject<MoveState>>();
-  let isListed = false;
-  let isBusy = false;
+  const storedStates = new Map<string, StoredObject<MoveState>>();
+  let isLoaded = false;
+  let isAdvancing = false;
 
-  async function list() {
+  async function loadStates() {
     const listing = await objects.list<MoveState>(
       MOVE_STATE_KIND,
       tenure.signal,
     );
-    stored.clear();
+    storedStates.clear();
     for (const object of listing.objects) {
-      stored.set(object.name, object);
+      storedStates.set(object.name, object);
     }
-    isListed = true;
+    isLoaded = true;
   }
 
   /**
-   * Writes on the condition that the state is still the one that was read. A
-   * holder that was paused beyond its lease would else undo what the next one
-   * decided, such as a move that was taken back.
+   * Writes only if the stored state is still the one that was read. Otherwise a
+   * holder that was paused beyond its lease could undo a decision of its
+   * successor, such as a rollback.
    */
-  async function write(next: MoveState) {
+  async function writeState(next: MoveState) {
     if (!tenure.isValid()) {
       return;
     }
-    const known = stored.get(next.move);
-    const before = known?.value.changedAt ?? 0;
-    // Followers take the higher one; a holder whose wall clock is behind its predecessor's must not write a lower one.
-    const value = {...next, changedAt: Math.max(next.changedAt, before + 1)};
+    const storedState = storedStates.get(next.move);
+    const previousChangedAt = storedState?.value.changedAt ?? 0;
+    // Followers need a higher timestamp; the last holder's clock may be ahead.
+    const value = {
+      ...next,
+      changedAt: Math.max(next.changedAt, previousChangedAt + 1),
+    };
     try {
       const written = await objects.put(
         MOVE_STATE_KIND,
         next.move,
         value,
-        known === undefined
+        storedState === undefined
           ? {type: 'absent'}
-          : {type: 'version', version: known.version},
+          : {type: 'version', version: storedState.version},
         tenure.signal,
       );
-      stored.set(next.move, written);
+      storedStates.set(next.move, written);
     } catch (error) {
-      // Whoever wrote in between, and whatever became of a write without reply: it is read again.
+      // On a conflict or an unknown outcome, the stored states are read again.
       if (!isServingError(error, 'platform-unavailable')) {
-        isListed = false;
+        isLoaded = false;
       }
       throw error;
     }
   }
 
   function stateOf(name: string): MoveState | undefined {
-    return stored.get(name)?.value;
+    return storedStates.get(name)?.value;
   }
 
   async function advanceService(moves: readonly Move[]) {
-    const stated = withStates(moves, stateOf);
-    const active = activeMove(stated);
-    for (const {move, state} of stated) {
+    const movesWithState = withStates(moves, stateOf);
+    const active = activeMove(movesWithState);
+    for (const {move, state} of movesWithState) {
       if (move === active?.move || state?.phase === 'finished') {
-        await advanceMove(move, reasonToWait(move, state));
+        await advanceMove(move, waitReason(move, state));
       } else if (state === undefined || state.phase === 'waiting') {
         const name = active?.move.name ?? '';
         await advanceMove(
           move,
-          `waits for the move ${name} of the same service`,
+          `waiting for the move ${name} of the same service`,
         );
       }
     }
   }
 
-  function reasonToWait(
+  function waitReason(
     move: Move,
     state: MoveState | undefined,
   ): string | undefined {
@@ -125,26 +128,26 @@
       : `no endpoint runs ${move.to} yet`;
   }
 
-  async function advanceMove(move: Move, wait: string | undefined) {
+  async function advanceMove(move: Move, waitingFor: string | undefined) {
     const state = stateOf(move.name);
     const wallMs = clock.wall();
     const next =
-      wait === undefined
+      waitingFor === undefined
         ? judge.advance(move, state, wallMs)
-        : waitingState(move, state, wait, wallMs);
+        : waitingState(move, state, waitingFor, wallMs);
     if (next !== state) {
-      await write(next);
+      await writeState(next);
     }
   }
 
-  async function endWithdrawn(names: ReadonlySet<string>) {
-    for (const object of [...stored.values()]) {
+  async function endWithdrawnMoves(names: ReadonlySet<string>) {
+    for (const object of [...storedStates.values()]) {
       const state = object.value;
       if (names.has(state.move)) {
         continue;
       }
       if (!isFinal(state.phase)) {
-        await write({
+        await writeState({
           ...state,
           phase: nextPhase(state.phase, 'withdraw'),
           share: 0,
@@ -152,7 +155,7 @@
           why: 'the operator withdrew the move',
           changedAt: clock.wall(),
         });
-      } else if (clock.wall() - state.changedAt > KEEP_ENDED_MS) {
+      } else if (clock.wall() - state.changedAt > ENDED_STATE_RETENTION_MS) {
         const condition = {type: 'version', version: object.version} as const;
         await objects.remove(
           MOVE_STATE_KIND,
@@ -160,57 +163,57 @@
           condition,
           tenure.signal,
         );
-        stored.delete(object.name);
+        storedStates.delete(object.name);
       }
     }
   }
 
   async function advanceAll() {
-    // Without the configuration every move would look withdrawn.
+    // Without the configuration, every move would look withdrawn.
     if (!configuration.isReady() || !tenure.isValid()) {
       return;
     }
-    if (!isListed) {
-      await list();
+    if (!isLoaded) {
+      await loadStates();
     }
     const moves = configuration.list('move');
     const names = moves.map(move => move.name);
-    judge.keepOnly(names);
+    judge.retainMoves(names);
     for (const service of new Set(moves.map(move => move.service))) {
       await advanceService(moves.filter(move => move.service === service));
     }
-    await endWithdrawn(new Set(names));
-    options.onDidAdvance?.([...stored.values()].map(({value}) => value));
+    await endWithdrawnMoves(new Set(names));
+    options.onDidAdvance?.([...storedStates.values()].map(({value}) => value));
   }
 
-  function tick() {
-    if (isBusy) {
+  function startAdvance() {
+    if (isAdvancing) {
       return;
     }
-    isBusy = true;
+    isAdvancing = true;
     advanceAll()
       .catch((error: unknown) => {
         const {kind, message} = toServingError(error);
-        log.warn({kind, message}, 'move states could not be written');
+        log.warn({kind, message}, 'failed to update move states');
       })
-      .finally(() => (isBusy = false));
+      .finally(() => (isAdvancing = false));
   }
 
-  store.add(every(clock, ADVANCE_INTERVAL_MS, tick));
-  tick();
+  store.add(every(clock, ADVANCE_INTERVAL_MS, startAdvance));
+  startAdvance();
   return store;
 }
 
-/** The state of a move that has to wait; the same object when nothing changed. */
+/** Returns the state of a waiting move; the same object if unchanged. */
 function waitingState(
   move: Move,
   state: MoveState | undefined,
   why: string,
   wallMs: number,
 ): MoveState {
-  const isLate = wallMs >= move.deadline;
-  const phase = isLate ? 'taken-back' : 'waiting';
-  if (isAbout(state, move) && state.phase === phase && state.why === why) {
+  const isPastDeadline = wallMs >= move.deadline;
+  const phase = isPastDeadline ? 'taken-back' : 'waiting';
+  if (isStateOf(state, move) && state.phase === phase && state.why === why) {
     return state;
   }
   return {
--- a/packages/moves/src/moveFollower.ts
+++ b/packages/moves/src/moveFollower.ts
@@ -1,6 +1,6 @@
 /**
- * What every entry does for moves: follows their durable states, shares its
- * evidence and cuts with its peers, and hears theirs.
+ * Keeps an entry's moves in sync: applies their stored states and exchanges
+ * evidence and cuts with its peers.
  */
 import {
   disposableStore,
@@ -11,14 +11,14 @@
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {PeerNetwork} from '@skylarkfield/protocol';
 import type {Configuration, Move} from '@skylarkfield/records';
-import type {MoveJudge, MoveState, TrafficSplit} from './contracts.js';
-import {isAbout} from './moveChoice.js';
+import type {MoveController, MoveState, TrafficSplit} from './contracts.js';
+import {isStateOf} from './moveSelection.js';
 
-/** Kind of the objects that hold the durable states. */
+/** Kind of the objects that hold the states of moves. */
 export const MOVE_STATE_KIND = 'move-state';
 
-/** Evidence is shared this often. */
-const SHARE_INTERVAL_MS = 1000;
+/** Interval of broadcasts of evidence and pending cuts. */
+const BROADCAST_INTERVAL_MS = 1000;
 
 export interface MoveFollowerOptions {
   readonly clock: Clock;
@@ -29,18 +29,18 @@
   >;
   readonly configuration: Pick<Configuration, 'list' | 'onDidChange'>;
   readonly split: TrafficSplit;
-  /** Runs on every entry, so that whoever takes the duty over has the evidence. */
-  readonly judge: MoveJudge;
+  /** Runs on every entry, so a new holder of the duty has the evidence. */
+  readonly judge: MoveController;
 }
 
-/** A cut that is not durable yet. */
-interface Cut {
+/** Cut that is not in the stored state yet. */
+interface PendingCut {
   readonly to: string;
   readonly why: string;
 }
 
 /**
- * Starts to follow; ends when disposed.
+ * Starts following moves until disposed.
  *
  * @example
  * store.add(createMoveFollower({clock, objects, network, configuration, split, judge}));
@@ -49,14 +49,14 @@
   const {clock, objects, network, configuration, split, judge} = options;
   const store = disposableStore();
   const states = new Map<string, MoveState>();
-  const openCuts = new Map<string, Cut>();
+  const pendingCuts = new Map<string, PendingCut>();
   let sequence = 0;
 
-  function readMoves() {
+  function updateMoves() {
     split.setMoves(configuration.list('move'));
   }
 
-  function follow(next: readonly MoveState[]) {
+  function applyStates(next: readonly MoveState[]) {
     const newer = next.filter(
       ({move, changedAt}) => changedAt > (states.get(move)?.changedAt ?? 0),
     );
@@ -67,92 +67,96 @@
   }
 
   /**
-   * An entry that starts while the platform is down knows the records from its
-   * peers and would send all requests of a finished move to the old version,
-   * which may have no endpoint any more.
+   * Sends all states to a new peer. An entry that starts while the platform is
+   * unavailable gets only the records from its peers and would send all
+   * requests of a finished move to the old version, which may have no endpoint.
    */
-  function tellStates(peer: string) {
+  function sendStates(peer: string) {
     if (states.size > 0) {
       network.send(peer, 'moveStates', {states: [...states.values()]});
     }
   }
 
-  function moveNamed(name: string): Move | undefined {
+  function findMove(name: string): Move | undefined {
     return configuration.list('move').find(move => move.name === name);
   }
 
-  /** A cut of a candidate that the record no longer names says nothing of the present one. */
-  function cut(name: string, why: string, to: string | undefined) {
-    const move = moveNamed(name);
+  /** Applies a cut unless the move's record names another candidate by now. */
+  function applyCut(name: string, why: string, to: string | undefined) {
+    const move = findMove(name);
     if (move === undefined || (to ?? move.to) !== move.to) {
       return;
     }
-    openCuts.set(name, {to: move.to, why});
+    pendingCuts.set(name, {to: move.to, why});
     split.applyCut(name, why);
     judge.reportCut(name, why);
   }
 
-  /** A cut that the durable state already shows, or whose move is another now, need not be told again. */
-  function forgetSettledCuts() {
-    for (const [name, {to}] of openCuts) {
-      const move = moveNamed(name);
+  /** Drops cuts that are stored or whose move has changed or gone. */
+  function dropObsoleteCuts() {
+    for (const [name, {to}] of pendingCuts) {
+      const move = findMove(name);
       const state = states.get(name);
       const isDurable =
         move !== undefined &&
-        isAbout(state, move) &&
+        isStateOf(state, move) &&
         state.phase === 'taken-back';
       if (move?.to !== to || isDurable) {
-        openCuts.delete(name);
+        pendingCuts.delete(name);
       }
     }
   }
 
-  function followMoves() {
+  function trackMoves() {
     for (const move of configuration.list('move')) {
       const state = states.get(move.name);
-      if (isAbout(state, move)) {
-        judge.follow(move, state, clock.wall());
+      if (isStateOf(state, move)) {
+        judge.track(move, state, clock.wall());
       }
     }
   }
 
-  function share() {
-    followMoves();
+  function broadcastEvidence() {
+    trackMoves();
     for (const {move, sums} of split.takeEvidence()) {
       judge.addEvidence(move, sums);
       network.broadcast('moveEvidence', {move, sequence: sequence++, sums});
     }
-    forgetSettledCuts();
-    // Told again until it is durable: a peer that was cut off, or came since,
-    // missed the first word and would go on sending requests to a bad version.
-    for (const [move, open] of openCuts) {
-      network.broadcast('moveCut', {move, ...open});
+    dropObsoleteCuts();
+    // Repeated until stored: a peer that was disconnected or started later
+    // missed the first broadcast and would keep sending requests to a bad
+    // version.
+    for (const [move, pendingCut] of pendingCuts) {
+      network.broadcast('moveCut', {move, ...pendingCut});
     }
   }
 
   store.add(
     configuration.onDidChange(kind => {
       if (kind === 'move') {
-        readMoves();
+        updateMoves();
       }
     }),
   );
   store.add(
     objects.watch<MoveState>(MOVE_STATE_KIND, {
-      onDidList: listing => follow(listing.objects.map(({value}) => value)),
-      onDidPut: ({value}) => follow([value]),
+      onDidList: listing =>
+        applyStates(listing.objects.map(({value}) => value)),
+      onDidPut: ({value}) => applyStates([value]),
       onDidRemove: name => states.delete(name),
     }),
   );
   store.add(
     network.onDidChangePeer((peer, isOpen) => {
       if (isOpen) {
-        tellStates(peer);
+        sendStates(peer);
       }
     }),
   );
   store.add(
-    network.onDidReceive('moveStates', (_from, body) => follow(body.states)),
+    network.onDidReceive('moveStates', (_from, body) =>
+      applyStates(body.states),
+    ),
   );
   store.add(
     network.onDidReceive('moveEvidence', (_from, {move, sums}) =>
@@ -161,19 +165,19 @@
   );
   store.add(
     network.onDidReceive('moveCut', (_from, {move, why, to}) =>
-      cut(move, why, to),
+      applyCut(move, why, to),
     ),
   );
   store.add(
     split.onDidCut((move, why) => {
-      cut(move, why, undefined);
-      const open = openCuts.get(move);
-      if (open !== undefined) {
-        network.broadcast('moveCut', {move, ...open});
+      applyCut(move, why, undefined);
+      const pendingCut = pendingCuts.get(move);
+      if (pendingCut !== undefined) {
+        network.broadcast('moveCut', {move, ...pendingCut});
       }
     }),
   );
-  store.add(every(clock, SHARE_INTERVAL_MS, share));
-  readMoves();
+  store.add(every(clock, BROADCAST_INTERVAL_MS, broadcastEvidence));
+  updateMoves();
   return store;
 }
--- a/packages/moves/src/moveMachine.ts
+++ b/packages/moves/src/moveMachine.ts
@@ -1,45 +1,48 @@
-/** The phases of a version move and the events that change them, in one place. */
+/**
+ * State machine of a version move: its phases and the events that change them.
+ */
 import {createMachine, interpret, state, transition} from 'robot3';
 import type {MovePhase} from './contracts.js';
 
 export type MoveEvent =
   | 'start'
-  | 'prove'
-  | 'doubt'
+  | 'startSoak'
+  | 'endSoak'
   | 'finish'
-  | 'takeBack'
+  | 'rollBack'
   | 'withdraw';
 
 const phases = {
   waiting: state(
     transition('start', 'proving'),
-    transition('takeBack', 'taken-back'),
+    transition('rollBack', 'taken-back'),
     transition('withdraw', 'withdrawn'),
   ),
   proving: state(
-    transition('prove', 'soaking'),
-    transition('takeBack', 'taken-back'),
+    transition('startSoak', 'soaking'),
+    transition('rollBack', 'taken-back'),
     transition('withdraw', 'withdrawn'),
   ),
   soaking: state(
-    transition('doubt', 'proving'),
+    transition('endSoak', 'proving'),
     transition('finish', 'finished'),
-    transition('takeBack', 'taken-back'),
+    transition('rollBack', 'taken-back'),
     transition('withdraw', 'withdrawn'),
   ),
-  // The old version is kept ready until the deadline, so a fault that an entry
-  // saw just before the end can still be acted on.
-  finished: state(transition('takeBack', 'taken-back')),
-  // Final: a version that was bad once never gets traffic by the same move again.
+  // The old version stays available until the deadline, so a fault detected
+  // shortly before the move finished can still roll it back.
+  finished: state(transition('rollBack', 'taken-back')),
+  // Final: a rolled-back version never gets traffic by the same move again.
   'taken-back': state(),
   withdrawn: state(transition('start', 'proving')),
 };
 
 /**
- * The phase after an event; the same phase when the event changes nothing in it.
+ * Returns the phase after an event; the same phase when it has no transition
+ * for the event.
  *
  * @example
- * nextPhase('proving', 'takeBack'); // 'taken-back'
+ * nextPhase('proving', 'rollBack'); // 'taken-back'
  */
 export function nextPhase(phase: MovePhase, event: MoveEvent): MovePhase {
   const service = interpret(createMachine(phase, phases), () => undefined);
@@ -48,7 +51,7 @@
 }
 
 /**
- * Whether nothing more happens to a move of this phase by itself.
+ * Returns whether a phase is final unless a cut or the operator changes it.
  *
  * @example
  * isFinal('taken-back'); // true
--- a/packages/moves/src/sequentialTest.ts
+++ b/packages/moves/src/sequentialTest.ts
@@ -1,75 +1,78 @@
 /**
- * An any-time-valid test: a mixture of likelihood ratios over alternatives and
- * over times at which a fault may begin.
+ * Any-time-valid sequential test: a mixture of likelihood ratios over
+ * alternatives and over onset times of a fault.
  *
- * For a candidate that is no worse than the tolerance, the value's expectation
- * never exceeds 1, so by Ville's inequality the chance that it ever reaches
- * 1/alpha is at most alpha, however often it is looked at. A fixed-size test
- * read again and again would raise false alarms on most long moves.
+ * For a candidate within the tolerance, the expected value never exceeds 1. By
+ * Ville's inequality the probability that it ever reaches 1/alpha is at most
+ * alpha, however often it is evaluated. A fixed-size test evaluated repeatedly
+ * would raise false alarms on most long moves.
  */
 
 export interface SequentialTest {
-  /** Adds the log-likelihood ratios of one window, one for each alternative. */
-  add(ratios: readonly number[]): void;
-  /** Lets a part of the weight begin now; called once a window. */
-  begin(weight: number): void;
-  /** Natural logarithm of the value. */
+  /** Adds the log-likelihood ratios of one window, one per alternative. */
+  add(logLikelihoodRatios: readonly number[]): void;
+  /** Adds the weight of a fault starting now; called once per window. */
+  addOnset(weight: number): void;
+  /** Returns the natural logarithm of the test value. */
   logValue(): number;
 }
 
 /**
- * The most that one window may add. A burst of errors from one lost host falls
- * into a window or two; a fault of the version goes on. Cutting gains off keeps
- * the test valid, since it only makes the value smaller.
+ * Upper bound of the log gain per window. A burst of errors after the loss of a
+ * host spans one or two windows, while a fault of the version persists. The
+ * test stays valid, since truncation only decreases the value.
  */
-const MOST_GAIN_PER_WINDOW = 5;
+const MAX_GAIN_PER_WINDOW = 5;
 
 /**
- * Makes a test over the given number of alternatives.
+ * Creates a test over the given number of alternatives.
  *
  * @example
  * const test = createSequentialTest(4, 0.4);
- * test.add(ratios);
- * if (test.logValue() > Math.log(1 / alpha)) { takeBack(); }
+ * test.add(logLikelihoodRatios);
+ * if (test.logValue() > Math.log(1 / alpha)) { rollBack(); }
  */
 export function createSequentialTest(
   alternatives: number,
   initialWeight: number,
 ): SequentialTest {
-  const logs = new Float64Array(alternatives).fill(
+  const logValues = new Float64Array(alternatives).fill(
     Math.log(initialWeight / alternatives),
   );
   return {
-    add(ratios) {
+    add(logLikelihoodRatios) {
       for (let index = 0; index < alternatives; index++) {
-        const gain = Math.min(ratios[index] as number, MOST_GAIN_PER_WINDOW);
-        logs[index] = (logs[index] as number) + gain;
+        const gain = Math.min(
+          logLikelihoodRatios[index] as number,
+          MAX_GAIN_PER_WINDOW,
+        );
+        logValues[index] = (logValues[index] as number) + gain;
       }
     },
-    begin(weight) {
-      const log = Math.log(weight / alternatives);
+    addOnset(weight) {
+      const logWeight = Math.log(weight / alternatives);
       for (let index = 0; index < alternatives; index++) {
-        logs[index] = addLogs(logs[index] as number, log);
+        logValues[index] = logAddExp(logValues[index] as number, logWeight);
       }
     },
-    logValue: () => logs.reduce(addLogs, -Infinity),
+    logValue: () => logValues.reduce(logAddExp, -Infinity),
   };
 }
 
-/** A number smaller by this power of e adds nothing to a sum in double precision. */
-const NEGLIGIBLE_GAP = 40;
+/** Log difference at which double precision loses the smaller addend. */
+const NEGLIGIBLE_LOG_GAP = 40;
 
 /**
- * Logarithm of the sum of two numbers given by their logarithms.
+ * Returns the logarithm of the sum of two numbers given by their logarithms.
  *
  * @example
- * addLogs(Math.log(1), Math.log(2)); // Math.log(3)
+ * logAddExp(Math.log(1), Math.log(2)); // Math.log(3)
  */
-export function addLogs(a: number, b: number): number {
+export function logAddExp(a: number, b: number): number {
   const high = Math.max(a, b);
   const gap = high - Math.min(a, b);
-  // Also true for minus infinity, whose gap is infinite or not a number.
-  if (!(gap < NEGLIGIBLE_GAP)) {
+  // Negated to be true also for minus infinity, whose gap is infinite or NaN.
+  if (!(gap < NEGLIGIBLE_LOG_GAP)) {
     return high;
   }
   return high + Math.log1p(Math.exp(-gap));
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -1,4 +1,7 @@
-/** What the tests of moves share: a record, a small object store, a bus of peers. */
+/**
+ * Test doubles for moves: a record, an in-memory object store and a bus of
+ * peers.
+ */
 import {
   decisionLog,
   emitter,
@@ -37,8 +40,8 @@
   maxUnprovenShare: 0.1,
 };
 
-/** Sums of a window: the candidate's errors and latency, the incumbent's beside it. */
-export function window(
+/** Returns one window's evidence of candidate and incumbent on a route. */
+export function evidenceOfWindow(
   candidate: {requests: number; errors: number; medianMs: number},
   incumbent: {requests: number; errors: number; medianMs: number},
   route = 'confirm',
@@ -63,8 +66,8 @@
 
 type Stored = StoredObject<MoveState>;
 
-/** An object store in memory that can be down; one for all entries of a test. */
-export function fakeStore() {
+/** In-memory object store of all entries, can be made unavailable. */
+export function createFakeStore() {
   const objects = new Map<string, Stored>();
   const listeners = new Set<WatchListener<MoveState>>();
   let version = 0;
@@ -74,11 +77,14 @@
       throw new ServingError('platform-unavailable', 'down');
     }
   }
-  function holds(condition: WriteCondition, known: Stored | undefined) {
+  function isConditionMet(
+    condition: WriteCondition,
+    stored: Stored | undefined,
+  ) {
     if (condition.type === 'absent') {
-      return known === undefined;
+      return stored === undefined;
     }
-    return condition.type === 'any' || condition.version === known?.version;
+    return condition.type === 'any' || condition.version === stored?.version;
   }
   let isWatchCut = false;
   const store = {
@@ -94,7 +100,7 @@
       condition: WriteCondition,
     ) {
       failWhenDown();
-      if (!holds(condition, objects.get(name))) {
+      if (!isConditionMet(condition, objects.get(name))) {
         throw new ServingError('version-conflict', 'changed');
       }
       const stored = {kind, name, version: ++version, writeId: '', value};
@@ -131,19 +137,19 @@
 
 type Handler = (from: string, body: unknown) => unknown;
 
-/** Peers that hear each other unless one is cut off. */
-export function fakeBus() {
+/** Connected peers; those in `disconnected` neither send nor get broadcasts. */
+export function createFakePeerBus() {
   const handlers = new Map<string, Map<string, Handler>>();
-  const opened = emitter<string>();
-  const cutOff = new Set<string>();
+  const peerOpened = emitter<string>();
+  const disconnected = new Set<string>();
   function networkOf(id: string): PeerNetwork {
-    const own = new Map<string, Handler>();
-    handlers.set(id, own);
+    const ownHandlers = new Map<string, Handler>();
+    handlers.set(id, ownHandlers);
     const network = {
       broadcast(type: keyof Messages, body: unknown) {
-        for (const [peer, known] of handlers) {
-          if (peer !== id && !cutOff.has(id) && !cutOff.has(peer)) {
-            known.get(type)?.(id, body);
+        for (const [peer, peerHandlers] of handlers) {
+          if (peer !== id && !disconnected.has(id) && !disconnected.has(peer)) {
+            peerHandlers.get(type)?.(id, body);
           }
         }
         return handlers.size - 1;
@@ -153,21 +159,25 @@
         return true;
       },
       onDidChangePeer: (listener: (peer: string, isOpen: boolean) => void) =>
-        opened.event(peer => listener(peer, true)),
+        peerOpened.event(peer => listener(peer, true)),
       onDidReceive(type: keyof Messages, handler: Handler) {
-        own.set(type, handler);
-        return toDisposable(() => own.delete(type));
+        ownHandlers.set(type, handler);
+        return toDisposable(() => ownHandlers.delete(type));
       },
     };
     return network as unknown as PeerNetwork;
   }
-  return {networkOf, cutOff, open: (peer: string) => opened.fire(peer)};
+  return {
+    networkOf,
+    disconnected,
+    open: (peer: string) => peerOpened.fire(peer),
+  };
 }
 
-/** Entries with followers, and a duty that any of them may hold. */
-export function cluster(clock: VirtualClock, count: number) {
-  const bus = fakeBus();
-  const platform = fakeStore();
+/** Entries with followers and a duty that any of them can hold. */
+export function createCluster(clock: VirtualClock, count: number) {
+  const bus = createFakePeerBus();
+  const platform = createFakeStore();
   const changed = emitter<{kind: RecordKind; name: string}>();
   let moves: readonly Move[] = [move];
   const configuration = {
@@ -187,15 +197,15 @@
   }
   const entries = Array.from({length: count}, (_, index) => startEntry(index));
   function holdDuty(index: number) {
-    const stop = new AbortController();
+    const abortController = new AbortController();
     const tenure: Tenure = {
       duty: 'moves',
       fencing: index,
       acquiredAt: clock.now(),
-      isValid: () => !stop.signal.aborted,
-      signal: stop.signal,
+      isValid: () => !abortController.signal.aborted,
+      signal: abortController.signal,
     };
-    const duty = createMoveDuty({
+    const moveDuty = createMoveDuty({
       clock,
       log: silentLogger(),
       objects: platform.store,
@@ -204,8 +214,8 @@
       tenure,
     });
     return toDisposable(() => {
-      stop.abort();
-      duty.dispose();
+      abortController.abort();
+      moveDuty.dispose();
     });
   }
   async function setMoves(next: readonly Move[]) {
--- a/packages/moves/src/test/moveCluster.test.ts
+++ b/packages/moves/src/test/moveCluster.test.ts
@@ -1,31 +1,35 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {virtualClock} from '@skylarkfield/base';
-import {cluster, HOUR_MS, move, START_MS} from './fakes.js';
+import {createCluster, HOUR_MS, move, START_MS} from './fakes.js';
 
-const SESSIONS = 400;
+const SESSION_COUNT = 400;
 
-function setUp(count = 3) {
+function setUp(entryCount = 3) {
   const clock = virtualClock(START_MS);
-  const parts = cluster(clock, count);
-  /** How many of the sessions an entry gives to the candidate. */
-  function candidates(index: number): number {
-    const split = parts.entries[index]?.split;
-    let taken = 0;
-    for (let session = 0; session < SESSIONS; session++) {
+  const testCluster = createCluster(clock, entryCount);
+  /** Returns how many of the sessions an entry assigns to the candidate. */
+  function countCandidateSessions(index: number): number {
+    const split = testCluster.entries[index]?.split;
+    let candidateCount = 0;
+    for (let session = 0; session < SESSION_COUNT; session++) {
       const version = split?.versionFor({
         service: 'booking',
         incumbent: 'v1',
         session: `s${session}`,
         isIdempotent: true,
       });
-      taken += version === 'v2' ? 1 : 0;
+      candidateCount += version === 'v2' ? 1 : 0;
     }
-    return taken;
+    return candidateCount;
   }
-  /** Requests at one entry for some seconds, as the split sends them. */
-  async function serve(index: number, seconds: number, failing: boolean) {
-    const split = parts.entries[index]?.split;
+  /** Serves requests at one entry, with the versions that its split selects. */
+  async function serveRequests(
+    index: number,
+    seconds: number,
+    isCandidateFailing: boolean,
+  ) {
+    const split = testCluster.entries[index]?.split;
     for (let second = 0; second < seconds; second++) {
       for (let request = 0; request < 200; request++) {
         const version = split?.versionFor({
@@ -38,7 +42,7 @@
           service: 'booking',
           version: version ?? 'v1',
           route: 'confirm',
-          isError: failing && version === 'v2',
+          isError: isCandidateFailing && version === 'v2',
           latencyMs: 90 + (request % 21),
           loadFraction: 0.3,
         });
@@ -46,19 +50,30 @@
       await clock.advance(1000);
     }
   }
-  /** The move begins, the platform goes down, then the candidate fails at one entry. */
+  /** Starts the move; the candidate fails while the platform is down. */
   async function cutWhilePlatformIsDown() {
-    parts.holdDuty(0);
+    testCluster.holdDuty(0);
     await clock.advance(5000);
-    parts.platform.setDown(true);
-    await serve(2, 30, true);
+    testCluster.platform.setDown(true);
+    await serveRequests(2, 30, true);
   }
-  return {clock, candidates, serve, cutWhilePlatformIsDown, ...parts};
+  return {
+    clock,
+    countCandidateSessions,
+    serveRequests,
+    cutWhilePlatformIsDown,
+    ...testCluster,
+  };
 }
 
-describe('moves over several entries', () => {
-  it('starts a move, and all entries follow', async () => {
-    const {clock, candidates, holdDuty, platform} = setUp();
+describe('moves across several entries', () => {
+  it('starts a move on all entries', async () => {
+    const {
+      clock,
+      countCandidateSessions: candidates,
+      holdDuty,
+      platform,
+    } = setUp();
     holdDuty(0);
     await clock.advance(2000);
     assert.equal(platform.state(move.name)?.phase, 'proving');
@@ -66,11 +81,16 @@
     assert.equal(candidates(1), candidates(2));
   });
 
-  it('cuts everywhere over peers alone and durably later', async () => {
-    // The platform goes down, then the candidate begins to fail at one entry.
-    // All entries stop sending to it at once, and when the platform is back the
-    // move is taken back for good.
-    const {clock, candidates, cutWhilePlatformIsDown, platform} = setUp();
+  it('cuts the candidate on all entries while the platform is unavailable', async () => {
+    // Guards against entries that keep sending requests to a failing candidate
+    // until the platform is back. Peers alone have to spread the cut; the
+    // rollback is stored later.
+    const {
+      clock,
+      countCandidateSessions: candidates,
+      cutWhilePlatformIsDown,
+      platform,
+    } = setUp();
     await cutWhilePlatformIsDown();
     assert.deepEqual([0, 1, 2].map(candidates), [0, 0, 0]);
     assert.notEqual(platform.state(move.name)?.phase, 'taken-back');
@@ -79,38 +99,44 @@
     assert.equal(platform.state(move.name)?.phase, 'taken-back');
   });
 
-  it('tells an entry of the cut that could not hear it at first', async () => {
-    // An entry is cut off from its peers while the candidate is cut. When it
-    // hears them again it must stop too, though the platform is still down.
-    const {clock, candidates, serve, holdDuty, platform, bus} = setUp();
+  it('repeats a cut for an entry that was disconnected', async () => {
+    // Guards against a lost broadcast: an entry that was disconnected from its
+    // peers during the cut must apply it on reconnect, without the platform.
+    const {
+      clock,
+      countCandidateSessions: candidates,
+      serveRequests: serve,
+      holdDuty,
+      platform,
+      bus,
+    } = setUp();
     holdDuty(0);
     await clock.advance(5000);
     platform.setDown(true);
-    bus.cutOff.add('e1');
+    bus.disconnected.add('e1');
     await serve(2, 30, true);
     assert.ok(candidates(1) > 0);
-    bus.cutOff.delete('e1');
+    bus.disconnected.delete('e1');
     await clock.advance(2000);
     assert.equal(candidates(1), 0);
   });
 
-  it('goes on from the evidence when the duty changes hands', async () => {
-    // The holder dies in the middle of a move. A successor that began from
-    // nothing could not prove the version before the deadline.
-    const {serve, holdDuty, entries} = setUp();
+  it('keeps the evidence when the duty changes hands', async () => {
+    // A new holder without evidence could not complete the move in time.
+    const {serveRequests: serve, holdDuty, entries} = setUp();
     const first = holdDuty(0);
     await serve(1, 300, false);
     first.dispose();
-    const before = proofOf(entries[2]?.judge.dump());
+    const before = proofRequests(entries[2]?.judge.dump());
     assert.ok(before > 1000, `${before}`);
     holdDuty(2);
     await serve(1, 5, false);
-    assert.ok(proofOf(entries[2]?.judge.dump()) >= before);
+    assert.ok(proofRequests(entries[2]?.judge.dump()) >= before);
   });
 
-  it('ignores a holder that was paused beyond its tenure', async () => {
-    // A holder is paused, its lease passes on, and the new holder takes the move
-    // back. The old one wakes with its old state and must not undo that.
+  it('ignores writes of a holder that was paused beyond its tenure', async () => {
+    // A paused holder loses its lease and its successor rolls the move back.
+    // The old holder resumes with its old state and must not undo the rollback.
     const {clock, holdDuty, platform, entries} = setUp();
     holdDuty(0);
     await clock.advance(3000);
@@ -127,10 +153,15 @@
     entries[1]?.split.setStates([{...state, changedAt: state.changedAt + 99}]);
   });
 
-  it('counts a move as taken back past its deadline when nobody could write', async () => {
-    // The platform is down until after the deadline. The candidate was never
-    // proven, so entries stop using it without being told.
-    const {clock, candidates, holdDuty, platform} = setUp();
+  it('treats a move as rolled back past its deadline when no state was written', async () => {
+    // The platform is unavailable until after the deadline. Entries have to
+    // stop using the unproven candidate without a stored state.
+    const {
+      clock,
+      countCandidateSessions: candidates,
+      holdDuty,
+      platform,
+    } = setUp();
     holdDuty(0);
     await clock.advance(5000);
     platform.setDown(true);
@@ -142,10 +173,10 @@
     assert.equal(platform.state(move.name)?.phase, 'taken-back');
   });
 
-  it('tells a new entry of a finished move while the platform is down', async () => {
-    // All traffic has gone over to the new version, the old one's endpoints are
-    // gone, and the platform is down when an entry is replaced. Without a word
-    // from its peers it would send every request to the old version.
+  it('sends a finished move to a new entry while the platform is unavailable', async () => {
+    // An entry is replaced while the platform is unavailable. Without its
+    // peers' states it would send all requests to the old version, which may
+    // have no endpoints left.
     const {holdDuty, platform, startEntry, bus, clock} = setUp();
     holdDuty(0);
     await clock.advance(3000);
@@ -165,9 +196,15 @@
   });
 
   it('ends a move that the operator withdraws', async () => {
-    // The operator deletes the record midway. Entries that kept the share would
-    // go on testing a version that nobody wants any more.
-    const {clock, candidates, holdDuty, platform, setMoves} = setUp();
+    // The operator removes the record of a running move. Entries that kept the
+    // share would keep sending traffic to the withdrawn version.
+    const {
+      clock,
+      countCandidateSessions: candidates,
+      holdDuty,
+      platform,
+      setMoves,
+    } = setUp();
     holdDuty(0);
     await clock.advance(5000);
     await setMoves([]);
@@ -176,9 +213,8 @@
     assert.equal(platform.state(move.name)?.phase, 'withdrawn');
   });
 
-  it('lets the second of two moves of one service wait', async () => {
-    // Two moves of one service get into force. Run at once, each would be judged
-    // on traffic that the other disturbs.
+  it('keeps the second of two moves of a service waiting', async () => {
+    // Two concurrent moves of a service would distort each other's evidence.
     const {clock, holdDuty, platform, setMoves} = setUp();
     await setMoves([move, {...move, name: 'booking-3', to: 'v3'}]);
     holdDuty(0);
@@ -189,9 +225,9 @@
     assert.equal(platform.state('booking-3')?.phase, 'taken-back');
   });
 
-  it('does not use a cut of an older candidate against a newer one', async () => {
-    // A cut is told again until it is durable. Meanwhile the operator names a
-    // mended version in the same record, which has done nothing wrong.
+  it('does not apply a cut of an earlier candidate to a new one', async () => {
+    // A cut is repeated until it is stored. Meanwhile the operator puts a fixed
+    // version into the same record, which the old cut must not affect.
     const {clock, cutWhilePlatformIsDown, platform, setMoves} = setUp();
     await cutWhilePlatformIsDown();
     await setMoves([{...move, to: 'v3'}]);
@@ -203,7 +239,7 @@
   });
 });
 
-function proofOf(dump: unknown): number {
+function proofRequests(dump: unknown): number {
   const [first] = dump as {proof: {requests: number}[]}[];
   return first?.proof[0]?.requests ?? 0;
 }
--- a/packages/moves/src/test/moveJudge.test.ts
+++ b/packages/moves/src/test/moveController.test.ts
@@ -4,50 +4,54 @@
 import type {EvidenceSum} from '@skylarkfield/protocol';
 import type {Move} from '@skylarkfield/records';
 import {createMoveJudge, type MoveState} from '../index.js';
-import {HOUR_MS, move, START_MS, window} from './fakes.js';
+import {HOUR_MS, move, START_MS, evidenceOfWindow} from './fakes.js';
 
-const good = {errors: 0, medianMs: 100};
+const healthy = {errors: 0, medianMs: 100};
 const STEP_MS = 5000;
 
-function judgeWith() {
+function createController() {
   const clock = virtualClock();
   const decisions = decisionLog(clock, silentLogger());
   return createMoveJudge({clock, decisions});
 }
 
-/** Runs a move with the same evidence in each step until it ends. */
+/** Runs a move until it ends, adding the given evidence at each step. */
 function runMove(
   evidence: (state: MoveState, passedMs: number) => EvidenceSum[],
   record: Move = move,
 ) {
-  const judge = judgeWith();
+  const controller = createController();
   let state: MoveState | undefined;
   let endedMs = 0;
   for (let passedMs = 0; passedMs <= HOUR_MS; passedMs += STEP_MS) {
-    state = judge.advance(record, state, START_MS + passedMs);
+    state = controller.advance(record, state, START_MS + passedMs);
     if (state.phase === 'finished' || state.phase === 'taken-back') {
       endedMs = passedMs;
       break;
     }
-    judge.addEvidence(record.name, evidence(state, passedMs));
+    controller.addEvidence(record.name, evidence(state, passedMs));
   }
   return {state, endedMs};
 }
 
-/** A hundred requests a step, by the state's share, with the incumbent failing at the given rate. */
-function split(share: number, errorRate: number) {
-  const requests = Math.max(1, Math.round(100 * share));
-  const incumbents = Math.max(4, 100 - requests);
-  return {requests, incumbents, errors: Math.round(incumbents * errorRate)};
+/** Splits 100 requests by share; the incumbent fails at the given rate. */
+function requestCounts(share: number, errorRate: number) {
+  const candidateRequests = Math.max(1, Math.round(100 * share));
+  const incumbentRequests = Math.max(4, 100 - candidateRequests);
+  return {
+    candidateRequests,
+    incumbentRequests,
+    incumbentErrors: Math.round(incumbentRequests * errorRate),
+  };
 }
 
-const faults: readonly {
+const evaluationCases: readonly {
   readonly title: string;
-  readonly candidate: Partial<typeof good & {rate: number}>;
+  readonly candidate: Partial<typeof healthy & {rate: number}>;
   readonly incumbentErrorRate: number;
   readonly fromMs: number;
   readonly outcome: 'finished' | 'taken-back';
-  /** The longest that a fault may last until the version is taken back. */
+  /** Upper bound of the time from the fault's onset to the rollback. */
   readonly withinMs?: number;
 }[] = [
   {
@@ -66,7 +70,7 @@
     withinMs: 60_000,
   },
   {
-    title: 'a version that fails from the middle of the soak on',
+    title: 'a version that starts to fail in the middle of the soak',
     candidate: {rate: 0.3},
     incumbentErrorRate: 0.01,
     fromMs: HOUR_MS / 2,
@@ -74,21 +78,21 @@
     withinMs: 60_000,
   },
   {
-    title: 'a version that is half as slow again',
+    title: 'a version with 1.5 times the latency',
     candidate: {medianMs: 150},
     incumbentErrorRate: 0,
     fromMs: 0,
     outcome: 'taken-back',
   },
   {
-    title: 'a version beside an old one that is as ill',
+    title: 'a version with the same errors as the old one',
     candidate: {rate: 0.2},
     incumbentErrorRate: 0.2,
     fromMs: 0,
     outcome: 'finished',
   },
   {
-    title: 'a version while both fail because of something else',
+    title: 'a version while both versions fail from a common cause',
     candidate: {rate: 0.5},
     incumbentErrorRate: 0.5,
     fromMs: HOUR_MS / 3,
@@ -96,26 +100,31 @@
   },
 ];
 
-describe('move judge', () => {
-  for (const fault of faults) {
-    const {title, candidate, incumbentErrorRate, fromMs} = fault;
-    const {outcome, withinMs} = fault;
+describe('move controller', () => {
+  for (const testCase of evaluationCases) {
+    const {title, candidate, incumbentErrorRate, fromMs} = testCase;
+    const {outcome, withinMs} = testCase;
     it(`ends ${outcome} for ${title}`, () => {
-      // The candidate's requests go as the table says. Callers would meet a bad
-      // version's failures for good if it were let in, and a good version that
-      // is taken back costs the operator another move.
+      // Guards against both errors: a bad version that gets all traffic, and a
+      // rollback of a good version, which costs the operator another move.
       const {state, endedMs} = runMove(({share}, passedMs) => {
         const isOn = passedMs >= fromMs;
-        const counts = split(share, isOn ? incumbentErrorRate : 0);
-        const errors = isOn ? (candidate.rate ?? 0) * counts.requests : 0;
-        return window(
+        const counts = requestCounts(share, isOn ? incumbentErrorRate : 0);
+        const errors = isOn
+          ? (candidate.rate ?? 0) * counts.candidateRequests
+          : 0;
+        return evidenceOfWindow(
           {
-            ...good,
+            ...healthy,
             ...(isOn ? candidate : {}),
-            requests: counts.requests,
+            requests: counts.candidateRequests,
             errors,
           },
-          {...good, requests: counts.incumbents, errors: counts.errors},
+          {
+            ...healthy,
+            requests: counts.incumbentRequests,
+            errors: counts.incumbentErrors,
+          },
         );
       });
       assert.equal(state?.phase, outcome, state?.why);
@@ -127,17 +136,15 @@
     });
   }
 
-  it('takes back what nothing has proven, before the deadline', () => {
-    // No request ever reached the candidate. Letting it in would hand all
-    // callers to a version that nobody has seen working.
+  it('rolls back a candidate without evidence before the deadline', () => {
+    // Finishing the move would send all requests to an untested version.
     const {state, endedMs} = runMove(() => []);
     assert.equal(state?.phase, 'taken-back');
     assert.ok(endedMs < HOUR_MS - 20_000);
   });
 
-  it('keeps an unproven candidate within the record and below a tenth', () => {
-    // The operator allows 2 %. A larger first step would show an unproven
-    // version to more callers than the operator agreed to.
+  it('limits the share of an unproven candidate to the maximum in the record', () => {
+    // A larger first step than 2 % would exceed the operator's limit.
     const record = {...move, maxUnprovenShare: 0.02};
     const shares: number[] = [];
     runMove(state => {
@@ -147,14 +154,14 @@
     assert.equal(Math.max(...shares), 0.02);
   });
 
-  it('moves idempotent routes first and orders last', () => {
-    // A doubled or lost order costs far more than a lookup that is tried again,
-    // so orders wait until the other routes have shown the version to be sound.
+  it('moves non-idempotent routes after idempotent ones', () => {
+    // A duplicated or lost order costs far more than a retried lookup, so
+    // orders wait for the evidence from idempotent routes.
     const first: Partial<Record<'share' | 'orderShare', number>> = {};
     const {state} = runMove((now, passedMs) => {
-      const orders = window(
-        {...good, requests: Math.round(100 * now.orderShare)},
-        {...good, requests: 100},
+      const orders = evidenceOfWindow(
+        {...healthy, requests: Math.round(100 * now.orderShare)},
+        {...healthy, requests: 100},
         'order',
       ).map(sum => ({...sum, isOrder: true}));
       if (now.share >= 0.25) {
@@ -163,9 +170,13 @@
       if (now.orderShare > 0) {
         first.orderShare ??= passedMs;
       }
-      const {requests, incumbents} = split(now.share, 0);
+      const {candidateRequests: requests, incumbentRequests: incumbents} =
+        requestCounts(now.share, 0);
       return [
-        ...window({...good, requests}, {...good, requests: incumbents}),
+        ...evidenceOfWindow(
+          {...healthy, requests},
+          {...healthy, requests: incumbents},
+        ),
         ...orders,
       ];
     });
@@ -199,30 +210,33 @@
     },
   ];
   for (const {title, phase, atMs, expected} of cutCases) {
-    it(`turns ${title} to ${expected} when an entry has cut it`, () => {
-      // An entry saw the candidate fail and cut it. Were the move to go on, the
-      // other entries would go on sending callers to the bad version.
-      const judge = judgeWith();
-      judge.reportCut(move.name, 'errors');
+    it(`sets ${title} to ${expected} when an entry has cut it`, () => {
+      // An entry has cut a failing candidate. If the move continued, the other
+      // entries would keep sending requests to it.
+      const controller = createController();
+      controller.reportCut(move.name, 'errors');
       const state = stateOf(phase);
-      assert.equal(judge.advance(move, state, START_MS + atMs).phase, expected);
+      assert.equal(
+        controller.advance(move, state, START_MS + atMs).phase,
+        expected,
+      );
     });
   }
 
-  it('never gives a version that was taken back another try by the same move', () => {
-    // The operator moves the deadline of a move that was taken back. The version
-    // is as bad as before, and callers would meet it again.
+  it('never restarts a rolled-back move for the same version', () => {
+    // The operator extends the deadline of a rolled-back move. Restarting it
+    // would send requests to the bad version again.
     const later = {...move, deadline: move.deadline + HOUR_MS};
     const state = stateOf('taken-back');
-    assert.equal(judgeWith().advance(later, state, START_MS), state);
+    assert.equal(createController().advance(later, state, START_MS), state);
   });
 
-  it('starts anew when the operator names another candidate', () => {
-    // The operator mends the version and writes it into the same record. What
-    // was held against the old candidate says nothing about the new one.
-    const judge = judgeWith();
-    judge.reportCut(move.name, 'errors');
-    const next = judge.advance(
+  it('restarts when the operator names another candidate', () => {
+    // The operator puts a fixed version into the same record. The cut and the
+    // evidence of the old candidate must not affect the new one.
+    const controller = createController();
+    controller.reportCut(move.name, 'errors');
+    const next = controller.advance(
       {...move, to: 'v3'},
       stateOf('taken-back'),
       START_MS,
--- a/packages/moves/src/test/trafficSplit.test.ts
+++ b/packages/moves/src/test/trafficSplit.test.ts
@@ -13,7 +13,7 @@
   maxUnprovenShare: 0.1,
 };
 
-function state(share: number, orderShare = 0): MoveState {
+function createState(share: number, orderShare = 0): MoveState {
   return {
     move: move.name,
     phase: 'proving',
@@ -25,16 +25,16 @@
   };
 }
 
-function entry(share: number) {
-  return entryWith(share).split;
+function createSplit(share: number) {
+  return createSplitWithClock(share).split;
 }
 
-function entryWith(share: number) {
+function createSplitWithClock(share: number) {
   const clock = virtualClock();
   const decisions = decisionLog(clock, silentLogger());
   const split = createTrafficSplit({clock, decisions});
   split.setMoves([move]);
-  split.setStates([state(share)]);
+  split.setStates([createState(share)]);
   return {split, clock};
 }
 
@@ -45,8 +45,8 @@
 const sessions = Array.from({length: 2000}, (_, index) => `session-${index}`);
 
 describe('traffic split', () => {
-  it('gives a session the same version on every entry', () => {
-    const [a, b] = [entry(0.3), entry(0.3)];
+  it('selects the same version for a session on every entry', () => {
+    const [a, b] = [createSplit(0.3), createSplit(0.3)];
     for (const session of sessions) {
       assert.equal(
         a.versionFor(request(session)),
@@ -55,8 +55,8 @@
     }
   });
 
-  it('gives the candidate about its share, and orders only the order share', () => {
-    const split = entry(0.1);
+  it('applies the share to idempotent and the order share to other requests', () => {
+    const split = createSplit(0.1);
     const taken = sessions.filter(
       session => split.versionFor(request(session)) === 'v2',
     );
@@ -66,11 +66,10 @@
     }
   });
 
-  it('does not cut a candidate whose few requests pay for cold connections', () => {
-    // A small share means seldom used connections: each candidate request costs
-    // a millisecond more on a route that takes two. A good version would be
-    // taken back for what its own small share causes.
-    const {split, clock} = entryWith(0.1);
+  it('does not cut a candidate for the latency of new connections', () => {
+    // With a small share most candidate requests open a new connection, which
+    // adds 1 ms on a route of 2 ms. A good version would be rolled back for it.
+    const {split, clock} = createSplitWithClock(0.1);
     for (let count = 0; count < 20_000; count++) {
       const version = split.versionFor(request(`s${count}`));
       split.observe({
@@ -87,24 +86,24 @@
     assert.ok(versions.includes('v2'));
   });
 
-  it('never follows a state back from taken back', () => {
-    // A late word from a slow watch or from another entry still has the share of
-    // a move that has been taken back. Callers would meet the bad version again.
-    const split = entry(0.5);
-    const later = {...state(0.5), changedAt: 2};
-    split.setStates([{...state(0), phase: 'taken-back', changedAt: 1}]);
+  it('ignores later states of a rolled-back move', () => {
+    // A delayed state from a slow watch or another entry still has the share
+    // from before the rollback. Applying it would send requests to the bad
+    // version.
+    const split = createSplit(0.5);
+    const later = {...createState(0.5), changedAt: 2};
+    split.setStates([{...createState(0), phase: 'taken-back', changedAt: 1}]);
     split.setStates([later]);
     const versions = sessions.map(id => split.versionFor(request(id)));
     assert.ok(!versions.includes('v2'));
   });
 
-  it('gives a cut candidate nothing, whatever the states say', () => {
-    // Another entry saw the candidate fail and says so before the durable
-    // state is written. Callers would get failing answers until the platform
-    // has it, which may be a long outage away.
-    const split = entry(1);
+  it('sends no requests to a cut candidate, whatever its state', () => {
+    // Another entry has cut the candidate but the state is not stored yet.
+    // Requests would fail until it is, which may take a whole platform outage.
+    const split = createSplit(1);
     split.applyCut(move.name, 'errors');
-    split.setStates([state(1)]);
+    split.setStates([createState(1)]);
     assert.equal(split.versionFor(request('a')), 'v1');
   });
 });
--- a/packages/moves/src/trafficSplit.ts
+++ b/packages/moves/src/trafficSplit.ts
@@ -1,4 +1,7 @@
-/** The part of version moves that every entry runs: which version a request gets. */
+/**
+ * Selects the version of each request during version moves; runs on every
+ * entry.
+ */
 import {
   emitter,
   hashFraction,
@@ -12,22 +15,22 @@
   activeMove,
   versionAfterMoves,
   withStates,
-  type StatedMove,
-} from './moveChoice.js';
+  type MoveWithState,
+} from './moveSelection.js';
 
 export interface TrafficSplitOptions {
   readonly clock: Clock;
   readonly decisions: DecisionLog;
 }
 
-/** A cut holds for the candidate version that it was made for. */
+/** Cut of a candidate, valid only for that version. */
 interface Cut {
   readonly to: string;
   readonly why: string;
 }
 
 /**
- * Makes the traffic split of one entry.
+ * Creates the traffic split of one entry.
  *
  * @example
  * const split = createTrafficSplit({clock, decisions});
@@ -38,44 +41,47 @@
   const {clock, decisions} = options;
   const states = new Map<string, MoveState>();
   const cuts = new Map<string, Cut>();
-  const evidence = new Map<string, LocalEvidence>();
-  const available = new Map<string, ReadonlySet<string>>();
+  const localEvidence = new Map<string, LocalEvidence>();
+  const availableVersions = new Map<string, ReadonlySet<string>>();
   const didCut = emitter<{move: string; why: string}>();
   let moves: readonly Move[] = [];
-  let sessionless = 0;
-  let byService = new Map<string, readonly StatedMove[]>();
+  let sessionlessCount = 0;
+  let movesByService = new Map<string, readonly MoveWithState[]>();
 
-  function rebuild() {
-    byService = new Map();
+  function groupMovesByService() {
+    movesByService = new Map();
     for (const service of new Set(moves.map(move => move.service))) {
-      const own = moves.filter(move => move.service === service);
-      byService.set(
+      const ownMoves = moves.filter(move => move.service === service);
+      movesByService.set(
         service,
-        withStates(own, name => states.get(name)),
+        withStates(ownMoves, name => states.get(name)),
       );
     }
   }
 
-  function underWay(service: string): StatedMove | undefined {
-    return activeMove(byService.get(service) ?? []);
+  function activeMoveOf(service: string): MoveWithState | undefined {
+    return activeMove(movesByService.get(service) ?? []);
   }
 
   function isCut(move: Move): boolean {
-    const isBefore = clock.wall() < move.deadline;
-    return isBefore && cuts.get(move.name)?.to === move.to;
+    const isBeforeDeadline = clock.wall() < move.deadline;
+    return isBeforeDeadline && cuts.get(move.name)?.to === move.to;
   }
 
-  /** Whether the candidate may get traffic here and now. */
-  function isOpen({move, state}: StatedMove, serving: string): boolean {
+  /** Returns whether this entry may send traffic to the candidate now. */
+  function mayUseCandidate(
+    {move, state}: MoveWithState,
+    serving: string,
+  ): boolean {
     if (state === undefined || move.from !== serving) {
       return false;
     }
-    // Past the deadline without word that it finished, a move counts as taken
-    // back here, also when the platform cannot be asked.
+    // An unfinished move past its deadline counts as rolled back, even while
+    // the platform is unavailable.
     if (clock.wall() >= move.deadline || isCut(move)) {
       return false;
     }
-    return available.get(move.service)?.has(move.to) ?? true;
+    return availableVersions.get(move.service)?.has(move.to) ?? true;
   }
 
   function cut(move: Move, why: string) {
@@ -83,96 +89,98 @@
     decisions.note('moves', move.name, 'cut share to 0', why);
   }
 
-  function dropOldCuts() {
+  function dropStaleCuts() {
     for (const [name, {to}] of cuts) {
       const move = moves.find(candidate => candidate.name === name);
       if (move?.to !== to) {
         cuts.delete(name);
-        evidence.delete(name);
+        localEvidence.delete(name);
       }
     }
   }
 
-  /** A state that this entry may follow: taken back is final, and nothing goes back in time. */
+  /** Returns whether a state is newer; a rollback is final for a candidate. */
   function isNewer(state: MoveState): boolean {
-    const known = states.get(state.move);
-    if (known === undefined) {
+    const current = states.get(state.move);
+    if (current === undefined) {
       return true;
     }
-    if (known.phase === 'taken-back' && known.to === state.to) {
+    if (current.phase === 'taken-back' && current.to === state.to) {
       return false;
     }
-    return state.changedAt > known.changedAt;
+    return state.changedAt > current.changedAt;
   }
 
-  /** The version that requests get which no candidate takes. */
+  /** Returns the version of requests that do not go to the candidate. */
   function servingVersion(
-    own: readonly StatedMove[],
+    ownMoves: readonly MoveWithState[],
     incumbent: string,
   ): string {
-    // A cut of a finished move holds until the deadline: its holder may yet take it back.
-    const uncut = cuts.size === 0 ? own : own.filter(({move}) => !isCut(move));
-    return versionAfterMoves(incumbent, uncut);
+    // A finished move may still be rolled back until its deadline.
+    const uncutMoves =
+      cuts.size === 0 ? ownMoves : ownMoves.filter(({move}) => !isCut(move));
+    return versionAfterMoves(incumbent, uncutMoves);
   }
 
-  function evidenceOf(move: Move): LocalEvidence {
-    let local = evidence.get(move.name);
+  function localEvidenceFor(move: Move): LocalEvidence {
+    let local = localEvidence.get(move.name);
     if (local === undefined) {
       local = createLocalEvidence(move, clock);
-      evidence.set(move.name, local);
+      localEvidence.set(move.name, local);
     }
     return local;
   }
 
   return {
     setMoves(next) {
-      const before = new Map(moves.map(move => [move.name, move]));
+      const previousMoves = new Map(moves.map(move => [move.name, move]));
       moves = next;
-      for (const name of evidence.keys()) {
+      for (const name of localEvidence.keys()) {
         const move = next.find(candidate => candidate.name === name);
-        if (move?.to !== before.get(name)?.to) {
-          evidence.delete(name);
+        if (move?.to !== previousMoves.get(name)?.to) {
+          localEvidence.delete(name);
         }
       }
-      dropOldCuts();
-      rebuild();
+      dropStaleCuts();
+      groupMovesByService();
     },
     setStates(next) {
       for (const state of next) {
         if (!isNewer(state)) {
           continue;
         }
-        const known = states.get(state.move);
-        const isShareSame =
-          known?.share === state.share && known.orderShare === state.orderShare;
-        if (!isShareSame) {
-          evidence.get(state.move)?.startOver();
+        const current = states.get(state.move);
+        const hasSameShares =
+          current?.share === state.share &&
+          current.orderShare === state.orderShare;
+        if (!hasSameShares) {
+          localEvidence.get(state.move)?.clearWindow();
         }
         states.set(state.move, state);
       }
-      rebuild();
+      groupMovesByService();
     },
     versionFor({service, incumbent, session, isIdempotent}) {
-      const own = byService.get(service);
-      if (own === undefined) {
+      const ownMoves = movesByService.get(service);
+      if (ownMoves === undefined) {
         return incumbent;
       }
-      const serving = servingVersion(own, incumbent);
-      const active = activeMove(own);
-      if (active === undefined || !isOpen(active, serving)) {
+      const serving = servingVersion(ownMoves, incumbent);
+      const active = activeMove(ownMoves);
+      if (active === undefined || !mayUseCandidate(active, serving)) {
         return serving;
       }
       const {move, state} = active;
       const share = (isIdempotent ? state?.share : state?.orderShare) ?? 0;
-      // Requests without a session would all hash alike, and all go one way.
-      const hashed = session === '' ? `#${sessionless++}` : session;
-      const isCandidate = hashFraction(`${move.name}/${hashed}`) < share;
+      // An empty session would send all requests to the same version.
+      const hashKey = session === '' ? `#${sessionlessCount++}` : session;
+      const isCandidate = hashFraction(`${move.name}/${hashKey}`) < share;
       return isCandidate ? move.to : serving;
     },
     incumbentFor: (service, incumbent) =>
-      servingVersion(byService.get(service) ?? [], incumbent),
+      servingVersion(movesByService.get(service) ?? [], incumbent),
     observe(sample) {
-      const active = underWay(sample.service);
+      const active = activeMoveOf(sample.service);
       if (active === undefined || cuts.has(active.move.name)) {
         return;
       }
@@ -180,7 +188,7 @@
       if (sample.version !== move.from && sample.version !== move.to) {
         return;
       }
-      const why = evidenceOf(move).observe(sample);
+      const why = localEvidenceFor(move).observe(sample);
       if (why !== undefined) {
         cut(move, why);
         didCut.fire({move: move.name, why});
@@ -193,12 +201,12 @@
       }
     },
     takeEvidence: () =>
-      [...evidence]
-        .map(([move, local]) => ({move, sums: local.take()}))
+      [...localEvidence]
+        .map(([move, local]) => ({move, sums: local.takeSums()}))
         .filter(({sums}) => sums.length > 0),
     onDidCut: listener => didCut.event(({move, why}) => listener(move, why)),
     setAvailableVersions(service, versions) {
-      available.set(service, new Set(versions));
+      availableVersions.set(service, new Set(versions));
     },
     dump: () => ({
       moves: moves.map(move => ({
@@ -206,7 +214,7 @@
         state: states.get(move.name),
         cut: cuts.get(move.name)?.why,
       })),
-      available: [...available].map(([service, versions]) => ({
+      available: [...availableVersions].map(([service, versions]) => ({
         service,
         versions: [...versions],
       })),
