--- /dev/null
+++ b/packages/fleet/src/capacityPools.ts
@@ -0,0 +1,119 @@
+/** Tracks reclaims and refused starts per failure domain and machine class. */
+import type {Clock, Random} from '@skylarkfield/base';
+import type {Host, Market, CapacityPool} from './contracts.js';
+
+const HOUR_MS = 3_600_000;
+/** Half-life of observed reclaims and host hours, in milliseconds. */
+const OBSERVATION_HALF_LIFE_MS = 6 * HOUR_MS;
+/** Prior of the reclaims per host and hour. */
+const PRIOR_RECLAIMS_PER_HOST_HOUR = 0.02;
+/** Weight of the prior in host hours. */
+const PRIOR_HOST_HOURS = 20;
+const INITIAL_BACKOFF_MS = 5_000;
+const MAX_BACKOFF_MS = 300_000;
+
+export interface CapacityPoolTracker {
+  /** Adds the present hosts' running time; called every round. */
+  observe(hosts: readonly Host[]): void;
+  recordReclaim(failureDomain: string, machineClass: string): void;
+  recordRefusal(
+    failureDomain: string,
+    machineClass: string,
+    market: Market,
+  ): void;
+  recordStart(
+    failureDomain: string,
+    machineClass: string,
+    market: Market,
+  ): void;
+  list(): readonly CapacityPool[];
+}
+
+interface PoolStats {
+  readonly failureDomain: string;
+  readonly machineClass: string;
+  hostHours: number;
+  reclaims: number;
+  readonly refusals: Map<Market, {count: number; untilMs: number}>;
+}
+
+/**
+ * Creates the tracker of all capacity pools.
+ *
+ * Refused starts put a pool's market into exponential backoff: immediate
+ * retries would use up calls while hosts could be started elsewhere.
+ *
+ * @example
+ * const tracker = createCapacityPoolTracker({clock, random});
+ * tracker.recordRefusal('a', 'gpu-small', 'reclaimable');
+ */
+export function createCapacityPoolTracker(options: {
+  readonly clock: Clock;
+  readonly random: Random;
+}): CapacityPoolTracker {
+  const {clock, random} = options;
+  const pools = new Map<string, PoolStats>();
+  let observedAt = clock.now();
+
+  function poolFor(failureDomain: string, machineClass: string): PoolStats {
+    const key = `${failureDomain}/${machineClass}`;
+    const pool = pools.get(key) ?? {
+      failureDomain,
+      machineClass,
+      hostHours: PRIOR_HOST_HOURS,
+      reclaims: PRIOR_RECLAIMS_PER_HOST_HOUR * PRIOR_HOST_HOURS,
+      refusals: new Map(),
+    };
+    pools.set(key, pool);
+    return pool;
+  }
+
+  function decay(elapsedMs: number): void {
+    const decayFactor = 0.5 ** (elapsedMs / OBSERVATION_HALF_LIFE_MS);
+    for (const pool of pools.values()) {
+      const priorHours = PRIOR_HOST_HOURS * (1 - decayFactor);
+      pool.hostHours = pool.hostHours * decayFactor + priorHours;
+      pool.reclaims =
+        pool.reclaims * decayFactor + priorHours * PRIOR_RECLAIMS_PER_HOST_HOUR;
+    }
+  }
+
+  return {
+    observe(hosts) {
+      const elapsedMs = clock.now() - observedAt;
+      observedAt = clock.now();
+      decay(elapsedMs);
+      for (const host of hosts) {
+        if (host.market === 'reclaimable' && host.state === 'running') {
+          poolFor(host.failureDomain, host.machineClass).hostHours +=
+            elapsedMs / HOUR_MS;
+        }
+      }
+    },
+    recordReclaim(failureDomain, machineClass) {
+      poolFor(failureDomain, machineClass).reclaims += 1;
+    },
+    recordRefusal(failureDomain, machineClass, market) {
+      const {refusals} = poolFor(failureDomain, machineClass);
+      const count = (refusals.get(market)?.count ?? 0) + 1;
+      const backoffMs = Math.min(
+        MAX_BACKOFF_MS,
+        INITIAL_BACKOFF_MS * 2 ** (count - 1),
+      );
+      // Several services use the same pool; jitter spreads their retries.
+      const untilMs = clock.now() + backoffMs * (0.75 + random.next() / 2);
+      refusals.set(market, {count, untilMs});
+    },
+    recordStart(failureDomain, machineClass, market) {
+      poolFor(failureDomain, machineClass).refusals.delete(market);
+    },
+    list: () =>
+      [...pools.values()].map(pool => ({
+        failureDomain: pool.failureDomain,
+        machineClass: pool.machineClass,
+        reclaimRate: pool.reclaims / pool.hostHours,
+        isRefused: market =>
+          (pool.refusals.get(market)?.untilMs ?? 0) > clock.now(),
+      })),
+  };
+}
--- a/packages/fleet/src/clientToken.ts
+++ b/packages/fleet/src/clientToken.ts
@@ -1,15 +1,17 @@
-/** Client tokens of host starts: they say whose a host is, whoever asks. */
+/**
+ * Client tokens of host starts, which identify the service that owns a host.
+ */
 
-const PREFIX = 'skylarkfield';
+const TOKEN_PREFIX = 'skylarkfield';
 
-/** What a token of ours says. */
+/** Owner of a host, decoded from its client token. */
 export interface HostOwner {
   readonly service: string;
 }
 
 /**
- * Makes the token of a start. Fencing number and sequence keep tokens of all
- * holders apart; a start that is repeated after a lost reply takes the same one.
+ * Creates the token of a start. Fencing token and sequence number make it
+ * unique across holders; a retry after a lost reply reuses it.
  *
  * @example
  * makeClientToken('match', 7, 3); // 'skylarkfield/match/7/3'
@@ -19,22 +21,22 @@
   fencing: number,
   sequence: number,
 ): string {
-  return [PREFIX, service, fencing, sequence].join('/');
+  return [TOKEN_PREFIX, service, fencing, sequence].join('/');
 }
 
 /**
- * Reads whose host a token names; undefined for tokens that are not ours.
+ * Decodes the owner of a host; undefined for tokens of other software.
  *
- * The cloud keeps the token with the host, so a host whose start's reply was
- * lost with its holder is recognised by the next one and neither paid for in
- * vain nor started again.
+ * The cloud stores the token with the host. A new holder thus recognizes a host
+ * whose start reply was lost with its predecessor, and neither leaks it nor
+ * starts another one.
  *
  * @example
  * readClientToken(host.clientToken)?.service; // 'match'
  */
 export function readClientToken(token: string): HostOwner | undefined {
   const [prefix, service, ...rest] = token.split('/');
-  if (prefix !== PREFIX || !service || rest.length !== 2) {
+  if (prefix !== TOKEN_PREFIX || !service || rest.length !== 2) {
     return undefined;
   }
   return {service};
--- a/packages/fleet/src/contracts.ts
+++ b/packages/fleet/src/contracts.ts
@@ -1,27 +1,27 @@
-/** Hosts wanted per failure domain, machine class and market, and how to get there. */
+/** Types of host plans and of the actions that apply them. */
 import type {Host, Market, Offer} from '@skylarkfield/providers';
 
-/** What one service needs. */
+/** Replicas that a service needs. */
 export interface Demand {
   readonly service: string;
   readonly machineClass: string;
-  /** Replicas that hold the latency target at the present load. */
+  /** Replicas that meet the latency target at the present load. */
   readonly replicas: number;
   readonly minReplicas: number;
   readonly maxReplicas: number;
 }
 
-/** What has been seen of one failure domain and machine class. */
-export interface Supply {
+/** Observed reclaims and refusals of one failure domain and machine class. */
+export interface CapacityPool {
   readonly failureDomain: string;
   readonly machineClass: string;
-  /** Reclaims per reclaimable host and hour, smoothed. */
+  /** Exponentially weighted reclaims per reclaimable host and hour. */
   readonly reclaimRate: number;
-  /** Starts of a market are not tried now, after refusals. */
+  /** Whether starts in a market are in backoff after refusals. */
   readonly isRefused: (market: Market) => boolean;
 }
 
-/** Hosts of one service in one failure domain and market. */
+/** Wanted hosts of a service in one failure domain and market. */
 export interface WantedHosts {
   readonly service: string;
   readonly failureDomain: string;
@@ -30,19 +30,19 @@
   readonly count: number;
 }
 
-/** The hosts wanted for one service, and what that costs and withstands. */
+/** Wanted hosts of one service, with their cost and fault tolerance. */
 export interface HostPlan {
   readonly wanted: readonly WantedHosts[];
   /** Currency units per hour at present prices. */
   readonly costPerHour: number;
-  /** Replicas left after the loss of the failure domain with most of them. */
+  /** Replicas left after losing the failure domain with the most. */
   readonly replicasAfterLoss: number;
-  /** Why it is less than asked for, or undefined when it is not. */
+  /** Why the plan misses the demand; undefined if it does not. */
   readonly shortfall: string | undefined;
 }
 
-/** What to do now to get nearer to the plan. */
-export type FleetStep =
+/** Start or stop of one host. */
+export type FleetAction =
   | {
       readonly type: 'start';
       readonly service: string;
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -1,4 +1,4 @@
-/** Endpoints that run something else than the host list says, and the orders that mend them. */
+/** Reloads endpoints that run another version than the host list names. */
 import {
   isServingError,
   toServingError,
@@ -9,38 +9,38 @@
 import type {Engine} from '@skylarkfield/endpoints';
 import type {ListedEndpoint, WeightStore} from '@skylarkfield/providers';
 
-/** An endpoint with the client that speaks to it. */
+/** Endpoint with its client. */
 export interface ManagedEndpoint {
   readonly listed: ListedEndpoint;
   readonly engine: Engine;
 }
 
-/** An order is never carried out later than this after it was made, in milliseconds. */
+/** Time after which an order expires, in milliseconds. */
 export const ORDER_DEADLINE_MS = 10_000;
 
 export interface EndpointRepair {
-  /** Looks at every endpoint once and orders what differs; resolves with how many orders were taken. */
+  /** Checks all endpoints; resolves with the number of accepted orders. */
   round(
     endpoints: readonly ManagedEndpoint[],
     weightsOf: (service: string) => string,
   ): Promise<number>;
 }
 
-interface Deviation {
+interface VersionMismatch {
   readonly endpoint: ManagedEndpoint;
-  readonly found: string;
-  /** Part of the service's endpoints that run what they should. */
-  readonly soundPart: number;
+  readonly runningVersion: string;
+  /** Fraction of the service's endpoints that run their listed version. */
+  readonly matchingFraction: number;
 }
 
 /**
- * Makes the repair of one tenure.
+ * Creates the repair of one tenure.
  *
- * Routing believes the host list. A replica that came back from a crash with
- * another version would serve it under the listed one's name, so that a version
- * taken back would go on getting traffic without anyone seeing it. Orders are
- * level-triggered: each round reads what runs and asks for what should, so a
- * lost order is sent again and a new holder needs no history.
+ * Routing relies on the host list. A replica that restarts after a crash with
+ * another version would serve it under the listed one's name, so a rolled-back
+ * version could get traffic unnoticed. Repair is level-triggered: each round
+ * compares running with listed versions, so a lost order is sent again and a
+ * new holder needs no history.
  *
  * @example
  * const repair = createEndpointRepair({clock, decisions, weights, tenure, gate});
@@ -54,65 +54,77 @@
   readonly gate: OrderGate;
 }): EndpointRepair {
   const {clock, decisions, weights, tenure, gate} = options;
-  let nextOrder = 0;
+  let nextOrderNumber = 0;
 
   return {
     async round(endpoints, weightsOf) {
-      const deviations = await findDeviations(endpoints);
-      let taken = 0;
-      for (const deviation of deviations) {
+      const mismatches = await findMismatches(endpoints);
+      let acceptedOrders = 0;
+      for (const mismatch of mismatches) {
         if (!tenure.isValid()) {
-          return taken;
+          return acceptedOrders;
         }
-        const {service} = deviation.endpoint.listed;
-        taken += Number(await mend(deviation, weightsOf(service)));
+        const {service} = mismatch.endpoint.listed;
+        acceptedOrders += Number(await repair(mismatch, weightsOf(service)));
       }
-      return taken;
+      return acceptedOrders;
     },
   };
 
-  /** Most needed first: the weight store lets only so many loads begin. */
-  async function findDeviations(
+  /** Sorts by fewest matching endpoints, as the weight store limits loads. */
+  async function findMismatches(
     endpoints: readonly ManagedEndpoint[],
-  ): Promise<Deviation[]> {
-    const live = endpoints.filter(({listed}) => listed.state === 'live');
-    const found = await Promise.all(live.map(runningVersion));
-    const soundPart = (service: string) => {
-      const of = live.map((endpoint, index) => ({endpoint, index}));
-      const own = of.filter(item => item.endpoint.listed.service === service);
-      const sound = own.filter(
-        ({endpoint, index}) => found[index] === endpoint.listed.version,
+  ): Promise<VersionMismatch[]> {
+    const liveEndpoints = endpoints.filter(
+      ({listed}) => listed.state === 'live',
+    );
+    const runningVersions = await Promise.all(
+      liveEndpoints.map(readRunningVersion),
+    );
+    const matchingFraction = (service: string) => {
+      const indexed = liveEndpoints.map((endpoint, index) => ({
+        endpoint,
+        index,
+      }));
+      const ofService = indexed.filter(
+        item => item.endpoint.listed.service === service,
       );
-      return sound.length / own.length;
+      const matching = ofService.filter(
+        ({endpoint, index}) =>
+          runningVersions[index] === endpoint.listed.version,
+      );
+      return matching.length / ofService.length;
     };
-    return live
+    return liveEndpoints
       .flatMap((endpoint, index) => {
-        const version = found[index];
+        const version = runningVersions[index];
         if (version === undefined || version === endpoint.listed.version) {
           return [];
         }
-        const part = soundPart(endpoint.listed.service);
-        return [{endpoint, found: version, soundPart: part}];
+        const fraction = matchingFraction(endpoint.listed.service);
+        return [
+          {endpoint, runningVersion: version, matchingFraction: fraction},
+        ];
       })
-      .sort((a, b) => a.soundPart - b.soundPart);
+      .sort((a, b) => a.matchingFraction - b.matchingFraction);
   }
 
-  async function runningVersion(
+  async function readRunningVersion(
     endpoint: ManagedEndpoint,
   ): Promise<string | undefined> {
     try {
       return (await endpoint.engine.running(tenure.signal)).version;
     } catch {
-      // An endpoint that does not answer is routing's matter, not one to reload.
+      // Routing handles endpoints that do not respond; a reload would not help.
       return undefined;
     }
   }
 
-  async function mend(
-    deviation: Deviation,
+  async function repair(
+    mismatch: VersionMismatch,
     weightsName: string,
   ): Promise<boolean> {
-    const {listed, engine} = deviation.endpoint;
+    const {listed, engine} = mismatch.endpoint;
     if (!gate.isOpen(listed)) {
       return false;
     }
@@ -123,7 +135,7 @@
       }
       await engine.order(
         {
-          id: `repair-${tenure.fencing}-${nextOrder++}`,
+          id: `repair-${tenure.fencing}-${nextOrderNumber++}`,
           type: 'load-version',
           target: listed.version,
           fencing: tenure.fencing,
@@ -131,26 +143,38 @@
         },
         tenure.signal,
       );
-      note(deviation, 'order version', 'it runs another than listed');
+      noteDecision(
+        mismatch,
+        'order version',
+        'running version differs from the listed one',
+      );
       return true;
     } catch (error) {
-      noteFailure(deviation, error);
+      noteFailure(mismatch, error);
       return false;
     }
   }
 
-  function noteFailure(deviation: Deviation, error: unknown): void {
+  function noteFailure(mismatch: VersionMismatch, error: unknown): void {
     if (isServingError(error, 'overloaded')) {
-      note(deviation, 'wait with a load', 'the weight store is at its rate');
+      noteDecision(
+        mismatch,
+        'wait with a load',
+        'the weight store is at its rate limit',
+      );
       return;
     }
-    note(deviation, 'order failed', toServingError(error).message);
+    noteDecision(mismatch, 'order failed', toServingError(error).message);
   }
 
-  function note(deviation: Deviation, what: string, why: string): void {
-    const {listed} = deviation.endpoint;
+  function noteDecision(
+    mismatch: VersionMismatch,
+    what: string,
+    why: string,
+  ): void {
+    const {listed} = mismatch.endpoint;
     decisions.note('fleet', listed.id, what, why, {
-      runs: deviation.found,
+      runs: mismatch.runningVersion,
       listed: listed.version,
       fencing: tenure.fencing,
     });
--- /dev/null
+++ b/packages/fleet/src/fleetActions.ts
@@ -0,0 +1,140 @@
+/** Computes the starts and stops from the present to the wanted hosts. */
+import {readClientToken} from './clientToken.js';
+import type {FleetAction, Host, WantedHosts} from './contracts.js';
+
+/** Spreads the replacement of many reclaimed hosts over a few rounds. */
+const MAX_STARTS_PER_ROUND = 20;
+
+/** Wanted and present hosts of a service in one pool and market. */
+interface HostGroup {
+  readonly service: string;
+  readonly failureDomain: string;
+  readonly machineClass: string;
+  readonly market: Host['market'];
+  wanted: number;
+  readonly hosts: Host[];
+}
+
+/**
+ * Returns the starts, then the stops. Services that lack the largest fraction
+ * of their hosts come first. Surplus hosts are stopped only while enough others
+ * of the service run, so a plan that relocates a service never removes its
+ * capacity first. Hosts of removed services are stopped, hosts with foreign
+ * client tokens are ignored.
+ *
+ * @example
+ * for (const action of planFleetActions(plan.wanted, await cloud.hosts())) { … }
+ */
+export function planFleetActions(
+  wanted: readonly WantedHosts[],
+  hosts: readonly Host[],
+): FleetAction[] {
+  const groups = groupHosts(wanted, hosts);
+  return [...planStarts(groups), ...planStops(groups)];
+}
+
+function groupHosts(
+  wanted: readonly WantedHosts[],
+  hosts: readonly Host[],
+): HostGroup[] {
+  const groups = new Map<string, HostGroup>();
+  function groupFor(key: Omit<HostGroup, 'wanted' | 'hosts'>): HostGroup {
+    const name = [
+      key.service,
+      key.failureDomain,
+      key.machineClass,
+      key.market,
+    ].join('/');
+    const group = groups.get(name) ?? {...key, wanted: 0, hosts: []};
+    groups.set(name, group);
+    return group;
+  }
+  for (const {count, ...key} of wanted) {
+    groupFor(key).wanted += count;
+  }
+  for (const host of hosts) {
+    const owner = readClientToken(host.clientToken);
+    if (owner === undefined || isBeingLost(host)) {
+      continue;
+    }
+    const {failureDomain, machineClass, market} = host;
+    groupFor({
+      service: owner.service,
+      failureDomain,
+      machineClass,
+      market,
+    }).hosts.push(host);
+  }
+  return [...groups.values()];
+}
+
+/** Leaving hosts do not count as capacity, as they serve for seconds only. */
+function isBeingLost(host: Host): boolean {
+  return host.state === 'leaving' || host.state === 'gone';
+}
+
+function planStarts(groups: readonly HostGroup[]): FleetAction[] {
+  const hostCounts = new Map<string, {wanted: number; missing: number}>();
+  for (const group of groups) {
+    const counts = hostCounts.get(group.service) ?? {wanted: 0, missing: 0};
+    counts.wanted += group.wanted;
+    counts.missing += Math.max(0, group.wanted - group.hosts.length);
+    hostCounts.set(group.service, counts);
+  }
+  const missingFraction = (group: HostGroup) => {
+    const {wanted, missing} = hostCounts.get(group.service)!;
+    return wanted === 0 ? 0 : missing / wanted;
+  };
+  return [...groups]
+    .sort((a, b) => missingFraction(b) - missingFraction(a))
+    .flatMap(group => startsForGroup(group))
+    .slice(0, MAX_STARTS_PER_ROUND);
+}
+
+function startsForGroup(group: HostGroup): FleetAction[] {
+  const missing = Math.max(0, group.wanted - group.hosts.length);
+  return Array.from({length: missing}, () => ({
+    type: 'start',
+    service: group.service,
+    failureDomain: group.failureDomain,
+    machineClass: group.machineClass,
+    market: group.market,
+    why: `${group.hosts.length} of ${group.wanted} wanted hosts exist`,
+  }));
+}
+
+function planStops(groups: readonly HostGroup[]): FleetAction[] {
+  const spareRunning = new Map<string, number>();
+  for (const group of groups) {
+    const running = group.hosts.filter(host => host.state === 'running').length;
+    const previousSpare = spareRunning.get(group.service) ?? 0;
+    spareRunning.set(group.service, previousSpare + running - group.wanted);
+  }
+  return groups.flatMap(group => {
+    const surplus = group.hosts.length - group.wanted;
+    const stopCount = Math.min(surplus, spareRunning.get(group.service) ?? 0);
+    if (stopCount <= 0) {
+      return [];
+    }
+    spareRunning.set(
+      group.service,
+      (spareRunning.get(group.service) ?? 0) - stopCount,
+    );
+    return sortByStopPreference(group.hosts)
+      .slice(0, stopCount)
+      .map(host => ({
+        type: 'stop' as const,
+        host: host.id,
+        why: `${surplus} hosts more than the ${group.wanted} wanted`,
+      }));
+  });
+}
+
+/** Sorts hosts that do not run yet first, as they serve no requests. */
+function sortByStopPreference(hosts: readonly Host[]): Host[] {
+  return [...hosts].sort(
+    (a, b) =>
+      Number(a.state === 'running') - Number(b.state === 'running') ||
+      (a.id < b.id ? 1 : -1),
+  );
+}
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -1,4 +1,4 @@
-/** The duty that keeps the fleet: one holder starts and stops hosts by the plan. */
+/** Fleet duty: its holder starts and stops hosts according to the plan. */
 import {
   disposableStore,
   every,
@@ -15,30 +15,30 @@
 import type {Cloud} from '@skylarkfield/providers';
 import type {Service} from '@skylarkfield/records';
 import {makeClientToken, readClientToken} from './clientToken.js';
-import type {FleetStep, Host, HostPlan} from './contracts.js';
-import {fleetSteps} from './fleetSteps.js';
+import type {FleetAction, Host, HostPlan} from './contracts.js';
+import {planFleetActions} from './fleetActions.js';
 import {planHosts} from './hostPlan.js';
-import {createReplicaDemand} from './replicaDemand.js';
-import {createSupplies} from './supplies.js';
+import {createReplicaDemandEstimator} from './replicaDemand.js';
+import {createCapacityPoolTracker} from './capacityPools.js';
 
-/** How often the plan is made and followed, in milliseconds. */
-const ROUND_MS = 5_000;
+/** Interval of planning and reconciling, in milliseconds. */
+const RECONCILE_INTERVAL_MS = 5_000;
 
 export interface FleetDuty extends Disposable {
-  /** One round; rounds also run by themselves. */
-  round(): Promise<void>;
+  /** Runs one round now, in addition to the periodic ones. */
+  reconcile(): Promise<void>;
   dump(): unknown;
 }
 
-/** A start whose reply was lost: asked again with the same token until its host shows. */
-interface OpenStart {
+/** Start whose reply was lost; retried with its token until listed. */
+interface UnconfirmedStart {
   readonly token: string;
-  readonly step: Extract<FleetStep, {type: 'start'}>;
+  readonly action: Extract<FleetAction, {type: 'start'}>;
 }
 
 /**
- * Starts the duty for a tenure. Services without a machine class are left alone:
- * their hosts are somebody else's.
+ * Starts the duty for a tenure. Services without a machine class are ignored,
+ * as their hosts are managed elsewhere.
  *
  * @example
  * duties.compete('fleet', tenure => createFleetDuty({...parts, tenure}));
@@ -52,106 +52,106 @@
   services(): readonly Service[];
   /** Latest load reports of a service's endpoints. */
   reports(service: string): readonly LoadReport[];
-  /** Another way to plan, to measure this one against. */
+  /** Replaces the planner, for comparison in benchmarks. */
   readonly plan?: typeof planHosts;
 }): FleetDuty {
   const {cloud, clock, random, decisions, tenure, plan = planHosts} = options;
   const owned = disposableStore();
-  const supplies = createSupplies({clock, random});
-  const demand = createReplicaDemand();
-  const openStarts: OpenStart[] = [];
+  const capacityPools = createCapacityPoolTracker({clock, random});
+  const demandEstimator = createReplicaDemandEstimator();
+  const unconfirmedStarts: UnconfirmedStart[] = [];
   let hosts: readonly Host[] = [];
   let plans: ReadonlyMap<string, HostPlan> = new Map();
   let sequence = 0;
-  let isWorking = false;
+  let isReconciling = false;
 
-  owned.add(every(clock, ROUND_MS, () => void round()));
+  owned.add(every(clock, RECONCILE_INTERVAL_MS, () => void reconcile()));
   owned.add(
     cloud.watchNotices(notice => {
       const host = hosts.find(item => item.id === notice.host);
       if (host !== undefined) {
-        supplies.noteReclaim(host.failureDomain, host.machineClass);
-        // Replacements take minutes to start: the notice is worth its seconds.
-        void round();
+        capacityPools.recordReclaim(host.failureDomain, host.machineClass);
+        // Replacements take minutes to start, so the notice's seconds matter.
+        void reconcile();
       }
     }),
   );
   owned.add(toDisposable(() => (plans = new Map())));
 
   return {
-    round,
+    reconcile,
     dump: () => ({
       fencing: tenure.fencing,
       plans: [...plans].map(([service, plan]) => ({service, ...plan})),
       hosts,
-      openStarts: openStarts.length,
-      supplies: supplies.list().map(supply => ({
-        ...supply,
+      openStarts: unconfirmedStarts.length,
+      supplies: capacityPools.list().map(pool => ({
+        ...pool,
         isRefused: {
-          reclaimable: supply.isRefused('reclaimable'),
-          'on-demand': supply.isRefused('on-demand'),
+          reclaimable: pool.isRefused('reclaimable'),
+          'on-demand': pool.isRefused('on-demand'),
         },
       })),
     }),
     dispose: () => owned.dispose(),
   };
 
-  async function round(): Promise<void> {
-    if (isWorking || owned.isDisposed) {
+  async function reconcile(): Promise<void> {
+    if (isReconciling || owned.isDisposed) {
       return;
     }
-    isWorking = true;
+    isReconciling = true;
     try {
-      await followPlan();
+      await applyPlan();
     } catch (error) {
       const {message} = toServingError(error);
       decisions.note('fleet', 'cloud', 'skip a round', message);
     } finally {
-      isWorking = false;
+      isReconciling = false;
     }
   }
 
-  async function followPlan(): Promise<void> {
-    const managed = options
+  async function applyPlan(): Promise<void> {
+    const managedServices = options
       .services()
       .filter(service => service.fleet.machineClass !== '');
-    if (managed.length === 0) {
+    if (managedServices.length === 0) {
       return;
     }
     const offers = await cloud.offers(tenure.signal);
     hosts = await cloud.hosts(tenure.signal);
-    supplies.observe(hosts);
+    capacityPools.observe(hosts);
     plans = new Map(
-      managed.map(service => {
-        const wanted = demand.update(
+      managedServices.map(service => {
+        const demand = demandEstimator.update(
           service,
           options.reports(service.name),
-          hostsWithoutSpare(service.name),
+          runningHostsWithoutSpares(service.name),
         );
-        return [service.name, plan(wanted, offers, supplies.list())];
+        return [service.name, plan(demand, offers, capacityPools.list())];
       }),
     );
-    await retryOpenStarts();
+    await retryUnconfirmedStarts();
     const wanted = [...plans.values()].flatMap(plan => plan.wanted);
-    for (const step of fleetSteps(wanted, hosts)) {
+    for (const action of planFleetActions(wanted, hosts)) {
       if (!tenure.isValid()) {
         return;
       }
-      await carryOut(step);
+      await execute(action);
     }
   }
 
   /**
-   * Running hosts of a service without those of its fullest failure domain:
-   * what an earlier plan thought necessary, apart from its spare hosts.
+   * Counts a service's running hosts outside its largest failure domain, which
+   * is the demand of an earlier plan without its spare hosts.
    */
-  function hostsWithoutSpare(service: string): number {
+  function runningHostsWithoutSpares(service: string): number {
     const perDomain = new Map<string, number>();
     for (const host of hosts) {
       const owner = readClientToken(host.clientToken)?.service;
       if (owner === service && host.state === 'running') {
-        const before = perDomain.get(host.failureDomain) ?? 0;
-        perDomain.set(host.failureDomain, before + 1);
+        const previousCount = perDomain.get(host.failureDomain) ?? 0;
+        perDomain.set(host.failureDomain, previousCount + 1);
       }
     }
     const counts = [...perDomain.values()];
@@ -159,69 +159,72 @@
     return total - Math.max(0, ...counts);
   }
 
-  /** A host whose start's reply was lost shows in the list by its token, or is asked for again. */
-  async function retryOpenStarts(): Promise<void> {
+  /** Retries starts without a reply unless their hosts are listed. */
+  async function retryUnconfirmedStarts(): Promise<void> {
     const tokens = new Set(hosts.map(host => host.clientToken));
-    for (const open of openStarts.splice(0)) {
-      if (!tokens.has(open.token) && tenure.isValid()) {
-        await start(open.step, open.token);
+    for (const unconfirmed of unconfirmedStarts.splice(0)) {
+      if (!tokens.has(unconfirmed.token) && tenure.isValid()) {
+        await startHost(unconfirmed.action, unconfirmed.token);
       }
     }
   }
 
-  async function carryOut(step: FleetStep): Promise<void> {
-    if (step.type === 'start') {
-      if (isRefused(step)) {
+  async function execute(action: FleetAction): Promise<void> {
+    if (action.type === 'start') {
+      if (isRefused(action)) {
         return;
       }
       sequence += 1;
-      await start(
-        step,
-        makeClientToken(step.service, tenure.fencing, sequence),
+      await startHost(
+        action,
+        makeClientToken(action.service, tenure.fencing, sequence),
       );
       return;
     }
-    decisions.note('fleet', step.host, 'stop host', step.why);
-    await cloud.stop(step.host, tenure.signal);
+    decisions.note('fleet', action.host, 'stop host', action.why);
+    await cloud.stop(action.host, tenure.signal);
   }
 
-  /** A refusal earlier in this round counts for the rest of it. */
-  function isRefused(step: OpenStart['step']): boolean {
-    return supplies
+  /** Returns whether a start is in backoff, also after a refusal this round. */
+  function isRefused(action: UnconfirmedStart['action']): boolean {
+    return capacityPools
       .list()
       .some(
-        supply =>
-          supply.failureDomain === step.failureDomain &&
-          supply.machineClass === step.machineClass &&
-          supply.isRefused(step.market),
+        pool =>
+          pool.failureDomain === action.failureDomain &&
+          pool.machineClass === action.machineClass &&
+          pool.isRefused(action.market),
       );
   }
 
-  async function start(step: OpenStart['step'], token: string): Promise<void> {
-    const {failureDomain, machineClass, market} = step;
-    const subject = `${step.service} in ${failureDomain}`;
+  async function startHost(
+    action: UnconfirmedStart['action'],
+    token: string,
+  ): Promise<void> {
+    const {failureDomain, machineClass, market} = action;
+    const subject = `${action.service} in ${failureDomain}`;
     try {
       const host = await cloud.start(
         {clientToken: token, failureDomain, machineClass, market},
         tenure.signal,
       );
       hosts = [...hosts.filter(other => other.id !== host.id), host];
-      supplies.noteStart(failureDomain, machineClass, market);
-      decisions.note('fleet', subject, `start ${market} host`, step.why);
+      capacityPools.recordStart(failureDomain, machineClass, market);
+      decisions.note('fleet', subject, `start ${market} host`, action.why);
     } catch (error) {
       if (isServingError(error, 'outcome-unknown')) {
-        openStarts.push({token, step});
+        unconfirmedStarts.push({token, action});
         return;
       }
       if (!isServingError(error, 'overloaded')) {
         throw error;
       }
-      supplies.noteRefusal(failureDomain, machineClass, market);
+      capacityPools.recordRefusal(failureDomain, machineClass, market);
       decisions.note(
         'fleet',
         subject,
         'look elsewhere',
-        'the start was refused',
+        'the cloud refused the start',
       );
     }
   }
--- a/packages/fleet/src/hostPlan.ts
+++ b/packages/fleet/src/hostPlan.ts
@@ -1,90 +1,105 @@
-/** How many hosts of a service to have where, at the least cost that withstands a loss. */
+/** Plans a service's hosts at minimum cost while tolerating a domain's loss. */
 import type {
   Demand,
   HostPlan,
   Market,
   Offer,
-  Supply,
+  CapacityPool,
   WantedHosts,
 } from './contracts.js';
 
-/** Time until a reclaimed host's replica is replaced: refusals, start, weights, in hours. */
+/** Time to replace a replica (refusals, start, loading weights), in hours. */
 const REPLACEMENT_HOURS = 0.1;
-/** What an hour of a missing replica is worth in hours of its price: late answers cost customers. */
-const MISSING_REPLICA_FACTOR = 5;
-/** Failure domains whose reclaimable hosts one wave may take together. */
-const WAVE_DOMAINS = 2;
+/** Cost of a missing replica, in multiples of its price: answers are late. */
+const MISSING_REPLICA_COST_FACTOR = 5;
+/** Failure domains that may lose all reclaimable hosts at the same time. */
+const CORRELATED_RECLAIM_DOMAINS = 2;
 
-/** One failure domain with its better market. */
-interface Place {
+/** Failure domain with the market selected for it. */
+interface Placement {
   readonly failureDomain: string;
   readonly machineClass: string;
   readonly market: Market;
   readonly pricePerHour: number;
-  readonly onDemandPrice: number | undefined;
+  readonly onDemandPricePerHour: number | undefined;
   readonly reclaimRate: number;
 }
 
-/** Hosts at one place. */
-interface Filled {
-  readonly place: Place;
+/** Number of hosts at one placement. */
+interface Allocation {
+  readonly placement: Placement;
   readonly count: number;
 }
 
 /**
  * Plans the hosts of one service.
  *
- * Losing the failure domain with most replicas must leave enough for the
- * latency target. Over k domains that takes `replicas / (k - 1)` spare hosts:
- * more domains need fewer spares but dearer places, so every k is priced. A
- * wave that takes the reclaimable hosts of several domains must leave
- * `minReplicas`; on-demand hosts cover what is missing.
+ * The loss of the failure domain with the most replicas must leave enough for
+ * the latency target. Over k domains that takes `replicas / (k - 1)` spare
+ * hosts: more domains need fewer spares but include more expensive ones, so the
+ * plan of every k is compared. A correlated reclaim in several domains must
+ * leave `minReplicas`; on-demand hosts make up the difference.
  *
  * @example
- * const plan = planHosts(demand, offers, supplies);
+ * const plan = planHosts(demand, offers, pools);
  */
 export function planHosts(
   demand: Demand,
   offers: readonly Offer[],
-  supplies: readonly Supply[],
+  pools: readonly CapacityPool[],
 ): HostPlan {
   const replicas = Math.min(
     Math.max(demand.replicas, demand.minReplicas),
     demand.maxReplicas,
   );
-  const places = usablePlaces(demand.machineClass, offers, supplies);
-  if (replicas === 0 || places.length === 0) {
+  const placements = usablePlacements(demand.machineClass, offers, pools);
+  if (replicas === 0 || placements.length === 0) {
     return emptyPlan(replicas);
   }
-  const plans = places.map((_, index) =>
-    spreadOver(places.slice(0, index + 1), replicas, demand.maxReplicas),
+  const candidates = placements.map((_, index) =>
+    allocateEvenly(
+      placements.slice(0, index + 1),
+      replicas,
+      demand.maxReplicas,
+    ),
   );
-  const best = plans
-    .map(filled => withstandWave(filled, demand.minReplicas))
-    .map(filled => ({filled, wanted: toWanted(demand.service, filled)}))
-    .sort((a, b) => compare(a.filled, b.filled, replicas))[0];
-  return describe(best!.filled, best!.wanted, replicas);
+  const best = candidates
+    .map(allocations =>
+      surviveCorrelatedReclaim(allocations, demand.minReplicas),
+    )
+    .map(allocations => ({
+      allocations,
+      wanted: toWantedHosts(demand.service, allocations),
+    }))
+    .sort((a, b) => comparePlans(a.allocations, b.allocations, replicas))[0];
+  return toHostPlan(best!.allocations, best!.wanted, replicas);
 }
 
-/** Each failure domain at the market that is cheaper once expected losses are counted. */
-function usablePlaces(
+/** Returns each failure domain with its market of lowest expected price. */
+function usablePlacements(
   machineClass: string,
   offers: readonly Offer[],
-  supplies: readonly Supply[],
-): Place[] {
+  pools: readonly CapacityPool[],
+): Placement[] {
   const domains = new Set(offers.map(offer => offer.failureDomain));
   return [...domains]
-    .flatMap(domain => placeIn(domain, machineClass, offers, supplies) ?? [])
-    .sort((a, b) => expectedPrice(a) - expectedPrice(b) || byName(a, b));
+    .flatMap(
+      domain => cheapestPlacement(domain, machineClass, offers, pools) ?? [],
+    )
+    .sort(
+      (a, b) =>
+        expectedPricePerHour(a) - expectedPricePerHour(b) ||
+        compareDomainNames(a, b),
+    );
 }
 
-function placeIn(
+function cheapestPlacement(
   failureDomain: string,
   machineClass: string,
   offers: readonly Offer[],
-  supplies: readonly Supply[],
-): Place | undefined {
-  const supply = supplies.find(
+  pools: readonly CapacityPool[],
+): Placement | undefined {
+  const pool = pools.find(
     item =>
       item.failureDomain === failureDomain &&
       item.machineClass === machineClass,
@@ -95,155 +110,170 @@
         offer.failureDomain === failureDomain &&
         offer.machineClass === machineClass &&
         offer.market === market &&
-        !supply?.isRefused(market),
+        !pool?.isRefused(market),
     )?.pricePerHour;
-  const onDemandPrice = priceOf('on-demand');
+  const onDemandPricePerHour = priceOf('on-demand');
   const candidates = (['reclaimable', 'on-demand'] as const).flatMap(market => {
     const pricePerHour = priceOf(market);
     if (pricePerHour === undefined) {
       return [];
     }
-    const reclaimRate =
-      market === 'reclaimable' ? (supply?.reclaimRate ?? 0) : 0;
-    const place: Place = {
+    const reclaimRate = market === 'reclaimable' ? (pool?.reclaimRate ?? 0) : 0;
+    const placement: Placement = {
       failureDomain,
       machineClass,
       market,
       pricePerHour,
-      onDemandPrice,
+      onDemandPricePerHour,
       reclaimRate,
     };
-    return [place];
+    return [placement];
   });
-  return candidates.sort((a, b) => expectedPrice(a) - expectedPrice(b))[0];
+  return candidates.sort(
+    (a, b) => expectedPricePerHour(a) - expectedPricePerHour(b),
+  )[0];
 }
 
-/** Price with the expected cost of replicas missing after reclaims. */
-function expectedPrice(place: Place): number {
-  const missing =
-    place.reclaimRate * REPLACEMENT_HOURS * MISSING_REPLICA_FACTOR;
-  return place.pricePerHour * (1 + missing);
+/** Returns the price plus the expected cost of missing replicas. */
+function expectedPricePerHour(placement: Placement): number {
+  const missingReplicaCost =
+    placement.reclaimRate * REPLACEMENT_HOURS * MISSING_REPLICA_COST_FACTOR;
+  return placement.pricePerHour * (1 + missingReplicaCost);
 }
 
-function byName(a: Place, b: Place): number {
+function compareDomainNames(a: Placement, b: Placement): number {
   return a.failureDomain < b.failureDomain ? -1 : 1;
 }
 
-/** Fills the cheapest places so that all but the fullest hold the replicas. */
-function spreadOver(
-  places: readonly Place[],
+/** Allocates hosts so that all but the largest placement hold the replicas. */
+function allocateEvenly(
+  placements: readonly Placement[],
   replicas: number,
-  most: number,
-): Filled[] {
-  const others = Math.max(1, places.length - 1);
-  const perPlace = Math.ceil(replicas / others);
-  let left =
-    places.length === 1 ? replicas : Math.min(replicas + perPlace, most);
-  return places.map(place => {
-    const count = Math.min(perPlace, left);
-    left -= count;
-    return {place, count};
+  maxReplicas: number,
+): Allocation[] {
+  const otherPlacements = Math.max(1, placements.length - 1);
+  const perPlacement = Math.ceil(replicas / otherPlacements);
+  let remaining =
+    placements.length === 1
+      ? replicas
+      : Math.min(replicas + perPlacement, maxReplicas);
+  return placements.map(placement => {
+    const count = Math.min(perPlacement, remaining);
+    remaining -= count;
+    return {placement, count};
   });
 }
 
-/** Turns reclaimable hosts into on-demand ones until a wave leaves the least number. */
-function withstandWave(
-  filled: readonly Filled[],
+/** Converts to on-demand until a correlated reclaim leaves `minReplicas`. */
+function surviveCorrelatedReclaim(
+  allocations: readonly Allocation[],
   minReplicas: number,
-): Filled[] {
-  const result = [...filled];
-  let missing = minReplicas - survivorsOfWave(result);
+): Allocation[] {
+  const result = [...allocations];
+  let missing = minReplicas - replicasAfterCorrelatedReclaim(result);
   const convertible = result
     .map((item, index) => ({...item, index}))
     .filter(
-      ({place}) =>
-        place.market === 'reclaimable' && place.onDemandPrice !== undefined,
+      ({placement}) =>
+        placement.market === 'reclaimable' &&
+        placement.onDemandPricePerHour !== undefined,
     )
-    .sort((a, b) => premium(a.place) - premium(b.place));
-  for (const {place, index, count} of convertible) {
+    .sort(
+      (a, b) => onDemandPremium(a.placement) - onDemandPremium(b.placement),
+    );
+  for (const {placement, index, count} of convertible) {
     if (missing <= 0) {
       break;
     }
-    const moved = Math.min(count, missing);
-    result[index] = {place, count: count - moved};
+    const converted = Math.min(count, missing);
+    result[index] = {placement, count: count - converted};
     result.push({
-      place: {
-        ...place,
+      placement: {
+        ...placement,
         market: 'on-demand',
-        pricePerHour: place.onDemandPrice as number,
+        pricePerHour: placement.onDemandPricePerHour as number,
         reclaimRate: 0,
       },
-      count: moved,
+      count: converted,
     });
-    missing = minReplicas - survivorsOfWave(result);
+    missing = minReplicas - replicasAfterCorrelatedReclaim(result);
   }
   return result;
 }
 
-function premium(place: Place): number {
-  return (place.onDemandPrice ?? Infinity) - place.pricePerHour;
+function onDemandPremium(placement: Placement): number {
+  return (placement.onDemandPricePerHour ?? Infinity) - placement.pricePerHour;
 }
 
-function survivorsOfWave(filled: readonly Filled[]): number {
-  const reclaimable = filled
-    .filter(item => item.place.market === 'reclaimable')
+function replicasAfterCorrelatedReclaim(
+  allocations: readonly Allocation[],
+): number {
+  const reclaimable = allocations
+    .filter(item => item.placement.market === 'reclaimable')
     .map(item => item.count)
     .sort((a, b) => b - a);
-  const lost = sum(reclaimable.slice(0, WAVE_DOMAINS));
-  return sum(filled.map(item => item.count)) - lost;
+  const lost = sum(reclaimable.slice(0, CORRELATED_RECLAIM_DOMAINS));
+  return sum(allocations.map(item => item.count)) - lost;
 }
 
-/** Plans that hold the target come first, then the cheaper. */
-function compare(
-  a: readonly Filled[],
-  b: readonly Filled[],
+/** Orders plans by missing replicas, then by expected cost. */
+function comparePlans(
+  a: readonly Allocation[],
+  b: readonly Allocation[],
   replicas: number,
 ): number {
-  const shortA = Math.max(0, replicas - afterLoss(a));
-  const shortB = Math.max(0, replicas - afterLoss(b));
-  if (shortA !== shortB) {
-    return shortA - shortB;
+  const shortfallA = Math.max(0, replicas - replicasAfterDomainLoss(a));
+  const shortfallB = Math.max(0, replicas - replicasAfterDomainLoss(b));
+  if (shortfallA !== shortfallB) {
+    return shortfallA - shortfallB;
   }
-  return expectedCost(a) - expectedCost(b);
+  return expectedCostPerHour(a) - expectedCostPerHour(b);
 }
 
-function expectedCost(filled: readonly Filled[]): number {
-  return sum(filled.map(({place, count}) => expectedPrice(place) * count));
+function expectedCostPerHour(allocations: readonly Allocation[]): number {
+  return sum(
+    allocations.map(
+      ({placement, count}) => expectedPricePerHour(placement) * count,
+    ),
+  );
 }
 
-/** Replicas left after the loss of the fullest failure domain, whatever the market. */
-function afterLoss(filled: readonly Filled[]): number {
+/** Returns the replicas left after losing the largest failure domain. */
+function replicasAfterDomainLoss(allocations: readonly Allocation[]): number {
   const perDomain = new Map<string, number>();
-  for (const {place, count} of filled) {
-    const before = perDomain.get(place.failureDomain) ?? 0;
-    perDomain.set(place.failureDomain, before + count);
+  for (const {placement, count} of allocations) {
+    const previousCount = perDomain.get(placement.failureDomain) ?? 0;
+    perDomain.set(placement.failureDomain, previousCount + count);
   }
   const counts = [...perDomain.values()];
   return sum(counts) - Math.max(0, ...counts);
 }
 
-function toWanted(service: string, filled: readonly Filled[]): WantedHosts[] {
-  return filled
+function toWantedHosts(
+  service: string,
+  allocations: readonly Allocation[],
+): WantedHosts[] {
+  return allocations
     .filter(item => item.count > 0)
-    .map(({place, count}) => ({
+    .map(({placement, count}) => ({
       service,
-      failureDomain: place.failureDomain,
-      machineClass: place.machineClass,
-      market: place.market,
+      failureDomain: placement.failureDomain,
+      machineClass: placement.machineClass,
+      market: placement.market,
       count,
     }));
 }
 
-function describe(
-  filled: readonly Filled[],
+function toHostPlan(
+  allocations: readonly Allocation[],
   wanted: readonly WantedHosts[],
   replicas: number,
 ): HostPlan {
-  const replicasAfterLoss = afterLoss(filled);
+  const replicasAfterLoss = replicasAfterDomainLoss(allocations);
   return {
     wanted,
     costPerHour: sum(
-      filled.map(({place, count}) => place.pricePerHour * count),
+      allocations.map(({placement, count}) => placement.pricePerHour * count),
     ),
     replicasAfterLoss,
     shortfall:
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,9 +1,9 @@
-/** Hosts per failure domain, machine class and market; repair. */
+/** Host provisioning per failure domain and market; endpoint repair. */
 export * from './clientToken.js';
 export * from './contracts.js';
 export * from './endpointRepair.js';
 export * from './fleetDuty.js';
-export * from './fleetSteps.js';
+export * from './fleetActions.js';
 export * from './hostPlan.js';
 export * from './replicaDemand.js';
-export * from './supplies.js';
+export * from './capacityPools.js';
--- a/packages/fleet/src/replicaDemand.ts
+++ b/packages/fleet/src/replicaDemand.ts
@@ -1,42 +1,45 @@
-/** How many replicas of a service hold its latency target at the present load. */
+/** Estimates how many replicas meet the latency target at the present load. */
 import type {LoadReport} from '@skylarkfield/endpoints';
 import type {Service} from '@skylarkfield/records';
 import type {Demand} from './contracts.js';
 
-/** Part of the slots that may be in use at the target: beyond it, waiting grows fast. */
-const TARGET_USE = 0.7;
-/** Falls are followed over this many rounds, so that a short lull stops no hosts. */
-const FALL_ROUNDS = 30;
+/** Target fraction of slots in use; queueing time grows fast beyond it. */
+const TARGET_UTILIZATION = 0.7;
+/** Rounds of smoothing when demand falls, so a short lull stops no hosts. */
+const SCALE_DOWN_ROUNDS = 30;
 
-export interface ReplicaDemand {
+export interface ReplicaDemandEstimator {
   /**
-   * Takes the latest reports of the service's endpoints and the number of its
-   * hosts without spare ones; gives what it needs now.
+   * Returns the demand from the latest reports of the service's endpoints and
+   * its number of hosts without spares.
    */
   update(
     service: Service,
     reports: readonly LoadReport[],
-    hosts: number,
+    hostsWithoutSpares: number,
   ): Demand;
 }
 
 /**
- * Makes the estimate. A rise counts at once; a fall slowly, since starting a
- * replica again costs minutes and a load of weights. A new holder of the duty
- * has no history: it starts from the hosts there are, and without reports it
- * keeps its estimate, or it would stop hosts that it merely knows nothing of.
+ * Creates the estimator. It follows a rise at once and a fall slowly, since
+ * starting a replica again takes minutes and a load of weights. A new holder of
+ * the duty starts from the present hosts and keeps that estimate until reports
+ * arrive; otherwise it would stop hosts for lack of data.
  *
  * @example
- * const demand = createReplicaDemand().update(service, reports, 4);
+ * const demand = createReplicaDemandEstimator().update(service, reports, 4);
  */
-export function createReplicaDemand(): ReplicaDemand {
-  const smoothed = new Map<string, number>();
+export function createReplicaDemandEstimator(): ReplicaDemandEstimator {
+  const smoothedDemand = new Map<string, number>();
   return {
-    update(service, reports, hosts) {
-      const before = smoothed.get(service.name) ?? hosts;
-      const now = neededReplicas(reports) ?? before;
-      const next = now >= before ? now : before + (now - before) / FALL_ROUNDS;
-      smoothed.set(service.name, next);
+    update(service, reports, hostsWithoutSpares) {
+      const previous = smoothedDemand.get(service.name) ?? hostsWithoutSpares;
+      const needed = estimateReplicas(reports) ?? previous;
+      const next =
+        needed >= previous
+          ? needed
+          : previous + (needed - previous) / SCALE_DOWN_ROUNDS;
+      smoothedDemand.set(service.name, next);
       const {machineClass, minReplicas, maxReplicas} = service.fleet;
       return {
         service: service.name,
@@ -49,16 +52,16 @@
   };
 }
 
-/** Undefined when no report tells. */
-function neededReplicas(reports: readonly LoadReport[]): number | undefined {
-  const slots = reports.reduce((sum, report) => sum + report.slots, 0);
-  if (slots === 0) {
+/** Returns undefined when no report has slots. */
+function estimateReplicas(reports: readonly LoadReport[]): number | undefined {
+  const totalSlots = reports.reduce((sum, report) => sum + report.slots, 0);
+  if (totalSlots === 0) {
     return undefined;
   }
-  const busy = reports.reduce(
+  const outstandingRequests = reports.reduce(
     (sum, report) => sum + report.running + report.waiting,
     0,
   );
-  const slotsPerReplica = slots / reports.length;
-  return busy / (slotsPerReplica * TARGET_USE);
+  const slotsPerReplica = totalSlots / reports.length;
+  return outstandingRequests / (slotsPerReplica * TARGET_UTILIZATION);
 }
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -27,10 +27,10 @@
 
 type StartFault = 'refuse' | 'lose-reply' | 'lose-call';
 
-/** A cloud of four failure domains whose next starts can be made to fail. */
+/** Cloud of four failure domains with faults to inject into the next starts. */
 function createFakeCloud() {
   const hosts = new Map<string, Host>();
-  const faults: StartFault[] = [];
+  const startFaults: StartFault[] = [];
   let notify: (notice: ReclaimNotice) => void = () => {};
   const cloud: Cloud = {
     offers: async () =>
@@ -42,7 +42,7 @@
       })),
     hosts: async () => [...hosts.values()],
     async start(request) {
-      const fault = faults.shift();
+      const fault = startFaults.shift();
       if (fault === 'refuse') {
         throw new ServingError('overloaded', 'no capacity');
       }
@@ -72,7 +72,7 @@
   };
   return {
     cloud,
-    faults,
+    startFaults,
     hosts,
     reclaim(id: string) {
       const host = hosts.get(id)!;
@@ -122,7 +122,7 @@
   [...fake.hosts.values()].filter(host => host.state === 'running');
 
 describe('fleet duty', () => {
-  it('starts what the plan wants, and then rests', async () => {
+  it('starts the planned hosts and no more', async () => {
     const fake = createFakeCloud();
     const {clock} = createDuty(fake);
     await clock.advance(6_000);
@@ -132,33 +132,33 @@
     assert.equal(fake.hosts.size, count);
   });
 
-  const lost: readonly [StartFault, string][] = [
+  const lostStarts: readonly [StartFault, string][] = [
     ['lose-reply', 'took effect'],
     ['lose-call', 'did not arrive'],
   ];
-  for (const [fault, title] of lost) {
-    // The reply to a start is lost. Starting again under a new token would pay
-    // for two hosts; not starting would leave the service short of one.
-    it(`has one host for a start without a reply that ${title}`, async () => {
+  for (const [fault, title] of lostStarts) {
+    // The reply to a start is lost. A retry under a new token would start two
+    // hosts; no retry would leave the service one host short.
+    it(`ends with one host after a start without a reply that ${title}`, async () => {
       const fake = createFakeCloud();
-      fake.faults.push(fault);
+      fake.startFaults.push(fault);
       const {clock} = createDuty(fake);
       await clock.advance(30_000);
       assert.equal(fake.hosts.size, 4);
     });
   }
 
-  // One failure domain refuses all starts for a while. Asking it again at once
-  // would leave the service without the replicas that others could give.
-  it('looks elsewhere when a start is refused', async () => {
+  // A failure domain refuses a start. Retrying only there would leave the
+  // service without replicas that other domains could provide.
+  it('uses another failure domain when a start is refused', async () => {
     const fake = createFakeCloud();
-    fake.faults.push('refuse');
+    fake.startFaults.push('refuse');
     const {clock} = createDuty(fake);
     await clock.advance(12_000);
     assert.ok(liveHosts(fake).length >= 4);
   });
 
-  it('replaces a host on its notice, not only once it is gone', async () => {
+  it('replaces a host on its reclaim notice, before it is gone', async () => {
     const fake = createFakeCloud();
     const {clock} = createDuty(fake);
     await clock.advance(6_000);
@@ -168,9 +168,9 @@
     assert.equal(liveHosts(fake).length, 4);
   });
 
-  // A new holder has seen no load yet. Taking that for no load, it would stop
-  // hosts that are busy, and answers would be late until they are back.
-  it('stops no hosts merely because it has no reports yet', async () => {
+  // A new holder has no load reports yet. Treating that as zero load would stop
+  // busy hosts, and answers would be late until they are replaced.
+  it('stops no hosts while it has no load reports', async () => {
     const fake = createFakeCloud();
     const busy = createDuty(fake, 1);
     busy.state.reports = [report(30, 8), report(30, 8)];
@@ -183,9 +183,9 @@
     assert.equal(fake.hosts.size, count);
   });
 
-  // The holder is replaced. Hosts that its predecessor started, and never told
-  // anyone of, must be counted, not started once more.
-  it('counts the hosts of an earlier holder as its own', async () => {
+  // The holder is replaced. Hosts that its predecessor started must be counted,
+  // not started again.
+  it('counts the hosts that an earlier holder started', async () => {
     const fake = createFakeCloud();
     const first = createDuty(fake, 1);
     await first.clock.advance(6_000);
@@ -206,7 +206,7 @@
     assert.deepEqual(new Set(owners), new Set(['other']));
   });
 
-  it('does nothing once its lease is not surely held', async () => {
+  it('starts no hosts while its tenure is not valid', async () => {
     const fake = createFakeCloud();
     const {clock, state} = createDuty(fake);
     state.isValid = false;
--- a/packages/fleet/src/test/hostPlan.test.ts
+++ b/packages/fleet/src/test/hostPlan.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
-import type {Demand, Offer, Supply} from '../contracts.js';
+import type {Demand, Offer, CapacityPool} from '../contracts.js';
 import {planHosts} from '../hostPlan.js';
 
 const DOMAINS = ['a', 'b', 'c', 'd'];
@@ -35,14 +35,17 @@
 };
 const prices = offersOf([1, 1.1, 1.2, 1.3], [3, 3, 3, 3]);
 
-function countIn(plan: ReturnType<typeof planHosts>, domain: string): number {
+function countHosts(
+  plan: ReturnType<typeof planHosts>,
+  domain: string,
+): number {
   return plan.wanted
     .filter(hosts => hosts.failureDomain === domain)
     .reduce((sum, hosts) => sum + hosts.count, 0);
 }
 
 describe('host plan', () => {
-  // A whole failure domain is reclaimed at once. If most replicas stood there,
+  // All hosts of a failure domain are lost at once. If it held most replicas,
   // answers would be late until replacements have loaded their weights.
   it('keeps enough replicas after the loss of any failure domain', () => {
     fc.assert(
@@ -62,11 +65,11 @@
           );
           const needed = Math.max(replicas, minReplicas);
           const total = DOMAINS.reduce(
-            (sum, domain) => sum + countIn(plan, domain),
+            (sum, domain) => sum + countHosts(plan, domain),
             0,
           );
           for (const domain of DOMAINS) {
-            assert.ok(total - countIn(plan, domain) >= needed);
+            assert.ok(total - countHosts(plan, domain) >= needed);
           }
           assert.equal(plan.shortfall, undefined);
         },
@@ -75,27 +78,35 @@
     );
   });
 
-  it('uses more failure domains when the spare hosts saved are worth it', () => {
-    const even = planHosts(demand, offersOf([1, 1, 1, 1], [9, 9, 9, 9]), []);
-    const dear = planHosts(demand, offersOf([1, 1, 1, 8], [9, 9, 9, 9]), []);
-    assert.equal(countIn(even, 'd'), 2);
-    assert.equal(countIn(dear, 'd'), 0);
+  it('uses more failure domains when that saves enough spare hosts', () => {
+    const equalPrices = planHosts(
+      demand,
+      offersOf([1, 1, 1, 1], [9, 9, 9, 9]),
+      [],
+    );
+    const oneExpensive = planHosts(
+      demand,
+      offersOf([1, 1, 1, 8], [9, 9, 9, 9]),
+      [],
+    );
+    assert.equal(countHosts(equalPrices, 'd'), 2);
+    assert.equal(countHosts(oneExpensive, 'd'), 0);
   });
 
-  it('takes on-demand hosts where reclaims make cheap ones dear', () => {
-    const stormy: Supply[] = DOMAINS.map(failureDomain => ({
+  it('uses on-demand hosts where reclaims make cheap ones more expensive', () => {
+    const oftenReclaimed: CapacityPool[] = DOMAINS.map(failureDomain => ({
       failureDomain,
       machineClass: 'gpu',
       reclaimRate: 6,
       isRefused: () => false,
     }));
-    const plan = planHosts(demand, prices, stormy);
+    const plan = planHosts(demand, prices, oftenReclaimed);
     assert.ok(plan.wanted.every(hosts => hosts.market === 'on-demand'));
   });
 
-  // Two failure domains are reclaimed in one wave; what is left has to keep the
-  // service alive, if slowly, until others are started.
-  it('leaves the least number of replicas after a wave over two failure domains', () => {
+  // A correlated reclaim takes the reclaimable hosts of two failure domains; the
+  // others have to keep the service available until replacements have started.
+  it('leaves the minimum of replicas after a reclaim in two failure domains', () => {
     const plan = planHosts({...demand, minReplicas: 6}, prices, []);
     const reclaimable = DOMAINS.map(domain =>
       plan.wanted
@@ -109,19 +120,19 @@
     assert.ok(total - reclaimable[0]! - reclaimable[1]! >= 6);
   });
 
-  it('avoids places that refuse starts, and says when the rest is too little', () => {
-    const onlyA: Supply[] = DOMAINS.slice(1).map(failureDomain => ({
+  it('avoids pools that refuse starts and reports the shortfall', () => {
+    const onlyA: CapacityPool[] = DOMAINS.slice(1).map(failureDomain => ({
       failureDomain,
       machineClass: 'gpu',
       reclaimRate: 0,
       isRefused: () => true,
     }));
     const plan = planHosts(demand, prices, onlyA);
-    assert.equal(countIn(plan, 'a'), 6);
+    assert.equal(countHosts(plan, 'a'), 6);
     assert.match(plan.shortfall ?? '', /failure domain/);
   });
 
-  it('says when no failure domain offers the class', () => {
+  it('reports when no failure domain offers the machine class', () => {
     const plan = planHosts({...demand, machineClass: 'tpu'}, prices, []);
     assert.match(plan.shortfall ?? '', /offers the class/);
   });
