--- a/packages/orders/src/flight.ts
+++ b/packages/orders/src/activeOrder.ts
@@ -16,7 +16,7 @@
 }
 
 /** How an order ended in this process. */
-export type FlightResult =
+export type OrderCompletion =
   | {
       readonly type: 'reply';
       readonly reply: OrderReply;
@@ -40,7 +40,7 @@
  * hand-over is being written, so it may neither be sent nor called not run.
  * `sent`: the call has gone to an endpoint. `ended`: settled, given up or moved.
  */
-export type FlightState =
+export type ActiveOrderState =
   | 'queued'
   | 'committing'
   | 'claimed'
@@ -48,26 +48,26 @@
   | 'sent'
   | 'ended';
 
-type FlightEvent =
+type ActiveOrderEvent =
   | 'commit'
   | 'claim'
-  | 'hold'
-  | 'unhold'
+  | 'startHandOver'
+  | 'cancelHandOver'
   | 'send'
-  | 'unsend'
+  | 'revertSend'
   | 'end';
 
-export interface Flight {
+export interface ActiveOrder {
   readonly request: OrderRequest;
   readonly shard: number;
-  readonly done: Promise<FlightResult>;
+  readonly done: Promise<OrderCompletion>;
   /** Resolves once its claim is in the ledger, or never will be by this process. */
-  readonly decided: Promise<void>;
+  readonly claimDecided: Promise<void>;
   /** The claim's token, once it has one. */
   token: string;
-  state(): FlightState;
+  state(): ActiveOrderState;
   /** True once `decided` has resolved. */
-  isDecided(): boolean;
+  isClaimDecided(): boolean;
   /** True once it has ended by being handed over. */
   isMoved(): boolean;
   /**
@@ -77,30 +77,33 @@
    */
   deadline(): number;
   /** Moves on; false when the state does not allow it. */
-  tell(event: FlightEvent): boolean;
+  tryTransition(event: ActiveOrderEvent): boolean;
   /** Ends with a result; later results are dropped. */
-  end(result: FlightResult): void;
+  complete(result: OrderCompletion): void;
   /**
    * Waits for the end. A waiter that leaves early gets `deadline-exceeded` or
    * `cancelled`; the last one to leave an unsent order gives it up, so that
    * the answer `not-run` is true.
    */
-  join(deadline: number, signal: AbortSignal): Promise<FlightResult>;
+  join(deadline: number, signal: AbortSignal): Promise<OrderCompletion>;
   /** Fires once when the order was given up or moved before it was sent. */
-  readonly stopped: AbortSignal;
+  readonly stopSignal: AbortSignal;
 }
 
 /** States and transitions of an order; nothing is sent but from `claimed`, and nothing unsent is given up after `send`. */
-const flightMachine = createMachine({
+const activeOrderMachine = createMachine({
   queued: state(transition('commit', 'committing'), transition('end', 'ended')),
   committing: state(transition('claim', 'claimed'), transition('end', 'ended')),
   claimed: state(
     transition('send', 'sent'),
-    transition('hold', 'handing'),
+    transition('startHandOver', 'handing'),
     transition('end', 'ended'),
   ),
-  handing: state(transition('unhold', 'claimed'), transition('end', 'ended')),
-  sent: state(transition('unsend', 'claimed'), transition('end', 'ended')),
+  handing: state(
+    transition('cancelHandOver', 'claimed'),
+    transition('end', 'ended'),
+  ),
+  sent: state(transition('revertSend', 'claimed'), transition('end', 'ended')),
   ended: state(),
 });
 
@@ -111,61 +114,66 @@
  * const flight = createFlight(request, 3, clock);
  * const result = await flight.join(request.deadline, signal);
  */
-export function createFlight(
+export function createActiveOrder(
   request: OrderRequest,
   shard: number,
   clock: Clock,
-  owner: 'caller' | 'ledger' = 'caller',
-): Flight {
-  const service = interpret(flightMachine, () => undefined);
-  const stop = new AbortController();
+  origin: 'caller' | 'ledger' = 'caller',
+): ActiveOrder {
+  const interpreter = interpret(activeOrderMachine, () => undefined);
+  const stopController = new AbortController();
   // An order from the ledger is nobody's to give up: it runs also when no caller waits for it.
-  let waiters = owner === 'ledger' ? 1 : 0;
+  let waiters = origin === 'ledger' ? 1 : 0;
   let isMoved = false;
   let latestDeadline = request.deadline;
-  let finish: (result: FlightResult) => void = () => undefined;
-  const done = new Promise<FlightResult>(resolve => (finish = resolve));
-  let decide: () => void = () => undefined;
-  const decided = new Promise<void>(resolve => (decide = resolve));
-
-  function current(): FlightState {
-    return service.machine.current as FlightState;
+  let resolveDone: (result: OrderCompletion) => void = () => undefined;
+  const done = new Promise<OrderCompletion>(resolve => (resolveDone = resolve));
+  let resolveClaimDecided: () => void = () => undefined;
+  const claimDecided = new Promise<void>(
+    resolve => (resolveClaimDecided = resolve),
+  );
+
+  function current(): ActiveOrderState {
+    return interpreter.machine.current as ActiveOrderState;
   }
 
-  function tell(event: FlightEvent): boolean {
+  function tryTransition(event: ActiveOrderEvent): boolean {
     const before = current();
-    service.send(event);
+    interpreter.send(event);
     if (!undecidedStates.has(current())) {
-      decide();
+      resolveClaimDecided();
     }
     return current() !== before;
   }
 
-  function end(result: FlightResult): void {
+  function complete(result: OrderCompletion): void {
     const wasSent = current() === 'sent';
-    if (!tell('end')) {
+    if (!tryTransition('end')) {
       return;
     }
     isMoved = result.type === 'moved';
-    finish(result);
+    resolveDone(result);
     if (!wasSent) {
-      stop.abort();
+      stopController.abort();
     }
   }
 
   /** What a waiter that leaves is told; gives the order up when it may. */
-  function leave(kind: 'deadline-exceeded' | 'cancelled'): ServingError {
+  function removeWaiter(kind: 'deadline-exceeded' | 'cancelled'): ServingError {
     waiters -= 1;
-    const mayGiveUp = waiters === 0 && unsentStates.has(current());
-    const run: RunState = mayGiveUp ? 'not-run' : 'may-have-run';
-    const error = new ServingError(kind, leaveReasons[kind], {run});
+    const mayCancel = waiters === 0 && unsentStates.has(current());
+    const run: RunState = mayCancel ? 'not-run' : 'may-have-run';
+    const error = new ServingError(kind, abandonMessages[kind], {run});
     if (run === 'not-run') {
-      end({type: 'error', error});
+      complete({type: 'error', error});
     }
     return error;
   }
 
-  function join(deadline: number, signal: AbortSignal): Promise<FlightResult> {
+  function join(
+    deadline: number,
+    signal: AbortSignal,
+  ): Promise<OrderCompletion> {
     if (current() === 'ended') {
       return done;
     }
@@ -173,26 +181,26 @@
     latestDeadline = Math.max(latestDeadline, deadline);
     return new Promise((resolve, reject) => {
       const timer = clock.after(deadline - clock.now(), () =>
-        quit('deadline-exceeded'),
+        abandon('deadline-exceeded'),
       );
-      const onAbort = () => quit('cancelled');
+      const onAbort = () => abandon('cancelled');
       signal.addEventListener('abort', onAbort, {once: true});
-      let isOver = false;
-      function settle(): boolean {
-        const isFirst = !isOver;
-        isOver = true;
+      let hasStopped = false;
+      function stopWaiting(): boolean {
+        const isFirst = !hasStopped;
+        hasStopped = true;
         timer.dispose();
         signal.removeEventListener('abort', onAbort);
         return isFirst;
       }
-      function quit(kind: 'deadline-exceeded' | 'cancelled'): void {
+      function abandon(kind: 'deadline-exceeded' | 'cancelled'): void {
         // An order that has just ended is answered with its end, not with the waiter's leaving.
-        if (current() !== 'ended' && settle()) {
-          reject(leave(kind));
+        if (current() !== 'ended' && stopWaiting()) {
+          reject(removeWaiter(kind));
         }
       }
       void done.then(result => {
-        if (settle()) {
+        if (stopWaiting()) {
           waiters -= 1;
           resolve(result);
         }
@@ -207,33 +215,33 @@
     request,
     shard,
     done,
-    decided,
+    claimDecided,
     token: '',
     deadline: () => latestDeadline,
     state: current,
-    isDecided: () => !undecidedStates.has(current()),
+    isClaimDecided: () => !undecidedStates.has(current()),
     isMoved: () => isMoved,
-    tell,
-    end,
+    tryTransition,
+    complete,
     join,
-    stopped: stop.signal,
+    stopSignal: stopController.signal,
   };
 }
 
 /** States in which it is not known whether the ledger takes the claim. */
-const undecidedStates: ReadonlySet<FlightState> = new Set([
+const undecidedStates: ReadonlySet<ActiveOrderState> = new Set([
   'queued',
   'committing',
 ]);
 
 /** States from which an order can be given up so that it certainly never runs. */
-const unsentStates: ReadonlySet<FlightState> = new Set([
+const unsentStates: ReadonlySet<ActiveOrderState> = new Set([
   'queued',
   'committing',
   'claimed',
 ]);
 
-const leaveReasons = {
+const abandonMessages = {
   'deadline-exceeded': 'the deadline passed before the order was answered',
   cancelled: 'the caller gave the order up',
 };
--- a/packages/orders/src/orderAnswers.ts
+++ b/packages/orders/src/forwardAnswer.ts
@@ -1,16 +1,16 @@
 /** How an order's end travels between entries. */
 import {ServingError} from '@skylarkfield/base';
 import type {ForwardAnswer} from '@skylarkfield/protocol';
-import type {FlightResult} from './flight.js';
+import type {OrderCompletion} from './activeOrder.js';
 
 /** An order's end, or who can work on it. */
-export type OrderResult =
-  | FlightResult
+export type ExecuteResult =
+  | OrderCompletion
   | {readonly type: 'elsewhere'; readonly member: string}
   /** Nothing was sent to the entry that was to be asked. */
-  | {readonly type: 'unreached'}
+  | {readonly type: 'not-sent'}
   /** The entry asked may have done anything. */
-  | {readonly type: 'unanswered'};
+  | {readonly type: 'no-answer'};
 
 /**
  * Turns a result into the message that answers a forwarded order.
@@ -19,7 +19,7 @@
  * return toForwardAnswer(await orders.work(request, signal), member);
  */
 export function toForwardAnswer(
-  result: Exclude<OrderResult, {type: 'unanswered' | 'unreached'}>,
+  result: Exclude<ExecuteResult, {type: 'no-answer' | 'not-sent'}>,
   fallbackMember: string,
 ): ForwardAnswer {
   if (result.type === 'reply') {
@@ -44,7 +44,7 @@
  * @example
  * const result = readForwardAnswer(await network.ask(...));
  */
-export function readForwardAnswer(answer: ForwardAnswer): OrderResult {
+export function fromForwardAnswer(answer: ForwardAnswer): ExecuteResult {
   if (answer.type === 'reply') {
     return answer;
   }
--- a/packages/orders/src/handOver.ts
+++ b/packages/orders/src/handOver.ts
@@ -1,18 +1,18 @@
 /** Hands the orders that were not sent yet over to a shard's next owner. */
 import type {Clock} from '@skylarkfield/base';
-import type {Flight} from './flight.js';
-import type {OrderNetwork} from './orderRoute.js';
+import type {ActiveOrder} from './activeOrder.js';
+import type {OrderNetwork} from './orderRouter.js';
 import type {Shard} from './shardContracts.js';
-import {storeOrder, type LedgerEntry} from './shardRecord.js';
+import {encodeOrder, type LedgerEntry} from './shardRecord.js';
 
 /** All bodies in one shard's object together, so that it stays far below what the platform takes. */
-const MAX_TOTAL_BYTES = 262_144;
-const MAX_SUCCESSORS_ASKED = 3;
-const ASK_TIMEOUT_MS = 2_000;
+const MAX_TOTAL_BODY_BYTES = 262_144;
+const MAX_SUCCESSORS_NOTIFIED = 3;
+const REQUEST_TIMEOUT_MS = 2_000;
 
 export interface HandOver {
   /** Gives a shard up and asks its next owner to take it; does nothing more when it could not be given up. */
-  pass(shard: Shard): Promise<void>;
+  transfer(shard: Shard): Promise<void>;
 }
 
 /**
@@ -32,38 +32,38 @@
   /** Entries that may own a shard next, the preferred one first. */
   readonly successors: (shard: number) => readonly string[];
   /** The largest body that goes into the ledger. */
-  readonly maxBytes: number;
-  readonly flights: () => readonly Flight[];
+  readonly maxBodyBytes: number;
+  readonly activeOrders: () => readonly ActiveOrder[];
   /**
    * The mark of an order may be in no ledger, and its claim in the new owner's
    * though it was never sent. When its caller has hung up nobody brings it
    * along, and a retry would hear that it may have run: the owner must be told.
    */
-  readonly onDidVoid: (flight: Flight) => void;
+  readonly onDidVoidClaim: (order: ActiveOrder) => void;
   /** Goes on with an order whose hand-over was not written. */
-  readonly rerun: (flight: Flight) => void;
+  readonly resume: (order: ActiveOrder) => void;
 }): HandOver {
   /** Marks an order in the table; returns the claim as it was. */
-  function mark(
+  function markWaiting(
     shard: Shard,
-    flight: Flight,
+    order: ActiveOrder,
     budget: {bytes: number},
   ): LedgerEntry | undefined {
-    const {id, service, call} = flight.request;
+    const {id, service, call} = order.request;
     const entry = shard.table.get(id);
-    if (entry?.token !== flight.token) {
+    if (entry?.token !== order.token) {
       return undefined;
     }
     budget.bytes -= call.body.byteLength;
-    if (call.body.byteLength > options.maxBytes || budget.bytes < 0) {
+    if (call.body.byteLength > options.maxBodyBytes || budget.bytes < 0) {
       // The claim is voided; the order goes to the next owner over the inner protocol.
       shard.table.remove(id);
       return entry;
     }
-    const leftMs = flight.deadline() - options.clock.now();
+    const leftMs = order.deadline() - options.clock.now();
     const runBefore = options.clock.wall() + leftMs;
-    const order = storeOrder(service, call, runBefore);
-    shard.table.put({...entry, state: 'waiting', order});
+    const storedOrder = encodeOrder(service, call, runBefore);
+    shard.table.put({...entry, state: 'waiting', order: storedOrder});
     return entry;
   }
 
@@ -72,50 +72,56 @@
     shard: Shard,
     successor: string | undefined,
   ): Promise<boolean> {
-    const held: Array<{flight: Flight; claim: LedgerEntry | undefined}> = [];
-    const budget = {bytes: MAX_TOTAL_BYTES};
+    const suspended: Array<{
+      order: ActiveOrder;
+      claim: LedgerEntry | undefined;
+    }> = [];
+    const budget = {bytes: MAX_TOTAL_BODY_BYTES};
     const result = await shard.release(() => {
-      for (const flight of options.flights()) {
-        if (flight.shard === shard.index && flight.tell('hold')) {
-          held.push({flight, claim: mark(shard, flight, budget)});
+      for (const order of options.activeOrders()) {
+        if (
+          order.shard === shard.index &&
+          order.tryTransition('startHandOver')
+        ) {
+          suspended.push({order, claim: markWaiting(shard, order, budget)});
         }
       }
     });
-    const isGivenUp = result === 'released' || result === 'lost';
-    for (const {flight, claim} of held) {
+    const isShardReleased = result === 'released' || result === 'lost';
+    for (const {order, claim} of suspended) {
       if (result === 'lost') {
-        options.onDidVoid(flight);
+        options.onDidVoidClaim(order);
       }
-      if (isGivenUp) {
-        const {token} = flight;
+      if (isShardReleased) {
+        const {token} = order;
         const isWaiting = claim !== undefined;
-        flight.end({type: 'moved', member: successor, token, isWaiting});
+        order.complete({type: 'moved', member: successor, token, isWaiting});
         continue;
       }
       if (claim !== undefined) {
         shard.table.put(claim);
       }
-      flight.tell('unhold');
-      options.rerun(flight);
+      order.tryTransition('cancelHandOver');
+      options.resume(order);
     }
-    return isGivenUp;
+    return isShardReleased;
   }
 
   return {
-    async pass(shard) {
+    async transfer(shard) {
       const successors = options.successors(shard.index);
       const isReleased = await release(shard, successors[0]);
       if (!isReleased) {
         return;
       }
       const body = {shard: shard.index};
-      for (const successor of successors.slice(0, MAX_SUCCESSORS_ASKED)) {
+      for (const successor of successors.slice(0, MAX_SUCCESSORS_NOTIFIED)) {
         try {
           await options.network.ask(
             successor,
             'orderHandOver',
             body,
-            ASK_TIMEOUT_MS,
+            REQUEST_TIMEOUT_MS,
           );
           return;
         } catch {
--- a/packages/orders/src/index.ts
+++ b/packages/orders/src/index.ts
@@ -8,5 +8,5 @@
 } from './ledgerSettings.js';
 export {LEDGER_KIND} from './shardRecord.js';
 export type {OrderObserver, OrderOutcome} from './orderObserver.js';
-export type {OrderNetwork} from './orderRoute.js';
+export type {OrderNetwork} from './orderRouter.js';
 export {SEGMENT_KIND} from './shardSegments.js';
--- a/packages/orders/src/ledger.ts
+++ b/packages/orders/src/ledger.ts
@@ -2,17 +2,17 @@
 import {disposableStore, every, ServingError, sleep} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import type {Ledger, Order, OrderAnswer} from './contracts.js';
-import type {Flight, OrderRequest} from './flight.js';
+import type {ActiveOrder, OrderRequest} from './activeOrder.js';
 import {createHandOver} from './handOver.js';
-import {createLateOutcomes} from './lateOutcomes.js';
-import {createLateOutcomeSender} from './lateOutcomeSender.js';
+import {createOutcomeCache} from './outcomeCache.js';
+import {createOutcomeSender} from './outcomeSender.js';
 import {defaultLedgerSettings, type LedgerOptions} from './ledgerSettings.js';
-import {claimOutcome, createLocalOrders} from './localOrders.js';
-import {orderId, orderPrint, shardOf, uniqueText} from './orderIdentity.js';
-import {observeAnswer, observeWrites, silentObserver} from './orderObserver.js';
-import {createOrderRoute} from './orderRoute.js';
+import {toClaimOutcome, createLocalOrders} from './localOrders.js';
+import {orderId, requestDigest, shardOf, randomId} from './orderIdentity.js';
+import {observeAnswer, observeWrites, noopObserver} from './orderObserver.js';
+import {createOrderRouter} from './orderRouter.js';
 import {createOrderRunner, type RunOutcome} from './orderRunner.js';
-import {answerPeers} from './peerOrders.js';
+import {handlePeerMessages} from './peerMessages.js';
 import {createShard} from './shard.js';
 import type {Shard} from './shardContracts.js';
 import {
@@ -22,10 +22,10 @@
   type ShardRecord,
 } from './shardRecord.js';
 
-const LATE_CHECK_MS = 250;
-const LATE_KEPT_MS = 120_000;
+const OUTCOME_SEND_INTERVAL_MS = 250;
+const UNDELIVERED_TTL_MS = 120_000;
 const LINGER_MS = 100;
-const START_CHECK_MS = 500;
+const STARTUP_SCAN_DELAY_MS = 500;
 
 /**
  * Makes the ledger of one process.
@@ -35,23 +35,23 @@
  * const answer = await ledger.submit(order, signal);
  */
 export function createLedger(options: LedgerOptions): Ledger {
-  const {network, clock, random, member, observer = silentObserver} = options;
+  const {network, clock, random, member, observer = noopObserver} = options;
   const store = observeWrites(options.store, observer.onWillWrite);
   const settings = {...defaultLedgerSettings, ...options.settings};
-  const instance = `${member}#${uniqueText(random)}`;
-  const owned = disposableStore();
-  const late = createLateOutcomes();
+  const instance = `${member}#${randomId(random)}`;
+  const disposables = disposableStore();
+  const undelivered = createOutcomeCache();
   /** Outcomes of this process's own claims, for owners that ask. */
-  const recent = createLateOutcomes();
+  const ownOutcomes = createOutcomeCache();
   /** Answers that callers of this entry wait for. */
-  const open = new Set<Promise<unknown>>();
+  const pendingAnswers = new Set<Promise<unknown>>();
   let isLeaving = false;
   let isAlive = true;
 
   const shards: readonly Shard[] = Array.from(
     {length: settings.shardCount},
     (_, index) =>
-      owned.add(
+      disposables.add(
         createShard({
           index,
           store,
@@ -59,18 +59,18 @@
           decisions: options.decisions,
           member,
           instance,
-          gapMs: settings.writeGapMs,
-          lazyMs: settings.outcomeDelayMs,
-          windowMs: settings.dedupeWindowMs,
+          minWriteIntervalMs: settings.writeGapMs,
+          outcomeDelayMs: settings.outcomeDelayMs,
+          dedupeWindowMs: settings.dedupeWindowMs,
           sealBytes: settings.sealBytes,
           holdOffMs: settings.holdOffMs,
-          isReachable: other => route.isReachable(other),
-          onDidClaim: flight => runner.run(flight),
+          isReachable: other => router.isReachable(other),
+          onDidClaim: order => runner.run(order),
           onDidLose: outcomes =>
-            outcomes.forEach(outcome => keepLate(index, outcome, 0)),
-          onDidTake: entries => {
+            outcomes.forEach(outcome => cacheUndelivered(index, outcome, 0)),
+          onDidTakeOver: entries => {
             observer.onDidTakeOver();
-            takeUp(index, entries);
+            adoptShard(index, entries);
           },
         }),
       ),
@@ -81,8 +81,8 @@
     clock,
     random,
     shards,
-    askClaimer,
-    onDidVoid: flight => rememberOwn(flight, {state: 'released'}),
+    queryClaimant,
+    onDidVoidClaim: order => cacheOwnOutcome(order, {state: 'released'}),
   });
   const runner = createOrderRunner({
     ...settings,
@@ -90,12 +90,12 @@
     clock,
     random,
     isAlive: () => isAlive,
-    onDidFinish: (flight, result) => {
-      rememberOwn(flight, result);
-      noteOutcome(flight.shard, claimOutcome(flight, result), 0);
+    onDidFinish: (order, result) => {
+      cacheOwnOutcome(order, result);
+      recordOutcome(order.shard, toClaimOutcome(order, result), 0);
     },
   });
-  const route = createOrderRoute({
+  const router = createOrderRouter({
     network,
     clock,
     random,
@@ -103,81 +103,89 @@
     liveMembers: options.liveMembers,
     answeringMembers: options.answeringMembers ?? options.liveMembers,
     isLeaving: () => isLeaving,
-    workHere: orders.work,
+    executeLocally: orders.execute,
   });
-  const sender = createLateOutcomeSender({
+  const sender = createOutcomeSender({
     network,
     clock,
     member,
-    late,
+    undelivered,
     shards,
-    preferredOwner: route.preferredOwner,
+    preferredOwner: router.preferredOwner,
   });
   const handOver = createHandOver({
     clock,
     network,
-    successors: index => route.successors(index),
-    maxBytes: settings.maxHandOverBytes,
-    flights: orders.flights,
-    onDidVoid: flight =>
-      keepLate(flight.shard, claimOutcome(flight, {state: 'released'}), 0),
-    rerun: runner.run,
+    successors: index => router.successors(index),
+    maxBodyBytes: settings.maxHandOverBytes,
+    activeOrders: orders.activeOrders,
+    onDidVoidClaim: order =>
+      cacheUndelivered(
+        order.shard,
+        toClaimOutcome(order, {state: 'released'}),
+        0,
+      ),
+    resume: runner.run,
   });
 
-  function rememberOwn(flight: Flight, result: RunOutcome): void {
-    const {shard} = flight;
-    const outcome = claimOutcome(flight, result);
-    recent.add({shard, outcome, hops: 0, keepUntil: Infinity});
+  function cacheOwnOutcome(order: ActiveOrder, result: RunOutcome): void {
+    const {shard} = order;
+    const outcome = toClaimOutcome(order, result);
+    ownOutcomes.add({shard, outcome, hops: 0, expiresAt: Infinity});
   }
 
-  function noteOutcome(
+  function recordOutcome(
     shard: number,
     outcome: ClaimOutcome,
     hops: number,
   ): void {
-    if (orders.note(shards[shard] as Shard, outcome)) {
+    if (orders.recordOutcome(shards[shard] as Shard, outcome)) {
       return;
     }
-    keepLate(shard, outcome, hops);
+    cacheUndelivered(shard, outcome, hops);
   }
 
-  function keepLate(shard: number, outcome: ClaimOutcome, hops: number): void {
-    const keepUntil = clock.now() + LATE_KEPT_MS;
-    late.add({shard, outcome, hops, keepUntil});
+  function cacheUndelivered(
+    shard: number,
+    outcome: ClaimOutcome,
+    hops: number,
+  ): void {
+    const expiresAt = clock.now() + UNDELIVERED_TTL_MS;
+    undelivered.add({shard, outcome, hops, expiresAt});
   }
 
   /** Takes up what waits in a shard just taken over, and what is known here of its claims. */
-  function takeUp(index: number, entries: readonly LedgerEntry[]): void {
+  function adoptShard(index: number, entries: readonly LedgerEntry[]): void {
     const shard = shards[index] as Shard;
-    for (const {outcome} of late.ofShard(index, clock.now())) {
-      orders.note(shard, outcome);
-      late.remove(outcome.id, outcome.token);
+    for (const {outcome} of undelivered.listShard(index, clock.now())) {
+      orders.recordOutcome(shard, outcome);
+      undelivered.remove(outcome.id, outcome.token);
     }
-    for (const flight of orders.adopt(shard, entries)) {
-      void followAdopted(flight);
+    for (const order of orders.adopt(shard, entries)) {
+      void rerouteIfMoved(order);
     }
   }
 
   /** An order from the ledger has no caller here: when the shard is lost, it is brought to the next owner. */
-  async function followAdopted(flight: Flight): Promise<void> {
-    const result = await flight.done;
+  async function rerouteIfMoved(order: ActiveOrder): Promise<void> {
+    const result = await order.done;
     if (result.type === 'moved' && isAlive) {
       const released = [result.token];
-      const request = {...flight.request, released};
-      await route.run(flight.shard, request, neverAborted());
+      const request = {...order.request, released};
+      await router.route(order.shard, request, neverAborted());
     }
   }
 
-  async function askClaimer(
+  async function queryClaimant(
     entry: LedgerEntry,
     deadline: number,
   ): Promise<ClaimOutcome | undefined> {
     const {id, token} = entry;
-    if (entry.member === member || !route.canAnswer(entry.member)) {
-      return late.find(id, token);
+    if (entry.member === member || !router.canAnswer(entry.member)) {
+      return undelivered.find(id, token);
     }
     try {
-      const answer = await route.askWhileLive(
+      const answer = await router.requestWhileLive(
         entry.member,
         timeoutMs =>
           network.ask(
@@ -194,36 +202,38 @@
     }
   }
 
-  async function outcomeOf(
+  async function awaitOutcome(
     id: string,
     token: string,
   ): Promise<ClaimOutcome | undefined> {
-    const flight = orders.flight(id);
-    if (flight?.token === token) {
-      await flight.done;
+    const order = orders.activeOrder(id);
+    if (order?.token === token) {
+      await order.done;
     }
-    return recent.find(id, token) ?? late.find(id, token);
+    return ownOutcomes.find(id, token) ?? undelivered.find(id, token);
   }
 
-  owned.add(
-    answerPeers({
+  disposables.add(
+    handlePeerMessages({
       network,
       clock,
       member,
       shards,
       isLeaving: () => isLeaving,
-      work: orders.work,
-      outcomeOf,
-      noteOutcome,
+      execute: orders.execute,
+      awaitOutcome,
+      recordOutcome,
     }),
   );
-  owned.add(
-    clock.after(START_CHECK_MS * (1 + random.next()), () => {
-      takeWaiting().catch(() => undefined);
+  disposables.add(
+    clock.after(STARTUP_SCAN_DELAY_MS * (1 + random.next()), () => {
+      takeOverWaiting().catch(() => undefined);
     }),
   );
-  owned.add(every(clock, LATE_CHECK_MS, () => void sender.send()));
-  owned.add(
+  disposables.add(
+    every(clock, OUTCOME_SEND_INTERVAL_MS, () => void sender.send()),
+  );
+  disposables.add(
     store.onDidChangeState(state => {
       if (state !== 'down') {
         return;
@@ -233,7 +243,7 @@
         'orders cannot be kept safe while the platform is down',
         {retryAfterMs: settings.retryAfterMs},
       );
-      shards.forEach(shard => shard.refuseUnclaimed(error));
+      shards.forEach(shard => shard.rejectUnclaimed(error));
     }),
   );
 
@@ -247,53 +257,53 @@
     const isUnrecognisable = order.key === undefined;
     const id =
       order.key === undefined
-        ? uniqueText(random)
+        ? randomId(random)
         : orderId(order.customer, order.key);
     const request: OrderRequest = {
       id,
-      print: orderPrint(order),
+      print: requestDigest(order),
       service: order.service,
       call: order.call,
       deadline: order.deadline,
       released: [],
     };
-    const result = await untilAnswered(request, signal);
+    const result = await routeOrder(request, signal);
     if (result.type === 'error') {
-      throw withKey(result.error, order.key);
+      throw addKeyToMessage(result.error, order.key);
     }
     const {reply, isReplay} = result;
     return {reply, isReplay, isUnrecognisable};
   }
 
-  async function untilAnswered(request: OrderRequest, signal: AbortSignal) {
+  async function routeOrder(request: OrderRequest, signal: AbortSignal) {
     const shard = shardOf(request.id, settings.shardCount);
-    const answer = route.run(shard, request, signal);
-    open.add(answer);
+    const answer = router.route(shard, request, signal);
+    pendingAnswers.add(answer);
     try {
       return await answer;
     } finally {
-      open.delete(answer);
+      pendingAnswers.delete(answer);
     }
   }
 
   /** Takes up orders that were handed over when no other entry was there. */
-  async function takeWaiting(): Promise<void> {
+  async function takeOverWaiting(): Promise<void> {
     const {objects} = await store.list<ShardRecord>(LEDGER_KIND);
     for (const {name, value} of objects) {
       const shard = shards.find(({index}) => shardName(index) === name);
       const isWaiting = value.entries.some(({state}) => state === 'waiting');
       const isFree = value.owner === '' && isWaiting;
       if (shard !== undefined && isFree && !isLeaving) {
-        await shard.own();
+        await shard.acquire();
       }
     }
   }
 
   async function leave(): Promise<void> {
     isLeaving = true;
-    await Promise.all(shards.map(handOver.pass));
-    await Promise.all(orders.flights().map(flight => flight.done));
-    await Promise.allSettled(open);
+    await Promise.all(shards.map(handOver.transfer));
+    await Promise.all(orders.activeOrders().map(order => order.done));
+    await Promise.allSettled(pendingAnswers);
     await sender.send();
     // An order on its way here is told that nothing was done with it; from a closed connection its sender couldn't know.
     await sleep(clock, LINGER_MS);
@@ -306,18 +316,21 @@
     dump: () => ({
       isLeaving,
       shards: shards.map(shard => shard.dump()),
-      flights: countStates(orders.flights()),
-      lateOutcomes: late.size,
+      flights: countStates(orders.activeOrders()),
+      lateOutcomes: undelivered.size,
     }),
     dispose() {
       isAlive = false;
-      owned.dispose();
+      disposables.dispose();
     },
   };
 }
 
 /** Names the key to the caller who sent it; other entries never see it. */
-function withKey(error: ServingError, key: string | undefined): ServingError {
+function addKeyToMessage(
+  error: ServingError,
+  key: string | undefined,
+): ServingError {
   if (error.kind !== 'key-conflict') {
     return error;
   }
@@ -333,11 +346,11 @@
   return new AbortController().signal;
 }
 
-function countStates(flights: readonly Flight[]): Record<string, number> {
+function countStates(orders: readonly ActiveOrder[]): Record<string, number> {
   const counts: Record<string, number> = {};
-  for (const flight of flights) {
-    const name = flight.state();
-    counts[name] = (counts[name] ?? 0) + 1;
+  for (const order of orders) {
+    const state = order.state();
+    counts[state] = (counts[state] ?? 0) + 1;
   }
   return counts;
 }
--- a/packages/orders/src/knownAnswers.ts
+++ b/packages/orders/src/ledgerResults.ts
@@ -2,8 +2,8 @@
 import {ServingError} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import type {OrderReply} from './contracts.js';
-import type {OrderResult} from './orderAnswers.js';
-import {readReply, type LedgerEntry} from './shardRecord.js';
+import type {ExecuteResult} from './forwardAnswer.js';
+import {decodeReply, type LedgerEntry} from './shardRecord.js';
 
 /**
  * The answer to a claim's outcome that came when the shard was no longer owned here.
@@ -11,16 +11,16 @@
  * @example
  * return answerLost(entry, await askClaimer(entry, deadline));
  */
-export function answerLost(
+export function resultAfterShardLoss(
   entry: LedgerEntry,
   outcome: ClaimOutcome | undefined,
-): OrderResult {
+): ExecuteResult {
   if (outcome?.state === 'released') {
     const {token} = entry;
     return {type: 'moved', member: undefined, token, isWaiting: false};
   }
   if (outcome?.state !== 'settled' || outcome.reply.body === undefined) {
-    return knownAnswer(entry);
+    return resultFromLedger(entry);
   }
   const {status, headers, body} = outcome.reply;
   return {type: 'reply', reply: {status, headers, body}, isReplay: true};
@@ -32,12 +32,12 @@
  * @example
  * const result = knownAnswer(entry);
  */
-export function knownAnswer(entry: LedgerEntry): OrderResult {
+export function resultFromLedger(entry: LedgerEntry): ExecuteResult {
   if (entry.state === 'settled' && entry.reply !== undefined) {
-    const {status, headers, body} = readReply(entry.reply);
+    const {status, headers, body} = decodeReply(entry.reply);
     if (body === undefined) {
-      return refusal(
-        unknownOutcome(
+      return errorResult(
+        outcomeUnknownError(
           `the order has run and was answered with status ${status}, but its reply was too large to be kept`,
         ),
       );
@@ -45,12 +45,14 @@
     const reply: OrderReply = {status, headers, body};
     return {type: 'reply', reply, isReplay: true};
   }
-  return refusal(
-    unknownOutcome('the order was claimed and may have run; its reply is lost'),
+  return errorResult(
+    outcomeUnknownError(
+      'the order was claimed and may have run; its reply is lost',
+    ),
   );
 }
 
-function unknownOutcome(message: string): ServingError {
+function outcomeUnknownError(message: string): ServingError {
   return new ServingError('outcome-unknown', message, {run: 'may-have-run'});
 }
 
@@ -60,7 +62,7 @@
  * @example
  * return refusal(keyConflict());
  */
-export function keyConflict(): ServingError {
+export function keyConflictError(): ServingError {
   return new ServingError(
     'key-conflict',
     'the idempotency key was used with another request',
@@ -73,6 +75,6 @@
  * @example
  * return refusal(keyConflict());
  */
-export function refusal(error: ServingError): OrderResult {
+export function errorResult(error: ServingError): ExecuteResult {
   return {type: 'error', error};
 }
--- a/packages/orders/src/ledgerSettings.ts
+++ b/packages/orders/src/ledgerSettings.ts
@@ -3,7 +3,7 @@
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {Dispatch} from './contracts.js';
 import type {OrderObserver} from './orderObserver.js';
-import type {OrderNetwork} from './orderRoute.js';
+import type {OrderNetwork} from './orderRouter.js';
 
 export interface LedgerOptions {
   readonly store: ObjectStore;
--- a/packages/orders/src/localOrders.ts
+++ b/packages/orders/src/localOrders.ts
@@ -9,28 +9,33 @@
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import {
-  createFlight,
-  type Flight,
-  type FlightResult,
+  createActiveOrder,
+  type ActiveOrder,
+  type OrderCompletion,
   type OrderRequest,
-} from './flight.js';
-import {answerLost, keyConflict, knownAnswer, refusal} from './knownAnswers.js';
+} from './activeOrder.js';
+import {
+  resultAfterShardLoss,
+  keyConflictError,
+  resultFromLedger,
+  errorResult,
+} from './ledgerResults.js';
 import {shardOf} from './orderIdentity.js';
-import type {OrderResult} from './orderAnswers.js';
+import type {ExecuteResult} from './forwardAnswer.js';
 import type {RunOutcome} from './orderRunner.js';
 import type {Shard} from './shardContracts.js';
-import {readCall, storeReply, type LedgerEntry} from './shardRecord.js';
+import {decodeCall, encodeReply, type LedgerEntry} from './shardRecord.js';
 
 export interface LocalOrders {
   /** Works on an order if its shard is or can be owned here. */
-  work(request: OrderRequest, signal: AbortSignal): Promise<OrderResult>;
+  execute(request: OrderRequest, signal: AbortSignal): Promise<ExecuteResult>;
   /** Takes up the orders that wait in a shard just taken over. */
-  adopt(shard: Shard, entries: readonly LedgerEntry[]): readonly Flight[];
+  adopt(shard: Shard, entries: readonly LedgerEntry[]): readonly ActiveOrder[];
   /** Notes how a claim ended; false when its shard is not owned here. */
-  note(shard: Shard, outcome: ClaimOutcome): boolean;
+  recordOutcome(shard: Shard, outcome: ClaimOutcome): boolean;
   /** The flight of an order in this process. */
-  flight(id: string): Flight | undefined;
-  flights(): readonly Flight[];
+  activeOrder(id: string): ActiveOrder | undefined;
+  activeOrders(): readonly ActiveOrder[];
 }
 
 export interface LocalOrdersOptions {
@@ -42,17 +47,17 @@
   readonly maxShardBytes: number;
   readonly retryAfterMs: number;
   /** The claim is void: the order was given up or moved, and was not and will not be sent under it. */
-  readonly onDidVoid: (flight: Flight) => void;
+  readonly onDidVoidClaim: (order: ActiveOrder) => void;
   /** Asks the entry that made a claim how it ended. */
-  readonly askClaimer: (
+  readonly queryClaimant: (
     entry: LedgerEntry,
     deadline: number,
   ) => Promise<ClaimOutcome | undefined>;
 }
 
 /** Replies may fill a shard beyond the size at which it refuses orders; above this they are not kept. */
-const MAX_OVERFILL = 1.25;
-const MAX_EXPIRY_WAIT_MS = 60_000;
+const MAX_OVERFILL_RATIO = 1.25;
+const MAX_RETRY_AFTER_MS = 60_000;
 
 /**
  * Makes the orders of one process.
@@ -62,17 +67,17 @@
  */
 export function createLocalOrders(options: LocalOrdersOptions): LocalOrders {
   const {store, clock, shards} = options;
-  const flights = new Map<string, Flight>();
+  const activeOrders = new Map<string, ActiveOrder>();
 
-  function addFlight(flight: Flight): void {
-    flights.set(flight.request.id, flight);
-    void flight.done.then(result => {
+  function addActiveOrder(order: ActiveOrder): void {
+    activeOrders.set(order.request.id, order);
+    void order.done.then(result => {
       // At once, not when its write is decided: the next owner may find the claim and ask before that.
-      if (flight.token !== '' && isUnsent(result)) {
-        options.onDidVoid(flight);
+      if (order.token !== '' && isCertainlyUnsent(result)) {
+        options.onDidVoidClaim(order);
       }
-      if (flights.get(flight.request.id) === flight) {
-        flights.delete(flight.request.id);
+      if (activeOrders.get(order.request.id) === order) {
+        activeOrders.delete(order.request.id);
       }
     });
   }
@@ -81,61 +86,61 @@
     return shards[shardOf(id, shards.length)] as Shard;
   }
 
-  async function work(
+  async function execute(
     request: OrderRequest,
     signal: AbortSignal,
-  ): Promise<OrderResult> {
+  ): Promise<ExecuteResult> {
     const shard = shardFor(request.id);
-    const running = flights.get(request.id);
+    const running = activeOrders.get(request.id);
     if (running !== undefined) {
-      return joinFlight(running, request, signal);
+      return joinActiveOrder(running, request, signal);
     }
     let ownership;
     try {
-      ownership = await shard.own();
+      ownership = await shard.acquire();
     } catch (error) {
-      return refusal(withRetryAfter(toServingError(error)));
+      return errorResult(withRetryAfter(toServingError(error)));
     }
     if (ownership.type === 'elsewhere') {
       return ownership;
     }
-    return workOwned(shard, request, signal);
+    return executeOwned(shard, request, signal);
   }
 
-  async function workOwned(
+  async function executeOwned(
     shard: Shard,
     request: OrderRequest,
     signal: AbortSignal,
-  ): Promise<OrderResult> {
+  ): Promise<ExecuteResult> {
     // Another copy of the order may have come while the shard was taken over.
-    const running = flights.get(request.id);
+    const running = activeOrders.get(request.id);
     if (running !== undefined) {
-      return joinFlight(running, request, signal);
+      return joinActiveOrder(running, request, signal);
     }
-    dropReleased(shard, request);
+    voidReleasedClaims(shard, request);
     const entry = shard.table.get(request.id);
     if (entry !== undefined) {
-      return answerKnown(shard, entry, request, signal);
+      return executeKnown(shard, entry, request, signal);
     }
-    const error = refuseNew(shard);
+    const error = admissionError(shard);
     if (error !== undefined) {
-      return refusal(error);
+      return errorResult(error);
     }
-    const flight = createFlight(request, shard.index, clock);
-    addFlight(flight);
-    const result = joinFlight(flight, request, signal);
-    shard.enqueue(flight);
+    const order = createActiveOrder(request, shard.index, clock);
+    addActiveOrder(order);
+    const result = joinActiveOrder(order, request, signal);
+    shard.enqueue(order);
     return result;
   }
 
   /** Voids the claims that their maker holds void, so that the order can be claimed anew. */
-  function dropReleased(shard: Shard, request: OrderRequest): void {
+  function voidReleasedClaims(shard: Shard, request: OrderRequest): void {
     for (const token of request.released) {
-      note(shard, {state: 'released', id: request.id, token});
+      recordOutcome(shard, {state: 'released', id: request.id, token});
     }
   }
 
-  function refuseNew(shard: Shard): ServingError | undefined {
+  function admissionError(shard: Shard): ServingError | undefined {
     if (store.state() === 'down') {
       return withRetryAfter(
         new ServingError(
@@ -149,7 +154,7 @@
     }
     return new ServingError('overloaded', 'the order ledger is full', {
       run: 'not-run',
-      retryAfterMs: Math.min(MAX_EXPIRY_WAIT_MS, shard.table.untilExpiry()),
+      retryAfterMs: Math.min(MAX_RETRY_AFTER_MS, shard.table.untilExpiry()),
     });
   }
 
@@ -166,83 +171,83 @@
     });
   }
 
-  async function joinFlight(
-    flight: Flight,
+  async function joinActiveOrder(
+    order: ActiveOrder,
     request: OrderRequest,
     signal: AbortSignal,
-  ): Promise<OrderResult> {
-    if (flight.request.print !== request.print) {
-      return conflictWith(flight, request, signal);
+  ): Promise<ExecuteResult> {
+    if (order.request.print !== request.print) {
+      return resolveKeyConflict(order, request, signal);
     }
     try {
-      const result = await flight.join(request.deadline, signal);
-      const isFirst = flight.request === request;
-      return result.type === 'reply' && !isFirst
+      const result = await order.join(request.deadline, signal);
+      const isOriginal = order.request === request;
+      return result.type === 'reply' && !isOriginal
         ? {...result, isReplay: true}
         : result;
     } catch (error) {
-      return refusal(toServingError(error));
+      return errorResult(toServingError(error));
     }
   }
 
   /** A claim that is not in the ledger yet may lose against another: no conflict is certain before. */
-  async function conflictWith(
-    flight: Flight,
+  async function resolveKeyConflict(
+    order: ActiveOrder,
     request: OrderRequest,
     signal: AbortSignal,
-  ): Promise<OrderResult> {
-    if (flight.isDecided()) {
-      return refusal(keyConflict());
+  ): Promise<ExecuteResult> {
+    if (order.isClaimDecided()) {
+      return errorResult(keyConflictError());
     }
     const leftMs = request.deadline - clock.now();
     const timeout = new AbortController();
     await Promise.race([
-      flight.decided,
+      order.claimDecided,
       sleep(clock, leftMs, timeout.signal).catch(() => undefined),
     ]);
     timeout.abort();
     if (clock.now() < request.deadline) {
-      return work(request, signal);
+      return execute(request, signal);
     }
-    return refusal(
+    return errorResult(
       new ServingError('deadline-exceeded', 'the deadline passed', {
         run: 'not-run',
       }),
     );
   }
 
-  async function answerKnown(
+  async function executeKnown(
     shard: Shard,
     entry: LedgerEntry,
     request: OrderRequest,
     signal: AbortSignal,
-  ): Promise<OrderResult> {
+  ): Promise<ExecuteResult> {
     if (entry.print !== request.print) {
-      return refusal(keyConflict());
+      return errorResult(keyConflictError());
     }
     if (entry.state !== 'claimed') {
-      return knownAnswer(entry);
+      return resultFromLedger(entry);
     }
-    const outcome = await options.askClaimer(entry, request.deadline);
+    const outcome = await options.queryClaimant(entry, request.deadline);
     if (outcome !== undefined) {
-      note(shard, outcome);
+      recordOutcome(shard, outcome);
     }
     if (!shard.isOwned()) {
-      return answerLost(entry, outcome);
+      return resultAfterShardLoss(entry, outcome);
     }
-    const now = shard.table.get(request.id);
-    if (now === undefined || flights.has(request.id)) {
+    const latest = shard.table.get(request.id);
+    if (latest === undefined || activeOrders.has(request.id)) {
       // The claim was void, or another copy of the order has claimed it anew meanwhile.
-      return workOwned(shard, request, signal);
+      return executeOwned(shard, request, signal);
     }
-    return knownAnswer(now);
+    return resultFromLedger(latest);
   }
 
   function adopt(
     shard: Shard,
     entries: readonly LedgerEntry[],
-  ): readonly Flight[] {
-    const adopted: Flight[] = [];
+  ): readonly ActiveOrder[] {
+    const adopted: ActiveOrder[] = [];
     for (const entry of entries) {
       if (entry.state !== 'waiting' || entry.order === undefined) {
         continue;
@@ -253,12 +258,12 @@
         shard.table.remove(entry.id);
         continue;
       }
-      const flight = createFlight(
+      const order = createActiveOrder(
         {
           id: entry.id,
           print: entry.print,
           service: entry.order.service,
-          call: readCall(entry.order),
+          call: decodeCall(entry.order),
           deadline: clock.now() + leftMs,
           released: [],
         },
@@ -266,14 +271,14 @@
         clock,
         'ledger',
       );
-      addFlight(flight);
-      shard.enqueue(flight);
-      adopted.push(flight);
+      addActiveOrder(order);
+      shard.enqueue(order);
+      adopted.push(order);
     }
     return adopted;
   }
 
-  function note(shard: Shard, outcome: ClaimOutcome): boolean {
+  function recordOutcome(shard: Shard, outcome: ClaimOutcome): boolean {
     if (!shard.isOwned()) {
       return false;
     }
@@ -286,7 +291,7 @@
       return true;
     }
     applyOutcome(shard, entry, outcome);
-    shard.touch(outcome);
+    shard.scheduleWrite(outcome);
     return true;
   }
 
@@ -296,21 +301,22 @@
     outcome: ClaimOutcome,
   ): void {
     if (outcome.state !== 'settled') {
-      settleWithoutReply[outcome.state](shard, entry);
+      applyWithoutReply[outcome.state](shard, entry);
       return;
     }
-    const isFull = shard.table.bytes > MAX_OVERFILL * options.maxShardBytes;
+    const isFull =
+      shard.table.bytes > MAX_OVERFILL_RATIO * options.maxShardBytes;
     const maxBytes = isFull ? 0 : options.maxReplyBytes;
-    const reply = storeReply(outcome.reply, maxBytes);
+    const reply = encodeReply(outcome.reply, maxBytes);
     shard.table.put({...entry, state: 'settled', reply});
   }
 
   return {
-    work,
+    execute,
     adopt,
-    note,
-    flight: id => flights.get(id),
-    flights: () => [...flights.values()],
+    recordOutcome,
+    activeOrder: id => activeOrders.get(id),
+    activeOrders: () => [...activeOrders.values()],
   };
 }
 
@@ -320,25 +326,25 @@
  * @example
  * orders.note(shard, claimOutcome(flight, {state: 'unknown'}));
  */
-export function claimOutcome(
-  flight: Flight,
+export function toClaimOutcome(
+  order: ActiveOrder,
   outcome: RunOutcome,
 ): ClaimOutcome {
-  const {id} = flight.request;
-  const {token} = flight;
+  const {id} = order.request;
+  const {token} = order;
   if (outcome.state === 'settled') {
     return {state: 'settled', id, token, reply: outcome.reply};
   }
   return {state: outcome.state, id, token};
 }
 
-const settleWithoutReply = {
+const applyWithoutReply = {
   released: (shard: Shard, entry: LedgerEntry) => shard.table.remove(entry.id),
   unknown: (shard: Shard, entry: LedgerEntry) =>
     shard.table.put({...entry, state: 'unknown'}),
 };
 
-function isUnsent(result: FlightResult): boolean {
+function isCertainlyUnsent(result: OrderCompletion): boolean {
   return (
     result.type === 'moved' ||
     (result.type === 'error' && result.error.run === 'not-run')
--- a/packages/orders/src/orderIdentity.ts
+++ b/packages/orders/src/orderIdentity.ts
@@ -3,10 +3,10 @@
 import {hash32, type Random} from '@skylarkfield/base';
 import type {Order} from './contracts.js';
 
-const DIGEST_CHARACTERS = 22;
-const HEX = 16;
-const RANDOM_GROUPS = 4;
-const RANDOM_GROUP_MAX = 0xffff_ffff;
+const DIGEST_LENGTH = 22;
+const HEX_RADIX = 16;
+const RANDOM_WORDS = 4;
+const MAX_RANDOM_WORD = 0xffff_ffff;
 
 /**
  * Digest of a customer and its key: 132 bits, so that no two keys share a claim.
@@ -26,7 +26,7 @@
  * @example
  * const print = orderPrint(order);
  */
-export function orderPrint(order: Order): string {
+export function requestDigest(order: Order): string {
   return digest([order.service, order.fingerprint]);
 }
 
@@ -36,11 +36,11 @@
  * @example
  * const id = uniqueText(random);
  */
-export function uniqueText(random: Random): string {
-  const groups = Array.from({length: RANDOM_GROUPS}, () =>
-    random.integer(0, RANDOM_GROUP_MAX).toString(HEX),
+export function randomId(random: Random): string {
+  const words = Array.from({length: RANDOM_WORDS}, () =>
+    random.integer(0, MAX_RANDOM_WORD).toString(HEX_RADIX),
   );
-  return groups.join('.');
+  return words.join('.');
 }
 
 /**
@@ -58,5 +58,5 @@
   return createHash('sha256')
     .update(JSON.stringify(parts))
     .digest('base64url')
-    .slice(0, DIGEST_CHARACTERS);
+    .slice(0, DIGEST_LENGTH);
 }
--- a/packages/orders/src/orderObserver.ts
+++ b/packages/orders/src/orderObserver.ts
@@ -21,7 +21,7 @@
 }
 
 /** An observer that counts nothing. */
-export const silentObserver: OrderObserver = {
+export const noopObserver: OrderObserver = {
   onDidAnswer: () => undefined,
   onWillWrite: () => undefined,
   onDidTakeOver: () => undefined,
--- a/packages/orders/src/orderRoute.ts
+++ b/packages/orders/src/orderRouter.ts
@@ -8,19 +8,19 @@
   type Random,
 } from '@skylarkfield/base';
 import type {ForwardAnswer, PeerNetwork} from '@skylarkfield/protocol';
-import type {FlightResult, OrderRequest} from './flight.js';
-import {readForwardAnswer, type OrderResult} from './orderAnswers.js';
-import {uniqueText} from './orderIdentity.js';
+import type {OrderCompletion, OrderRequest} from './activeOrder.js';
+import {fromForwardAnswer, type ExecuteResult} from './forwardAnswer.js';
+import {randomId} from './orderIdentity.js';
 
-export interface OrderRoute {
+export interface OrderRouter {
   /** Works on an order wherever its shard is owned. */
-  run(
+  route(
     shard: number,
     request: OrderRequest,
     signal: AbortSignal,
-  ): Promise<Exclude<FlightResult, {type: 'moved'}>>;
+  ): Promise<Exclude<OrderCompletion, {type: 'moved'}>>;
   /** Asks a peer; rejects as soon as it can't answer any more. */
-  askWhileLive<T>(
+  requestWhileLive<T>(
     member: string,
     ask: (timeoutMs: number) => Promise<T>,
     deadline: number,
@@ -38,7 +38,7 @@
 /** What the ledger needs of the inner protocol. */
 export type OrderNetwork = Pick<PeerNetwork, 'ask' | 'onDidReceive'>;
 
-export interface OrderRouteOptions {
+export interface OrderRouterOptions {
   readonly network: OrderNetwork;
   readonly clock: Clock;
   readonly random: Random;
@@ -48,17 +48,17 @@
   /** Ids of the entries that can still answer: those live and those leaving. */
   readonly answeringMembers: () => readonly string[];
   readonly isLeaving: () => boolean;
-  readonly workHere: (
+  readonly executeLocally: (
     request: OrderRequest,
     signal: AbortSignal,
-  ) => Promise<OrderResult>;
+  ) => Promise<ExecuteResult>;
 }
 
 const MAX_HOPS = 12;
 const LIVENESS_CHECK_MS = 200;
-const ANSWER_MARGIN = 0.2;
+const ANSWER_MARGIN_RATIO = 0.2;
 const MAX_ANSWER_MARGIN_MS = 50;
-const RETRY_PAUSE_MS = 50;
+const RETRY_DELAY_MS = 50;
 
 /**
  * Makes the route of one process.
@@ -66,7 +66,7 @@
  * @example
  * const result = await route.run(shard, request, signal);
  */
-export function createOrderRoute(options: OrderRouteOptions): OrderRoute {
+export function createOrderRouter(options: OrderRouterOptions): OrderRouter {
   const {network, clock, random, member, liveMembers} = options;
 
   function isReachable(other: string): boolean {
@@ -77,7 +77,7 @@
     return options.answeringMembers().includes(other);
   }
 
-  function askWhileLive<T>(
+  function requestWhileLive<T>(
     other: string,
     ask: (timeoutMs: number) => Promise<T>,
     deadline: number,
@@ -87,7 +87,7 @@
       let timer: Disposable | undefined;
       function check() {
         if (!canAnswer(other)) {
-          reject(silentPeer(other));
+          reject(unreachablePeerError(other));
           return;
         }
         timer = clock.after(LIVENESS_CHECK_MS, check);
@@ -102,143 +102,143 @@
   async function forward(
     other: string,
     request: OrderRequest,
-  ): Promise<OrderResult> {
+  ): Promise<ExecuteResult> {
     const {id, print, service, call, deadline, released} = request;
     const body = {
       id,
       print,
-      attempt: uniqueText(random),
+      attempt: randomId(random),
       service,
       call,
-      leftMs: forwardedTime(deadline - clock.now()),
+      leftMs: forwardedTimeoutMs(deadline - clock.now()),
       sentAtWall: clock.wall(),
       released,
     };
     try {
-      const answer = await askWhileLive(
+      const answer = await requestWhileLive(
         other,
         timeoutMs => network.ask(other, 'orderForward', body, timeoutMs),
         deadline,
       );
-      return readForwardAnswer(answer as ForwardAnswer);
+      return fromForwardAnswer(answer as ForwardAnswer);
     } catch (error) {
       const isUnsent =
         isServingError(error, 'interrupted') && error.run === 'not-run';
-      return {type: isUnsent ? 'unreached' : 'unanswered'};
+      return {type: isUnsent ? 'not-sent' : 'no-answer'};
     }
   }
 
   function candidates(shard: number): readonly string[] {
-    return rendezvousOrder(placeName(shard), [
+    return rendezvousOrder(shardHashKey(shard), [
       ...new Set([...liveMembers(), member]),
     ]);
   }
 
   function nextTarget(
     shard: number,
-    hint: string | undefined,
+    ownerHint: string | undefined,
     tried: ReadonlySet<string>,
   ): string | undefined {
     // A leaving entry must not take shards: whatever it claimed would end with it.
     const mayUse = (other: string) =>
       !tried.has(other) && !(other === member && options.isLeaving());
     const isHintUsable =
-      hint !== undefined &&
-      mayUse(hint) &&
-      (hint === member || isReachable(hint));
-    return isHintUsable ? hint : candidates(shard).find(mayUse);
+      ownerHint !== undefined &&
+      mayUse(ownerHint) &&
+      (ownerHint === member || isReachable(ownerHint));
+    return isHintUsable ? ownerHint : candidates(shard).find(mayUse);
   }
 
-  async function run(
+  async function route(
     shard: number,
     request: OrderRequest,
     signal: AbortSignal,
-  ): Promise<Exclude<FlightResult, {type: 'moved'}>> {
+  ): Promise<Exclude<OrderCompletion, {type: 'moved'}>> {
     const released = [...request.released];
     const tried = new Set<string>();
-    let hint: string | undefined;
+    let ownerHint: string | undefined;
     let mayRunElsewhere = false;
 
-    function refuse(error: ServingError): FlightResult & {type: 'error'} {
+    function fail(error: ServingError): OrderCompletion & {type: 'error'} {
       // A silent owner may still wake and run the order, so it can't be called not run.
       const mayRun = mayRunElsewhere && error.run === 'not-run';
-      return {type: 'error', error: mayRun ? mayHaveRun(error) : error};
+      return {type: 'error', error: mayRun ? toMayHaveRun(error) : error};
     }
 
     for (let hop = 0; hop < MAX_HOPS; hop++) {
       if (signal.aborted || clock.now() >= request.deadline) {
         break;
       }
-      const target = nextTarget(shard, hint, tried);
+      const target = nextTarget(shard, ownerHint, tried);
       if (target === undefined) {
         break;
       }
       const attempt = {...request, released};
       const result =
         target === member
-          ? await options.workHere(attempt, signal)
+          ? await options.executeLocally(attempt, signal)
           : await raceAbort(forward(target, attempt), signal);
-      hint = undefined;
+      ownerHint = undefined;
       if (result.type === 'reply') {
         return result;
       }
       if (result.type === 'error') {
-        if (target === member || !isTurnedAway(result.error)) {
-          return refuse(result.error);
+        if (target === member || !isNotAccepted(result.error)) {
+          return fail(result.error);
         }
         tried.add(target);
         continue;
       }
-      if (result.type === 'unanswered' || result.type === 'unreached') {
-        mayRunElsewhere ||= result.type === 'unanswered';
+      if (result.type === 'no-answer' || result.type === 'not-sent') {
+        mayRunElsewhere ||= result.type === 'no-answer';
         tried.add(target);
         continue;
       }
-      hint = result.member;
+      ownerHint = result.member;
       if (result.type === 'moved') {
         released.push(result.token);
         // It waits in the ledger for whoever takes the shard: no later refusal makes it not run.
         mayRunElsewhere ||= result.isWaiting;
       }
-      if (hint === target || hint === undefined) {
-        await pause();
+      if (ownerHint === target || ownerHint === undefined) {
+        await waitBeforeRetry();
       }
     }
-    return refuse(outOfWays(signal, request.deadline <= clock.now()));
+    return fail(noTargetError(signal, request.deadline <= clock.now()));
   }
 
-  function pause(): Promise<void> {
-    return new Promise(resolve => clock.after(RETRY_PAUSE_MS, resolve));
+  function waitBeforeRetry(): Promise<void> {
+    return new Promise(resolve => clock.after(RETRY_DELAY_MS, resolve));
   }
 
   return {
-    run,
-    askWhileLive,
+    route,
+    requestWhileLive,
     isReachable,
     canAnswer,
     preferredOwner: shard =>
-      rendezvousOrder(placeName(shard), liveMembers())[0],
+      rendezvousOrder(shardHashKey(shard), liveMembers())[0],
     successors: shard => candidates(shard).filter(other => other !== member),
   };
 }
 
 /** The owner gets a little less time than the caller has, so that its answer is back before the deadline. */
-function forwardedTime(leftMs: number): number {
-  const marginMs = Math.min(MAX_ANSWER_MARGIN_MS, leftMs * ANSWER_MARGIN);
+function forwardedTimeoutMs(leftMs: number): number {
+  const marginMs = Math.min(MAX_ANSWER_MARGIN_MS, leftMs * ANSWER_MARGIN_RATIO);
   return Math.max(0, leftMs - marginMs);
 }
 
 /** Name under which a shard is placed among the entries. */
-function placeName(shard: number): string {
+function shardHashKey(shard: number): string {
   return `ledger/${shard}`;
 }
 
 function raceAbort(
-  forwarded: Promise<OrderResult>,
+  forwarded: Promise<ExecuteResult>,
   signal: AbortSignal,
-): Promise<OrderResult> {
+): Promise<ExecuteResult> {
   return new Promise((resolve, reject) => {
-    const onAbort = () => resolve({type: 'unanswered'});
+    const onAbort = () => resolve({type: 'no-answer'});
     signal.addEventListener('abort', onAbort, {once: true});
     forwarded
       .then(resolve, reject)
@@ -246,7 +246,7 @@
   });
 }
 
-function outOfWays(signal: AbortSignal, isLate: boolean): ServingError {
+function noTargetError(signal: AbortSignal, isLate: boolean): ServingError {
   if (signal.aborted) {
     return new ServingError('cancelled', 'the caller gave the order up', {
       run: 'not-run',
@@ -263,7 +263,7 @@
   });
 }
 
-function mayHaveRun(cause: ServingError): ServingError {
+function toMayHaveRun(cause: ServingError): ServingError {
   const kind = cause.kind === 'key-conflict' ? cause.kind : 'outcome-unknown';
   return new ServingError(
     kind,
@@ -272,11 +272,11 @@
   );
 }
 
-function silentPeer(other: string): ServingError {
+function unreachablePeerError(other: string): ServingError {
   return new ServingError('interrupted', `${other} is not reachable any more`);
 }
 
 /** Tells whether an error says that the entry asked took nothing on. */
-function isTurnedAway(error: ServingError): boolean {
+function isNotAccepted(error: ServingError): boolean {
   return isServingError(error, 'leaving') || isServingError(error, 'not-ready');
 }
--- a/packages/orders/src/orderRunner.ts
+++ b/packages/orders/src/orderRunner.ts
@@ -8,7 +8,7 @@
   type Random,
 } from '@skylarkfield/base';
 import type {Dispatch, OrderReply} from './contracts.js';
-import type {Flight} from './flight.js';
+import type {ActiveOrder} from './activeOrder.js';
 
 /** What is known of a claim after its dispatch. */
 export type RunOutcome =
@@ -18,7 +18,7 @@
 
 export interface OrderRunner {
   /** Works on a claimed order until it ends or is handed over; does nothing when it is at it already. */
-  run(flight: Flight): void;
+  run(order: ActiveOrder): void;
 }
 
 export interface OrderRunnerOptions {
@@ -30,13 +30,13 @@
   readonly maxAttempts: number;
   /** False once this process has stopped. */
   readonly isAlive: () => boolean;
-  readonly onDidFinish: (flight: Flight, outcome: RunOutcome) => void;
+  readonly onDidFinish: (order: ActiveOrder, outcome: RunOutcome) => void;
 }
 
-const FIRST_BACKOFF_MS = 20;
+const BASE_BACKOFF_MS = 20;
 
 /** How one attempt ended. */
-type Attempt =
+type AttemptResult =
   | {readonly type: 'reply'; readonly reply: OrderReply}
   | {readonly type: 'unsent'; readonly error: ServingError}
   | {readonly type: 'unknown'; readonly error: ServingError};
@@ -52,22 +52,22 @@
  */
 export function createOrderRunner(options: OrderRunnerOptions): OrderRunner {
   const {clock, random, onDidFinish} = options;
-  const running = new Set<Flight>();
+  const running = new Set<ActiveOrder>();
 
   async function attempt(
-    flight: Flight,
+    order: ActiveOrder,
     signal: AbortSignal,
-  ): Promise<Attempt> {
-    const {service, call} = flight.request;
+  ): Promise<AttemptResult> {
+    const {service, call} = order.request;
     let wasSent = false;
     function begin(): boolean {
       // A second call says that the endpoint before got nothing and another is tried.
       if (wasSent) {
-        flight.tell('unsend');
+        order.tryTransition('revertSend');
       }
       // A process that was paused wakes here: it must not send what its caller was refused meanwhile.
-      const mayBegin = options.isAlive() && clock.now() < flight.deadline();
-      wasSent = mayBegin && flight.tell('send');
+      const mayBegin = options.isAlive() && clock.now() < order.deadline();
+      wasSent = mayBegin && order.tryTransition('send');
       return wasSent;
     }
     try {
@@ -83,7 +83,7 @@
         isUnsent &&
         isServingError(error, 'endpoint-unavailable')
       ) {
-        flight.tell('unsend');
+        order.tryTransition('revertSend');
         return {type: 'unsent', error};
       }
       return wasSent || !isUnsent
@@ -92,13 +92,16 @@
     }
   }
 
-  function finish(flight: Flight, result: Exclude<Attempt, {type: 'unsent'}>) {
+  function finish(
+    order: ActiveOrder,
+    result: Exclude<AttemptResult, {type: 'unsent'}>,
+  ) {
     if (result.type === 'reply') {
-      onDidFinish(flight, {state: 'settled', reply: result.reply});
-      flight.end({type: 'reply', reply: result.reply, isReplay: false});
+      onDidFinish(order, {state: 'settled', reply: result.reply});
+      order.complete({type: 'reply', reply: result.reply, isReplay: false});
       return;
     }
-    onDidFinish(flight, {state: 'unknown'});
+    onDidFinish(order, {state: 'unknown'});
     const {kind, message} = result.error;
     const isSpecific = result.error.run === 'may-have-run';
     const error = new ServingError(
@@ -106,89 +109,90 @@
       message,
       {run: 'may-have-run', cause: result.error},
     );
-    flight.end({type: 'error', error});
+    order.complete({type: 'error', error});
   }
 
   /** Waits before the next attempt; false when there is none. */
-  async function mayTryAgain(
-    flight: Flight,
-    tries: number,
+  async function waitForRetry(
+    order: ActiveOrder,
+    attempts: number,
     error: ServingError,
     signal: AbortSignal,
   ): Promise<boolean> {
-    const backoffMs = FIRST_BACKOFF_MS * 2 ** tries * (0.5 + random.next());
-    const isInTime = clock.now() + backoffMs < flight.deadline();
-    const isHopeful = error.kind === 'endpoint-unavailable';
-    if (!isHopeful || !isInTime || tries >= options.maxAttempts) {
+    const backoffMs = BASE_BACKOFF_MS * 2 ** attempts * (0.5 + random.next());
+    const isInTime = clock.now() + backoffMs < order.deadline();
+    const isRetryable = error.kind === 'endpoint-unavailable';
+    if (!isRetryable || !isInTime || attempts >= options.maxAttempts) {
       return false;
     }
     await sleep(clock, backoffMs, signal).catch(() => undefined);
-    return flight.state() === 'claimed';
+    return order.state() === 'claimed';
   }
 
-  async function work(flight: Flight, signal: AbortSignal): Promise<void> {
-    for (let tries = 1; options.isAlive(); tries++) {
-      const result = await attempt(flight, signal);
+  async function runAttempts(
+    order: ActiveOrder,
+    signal: AbortSignal,
+  ): Promise<void> {
+    for (let attempts = 1; options.isAlive(); attempts++) {
+      const result = await attempt(order, signal);
       if (result.type !== 'unsent') {
-        finish(flight, result);
+        finish(order, result);
         return;
       }
-      if (!isStillOurs(flight)) {
+      if (!isHeldHere(order)) {
         return;
       }
-      if (await mayTryAgain(flight, tries, result.error, signal)) {
+      if (await waitForRetry(order, attempts, result.error, signal)) {
         continue;
       }
-      if (!isStillOurs(flight)) {
+      if (!isHeldHere(order)) {
         return;
       }
-      giveUp(flight, result.error);
+      abandon(order, result.error);
       return;
     }
   }
 
   /** False once its claim is handed over: what becomes of it is the next owner's to say. */
-  function isStillOurs(flight: Flight): boolean {
-    return (
-      options.isAlive() && flight.state() !== 'handing' && !flight.isMoved()
-    );
+  function isHeldHere(order: ActiveOrder): boolean {
+    return options.isAlive() && order.state() !== 'handing' && !order.isMoved();
   }
 
-  function giveUp(flight: Flight, error: ServingError): void {
-    const isLate = clock.now() >= flight.deadline();
-    const late = new ServingError(
+  function abandon(order: ActiveOrder, error: ServingError): void {
+    const isLate = clock.now() >= order.deadline();
+    const deadlineError = new ServingError(
       'deadline-exceeded',
       'the deadline passed before the order was sent',
       {run: 'not-run'},
     );
-    onDidFinish(flight, {state: 'released'});
-    flight.end({type: 'error', error: isLate ? late : error});
+    onDidFinish(order, {state: 'released'});
+    order.complete({type: 'error', error: isLate ? deadlineError : error});
   }
 
   /** Time that the call may still take, in milliseconds. */
-  function leftMs(flight: Flight): number {
-    return flight.deadline() + options.graceMs - clock.now();
+  function remainingMs(order: ActiveOrder): number {
+    return order.deadline() + options.graceMs - clock.now();
   }
 
   return {
-    run(flight) {
-      if (running.has(flight)) {
+    run(order) {
+      if (running.has(order)) {
         return;
       }
-      running.add(flight);
-      const limit = new AbortController();
-      let timer = clock.after(leftMs(flight), onLimit);
+      running.add(order);
+      const timeLimit = new AbortController();
+      let timer = clock.after(remainingMs(order), onLimit);
       function onLimit(): void {
         // A caller with more time may have joined since the timer was set.
-        if (leftMs(flight) <= 0) {
-          limit.abort();
+        if (remainingMs(order) <= 0) {
+          timeLimit.abort();
           return;
         }
-        timer = clock.after(leftMs(flight), onLimit);
+        timer = clock.after(remainingMs(order), onLimit);
       }
-      flight.stopped.addEventListener('abort', () => limit.abort());
-      void work(flight, limit.signal).finally(() => {
-        running.delete(flight);
+      order.stopSignal.addEventListener('abort', () => timeLimit.abort());
+      void runAttempts(order, timeLimit.signal).finally(() => {
+        running.delete(order);
         timer.dispose();
       });
     },
--- a/packages/orders/src/lateOutcomeSender.ts
+++ b/packages/orders/src/outcomeSender.ts
@@ -1,20 +1,20 @@
 /** Brings outcomes of claims to the owners of shards that this process does not own. */
 import type {Clock} from '@skylarkfield/base';
-import type {LateOutcome, LateOutcomes} from './lateOutcomes.js';
-import type {OrderNetwork} from './orderRoute.js';
+import type {CachedOutcome, OutcomeCache} from './outcomeCache.js';
+import type {OrderNetwork} from './orderRouter.js';
 import type {Shard} from './shardContracts.js';
 
-export interface LateOutcomeSenderOptions {
+export interface OutcomeSenderOptions {
   readonly network: OrderNetwork;
   readonly clock: Clock;
   readonly member: string;
   /** The entry that should own a shard, if any takes new work. */
   readonly preferredOwner: (shard: number) => string | undefined;
-  readonly late: LateOutcomes;
+  readonly undelivered: OutcomeCache;
   readonly shards: readonly Shard[];
 }
 
-export interface LateOutcomeSender {
+export interface OutcomeSender {
   /**
    * Tries all that wait once, after a round under way has ended; what can't be
    * delivered stays.
@@ -22,7 +22,7 @@
   send(): Promise<void>;
 }
 
-const ASK_TIMEOUT_MS = 2_000;
+const REQUEST_TIMEOUT_MS = 2_000;
 
 /**
  * Makes the sender; one round runs at a time.
@@ -30,51 +30,51 @@
  * @example
  * every(clock, 250, () => void sender.send());
  */
-export function createLateOutcomeSender(
-  options: LateOutcomeSenderOptions,
-): LateOutcomeSender {
-  const {network, clock, member, late, shards} = options;
+export function createOutcomeSender(
+  options: OutcomeSenderOptions,
+): OutcomeSender {
+  const {network, clock, member, undelivered, shards} = options;
   let round: Promise<void> | undefined;
   /** Follows the round under way, for all who asked meanwhile. */
   let nextRound: Promise<void> | undefined;
 
   /** Who can note outcomes of a shard; undefined when they were noted here or nobody can now. */
-  async function targetOf(index: number): Promise<string | undefined> {
-    const target = options.preferredOwner(index);
-    if (target !== member) {
-      return target;
+  async function recipientFor(index: number): Promise<string | undefined> {
+    const recipient = options.preferredOwner(index);
+    if (recipient !== member) {
+      return recipient;
     }
-    const ownership = await shards[index]?.own().catch(() => undefined);
+    const ownership = await shards[index]?.acquire().catch(() => undefined);
     return ownership?.type === 'elsewhere' ? ownership.member : undefined;
   }
 
   async function sendTo(
-    target: string,
+    recipient: string,
     shard: number,
-    waiting: readonly LateOutcome[],
+    cached: readonly CachedOutcome[],
   ): Promise<void> {
-    const hops = Math.max(...waiting.map(outcome => outcome.hops)) + 1;
-    const outcomes = waiting.map(({outcome}) => outcome);
+    const hops = Math.max(...cached.map(outcome => outcome.hops)) + 1;
+    const outcomes = cached.map(({outcome}) => outcome);
     try {
       const body = {shard, hops, outcomes};
-      await network.ask(target, 'orderOutcomes', body, ASK_TIMEOUT_MS);
-      outcomes.forEach(({id, token}) => late.remove(id, token));
+      await network.ask(recipient, 'orderOutcomes', body, REQUEST_TIMEOUT_MS);
+      outcomes.forEach(({id, token}) => undelivered.remove(id, token));
     } catch {
       // They stay, and go again at the next check.
     }
   }
 
   async function sendShard(index: number): Promise<void> {
-    const waiting = late.ofShard(index, clock.now());
-    const target = await targetOf(index);
-    if (waiting.length > 0 && target !== undefined) {
-      await sendTo(target, index, waiting);
+    const cached = undelivered.listShard(index, clock.now());
+    const recipient = await recipientFor(index);
+    if (cached.length > 0 && recipient !== undefined) {
+      await sendTo(recipient, index, cached);
     }
   }
 
   function startRound(): Promise<void> {
     // All shards at once: a leaving process waits for the slowest owner, not for the sum.
-    round = Promise.all(late.shards().map(sendShard))
+    round = Promise.all(undelivered.shards().map(sendShard))
       .then(() => undefined)
       .finally(() => (round = undefined));
     return round;
--- a/packages/orders/src/peerOrders.ts
+++ b/packages/orders/src/peerMessages.ts
@@ -5,37 +5,37 @@
   ForwardAnswer,
   OrderMessages,
 } from '@skylarkfield/protocol';
-import type {OrderRequest} from './flight.js';
-import {toForwardAnswer, type OrderResult} from './orderAnswers.js';
-import type {OrderNetwork} from './orderRoute.js';
+import type {OrderRequest} from './activeOrder.js';
+import {toForwardAnswer, type ExecuteResult} from './forwardAnswer.js';
+import type {OrderNetwork} from './orderRouter.js';
 import type {Shard} from './shardContracts.js';
 
-export interface PeerOrdersOptions {
+export interface PeerMessageOptions {
   readonly network: OrderNetwork;
   readonly clock: Clock;
   readonly member: string;
   readonly shards: readonly Shard[];
   readonly isLeaving: () => boolean;
-  readonly work: (
+  readonly execute: (
     request: OrderRequest,
     signal: AbortSignal,
-  ) => Promise<OrderResult>;
+  ) => Promise<ExecuteResult>;
   /** How a claim of this process ended; waits for its end. */
-  readonly outcomeOf: (
+  readonly awaitOutcome: (
     id: string,
     token: string,
   ) => Promise<ClaimOutcome | undefined>;
-  readonly noteOutcome: (
+  readonly recordOutcome: (
     shard: number,
     outcome: ClaimOutcome,
     hops: number,
   ) => void;
 }
 
-const MAX_LATE_HOPS = 5;
-const REMEMBERED_FORWARDS = 5_000;
+const MAX_OUTCOME_HOPS = 5;
+const MAX_CACHED_FORWARDS = 5_000;
 /** A forwarded order that lay unread for this much longer than its deadline is dropped. */
-const STALE_ALLOWANCE_MS = 60_000;
+const STALE_FORWARD_MARGIN_MS = 60_000;
 
 /**
  * Answers the messages of other entries until disposed.
@@ -43,9 +43,9 @@
  * @example
  * owned.add(answerPeers({network, clock, member, shards, ...rest}));
  */
-export function answerPeers(options: PeerOrdersOptions): Disposable {
+export function handlePeerMessages(options: PeerMessageOptions): Disposable {
   const {network, clock, member, shards} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const forwards = new Map<string, Promise<ForwardAnswer>>();
 
   function handleForward(
@@ -56,7 +56,7 @@
     if (earlier !== undefined) {
       return earlier;
     }
-    const answer = workForwarded(body);
+    const answer = executeForwarded(body);
     forwards.set(body.attempt, answer);
     void answer.then(({type}) => {
       // A reply is in the ledger, where a second delivery finds it; keeping it here would cost memory.
@@ -65,71 +65,71 @@
       }
     });
     const [oldest] = forwards.keys();
-    if (forwards.size > REMEMBERED_FORWARDS && oldest !== undefined) {
+    if (forwards.size > MAX_CACHED_FORWARDS && oldest !== undefined) {
       forwards.delete(oldest);
     }
     return answer;
   }
 
-  async function workForwarded(
+  async function executeForwarded(
     body: OrderMessages['orderForward'],
   ): Promise<ForwardAnswer> {
     const {id, print, service, call, leftMs, released} = body;
-    const age = clock.wall() - body.sentAtWall;
-    if (age > leftMs + STALE_ALLOWANCE_MS) {
-      return refused('deadline-exceeded', 'the order lay unread too long');
+    const ageMs = clock.wall() - body.sentAtWall;
+    if (ageMs > leftMs + STALE_FORWARD_MARGIN_MS) {
+      return errorAnswer('deadline-exceeded', 'the order lay unread too long');
     }
     if (options.isLeaving()) {
-      return refused('leaving', 'this entry is leaving');
+      return errorAnswer('leaving', 'this entry is leaving');
     }
     const deadline = clock.now() + leftMs;
     const request = {id, print, service, call, deadline, released};
-    const result = await options.work(request, neverAborted());
-    if (result.type === 'unanswered' || result.type === 'unreached') {
-      return refused('not-ready', 'no entry could take the order now');
+    const result = await options.execute(request, neverAborted());
+    if (result.type === 'no-answer' || result.type === 'not-sent') {
+      return errorAnswer('not-ready', 'no entry could take the order now');
     }
     return toForwardAnswer(result, member);
   }
 
-  async function takeOutcomes(
+  async function receiveOutcomes(
     body: OrderMessages['orderOutcomes'],
   ): Promise<void> {
     const shard = shards[body.shard];
-    if (shard === undefined || body.hops > MAX_LATE_HOPS) {
+    if (shard === undefined || body.hops > MAX_OUTCOME_HOPS) {
       return;
     }
-    await shard.own().catch(() => undefined);
+    await shard.acquire().catch(() => undefined);
     for (const outcome of body.outcomes) {
-      options.noteOutcome(body.shard, outcome, body.hops);
+      options.recordOutcome(body.shard, outcome, body.hops);
     }
   }
 
-  owned.add(
+  disposables.add(
     network.onDidReceive('orderForward', (_from, body) => handleForward(body)),
   );
-  owned.add(
+  disposables.add(
     network.onDidReceive('orderOutcomeWanted', (_from, {id, token}) =>
-      options.outcomeOf(id, token),
+      options.awaitOutcome(id, token),
     ),
   );
-  owned.add(
+  disposables.add(
     network.onDidReceive('orderOutcomes', async (_from, body) => {
-      await takeOutcomes(body);
+      await receiveOutcomes(body);
       return true;
     }),
   );
-  owned.add(
+  disposables.add(
     network.onDidReceive('orderHandOver', async (_from, {shard}) => {
       if (!options.isLeaving()) {
-        await shards[shard]?.own().catch(() => undefined);
+        await shards[shard]?.acquire().catch(() => undefined);
       }
       return true;
     }),
   );
-  return owned;
+  return disposables;
 }
 
-function refused(
+function errorAnswer(
   kind: 'deadline-exceeded' | 'leaving' | 'not-ready',
   message: string,
 ): ForwardAnswer {
--- a/packages/orders/src/pendingOutcomes.ts
+++ b/packages/orders/src/pendingOutcomes.ts
@@ -5,15 +5,15 @@
 export interface PendingOutcomes {
   add(outcome: ClaimOutcome): void;
   /** All that wait go into the write that starts now. */
-  begin(): void;
+  beginWrite(): void;
   /** That write has landed. */
-  land(): void;
+  commitWrite(): void;
   /** That write was certainly not made: its outcomes wait again. */
-  putBack(): void;
+  rollBackWrite(): void;
   /** Empties it; returns what was not written, oldest first. */
-  clear(): readonly ClaimOutcome[];
+  drain(): readonly ClaimOutcome[];
   /** Monotonic milliseconds since when something waits for a write; undefined when nothing does. */
-  since(): number | undefined;
+  waitingSince(): number | undefined;
 }
 
 /**
@@ -30,28 +30,28 @@
 export function createPendingOutcomes(clock: Clock): PendingOutcomes {
   let unwritten: ClaimOutcome[] = [];
   let beingWritten: ClaimOutcome[] = [];
-  let since: number | undefined;
+  let waitingSince: number | undefined;
 
   return {
     add(outcome) {
       unwritten.push(outcome);
-      since ??= clock.now();
+      waitingSince ??= clock.now();
     },
-    begin() {
-      since = undefined;
+    beginWrite() {
+      waitingSince = undefined;
       beingWritten = unwritten.splice(0);
     },
-    land() {
+    commitWrite() {
       beingWritten = [];
     },
-    putBack() {
+    rollBackWrite() {
       unwritten = [...beingWritten.splice(0), ...unwritten];
-      since = unwritten.length > 0 ? clock.now() : undefined;
+      waitingSince = unwritten.length > 0 ? clock.now() : undefined;
     },
-    clear() {
-      since = undefined;
+    drain() {
+      waitingSince = undefined;
       return [...beingWritten.splice(0), ...unwritten.splice(0)];
     },
-    since: () => since,
+    waitingSince: () => waitingSince,
   };
 }
--- a/packages/orders/src/shard.ts
+++ b/packages/orders/src/shard.ts
@@ -2,11 +2,11 @@
 import {type Disposable, type ServingError} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import {interpret} from 'robot3';
-import type {Flight} from './flight.js';
+import type {ActiveOrder} from './activeOrder.js';
 import {createPendingOutcomes} from './pendingOutcomes.js';
 import type {
   Ownership,
-  Release,
+  ReleaseResult,
   Shard,
   ShardOptions,
 } from './shardContracts.js';
@@ -21,7 +21,7 @@
 import {createTakeOver} from './shardTakeOver.js';
 import {createShardWriter, type WriteResult} from './shardWriter.js';
 
-const MAX_BATCH = 500;
+const MAX_BATCH_CLAIMS = 500;
 
 /**
  * Makes a shard that is not owned yet.
@@ -32,16 +32,16 @@
  */
 export function createShard(options: ShardOptions): Shard {
   const {index, clock, member, instance} = options;
-  const machine = interpret(shardMachine, () => undefined);
-  const table = createShardTable(clock, options.windowMs);
+  const interpreter = interpret(shardMachine, () => undefined);
+  const table = createShardTable(clock, options.dedupeWindowMs);
   const segments = createShardSegments(options.store, index);
-  const life = new AbortController();
+  const lifetime = new AbortController();
   const writer = createShardWriter({
     store: options.store,
     clock,
     name: shardName(index),
-    onDoubt: () => tell('doubt'),
-    signal: life.signal,
+    onUncertainWrite: () => sendEvent('writeUncertain'),
+    signal: lifetime.signal,
   });
   const takeOver = createTakeOver({
     ...options,
@@ -49,40 +49,40 @@
     segments,
     table,
     beginEpoch,
-    onDidLand,
+    onDidCommit: onDidCommitTakeOver,
   });
-  let queue: Flight[] = [];
-  let batch: Flight[] = [];
+  let queue: ActiveOrder[] = [];
+  let batch: ActiveOrder[] = [];
   let version: number | undefined;
   let epoch = 0;
-  let writes = 0;
-  let claims = 0;
+  let writeCount = 0;
+  let claimCount = 0;
   let takeovers = 0;
   /** Segments to remove once an object without them has landed. */
-  const expired: string[] = [];
+  const expiredSegments: string[] = [];
   const outcomes = createPendingOutcomes(clock);
-  let lastStart = -Infinity;
+  let lastWriteAt = -Infinity;
   let timer: Disposable | undefined;
   let writing: Promise<void> | undefined;
-  let taking: Promise<Ownership> | undefined;
+  let takingOver: Promise<Ownership> | undefined;
 
   function current(): ShardState {
-    return machine.machine.current as ShardState;
+    return interpreter.machine.current as ShardState;
   }
 
-  function tell(event: ShardEvent): void {
-    machine.send(event);
+  function sendEvent(event: ShardEvent): void {
+    interpreter.send(event);
   }
 
   function nextRecord(): ShardRecord {
-    writes += 1;
+    writeCount += 1;
     expire();
     return {
       format: LEDGER_FORMAT,
       owner: instance,
       ownerMember: member,
       epoch,
-      write: writes,
+      write: writeCount,
       age: table.age(),
       entries: table.unsealed(),
       segments: table.segments(),
@@ -90,7 +90,7 @@
   }
 
   function expire(): void {
-    expired.push(...table.expire());
+    expiredSegments.push(...table.expire());
   }
 
   function liveBytes(): number {
@@ -99,56 +99,62 @@
   }
 
   function lose(head: ShardRecord | undefined): void {
-    tell('lose');
+    sendEvent('lose');
     const owner = head?.ownerMember;
     takeOver.holdOff(owner);
     timer?.dispose();
     timer = undefined;
     // The new owner's object may name them still.
-    expired.length = 0;
-    options.onDidLose(outcomes.clear());
-    note('gave up shard', `written by ${owner ?? 'another process'}`);
+    expiredSegments.length = 0;
+    options.onDidLose(outcomes.drain());
+    logDecision('gave up shard', `written by ${owner ?? 'another process'}`);
     moveQueued();
   }
 
-  function note(what: string, why: string): void {
+  function logDecision(what: string, why: string): void {
     options.decisions?.note('orders', shardName(index), what, why, {epoch});
   }
 
-  function beginEpoch(next: number): ShardRecord {
-    epoch = next;
-    writes = 0;
+  function beginEpoch(nextEpoch: number): ShardRecord {
+    epoch = nextEpoch;
+    writeCount = 0;
     return nextRecord();
   }
 
-  function onDidLand(landed: number, previousOwner: string | undefined): void {
-    version = landed;
+  function onDidCommitTakeOver(
+    landedVersion: number,
+    previousOwner: string | undefined,
+  ): void {
+    version = landedVersion;
     takeovers += 1;
-    tell('gain');
-    note('took shard over', `it was owned by ${previousOwner || 'nobody'}`);
-    options.onDidTake(table.unsealed());
+    sendEvent('acquire');
+    logDecision(
+      'took shard over',
+      `it was owned by ${previousOwner || 'nobody'}`,
+    );
+    options.onDidTakeOver(table.unsealed());
   }
 
-  function own(): Promise<Ownership> {
+  function acquire(): Promise<Ownership> {
     if (isOwned()) {
       return Promise.resolve({type: 'owned'});
     }
-    if (taking !== undefined) {
-      return taking;
+    if (takingOver !== undefined) {
+      return takingOver;
     }
-    const holder = takeOver.heldOffFor();
-    if (holder !== undefined) {
-      return Promise.resolve({type: 'elsewhere', member: holder});
+    const holdOffOwner = takeOver.holdOffOwner();
+    if (holdOffOwner !== undefined) {
+      return Promise.resolve({type: 'elsewhere', member: holdOffOwner});
     }
-    tell('take');
-    taking = takeOver.run().finally(() => {
-      taking = undefined;
+    sendEvent('startTakeOver');
+    takingOver = takeOver.run().finally(() => {
+      takingOver = undefined;
       // Does nothing when the shard was gained.
       if (current() === 'taking') {
-        tell('lose');
+        sendEvent('lose');
       }
     });
-    return taking;
+    return takingOver;
   }
 
   function isOwned(): boolean {
@@ -164,17 +170,17 @@
     }
     timer?.dispose();
     timer = undefined;
-    const wantedAt = queue.length > 0 ? clock.now() : lazyWriteAt();
-    if (wantedAt === undefined) {
+    const dueAt = queue.length > 0 ? clock.now() : outcomeWriteAt();
+    if (dueAt === undefined) {
       return;
     }
-    const startAt = Math.max(wantedAt, lastStart + options.gapMs);
+    const startAt = Math.max(dueAt, lastWriteAt + options.minWriteIntervalMs);
     timer = clock.after(startAt - clock.now(), startWrite);
   }
 
-  function lazyWriteAt(): number | undefined {
-    const since = outcomes.since();
-    return since === undefined ? undefined : since + options.lazyMs;
+  function outcomeWriteAt(): number | undefined {
+    const since = outcomes.waitingSince();
+    return since === undefined ? undefined : since + options.outcomeDelayMs;
   }
 
   function startWrite(): void {
@@ -182,7 +188,7 @@
     if (writing !== undefined || current() !== 'owned') {
       return;
     }
-    lastStart = clock.now();
+    lastWriteAt = clock.now();
     writing = commit().finally(() => {
       writing = undefined;
       schedule();
@@ -190,17 +196,19 @@
   }
 
   async function commit(): Promise<void> {
-    batch = queue.splice(0, MAX_BATCH).filter(flight => flight.tell('commit'));
-    for (const flight of batch) {
-      claims += 1;
-      flight.token = `${epoch}.${claims}`;
-      const {id, print} = flight.request;
-      table.put({id, print, token: flight.token, state: 'claimed', member});
+    batch = queue
+      .splice(0, MAX_BATCH_CLAIMS)
+      .filter(order => order.tryTransition('commit'));
+    for (const order of batch) {
+      claimCount += 1;
+      order.token = `${epoch}.${claimCount}`;
+      const {id, print} = order.request;
+      table.put({id, print, token: order.token, state: 'claimed', member});
     }
     const result = await write(nextRecord());
-    const written = batch;
+    const claimed = batch;
     batch = [];
-    finishWrite(result, written);
+    finishWrite(result, claimed);
     if (result.type === 'landed') {
       await segments.seal(table, epoch, options.sealBytes);
     }
@@ -208,102 +216,102 @@
 
   /** Writes the table; outcomes that it carries are kept until it has landed. */
   async function write(record: ShardRecord): Promise<WriteResult> {
-    outcomes.begin();
+    outcomes.beginWrite();
     const result = await writer.write(record, version);
     if (result.type === 'landed') {
-      outcomes.land();
-      segments.remove(expired.splice(0));
+      outcomes.commitWrite();
+      segments.remove(expiredSegments.splice(0));
     }
     if (result.type === 'refused') {
-      outcomes.putBack();
+      outcomes.rollBackWrite();
     }
     return result;
   }
 
-  function finishWrite(result: WriteResult, written: Flight[]): void {
+  function finishWrite(result: WriteResult, claimed: ActiveOrder[]): void {
     if (result.type === 'landed') {
       version = result.version;
-      tell('learn');
-      written.forEach(claimed);
+      sendEvent('writeResolved');
+      claimed.forEach(onDidWriteClaim);
       return;
     }
     if (result.type === 'refused') {
-      for (const flight of written) {
-        drop(flight);
-        flight.end({type: 'error', error: result.error});
+      for (const order of claimed) {
+        voidClaim(order);
+        order.complete({type: 'error', error: result.error});
       }
       return;
     }
     lose(result.head);
-    for (const flight of written) {
-      move(flight);
+    for (const order of claimed) {
+      moveToOwner(order);
     }
     // The claims may be in the new owner's table. An order whose caller has left is brought to it by
     // nobody, and every retry would hear that it may have run: the owner is told that they are void.
-    options.onDidLose(written.map(voidClaim));
+    options.onDidLose(claimed.map(releasedOutcome));
   }
 
-  function claimed(flight: Flight): void {
+  function onDidWriteClaim(order: ActiveOrder): void {
     // An order that was given up during the write has ended: its claim is void.
-    if (flight.tell('claim')) {
-      options.onDidClaim(flight);
+    if (order.tryTransition('claim')) {
+      options.onDidClaim(order);
       return;
     }
-    drop(flight);
+    voidClaim(order);
   }
 
-  function touch(outcome: ClaimOutcome): void {
+  function scheduleWrite(outcome: ClaimOutcome): void {
     outcomes.add(outcome);
     schedule();
   }
 
-  function drop(flight: Flight): void {
-    const {id} = flight.request;
-    const {token} = flight;
+  function voidClaim(order: ActiveOrder): void {
+    const {id} = order.request;
+    const {token} = order;
     if (table.get(id)?.token === token) {
       table.remove(id);
-      touch(voidClaim(flight));
+      scheduleWrite(releasedOutcome(order));
     }
   }
 
-  function refuseUnclaimed(error: ServingError): void {
+  function rejectUnclaimed(error: ServingError): void {
     // The claims of the batch may still land, but orders that have ended are never dispatched.
-    for (const flight of [...queue.splice(0), ...batch]) {
-      flight.end({type: 'error', error});
+    for (const order of [...queue.splice(0), ...batch]) {
+      order.complete({type: 'error', error});
     }
   }
 
-  function move(flight: Flight): void {
-    const {token} = flight;
-    flight.end({
+  function moveToOwner(order: ActiveOrder): void {
+    const {token} = order;
+    order.complete({
       type: 'moved',
-      member: takeOver.knownOwner(),
+      member: takeOver.lastKnownOwner(),
       token,
       isWaiting: false,
     });
   }
 
   function moveQueued(): void {
-    for (const flight of queue.splice(0)) {
-      move(flight);
+    for (const order of queue.splice(0)) {
+      moveToOwner(order);
     }
   }
 
-  async function release(changes: () => void): Promise<Release> {
-    await taking?.catch(() => undefined);
+  async function release(applyChanges: () => void): Promise<ReleaseResult> {
+    await takingOver?.catch(() => undefined);
     await writing;
     if (current() !== 'owned') {
       return 'unowned';
     }
-    tell('release');
+    sendEvent('release');
     timer?.dispose();
     timer = undefined;
     moveQueued();
-    changes();
+    applyChanges();
     const record = {...nextRecord(), owner: '', ownerMember: ''};
     const result = await write(record);
     if (result.type === 'refused') {
-      tell('gain');
+      sendEvent('acquire');
       schedule();
       return 'refused';
     }
@@ -317,15 +325,15 @@
     table,
     state: current,
     isOwned,
-    own,
-    enqueue(flight) {
-      queue.push(flight);
+    acquire,
+    enqueue(order) {
+      queue.push(order);
       schedule();
     },
-    touch,
+    scheduleWrite,
     liveBytes,
-    drop,
-    refuseUnclaimed,
+    voidClaim,
+    rejectUnclaimed,
     release,
     dump: () => ({
       shard: index,
@@ -338,7 +346,7 @@
       takeovers,
     }),
     dispose() {
-      life.abort();
+      lifetime.abort();
       timer?.dispose();
       timer = undefined;
       queue = [];
@@ -347,6 +355,6 @@
 }
 
 /** The outcome of a claim whose order was not sent and never will be. */
-function voidClaim({request, token}: Flight): ClaimOutcome {
+function releasedOutcome({request, token}: ActiveOrder): ClaimOutcome {
   return {state: 'released', id: request.id, token};
 }
--- a/packages/orders/src/shardContracts.ts
+++ b/packages/orders/src/shardContracts.ts
@@ -7,7 +7,7 @@
 } from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
-import type {Flight} from './flight.js';
+import type {ActiveOrder} from './activeOrder.js';
 import type {ShardState} from './shardMachine.js';
 import type {LedgerEntry} from './shardRecord.js';
 import type {ShardTable} from './shardTable.js';
@@ -23,7 +23,7 @@
  * may be in no ledger; given up as well. `refused`: certainly nothing was
  * written. `unowned`: there was nothing to give up.
  */
-export type Release = 'released' | 'lost' | 'refused' | 'unowned';
+export type ReleaseResult = 'released' | 'lost' | 'refused' | 'unowned';
 
 export interface ShardOptions {
   readonly index: number;
@@ -34,21 +34,21 @@
   /** Unique for each start of a process. */
   readonly instance: string;
   /** The least time between the starts of two writes. */
-  readonly gapMs: number;
+  readonly minWriteIntervalMs: number;
   /** How long outcomes may wait for a write that carries claims as well. */
-  readonly lazyMs: number;
-  readonly windowMs: number;
+  readonly outcomeDelayMs: number;
+  readonly dedupeWindowMs: number;
   /** Size of the shard's object from which ended entries move into a segment. */
   readonly sealBytes: number;
   /** How long a deposed owner leaves the shard to its new one. */
   readonly holdOffMs: number;
   readonly isReachable: (member: string) => boolean;
   /** The claim is in the ledger: the order may be dispatched. */
-  readonly onDidClaim: (flight: Flight) => void;
+  readonly onDidClaim: (order: ActiveOrder) => void;
   /** The shard was lost, and its new owner may not know these outcomes. */
   readonly onDidLose: (outcomes: readonly ClaimOutcome[]) => void;
   /** The shard was taken over with these entries. */
-  readonly onDidTake: (entries: readonly LedgerEntry[]) => void;
+  readonly onDidTakeOver: (entries: readonly LedgerEntry[]) => void;
 }
 
 export interface Shard extends Disposable {
@@ -58,18 +58,18 @@
   /** True while claims can be committed. */
   isOwned(): boolean;
   /** Owns the shard, or tells who does. Throws `platform-unavailable`. */
-  own(): Promise<Ownership>;
+  acquire(): Promise<Ownership>;
   /** Puts an order into the next write. */
-  enqueue(flight: Flight): void;
+  enqueue(order: ActiveOrder): void;
   /** An outcome has changed the table: write it soon. */
-  touch(outcome: ClaimOutcome): void;
+  scheduleWrite(outcome: ClaimOutcome): void;
   /** Size of all entries that are still within the dedupe window. */
   liveBytes(): number;
   /** Voids a claim that was never sent. */
-  drop(flight: Flight): void;
+  voidClaim(order: ActiveOrder): void;
   /** Ends the orders that have no claim yet; nothing of them was sent. */
-  refuseUnclaimed(error: ServingError): void;
+  rejectUnclaimed(error: ServingError): void;
   /** Changes the table, writes it and gives the shard up. */
-  release(changes: () => void): Promise<Release>;
+  release(changes: () => void): Promise<ReleaseResult>;
   dump(): unknown;
 }
--- a/packages/orders/src/shardMachine.ts
+++ b/packages/orders/src/shardMachine.ts
@@ -10,22 +10,28 @@
 export type ShardState = 'unowned' | 'taking' | 'owned' | 'bound' | 'releasing';
 
 export type ShardEvent =
-  | 'take'
-  | 'gain'
-  | 'doubt'
-  | 'learn'
+  | 'startTakeOver'
+  | 'acquire'
+  | 'writeUncertain'
+  | 'writeResolved'
   | 'release'
   | 'lose';
 
 /** No transition leads from `unowned` to `owned`: only a landed write of the new epoch makes an owner. */
 export const shardMachine = createMachine({
-  unowned: state(transition('take', 'taking')),
-  taking: state(transition('gain', 'owned'), transition('lose', 'unowned')),
+  unowned: state(transition('startTakeOver', 'taking')),
+  taking: state(transition('acquire', 'owned'), transition('lose', 'unowned')),
   owned: state(
-    transition('doubt', 'bound'),
+    transition('writeUncertain', 'bound'),
     transition('release', 'releasing'),
     transition('lose', 'unowned'),
   ),
-  bound: state(transition('learn', 'owned'), transition('lose', 'unowned')),
-  releasing: state(transition('gain', 'owned'), transition('lose', 'unowned')),
+  bound: state(
+    transition('writeResolved', 'owned'),
+    transition('lose', 'unowned'),
+  ),
+  releasing: state(
+    transition('acquire', 'owned'),
+    transition('lose', 'unowned'),
+  ),
 });
--- a/packages/orders/src/shardRecord.ts
+++ b/packages/orders/src/shardRecord.ts
@@ -80,7 +80,7 @@
  * @example
  * const stored = storeReply(reply, 4096);
  */
-export function storeReply(
+export function encodeReply(
   reply: ForwardedReply,
   maxBytes: number,
 ): StoredReply {
@@ -97,7 +97,7 @@
  * @example
  * const reply = readReply(entry.reply);
  */
-export function readReply(stored: StoredReply): ForwardedReply {
+export function decodeReply(stored: StoredReply): ForwardedReply {
   const {status, headers, body} = stored;
   return {
     status,
@@ -112,7 +112,7 @@
  * @example
  * const stored = storeOrder('booking', call, clock.wall() + leftMs);
  */
-export function storeOrder(
+export function encodeOrder(
   service: string,
   call: OrderCall,
   runBefore: number,
@@ -127,7 +127,7 @@
  * @example
  * const call = readCall(entry.order);
  */
-export function readCall(stored: StoredOrder): OrderCall {
+export function decodeCall(stored: StoredOrder): OrderCall {
   const {method, path, headers} = stored;
   return {method, path, headers, body: fromBase64(stored.body)};
 }
--- a/packages/orders/src/shardSegments.ts
+++ b/packages/orders/src/shardSegments.ts
@@ -19,7 +19,7 @@
     names: readonly string[],
   ): Promise<ReadonlyMap<string, readonly LedgerEntry[]> | undefined>;
   /** Moves ended entries into a segment once those outside one take this many bytes; they stay when that may have failed. */
-  seal(table: ShardTable, epoch: number, fromBytes: number): Promise<void>;
+  seal(table: ShardTable, epoch: number, minBytes: number): Promise<void>;
   /** Removes segments that no shard object names any more. */
   remove(names: readonly string[]): void;
 }
@@ -38,7 +38,7 @@
   store: ObjectStore,
   shard: number,
 ): ShardSegments {
-  let written = 0;
+  let segmentCount = 0;
 
   async function read(names: readonly string[]) {
     const objects = await Promise.all(
@@ -60,8 +60,8 @@
     epoch: number,
     entries: readonly LedgerEntry[],
   ): Promise<string | undefined> {
-    written += 1;
-    const name = `shard-${shard}.${epoch}.${written}`;
+    segmentCount += 1;
+    const name = `shard-${shard}.${epoch}.${segmentCount}`;
     try {
       await store.put(SEGMENT_KIND, name, {entries}, {type: 'absent'});
       return name;
@@ -73,8 +73,8 @@
 
   return {
     read,
-    async seal(table, epoch, fromBytes) {
-      const entries = table.sealable(fromBytes);
+    async seal(table, epoch, minBytes) {
+      const entries = table.sealable(minBytes);
       if (entries.length === 0) {
         return;
       }
--- a/packages/orders/src/shardTable.ts
+++ b/packages/orders/src/shardTable.ts
@@ -40,7 +40,7 @@
 const MAX_SEGMENT_BYTES = 262_144;
 
 /** States that do not change any more. */
-const ENDED: ReadonlySet<string> = new Set(['settled', 'unknown']);
+const FINAL_STATES: ReadonlySet<string> = new Set(['settled', 'unknown']);
 
 /**
  * Makes an empty table.
@@ -53,15 +53,18 @@
  * @example
  * const table = createShardTable(clock, 3_600_000);
  */
-export function createShardTable(clock: Clock, windowMs: number): ShardTable {
+export function createShardTable(
+  clock: Clock,
+  dedupeWindowMs: number,
+): ShardTable {
   /** All entries, in the order of their last change. */
   const rows = new Map<string, Row>();
   /** Ids of the entries that no segment holds as they are. */
-  const open = new Set<string>();
+  const unsealedIds = new Set<string>();
   /** Age of the youngest entry of each segment. */
   const segments = new Map<string, number>();
   let bytes = 0;
-  let openBytes = 0;
+  let unsealedBytes = 0;
   let baseAge = 0;
   let ownedSince = clock.now();
 
@@ -69,44 +72,44 @@
     return Math.floor(baseAge + clock.now() - ownedSince);
   }
 
-  function close(id: string): void {
-    if (open.delete(id)) {
-      openBytes -= rows.get(id)?.bytes ?? 0;
+  function markSealed(id: string): void {
+    if (unsealedIds.delete(id)) {
+      unsealedBytes -= rows.get(id)?.bytes ?? 0;
     }
   }
 
   function remove(id: string): void {
     const row = rows.get(id);
     if (row !== undefined) {
-      close(id);
+      markSealed(id);
       bytes -= row.bytes;
       rows.delete(id);
     }
   }
 
-  function add(entry: LedgerEntry, isOpen: boolean): void {
+  function add(entry: LedgerEntry, isUnsealed: boolean): void {
     remove(entry.id);
     const row = {entry, bytes: JSON.stringify(entry).length};
     rows.set(entry.id, row);
     bytes += row.bytes;
-    if (isOpen) {
-      open.add(entry.id);
-      openBytes += row.bytes;
+    if (isUnsealed) {
+      unsealedIds.add(entry.id);
+      unsealedBytes += row.bytes;
     }
   }
 
-  function isOld(entryAge: number): boolean {
-    return age() - entryAge > windowMs;
+  function isExpired(entryAge: number): boolean {
+    return age() - entryAge > dedupeWindowMs;
   }
 
-  function youngest(entries: readonly LedgerEntry[]): number {
-    return entries.reduce((most, entry) => Math.max(most, entry.age), 0);
+  function newestAge(entries: readonly LedgerEntry[]): number {
+    return entries.reduce((newest, entry) => Math.max(newest, entry.age), 0);
   }
 
   function expireRows(): void {
     for (const {entry} of rows.values()) {
       // Rows are in the order of their last change: the first young one ends the search.
-      if (!isOld(entry.age)) {
+      if (!isExpired(entry.age)) {
         return;
       }
       if (entry.state !== 'waiting') {
@@ -120,14 +123,14 @@
     put: entry => add({...entry, age: age()}, true),
     remove,
     load(entries, loadedSegments, loadedAge) {
-      for (const collection of [rows, open, segments]) {
+      for (const collection of [rows, unsealedIds, segments]) {
         collection.clear();
       }
-      [bytes, openBytes] = [0, 0];
+      [bytes, unsealedBytes] = [0, 0];
       baseAge = loadedAge;
       ownedSince = clock.now();
       for (const [name, sealed] of loadedSegments) {
-        segments.set(name, youngest(sealed));
+        segments.set(name, newestAge(sealed));
         sealed.forEach(entry => add(entry, false));
       }
       // What the shard's object says of a key is newer than what a segment says.
@@ -135,25 +138,25 @@
     },
     expire() {
       expireRows();
-      const old = [...segments].filter(([, youngestAge]) => isOld(youngestAge));
-      old.forEach(([name]) => segments.delete(name));
-      return old.map(([name]) => name);
+      const expired = [...segments].filter(([, newest]) => isExpired(newest));
+      expired.forEach(([name]) => segments.delete(name));
+      return expired.map(([name]) => name);
     },
     unsealed: () =>
-      [...open].flatMap(id => {
+      [...unsealedIds].flatMap(id => {
         const row = rows.get(id);
         return row === undefined ? [] : [row.entry];
       }),
     segments: () => [...segments.keys()],
-    sealable(wantedBytes) {
-      if (openBytes < wantedBytes) {
+    sealable(minBytes) {
+      if (unsealedBytes < minBytes) {
         return [];
       }
       const chosen: LedgerEntry[] = [];
       let chosenBytes = 0;
-      for (const id of open) {
+      for (const id of unsealedIds) {
         const row = rows.get(id);
-        if (row === undefined || !ENDED.has(row.entry.state)) {
+        if (row === undefined || !FINAL_STATES.has(row.entry.state)) {
           continue;
         }
         chosen.push(row.entry);
@@ -162,14 +165,14 @@
           break;
         }
       }
-      return chosenBytes * 2 >= wantedBytes ? chosen : [];
+      return chosenBytes * 2 >= minBytes ? chosen : [];
     },
     seal(name, entries) {
-      segments.set(name, youngest(entries));
+      segments.set(name, newestAge(entries));
       for (const entry of entries) {
         // An entry that changed while the segment was written stays open.
         if (rows.get(entry.id)?.entry === entry) {
-          close(entry.id);
+          markSealed(entry.id);
         }
       }
     },
@@ -185,7 +188,7 @@
       if (oldest === undefined) {
         return 0;
       }
-      return Math.max(0, oldest.entry.age + windowMs - age());
+      return Math.max(0, oldest.entry.age + dedupeWindowMs - age());
     },
   };
 }
--- a/packages/orders/src/shardTakeOver.ts
+++ b/packages/orders/src/shardTakeOver.ts
@@ -19,7 +19,7 @@
   /** Starts an epoch of this process; returns its first record, made from the table. */
   readonly beginEpoch: (epoch: number) => ShardRecord;
   /** The first record has landed as this version: the shard is owned. */
-  readonly onDidLand: (
+  readonly onDidCommit: (
     version: number,
     previousOwner: string | undefined,
   ) => void;
@@ -31,9 +31,9 @@
   /** The shard was lost to this owner: leave it alone for a while. */
   holdOff(owner: string | undefined): void;
   /** The owner that the shard is left to now, if one can be reached. */
-  heldOffFor(): string | undefined;
+  holdOffOwner(): string | undefined;
   /** The last owner seen besides this process. */
-  knownOwner(): string | undefined;
+  lastKnownOwner(): string | undefined;
 }
 
 const MAX_ATTEMPTS = 5;
@@ -47,23 +47,27 @@
 export function createTakeOver(options: TakeOverOptions): TakeOver {
   const {index, member, clock, writer, segments, table} = options;
   let holdOffUntil = -Infinity;
-  let knownOwner: string | undefined;
+  let lastKnownOwner: string | undefined;
 
   function shouldYield(head: ShardRecord, attempt: number): boolean {
-    const isOther = head.owner !== '' && head.ownerMember !== member;
-    const isFresh = attempt > 0 || clock.now() < holdOffUntil;
-    return isOther && isFresh && options.isReachable(head.ownerMember);
+    const isOwnedByPeer = head.owner !== '' && head.ownerMember !== member;
+    const shouldRespectOwner = attempt > 0 || clock.now() < holdOffUntil;
+    return (
+      isOwnedByPeer &&
+      shouldRespectOwner &&
+      options.isReachable(head.ownerMember)
+    );
   }
 
   /** Undefined when another process changed the shard meanwhile. */
-  async function attemptOnce(attempt: number): Promise<Ownership | undefined> {
+  async function tryTakeOver(attempt: number): Promise<Ownership | undefined> {
     const stored = await writer.read();
     const head = stored?.value;
     if (head !== undefined && head.format > LEDGER_FORMAT) {
-      throw unreadable(index, head.format);
+      throw unsupportedFormatError(index, head.format);
     }
     if (head !== undefined && shouldYield(head, attempt)) {
-      knownOwner = head.ownerMember;
+      lastKnownOwner = head.ownerMember;
       return {type: 'elsewhere', member: head.ownerMember};
     }
     const sealed = await segments.read(head?.segments ?? []);
@@ -79,14 +83,14 @@
     if (result.type === 'lost') {
       return undefined;
     }
-    options.onDidLand(result.version, head?.owner);
+    options.onDidCommit(result.version, head?.owner);
     return {type: 'owned'};
   }
 
   return {
     async run() {
       for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-        const ownership = await attemptOnce(attempt);
+        const ownership = await tryTakeOver(attempt);
         if (ownership !== undefined) {
           return ownership;
         }
@@ -97,21 +101,25 @@
       );
     },
     holdOff(owner) {
-      knownOwner = owner;
+      lastKnownOwner = owner;
       holdOffUntil = clock.now() + options.holdOffMs;
     },
-    heldOffFor() {
+    holdOffOwner() {
       const isHeldOff = clock.now() < holdOffUntil;
-      if (!isHeldOff || !knownOwner || !options.isReachable(knownOwner)) {
+      if (
+        !isHeldOff ||
+        !lastKnownOwner ||
+        !options.isReachable(lastKnownOwner)
+      ) {
         return undefined;
       }
-      return knownOwner;
+      return lastKnownOwner;
     },
-    knownOwner: () => knownOwner,
+    lastKnownOwner: () => lastKnownOwner,
   };
 }
 
-function unreadable(index: number, format: number): ServingError {
+function unsupportedFormatError(index: number, format: number): ServingError {
   return new ServingError(
     'platform-unavailable',
     `shard ${index} has format ${format}, which this release can't read`,
--- a/packages/orders/src/shardWriter.ts
+++ b/packages/orders/src/shardWriter.ts
@@ -25,8 +25,8 @@
   ): Promise<WriteResult>;
 }
 
-const FIRST_RETRY_MS = 50;
-const LONGEST_RETRY_MS = 1_000;
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 1_000;
 
 /**
  * Makes the writer of one shard.
@@ -44,7 +44,7 @@
   readonly clock: Clock;
   readonly name: string;
   /** A reply was lost: the shard is bound until the outcome is known. */
-  readonly onDoubt: () => void;
+  readonly onUncertainWrite: () => void;
   /** Ends all retries. */
   readonly signal: AbortSignal;
 }): ShardWriter {
@@ -57,7 +57,7 @@
   async function attempt(
     record: ShardRecord,
     baseVersion: number | undefined,
-  ): Promise<WriteResult | 'conflict' | 'doubt'> {
+  ): Promise<WriteResult | 'conflict' | 'uncertain'> {
     try {
       const stored = await store.put(
         LEDGER_KIND,
@@ -72,20 +72,20 @@
       if (isServingError(error, 'version-conflict')) {
         return 'conflict';
       }
-      if (certainRefusals.has(toServingError(error).kind)) {
+      if (REJECTING_ERROR_KINDS.has(toServingError(error).kind)) {
         return {type: 'refused', error: toServingError(error)};
       }
-      return 'doubt';
+      return 'uncertain';
     }
   }
 
   async function readHead(): Promise<
-    StoredObject<ShardRecord> | undefined | 'unread'
+    StoredObject<ShardRecord> | undefined | 'read-failed'
   > {
     try {
       return await read();
     } catch {
-      return 'unread';
+      return 'read-failed';
     }
   }
 
@@ -94,31 +94,31 @@
     baseVersion: number | undefined,
   ): Promise<WriteResult> {
     let base = baseVersion;
-    let isDoubtful = false;
-    let pauseMs = FIRST_RETRY_MS;
+    let isUncertain = false;
+    let backoffMs = INITIAL_BACKOFF_MS;
     while (!signal.aborted) {
       const result = await attempt(record, base);
       if (result === 'conflict') {
         const head = await readHead();
-        if (head !== 'unread') {
-          const verdict = judge(record, head);
-          if (verdict !== 'behind') {
-            return verdict;
+        if (head !== 'read-failed') {
+          const resolved = resolveConflict(record, head);
+          if (resolved !== 'older-own-write') {
+            return resolved;
           }
           base = head?.version;
           continue;
         }
-      } else if (result !== 'doubt') {
-        if (result.type !== 'refused' || !isDoubtful) {
+      } else if (result !== 'uncertain') {
+        if (result.type !== 'refused' || !isUncertain) {
           return result;
         }
       }
-      if (!isDoubtful) {
-        isDoubtful = true;
-        options.onDoubt();
+      if (!isUncertain) {
+        isUncertain = true;
+        options.onUncertainWrite();
       }
-      await sleep(clock, pauseMs, signal).catch(() => undefined);
-      pauseMs = Math.min(LONGEST_RETRY_MS, pauseMs * 2);
+      await sleep(clock, backoffMs, signal).catch(() => undefined);
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
     return {type: 'lost', head: undefined};
   }
@@ -127,16 +127,16 @@
 }
 
 /** Errors after which a write certainly has no effect, now or later. */
-const certainRefusals: ReadonlySet<string> = new Set([
+const REJECTING_ERROR_KINDS: ReadonlySet<string> = new Set([
   'platform-unavailable',
   'too-large',
 ]);
 
 /** Whose write a conflict shows; `behind`: an older one of ours, so ours may be tried on top of it. */
-function judge(
+function resolveConflict(
   record: ShardRecord,
   head: StoredObject<ShardRecord> | undefined,
-): WriteResult | 'behind' {
+): WriteResult | 'older-own-write' {
   if (head === undefined) {
     return {type: 'lost', head: undefined};
   }
@@ -149,6 +149,6 @@
   }
   const isOurs = owner === record.owner || record.owner === '';
   return isOurs && write < record.write
-    ? 'behind'
+    ? 'older-own-write'
     : {type: 'lost', head: head.value};
 }
--- a/packages/orders/src/test/world.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -24,7 +24,7 @@
 } from './simulatedProcess.js';
 
 /** One request of a caller and what it was answered. */
-export interface Submitted {
+export interface SubmittedRequest {
   readonly key: string | undefined;
   /** What the order is about; a key may be used with two of them. */
   readonly subject: string;
@@ -42,7 +42,7 @@
 }
 
 /** One run at the service. */
-export interface Run {
+export interface ServiceRun {
   readonly subject: string;
   readonly at: number;
   readonly body: string;
@@ -67,16 +67,16 @@
   workMs: number;
 }
 
-export interface World {
+export interface Cluster {
   readonly clock: ReturnType<typeof virtualClock>;
   readonly platform: ReturnType<typeof memoryPlatform>;
   readonly network: ReturnType<typeof createSimulatedNetwork>;
   readonly entries: Map<string, Entry>;
-  readonly submitted: readonly Submitted[];
-  readonly runs: readonly Run[];
+  readonly submitted: readonly SubmittedRequest[];
+  readonly runs: readonly ServiceRun[];
   readonly service: ServiceFaults;
   /** When entries came again after an order fell into a time without any; undefined when it did not. */
-  desertedUntil(order: Submitted): number | undefined;
+  emptyUntil(order: SubmittedRequest): number | undefined;
   start(id: string): Entry;
   crash(id: string): void;
   pause(id: string): void;
@@ -87,13 +87,13 @@
     key: string | undefined,
     subject?: string,
     timeoutMs?: number,
-  ): Submitted;
+  ): SubmittedRequest;
   /** Checks all that has been answered so far. */
   check(): void;
   dispose(): void;
 }
 
-const ENDPOINT_TRIES = 2;
+const MAX_ENDPOINT_ATTEMPTS = 2;
 export const TIMEOUT_MS = 5_000;
 
 const testSettings: Partial<LedgerSettings> = {
@@ -107,19 +107,19 @@
 };
 
 /** Makes a world without entries. */
-export function createWorld(
+export function createCluster(
   seed: number,
   settings: Partial<LedgerSettings> = {},
-): World {
+): Cluster {
   const clock = virtualClock();
   const random = seededRandom(seed);
   const platform = memoryPlatform({clock, random});
   platform.faults.setSlow(4);
   const network = createSimulatedNetwork(clock, random);
   const entries = new Map<string, Entry>();
-  const submitted: Submitted[] = [];
-  const runs: Run[] = [];
-  let deserted: {readonly from: number; to: number} | undefined;
+  const submitted: SubmittedRequest[] = [];
+  const runs: ServiceRun[] = [];
+  let emptyPeriod: {readonly from: number; to: number} | undefined;
   const service: ServiceFaults = {
     refused: 0,
     lostAfter: 0,
@@ -139,7 +139,7 @@
         if (!random.chance(service.refused)) {
           break;
         }
-        if (tries === ENDPOINT_TRIES) {
+        if (tries === MAX_ENDPOINT_ATTEMPTS) {
           throw new ServingError('endpoint-unavailable', 'refused');
         }
       }
@@ -150,7 +150,7 @@
       if (!isLostBefore) {
         runs.push({subject, at: clock.now(), body});
       }
-      await wait(clock, service.workMs * random.next());
+      await sleepOn(clock, service.workMs * random.next());
       await process.whenRunning();
       if (isLostBefore || isLostAfter) {
         throw new ServingError('outcome-unknown', 'cut off');
@@ -164,7 +164,7 @@
     const process = createProcess(id, clock);
     const client = platform.client(id);
     const suspects = new Set<string>();
-    const membersSeen = () =>
+    const visibleEntries = () =>
       [...entries.values()].filter(
         other => other.process.isAlive && !suspects.has(other.id),
       );
@@ -176,16 +176,16 @@
       random: seededRandom(random.integer(0, 1_000_000_000)),
       member: id,
       liveMembers: () =>
-        membersSeen()
+        visibleEntries()
           .filter(other => !other.isLeaving)
           .map(other => other.id),
-      answeringMembers: () => membersSeen().map(other => other.id),
+      answeringMembers: () => visibleEntries().map(other => other.id),
       settings: {...testSettings, ...settings},
     });
     const entry = {id, process, ledger, client, suspects, isLeaving: false};
     entries.set(id, entry);
-    if (deserted !== undefined) {
-      deserted.to = Math.min(deserted.to, clock.now());
+    if (emptyPeriod !== undefined) {
+      emptyPeriod.to = Math.min(emptyPeriod.to, clock.now());
     }
     return entry;
   }
@@ -195,7 +195,7 @@
     if (entry !== undefined) {
       entry.process.isAlive = false;
       entry.ledger.dispose();
-      entry.process.onDidEnd.splice(0).forEach(tell => tell());
+      entry.process.onDidEnd.splice(0).forEach(notify => notify());
     }
   }
 
@@ -210,9 +210,14 @@
     key: string | undefined,
     subject = key ?? `unnamed ${submitted.length}`,
     timeoutMs = TIMEOUT_MS,
-  ): Submitted {
+  ): SubmittedRequest {
     const {ledger, process} = entryOf(id);
-    const request: Submitted = {key, subject, at: clock.now(), timeoutMs};
+    const request: SubmittedRequest = {
+      key,
+      subject,
+      at: clock.now(),
+      timeoutMs,
+    };
     submitted.push(request);
     const order = {
       customer: 'chain',
@@ -249,7 +254,7 @@
       other => other.isLeaving || !other.process.isAlive,
     );
     if (isLast) {
-      deserted ??= {from: clock.now(), to: Infinity};
+      emptyPeriod ??= {from: clock.now(), to: Infinity};
     }
     await entry.ledger.leave();
     if (entries.get(id) === entry) {
@@ -270,12 +275,12 @@
     submitted,
     runs,
     service,
-    desertedUntil({at, timeoutMs}) {
-      const isHit =
-        deserted !== undefined &&
-        at <= deserted.to &&
-        at + timeoutMs >= deserted.from;
-      return isHit ? deserted?.to : undefined;
+    emptyUntil({at, timeoutMs}) {
+      const isAffected =
+        emptyPeriod !== undefined &&
+        at <= emptyPeriod.to &&
+        at + timeoutMs >= emptyPeriod.from;
+      return isAffected ? emptyPeriod?.to : undefined;
     },
     start,
     crash,
@@ -295,8 +300,11 @@
 }
 
 /** At most one run for each order, and none whose callers were all told `not-run`. */
-function checkRuns(runs: readonly Run[], submitted: readonly Submitted[]) {
-  const seen = new Map<string, Run>();
+function checkRuns(
+  runs: readonly ServiceRun[],
+  submitted: readonly SubmittedRequest[],
+) {
+  const seen = new Map<string, ServiceRun>();
   for (const run of runs) {
     const causes = submitted.filter(({subject}) => subject === run.subject);
     const key = causes[0]?.key ?? run.subject;
@@ -310,7 +318,10 @@
 }
 
 /** Every reply comes from the run of its own order. */
-function checkAnswers(runs: readonly Run[], submitted: readonly Submitted[]) {
+function checkAnswers(
+  runs: readonly ServiceRun[],
+  submitted: readonly SubmittedRequest[],
+) {
   for (const {subject, answer} of submitted) {
     if (answer?.body !== undefined) {
       const run = runs.find(({body}) => body === answer.body);
@@ -319,6 +330,6 @@
   }
 }
 
-function wait(clock: Clock, delayMs: number): Promise<void> {
+function sleepOn(clock: Clock, delayMs: number): Promise<void> {
   return new Promise(resolve => clock.after(delayMs, resolve));
 }
--- a/packages/orders/src/test/foundSchedules.test.ts
+++ b/packages/orders/src/test/fuzzFindings.test.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {play, settle, type Step} from './schedule.js';
-import type {World} from './world.js';
+import {runSchedule, healAndCheck, type Step} from './schedule.js';
+import type {Cluster} from './cluster.js';
 
 /** A schedule that the fuzzer found failing, shrunk. */
-interface Found {
+interface FuzzFinding {
   readonly name: string;
   readonly seed: number;
   readonly waitMs: number;
   readonly steps: readonly Step[];
-  readonly expect: (world: World) => void;
+  readonly expect: (cluster: Cluster) => void;
 }
 
-function kinds(world: World): ReadonlyArray<string | undefined> {
-  return world.submitted.map(({answer}) => answer?.kind);
+function answerKinds(cluster: Cluster): ReadonlyArray<string | undefined> {
+  return cluster.submitted.map(({answer}) => answer?.kind);
 }
 
-const found: readonly Found[] = [
+const findings: readonly FuzzFinding[] = [
   // An entry joins and takes over the shard of a running order. Its old owner notes the reply in a
   // table that it can't write any more. A retry then hears `may-have-run` of a kit that was
   // confirmed, and the designer orders a second one.
@@ -27,12 +27,17 @@
     steps: [
       {do: 'submit', entry: 0, key: 1},
       {do: 'start', entry: 3},
-      {do: 'submit-unnamed', entry: 0},
+      {do: 'submit-unkeyed', entry: 0},
       {do: 'wait', ms: 5},
       {do: 'submit', entry: 0, key: 1},
     ],
-    expect: world =>
-      assert.deepEqual(kinds(world), ['reply', 'reply', 'reply', 'reply']),
+    expect: cluster =>
+      assert.deepEqual(answerKinds(cluster), [
+        'reply',
+        'reply',
+        'reply',
+        'reply',
+      ]),
   },
   // An entry leaves while an order is on its way to it, and another process starts under its name.
   // The sender waits for an answer that can't come, until its caller's deadline has passed.
@@ -41,12 +46,12 @@
     seed: 0,
     waitMs: 0,
     steps: [
-      {do: 'submit-unnamed', entry: 0},
+      {do: 'submit-unkeyed', entry: 0},
       {do: 'leave', entry: 2},
       {do: 'wait', ms: 150},
       {do: 'start', entry: 2},
     ],
-    expect: world => assert.deepEqual(kinds(world), ['reply']),
+    expect: cluster => assert.deepEqual(answerKinds(cluster), ['reply']),
   },
   // All entries leave at once and nobody is left to take an order that is on its way. The caller
   // must hear that it was not run, not that it may have.
@@ -60,7 +65,8 @@
       {do: 'leave', entry: 1},
       {do: 'leave', entry: 2},
     ],
-    expect: world => assert.equal(world.submitted[0]?.answer?.run, 'not-run'),
+    expect: cluster =>
+      assert.equal(cluster.submitted[0]?.answer?.run, 'not-run'),
   },
   // A caller's short deadline passes while its order still waits for a place at the service. Nothing
   // was sent; a claim that stays behind as `unknown` would deny every retry.
@@ -69,14 +75,14 @@
     seed: 0,
     waitMs: 200,
     steps: [
-      {do: 'submit-hasty', entry: 0, key: 0},
+      {do: 'submit-short-deadline', entry: 0, key: 0},
       {do: 'wait', ms: 400},
       {do: 'submit', entry: 0, key: 0},
       {do: 'submit', entry: 0, key: 0},
     ],
-    expect(world) {
-      const [hasty, ...later] = world.submitted;
-      assert.equal(hasty?.answer?.run, 'not-run');
+    expect(cluster) {
+      const [shortDeadline, ...later] = cluster.submitted;
+      assert.equal(shortDeadline?.answer?.run, 'not-run');
       assert.ok(later.every(({answer}) => answer?.kind === 'reply'));
     },
   },
@@ -94,8 +100,8 @@
       {do: 'leave', entry: 2},
       {do: 'leave', entry: 0},
     ],
-    expect: world =>
-      assert.deepEqual(kinds(world), ['reply', 'reply', 'reply']),
+    expect: cluster =>
+      assert.deepEqual(answerKinds(cluster), ['reply', 'reply', 'reply']),
   },
   // All entries leave while an order waits, so it is handed over with nobody there to take it. Its
   // caller heard `not-run`; then an entry started, found the order and ran it.
@@ -112,9 +118,9 @@
       {do: 'wait', ms: 400},
       {do: 'start', entry: 0},
     ],
-    expect(world) {
-      assert.equal(world.runs.length, 1);
-      assert.equal(world.submitted[0]?.answer?.run, 'may-have-run');
+    expect(cluster) {
+      assert.equal(cluster.runs.length, 1);
+      assert.equal(cluster.submitted[0]?.answer?.run, 'may-have-run');
     },
   },
   // A retry waits at the shard's new owner for the reply of a run at the old one. The new owner
@@ -124,7 +130,7 @@
     seed: 0,
     waitMs: 0,
     steps: [
-      {do: 'submit-hasty', entry: 0, key: 3},
+      {do: 'submit-short-deadline', entry: 0, key: 3},
       {do: 'wait', ms: 20},
       {do: 'start', entry: 3},
       {do: 'submit', entry: 0, key: 3},
@@ -134,7 +140,8 @@
       {do: 'submit', entry: 0, key: 0},
       {do: 'wait', ms: 400},
     ],
-    expect: world => assert.equal(world.submitted[1]?.answer?.kind, 'reply'),
+    expect: cluster =>
+      assert.equal(cluster.submitted[1]?.answer?.kind, 'reply'),
   },
   // All entries leave while an order waits, and the next one comes only after the order's deadline.
   // The order is not run so late; a retry that came then was refused by the old order's deadline.
@@ -143,7 +150,7 @@
     seed: 0,
     waitMs: 0,
     steps: [
-      {do: 'submit-hasty', entry: 0, key: 0},
+      {do: 'submit-short-deadline', entry: 0, key: 0},
       {do: 'leave', entry: 2},
       {do: 'leave', entry: 1},
       {do: 'wait', ms: 401},
@@ -151,8 +158,8 @@
       {do: 'wait', ms: 1},
       {do: 'leave', entry: 0},
     ],
-    expect(world) {
-      const [, order, , retry] = world.submitted;
+    expect(cluster) {
+      const [, order, , retry] = cluster.submitted;
       assert.equal(order?.answer?.run, 'may-have-run');
       assert.equal(retry?.answer?.kind, 'reply');
     },
@@ -165,18 +172,18 @@
     seed: 0,
     waitMs: 2_000,
     steps: [
-      {do: 'submit-other', entry: 0, key: 1},
+      {do: 'submit-conflicting', entry: 0, key: 1},
       {do: 'start', entry: 3},
       {do: 'wait', ms: 400},
       {do: 'submit', entry: 0, key: 3},
       {do: 'wait', ms: 20},
       {do: 'leave', entry: 3},
-      {do: 'submit-other', entry: 0, key: 3},
+      {do: 'submit-conflicting', entry: 0, key: 3},
       {do: 'submit', entry: 0, key: 0},
       {do: 'leave', entry: 1},
     ],
-    expect(world) {
-      const kept = world.submitted.find(({subject}) => subject === 'k3');
+    expect(cluster) {
+      const kept = cluster.submitted.find(({subject}) => subject === 'k3');
       assert.equal(kept?.answer?.kind, 'reply');
     },
   },
@@ -188,17 +195,17 @@
     seed: 0,
     waitMs: 0,
     steps: [
-      {do: 'submit-hasty', entry: 0, key: 3},
+      {do: 'submit-short-deadline', entry: 0, key: 3},
       {do: 'lose-replies', entry: 0, count: 2},
       {do: 'wait', ms: 5},
-      {do: 'submit-unnamed', entry: 0},
+      {do: 'submit-unkeyed', entry: 0},
       {do: 'wait', ms: 5},
       {do: 'submit', entry: 1, key: 1},
       {do: 'submit', entry: 0, key: 4},
       {do: 'leave', entry: 0},
     ],
-    expect(world) {
-      const retry = world.submitted.findLast(({key}) => key === 'k3');
+    expect(cluster) {
+      const retry = cluster.submitted.findLast(({key}) => key === 'k3');
       assert.equal(retry?.answer?.kind, 'reply');
     },
   },
@@ -212,7 +219,7 @@
     steps: [
       {do: 'submit', entry: 0, key: 2},
       {do: 'wait', ms: 100},
-      {do: 'submit-hasty', entry: 0, key: 0},
+      {do: 'submit-short-deadline', entry: 0, key: 0},
       {do: 'start', entry: 3},
       {do: 'submit', entry: 0, key: 0},
       {do: 'wait', ms: 20},
@@ -220,9 +227,9 @@
       {do: 'start', entry: 0},
       {do: 'lose-replies', entry: 0, count: 1},
     ],
-    expect(world) {
-      const [, hasty, ...retries] = world.submitted;
-      assert.equal(hasty?.answer?.run, 'not-run');
+    expect(cluster) {
+      const [, shortDeadline, ...retries] = cluster.submitted;
+      assert.equal(shortDeadline?.answer?.run, 'not-run');
       assert.ok(retries.every(({answer}) => answer?.kind === 'reply'));
     },
   },
@@ -235,20 +242,20 @@
     waitMs: 2_000,
     steps: [
       {do: 'submit', entry: 1, key: 4},
-      {do: 'submit-hasty', entry: 0, key: 4},
+      {do: 'submit-short-deadline', entry: 0, key: 4},
       {do: 'wait', ms: 20},
       {do: 'start', entry: 3},
       {do: 'submit', entry: 0, key: 0},
       {do: 'submit', entry: 0, key: 4},
       {do: 'wait', ms: 1},
       {do: 'leave', entry: 3},
-      {do: 'submit-hasty', entry: 0, key: 0},
+      {do: 'submit-short-deadline', entry: 0, key: 0},
     ],
-    expect(world) {
-      const patient = world.submitted.filter(
+    expect(cluster) {
+      const longDeadline = cluster.submitted.filter(
         ({timeoutMs}) => timeoutMs > 1_000,
       );
-      for (const {subject, answer} of patient) {
+      for (const {subject, answer} of longDeadline) {
         assert.equal(answer?.kind, 'reply', subject);
       }
     },
@@ -256,16 +263,22 @@
 ];
 
 describe('schedules that the fuzzer found', () => {
-  for (const {name, seed, waitMs, steps, expect} of found) {
+  for (const {name, seed, waitMs, steps, expect} of findings) {
     it(name, async () => {
       const service = [0, 0, 0] as const;
       const network = [0, 0] as const;
-      const world = await play({seed, service, network, waitMs, steps});
+      const cluster = await runSchedule({
+        seed,
+        service,
+        network,
+        waitMs,
+        steps,
+      });
       try {
-        await settle(world);
-        expect(world);
+        await healAndCheck(cluster);
+        expect(cluster);
       } finally {
-        world.dispose();
+        cluster.dispose();
       }
     });
   }
--- a/packages/orders/src/test/handOver.test.ts
+++ b/packages/orders/src/test/handOver.test.ts
@@ -20,13 +20,13 @@
         onDidReceive: () => ({dispose() {}}),
       },
       successors: () => ['b'],
-      maxBytes: 0,
-      flights: () => [],
-      onDidVoid: () => {},
-      rerun: () => {},
+      maxBodyBytes: 0,
+      activeOrders: () => [],
+      onDidVoidClaim: () => {},
+      resume: () => {},
     });
     const shard = {index: 3, release: () => Promise.resolve('released')};
-    await handOver.pass(shard as unknown as Shard);
+    await handOver.transfer(shard as unknown as Shard);
     assert.deepEqual(bodies, [{shard: 3}]);
   });
 });
--- a/packages/orders/src/test/ledger.fuzz.test.ts
+++ b/packages/orders/src/test/ledger.fuzz.test.ts
@@ -1,8 +1,13 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
-import {TIMEOUT_MS} from './world.js';
-import {anySchedules, leaveSchedules, play, settle} from './schedule.js';
+import {TIMEOUT_MS} from './cluster.js';
+import {
+  anySchedules,
+  leaveSchedules,
+  runSchedule,
+  healAndCheck,
+} from './schedule.js';
 
 const IS_LONG = process.env.SKYLARKFIELD_FUZZ === 'long';
 const CI_SEED = 20_260_801;
@@ -29,12 +34,12 @@
   it('never runs an order twice and never says a false not-run', async () => {
     await fc.assert(
       fc.asyncProperty(anySchedules, async schedule => {
-        const world = await play(schedule);
+        const cluster = await runSchedule(schedule);
         try {
-          world.check();
-          await settle(world);
+          cluster.check();
+          await healAndCheck(cluster);
         } finally {
-          world.dispose();
+          cluster.dispose();
         }
       }),
       parameters(),
@@ -44,25 +49,28 @@
   it('loses no accepted order over announced reclaims', async () => {
     await fc.assert(
       fc.asyncProperty(leaveSchedules, async schedule => {
-        const world = await play(schedule);
+        const cluster = await runSchedule(schedule);
         try {
-          await settle(world);
-          for (const order of world.submitted) {
+          await healAndCheck(cluster);
+          for (const order of cluster.submitted) {
             const {subject, answer, at, timeoutMs} = order;
             assert.ok(answer, `${subject} was not answered`);
             // With no entry left the answer may be open, but what was accepted still runs when an
             // entry comes before the deadline.
-            const until = world.desertedUntil(order);
-            const hasRun = world.runs.some(run => run.subject === subject);
+            const until = cluster.emptyUntil(order);
+            const hasRun = cluster.runs.some(run => run.subject === subject);
             const isTooLate = (until ?? 0) > at + timeoutMs - START_MARGIN_MS;
             const isExcused =
               timeoutMs < TIMEOUT_MS ||
               (until !== undefined && (hasRun || isTooLate));
-            const isFine = answer.run !== 'may-have-run';
-            assert.ok(isFine || isExcused, `${subject}: ${answer.kind}`);
+            const isKnownOutcome = answer.run !== 'may-have-run';
+            assert.ok(
+              isKnownOutcome || isExcused,
+              `${subject}: ${answer.kind}`,
+            );
           }
         } finally {
-          world.dispose();
+          cluster.dispose();
         }
       }),
       parameters(),
--- a/packages/orders/src/test/ledger.test.ts
+++ b/packages/orders/src/test/ledger.test.ts
@@ -1,77 +1,77 @@
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, describe, it} from 'node:test';
-import {createWorld, TIMEOUT_MS, type World} from './world.js';
+import {createCluster, TIMEOUT_MS, type Cluster} from './cluster.js';
 
 describe('ledger', () => {
-  let world: World;
+  let cluster: Cluster;
   beforeEach(() => {
-    world = createWorld(1, {sealBytes: 16_384});
-    ['a', 'b', 'c'].forEach(world.start);
+    cluster = createCluster(1, {sealBytes: 16_384});
+    ['a', 'b', 'c'].forEach(cluster.start);
   });
   afterEach(() => {
-    world.check();
-    world.dispose();
+    cluster.check();
+    cluster.dispose();
   });
 
   it('runs an order and replays its reply through any entry', async () => {
-    const first = world.submit('a', 'k1');
-    await world.clock.advance(500);
-    const again = ['a', 'b', 'c'].map(id => world.submit(id, 'k1'));
-    await world.clock.advance(500);
+    const first = cluster.submit('a', 'k1');
+    await cluster.clock.advance(500);
+    const again = ['a', 'b', 'c'].map(id => cluster.submit(id, 'k1'));
+    await cluster.clock.advance(500);
     assert.equal(first.answer?.kind, 'reply');
     for (const {answer} of again) {
       assert.equal(answer?.body, first.answer?.body);
       assert.equal(answer?.isReplay, true);
     }
-    assert.equal(world.runs.length, 1);
+    assert.equal(cluster.runs.length, 1);
   });
 
   it('joins a retry that comes while the order runs', async () => {
-    const both = ['a', 'b'].map(id => world.submit(id, 'k1'));
-    await world.clock.advance(500);
+    const both = ['a', 'b'].map(id => cluster.submit(id, 'k1'));
+    await cluster.clock.advance(500);
     assert.equal(both[0]?.answer?.body, both[1]?.answer?.body);
-    assert.equal(world.runs.length, 1);
+    assert.equal(cluster.runs.length, 1);
   });
 
   it('refuses a key that comes with another request', async () => {
-    world.submit('a', 'k1', 'two swatch kits');
-    await world.clock.advance(500);
-    const other = world.submit('b', 'k1', 'three swatch kits');
-    await world.clock.advance(500);
+    cluster.submit('a', 'k1', 'two swatch kits');
+    await cluster.clock.advance(500);
+    const other = cluster.submit('b', 'k1', 'three swatch kits');
+    await cluster.clock.advance(500);
     assert.equal(other.answer?.kind, 'key-conflict');
   });
 
   it('runs orders without a key once each', async () => {
-    world.submit('a', undefined);
-    world.submit('a', undefined);
-    await world.clock.advance(500);
-    assert.equal(world.runs.length, 2);
+    cluster.submit('a', undefined);
+    cluster.submit('a', undefined);
+    await cluster.clock.advance(500);
+    assert.equal(cluster.runs.length, 2);
   });
 
   it('commits many claims in one write', async () => {
-    world.submit('a', 'warm-up');
-    await world.clock.advance(500);
-    const before = world.platform.load().writes;
+    cluster.submit('a', 'warm-up');
+    await cluster.clock.advance(500);
+    const before = cluster.platform.load().writes;
     for (let order = 0; order < 100; order++) {
-      world.submit('a', `k${order}`);
+      cluster.submit('a', `k${order}`);
     }
-    await world.clock.advance(1_000);
-    assert.equal(world.runs.length, 101);
-    assert.ok(world.platform.load().writes - before <= 8);
+    await cluster.clock.advance(1_000);
+    assert.equal(cluster.runs.length, 101);
+    assert.ok(cluster.platform.load().writes - before <= 8);
   });
 
   // An entry dies after it has claimed an order. Whether it was sent is not known, so a retry
   // must be told just that; running it again could send two crews.
   it('does not run an order again whose entry died', async () => {
-    world.service.workMs = 60_000;
-    const lost = world.submit('a', 'k1');
-    await world.clock.advance(200);
-    const owner = ownerOf(world);
-    world.crash(owner);
+    cluster.service.workMs = 60_000;
+    const lost = cluster.submit('a', 'k1');
+    await cluster.clock.advance(200);
+    const owner = ownerOf(cluster);
+    cluster.crash(owner);
     const other = ['a', 'b', 'c'].find(id => id !== owner) ?? '';
-    const retry = world.submit(other, 'k1');
-    await world.clock.advance(2 * TIMEOUT_MS);
-    assert.equal(world.runs.length, 1);
+    const retry = cluster.submit(other, 'k1');
+    await cluster.clock.advance(2 * TIMEOUT_MS);
+    assert.equal(cluster.runs.length, 1);
     assert.equal(retry.answer?.kind, 'outcome-unknown');
     assert.notEqual(lost.answer?.run, 'not-run');
   });
@@ -79,39 +79,39 @@
   // The platform goes away. New orders can't be kept safe, so callers hear at once that nothing
   // ran and when to come back; an order already claimed goes on and its reply is kept later.
   it('refuses at once while the platform is down and goes on with claimed orders', async () => {
-    world.service.workMs = 10_000;
-    const claimed = world.submit('a', 'k1', undefined, 60_000);
-    await world.clock.advance(100);
-    world.platform.faults.setDown(true);
-    const refused = world.submit('a', 'k2');
-    await world.clock.advance(3_000);
+    cluster.service.workMs = 10_000;
+    const claimed = cluster.submit('a', 'k1', undefined, 60_000);
+    await cluster.clock.advance(100);
+    cluster.platform.faults.setDown(true);
+    const refused = cluster.submit('a', 'k2');
+    await cluster.clock.advance(3_000);
     assert.equal(refused.answer?.kind, 'platform-unavailable');
     assert.equal(refused.answer?.run, 'not-run');
     assert.ok((refused.answer?.retryAfterMs ?? 0) > 0);
-    await world.clock.advance(10_000);
+    await cluster.clock.advance(10_000);
     assert.equal(claimed.answer?.kind, 'reply');
-    world.platform.faults.setDown(false);
-    await world.clock.advance(10_000);
-    const retry = world.submit('b', 'k1');
-    await world.clock.advance(500);
+    cluster.platform.faults.setDown(false);
+    await cluster.clock.advance(10_000);
+    const retry = cluster.submit('b', 'k1');
+    await cluster.clock.advance(500);
     assert.equal(retry.answer?.body, claimed.answer?.body);
   });
 
   // The host of an entry is taken back while orders wait in it for a free place at the service.
   // They were accepted, so they run at the next entry and their callers get the answers.
   it('hands waiting orders over on an announced reclaim', async () => {
-    world.service.waitMs = 20_000;
+    cluster.service.waitMs = 20_000;
     const orders = ['k1', 'k2', 'k3', 'k4'].map(key =>
-      world.submit('a', key, undefined, 60_000),
+      cluster.submit('a', key, undefined, 60_000),
     );
-    await world.clock.advance(200);
-    const owners = ['a', 'b', 'c'].filter(id => shardsOf(world, id));
-    world.service.waitMs = 10;
-    assert.equal(world.runs.length, 0);
-    const leaving = owners.slice(0, 2).map(id => world.leave(id));
-    await world.clock.advance(3_000);
+    await cluster.clock.advance(200);
+    const owners = ['a', 'b', 'c'].filter(id => ownsShard(cluster, id));
+    cluster.service.waitMs = 10;
+    assert.equal(cluster.runs.length, 0);
+    const leaving = owners.slice(0, 2).map(id => cluster.leave(id));
+    await cluster.clock.advance(3_000);
     await Promise.all(leaving);
-    assert.equal(world.runs.length, 4);
+    assert.equal(cluster.runs.length, 4);
     assert.deepEqual(
       orders.map(({answer}) => answer?.kind),
       ['reply', 'reply', 'reply', 'reply'],
@@ -119,13 +119,13 @@
   });
 });
 
-function shardsOf(world: World, id: string): boolean {
-  const dump = world.entries.get(id)?.ledger.dump() as {
+function ownsShard(cluster: Cluster, id: string): boolean {
+  const dump = cluster.entries.get(id)?.ledger.dump() as {
     shards: Array<{state: string}>;
   };
   return dump.shards.some(({state}) => state === 'owned');
 }
 
-function ownerOf(world: World): string {
-  return [...world.entries.keys()].find(id => shardsOf(world, id)) ?? '';
+function ownerOf(cluster: Cluster): string {
+  return [...cluster.entries.keys()].find(id => ownsShard(cluster, id)) ?? '';
 }
--- a/packages/orders/src/test/schedule.ts
+++ b/packages/orders/src/test/schedule.ts
@@ -2,15 +2,23 @@
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
 import {settlePromises} from '@skylarkfield/base';
-import type {Blur} from './simulatedProcess.js';
-import {createWorld, TIMEOUT_MS, type World} from './world.js';
+import type {LostReplyEffect} from './simulatedProcess.js';
+import {createCluster, TIMEOUT_MS, type Cluster} from './cluster.js';
 
 /** One step of a schedule; entries and keys are numbers so that any combination makes sense. */
 export type Step =
   | {readonly do: 'submit'; readonly entry: number; readonly key: number}
-  | {readonly do: 'submit-unnamed'; readonly entry: number}
-  | {readonly do: 'submit-other'; readonly entry: number; readonly key: number}
-  | {readonly do: 'submit-hasty'; readonly entry: number; readonly key: number}
+  | {readonly do: 'submit-unkeyed'; readonly entry: number}
+  | {
+      readonly do: 'submit-conflicting';
+      readonly entry: number;
+      readonly key: number;
+    }
+  | {
+      readonly do: 'submit-short-deadline';
+      readonly entry: number;
+      readonly key: number;
+    }
   | {readonly do: 'wait'; readonly ms: number}
   | {readonly do: 'crash'; readonly entry: number}
   | {readonly do: 'pause'; readonly entry: number}
@@ -18,22 +26,26 @@
   | {readonly do: 'leave'; readonly entry: number}
   | {readonly do: 'start'; readonly entry: number}
   | {readonly do: 'suspect'; readonly entry: number; readonly other: number}
-  | {readonly do: 'trust'; readonly entry: number; readonly other: number}
+  | {readonly do: 'unsuspect'; readonly entry: number; readonly other: number}
   | {readonly do: 'cut'; readonly entry: number; readonly other: number}
-  | {readonly do: 'heal'; readonly entry: number; readonly other: number}
+  | {readonly do: 'uncut'; readonly entry: number; readonly other: number}
   | {
       readonly do: 'lose-replies';
       readonly entry: number;
       readonly count: number;
     }
   | {
-      readonly do: 'blur';
+      readonly do: 'interrupt';
       readonly entry: number;
-      readonly blurs: readonly Blur[];
+      readonly effects: readonly LostReplyEffect[];
     }
   | {readonly do: 'platform'; readonly isDown: boolean}
   | {readonly do: 'platform-slow'; readonly ms: number}
-  | {readonly do: 'unplug'; readonly entry: number; readonly isDown: boolean};
+  | {
+      readonly do: 'disconnect';
+      readonly entry: number;
+      readonly isDown: boolean;
+    };
 
 export interface Schedule {
   readonly seed: number;
@@ -66,9 +78,9 @@
 
 const orderSteps = [
   {weight: 8, arbitrary: step('submit', {entry, key})},
-  {weight: 2, arbitrary: step('submit-unnamed', {entry})},
-  {weight: 1, arbitrary: step('submit-other', {entry, key})},
-  {weight: 2, arbitrary: step('submit-hasty', {entry, key})},
+  {weight: 2, arbitrary: step('submit-unkeyed', {entry})},
+  {weight: 1, arbitrary: step('submit-conflicting', {entry, key})},
+  {weight: 2, arbitrary: step('submit-short-deadline', {entry, key})},
   {weight: 5, arbitrary: step('wait', {ms: fc.constantFrom(1, 5, 20, 100)})},
   {weight: 1, arbitrary: step('wait', {ms: fc.constantFrom(400, 3_000)})},
 ];
@@ -85,24 +97,31 @@
   },
 ];
 
-const blur = fc.constantFrom<Blur>('now', 'late', 'never');
-const blurs = fc.array(blur, {minLength: 1, maxLength: 3});
+const lostReplyEffect = fc.constantFrom<LostReplyEffect>(
+  'now',
+  'late',
+  'never',
+);
+const effects = fc.array(lostReplyEffect, {minLength: 1, maxLength: 3});
 
 const faultSteps = [
-  {weight: 3, arbitrary: step('blur', {entry, blurs})},
+  {weight: 3, arbitrary: step('interrupt', {entry, effects})},
   {weight: 1, arbitrary: step('crash', {entry})},
   {weight: 2, arbitrary: step('pause', {entry})},
   {weight: 2, arbitrary: step('resume', {entry})},
   {weight: 1, arbitrary: step('suspect', {entry, other: entry})},
-  {weight: 1, arbitrary: step('trust', {entry, other: entry})},
+  {weight: 1, arbitrary: step('unsuspect', {entry, other: entry})},
   {weight: 1, arbitrary: step('cut', {entry, other: entry})},
-  {weight: 1, arbitrary: step('heal', {entry, other: entry})},
+  {weight: 1, arbitrary: step('uncut', {entry, other: entry})},
   {weight: 1, arbitrary: step('platform', {isDown: fc.boolean()})},
   {
     weight: 1,
     arbitrary: step('platform-slow', {ms: fc.constantFrom(0, 4, 100, 2_500)}),
   },
-  {weight: 1, arbitrary: step('unplug', {entry, isDown: fc.boolean()})},
+  {
+    weight: 1,
+    arbitrary: step('disconnect', {entry, isDown: fc.boolean()}),
+  },
 ];
 
 function schedules(
@@ -129,7 +148,10 @@
 export const leaveSchedules = schedules([...orderSteps, ...leaveSteps], false);
 
 type Handlers = {
-  [K in Step['do']]: (world: World, step: Extract<Step, {do: K}>) => unknown;
+  [K in Step['do']]: (
+    cluster: Cluster,
+    step: Extract<Step, {do: K}>,
+  ) => unknown;
 };
 
 function idOf(index: number): string {
@@ -138,86 +160,91 @@
 
 /** Submits where a caller could: at an entry that runs. */
 function submitAt(
-  world: World,
+  cluster: Cluster,
   index: number,
   keyIndex: number | undefined,
   timeoutMs = TIMEOUT_MS,
-  isOther = false,
+  isConflicting = false,
 ): void {
-  const found = world.entries.get(idOf(index));
+  const found = cluster.entries.get(idOf(index));
   if (found === undefined || !found.process.isAlive) {
     return;
   }
   const name = keyIndex === undefined ? undefined : `k${keyIndex}`;
-  const subject = isOther ? `${name} changed` : name;
-  world.submit(found.id, name, subject, timeoutMs);
+  const subject = isConflicting ? `${name} changed` : name;
+  cluster.submit(found.id, name, subject, timeoutMs);
 }
 
 function withEntry(
-  world: World,
+  cluster: Cluster,
   index: number,
   action: (id: string) => unknown,
 ): void {
-  if (world.entries.get(idOf(index))?.process.isAlive) {
+  if (cluster.entries.get(idOf(index))?.process.isAlive) {
     action(idOf(index));
   }
 }
 
 const handlers: Handlers = {
-  submit: (world, step) => submitAt(world, step.entry, step.key),
-  'submit-unnamed': (world, step) => submitAt(world, step.entry, undefined),
-  'submit-other': (world, step) =>
-    submitAt(world, step.entry, step.key, TIMEOUT_MS, true),
-  'submit-hasty': (world, step) => submitAt(world, step.entry, step.key, 25),
-  wait: (world, step) => world.clock.advance(step.ms),
-  crash: (world, step) => world.crash(idOf(step.entry)),
-  pause: (world, step) => withEntry(world, step.entry, world.pause),
-  resume: (world, step) => withEntry(world, step.entry, world.resume),
-  leave: (world, step) =>
-    withEntry(world, step.entry, id => void world.leave(id)),
-  start(world, step) {
-    if (!world.entries.get(idOf(step.entry))?.process.isAlive) {
-      world.start(idOf(step.entry));
+  submit: (cluster, step) => submitAt(cluster, step.entry, step.key),
+  'submit-unkeyed': (cluster, step) => submitAt(cluster, step.entry, undefined),
+  'submit-conflicting': (cluster, step) =>
+    submitAt(cluster, step.entry, step.key, TIMEOUT_MS, true),
+  'submit-short-deadline': (cluster, step) =>
+    submitAt(cluster, step.entry, step.key, 25),
+  wait: (cluster, step) => cluster.clock.advance(step.ms),
+  crash: (cluster, step) => cluster.crash(idOf(step.entry)),
+  pause: (cluster, step) => withEntry(cluster, step.entry, cluster.pause),
+  resume: (cluster, step) => withEntry(cluster, step.entry, cluster.resume),
+  leave: (cluster, step) =>
+    withEntry(cluster, step.entry, id => void cluster.leave(id)),
+  start(cluster, step) {
+    if (!cluster.entries.get(idOf(step.entry))?.process.isAlive) {
+      cluster.start(idOf(step.entry));
     }
   },
-  suspect: (world, step) =>
-    world.entries.get(idOf(step.entry))?.suspects.add(idOf(step.other)),
-  trust: (world, step) =>
-    world.entries.get(idOf(step.entry))?.suspects.delete(idOf(step.other)),
-  cut: (world, step) =>
-    world.network.cuts.add(`${idOf(step.entry)}>${idOf(step.other)}`),
-  heal: (world, step) =>
-    world.network.cuts.delete(`${idOf(step.entry)}>${idOf(step.other)}`),
-  'lose-replies': (world, step) =>
-    world.entries.get(idOf(step.entry))?.client.faults.loseReplies(step.count),
-  blur: (world, step) =>
-    world.entries.get(idOf(step.entry))?.process.blurs.push(...step.blurs),
-  platform: (world, step) => world.platform.faults.setDown(step.isDown),
-  'platform-slow': (world, step) => world.platform.faults.setSlow(step.ms),
-  unplug: (world, step) =>
-    world.entries.get(idOf(step.entry))?.client.faults.setDown(step.isDown),
+  suspect: (cluster, step) =>
+    cluster.entries.get(idOf(step.entry))?.suspects.add(idOf(step.other)),
+  unsuspect: (cluster, step) =>
+    cluster.entries.get(idOf(step.entry))?.suspects.delete(idOf(step.other)),
+  cut: (cluster, step) =>
+    cluster.network.cuts.add(`${idOf(step.entry)}>${idOf(step.other)}`),
+  uncut: (cluster, step) =>
+    cluster.network.cuts.delete(`${idOf(step.entry)}>${idOf(step.other)}`),
+  'lose-replies': (cluster, step) =>
+    cluster.entries
+      .get(idOf(step.entry))
+      ?.client.faults.loseReplies(step.count),
+  interrupt: (cluster, step) =>
+    cluster.entries
+      .get(idOf(step.entry))
+      ?.process.lostReplyEffects.push(...step.effects),
+  platform: (cluster, step) => cluster.platform.faults.setDown(step.isDown),
+  'platform-slow': (cluster, step) => cluster.platform.faults.setSlow(step.ms),
+  disconnect: (cluster, step) =>
+    cluster.entries.get(idOf(step.entry))?.client.faults.setDown(step.isDown),
 };
 
 /** Runs a schedule's steps and checks after each; the world is left as it is then. */
-export async function play(schedule: Schedule): Promise<World> {
-  const world = createWorld(schedule.seed);
+export async function runSchedule(schedule: Schedule): Promise<Cluster> {
+  const cluster = createCluster(schedule.seed);
   const [refused, lostAfter, lostBefore] = schedule.service;
   const {waitMs} = schedule;
-  Object.assign(world.service, {refused, lostAfter, lostBefore, waitMs});
-  [world.network.lost, world.network.duplicated] = schedule.network;
+  Object.assign(cluster.service, {refused, lostAfter, lostBefore, waitMs});
+  [cluster.network.lost, cluster.network.duplicated] = schedule.network;
   for (let index = 0; index < ENTRY_COUNT - 1; index++) {
-    world.start(idOf(index));
+    cluster.start(idOf(index));
   }
   for (const next of schedule.steps) {
-    await handlers[next.do](world, next as never);
+    await handlers[next.do](cluster, next as never);
     await settlePromises();
   }
-  return world;
+  return cluster;
 }
 
 /** Ends all faults, waits until everything is answered and checks the whole history. */
-export async function settle(world: World): Promise<void> {
-  const {clock, platform, network, service, entries} = world;
+export async function healAndCheck(cluster: Cluster): Promise<void> {
+  const {clock, platform, network, service, entries} = cluster;
   platform.faults.setDown(false);
   platform.faults.setSlow(4);
   network.cuts.clear();
@@ -225,26 +252,26 @@
   Object.assign(service, {refused: 0, lostAfter: 0, lostBefore: 0, waitMs: 1});
   for (const {process, suspects, client} of entries.values()) {
     suspects.clear();
-    process.blurs.length = 0;
+    process.lostReplyEffects.length = 0;
     client.faults.setDown(false);
     await process.resume();
   }
   await clock.advance(SETTLE_MS);
-  world.check();
-  world.start('last');
-  await checkRetries(world);
+  cluster.check();
+  cluster.start('last');
+  await checkRetries(cluster);
 }
 
 /** A retry of every order through a new entry gives the run's own reply, or says that it may have run. */
-async function checkRetries(world: World): Promise<void> {
-  const ranBefore = [...world.runs];
-  const subjects = [...new Set(world.submitted.map(({subject}) => subject))];
+async function checkRetries(cluster: Cluster): Promise<void> {
+  const ranBefore = [...cluster.runs];
+  const subjects = [...new Set(cluster.submitted.map(({subject}) => subject))];
   const retries = subjects
-    .map(subject => world.submitted.find(one => one.subject === subject))
+    .map(subject => cluster.submitted.find(one => one.subject === subject))
     .filter(one => one?.key !== undefined)
-    .map(one => world.submit('last', one?.key, one?.subject));
-  await world.clock.advance(SETTLE_MS);
-  world.check();
+    .map(one => cluster.submit('last', one?.key, one?.subject));
+  await cluster.clock.advance(SETTLE_MS);
+  cluster.check();
   for (const {key, subject, answer} of retries) {
     assert.ok(answer, `the retry of ${subject} was not answered`);
     const run = ranBefore.find(one => one.subject === subject);
--- a/packages/orders/src/test/simulatedProcess.ts
+++ b/packages/orders/src/test/simulatedProcess.ts
@@ -18,7 +18,7 @@
   isAlive: boolean;
   isPaused: boolean;
   /** What becomes of the next writes. */
-  readonly blurs: Blur[];
+  readonly lostReplyEffects: LostReplyEffect[];
   /** Fails the asks that wait for this process, as its closed connections do. */
   readonly onDidEnd: Array<() => void>;
   /** Runs an action now, after the pause, or never when the process has ended. */
@@ -30,21 +30,21 @@
 }
 
 /** Makes a process on the world's clock. */
-export function createProcess(id: string, world: Clock): SimulatedProcess {
+export function createProcess(id: string, clock: Clock): SimulatedProcess {
   const waiting: Array<() => void> = [];
   const process: SimulatedProcess = {
     id,
     handlers: new Map(),
     isAlive: true,
     isPaused: false,
-    blurs: [],
+    lostReplyEffects: [],
     onDidEnd: [],
     clock: {
-      now: () => world.now(),
-      wall: () => world.wall(),
+      now: () => clock.now(),
+      wall: () => clock.wall(),
       after(delayMs, callback) {
         let isCancelled = false;
-        const timer = world.after(delayMs, () =>
+        const timer = clock.after(delayMs, () =>
           process.run(() => {
             if (!isCancelled) {
               callback();
@@ -81,7 +81,7 @@
 }
 
 /** A write whose reply is lost: it takes effect now, later, or never. */
-export type Blur = 'now' | 'late' | 'never';
+export type LostReplyEffect = 'now' | 'late' | 'never';
 
 const LATE_WRITE_MS = 600;
 
@@ -89,9 +89,9 @@
 export function processStore(
   store: ObjectStore,
   process: SimulatedProcess,
-  world: Clock,
+  clock: Clock,
 ): ObjectStore {
-  async function gated<T>(call: Promise<T>): Promise<T> {
+  async function afterResume<T>(call: Promise<T>): Promise<T> {
     try {
       return await call;
     } finally {
@@ -99,25 +99,30 @@
     }
   }
 
-  async function blur<T>(how: Blur, write: () => Promise<T>): Promise<T> {
-    if (how === 'now') {
+  async function loseReply<T>(
+    effect: LostReplyEffect,
+    write: () => Promise<T>,
+  ): Promise<T> {
+    if (effect === 'now') {
       await write().catch(() => undefined);
     }
-    if (how === 'late') {
-      world.after(LATE_WRITE_MS, () => void write().catch(() => undefined));
+    if (effect === 'late') {
+      clock.after(LATE_WRITE_MS, () => void write().catch(() => undefined));
     }
     throw new ServingError('outcome-unknown', 'the reply was lost');
   }
 
   return {
     ...store,
-    get: (kind, name) => gated(store.get(kind, name)),
+    get: (kind, name) => afterResume(store.get(kind, name)),
     put(kind, name, value, condition) {
       // The platform keeps a copy, as it would over the wire.
       const copy = structuredClone(value);
       const write = () => store.put(kind, name, copy, condition);
-      const how = process.blurs.shift();
-      return gated(how === undefined ? write() : blur(how, write));
+      const effect = process.lostReplyEffects.shift();
+      return afterResume(
+        effect === undefined ? write() : loseReply(effect, write),
+      );
     },
   };
 }
@@ -132,8 +137,8 @@
   lost: number;
 }
 
-const DELAY_MS = 2;
-const LATE_MS = 3_000;
+const MAX_DELAY_MS = 2;
+const MAX_DUPLICATE_DELAY_MS = 3_000;
 
 /** Makes the network between simulated processes. */
 export function createSimulatedNetwork(
@@ -150,12 +155,12 @@
     connect,
   };
 
-  function carry(from: string, to: string, action: () => void): void {
+  function transmit(from: string, to: string, action: () => void): void {
     if (cuts.has(`${from}>${to}`) || random.chance(network.lost)) {
       return;
     }
     const target = processes.get(to);
-    clock.after(DELAY_MS * random.next(), () => target?.run(action));
+    clock.after(MAX_DELAY_MS * random.next(), () => target?.run(action));
   }
 
   async function answer(
@@ -186,16 +191,18 @@
             process.run(() => reject(new Error('connection closed')));
           processes.get(to)?.onDidEnd.push(closed);
           const deliver = () =>
-            carry(process.id, to, () => {
+            transmit(process.id, to, () => {
               answer(process.id, to, type, body).then(
                 result =>
-                  carry(to, process.id, () => resolve(structuredClone(result))),
+                  transmit(to, process.id, () =>
+                    resolve(structuredClone(result)),
+                  ),
                 () => undefined,
               );
             });
           deliver();
           if (random.chance(network.duplicated)) {
-            clock.after(LATE_MS * random.next(), deliver);
+            clock.after(MAX_DUPLICATE_DELAY_MS * random.next(), deliver);
           }
         }),
     };
