--- a/packages/orders/src/activeOrder.ts
+++ b/packages/orders/src/activeOrder.ts
@@ -1,17 +1,17 @@
-/** One order that this process works on, from the queue for its claim to its end. */
+/** State of one order in this process, from queueing to completion. */
 import {ServingError, type Clock, type RunState} from '@skylarkfield/base';
 import {createMachine, interpret, state, transition} from 'robot3';
 import type {OrderCall, OrderReply} from './contracts.js';
 
-/** What a claim needs of an order. */
+/** The part of an order that its claim and its execution need. */
 export interface OrderRequest {
   readonly id: string;
   readonly print: string;
   readonly service: string;
   readonly call: OrderCall;
-  /** Monotonic milliseconds of this process by which it has to be answered. */
+  /** Deadline of the answer, in monotonic milliseconds of this process. */
   readonly deadline: number;
-  /** Claims for this id that are void: never sent, never will be. */
+  /** Tokens of void claims for this id: never sent and never to be sent. */
   readonly released: readonly string[];
 }
 
@@ -23,22 +23,23 @@
       readonly isReplay: boolean;
     }
   | {readonly type: 'error'; readonly error: ServingError}
-  /** Not sent here and never will be: it has to be brought to the shard's owner. */
+  /** Never to be sent from here: must be routed to the owner of the shard. */
   | {
       readonly type: 'moved';
-      /** The shard's new owner, if known. */
+      /** New owner of the shard, if known. */
       readonly member: string | undefined;
-      /** The void claim. */
+      /** Token of the claim that is void. */
       readonly token: string;
-      /** Whether the order waits in the ledger, where the next owner runs it. */
+      /** Whether it waits in the ledger for the next owner to execute it. */
       readonly isWaiting: boolean;
     };
 
 /**
  * `queued`: waits for the next write. `committing`: its claim is being written.
  * `claimed`: the claim is in the ledger, nothing has been sent. `handing`: its
- * hand-over is being written, so it may neither be sent nor called not run.
- * `sent`: the call has gone to an endpoint. `ended`: settled, given up or moved.
+ * hand-over is being written, so it may neither be sent nor reported as not
+ * run. `sent`: the call has gone to an endpoint. `ended`: completed, cancelled
+ * or moved.
  */
 export type ActiveOrderState =
   | 'queued'
@@ -61,36 +62,36 @@
   readonly request: OrderRequest;
   readonly shard: number;
   readonly done: Promise<OrderCompletion>;
-  /** Resolves once its claim is in the ledger, or never will be by this process. */
+  /** Resolves once this process has written the claim or never will. */
   readonly claimDecided: Promise<void>;
-  /** The claim's token, once it has one. */
+  /** Token of the claim; empty before there is one. */
   token: string;
   state(): ActiveOrderState;
-  /** True once `decided` has resolved. */
+  /** True once `claimDecided` has resolved. */
   isClaimDecided(): boolean;
-  /** True once it has ended by being handed over. */
+  /** True once the order has completed by moving to another owner. */
   isMoved(): boolean;
   /**
-   * Monotonic milliseconds until which it may be sent: the latest of those who
-   * wait. Were it the first one's, a caller with little time would end the
-   * order of one that joined it with more.
+   * Monotonic milliseconds until which it may be sent: the latest deadline of
+   * all waiters. The first one's would let a caller with a short timeout end
+   * the order of one that joined it with a longer timeout.
    */
   deadline(): number;
-  /** Moves on; false when the state does not allow it. */
+  /** Applies an event; false when the current state does not allow it. */
   tryTransition(event: ActiveOrderEvent): boolean;
-  /** Ends with a result; later results are dropped. */
+  /** Completes the order; later results are ignored. */
   complete(result: OrderCompletion): void;
   /**
-   * Waits for the end. A waiter that leaves early gets `deadline-exceeded` or
-   * `cancelled`; the last one to leave an unsent order gives it up, so that
-   * the answer `not-run` is true.
+   * Waits for completion. A waiter that stops early gets `deadline-exceeded` or
+   * `cancelled`; the last one cancels an unsent order, so that `not-run` is
+   * true.
    */
   join(deadline: number, signal: AbortSignal): Promise<OrderCompletion>;
-  /** Fires once when the order was given up or moved before it was sent. */
+  /** Aborted once when the order was cancelled or moved before it was sent. */
   readonly stopSignal: AbortSignal;
 }
 
-/** States and transitions of an order; nothing is sent but from `claimed`, and nothing unsent is given up after `send`. */
+/** An order is sent only from `claimed`, and not cancelled after `send`. */
 const activeOrderMachine = createMachine({
   queued: state(transition('commit', 'committing'), transition('end', 'ended')),
   committing: state(transition('claim', 'claimed'), transition('end', 'ended')),
@@ -108,11 +109,11 @@
 });
 
 /**
- * Makes the flight of one order.
+ * Creates the state of one order.
  *
  * @example
- * const flight = createFlight(request, 3, clock);
- * const result = await flight.join(request.deadline, signal);
+ * const order = createActiveOrder(request, 3, clock);
+ * const result = await order.join(request.deadline, signal);
  */
 export function createActiveOrder(
   request: OrderRequest,
@@ -122,7 +123,7 @@
 ): ActiveOrder {
   const interpreter = interpret(activeOrderMachine, () => undefined);
   const stopController = new AbortController();
-  // An order from the ledger is nobody's to give up: it runs also when no caller waits for it.
+  // An order from the ledger is executed even if no caller waits for it.
   let waiters = origin === 'ledger' ? 1 : 0;
   let isMoved = false;
   let latestDeadline = request.deadline;
@@ -158,7 +159,7 @@
     }
   }
 
-  /** What a waiter that leaves is told; gives the order up when it may. */
+  /** Returns the error of a leaving waiter; cancels the order if possible. */
   function removeWaiter(kind: 'deadline-exceeded' | 'cancelled'): ServingError {
     waiters -= 1;
     const mayCancel = waiters === 0 && unsentStates.has(current());
@@ -194,7 +195,7 @@
         return isFirst;
       }
       function abandon(kind: 'deadline-exceeded' | 'cancelled'): void {
-        // An order that has just ended is answered with its end, not with the waiter's leaving.
+        // An order that has ended yields its result instead of an error.
         if (current() !== 'ended' && stopWaiting()) {
           reject(removeWaiter(kind));
         }
@@ -228,13 +229,13 @@
   };
 }
 
-/** States in which it is not known whether the ledger takes the claim. */
+/** States in which it is open whether the claim will be written. */
 const undecidedStates: ReadonlySet<ActiveOrderState> = new Set([
   'queued',
   'committing',
 ]);
 
-/** States from which an order can be given up so that it certainly never runs. */
+/** States in which a cancelled order certainly never runs. */
 const unsentStates: ReadonlySet<ActiveOrderState> = new Set([
   'queued',
   'committing',
@@ -243,5 +244,5 @@
 
 const abandonMessages = {
   'deadline-exceeded': 'the deadline passed before the order was answered',
-  cancelled: 'the caller gave the order up',
+  cancelled: 'the caller cancelled the order',
 };
--- a/packages/orders/src/contracts.ts
+++ b/packages/orders/src/contracts.ts
@@ -1,16 +1,16 @@
-/** Non-idempotent calls that run at most once. */
+/** Contracts of the ledger that executes non-idempotent calls at most once. */
 import type {Disposable} from '@skylarkfield/base';
 
-/** A call that may not be repeated. */
+/** A non-idempotent call. */
 export interface Order {
   readonly customer: string;
   readonly service: string;
-  /** The caller's idempotency key; undefined when none was given. */
+  /** Idempotency key sent by the caller; undefined when there was none. */
   readonly key: string | undefined;
-  /** Hash over method, path and body: the same key with another print is refused. */
+  /** Hash of method, path and body; must not differ between uses of a key. */
   readonly fingerprint: string;
   readonly call: OrderCall;
-  /** Monotonic milliseconds by which it has to be answered. */
+  /** Monotonic milliseconds by which the caller must be answered. */
   readonly deadline: number;
 }
 
@@ -21,7 +21,7 @@
   readonly body: Uint8Array;
 }
 
-/** What the service answered. */
+/** Response of the service. */
 export interface OrderReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -30,19 +30,20 @@
 
 export interface OrderAnswer {
   readonly reply: OrderReply;
-  /** True when an earlier run with the same key gave this reply. */
+  /** True when the reply comes from an earlier execution under the same key. */
   readonly isReplay: boolean;
-  /** True when the caller gave no key, so that a retry cannot be recognised. */
+  /** True when the caller sent no key, so that a retry cannot be recognised. */
   readonly isUnrecognisable: boolean;
 }
 
 /**
- * Sends one call to an endpoint, after waiting for capacity as long as it takes.
+ * Sends one call to an endpoint, after waiting for capacity as long as needed.
  *
  * `begin` is called synchronously right before the call goes to an endpoint.
- * When it returns false the order was given up or handed over meanwhile: the
- * call must not be sent, and `cancelled` (not run) is thrown. It is called again
- * before another endpoint is tried, after one that certainly got nothing.
+ * When it returns false, the order was cancelled or handed over meanwhile: the
+ * call must not be sent, and `cancelled` (not run) is thrown. It is called
+ * again before another endpoint is tried, after one that certainly received
+ * nothing.
  *
  * Throws `endpoint-unavailable` only when no byte of the call was sent
  * (certainly not run), `outcome-unknown` once any may have been.
@@ -56,14 +57,14 @@
 
 export interface Ledger extends Disposable {
   /**
-   * Runs the order at most once, over all entries and retries.
+   * Executes the order at most once across all entries and retries.
    *
    * Errors: `key-conflict`, `in-progress`, `platform-unavailable` and `leaving`
    * (both not run), `deadline-exceeded`, `outcome-unknown` (may have run),
    * `overloaded`.
    */
   submit(order: Order, signal: AbortSignal): Promise<OrderAnswer>;
-  /** Stops taking orders, hands waiting ones over, waits for those running. */
+  /** Rejects new orders, hands over waiting ones, awaits those in progress. */
   leave(): Promise<void>;
   dump(): unknown;
 }
--- a/packages/orders/src/forwardAnswer.ts
+++ b/packages/orders/src/forwardAnswer.ts
@@ -1,22 +1,22 @@
-/** How an order's end travels between entries. */
+/** Conversion between results of orders and messages of the inner protocol. */
 import {ServingError} from '@skylarkfield/base';
 import type {ForwardAnswer} from '@skylarkfield/protocol';
 import type {OrderCompletion} from './activeOrder.js';
 
-/** An order's end, or who can work on it. */
+/** Result of executing an order at one entry. */
 export type ExecuteResult =
   | OrderCompletion
   | {readonly type: 'elsewhere'; readonly member: string}
-  /** Nothing was sent to the entry that was to be asked. */
+  /** The request was not sent to the peer. */
   | {readonly type: 'not-sent'}
-  /** The entry asked may have done anything. */
+  /** The peer did not answer; the order may have run there. */
   | {readonly type: 'no-answer'};
 
 /**
- * Turns a result into the message that answers a forwarded order.
+ * Converts a result to the message that answers a forwarded order.
  *
  * @example
- * return toForwardAnswer(await orders.work(request, signal), member);
+ * return toForwardAnswer(await orders.execute(request, signal), member);
  */
 export function toForwardAnswer(
   result: Exclude<ExecuteResult, {type: 'no-answer' | 'not-sent'}>,
@@ -39,10 +39,10 @@
 }
 
 /**
- * Reads the message that answers a forwarded order.
+ * Converts the answer to a forwarded order back to a result.
  *
  * @example
- * const result = readForwardAnswer(await network.ask(...));
+ * const result = fromForwardAnswer(await network.ask(...));
  */
 export function fromForwardAnswer(answer: ForwardAnswer): ExecuteResult {
   if (answer.type === 'reply') {
@@ -55,7 +55,7 @@
   }
   if (answer.released !== undefined) {
     const {member, released, isWaiting} = answer;
-    // An entry of another release that does not say is taken at its worst.
+    // A release that omits the field may have left the order waiting.
     return {
       type: 'moved',
       member,
--- a/packages/orders/src/handOver.ts
+++ b/packages/orders/src/handOver.ts
@@ -1,49 +1,50 @@
-/** Hands the orders that were not sent yet over to a shard's next owner. */
+/** Hands the unsent orders of a shard over to its next owner. */
 import type {Clock} from '@skylarkfield/base';
 import type {ActiveOrder} from './activeOrder.js';
 import type {OrderNetwork} from './orderRouter.js';
 import type {Shard} from './shardContracts.js';
 import {encodeOrder, type LedgerEntry} from './shardRecord.js';
 
-/** All bodies in one shard's object together, so that it stays far below what the platform takes. */
+/** Sum of bodies in one shard object, far below the platform's size limit. */
 const MAX_TOTAL_BODY_BYTES = 262_144;
 const MAX_SUCCESSORS_NOTIFIED = 3;
 const REQUEST_TIMEOUT_MS = 2_000;
 
 export interface HandOver {
-  /** Gives a shard up and asks its next owner to take it; does nothing more when it could not be given up. */
+  /** Releases a shard and, if that succeeded, notifies its next owner. */
   transfer(shard: Shard): Promise<void>;
 }
 
 /**
- * Makes the hand-over of one process.
+ * Creates the hand-over of one process.
  *
- * An order must be barred from being sent here before the mark in the ledger is
- * written, and stays barred until it is certain that the mark was not written:
- * the next owner may run it from the moment the mark is there. Else a lost
- * reply to the mark would double the order.
+ * An order is blocked from being sent here before it is marked as `waiting` in
+ * the ledger, until that write has certainly failed: the next owner may execute
+ * it as soon as the mark is there. Otherwise a lost response to the write would
+ * execute the order twice.
  *
  * @example
- * await handOver.pass(shard);
+ * await handOver.transfer(shard);
  */
 export function createHandOver(options: {
   readonly clock: Clock;
   readonly network: OrderNetwork;
-  /** Entries that may own a shard next, the preferred one first. */
+  /** Ids of the entries that may own a shard next, in order of preference. */
   readonly successors: (shard: number) => readonly string[];
-  /** The largest body that goes into the ledger. */
+  /** Upper bound of a body that is stored in the ledger. */
   readonly maxBodyBytes: number;
   readonly activeOrders: () => readonly ActiveOrder[];
   /**
-   * The mark of an order may be in no ledger, and its claim in the new owner's
-   * though it was never sent. When its caller has hung up nobody brings it
-   * along, and a retry would hear that it may have run: the owner must be told.
+   * The `waiting` mark may not be in the ledger, and the new owner may have the
+   * claim though the order was never sent. If the caller has disconnected,
+   * nobody routes the order there, and a retry would get `may-have-run`: the
+   * owner must be told that the claim is void.
    */
   readonly onDidVoidClaim: (order: ActiveOrder) => void;
-  /** Goes on with an order whose hand-over was not written. */
+  /** Continues with an order whose hand-over was not written. */
   readonly resume: (order: ActiveOrder) => void;
 }): HandOver {
-  /** Marks an order in the table; returns the claim as it was. */
+  /** Marks an order as waiting in the table; returns its previous entry. */
   function markWaiting(
     shard: Shard,
     order: ActiveOrder,
@@ -56,7 +57,7 @@
     }
     budget.bytes -= call.body.byteLength;
     if (call.body.byteLength > options.maxBodyBytes || budget.bytes < 0) {
-      // The claim is voided; the order goes to the next owner over the inner protocol.
+      // The order is forwarded to the next owner instead; its claim is void.
       shard.table.remove(id);
       return entry;
     }
@@ -67,7 +68,7 @@
     return entry;
   }
 
-  /** True when the shard is free for its next owner. */
+  /** Returns true when the next owner can take the shard over. */
   async function release(
     shard: Shard,
     successor: string | undefined,
@@ -125,7 +126,7 @@
           );
           return;
         } catch {
-          // The next one is asked: orders wait in the shard for whoever takes it.
+          // The orders stay in the shard for whichever entry takes it over.
         }
       }
     },
--- a/packages/orders/src/index.ts
+++ b/packages/orders/src/index.ts
@@ -1,4 +1,4 @@
-/** The ledger that runs non-idempotent calls at most once. */
+/** Ledger that executes non-idempotent calls at most once. */
 export * from './contracts.js';
 export {createLedger} from './ledger.js';
 export {
--- a/packages/orders/src/ledger.ts
+++ b/packages/orders/src/ledger.ts
@@ -1,4 +1,4 @@
-/** The ledger of one process: orders in, hand-over on leaving, messages between entries. */
+/** Ledger of one process: submission, hand-over, messages between entries. */
 import {disposableStore, every, ServingError, sleep} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import type {Ledger, Order, OrderAnswer} from './contracts.js';
@@ -28,10 +28,12 @@
 const STARTUP_SCAN_DELAY_MS = 500;
 
 /**
- * Makes the ledger of one process.
+ * Creates the ledger of one process.
  *
  * @example
- * const ledger = createLedger({store, network, dispatch, clock, random, member: 'a1', liveMembers, answeringMembers});
+ * const ledger = createLedger({
+ *   store, network, dispatch, clock, random, member: 'a1', liveMembers,
+ * });
  * const answer = await ledger.submit(order, signal);
  */
 export function createLedger(options: LedgerOptions): Ledger {
@@ -41,9 +43,9 @@
   const instance = `${member}#${randomId(random)}`;
   const disposables = disposableStore();
   const undelivered = createOutcomeCache();
-  /** Outcomes of this process's own claims, for owners that ask. */
+  /** Outcomes of this process's claims, for shard owners that query them. */
   const ownOutcomes = createOutcomeCache();
-  /** Answers that callers of this entry wait for. */
+  /** Answers that callers of this entry are waiting for. */
   const pendingAnswers = new Set<Promise<unknown>>();
   let isLeaving = false;
   let isAlive = true;
@@ -62,7 +64,7 @@
           minWriteIntervalMs: settings.writeGapMs,
           outcomeDelayMs: settings.outcomeDelayMs,
           dedupeWindowMs: settings.dedupeWindowMs,
-          sealBytes: settings.sealBytes,
+          sealThresholdBytes: settings.sealThresholdBytes,
           holdOffMs: settings.holdOffMs,
           isReachable: other => router.isReachable(other),
           onDidClaim: order => runner.run(order),
@@ -154,7 +156,7 @@
     undelivered.add({shard, outcome, hops, expiresAt});
   }
 
-  /** Takes up what waits in a shard just taken over, and what is known here of its claims. */
+  /** After a take-over, applies known outcomes and resumes waiting orders. */
   function adoptShard(index: number, entries: readonly LedgerEntry[]): void {
     const shard = shards[index] as Shard;
     for (const {outcome} of undelivered.listShard(index, clock.now())) {
@@ -166,7 +168,7 @@
     }
   }
 
-  /** An order from the ledger has no caller here: when the shard is lost, it is brought to the next owner. */
+  /** Routes an order that has no caller here on when the shard is lost. */
   async function rerouteIfMoved(order: ActiveOrder): Promise<void> {
     const result = await order.done;
     if (result.type === 'moved' && isAlive) {
@@ -227,7 +229,7 @@
   );
   disposables.add(
     clock.after(STARTUP_SCAN_DELAY_MS * (1 + random.next()), () => {
-      takeOverWaiting().catch(() => undefined);
+      takeOverWaitingShards().catch(() => undefined);
     }),
   );
   disposables.add(
@@ -240,7 +242,7 @@
       }
       const error = new ServingError(
         'platform-unavailable',
-        'orders cannot be kept safe while the platform is down',
+        'orders cannot be recorded while the platform is down',
         {retryAfterMs: settings.retryAfterMs},
       );
       shards.forEach(shard => shard.rejectUnclaimed(error));
@@ -286,8 +288,8 @@
     }
   }
 
-  /** Takes up orders that were handed over when no other entry was there. */
-  async function takeOverWaiting(): Promise<void> {
+  /** Takes over shards that were released while no other entry was running. */
+  async function takeOverWaitingShards(): Promise<void> {
     const {objects} = await store.list<ShardRecord>(LEDGER_KIND);
     for (const {name, value} of objects) {
       const shard = shards.find(({index}) => shardName(index) === name);
@@ -305,7 +307,8 @@
     await Promise.all(orders.activeOrders().map(order => order.done));
     await Promise.allSettled(pendingAnswers);
     await sender.send();
-    // An order on its way here is told that nothing was done with it; from a closed connection its sender couldn't know.
+    // Orders in transit are still answered as not run; a closed connection
+    // would leave their senders uncertain.
     await sleep(clock, LINGER_MS);
   }
 
@@ -326,7 +329,7 @@
   };
 }
 
-/** Names the key to the caller who sent it; other entries never see it. */
+/** Adds the key for the caller that sent it; other entries never see it. */
 function addKeyToMessage(
   error: ServingError,
   key: string | undefined,
@@ -341,7 +344,7 @@
   );
 }
 
-/** A signal of its own for each call: a shared one would gather listeners. */
+/** Returns a new signal: listeners would accumulate on a shared one. */
 function neverAborted(): AbortSignal {
   return new AbortController().signal;
 }
--- a/packages/orders/src/ledgerResults.ts
+++ b/packages/orders/src/ledgerResults.ts
@@ -1,4 +1,4 @@
-/** What callers are answered from what the ledger knows of an order. */
+/** Results for callers, derived from ledger entries and claim outcomes. */
 import {ServingError} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import type {OrderReply} from './contracts.js';
@@ -6,10 +6,10 @@
 import {decodeReply, type LedgerEntry} from './shardRecord.js';
 
 /**
- * The answer to a claim's outcome that came when the shard was no longer owned here.
+ * Result for a claim whose outcome arrived after the loss of the shard.
  *
  * @example
- * return answerLost(entry, await askClaimer(entry, deadline));
+ * return resultAfterShardLoss(entry, await queryClaimant(entry, deadline));
  */
 export function resultAfterShardLoss(
   entry: LedgerEntry,
@@ -27,10 +27,10 @@
 }
 
 /**
- * The answer that an entry of the ledger gives to a retry.
+ * Result of a retry, derived from its ledger entry.
  *
  * @example
- * const result = knownAnswer(entry);
+ * const result = resultFromLedger(entry);
  */
 export function resultFromLedger(entry: LedgerEntry): ExecuteResult {
   if (entry.state === 'settled' && entry.reply !== undefined) {
@@ -38,7 +38,7 @@
     if (body === undefined) {
       return errorResult(
         outcomeUnknownError(
-          `the order has run and was answered with status ${status}, but its reply was too large to be kept`,
+          `the order has run and was answered with status ${status}, but its reply was too large to be stored`,
         ),
       );
     }
@@ -57,10 +57,10 @@
 }
 
 /**
- * The error for a key that came with two requests.
+ * Error for a key that was used with two different requests.
  *
  * @example
- * return refusal(keyConflict());
+ * return errorResult(keyConflictError());
  */
 export function keyConflictError(): ServingError {
   return new ServingError(
@@ -70,10 +70,10 @@
 }
 
 /**
- * An order's end with an error.
+ * Wraps an error as a result.
  *
  * @example
- * return refusal(keyConflict());
+ * return errorResult(keyConflictError());
  */
 export function errorResult(error: ServingError): ExecuteResult {
   return {type: 'error', error};
--- a/packages/orders/src/ledgerSettings.ts
+++ b/packages/orders/src/ledgerSettings.ts
@@ -1,4 +1,4 @@
-/** What a ledger is made from, and its settings with their defaults. */
+/** Options of a ledger, its settings and their defaults. */
 import type {Clock, DecisionLog, Random} from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {Dispatch} from './contracts.js';
@@ -13,51 +13,51 @@
   readonly random: Random;
   /** Id of this entry among its peers. */
   readonly member: string;
-  /** Ids of the entries that take new work, this one included. */
+  /** Ids of the entries that accept new work, including this one. */
   readonly liveMembers: () => readonly string[];
-  /** Ids of the entries that can still answer: those live and those leaving; the live ones when absent. */
+  /** Ids of the entries live or leaving; defaults to `liveMembers`. */
   readonly answeringMembers?: () => readonly string[];
   readonly decisions?: DecisionLog;
-  /** Counts what is done; nothing is counted when absent. */
+  /** Receives events for metrics; optional. */
   readonly observer?: OrderObserver;
   readonly settings?: Partial<LedgerSettings>;
 }
 
 export interface LedgerSettings {
-  /** The same in every entry and for good: it decides which shard holds a key. */
+  /** Must be the same in all entries and never change: maps keys to shards. */
   readonly shardCount: number;
-  /** The least time between two writes of one shard. */
+  /** Minimum time between two writes of one shard. */
   readonly writeGapMs: number;
-  /** How long an outcome may wait for a write. */
+  /** Upper bound of the time that an outcome waits for a write. */
   readonly outcomeDelayMs: number;
   /** How long a key is remembered after its order has ended. */
   readonly dedupeWindowMs: number;
-  /** How long a deposed owner leaves a shard to its new one. */
+  /** How long a deposed owner leaves a shard to the new one. */
   readonly holdOffMs: number;
-  /** Size of a shard's object from which ended orders move into objects of their own. */
-  readonly sealBytes: number;
-  /** Size of a shard with all its objects above which new orders are refused. */
+  /** Size of a shard object from which ended orders are moved into segments. */
+  readonly sealThresholdBytes: number;
+  /** Size of a shard and its segments from which new orders are rejected. */
   readonly maxShardBytes: number;
-  /** The largest reply that is kept for retries. */
+  /** Upper bound of a reply body that is stored for retries. */
   readonly maxReplyBytes: number;
-  /** The largest body that is handed over in the ledger; larger ones go to the next owner directly. */
+  /** Largest body handed over in the ledger; larger ones are forwarded. */
   readonly maxHandOverBytes: number;
-  /** How long a sent call may outlive its deadline, so that its outcome gets known. */
+  /** Time past its deadline that a sent call may take to yield its outcome. */
   readonly graceMs: number;
-  /** Attempts under one claim while nothing was sent. */
+  /** Upper bound of attempts under one claim while nothing was sent. */
   readonly maxAttempts: number;
-  /** Least wait that is asked of callers while the platform is down. */
+  /** Minimum `Retry-After` for callers while the platform is down. */
   readonly retryAfterMs: number;
 }
 
-/** What a ledger does when nothing is set. */
+/** Settings used where none are given. */
 export const defaultLedgerSettings: LedgerSettings = {
   shardCount: 8,
   writeGapMs: 80,
   outcomeDelayMs: 200,
   dedupeWindowMs: 3_600_000,
   holdOffMs: 3_000,
-  sealBytes: 16_384,
+  sealThresholdBytes: 16_384,
   maxShardBytes: 2_097_152,
   maxReplyBytes: 4_096,
   maxHandOverBytes: 16_384,
--- a/packages/orders/src/localOrders.ts
+++ b/packages/orders/src/localOrders.ts
@@ -1,4 +1,4 @@
-/** Orders in the shards that this process owns: look-up, new claims, outcomes. */
+/** Orders in the shards of this process: lookup, new claims, outcomes. */
 import {
   ServingError,
   sleep,
@@ -27,13 +27,13 @@
 import {decodeCall, encodeReply, type LedgerEntry} from './shardRecord.js';
 
 export interface LocalOrders {
-  /** Works on an order if its shard is or can be owned here. */
+  /** Executes an order if this process owns its shard or can acquire it. */
   execute(request: OrderRequest, signal: AbortSignal): Promise<ExecuteResult>;
-  /** Takes up the orders that wait in a shard just taken over. */
+  /** Queues the waiting orders of a shard that was just taken over. */
   adopt(shard: Shard, entries: readonly LedgerEntry[]): readonly ActiveOrder[];
-  /** Notes how a claim ended; false when its shard is not owned here. */
+  /** Records how a claim ended; false when the shard is not owned here. */
   recordOutcome(shard: Shard, outcome: ClaimOutcome): boolean;
-  /** The flight of an order in this process. */
+  /** The order with this id that is in progress in this process, if any. */
   activeOrder(id: string): ActiveOrder | undefined;
   activeOrders(): readonly ActiveOrder[];
 }
@@ -46,24 +46,24 @@
   readonly maxReplyBytes: number;
   readonly maxShardBytes: number;
   readonly retryAfterMs: number;
-  /** The claim is void: the order was given up or moved, and was not and will not be sent under it. */
+  /** The order was cancelled or moved and is never sent under its claim. */
   readonly onDidVoidClaim: (order: ActiveOrder) => void;
-  /** Asks the entry that made a claim how it ended. */
+  /** Queries the entry that made a claim for its outcome. */
   readonly queryClaimant: (
     entry: LedgerEntry,
     deadline: number,
   ) => Promise<ClaimOutcome | undefined>;
 }
 
-/** Replies may fill a shard beyond the size at which it refuses orders; above this they are not kept. */
+/** Multiple of `maxShardBytes` above which reply bodies are not stored. */
 const MAX_OVERFILL_RATIO = 1.25;
 const MAX_RETRY_AFTER_MS = 60_000;
 
 /**
- * Makes the orders of one process.
+ * Creates the orders of one process.
  *
  * @example
- * const result = await orders.work(request, signal);
+ * const result = await orders.execute(request, signal);
  */
 export function createLocalOrders(options: LocalOrdersOptions): LocalOrders {
   const {store, clock, shards} = options;
@@ -72,7 +72,8 @@
   function addActiveOrder(order: ActiveOrder): void {
     activeOrders.set(order.request.id, order);
     void order.done.then(result => {
-      // At once, not when its write is decided: the next owner may find the claim and ask before that.
+      // Not deferred until the write ends: the next owner may query the claim
+      // before.
       if (order.token !== '' && isCertainlyUnsent(result)) {
         options.onDidVoidClaim(order);
       }
@@ -112,7 +113,7 @@
     request: OrderRequest,
     signal: AbortSignal,
   ): Promise<ExecuteResult> {
-    // Another copy of the order may have come while the shard was taken over.
+    // The same order may have arrived again while the shard was being acquired.
     const running = activeOrders.get(request.id);
     if (running !== undefined) {
       return joinActiveOrder(running, request, signal);
@@ -120,7 +121,7 @@
     voidReleasedClaims(shard, request);
     const entry = shard.table.get(request.id);
     if (entry !== undefined) {
-      return executeKnown(shard, entry, request, signal);
+      return answerFromEntry(shard, entry, request, signal);
     }
     const error = admissionError(shard);
     if (error !== undefined) {
@@ -133,7 +134,7 @@
     return result;
   }
 
-  /** Voids the claims that their maker holds void, so that the order can be claimed anew. */
+  /** Removes claims reported void, so that the order can be claimed again. */
   function voidReleasedClaims(shard: Shard, request: OrderRequest): void {
     for (const token of request.released) {
       recordOutcome(shard, {state: 'released', id: request.id, token});
@@ -145,7 +146,7 @@
       return withRetryAfter(
         new ServingError(
           'platform-unavailable',
-          'orders cannot be kept safe while the platform is down',
+          'orders cannot be recorded while the platform is down',
         ),
       );
     }
@@ -158,7 +159,7 @@
     });
   }
 
-  /** Callers that come back all at once would be the next outage: the wait is spread. */
+  /** Randomizes the delay: synchronized retries could cause the next outage. */
   function withRetryAfter(error: ServingError): ServingError {
     if (error.retryAfterMs !== undefined) {
       return error;
@@ -190,7 +191,7 @@
     }
   }
 
-  /** A claim that is not in the ledger yet may lose against another: no conflict is certain before. */
+  /** An unwritten claim may lose to another one: waits until it is decided. */
   async function resolveKeyConflict(
     order: ActiveOrder,
     request: OrderRequest,
@@ -216,7 +217,7 @@
     );
   }
 
-  async function executeKnown(
+  async function answerFromEntry(
     shard: Shard,
     entry: LedgerEntry,
     request: OrderRequest,
@@ -237,7 +238,7 @@
     }
     const latest = shard.table.get(request.id);
     if (latest === undefined || activeOrders.has(request.id)) {
-      // The claim was void, or another copy of the order has claimed it anew meanwhile.
+      // The claim was void, or the same order has been claimed again meanwhile.
       return executeOwned(shard, request, signal);
     }
     return resultFromLedger(latest);
@@ -254,7 +255,7 @@
       }
       const leftMs = entry.order.runBefore - clock.wall();
       if (leftMs <= 0) {
-        // Nobody has claimed it and its deadline has passed: a retry starts anew.
+        // Its deadline has passed without a claim: a retry starts from scratch.
         shard.table.remove(entry.id);
         continue;
       }
@@ -283,7 +284,7 @@
       return false;
     }
     const entry = shard.table.get(outcome.id);
-    // Another claim for the key, or one that was handed over, is not this outcome's to change.
+    // Outcome of another claim of the key, or of a handed-over one.
     if (entry?.token !== outcome.token || entry.state === 'waiting') {
       return true;
     }
@@ -291,7 +292,7 @@
       return true;
     }
     applyOutcome(shard, entry, outcome);
-    shard.scheduleWrite(outcome);
+    shard.enqueueOutcome(outcome);
     return true;
   }
 
@@ -321,10 +322,10 @@
 }
 
 /**
- * Turns the outcome of a run into the message about its claim.
+ * Builds the message that reports how a claim ended.
  *
  * @example
- * orders.note(shard, claimOutcome(flight, {state: 'unknown'}));
+ * orders.recordOutcome(shard, toClaimOutcome(order, {state: 'unknown'}));
  */
 export function toClaimOutcome(
   order: ActiveOrder,
--- a/packages/orders/src/orderIdentity.ts
+++ b/packages/orders/src/orderIdentity.ts
@@ -1,4 +1,4 @@
-/** How orders are told apart, and which shard holds each. */
+/** Identity of orders, and their assignment to shards. */
 import {createHash} from 'node:crypto';
 import {hash32, type Random} from '@skylarkfield/base';
 import type {Order} from './contracts.js';
@@ -9,8 +9,8 @@
 const MAX_RANDOM_WORD = 0xffff_ffff;
 
 /**
- * Digest of a customer and its key: 132 bits, so that no two keys share a claim.
- * The key itself never gets into the ledger, a dump or a message.
+ * Digest of a customer and its key: 132 bits, so that no two keys share a
+ * claim. The key itself never gets into the ledger, a dump or a message.
  *
  * @example
  * const id = orderId('chain', 'order-17');
@@ -20,21 +20,20 @@
 }
 
 /**
- * Digest of what the key stands for; the same key for another service or with
- * another body has another print.
+ * Digest of the service and the fingerprint that a key is used with.
  *
  * @example
- * const print = orderPrint(order);
+ * const print = requestDigest(order);
  */
 export function requestDigest(order: Order): string {
   return digest([order.service, order.fingerprint]);
 }
 
 /**
- * A text that no other order or forwarding has.
+ * Random id, unique across orders and forwarding attempts.
  *
  * @example
- * const id = uniqueText(random);
+ * const id = randomId(random);
  */
 export function randomId(random: Random): string {
   const words = Array.from({length: RANDOM_WORDS}, () =>
@@ -44,7 +43,7 @@
 }
 
 /**
- * The shard that holds an order; every entry computes the same.
+ * Index of the shard that holds an order; the same in every entry.
  *
  * @example
  * const shard = shardOf(id, 8);
@@ -54,7 +53,7 @@
 }
 
 function digest(parts: readonly string[]): string {
-  // JSON keeps ['a', 'bc'] and ['ab', 'c'] apart.
+  // JSON distinguishes ['a', 'bc'] from ['ab', 'c'].
   return createHash('sha256')
     .update(JSON.stringify(parts))
     .digest('base64url')
--- a/packages/orders/src/orderObserver.ts
+++ b/packages/orders/src/orderObserver.ts
@@ -1,9 +1,9 @@
-/** What a ledger tells whoever counts its work. */
+/** Events of a ledger, for metrics. */
 import {toServingError} from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {OrderAnswer} from './contracts.js';
 
-/** How an order of this entry's caller ended. */
+/** How an order submitted by a caller of this entry ended. */
 export type OrderOutcome =
   | 'reply'
   | 'replay'
@@ -14,13 +14,13 @@
 export interface OrderObserver {
   /** A caller of this entry was answered. */
   onDidAnswer(service: string, outcome: OrderOutcome): void;
-  /** A write of a shard or segment goes to the platform, a repeated one too. */
+  /** A shard or segment is about to be written, or written again by a retry. */
   onWillWrite(): void;
   /** A shard was taken over. */
   onDidTakeOver(): void;
 }
 
-/** An observer that counts nothing. */
+/** Observer that ignores all events. */
 export const noopObserver: OrderObserver = {
   onDidAnswer: () => undefined,
   onWillWrite: () => undefined,
@@ -28,7 +28,7 @@
 };
 
 /**
- * The store with its writes reported.
+ * Wraps a store and reports its writes.
  *
  * @example
  * const store = observeWrites(platformStore, observer.onWillWrite);
@@ -47,7 +47,7 @@
 }
 
 /**
- * Reports how an order ended and passes its answer or error on.
+ * Reports how an order ended and returns its answer or rethrows its error.
  *
  * @example
  * return observeAnswer(observer, order.service, submit(order, signal));
--- a/packages/orders/src/orderRouter.ts
+++ b/packages/orders/src/orderRouter.ts
@@ -1,4 +1,7 @@
-/** Brings an order to the owner of its shard, wherever that is, and never calls `not-run` what a silent owner may run. */
+/**
+ * Routes an order to the owner of its shard; `not-run` excludes a run by an
+ * unresponsive owner.
+ */
 import {
   isServingError,
   rendezvousOrder,
@@ -13,29 +16,29 @@
 import {randomId} from './orderIdentity.js';
 
 export interface OrderRouter {
-  /** Works on an order wherever its shard is owned. */
+  /** Executes an order at the entry that owns its shard. */
   route(
     shard: number,
     request: OrderRequest,
     signal: AbortSignal,
   ): Promise<Exclude<OrderCompletion, {type: 'moved'}>>;
-  /** Asks a peer; rejects as soon as it can't answer any more. */
+  /** Sends a request to a peer; rejects once the peer can't answer any more. */
   requestWhileLive<T>(
     member: string,
     ask: (timeoutMs: number) => Promise<T>,
     deadline: number,
   ): Promise<T>;
-  /** The entry that should own a shard, if any takes new work. */
+  /** The entry that should own a shard, if any accepts new work. */
   preferredOwner(shard: number): string | undefined;
-  /** The other entries that could own a shard, the best first. */
+  /** The other entries that could own a shard, in order of preference. */
   successors(shard: number): readonly string[];
-  /** True for an entry that takes new work and can be asked now. */
+  /** True for an entry that accepts new work and is reachable. */
   isReachable(member: string): boolean;
-  /** True also for an entry that leaves: it still ends what it has begun. */
+  /** Also true for a leaving entry: it completes what it has started. */
   canAnswer(member: string): boolean;
 }
 
-/** What the ledger needs of the inner protocol. */
+/** The part of the inner protocol that the ledger uses. */
 export type OrderNetwork = Pick<PeerNetwork, 'ask' | 'onDidReceive'>;
 
 export interface OrderRouterOptions {
@@ -43,9 +46,9 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly member: string;
-  /** Ids of the entries that take new work, this one included. */
+  /** Ids of the entries that accept new work, including this one. */
   readonly liveMembers: () => readonly string[];
-  /** Ids of the entries that can still answer: those live and those leaving. */
+  /** Ids of the entries that can still answer, live or leaving. */
   readonly answeringMembers: () => readonly string[];
   readonly isLeaving: () => boolean;
   readonly executeLocally: (
@@ -61,24 +64,24 @@
 const RETRY_DELAY_MS = 50;
 
 /**
- * Makes the route of one process.
+ * Creates the router of one process.
  *
  * @example
- * const result = await route.run(shard, request, signal);
+ * const result = await router.route(shard, request, signal);
  */
 export function createOrderRouter(options: OrderRouterOptions): OrderRouter {
   const {network, clock, random, member, liveMembers} = options;
 
-  function isReachable(other: string): boolean {
-    return liveMembers().includes(other);
+  function isReachable(peer: string): boolean {
+    return liveMembers().includes(peer);
   }
 
-  function canAnswer(other: string): boolean {
-    return options.answeringMembers().includes(other);
+  function canAnswer(peer: string): boolean {
+    return options.answeringMembers().includes(peer);
   }
 
   function requestWhileLive<T>(
-    other: string,
+    peer: string,
     ask: (timeoutMs: number) => Promise<T>,
     deadline: number,
   ): Promise<T> {
@@ -86,8 +89,8 @@
     return new Promise((resolve, reject) => {
       let timer: Disposable | undefined;
       function check() {
-        if (!canAnswer(other)) {
-          reject(unreachablePeerError(other));
+        if (!canAnswer(peer)) {
+          reject(unreachablePeerError(peer));
           return;
         }
         timer = clock.after(LIVENESS_CHECK_MS, check);
@@ -100,7 +103,7 @@
   }
 
   async function forward(
-    other: string,
+    peer: string,
     request: OrderRequest,
   ): Promise<ExecuteResult> {
     const {id, print, service, call, deadline, released} = request;
@@ -116,8 +119,8 @@
     };
     try {
       const answer = await requestWhileLive(
-        other,
-        timeoutMs => network.ask(other, 'orderForward', body, timeoutMs),
+        peer,
+        timeoutMs => network.ask(peer, 'orderForward', body, timeoutMs),
         deadline,
       );
       return fromForwardAnswer(answer as ForwardAnswer);
@@ -139,9 +142,9 @@
     ownerHint: string | undefined,
     tried: ReadonlySet<string>,
   ): string | undefined {
-    // A leaving entry must not take shards: whatever it claimed would end with it.
-    const mayUse = (other: string) =>
-      !tried.has(other) && !(other === member && options.isLeaving());
+    // A leaving entry must not acquire shards: its claims would end with it.
+    const mayUse = (peer: string) =>
+      !tried.has(peer) && !(peer === member && options.isLeaving());
     const isHintUsable =
       ownerHint !== undefined &&
       mayUse(ownerHint) &&
@@ -160,7 +163,7 @@
     let mayRunElsewhere = false;
 
     function fail(error: ServingError): OrderCompletion & {type: 'error'} {
-      // A silent owner may still wake and run the order, so it can't be called not run.
+      // An unresponsive owner may still resume and run the order.
       const mayRun = mayRunElsewhere && error.run === 'not-run';
       return {type: 'error', error: mayRun ? toMayHaveRun(error) : error};
     }
@@ -197,7 +200,7 @@
       ownerHint = result.member;
       if (result.type === 'moved') {
         released.push(result.token);
-        // It waits in the ledger for whoever takes the shard: no later refusal makes it not run.
+        // The next owner executes it, whatever another entry answers now.
         mayRunElsewhere ||= result.isWaiting;
       }
       if (ownerHint === target || ownerHint === undefined) {
@@ -218,17 +221,17 @@
     canAnswer,
     preferredOwner: shard =>
       rendezvousOrder(shardHashKey(shard), liveMembers())[0],
-    successors: shard => candidates(shard).filter(other => other !== member),
+    successors: shard => candidates(shard).filter(peer => peer !== member),
   };
 }
 
-/** The owner gets a little less time than the caller has, so that its answer is back before the deadline. */
+/** Leaves time for the owner's answer to arrive before the deadline. */
 function forwardedTimeoutMs(leftMs: number): number {
   const marginMs = Math.min(MAX_ANSWER_MARGIN_MS, leftMs * ANSWER_MARGIN_RATIO);
   return Math.max(0, leftMs - marginMs);
 }
 
-/** Name under which a shard is placed among the entries. */
+/** Key of a shard for rendezvous hashing over the entries. */
 function shardHashKey(shard: number): string {
   return `ledger/${shard}`;
 }
@@ -248,7 +251,7 @@
 
 function noTargetError(signal: AbortSignal, isLate: boolean): ServingError {
   if (signal.aborted) {
-    return new ServingError('cancelled', 'the caller gave the order up', {
+    return new ServingError('cancelled', 'the caller cancelled the order', {
       run: 'not-run',
     });
   }
@@ -257,7 +260,7 @@
       run: 'not-run',
     });
   }
-  return new ServingError('not-ready', 'no entry could take the order now', {
+  return new ServingError('not-ready', 'no entry can accept the order now', {
     run: 'not-run',
     retryAfterMs: 1_000,
   });
@@ -267,16 +270,16 @@
   const kind = cause.kind === 'key-conflict' ? cause.kind : 'outcome-unknown';
   return new ServingError(
     kind,
-    `the order was given to another entry and may run there: ${cause.message}`,
+    `the order was forwarded to another entry and may run there: ${cause.message}`,
     {run: 'may-have-run', retryAfterMs: cause.retryAfterMs, cause},
   );
 }
 
-function unreachablePeerError(other: string): ServingError {
-  return new ServingError('interrupted', `${other} is not reachable any more`);
+function unreachablePeerError(peer: string): ServingError {
+  return new ServingError('interrupted', `${peer} is no longer reachable`);
 }
 
-/** Tells whether an error says that the entry asked took nothing on. */
+/** True for errors by which the peer certainly has not accepted the order. */
 function isNotAccepted(error: ServingError): boolean {
   return isServingError(error, 'leaving') || isServingError(error, 'not-ready');
 }
--- a/packages/orders/src/orderRunner.ts
+++ b/packages/orders/src/orderRunner.ts
@@ -1,4 +1,4 @@
-/** Dispatches a claimed order and finds out how that ended. */
+/** Dispatches claimed orders and reports their outcomes. */
 import {
   isServingError,
   ServingError,
@@ -17,7 +17,7 @@
   | {readonly state: 'released'};
 
 export interface OrderRunner {
-  /** Works on a claimed order until it ends or is handed over; does nothing when it is at it already. */
+  /** Runs a claimed order until its end or hand-over; idempotent meanwhile. */
   run(order: ActiveOrder): void;
 }
 
@@ -25,7 +25,7 @@
   readonly dispatch: Dispatch;
   readonly clock: Clock;
   readonly random: Random;
-  /** How long a sent call may go on after its deadline, so that its outcome gets known. */
+  /** Time past its deadline that a sent call may take to yield its outcome. */
   readonly graceMs: number;
   readonly maxAttempts: number;
   /** False once this process has stopped. */
@@ -35,20 +35,20 @@
 
 const BASE_BACKOFF_MS = 20;
 
-/** How one attempt ended. */
+/** Result of one attempt. */
 type AttemptResult =
   | {readonly type: 'reply'; readonly reply: OrderReply}
   | {readonly type: 'unsent'; readonly error: ServingError}
   | {readonly type: 'unknown'; readonly error: ServingError};
 
 /**
- * Makes the runner of one process's claims.
+ * Creates the runner for the claims of one process.
  *
- * Another attempt under the same claim is made only when not a byte of the
- * last one was sent.
+ * A further attempt under the same claim is made only when no byte of the
+ * previous one was sent.
  *
  * @example
- * runner.run(flight);
+ * runner.run(order);
  */
 export function createOrderRunner(options: OrderRunnerOptions): OrderRunner {
   const {clock, random, onDidFinish} = options;
@@ -61,11 +61,11 @@
     const {service, call} = order.request;
     let wasSent = false;
     function begin(): boolean {
-      // A second call says that the endpoint before got nothing and another is tried.
+      // Called again after an endpoint that received nothing.
       if (wasSent) {
         order.tryTransition('revertSend');
       }
-      // A process that was paused wakes here: it must not send what its caller was refused meanwhile.
+      // After a pause of the process the caller may have got `not-run` already.
       const mayBegin = options.isAlive() && clock.now() < order.deadline();
       wasSent = mayBegin && order.tryTransition('send');
       return wasSent;
@@ -75,7 +75,7 @@
       return {type: 'reply', reply};
     } catch (caught) {
       const error = toServingError(caught);
-      // A wait that was cancelled before `begin` sent nothing, whatever its error says.
+      // Cancelled before `begin`: nothing was sent, regardless of `run`.
       const isWait = !wasSent && error.kind === 'cancelled';
       const isUnsent = isWait || error.run === 'not-run';
       if (
@@ -153,7 +153,7 @@
     }
   }
 
-  /** False once its claim is handed over: what becomes of it is the next owner's to say. */
+  /** False once the claim is handed over: the next owner decides then. */
   function isHeldHere(order: ActiveOrder): boolean {
     return options.isAlive() && order.state() !== 'handing' && !order.isMoved();
   }
@@ -169,7 +169,7 @@
     order.complete({type: 'error', error: isLate ? deadlineError : error});
   }
 
-  /** Time that the call may still take, in milliseconds. */
+  /** Remaining time of the call in milliseconds, including the grace period. */
   function remainingMs(order: ActiveOrder): number {
     return order.deadline() + options.graceMs - clock.now();
   }
@@ -183,7 +183,7 @@
       const timeLimit = new AbortController();
       let timer = clock.after(remainingMs(order), onLimit);
       function onLimit(): void {
-        // A caller with more time may have joined since the timer was set.
+        // A caller with a later deadline may have joined meanwhile.
         if (remainingMs(order) <= 0) {
           timeLimit.abort();
           return;
--- a/packages/orders/src/outcomeCache.ts
+++ b/packages/orders/src/outcomeCache.ts
@@ -1,22 +1,22 @@
-/** Outcomes of claims in shards that this process does not own, until their owner has them. */
+/** Bounded cache of claim outcomes. */
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 
 export interface CachedOutcome {
   readonly shard: number;
   readonly outcome: ClaimOutcome;
-  /** How often it has been passed on. */
+  /** Number of times the outcome has been forwarded. */
   readonly hops: number;
-  /** Monotonic milliseconds after which it is dropped. */
+  /** Monotonic milliseconds after which the outcome is dropped. */
   readonly expiresAt: number;
 }
 
 export interface OutcomeCache {
-  add(late: CachedOutcome): void;
+  add(cached: CachedOutcome): void;
   find(id: string, token: string): ClaimOutcome | undefined;
   remove(id: string, token: string): void;
-  /** Those of one shard; drops what is too old. */
+  /** Outcomes of one shard; drops all expired ones first. */
   listShard(shard: number, now: number): readonly CachedOutcome[];
-  /** Shards with outcomes. */
+  /** Indexes of the shards that have outcomes. */
   shards(): readonly number[];
   readonly size: number;
 }
@@ -24,11 +24,11 @@
 const MAX_OUTCOMES = 5_000;
 
 /**
- * Makes an empty set; the oldest is dropped when it is full, and a retry of
- * that order is then told that it may have run.
+ * Creates an empty cache. When full it drops the oldest outcome, and a retry of
+ * that order gets `may-have-run`.
  *
  * @example
- * late.add({shard: 3, outcome, hops: 0, keepUntil: clock.now() + 60_000});
+ * outcomes.add({shard: 3, outcome, hops: 0, expiresAt: clock.now() + 60_000});
  */
 export function createOutcomeCache(): OutcomeCache {
   const cache = new Map<string, CachedOutcome>();
--- a/packages/orders/src/outcomeSender.ts
+++ b/packages/orders/src/outcomeSender.ts
@@ -1,4 +1,4 @@
-/** Brings outcomes of claims to the owners of shards that this process does not own. */
+/** Delivers claim outcomes to the owners of shards not owned here. */
 import type {Clock} from '@skylarkfield/base';
 import type {CachedOutcome, OutcomeCache} from './outcomeCache.js';
 import type {OrderNetwork} from './orderRouter.js';
@@ -8,7 +8,7 @@
   readonly network: OrderNetwork;
   readonly clock: Clock;
   readonly member: string;
-  /** The entry that should own a shard, if any takes new work. */
+  /** The entry that should own a shard, if any accepts new work. */
   readonly preferredOwner: (shard: number) => string | undefined;
   readonly undelivered: OutcomeCache;
   readonly shards: readonly Shard[];
@@ -16,8 +16,8 @@
 
 export interface OutcomeSender {
   /**
-   * Tries all that wait once, after a round under way has ended; what can't be
-   * delivered stays.
+   * Tries once to deliver all outcomes, after the round in progress; those that
+   * can't be delivered stay in the cache.
    */
   send(): Promise<void>;
 }
@@ -25,7 +25,7 @@
 const REQUEST_TIMEOUT_MS = 2_000;
 
 /**
- * Makes the sender; one round runs at a time.
+ * Creates the sender; it runs one delivery round at a time.
  *
  * @example
  * every(clock, 250, () => void sender.send());
@@ -35,10 +35,13 @@
 ): OutcomeSender {
   const {network, clock, member, undelivered, shards} = options;
   let round: Promise<void> | undefined;
-  /** Follows the round under way, for all who asked meanwhile. */
+  /** Starts after the round in progress, for `send` calls made meanwhile. */
   let nextRound: Promise<void> | undefined;
 
-  /** Who can note outcomes of a shard; undefined when they were noted here or nobody can now. */
+  /**
+   * Entry to send a shard's outcomes to; undefined if there is none or the
+   * shard was acquired here.
+   */
   async function recipientFor(index: number): Promise<string | undefined> {
     const recipient = options.preferredOwner(index);
     if (recipient !== member) {
@@ -60,7 +63,7 @@
       await network.ask(recipient, 'orderOutcomes', body, REQUEST_TIMEOUT_MS);
       outcomes.forEach(({id, token}) => undelivered.remove(id, token));
     } catch {
-      // They stay, and go again at the next check.
+      // The outcomes stay in the cache and are sent again in the next round.
     }
   }
 
@@ -73,7 +76,7 @@
   }
 
   function startRound(): Promise<void> {
-    // All shards at once: a leaving process waits for the slowest owner, not for the sum.
+    // In parallel: a leaving process waits for the slowest owner, not the sum.
     round = Promise.all(undelivered.shards().map(sendShard))
       .then(() => undefined)
       .finally(() => (round = undefined));
@@ -82,7 +85,7 @@
 
   function startNextRound(): Promise<void> {
     nextRound = undefined;
-    // A round that began after the last one ended has all that those who wait asked for.
+    // A round that has started since includes what all callers wait for.
     return round ?? startRound();
   }
 
@@ -91,9 +94,9 @@
       if (round === undefined) {
         return startRound();
       }
-      // The round under way may have passed an outcome's shard before that outcome came. A leaving
-      // process that took this round for enough would end with it, and a retry would hear that an
-      // order with a known reply may have run.
+      // The round in progress may have passed a shard before its outcome was
+      // added. If a leaving process exited after it, a retry of an order with a
+      // known reply would get `may-have-run`.
       nextRound ??= round.then(startNextRound, startNextRound);
       return nextRound;
     },
--- a/packages/orders/src/peerMessages.ts
+++ b/packages/orders/src/peerMessages.ts
@@ -1,4 +1,4 @@
-/** What other entries ask of this one's ledger. */
+/** Handlers for the ledger messages of other entries. */
 import {disposableStore, type Clock, type Disposable} from '@skylarkfield/base';
 import type {
   ClaimOutcome,
@@ -20,7 +20,7 @@
     request: OrderRequest,
     signal: AbortSignal,
   ) => Promise<ExecuteResult>;
-  /** How a claim of this process ended; waits for its end. */
+  /** Waits for a claim of this process to end and returns its outcome. */
   readonly awaitOutcome: (
     id: string,
     token: string,
@@ -34,14 +34,14 @@
 
 const MAX_OUTCOME_HOPS = 5;
 const MAX_CACHED_FORWARDS = 5_000;
-/** A forwarded order that lay unread for this much longer than its deadline is dropped. */
+/** Time past its deadline after which a forwarded order is rejected. */
 const STALE_FORWARD_MARGIN_MS = 60_000;
 
 /**
- * Answers the messages of other entries until disposed.
+ * Handles the messages of other entries until disposed.
  *
  * @example
- * owned.add(answerPeers({network, clock, member, shards, ...rest}));
+ * const messages = handlePeerMessages({network, clock, shards, ...callbacks});
  */
 export function handlePeerMessages(options: PeerMessageOptions): Disposable {
   const {network, clock, member, shards} = options;
@@ -51,7 +51,7 @@
   function handleForward(
     body: OrderMessages['orderForward'],
   ): Promise<ForwardAnswer> {
-    // A second delivery must not run what the first was refused for.
+    // A duplicate delivery must not execute what the first delivery rejected.
     const earlier = forwards.get(body.attempt);
     if (earlier !== undefined) {
       return earlier;
@@ -59,7 +59,7 @@
     const answer = executeForwarded(body);
     forwards.set(body.attempt, answer);
     void answer.then(({type}) => {
-      // A reply is in the ledger, where a second delivery finds it; keeping it here would cost memory.
+      // The ledger answers duplicates; caching replies here would cost memory.
       if (type === 'reply') {
         forwards.delete(body.attempt);
       }
@@ -77,7 +77,10 @@
     const {id, print, service, call, leftMs, released} = body;
     const ageMs = clock.wall() - body.sentAtWall;
     if (ageMs > leftMs + STALE_FORWARD_MARGIN_MS) {
-      return errorAnswer('deadline-exceeded', 'the order lay unread too long');
+      return errorAnswer(
+        'deadline-exceeded',
+        'the forwarded order was delivered too late',
+      );
     }
     if (options.isLeaving()) {
       return errorAnswer('leaving', 'this entry is leaving');
@@ -86,7 +89,7 @@
     const request = {id, print, service, call, deadline, released};
     const result = await options.execute(request, neverAborted());
     if (result.type === 'no-answer' || result.type === 'not-sent') {
-      return errorAnswer('not-ready', 'no entry could take the order now');
+      return errorAnswer('not-ready', 'no entry can accept the order now');
     }
     return toForwardAnswer(result, member);
   }
@@ -136,7 +139,7 @@
   return {type: 'error', kind, message, run: 'not-run'};
 }
 
-/** A signal of its own for each call: a shared one would gather listeners. */
+/** Returns a new signal: listeners would accumulate on a shared one. */
 function neverAborted(): AbortSignal {
   return new AbortController().signal;
 }
--- a/packages/orders/src/pendingOutcomes.ts
+++ b/packages/orders/src/pendingOutcomes.ts
@@ -1,31 +1,32 @@
-/** Outcomes of orders that no landed write of their shard carries yet. */
+/** Claim outcomes that no committed write of their shard contains yet. */
 import type {Clock} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 
 export interface PendingOutcomes {
   add(outcome: ClaimOutcome): void;
-  /** All that wait go into the write that starts now. */
+  /** Assigns all pending outcomes to the write that starts now. */
   beginWrite(): void;
-  /** That write has landed. */
+  /** The write has been committed. */
   commitWrite(): void;
-  /** That write was certainly not made: its outcomes wait again. */
+  /** The write certainly had no effect: its outcomes become pending again. */
   rollBackWrite(): void;
-  /** Empties it; returns what was not written, oldest first. */
+  /** Removes and returns all uncommitted outcomes, oldest first. */
   drain(): readonly ClaimOutcome[];
-  /** Monotonic milliseconds since when something waits for a write; undefined when nothing does. */
+  /** Monotonic milliseconds since when an outcome waits, if one does. */
   waitingSince(): number | undefined;
 }
 
 /**
- * Makes an empty set.
+ * Creates an empty collection.
  *
- * Outcomes are kept until their write has landed: a shard can be lost during
- * the write, and its next owner would tell callers that their orders may have
- * run though the reply is known here.
+ * Outcomes are kept until their write is committed: a shard can be lost during
+ * the write, and its next owner would report that the orders may have run
+ * though their replies are known here.
  *
  * @example
- * outcomes.begin();
- * if ((await writer.write(record, version)).type === 'landed') { outcomes.land(); }
+ * outcomes.beginWrite();
+ * const result = await writer.write(record, version);
+ * if (result.type === 'committed') { outcomes.commitWrite(); }
  */
 export function createPendingOutcomes(clock: Clock): PendingOutcomes {
   let unwritten: ClaimOutcome[] = [];
--- a/packages/orders/src/shard.ts
+++ b/packages/orders/src/shard.ts
@@ -1,4 +1,4 @@
-/** One shard of the ledger as one process sees it: batched writes, losing it, releasing it. */
+/** One shard in one process: batched writes, loss and release of ownership. */
 import {type Disposable, type ServingError} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import {interpret} from 'robot3';
@@ -24,11 +24,11 @@
 const MAX_BATCH_CLAIMS = 500;
 
 /**
- * Makes a shard that is not owned yet.
+ * Creates a shard that is not owned yet.
  *
  * @example
- * const ownership = await shard.own();
- * if (ownership.type === 'owned') { shard.enqueue(flight); }
+ * const ownership = await shard.acquire();
+ * if (ownership.type === 'owned') { shard.enqueue(order); }
  */
 export function createShard(options: ShardOptions): Shard {
   const {index, clock, member, instance} = options;
@@ -58,7 +58,7 @@
   let writeCount = 0;
   let claimCount = 0;
   let takeovers = 0;
-  /** Segments to remove once an object without them has landed. */
+  /** Segments to remove after the next committed write. */
   const expiredSegments: string[] = [];
   const outcomes = createPendingOutcomes(clock);
   let lastWriteAt = -Infinity;
@@ -104,10 +104,13 @@
     takeOver.holdOff(owner);
     timer?.dispose();
     timer = undefined;
-    // The new owner's object may name them still.
+    // The new owner's object may still refer to them.
     expiredSegments.length = 0;
     options.onDidLose(outcomes.drain());
-    logDecision('gave up shard', `written by ${owner ?? 'another process'}`);
+    logDecision(
+      'gave up shard',
+      `last written by ${owner ?? 'another process'}`,
+    );
     moveQueued();
   }
 
@@ -122,15 +125,15 @@
   }
 
   function onDidCommitTakeOver(
-    landedVersion: number,
+    committedVersion: number,
     previousOwner: string | undefined,
   ): void {
-    version = landedVersion;
+    version = committedVersion;
     takeovers += 1;
     sendEvent('acquire');
     logDecision(
       'took shard over',
-      `it was owned by ${previousOwner || 'nobody'}`,
+      `previous owner: ${previousOwner || 'none'}`,
     );
     options.onDidTakeOver(table.unsealed());
   }
@@ -149,7 +152,7 @@
     sendEvent('startTakeOver');
     takingOver = takeOver.run().finally(() => {
       takingOver = undefined;
-      // Does nothing when the shard was gained.
+      // Has no effect when the shard was acquired.
       if (current() === 'taking') {
         sendEvent('lose');
       }
@@ -158,13 +161,11 @@
   }
 
   function isOwned(): boolean {
-    const now = current();
-    return now === 'owned' || now === 'bound';
+    const state = current();
+    return state === 'owned' || state === 'bound';
   }
 
-  // Writing.
-
-  function schedule(): void {
+  function scheduleWrite(): void {
     if (writing !== undefined || !isOwned()) {
       return;
     }
@@ -191,7 +192,7 @@
     lastWriteAt = clock.now();
     writing = commit().finally(() => {
       writing = undefined;
-      schedule();
+      scheduleWrite();
     });
   }
 
@@ -209,16 +210,16 @@
     const claimed = batch;
     batch = [];
     finishWrite(result, claimed);
-    if (result.type === 'landed') {
-      await segments.seal(table, epoch, options.sealBytes);
+    if (result.type === 'committed') {
+      await segments.seal(table, epoch, options.sealThresholdBytes);
     }
   }
 
-  /** Writes the table; outcomes that it carries are kept until it has landed. */
+  /** Writes the table; its outcomes are kept until the write is committed. */
   async function write(record: ShardRecord): Promise<WriteResult> {
     outcomes.beginWrite();
     const result = await writer.write(record, version);
-    if (result.type === 'landed') {
+    if (result.type === 'committed') {
       outcomes.commitWrite();
       segments.remove(expiredSegments.splice(0));
     }
@@ -229,7 +230,7 @@
   }
 
   function finishWrite(result: WriteResult, claimed: ActiveOrder[]): void {
-    if (result.type === 'landed') {
+    if (result.type === 'committed') {
       version = result.version;
       sendEvent('writeResolved');
       claimed.forEach(onDidWriteClaim);
@@ -246,13 +247,14 @@
     for (const order of claimed) {
       moveToOwner(order);
     }
-    // The claims may be in the new owner's table. An order whose caller has left is brought to it by
-    // nobody, and every retry would hear that it may have run: the owner is told that they are void.
+    // The new owner may have the claims. Nobody routes the order of a
+    // disconnected caller there, and every retry would get `may-have-run`: the
+    // owner must be told that they are void.
     options.onDidLose(claimed.map(releasedOutcome));
   }
 
   function onDidWriteClaim(order: ActiveOrder): void {
-    // An order that was given up during the write has ended: its claim is void.
+    // An order cancelled during the write has ended: its claim is void.
     if (order.tryTransition('claim')) {
       options.onDidClaim(order);
       return;
@@ -260,9 +262,9 @@
     voidClaim(order);
   }
 
-  function scheduleWrite(outcome: ClaimOutcome): void {
+  function enqueueOutcome(outcome: ClaimOutcome): void {
     outcomes.add(outcome);
-    schedule();
+    scheduleWrite();
   }
 
   function voidClaim(order: ActiveOrder): void {
@@ -270,12 +272,13 @@
     const {token} = order;
     if (table.get(id)?.token === token) {
       table.remove(id);
-      scheduleWrite(releasedOutcome(order));
+      enqueueOutcome(releasedOutcome(order));
     }
   }
 
   function rejectUnclaimed(error: ServingError): void {
-    // The claims of the batch may still land, but orders that have ended are never dispatched.
+    // Claims of the batch may still be committed, but ended orders are not
+    // sent.
     for (const order of [...queue.splice(0), ...batch]) {
       order.complete({type: 'error', error});
     }
@@ -312,7 +315,7 @@
     const result = await write(record);
     if (result.type === 'refused') {
       sendEvent('acquire');
-      schedule();
+      scheduleWrite();
       return 'refused';
     }
     const isLost = result.type === 'lost';
@@ -328,9 +331,9 @@
     acquire,
     enqueue(order) {
       queue.push(order);
-      schedule();
+      scheduleWrite();
     },
-    scheduleWrite,
+    enqueueOutcome,
     liveBytes,
     voidClaim,
     rejectUnclaimed,
@@ -354,7 +357,7 @@
   };
 }
 
-/** The outcome of a claim whose order was not sent and never will be. */
+/** Outcome of a claim whose order was not sent and never will be. */
 function releasedOutcome({request, token}: ActiveOrder): ClaimOutcome {
   return {state: 'released', id: request.id, token};
 }
--- a/packages/orders/src/shardContracts.ts
+++ b/packages/orders/src/shardContracts.ts
@@ -1,4 +1,4 @@
-/** What a shard needs from its ledger and offers to it. */
+/** Contracts between a shard and its ledger. */
 import type {
   Clock,
   DecisionLog,
@@ -12,16 +12,17 @@
 import type {LedgerEntry} from './shardRecord.js';
 import type {ShardTable} from './shardTable.js';
 
-/** Who can work on an order of the shard. */
+/** The entry that can execute orders of the shard. */
 export type Ownership =
   | {readonly type: 'owned'}
   | {readonly type: 'elsewhere'; readonly member: string};
 
 /**
- * `released`: given up with the changes written; what they handed over may run
- * elsewhere. `lost`: another process took the shard before, so that the changes
- * may be in no ledger; given up as well. `refused`: certainly nothing was
- * written. `unowned`: there was nothing to give up.
+ * `released`: the changes are written, and what they hand over may run
+ * elsewhere. `lost`: another process took the shard over first, so that the
+ * changes may not be in the ledger; ownership is gone as well. `refused`:
+ * certainly nothing was written, the shard is still owned. `unowned`: there was
+ * nothing to release.
  */
 export type ReleaseResult = 'released' | 'lost' | 'refused' | 'unowned';
 
@@ -33,19 +34,19 @@
   readonly member: string;
   /** Unique for each start of a process. */
   readonly instance: string;
-  /** The least time between the starts of two writes. */
+  /** Minimum time between the starts of two writes. */
   readonly minWriteIntervalMs: number;
-  /** How long outcomes may wait for a write that carries claims as well. */
+  /** How long outcomes may wait for a write that commits claims as well. */
   readonly outcomeDelayMs: number;
   readonly dedupeWindowMs: number;
-  /** Size of the shard's object from which ended entries move into a segment. */
-  readonly sealBytes: number;
-  /** How long a deposed owner leaves the shard to its new one. */
+  /** Size of a shard object from which ended orders are moved into segments. */
+  readonly sealThresholdBytes: number;
+  /** How long a deposed owner leaves the shard to the new one. */
   readonly holdOffMs: number;
   readonly isReachable: (member: string) => boolean;
   /** The claim is in the ledger: the order may be dispatched. */
   readonly onDidClaim: (order: ActiveOrder) => void;
-  /** The shard was lost, and its new owner may not know these outcomes. */
+  /** The shard was lost, and its new owner may not have these outcomes. */
   readonly onDidLose: (outcomes: readonly ClaimOutcome[]) => void;
   /** The shard was taken over with these entries. */
   readonly onDidTakeOver: (entries: readonly LedgerEntry[]) => void;
@@ -57,19 +58,19 @@
   state(): ShardState;
   /** True while claims can be committed. */
   isOwned(): boolean;
-  /** Owns the shard, or tells who does. Throws `platform-unavailable`. */
+  /** Acquires the shard or names its owner. Throws `platform-unavailable`. */
   acquire(): Promise<Ownership>;
-  /** Puts an order into the next write. */
+  /** Queues an order for the next write. */
   enqueue(order: ActiveOrder): void;
-  /** An outcome has changed the table: write it soon. */
-  scheduleWrite(outcome: ClaimOutcome): void;
+  /** Schedules a write for an outcome that has changed the table. */
+  enqueueOutcome(outcome: ClaimOutcome): void;
   /** Size of all entries that are still within the dedupe window. */
   liveBytes(): number;
   /** Voids a claim that was never sent. */
   voidClaim(order: ActiveOrder): void;
-  /** Ends the orders that have no claim yet; nothing of them was sent. */
+  /** Ends the orders that have no claim yet; they were not sent. */
   rejectUnclaimed(error: ServingError): void;
-  /** Changes the table, writes it and gives the shard up. */
-  release(changes: () => void): Promise<ReleaseResult>;
+  /** Applies the changes to the table, writes it and releases the shard. */
+  release(applyChanges: () => void): Promise<ReleaseResult>;
   dump(): unknown;
 }
--- a/packages/orders/src/shardMachine.ts
+++ b/packages/orders/src/shardMachine.ts
@@ -1,11 +1,11 @@
-/** The states of a shard and what may follow on each. */
+/** State machine of a shard. */
 import {createMachine, state, transition} from 'robot3';
 
 /**
  * `unowned`: another process may own it. `taking`: the change of owner is being
- * written. `owned`: may commit claims. `bound`: a reply was lost, nothing
- * follows from the write until its outcome is known. `releasing`: it is being
- * handed over, no more claims.
+ * written. `owned`: may commit claims. `bound`: the response to a write was
+ * lost; nothing may depend on the write until its outcome is known.
+ * `releasing`: the release is being written, no more claims.
  */
 export type ShardState = 'unowned' | 'taking' | 'owned' | 'bound' | 'releasing';
 
@@ -17,7 +17,7 @@
   | 'release'
   | 'lose';
 
-/** No transition leads from `unowned` to `owned`: only a landed write of the new epoch makes an owner. */
+/** Only a committed write of a new epoch leads from `unowned` to `owned`. */
 export const shardMachine = createMachine({
   unowned: state(transition('startTakeOver', 'taking')),
   taking: state(transition('acquire', 'owned'), transition('lose', 'unowned')),
--- a/packages/orders/src/shardRecord.ts
+++ b/packages/orders/src/shardRecord.ts
@@ -1,4 +1,4 @@
-/** A ledger shard as the platform keeps it: plain JSON, bodies in base64. */
+/** Stored form of a ledger shard: plain JSON, bodies in base64. */
 import type {ForwardedReply} from '@skylarkfield/protocol';
 import type {OrderCall} from './contracts.js';
 
@@ -15,44 +15,44 @@
   return `shard-${index}`;
 }
 
-/** Raised when the stored form changes; readers refuse a higher one. */
+/** Incremented when the stored form changes; readers reject a higher one. */
 export const LEDGER_FORMAT = 1;
 
 export interface StoredReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
-  /** Base64; absent when the reply was too large to be kept. */
+  /** Base64; absent when the reply was too large to be stored. */
   readonly body?: string;
 }
 
-/** An order that waits in the ledger for the next owner to run it. */
+/** An order that waits in the ledger for the next owner to execute it. */
 export interface StoredOrder {
   readonly service: string;
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
-  /** Wall-clock milliseconds after which it is not run any more. */
+  /** Wall-clock milliseconds after which it must not be executed any more. */
   readonly runBefore: number;
 }
 
 /**
  * `claimed`: may be running or have run; only the process that claimed it may
  * dispatch it. `settled`: has run, with its reply. `unknown`: was sent and its
- * reply was lost. `waiting`: handed over undispatched; the next owner runs it
- * after claiming it.
+ * reply was lost. `waiting`: handed over undispatched; the next owner claims
+ * and executes it.
  */
 export type EntryState = 'claimed' | 'settled' | 'unknown' | 'waiting';
 
 export interface LedgerEntry {
   readonly id: string;
   readonly print: string;
-  /** Unique for each claim, so that a late outcome can't settle another claim. */
+  /** Unique per claim, so that a late outcome can't settle another claim. */
   readonly token: string;
   readonly state: EntryState;
   /** Member that made the claim. */
   readonly member: string;
-  /** The ledger's age when the entry got its state. */
+  /** Age of the ledger when the entry got its state, in milliseconds. */
   readonly age: number;
   readonly reply?: StoredReply;
   readonly order?: StoredOrder;
@@ -60,14 +60,14 @@
 
 export interface ShardRecord {
   readonly format: number;
-  /** Process that may write, by its unique instance; empty when released. */
+  /** Unique instance of the process that may write; empty when released. */
   readonly owner: string;
   readonly ownerMember: string;
-  /** Rises with every change of owner. */
+  /** Incremented with every change of owner. */
   readonly epoch: number;
-  /** Counts the owner's writes, to recognise one whose reply was lost. */
+  /** Counts the owner's writes, to identify one whose response was lost. */
   readonly write: number;
-  /** Milliseconds for which the shard has been owned altogether. */
+  /** Total time for which the shard has been owned, in milliseconds. */
   readonly age: number;
   readonly entries: readonly LedgerEntry[];
   /** Names of the objects that hold further, ended entries. */
@@ -75,10 +75,10 @@
 }
 
 /**
- * A reply in its stored form; without its body when that is above the bound.
+ * Encodes a reply; the body is omitted when it exceeds the limit.
  *
  * @example
- * const stored = storeReply(reply, 4096);
+ * const stored = encodeReply(reply, 4096);
  */
 export function encodeReply(
   reply: ForwardedReply,
@@ -92,10 +92,10 @@
 }
 
 /**
- * A stored reply as it is sent.
+ * Decodes a stored reply.
  *
  * @example
- * const reply = readReply(entry.reply);
+ * const reply = decodeReply(entry.reply);
  */
 export function decodeReply(stored: StoredReply): ForwardedReply {
   const {status, headers, body} = stored;
@@ -107,10 +107,10 @@
 }
 
 /**
- * An order in its stored form.
+ * Encodes an order.
  *
  * @example
- * const stored = storeOrder('booking', call, clock.wall() + leftMs);
+ * const stored = encodeOrder('booking', call, clock.wall() + leftMs);
  */
 export function encodeOrder(
   service: string,
@@ -122,10 +122,10 @@
 }
 
 /**
- * The call of a stored order.
+ * Decodes the call of a stored order.
  *
  * @example
- * const call = readCall(entry.order);
+ * const call = decodeCall(entry.order);
  */
 export function decodeCall(stored: StoredOrder): OrderCall {
   const {method, path, headers} = stored;
--- a/packages/orders/src/shardSegments.ts
+++ b/packages/orders/src/shardSegments.ts
@@ -1,6 +1,6 @@
 /**
- * Sealed parts of a shard: objects of their own, written once, so that the
- * shard's object stays small however many ended orders are remembered.
+ * Segments of a shard: objects that are written once, so that the shard object
+ * stays small however many ended orders are remembered.
  */
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {LedgerEntry} from './shardRecord.js';
@@ -14,22 +14,25 @@
 }
 
 export interface ShardSegments {
-  /** Entries of the named segments; undefined when one is gone, as the shard has changed since. */
+  /** Entries of the named segments; undefined if one has been removed. */
   read(
     names: readonly string[],
   ): Promise<ReadonlyMap<string, readonly LedgerEntry[]> | undefined>;
-  /** Moves ended entries into a segment once those outside one take this many bytes; they stay when that may have failed. */
+  /**
+   * Moves ended entries into a segment once unsealed ones take `minBytes`; they
+   * stay when the write may have failed.
+   */
   seal(table: ShardTable, epoch: number, minBytes: number): Promise<void>;
-  /** Removes segments that no shard object names any more. */
+  /** Removes segments that no shard object refers to any more. */
   remove(names: readonly string[]): void;
 }
 
 /**
- * Makes the access to one shard's segments.
+ * Creates the access to one shard's segments.
  *
- * A segment's name carries the epoch of its writer and is never used again.
- * With names used in turn, a deposed owner could overwrite a segment that its
- * successor has already named, and those keys would be forgotten.
+ * A segment's name contains the epoch of its writer and is never reused. With
+ * reused names, a deposed owner could overwrite a segment that its successor
+ * already refers to, and those keys would be forgotten.
  *
  * @example
  * await segments.seal(table, epoch, 32_768);
@@ -38,7 +41,7 @@
   store: ObjectStore,
   shard: number,
 ): ShardSegments {
-  let segmentCount = 0;
+  let nameCounter = 0;
 
   async function read(names: readonly string[]) {
     const objects = await Promise.all(
@@ -55,18 +58,18 @@
     return entries;
   }
 
-  /** Returns the name; undefined when the write is not certain to have worked. */
+  /** Returns the name; undefined when the write may have failed. */
   async function write(
     epoch: number,
     entries: readonly LedgerEntry[],
   ): Promise<string | undefined> {
-    segmentCount += 1;
-    const name = `shard-${shard}.${epoch}.${segmentCount}`;
+    nameCounter += 1;
+    const name = `shard-${shard}.${epoch}.${nameCounter}`;
     try {
       await store.put(SEGMENT_KIND, name, {entries}, {type: 'absent'});
       return name;
     } catch {
-      // The entries stay in the shard's object; a segment that landed after all is never named.
+      // The entries stay; a segment written after all is never referred to.
       return undefined;
     }
   }
@@ -85,7 +88,7 @@
     },
     remove(names) {
       for (const name of names) {
-        // What stays behind is never read: removing is only tidying up.
+        // Best effort: a segment that remains is never read.
         store.remove(SEGMENT_KIND, name, {type: 'any'}).catch(() => undefined);
       }
     },
--- a/packages/orders/src/shardTable.ts
+++ b/packages/orders/src/shardTable.ts
@@ -1,33 +1,33 @@
-/** The entries of one owned shard in memory: look-up, size, sealing and expiry. */
+/** In-memory entries of one owned shard: lookup, size, sealing and expiry. */
 import type {Clock} from '@skylarkfield/base';
 import type {LedgerEntry} from './shardRecord.js';
 
 export interface ShardTable {
   get(id: string): LedgerEntry | undefined;
-  /** Adds or replaces an entry; its age is set to now. */
+  /** Adds or replaces an entry; its age is set to the current one. */
   put(entry: Omit<LedgerEntry, 'age'>): void;
   remove(id: string): void;
-  /** Replaces everything, as read at a change of owner. */
+  /** Replaces all contents with what was read at a change of owner. */
   load(
     entries: readonly LedgerEntry[],
     segments: ReadonlyMap<string, readonly LedgerEntry[]>,
     age: number,
   ): void;
-  /** Drops what has left the dedupe window; returns the segments that are empty then. */
+  /** Removes entries past the dedupe window; returns segments now empty. */
   expire(): readonly string[];
-  /** Entries that belong into the shard's object. */
+  /** Entries that belong in the shard's object. */
   unsealed(): readonly LedgerEntry[];
   segments(): readonly string[];
-  /** Ended entries for a segment, oldest first; none when there are too few. */
-  sealable(bytes: number): readonly LedgerEntry[];
-  /** Notes that a segment holds these entries. */
+  /** Ended entries for a segment, oldest first; none if there are too few. */
+  sealable(minBytes: number): readonly LedgerEntry[];
+  /** Records that a segment holds these entries. */
   seal(name: string, entries: readonly LedgerEntry[]): void;
-  /** Milliseconds for which the shard has been owned altogether. */
+  /** Total time for which the shard has been owned, in milliseconds. */
   age(): number;
-  /** Size of all entries, sealed ones included. */
+  /** Size of all entries, including sealed ones. */
   readonly bytes: number;
   readonly count: number;
-  /** Milliseconds until the oldest entry leaves the window. */
+  /** Milliseconds until the oldest entry leaves the dedupe window. */
   untilExpiry(): number;
 }
 
@@ -36,18 +36,18 @@
   readonly bytes: number;
 }
 
-/** Far below the most that the platform takes in one value. */
+/** Far below the platform's size limit for one value. */
 const MAX_SEGMENT_BYTES = 262_144;
 
 /** States that do not change any more. */
 const FINAL_STATES: ReadonlySet<string> = new Set(['settled', 'unknown']);
 
 /**
- * Makes an empty table.
+ * Creates an empty table.
  *
- * The dedupe window is counted in the ledger's own age: the sum of monotonic
- * spans in which the shard was owned. A wall clock that jumps ahead on one
- * entry could drop a key too early, and the caller's retry would run its order
+ * The dedupe window is measured in the ledger's own age: the sum of monotonic
+ * spans in which the shard was owned. If a wall clock jumped ahead on one
+ * entry, a key could be dropped too early and a retry would run its order
  * again; the ledger's age only ever lags, so a key is kept too long at worst.
  *
  * @example
@@ -59,9 +59,9 @@
 ): ShardTable {
   /** All entries, in the order of their last change. */
   const rows = new Map<string, Row>();
-  /** Ids of the entries that no segment holds as they are. */
+  /** Ids of the entries whose current state is not in a segment. */
   const unsealedIds = new Set<string>();
-  /** Age of the youngest entry of each segment. */
+  /** Age of the newest entry of each segment. */
   const segments = new Map<string, number>();
   let bytes = 0;
   let unsealedBytes = 0;
@@ -108,7 +108,8 @@
 
   function expireRows(): void {
     for (const {entry} of rows.values()) {
-      // Rows are in the order of their last change: the first young one ends the search.
+      // Rows are in the order of their last change, so later ones are
+      // unexpired.
       if (!isExpired(entry.age)) {
         return;
       }
@@ -133,7 +134,7 @@
         segments.set(name, newestAge(sealed));
         sealed.forEach(entry => add(entry, false));
       }
-      // What the shard's object says of a key is newer than what a segment says.
+      // An entry of the shard's object is newer than one in a segment.
       entries.forEach(entry => add(entry, true));
     },
     expire() {
@@ -170,7 +171,7 @@
     seal(name, entries) {
       segments.set(name, newestAge(entries));
       for (const entry of entries) {
-        // An entry that changed while the segment was written stays open.
+        // An entry that changed while the segment was written stays unsealed.
         if (rows.get(entry.id)?.entry === entry) {
           markSealed(entry.id);
         }
--- a/packages/orders/src/shardTakeOver.ts
+++ b/packages/orders/src/shardTakeOver.ts
@@ -1,4 +1,4 @@
-/** Takes a shard over from its last owner, or leaves it to an owner that can be reached. */
+/** Takes a shard over from its last owner, or yields to a reachable one. */
 import {ServingError, type Clock} from '@skylarkfield/base';
 import type {Ownership} from './shardContracts.js';
 import {LEDGER_FORMAT, type ShardRecord} from './shardRecord.js';
@@ -10,15 +10,15 @@
   readonly index: number;
   readonly member: string;
   readonly clock: Clock;
-  /** How long a deposed owner leaves the shard to its new one. */
+  /** How long a deposed owner leaves the shard to the new one. */
   readonly holdOffMs: number;
   readonly isReachable: (member: string) => boolean;
   readonly writer: ShardWriter;
   readonly segments: ShardSegments;
   readonly table: ShardTable;
-  /** Starts an epoch of this process; returns its first record, made from the table. */
+  /** Starts an epoch of this process; returns its first record. */
   readonly beginEpoch: (epoch: number) => ShardRecord;
-  /** The first record has landed as this version: the shard is owned. */
+  /** The first record was committed as this version: the shard is owned. */
   readonly onDidCommit: (
     version: number,
     previousOwner: string | undefined,
@@ -26,20 +26,20 @@
 }
 
 export interface TakeOver {
-  /** Writes this process's epoch into the shard. Throws `platform-unavailable`. */
+  /** Writes a new epoch to the shard. Throws `platform-unavailable`. */
   run(): Promise<Ownership>;
-  /** The shard was lost to this owner: leave it alone for a while. */
+  /** Starts the hold-off time after the shard was lost to this owner. */
   holdOff(owner: string | undefined): void;
-  /** The owner that the shard is left to now, if one can be reached. */
+  /** The reachable owner that the shard is left to now, if any. */
   holdOffOwner(): string | undefined;
-  /** The last owner seen besides this process. */
+  /** The last owner seen other than this process. */
   lastKnownOwner(): string | undefined;
 }
 
 const MAX_ATTEMPTS = 5;
 
 /**
- * Makes the take-over of one shard.
+ * Creates the take-over of one shard.
  *
  * @example
  * const ownership = await takeOver.run();
@@ -59,7 +59,7 @@
     );
   }
 
-  /** Undefined when another process changed the shard meanwhile. */
+  /** Returns undefined when another process changed the shard meanwhile. */
   async function tryTakeOver(attempt: number): Promise<Ownership | undefined> {
     const stored = await writer.read();
     const head = stored?.value;
@@ -97,7 +97,7 @@
       }
       throw new ServingError(
         'platform-unavailable',
-        `shard ${index} changes its owner too often`,
+        `the owner of shard ${index} changes too often`,
       );
     },
     holdOff(owner) {
--- a/packages/orders/src/shardWriter.ts
+++ b/packages/orders/src/shardWriter.ts
@@ -1,4 +1,4 @@
-/** Conditional writes of one shard whose outcome is always learnt before anything follows from them. */
+/** Conditional shard writes, each resolved to a certain outcome. */
 import {
   isServingError,
   sleep,
@@ -10,15 +10,15 @@
 import {LEDGER_KIND, type ShardRecord} from './shardRecord.js';
 
 export type WriteResult =
-  | {readonly type: 'landed'; readonly version: number}
+  | {readonly type: 'committed'; readonly version: number}
   /** Certainly without effect. */
   | {readonly type: 'refused'; readonly error: ServingError}
-  /** Another process has written since; nothing of ours can land any more. */
+  /** Another process has written since; our writes can't succeed any more. */
   | {readonly type: 'lost'; readonly head: ShardRecord | undefined};
 
 export interface ShardWriter {
   read(): Promise<StoredObject<ShardRecord> | undefined>;
-  /** Writes on top of a version (undefined: no object yet) and settles what happened. */
+  /** Writes on top of a version (undefined: no object) until it is resolved. */
   write(
     record: ShardRecord,
     baseVersion: number | undefined,
@@ -29,21 +29,23 @@
 const MAX_BACKOFF_MS = 1_000;
 
 /**
- * Makes the writer of one shard.
+ * Creates the writer of one shard.
  *
- * A write whose reply was lost may still be on its way, so a read that shows
- * the old version proves nothing. The same write is sent again instead, on the
- * same version: when it lands, the first can't any more; when it conflicts, the
- * head tells whose write came first.
+ * A write whose response was lost may still be in transit, so a read that shows
+ * the old version proves nothing. Instead the same write is repeated on the
+ * same version: if it succeeds, the first one no longer can; if it conflicts,
+ * the current object shows whose write came first.
  *
  * @example
- * const writer = createShardWriter({store, clock, name: 'shard-3', onDoubt, signal});
+ * const writer = createShardWriter({
+ *   store, clock, name: 'shard-3', onUncertainWrite, signal,
+ * });
  */
 export function createShardWriter(options: {
   readonly store: ObjectStore;
   readonly clock: Clock;
   readonly name: string;
-  /** A reply was lost: the shard is bound until the outcome is known. */
+  /** A response was lost: the shard is `bound` until the write is resolved. */
   readonly onUncertainWrite: () => void;
   /** Ends all retries. */
   readonly signal: AbortSignal;
@@ -67,7 +69,7 @@
           ? {type: 'absent'}
           : {type: 'version', version: baseVersion},
       );
-      return {type: 'landed', version: stored.version};
+      return {type: 'committed', version: stored.version};
     } catch (error) {
       if (isServingError(error, 'version-conflict')) {
         return 'conflict';
@@ -126,13 +128,16 @@
   return {read, write};
 }
 
-/** Errors after which a write certainly has no effect, now or later. */
+/** Kinds of errors after which a write certainly never takes effect. */
 const REJECTING_ERROR_KINDS: ReadonlySet<string> = new Set([
   'platform-unavailable',
   'too-large',
 ]);
 
-/** Whose write a conflict shows; `behind`: an older one of ours, so ours may be tried on top of it. */
+/**
+ * Resolves a conflict; after `older-own-write` the write may be repeated on top
+ * of that one.
+ */
 function resolveConflict(
   record: ShardRecord,
   head: StoredObject<ShardRecord> | undefined,
@@ -145,7 +150,7 @@
     return {type: 'lost', head: head.value};
   }
   if (write === record.write && owner === record.owner) {
-    return {type: 'landed', version: head.version};
+    return {type: 'committed', version: head.version};
   }
   const isOurs = owner === record.owner || record.owner === '';
   return isOurs && write < record.write
--- a/packages/orders/src/test/atMostOnce.test.ts
+++ b/packages/orders/src/test/atMostOnce.test.ts
@@ -3,7 +3,7 @@
 import {orderId} from '../orderIdentity.js';
 import {createCluster, type Cluster} from './cluster.js';
 
-describe('ledger guards', () => {
+describe('at-most-once execution', () => {
   let cluster: Cluster;
   beforeEach(() => {
     cluster = createCluster(3, {shardCount: 1});
@@ -14,7 +14,7 @@
     cluster.dispose();
   });
 
-  /** Makes one entry own the shard; returns it and the other. */
+  /** Makes one entry own the shard; returns it and the other one. */
   async function electOwner(): Promise<{owner: string; other: string}> {
     cluster.submit('a', 'warm-up');
     await cluster.clock.advance(500);
@@ -34,21 +34,21 @@
   }
 
   const entryFates = {
-    'goes on': () => Promise.resolve(),
+    'keeps running': () => Promise.resolve(),
     async leaves(id: string) {
       void cluster.leave(id);
       await cluster.clock.advance(1_000);
     },
-    dies: (id: string) => Promise.resolve(cluster.crash(id)),
+    crashes: (id: string) => Promise.resolve(cluster.crash(id)),
   };
 
   function runsOf(subject: string): number {
     return cluster.runs.filter(run => run.subject === subject).length;
   }
 
-  // The write that carries a claim vanishes and so does its reply. An entry that took the claim for
-  // written would send the booking; when it dies, nobody knows of it, and the retry books again.
-  it('sends nothing while it is not known whether the claim was written', async () => {
+  // A claim is not written and the response is lost. If the entry sent the
+  // order all the same and crashed, a retry would run it again.
+  it('sends nothing while the outcome of the claim write is unknown', async () => {
     const {owner, other} = await electOwner();
     cluster.entries
       .get(owner)
@@ -63,9 +63,9 @@
     assert.equal(runsOf('k1'), 1);
   });
 
-  // An owner is paused after its claim was written, before it has sent the order. Another entry
-  // takes the shard over and gets the retry. When the first wakes it sends its order, so the second
-  // must not have sent it.
+  // An owner is paused between writing a claim and sending the order. Another
+  // entry takes the shard over and gets the retry. The first sends the order
+  // when it resumes, so the second must not send it.
   it('never dispatches the claim of another entry', async () => {
     const {owner, other} = await electOwner();
     cluster.service.waitMs = 400;
@@ -82,9 +82,9 @@
     assert.equal(runsOf('k1'), 1);
   });
 
-  // An owner is paused until long after the deadline of an order that it had claimed. The caller
-  // has given up and made other arrangements: a crew that is sent now comes unasked.
-  it('does not send an order after its deadline when it wakes from a pause', async () => {
+  // An owner is paused until long after the deadline of an order that it had
+  // claimed. The caller may have ordered elsewhere by then.
+  it('does not send an order after its deadline when it resumes from a pause', async () => {
     const {owner} = await electOwner();
     cluster.service.waitMs = 400;
     cluster.submit(owner, 'k1', undefined, 1_000);
@@ -96,9 +96,9 @@
     assert.equal(runsOf('k1'), 0);
   });
 
-  // An entry leaves and hands its waiting orders over; the mark in the ledger is written, but the
-  // reply is lost and the platform is slow. A place at the service becomes free meanwhile: if the
-  // old owner sends an order now, the new owner sends it as well.
+  // The hand-over of waiting orders is written, but the response is lost and
+  // the platform is slow. If the old owner sent an order when the service has
+  // capacity again, the new owner would send it as well.
   it('sends nothing that may have been handed over', async () => {
     const {owner, other} = await electOwner();
     cluster.service.waitMs = 400;
@@ -118,9 +118,9 @@
     assert.ok(isOwner(other));
   });
 
-  // A caller's deadline passes while the hand-over of its order is being written. The next owner
-  // may run it already, so the caller must not hear that it was not run.
-  it('does not call an order not run while its hand-over is being written', async () => {
+  // A caller's deadline passes while the hand-over of its order is being
+  // written. The next owner may run it already, so `not-run` would be false.
+  it('does not report not-run while the hand-over is being written', async () => {
     const {owner} = await electOwner();
     cluster.service.waitMs = 400;
     const order = cluster.submit(owner, 'k1', undefined, 300);
@@ -133,9 +133,10 @@
     assert.notEqual(order.answer?.run, 'not-run');
   });
 
-  // An order is forwarded to an owner that is paused. The sender goes on without it and the service
-  // refuses. When the owner wakes it runs the order, so `not-run` would have been false.
-  it('does not say not-run after an owner stayed silent', async () => {
+  // The sender continues without a paused owner and the service rejects the
+  // call. The owner runs the order when it resumes, so `not-run` would be
+  // false.
+  it('does not report not-run after an owner did not respond', async () => {
     const {owner, other} = await electOwner();
     const order = cluster.submit(other, 'k1');
     cluster.pause(owner);
@@ -149,9 +150,9 @@
     await cluster.clock.advance(3_000);
   });
 
-  // An order is forwarded, refused and reported as not run; then the same message is delivered a
-  // second time. The order must not run after all.
-  it('does not run a second delivery of what it has refused', async () => {
+  // A forwarded order is rejected and reported as not run; then the same
+  // message is delivered again. The order must not run.
+  it('does not run a duplicate delivery of an order it rejected', async () => {
     cluster.dispose();
     cluster = createCluster(3, {shardCount: 1, maxAttempts: 1});
     ['a', 'b'].forEach(cluster.start);
@@ -166,9 +167,9 @@
     assert.equal(runsOf('k1'), 0);
   });
 
-  // Many orders wait when the platform goes away in the middle of a write. Their callers hear at
-  // once that nothing ran; whatever of the write lands later must not make that untrue.
-  it('keeps its word when a write lands after its orders were refused', async () => {
+  // Orders wait when the platform fails during a write. Their callers get
+  // `not-run` at once, which must stay true if the write takes effect later.
+  it('never runs an order reported as not run when its write takes effect late', async () => {
     const {owner} = await electOwner();
     cluster.entries
       .get(owner)
@@ -183,8 +184,9 @@
     assert.equal(retry.answer?.kind, 'reply');
   });
 
-  // Word that an earlier claim is void comes late, when the same order has been claimed anew and is
-  // running. Were the new claim dropped, a retry would run the order again.
+  // The report that a claim is void arrives when the order has been claimed
+  // again and is running. If it removed the new claim, a retry would run it
+  // again.
   it('does not let an old outcome void a newer claim', async () => {
     const {owner} = await electOwner();
     cluster.service.workMs = 4_000;
@@ -203,9 +205,9 @@
     assert.equal(runsOf('k1'), 1);
   });
 
-  // A shard changes its owner just when a reply has been noted but not written, and then the old
-  // owner dies. The retry must hear the reply, not that its booking may have been made.
-  it('brings replies that were not written to the new owner', async () => {
+  // A shard changes its owner while a reply is recorded but not written, and
+  // the old owner crashes. The retry must get the reply, not `may-have-run`.
+  it('delivers unwritten replies to the new owner', async () => {
     cluster.dispose();
     cluster = createCluster(3, {shardCount: 1, outcomeDelayMs: 400});
     ['a', 'b'].forEach(cluster.start);
@@ -224,10 +226,9 @@
     assert.equal(retry.answer?.body, first.answer?.body);
   });
 
-  // A reply becomes known while its entry is leaving and still waits for an earlier message to the
-  // shard's new owner, which was lost. If the entry ended then, the retry of a confirmed booking
-  // would hear that it may have run.
-  it('brings an outcome that came during a round of messages before it ends', async () => {
+  // A reply arrives while its leaving entry waits for an earlier, lost message
+  // to the new owner. If it exited then, the retry would get `may-have-run`.
+  it('delivers an outcome that arrived during a delivery round before it exits', async () => {
     const {owner, other} = await electOwner();
     cluster.service.waitMs = 1;
     cluster.service.workMs = 100;
@@ -255,11 +256,11 @@
     assert.equal(retry.answer?.body, last.answer?.body);
   });
 
-  // A claim is written, but the reply is lost, and another entry takes the shard with the claim in
-  // it. The caller's deadline passes before the first entry learns that. Nothing was sent, yet the
-  // retry of the booking would hear that it may have run.
-  for (const end of ['goes on', 'leaves', 'dies'] as const) {
-    it(`voids a claim that landed unnoticed when its entry ${end}`, async () => {
+  // A claim is written, but the response is lost, and another entry takes over
+  // the shard. The caller's deadline passes before the first entry detects it.
+  // Nothing was sent, yet the retry would get `may-have-run`.
+  for (const end of ['keeps running', 'leaves', 'crashes'] as const) {
+    it(`voids a claim written without a response when its entry ${end}`, async () => {
       const {owner, other} = await electOwner();
       const process = cluster.entries.get(owner)?.process;
       process?.lostReplyEffects.push('now');
@@ -279,9 +280,9 @@
     });
   }
 
-  // A place at the service is refused before a byte went out. The same claim may be tried again, so
-  // the caller gets its answer instead of an error.
-  it('tries again under the same claim when nothing was sent', async () => {
+  // The service rejects a call before any byte was sent. A repeated call under
+  // the same claim gives the caller a reply instead of an error.
+  it('retries under the same claim when nothing was sent', async () => {
     const {owner} = await electOwner();
     cluster.service.refused = 0.6;
     const orders = Array.from({length: 20}, (_, order) =>
--- a/packages/orders/src/test/cluster.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -1,4 +1,7 @@
-/** Several ledgers over one memory platform and network, with an oracle that counts runs and checks every answer. */
+/**
+ * Several ledgers over one in-memory platform and network, with an oracle for
+ * runs and answers.
+ */
 import assert from 'node:assert/strict';
 import {
   seededRandom,
@@ -23,14 +26,14 @@
   type SimulatedProcess,
 } from './simulatedProcess.js';
 
-/** One request of a caller and what it was answered. */
+/** One request of a caller and its answer. */
 export interface SubmittedRequest {
   readonly key: string | undefined;
-  /** What the order is about; a key may be used with two of them. */
+  /** Content of the order; a key may be used with two different ones. */
   readonly subject: string;
   readonly at: number;
   readonly timeoutMs: number;
-  /** Undefined until answered; stays so when its entry crashed. */
+  /** Undefined until answered; stays so when the entry crashed. */
   answer?: {
     readonly kind: string;
     readonly run: RunState | 'ran';
@@ -41,7 +44,7 @@
   };
 }
 
-/** One run at the service. */
+/** One execution at the service. */
 export interface ServiceRun {
   readonly subject: string;
   readonly at: number;
@@ -53,12 +56,12 @@
   readonly process: SimulatedProcess;
   readonly ledger: Ledger;
   readonly client: MemoryClient;
-  /** Entries that this one takes for gone. */
+  /** Entries that this one considers dead. */
   readonly suspects: Set<string>;
   isLeaving: boolean;
 }
 
-/** How the service behaves; shares of the calls. */
+/** Faults of the service as shares of the calls, and its delays. */
 export interface ServiceFaults {
   refused: number;
   lostAfter: number;
@@ -75,7 +78,7 @@
   readonly submitted: readonly SubmittedRequest[];
   readonly runs: readonly ServiceRun[];
   readonly service: ServiceFaults;
-  /** When entries came again after an order fell into a time without any; undefined when it did not. */
+  /** End of the period without entries, if it overlaps the order's lifetime. */
   emptyUntil(order: SubmittedRequest): number | undefined;
   start(id: string): Entry;
   crash(id: string): void;
@@ -88,7 +91,7 @@
     subject?: string,
     timeoutMs?: number,
   ): SubmittedRequest;
-  /** Checks all that has been answered so far. */
+  /** Checks all answers so far. */
   check(): void;
   dispose(): void;
 }
@@ -102,11 +105,11 @@
   outcomeDelayMs: 20,
   holdOffMs: 300,
   graceMs: 500,
-  // Small, so that every few orders make a segment.
-  sealBytes: 600,
+  // Small, so that every few orders fill a segment.
+  sealThresholdBytes: 600,
 };
 
-/** Makes a world without entries. */
+/** Creates a cluster without entries. */
 export function createCluster(
   seed: number,
   settings: Partial<LedgerSettings> = {},
@@ -131,10 +134,12 @@
   function dispatchOf(process: SimulatedProcess): Dispatch {
     return async (_service, call, signal, begin) => {
       await sleep(process.clock, service.waitMs * random.next(), signal);
-      // As in an entry, another endpoint is tried after one that got nothing.
+      // Like a real entry, tries another endpoint if one received nothing.
       for (let tries = 1; ; tries++) {
         if (!begin()) {
-          throw new ServingError('cancelled', 'given up', {run: 'not-run'});
+          throw new ServingError('cancelled', 'cancelled before it was sent', {
+            run: 'not-run',
+          });
         }
         if (!random.chance(service.refused)) {
           break;
@@ -153,7 +158,7 @@
       await sleepOn(clock, service.workMs * random.next());
       await process.whenRunning();
       if (isLostBefore || isLostAfter) {
-        throw new ServingError('outcome-unknown', 'cut off');
+        throw new ServingError('outcome-unknown', 'connection lost');
       }
       return {status: 201, headers: {}, body: new TextEncoder().encode(body)};
     };
@@ -299,7 +304,7 @@
   };
 }
 
-/** At most one run for each order, and none whose callers were all told `not-run`. */
+/** Each order ran at most once, and none if all callers got `not-run`. */
 function checkRuns(
   runs: readonly ServiceRun[],
   submitted: readonly SubmittedRequest[],
@@ -317,7 +322,7 @@
   }
 }
 
-/** Every reply comes from the run of its own order. */
+/** Checks that every reply comes from a run of its own order. */
 function checkAnswers(
   runs: readonly ServiceRun[],
   submitted: readonly SubmittedRequest[],
@@ -325,7 +330,11 @@
   for (const {subject, answer} of submitted) {
     if (answer?.body !== undefined) {
       const run = runs.find(({body}) => body === answer.body);
-      assert.equal(run?.subject, subject, `crossed answer for ${subject}`);
+      assert.equal(
+        run?.subject,
+        subject,
+        `the answer to ${subject} comes from another order`,
+      );
     }
   }
 }
--- a/packages/orders/src/test/fuzzFindings.test.ts
+++ b/packages/orders/src/test/fuzzFindings.test.ts
@@ -3,7 +3,7 @@
 import {runSchedule, healAndCheck, type Step} from './schedule.js';
 import type {Cluster} from './cluster.js';
 
-/** A schedule that the fuzzer found failing, shrunk. */
+/** A failing schedule found by the fuzzer, shrunk. */
 interface FuzzFinding {
   readonly name: string;
   readonly seed: number;
@@ -17,11 +17,11 @@
 }
 
 const findings: readonly FuzzFinding[] = [
-  // An entry joins and takes over the shard of a running order. Its old owner notes the reply in a
-  // table that it can't write any more. A retry then hears `may-have-run` of a kit that was
-  // confirmed, and the designer orders a second one.
+  // An entry takes over the shard of a running order. The old owner recorded
+  // the reply in a table that it could no longer write; a retry got
+  // `may-have-run`.
   {
-    name: 'a reply noted after the shard was lost reaches the new owner',
+    name: 'a reply recorded after the shard was lost reaches the new owner',
     seed: 0,
     waitMs: 0,
     steps: [
@@ -39,8 +39,9 @@
         'reply',
       ]),
   },
-  // An entry leaves while an order is on its way to it, and another process starts under its name.
-  // The sender waits for an answer that can't come, until its caller's deadline has passed.
+  // An entry leaves while an order is in transit to it, and another process
+  // starts under its id. The sender waited until the caller's deadline for an
+  // answer that could not come.
   {
     name: 'an order sent to an entry that has just left runs elsewhere',
     seed: 0,
@@ -53,10 +54,10 @@
     ],
     expect: cluster => assert.deepEqual(answerKinds(cluster), ['reply']),
   },
-  // All entries leave at once and nobody is left to take an order that is on its way. The caller
-  // must hear that it was not run, not that it may have.
+  // All entries leave at once, so no entry is left to accept an order in
+  // transit. The caller must get `not-run`, not `may-have-run`.
   {
-    name: 'an order on its way to an entry that leaves last is refused as not run',
+    name: 'an order in transit to the last leaving entry is rejected as not run',
     seed: 0,
     waitMs: 0,
     steps: [
@@ -68,10 +69,11 @@
     expect: cluster =>
       assert.equal(cluster.submitted[0]?.answer?.run, 'not-run'),
   },
-  // A caller's short deadline passes while its order still waits for a place at the service. Nothing
-  // was sent; a claim that stays behind as `unknown` would deny every retry.
+  // A short deadline passes while the order waits for capacity at the service.
+  // A claim left behind as `unknown` would block every retry, though nothing
+  // was sent.
   {
-    name: 'an order given up while it waited can be placed again',
+    name: 'an order cancelled while it waited can be submitted again',
     seed: 0,
     waitMs: 200,
     steps: [
@@ -86,10 +88,11 @@
       assert.ok(later.every(({answer}) => answer?.kind === 'reply'));
     },
   },
-  // Two of three entries leave at once. One of them took a shard over that the other had released,
-  // claimed an order there and ended; a retry heard `may-have-run`.
+  // Two of three entries leave at once. One took over a shard that the other
+  // had released, claimed an order there and exited; a retry got
+  // `may-have-run`.
   {
-    name: 'an entry that leaves takes no shard',
+    name: 'a leaving entry takes over no shard',
     seed: 0,
     waitMs: 0,
     steps: [
@@ -103,10 +106,11 @@
     expect: cluster =>
       assert.deepEqual(answerKinds(cluster), ['reply', 'reply', 'reply']),
   },
-  // All entries leave while an order waits, so it is handed over with nobody there to take it. Its
-  // caller heard `not-run`; then an entry started, found the order and ran it.
+  // All entries leave while an order waits, so it is handed over with no entry
+  // to take it. Its caller got `not-run`; then an entry started, found the
+  // order and ran it.
   {
-    name: 'an order that waits in the ledger is not called not run',
+    name: 'an order that waits in the ledger is not reported as not run',
     seed: 129_460,
     waitMs: 200,
     steps: [
@@ -123,10 +127,11 @@
       assert.equal(cluster.submitted[0]?.answer?.run, 'may-have-run');
     },
   },
-  // A retry waits at the shard's new owner for the reply of a run at the old one. The new owner
-  // leaves meanwhile; the reply comes, and the caller heard `may-have-run` all the same.
+  // A retry waits at the shard's new owner for the reply of a run at the old
+  // one. The new owner leaves meanwhile; the caller got `may-have-run` although
+  // the reply arrived.
   {
-    name: 'a reply that comes after the shard was released is passed on',
+    name: 'a reply that arrives after the shard was released is delivered',
     seed: 0,
     waitMs: 0,
     steps: [
@@ -143,10 +148,11 @@
     expect: cluster =>
       assert.equal(cluster.submitted[1]?.answer?.kind, 'reply'),
   },
-  // All entries leave while an order waits, and the next one comes only after the order's deadline.
-  // The order is not run so late; a retry that came then was refused by the old order's deadline.
+  // All entries leave while an order waits, and the next one starts after the
+  // order's deadline. The order must not run then, but a retry was rejected
+  // with the deadline of the old order.
   {
-    name: 'an order that waited past its deadline can be placed again',
+    name: 'an order that waited past its deadline can be submitted again',
     seed: 0,
     waitMs: 0,
     steps: [
@@ -164,11 +170,11 @@
       assert.equal(retry?.answer?.kind, 'reply');
     },
   },
-  // Two requests use one key. The second comes to an entry that does not know yet that it has lost
-  // the shard; its claim will never be written, but the first was refused as conflicting with it,
-  // as not run, and then ran.
+  // Two requests use one key. The second arrives at an entry that has lost the
+  // shard without knowing it, so its claim is never written. The first was
+  // rejected as conflicting with it, as not run, and then ran.
   {
-    name: 'a claim that is not written yet makes no key conflict',
+    name: 'an unwritten claim causes no key conflict',
     seed: 0,
     waitMs: 2_000,
     steps: [
@@ -187,11 +193,11 @@
       assert.equal(kept?.answer?.kind, 'reply');
     },
   },
-  // An entry leaves with an order that was not sent yet, but another takes the shard before the
-  // hand-over is written. The caller has hung up, so nobody brings the order along. It never ran,
-  // yet its claim stayed with the new owner, and a retry of the kit order heard `may-have-run`.
+  // An entry leaves with an unsent order of a disconnected caller, but another
+  // takes the shard before the hand-over is written, and nobody routes the
+  // order there. Its claim stayed there and a retry got `may-have-run`.
   {
-    name: 'a claim whose hand-over came too late does not deny the retry',
+    name: 'a claim whose hand-over was not written does not block the retry',
     seed: 0,
     waitMs: 0,
     steps: [
@@ -209,11 +215,12 @@
       assert.equal(retry?.answer?.kind, 'reply');
     },
   },
-  // A caller's short deadline passes while its claim is being written, and an entry that has just
-  // started takes the shard with the claim in it. It asks the first entry, which does not know yet
-  // what became of the write; the retry of an order that never ran heard `may-have-run`.
+  // A short deadline passes while the claim is being written, and a new entry
+  // takes over the shard including the claim. It queries the first entry, where
+  // the outcome of the write is open yet; a retry of the unsent order got
+  // `may-have-run`.
   {
-    name: 'a claim given up during its write does not deny the retry elsewhere',
+    name: 'a claim cancelled during its write does not block the retry elsewhere',
     seed: 484_910,
     waitMs: 2_000,
     steps: [
@@ -233,11 +240,11 @@
       assert.ok(retries.every(({answer}) => answer?.kind === 'reply'));
     },
   },
-  // A caller with little time sends an order, and a retry with more time joins it elsewhere. When the
-  // first one's time was up the order ended for both, and the retry heard `may-have-run` for an order
-  // that never ran.
+  // A retry with a longer timeout joins an order elsewhere. At the first
+  // deadline the order ended for both, and the retry got `may-have-run` for an
+  // order that never ran.
   {
-    name: 'a caller with little time does not end the order of one with more',
+    name: 'a caller with a short timeout does not end the order of another caller',
     seed: 0,
     waitMs: 2_000,
     steps: [
@@ -262,7 +269,7 @@
   },
 ];
 
-describe('schedules that the fuzzer found', () => {
+describe('schedules found by the fuzzer', () => {
   for (const {name, seed, waitMs, steps, expect} of findings) {
     it(name, async () => {
       const service = [0, 0, 0] as const;
--- a/packages/orders/src/test/handOver.test.ts
+++ b/packages/orders/src/test/handOver.test.ts
@@ -4,11 +4,11 @@
 import {createHandOver} from '../handOver.js';
 import type {Shard} from '../shardContracts.js';
 
-describe('hand-over of a shard', () => {
-  it('names the shard and claims nothing about its epoch', async () => {
-    // The next owner learns the epoch from the ledger. A number in the message
-    // that is always 0 would make a later release that trusts it take every
-    // shard for one that nobody has owned, and run its orders again.
+describe('shard hand-over', () => {
+  it('sends the index of the shard but no epoch', async () => {
+    // The next owner reads the epoch from the ledger. If the message carried an
+    // epoch that is always 0, a later release relying on it would take every
+    // shard for one that was never owned, and run its orders again.
     const bodies: unknown[] = [];
     const handOver = createHandOver({
       clock: virtualClock(),
--- a/packages/orders/src/test/ledger.fuzz.test.ts
+++ b/packages/orders/src/test/ledger.fuzz.test.ts
@@ -14,7 +14,7 @@
 const CI_RUNS = 60;
 const LONG_RUNS = Number(process.env.SKYLARKFIELD_FUZZ_RUNS ?? 1_000);
 
-/** Time that an entry needs from its start to an order that waits. */
+/** Time that an entry needs after its start to run a waiting order. */
 const START_MARGIN_MS = 2_000;
 
 function parameters(): fc.Parameters<unknown> {
@@ -30,8 +30,8 @@
   };
 }
 
-describe('ledger under any schedule', () => {
-  it('never runs an order twice and never says a false not-run', async () => {
+describe('ledger under random schedules', () => {
+  it('never runs an order twice and never reports a false not-run', async () => {
     await fc.assert(
       fc.asyncProperty(anySchedules, async schedule => {
         const cluster = await runSchedule(schedule);
@@ -46,7 +46,7 @@
     );
   });
 
-  it('loses no accepted order over announced reclaims', async () => {
+  it('loses no accepted order on announced reclaims', async () => {
     await fc.assert(
       fc.asyncProperty(leaveSchedules, async schedule => {
         const cluster = await runSchedule(schedule);
@@ -55,8 +55,8 @@
           for (const order of cluster.submitted) {
             const {subject, answer, at, timeoutMs} = order;
             assert.ok(answer, `${subject} was not answered`);
-            // With no entry left the answer may be open, but what was accepted still runs when an
-            // entry comes before the deadline.
+            // Without any live entry the answer may stay open, but accepted
+            // orders still run when an entry starts before the deadline.
             const until = cluster.emptyUntil(order);
             const hasRun = cluster.runs.some(run => run.subject === subject);
             const isTooLate = (until ?? 0) > at + timeoutMs - START_MARGIN_MS;
--- a/packages/orders/src/test/ledger.test.ts
+++ b/packages/orders/src/test/ledger.test.ts
@@ -5,7 +5,7 @@
 describe('ledger', () => {
   let cluster: Cluster;
   beforeEach(() => {
-    cluster = createCluster(1, {sealBytes: 16_384});
+    cluster = createCluster(1, {sealThresholdBytes: 16_384});
     ['a', 'b', 'c'].forEach(cluster.start);
   });
   afterEach(() => {
@@ -26,14 +26,14 @@
     assert.equal(cluster.runs.length, 1);
   });
 
-  it('joins a retry that comes while the order runs', async () => {
+  it('joins a retry that arrives while the order runs', async () => {
     const both = ['a', 'b'].map(id => cluster.submit(id, 'k1'));
     await cluster.clock.advance(500);
     assert.equal(both[0]?.answer?.body, both[1]?.answer?.body);
     assert.equal(cluster.runs.length, 1);
   });
 
-  it('refuses a key that comes with another request', async () => {
+  it('rejects a key that is reused with another request', async () => {
     cluster.submit('a', 'k1', 'two swatch kits');
     await cluster.clock.advance(500);
     const other = cluster.submit('b', 'k1', 'three swatch kits');
@@ -41,7 +41,7 @@
     assert.equal(other.answer?.kind, 'key-conflict');
   });
 
-  it('runs orders without a key once each', async () => {
+  it('runs each order without a key once', async () => {
     cluster.submit('a', undefined);
     cluster.submit('a', undefined);
     await cluster.clock.advance(500);
@@ -60,9 +60,9 @@
     assert.ok(cluster.platform.load().writes - before <= 8);
   });
 
-  // An entry dies after it has claimed an order. Whether it was sent is not known, so a retry
-  // must be told just that; running it again could send two crews.
-  it('does not run an order again whose entry died', async () => {
+  // An entry crashes after claiming an order that may have been sent: a retry
+  // must get `outcome-unknown`, since running it again could duplicate it.
+  it('does not rerun an order whose entry crashed', async () => {
     cluster.service.workMs = 60_000;
     const lost = cluster.submit('a', 'k1');
     await cluster.clock.advance(200);
@@ -76,9 +76,9 @@
     assert.notEqual(lost.answer?.run, 'not-run');
   });
 
-  // The platform goes away. New orders can't be kept safe, so callers hear at once that nothing
-  // ran and when to come back; an order already claimed goes on and its reply is kept later.
-  it('refuses at once while the platform is down and goes on with claimed orders', async () => {
+  // New orders can't be recorded, so callers get `not-run` and a retry delay at
+  // once. A claimed order continues, and its reply is recorded later.
+  it('rejects orders while the platform is down and completes claimed ones', async () => {
     cluster.service.workMs = 10_000;
     const claimed = cluster.submit('a', 'k1', undefined, 60_000);
     await cluster.clock.advance(100);
@@ -97,9 +97,9 @@
     assert.equal(retry.answer?.body, claimed.answer?.body);
   });
 
-  // The host of an entry is taken back while orders wait in it for a free place at the service.
-  // They were accepted, so they run at the next entry and their callers get the answers.
-  it('hands waiting orders over on an announced reclaim', async () => {
+  // Orders wait for capacity at the service when the host of their entry is
+  // reclaimed. They run at the next entry and their callers get the replies.
+  it('hands over waiting orders on an announced reclaim', async () => {
     cluster.service.waitMs = 20_000;
     const orders = ['k1', 'k2', 'k3', 'k4'].map(key =>
       cluster.submit('a', key, undefined, 60_000),
--- a/packages/orders/src/test/ledgerSize.test.ts
+++ b/packages/orders/src/test/ledgerSize.test.ts
@@ -6,7 +6,7 @@
 const WINDOW_MS = 60_000;
 const HOUR_MS = 3_600_000;
 
-describe('size and window of the ledger', () => {
+describe('ledger size and dedupe window', () => {
   let cluster: Cluster;
   afterEach(() => cluster.dispose());
 
@@ -29,7 +29,7 @@
       .objects.map(({value}) => JSON.stringify(value).length);
   }
 
-  it('keeps its objects small and remembers sealed orders at a new owner', async () => {
+  it('keeps its objects small and finds sealed orders at a new owner', async () => {
     start();
     await placeOrders(60);
     assert.ok(objectSizes(SEGMENT_KIND).length > 5);
@@ -45,9 +45,10 @@
     cluster.check();
   });
 
-  // The wall clock of an entry jumps ahead by hours. Were the window counted by it, all keys would
-  // be forgotten at once and a retry would place its order a second time.
-  it('keeps keys through a jump of the wall clock', async () => {
+  // The wall clock of an entry jumps ahead by hours. If the dedupe window were
+  // measured by it, all keys would be forgotten at once and a retry would run
+  // its order again.
+  it('keeps keys when the wall clock jumps ahead', async () => {
     start();
     await placeOrders(10);
     cluster.clock.shiftWall(5 * HOUR_MS);
@@ -58,7 +59,7 @@
     cluster.check();
   });
 
-  it('forgets keys after the window and removes their objects', async () => {
+  it('removes keys and their segments after the dedupe window', async () => {
     start();
     await placeOrders(30);
     const before = objectSizes(SEGMENT_KIND).length;
@@ -70,9 +71,9 @@
     assert.ok(objectSizes(SEGMENT_KIND).length < before);
   });
 
-  // So many orders come that the ledger is full. To forget a key early would break the promise to
-  // retries, so new orders are refused, and callers learn when to come back.
-  it('refuses new orders when it is full, and says when to come back', async () => {
+  // The ledger is full. Forgetting a key early would break deduplication of
+  // retries, so new orders are rejected with a retry delay.
+  it('rejects new orders with a retry delay when it is full', async () => {
     start({maxShardBytes: 2_000});
     await placeOrders(30);
     const answers = cluster.submitted.map(({answer}) => answer);
@@ -87,7 +88,7 @@
     cluster.check();
   });
 
-  it('says that an order ran whose reply was too large to be kept', async () => {
+  it('reports that an order ran when its reply was too large to store', async () => {
     start({maxReplyBytes: 3});
     await placeOrders(1);
     const retry = cluster.submit('b', 'k0');
--- a/packages/orders/src/test/schedule.ts
+++ b/packages/orders/src/test/schedule.ts
@@ -1,11 +1,11 @@
-/** Schedules of orders and faults, as the fuzzer makes them and named tests repeat them. */
+/** Schedules of orders and faults, generated or repeated by named tests. */
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
 import {settlePromises} from '@skylarkfield/base';
 import type {LostReplyEffect} from './simulatedProcess.js';
 import {createCluster, TIMEOUT_MS, type Cluster} from './cluster.js';
 
-/** One step of a schedule; entries and keys are numbers so that any combination makes sense. */
+/** One step; entries and keys are numbers, so any combination is valid. */
 export type Step =
   | {readonly do: 'submit'; readonly entry: number; readonly key: number}
   | {readonly do: 'submit-unkeyed'; readonly entry: number}
@@ -49,11 +49,11 @@
 
 export interface Schedule {
   readonly seed: number;
-  /** Shares of calls that the service refuses, or loses after or before the run. */
+  /** Shares of calls rejected, lost after the run, or lost before it. */
   readonly service: readonly [number, number, number];
-  /** Shares of inner messages that are lost or come twice. */
+  /** Shares of the inner messages that are lost or duplicated. */
   readonly network: readonly [number, number];
-  /** Time that orders wait for a free place at the service. */
+  /** Time that orders wait for capacity at the service. */
   readonly waitMs: number;
   readonly steps: readonly Step[];
 }
@@ -138,13 +138,13 @@
   });
 }
 
-/** Anything may happen. */
+/** Any orders and faults. */
 export const anySchedules = schedules(
   [...orderSteps, ...leaveSteps, ...faultSteps],
   true,
 );
 
-/** Only announced reclaims, new entries and lost replies of the platform. */
+/** Only announced reclaims, new entries and lost platform responses. */
 export const leaveSchedules = schedules([...orderSteps, ...leaveSteps], false);
 
 type Handlers = {
@@ -158,7 +158,7 @@
   return `e${index}`;
 }
 
-/** Submits where a caller could: at an entry that runs. */
+/** Submits an order if the entry is running, as a caller could. */
 function submitAt(
   cluster: Cluster,
   index: number,
@@ -225,7 +225,7 @@
     cluster.entries.get(idOf(step.entry))?.client.faults.setDown(step.isDown),
 };
 
-/** Runs a schedule's steps and checks after each; the world is left as it is then. */
+/** Runs the steps of a schedule; returns the cluster in its final state. */
 export async function runSchedule(schedule: Schedule): Promise<Cluster> {
   const cluster = createCluster(schedule.seed);
   const [refused, lostAfter, lostBefore] = schedule.service;
@@ -242,7 +242,7 @@
   return cluster;
 }
 
-/** Ends all faults, waits until everything is answered and checks the whole history. */
+/** Ends all faults, waits for all answers and checks the whole history. */
 export async function healAndCheck(cluster: Cluster): Promise<void> {
   const {clock, platform, network, service, entries} = cluster;
   platform.faults.setDown(false);
@@ -262,7 +262,7 @@
   await checkRetries(cluster);
 }
 
-/** A retry of every order through a new entry gives the run's own reply, or says that it may have run. */
+/** A retry through a new entry gets the reply of the run or `may-have-run`. */
 async function checkRetries(cluster: Cluster): Promise<void> {
   const ranBefore = [...cluster.runs];
   const subjects = [...new Set(cluster.submitted.map(({subject}) => subject))];
@@ -278,7 +278,7 @@
     if (run === undefined || answer.kind === 'key-conflict') {
       continue;
     }
-    assert.equal(answer.body ?? run.body, run.body, `${key} ran anew`);
+    assert.equal(answer.body ?? run.body, run.body, `${key} ran again`);
     assert.notEqual(answer.run, 'not-run', `${key} has run`);
   }
 }
--- a/packages/orders/src/test/simulatedProcess.ts
+++ b/packages/orders/src/test/simulatedProcess.ts
@@ -1,4 +1,4 @@
-/** One simulated process: a clock, a network and a store that stand still while it is paused and end with it. */
+/** A process whose clock, network and store stop while it is paused. */
 import {
   ServingError,
   settlePromises,
@@ -17,21 +17,21 @@
   readonly handlers: Map<string, Handler>;
   isAlive: boolean;
   isPaused: boolean;
-  /** What becomes of the next writes. */
+  /** Effects of the next writes, whose responses are lost. */
   readonly lostReplyEffects: LostReplyEffect[];
-  /** Fails the asks that wait for this process, as its closed connections do. */
+  /** Fails pending requests to this process, as closed connections would. */
   readonly onDidEnd: Array<() => void>;
-  /** Runs an action now, after the pause, or never when the process has ended. */
+  /** Runs an action now, after the pause, or never if the process has ended. */
   run(action: () => void): void;
-  /** Resolves while the process runs; never when it has ended. */
+  /** Resolves while the process runs; never after it has ended. */
   whenRunning(): Promise<void>;
-  /** Runs what waited, each action with what follows from it, as timers and messages of a real process. */
+  /** Runs the deferred actions one by one, each with what follows from it. */
   resume(): Promise<void>;
 }
 
-/** Makes a process on the world's clock. */
+/** Creates a process on the clock of the simulation. */
 export function createProcess(id: string, clock: Clock): SimulatedProcess {
-  const waiting: Array<() => void> = [];
+  const deferred: Array<() => void> = [];
   const process: SimulatedProcess = {
     id,
     handlers: new Map(),
@@ -59,7 +59,7 @@
     },
     run(action) {
       if (process.isPaused) {
-        waiting.push(action);
+        deferred.push(action);
         return;
       }
       if (process.isAlive) {
@@ -68,11 +68,11 @@
     },
     whenRunning: () => new Promise<void>(resolve => process.run(resolve)),
     async resume() {
-      let action = waiting.shift();
+      let action = deferred.shift();
       while (action !== undefined && process.isAlive) {
         action();
         await settlePromises();
-        action = waiting.shift();
+        action = deferred.shift();
       }
       process.isPaused = false;
     },
@@ -80,12 +80,12 @@
   return process;
 }
 
-/** A write whose reply is lost: it takes effect now, later, or never. */
+/** When a write whose response is lost takes effect: now, later or never. */
 export type LostReplyEffect = 'now' | 'late' | 'never';
 
 const LATE_WRITE_MS = 600;
 
-/** A store whose answers wait while the process is paused, and whose next writes can be blurred. */
+/** Wraps a store: responses wait during a pause or, for writes, can be lost. */
 export function processStore(
   store: ObjectStore,
   process: SimulatedProcess,
@@ -130,9 +130,9 @@
 export interface SimulatedNetwork {
   connect(process: SimulatedProcess): OrderNetwork;
   readonly processes: Map<string, SimulatedProcess>;
-  /** Messages from one to the other are lost. */
+  /** Pairs `from>to` whose messages are lost. */
   readonly cuts: Set<string>;
-  /** Share of the asks that are delivered twice, the second time late. */
+  /** Share of the requests that are delivered twice, the second time late. */
   duplicated: number;
   lost: number;
 }
@@ -140,7 +140,7 @@
 const MAX_DELAY_MS = 2;
 const MAX_DUPLICATE_DELAY_MS = 3_000;
 
-/** Makes the network between simulated processes. */
+/** Creates the network between simulated processes. */
 export function createSimulatedNetwork(
   clock: Clock,
   random: Random,
@@ -211,7 +211,7 @@
   return network;
 }
 
-/** As the inner protocol says it when nothing was sent. */
+/** The error of the inner protocol when nothing was sent. */
 function notConnected(to: string): ServingError {
   return new ServingError('interrupted', `no connection to ${to}`, {
     run: 'not-run',
