--- a/packages/orders/src/handOver.ts
+++ b/packages/orders/src/handOver.ts
@@ -1,125 +1,132 @@
-/** Hands the orders that were not sent yet over to a shard's next owner. */
+/** Hands the unsent orders of a shard over to its next owner. */
 import type {Clock} from '@skylarkfield/base';
-import type {Flight} from './flight.js';
-import type {OrderNetwork} from './orderRoute.js';
+import type {ActiveOrder} from './activeOrder.js';
+import type {OrderNetwork} from './orderRouter.js';
 import type {Shard} from './shardContracts.js';
-import {storeOrder, type LedgerEntry} from './shardRecord.js';
+import {encodeOrder, type LedgerEntry} from './shardRecord.js';
 
-/** All bodies in one shard's object together, so that it stays far below what the platform takes. */
-const MAX_TOTAL_BYTES = 262_144;
-const MAX_SUCCESSORS_ASKED = 3;
-const ASK_TIMEOUT_MS = 2_000;
+/** Sum of bodies in one shard object, far below the platform's size limit. */
+const MAX_TOTAL_BODY_BYTES = 262_144;
+const MAX_SUCCESSORS_NOTIFIED = 3;
+const REQUEST_TIMEOUT_MS = 2_000;
 
 export interface HandOver {
-  /** Gives a shard up and asks its next owner to take it; does nothing more when it could not be given up. */
-  pass(shard: Shard): Promise<void>;
+  /** Releases a shard and, if that succeeded, notifies its next owner. */
+  transfer(shard: Shard): Promise<void>;
 }
 
 /**
- * Makes the hand-over of one process.
+ * Creates the hand-over of one process.
  *
- * An order must be barred from being sent here before the mark in the ledger is
- * written, and stays barred until it is certain that the mark was not written:
- * the next owner may run it from the moment the mark is there. Else a lost
- * reply to the mark would double the order.
+ * An order is blocked from being sent here before it is marked as `waiting` in
+ * the ledger, until that write has certainly failed: the next owner may execute
+ * it as soon as the mark is there. Otherwise a lost response to the write would
+ * execute the order twice.
  *
  * @example
- * await handOver.pass(shard);
+ * await handOver.transfer(shard);
  */
 export function createHandOver(options: {
   readonly clock: Clock;
   readonly network: OrderNetwork;
-  /** Entries that may own a shard next, the preferred one first. */
+  /** Ids of the entries that may own a shard next, in order of preference. */
   readonly successors: (shard: number) => readonly string[];
-  /** The largest body that goes into the ledger. */
-  readonly maxBytes: number;
-  readonly flights: () => readonly Flight[];
+  /** Upper bound of a body that is stored in the ledger. */
+  readonly maxBodyBytes: number;
+  readonly activeOrders: () => readonly ActiveOrder[];
   /**
-   * The mark of an order may be in no ledger, and its claim in the new owner's
-   * though it was never sent. When its caller has hung up nobody brings it
-   * along, and a retry would hear that it may have run: the owner must be told.
+   * The `waiting` mark may not be in the ledger, and the new owner may have the
+   * claim though the order was never sent. If the caller has disconnected,
+   * nobody routes the order there, and a retry would get `may-have-run`: the
+   * owner must be told that the claim is void.
    */
-  readonly onDidVoid: (flight: Flight) => void;
-  /** Goes on with an order whose hand-over was not written. */
-  readonly rerun: (flight: Flight) => void;
+  readonly onDidVoidClaim: (order: ActiveOrder) => void;
+  /** Continues with an order whose hand-over was not written. */
+  readonly resume: (order: ActiveOrder) => void;
 }): HandOver {
-  /** Marks an order in the table; returns the claim as it was. */
-  function mark(
+  /** Marks an order as waiting in the table; returns its previous entry. */
+  function markWaiting(
     shard: Shard,
-    flight: Flight,
+    order: ActiveOrder,
     budget: {bytes: number},
   ): LedgerEntry | undefined {
-    const {id, service, call} = flight.request;
+    const {id, service, call} = order.request;
     const entry = shard.table.get(id);
-    if (entry?.token !== flight.token) {
+    if (entry?.token !== order.token) {
       return undefined;
     }
     budget.bytes -= call.body.byteLength;
-    if (call.body.byteLength > options.maxBytes || budget.bytes < 0) {
-      // The claim is voided; the order goes to the next owner over the inner protocol.
+    if (call.body.byteLength > options.maxBodyBytes || budget.bytes < 0) {
+      // The order is forwarded to the next owner instead; its claim is void.
       shard.table.remove(id);
       return entry;
     }
-    const leftMs = flight.deadline() - options.clock.now();
+    const leftMs = order.deadline() - options.clock.now();
     const runBefore = options.clock.wall() + leftMs;
-    const order = storeOrder(service, call, runBefore);
-    shard.table.put({...entry, state: 'waiting', order});
+    const storedOrder = encodeOrder(service, call, runBefore);
+    shard.table.put({...entry, state: 'waiting', order: storedOrder});
     return entry;
   }
 
-  /** True when the shard is free for its next owner. */
+  /** Returns true when the next owner can take the shard over. */
   async function release(
     shard: Shard,
     successor: string | undefined,
   ): Promise<boolean> {
-    const held: Array<{flight: Flight; claim: LedgerEntry | undefined}> = [];
-    const budget = {bytes: MAX_TOTAL_BYTES};
+    const suspended: Array<{
+      order: ActiveOrder;
+      claim: LedgerEntry | undefined;
+    }> = [];
+    const budget = {bytes: MAX_TOTAL_BODY_BYTES};
     const result = await shard.release(() => {
-      for (const flight of options.flights()) {
-        if (flight.shard === shard.index && flight.tell('hold')) {
-          held.push({flight, claim: mark(shard, flight, budget)});
+      for (const order of options.activeOrders()) {
+        if (
+          order.shard === shard.index &&
+          order.tryTransition('startHandOver')
+        ) {
+          suspended.push({order, claim: markWaiting(shard, order, budget)});
         }
       }
     });
-    const isGivenUp = result === 'released' || result === 'lost';
-    for (const {flight, claim} of held) {
+    const isShardReleased = result === 'released' || result === 'lost';
+    for (const {order, claim} of suspended) {
       if (result === 'lost') {
-        options.onDidVoid(flight);
+        options.onDidVoidClaim(order);
       }
-      if (isGivenUp) {
-        const {token} = flight;
+      if (isShardReleased) {
+        const {token} = order;
         const isWaiting = claim !== undefined;
-        flight.end({type: 'moved', member: successor, token, isWaiting});
+        order.complete({type: 'moved', member: successor, token, isWaiting});
         continue;
       }
       if (claim !== undefined) {
         shard.table.put(claim);
       }
-      flight.tell('unhold');
-      options.rerun(flight);
+      order.tryTransition('cancelHandOver');
+      options.resume(order);
     }
-    return isGivenUp;
+    return isShardReleased;
   }
 
   return {
-    async pass(shard) {
+    async transfer(shard) {
       const successors = options.successors(shard.index);
       const isReleased = await release(shard, successors[0]);
       if (!isReleased) {
         return;
       }
       const body = {shard: shard.index};
-      for (const successor of successors.slice(0, MAX_SUCCESSORS_ASKED)) {
+      for (const successor of successors.slice(0, MAX_SUCCESSORS_NOTIFIED)) {
         try {
           await options.network.ask(
             successor,
             'orderHandOver',
             body,
-            ASK_TIMEOUT_MS,
+            REQUEST_TIMEOUT_MS,
           );
           return;
         } catch {
-          // The next one is asked: orders wait in the shard for whoever takes it.
+          // The orders stay in the shard for whichever entry takes it over.
         }
       }
     },
--- a/packages/orders/src/index.ts
+++ b/packages/orders/src/index.ts
@@ -1,4 +1,4 @@
-/** The ledger that runs non-idempotent calls at most once. */
+/** Ledger that executes non-idempotent calls at most once. */
 export * from './contracts.js';
 export {createLedger} from './ledger.js';
 export {
@@ -8,5 +8,5 @@
 } from './ledgerSettings.js';
 export {LEDGER_KIND} from './shardRecord.js';
 export type {OrderObserver, OrderOutcome} from './orderObserver.js';
-export type {OrderNetwork} from './orderRoute.js';
+export type {OrderNetwork} from './orderRouter.js';
 export {SEGMENT_KIND} from './shardSegments.js';
--- a/packages/orders/src/shardTable.ts
+++ b/packages/orders/src/shardTable.ts
@@ -1,33 +1,33 @@
-/** The entries of one owned shard in memory: look-up, size, sealing and expiry. */
+/** In-memory entries of one owned shard: lookup, size, sealing and expiry. */
 import type {Clock} from '@skylarkfield/base';
 import type {LedgerEntry} from './shardRecord.js';
 
 export interface ShardTable {
   get(id: string): LedgerEntry | undefined;
-  /** Adds or replaces an entry; its age is set to now. */
+  /** Adds or replaces an entry; its age is set to the current one. */
   put(entry: Omit<LedgerEntry, 'age'>): void;
   remove(id: string): void;
-  /** Replaces everything, as read at a change of owner. */
+  /** Replaces all contents with what was read at a change of owner. */
   load(
     entries: readonly LedgerEntry[],
     segments: ReadonlyMap<string, readonly LedgerEntry[]>,
     age: number,
   ): void;
-  /** Drops what has left the dedupe window; returns the segments that are empty then. */
+  /** Removes entries past the dedupe window; returns segments now empty. */
   expire(): readonly string[];
-  /** Entries that belong into the shard's object. */
+  /** Entries that belong in the shard's object. */
   unsealed(): readonly LedgerEntry[];
   segments(): readonly string[];
-  /** Ended entries for a segment, oldest first; none when there are too few. */
-  sealable(bytes: number): readonly LedgerEntry[];
-  /** Notes that a segment holds these entries. */
+  /** Ended entries for a segment, oldest first; none if there are too few. */
+  sealable(minBytes: number): readonly LedgerEntry[];
+  /** Records that a segment holds these entries. */
   seal(name: string, entries: readonly LedgerEntry[]): void;
-  /** Milliseconds for which the shard has been owned altogether. */
+  /** Total time for which the shard has been owned, in milliseconds. */
   age(): number;
-  /** Size of all entries, sealed ones included. */
+  /** Size of all entries, including sealed ones. */
   readonly bytes: number;
   readonly count: number;
-  /** Milliseconds until the oldest entry leaves the window. */
+  /** Milliseconds until the oldest entry leaves the dedupe window. */
   untilExpiry(): number;
 }
 
@@ -36,32 +36,35 @@
   readonly bytes: number;
 }
 
-/** Far below the most that the platform takes in one value. */
+/** Far below the platform's size limit for one value. */
 const MAX_SEGMENT_BYTES = 262_144;
 
 /** States that do not change any more. */
-const ENDED: ReadonlySet<string> = new Set(['settled', 'unknown']);
+const FINAL_STATES: ReadonlySet<string> = new Set(['settled', 'unknown']);
 
 /**
- * Makes an empty table.
+ * Creates an empty table.
  *
- * The dedupe window is counted in the ledger's own age: the sum of monotonic
- * spans in which the shard was owned. A wall clock that jumps ahead on one
- * entry could drop a key too early, and the caller's retry would run its order
+ * The dedupe window is measured in the ledger's own age: the sum of monotonic
+ * spans in which the shard was owned. If a wall clock jumped ahead on one
+ * entry, a key could be dropped too early and a retry would run its order
  * again; the ledger's age only ever lags, so a key is kept too long at worst.
  *
  * @example
  * const table = createShardTable(clock, 3_600_000);
  */
-export function createShardTable(clock: Clock, windowMs: number): ShardTable {
+export function createShardTable(
+  clock: Clock,
+  dedupeWindowMs: number,
+): ShardTable {
   /** All entries, in the order of their last change. */
   const rows = new Map<string, Row>();
-  /** Ids of the entries that no segment holds as they are. */
-  const open = new Set<string>();
-  /** Age of the youngest entry of each segment. */
+  /** Ids of the entries whose current state is not in a segment. */
+  const unsealedIds = new Set<string>();
+  /** Age of the newest entry of each segment. */
   const segments = new Map<string, number>();
   let bytes = 0;
-  let openBytes = 0;
+  let unsealedBytes = 0;
   let baseAge = 0;
   let ownedSince = clock.now();
 
@@ -69,44 +72,45 @@
     return Math.floor(baseAge + clock.now() - ownedSince);
   }
 
-  function close(id: string): void {
-    if (open.delete(id)) {
-      openBytes -= rows.get(id)?.bytes ?? 0;
+  function markSealed(id: string): void {
+    if (unsealedIds.delete(id)) {
+      unsealedBytes -= rows.get(id)?.bytes ?? 0;
     }
   }
 
   function remove(id: string): void {
     const row = rows.get(id);
     if (row !== undefined) {
-      close(id);
+      markSealed(id);
       bytes -= row.bytes;
       rows.delete(id);
     }
   }
 
-  function add(entry: LedgerEntry, isOpen: boolean): void {
+  function add(entry: LedgerEntry, isUnsealed: boolean): void {
     remove(entry.id);
     const row = {entry, bytes: JSON.stringify(entry).length};
     rows.set(entry.id, row);
     bytes += row.bytes;
-    if (isOpen) {
-      open.add(entry.id);
-      openBytes += row.bytes;
+    if (isUnsealed) {
+      unsealedIds.add(entry.id);
+      unsealedBytes += row.bytes;
     }
   }
 
-  function isOld(entryAge: number): boolean {
-    return age() - entryAge > windowMs;
+  function isExpired(entryAge: number): boolean {
+    return age() - entryAge > dedupeWindowMs;
   }
 
-  function youngest(entries: readonly LedgerEntry[]): number {
-    return entries.reduce((most, entry) => Math.max(most, entry.age), 0);
+  function newestAge(entries: readonly LedgerEntry[]): number {
+    return entries.reduce((newest, entry) => Math.max(newest, entry.age), 0);
   }
 
   function expireRows(): void {
     for (const {entry} of rows.values()) {
-      // Rows are in the order of their last change: the first young one ends the search.
-      if (!isOld(entry.age)) {
+      // Rows are in the order of their last change, so later ones are
+      // unexpired.
+      if (!isExpired(entry.age)) {
         return;
       }
       if (entry.state !== 'waiting') {
@@ -120,40 +124,40 @@
     put: entry => add({...entry, age: age()}, true),
     remove,
     load(entries, loadedSegments, loadedAge) {
-      for (const collection of [rows, open, segments]) {
+      for (const collection of [rows, unsealedIds, segments]) {
         collection.clear();
       }
-      [bytes, openBytes] = [0, 0];
+      [bytes, unsealedBytes] = [0, 0];
       baseAge = loadedAge;
       ownedSince = clock.now();
       for (const [name, sealed] of loadedSegments) {
-        segments.set(name, youngest(sealed));
+        segments.set(name, newestAge(sealed));
         sealed.forEach(entry => add(entry, false));
       }
-      // What the shard's object says of a key is newer than what a segment says.
+      // An entry of the shard's object is newer than one in a segment.
       entries.forEach(entry => add(entry, true));
     },
     expire() {
       expireRows();
-      const old = [...segments].filter(([, youngestAge]) => isOld(youngestAge));
-      old.forEach(([name]) => segments.delete(name));
-      return old.map(([name]) => name);
+      const expired = [...segments].filter(([, newest]) => isExpired(newest));
+      expired.forEach(([name]) => segments.delete(name));
+      return expired.map(([name]) => name);
     },
     unsealed: () =>
-      [...open].flatMap(id => {
+      [...unsealedIds].flatMap(id => {
         const row = rows.get(id);
         return row === undefined ? [] : [row.entry];
       }),
     segments: () => [...segments.keys()],
-    sealable(wantedBytes) {
-      if (openBytes < wantedBytes) {
+    sealable(minBytes) {
+      if (unsealedBytes < minBytes) {
         return [];
       }
       const chosen: LedgerEntry[] = [];
       let chosenBytes = 0;
-      for (const id of open) {
+      for (const id of unsealedIds) {
         const row = rows.get(id);
-        if (row === undefined || !ENDED.has(row.entry.state)) {
+        if (row === undefined || !FINAL_STATES.has(row.entry.state)) {
           continue;
         }
         chosen.push(row.entry);
@@ -162,14 +166,14 @@
           break;
         }
       }
-      return chosenBytes * 2 >= wantedBytes ? chosen : [];
+      return chosenBytes * 2 >= minBytes ? chosen : [];
     },
     seal(name, entries) {
-      segments.set(name, youngest(entries));
+      segments.set(name, newestAge(entries));
       for (const entry of entries) {
-        // An entry that changed while the segment was written stays open.
+        // An entry that changed while the segment was written stays unsealed.
         if (rows.get(entry.id)?.entry === entry) {
-          close(entry.id);
+          markSealed(entry.id);
         }
       }
     },
@@ -185,7 +189,7 @@
       if (oldest === undefined) {
         return 0;
       }
-      return Math.max(0, oldest.entry.age + windowMs - age());
+      return Math.max(0, oldest.entry.age + dedupeWindowMs - age());
     },
   };
 }
--- a/packages/orders/src/test/world.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -1,4 +1,7 @@
-/** Several ledgers over one memory platform and network, with an oracle that counts runs and checks every answer. */
+/**
+ * Several ledgers over one in-memory platform and network, with an oracle for
+ * runs and answers.
+ */
 import assert from 'node:assert/strict';
 import {
   seededRandom,
@@ -23,14 +26,14 @@
   type SimulatedProcess,
 } from './simulatedProcess.js';
 
-/** One request of a caller and what it was answered. */
-export interface Submitted {
+/** One request of a caller and its answer. */
+export interface SubmittedRequest {
   readonly key: string | undefined;
-  /** What the order is about; a key may be used with two of them. */
+  /** Content of the order; a key may be used with two different ones. */
   readonly subject: string;
   readonly at: number;
   readonly timeoutMs: number;
-  /** Undefined until answered; stays so when its entry crashed. */
+  /** Undefined until answered; stays so when the entry crashed. */
   answer?: {
     readonly kind: string;
     readonly run: RunState | 'ran';
@@ -41,8 +44,8 @@
   };
 }
 
-/** One run at the service. */
-export interface Run {
+/** One execution at the service. */
+export interface ServiceRun {
   readonly subject: string;
   readonly at: number;
   readonly body: string;
@@ -53,12 +56,12 @@
   readonly process: SimulatedProcess;
   readonly ledger: Ledger;
   readonly client: MemoryClient;
-  /** Entries that this one takes for gone. */
+  /** Entries that this one considers dead. */
   readonly suspects: Set<string>;
   isLeaving: boolean;
 }
 
-/** How the service behaves; shares of the calls. */
+/** Faults of the service as shares of the calls, and its delays. */
 export interface ServiceFaults {
   refused: number;
   lostAfter: number;
@@ -67,16 +70,16 @@
   workMs: number;
 }
 
-export interface World {
+export interface Cluster {
   readonly clock: ReturnType<typeof virtualClock>;
   readonly platform: ReturnType<typeof memoryPlatform>;
   readonly network: ReturnType<typeof createSimulatedNetwork>;
   readonly entries: Map<string, Entry>;
-  readonly submitted: readonly Submitted[];
-  readonly runs: readonly Run[];
+  readonly submitted: readonly SubmittedRequest[];
+  readonly runs: readonly ServiceRun[];
   readonly service: ServiceFaults;
-  /** When entries came again after an order fell into a time without any; undefined when it did not. */
-  desertedUntil(order: Submitted): number | undefined;
+  /** End of the period without entries, if it overlaps the order's lifetime. */
+  emptyUntil(order: SubmittedRequest): number | undefined;
   start(id: string): Entry;
   crash(id: string): void;
   pause(id: string): void;
@@ -87,13 +90,13 @@
     key: string | undefined,
     subject?: string,
     timeoutMs?: number,
-  ): Submitted;
-  /** Checks all that has been answered so far. */
+  ): SubmittedRequest;
+  /** Checks all answers so far. */
   check(): void;
   dispose(): void;
 }
 
-const ENDPOINT_TRIES = 2;
+const MAX_ENDPOINT_ATTEMPTS = 2;
 export const TIMEOUT_MS = 5_000;
 
 const testSettings: Partial<LedgerSettings> = {
@@ -102,24 +105,24 @@
   outcomeDelayMs: 20,
   holdOffMs: 300,
   graceMs: 500,
-  // Small, so that every few orders make a segment.
-  sealBytes: 600,
+  // Small, so that every few orders fill a segment.
+  sealThresholdBytes: 600,
 };
 
-/** Makes a world without entries. */
-export function createWorld(
+/** Creates a cluster without entries. */
+export function createCluster(
   seed: number,
   settings: Partial<LedgerSettings> = {},
-): World {
+): Cluster {
   const clock = virtualClock();
   const random = seededRandom(seed);
   const platform = memoryPlatform({clock, random});
   platform.faults.setSlow(4);
   const network = createSimulatedNetwork(clock, random);
   const entries = new Map<string, Entry>();
-  const submitted: Submitted[] = [];
-  const runs: Run[] = [];
-  let deserted: {readonly from: number; to: number} | undefined;
+  const submitted: SubmittedRequest[] = [];
+  const runs: ServiceRun[] = [];
+  let emptyPeriod: {readonly from: number; to: number} | undefined;
   const service: ServiceFaults = {
     refused: 0,
     lostAfter: 0,
@@ -131,15 +134,17 @@
   function dispatchOf(process: SimulatedProcess): Dispatch {
     return async (_service, call, signal, begin) => {
       await sleep(process.clock, service.waitMs * random.next(), signal);
-      // As in an entry, another endpoint is tried after one that got nothing.
+      // Like a real entry, tries another endpoint if one received nothing.
       for (let tries = 1; ; tries++) {
         if (!begin()) {
-          throw new ServingError('cancelled', 'given up', {run: 'not-run'});
+          throw new ServingError('cancelled', 'cancelled before it was sent', {
+            run: 'not-run',
+          });
         }
         if (!random.chance(service.refused)) {
           break;
         }
-        if (tries === ENDPOINT_TRIES) {
+        if (tries === MAX_ENDPOINT_ATTEMPTS) {
           throw new ServingError('endpoint-unavailable', 'refused');
         }
       }
@@ -150,10 +155,10 @@
       if (!isLostBefore) {
         runs.push({subject, at: clock.now(), body});
       }
-      await wait(clock, service.workMs * random.next());
+      await sleepOn(clock, service.workMs * random.next());
       await process.whenRunning();
       if (isLostBefore || isLostAfter) {
-        throw new ServingError('outcome-unknown', 'cut off');
+        throw new ServingError('outcome-unknown', 'connection lost');
       }
       return {status: 201, headers: {}, body: new TextEncoder().encode(body)};
     };
@@ -164,7 +169,7 @@
     const process = createProcess(id, clock);
     const client = platform.client(id);
     const suspects = new Set<string>();
-    const membersSeen = () =>
+    const visibleEntries = () =>
       [...entries.values()].filter(
         other => other.process.isAlive && !suspects.has(other.id),
       );
@@ -176,16 +181,16 @@
       random: seededRandom(random.integer(0, 1_000_000_000)),
       member: id,
       liveMembers: () =>
-        membersSeen()
+        visibleEntries()
           .filter(other => !other.isLeaving)
           .map(other => other.id),
-      answeringMembers: () => membersSeen().map(other => other.id),
+      answeringMembers: () => visibleEntries().map(other => other.id),
       settings: {...testSettings, ...settings},
     });
     const entry = {id, process, ledger, client, suspects, isLeaving: false};
     entries.set(id, entry);
-    if (deserted !== undefined) {
-      deserted.to = Math.min(deserted.to, clock.now());
+    if (emptyPeriod !== undefined) {
+      emptyPeriod.to = Math.min(emptyPeriod.to, clock.now());
     }
     return entry;
   }
@@ -195,7 +200,7 @@
     if (entry !== undefined) {
       entry.process.isAlive = false;
       entry.ledger.dispose();
-      entry.process.onDidEnd.splice(0).forEach(tell => tell());
+      entry.process.onDidEnd.splice(0).forEach(notify => notify());
     }
   }
 
@@ -210,9 +215,14 @@
     key: string | undefined,
     subject = key ?? `unnamed ${submitted.length}`,
     timeoutMs = TIMEOUT_MS,
-  ): Submitted {
+  ): SubmittedRequest {
     const {ledger, process} = entryOf(id);
-    const request: Submitted = {key, subject, at: clock.now(), timeoutMs};
+    const request: SubmittedRequest = {
+      key,
+      subject,
+      at: clock.now(),
+      timeoutMs,
+    };
     submitted.push(request);
     const order = {
       customer: 'chain',
@@ -249,7 +259,7 @@
       other => other.isLeaving || !other.process.isAlive,
     );
     if (isLast) {
-      deserted ??= {from: clock.now(), to: Infinity};
+      emptyPeriod ??= {from: clock.now(), to: Infinity};
     }
     await entry.ledger.leave();
     if (entries.get(id) === entry) {
@@ -270,12 +280,12 @@
     submitted,
     runs,
     service,
-    desertedUntil({at, timeoutMs}) {
-      const isHit =
-        deserted !== undefined &&
-        at <= deserted.to &&
-        at + timeoutMs >= deserted.from;
-      return isHit ? deserted?.to : undefined;
+    emptyUntil({at, timeoutMs}) {
+      const isAffected =
+        emptyPeriod !== undefined &&
+        at <= emptyPeriod.to &&
+        at + timeoutMs >= emptyPeriod.from;
+      return isAffected ? emptyPeriod?.to : undefined;
     },
     start,
     crash,
@@ -294,9 +304,12 @@
   };
 }
 
-/** At most one run for each order, and none whose callers were all told `not-run`. */
-function checkRuns(runs: readonly Run[], submitted: readonly Submitted[]) {
-  const seen = new Map<string, Run>();
+/** Each order ran at most once, and none if all callers got `not-run`. */
+function checkRuns(
+  runs: readonly ServiceRun[],
+  submitted: readonly SubmittedRequest[],
+) {
+  const seen = new Map<string, ServiceRun>();
   for (const run of runs) {
     const causes = submitted.filter(({subject}) => subject === run.subject);
     const key = causes[0]?.key ?? run.subject;
@@ -309,16 +322,23 @@
   }
 }
 
-/** Every reply comes from the run of its own order. */
-function checkAnswers(runs: readonly Run[], submitted: readonly Submitted[]) {
+/** Checks that every reply comes from a run of its own order. */
+function checkAnswers(
+  runs: readonly ServiceRun[],
+  submitted: readonly SubmittedRequest[],
+) {
   for (const {subject, answer} of submitted) {
     if (answer?.body !== undefined) {
       const run = runs.find(({body}) => body === answer.body);
-      assert.equal(run?.subject, subject, `crossed answer for ${subject}`);
+      assert.equal(
+        run?.subject,
+        subject,
+        `the answer to ${subject} comes from another order`,
+      );
     }
   }
 }
 
-function wait(clock: Clock, delayMs: number): Promise<void> {
+function sleepOn(clock: Clock, delayMs: number): Promise<void> {
   return new Promise(resolve => clock.after(delayMs, resolve));
 }
--- a/packages/orders/src/test/ledger.fuzz.test.ts
+++ b/packages/orders/src/test/ledger.fuzz.test.ts
@@ -1,15 +1,20 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
-import {TIMEOUT_MS} from './world.js';
-import {anySchedules, leaveSchedules, play, settle} from './schedule.js';
+import {TIMEOUT_MS} from './cluster.js';
+import {
+  anySchedules,
+  leaveSchedules,
+  runSchedule,
+  healAndCheck,
+} from './schedule.js';
 
 const IS_LONG = process.env.SKYLARKFIELD_FUZZ === 'long';
 const CI_SEED = 20_260_801;
 const CI_RUNS = 60;
 const LONG_RUNS = Number(process.env.SKYLARKFIELD_FUZZ_RUNS ?? 1_000);
 
-/** Time that an entry needs from its start to an order that waits. */
+/** Time that an entry needs after its start to run a waiting order. */
 const START_MARGIN_MS = 2_000;
 
 function parameters(): fc.Parameters<unknown> {
@@ -25,44 +30,47 @@
   };
 }
 
-describe('ledger under any schedule', () => {
-  it('never runs an order twice and never says a false not-run', async () => {
+describe('ledger under random schedules', () => {
+  it('never runs an order twice and never reports a false not-run', async () => {
     await fc.assert(
       fc.asyncProperty(anySchedules, async schedule => {
-        const world = await play(schedule);
+        const cluster = await runSchedule(schedule);
         try {
-          world.check();
-          await settle(world);
+          cluster.check();
+          await healAndCheck(cluster);
         } finally {
-          world.dispose();
+          cluster.dispose();
         }
       }),
       parameters(),
     );
   });
 
-  it('loses no accepted order over announced reclaims', async () => {
+  it('loses no accepted order on announced reclaims', async () => {
     await fc.assert(
       fc.asyncProperty(leaveSchedules, async schedule => {
-        const world = await play(schedule);
+        const cluster = await runSchedule(schedule);
         try {
-          await settle(world);
-          for (const order of world.submitted) {
+          await healAndCheck(cluster);
+          for (const order of cluster.submitted) {
             const {subject, answer, at, timeoutMs} = order;
             assert.ok(answer, `${subject} was not answered`);
-            // With no entry left the answer may be open, but what was accepted still runs when an
-            // entry comes before the deadline.
-            const until = world.desertedUntil(order);
-            const hasRun = world.runs.some(run => run.subject === subject);
+            // Without any live entry the answer may stay open, but accepted
+            // orders still run when an entry starts before the deadline.
+            const until = cluster.emptyUntil(order);
+            const hasRun = cluster.runs.some(run => run.subject === subject);
             const isTooLate = (until ?? 0) > at + timeoutMs - START_MARGIN_MS;
             const isExcused =
               timeoutMs < TIMEOUT_MS ||
               (until !== undefined && (hasRun || isTooLate));
-            const isFine = answer.run !== 'may-have-run';
-            assert.ok(isFine || isExcused, `${subject}: ${answer.kind}`);
+            const isKnownOutcome = answer.run !== 'may-have-run';
+            assert.ok(
+              isKnownOutcome || isExcused,
+              `${subject}: ${answer.kind}`,
+            );
           }
         } finally {
-          world.dispose();
+          cluster.dispose();
         }
       }),
       parameters(),
--- a/packages/orders/src/test/simulatedProcess.ts
+++ b/packages/orders/src/test/simulatedProcess.ts
@@ -1,4 +1,4 @@
-/** One simulated process: a clock, a network and a store that stand still while it is paused and end with it. */
+/** A process whose clock, network and store stop while it is paused. */
 import {
   ServingError,
   settlePromises,
@@ -17,34 +17,34 @@
   readonly handlers: Map<string, Handler>;
   isAlive: boolean;
   isPaused: boolean;
-  /** What becomes of the next writes. */
-  readonly blurs: Blur[];
-  /** Fails the asks that wait for this process, as its closed connections do. */
+  /** Effects of the next writes, whose responses are lost. */
+  readonly lostReplyEffects: LostReplyEffect[];
+  /** Fails pending requests to this process, as closed connections would. */
   readonly onDidEnd: Array<() => void>;
-  /** Runs an action now, after the pause, or never when the process has ended. */
+  /** Runs an action now, after the pause, or never if the process has ended. */
   run(action: () => void): void;
-  /** Resolves while the process runs; never when it has ended. */
+  /** Resolves while the process runs; never after it has ended. */
   whenRunning(): Promise<void>;
-  /** Runs what waited, each action with what follows from it, as timers and messages of a real process. */
+  /** Runs the deferred actions one by one, each with what follows from it. */
   resume(): Promise<void>;
 }
 
-/** Makes a process on the world's clock. */
-export function createProcess(id: string, world: Clock): SimulatedProcess {
-  const waiting: Array<() => void> = [];
+/** Creates a process on the clock of the simulation. */
+export function createProcess(id: string, clock: Clock): SimulatedProcess {
+  const deferred: Array<() => void> = [];
   const process: SimulatedProcess = {
     id,
     handlers: new Map(),
     isAlive: true,
     isPaused: false,
-    blurs: [],
+    lostReplyEffects: [],
     onDidEnd: [],
     clock: {
-      now: () => world.now(),
-      wall: () => world.wall(),
+      now: () => clock.now(),
+      wall: () => clock.wall(),
       after(delayMs, callback) {
         let isCancelled = false;
-        const timer = world.after(delayMs, () =>
+        const timer = clock.after(delayMs, () =>
           process.run(() => {
             if (!isCancelled) {
               callback();
@@ -59,7 +59,7 @@
     },
     run(action) {
       if (process.isPaused) {
-        waiting.push(action);
+        deferred.push(action);
         return;
       }
       if (process.isAlive) {
@@ -68,11 +68,11 @@
     },
     whenRunning: () => new Promise<void>(resolve => process.run(resolve)),
     async resume() {
-      let action = waiting.shift();
+      let action = deferred.shift();
       while (action !== undefined && process.isAlive) {
         action();
         await settlePromises();
-        action = waiting.shift();
+        action = deferred.shift();
       }
       process.isPaused = false;
     },
@@ -80,18 +80,18 @@
   return process;
 }
 
-/** A write whose reply is lost: it takes effect now, later, or never. */
-export type Blur = 'now' | 'late' | 'never';
+/** When a write whose response is lost takes effect: now, later or never. */
+export type LostReplyEffect = 'now' | 'late' | 'never';
 
 const LATE_WRITE_MS = 600;
 
-/** A store whose answers wait while the process is paused, and whose next writes can be blurred. */
+/** Wraps a store: responses wait during a pause or, for writes, can be lost. */
 export function processStore(
   store: ObjectStore,
   process: SimulatedProcess,
-  world: Clock,
+  clock: Clock,
 ): ObjectStore {
-  async function gated<T>(call: Promise<T>): Promise<T> {
+  async function afterResume<T>(call: Promise<T>): Promise<T> {
     try {
       return await call;
     } finally {
@@ -99,25 +99,30 @@
     }
   }
 
-  async function blur<T>(how: Blur, write: () => Promise<T>): Promise<T> {
-    if (how === 'now') {
+  async function loseReply<T>(
+    effect: LostReplyEffect,
+    write: () => Promise<T>,
+  ): Promise<T> {
+    if (effect === 'now') {
       await write().catch(() => undefined);
     }
-    if (how === 'late') {
-      world.after(LATE_WRITE_MS, () => void write().catch(() => undefined));
+    if (effect === 'late') {
+      clock.after(LATE_WRITE_MS, () => void write().catch(() => undefined));
     }
     throw new ServingError('outcome-unknown', 'the reply was lost');
   }
 
   return {
     ...store,
-    get: (kind, name) => gated(store.get(kind, name)),
+    get: (kind, name) => afterResume(store.get(kind, name)),
     put(kind, name, value, condition) {
       // The platform keeps a copy, as it would over the wire.
       const copy = structuredClone(value);
       const write = () => store.put(kind, name, copy, condition);
-      const how = process.blurs.shift();
-      return gated(how === undefined ? write() : blur(how, write));
+      const effect = process.lostReplyEffects.shift();
+      return afterResume(
+        effect === undefined ? write() : loseReply(effect, write),
+      );
     },
   };
 }
@@ -125,17 +130,17 @@
 export interface SimulatedNetwork {
   connect(process: SimulatedProcess): OrderNetwork;
   readonly processes: Map<string, SimulatedProcess>;
-  /** Messages from one to the other are lost. */
+  /** Pairs `from>to` whose messages are lost. */
   readonly cuts: Set<string>;
-  /** Share of the asks that are delivered twice, the second time late. */
+  /** Share of the requests that are delivered twice, the second time late. */
   duplicated: number;
   lost: number;
 }
 
-const DELAY_MS = 2;
-const LATE_MS = 3_000;
+const MAX_DELAY_MS = 2;
+const MAX_DUPLICATE_DELAY_MS = 3_000;
 
-/** Makes the network between simulated processes. */
+/** Creates the network between simulated processes. */
 export function createSimulatedNetwork(
   clock: Clock,
   random: Random,
@@ -150,12 +155,12 @@
     connect,
   };
 
-  function carry(from: string, to: string, action: () => void): void {
+  function transmit(from: string, to: string, action: () => void): void {
     if (cuts.has(`${from}>${to}`) || random.chance(network.lost)) {
       return;
     }
     const target = processes.get(to);
-    clock.after(DELAY_MS * random.next(), () => target?.run(action));
+    clock.after(MAX_DELAY_MS * random.next(), () => target?.run(action));
   }
 
   async function answer(
@@ -186,16 +191,18 @@
             process.run(() => reject(new Error('connection closed')));
           processes.get(to)?.onDidEnd.push(closed);
           const deliver = () =>
-            carry(process.id, to, () => {
+            transmit(process.id, to, () => {
               answer(process.id, to, type, body).then(
                 result =>
-                  carry(to, process.id, () => resolve(structuredClone(result))),
+                  transmit(to, process.id, () =>
+                    resolve(structuredClone(result)),
+                  ),
                 () => undefined,
               );
             });
           deliver();
           if (random.chance(network.duplicated)) {
-            clock.after(LATE_MS * random.next(), deliver);
+            clock.after(MAX_DUPLICATE_DELAY_MS * random.next(), deliver);
           }
         }),
     };
@@ -204,7 +211,7 @@
   return network;
 }
 
-/** As the inner protocol says it when nothing was sent. */
+/** The error of the inner protocol when nothing was sent. */
 function notConnected(to: string): ServingError {
   return new ServingError('interrupted', `no connection to ${to}`, {
     run: 'not-run',
