--- a/packages/endpoints/src/contracts.ts
+++ b/packages/endpoints/src/contracts.ts
@@ -1,29 +1,29 @@
-/** What model engines and plain services offer, as typed clients. */
+/** Types of the clients of model engines and plain services. */
 
-/** One request to a model engine. */
+/** Generation request to a model engine. */
 export interface Generation {
-  /** Unique for each attempt; answers are bound to it. */
+  /** Unique id of the attempt; every event of the answer carries it. */
   readonly attempt: string;
   readonly prompt: string;
   readonly maxTokens: number;
   /** RFC 9218 urgency, 0 (most important) to 7. */
   readonly urgency: number;
-  /** Tokens already delivered to the caller, to go on from; empty for a new answer. */
+  /** Tokens already delivered, to resume after; empty for a new answer. */
   readonly delivered: readonly string[];
-  /** Handle of KV cache imported before, if any. */
+  /** Handle of a KV cache imported before, if any. */
   readonly importedCache?: string;
-  /** Hint that fixes the sampled text, so that a resumed answer goes on alike. */
+  /** Sampling seed, so that a resumed answer continues with the same text. */
   readonly seed: number;
 }
 
-/** What an engine sends while it generates. */
+/** Event that an engine sends during a generation. */
 export type GenerationEvent =
   | {
-      /** The engine has begun with the prompt; comes at most once, before the first token. */
+      /** Prompt processing has started; sent at most once, before any token. */
       readonly type: 'start';
       readonly attempt: string;
       readonly promptTokens: number;
-      /** Tokens of the prompt and of the delivered answer that need no computing. */
+      /** Prompt and delivered tokens that need no computation. */
       readonly cachedTokens: number;
     }
   | {
@@ -38,50 +38,50 @@
       readonly attempt: string;
       readonly reason: 'stop' | 'length';
       readonly promptTokens: number;
-      /** Tokens of the prompt and of the delivered answer that needed no computing. */
+      /** Prompt and delivered tokens that needed no computation. */
       readonly cachedTokens: number;
-      /** Length of the whole answer, the delivered tokens included. */
+      /** Tokens of the whole answer, including those delivered before. */
       readonly generatedTokens: number;
     };
 
-/** Load as an endpoint reports it, late. */
+/** Load reported by an endpoint; lags behind the actual load. */
 export interface LoadReport {
-  /** Rises with every report. */
+  /** Increases with every report. */
   readonly sequence: number;
   readonly running: number;
   readonly waiting: number;
-  /** Requests that the endpoint works on at once. */
+  /** Number of requests that the endpoint can run concurrently. */
   readonly slots: number;
   /** Prompt tokens waiting to be processed. */
   readonly waitingPromptTokens: number;
   /** Fraction of the KV cache in use. */
   readonly cacheUse: number;
-  /** Attempts that the report counts as running or waiting. */
+  /** Ids of the attempts counted as running or waiting. */
   readonly attempts?: readonly string[];
 }
 
-/** A change of an engine's prefix cache; published late and with gaps. */
+/** Change of an engine's prefix cache; events arrive late and may be lost. */
 export interface CacheEvent {
-  /** Rises by one with each event; a gap shows that events were lost. */
+  /** Increases by one with each event; a gap means that events were lost. */
   readonly sequence: number;
   readonly type: 'stored' | 'evicted' | 'cleared';
-  /** Block hashes as `promptBlocks` computes them. */
+  /** Block hashes as computed by `promptBlocks`. */
   readonly blocks: readonly string[];
 }
 
-/** An order that changes what an endpoint runs. */
+/** Command that changes what an endpoint runs. */
 export interface EndpointOrder {
   readonly id: string;
   readonly type: 'load-model' | 'load-adapter' | 'load-version' | 'set-role';
-  /** Model, adapter, version or role to have; orders are level-triggered. */
+  /** Desired model, adapter, version or role; orders are level-triggered. */
   readonly target: string;
-  /** Fencing number of the duty's holder; some endpoints refuse an old one. */
+  /** Fencing token of the issuer; some endpoints reject a stale one. */
   readonly fencing: number;
-  /** Wall-clock milliseconds after which the order must not be carried out. */
+  /** Wall-clock milliseconds after which the order must not be executed. */
   readonly expiresAt: number;
 }
 
-/** KV cache of one attempt, ready to be fetched by another engine. */
+/** KV cache of one attempt, available for import by another engine. */
 export interface CacheExport {
   readonly handle: string;
   readonly tokens: number;
@@ -89,10 +89,10 @@
 }
 
 /**
- * A model engine.
+ * Client of a model engine.
  *
- * Errors: `endpoint-unavailable` (nothing was sent: not run), `endpoint-failed`,
- * `interrupted` (the stream broke), `overloaded`, `fenced`, `cancelled`.
+ * Errors: `endpoint-unavailable` (nothing sent: not run), `endpoint-failed`,
+ * `interrupted` (connection lost), `overloaded`, `fenced`, `cancelled`.
  */
 export interface Engine {
   generate(
@@ -101,7 +101,7 @@
   ): AsyncIterable<GenerationEvent>;
   cancel(attempt: string): Promise<void>;
   load(signal?: AbortSignal): Promise<LoadReport>;
-  /** Events after the given sequence; `resync` holds the whole cache when asked from -1. */
+  /** Returns the events after a sequence number; -1 for the whole cache. */
   cacheEvents(
     after: number,
     signal?: AbortSignal,
@@ -112,7 +112,7 @@
     signal?: AbortSignal,
   ): Promise<CacheExport>;
   order(order: EndpointOrder, signal?: AbortSignal): Promise<void>;
-  /** What the endpoint says it runs now, to re-read after a change of holder. */
+  /** Returns what the endpoint runs; read again by a new lease holder. */
   running(signal?: AbortSignal): Promise<{
     readonly version: string;
     readonly adapters: readonly string[];
@@ -120,16 +120,16 @@
   }>;
 }
 
-/** A call that is passed through to a plain service. */
+/** Call that is forwarded to a plain service. */
 export interface ServiceCall {
   readonly method: string;
-  /** Path with query, below the service's root. */
+  /** Path with query, relative to the service's base URL. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
 }
 
-/** What a plain service answered; any status is an answer. */
+/** Response of a plain service, with any status. */
 export interface ServiceReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -137,17 +137,17 @@
 }
 
 /**
- * A plain service.
+ * Client of a plain service.
  *
  * Errors: `endpoint-unavailable` only when no byte of the call left this
- * process (not run); `outcome-unknown` once any may have; `cancelled`.
+ * process (not run); `outcome-unknown` once any byte may have; `cancelled`.
  */
 export interface PlainService {
   call(call: ServiceCall, signal: AbortSignal): Promise<ServiceReply>;
   load(signal?: AbortSignal): Promise<LoadReport>;
 }
 
-/** How one attempt at an endpoint went. */
+/** Result of one attempt at an endpoint. */
 export interface AttemptResult {
   readonly outcome:
     | 'ok'
@@ -155,8 +155,8 @@
     | 'unreachable'
     | 'overloaded'
     | 'cancelled';
-  /** Milliseconds to the first token, or to the whole answer of a plain service. */
+  /** Milliseconds to the first token, or to a plain service's response. */
   readonly latencyMs: number;
-  /** What the engine said it found cached, if it said so. */
+  /** Cached tokens that the engine reported, if any report was received. */
   readonly cachedTokens?: number;
 }
--- a/packages/endpoints/src/eventQueue.ts
+++ b/packages/endpoints/src/eventQueue.ts
@@ -1,35 +1,35 @@
-/** Turns pushed values into an async iterable that one consumer reads. */
+/** Queue that exposes pushed values as an async iterable for one reader. */
 
 export interface EventQueue<T> extends AsyncIterable<T> {
   push(value: T): void;
-  /** Ends the sequence; values already pushed are still read. */
+  /** Ends the sequence; values already pushed are still delivered. */
   end(): void;
   /** Ends the sequence with an error after the values already pushed. */
   fail(error: unknown): void;
-  /** Values pushed and not yet read. */
+  /** Number of values pushed but not yet read. */
   readonly size: number;
-  /** Called each time that the consumer has read the last value. */
+  /** Called whenever the reader has read the last value. */
   onDrain?: () => void;
 }
 
 /**
- * Makes an open, empty queue. `release` runs once when the consumer stops
- * reading, for whatever reason.
+ * Creates an empty queue. `onReaderClosed` is called once when the reader
+ * stops, for whatever reason.
  *
  * @example
  * const queue = createEventQueue<GenerationEvent>(() => model.cancel(attempt));
  */
-export function createEventQueue<T>(release: () => void): EventQueue<T> {
+export function createEventQueue<T>(onReaderClosed: () => void): EventQueue<T> {
   const values: T[] = [];
-  let ending: {error?: unknown} | undefined;
-  let wake: (() => void) | undefined;
+  let completion: {error?: unknown} | undefined;
+  let wakeReader: (() => void) | undefined;
 
-  function finish(how: {error?: unknown}) {
-    ending ??= how;
-    wake?.();
+  function complete(result: {error?: unknown}) {
+    completion ??= result;
+    wakeReader?.();
   }
 
-  async function* read(): AsyncGenerator<T> {
+  async function* readValues(): AsyncGenerator<T> {
     try {
       for (;;) {
         while (values.length > 0) {
@@ -39,33 +39,33 @@
         if (values.length > 0) {
           continue;
         }
-        if (ending !== undefined) {
+        if (completion !== undefined) {
           break;
         }
-        await new Promise<void>(resolve => (wake = resolve));
+        await new Promise<void>(resolve => (wakeReader = resolve));
       }
-      if (ending.error !== undefined) {
-        throw ending.error;
+      if (completion.error !== undefined) {
+        throw completion.error;
       }
     } finally {
-      release();
+      onReaderClosed();
     }
   }
 
   const queue: EventQueue<T> = {
     push(value) {
-      if (ending !== undefined) {
+      if (completion !== undefined) {
         return;
       }
       values.push(value);
-      wake?.();
+      wakeReader?.();
     },
-    end: () => finish({}),
-    fail: error => finish({error}),
+    end: () => complete({}),
+    fail: error => complete({error}),
     get size() {
       return values.length;
     },
-    [Symbol.asyncIterator]: read,
+    [Symbol.asyncIterator]: readValues,
   };
   return queue;
 }
--- a/packages/endpoints/src/httpEngine.ts
+++ b/packages/endpoints/src/httpEngine.ts
@@ -1,4 +1,4 @@
-/** A model engine over HTTP: server-sent events for answers, JSON for the rest. */
+/** HTTP client of a model engine: server-sent events for answers, else JSON. */
 import {
   ServingError,
   checkShape,
@@ -10,39 +10,39 @@
 import * as z from 'zod';
 import type {Engine, Generation, GenerationEvent} from './contracts.js';
 import {
-  cacheEventsShape,
-  cacheExportShape,
-  loadReportShape,
+  cacheEventsSchema,
+  cacheExportSchema,
+  loadReportSchema,
   parseGenerationEvent,
-  refusalShape,
-  runningShape,
-} from './engineShapes.js';
-import {toSendError} from './sendErrors.js';
+  errorResponseSchema,
+  runningSchema,
+} from './engineSchemas.js';
+import {toRequestError} from './requestErrors.js';
 
-/** The most that one event of an answer may take, in characters. */
+/** Upper bound of the size of one server-sent event, in characters. */
 const MAX_EVENT_CHARACTERS = 64 * 1024;
 
 export interface HttpEngineOptions {
-  /** Root of the engine, like `http://10.0.0.7:9000`. */
+  /** Base URL of the engine, like `http://10.0.0.7:9000`. */
   readonly url: string;
-  /** Milliseconds to connect. */
+  /** Timeout of a connection attempt in milliseconds. */
   readonly connectTimeoutMs?: number;
-  /** Milliseconds that a call other than an answer may take. */
+  /** Timeout in milliseconds of calls other than `generate`. */
   readonly callTimeoutMs?: number;
 }
 
-/** An engine whose connections have to be closed by its owner. */
+/** Engine client whose owner must dispose it to close the connections. */
 export type HttpEngine = Engine & Disposable;
 
-type Body = Awaited<ReturnType<Pool['request']>>['body'];
+type ResponseBody = Awaited<ReturnType<Pool['request']>>['body'];
 
 /**
- * Makes a client of one engine. It never repeats a request by itself: what a
- * repeat costs and whether it is allowed is for the stream runner to decide.
+ * Creates a client of one engine. It never retries a request: the stream runner
+ * decides whether a retry is allowed and worth its cost.
  *
  * @example
  * const engine = createHttpEngine({url: 'http://10.0.0.7:9000'});
- * for await (const event of engine.generate(request, signal)) { show(event); }
+ * for await (const event of engine.generate(request, signal)) { log(event); }
  */
 export function createHttpEngine(options: HttpEngineOptions): HttpEngine {
   const {connectTimeoutMs = 1000, callTimeoutMs = 5000} = options;
@@ -50,8 +50,8 @@
     connections: null,
     pipelining: 1,
     connect: {timeout: connectTimeoutMs},
-    // A stalled answer is the stream runner's to notice: it knows how fast
-    // this engine's tokens come.
+    // Stalled answers are detected by the stream runner, which measures the
+    // token rate of this engine.
     bodyTimeout: 0,
     headersTimeout: 0,
   });
@@ -59,13 +59,13 @@
   async function call<T extends z.ZodType>(
     method: 'GET' | 'POST',
     path: string,
-    shape: T,
+    schema: T,
     body?: unknown,
     signal?: AbortSignal,
   ): Promise<z.output<T>> {
-    const what = `${method} ${path}`;
+    const operation = `${method} ${path}`;
     try {
-      const reply = await pool.request({
+      const response = await pool.request({
         method,
         path,
         headers: body === undefined ? {} : {'content-type': 'application/json'},
@@ -74,17 +74,17 @@
         bodyTimeout: callTimeoutMs,
         signal: signal ?? null,
       });
-      if (reply.statusCode !== 200) {
-        throw await refusal(reply.statusCode, reply.body);
+      if (response.statusCode !== 200) {
+        throw await readErrorResponse(response.statusCode, response.body);
       }
       const value = parseJson(
-        await reply.body.text(),
+        await response.body.text(),
         'protocol-violation',
-        what,
+        operation,
       );
-      return checkShape(shape, value, 'protocol-violation', what);
+      return checkShape(schema, value, 'protocol-violation', operation);
     } catch (error) {
-      throw toSendError(error, signal, what);
+      throw toRequestError(error, signal, operation);
     }
   }
 
@@ -92,9 +92,9 @@
     request: Generation,
     signal: AbortSignal,
   ): AsyncGenerator<GenerationEvent> {
-    const what = `generate ${request.attempt}`;
+    const operation = `generate ${request.attempt}`;
     try {
-      const reply = await pool.request({
+      const response = await pool.request({
         method: 'POST',
         path: '/v1/generate',
         headers: {
@@ -104,63 +104,69 @@
         body: JSON.stringify(request),
         signal,
       });
-      if (reply.statusCode !== 200) {
-        throw await refusal(reply.statusCode, reply.body);
+      if (response.statusCode !== 200) {
+        throw await readErrorResponse(response.statusCode, response.body);
       }
-      yield* readEvents(reply.body);
+      yield* readEvents(response.body);
     } catch (error) {
-      throw toSendError(error, signal, what);
+      throw toRequestError(error, signal, operation);
     }
   }
 
   return {
     generate,
     async cancel(attempt) {
-      await call('POST', '/v1/cancel', emptyShape, {attempt});
+      await call('POST', '/v1/cancel', emptySchema, {attempt});
     },
-    load: signal => call('GET', '/v1/load', loadReportShape, undefined, signal),
+    load: signal =>
+      call('GET', '/v1/load', loadReportSchema, undefined, signal),
     cacheEvents: (after, signal) =>
       call(
         'GET',
         `/v1/cache-events?after=${after}`,
-        cacheEventsShape,
+        cacheEventsSchema,
         undefined,
         signal,
       ),
     exportCache: (attempt, signal) =>
-      call('POST', '/v1/export', cacheExportShape, {attempt}, signal),
+      call('POST', '/v1/export', cacheExportSchema, {attempt}, signal),
     importCache: (from, signal) =>
-      call('POST', '/v1/import', cacheExportShape, from, signal),
+      call('POST', '/v1/import', cacheExportSchema, from, signal),
     async order(order, signal) {
-      await call('POST', '/v1/order', emptyShape, order, signal);
+      await call('POST', '/v1/order', emptySchema, order, signal);
     },
     running: signal =>
-      call('GET', '/v1/running', runningShape, undefined, signal),
+      call('GET', '/v1/running', runningSchema, undefined, signal),
     dispose() {
       void pool.destroy();
     },
   };
 }
 
-/** An answer of which only the success matters. */
-const emptyShape = z.object({});
+/** Response whose content is ignored. */
+const emptySchema = z.object({});
 
-/** What the engine said when it refused; an unknown answer is a failure of the engine. */
-async function refusal(status: number, body: Body): Promise<ServingError> {
+/** Converts an error response; a malformed one becomes `endpoint-failed`. */
+async function readErrorResponse(
+  status: number,
+  body: ResponseBody,
+): Promise<ServingError> {
   const text = await body.text();
   try {
-    const {kind, title} = refusalShape.parse(JSON.parse(text));
-    return new ServingError(kind, `the engine refused: ${title}`);
+    const {kind, title} = errorResponseSchema.parse(JSON.parse(text));
+    return new ServingError(kind, `the engine rejected the request: ${title}`);
   } catch (error) {
     return new ServingError(
       'endpoint-failed',
-      `the engine answered with status ${status}`,
+      `the engine responded with status ${status}`,
       {cause: error},
     );
   }
 }
 
-async function* readEvents(body: Body): AsyncGenerator<GenerationEvent> {
+async function* readEvents(
+  body: ResponseBody,
+): AsyncGenerator<GenerationEvent> {
   const events: GenerationEvent[] = [];
   const decoder = new TextDecoder();
   const parser = createParser({
--- a/packages/endpoints/src/plainService.ts
+++ b/packages/endpoints/src/plainService.ts
@@ -1,4 +1,4 @@
-/** HTTP client of one plain service endpoint that always knows whether a call may have run. */
+/** HTTP client of a plain service; errors tell whether a call may have run. */
 import {ServingError, type Disposable, type RunState} from '@skylarkfield/base';
 import {errors, Pool, type Dispatcher} from 'undici';
 import type {
@@ -7,64 +7,67 @@
   ServiceCall,
   ServiceReply,
 } from './contracts.js';
-import {checkLoadReport} from './plainServiceLoad.js';
-import {passedHeaders} from './plainServiceHeaders.js';
+import {parseLoadReport} from './plainServiceLoad.js';
+import {removeHopByHopHeaders} from './plainServiceHeaders.js';
 
 export interface HttpPlainServiceOptions {
-  /** Root of the service, like `http://10.0.0.7:8000`. */
+  /** Base URL of the service, like `http://10.0.0.7:8000`. */
   readonly url: string;
-  /** Connections kept to the endpoint; further calls wait here, unsent. */
-  readonly connections?: number;
+  /** Upper bound of the connections; further calls are queued unsent. */
+  readonly maxConnections?: number;
   readonly connectTimeoutMs?: number;
-  /** The longest silence from the endpoint before a call is given up. */
-  readonly silenceTimeoutMs?: number;
-  /** The largest reply body that is taken in. */
-  readonly maxReplyBytes?: number;
+  /** Time without data from the endpoint after which a call fails. */
+  readonly idleTimeoutMs?: number;
+  /** Upper bound of the size of a response body. */
+  readonly maxResponseBytes?: number;
   /** Path of the load report. */
   readonly loadPath?: string;
 }
 
-/** The client owns its connections; disposing closes them. */
+/** Plain service client that owns its connections; disposing closes them. */
 export interface HttpPlainService extends PlainService, Disposable {}
 
-const DEFAULT_CONNECTIONS = 64;
+const DEFAULT_MAX_CONNECTIONS = 64;
 const DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
-const DEFAULT_SILENCE_TIMEOUT_MS = 300_000;
-const DEFAULT_MAX_REPLY_BYTES = 1_048_576;
+const DEFAULT_IDLE_TIMEOUT_MS = 300_000;
+const DEFAULT_MAX_RESPONSE_BYTES = 1_048_576;
 const DEFAULT_LOAD_PATH = '/load';
 const LOAD_TIMEOUT_MS = 2_000;
-/** An idle connection is dropped before common servers drop it, to lose fewer calls to that race. */
-const KEEP_ALIVE_MS = 4_000;
+/** Shorter than in common servers, so that fewer calls race with a close. */
+const KEEP_ALIVE_TIMEOUT_MS = 4_000;
 
 /**
- * Makes the client of one plain service endpoint.
+ * Creates the client of one plain service endpoint.
  *
- * A call counts as sent from the moment undici takes a connection for it, just
- * before it writes the first byte. A pooled connection that the endpoint closes
- * at that moment makes the call `outcome-unknown`: nothing proves that it was
- * not read.
+ * A call counts as sent once undici assigns it a connection, just before the
+ * first byte is written. If the endpoint closes a pooled connection at that
+ * moment, the call fails with `outcome-unknown`, since it may have been read.
  *
  * @example
  * const booking = createHttpPlainService({url: 'http://10.0.0.7:8000'});
- * const reply = await booking.call({method: 'GET', path: '/shifts', headers: {}, body: new Uint8Array()}, signal);
+ * const response = await booking.call(
+ *   {method: 'GET', path: '/shifts', headers: {}, body: new Uint8Array()},
+ *   signal,
+ * );
  */
 export function createHttpPlainService(
   options: HttpPlainServiceOptions,
 ): HttpPlainService {
-  const root = new URL(options.url);
-  const basePath = root.pathname.replace(/\/$/, '');
-  const maxReplyBytes = options.maxReplyBytes ?? DEFAULT_MAX_REPLY_BYTES;
-  const silenceMs = options.silenceTimeoutMs ?? DEFAULT_SILENCE_TIMEOUT_MS;
-  const pool = new Pool(root.origin, {
-    connections: options.connections ?? DEFAULT_CONNECTIONS,
+  const baseUrl = new URL(options.url);
+  const basePath = baseUrl.pathname.replace(/\/$/, '');
+  const maxResponseBytes =
+    options.maxResponseBytes ?? DEFAULT_MAX_RESPONSE_BYTES;
+  const idleTimeoutMs = options.idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS;
+  const pool = new Pool(baseUrl.origin, {
+    connections: options.maxConnections ?? DEFAULT_MAX_CONNECTIONS,
     pipelining: 1,
     connect: {
       timeout: options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS,
     },
-    keepAliveTimeout: KEEP_ALIVE_MS,
-    keepAliveMaxTimeout: KEEP_ALIVE_MS,
-    headersTimeout: silenceMs,
-    bodyTimeout: silenceMs,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+    keepAliveMaxTimeout: KEEP_ALIVE_TIMEOUT_MS,
+    headersTimeout: idleTimeoutMs,
+    bodyTimeout: idleTimeoutMs,
   });
 
   function call(
@@ -73,10 +76,15 @@
   ): Promise<ServiceReply> {
     return new Promise((resolve, reject) => {
       if (signal.aborted) {
-        reject(failure('cancelled', 'the call was cancelled', 'not-run'));
+        reject(createError('cancelled', 'the call was cancelled', 'not-run'));
         return;
       }
-      const exchange = createExchange(signal, maxReplyBytes, resolve, reject);
+      const exchange = createExchange(
+        signal,
+        maxResponseBytes,
+        resolve,
+        reject,
+      );
       dispatchCall(request, exchange);
     });
   }
@@ -87,113 +95,120 @@
         {
           method: request.method as Dispatcher.HttpMethod,
           path: basePath + request.path,
-          headers: passedHeaders(request.headers),
+          headers: removeHopByHopHeaders(request.headers),
           body: request.body.byteLength > 0 ? request.body : null,
         },
         exchange.handler,
       );
     } catch (error) {
-      exchange.refuse(error);
+      exchange.failUnsent(error);
     }
   }
 
   async function load(signal?: AbortSignal): Promise<LoadReport> {
-    const limit = AbortSignal.timeout(LOAD_TIMEOUT_MS);
-    const both = signal ? AbortSignal.any([signal, limit]) : limit;
-    const reply = await call(
+    const timeoutSignal = AbortSignal.timeout(LOAD_TIMEOUT_MS);
+    const combinedSignal = signal
+      ? AbortSignal.any([signal, timeoutSignal])
+      : timeoutSignal;
+    const response = await call(
       {
         method: 'GET',
         path: options.loadPath ?? DEFAULT_LOAD_PATH,
         headers: {},
         body: new Uint8Array(),
       },
-      both,
+      combinedSignal,
     );
-    return checkLoadReport(reply);
+    return parseLoadReport(response);
   }
 
   return {
     call,
     load,
     dispose() {
-      // Destroying fails what is in flight; whoever drains does so before.
+      // This fails calls in flight; draining has to be done before.
       pool.destroy().catch(() => undefined);
     },
   };
 }
 
-/** One call on the wire, from the queue to its end. */
+/** State of one call, from queuing to completion. */
 interface Exchange {
   readonly handler: Dispatcher.DispatchHandler;
-  /** Ends a call that undici did not even queue. */
-  refuse(error: unknown): void;
+  /** Fails a call that undici refused to queue. */
+  failUnsent(error: unknown): void;
 }
 
 function createExchange(
   signal: AbortSignal,
-  maxReplyBytes: number,
-  resolve: (reply: ServiceReply) => void,
+  maxResponseBytes: number,
+  resolve: (response: ServiceReply) => void,
   reject: (error: ServingError) => void,
 ): Exchange {
   const chunks: Buffer[] = [];
   let receivedBytes = 0;
   let status = 0;
   let headers: Record<string, string> = {};
-  let isStarted = false;
+  let isSent = false;
   let isSettled = false;
   let controller: Dispatcher.DispatchController | undefined;
 
-  function settle(finish: () => void): void {
+  function settle(complete: () => void): void {
     if (isSettled) {
       return;
     }
     isSettled = true;
     signal.removeEventListener('abort', onAbort);
-    finish();
+    complete();
   }
 
   function onAbort(): void {
-    const run = isStarted ? 'may-have-run' : 'not-run';
-    settle(() => reject(failure('cancelled', 'the call was cancelled', run)));
+    const run = isSent ? 'may-have-run' : 'not-run';
+    settle(() =>
+      reject(createError('cancelled', 'the call was cancelled', run)),
+    );
     controller?.abort(new Error('cancelled'));
   }
 
   function fail(error: unknown): void {
-    settle(() => reject(isStarted ? afterStart(error) : beforeStart(error)));
+    settle(() => reject(isSent ? sentError(error) : unsentError(error)));
   }
 
   signal.addEventListener('abort', onAbort, {once: true});
   return {
-    refuse(error) {
-      settle(() => reject(beforeStart(error)));
+    failUnsent(error) {
+      settle(() => reject(unsentError(error)));
     },
     handler: {
       onRequestStart(newController) {
         controller = newController;
         if (isSettled) {
-          // Cancelled while it waited for a connection: aborting here keeps every byte back.
+          // Cancelled while queued: aborting here ensures that no byte is sent.
           newController.abort(new Error('cancelled'));
           return;
         }
-        if (isStarted) {
-          // undici starts a call anew on another connection when it takes the first for idle.
-          // The first may have carried it, so a second run could double the call: refuse it.
+        if (isSent) {
+          // undici restarts a call on another connection when it considers
+          // the first one idle. The first may have delivered the call, so a
+          // restart could run it twice.
           newController.abort(new Error('the connection was lost'));
           return;
         }
-        isStarted = true;
+        isSent = true;
       },
       onResponseStart(_controller, statusCode, rawHeaders) {
         if (statusCode < 200) {
           return;
         }
         status = statusCode;
-        headers = passedHeaders(rawHeaders);
+        headers = removeHopByHopHeaders(rawHeaders);
       },
       onResponseData(dataController, chunk) {
         receivedBytes += chunk.byteLength;
-        if (receivedBytes > maxReplyBytes) {
-          const error = new Error(`the reply is above ${maxReplyBytes} bytes`);
+        if (receivedBytes > maxResponseBytes) {
+          const error = new Error(
+            `the response exceeds ${maxResponseBytes} bytes`,
+          );
           fail(error);
           dataController.abort(error);
           return;
@@ -211,20 +226,20 @@
   };
 }
 
-function beforeStart(error: unknown): ServingError {
+function unsentError(error: unknown): ServingError {
   if (error instanceof errors.InvalidArgumentError) {
-    return failure('bad-request', describe(error), 'not-run', error);
+    return createError('bad-request', messageOf(error), 'not-run', error);
   }
-  const why = `no connection to the endpoint: ${describe(error)}`;
-  return failure('endpoint-unavailable', why, 'not-run', error);
+  const message = `could not send the call to the endpoint: ${messageOf(error)}`;
+  return createError('endpoint-unavailable', message, 'not-run', error);
 }
 
-function afterStart(error: unknown): ServingError {
-  const why = `the endpoint may have run the call: ${describe(error)}`;
-  return failure('outcome-unknown', why, 'may-have-run', error);
+function sentError(error: unknown): ServingError {
+  const message = `the endpoint may have run the call: ${messageOf(error)}`;
+  return createError('outcome-unknown', message, 'may-have-run', error);
 }
 
-function failure(
+function createError(
   kind:
     | 'endpoint-unavailable'
     | 'outcome-unknown'
@@ -237,6 +252,6 @@
   return new ServingError(kind, message, {run, cause});
 }
 
-function describe(error: unknown): string {
+function messageOf(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
--- a/packages/endpoints/src/plainServiceHeaders.ts
+++ b/packages/endpoints/src/plainServiceHeaders.ts
@@ -1,7 +1,7 @@
-/** Which headers pass through to and from a plain service. */
+/** Selection of the headers that are forwarded to and from a plain service. */
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), plus those that the client sets itself. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and those the client sets. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
   'expect',
@@ -16,33 +16,36 @@
   'upgrade',
 ]);
 
-/** Header values as they come from an HTTP library. */
+/** Header values as returned by an HTTP library. */
 export type RawHeaders = Readonly<
   Record<string, string | readonly string[] | undefined>
 >;
 
 /**
- * Drops the headers that concern one connection only, also those that the
- * `Connection` header names; several values of one name are joined.
+ * Removes hop-by-hop headers, including those listed in the `Connection`
+ * header; multiple values of one header are joined.
  *
  * @example
- * passedHeaders({connection: 'x-hop', 'x-hop': '1', accept: '*'}); // {accept: '*'}
+ * // Returns {accept: '*'}.
+ * removeHopByHopHeaders({connection: 'x-hop', 'x-hop': '1', accept: '*'});
  */
-export function passedHeaders(headers: RawHeaders): Record<string, string> {
-  const dropped = connectionOptions(headers);
-  const passed: Record<string, string> = {};
+export function removeHopByHopHeaders(
+  headers: RawHeaders,
+): Record<string, string> {
+  const dropped = hopByHopNames(headers);
+  const forwarded: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
     const lowerName = name.toLowerCase();
     if (value === undefined || dropped.has(lowerName)) {
       continue;
     }
-    passed[lowerName] = typeof value === 'string' ? value : value.join(', ');
+    forwarded[lowerName] = typeof value === 'string' ? value : value.join(', ');
   }
-  return passed;
+  return forwarded;
 }
 
-function connectionOptions(headers: RawHeaders): ReadonlySet<string> {
-  const dropped = new Set(CONNECTION_HEADERS);
+function hopByHopNames(headers: RawHeaders): ReadonlySet<string> {
+  const dropped = new Set(HOP_BY_HOP_HEADERS);
   for (const [name, value] of Object.entries(headers)) {
     if (name.toLowerCase() !== 'connection' || value === undefined) {
       continue;
--- a/packages/endpoints/src/plainServiceLoad.ts
+++ b/packages/endpoints/src/plainServiceLoad.ts
@@ -1,9 +1,9 @@
-/** Reads the load report of a plain service. */
+/** Parsing of the load report of a plain service. */
 import {checkShape, parseJson, ServingError} from '@skylarkfield/base';
 import * as z from 'zod';
 import type {LoadReport, ServiceReply} from './contracts.js';
 
-const loadReport = z.object({
+const loadReportSchema = z.object({
   sequence: z.number(),
   running: z.number(),
   waiting: z.number(),
@@ -14,19 +14,19 @@
 });
 
 /**
- * Checks a reply to a load question and returns the report.
+ * Parses and validates the response to a load request.
  *
  * @example
- * const report = checkLoadReport(await service.call(loadQuestion, signal));
+ * const report = parseLoadReport(await service.call(loadRequest, signal));
  */
-export function checkLoadReport(reply: ServiceReply): LoadReport {
-  if (reply.status !== 200) {
+export function parseLoadReport(response: ServiceReply): LoadReport {
+  if (response.status !== 200) {
     throw new ServingError(
       'endpoint-failed',
-      `the load report was answered with status ${reply.status}`,
+      `the load request returned status ${response.status}`,
     );
   }
-  const text = new TextDecoder().decode(reply.body);
+  const text = new TextDecoder().decode(response.body);
   const value = parseJson(text, 'endpoint-failed', 'load report');
-  return checkShape(loadReport, value, 'endpoint-failed', 'load report');
+  return checkShape(loadReportSchema, value, 'endpoint-failed', 'load report');
 }
--- a/packages/endpoints/src/promptBlocks.ts
+++ b/packages/endpoints/src/promptBlocks.ts
@@ -1,14 +1,14 @@
-/** How prompts are cut into tokens and cache blocks, alike in entries and engines. */
+/** Prompt tokens and block hashes, which entries and engines must agree on. */
 import {hash} from 'node:crypto';
 
-/** Tokens in one block of an engine's prefix cache. */
+/** Number of tokens in one block of an engine's prefix cache. */
 export const BLOCK_TOKENS = 16;
-/** Characters kept of a block's hash: 72 bits, so that two blocks never meet by chance. */
-const BLOCK_HASH_CHARACTERS = 12;
+/** Characters of a block hash: 72 bits make collisions negligible. */
+const BLOCK_HASH_LENGTH = 12;
 
 /**
- * Cuts a prompt into tokens; a stand-in for a model's tokenizer that is exact
- * for our engines and near enough to weigh a prompt for others.
+ * Splits a prompt into tokens. Substitutes for a model's tokenizer: exact for
+ * this project's engines, accurate enough to estimate prompt sizes for others.
  *
  * @example
  * promptTokens('match this oak').length; // 3
@@ -18,8 +18,8 @@
 }
 
 /**
- * Hashes of a prompt's full blocks. Each hash covers all tokens before it too,
- * so that equal hashes mean an equal prefix.
+ * Returns the hashes of a prompt's full blocks. Each hash also covers all
+ * preceding tokens, so that equal hashes imply an equal prefix.
  *
  * @example
  * const blocks = promptBlocks(promptTokens(prompt));
@@ -29,29 +29,29 @@
 }
 
 /**
- * Hashes of the full blocks of a longer text whose first blocks are known
- * already, so that a growing history is not hashed from its start each time.
+ * Returns the hashes of a text's full blocks, given those of its first blocks,
+ * so that a growing history is not hashed from the start each time.
  *
  * @example
  * const blocks = extendBlocks(promptBlocks(tokens), [...tokens, ...answer]);
  */
 export function extendBlocks(
-  known: readonly string[],
+  knownBlocks: readonly string[],
   tokens: readonly string[],
 ): string[] {
-  const blocks = [...known];
-  let chain = blocks.at(-1) ?? '';
+  const blocks = [...knownBlocks];
+  let previousHash = blocks.at(-1) ?? '';
   for (
-    let start = known.length * BLOCK_TOKENS;
+    let start = knownBlocks.length * BLOCK_TOKENS;
     start + BLOCK_TOKENS <= tokens.length;
     start += BLOCK_TOKENS
   ) {
     const text = tokens.slice(start, start + BLOCK_TOKENS).join(' ');
-    chain = hash('sha256', `${chain} ${text}`, 'base64url').slice(
+    previousHash = hash('sha256', `${previousHash} ${text}`, 'base64url').slice(
       0,
-      BLOCK_HASH_CHARACTERS,
+      BLOCK_HASH_LENGTH,
     );
-    blocks.push(chain);
+    blocks.push(previousHash);
   }
   return blocks;
 }
--- a/packages/endpoints/src/test/httpEngine.test.ts
+++ b/packages/endpoints/src/test/httpEngine.test.ts
@@ -4,7 +4,7 @@
 import {describe, it} from 'node:test';
 import {createHttpEngine, type HttpEngine} from '../index.js';
 
-const PIECE_GAP_MS = 30;
+const CHUNK_GAP_MS = 30;
 
 const request = {
   attempt: 'a1',
@@ -18,14 +18,14 @@
 const token = {type: 'token', attempt: 'a1', index: 0, text: 'oak'};
 
 async function withServer(
-  answer: (response: ServerResponse) => void,
-  use: (engine: HttpEngine, requests: () => number) => Promise<void>,
+  respond: (response: ServerResponse) => void,
+  run: (engine: HttpEngine, requests: () => number) => Promise<void>,
 ) {
   let requests = 0;
   const server = createServer((incoming, response) => {
     requests += 1;
     incoming.resume();
-    incoming.once('end', () => answer(response));
+    incoming.once('end', () => respond(response));
   });
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   const {port} = server.address() as AddressInfo;
@@ -34,7 +34,7 @@
     callTimeoutMs: 300,
   });
   try {
-    await use(engine, () => requests);
+    await run(engine, () => requests);
   } finally {
     engine.dispose();
     server.closeAllConnections();
@@ -42,7 +42,10 @@
   }
 }
 
-async function read(engine: HttpEngine, signal = new AbortController().signal) {
+async function readAllEvents(
+  engine: HttpEngine,
+  signal = new AbortController().signal,
+) {
   const events = [];
   for await (const event of engine.generate(request, signal)) {
     events.push(event);
@@ -56,7 +59,7 @@
 }
 
 describe('HTTP engine', () => {
-  it('reads events that arrive in pieces', async () => {
+  it('reads events that are split across chunks', async () => {
     const text = `data: ${JSON.stringify({...token, text: 'öl'})}\n\n`;
     const bytes = Buffer.from(text);
     const cut = bytes.indexOf(0xc3) + 1;
@@ -64,36 +67,38 @@
       response => {
         response.writeHead(200);
         response.write(bytes.subarray(0, cut));
-        // Long enough that both pieces hardly ever come as one; if they do,
-        // the test still passes.
-        setTimeout(() => response.end(bytes.subarray(cut)), PIECE_GAP_MS);
+        // Long enough that the chunks are rarely merged; the test also passes
+        // if they are.
+        setTimeout(() => response.end(bytes.subarray(cut)), CHUNK_GAP_MS);
       },
       async engine => {
-        assert.deepEqual(await read(engine), [{...token, text: 'öl'}]);
+        assert.deepEqual(await readAllEvents(engine), [{...token, text: 'öl'}]);
       },
     );
   });
 
-  // An engine of another release, or a broken one, sends what is none of the
-  // known events. Taken at its word it could show a caller garbage.
+  // An engine of another release, or a faulty one, sends unknown or invalid
+  // events. Accepting them could deliver garbage to a caller.
   const malformed: [string, unknown][] = [
     ['an unknown type', {type: 'note', attempt: 'a1'}],
     ['a type named like an object method', {type: 'toString', attempt: 'a1'}],
     ['no attempt', {...token, attempt: undefined}],
-    ['a negative position', {...token, index: -1}],
-    ['a text that is none', {...token, text: 7}],
+    ['a negative index', {...token, index: -1}],
+    ['a text that is not a string', {...token, text: 7}],
     ['an end without counts', {type: 'end', attempt: 'a1', reason: 'stop'}],
     ['null', null],
   ];
   for (const [name, event] of malformed) {
-    it(`refuses an event with ${name}`, async () => {
+    it(`rejects an event with ${name}`, async () => {
       await withServer(
         response => {
           sendEvents(response, event);
           response.end();
         },
         async engine => {
-          await assert.rejects(read(engine), {kind: 'protocol-violation'});
+          await assert.rejects(readAllEvents(engine), {
+            kind: 'protocol-violation',
+          });
         },
       );
     });
@@ -106,23 +111,23 @@
     [400, '{"kind":"unauthenticated","title":"x"}', 'endpoint-failed'],
   ];
   for (const [status, body, kind] of refusals) {
-    it(`turns status ${status} with ${body} into ${kind}`, async () => {
+    it(`converts status ${status} with ${body} to ${kind}`, async () => {
       await withServer(
         response => response.writeHead(status).end(body),
         async engine => {
-          await assert.rejects(read(engine), {kind});
+          await assert.rejects(readAllEvents(engine), {kind});
         },
       );
     });
   }
 
-  // The connection breaks after the request went out. The engine may have
-  // worked on it, and a client that sends it again by itself would double it.
-  it('neither repeats a broken request nor calls it not run', async () => {
+  // The connection is lost after the request was sent. The engine may have
+  // processed it, so a retry by the client could run it twice.
+  it('neither retries an interrupted request nor reports it as not run', async () => {
     await withServer(
       response => response.destroy(),
       async (engine, requests) => {
-        await assert.rejects(read(engine), {
+        await assert.rejects(readAllEvents(engine), {
           kind: 'interrupted',
           run: 'may-have-run',
         });
@@ -131,7 +136,7 @@
     );
   });
 
-  it('gives up a call that is not answered', async () => {
+  it('fails a call that gets no response', async () => {
     await withServer(
       () => {},
       async engine => {
@@ -140,7 +145,7 @@
     );
   });
 
-  it('refuses a load report that lacks its counts', async () => {
+  it('rejects a load report without its counts', async () => {
     await withServer(
       response => response.end('{"sequence":1}'),
       async engine => {
@@ -149,7 +154,7 @@
     );
   });
 
-  it('ends with cancelled when the caller aborts', async () => {
+  it('fails with cancelled when the caller aborts', async () => {
     await withServer(
       response => sendEvents(response, token),
       async engine => {
--- a/packages/endpoints/src/test/plainService.test.ts
+++ b/packages/endpoints/src/test/plainService.test.ts
@@ -13,7 +13,7 @@
 import {ServingError} from '@skylarkfield/base';
 import {
   createHttpPlainService,
-  passedHeaders,
+  removeHopByHopHeaders,
   type HttpPlainServiceOptions,
   type ServiceCall,
 } from '../index.js';
@@ -43,13 +43,13 @@
   return `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-function client(test: TestContext, options: HttpPlainServiceOptions) {
+function createClient(test: TestContext, options: HttpPlainServiceOptions) {
   const service = createHttpPlainService(options);
   test.after(() => service.dispose());
   return service;
 }
 
-async function errorOf(call: Promise<unknown>): Promise<ServingError> {
+async function rejectionOf(call: Promise<unknown>): Promise<ServingError> {
   try {
     await call;
   } catch (error) {
@@ -60,10 +60,10 @@
 }
 
 /** A signal that never aborts. */
-const never = new AbortController().signal;
+const neverAborts = new AbortController().signal;
 
 describe('plain service client', () => {
-  it('passes a call through without connection headers', async test => {
+  it('forwards a call without hop-by-hop headers', async test => {
     const seen: Array<Record<string, unknown>> = [];
     const answer: RequestListener = (request, response) => {
       seen.push(request.headers);
@@ -73,32 +73,32 @@
       request.pipe(response);
     };
     const url = await listen(test, createHttpServer(answer));
-    const reply = await client(test, {url}).call(booking, never);
-    assert.equal(reply.status, 201);
-    assert.equal(new TextDecoder().decode(reply.body), '{"id":1}');
-    assert.equal(reply.headers['x-kept'], 'yes');
-    assert.equal(reply.headers['keep-alive'], undefined);
+    const response = await createClient(test, {url}).call(booking, neverAborts);
+    assert.equal(response.status, 201);
+    assert.equal(new TextDecoder().decode(response.body), '{"id":1}');
+    assert.equal(response.headers['x-kept'], 'yes');
+    assert.equal(response.headers['keep-alive'], undefined);
     assert.equal(seen[0]?.['x-hop'], undefined);
   });
 
-  it('reads the load report and names what is wrong with a bad one', async test => {
+  it('parses the load report and names the faults of an invalid one', async test => {
     let body = '{"sequence":3,"running":1,"waiting":0,"slots":4}';
     const url = await listen(
       test,
       createHttpServer((_request, response) => response.end(body)),
     );
-    const service = client(test, {url});
+    const service = createClient(test, {url});
     assert.equal((await service.load()).slots, 4);
     body = '{"sequence":"x"}';
-    const error = await errorOf(service.load());
+    const error = await rejectionOf(service.load());
     assert.equal(error.kind, 'endpoint-failed');
     assert.ok(error.faults.some(fault => fault.path === 'slots'));
   });
 });
 
-// The endpoint dies, refuses or cuts the connection at some point of a booking. If the client
-// takes a sent call for an unsent one, the order runs again elsewhere and two crews arrive; if it
-// takes an unsent one for a sent one, the caller is told that a harmless refusal may have run.
+// The endpoint crashes, refuses or closes the connection at some point of a
+// call. A sent call reported as unsent would run again elsewhere and double a
+// booking; an unsent call reported as sent would be assumed to have run.
 describe('plain service client under faults', () => {
   const faults: Array<{
     name: string;
@@ -106,17 +106,17 @@
     expected: {kind: string; run: string};
   }> = [
     {
-      name: 'cut after the call was read',
+      name: 'disconnect after the call was read',
       onSocket: socket => socket.once('data', () => socket.destroy()),
       expected: {kind: 'outcome-unknown', run: 'may-have-run'},
     },
     {
-      name: 'cut within the status line',
+      name: 'disconnect within the status line',
       onSocket: socket => socket.once('data', () => socket.end('HTTP/1.1 20')),
       expected: {kind: 'outcome-unknown', run: 'may-have-run'},
     },
     {
-      name: 'cut within the reply body',
+      name: 'disconnect within the response body',
       onSocket: socket =>
         socket.once('data', () =>
           socket.end('HTTP/1.1 201 Created\r\ncontent-length: 10\r\n\r\nhalf'),
@@ -124,37 +124,39 @@
       expected: {kind: 'outcome-unknown', run: 'may-have-run'},
     },
     {
-      name: 'answer that is not HTTP',
+      name: 'response that is not HTTP',
       onSocket: socket => socket.once('data', () => socket.end('no\r\n\r\n')),
       expected: {kind: 'outcome-unknown', run: 'may-have-run'},
     },
     {
-      name: 'silence after the call was read',
+      name: 'timeout after the call was read',
       onSocket: () => undefined,
       expected: {kind: 'outcome-unknown', run: 'may-have-run'},
     },
   ];
   for (const fault of faults) {
-    it(`tells the run state after a ${fault.name}`, async test => {
+    it(`reports the run state after a ${fault.name}`, async test => {
       const url = await listen(test, createServer(fault.onSocket));
-      const service = client(test, {url, silenceTimeoutMs: 150});
-      const error = await errorOf(service.call(booking, never));
+      const service = createClient(test, {url, idleTimeoutMs: 150});
+      const error = await rejectionOf(service.call(booking, neverAborts));
       assert.deepEqual({kind: error.kind, run: error.run}, fault.expected);
     });
   }
 
-  it('says not-run when the connection is refused', async test => {
+  it('reports not-run when the connection is refused', async test => {
     const server = createServer();
     const url = await listen(test, server);
     await new Promise(resolve => server.close(resolve));
-    const error = await errorOf(client(test, {url}).call(booking, never));
+    const error = await rejectionOf(
+      createClient(test, {url}).call(booking, neverAborts),
+    );
     assert.equal(error.kind, 'endpoint-unavailable');
     assert.equal(error.run, 'not-run');
   });
 
-  // A pooled connection is closed by the endpoint in the moment in which the next booking is
-  // written to it. A client that sends it again by itself may double the booking.
-  it('sends a call at most once when a pooled connection closes under it', async test => {
+  // The endpoint closes a pooled connection while the next booking is written
+  // to it. A retry by the client could run the booking twice.
+  it('sends a call at most once when its pooled connection is closed', async test => {
     let calls = 0;
     const url = await listen(
       test,
@@ -169,16 +171,16 @@
         }),
       ),
     );
-    const service = client(test, {url, connections: 1});
-    await service.call(booking, never);
-    const error = await errorOf(service.call(booking, never));
+    const service = createClient(test, {url, maxConnections: 1});
+    await service.call(booking, neverAborts);
+    const error = await rejectionOf(service.call(booking, neverAborts));
     assert.equal(error.kind, 'outcome-unknown');
     assert.equal(calls, 2);
   });
 
-  // A caller gives up while its booking still waits for a connection, and is told `not-run`. When
-  // the connection becomes free the booking must not go out after all.
-  it('keeps a call back that was cancelled while it waited for a connection', async test => {
+  // A caller cancels its booking while it is queued for a connection, and gets
+  // `not-run`. The booking must not be sent when the connection becomes free.
+  it('does not send a call that was cancelled while queued for a connection', async test => {
     const seen: string[] = [];
     const answer: RequestListener = (request, response) => {
       seen.push(request.url ?? '');
@@ -187,12 +189,12 @@
       }
     };
     const url = await listen(test, createHttpServer(answer));
-    const service = client(test, {url, connections: 1});
+    const service = createClient(test, {url, maxConnections: 1});
     const [first, second] = [new AbortController(), new AbortController()];
-    const running = errorOf(
+    const running = rejectionOf(
       service.call({...booking, path: '/first'}, first.signal),
     );
-    const waiting = errorOf(
+    const waiting = rejectionOf(
       service.call({...booking, path: '/second'}, second.signal),
     );
     while (seen.length === 0) {
@@ -200,35 +202,35 @@
     }
     second.abort();
     assert.equal((await waiting).run, 'not-run');
-    const third = service.call({...booking, path: '/third'}, never);
+    const third = service.call({...booking, path: '/third'}, neverAborts);
     first.abort();
     assert.equal((await running).run, 'may-have-run');
     await third;
     assert.deepEqual(seen, ['/first', '/third']);
   });
 
-  it('gives up a reply above the bound', async test => {
+  it('fails a call whose response exceeds the size limit', async test => {
     const url = await listen(
       test,
       createHttpServer((_request, response) => response.end('x'.repeat(2_000))),
     );
-    const service = client(test, {url, maxReplyBytes: 1_000});
-    const error = await errorOf(service.call(booking, never));
+    const service = createClient(test, {url, maxResponseBytes: 1_000});
+    const error = await rejectionOf(service.call(booking, neverAborts));
     assert.equal(error.kind, 'outcome-unknown');
   });
 
-  it('refuses a header that cannot be sent as not run', async test => {
-    const service = client(test, {url: 'http://127.0.0.1:9'});
+  it('rejects an invalid header with not-run', async test => {
+    const service = createClient(test, {url: 'http://127.0.0.1:9'});
     const bad = {...booking, headers: {'x-bad': 'a\r\nb: c'}};
-    const error = await errorOf(service.call(bad, never));
+    const error = await rejectionOf(service.call(bad, neverAborts));
     assert.equal(error.run, 'not-run');
     assert.equal(error.kind, 'bad-request');
   });
 });
 
-describe('passed headers', () => {
-  it('drops what the connection header names', () => {
-    const passed = passedHeaders({
+describe('hop-by-hop headers', () => {
+  it('removes the headers that the connection header lists', () => {
+    const passed = removeHopByHopHeaders({
       Connection: 'close, X-Hop',
       'x-hop': '1',
       Accept: ['a', 'b'],
--- a/packages/endpoints/src/test/promptBlocks.test.ts
+++ b/packages/endpoints/src/test/promptBlocks.test.ts
@@ -7,17 +7,17 @@
 }
 
 describe('prompt blocks', () => {
-  it('leaves out a block that is not full', () => {
+  it('omits a block that is not full', () => {
     assert.equal(promptBlocks(tokens(BLOCK_TOKENS * 2 + 3)).length, 2);
   });
 
-  it('gives another hash to a block whose beginning differs', () => {
+  it('changes the hash of a block when an earlier token differs', () => {
     const same = promptBlocks(tokens(64));
     const other = promptBlocks(['x', ...tokens(64).slice(1)]);
     assert.notEqual(same[3], other[3]);
   });
 
-  it('extends known blocks to what hashing anew gives', () => {
+  it('extends known blocks to the same hashes as a full computation', () => {
     const known = promptBlocks(tokens(40));
     assert.deepEqual(
       extendBlocks(known, tokens(100)),
