--- a/packages/streams/src/attempt.ts
+++ b/packages/streams/src/attempt.ts
@@ -1,4 +1,4 @@
-/** Runs one attempt at one engine to its end, its loss or its move. */
+/** One attempt at one engine, until it completes, fails or is migrated. */
 import {
   ServingError,
   disposableStore,
@@ -10,18 +10,18 @@
   Generation,
   GenerationEvent,
 } from '@skylarkfield/endpoints';
-import {createAttemptStates} from './attemptMachine.js';
-import {createAttemptStop} from './attemptStop.js';
-import {createAttemptWork} from './attemptWork.js';
+import {createAttemptStateMachine} from './attemptMachine.js';
+import {createAttemptAbortController} from './attemptAbortController.js';
+import {createAttemptMeter} from './attemptMeter.js';
 import type {StreamPlace, StreamToken} from './contracts.js';
-import {judgeEvent, type Judgement} from './eventJudgement.js';
-import {followLeaving} from './leavingMove.js';
-import type {MoveCosts} from './moveCosts.js';
-import type {PreparedPlace} from './movePlan.js';
+import {validateEvent, type EventVerdict} from './eventValidation.js';
+import {migrateWhenLeaving} from './leavingMigration.js';
+import type {MigrationCosts} from './migrationCosts.js';
+import type {AttemptTarget} from './migration.js';
 import {isAlive} from './probe.js';
-import type {Progress} from './progress.js';
-import {createStallWatch, type StallLimits} from './stallWatch.js';
-import {untilAborted} from './untilAborted.js';
+import type {RequestProgress} from './progress.js';
+import {createStallDetector, type StallLimits} from './stallDetector.js';
+import {raceAbort} from './raceAbort.js';
 
 type EndEvent = GenerationEvent & {readonly type: 'end'};
 type Outcome = AttemptResult['outcome'];
@@ -29,218 +29,242 @@
 export type AttemptEnd =
   | {readonly type: 'ended'; readonly event: EndEvent}
   | {readonly type: 'lost'; readonly error: ServingError}
-  | {readonly type: 'moved'; readonly to: PreparedPlace};
+  | {readonly type: 'moved'; readonly target: AttemptTarget};
 
 export interface AttemptOptions {
   readonly clock: Clock;
   readonly limits: StallLimits;
-  readonly costs: MoveCosts;
-  readonly progress: Progress;
-  /** Start of the attempt's id. */
-  readonly prefix: string;
-  readonly at: PreparedPlace;
-  /** Takes a place other than this one; throws when there is none. */
-  takePlace(): StreamPlace;
+  readonly costs: MigrationCosts;
+  readonly progress: RequestProgress;
+  /** Prefix of the attempt id. */
+  readonly attemptIdPrefix: string;
+  readonly target: AttemptTarget;
+  /** Picks an endpoint other than the current one, or throws. */
+  pickEndpoint(): StreamPlace;
   deliver(token: StreamToken): void | Promise<void>;
   /** The caller's signal. */
   readonly signal: AbortSignal;
 }
 
 /**
- * Runs one attempt. Rejects only when the request as a whole has to end:
- * the caller went or a deadline passed.
+ * Runs one attempt. Rejects only when the whole request has to end: the caller
+ * aborted it or a deadline passed.
  *
  * @example
- * const end = await runAttempt({clock, limits, costs, progress, at, ...hooks});
+ * const end = await runAttempt({clock, limits, costs, target, ...options});
  */
 export async function runAttempt(options: AttemptOptions): Promise<AttemptEnd> {
-  const {clock, limits, costs, progress, at} = options;
+  const {clock, limits, costs, progress, target} = options;
   const {request, delivered} = progress;
-  const {place} = at;
-  const {engine} = place;
-  const states = createAttemptStates();
-  beginAttempt(progress, place, states);
-  const generation = toGeneration(options);
+  const {pick} = target;
+  const {engine} = pick;
+  const stateMachine = createAttemptStateMachine();
+  beginAttempt(progress, pick, stateMachine);
+  const generation = createGeneration(options);
   const owned = disposableStore();
-  const stop = owned.add(createAttemptStop(clock, options.signal));
-  const work = createAttemptWork({
+  const abortController = owned.add(
+    createAttemptAbortController(clock, options.signal),
+  );
+  const meter = createAttemptMeter({
     clock,
     costs,
     progress,
-    givenTokens: generation.delivered.length,
+    resumedTokens: generation.delivered.length,
   });
 
-  const watch = owned.add(
-    createStallWatch({
+  const stallDetector = owned.add(
+    createStallDetector({
       clock,
       limits,
-      probe: () => isAlive(clock, engine, limits.probeMs),
-      stalled: why =>
-        stop.stop({
+      probe: () => isAlive(clock, engine, limits.probeTimeoutMs),
+      onStall: message =>
+        abortController.abort({
           type: 'lost',
-          error: new ServingError('interrupted', why),
+          error: new ServingError('interrupted', message),
         }),
     }),
   );
 
-  /** Milliseconds until the answer ends, by its usual pace; undefined before it streams. */
+  /** Estimated milliseconds to the end; undefined while not streaming. */
   function remainingMs(): number | undefined {
-    const gapMs = watch.gapMs();
-    const isStreaming = states.current === 'streaming' && gapMs > 0;
+    const meanGapMs = stallDetector.meanTokenGapMs();
+    const isStreaming = stateMachine.current === 'streaming' && meanGapMs > 0;
     return isStreaming
-      ? (request.maxTokens - delivered.length) * gapMs
+      ? (request.maxTokens - delivered.length) * meanGapMs
       : undefined;
   }
 
-  function noteFirstToken() {
-    work.firstToken();
-    states.send('token');
-    place.streaming?.();
-    firstTokenLimit?.dispose();
+  function handleFirstToken() {
+    meter.recordFirstToken();
+    stateMachine.send('token');
+    pick.streaming?.();
+    firstTokenTimeout?.dispose();
   }
 
   async function deliver(text: string) {
-    watch.touch();
-    if (!work.hasToken) {
-      noteFirstToken();
+    stallDetector.recordToken();
+    if (!meter.hasFirstToken) {
+      handleFirstToken();
     }
     const index = delivered.length;
     delivered.push(text);
-    const held = options.deliver({index, text});
-    if (held !== undefined) {
-      watch.disarm();
-      await untilAborted(held, stop.signal);
+    const delivery = options.deliver({index, text});
+    if (delivery !== undefined) {
+      stallDetector.disarm();
+      await raceAbort(delivery, abortController.signal);
     }
   }
 
-  /** Takes one event; the end event when it was the last. */
-  async function take(judgement: Judgement): Promise<EndEvent | undefined> {
-    if (judgement.type === 'reject') {
-      throw new ServingError('protocol-violation', judgement.why);
+  /** Applies the verdict on an event; returns the end event, if it is one. */
+  async function handleVerdict(
+    verdict: EventVerdict,
+  ): Promise<EndEvent | undefined> {
+    if (verdict.type === 'reject') {
+      throw new ServingError('protocol-violation', verdict.message);
     }
-    if (judgement.type === 'end') {
-      work.started(judgement.event);
-      return judgement.event;
+    if (verdict.type === 'end') {
+      meter.recordStart(verdict.event);
+      return verdict.event;
     }
-    if (judgement.type === 'start' && !work.isStartSeen) {
-      states.send('start');
-      place.started?.(judgement.event.cachedTokens);
-      work.started(judgement.event);
+    if (verdict.type === 'start' && !meter.hasStarted) {
+      stateMachine.send('start');
+      pick.started?.(verdict.event.cachedTokens);
+      meter.recordStart(verdict.event);
     }
-    if (judgement.type === 'deliver') {
-      await deliver(judgement.text);
+    if (verdict.type === 'deliver') {
+      await deliver(verdict.text);
     }
     return undefined;
   }
 
-  async function read(): Promise<EndEvent> {
-    for await (const event of engine.generate(generation, stop.signal)) {
-      if (stop.reason !== undefined) {
+  async function readEvents(): Promise<EndEvent> {
+    for await (const event of engine.generate(
+      generation,
+      abortController.signal,
+    )) {
+      if (abortController.reason !== undefined) {
         break;
       }
       progress.mayHaveRun = true;
-      const end = await take(judgeEvent(event, generation, delivered));
+      const end = await handleVerdict(
+        validateEvent(event, generation, delivered),
+      );
       if (end !== undefined) {
         return end;
       }
-      armWatch();
+      armStallDetector();
     }
-    throw new ServingError('interrupted', 'the answer broke off');
+    throw new ServingError(
+      'interrupted',
+      'the stream ended without an end event',
+    );
   }
 
-  function armWatch() {
-    if (work.hasToken) {
-      watch.arm();
+  function armStallDetector() {
+    if (meter.hasFirstToken) {
+      stallDetector.arm();
       return;
     }
     const deadline =
       delivered.length === 0 ? request.firstTokenDeadline : request.deadline;
-    watch.armFirst((deadline - clock.now()) * limits.firstTokenShare);
+    stallDetector.armForFirstToken(
+      (deadline - clock.now()) * limits.firstTokenDeadlineFraction,
+    );
   }
 
   function finish(outcome: Outcome, cachedTokens?: number) {
-    place.finish({
+    pick.finish({
       outcome,
-      latencyMs: work.latencyMs(),
+      latencyMs: meter.latencyMs(),
       ...(cachedTokens === undefined ? {} : {cachedTokens}),
     });
   }
 
-  function closeLost(error: ServingError): AttemptEnd {
+  function handleFailure(error: ServingError): AttemptEnd {
     if (error.run === 'may-have-run') {
       progress.mayHaveRun = true;
-      // The connection's end cancels too; an engine may notice that late.
+      // Closing the connection cancels too, but an engine may notice it late.
       engine.cancel(generation.attempt).catch(() => {});
     }
-    const reason = stop.reason ?? {type: 'lost' as const, error};
-    if (reason.type === 'over') {
-      states.send('cancel');
+    const reason = abortController.reason ?? {type: 'lost' as const, error};
+    if (reason.type === 'request-ended') {
+      stateMachine.send('cancel');
       finish(reason.error.kind === 'cancelled' ? 'cancelled' : 'overloaded');
       throw reason.error;
     }
     if (reason.type === 'moved') {
-      states.send('move');
-      finish(work.hasToken ? 'ok' : 'cancelled');
+      stateMachine.send('move');
+      finish(meter.hasFirstToken ? 'ok' : 'cancelled');
       return reason;
     }
-    states.send('lose');
+    stateMachine.send('lose');
     finish(outcomeOf(reason.error));
     return reason;
   }
 
-  const firstTokenLimit =
+  const firstTokenTimeout =
     delivered.length === 0
-      ? stop.endAt(request.firstTokenDeadline, 'no token came in time')
+      ? abortController.abortAt(
+          request.firstTokenDeadline,
+          'no token was received before the first-token deadline',
+        )
       : undefined;
-  stop.endAt(request.deadline, 'the answer did not end in time');
+  abortController.abortAt(
+    request.deadline,
+    'the answer was not complete before its deadline',
+  );
   owned.add(
-    followLeaving({
+    migrateWhenLeaving({
       clock,
       costs,
-      place,
+      pick,
       attempt: generation.attempt,
-      stop,
+      abortController,
       remainingMs,
-      preparing: () => states.send('leave'),
-      takePlace: options.takePlace,
+      onPreparing: () => stateMachine.send('leave'),
+      pickEndpoint: options.pickEndpoint,
     }),
   );
-  armWatch();
+  armStallDetector();
   try {
-    const event = await read();
-    states.send('end');
+    const event = await readEvents();
+    stateMachine.send('end');
     finish('ok', event.cachedTokens);
     return {type: 'ended', event};
   } catch (caught) {
-    return closeLost(toServingError(caught));
+    return handleFailure(toServingError(caught));
   } finally {
     owned.dispose();
   }
 }
 
 function beginAttempt(
-  progress: Progress,
-  place: StreamPlace,
-  states: Progress['states'],
+  progress: RequestProgress,
+  pick: StreamPlace,
+  stateMachine: RequestProgress['stateMachine'],
 ) {
   progress.attempts += 1;
-  progress.deliveredBefore = progress.delivered.length;
-  progress.endpoint = place.endpoint;
-  progress.states = states;
+  progress.deliveredAtAttemptStart = progress.delivered.length;
+  progress.endpoint = pick.endpoint;
+  progress.stateMachine = stateMachine;
 }
 
-function toGeneration({prefix, progress, at}: AttemptOptions): Generation {
+function createGeneration({
+  attemptIdPrefix,
+  progress,
+  target,
+}: AttemptOptions): Generation {
   const {request, delivered, attempts} = progress;
   return {
-    attempt: `${prefix}${request.id}#${attempts}`,
+    attempt: `${attemptIdPrefix}${request.id}#${attempts}`,
     prompt: request.prompt,
     maxTokens: request.maxTokens,
     urgency: request.urgency,
     seed: request.seed,
     delivered: [...delivered],
-    ...(at.importedCache === undefined
+    ...(target.importedCache === undefined
       ? {}
-      : {importedCache: at.importedCache}),
+      : {importedCache: target.importedCache}),
   };
 }
 
--- a/packages/streams/src/attemptMachine.ts
+++ b/packages/streams/src/attemptMachine.ts
@@ -1,21 +1,21 @@
-/** The states of one attempt at an engine. */
+/** State machine of one attempt at an engine. */
 import {createMachine, interpret, state, transition} from 'robot3';
 
 export type AttemptState =
-  /** Sent; the engine has not begun with it as far as we know. */
+  /** Sent to the engine; no start event received yet. */
   | 'sent'
-  /** The engine has begun with the prompt. */
+  /** The engine has started to process the prompt. */
   | 'started'
-  /** Tokens come. */
+  /** The engine sends tokens. */
   | 'streaming'
-  /** Another endpoint is being prepared to go on with it. */
+  /** A migration to another endpoint is being prepared. */
   | 'moving'
   | 'ended'
   | 'lost'
   | 'moved'
   | 'cancelled';
 
-export type AttemptSignal =
+export type AttemptStateEvent =
   | 'start'
   | 'token'
   | 'leave'
@@ -24,7 +24,7 @@
   | 'move'
   | 'cancel';
 
-const closing = [
+const terminalTransitions = [
   transition('end', 'ended'),
   transition('lose', 'lost'),
   transition('cancel', 'cancelled'),
@@ -35,40 +35,40 @@
     transition('start', 'started'),
     transition('token', 'streaming'),
     transition('leave', 'moving'),
-    ...closing,
+    ...terminalTransitions,
   ),
   started: state(
     transition('token', 'streaming'),
     transition('leave', 'moving'),
-    ...closing,
+    ...terminalTransitions,
   ),
-  streaming: state(transition('leave', 'moving'), ...closing),
-  moving: state(transition('move', 'moved'), ...closing),
+  streaming: state(transition('leave', 'moving'), ...terminalTransitions),
+  moving: state(transition('move', 'moved'), ...terminalTransitions),
   ended: state(),
   lost: state(),
   moved: state(),
   cancelled: state(),
 });
 
-export interface AttemptStates {
+export interface AttemptStateMachine {
   readonly current: AttemptState;
-  /** Goes to the next state; a signal that the state does not know is ignored. */
-  send(signal: AttemptSignal): void;
+  /** Applies an event; ignores events without a transition. */
+  send(event: AttemptStateEvent): void;
 }
 
 /**
- * Makes the states of an attempt that has just been sent.
+ * Creates the state machine of an attempt, in state `sent`.
  *
  * @example
- * const states = createAttemptStates();
- * states.send('start');
+ * const stateMachine = createAttemptStateMachine();
+ * stateMachine.send('start');
  */
-export function createAttemptStates(): AttemptStates {
+export function createAttemptStateMachine(): AttemptStateMachine {
   const service = interpret(machine, () => {});
   return {
     get current() {
       return service.machine.current as AttemptState;
     },
-    send: signal => service.send(signal),
+    send: event => service.send(event),
   };
 }
--- /dev/null
+++ b/packages/streams/src/attemptMeter.ts
@@ -0,0 +1,72 @@
+/** Measurement of one attempt: recomputed tokens, latency and prefill rate. */
+import type {Clock} from '@skylarkfield/base';
+import type {MigrationCosts} from './migrationCosts.js';
+import type {RequestProgress} from './progress.js';
+
+/** Meter of one attempt; adds recomputed tokens to the request's progress. */
+export interface AttemptMeter {
+  /** True once the engine has reported its start. */
+  readonly hasStarted: boolean;
+  /** True once a token of this attempt was received. */
+  readonly hasFirstToken: boolean;
+  /** Milliseconds from the start to the first token, or to now before that. */
+  latencyMs(): number;
+  /** Records the reported token counts; only the first call counts. */
+  recordStart(event: {
+    readonly promptTokens: number;
+    readonly cachedTokens: number;
+  }): void;
+  /** Records the first token; called at most once. */
+  recordFirstToken(): void;
+}
+
+export interface AttemptMeterOptions {
+  readonly clock: Clock;
+  readonly costs: MigrationCosts;
+  readonly progress: RequestProgress;
+  /** Answer tokens of earlier attempts, sent along with the prompt. */
+  readonly resumedTokens: number;
+}
+
+/**
+ * Creates the meter of an attempt that starts now.
+ *
+ * @example
+ * const meter = createAttemptMeter({clock, costs, progress, resumedTokens: 0});
+ * meter.recordStart({promptTokens: 800, cachedTokens: 640});
+ */
+export function createAttemptMeter(options: AttemptMeterOptions): AttemptMeter {
+  const {clock, costs, progress, resumedTokens} = options;
+  const startMs = clock.now();
+  let prefillStartMs = startMs;
+  let uncachedTokens = 0;
+  let firstTokenMs: number | undefined;
+  let hasStarted = false;
+
+  return {
+    get hasStarted() {
+      return hasStarted;
+    },
+    get hasFirstToken() {
+      return firstTokenMs !== undefined;
+    },
+    latencyMs: () => (firstTokenMs ?? clock.now()) - startMs,
+    recordStart({promptTokens, cachedTokens}) {
+      if (hasStarted) {
+        return;
+      }
+      hasStarted = true;
+      prefillStartMs = clock.now();
+      uncachedTokens = Math.max(0, promptTokens + resumedTokens - cachedTokens);
+      if (progress.hasStartedPrefill) {
+        progress.recomputedTokens += uncachedTokens;
+      }
+      progress.hasStartedPrefill = true;
+    },
+    recordFirstToken() {
+      firstTokenMs = clock.now();
+      progress.hasStartedPrefill = true;
+      costs.recordPrefill(uncachedTokens, firstTokenMs - prefillStartMs);
+    },
+  };
+}
--- a/packages/streams/src/contracts.ts
+++ b/packages/streams/src/contracts.ts
@@ -1,66 +1,67 @@
-/** Answers of model engines: attempts, correlation, resume. */
+/** Types of token streams and of the runner that produces them. */
 import type {AttemptResult, Engine} from '@skylarkfield/endpoints';
 
-/** One token for the caller. */
+/** One token of an answer. */
 export interface StreamToken {
   readonly index: number;
   readonly text: string;
 }
 
-/** What a whole answer took, over all its attempts. */
+/** Result of a completed request, over all its attempts. */
 export interface StreamSummary {
   readonly reason: 'stop' | 'length';
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly generatedTokens: number;
-  /** Attempts made, 1 when nothing failed. */
+  /** Number of attempts; 1 when none failed or was migrated. */
   readonly attempts: number;
-  /** Prompt and answer tokens computed again because an attempt was lost. */
+  /** Prompt and answer tokens that later attempts computed again. */
   readonly recomputedTokens: number;
 }
 
-/** Where an attempt runs. */
+/** Endpoint picked for an attempt, with callbacks for its progress. */
 export interface StreamPlace {
   readonly endpoint: string;
   readonly url: string;
   readonly engine: Engine;
-  /** Prompt tokens believed to be cached there; 0 when not known. */
+  /** Estimate of the prompt tokens cached there; 0 when unknown. */
   readonly cachedTokens?: number;
-  /** Fires when the endpoint has been told that it leaves: hand the stream over. */
+  /** Aborts when the endpoint is told to leave: the stream has to migrate. */
   readonly leaving: AbortSignal;
-  /** Monotonic milliseconds by which a leaving endpoint is gone, when known. */
+  /** Monotonic milliseconds by which a leaving endpoint is gone, if known. */
   goneAt?(): number | undefined;
-  /** The engine has begun with the prompt; at most once. */
+  /** Called at most once, when the engine starts to process the prompt. */
   started?(cachedTokens: number): void;
-  /** The first token has come; at most once. */
+  /** Called at most once, with the first token. */
   streaming?(): void;
-  /** Tells how the attempt went; exactly once. */
+  /** Called exactly once, with the result of the attempt. */
   finish(result: AttemptResult): void;
 }
 
-/** A request for an answer of a model. */
+/** Request for a generated answer. */
 export interface StreamRequest {
   readonly id: string;
   readonly prompt: string;
   readonly maxTokens: number;
   readonly urgency: number;
   readonly seed: number;
-  /** Monotonic milliseconds by which the first token has to come. */
+  /** Monotonic milliseconds by which the first token must arrive. */
   readonly firstTokenDeadline: number;
-  /** Monotonic milliseconds by which the answer has to end. */
+  /** Monotonic milliseconds by which the answer must be complete. */
   readonly deadline: number;
 }
 
-/** Runs requests for answers; one for all of an entry. */
+/** Runs generation requests; one instance per entry. */
 export interface StreamRunner {
   /**
-   * Runs a request to its end, over as many attempts as it takes.
-   * `place` gives an endpoint that is not excluded, or throws;
-   * `mayRetry` takes from the retry budget.
-   * Each token reaches `deliver` once and in order; a promise it returns holds the stream back.
+   * Runs a request to completion, with further attempts after failures.
+   * `place` picks an endpoint that is not excluded, or throws;
+   * `mayRetry` consumes from the retry budget.
+   * `deliver` receives each token once and in order; a returned promise applies
+   * backpressure.
    *
-   * Rejects with a `ServingError` that says `not-run` only when nothing of the
-   * request reached an engine.
+   * Rejects with a `ServingError`; its run state is `not-run` only when nothing
+   * of the request reached an engine.
    */
   run(
     request: StreamRequest,
--- a/packages/streams/src/eventJudgement.ts
+++ b/packages/streams/src/eventValidation.ts
@@ -1,74 +1,78 @@
-/** Decides what becomes of each event that an engine sends for an attempt. */
+/** Validation of the events that an engine sends for an attempt. */
 import type {Generation, GenerationEvent} from '@skylarkfield/endpoints';
 
 type EndEvent = GenerationEvent & {readonly type: 'end'};
 type StartEvent = GenerationEvent & {readonly type: 'start'};
 
-export type Judgement =
+export type EventVerdict =
   | {readonly type: 'deliver'; readonly text: string}
   | {readonly type: 'start'; readonly event: StartEvent}
   | {readonly type: 'end'; readonly event: EndEvent}
-  /** Harmless repetition of what was delivered already. */
+  /** A duplicate of a token that was already delivered. */
   | {readonly type: 'ignore'}
-  /** The answer can't be trusted from here on. */
-  | {readonly type: 'reject'; readonly why: string};
+  /** A protocol violation; the attempt has to be abandoned. */
+  | {readonly type: 'reject'; readonly message: string};
 
-const handlers: {
+const validators: {
   readonly [T in GenerationEvent['type']]: (
     event: GenerationEvent & {readonly type: T},
     request: Generation,
     delivered: readonly string[],
-  ) => Judgement;
+  ) => EventVerdict;
 } = {
   start: event => ({type: 'start', event}),
   token(event, request, delivered) {
     if (event.index < delivered.length) {
       const isSame = delivered[event.index] === event.text;
-      return isSame ? {type: 'ignore'} : reject('a token changed afterwards');
+      return isSame
+        ? {type: 'ignore'}
+        : reject('the engine changed the text of a delivered token');
     }
     if (event.index > delivered.length) {
-      return reject(`token ${delivered.length} is missing`);
+      return reject(`token ${delivered.length} is missing from the stream`);
     }
     if (event.index >= request.maxTokens) {
-      return reject('the answer is longer than asked for');
+      return reject('the answer exceeds maxTokens');
     }
     return {type: 'deliver', text: event.text};
   },
   end(event, request, delivered) {
     if (event.generatedTokens !== delivered.length) {
-      return reject('the answer ended before its last token');
+      return reject(
+        'the token count of the end event does not match the tokens received',
+      );
     }
     if (event.reason === 'length' && delivered.length !== request.maxTokens) {
-      return reject('the answer ended short of its length');
+      return reject('the answer ended with reason length before maxTokens');
     }
     return {type: 'end', event};
   },
 };
 
 /**
- * Judges one event. An engine that crosses answers sends another caller's
- * text: the attempt's id shows it, and the answer is dropped before any of it
- * reaches this caller.
+ * Returns what to do with an event. An engine that mixes up streams sends
+ * another caller's text: the attempt id reveals it, and the event is rejected
+ * before any of that text reaches this caller.
  *
  * @example
- * const judgement = judgeEvent(event, generation, delivered);
+ * const verdict = validateEvent(event, generation, delivered);
  */
-export function judgeEvent(
+export function validateEvent(
   event: GenerationEvent,
   request: Generation,
   delivered: readonly string[],
-): Judgement {
+): EventVerdict {
   if (event.attempt !== request.attempt) {
-    return reject('an event belongs to another attempt');
+    return reject('received an event of another attempt');
   }
-  const handler = handlers[event.type] as (
+  const validator = validators[event.type] as (
     event: GenerationEvent,
     request: Generation,
     delivered: readonly string[],
-  ) => Judgement;
-  return handler(event, request, delivered);
+  ) => EventVerdict;
+  return validator(event, request, delivered);
 }
 
-function reject(why: string): Judgement {
-  return {type: 'reject', why};
+function reject(message: string): EventVerdict {
+  return {type: 'reject', message};
 }
--- a/packages/streams/src/index.ts
+++ b/packages/streams/src/index.ts
@@ -1,3 +1,3 @@
-/** Attempts, correlation and resume of token streams. */
+/** Token streams with retries, event validation, resumption and migration. */
 export * from './contracts.js';
 export * from './streamRunner.js';
--- a/packages/streams/src/probe.ts
+++ b/packages/streams/src/probe.ts
@@ -1,26 +1,27 @@
-/** Asks an engine for a sign of life. */
+/** Liveness probe of an engine. */
 import type {Clock} from '@skylarkfield/base';
 import type {Engine} from '@skylarkfield/endpoints';
 
 /**
- * True when the engine tells its load within the time; never rejects.
+ * Resolves to whether the engine returns its load report within the timeout;
+ * never rejects.
  *
  * @example
- * if (await isAlive(clock, engine, 250)) { resumeThere(); }
+ * if (await isAlive(clock, engine, 250)) { resumeAtSameEndpoint(); }
  */
 export async function isAlive(
   clock: Clock,
   engine: Engine,
-  withinMs: number,
+  timeoutMs: number,
 ): Promise<boolean> {
-  const stop = new AbortController();
+  const controller = new AbortController();
   return new Promise(resolve => {
-    const timer = clock.after(withinMs, () => {
-      stop.abort();
+    const timer = clock.after(timeoutMs, () => {
+      controller.abort();
       resolve(false);
     });
     engine
-      .load(stop.signal)
+      .load(controller.signal)
       .then(
         () => resolve(true),
         () => resolve(false),
--- a/packages/streams/src/progress.ts
+++ b/packages/streams/src/progress.ts
@@ -1,45 +1,45 @@
-/** What one request has got so far, over all its attempts. */
+/** Progress of one request over all its attempts. */
 import type {StreamRequest} from './contracts.js';
-import type {AttemptStates} from './attemptMachine.js';
+import type {AttemptStateMachine} from './attemptMachine.js';
 
-export interface Progress {
+export interface RequestProgress {
   readonly request: StreamRequest;
-  /** Texts of the tokens that the caller has. */
+  /** Texts of the tokens delivered to the caller. */
   readonly delivered: string[];
-  /** Endpoints not to be tried again for this request. */
+  /** Endpoints that this request must not use. */
   readonly excluded: Set<string>;
-  /** Endpoints whose stream broke once and that may be tried once more. */
-  readonly cutOnce: Set<string>;
+  /** Endpoints that have used their one retry after an interrupted stream. */
+  readonly resumedEndpoints: Set<string>;
   attempts: number;
   recomputedTokens: number;
   /** True once any byte of the request may have reached an engine. */
   mayHaveRun: boolean;
-  /** True once an engine has begun to compute the prompt. */
-  hasComputed: boolean;
-  /** Tokens delivered when the last attempt began, to see progress. */
-  deliveredBefore: number;
+  /** True once an engine has started to compute the prompt. */
+  hasStartedPrefill: boolean;
+  /** Number of tokens delivered when the latest attempt started. */
+  deliveredAtAttemptStart: number;
   endpoint: string;
-  states: AttemptStates | undefined;
+  stateMachine: AttemptStateMachine | undefined;
 }
 
 /**
- * Makes the progress of a request that has just come.
+ * Creates the progress of a new request.
  *
  * @example
- * const progress = createProgress(request);
+ * const progress = createRequestProgress(request);
  */
-export function createProgress(request: StreamRequest): Progress {
+export function createRequestProgress(request: StreamRequest): RequestProgress {
   return {
     request,
     delivered: [],
     excluded: new Set(),
-    cutOnce: new Set(),
+    resumedEndpoints: new Set(),
     attempts: 0,
     recomputedTokens: 0,
     mayHaveRun: false,
-    hasComputed: false,
-    deliveredBefore: 0,
+    hasStartedPrefill: false,
+    deliveredAtAttemptStart: 0,
     endpoint: '',
-    states: undefined,
+    stateMachine: undefined,
   };
 }
--- a/packages/streams/src/untilAborted.ts
+++ b/packages/streams/src/raceAbort.ts
@@ -1,20 +1,20 @@
-/** Waits that end early. */
+/** Waiting for a promise with an abort signal. */
 import {ServingError} from '@skylarkfield/base';
 
 /**
- * Waits for a promise, but no longer than until the signal aborts; then it
- * rejects with `cancelled`.
+ * Waits for a promise; rejects with `cancelled` when the signal aborts first.
  *
  * @example
- * await untilAborted(deliver(token), signal);
+ * await raceAbort(deliver(token), signal);
  */
-export async function untilAborted(
+export async function raceAbort(
   promise: Promise<void>,
   signal: AbortSignal,
 ): Promise<void> {
   let onAbort = () => {};
   const aborted = new Promise<void>((_, reject) => {
-    onAbort = () => reject(new ServingError('cancelled', 'stopped'));
+    onAbort = () =>
+      reject(new ServingError('cancelled', 'the attempt was aborted'));
     signal.addEventListener('abort', onAbort, {once: true});
   });
   try {
--- a/packages/streams/src/streamRunner.ts
+++ b/packages/streams/src/streamRunner.ts
@@ -1,4 +1,4 @@
-/** Runs requests to their end over as many attempts as it takes. */
+/** Runs generation requests, with further attempts after failures. */
 import {
   ServingError,
   sleep,
@@ -13,29 +13,29 @@
   StreamRunner,
   StreamSummary,
 } from './contracts.js';
-import {createMoveCosts} from './moveCosts.js';
-import type {PreparedPlace} from './movePlan.js';
+import {createMigrationCosts} from './migrationCosts.js';
+import type {AttemptTarget} from './migration.js';
 import {isAlive} from './probe.js';
-import {createProgress, type Progress} from './progress.js';
-import {defaultStallLimits, type StallLimits} from './stallWatch.js';
+import {createRequestProgress, type RequestProgress} from './progress.js';
+import {defaultStallLimits, type StallLimits} from './stallDetector.js';
 
 export interface StreamRunnerOptions {
   readonly clock: Clock;
   readonly limits?: Partial<StallLimits>;
-  /** Id of this entry; begins every attempt's id, so that entries tell theirs apart. */
+  /** Entry id, prefixed to attempt ids to make them unique across entries. */
   readonly self?: string;
-  /** Attempts that one request may take in all. */
+  /** Upper bound of the attempts of one request. */
   readonly maxAttempts?: number;
 }
 
 type Hooks = Parameters<StreamRunner['run']>[1];
 
 const DEFAULT_MAX_ATTEMPTS = 10;
-/** Wait before endpoints that failed this request are asked again. */
-const SECOND_ROUND_MS = 150;
+/** Delay before endpoints that failed for this request are used again. */
+const EXCLUDED_RETRY_DELAY_MS = 150;
 
-/** Errors that another endpoint would answer just the same. */
-const FINAL_KINDS: ReadonlySet<ErrorKind> = new Set([
+/** Errors that every endpoint would return for the request. */
+const NON_RETRYABLE_KINDS: ReadonlySet<ErrorKind> = new Set([
   'bad-request',
   'too-large',
   'forbidden',
@@ -43,8 +43,8 @@
 ]);
 
 /**
- * Makes a runner. An attempt that is lost goes on elsewhere from the exact
- * position that the caller has.
+ * Creates a runner. After a failed attempt, the next one resumes from the exact
+ * position that the caller has received.
  *
  * @example
  * const runner = createStreamRunner({clock});
@@ -52,15 +52,15 @@
  */
 export function createStreamRunner(options: StreamRunnerOptions): StreamRunner {
   const {clock, self, maxAttempts = DEFAULT_MAX_ATTEMPTS} = options;
-  const prefix = self === undefined ? '' : `${self}-`;
+  const attemptIdPrefix = self === undefined ? '' : `${self}-`;
   const limits = {...defaultStallLimits, ...options.limits};
-  const costs = createMoveCosts();
-  const open = new Set<Progress>();
+  const costs = createMigrationCosts();
+  const openRequests = new Set<RequestProgress>();
   const totals = {requests: 0, attempts: 0, moved: 0, lost: 0, recomputed: 0};
 
-  /** Takes a place; endpoints that failed before are asked again when no other is left. */
-  async function takePlace(
-    progress: Progress,
+  /** Picks an endpoint; uses failed ones again when no other is left. */
+  async function pickEndpoint(
+    progress: RequestProgress,
     hooks: Hooks,
     signal: AbortSignal,
   ): Promise<StreamPlace> {
@@ -72,102 +72,106 @@
         throw error;
       }
     }
-    await sleep(clock, SECOND_ROUND_MS, signal);
+    await sleep(clock, EXCLUDED_RETRY_DELAY_MS, signal);
     excluded.clear();
     return hooks.place(excluded, delivered);
   }
 
-  async function runToEnd(
-    progress: Progress,
+  async function runAttempts(
+    progress: RequestProgress,
     hooks: Hooks,
     signal: AbortSignal,
   ): Promise<StreamSummary> {
-    let at: PreparedPlace | undefined;
+    let target: AttemptTarget | undefined;
     for (;;) {
-      at ??= {
-        place: await takePlace(progress, hooks, signal),
+      target ??= {
+        pick: await pickEndpoint(progress, hooks, signal),
         importedCache: undefined,
       };
-      const {place} = at;
+      const {pick} = target;
       const end: AttemptEnd = await runAttempt({
         clock,
         limits,
         costs,
         progress,
-        prefix,
-        at,
-        takePlace: () =>
+        attemptIdPrefix,
+        target,
+        pickEndpoint: () =>
           hooks.place(
-            new Set([...progress.excluded, place.endpoint]),
+            new Set([...progress.excluded, pick.endpoint]),
             progress.delivered,
           ),
         deliver: token => hooks.deliver(token),
         signal,
       });
       if (end.type === 'ended') {
-        return summary(progress, end.event);
+        return createSummary(progress, end.event);
       }
-      at = end.type === 'moved' ? end.to : undefined;
+      target = end.type === 'moved' ? end.target : undefined;
       if (end.type === 'moved') {
         totals.moved += 1;
         continue;
       }
       totals.lost += 1;
-      await afterLoss(progress, place, end.error, hooks);
+      await prepareRetry(progress, pick, end.error, hooks);
     }
   }
 
-  /** Decides whether a lost attempt is followed by another, and where not. */
-  async function afterLoss(
-    progress: Progress,
-    place: StreamPlace,
+  /** Throws if no retry is allowed; may exclude the failed endpoint. */
+  async function prepareRetry(
+    progress: RequestProgress,
+    pick: StreamPlace,
     error: ServingError,
     hooks: Hooks,
   ) {
-    if (FINAL_KINDS.has(error.kind) || progress.attempts >= maxAttempts) {
+    if (
+      NON_RETRYABLE_KINDS.has(error.kind) ||
+      progress.attempts >= maxAttempts
+    ) {
       throw error;
     }
-    const hasProgress = progress.delivered.length > progress.deliveredBefore;
-    // Only attempts that cost an engine work and brought nothing take from
-    // the budget: these are what makes a storm. Each of the others is paid for
-    // by tokens delivered, or never reached an engine.
-    const isCostly = !hasProgress && error.kind !== 'endpoint-unavailable';
-    if (isCostly && !hooks.mayRetry()) {
+    const hasProgress =
+      progress.delivered.length > progress.deliveredAtAttemptStart;
+    // Only attempts that cost an engine work and delivered no token consume the
+    // retry budget, since these cause retry storms. The others delivered tokens
+    // or never reached an engine.
+    const isWasted = !hasProgress && error.kind !== 'endpoint-unavailable';
+    if (isWasted && !hooks.mayRetry()) {
       throw error;
     }
-    if (!(await mayResumeThere(progress, place, error, hasProgress))) {
-      progress.excluded.add(place.endpoint);
+    if (!(await canResumeAtSameEndpoint(progress, pick, error, hasProgress))) {
+      progress.excluded.add(pick.endpoint);
     }
   }
 
-  /** An engine that only lost the connection has all tokens in its cache still. */
-  async function mayResumeThere(
-    progress: Progress,
-    place: StreamPlace,
+  /** An engine that only lost the connection still has the tokens cached. */
+  async function canResumeAtSameEndpoint(
+    progress: RequestProgress,
+    pick: StreamPlace,
     error: ServingError,
     hasProgress: boolean,
   ): Promise<boolean> {
     if (error.kind !== 'interrupted' || !hasProgress) {
       return false;
     }
-    if (place.leaving.aborted || progress.cutOnce.has(place.endpoint)) {
+    if (pick.leaving.aborted || progress.resumedEndpoints.has(pick.endpoint)) {
       return false;
     }
-    progress.cutOnce.add(place.endpoint);
-    return isAlive(clock, place.engine, limits.probeMs);
+    progress.resumedEndpoints.add(pick.endpoint);
+    return isAlive(clock, pick.engine, limits.probeTimeoutMs);
   }
 
   return {
     async run(request: StreamRequest, hooks, signal) {
-      const progress = createProgress(request);
-      open.add(progress);
+      const progress = createRequestProgress(request);
+      openRequests.add(progress);
       totals.requests += 1;
       try {
-        return await runToEnd(progress, hooks, signal);
+        return await runAttempts(progress, hooks, signal);
       } catch (error) {
-        throw truthfulError(progress, toServingError(error));
+        throw withRequestRunState(progress, toServingError(error));
       } finally {
-        open.delete(progress);
+        openRequests.delete(progress);
         totals.attempts += progress.attempts;
         totals.recomputed += progress.recomputedTokens;
       }
@@ -175,10 +179,10 @@
     dump: () => ({
       totals: {...totals},
       costs: costs.dump(),
-      open: [...open].map(progress => ({
+      open: [...openRequests].map(progress => ({
         id: progress.request.id,
         attempt: progress.attempts,
-        state: progress.states?.current ?? 'placing',
+        state: progress.stateMachine?.current ?? 'placing',
         endpoint: progress.endpoint,
         delivered: progress.delivered.length,
       })),
@@ -186,8 +190,8 @@
   };
 }
 
-function summary(
-  progress: Progress,
+function createSummary(
+  progress: RequestProgress,
   event: {
     readonly reason: 'stop' | 'length';
     readonly promptTokens: number;
@@ -206,10 +210,13 @@
 }
 
 /**
- * The error with the run state of the request as a whole: the last attempt may
- * not have reached an engine while an earlier one did.
+ * Returns the error with the run state of the whole request: an earlier attempt
+ * may have reached an engine although the last one did not.
  */
-function truthfulError(progress: Progress, error: ServingError): ServingError {
+function withRequestRunState(
+  progress: RequestProgress,
+  error: ServingError,
+): ServingError {
   const run = progress.mayHaveRun ? 'may-have-run' : 'not-run';
   if (error.run === run) {
     return error;
--- a/packages/streams/src/test/fakeEngine.ts
+++ b/packages/streams/src/test/fakeEngine.ts
@@ -1,4 +1,4 @@
-/** A scripted engine for tests: each attempt that it takes meets the next planned fault. */
+/** Scripted engine for tests: each attempt gets the next planned fault. */
 import {ServingError, sleep, type Clock} from '@skylarkfield/base';
 import type {
   Engine,
@@ -21,43 +21,43 @@
   | 'truncated'
   | 'endless';
 
-export interface Plan {
+export interface FaultPlan {
   readonly fault: PlannedFault;
-  /** Tokens of the attempt before the fault. */
+  /** Number of tokens that the attempt sends before the fault. */
   readonly at: number;
 }
 
-/** Length of every answer unless fewer tokens are asked for. */
+/** Tokens of every answer, unless `maxTokens` is lower. */
 export const ANSWER_LENGTH = 24;
 const TOKEN_GAP_MS = 20;
-const BUSY_MS = 700;
-const IMPORT_MS = 90;
+const BUSY_PAUSE_MS = 700;
+const IMPORT_DURATION_MS = 90;
 
-/** Token of the only right answer. */
-export function rightToken(index: number): string {
+/** Token of the only correct answer. */
+export function expectedToken(index: number): string {
   return ` t${index}`;
 }
 
-/** All tokens of the only right answer. */
-export function rightAnswer(maxTokens = ANSWER_LENGTH): string[] {
+/** All tokens of the only correct answer. */
+export function expectedAnswer(maxTokens = ANSWER_LENGTH): string[] {
   const length = Math.min(ANSWER_LENGTH, maxTokens);
-  return Array.from({length}, (_, index) => rightToken(index));
+  return Array.from({length}, (_, index) => expectedToken(index));
 }
 
 export interface FakeEngine extends Engine {
   readonly received: Generation[];
-  readonly cancelled: string[];
-  /** When true, nothing is answered, the load neither. */
+  readonly cancelledAttempts: string[];
+  /** When true, the engine does not respond, not even to load requests. */
   isHung: boolean;
 }
 
-/** Refusals before anything of the request was run. */
+/** Errors before any of the request was run. */
 const refusals: Partial<Record<PlannedFault, () => ServingError>> = {
   refused: () => new ServingError('endpoint-unavailable', 'refused'),
   overloaded: () => new ServingError('overloaded', 'full'),
 };
 
-/** What the stream yields in place of the right token when the fault shows. */
+/** Events that the stream yields instead of the correct token. */
 const replacements: Partial<
   Record<PlannedFault, (token: GenerationEvent) => GenerationEvent[]>
 > = {
@@ -69,10 +69,10 @@
 
 export function createFakeEngine(
   clock: Clock,
-  nextPlan: () => Plan,
+  nextPlan: () => FaultPlan,
 ): FakeEngine {
   const received: Generation[] = [];
-  const cancelled: string[] = [];
+  const cancelledAttempts: string[] = [];
 
   async function* generate(
     request: Generation,
@@ -92,26 +92,26 @@
     yield {type: 'start', attempt, promptTokens: 100, cachedTokens: 0};
     for (let index = delivered.length; index < total; index++) {
       await sleep(clock, TOKEN_GAP_MS, signal);
-      const isNow = index - delivered.length === at;
-      if (engine.isHung || (isNow && fault === 'silent')) {
+      const isFaultDue = index - delivered.length === at;
+      if (engine.isHung || (isFaultDue && fault === 'silent')) {
         await sleep(clock, 1e9, signal);
       }
-      if (isNow && fault === 'busy') {
-        await sleep(clock, BUSY_MS, signal);
+      if (isFaultDue && fault === 'busy') {
+        await sleep(clock, BUSY_PAUSE_MS, signal);
       }
-      if (isNow && fault === 'cut') {
+      if (isFaultDue && fault === 'cut') {
         throw new ServingError('interrupted', 'cut');
       }
-      if (isNow && fault === 'truncated') {
+      if (isFaultDue && fault === 'truncated') {
         break;
       }
       const token = {
         type: 'token' as const,
         attempt,
         index,
-        text: rightToken(index),
+        text: expectedToken(index),
       };
-      const replace = isNow ? replacements[fault] : undefined;
+      const replace = isFaultDue ? replacements[fault] : undefined;
       yield* replace === undefined ? [token] : replace(token);
     }
     if (fault === 'endless') {
@@ -129,11 +129,11 @@
 
   const engine: FakeEngine = {
     received,
-    cancelled,
+    cancelledAttempts,
     isHung: false,
     generate,
     async cancel(attempt) {
-      cancelled.push(attempt);
+      cancelledAttempts.push(attempt);
     },
     async load(signal) {
       if (engine.isHung) {
@@ -151,7 +151,7 @@
     cacheEvents: async () => [],
     exportCache: async attempt => ({handle: attempt, tokens: 90, bytes: 9e6}),
     async importCache({handle}, signal) {
-      await sleep(clock, IMPORT_MS, signal);
+      await sleep(clock, IMPORT_DURATION_MS, signal);
       return {handle, tokens: 90, bytes: 9e6};
     },
     order: async () => {},
--- a/packages/streams/src/test/streamRig.ts
+++ b/packages/streams/src/test/streamRig.ts
@@ -1,4 +1,4 @@
-/** A runner before three scripted engines, with everything that a caller sees. */
+/** Stream runner with three scripted engines; records the caller's view. */
 import {
   ServingError,
   toServingError,
@@ -7,15 +7,15 @@
 } from '@skylarkfield/base';
 import type {StreamPlace, StreamRequest, StreamSummary} from '../contracts.js';
 import {createStreamRunner} from '../streamRunner.js';
-import {ANSWER_LENGTH, createFakeEngine, type Plan} from './fakeEngine.js';
+import {ANSWER_LENGTH, createFakeEngine, type FaultPlan} from './fakeEngine.js';
 
 export const DEADLINE_MS = 20_000;
-const ENGINES = 3;
+const ENGINE_COUNT = 3;
 
 export interface RigOptions {
-  /** Faults in the order in which attempts meet them; none after the last. */
-  readonly plans?: readonly Plan[];
-  readonly retries?: number;
+  /** Faults in the order of the attempts; attempts after the last have none. */
+  readonly plans?: readonly FaultPlan[];
+  readonly retryBudget?: number;
   readonly maxTokens?: number;
   /** Monotonic milliseconds by which leaving endpoints are gone. */
   readonly goneAt?: number;
@@ -26,17 +26,17 @@
   const clock = virtualClock();
   const plans = [...(options.plans ?? [])];
   const nextPlan = () => plans.shift() ?? {fault: 'none' as const, at: 0};
-  const engines = Array.from({length: ENGINES}, () =>
+  const engines = Array.from({length: ENGINE_COUNT}, () =>
     createFakeEngine(clock, nextPlan),
   );
   const leaving = engines.map(() => new AbortController());
   const caller = new AbortController();
   const runner = createStreamRunner({clock});
   const tokens: string[] = [];
-  const placed: {endpoint: string; outcomes: string[]}[] = [];
-  let retries = options.retries ?? 100;
+  const picks: {endpoint: string; outcomes: string[]}[] = [];
+  let retriesLeft = options.retryBudget ?? 100;
 
-  function place(excluded: ReadonlySet<string>): StreamPlace {
+  function pickEndpoint(excluded: ReadonlySet<string>): StreamPlace {
     const index = engines.findIndex(
       (_, i) => !excluded.has(`e${i}`) && !leaving[i]!.signal.aborted,
     );
@@ -44,7 +44,7 @@
       throw new ServingError('endpoint-unavailable', 'no endpoint is left');
     }
     const record = {endpoint: `e${index}`, outcomes: [] as string[]};
-    placed.push(record);
+    picks.push(record);
     return {
       endpoint: record.endpoint,
       url: `fake://${index}`,
@@ -68,8 +68,8 @@
 
   function start(): void {
     const hooks = {
-      place,
-      mayRetry: () => (retries -= 1) >= 0,
+      place: pickEndpoint,
+      mayRetry: () => (retriesLeft -= 1) >= 0,
       deliver(token: {readonly text: string}) {
         tokens.push(token.text);
         return options.deliver?.();
@@ -88,7 +88,7 @@
     caller,
     runner,
     tokens,
-    placed,
+    picks,
     result,
     start,
   };
--- a/packages/streams/src/test/streamRunner.fuzz.test.ts
+++ b/packages/streams/src/test/streamRunner.fuzz.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
-import {rightAnswer, type Plan, type PlannedFault} from './fakeEngine.js';
+import {
+  expectedAnswer,
+  type FaultPlan,
+  type PlannedFault,
+} from './fakeEngine.js';
 import {createRig, DEADLINE_MS} from './streamRig.js';
 
 const isLong = process.env.SKYLARKFIELD_FUZZ === 'long';
@@ -24,25 +28,25 @@
   'endless',
 ];
 
-const plan: fc.Arbitrary<Plan> = fc.record({
+const faultPlan: fc.Arbitrary<FaultPlan> = fc.record({
   fault: fc.constantFrom(...faultTypes),
   at: fc.integer({min: 0, max: 12}),
 });
 
-/** Something that happens to the engines or the caller at a time. */
-const happening = fc.record({
+/** An event at an engine, some time after the previous one. */
+const disruption = fc.record({
   afterMs: fc.integer({min: 0, max: 600}),
   type: fc.constantFrom('leave' as const, 'hang' as const, 'wake' as const),
   engine: fc.integer({min: 0, max: 2}),
 });
 
 const scenario = fc.record({
-  plans: fc.array(plan, {maxLength: 10}),
-  happenings: fc.array(happening, {maxLength: 6}),
+  plans: fc.array(faultPlan, {maxLength: 10}),
+  disruptions: fc.array(disruption, {maxLength: 6}),
   goneAt: fc.constantFrom(undefined, 200, 600, 1500),
-  retries: fc.integer({min: 0, max: 8}),
+  retryBudget: fc.integer({min: 0, max: 8}),
   maxTokens: fc.constantFrom(1, 20, 24, 60),
-  callerGoesMs: fc.option(fc.integer({min: 0, max: 1500})),
+  callerAbortMs: fc.option(fc.integer({min: 0, max: 1500})),
 });
 
 const STEP_MS = 100;
@@ -56,14 +60,14 @@
     void (rig.engines[engine]!.isHung = false),
 };
 
-function check(rig: Rig, maxTokens: number) {
-  const whole = rightAnswer(maxTokens);
+function checkInvariants(rig: Rig, maxTokens: number) {
+  const fullAnswer = expectedAnswer(maxTokens);
   const {summary, error} = rig.result;
-  assert.deepEqual(rig.tokens, whole.slice(0, rig.tokens.length));
+  assert.deepEqual(rig.tokens, fullAnswer.slice(0, rig.tokens.length));
   assert.equal((summary === undefined) !== (error === undefined), true);
   if (summary !== undefined) {
-    assert.deepEqual(rig.tokens, whole);
-    assert.equal(summary.generatedTokens, whole.length);
+    assert.deepEqual(rig.tokens, fullAnswer);
+    assert.equal(summary.generatedTokens, fullAnswer.length);
   }
   if (error?.run === 'not-run') {
     assert.equal(
@@ -71,32 +75,36 @@
       0,
     );
   }
-  for (const record of rig.placed) {
-    assert.equal(record.outcomes.length, 1, 'a place is finished once');
+  for (const record of rig.picks) {
+    assert.equal(
+      record.outcomes.length,
+      1,
+      'each pick is finished exactly once',
+    );
   }
   assert.deepEqual((rig.runner.dump() as {open: unknown[]}).open, []);
 }
 
 describe('stream runner, fuzzed', () => {
-  it(`shows the exact text once or a clear end (seed ${seed})`, async () => {
+  it(`delivers the exact text or an error with a correct run state (seed ${seed})`, async () => {
     await fc.assert(
       fc.asyncProperty(scenario, async input => {
         const rig = createRig(input);
-        if (input.callerGoesMs !== null) {
-          rig.clock.after(input.callerGoesMs, () => rig.caller.abort());
+        if (input.callerAbortMs !== null) {
+          rig.clock.after(input.callerAbortMs, () => rig.caller.abort());
         }
         let atMs = 0;
-        for (const {afterMs, type, engine} of input.happenings) {
+        for (const {afterMs, type, engine} of input.disruptions) {
           atMs += afterMs;
           rig.clock.after(atMs, () => effects[type](rig, engine));
         }
         rig.start();
-        // In small steps: a row of refusals takes no virtual time, but more
-        // turns of promises than the clock waits for in one step.
+        // Small steps: a series of refusals takes no virtual time, but more
+        // promise turns than the clock waits for in one step.
         for (let ms = 0; ms < DEADLINE_MS + 1000; ms += STEP_MS) {
           await rig.clock.advance(STEP_MS);
         }
-        check(rig, input.maxTokens);
+        checkInvariants(rig, input.maxTokens);
       }),
       {seed, numRuns},
     );
--- a/packages/streams/src/test/streamRunner.test.ts
+++ b/packages/streams/src/test/streamRunner.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {sleep} from '@skylarkfield/base';
-import {rightAnswer, type Plan} from './fakeEngine.js';
+import {expectedAnswer, type FaultPlan} from './fakeEngine.js';
 import {createRig, DEADLINE_MS} from './streamRig.js';
 
 describe('stream runner', () => {
-  // An engine refuses, fails, breaks off, falls silent, or sends what belongs
-  // to another answer. A caller must notice nothing but a pause: the text goes
-  // on at the exact token, without a gap and without a repeat.
-  const faults: [Plan['fault'], string[]][] = [
+  // An engine refuses, fails, disconnects, stalls, or sends events of another
+  // answer. The caller may only notice a pause: the text must continue at the
+  // exact token, without a gap or a duplicate.
+  const faults: [FaultPlan['fault'], string[]][] = [
     ['none', ['ok']],
     ['refused', ['unreachable', 'ok']],
     ['failed', ['failed', 'ok']],
@@ -28,16 +28,16 @@
       const rig = createRig({plans: [{fault, at: 5}]});
       rig.start();
       await rig.clock.advance(DEADLINE_MS);
-      assert.deepEqual(rig.tokens, rightAnswer());
+      assert.deepEqual(rig.tokens, expectedAnswer());
       assert.deepEqual(
-        rig.placed.flatMap(record => record.outcomes),
+        rig.picks.flatMap(record => record.outcomes),
         outcomes,
       );
       assert.equal(rig.result.summary?.attempts, outcomes.length);
     });
   }
 
-  it('goes on at the same engine after a cut, since its cache has the tokens', async () => {
+  it('resumes at the same engine after a disconnect, since its cache has the tokens', async () => {
     const rig = createRig({
       plans: [
         {fault: 'cut', at: 5},
@@ -47,47 +47,47 @@
     rig.start();
     await rig.clock.advance(DEADLINE_MS);
     assert.deepEqual(
-      rig.placed.map(record => record.endpoint),
+      rig.picks.map(record => record.endpoint),
       ['e0', 'e0', 'e1'],
     );
-    assert.deepEqual(rig.tokens, rightAnswer());
+    assert.deepEqual(rig.tokens, expectedAnswer());
   });
 
-  // An engine process hangs while its socket stays open. Without the watch the
-  // caller would see the text stop until its own deadline.
-  it('leaves a hung engine and cancels the attempt there', async () => {
+  // An engine process hangs while its socket stays open. Without the stall
+  // detector the text would stop until the caller's own deadline.
+  it('abandons a hung engine and cancels the attempt there', async () => {
     const rig = createRig();
     rig.start();
     await rig.clock.advance(150);
     rig.engines[0]!.isHung = true;
     await rig.clock.advance(2000);
-    assert.deepEqual(rig.tokens, rightAnswer());
-    assert.deepEqual(rig.engines[0]!.cancelled, ['r1#1']);
+    assert.deepEqual(rig.tokens, expectedAnswer());
+    assert.deepEqual(rig.engines[0]!.cancelledAttempts, ['r1#1']);
   });
 
-  it('cancels the attempt at the engine when the caller goes', async () => {
+  it('cancels the attempt at the engine when the caller aborts', async () => {
     const rig = createRig();
     rig.start();
     await rig.clock.advance(150);
     rig.caller.abort();
     await rig.clock.advance(1);
     assert.equal(rig.result.error?.kind, 'cancelled');
-    assert.deepEqual(rig.engines[0]!.cancelled, ['r1#1']);
-    assert.deepEqual(rig.placed[0]!.outcomes, ['cancelled']);
+    assert.deepEqual(rig.engines[0]!.cancelledAttempts, ['r1#1']);
+    assert.deepEqual(rig.picks[0]!.outcomes, ['cancelled']);
   });
 
-  it('hands the KV cache over when the endpoint leaves', async () => {
+  it('transfers the KV cache when the endpoint is leaving', async () => {
     const rig = createRig({maxTokens: 400, goneAt: 300});
     rig.start();
     await rig.clock.advance(50);
     rig.leaving[0]!.abort();
     await rig.clock.advance(DEADLINE_MS);
-    assert.deepEqual(rig.tokens, rightAnswer());
+    assert.deepEqual(rig.tokens, expectedAnswer());
     assert.equal(rig.engines[1]!.received[0]?.importedCache, 'r1#1');
-    assert.deepEqual(rig.engines[0]!.cancelled, ['r1#1']);
+    assert.deepEqual(rig.engines[0]!.cancelledAttempts, ['r1#1']);
   });
 
-  it('gives the prepared place back when the caller goes during a hand-over', async () => {
+  it('finishes the prepared pick when the caller aborts during a migration', async () => {
     const rig = createRig({maxTokens: 400, goneAt: 300});
     rig.start();
     await rig.clock.advance(50);
@@ -96,12 +96,12 @@
     rig.caller.abort();
     await rig.clock.advance(1000);
     assert.deepEqual(
-      rig.placed.map(record => record.outcomes),
+      rig.picks.map(record => record.outcomes),
       [['cancelled'], ['cancelled']],
     );
   });
 
-  it('lets an answer that ends soon end at a leaving endpoint', async () => {
+  it('completes a nearly finished answer at a leaving endpoint', async () => {
     const rig = createRig({maxTokens: 24});
     rig.start();
     await rig.clock.advance(300);
@@ -110,7 +110,7 @@
     assert.equal(rig.result.summary?.attempts, 1);
   });
 
-  it('does not move an answer that ends well before the endpoint is gone', async () => {
+  it('does not migrate an answer that ends well before the endpoint is gone', async () => {
     const rig = createRig({maxTokens: 24, goneAt: 700});
     rig.start();
     await rig.clock.advance(50);
@@ -119,10 +119,10 @@
     assert.equal(rig.result.summary?.attempts, 1);
   });
 
-  it('says not-run only when no engine was reached', async () => {
-    const refused: Plan = {fault: 'refused', at: 0};
-    const failed: Plan = {fault: 'failed', at: 0};
-    const cases: [Plan[], string][] = [
+  it('reports not-run only when no engine was reached', async () => {
+    const refused: FaultPlan = {fault: 'refused', at: 0};
+    const failed: FaultPlan = {fault: 'failed', at: 0};
+    const cases: [FaultPlan[], string][] = [
       [Array.from({length: 20}, () => refused), 'not-run'],
       [[failed, ...Array.from({length: 20}, () => refused)], 'may-have-run'],
     ];
@@ -134,16 +134,16 @@
     }
   });
 
-  it('stops retrying fruitless attempts when the budget is used up', async () => {
-    const failed: Plan = {fault: 'failed', at: 0};
-    const rig = createRig({plans: [failed, failed, failed], retries: 1});
+  it('stops retrying attempts without progress when the retry budget is exhausted', async () => {
+    const failed: FaultPlan = {fault: 'failed', at: 0};
+    const rig = createRig({plans: [failed, failed, failed], retryBudget: 1});
     rig.start();
     await rig.clock.advance(DEADLINE_MS);
     assert.equal(rig.result.error?.kind, 'endpoint-failed');
-    assert.equal(rig.placed.length, 2);
+    assert.equal(rig.picks.length, 2);
   });
 
-  it('gives up when no first token comes by its deadline', async () => {
+  it('fails when no first token arrives by its deadline', async () => {
     const rig = createRig();
     rig.engines.forEach(engine => (engine.isHung = true));
     rig.start();
@@ -152,8 +152,8 @@
     assert.equal(rig.result.error?.run, 'may-have-run');
   });
 
-  // A caller reads slowly. The engine must not be taken for stalled meanwhile.
-  it('holds the stream back while the caller does not read', async () => {
+  // A slow reader must not make the engine look stalled.
+  it('pauses the stream while the caller does not read', async () => {
     const waiting: (() => void)[] = [];
     const rig = createRig({
       deliver: () => new Promise<void>(resolve => waiting.push(resolve)),
@@ -161,15 +161,15 @@
     rig.start();
     await rig.clock.advance(DEADLINE_MS - 5000);
     assert.equal(rig.tokens.length, 1);
-    assert.equal(rig.placed.length, 1);
+    assert.equal(rig.picks.length, 1);
     waiting.forEach(resolve => resolve());
     await rig.clock.advance(100);
     assert.equal(rig.tokens.length, 2);
   });
 
-  // A caller paused in reading, and the engine hangs afterwards. Were the pause
-  // taken for the engine's pace, the hang would go unnoticed for seconds.
-  it('does not take the reading of a caller for the pace of the engine', async () => {
+  // The caller pauses reading and the engine hangs afterwards. If the pause
+  // counted as a token gap, the hang would go undetected for seconds.
+  it('does not count a pause of the reader as a token gap', async () => {
     let held = 0;
     const rig = createRig({
       deliver() {
@@ -182,6 +182,6 @@
     assert.ok(rig.tokens.length > 4);
     rig.engines[0]!.isHung = true;
     await rig.clock.advance(1500);
-    assert.deepEqual(rig.tokens, rightAnswer());
+    assert.deepEqual(rig.tokens, expectedAnswer());
   });
 });
