--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -1,4 +1,4 @@
-/** Time as the decisions see it, so that tests can drive it. */
+/** Source of time and timers, replaceable in tests. */
 import {toDisposable, type Disposable} from './disposables.js';
 import {ServingError} from './errors.js';
 import {createTimerWheel} from './timerWheel.js';
@@ -8,41 +8,47 @@
   now(): number;
   /** Wall-clock milliseconds since 1970; may jump. */
   wall(): number;
-  /** Calls back once after the delay in milliseconds, unless disposed before. */
+  /** Calls back once after the delay, unless disposed before. */
   after(delayMs: number, callback: () => void): Disposable;
 }
 
 const MS_PER_SECOND = 1_000;
 const NS_PER_MS = 1_000_000;
 
-/** Delay from which timers are coalesced, and the distance of their slots, in milliseconds. */
-const FROM_MS = 200;
-const SLOT_MS = 50;
+/**
+ * Minimum delay of coalesced timers and the width of their slots, in
+ * milliseconds.
+ */
+const MIN_COALESCED_DELAY_MS = 200;
+const TIMER_SLOT_MS = 50;
 
 /**
- * The clock of the running process.
+ * Returns the clock of the running process.
  *
- * Timers do not keep the process alive: what serves holds sockets, and a
- * process with nothing but timers left is finished. Long ones fire up to 50 ms
- * late, together.
+ * Timers do not keep the process alive: a serving process has open sockets, and
+ * one with only timers left is finished. Timers of 200 ms or more are coalesced
+ * and fire up to 50 ms late.
  *
  * @example
  * const clock = systemClock();
  * const start = clock.now();
  */
 export function systemClock(): Clock {
-  const wheel = createTimerWheel({slotMs: SLOT_MS, now, arm});
+  const wheel = createTimerWheel({slotMs: TIMER_SLOT_MS, now, arm});
   return {
     now,
     wall: () => Date.now(),
     after: (delayMs, callback) =>
-      delayMs < FROM_MS
+      delayMs < MIN_COALESCED_DELAY_MS
         ? arm(Math.max(0, delayMs), callback)
         : wheel.at(now() + delayMs, callback),
   };
 }
 
-/** Monotonic milliseconds. `performance` would load several modules of Node at every start. */
+/**
+ * Monotonic milliseconds. `performance` would load several Node modules at
+ * startup.
+ */
 function now(): number {
   const [seconds, nanoseconds] = process.hrtime();
   return seconds * MS_PER_SECOND + nanoseconds / NS_PER_MS;
@@ -55,8 +61,8 @@
 }
 
 /**
- * Calls back every interval until disposed; the next call is planned after the
- * previous returned, so a slow callback never piles up.
+ * Calls back at an interval until disposed. Schedules the next call when the
+ * previous one returns, so calls never overlap.
  *
  * @example
  * store.add(every(clock, 500, sendHeartbeats));
@@ -84,7 +90,7 @@
 }
 
 /**
- * Waits on the given clock; rejects with `cancelled` when the signal aborts.
+ * Waits for a delay; rejects with `cancelled` if the signal aborts.
  *
  * @example
  * await sleep(clock, 200, signal);
--- a/packages/base/src/decisionLog.ts
+++ b/packages/base/src/decisionLog.ts
@@ -1,25 +1,25 @@
-/** A bounded, in-memory record of what a process decided and why. */
+/** Bounded in-memory log of a process's decisions and their reasons. */
 import type {Clock} from './clock.js';
 import type {Logger} from './logger.js';
 
-/** One decision with its cause and the figures behind it. */
+/** A decision with its reason and the figures that it is based on. */
 export interface Decision {
   /** Wall-clock milliseconds since 1970. */
   readonly at: number;
-  /** The package that decided, like `moves`. */
+  /** Package that made the decision, like `moves`. */
   readonly by: string;
-  /** What was decided, as a short verb phrase, like `cut share to 0`. */
+  /** The decision as a short verb phrase, like `cut share to 0`. */
   readonly what: string;
-  /** Why, in a form an operator understands. */
+  /** Reason, for the operator. */
   readonly why: string;
-  /** What it is about, like a service or member name. */
+  /** Subject of the decision, like the name of a service or member. */
   readonly subject: string;
-  /** The figures that led to it. */
+  /** Figures that the decision is based on. */
   readonly figures: Readonly<Record<string, number | string>>;
 }
 
 export interface DecisionLog {
-  /** Notes a decision; the oldest is dropped when the log is full. */
+  /** Adds a decision; drops the oldest when the log is full. */
   note(
     by: string,
     subject: string,
@@ -27,14 +27,14 @@
     why: string,
     figures?: Readonly<Record<string, number | string>>,
   ): void;
-  /** The kept decisions, oldest first. */
+  /** Logged decisions, oldest first. */
   list(): readonly Decision[];
 }
 
 const DEFAULT_CAPACITY = 500;
 
 /**
- * Makes a decision log that also writes each decision as a log line.
+ * Creates a decision log that also writes each decision as a log line.
  *
  * @example
  * decisions.note('routing', 'r3', 'eject', '5 failures in a row', {failures: 5});
@@ -44,16 +44,16 @@
   log: Logger,
   capacity = DEFAULT_CAPACITY,
 ): DecisionLog {
-  const kept: Decision[] = [];
+  const decisions: Decision[] = [];
   return {
     note(by, subject, what, why, figures = {}) {
       const decision = {at: clock.wall(), by, what, why, subject, figures};
-      kept.push(decision);
-      if (kept.length > capacity) {
-        kept.shift();
+      decisions.push(decision);
+      if (decisions.length > capacity) {
+        decisions.shift();
       }
       log.info({decision}, `${by}: ${what} (${subject}): ${why}`);
     },
-    list: () => kept,
+    list: () => decisions,
   };
 }
--- a/packages/base/src/disposables.ts
+++ b/packages/base/src/disposables.ts
@@ -1,19 +1,19 @@
-/** Things that are acquired and must be released by their owner. */
+/** Resources that their owner must release. */
 
 export interface Disposable {
-  /** Releases what was acquired; calling it again does nothing. */
+  /** Releases the resource; further calls have no effect. */
   dispose(): void;
 }
 
-/** Owns several disposables and releases them together. */
+/** Owns several disposables and disposes them together. */
 export interface DisposableStore extends Disposable {
-  /** Takes ownership; disposes at once when the store is already disposed. */
+  /** Takes ownership; disposes immediately if the store is already disposed. */
   add<T extends Disposable>(disposable: T): T;
   readonly isDisposed: boolean;
 }
 
 /**
- * Wraps a function as a disposable that runs it once.
+ * Wraps a function in a disposable that calls it at most once.
  *
  * @example
  * const subscription = toDisposable(() => listeners.delete(listener));
@@ -32,11 +32,11 @@
 }
 
 /**
- * Makes a store that disposes its content in reverse order of adding.
+ * Creates a store that disposes its contents in reverse order of addition.
  *
  * @example
  * const store = disposableStore();
- * store.add(clock.after(1000, beat));
+ * store.add(clock.after(1000, sendHeartbeat));
  * store.dispose();
  */
 export function disposableStore(): DisposableStore {
--- a/packages/base/src/dumps.ts
+++ b/packages/base/src/dumps.ts
@@ -1,15 +1,15 @@
-/** The state of a process, part by part, for those who look into it. */
+/** State dumps of the components of a process, for diagnosis. */
 import {toDisposable, type Disposable} from './disposables.js';
 
-/** Collects the state of each part for the dump. */
+/** Registry of state dumps by component. */
 export interface Dumps {
   add(name: string, dump: () => unknown): Disposable;
   collect(): Record<string, unknown>;
 }
 
 /**
- * Makes an empty collection of dumps. A dump that throws shows its error
- * instead of hiding the state of all other parts.
+ * Creates an empty registry. A dump function that throws contributes its error,
+ * so that the other components are still dumped.
  *
  * @example
  * const dumps = createDumps();
--- a/packages/base/src/errors.ts
+++ b/packages/base/src/errors.ts
@@ -1,11 +1,11 @@
 /**
- * The closed list of error kinds, the table from kind to answer, and the one
- * error class that carries a kind across package borders.
+ * The closed set of error kinds, their HTTP responses, and the error class that
+ * packages use to pass a kind to each other.
  */
 
 /**
- * Whether the back end may have executed the request when it is refused.
- * `not-run` is a promise: nothing of the request reached an endpoint.
+ * Whether the back end may have executed a failed request. `not-run` is a
+ * guarantee: nothing of the request reached an endpoint.
  */
 export type RunState = 'not-run' | 'may-have-run';
 
@@ -36,99 +36,149 @@
   | 'cancelled'
   | 'internal';
 
-/** How a caller is answered when a request ends with an error of some kind. */
-export interface ErrorAnswer {
+/** Response to a caller whose request failed with an error of some kind. */
+export interface ErrorResponse {
   /** HTTP status code. */
   readonly status: number;
-  /** Short, stable summary for the `title` of an RFC 9457 problem. */
+  /** Short, stable `title` of the RFC 9457 problem. */
   readonly title: string;
-  /** Run state when the error itself does not say otherwise. */
+  /** Run state unless the error itself has another one. */
   readonly run: RunState;
-  /** Whether trying the same request again can help. */
+  /** Whether a retry of the same request can succeed. */
   readonly retryable: boolean;
 }
 
-/** The table from error kind to answer. */
-export const errorAnswers: Readonly<Record<ErrorKind, ErrorAnswer>> = {
-  'bad-request': answer(400, 'The request is malformed', 'not-run', false),
-  'bad-settings': answer(500, 'The settings are invalid', 'not-run', false),
-  'bad-record': answer(422, 'The record is invalid', 'not-run', false),
-  unauthenticated: answer(401, 'No valid key was given', 'not-run', false),
-  forbidden: answer(403, 'The key does not allow this', 'not-run', false),
-  'not-found': answer(404, 'There is nothing here', 'not-run', false),
-  'unknown-service': answer(404, 'No such service', 'not-run', false),
-  'too-large': answer(413, 'The request is too large', 'not-run', false),
-  'key-conflict': answer(
+/** Response by error kind. */
+export const errorAnswers: Readonly<Record<ErrorKind, ErrorResponse>> = {
+  'bad-request': errorResponse(
+    400,
+    'The request is malformed',
+    'not-run',
+    false,
+  ),
+  'bad-settings': errorResponse(
+    500,
+    'The settings are invalid',
+    'not-run',
+    false,
+  ),
+  'bad-record': errorResponse(422, 'The record is invalid', 'not-run', false),
+  unauthenticated: errorResponse(
+    401,
+    'No valid key was given',
+    'not-run',
+    false,
+  ),
+  forbidden: errorResponse(
+    403,
+    'The key does not allow this',
+    'not-run',
+    false,
+  ),
+  'not-found': errorResponse(404, 'There is nothing here', 'not-run', false),
+  'unknown-service': errorResponse(404, 'No such service', 'not-run', false),
+  'too-large': errorResponse(413, 'The request is too large', 'not-run', false),
+  'key-conflict': errorResponse(
     422,
     'The idempotency key was used with another request',
     'not-run',
     false,
   ),
-  'in-progress': answer(
+  'in-progress': errorResponse(
     409,
     'A request with this idempotency key is still running',
     'may-have-run',
     true,
   ),
-  overloaded: answer(429, 'The service is at its limit', 'not-run', true),
-  'deadline-exceeded': answer(504, 'The deadline passed', 'not-run', true),
-  leaving: answer(503, 'This entry is leaving', 'not-run', true),
-  'not-ready': answer(503, 'This entry is not ready', 'not-run', true),
-  'platform-unavailable': answer(
+  overloaded: errorResponse(
+    429,
+    'The service is at its limit',
+    'not-run',
+    true,
+  ),
+  'deadline-exceeded': errorResponse(
+    504,
+    'The deadline passed',
+    'not-run',
+    true,
+  ),
+  leaving: errorResponse(503, 'This entry is leaving', 'not-run', true),
+  'not-ready': errorResponse(503, 'This entry is not ready', 'not-run', true),
+  'platform-unavailable': errorResponse(
     503,
     'The platform does not answer',
     'not-run',
     true,
   ),
-  'version-conflict': answer(409, 'The object has changed', 'not-run', true),
-  fenced: answer(409, 'A newer holder has taken over', 'not-run', true),
-  'endpoint-unavailable': answer(
+  'version-conflict': errorResponse(
+    409,
+    'The object has changed',
+    'not-run',
+    true,
+  ),
+  fenced: errorResponse(409, 'A newer holder has taken over', 'not-run', true),
+  'endpoint-unavailable': errorResponse(
     503,
     'No endpoint can take the request',
     'not-run',
     true,
   ),
-  quarantined: answer(
+  quarantined: errorResponse(
     503,
     'Endpoints crash under this request',
     'not-run',
     true,
   ),
-  'endpoint-failed': answer(502, 'The endpoint failed', 'may-have-run', true),
-  interrupted: answer(502, 'The answer was cut off', 'may-have-run', true),
-  'outcome-unknown': answer(
+  'endpoint-failed': errorResponse(
+    502,
+    'The endpoint failed',
+    'may-have-run',
+    true,
+  ),
+  interrupted: errorResponse(
+    502,
+    'The answer was cut off',
+    'may-have-run',
+    true,
+  ),
+  'outcome-unknown': errorResponse(
     502,
     'The outcome is not known',
     'may-have-run',
     false,
   ),
-  'protocol-violation': answer(
+  'protocol-violation': errorResponse(
     502,
     'A peer broke the protocol',
     'may-have-run',
     false,
   ),
-  cancelled: answer(499, 'The request was cancelled', 'may-have-run', false),
-  internal: answer(500, 'Internal error', 'may-have-run', false),
+  cancelled: errorResponse(
+    499,
+    'The request was cancelled',
+    'may-have-run',
+    false,
+  ),
+  internal: errorResponse(500, 'Internal error', 'may-have-run', false),
 };
 
-/** One fault in a value that was checked, with the path to it. */
+/** One validation error and its path. */
 export interface Fault {
   /** Path of the field, like `listen.port`; empty for the whole value. */
   readonly path: string;
-  /** What was expected there. */
+  /** Expected value of the field. */
   readonly expected: string;
 }
 
-/** What an error carries besides its kind and message. */
+/** Optional details of an error. */
 export interface ErrorDetails {
-  /** Overrides the table's run state. */
+  /** Overrides the run state of the error kind. */
   readonly run?: RunState;
-  /** When trying again makes sense, in milliseconds from now. */
+  /** Suggested delay before a retry, in milliseconds. */
   readonly retryAfterMs?: number;
-  /** Faults of a checked value, one per field. */
+  /** Validation errors, one per field. */
   readonly faults?: readonly Fault[];
-  /** The error this one was made from. */
+  /** Underlying error. */
   readonly cause?: unknown;
 }
 
@@ -136,7 +186,7 @@
  * The error that packages throw to each other.
  *
  * @example
- * throw new ServingError('overloaded', 'queue of booking is full', {retryAfterMs: 250});
+ * throw new ServingError('overloaded', 'the queue of booking is full', {retryAfterMs: 250});
  */
 export class ServingError extends Error {
   readonly kind: ErrorKind;
@@ -155,10 +205,10 @@
 }
 
 /**
- * Tells whether a caught value is a `ServingError`, of the given kind if one is given.
+ * Returns whether a caught value is a `ServingError`, of the given kind if any.
  *
  * @example
- * if (isServingError(error, 'version-conflict')) { return readAgain(); }
+ * if (isServingError(error, 'version-conflict')) { return retry(); }
  */
 export function isServingError(
   error: unknown,
@@ -171,7 +221,8 @@
 }
 
 /**
- * Turns any caught value into a `ServingError`; unknown ones become `internal`.
+ * Converts any caught value to a `ServingError`; unknown errors become
+ * `internal`.
  *
  * @example
  * catch (error) { reply(toServingError(error)); }
@@ -184,11 +235,11 @@
   return new ServingError('internal', message, {cause: error});
 }
 
-function answer(
+function errorResponse(
   status: number,
   title: string,
   run: RunState,
   retryable: boolean,
-): ErrorAnswer {
+): ErrorResponse {
   return {status, title, run, retryable};
 }
--- a/packages/base/src/events.ts
+++ b/packages/base/src/events.ts
@@ -1,21 +1,21 @@
-/** Typed events between parts of one process. */
+/** Typed events between components of one process. */
 import {toDisposable, type Disposable} from './disposables.js';
 
 /** Subscribes a listener until the returned disposable is disposed. */
 export type Event<T> = (listener: (value: T) => void) => Disposable;
 
-/** The owner's side of an event. */
+/** Publisher side of an event. */
 export interface Emitter<T> extends Disposable {
   readonly event: Event<T>;
-  /** Calls every listener in order of subscription. */
+  /** Calls all listeners in order of subscription. */
   fire(value: T): void;
 }
 
 /**
- * Makes an event source.
+ * Creates an event emitter.
  *
- * A listener that throws does not keep the others from hearing the event: the
- * first error is thrown after all have been called.
+ * A listener that throws does not prevent calls of the others: the first error
+ * is rethrown after all listeners were called.
  *
  * @example
  * const changed = emitter<Member>();
@@ -26,7 +26,7 @@
   const listeners = new Set<(value: T) => void>();
   return {
     event(listener) {
-      // A wrapper keeps two subscriptions of one function apart.
+      // The wrapper distinguishes two subscriptions of the same function.
       const wrapper = (value: T) => listener(value);
       listeners.add(wrapper);
       return toDisposable(() => listeners.delete(wrapper));
--- a/packages/base/src/hashing.ts
+++ b/packages/base/src/hashing.ts
@@ -1,10 +1,10 @@
-/** Stable hashes that every process computes alike. */
+/** Stable hashes, the same in every process. */
 import murmurhash from 'murmurhash';
 
 const TWO_TO_32 = 0x1_0000_0000;
 
 /**
- * 32-bit hash of a text, the same in every process and release.
+ * Returns a 32-bit hash of a text, the same in every process and release.
  *
  * @example
  * hash32('booking/order-17') % shardCount;
@@ -14,7 +14,7 @@
 }
 
 /**
- * Hash of a text as a fraction in [0, 1).
+ * Returns the hash of a text as a fraction in [0, 1).
  *
  * @example
  * const takesCandidate = hashFraction(`${move}/${session}`) < share;
@@ -24,8 +24,8 @@
 }
 
 /**
- * Orders nodes by rendezvous (highest random weight) hashing for a key: removing
- * one node moves only the keys that it held.
+ * Orders nodes by rendezvous (highest random weight) hashing for a key:
+ * removing a node reassigns only the keys of that node.
  *
  * @example
  * const [owner, successor] = rendezvousOrder('shard-3', memberIds);
--- a/packages/base/src/inFlight.ts
+++ b/packages/base/src/inFlight.ts
@@ -1,16 +1,19 @@
-/** Counts what is in progress and waits for it to end. */
+/** Counter of operations in progress that can be awaited to drain. */
 import type {Clock} from './clock.js';
 
 export interface InFlight {
   begin(): void;
   end(): void;
   count(): number;
-  /** Resolves true when nothing is in progress, false after the given time in milliseconds. */
+  /**
+   * Resolves to true once nothing is in progress, or to false after the
+   * timeout.
+   */
   idle(timeoutMs: number): Promise<boolean>;
 }
 
 /**
- * Makes a counter at zero.
+ * Creates a counter at zero.
  *
  * @example
  * const inFlight = createInFlight(clock);
@@ -18,7 +21,7 @@
  */
 export function createInFlight(clock: Clock): InFlight {
   let count = 0;
-  const waiters = new Set<() => void>();
+  const idleListeners = new Set<() => void>();
   return {
     begin() {
       count += 1;
@@ -26,7 +29,7 @@
     end() {
       count -= 1;
       if (count === 0) {
-        [...waiters].forEach(waiter => waiter());
+        [...idleListeners].forEach(listener => listener());
       }
     },
     count: () => count,
@@ -37,10 +40,10 @@
       return new Promise(resolve => {
         const timer = clock.after(timeoutMs, () => settle(false));
         const onIdle = () => settle(true);
-        waiters.add(onIdle);
+        idleListeners.add(onIdle);
         function settle(isIdle: boolean) {
           timer.dispose();
-          waiters.delete(onIdle);
+          idleListeners.delete(onIdle);
           resolve(isIdle);
         }
       });
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,4 +1,7 @@
-/** Errors, clock, random numbers, disposables, events, checks, logs, metrics and hashing. */
+/**
+ * Errors, clocks, random numbers, disposables, events, validation, logs,
+ * metrics and hashing.
+ */
 export * from './clock.js';
 export * from './decisionLog.js';
 export * from './disposables.js';
@@ -10,7 +13,7 @@
 export * from './logger.js';
 export * from './metrics.js';
 export * from './pausableClock.js';
-export * from './processLife.js';
+export * from './processLifecycle.js';
 export * from './random.js';
 export * from './shapes.js';
 export * from './virtualClock.js';
--- a/packages/base/src/logger.ts
+++ b/packages/base/src/logger.ts
@@ -1,66 +1,66 @@
-/** JSON-lines logs. */
+/** Logger that writes JSON lines. */
 import pino from 'pino';
 
 export type Logger = pino.Logger;
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
 
-/** Names of fields that may hold a secret; their values never reach a log. */
+/** Names of fields that may contain a secret; their values are redacted. */
 const SECRET_FIELDS = ['key', 'keys', 'authorization', 'secret', 'password'];
 
-/** Where log lines go. */
+/** Destination of log lines. */
 export type LogSink = 'stderr' | 'stdout';
 
-/** Bytes gathered before a write, so that a line costs no system call of its own. */
-const GATHERED_BYTES = 4_096;
+/** Bytes buffered before a write, to save a system call per line. */
+const WRITE_BATCH_BYTES = 4_096;
 
 /**
- * Bytes that may wait for a slow reader; further lines are dropped. A process
- * must never wait for whoever reads its log, nor fill its memory for it.
+ * Bytes buffered for a slow reader; further lines are dropped. A slow reader of
+ * the log must neither block the process nor exhaust its memory.
  */
-const MOST_WAITING_BYTES = 1_048_576;
+const MAX_BUFFERED_BYTES = 1_048_576;
 
-/** Longest time that a line waits to be written out, in milliseconds. */
-const FLUSH_MS = 250;
+/** Maximum time that a line is buffered, in milliseconds. */
+const MAX_FLUSH_DELAY_MS = 250;
 
 const destinations: Readonly<Record<LogSink, () => pino.DestinationStream>> = {
   stderr: () => pino.destination({fd: 2, sync: true}),
-  stdout: gatheredStdout,
+  stdout: bufferedStdout,
 };
 
-function gatheredStdout(): pino.DestinationStream {
+function bufferedStdout(): pino.DestinationStream {
   const stream = pino.destination({
     fd: 1,
     sync: false,
-    minLength: GATHERED_BYTES,
-    maxLength: MOST_WAITING_BYTES,
+    minLength: WRITE_BATCH_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
-  let isPlanned = false;
+  let isFlushScheduled = false;
   function flush() {
-    isPlanned = false;
+    isFlushScheduled = false;
     stream.flush();
   }
   process.once('exit', () => {
     try {
       stream.flushSync();
     } catch {
-      // Nobody is left to tell when standard output itself is gone.
+      // The error cannot be reported: standard output itself is closed.
     }
   });
   return {
     write(line) {
       stream.write(line);
-      if (!isPlanned) {
-        isPlanned = true;
-        setTimeout(flush, FLUSH_MS).unref();
+      if (!isFlushScheduled) {
+        isFlushScheduled = true;
+        setTimeout(flush, MAX_FLUSH_DELAY_MS).unref();
       }
     },
   };
 }
 
 /**
- * Makes the process's logger. Lines go to standard error, at once, so that
- * standard output stays free for a command's own output; a server gives
- * `stdout`, where lines are gathered and dropped rather than waited for.
+ * Creates the logger of the process. Lines go synchronously to standard error,
+ * which leaves standard output to a command's own output. A server uses
+ * `stdout`, where lines are buffered, and dropped if the reader is slow.
  *
  * @example
  * const log = createLogger('info', {entry: 'a1'});
@@ -84,7 +84,7 @@
 }
 
 /**
- * A logger that writes nothing, for tests and replays.
+ * Returns a logger that writes nothing, for tests and replays.
  *
  * @example
  * const router = createRouter({log: silentLogger(), ...rest});
--- a/packages/base/src/metrics.ts
+++ b/packages/base/src/metrics.ts
@@ -1,19 +1,20 @@
-/** OpenTelemetry metrics of one process, with a Prometheus text page. */
+/** OpenTelemetry metrics of one process, exported in Prometheus text format. */
 import type {Meter} from '@opentelemetry/api';
 
 export type {Meter};
 
 export interface Metrics {
   readonly meter: Meter;
-  /** All metrics in Prometheus text form. */
+  /** Renders all metrics in Prometheus text format. */
   render(): Promise<string>;
   shutDown(): Promise<void>;
 }
 
 /**
- * Makes the metrics of a process. The exporter's own server stays off: the
- * admin port serves the page. The SDK is loaded here, not with this module, so
- * that a process which puts it off until somebody reads starts sooner.
+ * Creates the metrics of a process. The exporter's own server is disabled: the
+ * admin port serves the metrics. The SDK is imported here, not with this
+ * module, so that a process that defers this call until the first read starts
+ * faster.
  *
  * @example
  * const metrics = await createMetrics('skylarkfield-entry');
--- a/packages/base/src/pausableClock.ts
+++ b/packages/base/src/pausableClock.ts
@@ -1,38 +1,38 @@
-/** The clock of one simulated process that can be paused and drifts from the others'. */
+/** Clock of one simulated process, with pauses and clock drift. */
 import type {Clock} from './clock.js';
 import {toDisposable} from './disposables.js';
 
 export interface PausableClock extends Clock {
   readonly isPaused: boolean;
-  /** Time goes on, but due timers wait: what SIGSTOP does to a process. */
+  /** Defers due timers while time continues, like SIGSTOP. */
   pause(): void;
-  /** Runs the timers that came due meanwhile, in order. */
+  /** Runs the deferred timers in order. */
   resume(): void;
-  /** Drops all timers, also those that are still set: the process has died. */
+  /** Drops all deferred and pending timers, like a crash of the process. */
   kill(): void;
 }
 
 /**
- * Makes a clock over a common one.
+ * Creates a clock that is derived from a shared one.
  *
- * @param rate How fast it runs compared with the common clock, like 1.001.
+ * @param rate Speed relative to the shared clock, like 1.001.
  * @example
- * const clock = pausableClock(common, 0.999);
+ * const clock = pausableClock(sharedClock, 0.999);
  * clock.pause();
  */
-export function pausableClock(common: Clock, rate = 1): PausableClock {
-  const startMs = common.now();
-  const startWallMs = common.wall();
-  const waiting: (() => void)[] = [];
+export function pausableClock(sharedClock: Clock, rate = 1): PausableClock {
+  const startMs = sharedClock.now();
+  const startWallMs = sharedClock.wall();
+  const deferred: (() => void)[] = [];
   let isPaused = false;
-  let isDead = false;
+  let isKilled = false;
 
-  function run(callback: () => void): void {
-    if (isDead) {
+  function runOrDefer(callback: () => void): void {
+    if (isKilled) {
       return;
     }
     if (isPaused) {
-      waiting.push(callback);
+      deferred.push(callback);
       return;
     }
     callback();
@@ -42,12 +42,12 @@
     get isPaused() {
       return isPaused;
     },
-    now: () => startMs + (common.now() - startMs) * rate,
-    wall: () => startWallMs + (common.wall() - startWallMs) * rate,
+    now: () => startMs + (sharedClock.now() - startMs) * rate,
+    wall: () => startWallMs + (sharedClock.wall() - startWallMs) * rate,
     after(delayMs, callback) {
       let isDisposed = false;
-      const timer = common.after(Math.max(0, delayMs) / rate, () =>
-        run(() => {
+      const timer = sharedClock.after(Math.max(0, delayMs) / rate, () =>
+        runOrDefer(() => {
           if (!isDisposed) {
             callback();
           }
@@ -63,12 +63,12 @@
     },
     resume() {
       isPaused = false;
-      for (const callback of waiting.splice(0)) {
-        run(callback);
+      for (const callback of deferred.splice(0)) {
+        runOrDefer(callback);
       }
     },
     kill() {
-      isDead = true;
+      isKilled = true;
     },
   };
 }
--- /dev/null
+++ b/packages/base/src/processLifecycle.ts
@@ -0,0 +1,43 @@
+/** Lifecycle of an entry process as a state machine. */
+import {createMachine, interpret, state, transition} from 'robot3';
+
+/**
+ * `serving`: accepts requests once it has a configuration. `lingering`: has
+ * announced its shutdown to its peers, and still accepts requests of callers
+ * with an older lookup result. `leaving`: refuses new requests and drains those
+ * in flight. `stopped`.
+ */
+export type LifeState = 'serving' | 'lingering' | 'leaving' | 'stopped';
+
+export type LifecycleEvent = 'announce' | 'refuse' | 'close';
+
+const lifecycleMachine = createMachine('serving', {
+  serving: state(transition('announce', 'lingering')),
+  lingering: state(transition('refuse', 'leaving')),
+  leaving: state(transition('close', 'stopped')),
+  stopped: state(),
+});
+
+export interface ProcessLife {
+  state(): LifeState;
+  /**
+   * Applies an event; events without a transition from the current state are
+   * ignored.
+   */
+  send(event: LifecycleEvent): void;
+}
+
+/**
+ * Creates the lifecycle of a process that has just started.
+ *
+ * @example
+ * const life = createProcessLife();
+ * life.send('announce');
+ */
+export function createProcessLife(): ProcessLife {
+  const service = interpret(lifecycleMachine, () => {});
+  return {
+    state: () => service.machine.current as LifeState,
+    send: event => service.send(event),
+  };
+}
--- a/packages/base/src/random.ts
+++ b/packages/base/src/random.ts
@@ -1,12 +1,12 @@
-/** Seeded random numbers, so that a run can be repeated from its seed. */
+/** Seeded random numbers, for reproducible runs. */
 import prand from 'pure-rand';
 
 export interface Random {
   /** Uniform in [0, 1). */
   next(): number;
-  /** Uniform integer from `low` to `high`, both included. */
+  /** Uniform integer from `low` to `high`, both inclusive. */
   integer(low: number, high: number): number;
-  /** One of the items; undefined for an empty list. */
+  /** Uniformly chosen item; undefined for an empty list. */
   pick<T>(items: readonly T[]): T | undefined;
   /** Exponentially distributed with the given mean. */
   exponential(mean: number): number;
@@ -17,7 +17,7 @@
 const TWO_TO_32 = 0x1_0000_0000;
 
 /**
- * Makes a generator whose sequence depends on the seed alone.
+ * Creates a generator whose sequence depends only on the seed.
  *
  * @example
  * const random = seededRandom(42);
@@ -38,7 +38,7 @@
 }
 
 /**
- * Makes a generator with a seed of its own for every process.
+ * Creates a generator with a random seed.
  *
  * @example
  * const random = processRandom();
--- a/packages/base/src/shapes.ts
+++ b/packages/base/src/shapes.ts
@@ -1,10 +1,10 @@
-/** Checks of values from outside against a schema, with every fault named. */
+/** Validation of external values against a schema. */
 import type * as z from 'zod';
 import {ServingError, type ErrorKind, type Fault} from './errors.js';
 
 /**
- * Checks a value against a schema and returns it typed.
- * Throws a `ServingError` of the given kind that lists every fault with its path.
+ * Validates a value against a schema and returns it typed. Throws a
+ * `ServingError` of the given kind that lists every fault with its path.
  *
  * @example
  * const settings = checkShape(entrySettings, JSON.parse(text), 'bad-settings');
--- a/packages/base/src/test/processLife.test.ts
+++ b/packages/base/src/test/processLifecycle.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createProcessLife, type LifeEvent} from '../processLife.js';
+import {createProcessLife, type LifecycleEvent} from '../processLifecycle.js';
 
-const cases: readonly [readonly LifeEvent[], string][] = [
+const cases: readonly [readonly LifecycleEvent[], string][] = [
   [[], 'serving'],
   [['announce'], 'lingering'],
   [['announce', 'refuse'], 'leaving'],
@@ -12,7 +12,7 @@
   [['announce', 'refuse', 'close', 'announce'], 'stopped'],
 ];
 
-describe('process life', () => {
+describe('process lifecycle', () => {
   for (const [events, expected] of cases) {
     it(`is ${expected} after ${events.join(', ') || 'nothing'}`, () => {
       const life = createProcessLife();
--- a/packages/base/src/test/timerWheel.test.ts
+++ b/packages/base/src/test/timerWheel.test.ts
@@ -5,21 +5,21 @@
 
 function setUp() {
   const clock = virtualClock();
-  let wakes = 0;
+  let wakeCount = 0;
   const wheel = createTimerWheel({
     slotMs: 50,
     now: clock.now,
     arm: (delayMs, callback) =>
       clock.after(delayMs, () => {
-        wakes += 1;
+        wakeCount += 1;
         callback();
       }),
   });
-  return {clock, wheel, wakes: () => wakes};
+  return {clock, wheel, wakeCount: () => wakeCount};
 }
 
 describe('timer wheel', () => {
-  it('calls back never early, and at most a slot late', async () => {
+  it('never calls back early, and less than a slot late', async () => {
     const {clock, wheel} = setUp();
     const late: number[] = [];
     for (const due of [1, 49, 50, 51, 299, 1_000]) {
@@ -33,18 +33,18 @@
     );
   });
 
-  it('wakes once for all that is due in a slot', async () => {
-    const {clock, wheel, wakes} = setUp();
+  it('wakes up once for all timers of a slot', async () => {
+    const {clock, wheel, wakeCount} = setUp();
     let fired = 0;
     for (let due = 101; due <= 150; due++) {
       wheel.at(due, () => (fired += 1));
     }
     await clock.advance(1_000);
     assert.equal(fired, 50);
-    assert.equal(wakes(), 1);
+    assert.equal(wakeCount(), 1);
   });
 
-  it('forgets what was disposed, also in the slot that fires', async () => {
+  it('does not call disposed timers, even in the slot that is firing', async () => {
     const {clock, wheel} = setUp();
     const fired: string[] = [];
     const second = {dispose: () => {}};
@@ -54,12 +54,12 @@
     });
     const timer = wheel.at(100, () => fired.push('second'));
     second.dispose = () => timer.dispose();
-    wheel.at(200, () => fired.push('gone')).dispose();
+    wheel.at(200, () => fired.push('disposed')).dispose();
     await clock.advance(1_000);
     assert.deepEqual(fired, ['first']);
   });
 
-  it('takes a timer that is due sooner than the one it waits for', async () => {
+  it('handles a timer that is due before the armed one', async () => {
     const {clock, wheel} = setUp();
     const fired: number[] = [];
     wheel.at(5_000, () => fired.push(5_000));
--- a/packages/base/src/test/virtualClock.test.ts
+++ b/packages/base/src/test/virtualClock.test.ts
@@ -13,14 +13,14 @@
     assert.equal(clock.now(), 30);
   });
 
-  it('keeps a repeating timer going until it is disposed', async () => {
+  it('repeats an interval timer until it is disposed', async () => {
     const clock = virtualClock();
-    let beats = 0;
-    const timer = every(clock, 10, () => (beats += 1));
+    let calls = 0;
+    const timer = every(clock, 10, () => (calls += 1));
     await clock.advance(35);
     timer.dispose();
     await clock.advance(100);
-    assert.equal(beats, 3);
+    assert.equal(calls, 3);
   });
 
   it('rejects a sleep whose signal aborts', async () => {
--- a/packages/base/src/timerWheel.ts
+++ b/packages/base/src/timerWheel.ts
@@ -1,16 +1,19 @@
 /**
- * Coalesces timers into common slots, so that a process with many periodic tasks
- * wakes up once for all that are due.
+ * Timer wheel that coalesces timers into slots, so that a process with many
+ * periodic tasks wakes up once for all tasks of a slot.
  */
 import {toDisposable, type Disposable} from './disposables.js';
 
 export interface TimerWheel {
-  /** Calls back in the first slot at or after the given time of the wheel's clock, in milliseconds. */
+  /**
+   * Calls back in the first slot at or after the given time of the wheel's
+   * clock.
+   */
   at(dueMs: number, callback: () => void): Disposable;
 }
 
 /**
- * Creates a wheel with the given distance between slots.
+ * Creates a wheel with slots of the given width.
  *
  * @example
  * const wheel = createTimerWheel({slotMs: 50, now, arm});
@@ -19,7 +22,7 @@
 export function createTimerWheel(options: {
   readonly slotMs: number;
   now(): number;
-  /** Calls back once after a delay in milliseconds, never sooner. */
+  /** Calls back once after a delay, never earlier. */
   arm(delayMs: number, callback: () => void): Disposable;
 }): TimerWheel {
   const {slotMs, now} = options;
@@ -29,17 +32,17 @@
   function armFor(slot: number): void {
     armed?.timer.dispose();
     const delayMs = Math.max(0, slot * slotMs - now());
-    armed = {slot, timer: options.arm(delayMs, turn)};
+    armed = {slot, timer: options.arm(delayMs, fireDueSlots)};
   }
 
-  function turn(): void {
+  function fireDueSlots(): void {
     armed = undefined;
-    const present = Math.floor(now() / slotMs);
-    const due = [...slots.keys()].filter(slot => slot <= present);
+    const currentSlot = Math.floor(now() / slotMs);
+    const due = [...slots.keys()].filter(slot => slot <= currentSlot);
     for (const slot of due.sort((a, b) => a - b)) {
       const callbacks = slots.get(slot) ?? new Set();
       slots.delete(slot);
-      callbacks.forEach(run);
+      callbacks.forEach(runCallback);
     }
     armNext();
   }
@@ -59,11 +62,11 @@
       const slot = Math.ceil(dueMs / slotMs);
       const callbacks = slots.get(slot) ?? new Set();
       // Wrapped, since the same function may be scheduled twice.
-      const own = () => callback();
-      slots.set(slot, callbacks.add(own));
+      const wrapper = () => callback();
+      slots.set(slot, callbacks.add(wrapper));
       armNext();
       return toDisposable(() => {
-        callbacks.delete(own);
+        callbacks.delete(wrapper);
         if (callbacks.size === 0 && slots.get(slot) === callbacks) {
           slots.delete(slot);
         }
@@ -72,8 +75,11 @@
   };
 }
 
-/** Runs a callback; an exception does not keep the rest of the slot from running. */
-function run(callback: () => void): void {
+/**
+ * Runs a callback; rethrows an exception later, after the other callbacks of
+ * the slot.
+ */
+function runCallback(callback: () => void): void {
   try {
     callback();
   } catch (error) {
--- a/packages/base/src/virtualClock.ts
+++ b/packages/base/src/virtualClock.ts
@@ -1,15 +1,21 @@
-/** A clock that moves only when it is told to, for tests and decision replays. */
+/** Clock that advances only on request, for tests and decision replays. */
 import type {Clock} from './clock.js';
 import {toDisposable} from './disposables.js';
 
 export interface VirtualClock extends Clock {
-  /** Runs every timer due within the span, in order, and settles promises between them. */
+  /**
+   * Runs the timers due within the span, in order, and settles promises between
+   * them.
+   */
   advance(spanMs: number): Promise<void>;
-  /** Like `advance`, without yielding to promises: for purely synchronous replays. */
+  /** Like `advance`, but without settling promises, for synchronous replays. */
   advanceSync(spanMs: number): void;
-  /** Moves monotonic and wall time without running timers: what a paused process sees on waking. */
+  /**
+   * Advances both times without running timers, as after a pause of the
+   * process.
+   */
   pause(spanMs: number): void;
-  /** Shifts the wall clock alone. */
+  /** Shifts only the wall clock. */
   shiftWall(spanMs: number): void;
 }
 
@@ -19,15 +25,15 @@
   readonly callback: () => void;
 }
 
-/** Rounds of the microtask queue given to promises after each timer. */
-const SETTLE_ROUNDS = 24;
+/** Microtask rounds that let promises settle after each timer. */
+const SETTLE_MICROTASK_ROUNDS = 24;
 
 /**
- * Makes a virtual clock that starts at monotonic 0.
+ * Creates a virtual clock whose monotonic time starts at 0.
  *
  * @example
  * const clock = virtualClock();
- * clock.after(1000, () => beats.push(clock.now()));
+ * clock.after(1000, () => calls.push(clock.now()));
  * await clock.advance(1000);
  */
 export function virtualClock(startWallMs = 1_800_000_000_000): VirtualClock {
@@ -36,7 +42,7 @@
   let nextOrder = 0;
   const timers = new Set<Timer>();
 
-  function takeNextDue(limitMs: number): Timer | undefined {
+  function removeNextDue(limitMs: number): Timer | undefined {
     let next: Timer | undefined;
     for (const timer of timers) {
       if (timer.dueMs > limitMs) {
@@ -53,7 +59,7 @@
   }
 
   function runNextDue(limitMs: number): boolean {
-    const timer = takeNextDue(limitMs);
+    const timer = removeNextDue(limitMs);
     if (timer === undefined) {
       return false;
     }
@@ -85,7 +91,7 @@
     advanceSync(spanMs) {
       const limitMs = nowMs + spanMs;
       while (runNextDue(limitMs)) {
-        // Every due timer has to run, also those that a timer has just added.
+        // Runs every due timer, including timers added by other timers.
       }
       nowMs = Math.max(nowMs, limitMs);
     },
@@ -105,9 +111,9 @@
   return a.order < b.order;
 }
 
-/** Lets promise reactions that are already queued run to their end. */
+/** Runs the promise reactions that are already queued. */
 export async function settlePromises(): Promise<void> {
-  for (let round = 0; round < SETTLE_ROUNDS; round++) {
+  for (let round = 0; round < SETTLE_MICROTASK_ROUNDS; round++) {
     await Promise.resolve();
   }
 }
