--- a/packages/protocol/src/codec.ts
+++ b/packages/protocol/src/codec.ts
@@ -1,21 +1,23 @@
-/** Frames of the inner protocol and their bytes. */
+/** Frames of the inner protocol and their encoding. */
 import {Packr} from 'msgpackr';
 import {ServingError} from '@skylarkfield/base';
 
-/** One message on the wire: its type, the number of the question it belongs to, its body. */
+/** One message on the wire, encoded as an array of its three fields. */
 export interface Frame {
   readonly type: string;
-  /** Number of an ask or of the answer to it; 0 for a message that wants none. */
+  /** Id that a request and its response share; 0 for a one-way message. */
   readonly ask: number;
   readonly body: unknown;
 }
 
-/** Frame types that the network itself uses; no message type starts with a dollar sign. */
-export const ANSWER = '$answer';
-export const FAILURE = '$failure';
-export const HELLO = '$hello';
+/**
+ * Frame types of the network itself; no message type starts with a dollar sign.
+ */
+export const RESPONSE_FRAME = '$answer';
+export const ERROR_FRAME = '$failure';
+export const HELLO_FRAME = '$hello';
 
-/** Field names are written once per frame, so a list of like items costs little. */
+/** Writes field names once per frame, so lists of similar items stay small. */
 const packr = new Packr({useRecords: true, moreTypes: false});
 
 /**
@@ -25,12 +27,12 @@
  * socket.send(encodeFrame({type: 'heartbeat', ask: 0, body}));
  */
 export function encodeFrame(frame: Frame): Buffer {
-  // The packr reuses its buffer, and a socket may still hold the bytes: copy.
+  // Packr reuses its buffer while a socket may still hold the bytes: copy them.
   return Buffer.from(packr.pack([frame.type, frame.ask, frame.body]));
 }
 
 /**
- * Decodes a frame; throws `protocol-violation` for anything that is not one.
+ * Decodes a frame; throws `protocol-violation` if the bytes are malformed.
  *
  * @example
  * const {type, body} = decodeFrame(bytes);
@@ -40,22 +42,29 @@
   if (!Array.isArray(parts) || parts.length !== 3) {
     throw new ServingError(
       'protocol-violation',
-      'the frame has no three parts',
+      'the frame is not an array of three fields',
     );
   }
-  const [type, ask, body] = parts as unknown[];
-  if (typeof type !== 'string' || typeof ask !== 'number') {
-    throw new ServingError('protocol-violation', 'the frame has no valid head');
+  const [type, requestId, body] = parts as unknown[];
+  if (typeof type !== 'string' || typeof requestId !== 'number') {
+    throw new ServingError(
+      'protocol-violation',
+      'the frame has an invalid type or request id',
+    );
   }
-  return {type, ask, body};
+  return {type, ask: requestId, body};
 }
 
 function unpack(bytes: Buffer): unknown {
   try {
     return packr.unpack(bytes);
   } catch (error) {
-    throw new ServingError('protocol-violation', 'the frame is not msgpack', {
-      cause: error,
-    });
+    throw new ServingError(
+      'protocol-violation',
+      'the frame is not valid msgpack',
+      {
+        cause: error,
+      },
+    );
   }
 }
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -1,4 +1,4 @@
-/** One open WebSocket to a peer that has said hello. */
+/** Open WebSocket connection to a peer, after the handshake. */
 import type {WebSocket, RawData} from 'ws';
 import {
   every,
@@ -8,28 +8,28 @@
 } from '@skylarkfield/base';
 import type {NetworkLimits} from './limits.js';
 
-/** A peer's connection, from the hello until it closes. */
+/** Connection to a peer, from the end of the handshake until it closes. */
 export interface Connection extends Disposable {
   readonly peer: string;
   readonly incarnation: number;
-  /** Whether this process dialled. */
-  readonly isOurs: boolean;
-  /** False when it is closed or the peer reads too slowly. */
+  /** Whether this process dialed. */
+  readonly isOutbound: boolean;
+  /** Returns false if the connection is closed or the peer reads too slowly. */
   send(bytes: Buffer): boolean;
-  /** Closes because the peer broke the protocol. */
-  cut(reason: string): void;
-  /** Monotonic milliseconds of the last message either way. */
-  usedAt(): number;
+  /** Closes the connection because the peer violated the protocol. */
+  abort(reason: string): void;
+  /** Monotonic milliseconds of the last message in either direction. */
+  lastMessageAt(): number;
 }
 
-/** WebSocket close code for a message that breaks the rules. */
+/** WebSocket close code for a protocol violation. */
 const POLICY_VIOLATION = 1008;
 const NORMAL_CLOSURE = 1000;
-/** Longest reason that a close frame holds, in bytes. */
-const REASON_BYTES = 120;
+/** Upper bound of the reason in a close frame, in bytes. */
+const MAX_REASON_BYTES = 120;
 
 /**
- * Wraps a socket after the hello.
+ * Wraps a socket after the handshake.
  *
  * @example
  * const connection = wrapSocket({socket, peer, onMessage, onClose, ...rest});
@@ -38,7 +38,7 @@
   readonly socket: WebSocket;
   readonly peer: string;
   readonly incarnation: number;
-  readonly isOurs: boolean;
+  readonly isOutbound: boolean;
   readonly clock: Clock;
   readonly limits: NetworkLimits;
   onMessage(connection: Connection, bytes: Buffer): void;
@@ -46,96 +46,103 @@
   onViolation(connection: Connection, reason: string): void;
 }): Connection {
   const {socket, clock, limits} = options;
-  let usedAt = clock.now();
-  let heardAt = clock.now();
-  let checkedAt = clock.now();
-  const bucket = createBucket(limits, clock);
+  let lastMessageAt = clock.now();
+  let lastReceivedAt = clock.now();
+  let lastCheckAt = clock.now();
+  const tokenBucket = createTokenBucket(limits, clock);
 
   const connection: Connection = {
     peer: options.peer,
     incarnation: options.incarnation,
-    isOurs: options.isOurs,
+    isOutbound: options.isOutbound,
     send(bytes) {
       if (socket.readyState !== socket.OPEN) {
         return false;
       }
-      // A peer that does not read would make our memory grow without bound.
+      // A peer that does not read would let the send buffer grow without bound.
       if (socket.bufferedAmount > limits.bufferedBytes) {
         socket.terminate();
         return false;
       }
-      usedAt = clock.now();
+      lastMessageAt = clock.now();
       socket.send(bytes);
       return true;
     },
-    cut(reason) {
+    abort(reason) {
       options.onViolation(connection, reason);
-      socket.close(POLICY_VIOLATION, reason.slice(0, REASON_BYTES));
+      socket.close(POLICY_VIOLATION, reason.slice(0, MAX_REASON_BYTES));
       socket.terminate();
     },
-    usedAt: () => usedAt,
+    lastMessageAt: () => lastMessageAt,
     dispose() {
       socket.close(NORMAL_CLOSURE);
     },
   };
 
-  function hear(data: RawData, isBinary: boolean) {
-    heardAt = clock.now();
-    usedAt = heardAt;
+  function handleMessage(data: RawData, isBinary: boolean) {
+    lastReceivedAt = clock.now();
+    lastMessageAt = lastReceivedAt;
     if (!isBinary) {
-      connection.cut('text message');
+      connection.abort('text message');
       return;
     }
-    if (!bucket.take()) {
-      connection.cut('too many messages');
+    if (!tokenBucket.tryTake()) {
+      connection.abort('too many messages');
       return;
     }
     options.onMessage(connection, data as Buffer);
   }
 
-  /** Finds a peer that vanished without closing, as after a cut cable. */
-  function checkSilence() {
+  /**
+   * Detects a peer that vanished without closing, as after a network failure.
+   */
+  function checkLiveness() {
     const now = clock.now();
-    // After a pause of this process the silence is ours, not the peer's.
-    if (now - checkedAt > 2 * limits.pingMs) {
-      heardAt = now;
+    // A late check means that this process was paused, not that the peer was
+    // silent.
+    if (now - lastCheckAt > 2 * limits.pingMs) {
+      lastReceivedAt = now;
     }
-    checkedAt = now;
-    if (now - heardAt > limits.silenceMs) {
+    lastCheckAt = now;
+    if (now - lastReceivedAt > limits.silenceMs) {
       socket.terminate();
       return;
     }
-    if (now - heardAt >= limits.pingMs && socket.readyState === socket.OPEN) {
+    if (
+      now - lastReceivedAt >= limits.pingMs &&
+      socket.readyState === socket.OPEN
+    ) {
       socket.ping();
     }
   }
 
-  const silenceCheck = every(clock, limits.pingMs, checkSilence);
+  const livenessCheck = every(clock, limits.pingMs, checkLiveness);
   const closing = toDisposable(() => {
-    silenceCheck.dispose();
+    livenessCheck.dispose();
     options.onClose(connection);
   });
-  socket.on('message', hear);
-  socket.on('ping', () => (heardAt = clock.now()));
-  socket.on('pong', () => (heardAt = clock.now()));
+  socket.on('message', handleMessage);
+  socket.on('ping', () => (lastReceivedAt = clock.now()));
+  socket.on('pong', () => (lastReceivedAt = clock.now()));
   socket.on('error', error =>
-    // ws reports oversize and malformed frames here and closes by itself.
+    // ws reports oversized and malformed frames here and closes the socket
+    // itself.
     options.onViolation(connection, error.message),
   );
   socket.on('close', () => closing.dispose());
   return connection;
 }
 
-/** Token bucket over messages, so that a flood costs at most its bound. */
-function createBucket(limits: NetworkLimits, clock: Clock) {
+/** Token bucket that limits the rate of received messages. */
+function createTokenBucket(limits: NetworkLimits, clock: Clock) {
   let tokens = limits.messageBurst;
-  let filledAt = clock.now();
+  let lastRefillAt = clock.now();
   return {
-    take(): boolean {
+    tryTake(): boolean {
       const now = clock.now();
-      const gained = ((now - filledAt) / 1000) * limits.messagesPerSecond;
-      tokens = Math.min(limits.messageBurst, tokens + gained);
-      filledAt = now;
+      const refill = ((now - lastRefillAt) / 1000) * limits.messagesPerSecond;
+      tokens = Math.min(limits.messageBurst, tokens + refill);
+      lastRefillAt = now;
       if (tokens < 1) {
         return false;
       }
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -1,10 +1,10 @@
 /**
- * The inner protocol between entries: every message type with its body, and
- * the network that carries them. Connections are WebSockets, bodies msgpackr.
+ * The inner protocol between entries: message types with their bodies, and the
+ * network that carries them over WebSockets, encoded with msgpackr.
  *
  * Compatibility: two adjacent releases run side by side during a rolling
  * restart. A body may gain optional fields; a field is never renamed or
- * re-used, and an unknown message type is counted and ignored.
+ * reused, and an unknown message type is counted and ignored.
  */
 import type {Disposable} from '@skylarkfield/base';
 import type {MemberMessages} from './messages/memberMessages.js';
@@ -14,10 +14,10 @@
 import type {EndpointMessages} from './messages/endpointMessages.js';
 import type {GatewayMessages} from './messages/gatewayMessages.js';
 
-/** Raised when a release changes what a message means. */
+/** Incremented when a release changes the meaning of a message. */
 export const PROTOCOL_VERSION = 1;
 
-/** Every message type and its body. */
+/** Message types and their bodies. */
 export interface Messages
   extends MemberMessages,
     RecordMessages,
@@ -28,47 +28,50 @@
 
 export type MessageType = keyof Messages & string;
 
-/** Where a peer entry is reached. */
+/** Address of a peer entry. */
 export interface PeerAddress {
   readonly id: string;
-  /** Rises with each start of the process, so that a restart is told from a pause. */
+  /** Increases with each start of the process; tells a restart from a pause. */
   readonly incarnation: number;
-  /** `ws://` or `wss://` address of its inner port. */
+  /** `ws://` or `wss://` URL of its inner port. */
   readonly url: string;
 }
 
-/** Counters of one process's inner traffic, for the dump and the slopes. */
+/**
+ * Counters of one process's inner traffic, for state dumps and scaling
+ * benchmarks.
+ */
 export interface NetworkTraffic {
   readonly messagesSent: number;
   readonly bytesSent: number;
   readonly messagesReceived: number;
   readonly bytesReceived: number;
-  /** Messages dropped because they could not be read or their type is unknown. */
+  /** Malformed or unexpected messages and refused connections. */
   readonly rejected: number;
 }
 
-/** Messages and questions between this entry and its peers. */
+/** One-way messages and requests between this entry and its peers. */
 export interface PeerNetwork extends Disposable {
-  /** The peers to stay connected to; others are closed. */
+  /** Sets the peers to stay connected to; closes connections to others. */
   setPeers(peers: readonly PeerAddress[]): void;
   /**
-   * Peers that are connected to only when something is sent to them: with many
-   * entries, `setPeers` names the few neighbours and this names all.
+   * Sets the peers to connect to only on demand. With many entries, `setPeers`
+   * gets the few neighbours and this gets all entries.
    */
   setAddressBook(peers: readonly PeerAddress[]): void;
   /**
-   * Connects to an address whose id is not known, for joining through a seed;
-   * resolves with the id. Throws `interrupted` when nobody fit answers.
+   * Connects to a peer of unknown id, for joining through a seed; resolves with
+   * its id. Throws `interrupted` when no valid peer answers.
    */
   dial(url: string): Promise<string>;
-  /** Ids with an open connection now. */
+  /** Ids of the peers with an open connection. */
   connected(): readonly string[];
-  /** Sends without waiting; false when there is no open connection. */
+  /** Sends a one-way message; returns false without an open connection. */
   send<T extends MessageType>(to: string, type: T, body: Messages[T]): boolean;
   /**
-   * Sends to every connected peer, or to those given; returns how many. With
-   * many entries the connected ones are the neighbours: who hears news passes
-   * it on once.
+   * Sends to every connected peer, or to the given ones; returns the number of
+   * receivers. With many entries the connected peers are the neighbours, and
+   * each receiver of new information forwards it once.
    */
   broadcast<T extends MessageType>(
     type: T,
@@ -76,10 +79,10 @@
     to?: readonly string[],
   ): number;
   /**
-   * Sends a message and waits for the answering body; connects first to a peer
-   * of the address book. Throws `protocol-violation`, `deadline-exceeded` (may
-   * have run), `interrupted` (`not-run` when nothing was sent), `cancelled`, or
-   * the kind and run state that the peer's handler threw.
+   * Sends a request and returns the response body; connects to a peer of the
+   * address book first. Throws `protocol-violation`, `deadline-exceeded`
+   * (`may-have-run`), `interrupted` (`not-run` if nothing was sent),
+   * `cancelled`, or the kind and run state thrown by the peer's handler.
    */
   ask<T extends MessageType>(
     to: string,
@@ -87,7 +90,10 @@
     body: Messages[T],
     timeoutMs: number,
   ): Promise<unknown>;
-  /** Handles messages of a type; what the handler returns answers an `ask`. */
+  /**
+   * Handles messages of a type; the handler's result is the response to an
+   * `ask`.
+   */
   onDidReceive<T extends MessageType>(
     type: T,
     handler: (from: string, body: Messages[T]) => unknown,
--- a/packages/protocol/src/dispatcher.ts
+++ b/packages/protocol/src/dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * What every kind of network does alike: handlers by message type, questions
- * that wait for their answer, and counters.
+ * The part that all network implementations share: handlers by message type,
+ * pending requests and counters.
  */
 import {
   ServingError,
@@ -14,8 +14,8 @@
   type RunState,
 } from '@skylarkfield/base';
 import {
-  ANSWER,
-  FAILURE,
+  RESPONSE_FRAME,
+  ERROR_FRAME,
   encodeFrame,
   decodeFrame,
   type Frame,
@@ -23,38 +23,38 @@
 import type {NetworkTraffic} from './contracts.js';
 
 /**
- * What a question travels over: a connection, or the id of the peer where two
- * connections to one peer never stand side by side.
+ * Identity of the path of a request: a connection, or the peer's id in networks
+ * that never have two connections to one peer.
  */
 export type Channel = object | string;
 
 type Handler = (from: string, body: unknown) => unknown;
 
-interface PendingAsk {
+interface PendingRequest {
   readonly to: string;
   readonly channel: Channel;
   settle(outcome: {body: unknown} | {error: ServingError}): void;
 }
 
-/** What a failed handler tells the asker. */
-interface Failure {
+/** Body of an error frame. */
+interface ErrorBody {
   readonly kind: ErrorKind;
   readonly message: string;
   readonly run: RunState;
 }
 
-/** Handlers, pending questions and counters of one process. */
+/** Handlers, pending requests and counters of one process. */
 export interface Dispatcher extends Disposable {
-  /** Encodes a frame and counts it as sent to so many peers. */
-  encode(frame: Frame, receivers?: number): Buffer;
-  /** Handles received bytes; false when they broke the protocol. */
+  /** Encodes a frame and counts it as sent to that many peers. */
+  encode(frame: Frame, receiverCount?: number): Buffer;
+  /** Handles received bytes; returns false if they are malformed. */
   receive(from: string, bytes: Buffer, reply: (bytes: Buffer) => void): boolean;
-  handle(type: string, handler: Handler): Disposable;
+  addHandler(type: string, handler: Handler): Disposable;
   /**
-   * Sends a question by the given function and waits for its answer. The channel
-   * is the id of the peer unless another is given.
+   * Sends a request with the given function and waits for the response. The
+   * channel defaults to the id of the peer.
    */
-  ask(
+  request(
     to: string,
     type: string,
     body: unknown,
@@ -62,19 +62,19 @@
     send: (bytes: Buffer) => boolean,
     channel?: Channel,
   ): Promise<unknown>;
-  /** Fails the questions that wait for an answer over a channel that closed. */
-  failAsks(channel: Channel): void;
-  /** Counts something received that could not be used. */
-  reject(): void;
+  /** Fails the pending requests of a channel that closed. */
+  failRequests(channel: Channel): void;
+  /** Counts invalid input that the dispatcher itself did not see. */
+  countRejected(): void;
   traffic(): NetworkTraffic;
 }
 
 /**
- * Makes the dispatcher of one process.
+ * Creates the dispatcher of one process.
  *
  * @example
  * const dispatcher = createDispatcher({clock, log});
- * dispatcher.handle('heartbeat', (from, body) => hear(from, body));
+ * dispatcher.addHandler('heartbeat', (from, body) => onHeartbeat(from, body));
  */
 export function createDispatcher(options: {
   readonly clock: Clock;
@@ -82,8 +82,8 @@
 }): Dispatcher {
   const {clock, log} = options;
   const handlers = new Map<string, Set<Handler>>();
-  const pending = new Map<number, PendingAsk>();
-  let lastAsk = 0;
+  const pending = new Map<number, PendingRequest>();
+  let lastRequestId = 0;
   const traffic = {
     messagesSent: 0,
     bytesSent: 0,
@@ -92,14 +92,17 @@
     rejected: 0,
   };
 
-  function encode(frame: Frame, receivers = 1): Buffer {
+  function encode(frame: Frame, receiverCount = 1): Buffer {
     const bytes = encodeFrame(frame);
-    traffic.messagesSent += receivers;
-    traffic.bytesSent += bytes.length * receivers;
+    traffic.messagesSent += receiverCount;
+    traffic.bytesSent += bytes.length * receiverCount;
     return bytes;
   }
 
-  /** Runs every handler of the type; the first result that is not undefined answers. */
+  /**
+   * Runs every handler of the type; returns the first result that is not
+   * undefined.
+   */
   async function runHandlers(from: string, frame: Frame): Promise<unknown> {
     let result: unknown;
     for (const handler of [...(handlers.get(frame.type) ?? [])]) {
@@ -108,66 +111,67 @@
     return result;
   }
 
-  function answer(from: string, frame: Frame, reply: (b: Buffer) => void) {
+  function respond(from: string, frame: Frame, reply: (b: Buffer) => void) {
     runHandlers(from, frame).then(
-      body => reply(encode({type: ANSWER, ask: frame.ask, body})),
+      body => reply(encode({type: RESPONSE_FRAME, ask: frame.ask, body})),
       error => {
         const {kind, message, run} = toServingError(error);
-        const body: Failure = {kind, message, run};
-        reply(encode({type: FAILURE, ask: frame.ask, body}));
+        const body: ErrorBody = {kind, message, run};
+        reply(encode({type: ERROR_FRAME, ask: frame.ask, body}));
       },
     );
   }
 
-  function notify(from: string, frame: Frame) {
+  function deliver(from: string, frame: Frame) {
     for (const handler of [...(handlers.get(frame.type) ?? [])]) {
-      // A handler that throws must not keep the others from the message, nor end the process.
+      // A handler that throws must neither block the others nor end the
+      // process.
       new Promise(resolve => resolve(handler(from, frame.body))).catch(error =>
         log.error(
           {peer: from, type: frame.type, err: toServingError(error)},
-          'a message handler failed',
+          'message handler failed',
         ),
       );
     }
   }
 
-  function settleAsk(from: string, frame: Frame) {
-    const waiting = pending.get(frame.ask);
-    // The answer of another peer, or one after the timeout, belongs to nobody.
-    if (waiting === undefined || waiting.to !== from) {
+  function settleRequest(from: string, frame: Frame) {
+    const request = pending.get(frame.ask);
+    // Drops responses that come from another peer or after the timeout.
+    if (request === undefined || request.to !== from) {
       traffic.rejected += 1;
       return;
     }
-    waiting.settle(
-      frame.type === ANSWER
+    request.settle(
+      frame.type === RESPONSE_FRAME
         ? {body: frame.body}
-        : {error: toAskError(frame.body)},
+        : {error: toRequestError(frame.body)},
     );
   }
 
   function dispatch(from: string, frame: Frame, reply: (b: Buffer) => void) {
-    if (frame.type === ANSWER || frame.type === FAILURE) {
-      settleAsk(from, frame);
+    if (frame.type === RESPONSE_FRAME || frame.type === ERROR_FRAME) {
+      settleRequest(from, frame);
       return;
     }
     if (!handlers.has(frame.type)) {
       traffic.rejected += 1;
       log.debug({peer: from, type: frame.type}, 'unknown message type');
       if (frame.ask !== 0) {
-        const body: Failure = {
+        const body: ErrorBody = {
           kind: 'protocol-violation',
           message: `no handler for ${frame.type}`,
           run: 'not-run',
         };
-        reply(encode({type: FAILURE, ask: frame.ask, body}));
+        reply(encode({type: ERROR_FRAME, ask: frame.ask, body}));
       }
       return;
     }
     if (frame.ask !== 0) {
-      answer(from, frame, reply);
+      respond(from, frame, reply);
       return;
     }
-    notify(from, frame);
+    deliver(from, frame);
   }
 
   return {
@@ -180,33 +184,33 @@
         frame = decodeFrame(bytes);
       } catch (error) {
         traffic.rejected += 1;
-        log.warn({peer: from, reason: String(error)}, 'unreadable message');
+        log.warn({peer: from, reason: String(error)}, 'malformed message');
         return false;
       }
       dispatch(from, frame, reply);
       return true;
     },
-    handle(type, handler) {
-      const known = handlers.get(type) ?? new Set();
-      handlers.set(type, known);
-      known.add(handler);
+    addHandler(type, handler) {
+      const typeHandlers = handlers.get(type) ?? new Set();
+      handlers.set(type, typeHandlers);
+      typeHandlers.add(handler);
       return toDisposable(() => {
-        known.delete(handler);
-        // An empty set would pass for a handler: a question would get an empty
-        // answer instead of the word that nobody here takes it.
-        if (known.size === 0 && handlers.get(type) === known) {
+        typeHandlers.delete(handler);
+        // An empty set would count as a handler: a request would get an empty
+        // response instead of the error that there is no handler.
+        if (typeHandlers.size === 0 && handlers.get(type) === typeHandlers) {
           handlers.delete(type);
         }
       });
     },
-    ask(to, type, body, timeoutMs, send, channel = to) {
-      const ask = ++lastAsk;
+    request(to, type, body, timeoutMs, send, channel = to) {
+      const requestId = ++lastRequestId;
       return new Promise((resolve, reject) => {
         const timer = clock.after(timeoutMs, () =>
           settle({error: timeoutError(to, type)}),
         );
         function settle(outcome: {body: unknown} | {error: ServingError}) {
-          pending.delete(ask);
+          pending.delete(requestId);
           timer.dispose();
           if ('error' in outcome) {
             reject(outcome.error);
@@ -214,27 +218,27 @@
           }
           resolve(outcome.body);
         }
-        pending.set(ask, {to, channel, settle});
-        if (!send(encode({type, ask, body}))) {
+        pending.set(requestId, {to, channel, settle});
+        if (!send(encode({type, ask: requestId, body}))) {
           settle({error: notConnectedError(to)});
         }
       });
     },
-    failAsks(channel) {
-      for (const waiting of [...pending.values()]) {
-        if (waiting.channel === channel) {
-          waiting.settle({error: interruptedError(waiting.to)});
+    failRequests(channel) {
+      for (const request of [...pending.values()]) {
+        if (request.channel === channel) {
+          request.settle({error: interruptedError(request.to)});
         }
       }
     },
-    reject() {
+    countRejected() {
       traffic.rejected += 1;
     },
     traffic: () => ({...traffic}),
     dispose() {
-      for (const waiting of [...pending.values()]) {
-        waiting.settle({
-          error: new ServingError('cancelled', 'the network was closed'),
+      for (const request of [...pending.values()]) {
+        request.settle({
+          error: new ServingError('cancelled', 'the peer network was closed'),
         });
       }
       handlers.clear();
@@ -242,14 +246,17 @@
   };
 }
 
-/** A peer's words are checked before they become an error of ours. */
-function toAskError(body: unknown): ServingError {
-  const failure = (body ?? {}) as Partial<Failure>;
+/** Converts the body of an error frame, which is not trusted, to an error. */
+function toRequestError(body: unknown): ServingError {
+  const failure = (body ?? {}) as Partial<ErrorBody>;
   const kind = String(failure.kind);
   if (!Object.hasOwn(errorAnswers, kind)) {
-    return new ServingError('protocol-violation', 'unknown failure of a peer');
+    return new ServingError(
+      'protocol-violation',
+      'the peer returned an unknown error kind',
+    );
   }
-  // Unless the peer clearly says so, `not-run` would be a promise without ground.
+  // `not-run` is a guarantee, so it needs the peer's explicit statement.
   const run = failure.run === 'not-run' ? 'not-run' : 'may-have-run';
   return new ServingError(kind as ErrorKind, String(failure.message), {run});
 }
@@ -257,13 +264,14 @@
 function timeoutError(to: string, type: string): ServingError {
   return new ServingError(
     'deadline-exceeded',
-    `${to} did not answer ${type} in time`,
+    `${to} did not respond to ${type} in time`,
     {run: 'may-have-run'},
   );
 }
 
 /**
- * The error of a question that never left this process, `not-run`.
+ * Returns the error of a request that was never sent; its run state is
+ * `not-run`.
  *
  * @example
  * throw notConnectedError('b');
--- a/packages/protocol/src/handshakes.ts
+++ b/packages/protocol/src/handshakes.ts
@@ -1,38 +1,38 @@
-/** Sockets whose peer has not yet said hello, and what is asked of its hello. */
+/** Handshakes: exchange and validation of the hello on new sockets. */
 import type {WebSocket} from 'ws';
 import type {Clock, Disposable, Logger} from '@skylarkfield/base';
-import {HELLO, decodeFrame, encodeFrame} from './codec.js';
+import {HELLO_FRAME, decodeFrame, encodeFrame} from './codec.js';
 import type {Connection} from './connection.js';
 import {PROTOCOL_VERSION} from './contracts.js';
-import {isSameKey, readHello, type Hello} from './hello.js';
+import {isSameKey, parseHello, type Hello} from './hello.js';
 
-/** Takes the connection, or undefined when the socket closed before the hello. */
-type HandshakeDone = (connection: Connection | undefined) => void;
+/** Receives the connection, or undefined if the handshake failed. */
+type HandshakeCallback = (connection: Connection | undefined) => void;
 
-/** Which side this process is, and whom it expects on the other. */
+/** Side of this process in a handshake and the id expected of the peer. */
 interface HandshakeRole {
-  /** Whether this process dialled. */
-  readonly isOurs: boolean;
-  /** Undefined where any peer will do. */
-  readonly expected: string | undefined;
+  /** Whether this process dialed. */
+  readonly isOutbound: boolean;
+  /** Undefined if any peer is accepted. */
+  readonly expectedId: string | undefined;
 }
 
-/** The handshakes of one entry, in both directions. */
+/** Inbound and outbound handshakes of one entry. */
 export interface Handshakes extends Disposable {
-  /** Greets the peer behind a socket that this process opened. */
+  /** Starts the handshake on a socket that this process opened. */
   dial(
     socket: WebSocket,
-    expected: string | undefined,
-    onDone: HandshakeDone,
+    expectedId: string | undefined,
+    onDone: HandshakeCallback,
   ): void;
-  /** Waits for the hello on a socket that the peer opened. */
+  /** Starts the handshake on a socket that the peer opened. */
   accept(socket: WebSocket): void;
-  /** Handshakes under way. */
+  /** Number of handshakes in progress. */
   count(): number;
 }
 
 /**
- * Makes the handshakes of one entry.
+ * Creates the handshakes of one entry.
  *
  * @example
  * const handshakes = createHandshakes({self, key, clock, log, ...rest});
@@ -40,21 +40,21 @@
  */
 export function createHandshakes(options: {
   readonly self: {readonly id: string; readonly incarnation: number};
-  /** Secret that all entries share. */
+  /** Secret shared by all entries. */
   readonly key: string;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Time for connecting and saying hello, in milliseconds. */
+  /** Time limit for connecting and the hello, in milliseconds. */
   readonly timeoutMs: number;
-  /** Takes a socket into use after the hello. */
-  adopt(socket: WebSocket, peer: Hello, isOurs: boolean): Connection;
-  /** Counts a peer that was refused. */
+  /** Turns a socket into a connection after a valid hello. */
+  adopt(socket: WebSocket, peer: Hello, isOutbound: boolean): Connection;
+  /** Called for each refused peer. */
   onRefusal(): void;
 }): Handshakes {
   const {self, key, clock, log, timeoutMs} = options;
-  const waiting = new Set<WebSocket>();
+  const pendingSockets = new Set<WebSocket>();
 
-  function ownHello(withKey: boolean): Buffer {
+  function encodeOwnHello(withKey: boolean): Buffer {
     const {id, incarnation} = self;
     const body: Hello = {
       id,
@@ -62,89 +62,100 @@
       protocolVersion: PROTOCOL_VERSION,
       ...(withKey ? {key} : {}),
     };
-    return encodeFrame({type: HELLO, ask: 0, body});
+    return encodeFrame({type: HELLO_FRAME, ask: 0, body});
   }
 
   function refuse(socket: WebSocket, reason: string) {
     options.onRefusal();
-    log.warn({reason}, 'refused a peer');
+    log.warn({reason}, 'refused a peer during the handshake');
     socket.terminate();
   }
 
-  /** Why a peer is refused, or undefined. */
-  function objection(given: Hello, role: HandshakeRole): string | undefined {
-    const {isOurs, expected} = role;
-    if (isOurs && !isSameKey(given.key ?? '', key)) {
-      return 'the accepting side has another key';
+  /** Returns why a peer is refused, or undefined if it is accepted. */
+  function refusalReason(
+    hello: Hello,
+    role: HandshakeRole,
+  ): string | undefined {
+    const {isOutbound, expectedId} = role;
+    if (isOutbound && !isSameKey(hello.key ?? '', key)) {
+      return 'the accepting side has a different key';
     }
-    if (given.id === self.id) {
+    if (hello.id === self.id) {
       return 'the peer has the id of this entry';
     }
-    // An address may have been given to another entry since we learnt it.
-    if (expected !== undefined && given.id !== expected) {
-      return `expected ${expected}, found ${given.id}`;
+    // The address may have been reassigned to another entry in the meantime.
+    if (expectedId !== undefined && hello.id !== expectedId) {
+      return `expected peer ${expectedId}, found ${hello.id}`;
     }
     return undefined;
   }
 
-  /** Waits for the other side's hello, then takes the socket into use. */
-  function start(
+  /** Waits for the peer's hello and validates it. */
+  function runHandshake(
     socket: WebSocket,
     role: HandshakeRole,
-    onDone: HandshakeDone,
+    onDone: HandshakeCallback,
   ) {
-    const {isOurs, expected} = role;
-    waiting.add(socket);
+    const {isOutbound, expectedId} = role;
+    pendingSockets.add(socket);
     const timer = clock.after(timeoutMs, () =>
-      refuse(socket, 'no hello in time'),
+      refuse(socket, 'no hello before the timeout'),
     );
     function finish(connection: Connection | undefined) {
-      if (!waiting.delete(socket)) {
+      if (!pendingSockets.delete(socket)) {
         return;
       }
       timer.dispose();
       onDone(connection);
     }
     socket.on('error', error =>
-      log.debug({peer: expected, reason: error.message}, 'no connection'),
+      log.debug({peer: expectedId, reason: error.message}, 'connection failed'),
     );
     socket.on('close', () => finish(undefined));
     socket.once('message', (data, isBinary) => {
-      const given = isBinary ? parseHello(data as Buffer) : 'text message';
-      if (typeof given === 'string') {
-        refuse(socket, given);
+      const hello = isBinary ? parseHelloFrame(data as Buffer) : 'text message';
+      if (typeof hello === 'string') {
+        refuse(socket, hello);
         return;
       }
-      const reason = objection(given, role);
+      const reason = refusalReason(hello, role);
       if (reason !== undefined) {
         refuse(socket, reason);
         return;
       }
-      if (!isOurs) {
-        socket.send(ownHello(true));
+      if (!isOutbound) {
+        socket.send(encodeOwnHello(true));
       }
-      finish(options.adopt(socket, given, isOurs));
+      finish(options.adopt(socket, hello, isOutbound));
     });
   }
 
   return {
-    dial(socket, expected, onDone) {
-      socket.once('open', () => socket.send(ownHello(false)));
-      start(socket, {isOurs: true, expected}, onDone);
+    dial(socket, expectedId, onDone) {
+      socket.once('open', () => socket.send(encodeOwnHello(false)));
+      runHandshake(socket, {isOutbound: true, expectedId}, onDone);
     },
     accept: socket =>
-      start(socket, {isOurs: false, expected: undefined}, () => {}),
-    count: () => waiting.size,
-    dispose: () => waiting.forEach(socket => socket.terminate()),
+      runHandshake(
+        socket,
+        {isOutbound: false, expectedId: undefined},
+        () => {},
+      ),
+    count: () => pendingSockets.size,
+    dispose: () => pendingSockets.forEach(socket => socket.terminate()),
   };
 }
 
-/** Reads the first frame; a text says what is wrong with it. */
-function parseHello(bytes: Buffer): Hello | string {
+/**
+ * Parses the first frame; returns an error message if it is not a valid hello.
+ */
+function parseHelloFrame(bytes: Buffer): Hello | string {
   try {
     const frame = decodeFrame(bytes);
-    return frame.type === HELLO ? readHello(frame.body) : 'no hello';
+    return frame.type === HELLO_FRAME
+      ? parseHello(frame.body)
+      : 'first frame is not a hello';
   } catch {
-    return 'unreadable hello';
+    return 'malformed hello';
   }
 }
--- a/packages/protocol/src/hello.ts
+++ b/packages/protocol/src/hello.ts
@@ -1,4 +1,4 @@
-/** The first message of each side of a connection, and the key that both must hold. */
+/** Hello messages that open a connection, and comparison of keys. */
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {PROTOCOL_VERSION} from './contracts.js';
 
@@ -7,31 +7,34 @@
   readonly id: string;
   readonly incarnation: number;
   readonly protocolVersion: number;
-  /** Only from the accepting side: the dialling one gave its key in the request. */
+  /**
+   * Only from the accepting side: the dialing side sends its key in the HTTP
+   * request.
+   */
   readonly key?: string;
 }
 
-/** A rolling restart has two adjacent versions side by side. */
-const VERSION_DISTANCE = 1;
+/** Adjacent versions run side by side during a rolling restart. */
+const MAX_VERSION_SKEW = 1;
 
 /**
- * Compares secrets in a time that depends on neither of them.
+ * Compares two secrets in constant time.
  *
  * @example
  * if (!isSameKey(given, expected)) { refuse(); }
  */
 export function isSameKey(given: string, expected: string): boolean {
-  return timingSafeEqual(digest(given), digest(expected));
+  return timingSafeEqual(sha256(given), sha256(expected));
 }
 
 /**
- * Reads a hello; a text says what is wrong with it.
+ * Parses a hello; returns an error message if it is invalid.
  *
  * @example
- * const hello = readHello(frame.body);
- * if (typeof hello === 'string') { cut(hello); }
+ * const hello = parseHello(frame.body);
+ * if (typeof hello === 'string') { refuse(socket, hello); }
  */
-export function readHello(body: unknown): Hello | string {
+export function parseHello(body: unknown): Hello | string {
   const hello = (body ?? {}) as Partial<Hello>;
   if (typeof hello.id !== 'string' || hello.id === '') {
     return 'the hello has no id';
@@ -40,14 +43,14 @@
     return 'the hello has no incarnation';
   }
   const version = Number(hello.protocolVersion);
-  const isClose = Math.abs(version - PROTOCOL_VERSION) <= VERSION_DISTANCE;
-  if (!isClose) {
-    return `protocol version ${version} is not next to ${PROTOCOL_VERSION}`;
+  const isCompatible = Math.abs(version - PROTOCOL_VERSION) <= MAX_VERSION_SKEW;
+  if (!isCompatible) {
+    return `protocol version ${version} is incompatible with ${PROTOCOL_VERSION}`;
   }
   const {id, incarnation, key} = hello;
   return {id, incarnation, protocolVersion: version, key: String(key ?? '')};
 }
 
-function digest(text: string): Buffer {
+function sha256(text: string): Buffer {
   return createHash('sha256').update(text).digest();
 }
--- a/packages/protocol/src/innerListener.ts
+++ b/packages/protocol/src/innerListener.ts
@@ -1,4 +1,4 @@
-/** The inner port: takes connections of peers that hold the inner key. */
+/** The inner port: accepts connections of peers that have the inner key. */
 import http from 'node:http';
 import https from 'node:https';
 import type {AddressInfo} from 'node:net';
@@ -10,17 +10,17 @@
 import type {NetworkLimits} from './limits.js';
 
 export interface InnerListener extends Disposable {
-  /** The port that is listened on, also when 0 was asked for. */
+  /** Bound port, also if port 0 was requested. */
   readonly port: number;
 }
 
-/** Path of the inner port's only resource. */
+/** Path of the only resource of the inner port. */
 export const PEER_PATH = '/peers';
 
-const BEARER = 'Bearer ';
+const BEARER_PREFIX = 'Bearer ';
 
 /**
- * Listens for peers.
+ * Listens on the inner port; throws `bad-settings` if it cannot be bound.
  *
  * @example
  * const listener = await listenForPeers({host, port: 0, key, onSocket, ...rest});
@@ -32,13 +32,13 @@
   readonly tls?: RenewedTls;
   readonly limits: NetworkLimits;
   readonly log: Logger;
-  /** Sockets that have not yet said hello. */
-  handshakes(): number;
+  /** Number of handshakes in progress. */
+  handshakeCount(): number;
   onSocket(socket: WebSocket): void;
   onRefusal(reason: string): void;
 }): Promise<InnerListener> {
   const {limits, tls} = options;
-  // The interval at which node looks for requests over time is 30 s by default.
+  // Node checks for timed-out requests only every 30 s by default.
   const timeouts = {
     headersTimeout: limits.handshakeMs,
     requestTimeout: limits.handshakeMs,
@@ -49,15 +49,15 @@
         ...timeouts,
         ...tls.current(),
         handshakeTimeout: limits.handshakeMs,
-        // Both sides prove that their certificate comes from the authorities.
+        // Mutual TLS: the certificates of both sides must be issued by `ca`.
         requestCert: true,
         minVersion: 'TLSv1.2',
       })
     : http.createServer(timeouts);
-  const renewal = tls?.onDidRenew(material =>
+  const renewalSubscription = tls?.onDidRenew(material =>
     (server as https.Server).setSecureContext(material),
   );
-  const sockets = new WebSocketServer({
+  const webSocketServer = new WebSocketServer({
     noServer: true,
     maxPayload: limits.messageBytes,
     perMessageDeflate: false,
@@ -66,18 +66,18 @@
     response.writeHead(404, {connection: 'close'}).end();
   });
 
-  function refusal(request: http.IncomingMessage): string | undefined {
-    const given = request.headers.authorization ?? '';
-    const isKnown =
-      given.startsWith(BEARER) &&
-      isSameKey(given.slice(BEARER.length), options.key);
-    if (!isKnown) {
+  function refusalStatus(request: http.IncomingMessage): string | undefined {
+    const authorization = request.headers.authorization ?? '';
+    const isAuthorized =
+      authorization.startsWith(BEARER_PREFIX) &&
+      isSameKey(authorization.slice(BEARER_PREFIX.length), options.key);
+    if (!isAuthorized) {
       return '401 Unauthorized';
     }
     if (request.url !== PEER_PATH) {
       return '404 Not Found';
     }
-    if (options.handshakes() >= limits.handshakes) {
+    if (options.handshakeCount() >= limits.handshakes) {
       return '503 Service Unavailable';
     }
     return undefined;
@@ -85,21 +85,25 @@
 
   server.on('upgrade', (request, stream: Duplex, head) => {
     stream.on('error', () => stream.destroy());
-    const refused = refusal(request);
-    if (refused !== undefined) {
-      options.onRefusal(refused);
-      stream.end(`HTTP/1.1 ${refused}\r\nConnection: close\r\n\r\n`);
+    const status = refusalStatus(request);
+    if (status !== undefined) {
+      options.onRefusal(status);
+      stream.end(`HTTP/1.1 ${status}\r\nConnection: close\r\n\r\n`);
       return;
     }
-    sockets.handleUpgrade(request, stream, head, options.onSocket);
+    webSocketServer.handleUpgrade(request, stream, head, options.onSocket);
   });
 
   await new Promise<void>((resolve, reject) => {
     server.once('error', error =>
       reject(
-        new ServingError('bad-settings', `inner port: ${error.message}`, {
-          cause: error,
-        }),
+        new ServingError(
+          'bad-settings',
+          `cannot listen on the inner port: ${error.message}`,
+          {
+            cause: error,
+          },
+        ),
       ),
     );
     server.listen(options.port, options.host, resolve);
@@ -107,10 +111,10 @@
   return {
     port: (server.address() as AddressInfo).port,
     dispose() {
-      renewal?.dispose();
+      renewalSubscription?.dispose();
       server.close();
       server.closeAllConnections();
-      sockets.close();
+      webSocketServer.close();
     },
   };
 }
--- a/packages/protocol/src/innerTls.ts
+++ b/packages/protocol/src/innerTls.ts
@@ -1,4 +1,6 @@
-/** Keys of the inner port, read from files and read again when they are renewed. */
+/**
+ * TLS certificates and key of the inner port, reloaded when their files change.
+ */
 import {readFile, stat} from 'node:fs/promises';
 import {
   ServingError,
@@ -9,13 +11,16 @@
   type Logger,
 } from '@skylarkfield/base';
 
-/** Where the settings say that the keys are. */
+/** Paths of the TLS files, as given in the settings. */
 export interface TlsPaths {
   /** PEM file with the certificate chain. */
   readonly cert: string;
   /** PEM file with the private key. */
   readonly key: string;
-  /** PEM file with the authorities that peers' certificates must come from. */
+  /**
+   * PEM file with the CA certificates that must have issued the peers'
+   * certificates.
+   */
   readonly ca: string;
 }
 
@@ -34,8 +39,8 @@
 const CHECK_INTERVAL_MS = 10_000;
 
 /**
- * Reads the files and follows their renewal; connections that are open go on
- * with the old key.
+ * Reads the TLS files and reloads them when they change; open connections keep
+ * the old key. Throws `bad-settings` if a file cannot be read.
  *
  * @example
  * const tls = await readTls({paths, clock, log});
@@ -49,31 +54,31 @@
 }): Promise<RenewedTls> {
   const {paths, clock, log} = options;
   const renewed = emitter<TlsMaterial>();
-  let stamp = await stampOf(paths);
+  let fingerprint = await readFingerprint(paths);
   let material = await readMaterial(paths);
 
-  async function check(): Promise<void> {
-    const found = await stampOf(paths);
-    if (found === stamp) {
+  async function reloadIfChanged(): Promise<void> {
+    const newFingerprint = await readFingerprint(paths);
+    if (newFingerprint === fingerprint) {
       return;
     }
-    const read = await readMaterial(paths);
-    // A renewal in progress may pair a new certificate with the old key: the
-    // listener throws, nothing is kept, and the next check tries again.
-    renewed.fire(read);
-    material = read;
-    stamp = found;
-    log.info('the keys of the inner port were renewed');
+    const newMaterial = await readMaterial(paths);
+    // During a renewal a new certificate may be paired with the old key: the
+    // listener throws, the old material stays, and the next check retries.
+    renewed.fire(newMaterial);
+    material = newMaterial;
+    fingerprint = newFingerprint;
+    log.info('reloaded the TLS certificate and key of the inner port');
   }
 
-  const checks = every(
+  const checkTimer = every(
     clock,
     options.checkIntervalMs ?? CHECK_INTERVAL_MS,
     () => {
-      check().catch(error =>
+      reloadIfChanged().catch(error =>
         log.warn(
           {reason: String(error)},
-          'renewed inner keys are not usable yet',
+          'cannot load the changed TLS files of the inner port yet',
         ),
       );
     },
@@ -81,17 +86,17 @@
   return {
     current: () => material,
     onDidRenew: renewed.event,
-    dispose: () => checks.dispose(),
+    dispose: () => checkTimer.dispose(),
   };
 }
 
-async function stampOf(paths: TlsPaths): Promise<string> {
+async function readFingerprint(paths: TlsPaths): Promise<string> {
   const files = [paths.cert, paths.key, paths.ca];
   const stats = await Promise.all(files.map(file => stat(file))).catch(
-    unusable,
+    throwBadSettings,
   );
   return stats
-    .map(found => `${found.mtimeMs}/${found.size}/${found.ino}`)
+    .map(fileStat => `${fileStat.mtimeMs}/${fileStat.size}/${fileStat.ino}`)
     .join();
 }
 
@@ -99,12 +104,16 @@
   const files = [paths.cert, paths.key, paths.ca];
   const [cert, key, ca] = await Promise.all(
     files.map(file => readFile(file)),
-  ).catch(unusable);
+  ).catch(throwBadSettings);
   return {cert: cert!, key: key!, ca: ca!};
 }
 
-function unusable(error: unknown): never {
-  throw new ServingError('bad-settings', `inner TLS: ${String(error)}`, {
-    cause: error,
-  });
+function throwBadSettings(error: unknown): never {
+  throw new ServingError(
+    'bad-settings',
+    `TLS files of the inner port: ${String(error)}`,
+    {
+      cause: error,
+    },
+  );
 }
--- a/packages/protocol/src/limits.ts
+++ b/packages/protocol/src/limits.ts
@@ -1,23 +1,34 @@
-/** Bounds that keep a faulty or hostile peer from costing this process much. */
+/** Limits on the resources that a faulty or hostile peer can consume. */
 
 export interface NetworkLimits {
-  /** Largest message in bytes, both ways. */
+  /** Maximum size of a message in either direction, in bytes. */
   readonly messageBytes: number;
-  /** Messages a second that one connection may carry on average. */
+  /**
+   * Average rate of received messages per connection, in messages per second.
+   */
   readonly messagesPerSecond: number;
-  /** Messages it may carry at once above that. */
+  /** Size of the token bucket for bursts above that rate, in messages. */
   readonly messageBurst: number;
-  /** Bytes that may wait for a slow peer before its connection is cut. */
+  /**
+   * Send buffer size above which the connection to a slow peer is closed, in
+   * bytes.
+   */
   readonly bufferedBytes: number;
-  /** Connections that have not yet said who they are. */
+  /** Maximum number of handshakes in progress. */
   readonly handshakes: number;
-  /** Time for connecting and saying hello, in milliseconds. */
+  /** Time limit for connecting and the hello, in milliseconds. */
   readonly handshakeMs: number;
-  /** Silence after which a ping is sent, in milliseconds. */
+  /** Time without received data after which a ping is sent, in milliseconds. */
   readonly pingMs: number;
-  /** Silence after which a connection counts as dead, in milliseconds. */
+  /**
+   * Time without received data after which a connection is closed, in
+   * milliseconds.
+   */
   readonly silenceMs: number;
-  /** Time after which an unused connection to a non-neighbour is closed, in milliseconds. */
+  /**
+   * Idle time after which a connection to a non-neighbour is closed, in
+   * milliseconds.
+   */
   readonly idleMs: number;
 }
 
--- a/packages/protocol/src/memoryNetwork.ts
+++ b/packages/protocol/src/memoryNetwork.ts
@@ -1,6 +1,7 @@
 /**
- * Many peers in one process, with the real codec and without sockets: delay,
- * loss, cuts and pauses, for tests and for measurements at many members.
+ * Network of simulated processes with the real codec but without sockets.
+ * Injects delay, loss, partitions and pauses, for tests and large-scale
+ * benchmarks.
  */
 import {
   emitter,
@@ -20,44 +21,46 @@
 /** One simulated process. */
 export interface MemoryPeer {
   readonly network: PeerNetwork;
-  /** A clock whose timers wait while the process is paused. */
+  /** Clock whose timers are deferred while the process is paused. */
   readonly clock: Clock;
 }
 
 export interface MemoryNetwork {
-  /** Starts a process; one of the same id that ran before is crashed first. */
+  /** Starts a process; first crashes a running one of the same id. */
   start(id: string): MemoryPeer;
-  /** Ends a process without a word, as SIGKILL does. */
+  /** Ends a process without a shutdown, like SIGKILL. */
   crash(id: string): void;
-  /** Stops its timers and lets received messages wait, as SIGSTOP does. */
+  /** Defers its timers and received messages, like SIGSTOP. */
   pause(id: string): void;
   resume(id: string): void;
-  /** Drops what goes from one to the other; the way back stays open. */
+  /** Drops messages in one direction; the opposite direction stays open. */
   cut(from: string, to: string): void;
   heal(from: string, to: string): void;
   healAll(): void;
   setLoss(probability: number): void;
-  /** Messages and bytes of all processes together. */
+  /** Sums of the traffic of all processes. */
   total(): NetworkTraffic;
 }
 
-interface Process {
+interface SimulatedProcess {
   readonly id: string;
   readonly dispatcher: Dispatcher;
-  readonly known: Set<string>;
-  readonly waiting: (() => void)[];
-  readonly changed: ReturnType<typeof emitter<{peer: string; isOpen: boolean}>>;
+  readonly connectedIds: Set<string>;
+  readonly deferred: (() => void)[];
+  readonly peerChanged: ReturnType<
+    typeof emitter<{peer: string; isOpen: boolean}>
+  >;
   isPaused: boolean;
   isAlive: boolean;
 }
 
 const DEFAULT_DELAY_MS = 1;
 
-/** Addresses of simulated processes are this and the id. */
+/** URL prefix of simulated processes; the id follows. */
 export const MEMORY_SCHEME = 'memory://';
 
 /**
- * Makes an empty network of simulated processes.
+ * Creates an empty network of simulated processes.
  *
  * @example
  * const net = createMemoryNetwork({clock: virtualClock(), random: seededRandom(1)});
@@ -67,35 +70,40 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log?: Logger;
-  /** One-way delay; up to the same again is added at random. */
+  /**
+   * Minimum one-way delay; a random jitter of up to the same amount is added.
+   */
   readonly delayMs?: number;
 }): MemoryNetwork {
   const {clock, random} = options;
   const delayMs = options.delayMs ?? DEFAULT_DELAY_MS;
-  const processes = new Map<string, Process>();
-  const cuts = new Set<string>();
-  let loss = 0;
+  const processes = new Map<string, SimulatedProcess>();
+  const partitions = new Set<string>();
+  let lossProbability = 0;
 
-  /** Runs now, or after the pause when the process is paused, or never when it has died. */
-  function runIn(process: Process, action: () => void) {
+  /**
+   * Runs the action now, after the pause of a paused process, or never in a
+   * dead one.
+   */
+  function runOrDefer(process: SimulatedProcess, action: () => void) {
     if (!process.isAlive) {
       return;
     }
     if (process.isPaused) {
-      process.waiting.push(action);
+      process.deferred.push(action);
       return;
     }
     action();
   }
 
-  function clockOf(process: Process): Clock {
+  function createProcessClock(process: SimulatedProcess): Clock {
     return {
       now: () => clock.now(),
       wall: () => clock.wall(),
       after: (delay, callback) => {
         let isCancelled = false;
         const timer = clock.after(delay, () =>
-          runIn(process, () => {
+          runOrDefer(process, () => {
             if (!isCancelled) {
               callback();
             }
@@ -109,93 +117,100 @@
     };
   }
 
-  function carry(from: Process, to: string, bytes: Buffer): void {
+  function deliver(from: SimulatedProcess, to: string, bytes: Buffer): void {
     const target = processes.get(to);
     if (target !== undefined) {
-      carryTo(from, target, bytes);
+      deliverTo(from, target, bytes);
     }
   }
 
-  function carryTo(from: Process, target: Process, bytes: Buffer): void {
-    const isLost = loss > 0 && random.chance(loss);
-    if (isLost || cuts.has(cutKey(from.id, target.id))) {
+  function deliverTo(
+    from: SimulatedProcess,
+    target: SimulatedProcess,
+    bytes: Buffer,
+  ): void {
+    const isLost = lossProbability > 0 && random.chance(lossProbability);
+    if (isLost || partitions.has(partitionKey(from.id, target.id))) {
       return;
     }
     clock.after(delayMs * (1 + random.next()), () =>
-      runIn(target, () => {
-        // The answer goes to the process that asked, never to a later one of
-        // its id: as with a connection, which ends with the process.
+      runOrDefer(target, () => {
+        // The response goes to the process that sent the request, not to a
+        // later one of the same id: a connection ends with its process.
         target.dispatcher.receive(from.id, bytes, reply =>
-          carryTo(target, from, reply),
+          deliverTo(target, from, reply),
         );
       }),
     );
   }
 
-  function isConnected(process: Process, to: string): boolean {
-    return process.known.has(to) && processes.get(to)?.isAlive === true;
+  function isConnected(process: SimulatedProcess, to: string): boolean {
+    return process.connectedIds.has(to) && processes.get(to)?.isAlive === true;
   }
 
-  /** Opens both ends, as a connection dialled by either side does. */
-  function connect(process: Process, to: string) {
+  /** Opens the connection on both sides. */
+  function connect(process: SimulatedProcess, to: string) {
     const target = processes.get(to);
-    const isCut =
-      cuts.has(cutKey(process.id, to)) || cuts.has(cutKey(to, process.id));
-    if (!target?.isAlive || isCut || process.known.has(to)) {
+    const isPartitioned =
+      partitions.has(partitionKey(process.id, to)) ||
+      partitions.has(partitionKey(to, process.id));
+    if (!target?.isAlive || isPartitioned || process.connectedIds.has(to)) {
       return;
     }
-    process.known.add(to);
-    target.known.add(process.id);
-    process.changed.fire({peer: to, isOpen: true});
-    runIn(target, () => target.changed.fire({peer: process.id, isOpen: true}));
+    process.connectedIds.add(to);
+    target.connectedIds.add(process.id);
+    process.peerChanged.fire({peer: to, isOpen: true});
+    runOrDefer(target, () =>
+      target.peerChanged.fire({peer: process.id, isOpen: true}),
+    );
   }
 
-  function disconnect(process: Process, to: string) {
-    if (!process.known.delete(to)) {
+  function disconnect(process: SimulatedProcess, to: string) {
+    if (!process.connectedIds.delete(to)) {
       return;
     }
-    process.dispatcher.failAsks(to);
-    process.changed.fire({peer: to, isOpen: false});
+    process.dispatcher.failRequests(to);
+    process.peerChanged.fire({peer: to, isOpen: false});
     const target = processes.get(to);
-    if (target?.known.delete(process.id)) {
-      runIn(target, () =>
-        target.changed.fire({peer: process.id, isOpen: false}),
+    if (target?.connectedIds.delete(process.id)) {
+      runOrDefer(target, () =>
+        target.peerChanged.fire({peer: process.id, isOpen: false}),
       );
     }
   }
 
-  function networkOf(process: Process): PeerNetwork {
+  function createProcessNetwork(process: SimulatedProcess): PeerNetwork {
     const {dispatcher} = process;
-    let book = new Set<string>();
-    let wanted = new Set<string>();
+    let addressBook = new Set<string>();
+    let wantedPeers = new Set<string>();
     function sendBytes(to: string, bytes: Buffer): boolean {
-      if (wanted.has(to) || book.has(to)) {
+      if (wantedPeers.has(to) || addressBook.has(to)) {
         connect(process, to);
       }
       if (!isConnected(process, to)) {
         return false;
       }
-      carry(process, to, bytes);
+      deliver(process, to, bytes);
       return true;
     }
     function connected() {
-      return [...process.known].filter(to => isConnected(process, to));
+      return [...process.connectedIds].filter(to => isConnected(process, to));
     }
     return {
       setPeers(peers: readonly PeerAddress[]) {
-        wanted = new Set(peers.map(peer => peer.id));
-        wanted.delete(process.id);
-        for (const id of [...process.known]) {
-          if (!wanted.has(id) && !book.has(id)) {
+        wantedPeers = new Set(peers.map(peer => peer.id));
+        wantedPeers.delete(process.id);
+        for (const id of [...process.connectedIds]) {
+          if (!wantedPeers.has(id) && !addressBook.has(id)) {
             disconnect(process, id);
           }
         }
-        for (const id of wanted) {
+        for (const id of wantedPeers) {
           connect(process, id);
         }
       },
       setAddressBook(peers) {
-        book = new Set(peers.map(peer => peer.id));
+        addressBook = new Set(peers.map(peer => peer.id));
       },
       dial(url) {
         const id = url.replace(MEMORY_SCHEME, '');
@@ -213,16 +228,19 @@
         return receivers.filter(id => sendBytes(id, bytes)).length;
       },
       ask: (to, type, body, timeoutMs) =>
-        dispatcher.ask(to, type, body, timeoutMs, bytes =>
+        dispatcher.request(to, type, body, timeoutMs, bytes =>
           sendBytes(to, bytes),
         ),
       onDidReceive: (type, handler) =>
-        dispatcher.handle(type, handler as (f: string, b: unknown) => unknown),
+        dispatcher.addHandler(
+          type,
+          handler as (f: string, b: unknown) => unknown,
+        ),
       onDidChangePeer: listener =>
-        process.changed.event(({peer, isOpen}) => listener(peer, isOpen)),
+        process.peerChanged.event(({peer, isOpen}) => listener(peer, isOpen)),
       traffic: () => dispatcher.traffic(),
       dispose() {
-        for (const id of [...process.known]) {
+        for (const id of [...process.connectedIds]) {
           disconnect(process, id);
         }
         process.isAlive = false;
@@ -238,9 +256,11 @@
     }
     process.isAlive = false;
     for (const other of processes.values()) {
-      if (other.known.delete(id)) {
-        other.dispatcher.failAsks(id);
-        runIn(other, () => other.changed.fire({peer: id, isOpen: false}));
+      if (other.connectedIds.delete(id)) {
+        other.dispatcher.failRequests(id);
+        runOrDefer(other, () =>
+          other.peerChanged.fire({peer: id, isOpen: false}),
+        );
       }
     }
   }
@@ -250,20 +270,20 @@
       crash(id);
       const process = {
         id,
-        known: new Set<string>(),
-        waiting: [],
-        changed: emitter<{peer: string; isOpen: boolean}>(),
+        connectedIds: new Set<string>(),
+        deferred: [],
+        peerChanged: emitter<{peer: string; isOpen: boolean}>(),
         isPaused: false,
         isAlive: true,
-      } as Omit<Process, 'dispatcher'> as Process;
-      const own = clockOf(process);
+      } as Omit<SimulatedProcess, 'dispatcher'> as SimulatedProcess;
+      const processClock = createProcessClock(process);
       const dispatcher = createDispatcher({
-        clock: own,
+        clock: processClock,
         log: options.log ?? silentLogger(),
       });
       Object.assign(process, {dispatcher});
       processes.set(id, process);
-      return {network: networkOf(process), clock: own};
+      return {network: createProcessNetwork(process), clock: processClock};
     },
     crash,
     pause(id) {
@@ -278,15 +298,15 @@
         return;
       }
       process.isPaused = false;
-      for (const action of process.waiting.splice(0)) {
-        runIn(process, action);
+      for (const action of process.deferred.splice(0)) {
+        runOrDefer(process, action);
       }
     },
-    cut: (from, to) => cuts.add(cutKey(from, to)),
-    heal: (from, to) => cuts.delete(cutKey(from, to)),
-    healAll: () => cuts.clear(),
+    cut: (from, to) => partitions.add(partitionKey(from, to)),
+    heal: (from, to) => partitions.delete(partitionKey(from, to)),
+    healAll: () => partitions.clear(),
     setLoss(probability) {
-      loss = probability;
+      lossProbability = probability;
     },
     total() {
       return [...processes.values()]
@@ -314,6 +334,6 @@
   };
 }
 
-function cutKey(from: string, to: string): string {
+function partitionKey(from: string, to: string): string {
   return `${from}>${to}`;
 }
--- a/packages/protocol/src/messages/endpointMessages.ts
+++ b/packages/protocol/src/messages/endpointMessages.ts
@@ -1,18 +1,21 @@
-/** Messages by which entries tell each other about endpoints. */
+/** Messages about endpoints. */
 
 export interface EndpointMessages {
-  /** The sender has learnt that an endpoint or its host leaves. */
+  /** Announces that endpoints or their host are about to leave. */
   endpointLeaving: {
     readonly endpoints: readonly string[];
     readonly host: string;
-    /** Wall-clock milliseconds by which the host is gone; 0 when not known. */
+    /** Wall-clock milliseconds by which the host is gone; 0 if unknown. */
     readonly goneAt: number;
-    /** All endpoints of the host leave, also those that the sender does not know. */
+    /**
+     * Whether all endpoints of the host leave, including ones unknown to the
+     * sender.
+     */
     readonly isWhole?: boolean;
   };
   /**
-   * Asks for the receiver's host list, by a process that has none yet because
-   * the platform is down; answered with `{endpoints}`, empty when it has none.
+   * Requests the receiver's host list, for a process that has none yet because
+   * the platform is down. Response: `{endpoints}`, empty if there is none.
    */
   endpointsWanted: Readonly<Record<string, never>>;
 }
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -1,23 +1,25 @@
-/** Messages about which entries there are. */
+/** Membership messages. */
 
-/** What one entry says of one member; the higher incarnation and sequence wins. */
+/**
+ * Reported state of one member; the higher incarnation, then sequence, wins.
+ */
 export interface MemberNews {
   readonly id: string;
   readonly incarnation: number;
-  /** Rises with every change that the member itself announces. */
+  /** Increases with each change that the member itself announces. */
   readonly sequence: number;
   readonly state: 'live' | 'suspect' | 'leaving' | 'gone';
   readonly callerUrl: string;
   readonly innerUrl: string;
   readonly failureDomain: string;
   readonly region: string;
-  /** Requests in flight when the news was made, to spread callers. */
+  /** Requests in flight when this was created, for load balancing. */
   readonly load: number;
-  /** Processor cores that it may use; absent where its settings do not say. */
+  /** Processor cores that it may use; absent if not set in its settings. */
   readonly cores?: number;
 }
 
-/** That a known member leaves or is gone; without the addresses that all have. */
+/** Change of a known member to `leaving` or `gone`, without its addresses. */
 export interface MemberChange {
   readonly id: string;
   readonly incarnation: number;
@@ -26,43 +28,56 @@
 }
 
 export interface MemberMessages {
-  /** Periodic proof of life; carries news that the receiver may not have. */
+  /** Periodic heartbeat with piggybacked updates that the receiver may lack. */
   heartbeat: {
     readonly incarnation: number;
     readonly sequence: number;
     readonly load: number;
     readonly news: readonly MemberNews[];
     readonly changes?: readonly MemberChange[];
-    /** Hash of all members the sender knows; a lasting difference is reconciled. */
+    /**
+     * Hash of all members known to the sender; a lasting difference is
+     * reconciled.
+     */
     readonly digest?: number;
   };
-  /** Sent before a stopping entry does anything else; asked, so that it is acknowledged. */
+  /**
+   * First message of a stopping entry; a request, so that it is acknowledged.
+   */
   leaving: {readonly news: MemberNews};
   /**
-   * Asks a member for its own news, right now; carries what the asker believes
-   * of it, so that it can refute. Answered with `MemberProof`.
+   * Probes a member for its current state; carries the state that the sender
+   * has recorded for it, so that it can refute it. Response: `MemberProof`.
    */
   memberProbe: {readonly from: MemberNews; readonly believed?: MemberNews};
-  /** Asks whether the receiver has heard a silent member; answered with `MemberWord`. */
+  /**
+   * Asks when the receiver last heard from a silent member. Response:
+   * `MemberWord`.
+   */
   memberWord: {readonly id: string; readonly incarnation: number};
-  /** Asks for the members of those buckets that differ; answered with `MembersGiven`. */
+  /** Requests the members of buckets that differ. Response: `MembersGiven`. */
   membersWanted: {readonly buckets: readonly number[]};
 }
 
-/** A member's answer to a probe. */
+/** Response to `memberProbe`. */
 export interface MemberProof {
   readonly news: MemberNews;
-  /** What the answering one believed of the asker when that was not `live`. */
+  /**
+   * State that the responder has recorded for the prober, unless it is `live`.
+   */
   readonly believed?: MemberNews;
 }
 
-/** What a member has heard of another one itself. */
+/** Response to `memberWord`. */
 export interface MemberWord {
-  /** Milliseconds since it heard that incarnation or a later one; -1 for never. */
+  /**
+   * Milliseconds since the responder heard from that or a later incarnation; -1
+   * for never.
+   */
   readonly heardAgoMs: number;
 }
 
-/** Answer to `membersWanted`. */
+/** Response to `membersWanted`. */
 export interface MembersGiven {
   readonly news: readonly MemberNews[];
 }
--- a/packages/protocol/src/messages/moveMessages.ts
+++ b/packages/protocol/src/messages/moveMessages.ts
@@ -1,15 +1,18 @@
-/** Messages by which entries share evidence about versions on the move. */
+/**
+ * Messages about rollouts of versions (moves) and the evidence on their
+ * candidates.
+ */
 
-/** Sums over one window of one version on one route at one load level. */
+/** Sums over one window for one version, route and load level. */
 export interface EvidenceSum {
   readonly route: string;
   readonly version: string;
   readonly loadLevel: 'low' | 'middle' | 'high';
-  /** True for calls that run at most once; their share grows last. */
+  /** True for calls that run at most once; their share is raised last. */
   readonly isOrder?: boolean;
   readonly requests: number;
   readonly errors: number;
-  /** Sum and sum of squares of the logarithm of latency in milliseconds plus an offset of 10. */
+  /** Sums of ln(latency in milliseconds + 10) and of its square. */
   readonly logLatency: number;
   readonly logLatencySquared: number;
 }
@@ -22,60 +25,69 @@
   | 'taken-back'
   | 'withdrawn';
 
-/** The durable state of a move, an object of the platform written by the duty's holder. */
+/**
+ * Durable state of a move: a platform object that the holder of the duty
+ * writes.
+ */
 export interface MoveState {
   readonly move: string;
   readonly phase: MovePhase;
-  /** Share of traffic for the candidate on idempotent routes, 0 to 1. */
+  /** Candidate's share of traffic on idempotent routes, 0 to 1. */
   readonly share: number;
-  /** Share on non-idempotent routes; they go last. */
+  /** Candidate's share on non-idempotent routes, which is raised last. */
   readonly orderShare: number;
-  /** Why it is in this phase, for the operator. */
+  /** Reason for this phase, for the operator. */
   readonly why: string;
-  /** How sure the judgement is, 0 to 1. */
+  /** Confidence in the verdict, 0 to 1. */
   readonly confidence: number;
   /** Wall-clock milliseconds of the last change of phase or share. */
   readonly changedAt: number;
-  /** Versions that the state is about, to see when an operator changes the move. */
+  /**
+   * Versions that the state refers to; they show when an operator changes the
+   * move.
+   */
   readonly from?: string;
   readonly to?: string;
-  /** Wall-clock milliseconds at which the candidate first got traffic. */
+  /** Wall-clock milliseconds at which the candidate first received traffic. */
   readonly startedAt?: number;
-  /** What was proven so far, so that a new holder of the duty goes on from it. */
+  /** Evidence so far, from which a new holder of the duty continues. */
   readonly proof?: readonly RouteProof[];
 }
 
-/** Evidence on one route, summed since the move started. */
+/** Evidence on one route, summed since the start of the move. */
 export interface RouteProof {
   readonly route: string;
   readonly isOrder: boolean;
   readonly requests: number;
   readonly candidateRequests: number;
-  /** Log-likelihood ratios of a good version against one with this many times the errors. */
+  /**
+   * Log-likelihood ratios of a good version to one with 2 and 3 times the
+   * errors.
+   */
   readonly errorsTwice: number;
   readonly errorsThrice: number;
-  /** The same against an added error rate that matters, for routes that hardly fail. */
+  /** The same for a relevant added error rate, on routes that rarely fail. */
   readonly errorsAdded: number;
-  /** The same against a latency that is half as long again. */
+  /** The same for 1.5 times the latency. */
   readonly slower: number;
-  /** Largest log-likelihood ratio of a fault that began at any time and still goes on. */
+  /** Maximum log-likelihood ratio of an ongoing fault over all start times. */
   readonly recentFault: number;
 }
 
 export interface MoveMessages {
-  /** What the sender saw of a move since its last message. */
+  /** Evidence that the sender collected since its last message. */
   moveEvidence: {
     readonly move: string;
     readonly sequence: number;
     readonly sums: readonly EvidenceSum[];
   };
-  /** The sender has cut a candidate's share to zero and says why. */
+  /** The sender set a candidate's share to zero. */
   moveCut: {
     readonly move: string;
     readonly why: string;
-    /** The candidate that was cut: the record may name another by now. */
+    /** The candidate in question; the record may name another one by now. */
     readonly to?: string;
   };
-  /** The durable states as the sender knows them; a receiver keeps the newer of each. */
+  /** Durable states known to the sender; a receiver keeps the newer of each. */
   moveStates: {readonly states: readonly MoveState[]};
 }
--- a/packages/protocol/src/messages/orderMessages.ts
+++ b/packages/protocol/src/messages/orderMessages.ts
@@ -1,7 +1,10 @@
-/** Messages that bring non-idempotent calls to the owner of their ledger shard, and outcomes back into it. */
+/**
+ * Messages that forward non-idempotent calls, and their outcomes, to the owner
+ * of their ledger shard.
+ */
 import type {ErrorKind, RunState} from '@skylarkfield/base';
 
-/** A call as it travels between entries. */
+/** A call forwarded between entries. */
 export interface ForwardedCall {
   readonly method: string;
   readonly path: string;
@@ -9,15 +12,15 @@
   readonly body: Uint8Array;
 }
 
-/** A service's reply as it travels between entries. */
+/** A service's reply forwarded between entries. */
 export interface ForwardedReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
-  /** Undefined when the reply was too large for the ledger. */
+  /** Undefined if the reply was too large for the ledger. */
   readonly body: Uint8Array | undefined;
 }
 
-/** Answer to `orderForward`. */
+/** Response to `orderForward`. */
 export type ForwardAnswer =
   | {
       readonly type: 'reply';
@@ -31,19 +34,24 @@
       readonly run: RunState;
       readonly retryAfterMs?: number;
     }
-  /** The shard is owned elsewhere; nothing of the order was sent here, and nothing will be. */
+  /**
+   * Another member owns the shard; this one did not and will not send the order
+   * to a service.
+   */
   | {
       readonly type: 'elsewhere';
       readonly member: string;
-      /** The claim that was made here and is void. */
+      /** Token of the claim that the responder made and voided. */
       readonly released?: string;
-      /** Whether the order waits in the ledger, where the next owner runs it. */
+      /**
+       * Whether the order is queued in the ledger for the next owner to run.
+       */
       readonly isWaiting?: boolean;
     };
 
 /**
- * How a claim ended. `released`: never sent and never will be, so the claim is
- * void; `unknown`: sent, and the reply was lost.
+ * Outcome of a claim. `released`: the order was not and will not be sent, so
+ * the claim is void; `unknown`: it was sent and the reply was lost.
  */
 export type ClaimOutcome =
   | {
@@ -59,35 +67,46 @@
     };
 
 export interface OrderMessages {
-  /** An order for the owner of its shard; answered with a `ForwardAnswer`. */
+  /** Forwards an order to the owner of its shard. Response: `ForwardAnswer`. */
   orderForward: {
-    /** Digest of customer and key, or a random id for an order without key. */
+    /** Digest of customer and idempotency key; a random id without a key. */
     readonly id: string;
     readonly print: string;
-    /** Unique for each forwarding, so that a second delivery is not a second order. */
+    /** Unique id of each forwarding, to deduplicate deliveries. */
     readonly attempt: string;
     readonly service: string;
     readonly call: ForwardedCall;
-    /** Milliseconds that are left to answer in. */
+    /** Remaining time to respond, in milliseconds. */
     readonly leftMs: number;
-    /** The sender's wall clock, to drop what lay unread for very long. */
+    /**
+     * Wall-clock milliseconds of the sender, to drop messages that were read
+     * too late.
+     */
     readonly sentAtWall: number;
-    /** Claims for this id that the sender holds void: never sent, never will be. */
+    /**
+     * Claims for this id that are void: the order was not and will not be sent.
+     */
     readonly released: readonly string[];
   };
-  /** Outcomes of claims in shards that the sender does not own; the receiver brings them into the ledger. */
+  /**
+   * Outcomes of claims in a shard that the sender does not own; the receiver
+   * records them in the ledger.
+   */
   orderOutcomes: {
     readonly shard: number;
-    /** How often the outcomes have been passed on. */
+    /** Number of times that the outcomes have been forwarded. */
     readonly hops: number;
     readonly outcomes: readonly ClaimOutcome[];
   };
-  /** Asks the entry that made a claim how it ended; answered with a `ClaimOutcome`, or undefined. */
+  /**
+   * Requests the outcome of a claim from its claimant. Response: `ClaimOutcome`
+   * or undefined.
+   */
   orderOutcomeWanted: {readonly id: string; readonly token: string};
   /**
-   * The sender has released a shard; the receiver takes it over and runs what
-   * waits in it. The epoch is in the ledger. Earlier releases send a field
-   * `epoch` here that is always 0, so that name is taken.
+   * The sender released a shard; the receiver takes it over and runs its queued
+   * orders. The epoch is in the ledger. The field name `epoch` is reserved:
+   * earlier releases send it here, always as 0.
    */
   orderHandOver: {readonly shard: number};
 }
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -1,11 +1,11 @@
-/** The way to one peer: dials, waits and dials again, as a state machine. */
+/** State machine that dials one peer and redials it with backoff. */
 import {createMachine, interpret, state, transition} from 'robot3';
 import {type Clock, type Disposable, type Random} from '@skylarkfield/base';
 import type {PeerAddress} from './contracts.js';
 
 export type LinkState = 'idle' | 'dialing' | 'open' | 'waiting';
 
-/** Every change that a link can make. */
+/** State transitions of a link. */
 const linkMachine = createMachine('idle', {
   idle: state(transition('dial', 'dialing'), transition('opened', 'open')),
   dialing: state(transition('opened', 'open'), transition('failed', 'waiting')),
@@ -13,45 +13,45 @@
   waiting: state(
     transition('dial', 'dialing'),
     transition('opened', 'open'),
-    transition('rest', 'idle'),
+    transition('goIdle', 'idle'),
   ),
 });
 
-type LinkEvent = 'dial' | 'opened' | 'failed' | 'closed' | 'rest';
+type LinkEvent = 'dial' | 'opened' | 'failed' | 'closed' | 'goIdle';
 
-/** Keeps one peer connected, or dials it on request. */
+/** Keeps a peer connected, or dials it on demand. */
 export interface PeerLink extends Disposable {
   address: PeerAddress;
-  /** Stays connected when true; otherwise dials only on request. */
+  /** Whether to stay connected; otherwise dials only on demand. */
   isWanted: boolean;
   state(): LinkState;
-  /** Dials now unless a connection is open or on its way. */
+  /** Dials now unless a connection is open or being opened. */
   dial(): void;
-  /** A connection, dialled by either side, is open. */
-  opened(): void;
-  /** The connection closed, or the dial failed. */
-  closed(): void;
+  /** Called when a connection, dialed by either side, is open. */
+  handleOpened(): void;
+  /** Called when the connection closed or the dial failed. */
+  handleClosed(): void;
 }
 
-const FIRST_BACKOFF_MS = 100;
-const LAST_BACKOFF_MS = 5_000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 5_000;
 
 /**
- * Makes the link to a peer; `open` starts one dial.
+ * Creates the link to a peer; `startDial` starts one dial.
  *
  * @example
- * const link = createPeerLink({address, clock, random, open: dialSocket});
+ * const link = createPeerLink({address, clock, random, startDial});
  */
 export function createPeerLink(options: {
   readonly address: PeerAddress;
   readonly clock: Clock;
   readonly random: Random;
-  open(link: PeerLink): void;
+  startDial(link: PeerLink): void;
 }): PeerLink {
   const {clock, random} = options;
   const service = interpret(linkMachine, () => {});
-  let failures = 0;
-  let timer: Disposable | undefined;
+  let failureCount = 0;
+  let retryTimer: Disposable | undefined;
   let isDisposed = false;
 
   function current(): LinkState {
@@ -62,10 +62,16 @@
     service.send(event);
   }
 
-  /** Half to all of a doubling span: peers that lost one entry do not return together. */
+  /**
+   * Exponential backoff with 50 % jitter, so that peers that lost an entry do
+   * not redial together.
+   */
   function backoffMs(): number {
-    const span = Math.min(LAST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** failures);
-    return span * (0.5 + random.next() / 2);
+    const maxDelayMs = Math.min(
+      MAX_BACKOFF_MS,
+      INITIAL_BACKOFF_MS * 2 ** failureCount,
+    );
+    return maxDelayMs * (0.5 + random.next() / 2);
   }
 
   const link: PeerLink = {
@@ -76,28 +82,28 @@
       if (isDisposed || current() === 'open' || current() === 'dialing') {
         return;
       }
-      timer?.dispose();
+      retryTimer?.dispose();
       send('dial');
-      options.open(link);
+      options.startDial(link);
     },
-    opened() {
-      timer?.dispose();
-      failures = 0;
+    handleOpened() {
+      retryTimer?.dispose();
+      failureCount = 0;
       send('opened');
     },
-    closed() {
+    handleClosed() {
       send(current() === 'dialing' ? 'failed' : 'closed');
-      timer?.dispose();
+      retryTimer?.dispose();
       if (!link.isWanted) {
-        send('rest');
+        send('goIdle');
         return;
       }
-      timer = clock.after(backoffMs(), link.dial);
-      failures += 1;
+      retryTimer = clock.after(backoffMs(), link.dial);
+      failureCount += 1;
     },
     dispose() {
       isDisposed = true;
-      timer?.dispose();
+      retryTimer?.dispose();
     },
   };
   return link;
--- a/packages/protocol/src/peerLinks.ts
+++ b/packages/protocol/src/peerLinks.ts
@@ -1,37 +1,37 @@
-/** The links of one entry: which peers stay connected, and where the others are found. */
+/** Links of one entry to its peers, and the address book of the other peers. */
 import type {Clock, Disposable, Random} from '@skylarkfield/base';
 import type {Connection} from './connection.js';
 import type {PeerAddress} from './contracts.js';
 import {createPeerLink, type PeerLink} from './peerLink.js';
 
 /**
- * When both ends learn of each other at once, the one with the larger id waits
- * this long for the other's connection, in milliseconds.
+ * Head start, in milliseconds, of the peer with the smaller id, so that two
+ * peers that discover each other at the same time do not both dial.
  */
 const SECOND_DIALER_DELAY_MS = 300;
 
-/** Links by peer, and the address book for peers without one. */
+/** Links by peer id, and the address book for peers without a link. */
 export interface PeerLinks extends Disposable {
   get(id: string): PeerLink | undefined;
-  /** The link to a peer, made when there is none. */
-  linkTo(address: PeerAddress): PeerLink;
-  /** Where a peer is, by its link or the address book. */
+  /** Returns the link to a peer; creates it if there is none. */
+  getOrCreate(address: PeerAddress): PeerLink;
+  /** Address of a peer from its link or the address book. */
   addressOf(id: string): PeerAddress | undefined;
-  /** Where a peer is by the address book alone. */
-  listedAddress(id: string): PeerAddress | undefined;
-  /** Sets the peers that stay connected. */
-  setWanted(peers: readonly PeerAddress[]): void;
-  /** Sets the peers that are dialled only when something is sent to them. */
+  /** Address of a peer from the address book alone. */
+  addressBookEntry(id: string): PeerAddress | undefined;
+  /** Sets the peers to stay connected to. */
+  setWantedPeers(peers: readonly PeerAddress[]): void;
+  /** Sets the peers to dial only on demand. */
   setAddressBook(peers: readonly PeerAddress[]): void;
   dump(): unknown;
 }
 
 /**
- * Makes the links of one entry, none at first.
+ * Creates an empty set of links of one entry.
  *
  * @example
- * const links = createPeerLinks({selfId, clock, random, connectionTo, open});
- * links.setWanted(neighbours);
+ * const links = createPeerLinks({selfId, clock, random, connectionTo, startDial});
+ * links.setWantedPeers(neighbours);
  */
 export function createPeerLinks(options: {
   readonly selfId: string;
@@ -39,28 +39,28 @@
   readonly random: Random;
   connectionTo(id: string): Connection | undefined;
   /** Starts one dial. */
-  open(link: PeerLink): void;
+  startDial(link: PeerLink): void;
 }): PeerLinks {
-  const {selfId, clock, random, connectionTo, open} = options;
+  const {selfId, clock, random, connectionTo, startDial} = options;
   const links = new Map<string, PeerLink>();
-  let book = new Map<string, PeerAddress>();
+  let addressBook = new Map<string, PeerAddress>();
 
-  function linkTo(address: PeerAddress): PeerLink {
-    const known = links.get(address.id);
-    if (known !== undefined) {
-      known.address = address;
-      return known;
+  function getOrCreate(address: PeerAddress): PeerLink {
+    const existing = links.get(address.id);
+    if (existing !== undefined) {
+      existing.address = address;
+      return existing;
     }
-    const link = createPeerLink({address, clock, random, open});
+    const link = createPeerLink({address, clock, random, startDial});
     links.set(address.id, link);
     if (connectionTo(address.id) !== undefined) {
-      link.opened();
+      link.handleOpened();
     }
     return link;
   }
 
-  function want(address: PeerAddress) {
-    const link = linkTo(address);
+  function keepConnected(address: PeerAddress) {
+    const link = getOrCreate(address);
     if (link.isWanted) {
       return;
     }
@@ -73,45 +73,45 @@
     });
   }
 
-  function unwant(link: PeerLink) {
+  function releaseLink(link: PeerLink) {
     const {id} = link.address;
     link.isWanted = false;
-    if (book.has(id)) {
+    if (addressBook.has(id)) {
       return;
     }
     link.dispose();
     links.delete(id);
     const connection = connectionTo(id);
-    // What the peer dialled is the peer's to close: our views may differ for a moment.
-    if (connection?.isOurs) {
+    // Only the dialing side closes: the peer may still want this connection.
+    if (connection?.isOutbound) {
       connection.dispose();
     }
   }
 
   return {
     get: id => links.get(id),
-    linkTo,
-    addressOf: id => links.get(id)?.address ?? book.get(id),
-    listedAddress: id => book.get(id),
-    setWanted(peers) {
+    getOrCreate,
+    addressOf: id => links.get(id)?.address ?? addressBook.get(id),
+    addressBookEntry: id => addressBook.get(id),
+    setWantedPeers(peers) {
       const wanted = new Map(peers.map(peer => [peer.id, peer]));
       wanted.delete(selfId);
       for (const link of [...links.values()]) {
         if (!wanted.has(link.address.id)) {
-          unwant(link);
+          releaseLink(link);
         }
       }
-      wanted.forEach(want);
+      wanted.forEach(keepConnected);
     },
     setAddressBook(peers) {
-      book = new Map(peers.map(peer => [peer.id, peer]));
-      book.delete(selfId);
+      addressBook = new Map(peers.map(peer => [peer.id, peer]));
+      addressBook.delete(selfId);
       for (const link of [...links.values()]) {
-        const address = book.get(link.address.id);
+        const address = addressBook.get(link.address.id);
         if (address !== undefined) {
           link.address = address;
         } else if (!link.isWanted) {
-          unwant(link);
+          releaseLink(link);
         }
       }
     },
--- a/packages/protocol/src/peerNetwork.ts
+++ b/packages/protocol/src/peerNetwork.ts
@@ -1,4 +1,4 @@
-/** The network between entries over WebSockets. */
+/** Network between entries over WebSockets. */
 import type {WebSocket} from 'ws';
 import {
   disposableStore,
@@ -20,9 +20,9 @@
 import {createPeerLinks} from './peerLinks.js';
 import {openPeerSocket} from './peerSocket.js';
 
-/** A network that can take connections, and shows its state. */
+/** Network that can accept connections and dump its state. */
 export interface ListeningNetwork extends PeerNetwork {
-  /** Opens the inner port; port 0 takes any free one. */
+  /** Listens on the inner port; port 0 selects any free port. */
   listen(address: {
     readonly host: string;
     readonly port: number;
@@ -31,7 +31,7 @@
 }
 
 /**
- * Makes the network of one entry.
+ * Creates the network of one entry.
  *
  * @example
  * const network = createPeerNetwork({self, clock, random, log, key});
@@ -42,7 +42,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
-  /** Secret that all entries share. */
+  /** Secret shared by all entries. */
   readonly key: string;
   readonly tls?: RenewedTls;
   readonly limits?: Partial<NetworkLimits>;
@@ -51,9 +51,9 @@
   const limits = {...DEFAULT_LIMITS, ...options.limits};
   const dispatcher = createDispatcher({clock, log});
   const connections = new Map<string, Connection>();
-  const changed = emitter<{peer: string; isOpen: boolean}>();
+  const peerChanged = emitter<{peer: string; isOpen: boolean}>();
   const dialFailed = emitter<string>();
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const handshakes = createHandshakes({
     self,
     key,
@@ -61,101 +61,108 @@
     log,
     timeoutMs: limits.handshakeMs,
     adopt,
-    onRefusal: () => dispatcher.reject(),
+    onRefusal: () => dispatcher.countRejected(),
   });
   const links = createPeerLinks({
     selfId: self.id,
     clock,
     random,
     connectionTo: id => connections.get(id),
-    open: dialLink,
+    startDial: dialLink,
   });
 
   function openSocket(url: string): WebSocket | undefined {
     return openPeerSocket({url, key, limits, tls, log});
   }
 
-  function adopt(socket: WebSocket, peer: Hello, isOurs: boolean): Connection {
+  function adopt(
+    socket: WebSocket,
+    peer: Hello,
+    isOutbound: boolean,
+  ): Connection {
     const connection = wrapSocket({
       socket,
       peer: peer.id,
       incarnation: peer.incarnation,
-      isOurs,
+      isOutbound,
       clock,
       limits,
-      onMessage: receive,
-      onClose: forget,
+      onMessage: handleMessage,
+      onClose: handleClose,
       onViolation: (from, reason) => {
-        dispatcher.reject();
-        log.warn({peer: from.peer, reason}, 'peer broke the protocol');
+        dispatcher.countRejected();
+        log.warn({peer: from.peer, reason}, 'peer violated the protocol');
       },
     });
-    // The newest wins: a peer that dials again has lost the connection we still hold.
-    const before = connections.get(peer.id);
+    // The newest connection wins: a peer that redials has lost the previous
+    // one.
+    const previous = connections.get(peer.id);
     connections.set(peer.id, connection);
-    before?.dispose();
-    if (before !== undefined && before.incarnation !== peer.incarnation) {
-      // The process that was asked is gone, and its end may never close: the
-      // asker would wait for its whole timeout.
-      dispatcher.failAsks(before);
+    previous?.dispose();
+    if (previous !== undefined && previous.incarnation !== peer.incarnation) {
+      // The previous process is gone and its end may never close: its pending
+      // requests would wait for their whole timeout.
+      dispatcher.failRequests(previous);
     }
-    links.get(peer.id)?.opened();
-    if (before === undefined) {
-      changed.fire({peer: peer.id, isOpen: true});
+    links.get(peer.id)?.handleOpened();
+    if (previous === undefined) {
+      peerChanged.fire({peer: peer.id, isOpen: true});
     }
     return connection;
   }
 
-  function receive(connection: Connection, bytes: Buffer) {
+  function handleMessage(connection: Connection, bytes: Buffer) {
     const isReadable = dispatcher.receive(connection.peer, bytes, reply =>
       connection.send(reply),
     );
     if (!isReadable) {
-      connection.cut('unreadable message');
+      connection.abort('unreadable message');
     }
   }
 
-  function forget(connection: Connection) {
+  function handleClose(connection: Connection) {
     const {peer} = connection;
-    // Also for one that was replaced: its questions would wait for their whole
-    // timeout. Until here it may still bring answers that were on their way.
-    dispatcher.failAsks(connection);
+    // Also for a replaced connection: its requests would wait for their whole
+    // timeout. Until it closes it may still deliver responses in transit.
+    dispatcher.failRequests(connection);
     if (connections.get(peer) !== connection) {
       return;
     }
     connections.delete(peer);
-    links.get(peer)?.closed();
-    changed.fire({peer, isOpen: false});
+    links.get(peer)?.handleClosed();
+    peerChanged.fire({peer, isOpen: false});
   }
 
   function dialLink(link: PeerLink) {
     const {id, url} = link.address;
     const socket = openSocket(url);
     if (socket === undefined) {
-      link.closed();
+      link.handleClosed();
       return;
     }
     handshakes.dial(socket, id, connection => {
       if (connection === undefined && !connections.has(id)) {
-        link.closed();
+        link.handleClosed();
         dialFailed.fire(id);
       }
     });
   }
 
-  /** Closes connections that were opened for a single exchange. */
-  function closeIdle() {
+  /** Closes idle connections that were opened on demand. */
+  function closeIdleConnections() {
     const now = clock.now();
     for (const connection of connections.values()) {
       const isWanted = links.get(connection.peer)?.isWanted === true;
-      const idleLimitMs = connection.isOurs ? limits.idleMs : 2 * limits.idleMs;
-      if (!isWanted && now - connection.usedAt() > idleLimitMs) {
+      const idleLimitMs = connection.isOutbound
+        ? limits.idleMs
+        : 2 * limits.idleMs;
+      if (!isWanted && now - connection.lastMessageAt() > idleLimitMs) {
         connection.dispose();
       }
     }
   }
 
-  function waitForOpen(to: string, timeoutMs: number): Promise<boolean> {
+  function waitForConnection(to: string, timeoutMs: number): Promise<boolean> {
     if (connections.has(to)) {
       return Promise.resolve(true);
     }
@@ -165,23 +172,23 @@
     }
     return new Promise(resolve => {
       const timer = clock.after(timeoutMs, () => finish(false));
-      const opening = changed.event(({peer, isOpen}) => {
+      const openSubscription = peerChanged.event(({peer, isOpen}) => {
         if (peer === to && isOpen) {
           finish(true);
         }
       });
-      const failing = dialFailed.event(id => {
+      const failureSubscription = dialFailed.event(id => {
         if (id === to && links.get(to)?.isWanted !== true) {
           finish(false);
         }
       });
       function finish(isOpen: boolean) {
         timer.dispose();
-        opening.dispose();
-        failing.dispose();
+        openSubscription.dispose();
+        failureSubscription.dispose();
         resolve(isOpen);
       }
-      links.linkTo(address).dial();
+      links.getOrCreate(address).dial();
     });
   }
 
@@ -190,14 +197,14 @@
     if (connection !== undefined) {
       return connection.send(bytes);
     }
-    const address = links.listedAddress(to);
+    const address = links.addressBookEntry(to);
     if (address !== undefined) {
-      links.linkTo(address).dial();
+      links.getOrCreate(address).dial();
     }
     return false;
   }
 
-  owned.add(every(clock, limits.idleMs, closeIdle));
+  disposables.add(every(clock, limits.idleMs, closeIdleConnections));
 
   return {
     async listen({host, port}) {
@@ -208,17 +215,17 @@
         tls,
         limits,
         log,
-        handshakes: handshakes.count,
+        handshakeCount: handshakes.count,
         onSocket: handshakes.accept,
         onRefusal(reason) {
-          dispatcher.reject();
+          dispatcher.countRejected();
           log.warn({reason}, 'refused a connection to the inner port');
         },
       });
-      owned.add(listener);
+      disposables.add(listener);
       return {port: listener.port};
     },
-    setPeers: links.setWanted,
+    setPeers: links.setWantedPeers,
     setAddressBook: links.setAddressBook,
     dial(url) {
       return new Promise((resolve, reject) => {
@@ -246,11 +253,11 @@
     },
     async ask(to, type, body, timeoutMs) {
       const startedAt = clock.now();
-      if (!(await waitForOpen(to, timeoutMs))) {
+      if (!(await waitForConnection(to, timeoutMs))) {
         throw notConnectedError(to);
       }
       const remainingMs = timeoutMs - (clock.now() - startedAt);
-      return dispatcher.ask(
+      return dispatcher.request(
         to,
         type,
         body,
@@ -260,9 +267,12 @@
       );
     },
     onDidReceive: (type, handler) =>
-      dispatcher.handle(type, handler as (f: string, b: unknown) => unknown),
+      dispatcher.addHandler(
+        type,
+        handler as (f: string, b: unknown) => unknown,
+      ),
     onDidChangePeer: listener =>
-      changed.event(({peer, isOpen}) => listener(peer, isOpen)),
+      peerChanged.event(({peer, isOpen}) => listener(peer, isOpen)),
     traffic: () => dispatcher.traffic(),
     dump: () => ({
       traffic: dispatcher.traffic(),
@@ -274,7 +284,7 @@
       links.dispose();
       connections.forEach(connection => connection.dispose());
       handshakes.dispose();
-      owned.dispose();
+      disposables.dispose();
       dispatcher.dispose();
     },
   };
--- a/packages/protocol/src/peerSocket.ts
+++ b/packages/protocol/src/peerSocket.ts
@@ -1,4 +1,4 @@
-/** Opens sockets to the inner ports of peers. */
+/** Outbound sockets to the inner ports of peers. */
 import {WebSocket} from 'ws';
 import type {Logger} from '@skylarkfield/base';
 import {PEER_PATH} from './innerListener.js';
@@ -6,14 +6,14 @@
 import type {NetworkLimits} from './limits.js';
 
 /**
- * Begins to connect to a peer; undefined when its address can't be used.
+ * Starts to connect to a peer; returns undefined if its address is invalid.
  *
  * @example
  * const socket = openPeerSocket({url: 'ws://10.0.0.4:7000', key, limits, log});
  */
 export function openPeerSocket(options: {
   readonly url: string;
-  /** Secret that all entries share. */
+  /** Secret shared by all entries. */
   readonly key: string;
   readonly limits: NetworkLimits;
   readonly tls?: RenewedTls;
@@ -29,7 +29,10 @@
       ...tls?.current(),
     });
   } catch (error) {
-    log.warn({url, reason: String(error)}, 'a peer has an unusable address');
+    log.warn(
+      {url, reason: String(error)},
+      'cannot connect to a peer with an invalid address',
+    );
     return undefined;
   }
 }
--- a/packages/protocol/src/test/hostileInput.test.ts
+++ b/packages/protocol/src/test/hostileInput.test.ts
@@ -4,7 +4,7 @@
 import {after, before, describe, it} from 'node:test';
 import {WebSocket} from 'ws';
 import {PROTOCOL_VERSION, encodeFrame} from '../index.js';
-import {HELLO} from '../codec.js';
+import {HELLO_FRAME} from '../codec.js';
 import {KEY, startPeer, type TestPeer} from './peers.js';
 import {until} from './until.js';
 
@@ -16,11 +16,11 @@
   handshakeMs: 300,
 };
 
-function hello(body: object): Buffer {
-  return encodeFrame({type: HELLO, ask: 0, body});
+function encodeHello(body: object): Buffer {
+  return encodeFrame({type: HELLO_FRAME, ask: 0, body});
 }
 
-const GOOD_HELLO = hello({
+const VALID_HELLO = encodeHello({
   id: 'x',
   incarnation: 1,
   protocolVersion: PROTOCOL_VERSION,
@@ -34,44 +34,57 @@
   readonly frames: readonly (Buffer | string)[];
 }
 
-/** Each of these must be counted and cut while an honest peer goes on. */
+/**
+ * Each of these must be counted and disconnected while a valid peer stays
+ * connected.
+ */
 const CASES: readonly HostileCase[] = [
   {name: 'a wrong key', key: 'guessed', frames: []},
   {name: 'an empty key', key: '', frames: []},
   {name: 'another path', path: '/admin', frames: []},
   {name: 'silence after connecting', frames: []},
-  {name: 'random bytes for a hello', frames: [randomBytes(64)]},
-  {name: 'a text frame for a hello', frames: ['hello']},
+  {name: 'random bytes instead of a hello', frames: [randomBytes(64)]},
+  {name: 'a text frame instead of a hello', frames: ['hello']},
   {
     name: 'a message before the hello',
     frames: [encodeFrame({type: 'heartbeat', ask: 0, body: {}})],
   },
   {
-    name: 'a protocol version too far away',
+    name: 'an incompatible protocol version',
     frames: [
-      hello({id: 'x', incarnation: 1, protocolVersion: PROTOCOL_VERSION + 2}),
+      encodeHello({
+        id: 'x',
+        incarnation: 1,
+        protocolVersion: PROTOCOL_VERSION + 2,
+      }),
     ],
   },
   {
     name: 'a hello without an id',
-    frames: [hello({incarnation: 1, protocolVersion: PROTOCOL_VERSION})],
+    frames: [encodeHello({incarnation: 1, protocolVersion: PROTOCOL_VERSION})],
   },
   {
     name: 'the id of the receiver',
     frames: [
-      hello({id: 'a', incarnation: 9, protocolVersion: PROTOCOL_VERSION}),
+      encodeHello({id: 'a', incarnation: 9, protocolVersion: PROTOCOL_VERSION}),
     ],
   },
-  {name: 'truncated msgpack', frames: [GOOD_HELLO, GOOD_HELLO.subarray(0, 9)]},
-  {name: 'a frame that is no triple', frames: [GOOD_HELLO, Buffer.from([1])]},
-  {name: 'a text message', frames: [GOOD_HELLO, 'text']},
-  {name: 'an oversize message', frames: [GOOD_HELLO, Buffer.alloc(20_000)]},
+  {
+    name: 'truncated msgpack',
+    frames: [VALID_HELLO, VALID_HELLO.subarray(0, 9)],
+  },
+  {
+    name: 'a frame without three fields',
+    frames: [VALID_HELLO, Buffer.from([1])],
+  },
+  {name: 'a text message', frames: [VALID_HELLO, 'text']},
+  {name: 'an oversized message', frames: [VALID_HELLO, Buffer.alloc(20_000)]},
   {
     name: 'a flood of messages',
     frames: [
-      GOOD_HELLO,
+      VALID_HELLO,
       ...new Array<Buffer>(400).fill(
-        encodeFrame({type: 'nobody', ask: 0, body: 0}),
+        encodeFrame({type: 'unknownMessage', ask: 0, body: 0}),
       ),
     ],
   },
@@ -89,8 +102,8 @@
 }
 
 describe('hostile input on the inner port', () => {
-  // The inner port is reachable by anything on the network: a scanner, an old
-  // release, a broken process. None of them may stop an entry or its peers.
+  // The inner port is reachable from the whole network: by scanners, old
+  // releases and faulty processes. None may disrupt an entry or its peers.
   let a: TestPeer;
   let b: TestPeer;
 
@@ -107,20 +120,23 @@
   });
 
   for (const hostile of CASES) {
-    it(`cuts ${hostile.name}, and serves its peer on`, async () => {
+    it(`disconnects on ${hostile.name} and keeps serving its peer`, async () => {
       const before = a.network.traffic().rejected;
       await attack(a.address.url, hostile);
       await until(() => a.network.traffic().rejected > before, 'counted');
-      await until(() => !a.network.connected().includes('x'), 'cut');
+      await until(() => !a.network.connected().includes('x'), 'disconnected');
       assert.ok(a.network.connected().includes('b'));
-      const asked = b.network.ask('a', 'recordsWanted', {known: []}, 2_000);
-      await assert.rejects(asked, {kind: 'protocol-violation', run: 'not-run'});
+      const response = b.network.ask('a', 'recordsWanted', {known: []}, 2_000);
+      await assert.rejects(response, {
+        kind: 'protocol-violation',
+        run: 'not-run',
+      });
     });
   }
 
-  it('bounds the connections that never say hello', async () => {
-    // Something opens connection after connection and says nothing: without a
-    // bound, memory and file handles run out and no peer gets in.
+  it('limits the connections that never send a hello', async () => {
+    // A client opens many connections and sends nothing: without a limit,
+    // memory and file handles run out and no peer can connect.
     const sockets = Array.from({length: 20}, () => {
       const socket = new WebSocket(new URL('/peers', a.address.url), {
         headers: {authorization: `Bearer ${KEY}`},
@@ -130,7 +146,10 @@
     });
     const isSettled = (socket: WebSocket) =>
       socket.readyState !== WebSocket.CONNECTING;
-    await until(() => sockets.every(isSettled), 'all were answered');
+    await until(
+      () => sockets.every(isSettled),
+      'all handshakes got a response',
+    );
     const {handshakes} = a.network.dump() as {handshakes: number};
     assert.ok(handshakes <= LIMITS.handshakes);
     await until(
@@ -139,8 +158,8 @@
     );
   });
 
-  it('closes a connection that sends no request', async () => {
-    // A port scanner connects and waits.
+  it('closes a connection without a complete request', async () => {
+    // A port scanner connects and sends no complete request.
     const {hostname, port} = new URL(a.address.url);
     const socket = net.connect(Number(port), hostname);
     socket.write('GET /peers HTTP/1.1\r\n');
--- a/packages/protocol/src/test/innerTls.test.ts
+++ b/packages/protocol/src/test/innerTls.test.ts
@@ -16,28 +16,28 @@
 const CHECK_MS = 20;
 
 describe('TLS of the inner port', () => {
-  const release: (() => void)[] = [];
+  const cleanups: (() => void)[] = [];
   let warnings = 0;
 
-  afterEach(() => release.splice(0).forEach(free => free()));
+  afterEach(() => cleanups.splice(0).forEach(cleanup => cleanup()));
 
-  function folderWith(name: string): string {
+  function createTlsFolder(name: string): string {
     const folder = mkdtempSync(join(tmpdir(), 'inner-tls-'));
-    release.push(() => rmSync(folder, {recursive: true}));
-    place(folder, name);
+    cleanups.push(() => rmSync(folder, {recursive: true}));
+    copyKeyPair(folder, name);
     copyFileSync(join(FIXTURES, 'ca.pem'), join(folder, 'ca.pem'));
     return folder;
   }
 
-  function place(folder: string, name: string) {
+  function copyKeyPair(folder: string, name: string) {
     for (const part of ['cert', 'key']) {
       const target = join(folder, `${part}.pem`);
       copyFileSync(join(FIXTURES, `${name}-${part}.pem`), target);
     }
   }
 
-  async function follow(folder: string): Promise<RenewedTls> {
-    const read = await readTls({
+  async function watchTlsFiles(folder: string): Promise<RenewedTls> {
+    const watched = await readTls({
       paths: {
         cert: join(folder, 'cert.pem'),
         key: join(folder, 'key.pem'),
@@ -47,17 +47,17 @@
       log: Object.assign(silentLogger(), {warn: () => (warnings += 1)}),
       checkIntervalMs: CHECK_MS,
     });
-    release.push(() => read.dispose());
-    return read;
+    cleanups.push(() => watched.dispose());
+    return watched;
   }
 
-  async function start(id: string, folder: string): Promise<TestPeer> {
-    const peer = await startPeer(id, {tls: await follow(folder)});
-    release.push(() => peer.network.dispose());
+  async function startTlsPeer(id: string, folder: string): Promise<TestPeer> {
+    const peer = await startPeer(id, {tls: await watchTlsFiles(folder)});
+    cleanups.push(() => peer.network.dispose());
     return peer;
   }
 
-  async function servedName(url: string): Promise<string> {
+  async function servedCommonName(url: string): Promise<string> {
     const {hostname, port} = new URL(url);
     const socket = tls.connect({
       host: hostname,
@@ -71,66 +71,72 @@
     return String(name);
   }
 
-  it('takes renewed keys into use and keeps connections open', async () => {
-    // Certificates are renewed every few weeks. With the old ones kept, all
-    // entries lose each other when they run out; with a restart or a reset,
-    // every renewal would cut what is under way.
-    const folder = folderWith('first');
-    const a = await start('a', folder);
-    const b = await start('b', folderWith('first'));
+  it('uses renewed certificates and keeps connections open', async () => {
+    // Certificates are renewed every few weeks. Without a reload, all entries
+    // lose each other when the old ones expire; with a restart or a reset, each
+    // renewal would interrupt requests in flight.
+    const folder = createTlsFolder('first');
+    const a = await startTlsPeer('a', folder);
+    const b = await startTlsPeer('b', createTlsFolder('first'));
     a.network.setPeers([b.address]);
-    await until(() => b.network.connected().includes('a'), 'b hears a');
-    await until(() => a.network.connected().includes('b'), 'a hears b');
+    await until(
+      () => b.network.connected().includes('a'),
+      'b is connected to a',
+    );
+    await until(
+      () => a.network.connected().includes('b'),
+      'a is connected to b',
+    );
     const closed: string[] = [];
     a.network.onDidChangePeer((peer, isOpen) => {
       closed.push(`${peer} ${isOpen}`);
     });
-    assert.equal(await servedName(a.address.url), 'first');
-    place(folder, 'renewed');
+    assert.equal(await servedCommonName(a.address.url), 'first');
+    copyKeyPair(folder, 'renewed');
     let name = '';
     for (let tries = 0; name !== 'renewed' && tries < 200; tries++) {
-      name = await servedName(a.address.url);
+      name = await servedCommonName(a.address.url);
     }
     assert.equal(name, 'renewed');
     assert.deepEqual(closed, []);
-    const c = await start('c', folderWith('first'));
+    const c = await startTlsPeer('c', createTlsFolder('first'));
     assert.equal(await c.network.dial(a.address.url), 'a');
   });
 
-  it('goes on with the old keys while the new ones do not fit', async () => {
-    // A renewal that is interrupted leaves a certificate with another's key.
+  it('keeps the old key while the new files do not match', async () => {
+    // An interrupted renewal leaves a certificate with the key of another.
     warnings = 0;
-    const folder = folderWith('first');
-    const a = await start('a', folder);
+    const folder = createTlsFolder('first');
+    const a = await startTlsPeer('a', folder);
     const key = join(FIXTURES, 'renewed-key.pem');
     copyFileSync(key, join(folder, 'key.pem'));
-    await until(() => warnings > 0, 'the new pair was tried');
-    assert.equal(await servedName(a.address.url), 'first');
-    const b = await start('b', folderWith('first'));
+    await until(() => warnings > 0, 'the new pair was loaded');
+    assert.equal(await servedCommonName(a.address.url), 'first');
+    const b = await startTlsPeer('b', createTlsFolder('first'));
     assert.equal(await b.network.dial(a.address.url), 'a');
   });
 
   for (const [name, folder] of [
-    ['a certificate of no authority', 'stranger'],
+    ['a certificate of an unknown CA', 'stranger'],
     ['no TLS', undefined],
   ] as const) {
-    it(`refuses a peer with ${name}, though it has the key`, async () => {
-      // The inner key leaked; its holder still must not read or send anything.
-      const a = await start('a', folderWith('first'));
+    it(`refuses a peer with ${name}, even with the inner key`, async () => {
+      // A leaked inner key alone must not allow reading or sending messages.
+      const a = await startTlsPeer('a', createTlsFolder('first'));
       const b = folder
-        ? await start('b', folderWith(folder))
+        ? await startTlsPeer('b', createTlsFolder(folder))
         : await startPeer('b');
-      release.push(() => b.network.dispose());
+      cleanups.push(() => b.network.dispose());
       const url = folder ? a.address.url : a.address.url.replace('wss', 'ws');
       await assert.rejects(b.network.dial(url), {kind: 'interrupted'});
       assert.deepEqual(a.network.connected(), []);
     });
   }
 
-  it('names the file that cannot be read', async () => {
-    const folder = folderWith('first');
+  it('rejects a missing key file as bad settings', async () => {
+    const folder = createTlsFolder('first');
     rmSync(join(folder, 'key.pem'));
-    await assert.rejects(follow(folder), {kind: 'bad-settings'});
-    place(folder, 'first');
+    await assert.rejects(watchTlsFiles(folder), {kind: 'bad-settings'});
+    copyKeyPair(folder, 'first');
   });
 });
--- a/packages/protocol/src/test/peerNetwork.test.ts
+++ b/packages/protocol/src/test/peerNetwork.test.ts
@@ -20,118 +20,142 @@
     open.push(a.network, b.network);
     a.network.setPeers([b.address]);
     b.network.setPeers([a.address]);
-    await until(() => b.network.connected().includes('a'), 'b hears a');
-    await until(() => a.network.connected().includes('b'), 'a hears b');
+    await until(
+      () => b.network.connected().includes('a'),
+      'b is connected to a',
+    );
+    await until(
+      () => a.network.connected().includes('b'),
+      'a is connected to b',
+    );
     return {a, b};
   }
 
-  it('carries messages and answers both ways over one connection', async () => {
+  it('carries messages and responses in both directions', async () => {
     const {a, b} = await startPair();
     b.network.onDidReceive('recordsWanted', (from, body) => ({
       from,
       known: body.known.length,
     }));
-    const answer = await a.network.ask(
+    const response = await a.network.ask(
       'b',
       'recordsWanted',
       {known: []},
       TIMEOUT_MS,
     );
-    assert.deepEqual(answer, {from: 'a', known: 0});
-    const cuts: string[] = [];
+    assert.deepEqual(response, {from: 'a', known: 0});
+    const received: string[] = [];
     a.network.onDidReceive('moveCut', (from, body) => {
-      cuts.push(`${from}: ${body.why}`);
+      received.push(`${from}: ${body.why}`);
     });
     assert.ok(b.network.send('a', 'moveCut', {move: 'm', why: 'slow'}));
-    await until(() => cuts.length > 0, 'the message arrives');
-    assert.deepEqual(cuts, ['b: slow']);
+    await until(() => received.length > 0, 'the message arrives');
+    assert.deepEqual(received, ['b: slow']);
   });
 
-  it('hands the kind and run state of a failed handler to the asker', async () => {
+  it('returns the kind and run state of a failed handler', async () => {
     const {a, b} = await startPair();
     b.network.onDidReceive('recordsWanted', () => {
       throw new ServingError('overloaded', 'busy');
     });
-    const asked = a.network.ask('b', 'recordsWanted', {known: []}, TIMEOUT_MS);
-    await assert.rejects(asked, {kind: 'overloaded', run: 'not-run'});
+    const response = a.network.ask(
+      'b',
+      'recordsWanted',
+      {known: []},
+      TIMEOUT_MS,
+    );
+    await assert.rejects(response, {kind: 'overloaded', run: 'not-run'});
   });
 
-  it('refuses a question whose handler is gone, as not run', async () => {
-    // A part of the peer has been closed, in a shutdown for one. An empty answer
-    // would pass for the word of that part, and the asker would build on it.
+  it('fails a request whose handler was disposed as not-run', async () => {
+    // A component of the peer was closed, for example during a shutdown. An
+    // empty response would be taken for a valid result of that component.
     const {a, b} = await startPair();
     const handler = b.network.onDidReceive('recordsWanted', () => 'records');
     handler.dispose();
-    const asked = a.network.ask('b', 'recordsWanted', {known: []}, TIMEOUT_MS);
-    await assert.rejects(asked, {kind: 'protocol-violation', run: 'not-run'});
+    const response = a.network.ask(
+      'b',
+      'recordsWanted',
+      {known: []},
+      TIMEOUT_MS,
+    );
+    await assert.rejects(response, {
+      kind: 'protocol-violation',
+      run: 'not-run',
+    });
     assert.equal(b.network.traffic().rejected, 1);
   });
 
-  it('says that a question without an answer may have run', async () => {
-    // The peer is stopped or its answer is lost: the asker can't know whether
-    // the question was acted on, and must not tell a caller that it was not.
+  it('reports that a request without a response may have run', async () => {
+    // The peer is stopped or its response is lost: the sender cannot know
+    // whether the request ran, and must not tell a caller that it did not.
     const {a, b} = await startPair();
     b.network.onDidReceive('recordsWanted', () => new Promise(() => {}));
-    const asked = a.network.ask('b', 'recordsWanted', {known: []}, 50);
-    await assert.rejects(asked, {
+    const response = a.network.ask('b', 'recordsWanted', {known: []}, 50);
+    await assert.rejects(response, {
       kind: 'deadline-exceeded',
       run: 'may-have-run',
     });
   });
 
-  it('fails a waiting question when the peer dies, and connects again', async () => {
-    // An entry's process is killed while a peer waits for its answer; the
-    // replacement listens on the same address a moment later.
+  it('fails a pending request when the peer dies, and reconnects', async () => {
+    // An entry is killed while a peer waits for its response; its replacement
+    // listens on the same address shortly after.
     const {a, b} = await startPair();
     const port = Number(new URL(b.address.url).port);
     b.network.onDidReceive('recordsWanted', () => new Promise(() => {}));
-    const asked = a.network.ask('b', 'recordsWanted', {known: []}, 60_000);
+    const response = a.network.ask('b', 'recordsWanted', {known: []}, 60_000);
     b.network.dispose();
-    await assert.rejects(asked, {kind: 'interrupted', run: 'may-have-run'});
-    const again = await startPeer('b', {port});
-    open.push(again.network);
-    await until(() => a.network.connected().includes('b'), 'connected again');
+    await assert.rejects(response, {kind: 'interrupted', run: 'may-have-run'});
+    const replacement = await startPeer('b', {port});
+    open.push(replacement.network);
+    await until(() => a.network.connected().includes('b'), 'reconnected');
   });
 
-  it('connects to a peer of the address book when it is asked', async () => {
+  it('connects to a peer of the address book on demand', async () => {
     const a = await startPeer('a');
     const b = await startPeer('b');
     open.push(a.network, b.network);
     b.network.onDidReceive('recordsWanted', () => 'here');
     a.network.setAddressBook([b.address]);
     assert.deepEqual(a.network.connected(), []);
-    const answer = await a.network.ask(
+    const response = await a.network.ask(
       'b',
       'recordsWanted',
       {known: []},
       TIMEOUT_MS,
     );
-    assert.equal(answer, 'here');
+    assert.equal(response, 'here');
   });
 
-  it('fails at once, as not run, when nobody listens there', async () => {
+  it('fails a request immediately as not-run if nothing listens', async () => {
     const a = await startPeer('a');
     const b = await startPeer('b');
     open.push(a.network);
     b.network.dispose();
     a.network.setAddressBook([b.address]);
-    const asked = a.network.ask('b', 'recordsWanted', {known: []}, 60_000);
-    await assert.rejects(asked, {kind: 'interrupted', run: 'not-run'});
+    const response = a.network.ask('b', 'recordsWanted', {known: []}, 60_000);
+    await assert.rejects(response, {kind: 'interrupted', run: 'not-run'});
   });
 
-  it('cuts a peer that answers under another id', async () => {
-    // A host's address is given to a new entry; messages for the old one must
-    // not reach it.
+  it('disconnects a peer that has another id', async () => {
+    // A host's address is reassigned to a new entry, which must not receive
+    // messages for the old one.
     const a = await startPeer('a');
     const b = await startPeer('b');
     open.push(a.network, b.network);
     a.network.setAddressBook([{...b.address, id: 'c'}]);
-    const asked = a.network.ask('c', 'recordsWanted', {known: []}, TIMEOUT_MS);
-    await assert.rejects(asked, {kind: 'interrupted', run: 'not-run'});
+    const response = a.network.ask(
+      'c',
+      'recordsWanted',
+      {known: []},
+      TIMEOUT_MS,
+    );
+    await assert.rejects(response, {kind: 'interrupted', run: 'not-run'});
     assert.equal(a.network.traffic().rejected, 1);
   });
 
-  it('learns the id behind a seed address', async () => {
+  it('returns the id of the peer at a seed address', async () => {
     const a = await startPeer('a');
     const b = await startPeer('b');
     open.push(a.network, b.network);
--- a/packages/protocol/src/test/peers.ts
+++ b/packages/protocol/src/test/peers.ts
@@ -1,4 +1,4 @@
-/** Networks over real sockets on loopback. */
+/** Peer networks over real loopback sockets. */
 import {seededRandom, silentLogger, systemClock} from '@skylarkfield/base';
 import {
   createPeerNetwork,
--- a/packages/protocol/src/test/replacedConnection.test.ts
+++ b/packages/protocol/src/test/replacedConnection.test.ts
@@ -8,116 +8,121 @@
   encodeFrame,
   type Frame,
 } from '../index.js';
-import {ANSWER, HELLO} from '../codec.js';
+import {RESPONSE_FRAME, HELLO_FRAME} from '../codec.js';
 import {KEY, startPeer, type TestPeer} from './peers.js';
 import {until} from './until.js';
 
-const LONG_MS = 60_000;
-const QUESTION = {id: 'b', incarnation: 1};
+const LONG_TIMEOUT_MS = 60_000;
+const REQUEST_BODY = {id: 'b', incarnation: 1};
 
-/** The end of one connection of peer x, which does what a test says. */
-interface RawEnd {
+/** Connection of peer x as a raw socket controlled by the test. */
+interface RawConnection {
   readonly socket: WebSocket;
-  readonly heard: Frame[];
+  readonly received: Frame[];
 }
 
-describe('a connection that a newer one replaces', () => {
+describe('a connection replaced by a newer one', () => {
   let a: TestPeer;
-  let ends: RawEnd[];
+  let connections: RawConnection[];
 
   beforeEach(async () => {
     a = await startPeer('a');
-    ends = [];
+    connections = [];
   });
 
   afterEach(() => {
     a.network.dispose();
-    ends.forEach(end => end.socket.terminate());
+    connections.forEach(connection => connection.socket.terminate());
   });
 
-  async function connect(incarnation: number): Promise<RawEnd> {
+  async function connect(incarnation: number): Promise<RawConnection> {
     const socket = new WebSocket(new URL('/peers', a.address.url), {
       headers: {authorization: `Bearer ${KEY}`},
     });
-    const heard: Frame[] = [];
+    const received: Frame[] = [];
     const body = {id: 'x', incarnation, protocolVersion: PROTOCOL_VERSION};
     socket.on('open', () =>
-      socket.send(encodeFrame({type: HELLO, ask: 0, body})),
+      socket.send(encodeFrame({type: HELLO_FRAME, ask: 0, body})),
     );
     socket.on('message', (data: RawData) =>
-      heard.push(decodeFrame(data as Buffer)),
+      received.push(decodeFrame(data as Buffer)),
     );
     socket.on('error', () => {});
-    ends.push({socket, heard});
-    await until(() => heard.length > 0, 'x was greeted');
-    return {socket, heard};
+    connections.push({socket, received});
+    await until(() => received.length > 0, 'x received the hello');
+    return {socket, received};
   }
 
-  /** Asks x over its newest connection, and waits until the question is there. */
-  async function askOver(end: RawEnd) {
+  /**
+   * Sends x a request over its newest connection and waits until it arrives.
+   */
+  async function requestOver(connection: RawConnection) {
     const outcome: {value?: unknown} = {};
-    const before = end.heard.length;
-    a.network.ask('x', 'memberWord', QUESTION, LONG_MS).then(
-      answer => (outcome.value = answer),
+    const before = connection.received.length;
+    a.network.ask('x', 'memberWord', REQUEST_BODY, LONG_TIMEOUT_MS).then(
+      response => (outcome.value = response),
       error => (outcome.value = error),
     );
-    await until(() => end.heard.length > before, 'the question arrives');
+    await until(
+      () => connection.received.length > before,
+      'the request arrives',
+    );
     return outcome;
   }
 
-  it('fails its questions when it closes', async () => {
-    // A peer dials again, as after a break on the way, and closes its old end
-    // with a question unanswered. The asker would wait for its whole timeout
-    // for an answer that can't come, and its caller with it.
+  it('fails its requests when it closes', async () => {
+    // A peer redials, for example after a network failure, and closes the old
+    // connection with a request pending. The sender and its caller would wait
+    // the whole timeout for a response that cannot arrive.
     const old = await connect(1);
-    const outcome = await askOver(old);
+    const outcome = await requestOver(old);
     await connect(1);
-    await until(() => outcome.value !== undefined, 'the question fails');
+    await until(() => outcome.value !== undefined, 'the request fails');
     const {kind, run} = outcome.value as ServingError;
     assert.deepEqual({kind, run}, {kind: 'interrupted', run: 'may-have-run'});
   });
 
-  it('fails its questions at once when the peer has started anew', async () => {
-    // The old process has ended with its host, so its end of the connection
-    // never closes. Its successor has never seen the question.
+  it('fails its requests immediately when the peer has restarted', async () => {
+    // The old process is gone with its host, so its connection never closes,
+    // and the new process has never received the request.
     const old = await connect(1);
-    const outcome = await askOver(old);
+    const outcome = await requestOver(old);
     old.socket.pause();
     await connect(2);
-    await until(() => outcome.value !== undefined, 'the question fails');
+    await until(() => outcome.value !== undefined, 'the request fails');
     const {kind, run} = outcome.value as ServingError;
     assert.deepEqual({kind, run}, {kind: 'interrupted', run: 'may-have-run'});
   });
 
-  it('takes an answer that was on its way over it', async () => {
-    // Two entries dial each other at once, and one connection replaces the
-    // other while an answer is under way. Were it thrown away, a call that has
-    // run would be answered with "may have run".
+  it('accepts a response that was in transit', async () => {
+    // Two entries dial each other at the same time, and one connection replaces
+    // the other while a response is in transit. If it were dropped, a call that
+    // has run would be reported as `may-have-run`.
     const old = await connect(1);
-    const outcome = await askOver(old);
+    const outcome = await requestOver(old);
     old.socket.pause();
     await connect(1);
-    const {ask} = old.heard.at(-1)!;
+    const {ask} = old.received.at(-1)!;
     const body = {heardAgoMs: 5};
-    old.socket.send(encodeFrame({type: ANSWER, ask, body}));
-    await until(() => outcome.value !== undefined, 'the answer is taken');
+    old.socket.send(encodeFrame({type: RESPONSE_FRAME, ask, body}));
+    await until(() => outcome.value !== undefined, 'the response arrives');
     assert.deepEqual(outcome.value, body);
   });
 
-  it('leaves questions over the newer connection alone', async () => {
-    // The old connection closes after a question went out over the new one.
-    // Failed with it, a call that is being worked on would be given up.
+  it('does not fail requests of the newer connection', async () => {
+    // The old connection closes after a request was sent over the new one.
+    // Failing that request too would abandon a call that is still running.
     const old = await connect(1);
     old.socket.pause();
     const newer = await connect(1);
-    const outcome = await askOver(newer);
+    const outcome = await requestOver(newer);
     const closed = new Promise(resolve => old.socket.once('close', resolve));
     old.socket.resume();
     await closed;
-    const {ask} = newer.heard.at(-1)!;
+    const {ask} = newer.received.at(-1)!;
     const body = {heardAgoMs: 5};
-    newer.socket.send(encodeFrame({type: ANSWER, ask, body}));
-    await until(() => outcome.value !== undefined, 'the answer is taken');
+    newer.socket.send(encodeFrame({type: RESPONSE_FRAME, ask, body}));
+    await until(() => outcome.value !== undefined, 'the response arrives');
     assert.deepEqual(outcome.value, body);
   });
 });
--- a/packages/protocol/src/test/until.ts
+++ b/packages/protocol/src/test/until.ts
@@ -1,13 +1,13 @@
-/** Waits on a condition, for tests over real sockets. */
+/** Polls a condition, for tests over real sockets. */
 import {setTimeout as delay} from 'node:timers/promises';
 
-const LIMIT_MS = 10_000;
+const TIMEOUT_MS = 10_000;
 
 export async function until(condition: () => boolean, what: string) {
-  const deadline = performance.now() + LIMIT_MS;
+  const deadline = performance.now() + TIMEOUT_MS;
   while (!condition()) {
     if (performance.now() > deadline) {
-      throw new Error(`never: ${what}`);
+      throw new Error(`timed out waiting for: ${what}`);
     }
     await delay(5);
   }
