--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -15,10 +15,7 @@
 const MS_PER_SECOND = 1_000;
 const NS_PER_MS = 1_000_000;
 
-/**
- * Minimum delay of coalesced timers and the width of their slots, in
- * milliseconds.
- */
+/** Minimum delay and slot width of coalesced timers, in milliseconds. */
 const MIN_COALESCED_DELAY_MS = 200;
 const TIMER_SLOT_MS = 50;
 
@@ -45,10 +42,7 @@
   };
 }
 
-/**
- * Monotonic milliseconds. `performance` would load several Node modules at
- * startup.
- */
+/** Monotonic milliseconds. `performance` would load Node modules at startup. */
 function now(): number {
   const [seconds, nanoseconds] = process.hrtime();
   return seconds * MS_PER_SECOND + nanoseconds / NS_PER_MS;
--- a/packages/base/src/inFlight.ts
+++ b/packages/base/src/inFlight.ts
@@ -5,10 +5,7 @@
   begin(): void;
   end(): void;
   count(): number;
-  /**
-   * Resolves to true once nothing is in progress, or to false after the
-   * timeout.
-   */
+  /** Resolves to true once nothing is in progress, to false on timeout. */
   idle(timeoutMs: number): Promise<boolean>;
 }
 
--- a/packages/base/src/processLifecycle.ts
+++ b/packages/base/src/processLifecycle.ts
@@ -20,10 +20,7 @@
 
 export interface ProcessLife {
   state(): LifeState;
-  /**
-   * Applies an event; events without a transition from the current state are
-   * ignored.
-   */
+  /** Applies an event; ignored without a transition from this state. */
   send(event: LifecycleEvent): void;
 }
 
--- a/packages/base/src/timerWheel.ts
+++ b/packages/base/src/timerWheel.ts
@@ -5,10 +5,7 @@
 import {toDisposable, type Disposable} from './disposables.js';
 
 export interface TimerWheel {
-  /**
-   * Calls back in the first slot at or after the given time of the wheel's
-   * clock.
-   */
+  /** Calls back in the first slot at or after a time of the wheel's clock. */
   at(dueMs: number, callback: () => void): Disposable;
 }
 
@@ -75,10 +72,7 @@
   };
 }
 
-/**
- * Runs a callback; rethrows an exception later, after the other callbacks of
- * the slot.
- */
+/** Runs a callback; an exception is rethrown after the rest of the slot. */
 function runCallback(callback: () => void): void {
   try {
     callback();
--- a/packages/base/src/virtualClock.ts
+++ b/packages/base/src/virtualClock.ts
@@ -3,17 +3,11 @@
 import {toDisposable} from './disposables.js';
 
 export interface VirtualClock extends Clock {
-  /**
-   * Runs the timers due within the span, in order, and settles promises between
-   * them.
-   */
+  /** Runs the timers of the span in order; settles promises in between. */
   advance(spanMs: number): Promise<void>;
   /** Like `advance`, but without settling promises, for synchronous replays. */
   advanceSync(spanMs: number): void;
-  /**
-   * Advances both times without running timers, as after a pause of the
-   * process.
-   */
+  /** Advances time without running timers, as after a process pause. */
   pause(spanMs: number): void;
   /** Shifts only the wall clock. */
   shiftWall(spanMs: number): void;
--- a/packages/protocol/src/codec.ts
+++ b/packages/protocol/src/codec.ts
@@ -10,9 +10,7 @@
   readonly body: unknown;
 }
 
-/**
- * Frame types of the network itself; no message type starts with a dollar sign.
- */
+/** Internal frame types; no message type starts with a dollar sign. */
 export const RESPONSE_FRAME = '$answer';
 export const ERROR_FRAME = '$failure';
 export const HELLO_FRAME = '$hello';
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -93,9 +93,7 @@
     options.onMessage(connection, data as Buffer);
   }
 
-  /**
-   * Detects a peer that vanished without closing, as after a network failure.
-   */
+  /** Detects a peer that vanished without closing, as after a cable cut. */
   function checkLiveness() {
     const now = clock.now();
     // A late check means that this process was paused, not that the peer was
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -37,10 +37,7 @@
   readonly url: string;
 }
 
-/**
- * Counters of one process's inner traffic, for state dumps and scaling
- * benchmarks.
- */
+/** Counters of a process's inner traffic, for state dumps and benchmarks. */
 export interface NetworkTraffic {
   readonly messagesSent: number;
   readonly bytesSent: number;
@@ -90,10 +87,7 @@
     body: Messages[T],
     timeoutMs: number,
   ): Promise<unknown>;
-  /**
-   * Handles messages of a type; the handler's result is the response to an
-   * `ask`.
-   */
+  /** Handles messages of a type; the result is the response to an `ask`. */
   onDidReceive<T extends MessageType>(
     type: T,
     handler: (from: string, body: Messages[T]) => unknown,
--- a/packages/protocol/src/dispatcher.ts
+++ b/packages/protocol/src/dispatcher.ts
@@ -99,10 +99,7 @@
     return bytes;
   }
 
-  /**
-   * Runs every handler of the type; returns the first result that is not
-   * undefined.
-   */
+  /** Runs all handlers of the type; returns the first defined result. */
   async function runHandlers(from: string, frame: Frame): Promise<unknown> {
     let result: unknown;
     for (const handler of [...(handlers.get(frame.type) ?? [])]) {
--- a/packages/protocol/src/handshakes.ts
+++ b/packages/protocol/src/handshakes.ts
@@ -146,9 +146,7 @@
   };
 }
 
-/**
- * Parses the first frame; returns an error message if it is not a valid hello.
- */
+/** Parses the first frame; returns an error message if it is invalid. */
 function parseHelloFrame(bytes: Buffer): Hello | string {
   try {
     const frame = decodeFrame(bytes);
--- a/packages/protocol/src/hello.ts
+++ b/packages/protocol/src/hello.ts
@@ -7,10 +7,7 @@
   readonly id: string;
   readonly incarnation: number;
   readonly protocolVersion: number;
-  /**
-   * Only from the accepting side: the dialing side sends its key in the HTTP
-   * request.
-   */
+  /** Only from the accepting side; the dialing side sends it in a header. */
   readonly key?: string;
 }
 
--- a/packages/protocol/src/innerTls.ts
+++ b/packages/protocol/src/innerTls.ts
@@ -1,6 +1,4 @@
-/**
- * TLS certificates and key of the inner port, reloaded when their files change.
- */
+/** TLS certificates and key of the inner port, reloaded on file changes. */
 import {readFile, stat} from 'node:fs/promises';
 import {
   ServingError,
@@ -17,10 +15,7 @@
   readonly cert: string;
   /** PEM file with the private key. */
   readonly key: string;
-  /**
-   * PEM file with the CA certificates that must have issued the peers'
-   * certificates.
-   */
+  /** PEM file with the CA certificates that verify peers. */
   readonly ca: string;
 }
 
--- a/packages/protocol/src/limits.ts
+++ b/packages/protocol/src/limits.ts
@@ -3,16 +3,11 @@
 export interface NetworkLimits {
   /** Maximum size of a message in either direction, in bytes. */
   readonly messageBytes: number;
-  /**
-   * Average rate of received messages per connection, in messages per second.
-   */
+  /** Average rate of received messages per connection. */
   readonly messagesPerSecond: number;
   /** Size of the token bucket for bursts above that rate, in messages. */
   readonly messageBurst: number;
-  /**
-   * Send buffer size above which the connection to a slow peer is closed, in
-   * bytes.
-   */
+  /** Send buffer size above which a slow peer is disconnected, in bytes. */
   readonly bufferedBytes: number;
   /** Maximum number of handshakes in progress. */
   readonly handshakes: number;
@@ -20,15 +15,9 @@
   readonly handshakeMs: number;
   /** Time without received data after which a ping is sent, in milliseconds. */
   readonly pingMs: number;
-  /**
-   * Time without received data after which a connection is closed, in
-   * milliseconds.
-   */
+  /** Time without received data before a disconnect, in milliseconds. */
   readonly silenceMs: number;
-  /**
-   * Idle time after which a connection to a non-neighbour is closed, in
-   * milliseconds.
-   */
+  /** Idle time before a non-neighbour is disconnected, in milliseconds. */
   readonly idleMs: number;
 }
 
--- a/packages/protocol/src/memoryNetwork.ts
+++ b/packages/protocol/src/memoryNetwork.ts
@@ -70,9 +70,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log?: Logger;
-  /**
-   * Minimum one-way delay; a random jitter of up to the same amount is added.
-   */
+  /** Minimum one-way delay; random jitter of up to the same amount is added. */
   readonly delayMs?: number;
 }): MemoryNetwork {
   const {clock, random} = options;
@@ -81,10 +79,7 @@
   const partitions = new Set<string>();
   let lossProbability = 0;
 
-  /**
-   * Runs the action now, after the pause of a paused process, or never in a
-   * dead one.
-   */
+  /** Runs the action now, after a pause, or never if the process is dead. */
   function runOrDefer(process: SimulatedProcess, action: () => void) {
     if (!process.isAlive) {
       return;
--- a/packages/protocol/src/messages/endpointMessages.ts
+++ b/packages/protocol/src/messages/endpointMessages.ts
@@ -7,10 +7,7 @@
     readonly host: string;
     /** Wall-clock milliseconds by which the host is gone; 0 if unknown. */
     readonly goneAt: number;
-    /**
-     * Whether all endpoints of the host leave, including ones unknown to the
-     * sender.
-     */
+    /** Whether all endpoints of the host leave, also unlisted ones. */
     readonly isWhole?: boolean;
   };
   /**
--- a/packages/protocol/src/messages/gatewayMessages.ts
+++ b/packages/protocol/src/messages/gatewayMessages.ts
@@ -1,6 +1,4 @@
-/**
- * Messages that replicate platform objects and customers' usage among gateways.
- */
+/** Messages that replicate platform objects and usage among gateways. */
 
 import type {CapacitySums, OutcomeSums, WorkRate} from '@skylarkfield/capacity';
 
@@ -13,14 +11,9 @@
   readonly revision: number;
   /** Store revision of the newest change in the copy. */
   readonly changedAt: number;
-  /**
-   * Age in milliseconds, when sent, of the last proof that the copy is current;
-   * -1 for never.
-   */
+  /** Age when sent of the last check that the copy is current; -1 for never. */
   readonly confirmedAgoMs: number;
-  /**
-   * Whether the sender reads this kind from the platform itself, successfully.
-   */
+  /** Whether the sender reads this kind from the platform, successfully. */
   readonly isReader: boolean;
 }
 
@@ -43,10 +36,7 @@
 }
 
 export interface GatewayMessages {
-  /**
-   * Sent several times a second to every peer, or between entries and their
-   * relays.
-   */
+  /** Sent several times a second to all peers, or to and from relays. */
   digest: {
     /**
      * Coverage of `used`, `usage`, `loads` and `work`: the sender (the
@@ -72,10 +62,7 @@
       Record<Exclude<MirrorKind, 'crashes'>, SyncStatus> &
         Partial<Record<'crashes', SyncStatus>>
     >;
-    /**
-     * Recent endpoint crashes with the requests that were running, and which of
-     * these were served.
-     */
+    /** Recent crashes by running request, and which of these were served. */
     readonly crashes?: {
       readonly crashes: readonly {
         readonly request: string;
@@ -101,9 +88,7 @@
     /** Outcomes of requests, by service. */
     readonly outcomes: Readonly<Record<string, OutcomeSums>>;
   };
-  /**
-   * Changes of one kind between two revisions, sent when the sender reads them.
-   */
+  /** Changes of one kind between two revisions, sent when they are read. */
   mirrorChanges: {
     readonly kind: MirrorKind;
     readonly from: number;
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -1,8 +1,6 @@
 /** Membership messages. */
 
-/**
- * Reported state of one member; the higher incarnation, then sequence, wins.
- */
+/** State of one member; the higher incarnation, then sequence, wins. */
 export interface MemberNews {
   readonly id: string;
   readonly incarnation: number;
@@ -35,25 +33,17 @@
     readonly load: number;
     readonly news: readonly MemberNews[];
     readonly changes?: readonly MemberChange[];
-    /**
-     * Hash of all members known to the sender; a lasting difference is
-     * reconciled.
-     */
+    /** Hash of all known members; a lasting difference is reconciled. */
     readonly digest?: number;
   };
-  /**
-   * First message of a stopping entry; a request, so that it is acknowledged.
-   */
+  /** First message of a stopping entry; a request, to be acknowledged. */
   leaving: {readonly news: MemberNews};
   /**
    * Probes a member for its current state; carries the state that the sender
    * has recorded for it, so that it can refute it. Response: `MemberProof`.
    */
   memberProbe: {readonly from: MemberNews; readonly believed?: MemberNews};
-  /**
-   * Asks when the receiver last heard from a silent member. Response:
-   * `MemberWord`.
-   */
+  /** Asks when a silent member was last heard from. Response: `MemberWord`. */
   memberWord: {readonly id: string; readonly incarnation: number};
   /** Requests the members of buckets that differ. Response: `MembersGiven`. */
   membersWanted: {readonly buckets: readonly number[]};
@@ -62,18 +52,13 @@
 /** Response to `memberProbe`. */
 export interface MemberProof {
   readonly news: MemberNews;
-  /**
-   * State that the responder has recorded for the prober, unless it is `live`.
-   */
+  /** State recorded for the prober by the responder, unless `live`. */
   readonly believed?: MemberNews;
 }
 
 /** Response to `memberWord`. */
 export interface MemberWord {
-  /**
-   * Milliseconds since the responder heard from that or a later incarnation; -1
-   * for never.
-   */
+  /** Milliseconds since that or a later incarnation was heard; -1 for never. */
   readonly heardAgoMs: number;
 }
 
--- a/packages/protocol/src/messages/moveMessages.ts
+++ b/packages/protocol/src/messages/moveMessages.ts
@@ -1,7 +1,4 @@
-/**
- * Messages about rollouts of versions (moves) and the evidence on their
- * candidates.
- */
+/** Messages about moves (rollouts of versions) and their evidence. */
 
 /** Sums over one window for one version, route and load level. */
 export interface EvidenceSum {
@@ -25,10 +22,7 @@
   | 'taken-back'
   | 'withdrawn';
 
-/**
- * Durable state of a move: a platform object that the holder of the duty
- * writes.
- */
+/** Durable state of a move, a platform object written by the duty's holder. */
 export interface MoveState {
   readonly move: string;
   readonly phase: MovePhase;
@@ -42,10 +36,7 @@
   readonly confidence: number;
   /** Wall-clock milliseconds of the last change of phase or share. */
   readonly changedAt: number;
-  /**
-   * Versions that the state refers to; they show when an operator changes the
-   * move.
-   */
+  /** Versions of this state, to detect that an operator changed the move. */
   readonly from?: string;
   readonly to?: string;
   /** Wall-clock milliseconds at which the candidate first received traffic. */
@@ -60,10 +51,7 @@
   readonly isOrder: boolean;
   readonly requests: number;
   readonly candidateRequests: number;
-  /**
-   * Log-likelihood ratios of a good version to one with 2 and 3 times the
-   * errors.
-   */
+  /** Log-likelihood ratios of a good version to 2 and 3 times the errors. */
   readonly errorsTwice: number;
   readonly errorsThrice: number;
   /** The same for a relevant added error rate, on routes that rarely fail. */
--- a/packages/protocol/src/messages/orderMessages.ts
+++ b/packages/protocol/src/messages/orderMessages.ts
@@ -1,7 +1,4 @@
-/**
- * Messages that forward non-idempotent calls, and their outcomes, to the owner
- * of their ledger shard.
- */
+/** Messages that forward non-idempotent calls and outcomes to shard owners. */
 import type {ErrorKind, RunState} from '@skylarkfield/base';
 
 /** A call forwarded between entries. */
@@ -34,18 +31,13 @@
       readonly run: RunState;
       readonly retryAfterMs?: number;
     }
-  /**
-   * Another member owns the shard; this one did not and will not send the order
-   * to a service.
-   */
+  /** Another member owns the shard; nothing was or will be sent from here. */
   | {
       readonly type: 'elsewhere';
       readonly member: string;
       /** Token of the claim that the responder made and voided. */
       readonly released?: string;
-      /**
-       * Whether the order is queued in the ledger for the next owner to run.
-       */
+      /** Whether the order is queued in the ledger for the next owner. */
       readonly isWaiting?: boolean;
     };
 
@@ -78,14 +70,9 @@
     readonly call: ForwardedCall;
     /** Remaining time to respond, in milliseconds. */
     readonly leftMs: number;
-    /**
-     * Wall-clock milliseconds of the sender, to drop messages that were read
-     * too late.
-     */
+    /** Sender's wall-clock milliseconds, to drop messages read far too late. */
     readonly sentAtWall: number;
-    /**
-     * Claims for this id that are void: the order was not and will not be sent.
-     */
+    /** Void claims for this id: never sent, and never will be. */
     readonly released: readonly string[];
   };
   /**
@@ -98,10 +85,7 @@
     readonly hops: number;
     readonly outcomes: readonly ClaimOutcome[];
   };
-  /**
-   * Requests the outcome of a claim from its claimant. Response: `ClaimOutcome`
-   * or undefined.
-   */
+  /** Requests a claim's outcome. Response: `ClaimOutcome` or undefined. */
   orderOutcomeWanted: {readonly id: string; readonly token: string};
   /**
    * The sender released a shard; the receiver takes it over and runs its queued
--- a/packages/protocol/src/messages/recordMessages.ts
+++ b/packages/protocol/src/messages/recordMessages.ts
@@ -22,9 +22,7 @@
   readonly buckets: readonly number[];
 }
 
-/**
- * Response to `recordsWanted`: the differences between requester and responder.
- */
+/** Response to `recordsWanted`: differences between both sides. */
 export interface RecordDifference {
   /** False while the responder itself has no complete configuration. */
   readonly isReady: boolean;
@@ -36,14 +34,9 @@
 export interface RecordMessages {
   /** Accepted records that the sender has just put in force. */
   records: {readonly records: readonly RelayedRecord[]};
-  /**
-   * Digest of all records in force at the sender; a receiver that differs sends
-   * a request.
-   */
+  /** Digest of the sender's records in force; a mismatch causes a request. */
   recordDigest: RecordDigest;
-  /**
-   * Requests the records that the sender lacks. Response: `RecordDifference`.
-   */
+  /** Requests records that the sender lacks. Response: `RecordDifference`. */
   recordsWanted: {
     readonly known: readonly RecordVersion[];
     /** Restricts the request to these buckets; absent for all. */
--- a/packages/protocol/src/test/hostileInput.test.ts
+++ b/packages/protocol/src/test/hostileInput.test.ts
@@ -34,10 +34,7 @@
   readonly frames: readonly (Buffer | string)[];
 }
 
-/**
- * Each of these must be counted and disconnected while a valid peer stays
- * connected.
- */
+/** Each must be counted and disconnected; a valid peer stays connected. */
 const CASES: readonly HostileCase[] = [
   {name: 'a wrong key', key: 'guessed', frames: []},
   {name: 'an empty key', key: '', frames: []},
--- a/packages/protocol/src/test/replacedConnection.test.ts
+++ b/packages/protocol/src/test/replacedConnection.test.ts
@@ -53,9 +53,7 @@
     return {socket, received};
   }
 
-  /**
-   * Sends x a request over its newest connection and waits until it arrives.
-   */
+  /** Sends x a request and waits until it arrives on its newest connection. */
   async function requestOver(connection: RawConnection) {
     const outcome: {value?: unknown} = {};
     const before = connection.received.length;
