--- /dev/null
+++ b/packages/providers/src/circuitBreaker.ts
@@ -0,0 +1,123 @@
+/**
+ * A circuit breaker for calls to the platform.
+ *
+ * While the platform is down, calls fail at once: callers that each waited for
+ * a deadline would accumulate and hold memory and admission slots.
+ */
+import {createMachine, interpret, state, transition} from 'robot3';
+import {
+  emitter,
+  ServingError,
+  toDisposable,
+  type Clock,
+  type Disposable,
+  type Event,
+  type Random,
+} from '@skylarkfield/base';
+import type {PlatformState} from './contracts.js';
+
+/** Tracks the platform's availability by the outcome of calls to it. */
+export interface CircuitBreaker extends Disposable {
+  state(): PlatformState;
+  /** Throws `platform-unavailable` while the platform is down. */
+  throwIfDown(): void;
+  /** Records any response of the platform, including errors. */
+  recordResponse(): void;
+  /** Records a call that got no response or found the platform unavailable. */
+  recordFailure(): void;
+  readonly onDidChange: Event<PlatformState>;
+}
+
+/** Consecutive failures after which the platform counts as down. */
+const FAILURE_THRESHOLD = 3;
+const INITIAL_PROBE_DELAY_MS = 500;
+const MAX_PROBE_DELAY_MS = 4000;
+
+/**
+ * Creates a circuit breaker. `probe` makes one cheap call and reports through
+ * `recordResponse` or `recordFailure`.
+ *
+ * Probe delays are jittered by a factor of 0.5 to 1.5, so that entries that
+ * detected an outage at the same time do not all reconnect at once.
+ *
+ * @example
+ * const circuitBreaker = createCircuitBreaker({clock, random, probe: () => void readProbe()});
+ */
+export function createCircuitBreaker(options: {
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly probe: () => void;
+}): CircuitBreaker {
+  const {clock, random} = options;
+  const changeEmitter = emitter<PlatformState>();
+  const definition = createMachine({
+    up: state(transition('failed', 'doubtful')),
+    doubtful: state(
+      transition('responded', 'up'),
+      transition('thresholdReached', 'down'),
+    ),
+    down: state(transition('responded', 'up')),
+  });
+  let currentState: PlatformState = 'up';
+  const stateMachine = interpret(definition, () => {});
+  let consecutiveFailures = 0;
+  let probeCount = 0;
+  let probeAt = 0;
+  let timer: Disposable = toDisposable(() => {});
+
+  function send(event: 'failed' | 'thresholdReached' | 'responded'): void {
+    stateMachine.send(event);
+    const nextState = stateMachine.machine.current as PlatformState;
+    if (nextState === currentState) {
+      return;
+    }
+    currentState = nextState;
+    changeEmitter.fire(currentState);
+  }
+
+  function scheduleProbe(): void {
+    const delayMs = Math.min(
+      MAX_PROBE_DELAY_MS,
+      INITIAL_PROBE_DELAY_MS * 2 ** probeCount,
+    );
+    const jitteredMs = delayMs * (0.5 + random.next());
+    probeCount += 1;
+    probeAt = clock.now() + jitteredMs;
+    timer.dispose();
+    timer = clock.after(jitteredMs, options.probe);
+  }
+
+  return {
+    state: () => currentState,
+    throwIfDown() {
+      if (currentState !== 'down') {
+        return;
+      }
+      throw new ServingError('platform-unavailable', 'the platform is down', {
+        retryAfterMs: Math.max(0, probeAt - clock.now()),
+      });
+    },
+    recordResponse() {
+      consecutiveFailures = 0;
+      probeCount = 0;
+      timer.dispose();
+      send('responded');
+    },
+    recordFailure() {
+      consecutiveFailures += 1;
+      send('failed');
+      if (consecutiveFailures >= FAILURE_THRESHOLD) {
+        send('thresholdReached');
+      }
+      // A call in flight when the outage began must not postpone the probe.
+      if (currentState === 'down' && clock.now() >= probeAt) {
+        scheduleProbe();
+      }
+    },
+    onDidChange: changeEmitter.event,
+    dispose() {
+      timer.dispose();
+      changeEmitter.dispose();
+    },
+  };
+}
--- a/packages/providers/src/contracts.ts
+++ b/packages/providers/src/contracts.ts
@@ -1,54 +1,58 @@
-/** What the platform gives: object API, cloud, host list, weight store. */
+/** Interfaces of the platform: object API, cloud, host list, weight store. */
 import type {Disposable} from '@skylarkfield/base';
 
-/** An object as the object API keeps it. */
+/** An object stored by the object API. */
 export interface StoredObject<T = unknown> {
   readonly kind: string;
   readonly name: string;
-  /** Set by the platform; rises with every change of any object. */
+  /** Set by the platform; increases with every change of any object. */
   readonly version: number;
-  /** Unique for each write, so that a writer recognises its own after a lost reply. */
+  /** Unique per write, so that a writer finds its own after a lost reply. */
   readonly writeId: string;
   readonly value: T;
 }
 
-/** When a write may take effect. */
+/** Precondition of a write. */
 export type WriteCondition =
   | {readonly type: 'absent'}
   | {readonly type: 'version'; readonly version: number}
   | {readonly type: 'any'};
 
 export interface ObjectListing<T = unknown> {
-  /** The store's version at the time of the listing: where a watch goes on from. */
+  /** Store version of the listing; a watch continues from it. */
   readonly version: number;
   readonly objects: readonly StoredObject<T>[];
 }
 
-/** What a watcher hears. */
+/** Receives the events of a watch. */
 export interface WatchListener<T = unknown> {
-  /** All objects of the kind: at the start, and again after a gap. */
+  /** Receives all objects of the kind: at the start, and again after a gap. */
   onDidList(listing: ObjectListing<T>): void;
   onDidPut(object: StoredObject<T>): void;
   onDidRemove(name: string, version: number): void;
-  /** The watch was lost (false) or works again (true). */
+  /** Called when the watch is lost (false) or re-established (true). */
   onDidChangeState?(isConnected: boolean): void;
 }
 
-/** `up`: calls succeed. `down`: calls fail at once but for a probe now and then. */
+/**
+ * `up`: calls succeed. `doubtful`: recent calls failed. `down`: calls fail at
+ * once, except for periodic probes.
+ */
 export type PlatformState = 'up' | 'doubtful' | 'down';
 
 /**
- * How new a reading is. `latest`: as of a moment after the call began. `recent`:
- * may be seconds old, and costs the platform a fraction.
+ * Consistency of a read. `latest`: as of a moment after the call began.
+ * `recent`: may be seconds old, at a fraction of the cost to the platform.
  */
 export type Freshness = 'latest' | 'recent';
 
 /**
- * The object API. Every call has a deadline and counts against the process's budget.
+ * The object API. Every call has a deadline and counts against the process's
+ * rate limit.
  *
- * Errors: `platform-unavailable` (certainly without effect), `version-conflict`
- * (the condition does not hold), `outcome-unknown` (a write whose reply was
- * lost and that could not be read back), `too-large`, `cancelled`.
+ * Errors: `platform-unavailable` (the call had no effect), `version-conflict`
+ * (the condition does not hold), `outcome-unknown` (the reply to a write was
+ * lost and its outcome could not be determined), `too-large`, `cancelled`.
  */
 export interface ObjectStore extends Disposable {
   get<T>(
@@ -62,7 +66,7 @@
     signal?: AbortSignal,
     freshness?: Freshness,
   ): Promise<ObjectListing<T>>;
-  /** Writes; after a lost reply it reads back and tells by the write id what happened. */
+  /** Writes an object; after a lost reply, looks up the outcome by write id. */
   put<T>(
     kind: string,
     name: string,
@@ -70,14 +74,14 @@
     condition: WriteCondition,
     signal?: AbortSignal,
   ): Promise<StoredObject<T>>;
-  /** Removes; resolves also when the object was already gone. */
+  /** Removes an object; also resolves when it does not exist. */
   remove(
     kind: string,
     name: string,
     condition: WriteCondition,
     signal?: AbortSignal,
   ): Promise<void>;
-  /** Lists, then follows changes until disposed; resumes and re-lists by itself. */
+  /** Lists, then follows changes until disposed; re-lists after a gap. */
   watch<T>(kind: string, listener: WatchListener<T>): Disposable;
   state(): PlatformState;
   onDidChangeState(listener: (state: PlatformState) => void): Disposable;
@@ -85,7 +89,7 @@
 
 export type Market = 'reclaimable' | 'on-demand';
 
-/** What the cloud sells, with its present price. */
+/** A kind of host that the cloud offers, with its current price. */
 export interface Offer {
   readonly failureDomain: string;
   readonly machineClass: string;
@@ -94,23 +98,23 @@
   readonly pricePerHour: number;
 }
 
-/** A host that was started. */
+/** A host, from its start call on. */
 export interface Host {
   readonly id: string;
   readonly failureDomain: string;
   readonly machineClass: string;
   readonly market: Market;
   readonly state: 'starting' | 'running' | 'leaving' | 'gone';
-  /** The token of the start call, to recognise a host whose reply was lost. */
+  /** Idempotency token of the start call, to find a host after a lost reply. */
   readonly clientToken: string;
-  /** Wall-clock milliseconds by which a leaving host is gone. */
+  /** Wall-clock milliseconds by which a leaving host is shut down. */
   readonly goneAt?: number;
 }
 
-/** A notice that a host will be taken back. */
+/** A notice that the cloud will reclaim a host. */
 export interface ReclaimNotice {
   readonly host: string;
-  /** Wall-clock milliseconds by which it is gone. */
+  /** Wall-clock milliseconds by which the host is shut down. */
   readonly goneAt: number;
 }
 
@@ -118,7 +122,7 @@
 export interface Cloud {
   offers(signal?: AbortSignal): Promise<readonly Offer[]>;
   hosts(signal?: AbortSignal): Promise<readonly Host[]>;
-  /** Starting twice with one client token starts one host. */
+  /** Starts a host; idempotent per client token. */
   start(
     request: {
       readonly clientToken: string;
@@ -136,7 +140,7 @@
 /** Whether an endpoint is a model replica or a plain service. */
 export type EndpointType = 'model' | 'plain';
 
-/** An endpoint as the lagging host list names it. */
+/** An endpoint in the host list. */
 export interface ListedEndpoint {
   readonly id: string;
   readonly type: EndpointType;
@@ -147,22 +151,22 @@
   readonly host: string;
   readonly failureDomain: string;
   readonly machineClass: string;
-  /** Whether the endpoint refuses orders with an old fencing number. */
+  /** Whether the endpoint rejects orders with an outdated fencing token. */
   readonly checksFencing: boolean;
   readonly state: 'live' | 'leaving';
 }
 
-/** The lagging list of live and leaving hosts. */
+/** The eventually consistent list of endpoints on live and leaving hosts. */
 export interface HostList {
-  /** Follows the list until disposed; each call gives the whole list. */
+  /** Follows the list until disposed; each event carries the whole list. */
   watch(listener: (endpoints: readonly ListedEndpoint[]) => void): Disposable;
 }
 
 /** The rate-limited store of model weights. */
 export interface WeightStore {
   /**
-   * Asks for leave to load weights onto a host now.
-   * Throws `overloaded` with `retryAfterMs` when the rate is used up.
+   * Reserves a load of weights onto a host.
+   * Throws `overloaded` with `retryAfterMs` when the rate limit is exceeded.
    */
   reserve(
     weights: string,
--- a/packages/providers/src/deadline.ts
+++ b/packages/providers/src/deadline.ts
@@ -1,10 +1,10 @@
-/** Ends an operation at its deadline or when its caller cancels it. */
+/** Limits an operation by a deadline and its caller's signal. */
 import {ServingError, type Clock} from '@skylarkfield/base';
 
 /**
  * Runs an operation with a signal that aborts at the deadline or with the
- * caller's signal. Rejects with `onTimeout()` or `onCancel()` at that moment,
- * whether or not the operation heeds its signal.
+ * caller's signal. Rejects with `onTimeout()` or `onCancel()` immediately, even
+ * if the operation ignores its signal.
  *
  * @example
  * await withDeadline({clock, deadlineAt, signal, onTimeout, onCancel}, signal => read(signal));
@@ -26,28 +26,28 @@
   return new Promise((resolve, reject) => {
     const controller = new AbortController();
     const timer = clock.after(options.deadlineAt - clock.now(), () =>
-      stop(options.onTimeout()),
+      abortWith(options.onTimeout()),
     );
-    function release() {
+    function cleanUp() {
       timer.dispose();
       signal?.removeEventListener('abort', onAbort);
     }
-    function stop(error: ServingError) {
-      release();
+    function abortWith(error: ServingError) {
+      cleanUp();
       reject(error);
       controller.abort();
     }
     function onAbort() {
-      stop(options.onCancel());
+      abortWith(options.onCancel());
     }
     signal?.addEventListener('abort', onAbort, {once: true});
     operation(controller.signal).then(
       value => {
-        release();
+        cleanUp();
         resolve(value);
       },
       (error: Error) => {
-        release();
+        cleanUp();
         reject(error);
       },
     );
--- a/packages/providers/src/httpCalls.ts
+++ b/packages/providers/src/httpCalls.ts
@@ -1,4 +1,4 @@
-/** One HTTP call to the platform, with errors told apart by whether it may have had an effect. */
+/** HTTP client whose errors tell whether a request may have taken effect. */
 import {createInterface} from 'node:readline';
 import {Agent, type Dispatcher} from 'undici';
 import {ServingError, toDisposable, type Disposable} from '@skylarkfield/base';
@@ -9,34 +9,34 @@
   readonly text: string;
 }
 
-export interface HttpCall {
+export interface HttpRequest {
   readonly method: 'GET' | 'PUT' | 'POST' | 'DELETE';
   readonly path: string;
   readonly headers?: Record<string, string>;
   readonly body?: string;
-  /** Whether a call that broke off may have taken effect. */
+  /** Whether an interrupted request may have taken effect. */
   readonly hasEffect: boolean;
   readonly signal?: AbortSignal;
 }
 
-export interface HttpCaller extends Disposable {
-  send(call: HttpCall): Promise<HttpReply>;
-  /** Reads a reply of JSON lines until it ends or is disposed. */
-  stream(path: string, listener: LineListener): Disposable;
+export interface HttpClient extends Disposable {
+  send(request: HttpRequest): Promise<HttpReply>;
+  /** Reads a response of JSON lines until it ends or is disposed. */
+  stream(path: string, listener: JsonLineListener): Disposable;
 }
 
-export interface LineListener {
+export interface JsonLineListener {
   onDidOpen(): void;
   onDidLine(value: unknown): void;
-  /** The status is 0 when no reply came. */
+  /** The status is 0 when there was no response. */
   onDidEnd(status: number, retryAfterMs: number): void;
 }
 
 const CONNECT_TIMEOUT_MS = 1000;
 const KEEP_ALIVE_MS = 30_000;
 
-/** Errors of connecting: not a byte of the request has left. */
-const UNSENT_CODES = new Set([
+/** Codes of connect errors: no byte of the request was sent. */
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -45,14 +45,14 @@
 ]);
 
 /**
- * Makes a caller for one base address, with connections of its own.
+ * Creates a client for one base URL, with its own connection pool.
  *
  * @example
- * const caller = createHttpCaller('http://10.0.0.2:7000');
- * const reply = await caller.send({method: 'GET', path: '/cloud/offers', hasEffect: false});
+ * const client = createHttpCaller('http://10.0.0.2:7000');
+ * const response = await client.send({method: 'GET', path: '/cloud/offers', hasEffect: false});
  */
-export function createHttpCaller(url: string): HttpCaller {
-  // Deadlines are the client's; a watch may be silent for as long as it likes.
+export function createHttpCaller(url: string): HttpClient {
+  // Callers set deadlines; a watch may be idle for any length of time.
   const dispatcher = new Agent({
     connect: {timeout: CONNECT_TIMEOUT_MS},
     keepAliveTimeout: KEEP_ALIVE_MS,
@@ -65,7 +65,7 @@
   return {
     async send({method, path, headers, body, hasEffect, signal}) {
       try {
-        const reply = await dispatcher.request({
+        const response = await dispatcher.request({
           origin,
           path: `${prefix}${path}`,
           method,
@@ -73,16 +73,16 @@
           body,
           signal,
         });
-        const text = await reply.body.text();
-        return {status: reply.statusCode, headers: reply.headers, text};
+        const text = await response.body.text();
+        return {status: response.statusCode, headers: response.headers, text};
       } catch (error) {
-        throw brokenCall(error, hasEffect);
+        throw transportError(error, hasEffect);
       }
     },
     stream(path, listener) {
       const controller = new AbortController();
       const target = {origin, path: `${prefix}${path}`};
-      void readLines(target, dispatcher, controller.signal, listener);
+      void readJsonLines(target, dispatcher, controller.signal, listener);
       return toDisposable(() => controller.abort());
     },
     dispose() {
@@ -91,23 +91,30 @@
   };
 }
 
-async function readLines(
+async function readJsonLines(
   target: {readonly origin: string; readonly path: string},
   dispatcher: Dispatcher,
   signal: AbortSignal,
-  listener: LineListener,
+  listener: JsonLineListener,
 ): Promise<void> {
   let status = 0;
   let retryAfterMs = 0;
   try {
-    const reply = await dispatcher.request({...target, method: 'GET', signal});
-    status = reply.statusCode;
-    retryAfterMs = retryAfter(reply.headers);
+    const response = await dispatcher.request({
+      ...target,
+      method: 'GET',
+      signal,
+    });
+    status = response.statusCode;
+    retryAfterMs = parseRetryAfter(response.headers);
     if (status !== 200) {
-      await reply.body.dump();
+      await response.body.dump();
     } else {
       listener.onDidOpen();
-      const lines = createInterface({input: reply.body, crlfDelay: Infinity});
+      const lines = createInterface({
+        input: response.body,
+        crlfDelay: Infinity,
+      });
       for await (const line of lines) {
         if (signal.aborted) {
           break;
@@ -116,16 +123,16 @@
       }
     }
   } catch {
-    // How a stream broke off does not matter: its owner opens it again.
+    // The cause does not matter: the owner of the stream reopens it.
   }
   if (!signal.aborted) {
     listener.onDidEnd(status, retryAfterMs);
   }
 }
 
-function brokenCall(error: unknown, hasEffect: boolean): ServingError {
+function transportError(error: unknown, hasEffect: boolean): ServingError {
   const code = (error as {code?: string}).code ?? '';
-  const isUnsent = UNSENT_CODES.has(code);
+  const isUnsent = CONNECT_ERROR_CODES.has(code);
   const message = error instanceof Error ? error.message : String(error);
   if (isUnsent || !hasEffect) {
     return new ServingError('platform-unavailable', message, {cause: error});
@@ -136,23 +143,23 @@
 /**
  * Throws for a status outside the expected ones.
  *
- * 429 and 503 are refusals before any effect; another server error may have
- * come after it.
+ * 429 and 503 are sent before a request takes effect; other server errors may
+ * be sent after it.
  *
  * @example
- * checkStatus(reply, [200, 404], true);
+ * checkStatus(response, [200, 404], true);
  */
 export function checkStatus(
-  reply: HttpReply,
+  response: HttpReply,
   expected: readonly number[],
   hasEffect: boolean,
 ): void {
-  if (expected.includes(reply.status)) {
+  if (expected.includes(response.status)) {
     return;
   }
-  const message = `the platform answered ${reply.status}`;
-  const retryAfterMs = retryAfter(reply.headers);
-  switch (reply.status) {
+  const message = `the platform responded with status ${response.status}`;
+  const retryAfterMs = parseRetryAfter(response.headers);
+  switch (response.status) {
     case 412:
       throw new ServingError('version-conflict', message);
     case 413:
@@ -162,26 +169,26 @@
     case 503:
       throw new ServingError('platform-unavailable', message, {retryAfterMs});
   }
-  if (reply.status >= 500) {
+  if (response.status >= 500) {
     throw new ServingError(
       hasEffect ? 'outcome-unknown' : 'platform-unavailable',
       message,
     );
   }
-  throw new ServingError('bad-request', `${message}: ${reply.text}`);
+  throw new ServingError('bad-request', `${message}: ${response.text}`);
 }
 
-/** Milliseconds of a Retry-After header in seconds; 0 without one. */
-function retryAfter(headers: HttpReply['headers']): number {
+/** Converts a Retry-After header in seconds to milliseconds; 0 without one. */
+function parseRetryAfter(headers: HttpReply['headers']): number {
   const seconds = Number(header(headers, 'retry-after') ?? 0);
   return Number.isFinite(seconds) ? seconds * 1000 : 0;
 }
 
 /**
- * The first value of a header.
+ * Returns the first value of a header.
  *
  * @example
- * const version = Number(header(reply.headers, 'x-store-version'));
+ * const version = Number(header(response.headers, 'x-store-version'));
  */
 export function header(
   headers: HttpReply['headers'],
--- a/packages/providers/src/httpCloud.ts
+++ b/packages/providers/src/httpCloud.ts
@@ -1,4 +1,4 @@
-/** The cloud API over HTTP. */
+/** Client of the cloud API over HTTP. */
 import {
   checkShape,
   isServingError,
@@ -12,32 +12,32 @@
 import * as z from 'zod';
 import type {Cloud} from './contracts.js';
 import {withDeadline} from './deadline.js';
-import {checkStatus, createHttpCaller, type HttpCall} from './httpCalls.js';
-import {keepStream} from './streamLoop.js';
+import {checkStatus, createHttpCaller, type HttpRequest} from './httpCalls.js';
+import {openReconnectingStream} from './reconnectingStream.js';
 
-const market = z.enum(['reclaimable', 'on-demand']);
-const offerShape = z.object({
+const marketSchema = z.enum(['reclaimable', 'on-demand']);
+const offerSchema = z.object({
   failureDomain: z.string(),
   machineClass: z.string(),
-  market,
+  market: marketSchema,
   pricePerHour: z.number(),
 });
-const hostShape = z.object({
+const hostSchema = z.object({
   id: z.string(),
   failureDomain: z.string(),
   machineClass: z.string(),
-  market,
+  market: marketSchema,
   state: z.enum(['starting', 'running', 'leaving', 'gone']),
   clientToken: z.string(),
   goneAt: z.number().optional(),
 });
-const noticeShape = z.object({host: z.string(), goneAt: z.number()});
+const noticeSchema = z.object({host: z.string(), goneAt: z.number()});
 
 const CALL_DEADLINE_MS = 5000;
 
 /**
- * Makes a client of the cloud API. A start whose reply was lost is sent again:
- * its client token makes that safe.
+ * Creates a client of the cloud API. A start whose reply was lost is sent once
+ * more, which the client token makes safe.
  *
  * @example
  * const cloud = createHttpCloud({url: 'http://10.0.0.2:7000'});
@@ -49,13 +49,13 @@
   readonly random?: Random;
 }): Cloud {
   const {clock = systemClock(), random = processRandom()} = options;
-  const caller = createHttpCaller(options.url);
+  const client = createHttpCaller(options.url);
 
   async function call<T extends z.ZodType>(
     schema: T,
-    request: HttpCall,
+    request: HttpRequest,
   ): Promise<z.output<T>> {
-    const reply = await withDeadline(
+    const response = await withDeadline(
       {
         clock,
         deadlineAt: clock.now() + CALL_DEADLINE_MS,
@@ -63,15 +63,15 @@
         onTimeout: () =>
           new ServingError(
             request.hasEffect ? 'outcome-unknown' : 'platform-unavailable',
-            'the cloud did not answer',
+            'the cloud API did not respond before the deadline',
           ),
         onCancel: () => new ServingError('cancelled', 'the call was cancelled'),
       },
-      signal => caller.send({...request, signal}),
+      signal => client.send({...request, signal}),
     );
-    checkStatus(reply, [200, 204, 404], request.hasEffect);
+    checkStatus(response, [200, 204, 404], request.hasEffect);
     const value = parseJson(
-      reply.text || 'null',
+      response.text || 'null',
       'protocol-violation',
       'reply',
     );
@@ -80,14 +80,14 @@
 
   return {
     offers: signal =>
-      call(z.array(offerShape), {
+      call(z.array(offerSchema), {
         method: 'GET',
         path: '/cloud/offers',
         hasEffect: false,
         signal,
       }),
     hosts: signal =>
-      call(z.array(hostShape), {
+      call(z.array(hostSchema), {
         method: 'GET',
         path: '/cloud/hosts',
         hasEffect: false,
@@ -95,7 +95,7 @@
       }),
     async start(request, signal) {
       const post = () =>
-        call(hostShape, {
+        call(hostSchema, {
           method: 'POST',
           path: '/cloud/hosts',
           body: JSON.stringify(request),
@@ -120,14 +120,14 @@
       });
     },
     watchNotices: listener =>
-      keepStream({
-        caller,
+      openReconnectingStream({
+        client,
         clock,
         random,
         path: '/cloud/notices',
         onDidLine: value =>
           listener(
-            checkShape(noticeShape, value, 'protocol-violation', 'notice'),
+            checkShape(noticeSchema, value, 'protocol-violation', 'notice'),
           ),
       }),
   };
--- a/packages/providers/src/httpHostList.ts
+++ b/packages/providers/src/httpHostList.ts
@@ -1,4 +1,4 @@
-/** The lagging list of endpoints over HTTP. */
+/** Client of the host list over HTTP. */
 import {
   checkShape,
   processRandom,
@@ -9,9 +9,9 @@
 import * as z from 'zod';
 import type {HostList} from './contracts.js';
 import {createHttpCaller} from './httpCalls.js';
-import {keepStream} from './streamLoop.js';
+import {openReconnectingStream} from './reconnectingStream.js';
 
-const endpointShape = z.object({
+const endpointSchema = z.object({
   id: z.string(),
   type: z.enum(['model', 'plain']),
   service: z.string(),
@@ -24,11 +24,11 @@
   state: z.enum(['live', 'leaving']),
 });
 
-/** One endpoint as the platform's list carries it; also checks what is registered. */
-export {endpointShape as listedEndpointShape};
+/** Schema of a listed endpoint; also validates endpoint registrations. */
+export {endpointSchema as listedEndpointShape};
 
 /**
- * Makes a client of the host list.
+ * Creates a client of the host list.
  *
  * @example
  * const hosts = createHttpHostList({url: 'http://10.0.0.2:7000'});
@@ -40,18 +40,18 @@
   readonly random?: Random;
 }): HostList {
   const {clock = systemClock(), random = processRandom()} = options;
-  const caller = createHttpCaller(options.url);
+  const client = createHttpCaller(options.url);
   return {
     watch: listener =>
-      keepStream({
-        caller,
+      openReconnectingStream({
+        client,
         clock,
         random,
         path: '/endpoints',
         onDidLine: value =>
           listener(
             checkShape(
-              z.array(endpointShape),
+              z.array(endpointSchema),
               value,
               'protocol-violation',
               'host list',
--- a/packages/providers/src/httpObjectStore.ts
+++ b/packages/providers/src/httpObjectStore.ts
@@ -1,4 +1,4 @@
-/** The object API over HTTP: conditional requests, a write id header, watches as JSON lines. */
+/** Object API over HTTP: conditional requests, write ids, JSON lines watch. */
 import {
   checkShape,
   parseJson,
@@ -14,7 +14,7 @@
   checkStatus,
   createHttpCaller,
   header,
-  type HttpCaller,
+  type HttpClient,
   type HttpReply,
 } from './httpCalls.js';
 import {
@@ -29,23 +29,23 @@
 } from './objectTable.js';
 import type {ObjectTransport, TransportWatch} from './objectTransport.js';
 
-/** The header that carries the id of a write, on requests and replies. */
+/** Header with the id of a write, on requests and responses. */
 export const WRITE_ID_HEADER = 'x-write-id';
-/** The header that carries the store's version. */
+/** Response header with the store version. */
 export const STORE_VERSION_HEADER = 'x-store-version';
 
-const objectShape = z.object({
+const objectSchema = z.object({
   name: z.string(),
   version: z.number(),
   writeId: z.string(),
   value: z.unknown(),
 });
-const listingShape = z.object({
+const listingSchema = z.object({
   version: z.number(),
-  objects: z.array(objectShape),
+  objects: z.array(objectSchema),
 });
-const lineShape = z.discriminatedUnion('type', [
-  objectShape.extend({type: z.literal('put')}),
+const watchEventSchema = z.discriminatedUnion('type', [
+  objectSchema.extend({type: z.literal('put')}),
   z.object({
     type: z.literal('remove'),
     name: z.string(),
@@ -54,10 +54,10 @@
   }),
   z.object({type: z.literal('bookmark'), version: z.number()}),
 ]);
-const writtenShape = z.object({version: z.number()});
+const writeResponseSchema = z.object({version: z.number()});
 
 /**
- * Makes a client of the object API at an address.
+ * Creates a client of the object API at a base URL.
  *
  * @example
  * const store = createHttpObjectStore({url: 'http://10.0.0.2:7000', writer: 'a1.7'});
@@ -65,41 +65,45 @@
 export function createHttpObjectStore(
   options: {
     readonly url: string;
-    /** Names this process in its write ids. */
+    /** Identifies this process in its write ids. */
     readonly writer: string;
     readonly clock?: Clock;
     readonly random?: Random;
   } & ObjectStoreSettings,
 ): ObjectClient {
-  const {clock = systemClock(), random = processRandom(), ...rest} = options;
-  const transport = httpObjectTransport(createHttpCaller(options.url));
-  return createObjectStore({...rest, clock, random, transport});
+  const {
+    clock = systemClock(),
+    random = processRandom(),
+    ...storeSettings
+  } = options;
+  const transport = createHttpObjectTransport(createHttpCaller(options.url));
+  return createObjectStore({...storeSettings, clock, random, transport});
 }
 
-function httpObjectTransport(caller: HttpCaller): ObjectTransport {
+function createHttpObjectTransport(client: HttpClient): ObjectTransport {
   return {
     async get(kind, name, signal) {
-      const reply = await caller.send({
+      const response = await client.send({
         method: 'GET',
         path: objectPath(kind, name),
         hasEffect: false,
         signal,
       });
-      checkStatus(reply, [200, 404], false);
+      checkStatus(response, [200, 404], false);
       return {
-        version: storeVersion(reply),
-        object: readObject(kind, name, reply),
+        version: parseStoreVersion(response),
+        object: parseObject(kind, name, response),
       };
     },
     async list(kind, signal) {
-      const reply = await caller.send({
+      const response = await client.send({
         method: 'GET',
         path: `/objects/${encodeURIComponent(kind)}`,
         hasEffect: false,
         signal,
       });
-      checkStatus(reply, [200], false);
-      const listing = readBody(listingShape, reply);
+      checkStatus(response, [200], false);
+      const listing = parseBody(listingSchema, response);
       return {
         version: listing.version,
         objects: listing.objects.map(object => ({kind, ...object})),
@@ -108,7 +112,7 @@
     async put(write, value, signal) {
       const body = JSON.stringify(value);
       checkSize(write, body);
-      const reply = await caller.send({
+      const response = await client.send({
         method: 'PUT',
         path: objectPath(write.kind, write.name),
         headers: writeHeaders(write),
@@ -116,57 +120,66 @@
         hasEffect: true,
         signal,
       });
-      checkStatus(reply, [200, 201], true);
-      const {version} = readBody(writtenShape, reply);
+      checkStatus(response, [200, 201], true);
+      const {version} = parseBody(writeResponseSchema, response);
       const {kind, name, writeId} = write;
       return {kind, name, version, writeId, value};
     },
     async remove(write, signal) {
-      const reply = await caller.send({
+      const response = await client.send({
         method: 'DELETE',
         path: objectPath(write.kind, write.name),
         headers: writeHeaders(write),
         hasEffect: true,
         signal,
       });
-      checkStatus(reply, [200, 204, 404], true);
+      checkStatus(response, [200, 204, 404], true);
     },
-    watch: (kind, from, listener) => watchKind(caller, kind, from, listener),
-    dispose: () => caller.dispose(),
+    watch: (kind, fromVersion, listener) =>
+      watchKind(client, kind, fromVersion, listener),
+    dispose: () => client.dispose(),
   };
 }
 
 function watchKind(
-  caller: HttpCaller,
+  client: HttpClient,
   kind: string,
-  from: number,
+  fromVersion: number,
   listener: TransportWatch,
 ) {
-  return caller.stream(`/watch/${encodeURIComponent(kind)}?from=${from}`, {
-    onDidOpen: () => listener.onDidOpen(),
-    onDidLine(value) {
-      const line = checkShape(lineShape, value, 'protocol-violation', 'watch');
-      if (line.type === 'bookmark') {
-        listener.onDidCatchUp(line.version);
-        return;
-      }
-      listener.onDidChange(toChange(kind, line));
+  return client.stream(
+    `/watch/${encodeURIComponent(kind)}?from=${fromVersion}`,
+    {
+      onDidOpen: () => listener.onDidOpen(),
+      onDidLine(value) {
+        const event = checkShape(
+          watchEventSchema,
+          value,
+          'protocol-violation',
+          'watch',
+        );
+        if (event.type === 'bookmark') {
+          listener.onDidCatchUp(event.version);
+          return;
+        }
+        listener.onDidChange(toChange(kind, event));
+      },
+      onDidEnd(status, retryAfterMs) {
+        listener.onDidEnd(status === 410 ? 'compacted' : 'lost', retryAfterMs);
+      },
     },
-    onDidEnd(status, retryAfterMs) {
-      listener.onDidEnd(status === 410 ? 'compacted' : 'lost', retryAfterMs);
-    },
-  });
+  );
 }
 
 function toChange(
   kind: string,
-  line: Exclude<z.output<typeof lineShape>, {type: 'bookmark'}>,
+  event: Exclude<z.output<typeof watchEventSchema>, {type: 'bookmark'}>,
 ): ObjectChange {
-  const {name, version, writeId} = line;
-  if (line.type === 'remove') {
+  const {name, version, writeId} = event;
+  if (event.type === 'remove') {
     return {type: 'remove', kind, name, version, writeId};
   }
-  const object = {kind, name, version, writeId, value: line.value};
+  const object = {kind, name, version, writeId, value: event.value};
   return {type: 'put', kind, name, version, writeId, object};
 }
 
@@ -197,37 +210,37 @@
   if (bytes > MAX_VALUE_BYTES) {
     throw new ServingError(
       'too-large',
-      `${write.kind}/${write.name} has ${bytes} bytes, ${MAX_VALUE_BYTES} are allowed`,
+      `${write.kind}/${write.name} has ${bytes} bytes, the limit is ${MAX_VALUE_BYTES}`,
     );
   }
 }
 
-function storeVersion(reply: HttpReply): number {
-  return Number(header(reply.headers, STORE_VERSION_HEADER) ?? 0);
+function parseStoreVersion(response: HttpReply): number {
+  return Number(header(response.headers, STORE_VERSION_HEADER) ?? 0);
 }
 
-function readObject(
+function parseObject(
   kind: string,
   name: string,
-  reply: HttpReply,
+  response: HttpReply,
 ): StoredObject | undefined {
-  if (reply.status === 404) {
+  if (response.status === 404) {
     return undefined;
   }
-  const etag = header(reply.headers, 'etag') ?? '';
+  const etag = header(response.headers, 'etag') ?? '';
   return {
     kind,
     name,
     version: Number(etag.replaceAll('"', '')),
-    writeId: header(reply.headers, WRITE_ID_HEADER) ?? '',
-    value: parseJson(reply.text, 'protocol-violation', 'object'),
+    writeId: header(response.headers, WRITE_ID_HEADER) ?? '',
+    value: parseJson(response.text, 'protocol-violation', 'object'),
   };
 }
 
-function readBody<T extends z.ZodType>(
+function parseBody<T extends z.ZodType>(
   schema: T,
-  reply: HttpReply,
+  response: HttpReply,
 ): z.output<T> {
-  const value = parseJson(reply.text, 'protocol-violation', 'reply');
+  const value = parseJson(response.text, 'protocol-violation', 'reply');
   return checkShape(schema, value, 'protocol-violation', 'reply');
 }
--- a/packages/providers/src/httpWeightStore.ts
+++ b/packages/providers/src/httpWeightStore.ts
@@ -1,4 +1,4 @@
-/** The rate-limited weight store over HTTP. */
+/** Client of the rate-limited weight store over HTTP. */
 import {
   checkShape,
   parseJson,
@@ -11,11 +11,11 @@
 import {withDeadline} from './deadline.js';
 import {checkStatus, createHttpCaller} from './httpCalls.js';
 
-const reservationShape = z.object({startAfterMs: z.number()});
+const reservationSchema = z.object({startAfterMs: z.number()});
 const CALL_DEADLINE_MS = 5000;
 
 /**
- * Makes a client of the weight store.
+ * Creates a client of the weight store.
  *
  * @example
  * const weights = createHttpWeightStore({url: 'http://10.0.0.2:7000'});
@@ -26,31 +26,39 @@
   readonly clock?: Clock;
 }): WeightStore {
   const clock = options.clock ?? systemClock();
-  const caller = createHttpCaller(options.url);
+  const client = createHttpCaller(options.url);
   return {
     async reserve(weights, host, signal) {
-      const reply = await withDeadline(
+      const response = await withDeadline(
         {
           clock,
           deadlineAt: clock.now() + CALL_DEADLINE_MS,
           signal,
           onTimeout: () =>
-            new ServingError('outcome-unknown', 'no answer to a reservation'),
+            new ServingError(
+              'outcome-unknown',
+              'no response to the reservation before the deadline',
+            ),
           onCancel: () =>
             new ServingError('cancelled', 'the reservation was cancelled'),
         },
-        inner =>
-          caller.send({
+        callSignal =>
+          client.send({
             method: 'POST',
             path: '/weights/reservations',
             body: JSON.stringify({weights, host}),
             hasEffect: true,
-            signal: inner,
+            signal: callSignal,
           }),
       );
-      checkStatus(reply, [200], true);
-      const value = parseJson(reply.text, 'protocol-violation', 'reply');
-      return checkShape(reservationShape, value, 'protocol-violation', 'reply');
+      checkStatus(response, [200], true);
+      const value = parseJson(response.text, 'protocol-violation', 'reply');
+      return checkShape(
+        reservationSchema,
+        value,
+        'protocol-violation',
+        'reply',
+      );
     },
   };
 }
--- a/packages/providers/src/index.ts
+++ b/packages/providers/src/index.ts
@@ -1,4 +1,4 @@
-/** Typed clients for the platform. */
+/** Typed clients of the platform's APIs. */
 export * from './contracts.js';
 export * from './httpCalls.js';
 export * from './httpCloud.js';
--- a/packages/providers/src/memoryPlatform.ts
+++ b/packages/providers/src/memoryPlatform.ts
@@ -1,9 +1,9 @@
 /**
- * An in-process object API with fault switches, for tests and measurements.
+ * An in-process object API with fault injection, for tests and benchmarks.
  *
  * Several named clients share one store; each has its own faults, so that a
- * test can cut one simulated process off while the others go on. The clients
- * are the real ones: only the wire is replaced.
+ * test can disconnect one simulated process while the others continue. The
+ * clients are the production ones; only the transport is replaced.
  */
 import {
   seededRandom,
@@ -21,45 +21,45 @@
 import {createObjectTable, type ObjectTable} from './objectTable.js';
 import type {ObjectTransport, TransportWatch} from './objectTransport.js';
 
-/** Switches of one client or, at the platform, of all. */
+/** Fault injection for one client or, at the platform, for all clients. */
 export interface ObjectFaults {
-  /** Calls fail at once without effect, watches end. */
+  /** Fails calls at once without effect and ends watches. */
   setDown(isDown: boolean): void;
-  /** Calls and watch news take this long; half before the effect, half after. */
+  /** Delays calls, half before and half after the effect, and watch events. */
   setSlow(delayMs: number): void;
-  /** The next writes take effect but their replies are lost. */
+  /** Loses the replies of the next `count` writes, which take effect. */
   loseReplies(count: number): void;
-  /** Watches end and new ones are refused. */
+  /** Ends open watches and rejects new ones. */
   rejectWatches(isRejecting: boolean): void;
-  /** Watches stay open but hear nothing any more, as on a dead connection. */
-  silenceWatches(isSilent: boolean): void;
+  /** Keeps watches open without delivering events, as on a dead connection. */
+  silenceWatches(isStalled: boolean): void;
 }
 
-/** What the clients together have asked of the platform. */
+/** Number of calls by all clients. */
 export interface PlatformLoad {
   readonly reads: number;
   readonly writes: number;
   readonly watchCalls: number;
-  /** Watches open now. */
+  /** Watches currently open. */
   readonly openWatches: number;
 }
 
 export interface MemoryPlatform {
-  /** The object table itself, to prepare and check without a client. */
+  /** The underlying table, to set up and inspect objects without a client. */
   readonly table: ObjectTable;
   readonly faults: ObjectFaults;
-  /** A new client; each call stands for one process. */
+  /** Creates a client; each one simulates a separate process. */
   client(name: string, settings?: MemoryClientSettings): MemoryClient;
   load(): PlatformLoad;
 }
 
-/** Settings of a client and of the process that it stands for. */
+/** Settings of a client and of the process that it simulates. */
 export interface MemoryClientSettings extends ObjectStoreSettings {
-  /** The process's own clock: while it is paused, replies wait. */
+  /** The clock of the process; replies are delayed while it is paused. */
   readonly clock?: Clock;
 }
 
-/** A client with the switches of its own connection. */
+/** A client with fault injection for its own connection. */
 export interface MemoryClient extends ObjectClient {
   readonly faults: ObjectFaults;
 }
@@ -69,14 +69,14 @@
   delayMs: number;
   repliesToLose: number;
   isRejectingWatches: boolean;
-  isSilent: boolean;
+  isStalled: boolean;
 }
 
 interface WatchRequest {
   readonly faults: readonly FaultState[];
-  readonly ownClock: Clock;
+  readonly processClock: Clock;
   readonly kind: string;
-  readonly from: number;
+  readonly fromVersion: number;
   readonly listener: TransportWatch;
 }
 
@@ -86,7 +86,7 @@
 }
 
 /**
- * Makes a platform whose clients run on the given clock.
+ * Creates a platform whose clients run on the given clock.
  *
  * @example
  * const platform = memoryPlatform({clock: virtualClock()});
@@ -101,58 +101,64 @@
   const {clock} = options;
   const random = options.random ?? seededRandom(1);
   const table = createObjectTable(options.historyLimit);
-  const common = noFaults();
-  const open = new Set<OpenWatch>();
+  const platformFaults = createFaultState();
+  const openWatches = new Set<OpenWatch>();
   const load = {reads: 0, writes: 0, watchCalls: 0};
-  let clients = 0;
+  let clientCount = 0;
 
   function endWatches(): void {
-    for (const watch of [...open]) {
+    for (const watch of [...openWatches]) {
       if (watch.faults.some(f => f.isDown || f.isRejectingWatches)) {
         watch.end();
       }
     }
   }
 
-  function transportFor(own: FaultState, ownClock: Clock): ObjectTransport {
-    const faults = [common, own];
+  function createTransport(
+    clientFaults: FaultState,
+    processClock: Clock,
+  ): ObjectTransport {
+    const faults = [platformFaults, clientFaults];
     const delayMs = () => totalDelayMs(faults);
 
-    async function read<T>(operation: () => T): Promise<T> {
+    async function performRead<T>(operation: () => T): Promise<T> {
       load.reads += 1;
-      const spanMs = delayMs() / 2;
-      await wait(clock, spanMs);
-      checkUp(faults);
+      const waitMs = delayMs() / 2;
+      await sleep(clock, waitMs);
+      throwIfDown(faults);
       const result = operation();
-      await wait(ownClock, spanMs);
+      await sleep(processClock, waitMs);
       return result;
     }
 
-    async function write<T>(operation: () => T): Promise<T> {
+    async function performWrite<T>(operation: () => T): Promise<T> {
       load.writes += 1;
-      const spanMs = delayMs() / 2;
-      await wait(clock, spanMs);
-      checkUp(faults);
+      const waitMs = delayMs() / 2;
+      await sleep(clock, waitMs);
+      throwIfDown(faults);
       const result = operation();
-      const loser = faults.find(f => f.repliesToLose > 0);
-      if (loser !== undefined) {
-        loser.repliesToLose -= 1;
+      const lossyFaults = faults.find(f => f.repliesToLose > 0);
+      if (lossyFaults !== undefined) {
+        lossyFaults.repliesToLose -= 1;
         throw new ServingError('outcome-unknown', 'the reply was lost');
       }
-      await wait(ownClock, spanMs);
+      await sleep(processClock, waitMs);
       return result;
     }
 
     return {
       get: (kind, name) =>
-        read(() => ({version: table.version(), object: table.get(kind, name)})),
-      list: kind => read(() => table.list(kind)),
-      put: (target, value) => write(() => table.put(target, value)),
-      remove: target => write(() => table.remove(target)),
-      watch: (kind, from, listener) =>
-        openWatch({faults, ownClock, kind, from, listener}),
+        performRead(() => ({
+          version: table.version(),
+          object: table.get(kind, name),
+        })),
+      list: kind => performRead(() => table.list(kind)),
+      put: (write, value) => performWrite(() => table.put(write, value)),
+      remove: write => performWrite(() => table.remove(write)),
+      watch: (kind, fromVersion, listener) =>
+        openWatch({faults, processClock, kind, fromVersion, listener}),
       dispose() {
-        own.isDown = true;
+        clientFaults.isDown = true;
         endWatches();
       },
     };
@@ -160,9 +166,9 @@
 
   function openWatch({
     faults,
-    ownClock,
+    processClock,
     kind,
-    from,
+    fromVersion,
     listener,
   }: WatchRequest): Disposable {
     load.watchCalls += 1;
@@ -173,12 +179,12 @@
       }
     });
     const watch = {faults, end: () => end('lost')};
-    open.add(watch);
+    openWatches.add(watch);
 
     function close(): void {
       isClosed = true;
       subscription.dispose();
-      open.delete(watch);
+      openWatches.delete(watch);
     }
     function end(reason: 'lost' | 'compacted'): void {
       if (isClosed) {
@@ -187,19 +193,19 @@
       close();
       listener.onDidEnd(reason);
     }
-    /** Later news never overtakes earlier: timers of equal delay keep their order. */
-    function deliver(news: () => void): void {
-      const step = () => {
-        if (!isClosed && !faults.some(f => f.isSilent)) {
-          news();
+    /** Delivers in order: timers of equal delay fire in creation order. */
+    function deliver(notify: () => void): void {
+      const notifyUnlessStalled = () => {
+        if (!isClosed && !faults.some(f => f.isStalled)) {
+          notify();
         }
       };
-      const spanMs = totalDelayMs(faults);
-      if (spanMs === 0) {
-        queueMicrotask(step);
+      const waitMs = totalDelayMs(faults);
+      if (waitMs === 0) {
+        queueMicrotask(notifyUnlessStalled);
         return;
       }
-      ownClock.after(spanMs, step);
+      processClock.after(waitMs, notifyUnlessStalled);
     }
 
     queueMicrotask(() => {
@@ -212,8 +218,8 @@
       }
       listener.onDidOpen();
     });
-    const backlog = table.changesSince(kind, from);
-    const reached = table.version();
+    const backlog = table.changesSince(kind, fromVersion);
+    const currentVersion = table.version();
     if (backlog === undefined) {
       queueMicrotask(() => end('compacted'));
       return toDisposable(close);
@@ -221,32 +227,32 @@
     for (const change of backlog) {
       deliver(() => listener.onDidChange(change));
     }
-    deliver(() => listener.onDidCatchUp(reached));
+    deliver(() => listener.onDidCatchUp(currentVersion));
     return toDisposable(close);
   }
 
   return {
     table,
-    faults: switches(common, endWatches),
+    faults: createFaultControls(platformFaults, endWatches),
     client(name, settings = {}) {
-      clients += 1;
-      const own = noFaults();
-      const ownClock = settings.clock ?? clock;
+      clientCount += 1;
+      const clientFaults = createFaultState();
+      const processClock = settings.clock ?? clock;
       const client = createObjectStore({
         ...settings,
-        transport: transportFor(own, ownClock),
-        clock: ownClock,
+        transport: createTransport(clientFaults, processClock),
+        clock: processClock,
         random: seededRandom(random.integer(0, 1_000_000_000)),
-        writer: `${name}.${clients}`,
+        writer: `${name}.${clientCount}`,
       });
-      return {...client, faults: switches(own, endWatches)};
+      return {...client, faults: createFaultControls(clientFaults, endWatches)};
     },
-    load: () => ({...load, openWatches: open.size}),
+    load: () => ({...load, openWatches: openWatches.size}),
   };
 }
 
 /**
- * Makes one client over a memory platform of its own.
+ * Creates a client with a memory platform of its own.
  *
  * @example
  * const store = createMemoryObjectStore({clock: virtualClock()});
@@ -258,17 +264,20 @@
   return memoryPlatform(options).client('only');
 }
 
-function noFaults(): FaultState {
+function createFaultState(): FaultState {
   return {
     isDown: false,
     delayMs: 0,
     repliesToLose: 0,
     isRejectingWatches: false,
-    isSilent: false,
+    isStalled: false,
   };
 }
 
-function switches(faults: FaultState, endWatches: () => void): ObjectFaults {
+function createFaultControls(
+  faults: FaultState,
+  endWatches: () => void,
+): ObjectFaults {
   return {
     setDown(isDown) {
       faults.isDown = isDown;
@@ -284,8 +293,8 @@
       faults.isRejectingWatches = isRejecting;
       endWatches();
     },
-    silenceWatches(isSilent) {
-      faults.isSilent = isSilent;
+    silenceWatches(isStalled) {
+      faults.isStalled = isStalled;
     },
   };
 }
@@ -294,14 +303,14 @@
   return faults.reduce((sum, fault) => sum + fault.delayMs, 0);
 }
 
-function checkUp(faults: readonly FaultState[]): void {
+function throwIfDown(faults: readonly FaultState[]): void {
   if (faults.some(f => f.isDown)) {
     throw new ServingError('platform-unavailable', 'the platform is down');
   }
 }
 
-async function wait(clock: Clock, spanMs: number): Promise<void> {
-  if (spanMs > 0) {
-    await new Promise<void>(resolve => clock.after(spanMs, resolve));
+async function sleep(clock: Clock, durationMs: number): Promise<void> {
+  if (durationMs > 0) {
+    await new Promise<void>(resolve => clock.after(durationMs, resolve));
   }
 }
--- a/packages/providers/src/objectStore.ts
+++ b/packages/providers/src/objectStore.ts
@@ -1,4 +1,4 @@
-/** The client of the object API, over any transport. */
+/** Client of the object API over any transport. */
 import {
   emitter,
   toDisposable,
@@ -13,53 +13,53 @@
 } from './contracts.js';
 import type {ObjectWrite} from './objectTable.js';
 import type {ObjectTransport} from './objectTransport.js';
-import {createStoreCalls, type CallUse} from './storeCalls.js';
-import {rethrowRefusal} from './storeErrors.js';
+import {createStoreCalls, type CallType} from './storeCalls.js';
+import {throwCallerError} from './storeErrors.js';
 import {createStoreWrites} from './storeWrites.js';
 import {startWatch, type WatchLoop, type WatchState} from './watchLoop.js';
 
-export type {CallUse} from './storeCalls.js';
+export type {CallType} from './storeCalls.js';
 
-/** What can be set about a client; every field has a default. */
+/** Settings of a client; every field has a default. */
 export interface ObjectStoreSettings {
-  /** Time for one call, in milliseconds. */
+  /** Timeout of one call, in milliseconds. */
   readonly callDeadlineMs?: number;
-  /** Time for a write with all that is needed to learn its outcome. */
+  /** Timeout of a write including lookups of its outcome, in milliseconds. */
   readonly writeDeadlineMs?: number;
-  /** What the platform takes from the whole fleet, in calls a second. */
+  /** Rate limit of the whole fleet, in calls per second. */
   readonly platformCallsPerSecond?: number;
   readonly liveEntries?: number;
 }
 
-/** The state of a client, as the process's dump shows it. */
+/** State of a client in the process's dump. */
 export interface ObjectStoreDump {
   readonly state: string;
   readonly ratePerSecond: number;
   readonly waitingCalls: number;
   readonly watches: Readonly<Record<string, WatchState>>;
-  /** Calls made, by what they were for. */
-  readonly calls: Readonly<Record<CallUse, number>>;
+  /** Number of calls by type. */
+  readonly calls: Readonly<Record<CallType, number>>;
   readonly failures: number;
-  /** Writes whose reply was lost, and those among them that stayed unknown. */
+  /** Writes whose reply was lost, and those of them without a known outcome. */
   readonly lostReplies: number;
   readonly unknownOutcomes: number;
 }
 
-/** The client with what its process sets and shows. */
+/** The client with its runtime settings and state dump. */
 export interface ObjectClient extends ObjectStore {
-  /** Sets the process's share of the platform's rate. */
+  /** Sets the number of processes that share the platform's rate limit. */
   setLiveEntries(count: number): void;
   dump(): ObjectStoreDump;
 }
 
 const DEFAULT_CALL_DEADLINE_MS = 2000;
 const DEFAULT_WRITE_DEADLINE_MS = 6000;
-/** Less than the platform takes, so that other users of it are left some. */
+/** Below the platform's limit, to leave capacity for its other users. */
 const DEFAULT_PLATFORM_CALLS_PER_SECOND = 1600;
 const DEFAULT_LIVE_ENTRIES = 7;
 
 /**
- * Makes a client over a transport, which it owns.
+ * Creates a client over a transport, which it owns.
  *
  * @example
  * const store = createObjectStore({transport, clock, random, writer: 'a1.7'});
@@ -70,12 +70,12 @@
     readonly transport: ObjectTransport;
     readonly clock: Clock;
     readonly random: Random;
-    /** Names this process in its write ids. */
+    /** Identifies this process in its write ids. */
     readonly writer: string;
   } & ObjectStoreSettings,
 ): ObjectClient {
   const {transport, clock, random} = options;
-  const writer = uniqueWriter(options.writer, clock, random);
+  const writerId = createWriterId(options.writer, clock, random);
   const calls = createStoreCalls({
     clock,
     random,
@@ -83,9 +83,9 @@
     platformCallsPerSecond:
       options.platformCallsPerSecond ?? DEFAULT_PLATFORM_CALLS_PER_SECOND,
     liveEntries: options.liveEntries ?? DEFAULT_LIVE_ENTRIES,
-    probe: signal => transport.get('probe', writer, signal),
+    probe: signal => transport.get('probe', writerId, signal),
   });
-  const {budget, outage, call} = calls;
+  const {rateLimiter, circuitBreaker, call} = calls;
   const writes = createStoreWrites({
     calls,
     transport,
@@ -94,30 +94,30 @@
     writeDeadlineMs: options.writeDeadlineMs ?? DEFAULT_WRITE_DEADLINE_MS,
     seenVersion: () => seenVersion,
   });
-  const stateChanged = emitter<'up' | 'doubtful' | 'down'>();
+  const stateEmitter = emitter<'up' | 'doubtful' | 'down'>();
   const watches = new Set<WatchLoop>();
-  let nextWrite = 0;
-  /** The highest store version seen: history from here on covers any later write. */
+  let writeCount = 0;
+  /** Highest store version seen; history after it covers any later write. */
   let seenVersion = 0;
 
-  outage.onDidChange(state => {
+  circuitBreaker.onDidChange(state => {
     if (state === 'up') {
-      budget.drain();
+      rateLimiter.clearTokens();
     }
-    stateChanged.fire(state);
+    stateEmitter.fire(state);
   });
 
-  function saw(version: number): void {
+  function recordVersion(version: number): void {
     seenVersion = Math.max(seenVersion, version);
   }
 
-  function newWrite(
+  function createWrite(
     kind: string,
     name: string,
     condition: WriteCondition,
   ): ObjectWrite {
-    nextWrite += 1;
-    return {kind, name, condition, writeId: `${writer}.${nextWrite}`};
+    writeCount += 1;
+    return {kind, name, condition, writeId: `${writerId}.${writeCount}`};
   }
 
   return {
@@ -127,21 +127,21 @@
       signal?: AbortSignal,
       freshness: Freshness = 'latest',
     ) {
-      const reading = await call('get', Infinity, signal, inner =>
-        transport.get(kind, name, inner, freshness),
-      ).catch(rethrowRefusal);
-      saw(reading.version);
-      return reading.object as StoredObject<T> | undefined;
+      const readResult = await call('get', Infinity, signal, callSignal =>
+        transport.get(kind, name, callSignal, freshness),
+      ).catch(throwCallerError);
+      recordVersion(readResult.version);
+      return readResult.object as StoredObject<T> | undefined;
     },
     async list<T>(
       kind: string,
       signal?: AbortSignal,
       freshness: Freshness = 'latest',
     ) {
-      const listing = await call('list', Infinity, signal, inner =>
-        transport.list(kind, inner, freshness),
-      ).catch(rethrowRefusal);
-      saw(listing.version);
+      const listing = await call('list', Infinity, signal, callSignal =>
+        transport.list(kind, callSignal, freshness),
+      ).catch(throwCallerError);
+      recordVersion(listing.version);
       return listing as {version: number; objects: StoredObject<T>[]};
     },
     async put<T>(
@@ -151,30 +151,30 @@
       condition: WriteCondition,
       signal?: AbortSignal,
     ) {
-      const target = newWrite(kind, name, condition);
-      const written = await writes.write(
+      const write = createWrite(kind, name, condition);
+      const written = await writes.execute(
         'put',
-        target,
+        write,
         signal,
-        inner => transport.put(target, value, inner),
+        callSignal => transport.put(write, value, callSignal),
         ({version}): StoredObject => ({
           kind,
           name,
           version,
-          writeId: target.writeId,
+          writeId: write.writeId,
           value,
         }),
       );
-      saw(written.version);
+      recordVersion(written.version);
       return written as StoredObject<T>;
     },
     async remove(kind, name, condition, signal) {
-      const target = newWrite(kind, name, condition);
-      await writes.write(
+      const write = createWrite(kind, name, condition);
+      await writes.execute(
         'remove',
-        target,
+        write,
         signal,
-        inner => transport.remove(target, inner),
+        callSignal => transport.remove(write, callSignal),
         () => undefined,
       );
     },
@@ -186,10 +186,10 @@
         transport,
         listener: listener as Parameters<typeof startWatch>[0]['listener'],
         list: async listedKind => {
-          const listing = await call('list', Infinity, undefined, inner =>
-            transport.list(listedKind, inner),
+          const listing = await call('list', Infinity, undefined, callSignal =>
+            transport.list(listedKind, callSignal),
           );
-          saw(listing.version);
+          recordVersion(listing.version);
           return listing;
         },
         admit: calls.admitWatch,
@@ -200,13 +200,13 @@
         loop.dispose();
       });
     },
-    state: () => outage.state(),
-    onDidChangeState: listener => stateChanged.event(listener),
-    setLiveEntries: count => budget.setLiveEntries(count),
+    state: () => circuitBreaker.state(),
+    onDidChangeState: listener => stateEmitter.event(listener),
+    setLiveEntries: count => rateLimiter.setLiveEntries(count),
     dump: () => ({
-      state: outage.state(),
-      ratePerSecond: budget.ratePerSecond(),
-      waitingCalls: budget.waiting(),
+      state: circuitBreaker.state(),
+      ratePerSecond: rateLimiter.ratePerSecond(),
+      waitingCalls: rateLimiter.queueLength(),
       watches: Object.fromEntries(
         [...watches].map(loop => [loop.kind, loop.state()]),
       ),
@@ -219,18 +219,19 @@
       }
       watches.clear();
       calls.dispose();
-      stateChanged.dispose();
+      stateEmitter.dispose();
       transport.dispose();
     },
   };
 }
 
 /**
- * A restarted process counts its writes from 1 again. Without a part of its own
- * it would take a write of its predecessor for its own when it reads back.
+ * Creates a writer id that is unique per process start. A restarted process
+ * counts its writes from 1 again and would otherwise take a write of its
+ * predecessor for its own when it looks up a write.
  */
-function uniqueWriter(name: string, clock: Clock, random: Random): string {
-  const start = Math.trunc(clock.wall()).toString(36);
-  const chance = random.integer(0, 0xffff_ffff).toString(36);
-  return `${name}.${start}.${chance}`;
+function createWriterId(name: string, clock: Clock, random: Random): string {
+  const startTime = Math.trunc(clock.wall()).toString(36);
+  const randomSuffix = random.integer(0, 0xffff_ffff).toString(36);
+  return `${name}.${startTime}.${randomSuffix}`;
 }
--- a/packages/providers/src/objectTable.ts
+++ b/packages/providers/src/objectTable.ts
@@ -1,7 +1,7 @@
 /**
- * The object API's rules without any transport: versions, conditions, history.
- * Both the in-process fake and the HTTP stand-in keep their objects in one of
- * these, so that a test passes on both for the same reason.
+ * In-memory implementation of the object API without transport: versions,
+ * conditions, history. The in-process fake and the HTTP stand-in both store
+ * their objects in it, so that tests see the same semantics on either.
  */
 import {
   emitter,
@@ -11,7 +11,7 @@
 } from '@skylarkfield/base';
 import type {ObjectListing, StoredObject, WriteCondition} from './contracts.js';
 
-/** One change, as a watch tells it. */
+/** A change, as a watch delivers it. */
 export type ObjectChange =
   | {
       readonly type: 'put';
@@ -29,7 +29,7 @@
       readonly writeId: string;
     };
 
-/** One write as it reaches the table. */
+/** Target, id and precondition of a write. */
 export interface ObjectWrite {
   readonly kind: string;
   readonly name: string;
@@ -43,33 +43,35 @@
   list(kind: string): ObjectListing;
   /** Throws `version-conflict` or `too-large`. */
   put(write: ObjectWrite, value: unknown): StoredObject;
-  /** Throws `version-conflict`; resolves for an object that is already gone. */
+  /** Throws `version-conflict`; does nothing when the object does not exist. */
   remove(write: ObjectWrite): void;
-  /** Changes of a kind after a version; undefined when they are no longer kept. */
+  /** Changes of a kind after a version; undefined when they were compacted. */
   changesSince(
     kind: string,
     version: number,
   ): readonly ObjectChange[] | undefined;
   readonly onDidChange: Event<ObjectChange>;
-  /** Forgets the history, so that watches from older versions must list again. */
+  /** Discards the history; watches from older versions then have to re-list. */
   compact(): void;
 }
 
-/** The most bytes of JSON that one value may have. */
+/** Maximum size of a value as JSON, in bytes. */
 export const MAX_VALUE_BYTES = 1_048_576;
 
-const DEFAULT_HISTORY = 10_000;
+const DEFAULT_HISTORY_LIMIT = 10_000;
 
 /**
- * Makes an empty table that keeps the given number of changes as history.
+ * Creates an empty table that keeps at least `historyLimit` changes as history.
  *
  * @example
  * const table = createObjectTable();
  * table.put({kind: 'service', name: 'booking', writeId: 'w1', condition: {type: 'absent'}}, value);
  */
-export function createObjectTable(historyLimit = DEFAULT_HISTORY): ObjectTable {
+export function createObjectTable(
+  historyLimit = DEFAULT_HISTORY_LIMIT,
+): ObjectTable {
   const kinds = new Map<string, Map<string, StoredObject>>();
-  const changed = emitter<ObjectChange>();
+  const changeEmitter = emitter<ObjectChange>();
   let history: ObjectChange[] = [];
   let version = 0;
   let compactedTo = 0;
@@ -83,13 +85,13 @@
     return objects;
   }
 
-  function note(change: ObjectChange): void {
+  function recordChange(change: ObjectChange): void {
     history.push(change);
     if (history.length > historyLimit * 2) {
       history = history.slice(-historyLimit);
       compactedTo = (history[0]?.version ?? version + 1) - 1;
     }
-    changed.fire(change);
+    changeEmitter.fire(change);
   }
 
   return {
@@ -97,93 +99,93 @@
     get: (kind, name) => objectsOf(kind).get(name),
     list: kind => ({version, objects: [...objectsOf(kind).values()]}),
     put(write, value) {
-      const text = checkedText(write, value);
+      const json = serializeValue(write, value);
       const objects = objectsOf(write.kind);
       checkCondition(write, objects.get(write.name));
       version += 1;
       const {kind, name, writeId} = write;
-      const copy: unknown = JSON.parse(text);
+      const copy: unknown = JSON.parse(json);
       const object = {kind, name, version, writeId, value: copy};
       objects.set(name, object);
-      note({type: 'put', kind, name, version, writeId, object});
+      recordChange({type: 'put', kind, name, version, writeId, object});
       return object;
     },
     remove(write) {
       const objects = objectsOf(write.kind);
-      const present = objects.get(write.name);
-      if (present === undefined) {
+      const current = objects.get(write.name);
+      if (current === undefined) {
         return;
       }
-      checkCondition(write, present);
+      checkCondition(write, current);
       version += 1;
       objects.delete(write.name);
       const {kind, name, writeId} = write;
-      note({type: 'remove', kind, name, version, writeId});
+      recordChange({type: 'remove', kind, name, version, writeId});
     },
-    changesSince(kind, from) {
-      if (from < compactedTo) {
+    changesSince(kind, fromVersion) {
+      if (fromVersion < compactedTo) {
         return undefined;
       }
       return history.filter(
-        change => change.kind === kind && change.version > from,
+        change => change.kind === kind && change.version > fromVersion,
       );
     },
-    onDidChange: changed.event,
+    onDidChange: changeEmitter.event,
     compact() {
       history = [];
       compactedTo = version;
     },
-    dispose: () => changed.dispose(),
+    dispose: () => changeEmitter.dispose(),
   };
 }
 
-function checkedText(write: ObjectWrite, value: unknown): string {
-  const text = JSON.stringify(value);
-  if (text === undefined) {
+function serializeValue(write: ObjectWrite, value: unknown): string {
+  const json = JSON.stringify(value);
+  if (json === undefined) {
     throw new ServingError(
       'bad-request',
-      `${write.kind}/${write.name} has no value that JSON can carry`,
+      `${write.kind}/${write.name} has a value that JSON cannot represent`,
     );
   }
-  // A value is never longer in bytes than four times its length in characters.
-  if (text.length * 4 <= MAX_VALUE_BYTES) {
-    return text;
+  // UTF-8 takes at most four bytes per character: skips the exact count.
+  if (json.length * 4 <= MAX_VALUE_BYTES) {
+    return json;
   }
-  const bytes = Buffer.byteLength(text);
+  const bytes = Buffer.byteLength(json);
   if (bytes > MAX_VALUE_BYTES) {
     throw new ServingError(
       'too-large',
-      `${write.kind}/${write.name} has ${bytes} bytes, ${MAX_VALUE_BYTES} are allowed`,
+      `${write.kind}/${write.name} has ${bytes} bytes, the limit is ${MAX_VALUE_BYTES}`,
     );
   }
-  return text;
+  return json;
 }
 
 function checkCondition(
   write: ObjectWrite,
-  present: StoredObject | undefined,
+  current: StoredObject | undefined,
 ): void {
-  if (isMet(write.condition, present)) {
+  if (isConditionMet(write.condition, current)) {
     return;
   }
-  const found = present === undefined ? 'absent' : `at ${present.version}`;
+  const actual = current === undefined ? 'absent' : `at ${current.version}`;
   throw new ServingError(
     'version-conflict',
-    `${write.kind}/${write.name} is ${found}, the write wants ${describeCondition(write.condition)}`,
+    `${write.kind}/${write.name} is ${actual}, the write requires ${describeCondition(write.condition)}`,
   );
 }
 
-function isMet(
+function isConditionMet(
   condition: WriteCondition,
-  present: StoredObject | undefined,
+  current: StoredObject | undefined,
 ): boolean {
   switch (condition.type) {
     case 'any':
       return true;
     case 'absent':
-      return present === undefined;
+      return current === undefined;
     case 'version':
-      return present?.version === condition.version;
+      return current?.version === condition.version;
   }
 }
 
--- a/packages/providers/src/objectTransport.ts
+++ b/packages/providers/src/objectTransport.ts
@@ -1,32 +1,32 @@
-/** What the object client needs of the wire; HTTP and the in-process fake both give it. */
+/** Transport of the object client, such as HTTP or the in-process fake. */
 import type {Disposable} from '@skylarkfield/base';
 import type {Freshness, ObjectListing, StoredObject} from './contracts.js';
 import type {ObjectChange, ObjectWrite} from './objectTable.js';
 
-/** An object as read, with the store's version at the time. */
-export interface ObjectReading {
+/** Result of reading an object, with the store version at the time. */
+export interface ObjectReadResult {
   readonly version: number;
   readonly object: StoredObject | undefined;
 }
 
-/** Why a watch ended. `compacted`: changes since its version are no longer kept. */
-export type WatchEnd = 'compacted' | 'lost';
+/** Why a watch ended. `compacted`: changes since its version were discarded. */
+export type WatchEndReason = 'compacted' | 'lost';
 
-/** What a transport tells of one watch. */
+/** Receives the events of one watch of a transport. */
 export interface TransportWatch {
   onDidOpen(): void;
   onDidChange(change: ObjectChange): void;
-  /** All changes up to this version have been told. */
+  /** All changes up to this version have been delivered. */
   onDidCatchUp(version: number): void;
-  /** Called once, unless the watch was disposed before. */
-  onDidEnd(end: WatchEnd, retryAfterMs?: number): void;
+  /** Called once, unless the watch was disposed first. */
+  onDidEnd(reason: WatchEndReason, retryAfterMs?: number): void;
 }
 
 /**
- * Single calls without deadlines or repeats.
+ * Single calls without deadlines or retries.
  *
- * Errors: `platform-unavailable` and `overloaded` only when the call certainly
- * had no effect; `outcome-unknown` when a write may have had one.
+ * Errors: `platform-unavailable` and `overloaded` only when the call is known
+ * to have had no effect; `outcome-unknown` when a write may have had one.
  */
 export interface ObjectTransport extends Disposable {
   get(
@@ -34,19 +34,23 @@
     name: string,
     signal: AbortSignal,
     freshness?: Freshness,
-  ): Promise<ObjectReading>;
+  ): Promise<ObjectReadResult>;
   list(
     kind: string,
     signal: AbortSignal,
     freshness?: Freshness,
   ): Promise<ObjectListing>;
-  /** Resolves with the version that the write made. */
+  /** Resolves with the object as written, including its new version. */
   put(
     write: ObjectWrite,
     value: unknown,
     signal: AbortSignal,
   ): Promise<StoredObject>;
   remove(write: ObjectWrite, signal: AbortSignal): Promise<void>;
-  /** Tells changes after a version until it ends or is disposed. */
-  watch(kind: string, from: number, listener: TransportWatch): Disposable;
+  /** Delivers the changes after a version until it ends or is disposed. */
+  watch(
+    kind: string,
+    fromVersion: number,
+    listener: TransportWatch,
+  ): Disposable;
 }
--- /dev/null
+++ b/packages/providers/src/reconnectingStream.ts
@@ -0,0 +1,59 @@
+/** A stream of JSON lines that reconnects with jittered exponential backoff. */
+import {
+  disposableStore,
+  toDisposable,
+  type Clock,
+  type Disposable,
+  type Random,
+} from '@skylarkfield/base';
+import type {HttpClient} from './httpCalls.js';
+
+const INITIAL_BACKOFF_MS = 200;
+const MAX_BACKOFF_MS = 4000;
+
+/**
+ * Reopens the stream whenever it ends, until disposed. The server starts every
+ * stream with the complete current state, so that a disconnect loses nothing.
+ *
+ * @example
+ * openReconnectingStream({client, clock, random, path: '/cloud/notices', onDidLine});
+ */
+export function openReconnectingStream(options: {
+  readonly client: HttpClient;
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly path: string;
+  readonly onDidLine: (value: unknown) => void;
+}): Disposable {
+  const {client, clock, random, path} = options;
+  const disposables = disposableStore();
+  let stream: Disposable = toDisposable(() => {});
+  let timer: Disposable = toDisposable(() => {});
+  let attempts = 0;
+
+  function open(): void {
+    if (disposables.isDisposed) {
+      return;
+    }
+    stream = client.stream(path, {
+      onDidOpen() {
+        attempts = 0;
+      },
+      onDidLine: options.onDidLine,
+      onDidEnd(_status, retryAfterMs) {
+        const delayMs = Math.min(
+          MAX_BACKOFF_MS,
+          INITIAL_BACKOFF_MS * 2 ** attempts,
+        );
+        attempts += 1;
+        const jitteredMs = delayMs * (0.5 + random.next());
+        timer = clock.after(Math.max(retryAfterMs, jitteredMs), open);
+      },
+    });
+  }
+
+  disposables.add(toDisposable(() => stream.dispose()));
+  disposables.add(toDisposable(() => timer.dispose()));
+  open();
+  return disposables;
+}
--- a/packages/providers/src/storeCalls.ts
+++ b/packages/providers/src/storeCalls.ts
@@ -1,100 +1,110 @@
-/** Calls to the object API: each within its deadline, the budget and the outage state, and counted. */
+/** Counted calls to the object API with deadline, rate limit and breaker. */
 import {
   isServingError,
   type Clock,
   type Disposable,
   type Random,
 } from '@skylarkfield/base';
-import {createCallBudget, type CallBudget} from './callBudget.js';
+import {
+  createCallRateLimiter,
+  type CallRateLimiter,
+} from './callRateLimiter.js';
+import {createCircuitBreaker, type CircuitBreaker} from './circuitBreaker.js';
 import {withDeadline} from './deadline.js';
-import {createOutage, type Outage} from './outage.js';
-import {cancelled, timedOut} from './storeErrors.js';
+import {cancelledError, timeoutError} from './storeErrors.js';
 
-/** What a call was for. */
-export type CallUse = 'get' | 'list' | 'put' | 'remove' | 'watch' | 'find';
+/** Type of a call. `find` looks up a write's outcome after a lost reply. */
+export type CallType = 'get' | 'list' | 'put' | 'remove' | 'watch' | 'find';
 
 /** Makes and counts the calls of one client. */
 export interface StoreCalls extends Disposable {
-  readonly budget: CallBudget;
-  readonly outage: Outage;
+  readonly rateLimiter: CallRateLimiter;
+  readonly circuitBreaker: CircuitBreaker;
   /**
-   * Makes one call. The deadline is in monotonic milliseconds; the call's own
-   * one holds where it is earlier.
+   * Makes one call. It ends at `deadlineAt`, in monotonic milliseconds, or
+   * after `callDeadlineMs`, whichever is earlier.
    */
   call<T>(
-    use: CallUse,
+    callType: CallType,
     deadlineAt: number,
     signal: AbortSignal | undefined,
     operation: (signal: AbortSignal) => Promise<T>,
   ): Promise<T>;
-  /** Admits and counts a call that waits for changes, which has no deadline. */
+  /** Admits and counts a watch, which has no deadline once it is open. */
   admitWatch(): Promise<void>;
   counts(): {
-    readonly calls: Readonly<Record<CallUse, number>>;
+    readonly calls: Readonly<Record<CallType, number>>;
     readonly failures: number;
   };
 }
 
 /**
- * Makes the calls of one client.
+ * Creates the call layer of one client.
  *
  * @example
- * const calls = createStoreCalls({clock, random, callDeadlineMs: 2000, ...rest});
- * const reading = await calls.call('get', Infinity, signal, read);
+ * const calls = createStoreCalls({clock, random, callDeadlineMs: 2000, ...options});
+ * const result = await calls.call('get', Infinity, signal, read);
  */
 export function createStoreCalls(options: {
   readonly clock: Clock;
   readonly random: Random;
-  /** Time for one call, in milliseconds. */
+  /** Timeout of one call, in milliseconds. */
   readonly callDeadlineMs: number;
-  /** What the platform takes from the whole fleet, in calls a second. */
+  /** Rate limit of the whole fleet, in calls per second. */
   readonly platformCallsPerSecond: number;
   readonly liveEntries: number;
-  /** A read that shows whether the platform answers. */
+  /** Makes a read to check whether the platform responds. */
   probe(signal: AbortSignal): Promise<unknown>;
 }): StoreCalls {
   const {clock, random, callDeadlineMs} = options;
   const {platformCallsPerSecond, liveEntries} = options;
-  const budget = createCallBudget(clock, {platformCallsPerSecond, liveEntries});
-  const outage = createOutage({clock, random, probe: () => void probe()});
+  const rateLimiter = createCallRateLimiter(clock, {
+    platformCallsPerSecond,
+    liveEntries,
+  });
+  const circuitBreaker = createCircuitBreaker({
+    clock,
+    random,
+    probe: () => void probe(),
+  });
   const calls = {get: 0, list: 0, put: 0, remove: 0, watch: 0, find: 0};
   let failures = 0;
 
-  /** One counted call within the budget; its result moves the outage state. */
+  /** Makes and counts one call; its result updates the circuit breaker. */
   async function call<T>(
-    use: CallUse,
+    callType: CallType,
     deadlineAt: number,
     signal: AbortSignal | undefined,
     operation: (signal: AbortSignal) => Promise<T>,
   ): Promise<T> {
-    outage.admit();
+    circuitBreaker.throwIfDown();
     const callDeadlineAt = Math.min(deadlineAt, clock.now() + callDeadlineMs);
-    await budget.take(callDeadlineAt, signal);
-    const isWrite = use === 'put' || use === 'remove';
-    calls[use] += 1;
+    await rateLimiter.acquire(callDeadlineAt, signal);
+    const isWrite = callType === 'put' || callType === 'remove';
+    calls[callType] += 1;
     try {
       const result = await withDeadline(
         {
           clock,
           deadlineAt: callDeadlineAt,
           signal,
-          onTimeout: () => timedOut(isWrite),
-          onCancel: () => cancelled(isWrite),
+          onTimeout: () => timeoutError(isWrite),
+          onCancel: () => cancelledError(isWrite),
         },
         operation,
       );
-      outage.noteAnswer();
+      circuitBreaker.recordResponse();
       return result;
     } catch (error) {
-      noteError(error);
+      recordError(error);
       throw error;
     }
   }
 
-  function noteError(error: unknown): void {
+  function recordError(error: unknown): void {
     if (isServingError(error, 'overloaded')) {
-      budget.holdBack(error.retryAfterMs ?? 0);
-      outage.noteAnswer();
+      rateLimiter.blockFor(error.retryAfterMs ?? 0);
+      circuitBreaker.recordResponse();
       return;
     }
     if (
@@ -102,15 +112,15 @@
       isServingError(error, 'outcome-unknown')
     ) {
       failures += 1;
-      outage.noteFailure();
+      circuitBreaker.recordFailure();
       return;
     }
     if (!isServingError(error, 'cancelled')) {
-      outage.noteAnswer();
+      circuitBreaker.recordResponse();
     }
   }
 
-  /** Asks outside the budget whether the platform answers again. */
+  /** Checks, outside the rate limit, whether the platform responds again. */
   async function probe(): Promise<void> {
     calls.get += 1;
     try {
@@ -119,30 +129,30 @@
           clock,
           deadlineAt: clock.now() + callDeadlineMs,
           signal: undefined,
-          onTimeout: () => timedOut(false),
-          onCancel: () => cancelled(false),
+          onTimeout: () => timeoutError(false),
+          onCancel: () => cancelledError(false),
         },
         options.probe,
       );
-      outage.noteAnswer();
+      circuitBreaker.recordResponse();
     } catch (error) {
-      noteError(error);
+      recordError(error);
     }
   }
 
   return {
-    budget,
-    outage,
+    rateLimiter,
+    circuitBreaker,
     call,
     async admitWatch() {
-      outage.admit();
-      await budget.take(clock.now() + callDeadlineMs);
+      circuitBreaker.throwIfDown();
+      await rateLimiter.acquire(clock.now() + callDeadlineMs);
       calls.watch += 1;
     },
     counts: () => ({calls: {...calls}, failures}),
     dispose() {
-      budget.dispose();
-      outage.dispose();
+      rateLimiter.dispose();
+      circuitBreaker.dispose();
     },
   };
 }
--- a/packages/providers/src/storeErrors.ts
+++ b/packages/providers/src/storeErrors.ts
@@ -3,68 +3,74 @@
 import type {ObjectWrite} from './objectTable.js';
 
 /**
- * The error of a call without an answer in time.
+ * Returns the error of a call without a response before its deadline.
  *
  * @example
- * throw timedOut(true); // outcome-unknown
+ * throw timeoutError(true); // outcome-unknown
  */
-export function timedOut(isWrite: boolean): ServingError {
+export function timeoutError(isWrite: boolean): ServingError {
   if (isWrite) {
-    return new ServingError('outcome-unknown', 'the write was not answered');
+    return new ServingError(
+      'outcome-unknown',
+      'no response to the write before the deadline',
+    );
   }
-  return new ServingError('platform-unavailable', 'the read was not answered');
+  return new ServingError(
+    'platform-unavailable',
+    'no response to the read before the deadline',
+  );
 }
 
 /**
- * The error of a call that its caller has cancelled.
+ * Returns the error of a call that its caller cancelled.
  *
  * @example
- * throw cancelled(false); // not-run
+ * throw cancelledError(false); // not-run
  */
-export function cancelled(isWrite: boolean): ServingError {
+export function cancelledError(isWrite: boolean): ServingError {
   return new ServingError('cancelled', 'the call was cancelled', {
     run: isWrite ? 'may-have-run' : 'not-run',
   });
 }
 
 /**
- * The error of a write that lost against another writer.
+ * Returns the error of a write that conflicts with another writer's.
  *
  * @example
- * throw conflict(target);
+ * throw conflictError(write);
  */
-export function conflict(target: ObjectWrite): ServingError {
+export function conflictError(write: ObjectWrite): ServingError {
   return new ServingError(
     'version-conflict',
-    `${target.kind}/${target.name} was changed by another writer first`,
+    `${write.kind}/${write.name} was changed by another writer`,
   );
 }
 
 /**
- * The error of a write of which nobody can tell whether it took effect.
+ * Returns the error of a write whose outcome cannot be determined.
  *
  * @example
- * throw unknownOutcome(target, error);
+ * throw unknownOutcomeError(write, error);
  */
-export function unknownOutcome(
-  target: ObjectWrite,
+export function unknownOutcomeError(
+  write: ObjectWrite,
   cause: unknown,
 ): ServingError {
   return new ServingError(
     'outcome-unknown',
-    `whether the write of ${target.kind}/${target.name} took effect cannot be told`,
+    `cannot determine whether the write of ${write.kind}/${write.name} took effect`,
     {cause},
   );
 }
 
 /**
- * Makes a refusal by the platform's own rate limit `platform-unavailable`, which
- * is what it is to callers; other errors stay as they are.
+ * Converts `overloaded`, a rejection by the platform's rate limit, to the
+ * `platform-unavailable` that callers expect; returns other errors unchanged.
  *
  * @example
- * throw asRefusal(error);
+ * throw toCallerError(error);
  */
-export function asRefusal(error: unknown): unknown {
+export function toCallerError(error: unknown): unknown {
   if (!isServingError(error, 'overloaded')) {
     return error;
   }
@@ -75,11 +81,11 @@
 }
 
 /**
- * Throws what `asRefusal` makes of an error.
+ * Throws an error as converted by `toCallerError`.
  *
  * @example
- * await reading.catch(rethrowRefusal);
+ * await call.catch(throwCallerError);
  */
-export function rethrowRefusal(error: unknown): never {
-  throw asRefusal(error);
+export function throwCallerError(error: unknown): never {
+  throw toCallerError(error);
 }
--- a/packages/providers/src/storeWrites.ts
+++ b/packages/providers/src/storeWrites.ts
@@ -1,55 +1,60 @@
 /**
- * Writes whose reply may be lost. The write may have taken effect then: sent
- * again as a new one it would fail on its own effect, and its caller would take
- * another for the winner. So the write id is looked for before anything else.
+ * Writes that survive lost replies. A write whose reply was lost may have taken
+ * effect; a plain retry would then conflict with its own effect, and the caller
+ * would assume that another writer won. So its write id is looked up first.
  */
 import {isServingError, type Clock, type Random} from '@skylarkfield/base';
 import type {ObjectWrite} from './objectTable.js';
 import type {ObjectTransport} from './objectTransport.js';
 import type {StoreCalls} from './storeCalls.js';
-import {asRefusal, cancelled, conflict, unknownOutcome} from './storeErrors.js';
-import {findWrite} from './unknownWrites.js';
+import {
+  cancelledError,
+  conflictError,
+  toCallerError,
+  unknownOutcomeError,
+} from './storeErrors.js';
+import {findWriteOutcome} from './writeOutcome.js';
 
-/** First and longest time between two looks for a write, in milliseconds. */
-const FIND_RETRY_MS = 50;
-const LONGEST_FIND_RETRY_MS = 1000;
+/** Initial and maximum delay between two lookups of a write's outcome. */
+const INITIAL_FIND_BACKOFF_MS = 50;
+const MAX_FIND_BACKOFF_MS = 1000;
 
-/** Writes until the outcome is known. */
+/** Makes the writes of one client and determines their outcome. */
 export interface StoreWrites {
   /**
-   * Sends a write until its outcome is known or the deadline passes; `landed`
-   * makes the result of a write that was found to have taken effect.
+   * Sends a write until its outcome is known or the deadline passes. `toResult`
+   * builds the result of a write that a lookup found to have taken effect.
    */
-  write<T>(
-    use: 'put' | 'remove',
-    target: ObjectWrite,
+  execute<T>(
+    callType: 'put' | 'remove',
+    write: ObjectWrite,
     signal: AbortSignal | undefined,
     send: (signal: AbortSignal) => Promise<T>,
-    landed: (found: {version: number}) => T,
+    toResult: (written: {version: number}) => T,
   ): Promise<T>;
   counts(): {
     /** Writes whose reply was lost. */
     readonly lostReplies: number;
-    /** Those among them that stayed unknown. */
+    /** Those of them whose outcome could not be determined. */
     readonly unknownOutcomes: number;
   };
 }
 
 /**
- * Makes the writes of one client.
+ * Creates the write layer of one client.
  *
  * @example
- * const writes = createStoreWrites({calls, transport, clock, ...rest});
- * await writes.write('remove', target, signal, send, () => undefined);
+ * const writes = createStoreWrites({calls, transport, clock, ...options});
+ * await writes.execute('remove', write, signal, send, () => undefined);
  */
 export function createStoreWrites(options: {
   readonly calls: StoreCalls;
   readonly transport: ObjectTransport;
   readonly clock: Clock;
   readonly random: Random;
-  /** Time for a write with all that is needed to learn its outcome, in milliseconds. */
+  /** Timeout of a write including lookups of its outcome, in milliseconds. */
   readonly writeDeadlineMs: number;
-  /** The highest store version seen: history from here on covers any later write. */
+  /** Highest store version seen; history after it covers any later write. */
   seenVersion(): number;
 }): StoreWrites {
   const {calls, transport, clock, random, writeDeadlineMs} = options;
@@ -57,81 +62,86 @@
   let unknownOutcomes = 0;
 
   /** Sends a write until its outcome is known or the deadline passes. */
-  async function write<T>(
-    use: 'put' | 'remove',
-    target: ObjectWrite,
+  async function execute<T>(
+    callType: 'put' | 'remove',
+    write: ObjectWrite,
     signal: AbortSignal | undefined,
     send: (signal: AbortSignal) => Promise<T>,
-    landed: (found: {version: number}) => T,
+    toResult: (written: {version: number}) => T,
   ): Promise<T> {
     const deadlineAt = clock.now() + writeDeadlineMs;
-    const from =
-      target.condition.type === 'version'
-        ? target.condition.version
+    const fromVersion =
+      write.condition.type === 'version'
+        ? write.condition.version
         : options.seenVersion();
-    let wasSent = false;
+    let hasLostReply = false;
     for (;;) {
       try {
-        return await calls.call(use, deadlineAt, signal, send);
+        return await calls.call(callType, deadlineAt, signal, send);
       } catch (error) {
-        const mayHaveLanded = isServingError(error, 'outcome-unknown');
-        if (!wasSent && !mayHaveLanded) {
-          throw asRefusal(error);
+        const isOutcomeUnknown = isServingError(error, 'outcome-unknown');
+        if (!hasLostReply && !isOutcomeUnknown) {
+          throw toCallerError(error);
         }
-        lostReplies += wasSent ? 0 : 1;
-        wasSent = true;
-        const isCertain = isServingError(error, 'version-conflict');
-        const finding = await find(target, from, deadlineAt, signal);
-        if (finding.type === 'landed') {
-          return landed(finding.change);
+        lostReplies += hasLostReply ? 0 : 1;
+        hasLostReply = true;
+        const wasRejected = isServingError(error, 'version-conflict');
+        const outcome = await findOutcome(
+          write,
+          fromVersion,
+          deadlineAt,
+          signal,
+        );
+        if (outcome.type === 'applied') {
+          return toResult(outcome.change);
         }
         if (
-          finding.type === 'overtaken' ||
-          (isCertain && finding.type === 'open')
+          outcome.type === 'superseded' ||
+          (wasRejected && outcome.type === 'pending')
         ) {
-          throw conflict(target);
+          throw conflictError(write);
         }
-        if (finding.type === 'unknown') {
+        if (outcome.type === 'unknown') {
           unknownOutcomes += 1;
-          throw unknownOutcome(target, error);
+          throw unknownOutcomeError(write, error);
         }
       }
     }
   }
 
-  /** Looks for a write's effect, again and again until the deadline. */
-  async function find(
-    target: ObjectWrite,
-    from: number,
+  /** Looks up the outcome of a write, with retries until the deadline. */
+  async function findOutcome(
+    write: ObjectWrite,
+    fromVersion: number,
     deadlineAt: number,
     signal: AbortSignal | undefined,
-  ): Promise<Awaited<ReturnType<typeof findWrite>>> {
-    let delayMs = FIND_RETRY_MS;
+  ): Promise<Awaited<ReturnType<typeof findWriteOutcome>>> {
+    let delayMs = INITIAL_FIND_BACKOFF_MS;
     for (;;) {
       try {
-        return await calls.call('find', deadlineAt, signal, inner =>
-          findWrite(transport, target, from, inner),
+        return await calls.call('find', deadlineAt, signal, callSignal =>
+          findWriteOutcome(transport, write, fromVersion, callSignal),
         );
       } catch (error) {
         if (isServingError(error, 'cancelled')) {
-          throw cancelled(true);
+          throw cancelledError(true);
         }
-        const pauseMs = delayMs * (0.5 + random.next());
-        if (clock.now() + pauseMs >= deadlineAt) {
+        const jitteredMs = delayMs * (0.5 + random.next());
+        if (clock.now() + jitteredMs >= deadlineAt) {
           return {type: 'unknown'};
         }
-        await pause(pauseMs);
-        delayMs = Math.min(LONGEST_FIND_RETRY_MS, delayMs * 2);
+        await sleep(jitteredMs);
+        delayMs = Math.min(MAX_FIND_BACKOFF_MS, delayMs * 2);
       }
     }
   }
 
-  function pause(spanMs: number): Promise<void> {
-    return new Promise(resolve => clock.after(spanMs, resolve));
+  function sleep(durationMs: number): Promise<void> {
+    return new Promise(resolve => clock.after(durationMs, resolve));
   }
 
   return {
-    write,
+    execute,
     counts: () => ({lostReplies, unknownOutcomes}),
   };
 }
--- a/packages/providers/src/test/objectStore.test.ts
+++ b/packages/providers/src/test/objectStore.test.ts
@@ -1,100 +1,118 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {isServingError, seededRandom, virtualClock} from '@skylarkfield/base';
-import {createCallBudget} from '../callBudget.js';
+import {createCallRateLimiter} from '../callRateLimiter.js';
 import {memoryPlatform} from '../memoryPlatform.js';
 
-const ignore = {onDidList: () => {}, onDidPut: () => {}, onDidRemove: () => {}};
+const noopListener = {
+  onDidList: () => {},
+  onDidPut: () => {},
+  onDidRemove: () => {},
+};
 
 describe('object client', () => {
-  // A connection dies without a word. The watcher believes that nothing has
-  // changed, for as long as nobody opens the watch anew.
-  it('opens a watch anew that has been silent for long', async () => {
+  // A connection that dies without being closed delivers no more events, so the
+  // watcher misses all changes until the watch is reopened.
+  it('reopens a watch that has been idle for too long', async () => {
     const clock = virtualClock();
     const platform = memoryPlatform({clock});
     const store = platform.client('a');
-    const heard: unknown[] = [];
+    const received: unknown[] = [];
     store.watch('thing', {
-      ...ignore,
-      onDidPut: object => heard.push(object.value),
+      ...noopListener,
+      onDidPut: object => received.push(object.value),
     });
     await clock.advance(100);
     store.faults.silenceWatches(true);
     await platform.client('b').put('thing', 'x', 1, {type: 'any'});
     await clock.advance(1000);
     store.faults.silenceWatches(false);
-    assert.deepEqual(heard, []);
+    assert.deepEqual(received, []);
     await clock.advance(20_000);
-    assert.deepEqual(heard, [1]);
+    assert.deepEqual(received, [1]);
   });
 
-  // The platform comes back after a while. If every entry opened its watches in
-  // the same moment, their calls alone could take it down again.
-  it('comes back spread over time when the platform returns', async () => {
+  // When the platform recovers and every entry reopens its watches at the same
+  // moment, these calls alone can overload it again.
+  it('spreads reconnects over time when the platform recovers', async () => {
     const clock = virtualClock();
     const platform = memoryPlatform({clock, random: seededRandom(9)});
     const count = 50;
     for (let index = 0; index < count; index++) {
-      platform.client(`e${index}`, {liveEntries: count}).watch('thing', ignore);
+      platform
+        .client(`e${index}`, {liveEntries: count})
+        .watch('thing', noopListener);
     }
     await clock.advance(1000);
     assert.equal(platform.load().openWatches, count);
     platform.faults.setDown(true);
     await clock.advance(30_000);
     platform.faults.setDown(false);
-    let most = 0;
+    let maxWatchCalls = 0;
     for (let step = 0; step < 40; step++) {
       const before = platform.load().watchCalls;
       await clock.advance(250);
-      most = Math.max(most, platform.load().watchCalls - before);
+      maxWatchCalls = Math.max(
+        maxWatchCalls,
+        platform.load().watchCalls - before,
+      );
     }
     assert.equal(platform.load().openWatches, count);
-    assert.ok(most <= count / 2, `${most} watches within 250 ms`);
+    assert.ok(
+      maxWatchCalls <= count / 2,
+      `${maxWatchCalls} watches within 250 ms`,
+    );
   });
 
-  // A fleet grows or shrinks, and its share of the platform's rate changes.
-  it('keeps within its share of the rate', async () => {
+  // The share of the platform's rate limit changes with the size of the fleet.
+  it('stays within its share of the rate limit', async () => {
     const clock = virtualClock();
-    const budget = createCallBudget(clock, {
+    const rateLimiter = createCallRateLimiter(clock, {
       platformCallsPerSecond: 100,
       liveEntries: 10,
     });
-    async function callsWithin(spanMs: number): Promise<number> {
+    async function callsWithin(durationMs: number): Promise<number> {
       let calls = 0;
-      const until = clock.now() + spanMs;
-      async function work() {
+      const until = clock.now() + durationMs;
+      async function makeCalls() {
         while (clock.now() < until) {
-          await budget.take(until + 1000).catch(() => undefined);
+          await rateLimiter.acquire(until + 1000).catch(() => undefined);
           calls += 1;
         }
       }
-      void work();
-      // In small steps: a step settles only so many promises before its timers.
+      void makeCalls();
+      // A step settles a limited number of promises before its timers fire.
       while (clock.now() < until) {
         await clock.advance(10);
       }
       return calls;
     }
     await callsWithin(5000);
-    const ten = await callsWithin(5000);
-    assert.ok(ten >= 48 && ten <= 52, `${ten} calls in 5 s at 10 a second`);
-    budget.setLiveEntries(100);
+    const callsAt10PerSecond = await callsWithin(5000);
+    assert.ok(
+      callsAt10PerSecond >= 48 && callsAt10PerSecond <= 52,
+      `${callsAt10PerSecond} calls in 5 s at 10 per second`,
+    );
+    rateLimiter.setLiveEntries(100);
     await callsWithin(5000);
-    const one = await callsWithin(5000);
-    assert.ok(one >= 4 && one <= 6, `${one} calls in 5 s at 1 a second`);
+    const callsAt1PerSecond = await callsWithin(5000);
+    assert.ok(
+      callsAt1PerSecond >= 4 && callsAt1PerSecond <= 6,
+      `${callsAt1PerSecond} calls in 5 s at 1 per second`,
+    );
   });
 
-  it('refuses a call at once that would wait beyond its deadline', async () => {
+  it('rejects a call at once that would wait past its deadline', async () => {
     const clock = virtualClock();
-    const budget = createCallBudget(clock, {
+    const rateLimiter = createCallRateLimiter(clock, {
       platformCallsPerSecond: 1,
       liveEntries: 1,
     });
     for (let call = 0; call < 10; call++) {
-      await budget.take(clock.now() + 10);
+      await rateLimiter.acquire(clock.now() + 10);
     }
     await assert.rejects(
-      budget.take(clock.now() + 10),
+      rateLimiter.acquire(clock.now() + 10),
       error =>
         isServingError(error, 'platform-unavailable') &&
         error.run === 'not-run' &&
--- a/packages/providers/src/watchLoop.ts
+++ b/packages/providers/src/watchLoop.ts
@@ -1,11 +1,11 @@
 /**
- * Follows one kind of objects through cuts, gaps and outages.
+ * Follows one kind of objects across disconnects, compaction and outages.
  *
- * A watch that ends is resumed after the last version told; when the platform
- * no longer keeps the changes since then, the kind is listed again, so that a
- * listener never misses a change without hearing the whole list. A watch that
- * has been silent for long is opened anew: a connection that died without a
- * word looks just like a quiet kind.
+ * A watch that ends is resumed after the last delivered version. When the
+ * platform has compacted the changes since then, the kind is listed again, so
+ * that a listener never misses a change without receiving the whole list. An
+ * idle watch is reopened after a timeout: a connection that died without being
+ * closed looks the same as a kind without changes.
  */
 import {createMachine, interpret, state, transition} from 'robot3';
 import {
@@ -17,45 +17,45 @@
 } from '@skylarkfield/base';
 import type {ObjectListing, WatchListener} from './contracts.js';
 import type {ObjectChange} from './objectTable.js';
-import type {ObjectTransport, WatchEnd} from './objectTransport.js';
+import type {ObjectTransport, WatchEndReason} from './objectTransport.js';
 
-/** What the loop needs of the client that owns it. */
+/** Dependencies of a watch loop, from the client that owns it. */
 export interface WatchLoopOptions {
   readonly kind: string;
   readonly clock: Clock;
   readonly random: Random;
   readonly transport: ObjectTransport;
   readonly listener: WatchListener<unknown>;
-  /** A counted and budgeted list call. */
+  /** Makes a list call, counted and within the rate limit. */
   list(kind: string): Promise<ObjectListing>;
-  /** Waits for leave to open a watch; rejects while the platform is down. */
+  /** Waits until a watch may be opened; rejects while the platform is down. */
   admit(): Promise<void>;
 }
 
-/** Where a watch stands, for the dump. */
+/** State of a watch, also shown in the dump. */
 export type WatchState = 'listing' | 'opening' | 'open' | 'waiting';
 
-/** One watch, for as long as its listener wants it. */
+/** A watch that reconnects until it is disposed. */
 export interface WatchLoop extends Disposable {
   readonly kind: string;
   state(): WatchState;
 }
 
-const FIRST_RETRY_MS = 100;
-const LONGEST_RETRY_MS = 3000;
-/** Silence after which a watch is opened anew. */
-const SILENCE_MS = 15_000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 3000;
+/** Time without events after which a watch is reopened. */
+const IDLE_TIMEOUT_MS = 15_000;
 
 /**
- * Starts to follow a kind.
+ * Starts to watch a kind.
  *
  * @example
  * const loop = startWatch({kind: 'accepted', clock, random, transport, listener, list, admit});
  */
 export function startWatch(options: WatchLoopOptions): WatchLoop {
   const {kind, clock, random, transport, listener} = options;
-  const machine = interpret(watchMachine(), () => {});
-  const owned = disposableStore();
+  const stateMachine = interpret(createWatchStateMachine(), () => {});
+  const disposables = disposableStore();
   let timer: Disposable = toDisposable(() => {});
   let watch: Disposable = toDisposable(() => {});
   let version: number | undefined;
@@ -70,56 +70,56 @@
     listener.onDidChangeState?.(next);
   }
 
-  async function begin(): Promise<void> {
-    machine.send(version === undefined ? 'list' : 'open');
+  async function connect(): Promise<void> {
+    stateMachine.send(version === undefined ? 'list' : 'open');
     try {
       if (version === undefined) {
         const listing = await options.list(kind);
-        if (owned.isDisposed) {
+        if (disposables.isDisposed) {
           return;
         }
         version = listing.version;
         listener.onDidList(listing);
-        machine.send('open');
+        stateMachine.send('open');
       }
       await options.admit();
     } catch {
-      retry();
+      scheduleRetry();
       return;
     }
-    if (!owned.isDisposed) {
+    if (!disposables.isDisposed) {
       open(version);
     }
   }
 
-  function open(from: number): void {
-    watchSilence();
+  function open(fromVersion: number): void {
+    resetIdleTimer();
     watch.dispose();
-    watch = transport.watch(kind, from, {
+    watch = transport.watch(kind, fromVersion, {
       onDidOpen() {
         attempts = 0;
-        machine.send('opened');
+        stateMachine.send('opened');
         setConnected(true);
-        watchSilence();
+        resetIdleTimer();
       },
       onDidChange(change) {
         version = change.version;
-        watchSilence();
-        tell(change);
+        resetIdleTimer();
+        notifyListener(change);
       },
-      onDidCatchUp(reached) {
-        version = Math.max(version ?? 0, reached);
-        watchSilence();
+      onDidCatchUp(caughtUpVersion) {
+        version = Math.max(version ?? 0, caughtUpVersion);
+        resetIdleTimer();
       },
       onDidEnd,
     });
-    if (owned.isDisposed) {
+    if (disposables.isDisposed) {
       watch.dispose();
     }
   }
 
-  function tell(change: ObjectChange): void {
-    if (owned.isDisposed) {
+  function notifyListener(change: ObjectChange): void {
+    if (disposables.isDisposed) {
       return;
     }
     if (change.type === 'put') {
@@ -129,47 +129,50 @@
     listener.onDidRemove(change.name, change.version);
   }
 
-  function onDidEnd(end: WatchEnd, retryAfterMs = 0): void {
-    if (end === 'compacted') {
+  function onDidEnd(reason: WatchEndReason, retryAfterMs = 0): void {
+    if (reason === 'compacted') {
       version = undefined;
     }
-    retry(retryAfterMs);
+    scheduleRetry(retryAfterMs);
   }
 
-  function retry(atLeastMs = 0): void {
-    if (owned.isDisposed) {
+  function scheduleRetry(minDelayMs = 0): void {
+    if (disposables.isDisposed) {
       return;
     }
     setConnected(false);
-    machine.send('lost');
-    const delayMs = Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** attempts);
+    stateMachine.send('lost');
+    const delayMs = Math.min(
+      MAX_BACKOFF_MS,
+      INITIAL_BACKOFF_MS * 2 ** attempts,
+    );
     attempts += 1;
     timer.dispose();
     timer = clock.after(
-      Math.max(atLeastMs, delayMs * (0.5 + random.next())),
-      () => void begin(),
+      Math.max(minDelayMs, delayMs * (0.5 + random.next())),
+      () => void connect(),
     );
   }
 
-  function watchSilence(): void {
+  function resetIdleTimer(): void {
     timer.dispose();
-    timer = clock.after(SILENCE_MS, () => {
+    timer = clock.after(IDLE_TIMEOUT_MS, () => {
       watch.dispose();
-      void begin();
+      void connect();
     });
   }
 
-  owned.add(toDisposable(() => timer.dispose()));
-  owned.add(toDisposable(() => watch.dispose()));
-  void begin();
+  disposables.add(toDisposable(() => timer.dispose()));
+  disposables.add(toDisposable(() => watch.dispose()));
+  void connect();
   return {
     kind,
-    state: () => machine.machine.current as WatchState,
-    dispose: () => owned.dispose(),
+    state: () => stateMachine.machine.current as WatchState,
+    dispose: () => disposables.dispose(),
   };
 }
 
-function watchMachine() {
+function createWatchStateMachine() {
   return createMachine('waiting', {
     waiting: state(
       transition('list', 'listing'),
