--- a/packages/providers/src/httpCalls.ts
+++ b/packages/providers/src/httpCalls.ts
@@ -180,7 +180,7 @@
 
 /** Converts a Retry-After header in seconds to milliseconds; 0 without one. */
 function parseRetryAfter(headers: HttpReply['headers']): number {
-  const seconds = Number(header(headers, 'retry-after') ?? 0);
+  const seconds = Number(headerValue(headers, 'retry-after') ?? 0);
   return Number.isFinite(seconds) ? seconds * 1000 : 0;
 }
 
@@ -188,9 +188,9 @@
  * Returns the first value of a header.
  *
  * @example
- * const version = Number(header(response.headers, 'x-store-version'));
+ * const version = Number(headerValue(response.headers, 'x-store-version'));
  */
-export function header(
+export function headerValue(
   headers: HttpReply['headers'],
   name: string,
 ): string | undefined {
--- a/packages/providers/src/httpObjectStore.ts
+++ b/packages/providers/src/httpObjectStore.ts
@@ -13,7 +13,7 @@
 import {
   checkStatus,
   createHttpCaller,
-  header,
+  headerValue,
   type HttpClient,
   type HttpReply,
 } from './httpCalls.js';
@@ -216,7 +216,7 @@
 }
 
 function parseStoreVersion(response: HttpReply): number {
-  return Number(header(response.headers, STORE_VERSION_HEADER) ?? 0);
+  return Number(headerValue(response.headers, STORE_VERSION_HEADER) ?? 0);
 }
 
 function parseObject(
@@ -227,12 +227,12 @@
   if (response.status === 404) {
     return undefined;
   }
-  const etag = header(response.headers, 'etag') ?? '';
+  const etag = headerValue(response.headers, 'etag') ?? '';
   return {
     kind,
     name,
     version: Number(etag.replaceAll('"', '')),
-    writeId: header(response.headers, WRITE_ID_HEADER) ?? '',
+    writeId: headerValue(response.headers, WRITE_ID_HEADER) ?? '',
     value: parseJson(response.text, 'protocol-violation', 'object'),
   };
 }
