--- a/packages/standins/src/engine/answerText.ts
+++ b/packages/standins/src/engine/answerText.ts
@@ -1,30 +1,30 @@
-/** The text that every engine stand-in answers for a prompt and a seed. */
+/** Deterministic answer text for a prompt and a seed. */
 import {hash32} from '@skylarkfield/base';
 
-/** Answers end by themselves between these lengths, in tokens. */
-const SHORTEST_ANSWER = 8;
-const LONGEST_ANSWER = 400;
+/** Range of natural answer lengths, in tokens. */
+const MIN_ANSWER_TOKENS = 8;
+const MAX_ANSWER_TOKENS = 400;
 
-/** The answer that a model would sample for one prompt and seed. */
+/** Answer that a model samples for one prompt and seed. */
 export interface Answer {
-  /** Tokens until the answer ends by itself. */
+  /** Number of tokens until the model stops by itself. */
   readonly length: number;
-  /** Text of the token at a position from 0. */
+  /** Returns the text of the token at a zero-based position. */
   tokenAt(index: number): string;
 }
 
 /**
- * Makes the answer for a prompt. Each token depends on prompt, seed and
- * position alone, so that an answer resumed elsewhere goes on exactly alike.
+ * Creates the answer for a prompt. Each token depends only on prompt, seed and
+ * position, so that another engine continues a resumed answer identically.
  *
  * @example
- * answerFor('match this oak', 7).tokenAt(0);
+ * createAnswer('match this oak', 7).tokenAt(0);
  */
-export function answerFor(prompt: string, seed: number): Answer {
+export function createAnswer(prompt: string, seed: number): Answer {
   const key = hash32(prompt, seed);
-  const spread = LONGEST_ANSWER - SHORTEST_ANSWER;
+  const range = MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS;
   return {
-    length: SHORTEST_ANSWER + (key % spread),
+    length: MIN_ANSWER_TOKENS + (key % range),
     tokenAt(index) {
       const word = hash32(String(index), key).toString(36);
       return index === 0 ? word : ` ${word}`;
@@ -33,17 +33,17 @@
 }
 
 /**
- * The first tokens of an answer, for tests that compare with what a caller saw.
+ * Returns the first tokens of an answer, to compare with received tokens.
  *
  * @example
- * assert.equal(seen.join(''), answerTokens(prompt, 7, 20).join(''));
+ * assert.equal(received.join(''), answerTokens(prompt, 7, 20).join(''));
  */
 export function answerTokens(
   prompt: string,
   seed: number,
   maxTokens: number,
 ): string[] {
-  const answer = answerFor(prompt, seed);
+  const answer = createAnswer(prompt, seed);
   const length = Math.min(answer.length, maxTokens);
   return Array.from({length}, (_, index) => answer.tokenAt(index));
 }
--- a/packages/standins/src/engine/blockCache.ts
+++ b/packages/standins/src/engine/blockCache.ts
@@ -1,46 +1,49 @@
-/** The limited prefix cache of an engine stand-in, with the events it publishes. */
+/** Bounded LRU prefix cache of an engine stand-in and its events. */
 import type {Clock, Random} from '@skylarkfield/base';
 import type {CacheEvent} from '@skylarkfield/endpoints';
 
 export interface BlockCacheOptions {
   readonly clock: Clock;
   readonly random: Random;
-  /** Blocks that fit. */
+  /** Maximum number of blocks. */
   readonly capacity: number;
   /** Milliseconds after which an event can be fetched. */
   readonly eventDelayMs: number;
-  /** Probability that an event is never published, which leaves a gap. */
+  /** Probability that an event is lost, which leaves a sequence gap. */
   readonly eventLoss: number;
 }
 
 export interface BlockCache {
-  /** Leading blocks of a prompt that are cached. */
-  countPrefix(blocks: readonly string[]): number;
-  /** Adds blocks or marks them as just used; the least recently used make room. */
+  /** Returns the number of leading blocks of a prompt that are cached. */
+  countCachedPrefix(blocks: readonly string[]): number;
+  /** Adds blocks or marks them as used; evicts the least recently used ones. */
   store(blocks: readonly string[]): void;
   clear(): void;
   readonly size: number;
-  /** Events after the sequence that can be fetched by now; all content from -1. */
+  /** Published events after a sequence number; -1 gives the full contents. */
   eventsAfter(after: number): readonly CacheEvent[];
 }
 
-/** Events kept for fetching; older ones are gone, which leaves a gap. */
-const KEPT_EVENTS = 2000;
+/** Events kept for fetching; dropping older ones leaves a sequence gap. */
+const MAX_KEPT_EVENTS = 2000;
 
+/** An event and the clock time from which it can be fetched. */
 interface PublishedEvent {
   readonly fromMs: number;
   readonly event: CacheEvent;
 }
 
 /**
- * Makes an empty cache.
+ * Creates an empty cache.
  *
  * @example
- * const cache = createBlockCache({clock, random, capacity: 500, eventDelayMs: 200, eventLoss: 0});
+ * const cache = createBlockCache(
+ *   {clock, random, capacity: 500, eventDelayMs: 200, eventLoss: 0},
+ * );
  */
 export function createBlockCache(options: BlockCacheOptions): BlockCache {
   const {clock, random, capacity, eventDelayMs, eventLoss} = options;
-  /** Blocks, the least recently used first. */
+  /** Cached blocks, least recently used first. */
   const cached = new Set<string>();
   const events: PublishedEvent[] = [];
   let lastSequence = 1;
@@ -57,7 +60,7 @@
       fromMs: clock.now() + eventDelayMs,
       event: {sequence: lastSequence, type, blocks},
     });
-    if (events.length > KEPT_EVENTS) {
+    if (events.length > MAX_KEPT_EVENTS) {
       events.shift();
     }
   }
@@ -75,14 +78,14 @@
   }
 
   return {
-    countPrefix(blocks) {
-      const miss = blocks.findIndex(block => !cached.has(block));
-      return miss < 0 ? blocks.length : miss;
+    countCachedPrefix(blocks) {
+      const firstMiss = blocks.findIndex(block => !cached.has(block));
+      return firstMiss < 0 ? blocks.length : firstMiss;
     },
     store(blocks) {
       const added = blocks.filter(block => !cached.has(block));
-      // From the end to the start: a block is of no use without those before
-      // it, so the start of a prefix has to be evicted last.
+      // From end to start: a block is useless without its predecessors, so the
+      // start of a prefix must be evicted last.
       for (let index = blocks.length - 1; index >= 0; index--) {
         const block = blocks[index]!;
         cached.delete(block);
--- a/packages/standins/src/engine/engineCosts.ts
+++ b/packages/standins/src/engine/engineCosts.ts
@@ -1,28 +1,28 @@
-/** What work costs at an engine stand-in, and how late it reports. */
+/** Time and memory costs of an engine stand-in, and its report delays. */
 
 export interface EngineCosts {
-  /** Requests decoded together. */
+  /** Maximum number of requests in the batch. */
   readonly slots: number;
-  /** Milliseconds of every step, however small. */
+  /** Fixed duration of a step, in milliseconds. */
   readonly stepMs: number;
   readonly decodeMsPerSequence: number;
   readonly prefillMsPerToken: number;
-  /** Prompt tokens that one step takes at most. */
+  /** Maximum prompt tokens prefilled in one step. */
   readonly prefillTokensPerStep: number;
-  /** Blocks that the prefix cache holds. */
+  /** Capacity of the prefix cache, in blocks. */
   readonly cacheBlocks: number;
   readonly cacheEventDelayMs: number;
   /** Probability that a cache event is lost. */
   readonly cacheEventLoss: number;
-  /** Time between two load reports. */
+  /** Interval between load reports. */
   readonly reportIntervalMs: number;
-  /** Time from taking a load report to its publication. */
+  /** Delay from sampling a load report to its publication. */
   readonly reportLagMs: number;
   readonly bytesPerToken: number;
   readonly importBytesPerMs: number;
 }
 
-/** A mid-size model on one host: about 20 ms between tokens at a middling batch. */
+/** Mid-size model on one host: about 20 ms per token at a medium batch size. */
 export const defaultEngineCosts: EngineCosts = {
   slots: 24,
   stepMs: 14,
--- a/packages/standins/src/engine/engineFaults.ts
+++ b/packages/standins/src/engine/engineFaults.ts
@@ -1,4 +1,4 @@
-/** Faults that an engine stand-in can be switched to show. */
+/** Faults that can be injected into an engine stand-in. */
 import type {GenerationEvent} from '@skylarkfield/endpoints';
 
 export type EngineFaultType =
@@ -13,22 +13,25 @@
   | 'truncate'
   | 'late';
 
-/** One fault and when it shows; every condition given has to hold. */
+/** A fault and its conditions, all of which must hold. */
 export interface EngineFault {
   readonly type: EngineFaultType;
-  /** Tokens before a cut, gap, double, cross or truncation; factor of slowness; milliseconds of lateness. */
+  /**
+   * Tokens before `cut`, `gap`, `double`, `cross` or `truncate` takes effect;
+   * step time factor of `slow`; milliseconds of `late`.
+   */
   readonly amount?: number;
-  /** Share of requests that it hits, 1 when not given. */
+  /** Probability that a request is affected, 1 by default. */
   readonly probability?: number;
-  /** Only while the engine runs this version. */
+  /** Active only while the engine runs this version. */
   readonly version?: string;
-  /** Only while at least so many requests run. */
+  /** Active only while at least this many requests are queued or running. */
   readonly minRunning?: number;
-  /** Only after so many requests have been taken. */
+  /** Active only once this many requests were submitted. */
   readonly afterRequests?: number;
 }
 
-/** What of an engine's state decides whether a fault shows. */
+/** Engine state on which the conditions of a fault depend. */
 export interface FaultContext {
   readonly version: string;
   readonly running: number;
@@ -36,12 +39,12 @@
 }
 
 /**
- * Tells whether a fault's conditions hold; its probability is left to the caller.
+ * Returns whether the conditions of a fault hold, apart from its probability.
  *
  * @example
- * faults.filter(fault => faultApplies(fault, {version, running, requests}));
+ * faults.filter(fault => isFaultActive(fault, {version, running, requests}));
  */
-export function faultApplies(
+export function isFaultActive(
   fault: EngineFault,
   context: FaultContext,
 ): boolean {
@@ -54,20 +57,20 @@
   return context.requests >= (fault.afterRequests ?? 0);
 }
 
-/** What becomes of one event under a fault. */
-export interface MangledEvents {
+/** Events that replace one event under a fault. */
+export interface FaultedEvents {
   readonly events: readonly GenerationEvent[];
-  /** The stream breaks after these events. */
+  /** Whether the stream is cut after these events. */
   readonly isCut?: boolean;
 }
 
 type TokenEvent = GenerationEvent & {readonly type: 'token'};
 
-/** Handlers by fault; `position` counts the tokens that this attempt has sent. */
-const tokenMangling: Partial<
+/** Handlers by fault type; `position` is the number of tokens already sent. */
+const tokenFaultHandlers: Partial<
   Record<
     EngineFaultType,
-    (event: TokenEvent, position: number, amount: number) => MangledEvents
+    (event: TokenEvent, position: number, amount: number) => FaultedEvents
   >
 > = {
   cut: (event, position, amount) =>
@@ -93,14 +96,14 @@
  * Applies a fault to one event of a stream.
  *
  * @example
- * const {events, isCut} = mangle(event, position, fault);
+ * const {events, isCut} = applyFault(event, position, fault);
  */
-export function mangle(
+export function applyFault(
   event: GenerationEvent,
   position: number,
   fault: EngineFault,
-): MangledEvents {
-  const handler = tokenMangling[fault.type];
+): FaultedEvents {
+  const handler = tokenFaultHandlers[fault.type];
   if (event.type !== 'token' || handler === undefined) {
     return {events: [event]};
   }
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine as a simulation driven by a clock: continuous batching, a
- * limited prefix cache, priorities, late load reports, KV export and import.
- * It does no I/O, so that a bench can run it on a virtual clock.
+ * Clock-driven simulation of a model engine: continuous batching, a bounded
+ * prefix cache, priorities, delayed load reports, KV cache export and import.
+ * It does no I/O, so that benchmarks can run it on a virtual clock.
  */
 import {
   ServingError,
@@ -16,18 +16,18 @@
   type Generation,
   type LoadReport,
 } from '@skylarkfield/endpoints';
-import {answerFor} from './answerText.js';
+import {createAnswer} from './answerText.js';
 import {createBlockCache} from './blockCache.js';
 import {defaultEngineCosts, type EngineCosts} from './engineCosts.js';
 import {
-  faultApplies,
+  isFaultActive,
   type EngineFault,
   type EngineFaultType,
 } from './engineFaults.js';
 import {createBoundedMap, type ExportedCache} from './exportedCache.js';
 import {createLoadReports} from './loadReports.js';
 import {
-  addTokens,
+  appendTokens,
   createSequence,
   sequenceBlocks,
   type Sequence,
@@ -44,7 +44,7 @@
   readonly costs?: Partial<EngineCosts>;
 }
 
-/** Work done since the start. */
+/** Counters of the work done since the start. */
 export interface EngineTotals {
   readonly requests: number;
   readonly prefilledTokens: number;
@@ -54,30 +54,30 @@
 }
 
 export interface EngineModel extends Disposable {
-  /** Takes a request; events and the end go to the sink. */
+  /** Enqueues a request; the sink receives its events and its end. */
   submit(request: Generation, sink: StreamSink): void;
   cancel(attempt: string): void;
   load(): LoadReport;
   cacheEvents(after: number): readonly CacheEvent[];
-  /** Exports what an attempt has computed so far; undefined when it is not known. */
+  /** Exports an attempt's KV cache; undefined if unknown or in prefill. */
   exportCache(attempt: string): ExportedCache | undefined;
-  exported(handle: string): ExportedCache | undefined;
-  /** Milliseconds that taking an export over the network costs. */
+  getExport(handle: string): ExportedCache | undefined;
+  /** Milliseconds that fetching an export over the network takes. */
   importDelayMs(cache: ExportedCache): number;
   importCache(cache: ExportedCache): void;
   order(order: EndpointOrder): void;
   running(): {version: string; adapters: readonly string[]; role: string};
   setFaults(faults: readonly EngineFault[]): void;
-  /** True while a fault of the type applies. */
+  /** Returns whether a fault of the type is active. */
   hasFault(type: EngineFaultType): boolean;
   totals(): EngineTotals;
 }
 
-/** Exports kept for fetching, and imports kept for the requests that name them. */
-const KEPT_EXPORTS = 256;
+/** Maximum number of exports kept for fetching, and of imports kept for use. */
+const MAX_KEPT_EXPORTS = 256;
 
 /**
- * Makes an idle engine.
+ * Creates an idle engine.
  *
  * @example
  * const model = createEngineModel({clock, random, version: 'v1'});
@@ -95,13 +95,13 @@
   });
   const waiting: Sequence[] = [];
   const batch: Sequence[] = [];
-  const exports = createBoundedMap<ExportedCache>(KEPT_EXPORTS);
-  const imports = createBoundedMap<number>(KEPT_EXPORTS);
-  const output = createStreamOutput(clock, remove);
-  const reports = createLoadReports({
+  const exports = createBoundedMap<ExportedCache>(MAX_KEPT_EXPORTS);
+  const imports = createBoundedMap<number>(MAX_KEPT_EXPORTS);
+  const streamOutput = createStreamOutput(clock, removeFromBatch);
+  const loadReports = createLoadReports({
     clock,
     costs,
-    look: () => ({
+    sample: () => ({
       running: batch.length,
       waiting: waiting.length,
       slots: costs.slots,
@@ -117,7 +117,7 @@
   let version = options.version;
   let role = options.role ?? 'serving';
   let adapters: string[] = [];
-  let newestFencing = 0;
+  let highestFencing = 0;
   let stepTimer: Disposable | undefined;
   const totals = {
     requests: 0,
@@ -133,14 +133,14 @@
       running: batch.length + waiting.length,
       requests: totals.requests,
     };
-    return faults.filter(fault => faultApplies(fault, context));
+    return faults.filter(fault => isFaultActive(fault, context));
   }
 
   function hasFault(type: EngineFaultType): boolean {
     return activeFaults().some(fault => fault.type === type);
   }
 
-  function slowness(): number {
+  function slowdownFactor(): number {
     return activeFaults()
       .filter(fault => fault.type === 'slow')
       .reduce((factor, fault) => factor * (fault.amount ?? 2), 1);
@@ -148,22 +148,26 @@
 
   function admitWaiting() {
     while (waiting.length > 0 && batch.length < costs.slots) {
-      begin(waiting.shift()!);
+      startSequence(waiting.shift()!);
     }
   }
 
-  function begin(sequence: Sequence) {
+  function startSequence(sequence: Sequence) {
     const {request, tokens} = sequence;
-    const imported = imports.get(request.importedCache ?? '') ?? 0;
-    const found = cache.countPrefix(sequence.blocks) * BLOCK_TOKENS;
+    const importedTokenCount = imports.get(request.importedCache ?? '') ?? 0;
+    const prefixTokens =
+      cache.countCachedPrefix(sequence.blocks) * BLOCK_TOKENS;
     const total = tokens.length;
-    // The last token is always computed: the next one follows from it.
-    const reusable = Math.min(Math.max(found, imported), total - 1);
-    sequence.cachedTokens = Math.max(0, reusable);
+    // The last token is always computed, since the next one is sampled from it.
+    const reusableTokens = Math.min(
+      Math.max(prefixTokens, importedTokenCount),
+      total - 1,
+    );
+    sequence.cachedTokens = Math.max(0, reusableTokens);
     sequence.prefillLeft = total - sequence.cachedTokens;
     totals.cachedTokens += sequence.cachedTokens;
     batch.push(sequence);
-    output.emit(sequence, {
+    streamOutput.emit(sequence, {
       type: 'start',
       attempt: request.attempt,
       promptTokens: sequence.promptLength,
@@ -171,7 +175,7 @@
     });
   }
 
-  /** Plans the prompt tokens of the next step, the most urgent requests first. */
+  /** Assigns the prefill budget of the next step, in order of admission. */
   function planPrefill(): Map<Sequence, number> {
     const plan = new Map<Sequence, number>();
     let budget = costs.prefillTokensPerStep;
@@ -200,7 +204,7 @@
       costs.stepMs +
       costs.decodeMsPerSequence * decoding.length +
       costs.prefillMsPerToken * prefillTokens;
-    stepTimer = clock.after(durationMs * slowness(), () => {
+    stepTimer = clock.after(durationMs * slowdownFactor(), () => {
       stepTimer = undefined;
       finishStep(prefill, decoding);
       scheduleStep();
@@ -223,7 +227,7 @@
       }
     }
     decoding.forEach(decode);
-    reports.update();
+    loadReports.update();
   }
 
   function decode(sequence: Sequence) {
@@ -234,9 +238,9 @@
     const index = sequence.tokens.length - sequence.promptLength;
     if (index < Math.min(answer.length, request.maxTokens)) {
       const text = answer.tokenAt(index);
-      addTokens(sequence, [text]);
+      appendTokens(sequence, [text]);
       totals.generatedTokens += 1;
-      output.emit(sequence, {
+      streamOutput.emit(sequence, {
         type: 'token',
         attempt: request.attempt,
         index,
@@ -250,10 +254,10 @@
     const {request, answer, tokens, promptLength} = sequence;
     const generated = tokens.length - promptLength;
     const limit = Math.min(answer.length, request.maxTokens);
-    if (generated < limit || !remove(sequence)) {
+    if (generated < limit || !removeFromBatch(sequence)) {
       return;
     }
-    output.emit(sequence, {
+    streamOutput.emit(sequence, {
       type: 'end',
       attempt: request.attempt,
       reason: limit === answer.length ? 'stop' : 'length',
@@ -263,27 +267,27 @@
     });
   }
 
-  /** Takes a sequence out; what it has computed stays in the prefix cache. */
-  function remove(sequence: Sequence): boolean {
-    const place = batch.indexOf(sequence);
-    if (place < 0) {
+  /** Removes a sequence; its computed blocks stay in the prefix cache. */
+  function removeFromBatch(sequence: Sequence): boolean {
+    const index = batch.indexOf(sequence);
+    if (index < 0) {
       return false;
     }
-    batch.splice(place, 1);
+    batch.splice(index, 1);
     if (sequence.prefillLeft === 0) {
       cache.store(sequenceBlocks(sequence));
     }
-    reports.update();
+    loadReports.update();
     return true;
   }
 
-  function insertByUrgency(sequence: Sequence) {
+  function enqueueByUrgency(sequence: Sequence) {
     const {urgency} = sequence.request;
-    const place = waiting.findIndex(other => other.request.urgency > urgency);
-    waiting.splice(place < 0 ? waiting.length : place, 0, sequence);
+    const index = waiting.findIndex(other => other.request.urgency > urgency);
+    waiting.splice(index < 0 ? waiting.length : index, 0, sequence);
   }
 
-  function find(attempt: string): Sequence | undefined {
+  function findSequence(attempt: string): Sequence | undefined {
     return [...batch, ...waiting].find(
       ({request}) => request.attempt === attempt,
     );
@@ -306,34 +310,34 @@
   return {
     submit(request, sink) {
       totals.requests += 1;
-      const hits = activeFaults().filter(fault =>
+      const requestFaults = activeFaults().filter(fault =>
         random.chance(fault.probability ?? 1),
       );
-      if (hits.some(fault => fault.type === 'fail')) {
+      if (requestFaults.some(fault => fault.type === 'fail')) {
         sink.fail(new ServingError('endpoint-failed', 'the engine failed'));
         return;
       }
-      const answer = answerFor(request.prompt, request.seed);
-      insertByUrgency(createSequence(request, sink, answer, hits));
-      reports.update();
+      const answer = createAnswer(request.prompt, request.seed);
+      enqueueByUrgency(createSequence(request, sink, answer, requestFaults));
+      loadReports.update();
       scheduleStep();
     },
     cancel(attempt) {
-      const sequence = find(attempt);
+      const sequence = findSequence(attempt);
       if (sequence === undefined) {
         return;
       }
-      const place = waiting.indexOf(sequence);
-      if (place >= 0) {
-        waiting.splice(place, 1);
+      const index = waiting.indexOf(sequence);
+      if (index >= 0) {
+        waiting.splice(index, 1);
       }
-      remove(sequence);
+      removeFromBatch(sequence);
       sequence.sink.fail(new ServingError('cancelled', 'cancelled'));
     },
-    load: () => reports.published(),
+    load: () => loadReports.published(),
     cacheEvents: after => cache.eventsAfter(after),
     exportCache(attempt) {
-      const sequence = find(attempt);
+      const sequence = findSequence(attempt);
       if (sequence === undefined || sequence.prefillLeft > 0) {
         return undefined;
       }
@@ -347,7 +351,7 @@
       exports.set(exported.handle, exported);
       return exported;
     },
-    exported: handle => exports.get(handle),
+    getExport: handle => exports.get(handle),
     importDelayMs: ({bytes}) => bytes / costs.importBytesPerMs,
     importCache(exported) {
       imports.set(exported.handle, exported.tokens);
@@ -355,13 +359,16 @@
       cache.store(exported.blocks);
     },
     order(order) {
-      if (options.checksFencing && order.fencing < newestFencing) {
-        throw new ServingError('fenced', 'the order has an old fencing number');
+      if (options.checksFencing && order.fencing < highestFencing) {
+        throw new ServingError(
+          'fenced',
+          'the order has an outdated fencing token',
+        );
       }
       if (clock.wall() > order.expiresAt) {
         throw new ServingError('deadline-exceeded', 'the order has expired');
       }
-      newestFencing = Math.max(newestFencing, order.fencing);
+      highestFencing = Math.max(highestFencing, order.fencing);
       orderHandlers[order.type](order.target);
     },
     running: () => ({version, adapters, role}),
@@ -373,9 +380,12 @@
     totals: () => ({...totals}),
     dispose() {
       stepTimer?.dispose();
-      const open = [...batch.splice(0), ...waiting.splice(0)];
-      const lost = new ServingError('interrupted', 'the engine is gone');
-      open.forEach(sequence => sequence.sink.fail(lost));
+      const unfinished = [...batch.splice(0), ...waiting.splice(0)];
+      const interruptedError = new ServingError(
+        'interrupted',
+        'the engine was stopped',
+      );
+      unfinished.forEach(sequence => sequence.sink.fail(interruptedError));
     },
   };
 }
--- a/packages/standins/src/engine/engineRequestShapes.ts
+++ b/packages/standins/src/engine/engineRequestSchemas.ts
@@ -1,38 +1,41 @@
-/** Shapes of the requests that the engine stand-in takes. */
+/** Schemas of the data that the engine stand-in receives. */
 import * as z from 'zod';
 
-const count = z.number().int().nonnegative();
+const nonNegativeInt = z.number().int().nonnegative();
 
-export const generationShape = z.object({
+export const generationSchema = z.object({
   attempt: z.string().min(1),
   prompt: z.string(),
-  maxTokens: count,
+  maxTokens: nonNegativeInt,
   urgency: z.number().int().min(0).max(7),
   delivered: z.array(z.string()),
   importedCache: z.string().optional(),
   seed: z.number().int(),
 });
 
-export const attemptShape = z.object({attempt: z.string()});
+export const attemptSchema = z.object({attempt: z.string()});
 
-export const fromShape = z.object({url: z.string(), handle: z.string()});
+export const importSourceSchema = z.object({
+  url: z.string(),
+  handle: z.string(),
+});
 
-export const exportedShape = z.object({
+export const exportedCacheSchema = z.object({
   handle: z.string(),
-  tokens: count,
-  bytes: count,
+  tokens: nonNegativeInt,
+  bytes: nonNegativeInt,
   blocks: z.array(z.string()),
 });
 
-export const orderShape = z.object({
+export const orderSchema = z.object({
   id: z.string(),
   type: z.enum(['load-model', 'load-adapter', 'load-version', 'set-role']),
   target: z.string(),
-  fencing: count,
+  fencing: nonNegativeInt,
   expiresAt: z.number(),
 });
 
-export const faultsShape = z.array(
+export const engineFaultsSchema = z.array(
   z.object({
     type: z.enum([
       'down',
@@ -49,7 +52,7 @@
     amount: z.number().optional(),
     probability: z.number().min(0).max(1).optional(),
     version: z.string().optional(),
-    minRunning: count.optional(),
-    afterRequests: count.optional(),
+    minRunning: nonNegativeInt.optional(),
+    afterRequests: nonNegativeInt.optional(),
   }),
 );
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -1,4 +1,4 @@
-/** An engine model behind HTTP, with control routes that switch its faults. */
+/** HTTP server for an engine model, with control routes for fault injection. */
 import {
   createServer,
   type IncomingMessage,
@@ -21,16 +21,16 @@
 import type {EngineFault} from './engineFaults.js';
 import {createEngineModel, type EngineModel} from './engineModel.js';
 import {
-  attemptShape,
-  exportedShape,
-  faultsShape,
-  fromShape,
-  generationShape,
-  orderShape,
-} from './engineRequestShapes.js';
+  attemptSchema,
+  exportedCacheSchema,
+  engineFaultsSchema,
+  importSourceSchema,
+  generationSchema,
+  orderSchema,
+} from './engineRequestSchemas.js';
 
 export interface EngineStandinOptions {
-  /** 0 takes any free port. */
+  /** 0 picks a free port. */
   readonly port: number;
   readonly host: string;
   readonly service: string;
@@ -46,12 +46,11 @@
   readonly url: string;
   readonly port: number;
   readonly model: EngineModel;
-  /** Switches faults, as the control route does. */
+  /** Replaces the injected faults, like `POST /control/faults`. */
   setFaults(faults: readonly EngineFault[]): Promise<void>;
   stop(): Promise<void>;
 }
 
-/** The largest body taken, in bytes. */
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
 
 type Handler = (
@@ -60,11 +59,16 @@
 ) => Promise<void>;
 
 /**
- * Starts an engine stand-in. `POST /control/faults` takes a list of faults and
- * `GET /control/totals` tells what work was done.
+ * Starts an engine stand-in. `POST /control/faults` sets the injected faults,
+ * `GET /control/totals` returns the counters of the work done.
  *
  * @example
- * const engine = await startEngineStandin({port: 0, host: '127.0.0.1', service: 'match', version: 'v1'});
+ * const engine = await startEngineStandin({
+ *   port: 0,
+ *   host: '127.0.0.1',
+ *   service: 'match',
+ *   version: 'v1',
+ * });
  * await engine.stop();
  */
 export async function startEngineStandin(
@@ -123,7 +127,7 @@
     isControl = false,
   ) {
     app[method](path, (request, response) => {
-      // A paused engine takes the connection and never answers.
+      // A paused engine accepts the connection and never responds.
       if (!isControl && model.hasFault('pause')) {
         return;
       }
@@ -133,15 +137,15 @@
 
   route('post', '/v1/generate', async (request, response) => {
     const generation = checkShape(
-      generationShape,
+      generationSchema,
       await readBody(request),
       'bad-request',
     );
-    stream(model, generation as Generation, response);
+    streamAnswer(model, generation as Generation, response);
   });
   route('post', '/v1/cancel', async (request, response) => {
     const body = checkShape(
-      attemptShape,
+      attemptSchema,
       await readBody(request),
       'bad-request',
     );
@@ -158,28 +162,35 @@
   });
   route('post', '/v1/export', async (request, response) => {
     const body = checkShape(
-      attemptShape,
+      attemptSchema,
       await readBody(request),
       'bad-request',
     );
     const exported = model.exportCache(body.attempt);
     if (exported === undefined) {
-      throw new ServingError('not-found', 'nothing to export');
+      throw new ServingError('not-found', 'there is no KV cache to export');
     }
     const {handle, tokens, bytes} = exported;
     sendJson(response, {handle, tokens, bytes});
   });
   route('get', '/v1/exports/:handle', async (request, response) => {
     const handle = (request.url ?? '').split('/').at(-1) ?? '';
-    const exported = model.exported(decodeURIComponent(handle));
+    const exported = model.getExport(decodeURIComponent(handle));
     if (exported === undefined) {
-      throw new ServingError('not-found', 'no such export');
+      throw new ServingError(
+        'not-found',
+        'there is no export with this handle',
+      );
     }
     sendJson(response, exported);
   });
   route('post', '/v1/import', async (request, response) => {
-    const from = checkShape(fromShape, await readBody(request), 'bad-request');
-    const exported = await fetchExport(from);
+    const source = checkShape(
+      importSourceSchema,
+      await readBody(request),
+      'bad-request',
+    );
+    const exported = await fetchExport(source);
     await new Promise(resolve =>
       setTimeout(resolve, model.importDelayMs(exported)),
     );
@@ -189,7 +200,7 @@
   });
   route('post', '/v1/order', async (request, response) => {
     const order = checkShape(
-      orderShape,
+      orderSchema,
       await readBody(request),
       'bad-request',
     );
@@ -204,7 +215,7 @@
     '/control/faults',
     async (request, response) => {
       const body = checkShape(
-        faultsShape,
+        engineFaultsSchema,
         await readBody(request),
         'bad-request',
       );
@@ -234,8 +245,8 @@
   };
 }
 
-/** Sends an answer as server-sent events; a caller that goes cancels it. */
-function stream(
+/** Streams an answer as server-sent events; a disconnect cancels it. */
+function streamAnswer(
   model: EngineModel,
   generation: Generation,
   response: ServerResponse,
@@ -263,15 +274,19 @@
   });
 }
 
-async function fetchExport(from: {url: string; handle: string}) {
+async function fetchExport(source: {url: string; handle: string}) {
   try {
-    const path = `${from.url}/v1/exports/${encodeURIComponent(from.handle)}`;
-    const reply = await fetch(path);
-    return exportedShape.parse(await reply.json());
+    const url = `${source.url}/v1/exports/${encodeURIComponent(source.handle)}`;
+    const response = await fetch(url);
+    return exportedCacheSchema.parse(await response.json());
   } catch (error) {
-    throw new ServingError('endpoint-failed', 'the export is out of reach', {
-      cause: error,
-    });
+    throw new ServingError(
+      'endpoint-failed',
+      'cannot fetch the exported KV cache',
+      {
+        cause: error,
+      },
+    );
   }
 }
 
@@ -282,7 +297,7 @@
     chunks.push(chunk as Buffer);
     size += (chunk as Buffer).length;
     if (size > MAX_BODY_BYTES) {
-      throw new ServingError('too-large', 'the body is too large');
+      throw new ServingError('too-large', 'the request body is too large');
     }
   }
   return parseJson(Buffer.concat(chunks).toString(), 'bad-request', 'body');
--- a/packages/standins/src/engine/exportedCache.ts
+++ b/packages/standins/src/engine/exportedCache.ts
@@ -1,6 +1,6 @@
-/** KV caches that an engine stand-in has exported for others or imported from them. */
+/** KV caches that an engine stand-in has exported or imported. */
 
-/** The content of an exported KV cache. */
+/** Contents of an exported KV cache. */
 export interface ExportedCache {
   readonly handle: string;
   readonly tokens: number;
@@ -8,14 +8,14 @@
   readonly blocks: readonly string[];
 }
 
-/** Entries by handle; the oldest goes when there are too many. */
+/** Entries by handle; the oldest is evicted above the capacity. */
 export interface BoundedMap<Value> {
   get(handle: string): Value | undefined;
   set(handle: string, value: Value): void;
 }
 
 /**
- * Makes an empty map that keeps at most so many entries.
+ * Creates an empty map of at most `capacity` entries.
  *
  * @example
  * const exports = createBoundedMap<ExportedCache>(256);
--- a/packages/standins/src/engine/index.ts
+++ b/packages/standins/src/engine/index.ts
@@ -1,4 +1,4 @@
-/** The model engine's stand-in: as a simulation, in the same process, and over HTTP. */
+/** Model engine simulation with an in-process and an HTTP interface. */
 export * from './answerText.js';
 export * from './engineCosts.js';
 export * from './engineFaults.js';
--- a/packages/standins/src/engine/loadReports.ts
+++ b/packages/standins/src/engine/loadReports.ts
@@ -1,47 +1,47 @@
-/** Load reports that are taken at intervals and published with a lag. */
+/** Load reports, sampled at an interval and published with a lag. */
 import type {Clock} from '@skylarkfield/base';
 import type {LoadReport} from '@skylarkfield/endpoints';
 import type {EngineCosts} from './engineCosts.js';
 
 export interface LoadReports {
-  /** Takes a report if one is due; called whenever the load may have changed. */
+  /** Samples the load if due; called whenever the load may have changed. */
   update(): void;
-  /** The newest report that is old enough to be published. */
+  /** Returns the latest report that is older than the lag. */
   published(): LoadReport;
 }
 
 /**
- * Makes the reports of an engine; `look` gives its load right now.
+ * Creates the reports of an engine; `sample` returns its current load.
  *
  * @example
- * const reports = createLoadReports({clock, costs, look});
+ * const reports = createLoadReports({clock, costs, sample});
  */
 export function createLoadReports(options: {
   readonly clock: Clock;
   readonly costs: Pick<EngineCosts, 'reportIntervalMs' | 'reportLagMs'>;
-  look(): Omit<LoadReport, 'sequence'>;
+  sample(): Omit<LoadReport, 'sequence'>;
 }): LoadReports {
-  const {clock, costs, look} = options;
+  const {clock, costs, sample} = options;
   let sequence = 1;
-  let newest: LoadReport = {...look(), sequence};
-  let pending: {report: LoadReport; takenMs: number}[] = [];
-  let nextMs = clock.now();
+  let latestPublished: LoadReport = {...sample(), sequence};
+  let pending: {report: LoadReport; sampledMs: number}[] = [];
+  let nextSampleMs = clock.now();
 
   function update() {
-    if (clock.now() < nextMs) {
+    if (clock.now() < nextSampleMs) {
       return;
     }
-    nextMs = clock.now() + costs.reportIntervalMs;
+    nextSampleMs = clock.now() + costs.reportIntervalMs;
     sequence += 1;
-    pending.push({report: {...look(), sequence}, takenMs: clock.now()});
+    pending.push({report: {...sample(), sequence}, sampledMs: clock.now()});
     publishDue();
   }
 
   function publishDue() {
-    const ripeMs = clock.now() - costs.reportLagMs;
-    const ripe = pending.filter(({takenMs}) => takenMs <= ripeMs);
-    pending = pending.filter(({takenMs}) => takenMs > ripeMs);
-    newest = ripe.at(-1)?.report ?? newest;
+    const latestDueMs = clock.now() - costs.reportLagMs;
+    const due = pending.filter(({sampledMs}) => sampledMs <= latestDueMs);
+    pending = pending.filter(({sampledMs}) => sampledMs > latestDueMs);
+    latestPublished = due.at(-1)?.report ?? latestPublished;
   }
 
   return {
@@ -49,7 +49,7 @@
     published() {
       update();
       publishDue();
-      return newest;
+      return latestPublished;
     },
   };
 }
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -1,4 +1,4 @@
-/** An engine model behind the `Engine` contract in the same process, for benches and tests. */
+/** In-process `Engine` on top of an engine model, for benchmarks and tests. */
 import {ServingError, sleep, type Clock} from '@skylarkfield/base';
 import {
   createEventQueue,
@@ -9,26 +9,30 @@
 } from '@skylarkfield/endpoints';
 import type {EngineModel} from './engineModel.js';
 
-/** What a paused engine takes to answer. */
-const NEVER_MS = 1e9;
+/** Response time of a paused engine: effectively unbounded. */
+const PAUSED_RESPONSE_MS = 1e9;
 
 export interface LocalEngineOptions {
   readonly clock: Clock;
   readonly model: EngineModel;
-  /** Finds the model behind a URL, to fetch exported KV cache from. */
+  /** Returns the model behind a URL, to fetch exported KV caches from it. */
   resolve(url: string): EngineModel | undefined;
 }
 
 /**
- * Makes an engine that calls the model directly.
+ * Creates an engine that calls the model directly.
  *
  * @example
- * const engine = createLocalEngine({clock, model, resolve: url => models.get(url)});
+ * const engine = createLocalEngine({
+ *   clock,
+ *   model,
+ *   resolve: url => models.get(url),
+ * });
  */
 export function createLocalEngine(options: LocalEngineOptions): Engine {
   const {clock, model, resolve} = options;
 
-  function assertUp() {
+  function throwIfDown() {
     if (model.hasFault('down')) {
       throw new ServingError('endpoint-unavailable', 'connection refused');
     }
@@ -38,7 +42,7 @@
     request: Generation,
     signal: AbortSignal,
   ): AsyncGenerator<GenerationEvent> {
-    assertUp();
+    throwIfDown();
     const queue = createEventQueue<GenerationEvent>(() =>
       model.cancel(request.attempt),
     );
@@ -67,50 +71,53 @@
   return {
     generate,
     async cancel(attempt) {
-      assertUp();
+      throwIfDown();
       model.cancel(attempt);
     },
     async load(signal) {
-      assertUp();
+      throwIfDown();
       if (model.hasFault('pause')) {
-        await sleep(clock, NEVER_MS, signal);
+        await sleep(clock, PAUSED_RESPONSE_MS, signal);
       }
       return model.load();
     },
     async cacheEvents(after) {
-      assertUp();
+      throwIfDown();
       return model.cacheEvents(after);
     },
     async exportCache(attempt): Promise<CacheExport> {
-      assertUp();
+      throwIfDown();
       const exported = model.exportCache(attempt);
       if (exported === undefined) {
-        throw new ServingError('not-found', 'nothing to export');
+        throw new ServingError('not-found', 'there is no KV cache to export');
       }
-      return summary(exported);
+      return toCacheExport(exported);
     },
     async importCache(from, signal) {
-      assertUp();
+      throwIfDown();
       const source = resolve(from.url);
-      const exported = source?.exported(from.handle);
+      const exported = source?.getExport(from.handle);
       if (exported === undefined || source?.hasFault('down')) {
-        throw new ServingError('endpoint-failed', 'the export is out of reach');
+        throw new ServingError(
+          'endpoint-failed',
+          'cannot fetch the exported KV cache',
+        );
       }
       await sleep(clock, model.importDelayMs(exported), signal);
       model.importCache(exported);
-      return summary(exported);
+      return toCacheExport(exported);
     },
     async order(order) {
-      assertUp();
+      throwIfDown();
       model.order(order);
     },
     async running() {
-      assertUp();
+      throwIfDown();
       return model.running();
     },
   };
 }
 
-function summary(cache: CacheExport): CacheExport {
+function toCacheExport(cache: CacheExport): CacheExport {
   return {handle: cache.handle, tokens: cache.tokens, bytes: cache.bytes};
 }
--- a/packages/standins/src/engine/sequence.ts
+++ b/packages/standins/src/engine/sequence.ts
@@ -1,4 +1,4 @@
-/** One request inside an engine stand-in, from its queue to its last token. */
+/** State of one request inside an engine, from the queue to the last token. */
 import type {ServingError} from '@skylarkfield/base';
 import {
   extendBlocks,
@@ -10,36 +10,37 @@
 import type {Answer} from './answerText.js';
 import type {EngineFault} from './engineFaults.js';
 
-/** Where the events of one attempt go. */
+/** Receiver of the events of one attempt. */
 export interface StreamSink {
   event(event: GenerationEvent): void;
-  /** The stream ends without an end event; called at most once. */
+  /** Ends the stream without an end event; called at most once. */
   fail(error: ServingError): void;
 }
 
-/** A request that waits, is prefilled or is decoded. */
+/** A request that is waiting, being prefilled or being decoded. */
 export interface Sequence {
   readonly request: Generation;
   readonly sink: StreamSink;
   readonly answer: Answer;
-  /** Faults that hit this request. */
+  /** Faults injected into this request. */
   readonly faults: readonly EngineFault[];
   readonly promptLength: number;
-  /** Tokens of the prompt and of the answer so far. */
+  /** Tokens of the prompt and of the answer generated so far. */
   readonly tokens: string[];
-  /** Hashes of the full blocks that the request came with. */
+  /** Hashes of the full blocks of the prompt and the delivered tokens. */
   readonly blocks: readonly string[];
-  /** Tokens to compute before the next one can be sampled. */
+  /** Tokens left to prefill before the next one can be sampled. */
   prefillLeft: number;
   cachedTokens: number;
   sentTokens: number;
 }
 
 /**
- * Makes the sequence of a request that has just come.
+ * Creates the sequence of a new request.
  *
  * @example
- * const sequence = createSequence(request, sink, answerFor(prompt, seed), []);
+ * const answer = createAnswer(prompt, seed);
+ * const sequence = createSequence(request, sink, answer, []);
  */
 export function createSequence(
   request: Generation,
@@ -64,17 +65,20 @@
 }
 
 /**
- * Adds tokens of the answer.
+ * Appends tokens of the answer.
  *
  * @example
- * addTokens(sequence, [answer.tokenAt(0)]);
+ * appendTokens(sequence, [answer.tokenAt(0)]);
  */
-export function addTokens(sequence: Sequence, texts: readonly string[]): void {
+export function appendTokens(
+  sequence: Sequence,
+  texts: readonly string[],
+): void {
   texts.forEach(text => sequence.tokens.push(text.trim()));
 }
 
 /**
- * Hashes of all full blocks, those of the answer so far included.
+ * Returns the hashes of all full blocks, including those of the answer so far.
  *
  * @example
  * cache.store(sequenceBlocks(sequence));
--- a/packages/standins/src/engine/streamOutput.ts
+++ b/packages/standins/src/engine/streamOutput.ts
@@ -1,33 +1,34 @@
-/** Events of an engine stand-in on their way to the caller, with the faults that change them. */
+/** Delivery of generation events to callers, with injected faults applied. */
 import {ServingError, type Clock} from '@skylarkfield/base';
 import type {GenerationEvent} from '@skylarkfield/endpoints';
-import {mangle} from './engineFaults.js';
+import {applyFault} from './engineFaults.js';
 import type {Sequence} from './sequence.js';
 
-/** Where an engine sends the events of its sequences. */
+/** Output for the events of an engine's sequences. */
 export interface StreamOutput {
-  /** Sends an event to the sequence's sink as its faults let it through. */
+  /** Sends an event to the sequence's sink after applying its faults. */
   emit(sequence: Sequence, event: GenerationEvent): void;
 }
 
 /**
- * Makes the output of an engine; `cut` takes a sequence out whose stream a fault breaks.
+ * Creates the output of an engine; `abort` is called for a sequence whose
+ * stream a fault cuts.
  *
  * @example
- * const output = createStreamOutput(clock, sequence => remove(sequence));
+ * const output = createStreamOutput(clock, removeFromBatch);
  * output.emit(sequence, {type: 'token', attempt, index, text});
  */
 export function createStreamOutput(
   clock: Clock,
-  cut: (sequence: Sequence) => void,
+  abort: (sequence: Sequence) => void,
 ): StreamOutput {
   function send(sequence: Sequence, event: GenerationEvent) {
-    const late = sequence.faults.find(fault => fault.type === 'late');
-    if (late === undefined) {
+    const lateFault = sequence.faults.find(fault => fault.type === 'late');
+    if (lateFault === undefined) {
       sequence.sink.event(event);
       return;
     }
-    clock.after(late.amount ?? 0, () => sequence.sink.event(event));
+    clock.after(lateFault.amount ?? 0, () => sequence.sink.event(event));
   }
 
   return {
@@ -37,16 +38,19 @@
         sequence.sentTokens += 1;
       }
       for (const fault of sequence.faults) {
-        const mangled = mangle(event, position, fault);
-        if (mangled.isCut) {
-          cut(sequence);
+        const faulted = applyFault(event, position, fault);
+        if (faulted.isCut) {
+          abort(sequence);
           sequence.sink.fail(
-            new ServingError('interrupted', 'the engine cut the stream'),
+            new ServingError(
+              'interrupted',
+              'the engine cut the stream before its end event',
+            ),
           );
           return;
         }
-        if (mangled.events.length !== 1 || mangled.events[0] !== event) {
-          mangled.events.forEach(other => send(sequence, other));
+        if (faulted.events.length !== 1 || faulted.events[0] !== event) {
+          faulted.events.forEach(other => send(sequence, other));
           return;
         }
       }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform, model engines and plain services. */
+/** Stand-ins that simulate the platform, model engines and plain services. */
 export * from './platform/platformStandin.js';
 export * from './engine/index.js';
 export * from './service/index.js';
--- a/packages/standins/src/platform/cloudModel.ts
+++ b/packages/standins/src/platform/cloudModel.ts
@@ -1,4 +1,4 @@
-/** What the stand-in's cloud knows: offers, hosts and the notices it has given. */
+/** Simulated cloud: offers, hosts and reclaim notices. */
 import {
   emitter,
   ServingError,
@@ -7,7 +7,7 @@
   type Event,
 } from '@skylarkfield/base';
 import type {Host, Market, Offer, ReclaimNotice} from '@skylarkfield/providers';
-import type {Faults} from './faults.js';
+import type {PlatformFaults} from './platformFaults.js';
 
 export interface StartRequest {
   readonly clientToken: string;
@@ -20,19 +20,22 @@
   offers(): readonly Offer[];
   setOffers(offers: readonly Offer[]): void;
   hosts(): readonly Host[];
-  /** Throws `overloaded` when the start is refused. */
+  /** Starts one host per client token. Throws `overloaded` on refusal. */
   start(request: StartRequest): Host;
   stop(id: string): void;
-  /** Takes hosts back: with notice, or at once when the span is 0. */
-  reclaim(isMeant: (host: Host) => boolean, noticeMs: number): readonly Host[];
-  /** Notices of hosts that are still there. */
+  /** Reclaims hosts: after a notice, or at once when `noticeMs` is 0. */
+  reclaim(
+    isAffected: (host: Host) => boolean,
+    noticeMs: number,
+  ): readonly Host[];
+  /** Notices of hosts that are not gone yet. */
   notices(): readonly ReclaimNotice[];
-  readonly onDidNotice: Event<ReclaimNotice>;
+  readonly onDidAddNotice: Event<ReclaimNotice>;
 }
 
-const REFUSED_RETRY_MS = 2000;
+const START_RETRY_AFTER_MS = 2000;
 
-/** Failure domains, classes and prices of a small cloud. */
+/** Failure domains, machine classes and prices of a small cloud. */
 export const defaultOffers: readonly Offer[] = ['a', 'b', 'c', 'd'].flatMap(
   (failureDomain, index) => [
     {
@@ -63,17 +66,20 @@
 );
 
 /**
- * Makes a cloud without hosts.
+ * Creates a cloud without hosts.
  *
  * @example
- * const cloud = createCloudModel(systemClock(), healthy());
+ * const cloud = createCloudModel(systemClock(), createPlatformFaults());
  */
-export function createCloudModel(clock: Clock, faults: Faults): CloudModel {
+export function createCloudModel(
+  clock: Clock,
+  faults: PlatformFaults,
+): CloudModel {
   const hosts = new Map<string, Host>();
-  const noticed = emitter<ReclaimNotice>();
+  const noticeEmitter = emitter<ReclaimNotice>();
   let offers = defaultOffers;
-  let nextHost = 0;
-  const timers = createTimers(clock);
+  let hostCount = 0;
+  const timers = createTimerSet(clock);
 
   function update(id: string, change: Partial<Host>): void {
     const host = hosts.get(id);
@@ -89,22 +95,26 @@
     },
     hosts: () => [...hosts.values()].filter(host => host.state !== 'gone'),
     start(request) {
-      const known = [...hosts.values()].find(
+      const existing = [...hosts.values()].find(
         host => host.clientToken === request.clientToken,
       );
-      if (known !== undefined) {
-        return known;
+      if (existing !== undefined) {
+        return existing;
       }
       if (faults.startsToRefuse > 0) {
         faults.startsToRefuse -= 1;
-        throw new ServingError('overloaded', 'no capacity for this class', {
-          retryAfterMs: REFUSED_RETRY_MS,
-        });
+        throw new ServingError(
+          'overloaded',
+          'no capacity for this machine class',
+          {
+            retryAfterMs: START_RETRY_AFTER_MS,
+          },
+        );
       }
-      nextHost += 1;
+      hostCount += 1;
       const host: Host = {
         ...request,
-        id: `host-${nextHost}`,
+        id: `host-${hostCount}`,
         state: 'starting',
       };
       hosts.set(host.id, host);
@@ -116,33 +126,33 @@
       return host;
     },
     stop: id => update(id, {state: 'gone'}),
-    reclaim(isMeant, noticeMs) {
-      const meant = [...hosts.values()].filter(
-        host => host.state !== 'gone' && isMeant(host),
+    reclaim(isAffected, noticeMs) {
+      const affected = [...hosts.values()].filter(
+        host => host.state !== 'gone' && isAffected(host),
       );
-      for (const {id} of meant) {
+      for (const {id} of affected) {
         if (noticeMs === 0) {
           update(id, {state: 'gone'});
           continue;
         }
         const goneAt = clock.wall() + noticeMs;
         update(id, {state: 'leaving', goneAt});
-        noticed.fire({host: id, goneAt});
+        noticeEmitter.fire({host: id, goneAt});
         timers.after(noticeMs, () => update(id, {state: 'gone'}));
       }
-      return meant;
+      return affected;
     },
     notices: () =>
       [...hosts.values()]
         .filter(host => host.state === 'leaving')
         .map(host => ({host: host.id, goneAt: host.goneAt ?? clock.wall()})),
-    onDidNotice: noticed.event,
+    onDidAddNotice: noticeEmitter.event,
     dispose: timers.dispose,
   };
 }
 
-/** Timers that end with the cloud: a notice may run for longer than anybody waits. */
-function createTimers(clock: Clock) {
+/** Timers that are cancelled with the cloud: a notice may outlast its users. */
+function createTimerSet(clock: Clock) {
   const pending = new Set<Disposable>();
   return {
     after(delayMs: number, callback: () => void) {
--- a/packages/standins/src/platform/cloudRoutes.ts
+++ b/packages/standins/src/platform/cloudRoutes.ts
@@ -1,31 +1,31 @@
-/** Cloud API, host list and weight store of the stand-in. */
+/** HTTP routes of the simulated cloud API, host list and weight store. */
 import type {ServerResponse} from 'node:http';
 import {checkShape, ServingError, type Clock} from '@skylarkfield/base';
 import type {Polka} from 'polka';
 import * as z from 'zod';
 import type {CloudModel} from './cloudModel.js';
 import type {EndpointList} from './endpointList.js';
-import type {Faults} from './faults.js';
+import type {PlatformFaults} from './platformFaults.js';
 import {
-  beginLines,
-  checkUp,
-  sendDown,
+  startJsonLines,
+  throwIfDown,
+  sendUnavailable,
   readJson,
   routeParameter,
   sendError,
   sendJson,
-} from './httpReplies.js';
+} from './httpResponses.js';
 
-const startShape = z.object({
+const startRequestSchema = z.object({
   clientToken: z.string().min(1),
   failureDomain: z.string(),
   machineClass: z.string(),
   market: z.enum(['reclaimable', 'on-demand']),
 });
-const reservationShape = z.object({weights: z.string(), host: z.string()});
+const reservationSchema = z.object({weights: z.string(), host: z.string()});
 
 /**
- * Adds the routes to an app.
+ * Registers the routes on an app.
  *
  * @example
  * addCloudRoutes(app, {cloud, endpoints, faults, clock});
@@ -35,20 +35,20 @@
   options: {
     readonly cloud: CloudModel;
     readonly endpoints: EndpointList;
-    readonly faults: Faults;
+    readonly faults: PlatformFaults;
     readonly clock: Clock;
   },
 ): void {
   const {cloud, endpoints, faults, clock} = options;
   let nextLoadAt = 0;
 
-  /** Answers with what the operation returns, unless the platform is down. */
-  async function answer(
+  /** Sends the operation's result, or 503 while the platform is down. */
+  async function respond(
     response: ServerResponse,
     operation: () => unknown,
   ): Promise<void> {
     try {
-      checkUp(faults);
+      throwIfDown(faults);
       sendJson(response, 200, await operation());
     } catch (error) {
       sendError(response, error);
@@ -56,20 +56,20 @@
   }
 
   app.get('/cloud/offers', (_request, response) => {
-    void answer(response, () => cloud.offers());
+    void respond(response, () => cloud.offers());
   });
   app.get('/cloud/hosts', (_request, response) => {
-    void answer(response, () => cloud.hosts());
+    void respond(response, () => cloud.hosts());
   });
   app.post('/cloud/hosts', (request, response) => {
-    void answer(response, async () =>
+    void respond(response, async () =>
       cloud.start(
-        checkShape(startShape, await readJson(request), 'bad-request'),
+        checkShape(startRequestSchema, await readJson(request), 'bad-request'),
       ),
     );
   });
   app.delete('/cloud/hosts/:id', (request, response) => {
-    void answer(response, () => {
+    void respond(response, () => {
       const id = routeParameter(request, 'id');
       cloud.stop(id);
       endpoints.removeHosts(new Set([id]));
@@ -78,32 +78,36 @@
   });
   app.get('/cloud/notices', (_request, response) => {
     if (faults.isDown) {
-      sendDown(response);
+      sendUnavailable(response);
       return;
     }
-    const writeLine = beginLines(response);
+    const writeLine = startJsonLines(response);
     cloud.notices().forEach(writeLine);
-    const subscription = cloud.onDidNotice(writeLine);
+    const subscription = cloud.onDidAddNotice(writeLine);
     response.once('close', () => subscription.dispose());
   });
   app.get('/endpoints', (_request, response) => {
     if (faults.isDown) {
-      sendDown(response);
+      sendUnavailable(response);
       return;
     }
-    const writeLine = beginLines(response);
-    writeLine(endpoints.shown());
+    const writeLine = startJsonLines(response);
+    writeLine(endpoints.visible());
     const subscription = endpoints.onDidChange(writeLine);
     response.once('close', () => subscription.dispose());
   });
   app.post('/weights/reservations', (request, response) => {
-    void answer(response, async () => {
-      checkShape(reservationShape, await readJson(request), 'bad-request');
+    void respond(response, async () => {
+      checkShape(reservationSchema, await readJson(request), 'bad-request');
       const now = clock.now();
       if (now < nextLoadAt) {
-        throw new ServingError('overloaded', 'the rate of loads is used up', {
-          retryAfterMs: nextLoadAt - now,
-        });
+        throw new ServingError(
+          'overloaded',
+          'the rate limit for weight loads is exceeded',
+          {
+            retryAfterMs: nextLoadAt - now,
+          },
+        );
       }
       nextLoadAt = now + 1000 / faults.loadsPerSecond;
       return {startAfterMs: 0};
--- a/packages/standins/src/platform/controlRoutes.ts
+++ b/packages/standins/src/platform/controlRoutes.ts
@@ -1,4 +1,4 @@
-/** The control port of the stand-in: fault switches and what the cloud should know. */
+/** Control routes: fault injection and the state of the simulated cloud. */
 import type {ServerResponse} from 'node:http';
 import {checkShape} from '@skylarkfield/base';
 import {listedEndpointShape, type ObjectTable} from '@skylarkfield/providers';
@@ -6,17 +6,22 @@
 import * as z from 'zod';
 import type {CloudModel} from './cloudModel.js';
 import type {EndpointList} from './endpointList.js';
-import {faultsShape, type Faults} from './faults.js';
-import {readJson, routeParameter, sendError, sendJson} from './httpReplies.js';
-import type {ObjectLoad} from './objectRoutes.js';
+import {platformFaultsSchema, type PlatformFaults} from './platformFaults.js';
+import {
+  readJson,
+  routeParameter,
+  sendError,
+  sendJson,
+} from './httpResponses.js';
+import type {ObjectApiLoad} from './objectRoutes.js';
 
-const reclaimShape = z.strictObject({
+const reclaimSchema = z.strictObject({
   host: z.string().optional(),
   failureDomain: z.string().optional(),
-  /** 0 or absent: gone without notice. */
+  /** 0 or absent: the hosts are gone without notice. */
   noticeSeconds: z.number().nonnegative().default(0),
 });
-const offersShape = z.array(
+const offersSchema = z.array(
   z.strictObject({
     failureDomain: z.string(),
     machineClass: z.string(),
@@ -26,7 +31,7 @@
 );
 
 /**
- * Adds the control routes to an app; they work also while the platform is down.
+ * Registers the control routes on an app. Injected faults do not affect them.
  *
  * @example
  * addControlRoutes(app, {table, cloud, endpoints, faults, load, dropWatches});
@@ -37,14 +42,14 @@
     readonly table: ObjectTable;
     readonly cloud: CloudModel;
     readonly endpoints: EndpointList;
-    readonly faults: Faults;
-    readonly load: ObjectLoad;
+    readonly faults: PlatformFaults;
+    readonly load: ObjectApiLoad;
     readonly dropWatches: () => void;
   },
 ): void {
   const {table, cloud, endpoints, faults} = options;
 
-  async function answer(
+  async function respond(
     response: ServerResponse,
     operation: () => unknown,
   ): Promise<void> {
@@ -56,81 +61,84 @@
   }
 
   app.get('/control/state', (_request, response) => {
-    void answer(response, () => ({
+    void respond(response, () => ({
       faults,
       load: options.load,
       version: table.version(),
       hosts: cloud.hosts(),
-      endpoints: endpoints.shown(),
+      endpoints: endpoints.visible(),
     }));
   });
   app.post('/control/faults', (request, response) => {
-    void answer(response, async () => {
-      const wanted = await readJson(request);
-      Object.assign(faults, checkShape(faultsShape, wanted, 'bad-request'));
+    void respond(response, async () => {
+      const body = await readJson(request);
+      Object.assign(
+        faults,
+        checkShape(platformFaultsSchema, body, 'bad-request'),
+      );
       if (faults.isDown || faults.isRejectingWatches) {
         options.dropWatches();
       }
     });
   });
   app.post('/control/drop-watches', (_request, response) => {
-    void answer(response, () => options.dropWatches());
+    void respond(response, () => options.dropWatches());
   });
   app.post('/control/compact', (_request, response) => {
-    void answer(response, () => table.compact());
+    void respond(response, () => table.compact());
   });
   app.post('/control/offers', (request, response) => {
-    void answer(response, async () =>
+    void respond(response, async () =>
       cloud.setOffers(
-        checkShape(offersShape, await readJson(request), 'bad-request'),
+        checkShape(offersSchema, await readJson(request), 'bad-request'),
       ),
     );
   });
   app.post('/control/endpoints', (request, response) => {
-    void answer(response, async () =>
+    void respond(response, async () =>
       endpoints.set(
         checkShape(listedEndpointShape, await readJson(request), 'bad-request'),
       ),
     );
   });
   app.delete('/control/endpoints/:id', (request, response) => {
-    void answer(response, () =>
+    void respond(response, () =>
       endpoints.remove(routeParameter(request, 'id')),
     );
   });
   app.post('/control/reclaim', (request, response) => {
-    void answer(response, async () => {
-      const wanted = checkShape(
-        reclaimShape,
+    void respond(response, async () => {
+      const body = checkShape(
+        reclaimSchema,
         await readJson(request),
         'bad-request',
       );
-      return reclaim(wanted);
+      return reclaim(body);
     });
   });
 
-  function reclaim(wanted: z.output<typeof reclaimShape>) {
-    const noticeMs = wanted.noticeSeconds * 1000;
+  function reclaim(body: z.output<typeof reclaimSchema>) {
+    const noticeMs = body.noticeSeconds * 1000;
     const hosts = cloud.reclaim(
       host =>
-        host.id === wanted.host || host.failureDomain === wanted.failureDomain,
+        host.id === body.host || host.failureDomain === body.failureDomain,
       noticeMs,
     );
-    const ids = new Set(hosts.map(host => host.id));
-    for (const endpoint of endpoints.shown()) {
-      // Endpoints registered by hand stand on hosts that this cloud did not start.
-      const isMeant =
-        endpoint.host === wanted.host ||
-        endpoint.failureDomain === wanted.failureDomain;
-      if (isMeant) {
-        ids.add(endpoint.host);
+    const hostIds = new Set(hosts.map(host => host.id));
+    for (const endpoint of endpoints.visible()) {
+      // Endpoints registered by hand run on hosts unknown to this cloud.
+      const isAffected =
+        endpoint.host === body.host ||
+        endpoint.failureDomain === body.failureDomain;
+      if (isAffected) {
+        hostIds.add(endpoint.host);
       }
     }
     if (noticeMs === 0) {
-      endpoints.removeHosts(ids);
+      endpoints.removeHosts(hostIds);
     } else {
-      endpoints.leave(ids);
+      endpoints.markLeaving(hostIds);
     }
-    return {hosts: [...ids]};
+    return {hosts: [...hostIds]};
   }
 }
--- a/packages/standins/src/platform/endpointList.ts
+++ b/packages/standins/src/platform/endpointList.ts
@@ -1,41 +1,44 @@
-/** The host list of the stand-in: what is true, and what the list already shows. */
+/** Eventually consistent host list: actual endpoints and visible snapshot. */
 import {emitter, type Clock, type Event} from '@skylarkfield/base';
 import type {ListedEndpoint} from '@skylarkfield/providers';
-import type {Faults} from './faults.js';
+import type {PlatformFaults} from './platformFaults.js';
 
 export interface EndpointList {
   set(endpoint: ListedEndpoint): void;
   remove(id: string): void;
-  /** Marks the endpoints of some hosts as leaving. */
-  leave(hosts: ReadonlySet<string>): void;
+  /** Marks the endpoints on the hosts as leaving. */
+  markLeaving(hosts: ReadonlySet<string>): void;
   removeHosts(hosts: ReadonlySet<string>): void;
-  /** What the list shows now. */
-  shown(): readonly ListedEndpoint[];
+  /** Endpoints that readers see, `listLagMs` behind the actual ones. */
+  visible(): readonly ListedEndpoint[];
   readonly onDidChange: Event<readonly ListedEndpoint[]>;
 }
 
 /**
- * Makes an empty list that shows each change only after the lag.
+ * Creates an empty list that publishes each change after `listLagMs`.
  *
  * @example
  * const list = createEndpointList(systemClock(), faults);
  */
-export function createEndpointList(clock: Clock, faults: Faults): EndpointList {
+export function createEndpointList(
+  clock: Clock,
+  faults: PlatformFaults,
+): EndpointList {
   const actual = new Map<string, ListedEndpoint>();
-  const changed = emitter<readonly ListedEndpoint[]>();
-  let shown: readonly ListedEndpoint[] = [];
+  const changeEmitter = emitter<readonly ListedEndpoint[]>();
+  let visible: readonly ListedEndpoint[] = [];
 
   function publish(): void {
     const next = [...actual.values()];
-    const show = () => {
-      shown = next;
-      changed.fire(shown);
+    const makeVisible = () => {
+      visible = next;
+      changeEmitter.fire(visible);
     };
     if (faults.listLagMs === 0) {
-      show();
+      makeVisible();
       return;
     }
-    clock.after(faults.listLagMs, show);
+    clock.after(faults.listLagMs, makeVisible);
   }
 
   return {
@@ -47,7 +50,7 @@
       actual.delete(id);
       publish();
     },
-    leave(hosts) {
+    markLeaving(hosts) {
       for (const endpoint of actual.values()) {
         if (hosts.has(endpoint.host)) {
           actual.set(endpoint.id, {...endpoint, state: 'leaving'});
@@ -63,7 +66,7 @@
       }
       publish();
     },
-    shown: () => shown,
-    onDidChange: changed.event,
+    visible: () => visible,
+    onDidChange: changeEmitter.event,
   };
 }
--- a/packages/standins/src/platform/httpReplies.ts
+++ b/packages/standins/src/platform/httpResponses.ts
@@ -1,6 +1,6 @@
-/** Small helpers for the stand-in's HTTP routes. */
+/** HTTP helpers shared by the routes of the platform stand-in. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import type {Faults} from './faults.js';
+import type {PlatformFaults} from './platformFaults.js';
 import {
   errorAnswers,
   parseJson,
@@ -11,10 +11,11 @@
 const MAX_BODY_BYTES = 2_000_000;
 
 /**
- * Reads a request's body as JSON; an empty one is undefined.
+ * Parses a request body as JSON; an empty body gives undefined.
  *
  * @example
- * const wanted = checkShape(startShape, await readJson(request), 'bad-request');
+ * const body = await readJson(request);
+ * const start = checkShape(startRequestSchema, body, 'bad-request');
  */
 export async function readJson(request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
@@ -22,7 +23,7 @@
   for await (const chunk of request as AsyncIterable<Buffer>) {
     bytes += chunk.length;
     if (bytes > MAX_BODY_BYTES) {
-      throw new ServingError('too-large', 'the body is too large');
+      throw new ServingError('too-large', 'the request body is too large');
     }
     chunks.push(chunk);
   }
@@ -31,7 +32,7 @@
 }
 
 /**
- * Ends a reply with a JSON body.
+ * Sends a response with a JSON body.
  *
  * @example
  * sendJson(response, 200, {version: 4}, {etag: '"4"'});
@@ -50,7 +51,7 @@
 }
 
 /**
- * Ends a reply with the answer to an error.
+ * Sends the error response that corresponds to an error.
  *
  * @example
  * sendError(response, new ServingError('not-found', 'no such object'));
@@ -70,13 +71,15 @@
 }
 
 /**
- * Begins a reply of JSON lines and gives the function that writes one.
+ * Starts a newline-delimited JSON response and returns its line writer.
  *
  * @example
- * const writeLine = beginLines(response);
+ * const writeLine = startJsonLines(response);
  * writeLine(change);
  */
-export function beginLines(response: ServerResponse): (value: unknown) => void {
+export function startJsonLines(
+  response: ServerResponse,
+): (value: unknown) => void {
   response.writeHead(200, {'content-type': 'application/x-ndjson'});
   response.flushHeaders();
   return value => {
@@ -86,14 +89,14 @@
   };
 }
 
-/** What the routes read of a request besides its body. */
+/** Route parameters and headers of a request. */
 export interface RoutedRequest {
   readonly params: Readonly<Record<string, string | string[] | undefined>>;
   readonly headers: IncomingMessage['headers'];
 }
 
 /**
- * A named parameter of a route's pattern, decoded.
+ * Returns a named path parameter, percent-decoded.
  *
  * @example
  * const kind = routeParameter(request, 'kind');
@@ -103,24 +106,24 @@
 }
 
 /**
- * Throws while the platform is down: the answer is 503, before any effect.
+ * Throws `platform-unavailable` (503) while the platform is down.
  *
  * @example
- * checkUp(faults);
+ * throwIfDown(faults);
  */
-export function checkUp(faults: Faults): void {
+export function throwIfDown(faults: PlatformFaults): void {
   if (faults.isDown) {
     throw new ServingError('platform-unavailable', 'the platform is down');
   }
 }
 
 /**
- * Answers a call while the platform is down.
+ * Sends the error response of a platform that is down.
  *
  * @example
- * sendDown(response);
+ * sendUnavailable(response);
  */
-export function sendDown(response: ServerResponse): void {
+export function sendUnavailable(response: ServerResponse): void {
   sendError(
     response,
     new ServingError('platform-unavailable', 'the platform is down'),
--- a/packages/standins/src/platform/objectRoutes.ts
+++ b/packages/standins/src/platform/objectRoutes.ts
@@ -1,4 +1,4 @@
-/** The object API of the stand-in. */
+/** HTTP routes of the simulated object API. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {ServingError, sleep, type Clock} from '@skylarkfield/base';
 import {
@@ -9,19 +9,19 @@
   type WriteCondition,
 } from '@skylarkfield/providers';
 import type {Polka} from 'polka';
-import type {Faults} from './faults.js';
+import type {PlatformFaults} from './platformFaults.js';
 import {
-  beginLines,
-  checkUp,
+  startJsonLines,
+  throwIfDown,
   readJson,
   routeParameter,
   sendError,
   sendJson,
   type RoutedRequest,
-} from './httpReplies.js';
+} from './httpResponses.js';
 
-/** Calls that the object API has answered. */
-export interface ObjectLoad {
+/** Call counters of the object API. */
+export interface ObjectApiLoad {
   reads: number;
   writes: number;
   watchCalls: number;
@@ -29,10 +29,10 @@
   refused: number;
 }
 
-const ONE_SECOND_MS = 1000;
+const RATE_WINDOW_MS = 1000;
 
 /**
- * Adds the object API's routes to an app.
+ * Registers the routes of the object API on an app.
  *
  * @example
  * const routes = addObjectRoutes(app, {table, faults, clock});
@@ -41,12 +41,12 @@
   app: Polka,
   options: {
     readonly table: ObjectTable;
-    readonly faults: Faults;
+    readonly faults: PlatformFaults;
     readonly clock: Clock;
   },
 ) {
   const {table, faults, clock} = options;
-  const load: ObjectLoad = {
+  const load: ObjectApiLoad = {
     reads: 0,
     writes: 0,
     watchCalls: 0,
@@ -57,69 +57,73 @@
   let windowStart = clock.now();
   let callsInWindow = 0;
 
-  /** Counts a call; refuses it when the second's calls are used up. */
-  function countCall(): void {
+  /** Counts a call and throws `overloaded` above the limit per second. */
+  function checkRateLimit(): void {
     const now = clock.now();
-    if (now - windowStart >= ONE_SECOND_MS) {
+    if (now - windowStart >= RATE_WINDOW_MS) {
       windowStart = now;
       callsInWindow = 0;
     }
     callsInWindow += 1;
     if (callsInWindow > faults.callsPerSecond) {
       load.refused += 1;
-      throw new ServingError('overloaded', 'too many calls in this second', {
-        retryAfterMs: ONE_SECOND_MS,
-      });
+      throw new ServingError(
+        'overloaded',
+        'the rate limit of the object API is exceeded',
+        {
+          retryAfterMs: RATE_WINDOW_MS,
+        },
+      );
     }
   }
 
-  async function pause(spanMs: number): Promise<void> {
-    if (spanMs > 0) {
-      await sleep(clock, spanMs);
+  async function delay(durationMs: number): Promise<void> {
+    if (durationMs > 0) {
+      await sleep(clock, durationMs);
     }
   }
 
-  async function read(
+  async function handleRead(
     response: ServerResponse,
     operation: () => void,
   ): Promise<void> {
     try {
-      countCall();
+      checkRateLimit();
       load.reads += 1;
-      await pause(faults.delayMs);
-      checkUp(faults);
+      await delay(faults.delayMs);
+      throwIfDown(faults);
       operation();
     } catch (error) {
       sendError(response, error);
     }
   }
 
-  async function write(
+  async function handleWrite(
     request: IncomingMessage,
     response: ServerResponse,
     operation: (body: unknown) => () => void,
   ): Promise<void> {
     try {
-      countCall();
+      checkRateLimit();
       load.writes += 1;
       const body = await readJson(request);
-      await pause(faults.delayMs / 2);
-      checkUp(faults);
-      const reply = operation(body);
+      await delay(faults.delayMs / 2);
+      throwIfDown(faults);
+      const sendResponse = operation(body);
       if (faults.repliesToLose > 0) {
         faults.repliesToLose -= 1;
         response.destroy();
         return;
       }
-      await pause(faults.delayMs / 2);
-      reply();
+      await delay(faults.delayMs / 2);
+      sendResponse();
     } catch (error) {
       sendError(response, error);
     }
   }
 
   app.get('/objects/:kind', (request, response) => {
-    void read(response, () => {
+    void handleRead(response, () => {
       const {version, objects} = table.list(routeParameter(request, 'kind'));
       sendJson(response, 200, {
         version,
@@ -134,7 +138,7 @@
   });
 
   app.get('/objects/:kind/:name', (request, response) => {
-    void read(response, () => {
+    void handleRead(response, () => {
       const object = table.get(
         routeParameter(request, 'kind'),
         routeParameter(request, 'name'),
@@ -153,24 +157,24 @@
   });
 
   app.put('/objects/:kind/:name', (request, response) => {
-    void write(request, response, body => {
-      const object = table.put(toWrite(request), body);
+    void handleWrite(request, response, body => {
+      const object = table.put(parseWrite(request), body);
       const etag = `"${object.version}"`;
       return () => sendJson(response, 200, {version: object.version}, {etag});
     });
   });
 
   app.delete('/objects/:kind/:name', (request, response) => {
-    void write(request, response, () => {
-      table.remove(toWrite(request));
+    void handleWrite(request, response, () => {
+      table.remove(parseWrite(request));
       return () => sendJson(response, 200, {version: table.version()});
     });
   });
 
   app.get('/watch/:kind', (request, response) => {
     try {
-      countCall();
-      checkUp(faults);
+      checkRateLimit();
+      throwIfDown(faults);
     } catch (error) {
       sendError(response, error);
       return;
@@ -180,21 +184,27 @@
       response.destroy();
       return;
     }
-    follow(
+    streamChanges(
       routeParameter(request, 'kind'),
       Number(request.query['from'] ?? 0),
       response,
     );
   });
 
-  function follow(kind: string, from: number, response: ServerResponse): void {
-    const backlog = table.changesSince(kind, from);
+  function streamChanges(
+    kind: string,
+    fromVersion: number,
+    response: ServerResponse,
+  ): void {
+    const backlog = table.changesSince(kind, fromVersion);
     if (backlog === undefined) {
-      sendJson(response, 410, {message: 'changes since then are not kept'});
+      sendJson(response, 410, {
+        message: 'the changes since this version were compacted',
+      });
       return;
     }
-    const writeLine = beginLines(response);
-    function tell(value: unknown): void {
+    const writeLine = startJsonLines(response);
+    function sendDelayed(value: unknown): void {
       const send = () => {
         if (!faults.isSilent) {
           writeLine(value);
@@ -207,12 +217,12 @@
       clock.after(faults.delayMs, send);
     }
     for (const change of backlog) {
-      tell(toLine(change));
+      sendDelayed(toWatchEvent(change));
     }
-    tell({type: 'bookmark', version: table.version()});
+    sendDelayed({type: 'bookmark', version: table.version()});
     const subscription = table.onDidChange(change => {
       if (change.kind === kind) {
-        tell(toLine(change));
+        sendDelayed(toWatchEvent(change));
       }
     });
     watches.add(response);
@@ -226,7 +236,7 @@
 
   return {
     load,
-    /** Ends every open watch. */
+    /** Closes every open watch. */
     dropWatches() {
       for (const response of watches) {
         response.destroy();
@@ -235,7 +245,7 @@
   };
 }
 
-function toLine(
+function toWatchEvent(
   change: Parameters<Parameters<ObjectTable['onDidChange']>[0]>[0],
 ) {
   const {type, name, version, writeId} = change;
@@ -243,16 +253,16 @@
   return {type, name, version, writeId, value};
 }
 
-function toWrite(request: RoutedRequest): ObjectWrite {
+function parseWrite(request: RoutedRequest): ObjectWrite {
   return {
     kind: routeParameter(request, 'kind'),
     name: routeParameter(request, 'name'),
     writeId: String(request.headers[WRITE_ID_HEADER] ?? ''),
-    condition: toCondition(request),
+    condition: parseCondition(request),
   };
 }
 
-function toCondition(request: RoutedRequest): WriteCondition {
+function parseCondition(request: RoutedRequest): WriteCondition {
   if (request.headers['if-none-match'] === '*') {
     return {type: 'absent'};
   }
--- a/packages/standins/src/platform/platformStandin.ts
+++ b/packages/standins/src/platform/platformStandin.ts
@@ -1,4 +1,4 @@
-/** A small platform over real HTTP, for tests, demonstrations and the bench. */
+/** HTTP server that simulates the platform for tests, demos and benchmarks. */
 import type {Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
 import {systemClock, type Clock} from '@skylarkfield/base';
@@ -8,23 +8,23 @@
 import {addCloudRoutes} from './cloudRoutes.js';
 import {addControlRoutes} from './controlRoutes.js';
 import {createEndpointList} from './endpointList.js';
-import {healthy, type Faults} from './faults.js';
-import {sendError} from './httpReplies.js';
+import {createPlatformFaults, type PlatformFaults} from './platformFaults.js';
+import {sendError} from './httpResponses.js';
 import {addObjectRoutes} from './objectRoutes.js';
 
 export interface PlatformStandin {
   readonly url: string;
-  /** The objects themselves, to prepare and check without HTTP. */
+  /** Stored objects, to set up and check state without HTTP. */
   readonly table: ObjectTable;
-  /** The fault switches; the control routes change the same ones. */
-  readonly faults: Faults;
-  /** Ends every open watch. */
+  /** Injected faults; shared with the control routes. */
+  readonly faults: PlatformFaults;
+  /** Closes every open watch. */
   dropWatches(): void;
   stop(): Promise<void>;
 }
 
 /**
- * Starts a platform; port 0 takes a free one.
+ * Starts a platform stand-in; port 0 picks a free port.
  *
  * @example
  * const platform = await startPlatformStandin({port: 0});
@@ -34,11 +34,11 @@
   readonly port: number;
   readonly host?: string;
   readonly clock?: Clock;
-  readonly faults?: Partial<Faults>;
+  readonly faults?: Partial<PlatformFaults>;
   readonly historyLimit?: number;
 }): Promise<PlatformStandin> {
   const {host = '127.0.0.1', clock = systemClock()} = options;
-  const faults = {...healthy(), ...options.faults};
+  const faults = {...createPlatformFaults(), ...options.faults};
   const table = createObjectTable(options.historyLimit);
   const cloud = createCloudModel(clock, faults);
   const endpoints = createEndpointList(clock, faults);
--- a/packages/standins/src/service/index.ts
+++ b/packages/standins/src/service/index.ts
@@ -1,3 +1,3 @@
-/** The stand-in for plain services. */
+/** Stand-in for plain services. */
 export * from './serviceFaults.js';
 export * from './serviceStandin.js';
--- a/packages/standins/src/service/serviceFaults.ts
+++ b/packages/standins/src/service/serviceFaults.ts
@@ -1,14 +1,14 @@
-/** Faults that a test switches on in the plain-service stand-in. */
+/** Faults that can be injected into the plain-service stand-in. */
 import * as z from 'zod';
 
 /**
- * What goes wrong:
- * `hang`: no effect and no answer; `hang-after`: the effect, then no answer;
+ * A fault and its conditions. Types:
+ * `hang`: no effect, no response; `hang-after`: the effect, then no response;
  * `slow`: the effect after a delay; `fail`: an error status without effect;
- * `close-before`: the connection is cut without effect;
- * `close-after`: the connection is cut after the effect.
+ * `close-before`: the connection is closed without effect;
+ * `close-after`: the connection is closed after the effect.
  */
-export const serviceFault = z.object({
+export const serviceFaultSchema = z.object({
   type: z.enum([
     'hang',
     'hang-after',
@@ -17,41 +17,41 @@
     'close-before',
     'close-after',
   ]),
-  /** Path the fault is bound to; all when absent. */
+  /** Affected path; all paths when absent. */
   route: z.string().optional(),
-  /** Version the fault is bound to; stand-ins of other versions ignore it. */
+  /** Affected version; stand-ins of other versions ignore the fault. */
   version: z.string().optional(),
-  /** How many requests it hits; all when absent. */
+  /** Maximum number of affected requests; unlimited when absent. */
   count: z.number().int().positive().optional(),
-  /** Matching requests that pass before it begins. */
+  /** Number of matching requests that are served before the fault starts. */
   afterRequests: z.number().int().nonnegative().default(0),
-  /** Hits only while more than this many requests are being worked on. */
+  /** Active only while more than this many requests are running. */
   aboveRunning: z.number().int().nonnegative().optional(),
-  /** Fraction of the matching requests that it hits. */
+  /** Fraction of the matching requests that are affected. */
   share: z.number().min(0).max(1).default(1),
   delayMs: z.number().nonnegative().default(1_000),
   status: z.number().int().default(500),
 });
 
-export type ServiceFault = z.output<typeof serviceFault>;
-export type ServiceFaultSwitch = z.input<typeof serviceFault>;
+export type ServiceFault = z.output<typeof serviceFaultSchema>;
+export type ServiceFaultInput = z.input<typeof serviceFaultSchema>;
 
 export interface ServiceFaults {
-  add(fault: ServiceFaultSwitch): void;
+  add(fault: ServiceFaultInput): void;
   clear(): void;
-  /** The fault that hits a request now, if any. */
-  next(path: string, running: number): ServiceFault | undefined;
+  /** Returns the fault to apply to a request, if any, and counts its use. */
+  take(path: string, running: number): ServiceFault | undefined;
   list(): readonly ServiceFault[];
 }
 
-interface ArmedFault {
+interface InjectedFault {
   readonly fault: ServiceFault;
   passed: number;
   hits: number;
 }
 
 /**
- * Makes the set of faults of one stand-in.
+ * Creates the set of injected faults of one stand-in.
  *
  * @example
  * const faults = createServiceFaults('v2', () => 0.5);
@@ -61,9 +61,13 @@
   version: string,
   nextRandom: () => number,
 ): ServiceFaults {
-  let armed: ArmedFault[] = [];
+  let injected: InjectedFault[] = [];
 
-  function isHit(entry: ArmedFault, path: string, running: number): boolean {
+  function shouldApply(
+    entry: InjectedFault,
+    path: string,
+    running: number,
+  ): boolean {
     const {fault} = entry;
     if (fault.route !== undefined && fault.route !== path) {
       return false;
@@ -83,23 +87,23 @@
 
   return {
     add(input) {
-      const fault = serviceFault.parse(input);
+      const fault = serviceFaultSchema.parse(input);
       if (fault.version !== undefined && fault.version !== version) {
         return;
       }
-      armed.push({fault, passed: 0, hits: 0});
+      injected.push({fault, passed: 0, hits: 0});
     },
     clear() {
-      armed = [];
+      injected = [];
     },
-    next(path, running) {
-      const hit = armed.find(entry => isHit(entry, path, running));
-      if (hit === undefined) {
+    take(path, running) {
+      const match = injected.find(entry => shouldApply(entry, path, running));
+      if (match === undefined) {
         return undefined;
       }
-      hit.hits += 1;
-      return hit.fault;
+      match.hits += 1;
+      return match.fault;
     },
-    list: () => armed.map(entry => entry.fault),
+    list: () => injected.map(entry => entry.fault),
   };
 }
--- a/packages/standins/src/service/serviceLoad.ts
+++ b/packages/standins/src/service/serviceLoad.ts
@@ -1,11 +1,11 @@
-/** Work slots of the plain-service stand-in and its load report, which lags. */
+/** Concurrency slots and delayed load report of the plain-service stand-in. */
 import type {LoadReport} from '@skylarkfield/endpoints';
 
 export interface ServiceLoad {
-  /** Waits for a free slot; the returned function frees it. */
-  enter(): Promise<() => void>;
+  /** Waits for a free slot; the returned function releases it. */
+  acquireSlot(): Promise<() => void>;
   readonly running: number;
-  /** The load as it was one lag ago. */
+  /** Returns the load as it was one lag ago. */
   report(): LoadReport;
   setLag(lagMs: number): void;
 }
@@ -16,14 +16,14 @@
   readonly waiting: number;
 }
 
-const KEPT_SNAPSHOTS = 10_000;
+const MAX_SNAPSHOTS = 10_000;
 
 /**
- * Makes the slots of one stand-in.
+ * Creates the slots of one stand-in.
  *
  * @example
  * const load = createServiceLoad(16, 200, () => performance.now());
- * const leave = await load.enter();
+ * const releaseSlot = await load.acquireSlot();
  */
 export function createServiceLoad(
   slots: number,
@@ -36,42 +36,42 @@
   let lagMs = initialLagMs;
   let sequence = 0;
 
-  function note(): void {
+  function recordSnapshot(): void {
     snapshots.push({at: now(), running, waiting: waiting.length});
-    if (snapshots.length > KEPT_SNAPSHOTS) {
+    if (snapshots.length > MAX_SNAPSHOTS) {
       snapshots.shift();
     }
   }
 
-  function leave(): void {
+  function releaseSlot(): void {
     running -= 1;
     waiting.shift()?.();
-    note();
+    recordSnapshot();
   }
 
   return {
     get running() {
       return running;
     },
-    async enter() {
+    async acquireSlot() {
       if (running >= slots) {
         await new Promise<void>(resolve => {
           waiting.push(resolve);
-          note();
+          recordSnapshot();
         });
       }
       running += 1;
-      note();
-      return leave;
+      recordSnapshot();
+      return releaseSlot;
     },
     report() {
-      const seenAt = now() - lagMs;
-      const seen = snapshots.findLast(snapshot => snapshot.at <= seenAt);
+      const asOfMs = now() - lagMs;
+      const lagged = snapshots.findLast(snapshot => snapshot.at <= asOfMs);
       sequence += 1;
       return {
         sequence,
-        running: seen?.running ?? 0,
-        waiting: seen?.waiting ?? 0,
+        running: lagged?.running ?? 0,
+        waiting: lagged?.waiting ?? 0,
         slots,
         waitingPromptTokens: 0,
         cacheUse: 0,
--- a/packages/standins/src/service/serviceStandin.ts
+++ b/packages/standins/src/service/serviceStandin.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service for tests: bookings, advances and kit orders that may not be
- * repeated, look-ups that may, a count of every run, and switchable faults.
+ * Plain service for tests: non-idempotent bookings, advances and kit orders,
+ * idempotent lookups, a counter of every run, and fault injection.
  */
 import {
   createServer,
@@ -13,28 +13,28 @@
 import * as z from 'zod';
 import {
   createServiceFaults,
-  serviceFault,
+  serviceFaultSchema,
   type ServiceFault,
-  type ServiceFaultSwitch,
+  type ServiceFaultInput,
 } from './serviceFaults.js';
 import {createServiceLoad} from './serviceLoad.js';
 
 export interface ServiceStandinOptions {
-  /** 0 takes any free port. */
+  /** 0 picks a free port. */
   readonly port?: number;
   readonly host?: string;
   readonly service: string;
   readonly version?: string;
-  /** Requests worked on at once; others wait. */
+  /** Maximum number of concurrent requests; others wait. */
   readonly slots?: number;
-  /** Time that each request takes. */
+  /** Processing time of each request. */
   readonly workMs?: number;
-  /** How much the load report is behind. */
+  /** Delay of the load report. */
   readonly lagMs?: number;
   readonly seed?: number;
 }
 
-/** How often calls that may not be repeated have run. */
+/** Numbers of executions of non-idempotent calls. */
 export interface ServiceRuns {
   readonly total: number;
   /** Runs per idempotency key, or per `body:ID` for calls without one. */
@@ -44,7 +44,7 @@
 export interface ServiceStandin {
   readonly url: string;
   stop(): Promise<void>;
-  addFault(fault: ServiceFaultSwitch): void;
+  addFault(fault: ServiceFaultInput): void;
   clearFaults(): void;
   runs(): ServiceRuns;
 }
@@ -58,10 +58,10 @@
 const DEFAULT_SLOTS = 64;
 const DEFAULT_LAG_MS = 200;
 const MAX_BODY_BYTES = 1_048_576;
-const ORDER_ROUTES = ['/bookings', '/advances', '/orders'];
+const NON_IDEMPOTENT_ROUTES = ['/bookings', '/advances', '/orders'];
 
 /**
- * Starts the stand-in; resolves once it listens.
+ * Starts the stand-in; resolves once it is listening.
  *
  * @example
  * const booking = await startServiceStandin({service: 'booking'});
@@ -93,30 +93,33 @@
     return {total: totalRuns, byKey: Object.fromEntries(runs)};
   }
 
-  /** Answers through a slot, after the work and the fault that hits the request. */
-  function worked(
+  /** Creates a handler that occupies a slot and applies the injected fault. */
+  function createWorkHandler(
     effect: (request: IncomingMessage, body: string) => () => unknown,
     status: number,
   ): Handler {
     return async (request, response) => {
       const body = await readBody(request);
-      const run = effect(request, body);
-      const fault = faults.next(pathOf(request), load.running);
-      const leave = await load.enter();
-      freeWhenDone(response, leave);
-      if (fault !== undefined && faultsBefore[fault.type]?.(fault, response)) {
+      const runEffect = effect(request, body);
+      const fault = faults.take(requestPath(request), load.running);
+      const releaseSlot = await load.acquireSlot();
+      releaseOnClose(response, releaseSlot);
+      if (
+        fault !== undefined &&
+        preEffectFaults[fault.type]?.(fault, response)
+      ) {
         return;
       }
       await delay(workMs + (fault?.type === 'slow' ? fault.delayMs : 0));
-      const answer = run();
-      if (fault !== undefined && faultsAfter[fault.type]?.(response)) {
+      const result = runEffect();
+      if (fault !== undefined && postEffectFaults[fault.type]?.(response)) {
         return;
       }
-      sendJson(response, status, answer);
+      sendJson(response, status, result);
     };
   }
 
-  const orderHandler = worked((request, body) => {
+  const orderHandler = createWorkHandler((request, body) => {
     const key = runKey(request, body);
     return () => {
       countRun(key);
@@ -127,7 +130,7 @@
       };
     };
   }, 201);
-  const lookUpHandler = worked(
+  const lookupHandler = createWorkHandler(
     () => () => ({service: options.service, version, free: ['early', 'late']}),
     200,
   );
@@ -144,19 +147,21 @@
   app.get('/load', (_request, response) =>
     sendJson(response, 200, load.report()),
   );
-  app.get('/availability', guarded(lookUpHandler));
+  app.get('/availability', withErrorResponse(lookupHandler));
   app.get(
     '/slow',
-    guarded(async (request, response) => {
-      await delay(numberInQuery(request, 'ms', 1_000));
-      await lookUpHandler(request, response);
+    withErrorResponse(async (request, response) => {
+      await delay(numericQueryParameter(request, 'ms', 1_000));
+      await lookupHandler(request, response);
     }),
   );
   app.get('/large', (request, response) => {
-    response.end(Buffer.alloc(numberInQuery(request, 'bytes', 1_024), 'x'));
+    response.end(
+      Buffer.alloc(numericQueryParameter(request, 'bytes', 1_024), 'x'),
+    );
   });
-  for (const route of ORDER_ROUTES) {
-    app.post(route, guarded(orderHandler));
+  for (const route of NON_IDEMPOTENT_ROUTES) {
+    app.post(route, withErrorResponse(orderHandler));
   }
   app.get('/control/runs', (_request, response) =>
     sendJson(response, 200, currentRuns()),
@@ -166,9 +171,9 @@
   );
   app.post(
     '/control/faults',
-    guarded(async (request, response) => {
+    withErrorResponse(async (request, response) => {
       const value = parseJson(await readBody(request), 'bad-request', 'fault');
-      faults.add(checkShape(serviceFault, value, 'bad-request', 'fault'));
+      faults.add(checkShape(serviceFaultSchema, value, 'bad-request', 'fault'));
       sendJson(response, 200, faults.list());
     }),
   );
@@ -178,9 +183,9 @@
   });
   app.post(
     '/control/lag',
-    guarded(async (request, response) => {
+    withErrorResponse(async (request, response) => {
       const value = parseJson(await readBody(request), 'bad-request', 'lag');
-      const {lagMs} = checkShape(lagSwitch, value, 'bad-request', 'lag');
+      const {lagMs} = checkShape(lagSchema, value, 'bad-request', 'lag');
       load.setLag(lagMs);
       sendJson(response, 200, {lagMs});
     }),
@@ -204,10 +209,10 @@
   };
 }
 
-const lagSwitch = z.object({lagMs: z.number().nonnegative()});
+const lagSchema = z.object({lagMs: z.number().nonnegative()});
 
-/** Faults that keep the effect from happening; true when nothing more is to be done. */
-const faultsBefore: Partial<
+/** Faults applied before the effect; true ends the handling of the request. */
+const preEffectFaults: Partial<
   Record<
     ServiceFault['type'],
     (fault: ServiceFault, response: ServerResponse) => boolean
@@ -215,7 +220,7 @@
 > = {
   hang: () => true,
   fail: (fault, response) => {
-    sendJson(response, fault.status, {message: 'switched to fail'});
+    sendJson(response, fault.status, {message: 'injected failure'});
     return true;
   },
   'close-before': (_fault, response) => {
@@ -224,8 +229,8 @@
   },
 };
 
-/** Faults between the effect and the answer; true when nothing more is to be done. */
-const faultsAfter: Partial<
+/** Faults applied after the effect; true ends the handling of the request. */
+const postEffectFaults: Partial<
   Record<ServiceFault['type'], (response: ServerResponse) => boolean>
 > = {
   'hang-after': () => true,
@@ -235,7 +240,7 @@
   },
 };
 
-function guarded(handler: Handler): Handler {
+function withErrorResponse(handler: Handler): Handler {
   return async (request, response) => {
     try {
       await handler(request, response);
@@ -246,20 +251,26 @@
   };
 }
 
-/** Frees a slot once the answer has gone out or the caller is gone, also when it went while waiting. */
-function freeWhenDone(response: ServerResponse, leave: () => void): void {
+/**
+ * Releases a slot once the response is sent or the caller has disconnected,
+ * also when it disconnected while waiting for the slot.
+ */
+function releaseOnClose(
+  response: ServerResponse,
+  releaseSlot: () => void,
+): void {
   if (response.destroyed) {
-    leave();
+    releaseSlot();
     return;
   }
-  response.once('close', leave);
+  response.once('close', releaseSlot);
 }
 
-function pathOf(request: IncomingMessage): string {
+function requestPath(request: IncomingMessage): string {
   return new URL(request.url ?? '/', 'http://service').pathname;
 }
 
-function numberInQuery(
+function numericQueryParameter(
   request: IncomingMessage,
   name: string,
   fallback: number,
@@ -268,18 +279,18 @@
   return Number(query.get(name) ?? fallback);
 }
 
-/** The idempotency key, else the body's `id`, so that runs can be told apart. */
+/** Key under which a run is counted: idempotency key, else the body `id`. */
 function runKey(request: IncomingMessage, body: string): string {
   const key = request.headers['idempotency-key'];
   if (typeof key === 'string') {
     return key;
   }
   const value = parseJson(body, 'bad-request', 'body');
-  const {id} = checkShape(orderBody, value, 'bad-request', 'body');
+  const {id} = checkShape(orderBodySchema, value, 'bad-request', 'body');
   return `body:${id}`;
 }
 
-const orderBody = z.object({id: z.union([z.string(), z.number()])});
+const orderBodySchema = z.object({id: z.union([z.string(), z.number()])});
 
 async function readBody(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
@@ -287,7 +298,7 @@
   for await (const chunk of request as AsyncIterable<Buffer>) {
     bytes += chunk.byteLength;
     if (bytes > MAX_BODY_BYTES) {
-      throw new Error(`the body is above ${MAX_BODY_BYTES} bytes`);
+      throw new Error(`the request body exceeds ${MAX_BODY_BYTES} bytes`);
     }
     chunks.push(chunk);
   }
--- a/packages/standins/src/test/engineModel.test.ts
+++ b/packages/standins/src/test/engineModel.test.ts
@@ -36,16 +36,16 @@
 }
 
 describe('engine model', () => {
-  it('goes on alike when an answer is resumed', async () => {
+  it('continues a resumed answer identically', async () => {
     const {clock, model, events, sink, text} = setUp();
-    const whole = answerTokens(words(40), 7, 20);
-    model.submit(generation({delivered: whole.slice(0, 5)}), sink);
+    const expected = answerTokens(words(40), 7, 20);
+    model.submit(generation({delivered: expected.slice(0, 5)}), sink);
     await clock.advance(5000);
-    assert.equal(text(), whole.slice(5).join(''));
+    assert.equal(text(), expected.slice(5).join(''));
     assert.equal(events.at(-1)?.type, 'end');
   });
 
-  it('computes only what its prefix cache lacks', async () => {
+  it('prefills only tokens that are not in its prefix cache', async () => {
     const {clock, model, events, sink} = setUp();
     model.submit(generation({}), sink);
     await clock.advance(5000);
@@ -58,7 +58,7 @@
     );
   });
 
-  it('serves the more urgent of two waiting requests first', async () => {
+  it('starts waiting requests in order of urgency', async () => {
     const {clock, model, events, sink} = setUp({slots: 1});
     model.submit(generation({attempt: 'first'}), sink);
     model.submit(generation({attempt: 'later', urgency: 6}), sink);
@@ -71,7 +71,7 @@
     );
   });
 
-  it('publishes load late', async () => {
+  it('publishes load reports with a lag', async () => {
     const {clock, model, sink} = setUp({
       reportIntervalMs: 100,
       reportLagMs: 300,
@@ -79,13 +79,13 @@
     model.load();
     await clock.advance(100);
     model.submit(generation({maxTokens: 400}), sink);
-    const counted = () => model.load().attempts;
-    assert.deepEqual(counted(), []);
+    const attempts = () => model.load().attempts;
+    assert.deepEqual(attempts(), []);
     await clock.advance(310);
-    assert.deepEqual(counted(), ['a1']);
+    assert.deepEqual(attempts(), ['a1']);
   });
 
-  it('hands its cache over, so that the other computes only the rest', async () => {
+  it('imports an exported cache and prefills only the last token', async () => {
     const source = setUp();
     const target = setUp();
     source.model.submit(generation({maxTokens: 400}), source.sink);
@@ -106,7 +106,7 @@
     assert.equal(start.cachedTokens, 40 + delivered.length - 1);
   });
 
-  it('refuses an old fencing number only when it checks', () => {
+  it('rejects an outdated fencing token only if it checks fencing', () => {
     for (const checksFencing of [true, false]) {
       const clock = virtualClock();
       const random = seededRandom(1);
--- a/packages/standins/src/test/engineStandin.test.ts
+++ b/packages/standins/src/test/engineStandin.test.ts
@@ -3,7 +3,7 @@
 import {createHttpEngine, type Generation} from '@skylarkfield/endpoints';
 import {answerTokens, startEngineStandin, type EngineFault} from '../index.js';
 
-const quick = {stepMs: 1, decodeMsPerSequence: 0, prefillMsPerToken: 0};
+const fastCosts = {stepMs: 1, decodeMsPerSequence: 0, prefillMsPerToken: 0};
 
 const generation: Generation = {
   attempt: 'a1',
@@ -26,7 +26,7 @@
     host: '127.0.0.1',
     service: 'match',
     version: 'v1',
-    costs: quick,
+    costs: fastCosts,
     faults,
   });
   const engine = createHttpEngine({url: standin.url, callTimeoutMs: 500});
@@ -50,7 +50,7 @@
 }
 
 describe('engine over HTTP', () => {
-  it('streams the whole answer', async () => {
+  it('streams the complete answer', async () => {
     await withEngine([], async engine => {
       assert.deepEqual(
         await read(engine),
@@ -59,7 +59,7 @@
     });
   });
 
-  it('answers load, cache events, orders and what runs', async () => {
+  it('serves load, cache events, orders and the running version', async () => {
     await withEngine([], async engine => {
       assert.equal((await engine.load()).running, 0);
       assert.equal((await engine.cacheEvents(-1)).length, 2);
@@ -74,23 +74,28 @@
     });
   });
 
-  // An engine process is gone, hangs, fails or breaks off. A caller is told
-  // "not run" only when nothing was sent; in all other cases the engine may
-  // have worked on the request.
+  // The engine process is down, fails or cuts the stream. The error may be
+  // `not-run` only if nothing was sent; otherwise the engine may have worked on
+  // the request.
   const cases: [string, EngineFault, string, string][] = [
     ['is down', {type: 'down'}, 'endpoint-unavailable', 'not-run'],
     ['fails', {type: 'fail'}, 'endpoint-failed', 'may-have-run'],
-    ['cuts', {type: 'cut', amount: 3}, 'interrupted', 'may-have-run'],
+    [
+      'cuts the stream',
+      {type: 'cut', amount: 3},
+      'interrupted',
+      'may-have-run',
+    ],
   ];
   for (const [name, fault, kind, run] of cases) {
-    it(`tells the truth when the engine ${name}`, async () => {
+    it(`reports the kind and whether it ran when the engine ${name}`, async () => {
       await withEngine([fault], async engine => {
         await assert.rejects(read(engine), {kind, run});
       });
     });
   }
 
-  it('comes back on the same port after having been down', async () => {
+  it('listens on the same port again after being down', async () => {
     await withEngine([{type: 'down'}], async (engine, standin) => {
       await assert.rejects(read(engine), {kind: 'endpoint-unavailable'});
       await standin.setFaults([]);
@@ -98,7 +103,7 @@
     });
   });
 
-  it('hands KV cache from one engine to another', async () => {
+  it('transfers a KV cache from one engine to another', async () => {
     await withEngine([], async (source, sourceStandin) => {
       await withEngine([], async target => {
         const signal = new AbortController().signal;
--- a/packages/standins/src/test/objectStoreSubjects.ts
+++ b/packages/standins/src/test/objectApiFixtures.ts
@@ -1,4 +1,4 @@
-/** The two object APIs that every contract case runs against. */
+/** The object API implementations that the contract tests run against. */
 import type {Clock} from '@skylarkfield/base';
 import {seededRandom, systemClock, toDisposable} from '@skylarkfield/base';
 import {
@@ -11,20 +11,20 @@
 } from '@skylarkfield/providers';
 import {startPlatformStandin} from '../platform/platformStandin.js';
 
-/** One running object API with its switches. */
-export interface Subject {
+/** A running object API with its fault controls. */
+export interface ObjectApiFixture {
   readonly table: ObjectTable;
   readonly faults: ObjectFaults;
   client(writer: string, settings?: ObjectStoreSettings): ObjectClient;
   stop(): Promise<void>;
 }
 
-export interface SubjectType {
+export interface ObjectApiFixtureType {
   readonly name: string;
-  start(): Promise<Subject>;
+  start(): Promise<ObjectApiFixture>;
 }
 
-/** Real time whose timers keep the test process alive. */
+/** System clock whose timers keep the test process alive. */
 export const testClock: Clock = {
   ...systemClock(),
   after(delayMs, callback) {
@@ -33,12 +33,12 @@
   },
 };
 
-export const subjects: readonly SubjectType[] = [
+export const objectApiFixtureTypes: readonly ObjectApiFixtureType[] = [
   {name: 'memory platform', start: startMemory},
   {name: 'HTTP stand-in', start: startHttp},
 ];
 
-async function startMemory(): Promise<Subject> {
+async function startMemory(): Promise<ObjectApiFixture> {
   const platform = memoryPlatform({clock: testClock});
   return {
     table: platform.table,
@@ -48,9 +48,9 @@
   };
 }
 
-let seeds = 0;
+let seedCount = 0;
 
-async function startHttp(): Promise<Subject> {
+async function startHttp(): Promise<ObjectApiFixture> {
   const platform = await startPlatformStandin({port: 0, clock: testClock});
   return {
     table: platform.table,
@@ -79,15 +79,15 @@
         url: platform.url,
         writer,
         clock: testClock,
-        random: seededRandom((seeds += 1)),
+        random: seededRandom((seedCount += 1)),
       }),
     stop: () => platform.stop(),
   };
 }
 
-/** Waits until the condition holds; the test's own timeout ends a wait in vain. */
-export async function until(isTrue: () => boolean): Promise<void> {
-  while (!isTrue()) {
+/** Polls until the condition holds; only the test's timeout limits the wait. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) {
     await new Promise(resolve => setTimeout(resolve, 5));
   }
 }
--- a/packages/standins/src/test/objectStore.test.ts
+++ b/packages/standins/src/test/objectStore.test.ts
@@ -1,4 +1,4 @@
-/** The object API's contract, against the in-process fake and the HTTP stand-in alike. */
+/** Contract tests of the object API, run in process and over HTTP. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {isServingError, type ErrorKind} from '@skylarkfield/base';
@@ -7,32 +7,36 @@
   ObjectStoreSettings,
   StoredObject,
 } from '@skylarkfield/providers';
-import {subjects, until, type Subject} from './objectStoreSubjects.js';
+import {
+  objectApiFixtureTypes,
+  waitUntil,
+  type ObjectApiFixture,
+} from './objectApiFixtures.js';
 
 const TIMEOUT_MS = 20_000;
-const quick: ObjectStoreSettings = {callDeadlineMs: 300};
+const fastSettings: ObjectStoreSettings = {callDeadlineMs: 300};
 
-/** What a fault case starts from: one object at a known version. */
-interface Scene {
-  readonly subject: Subject;
+/** Initial state of a test: one stored object at a known version. */
+interface Scenario {
+  readonly fixture: ObjectApiFixture;
   readonly store: ObjectClient;
   readonly first: StoredObject<string>;
 }
 
-/** Another writer replaces the object as soon as ours has landed. */
-function overwriteAfterOurs({subject, first}: Scene): void {
-  const subscription = subject.table.onDidChange(change => {
+/** Lets another writer replace the object right after our write. */
+function overwriteAfterOwnWrite({fixture, first}: Scenario): void {
+  const subscription = fixture.table.onDidChange(change => {
     if (change.version <= first.version) {
       return;
     }
     subscription.dispose();
-    // The emitter calls this within the first write: the second comes after it.
-    queueMicrotask(() => overwrite(subject, 'theirs'));
+    // The emitter fires inside the first write, so the second is deferred.
+    queueMicrotask(() => overwrite(fixture, 'theirs'));
   });
 }
 
-function overwrite(subject: Subject, value: string): void {
-  subject.table.put(
+function overwrite(fixture: ObjectApiFixture, value: string): void {
+  fixture.table.put(
     {
       kind: 'thing',
       name: 'a',
@@ -43,15 +47,15 @@
   );
 }
 
-/** A write under a fault, and what it must come to. */
-interface LostWriteCase {
+/** A write under a fault, with its expected outcome. */
+interface WriteFaultCase {
   readonly fault: string;
-  readonly arrange: (scene: Scene) => void;
+  readonly arrange: (scenario: Scenario) => void;
   readonly outcome: 'written' | ErrorKind;
   readonly finalValue: string;
 }
 
-const lostWrites: readonly LostWriteCase[] = [
+const writeFaultCases: readonly WriteFaultCase[] = [
   {
     fault: 'nothing goes wrong',
     arrange: () => {},
@@ -59,28 +63,29 @@
     finalValue: 'ours',
   },
   {
-    fault: 'the reply is lost after the effect',
-    arrange: ({subject}) => subject.faults.loseReplies(1),
+    fault: 'the response is lost after the effect',
+    arrange: ({fixture}) => fixture.faults.loseReplies(1),
     outcome: 'written',
     finalValue: 'ours',
   },
   {
-    fault: 'the reply is lost and another writer replaces the object',
-    arrange: scene => {
-      scene.subject.faults.loseReplies(1);
-      overwriteAfterOurs(scene);
+    fault: 'the response is lost and another writer replaces the object',
+    arrange: scenario => {
+      scenario.fixture.faults.loseReplies(1);
+      overwriteAfterOwnWrite(scenario);
     },
     outcome: 'written',
     finalValue: 'theirs',
   },
   {
-    fault: 'the reply is lost, the object replaced and the history compacted',
-    arrange: scene => {
-      scene.subject.faults.loseReplies(1);
-      overwriteAfterOurs(scene);
-      scene.subject.table.onDidChange(change => {
+    fault:
+      'the response is lost, the object replaced and the history compacted',
+    arrange: scenario => {
+      scenario.fixture.faults.loseReplies(1);
+      overwriteAfterOwnWrite(scenario);
+      scenario.fixture.table.onDidChange(change => {
         if (change.writeId === 'other.1') {
-          scene.subject.table.compact();
+          scenario.fixture.table.compact();
         }
       });
     },
@@ -89,61 +94,61 @@
   },
   {
     fault: 'the call times out and another writer comes first',
-    arrange: ({subject}) => {
-      subject.faults.setSlow(1500);
-      setTimeout(() => overwrite(subject, 'theirs'), 50);
-      setTimeout(() => subject.faults.setSlow(0), 100);
+    arrange: ({fixture}) => {
+      fixture.faults.setSlow(1500);
+      setTimeout(() => overwrite(fixture, 'theirs'), 50);
+      setTimeout(() => fixture.faults.setSlow(0), 100);
     },
     outcome: 'version-conflict',
     finalValue: 'theirs',
   },
   {
     fault: 'the call times out and takes effect later',
-    arrange: ({subject}) => {
-      subject.faults.setSlow(900);
-      setTimeout(() => subject.faults.setSlow(0), 100);
+    arrange: ({fixture}) => {
+      fixture.faults.setSlow(900);
+      setTimeout(() => fixture.faults.setSlow(0), 100);
     },
     outcome: 'written',
     finalValue: 'ours',
   },
   {
     fault: 'the platform is down before the call',
-    arrange: ({subject}) => subject.faults.setDown(true),
+    arrange: ({fixture}) => fixture.faults.setDown(true),
     outcome: 'platform-unavailable',
     finalValue: 'first',
   },
 ];
 
-for (const type of subjects) {
+for (const type of objectApiFixtureTypes) {
   describe(`object API over ${type.name}`, {timeout: TIMEOUT_MS}, () => {
-    async function inScene(
-      run: (scene: Scene) => Promise<void>,
-      settings: ObjectStoreSettings = quick,
+    async function withScenario(
+      run: (scenario: Scenario) => Promise<void>,
+      settings: ObjectStoreSettings = fastSettings,
     ): Promise<void> {
-      const subject = await type.start();
-      const store = subject.client('us', settings);
+      const fixture = await type.start();
+      const store = fixture.client('us', settings);
       try {
         const first = await store.put('thing', 'a', 'first', {type: 'absent'});
-        await run({subject, store, first});
+        await run({fixture, store, first});
       } finally {
         store.dispose();
-        await subject.stop();
+        await fixture.stop();
       }
     }
 
     it('refuses a write whose condition does not hold', () =>
-      inScene(async ({store, first}) => {
-        await rejects(
+      withScenario(async ({store, first}) => {
+        await assertRejects(
           store.put('thing', 'a', 'x', {type: 'absent'}),
           'version-conflict',
         );
         const {version} = first;
         await store.put('thing', 'a', 'y', {type: 'version', version});
-        await rejects(
+        await assertRejects(
           store.put('thing', 'a', 'z', {type: 'version', version}),
           'version-conflict',
         );
-        await rejects(
+        await assertRejects(
           store.remove('thing', 'a', {type: 'version', version}),
           'version-conflict',
         );
@@ -151,7 +156,7 @@
       }));
 
     it('reads, lists and removes', () =>
-      inScene(async ({store, first}) => {
+      withScenario(async ({store, first}) => {
         await store.put('thing', 'b/c d', {deep: [1]}, {type: 'any'});
         const read = await store.get('thing', 'b/c d');
         assert.deepEqual(read?.value, {deep: [1]});
@@ -167,11 +172,11 @@
         assert.equal(await store.get('thing', 'a'), undefined);
       }));
 
-    // A process dies and its successor of the same name starts at once. If their
-    // write ids were alike, it would take the other's write for its own.
-    it('never uses a write id again after a restart', () =>
-      inScene(async ({store, subject}) => {
-        const successor = subject.client('us', quick);
+    // A process crashes and a successor with the same name starts at once. With
+    // repeated write ids it would mistake the predecessor's writes for its own.
+    it('never reuses a write id after a restart', () =>
+      withScenario(async ({store, fixture}) => {
+        const successor = fixture.client('us', fastSettings);
         const one = await store.put('thing', 'b', 1, {type: 'any'});
         const two = await successor.put('thing', 'c', 1, {type: 'any'});
         const ids = [one.writeId, two.writeId].map(id => id.split('.').at(-2));
@@ -180,20 +185,20 @@
       }));
 
     it('refuses a value above a megabyte', () =>
-      inScene(({store}) =>
-        rejects(
+      withScenario(({store}) =>
+        assertRejects(
           store.put('thing', 'big', 'x'.repeat(1_100_000), {type: 'any'}),
           'too-large',
         ),
       ));
 
-    // A reply gets lost or late, and the writer cannot tell from it whether the
-    // change is there. A wrong guess runs an order twice or loses it.
-    for (const {fault, arrange, outcome, finalValue} of lostWrites) {
-      it(`tells the truth about a write when ${fault}`, () =>
-        inScene(async scene => {
-          const {store, subject, first} = scene;
-          arrange(scene);
+    // A response is lost or late, so the writer cannot tell whether its change
+    // took effect. A wrong conclusion runs an order twice or loses it.
+    for (const {fault, arrange, outcome, finalValue} of writeFaultCases) {
+      it(`reports the actual outcome of a write when ${fault}`, () =>
+        withScenario(async scenario => {
+          const {store, fixture, first} = scenario;
+          arrange(scenario);
           const {version} = first;
           const result = await store
             .put('thing', 'a', 'ours', {type: 'version', version})
@@ -202,27 +207,27 @@
               error => (isServingError(error) ? error.kind : String(error)),
             );
           assert.equal(result, outcome);
-          await until(
-            () => subject.table.get('thing', 'a')?.value === finalValue,
+          await waitUntil(
+            () => fixture.table.get('thing', 'a')?.value === finalValue,
           );
           const ours = (
-            subject.table.changesSince('thing', version) ?? []
+            fixture.table.changesSince('thing', version) ?? []
           ).filter(change => change.writeId.startsWith('us'));
           assert.ok(ours.length <= 1, 'the write took effect twice');
         }));
     }
 
-    // The platform goes away right after a write: nobody can tell what became of it.
-    it('says that an outcome is unknown when it cannot be read back', () =>
-      inScene(
-        async ({store, subject, first}) => {
-          subject.faults.loseReplies(1);
-          const subscription = subject.table.onDidChange(() => {
+    // The platform goes down right after a write, so its outcome is unknown.
+    it('reports an unknown outcome when the write cannot be read back', () =>
+      withScenario(
+        async ({store, fixture, first}) => {
+          fixture.faults.loseReplies(1);
+          const subscription = fixture.table.onDidChange(() => {
             subscription.dispose();
-            subject.faults.setDown(true);
+            fixture.faults.setDown(true);
           });
           const {version} = first;
-          await rejects(
+          await assertRejects(
             store.put('thing', 'a', 'ours', {type: 'version', version}),
             'outcome-unknown',
           );
@@ -230,27 +235,27 @@
         {callDeadlineMs: 300, writeDeadlineMs: 900},
       ));
 
-    // With the platform down every call would wait for its deadline, and
-    // requests would pile up behind it instead of being refused at once.
-    it('fails at once while the platform is down, and comes back by itself', () =>
-      inScene(async ({store, subject}) => {
-        subject.faults.setDown(true);
+    // While the platform is down, calls must not wait for their deadlines:
+    // requests would queue up instead of being refused at once.
+    it('fails fast while the platform is down, and recovers by itself', () =>
+      withScenario(async ({store, fixture}) => {
+        fixture.faults.setDown(true);
         while (store.state() !== 'down') {
-          await rejects(store.get('thing', 'a'), 'platform-unavailable');
+          await assertRejects(store.get('thing', 'a'), 'platform-unavailable');
         }
         const before = store.dump().calls.get;
-        await rejects(store.get('thing', 'a'), 'platform-unavailable');
+        await assertRejects(store.get('thing', 'a'), 'platform-unavailable');
         assert.equal(store.dump().calls.get, before);
-        subject.faults.setDown(false);
-        await until(() => store.state() === 'up');
+        fixture.faults.setDown(false);
+        await waitUntil(() => store.state() === 'up');
         assert.equal((await store.get('thing', 'a'))?.value, 'first');
       }));
 
     for (const gap of ['none', 'cut', 'cut and compacted'] as const) {
-      // A watch is cut while objects change. A process that goes on from a list
-      // that is no longer true acts on records and leases that are long gone.
-      it(`shows a watcher every object after a gap: ${gap}`, () =>
-        inScene(async ({store, subject}) => {
+      // A watch is interrupted while objects change. A process that continues
+      // from its stale list acts on records and leases that no longer exist.
+      it(`delivers every object to a watcher after a gap: ${gap}`, () =>
+        withScenario(async ({store, fixture}) => {
           const view = new Map<string, unknown>();
           let lists = 0;
           const watch = store.watch('thing', {
@@ -262,20 +267,20 @@
             onDidPut: object => view.set(object.name, object.value),
             onDidRemove: name => view.delete(name),
           });
-          await until(() => view.get('a') === 'first');
+          await waitUntil(() => view.get('a') === 'first');
           await store.put('thing', 'b', 1, {type: 'absent'});
-          await until(() => view.get('b') === 1);
+          await waitUntil(() => view.get('b') === 1);
           if (gap !== 'none') {
-            subject.faults.rejectWatches(true);
-            await until(() => store.dump().watches['thing'] !== 'open');
+            fixture.faults.rejectWatches(true);
+            await waitUntil(() => store.dump().watches['thing'] !== 'open');
           }
           await store.put('thing', 'c', 2, {type: 'absent'});
           await store.remove('thing', 'b', {type: 'any'});
           if (gap === 'cut and compacted') {
-            subject.table.compact();
+            fixture.table.compact();
           }
-          subject.faults.rejectWatches(false);
-          await until(() => view.get('c') === 2 && !view.has('b'));
+          fixture.faults.rejectWatches(false);
+          await waitUntil(() => view.get('c') === 2 && !view.has('b'));
           assert.deepEqual([...view.keys()].sort(), ['a', 'c']);
           assert.equal(lists, gap === 'cut and compacted' ? 2 : 1);
           watch.dispose();
@@ -284,7 +289,7 @@
   });
 }
 
-async function rejects(
+async function assertRejects(
   promise: Promise<unknown>,
   kind: ErrorKind,
 ): Promise<void> {
--- a/packages/standins/src/test/platformStandin.test.ts
+++ b/packages/standins/src/test/platformStandin.test.ts
@@ -1,4 +1,4 @@
-/** Cloud, host list, weight store and control port of the stand-in, through the product's clients. */
+/** Platform stand-in, tested through the HTTP clients of the product. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -18,10 +18,10 @@
   startPlatformStandin,
   type PlatformStandin,
 } from '../platform/platformStandin.js';
-import {testClock, until} from './objectStoreSubjects.js';
+import {testClock, waitUntil} from './objectApiFixtures.js';
 
 const TIMEOUT_MS = 20_000;
-const wanted = {
+const startRequest = {
   clientToken: 'token-1',
   failureDomain: 'a',
   machineClass: 'cpu-small',
@@ -41,60 +41,60 @@
   state: 'live',
 };
 
-async function control(
+async function postControl(
   platform: PlatformStandin,
   path: string,
   body: object,
 ): Promise<number> {
-  const reply = await fetch(`${platform.url}/control/${path}`, {
+  const response = await fetch(`${platform.url}/control/${path}`, {
     method: 'POST',
     body: JSON.stringify(body),
   });
-  await reply.text();
-  return reply.status;
+  await response.text();
+  return response.status;
 }
 
 async function withPlatform(
   run: (
     platform: PlatformStandin,
-    own: <T extends Disposable>(disposable: T) => T,
+    track: <T extends Disposable>(disposable: T) => T,
   ) => Promise<void>,
 ): Promise<void> {
   const platform = await startPlatformStandin({port: 0, clock: testClock});
-  const owned: Disposable[] = [];
+  const disposables: Disposable[] = [];
   try {
     await run(platform, disposable => {
-      owned.push(disposable);
+      disposables.push(disposable);
       return disposable;
     });
   } finally {
-    owned.forEach(disposable => disposable.dispose());
+    disposables.forEach(disposable => disposable.dispose());
     await platform.stop();
   }
 }
 
 describe('platform stand-in', {timeout: TIMEOUT_MS}, () => {
-  it('starts one host per client token, refuses and stops', () =>
+  it('starts one host per client token, refuses starts and stops hosts', () =>
     withPlatform(async platform => {
       const cloud = createHttpCloud({url: platform.url, clock: testClock});
       assert.ok((await cloud.offers()).length > 0);
       const [one, two] = await Promise.all([
-        cloud.start(wanted),
-        cloud.start(wanted),
+        cloud.start(startRequest),
+        cloud.start(startRequest),
       ]);
       assert.equal(one.id, two.id);
-      await control(platform, 'faults', {startsToRefuse: 1});
+      await postControl(platform, 'faults', {startsToRefuse: 1});
       await assert.rejects(
-        cloud.start({...wanted, clientToken: 'token-2'}),
+        cloud.start({...startRequest, clientToken: 'token-2'}),
         error => isServingError(error, 'overloaded') && error.run === 'not-run',
       );
       await cloud.stop(one.id);
       assert.deepEqual(await cloud.hosts(), []);
     }));
 
-  // A failure domain is taken back with notice. Endpoints there must not look
-  // live any more, or requests go on being sent to hosts that vanish.
-  it('tells notices and marks endpoints as leaving', () =>
+  // A failure domain is reclaimed with notice. Endpoints there must not stay
+  // listed as live, or requests would still be sent to hosts about to vanish.
+  it('delivers reclaim notices and marks endpoints as leaving', () =>
     withPlatform(async (platform, own) => {
       const cloud = createHttpCloud({url: platform.url, clock: testClock});
       const notices: ReclaimNotice[] = [];
@@ -102,21 +102,21 @@
       own(cloud.watchNotices(notice => notices.push(notice)));
       const hosts = createHttpHostList({url: platform.url, clock: testClock});
       own(hosts.watch(endpoints => (listed = endpoints)));
-      const host = await cloud.start(wanted);
-      await control(platform, 'endpoints', {...endpoint, host: host.id});
-      await until(() => listed[0]?.state === 'live');
+      const host = await cloud.start(startRequest);
+      await postControl(platform, 'endpoints', {...endpoint, host: host.id});
+      await waitUntil(() => listed[0]?.state === 'live');
       const reclaim = {failureDomain: 'a', noticeSeconds: 60};
-      assert.equal(await control(platform, 'reclaim', reclaim), 200);
-      await until(() => notices[0]?.host === host.id);
-      await until(() => listed[0]?.state === 'leaving');
-      await control(platform, 'reclaim', {host: host.id});
-      await until(() => listed.length === 0);
+      assert.equal(await postControl(platform, 'reclaim', reclaim), 200);
+      await waitUntil(() => notices[0]?.host === host.id);
+      await waitUntil(() => listed[0]?.state === 'leaving');
+      await postControl(platform, 'reclaim', {host: host.id});
+      await waitUntil(() => listed.length === 0);
     }));
 
-  it('grants loads of weights at its rate', () =>
+  it('grants weight loads at the configured rate', () =>
     withPlatform(async platform => {
       const weights = createHttpWeightStore({url: platform.url});
-      await control(platform, 'faults', {loadsPerSecond: 0.001});
+      await postControl(platform, 'faults', {loadsPerSecond: 0.001});
       await weights.reserve('matcher', 'host-1');
       await assert.rejects(
         weights.reserve('matcher', 'host-2'),
@@ -125,9 +125,9 @@
       );
     }));
 
-  // More calls come in a second than the platform takes. A client that goes on
-  // at its pace keeps everybody's lease renewals out.
-  it('answers 429 above its rate, and the client holds back', () =>
+  // Calls exceed the rate that the platform accepts. A client that does not
+  // back off would crowd out the lease renewals of all processes.
+  it('responds with 429 above its rate, and the client backs off', () =>
     withPlatform(async (platform, own) => {
       const store = own(
         createHttpObjectStore({
@@ -137,8 +137,8 @@
           random: seededRandom(1),
         }),
       );
-      // Less than one call a second: every call is above the rate.
-      await control(platform, 'faults', {callsPerSecond: 0.5});
+      // Below one call per second, every call exceeds the rate.
+      await postControl(platform, 'faults', {callsPerSecond: 0.5});
       await assert.rejects(
         store.get('thing', 'a'),
         error =>
@@ -149,8 +149,8 @@
       assert.equal(store.state(), 'up');
     }));
 
-  it('refuses a switch that it does not know', () =>
+  it('rejects an unknown fault', () =>
     withPlatform(async platform => {
-      assert.equal(await control(platform, 'faults', {isDwn: true}), 400);
+      assert.equal(await postControl(platform, 'faults', {isDwn: true}), 400);
     }));
 });
--- a/packages/standins/src/test/serviceStandin.test.ts
+++ b/packages/standins/src/test/serviceStandin.test.ts
@@ -2,7 +2,7 @@
 import {describe, it, type TestContext} from 'node:test';
 import {
   startServiceStandin,
-  type ServiceFaultSwitch,
+  type ServiceFaultInput,
   type ServiceStandin,
 } from '../index.js';
 
@@ -32,12 +32,12 @@
     });
     assert.equal(advance.status, 201);
     assert.deepEqual(standin.runs().byKey, {k1: 2, 'body:7': 1});
-    const shown = await fetch(`${standin.url}/control/runs`);
-    assert.deepEqual(await shown.json(), standin.runs());
+    const response = await fetch(`${standin.url}/control/runs`);
+    assert.deepEqual(await response.json(), standin.runs());
   });
 
   const faults: Array<{
-    fault: ServiceFaultSwitch;
+    fault: ServiceFaultInput;
     status: number;
     runs: number;
   }> = [
@@ -53,19 +53,19 @@
     {fault: {type: 'fail', aboveRunning: 5}, status: 201, runs: 1},
   ];
   for (const {fault, status, runs} of faults) {
-    it(`answers ${status} after ${runs} runs with ${JSON.stringify(fault)}`, async test => {
+    it(`responds with ${status} and ${runs} runs under ${JSON.stringify(fault)}`, async test => {
       const standin = await start(test);
       standin.addFault(fault);
-      const seen = await book(standin, 'k').then(
-        reply => reply.status,
+      const received = await book(standin, 'k').then(
+        response => response.status,
         () => 0,
       );
-      assert.equal(seen, status);
+      assert.equal(received, status);
       assert.equal(standin.runs().total, runs);
     });
   }
 
-  it('switches a fault over HTTP for a number of requests', async test => {
+  it('injects a fault over HTTP for a number of requests', async test => {
     const standin = await start(test);
     await fetch(`${standin.url}/control/faults`, {
       method: 'POST',
@@ -80,10 +80,10 @@
     assert.equal(refused.status, 400);
   });
 
-  it('reports load', async test => {
+  it('reports its slots in the load report', async test => {
     const standin = await start(test);
-    const reply = await fetch(`${standin.url}/load`);
-    const report = (await reply.json()) as {slots: number};
+    const response = await fetch(`${standin.url}/load`);
+    const report = (await response.json()) as {slots: number};
     assert.equal(report.slots, 64);
   });
 });
