--- a/packages/standins/src/engine/blockCache.ts
+++ b/packages/standins/src/engine/blockCache.ts
@@ -37,9 +37,8 @@
  * Creates an empty cache.
  *
  * @example
- * const cache = createBlockCache(
- *   {clock, random, capacity: 500, eventDelayMs: 200, eventLoss: 0},
- * );
+ * const options = {capacity: 500, eventDelayMs: 200, eventLoss: 0};
+ * const cache = createBlockCache({clock, random, ...options});
  */
 export function createBlockCache(options: BlockCacheOptions): BlockCache {
   const {clock, random, capacity, eventDelayMs, eventLoss} = options;
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -63,12 +63,8 @@
  * `GET /control/totals` returns the counters of the work done.
  *
  * @example
- * const engine = await startEngineStandin({
- *   port: 0,
- *   host: '127.0.0.1',
- *   service: 'match',
- *   version: 'v1',
- * });
+ * const options = {host: '127.0.0.1', service: 'match', version: 'v1'};
+ * const engine = await startEngineStandin({port: 0, ...options});
  * await engine.stop();
  */
 export async function startEngineStandin(
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -23,11 +23,8 @@
  * Creates an engine that calls the model directly.
  *
  * @example
- * const engine = createLocalEngine({
- *   clock,
- *   model,
- *   resolve: url => models.get(url),
- * });
+ * const resolve = (url: string) => models.get(url);
+ * const engine = createLocalEngine({clock, model, resolve});
  */
 export function createLocalEngine(options: LocalEngineOptions): Engine {
   const {clock, model, resolve} = options;
--- a/packages/standins/src/service/serviceStandin.ts
+++ b/packages/standins/src/service/serviceStandin.ts
@@ -251,10 +251,7 @@
   };
 }
 
-/**
- * Releases a slot once the response is sent or the caller has disconnected,
- * also when it disconnected while waiting for the slot.
- */
+/** Releases the slot on close; callers may disconnect while waiting for it. */
 function releaseOnClose(
   response: ServerResponse,
   releaseSlot: () => void,
