--- a/packages/cli/src/adminFlags.ts
+++ b/packages/cli/src/adminFlags.ts
@@ -1,4 +1,4 @@
-/** Flags of commands that ask one process. */
+/** Flags of commands that query the admin port of an entry. */
 import {Flags} from '@oclif/core';
 
 export const adminFlags = {
--- a/packages/cli/src/callerFlags.ts
+++ b/packages/cli/src/callerFlags.ts
@@ -1,10 +1,10 @@
-/** Flags of commands that speak to an entry as a customer does. */
+/** Flags of commands that call an entry as a customer. */
 import {Flags} from '@oclif/core';
 
 export const callerFlags = {
   entry: Flags.string({
     required: true,
-    description: "address of an entry's port for callers",
+    description: "address of an entry's caller port",
   }),
   key: Flags.string({
     required: true,
--- a/packages/cli/src/commandTable.ts
+++ b/packages/cli/src/commandTable.ts
@@ -1,4 +1,4 @@
-/** Every command by its name. */
+/** Registry of all commands by name. */
 import type {Command, Config} from '@oclif/core';
 import {CheckRecordCommand} from './commands/checkRecord.js';
 import {CheckSettingsCommand} from './commands/checkSettings.js';
@@ -16,7 +16,7 @@
 import {StandinServiceCommand} from './commands/standinService.js';
 import {StatusCommand} from './commands/status.js';
 
-/** A command class as the table and the help use it. */
+/** Static members of a command class that the registry and the help use. */
 export interface RunnableCommand {
   id: string;
   readonly description?: string | undefined;
--- a/packages/cli/src/commands/checkRecord.ts
+++ b/packages/cli/src/commands/checkRecord.ts
@@ -1,8 +1,8 @@
 import {Args, Command, Flags} from '@oclif/core';
 import {convertRecord, type RecordKind} from '@skylarkfield/records';
-import {readJsonFile} from '../jsonInput.js';
+import {readJsonFile} from '../input.js';
 import {printJson, printLine} from '../output.js';
-import {splitRecordFile} from '../recordStore.js';
+import {parseRecordFile} from '../recordStore.js';
 
 /** Checks a record without writing it. */
 export class CheckRecordCommand extends Command {
@@ -23,7 +23,7 @@
 
   async run(): Promise<void> {
     const {args, flags} = await this.parse(CheckRecordCommand);
-    const record = splitRecordFile(readJsonFile(args.file, 'bad-record'));
+    const record = parseRecordFile(readJsonFile(args.file, 'bad-record'));
     const accepted = convertRecord(
       record.kind as RecordKind,
       record.name,
--- a/packages/cli/src/commands/checkSettings.ts
+++ b/packages/cli/src/commands/checkSettings.ts
@@ -1,6 +1,6 @@
 import {Args, Command, Flags} from '@oclif/core';
 import {checkEntrySettings} from '@skylarkfield/entry';
-import {readJsonFile} from '../jsonInput.js';
+import {readJsonFile} from '../input.js';
 import {printJson, printLine} from '../output.js';
 
 /** Checks an entry's settings without starting anything. */
--- a/packages/cli/src/commands/decisions.ts
+++ b/packages/cli/src/commands/decisions.ts
@@ -1,25 +1,25 @@
 import {Command, Flags} from '@oclif/core';
 import type {Decision} from '@skylarkfield/base';
 import {adminFlags} from '../adminFlags.js';
-import {callForJson} from '../jsonInput.js';
+import {requestJson} from '../input.js';
 import {printJson, printTable} from '../output.js';
 
-/** Shows what an entry decided lately, and why. */
+/** Shows recent decisions of an entry. */
 export class DecisionsCommand extends Command {
   static override description =
-    'Show what an entry decided lately, with cause and figures.';
+    'Show recent decisions of an entry with their reasons and figures.';
   static override examples = [
     'skylarkfield decisions --admin http://127.0.0.1:9001 --by moves',
   ];
   static override flags = {
     ...adminFlags,
-    by: Flags.string({description: 'only decisions of this package'}),
-    json: Flags.boolean({description: 'one JSON line per decision'}),
+    by: Flags.string({description: 'show only decisions of this package'}),
+    json: Flags.boolean({description: 'print one JSON line per decision'}),
   };
 
   async run(): Promise<void> {
     const {flags} = await this.parse(DecisionsCommand);
-    const all = (await callForJson(`${flags.admin}/decisions`, {
+    const all = (await requestJson(`${flags.admin}/decisions`, {
       key: flags.key,
     })) as Decision[];
     const shown = all.filter(
--- a/packages/cli/src/commands/dump.ts
+++ b/packages/cli/src/commands/dump.ts
@@ -1,25 +1,25 @@
 import {Command, Flags} from '@oclif/core';
 import {adminFlags} from '../adminFlags.js';
-import {callForJson} from '../jsonInput.js';
+import {requestJson} from '../input.js';
 import {printJson, printLine} from '../output.js';
 
-/** Shows the state of one process. */
+/** Shows the internal state of an entry. */
 export class DumpCommand extends Command {
   static override description =
-    'Show the state of every machine, queue and view of an entry.';
+    'Show the state machines, queues and cached views of an entry.';
   static override examples = [
     'skylarkfield dump --admin http://127.0.0.1:9001 --key ADMIN-KEY',
     'skylarkfield dump --admin http://127.0.0.1:9001 --part routing --json',
   ];
   static override flags = {
     ...adminFlags,
-    part: Flags.string({description: 'only this part of the state'}),
-    json: Flags.boolean({description: 'one line of JSON'}),
+    part: Flags.string({description: 'show only this part of the state'}),
+    json: Flags.boolean({description: 'print one JSON line'}),
   };
 
   async run(): Promise<void> {
     const {flags} = await this.parse(DumpCommand);
-    const dump = (await callForJson(`${flags.admin}/dump`, {
+    const dump = (await requestJson(`${flags.admin}/dump`, {
       key: flags.key,
     })) as Record<string, unknown>;
     const shown = flags.part === undefined ? dump : dump[flags.part];
--- a/packages/cli/src/commands/entry.ts
+++ b/packages/cli/src/commands/entry.ts
@@ -5,7 +5,7 @@
 /** Runs an entry process. */
 export class EntryCommand extends Command {
   static override description =
-    'Run an entry. Prints one JSON line with its addresses when it listens; logs go to standard error. SIGTERM stops it gracefully.';
+    'Run an entry. Prints one JSON line with its addresses once it listens; logs go to standard error. SIGTERM stops it gracefully.';
   static override examples = ['skylarkfield entry --settings entry-a1.json'];
   static override flags = {
     settings: Flags.string({required: true, description: 'settings file'}),
--- a/packages/cli/src/commands/getRecord.ts
+++ b/packages/cli/src/commands/getRecord.ts
@@ -3,7 +3,7 @@
 import {printJson, printTable} from '../output.js';
 import {platformFlag, recordKinds, withStore} from '../recordStore.js';
 
-/** Shows records as operators wrote them. */
+/** Shows records as stored on the platform. */
 export class GetRecordCommand extends Command {
   static override description = 'Show one record, or list all of a kind.';
   static override examples = [
@@ -20,7 +20,7 @@
   };
   static override flags = {
     platform: platformFlag,
-    json: Flags.boolean({description: 'one JSON line per record'}),
+    json: Flags.boolean({description: 'print one JSON line per record'}),
   };
 
   async run(): Promise<void> {
--- a/packages/cli/src/commands/lookup.ts
+++ b/packages/cli/src/commands/lookup.ts
@@ -1,24 +1,25 @@
 import {Command, Flags} from '@oclif/core';
 import type {LookupAnswer} from '@skylarkfield/members';
 import {callerFlags} from '../callerFlags.js';
-import {callForJson} from '../jsonInput.js';
+import {requestJson} from '../input.js';
 import {printJson, printTable} from '../output.js';
 
-/** Asks an entry which entries to use. */
+/** Looks up the entries that a caller should use. */
 export class LookupCommand extends Command {
-  static override description =
-    'Ask any entry which entries to use, best first.';
+  static override description = 'Look up which entries to call, best first.';
   static override examples = [
     'skylarkfield lookup --entry http://127.0.0.1:8001 --key CUSTOMER-KEY',
     'skylarkfield lookup --entry http://127.0.0.1:8001 --affinity session-17 --json',
   ];
   static override flags = {
     ...callerFlags,
-    affinity: Flags.string({description: 'session or prefix to keep together'}),
+    affinity: Flags.string({
+      description: 'session or prefix whose requests go to the same entry',
+    }),
     'failure-domain': Flags.string({
       description: "the caller's failure domain",
     }),
-    json: Flags.boolean({description: 'one line of JSON'}),
+    json: Flags.boolean({description: 'print one JSON line'}),
   };
 
   async run(): Promise<void> {
@@ -30,16 +31,16 @@
     if (flags['failure-domain'] !== undefined) {
       url.searchParams.set('failure-domain', flags['failure-domain']);
     }
-    const answer = (await callForJson(url.href, {
+    const response = (await requestJson(url.href, {
       key: flags.key,
     })) as LookupAnswer;
     if (flags.json) {
-      printJson(answer);
+      printJson(response);
       return;
     }
     printTable(
       ['entry', 'failure domain', 'address'],
-      answer.entries.map(entry => [entry.id, entry.failureDomain, entry.url]),
+      response.entries.map(entry => [entry.id, entry.failureDomain, entry.url]),
     );
   }
 }
--- a/packages/cli/src/commands/putRecord.ts
+++ b/packages/cli/src/commands/putRecord.ts
@@ -1,13 +1,13 @@
 import {Args, Command, Flags} from '@oclif/core';
 import type {WriteCondition} from '@skylarkfield/providers';
-import {readJsonFile} from '../jsonInput.js';
+import {readJsonFile} from '../input.js';
 import {printJson, printLine} from '../output.js';
-import {platformFlag, splitRecordFile, withStore} from '../recordStore.js';
+import {platformFlag, parseRecordFile, withStore} from '../recordStore.js';
 
-/** Writes a record for the system to accept or refuse. */
+/** Writes a record, which the system then accepts or refuses. */
 export class PutRecordCommand extends Command {
   static override description =
-    'Write a record. Whether it is accepted shows in its status.';
+    'Write a record. The status command shows whether it is accepted.';
   static override examples = [
     'skylarkfield record put booking.json --platform http://127.0.0.1:7000',
     'skylarkfield record put booking.json --if-version 42',
@@ -23,14 +23,14 @@
     platform: platformFlag,
     'if-version': Flags.integer({
       description:
-        'write only if the record still has this version; 0: only if there is none',
+        'write only if the record has this version; 0: only if it does not exist',
     }),
-    json: Flags.boolean({description: 'one line of JSON'}),
+    json: Flags.boolean({description: 'print one JSON line'}),
   };
 
   async run(): Promise<void> {
     const {args, flags} = await this.parse(PutRecordCommand);
-    const record = splitRecordFile(readJsonFile(args.file, 'bad-record'));
+    const record = parseRecordFile(readJsonFile(args.file, 'bad-record'));
     const stored = await withStore(flags.platform, store =>
       store.put(
         record.kind,
--- a/packages/cli/src/commands/sendCall.ts
+++ b/packages/cli/src/commands/sendCall.ts
@@ -1,6 +1,6 @@
 import {Args, Command, Flags} from '@oclif/core';
 import {callerFlags} from '../callerFlags.js';
-import {callHttp, toAnsweredError} from '../jsonInput.js';
+import {sendHttpRequest, toResponseError} from '../input.js';
 import {printJson, printLine} from '../output.js';
 
 /** Calls a plain service through an entry. */
@@ -18,11 +18,14 @@
   };
   static override flags = {
     ...callerFlags,
-    service: Flags.string({required: true, description: 'plain service'}),
+    service: Flags.string({
+      required: true,
+      description: 'name of the plain service',
+    }),
     method: Flags.string({default: 'GET', description: 'HTTP method'}),
-    data: Flags.string({description: 'body'}),
+    data: Flags.string({description: 'request body'}),
     'idempotency-key': Flags.string({
-      description: 'recognises a retry of a call that may not be repeated',
+      description: 'key that identifies retries of a non-idempotent call',
     }),
     json: Flags.boolean({
       description: 'print status, headers and body as JSON',
@@ -31,7 +34,7 @@
 
   async run(): Promise<void> {
     const {args, flags} = await this.parse(SendCallCommand);
-    const answer = await callHttp(
+    const response = await sendHttpRequest(
       new URL(`/services/${flags.service}${args.path}`, flags.entry).href,
       {
         key: flags.key,
@@ -46,12 +49,12 @@
       },
     );
     if (flags.json) {
-      printJson(answer);
-    } else if (answer.status < 400) {
-      printLine(answer.text);
+      printJson(response);
+    } else if (response.status < 400) {
+      printLine(response.text);
     }
-    if (answer.status >= 400) {
-      throw toAnsweredError(answer);
+    if (response.status >= 400) {
+      throw toResponseError(response);
     }
   }
 }
--- a/packages/cli/src/commands/sendChat.ts
+++ b/packages/cli/src/commands/sendChat.ts
@@ -3,7 +3,7 @@
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
 import {callerFlags} from '../callerFlags.js';
-import {callForJson} from '../jsonInput.js';
+import {requestJson} from '../input.js';
 import {printJson, printLine} from '../output.js';
 
 interface ChatChunk {
@@ -11,29 +11,33 @@
   readonly usage?: unknown;
 }
 
-/** Sends one chat request and prints the answer as it comes. */
+/** Sends one chat request and prints the streamed answer. */
 export class SendChatCommand extends Command {
   static override description =
-    'Send one chat request to a model service and print the answer as it comes.';
+    'Send one chat request to a model service and print the streamed answer.';
   static override examples = [
     'skylarkfield send chat "match this oak floor" --entry http://127.0.0.1:8001 --service stain-match --key CUSTOMER-KEY',
   ];
   static override args = {
-    text: Args.string({required: true, description: 'what to ask'}),
+    text: Args.string({required: true, description: 'user message'}),
   };
   static override flags = {
     ...callerFlags,
-    service: Flags.string({required: true, description: 'model service'}),
+    service: Flags.string({
+      required: true,
+      description: 'name of the model service',
+    }),
     'max-tokens': Flags.integer({
       default: 64,
       min: 1,
-      description: 'longest answer',
+      description: 'maximum number of generated tokens',
     }),
     session: Flags.string({
-      description: 'session, so that histories are found again',
+      description:
+        'session id, so that requests reach the cached conversation history',
     }),
     json: Flags.boolean({
-      description: 'print the whole answer as JSON at its end',
+      description: 'print the complete answer as JSON',
     }),
   };
 
@@ -52,7 +56,7 @@
     });
     if (flags.json) {
       printJson(
-        await callForJson(url, {key: flags.key, method: 'POST', headers, body}),
+        await requestJson(url, {key: flags.key, method: 'POST', headers, body}),
       );
       return;
     }
@@ -91,7 +95,10 @@
     parser.feed(Buffer.from(chunk as Uint8Array).toString('utf8'));
   }
   if (!isDone) {
-    throw new ServingError('interrupted', 'the answer ended before its time');
+    throw new ServingError(
+      'interrupted',
+      'the answer ended without its [DONE] event',
+    );
   }
 }
 
@@ -105,7 +112,7 @@
   } catch (error) {
     throw new ServingError(
       'endpoint-unavailable',
-      `no answer: ${String(error)}`,
+      `no response: ${String(error)}`,
     );
   }
 }
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -2,13 +2,13 @@
 import {printJson, printTable} from '../output.js';
 import {platformFlag, withStore} from '../recordStore.js';
 
-/** Kinds of objects by which the system reports. */
-const REPORT_KINDS = ['status', 'move-state', 'member', 'lease'];
+/** Kinds of the status objects that the system writes. */
+const STATUS_KINDS = ['status', 'move-state', 'member', 'lease'];
 
-/** Shows what the system reports as done or undone. */
+/** Shows the status objects of the system. */
 export class StatusCommand extends Command {
   static override description =
-    'Show what the system reports: records accepted, refused or in force, moves, entries, leases.';
+    'Show the status of records (accepted, refused or in force), moves, entries and leases.';
   static override examples = [
     'skylarkfield status --platform http://127.0.0.1:7000',
     'skylarkfield status --kind status --json',
@@ -16,15 +16,15 @@
   static override flags = {
     platform: platformFlag,
     kind: Flags.string({
-      options: REPORT_KINDS,
-      description: 'only this kind of report',
+      options: STATUS_KINDS,
+      description: 'show only this kind of status object',
     }),
-    json: Flags.boolean({description: 'one JSON line per report'}),
+    json: Flags.boolean({description: 'print one JSON line per status object'}),
   };
 
   async run(): Promise<void> {
     const {flags} = await this.parse(StatusCommand);
-    const kinds = flags.kind === undefined ? REPORT_KINDS : [flags.kind];
+    const kinds = flags.kind === undefined ? STATUS_KINDS : [flags.kind];
     const objects = await withStore(flags.platform, async store => {
       const listings = await Promise.all(kinds.map(kind => store.list(kind)));
       return listings.flatMap(listing => listing.objects);
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -1,18 +1,18 @@
-/** What the command's exit code tells a script. */
+/** Exit codes of the command line. */
 import type {ErrorKind} from '@skylarkfield/base';
 
 export type ExitCode = 0 | 1 | 2 | 3 | 4;
 
-/** One line per exit code, shown by `skylarkfield --help`. */
+/** Description of each exit code, shown by `skylarkfield --help`. */
 export const exitCodeMeanings: Readonly<Record<ExitCode, string>> = {
-  0: 'done',
+  0: 'success',
   1: 'refused or failed',
-  2: 'wrong arguments, settings, records or input',
-  3: 'a process or the platform could not be reached',
-  4: 'what was asked for does not exist',
+  2: 'invalid arguments, settings, records or input',
+  3: 'a process or the platform is unreachable',
+  4: 'the requested object does not exist',
 };
 
-const byKind: Partial<Record<ErrorKind, ExitCode>> = {
+const exitCodesByKind: Partial<Record<ErrorKind, ExitCode>> = {
   'bad-request': 2,
   'bad-settings': 2,
   'bad-record': 2,
@@ -24,11 +24,11 @@
 };
 
 /**
- * The exit code for an error kind; kinds that are not listed fail with 1.
+ * Returns the exit code for an error kind; unlisted kinds give 1.
  *
  * @example
  * process.exitCode = exitCodeOf('bad-settings'); // 2
  */
 export function exitCodeOf(kind: ErrorKind): ExitCode {
-  return byKind[kind] ?? 1;
+  return exitCodesByKind[kind] ?? 1;
 }
--- a/packages/cli/src/help.ts
+++ b/packages/cli/src/help.ts
@@ -1,11 +1,11 @@
-/** Help texts of the command line. */
+/** Help output of the command line. */
 import {CommandHelp, type Config} from '@oclif/core';
 import type {RunnableCommand} from './commandTable.js';
 import {exitCodeMeanings} from './exitCodes.js';
 import {printLine} from './output.js';
 
 /**
- * Prints the list of commands, and what the exit codes mean.
+ * Prints the list of commands and exit codes.
  *
  * @example
  * printOverview(commands);
@@ -13,7 +13,9 @@
 export function printOverview(
   commands: ReadonlyMap<string, RunnableCommand>,
 ): void {
-  printLine('skylarkfield: serves model replicas and plain services\n');
+  printLine(
+    'skylarkfield: serving system for model replicas and plain services\n',
+  );
   printLine('USAGE\n  $ skylarkfield COMMAND [OPTIONS]\n\nCOMMANDS');
   const width = Math.max(...[...commands.keys()].map(name => name.length));
   for (const [name, command] of commands) {
@@ -28,8 +30,8 @@
 }
 
 /**
- * Prints options and examples of one command. A bundle has no folder that the
- * library could scan for commands, so it gets the one to describe.
+ * Prints options and examples of one command. A bundle has no folder in which
+ * oclif could discover commands, so the command is passed explicitly.
  *
  * @example
  * printCommandHelp('dump', DumpCommand, config);
@@ -39,24 +41,24 @@
   command: RunnableCommand,
   config: Config,
 ): void {
-  const described = {
+  const commandInfo = {
     id: name,
     description: command.description,
     examples: command.examples,
-    flags: named(command.flags),
-    args: named(command.args),
+    flags: withNames(command.flags),
+    args: withNames(command.args),
     aliases: [],
     hiddenAliases: [],
     hidden: false,
     strict: command.strict,
   };
-  const help = new CommandHelp(described as never, config, {
+  const help = new CommandHelp(commandInfo as never, config, {
     maxWidth: 100,
   } as never);
   printLine(help.generate());
 }
 
-function named(
+function withNames(
   items: Readonly<Record<string, object>>,
 ): Record<string, object> {
   const entries = Object.entries(items).map(([name, item]) => [
--- a/packages/cli/src/input.ts
+++ b/packages/cli/src/input.ts
@@ -1,4 +1,4 @@
-/** JSON files and HTTP answers that commands read. */
+/** JSON files and HTTP responses that commands read. */
 import {readFileSync} from 'node:fs';
 import {
   errorAnswers,
@@ -8,11 +8,10 @@
 } from '@skylarkfield/base';
 import {request} from 'undici';
 
-/** Time that a process has to answer a command, in milliseconds. */
-const ANSWER_TIMEOUT_MS = 10_000;
+const RESPONSE_TIMEOUT_MS = 10_000;
 
 /**
- * Reads a JSON file, or standard input for `-`. Throws an error of the given kind.
+ * Reads a JSON file, or standard input for `-`. Errors have the given kind.
  *
  * @example
  * const record = readJsonFile('booking.json', 'bad-record');
@@ -32,24 +31,24 @@
   }
 }
 
-/** Characters of an answer that is no problem which are shown. */
-const SHOWN_CHARACTERS = 300;
+/** Length up to which an unrecognized error body is shown. */
+const MAX_SHOWN_CHARACTERS = 300;
 
-/** An answer of an entry's HTTP port. */
-export interface HttpAnswer {
+/** A response of an entry's HTTP port. */
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, unknown>>;
   readonly text: string;
 }
 
 /**
- * Calls an HTTP address with a bearer key. Throws `endpoint-unavailable` when
- * there is no answer.
+ * Sends an HTTP request with a bearer key. Throws `endpoint-unavailable` when
+ * there is no response.
  *
  * @example
- * const answer = await callHttp('http://127.0.0.1:9000/dump', {key});
+ * const response = await sendHttpRequest('http://127.0.0.1:9000/dump', {key});
  */
-export async function callHttp(
+export async function sendHttpRequest(
   url: string,
   options: {
     readonly key?: string | undefined;
@@ -57,7 +56,7 @@
     readonly headers?: Readonly<Record<string, string>>;
     readonly body?: string | undefined;
   },
-): Promise<HttpAnswer> {
+): Promise<HttpResponse> {
   try {
     const response = await request(url, {
       method: (options.method ?? 'GET') as 'GET',
@@ -68,7 +67,7 @@
           : {authorization: `Bearer ${options.key}`}),
       },
       body: options.body ?? null,
-      headersTimeout: ANSWER_TIMEOUT_MS,
+      headersTimeout: RESPONSE_TIMEOUT_MS,
     });
     const text = await response.body.text();
     return {status: response.statusCode, headers: response.headers, text};
@@ -76,31 +75,31 @@
     const reason = error instanceof Error ? error.message : String(error);
     throw new ServingError(
       'endpoint-unavailable',
-      `no answer from ${new URL(url).origin}: ${reason}`,
+      `no response from ${new URL(url).origin}: ${reason}`,
       {cause: error},
     );
   }
 }
 
 /**
- * Like `callHttp` for JSON answers; turns a problem answer into its error.
+ * Sends a request and parses the JSON response; throws on an error status.
  *
  * @example
- * const dump = await callForJson('http://127.0.0.1:9000/dump', {key});
+ * const dump = await requestJson('http://127.0.0.1:9000/dump', {key});
  */
-export async function callForJson(
+export async function requestJson(
   url: string,
-  options: Parameters<typeof callHttp>[1],
+  options: Parameters<typeof sendHttpRequest>[1],
 ): Promise<unknown> {
-  const answer = await callHttp(url, options);
-  if (answer.status < 400) {
-    return parseJson(answer.text, 'protocol-violation', url);
+  const response = await sendHttpRequest(url, options);
+  if (response.status < 400) {
+    return parseJson(response.text, 'protocol-violation', url);
   }
-  throw toAnsweredError(answer);
+  throw toResponseError(response);
 }
 
-/** What refusals look like: problems of entries, plain errors of stand-ins. */
-interface Refusal {
+/** Error response body: a problem document of an entry or a stand-in error. */
+interface ErrorBody {
   readonly kind: ErrorKind;
   readonly detail?: string;
   readonly message?: string;
@@ -108,28 +107,28 @@
 }
 
 /**
- * The error that a refusing answer stands for.
+ * Converts an error response to the corresponding error.
  *
  * @example
- * if (answer.status >= 400) { throw toAnsweredError(answer); }
+ * if (response.status >= 400) { throw toResponseError(response); }
  */
-export function toAnsweredError(answer: HttpAnswer): ServingError {
-  const refusal = parseRefusal(answer.text);
-  if (refusal === undefined) {
+export function toResponseError(response: HttpResponse): ServingError {
+  const body = parseErrorBody(response.text);
+  if (body === undefined) {
     return new ServingError(
       'protocol-violation',
-      `status ${answer.status}: ${answer.text.slice(0, SHOWN_CHARACTERS)}`,
+      `status ${response.status}: ${response.text.slice(0, MAX_SHOWN_CHARACTERS)}`,
     );
   }
-  const run = refusal.run ?? 'not-run';
-  const reason = refusal.detail ?? refusal.message ?? '';
-  return new ServingError(refusal.kind, `${reason} (${run})`, {run});
+  const run = body.run ?? 'not-run';
+  const reason = body.detail ?? body.message ?? '';
+  return new ServingError(body.kind, `${reason} (${run})`, {run});
 }
 
-function parseRefusal(text: string): Refusal | undefined {
+function parseErrorBody(text: string): ErrorBody | undefined {
   try {
-    const refusal = JSON.parse(text) as Refusal;
-    return refusal.kind in errorAnswers ? refusal : undefined;
+    const body = JSON.parse(text) as ErrorBody;
+    return body.kind in errorAnswers ? body : undefined;
   } catch {
     return undefined;
   }
--- a/packages/cli/src/longRunning.ts
+++ b/packages/cli/src/longRunning.ts
@@ -1,4 +1,4 @@
-/** Commands that run until they are told to stop. */
+/** Support for commands that run until they receive a stop signal. */
 import {printJson} from './output.js';
 
 interface Stoppable {
@@ -6,31 +6,31 @@
 }
 
 /**
- * Prints one JSON line with where the process listens, then waits for SIGTERM
- * or SIGINT and stops gracefully. A second signal ends the process at once.
+ * Prints one JSON line with the listen addresses, then waits for SIGTERM or
+ * SIGINT and stops gracefully. A repeated signal exits at once.
  *
  * @example
  * await runUntilStopped(standin, {url: standin.url});
  */
 export async function runUntilStopped(
-  running: Stoppable,
+  server: Stoppable,
   addresses: Readonly<Record<string, string>>,
 ): Promise<void> {
   printJson({ready: true, pid: process.pid, ...addresses});
-  await stopSignal();
+  await waitForStopSignal();
   process.once('SIGINT', () => process.exit(130));
-  await running.stop();
+  await server.stop();
 }
 
-function stopSignal(): Promise<void> {
+function waitForStopSignal(): Promise<void> {
   return new Promise(resolve => {
-    // Without a handle the loop would end while only unreferenced timers are left.
+    // Keeps the event loop alive while only unreferenced timers are left.
     const keepAlive = setInterval(() => {}, 60_000);
-    const finish = () => {
+    const onSignal = () => {
       clearInterval(keepAlive);
       resolve();
     };
-    process.once('SIGTERM', finish);
-    process.once('SIGINT', finish);
+    process.once('SIGTERM', onSignal);
+    process.once('SIGINT', onSignal);
   });
 }
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The one binary: finds the command, runs it, and turns errors into exit codes. */
+/** Entry point: dispatches to a command and maps errors to exit codes. */
 import {Config} from '@oclif/core';
 import {ServingError, toServingError} from '@skylarkfield/base';
 import {commands, type RunnableCommand} from './commandTable.js';
@@ -7,35 +7,35 @@
 import {printLine} from './output.js';
 import {VERSION} from './version.js';
 
-/** oclif reads its own package file at start; a single executable has none beside it. */
-const PACKAGE = {
+/** Replaces the package.json that oclif reads; a single executable has none. */
+const PACKAGE_JSON = {
   name: 'skylarkfield',
   version: VERSION,
   oclif: {bin: 'skylarkfield'},
 };
 
-const WRONG_ARGUMENTS = 2;
+const USAGE_ERROR_EXIT_CODE = 2;
 
-interface FoundCommand {
+interface CommandMatch {
   readonly name: string;
   readonly command: RunnableCommand;
   readonly rest: readonly string[];
 }
 
-/** Command names have one or two words; the longer match wins. */
-function findCommand(words: readonly string[]): FoundCommand | undefined {
+/** Matches a command name of one or two words; the longer one wins. */
+function matchCommand(args: readonly string[]): CommandMatch | undefined {
   for (const length of [2, 1]) {
-    const name = words.slice(0, length).join(' ');
+    const name = args.slice(0, length).join(' ');
     const command = commands.get(name);
     if (command !== undefined) {
-      return {name, command, rest: words.slice(length)};
+      return {name, command, rest: args.slice(length)};
     }
   }
   return undefined;
 }
 
-async function main(words: readonly string[]): Promise<void> {
-  const first = words[0];
+async function main(args: readonly string[]): Promise<void> {
+  const first = args[0];
   if (first === undefined || first === '--help' || first === 'help') {
     printOverview(commands);
     return;
@@ -44,46 +44,46 @@
     printLine(VERSION);
     return;
   }
-  const found = findCommand(words);
-  if (found === undefined) {
+  const match = matchCommand(args);
+  if (match === undefined) {
     throw new ServingError(
       'bad-settings',
-      `no command ${JSON.stringify(words.slice(0, 2).join(' '))}; see skylarkfield --help`,
+      `no command ${JSON.stringify(args.slice(0, 2).join(' '))}; see skylarkfield --help`,
     );
   }
   const config = await loadConfig();
-  if (found.rest.includes('--help')) {
-    printCommandHelp(found.name, found.command, config);
+  if (match.rest.includes('--help')) {
+    printCommandHelp(match.name, match.command, config);
     return;
   }
-  const {command} = found;
-  command.id = found.name;
-  await command.run([...found.rest], config);
+  const {command} = match;
+  command.id = match.name;
+  await command.run([...match.rest], config);
 }
 
 async function loadConfig(): Promise<Config> {
   const config = new Config({
     root: process.cwd(),
-    pjson: PACKAGE,
+    pjson: PACKAGE_JSON,
   } as never);
   await config.load();
   return config;
 }
 
-function reportFailure(error: unknown): void {
-  if (isArgumentError(error)) {
+function reportError(error: unknown): void {
+  if (isUsageError(error)) {
     console.error(error.message);
-    process.exitCode = WRONG_ARGUMENTS;
+    process.exitCode = USAGE_ERROR_EXIT_CODE;
     return;
   }
-  const failure = toServingError(error);
-  console.error(`${failure.kind}: ${failure.message}`);
-  process.exitCode = exitCodeOf(failure.kind);
+  const servingError = toServingError(error);
+  console.error(`${servingError.kind}: ${servingError.message}`);
+  process.exitCode = exitCodeOf(servingError.kind);
 }
 
-/** oclif's parser marks its errors with an exit code of its own. */
-function isArgumentError(error: unknown): error is Error {
+/** Errors of the oclif parser carry an `oclif` property with an exit code. */
+function isUsageError(error: unknown): error is Error {
   return error instanceof Error && 'oclif' in error;
 }
 
-main(process.argv.slice(2)).catch(reportFailure);
+main(process.argv.slice(2)).catch(reportError);
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,4 +1,4 @@
-/** What commands print: results on standard output, everything else on standard error. */
+/** Output of commands: results go to stdout, everything else to stderr. */
 
 /**
  * Prints a value as one JSON line.
--- a/packages/cli/src/recordStore.ts
+++ b/packages/cli/src/recordStore.ts
@@ -1,9 +1,9 @@
-/** How record commands reach the platform's object API. */
+/** Access of record commands to the platform's object API. */
 import {Flags} from '@oclif/core';
 import {ServingError} from '@skylarkfield/base';
 import {createHttpObjectStore, type ObjectStore} from '@skylarkfield/providers';
 
-/** Kinds that operators write. */
+/** Record kinds that operators write. */
 export const recordKinds = [
   'customer',
   'service',
@@ -11,7 +11,7 @@
   'endpoint-class',
 ] as const;
 
-/** The flag that every command on records has. */
+/** Flag shared by all record commands. */
 export const platformFlag = Flags.string({
   required: true,
   env: 'SKYLARKFIELD_PLATFORM',
@@ -19,24 +19,24 @@
 });
 
 /**
- * Runs a function with a store and closes it afterwards.
+ * Runs a callback with an object store and disposes the store afterwards.
  *
  * @example
  * await withStore(flags.platform, store => store.list('service'));
  */
 export async function withStore<T>(
   url: string,
-  use: (store: ObjectStore) => Promise<T>,
+  callback: (store: ObjectStore) => Promise<T>,
 ): Promise<T> {
   const store = createHttpObjectStore({url, writer: `operator-${process.pid}`});
   try {
-    return await use(store);
+    return await callback(store);
   } finally {
     store.dispose();
   }
 }
 
-/** A record as operators keep it in a file. */
+/** Contents of a record file. */
 export interface RecordFile {
   readonly kind: string;
   readonly name: string;
@@ -44,27 +44,27 @@
 }
 
 /**
- * Reads kind and name out of a record file: `{"kind", "name", "schema", …}`.
- * Throws `bad-record`.
+ * Separates kind and name from the value of a record file:
+ * `{"kind", "name", "schema", …}`. Throws `bad-record`.
  *
  * @example
- * const record = splitRecordFile(readJsonFile('booking.json', 'bad-record'));
+ * const record = parseRecordFile(readJsonFile('booking.json', 'bad-record'));
  */
-export function splitRecordFile(content: unknown): RecordFile {
+export function parseRecordFile(content: unknown): RecordFile {
   if (typeof content !== 'object' || content === null) {
-    throw badRecord('', 'an object');
+    throw badRecordError('', 'an object');
   }
   const {kind, name, ...value} = content as Record<string, unknown>;
   if (!recordKinds.includes(kind as never)) {
-    throw badRecord('kind', `one of ${recordKinds.join(', ')}`);
+    throw badRecordError('kind', `one of ${recordKinds.join(', ')}`);
   }
   if (typeof name !== 'string' || name === '') {
-    throw badRecord('name', 'a name');
+    throw badRecordError('name', 'a non-empty string');
   }
   return {kind: kind as string, name, value};
 }
 
-function badRecord(path: string, expected: string): ServingError {
+function badRecordError(path: string, expected: string): ServingError {
   return new ServingError('bad-record', `${path || 'record'}: ${expected}`, {
     faults: [{path, expected}],
   });
--- a/packages/cli/src/standinFlags.ts
+++ b/packages/cli/src/standinFlags.ts
@@ -1,7 +1,7 @@
-/** Flags and registration that the endpoint stand-ins share. */
+/** Flags and registration shared by the endpoint stand-ins. */
 import {Flags} from '@oclif/core';
 import type {EndpointType, ListedEndpoint} from '@skylarkfield/providers';
-import {callForJson} from './jsonInput.js';
+import {requestJson} from './input.js';
 
 export const listenFlags = {
   host: Flags.string({
@@ -12,7 +12,7 @@
     default: 0,
     min: 0,
     max: 65_535,
-    description: 'port to listen on; 0 takes any',
+    description: 'port to listen on; 0 picks a free port',
   }),
 };
 
@@ -20,24 +20,30 @@
   ...listenFlags,
   service: Flags.string({
     required: true,
-    description: 'service that it is an endpoint of',
+    description: 'service of the endpoint',
+  }),
+  version: Flags.string({
+    default: 'v1',
+    description: 'version of the endpoint',
+  }),
+  id: Flags.string({
+    required: true,
+    description: 'id of the endpoint in the host list',
   }),
-  version: Flags.string({default: 'v1', description: 'version that it serves'}),
-  id: Flags.string({required: true, description: 'id in the host list'}),
   'failure-domain': Flags.string({
     default: 'a',
-    description: 'failure domain of its host',
+    description: 'failure domain of the host',
   }),
   'machine-host': Flags.string({
-    description: 'host in the host list; the id when absent',
+    description: 'host in the host list; defaults to the id',
   }),
   'checks-fencing': Flags.boolean({
     default: false,
-    description: 'refuse orders with an old fencing number',
+    description: 'refuse orders with an outdated fencing token',
   }),
   register: Flags.string({
     description:
-      'address of the platform stand-in whose host list should name it',
+      'address of the platform stand-in to register the endpoint with',
   }),
 };
 
@@ -56,8 +62,8 @@
 }
 
 /**
- * Registers a stand-in and stops it when that fails: a process that listens but
- * is on no list would stay up without anyone knowing of it.
+ * Registers a stand-in and stops it on failure: an unregistered process would
+ * keep listening without being listed anywhere.
  *
  * @example
  * await registerOrStop(standin, {platform, type: 'model', url, flags});
@@ -75,15 +81,15 @@
 }
 
 /**
- * Puts an endpoint on the host list of the platform stand-in, as the cloud
- * would. Does nothing without a platform.
+ * Adds an endpoint to the host list of the platform stand-in, as a cloud does.
+ * Does nothing without a platform.
  */
 async function registerEndpoint(registration: Registration): Promise<void> {
   const {platform, flags} = registration;
   if (platform === undefined) {
     return;
   }
-  const listed: ListedEndpoint = {
+  const endpoint: ListedEndpoint = {
     id: flags.id,
     type: registration.type,
     service: flags.service,
@@ -95,9 +101,9 @@
     checksFencing: flags['checks-fencing'],
     state: 'live',
   };
-  await callForJson(`${platform}/control/endpoints`, {
+  await requestJson(`${platform}/control/endpoints`, {
     method: 'POST',
     headers: {'content-type': 'application/json'},
-    body: JSON.stringify(listed),
+    body: JSON.stringify(endpoint),
   });
 }
--- a/packages/cli/src/version.ts
+++ b/packages/cli/src/version.ts
@@ -1,2 +1,2 @@
-/** The release's version; kept equal to the root package's by a test. */
+/** Release version; a test checks that it equals that of the root package. */
 export const VERSION = '0.1.0';
