--- a/packages/cli/src/commands/putRecord.ts
+++ b/packages/cli/src/commands/putRecord.ts
@@ -2,7 +2,7 @@
 import type {WriteCondition} from '@skylarkfield/providers';
 import {readJsonFile} from '../input.js';
 import {printJson, printLine} from '../output.js';
-import {platformFlag, parseRecordFile, withStore} from '../recordStore.js';
+import {parseRecordFile, platformFlag, withStore} from '../recordStore.js';
 
 /** Writes a record, which the system then accepts or refuses. */
 export class PutRecordCommand extends Command {
--- a/packages/cli/src/commands/sendCall.ts
+++ b/packages/cli/src/commands/sendCall.ts
@@ -20,10 +20,10 @@
     ...callerFlags,
     service: Flags.string({
       required: true,
-      description: 'name of the plain service',
+      description: 'plain service',
     }),
     method: Flags.string({default: 'GET', description: 'HTTP method'}),
-    data: Flags.string({description: 'request body'}),
+    data: Flags.string({description: 'body'}),
     'idempotency-key': Flags.string({
       description: 'key that identifies retries of a non-idempotent call',
     }),
--- a/packages/cli/src/commands/sendChat.ts
+++ b/packages/cli/src/commands/sendChat.ts
@@ -25,7 +25,7 @@
     ...callerFlags,
     service: Flags.string({
       required: true,
-      description: 'name of the model service',
+      description: 'model service',
     }),
     'max-tokens': Flags.integer({
       default: 64,
@@ -112,7 +112,7 @@
   } catch (error) {
     throw new ServingError(
       'endpoint-unavailable',
-      `no response: ${String(error)}`,
+      `no answer: ${String(error)}`,
     );
   }
 }
--- a/packages/cli/src/input.ts
+++ b/packages/cli/src/input.ts
@@ -75,7 +75,7 @@
     const reason = error instanceof Error ? error.message : String(error);
     throw new ServingError(
       'endpoint-unavailable',
-      `no response from ${new URL(url).origin}: ${reason}`,
+      `no answer from ${new URL(url).origin}: ${reason}`,
       {cause: error},
     );
   }
--- a/packages/cli/src/test/commandLine.test.ts
+++ b/packages/cli/src/test/commandLine.test.ts
@@ -117,7 +117,7 @@
     title: 'a process that is not running',
     args: ['dump', '--admin', 'http://127.0.0.1:9', '--key', 'k'],
     code: 3,
-    errors: /no response/,
+    errors: /no answer/,
   },
   {
     title: 'a settings file that does not exist',
--- a/packages/standins/src/engine/blockCache.ts
+++ b/packages/standins/src/engine/blockCache.ts
@@ -27,7 +27,7 @@
 /** Events kept for fetching; dropping older ones leaves a sequence gap. */
 const MAX_KEPT_EVENTS = 2000;
 
-/** An event and the clock time from which it can be fetched. */
+/** An event that can be fetched from `fromMs` on. */
 interface PublishedEvent {
   readonly fromMs: number;
   readonly event: CacheEvent;
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -22,10 +22,10 @@
 import {createEngineModel, type EngineModel} from './engineModel.js';
 import {
   attemptSchema,
-  exportedCacheSchema,
   engineFaultsSchema,
-  importSourceSchema,
+  exportedCacheSchema,
   generationSchema,
+  importSourceSchema,
   orderSchema,
 } from './engineRequestSchemas.js';
 
