--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -7,7 +7,7 @@
 } from '@skylarkfield/base';
 import {createBulkhead, type Bulkhead} from './bulkhead.js';
 import type {LimitPolicy} from './concurrencyLimit.js';
-import type {Admission} from './contracts.js';
+import type {AdmissionController} from './contracts.js';
 
 export interface AdmissionControllerOptions {
   readonly clock: Clock;
@@ -25,13 +25,13 @@
  * Creates the admission controller of one entry.
  *
  * @example
- * const admission = createAdmission({clock, random, decisions});
+ * const admission = createAdmissionController({clock, random, decisions});
  * admission.setService('booking', service);
  * const permit = await admission.admit(request, signal);
  */
-export function createAdmission(
+export function createAdmissionController(
   options: AdmissionControllerOptions,
-): Admission {
+): AdmissionController {
   const bulkheads = new Map<string, Bulkhead>();
   const weights = new Map<string, number>();
   let entryCount = 1;
--- a/packages/admission/src/contracts.ts
+++ b/packages/admission/src/contracts.ts
@@ -31,7 +31,7 @@
 }
 
 /** Admission controller of this entry for all services. */
-export interface Admission {
+export interface AdmissionController {
   /**
    * Admits a request, queueing it while no slot is free.
    * Throws `overloaded` (with `retryAfterMs` from the drain rate),
--- a/packages/admission/src/test/admission.test.ts
+++ b/packages/admission/src/test/admission.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {isServingError, settlePromises} from '@skylarkfield/base';
-import type {Admission, AdmissionRequest} from '../index.js';
+import type {AdmissionController, AdmissionRequest} from '../index.js';
 import {booking, ok, setUp} from './fixtures.js';
 
 describe('admission', () => {
@@ -287,7 +287,7 @@
   });
 });
 
-function inFlightOf(admission: Admission): number | undefined {
+function inFlightOf(admission: AdmissionController): number | undefined {
   const {services} = admission.dump() as {services: {inFlight: number}[]};
   return services[0]?.inFlight;
 }
--- a/packages/admission/src/test/fixtures.ts
+++ b/packages/admission/src/test/fixtures.ts
@@ -6,7 +6,11 @@
   virtualClock,
 } from '@skylarkfield/base';
 import type {Service} from '@skylarkfield/records';
-import {createAdmission, type AdmissionRequest, type Permit} from '../index.js';
+import {
+  createAdmissionController,
+  type AdmissionRequest,
+  type Permit,
+} from '../index.js';
 
 export const booking: Service = {
   name: 'booking',
@@ -26,7 +30,7 @@
 export function setUp(overrides: Partial<Service> = {}) {
   const clock = virtualClock();
   const decisions = decisionLog(clock, silentLogger());
-  const admission = createAdmission({
+  const admission = createAdmissionController({
     clock,
     random: seededRandom(1),
     decisions,
--- a/packages/admission/src/waitEstimate.ts
+++ b/packages/admission/src/waitEstimate.ts
@@ -47,7 +47,7 @@
  * Creates the wait estimator of one service.
  *
  * @example
- * const waitMs = waitEstimator.waitMs(queue.costOfMoreUrgent(urgency), limit, urgency);
+ * const retryAfterMs = waitEstimator.retryAfterMs(queue.costOfMoreUrgent(urgency), limit, urgency);
  */
 export function createWaitEstimator(clock: Clock): WaitEstimator {
   const arrivals = new Float64Array(URGENCY_COUNT);
--- a/packages/base/src/errors.ts
+++ b/packages/base/src/errors.ts
@@ -49,7 +49,7 @@
 }
 
 /** Response by error kind. */
-export const errorAnswers: Readonly<Record<ErrorKind, ErrorResponse>> = {
+export const errorResponses: Readonly<Record<ErrorKind, ErrorResponse>> = {
   'bad-request': errorResponse(
     400,
     'The request is malformed',
@@ -163,7 +163,7 @@
 };
 
 /** One validation error and its path. */
-export interface Fault {
+export interface ValidationFault {
   /** Path of the field, like `listen.port`; empty for the whole value. */
   readonly path: string;
   /** Expected value of the field. */
@@ -177,7 +177,7 @@
   /** Suggested delay before a retry, in milliseconds. */
   readonly retryAfterMs?: number;
   /** Validation errors, one per field. */
-  readonly faults?: readonly Fault[];
+  readonly faults?: readonly ValidationFault[];
   /** Underlying error. */
   readonly cause?: unknown;
 }
@@ -192,13 +192,13 @@
   readonly kind: ErrorKind;
   readonly run: RunState;
   readonly retryAfterMs: number | undefined;
-  readonly faults: readonly Fault[];
+  readonly faults: readonly ValidationFault[];
 
   constructor(kind: ErrorKind, message: string, details: ErrorDetails = {}) {
     super(message, {cause: details.cause});
     this.name = 'ServingError';
     this.kind = kind;
-    this.run = details.run ?? errorAnswers[kind].run;
+    this.run = details.run ?? errorResponses[kind].run;
     this.retryAfterMs = details.retryAfterMs;
     this.faults = details.faults ?? [];
   }
--- a/packages/base/src/inFlight.ts
+++ b/packages/base/src/inFlight.ts
@@ -1,22 +1,22 @@
 /** Counter of operations in progress that can be awaited to drain. */
 import type {Clock} from './clock.js';
 
-export interface InFlight {
+export interface InFlightCounter {
   begin(): void;
   end(): void;
   count(): number;
   /** Resolves to true once nothing is in progress, to false on timeout. */
-  idle(timeoutMs: number): Promise<boolean>;
+  waitUntilIdle(timeoutMs: number): Promise<boolean>;
 }
 
 /**
  * Creates a counter at zero.
  *
  * @example
- * const inFlight = createInFlight(clock);
+ * const inFlight = createInFlightCounter(clock);
  * await inFlight.idle(30_000);
  */
-export function createInFlight(clock: Clock): InFlight {
+export function createInFlightCounter(clock: Clock): InFlightCounter {
   let count = 0;
   const idleListeners = new Set<() => void>();
   return {
@@ -30,7 +30,7 @@
       }
     },
     count: () => count,
-    idle(timeoutMs) {
+    waitUntilIdle(timeoutMs) {
       if (count === 0) {
         return Promise.resolve(true);
       }
--- a/packages/base/src/processLifecycle.ts
+++ b/packages/base/src/processLifecycle.ts
@@ -7,7 +7,7 @@
  * with an older lookup result. `leaving`: refuses new requests and drains those
  * in flight. `stopped`.
  */
-export type LifeState = 'serving' | 'lingering' | 'leaving' | 'stopped';
+export type LifecycleState = 'serving' | 'lingering' | 'leaving' | 'stopped';
 
 export type LifecycleEvent = 'announce' | 'refuse' | 'close';
 
@@ -18,8 +18,8 @@
   stopped: state(),
 });
 
-export interface ProcessLife {
-  state(): LifeState;
+export interface ProcessLifecycle {
+  state(): LifecycleState;
   /** Applies an event; ignored without a transition from this state. */
   send(event: LifecycleEvent): void;
 }
@@ -28,13 +28,13 @@
  * Creates the lifecycle of a process that has just started.
  *
  * @example
- * const life = createProcessLife();
+ * const life = createProcessLifecycle();
  * life.send('announce');
  */
-export function createProcessLife(): ProcessLife {
+export function createProcessLifecycle(): ProcessLifecycle {
   const service = interpret(lifecycleMachine, () => {});
   return {
-    state: () => service.machine.current as LifeState,
+    state: () => service.machine.current as LifecycleState,
     send: event => service.send(event),
   };
 }
--- a/packages/base/src/shapes.ts
+++ b/packages/base/src/shapes.ts
@@ -1,15 +1,15 @@
 /** Validation of external values against a schema. */
 import type * as z from 'zod';
-import {ServingError, type ErrorKind, type Fault} from './errors.js';
+import {ServingError, type ErrorKind, type ValidationFault} from './errors.js';
 
 /**
  * Validates a value against a schema and returns it typed. Throws a
  * `ServingError` of the given kind that lists every fault with its path.
  *
  * @example
- * const settings = checkShape(entrySettings, JSON.parse(text), 'bad-settings');
+ * const settings = validateShape(entrySettings, JSON.parse(text), 'bad-settings');
  */
-export function checkShape<T extends z.ZodType>(
+export function validateShape<T extends z.ZodType>(
   schema: T,
   value: unknown,
   kind: ErrorKind,
@@ -48,7 +48,7 @@
   }
 }
 
-function toFault(issue: z.core.$ZodIssue): Fault {
+function toFault(issue: z.core.$ZodIssue): ValidationFault {
   const path = issue.path.map(String).join('.');
   return {path, expected: issue.message};
 }
--- a/packages/base/src/test/processLifecycle.test.ts
+++ b/packages/base/src/test/processLifecycle.test.ts
@@ -1,6 +1,9 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createProcessLife, type LifecycleEvent} from '../processLifecycle.js';
+import {
+  createProcessLifecycle,
+  type LifecycleEvent,
+} from '../processLifecycle.js';
 
 const cases: readonly [readonly LifecycleEvent[], string][] = [
   [[], 'serving'],
@@ -15,7 +18,7 @@
 describe('process lifecycle', () => {
   for (const [events, expected] of cases) {
     it(`is ${expected} after ${events.join(', ') || 'nothing'}`, () => {
-      const life = createProcessLife();
+      const life = createProcessLifecycle();
       events.forEach(life.send);
       assert.equal(life.state(), expected);
     });
--- a/packages/base/src/virtualClock.ts
+++ b/packages/base/src/virtualClock.ts
@@ -8,7 +8,7 @@
   /** Like `advance`, but without settling promises, for synchronous replays. */
   advanceSync(spanMs: number): void;
   /** Advances time without running timers, as after a process pause. */
-  pause(spanMs: number): void;
+  jump(spanMs: number): void;
   /** Shifts only the wall clock. */
   shiftWall(spanMs: number): void;
 }
@@ -89,7 +89,7 @@
       }
       nowMs = Math.max(nowMs, limitMs);
     },
-    pause(spanMs) {
+    jump(spanMs) {
       nowMs += spanMs;
     },
     shiftWall(spanMs) {
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -3,7 +3,7 @@
  * true speed, over time; and what callers get of a plan by it, by the truth, and
  * by figures that were fixed for another engine.
  */
-import {plannedUse, type EngineFigures} from '@skylarkfield/capacity';
+import {targetUtilization, type EngineEstimate} from '@skylarkfield/capacity';
 import {endpointsNeeded, workMs} from '@skylarkfield/traffic';
 import {
   ENGINE_PROFILES,
@@ -65,7 +65,7 @@
     onDidSecond(_, entry) {
       const {engines} = entry;
       ratios.push(engines.figures(SERVICE).usualPromptMs / trueMs);
-      usualUse = engines.signs(SERVICE).use.usual;
+      usualUse = engines.demandSignals(SERVICE).use.usual;
       needed = neededBy(entry, profile);
     },
   });
@@ -92,8 +92,8 @@
   profile: EngineProfile,
 ): Record<PlanName, number> {
   const learned = engines.figures(SERVICE);
-  const signs = engines.signs(SERVICE);
-  const truth: EngineFigures = {
+  const signs = engines.demandSignals(SERVICE);
+  const truth: EngineEstimate = {
     ...learned,
     promptTokenMs: profile.tokenMs,
     pairsMs: profile.pairsMs,
@@ -105,11 +105,14 @@
     goalMs,
     timeoutMs: deadlineMs,
   }));
-  const work = engines.workOf(SERVICE);
+  const work = engines.workRate(SERVICE);
   const fixedMs = workMs(work, {...learned, ...FIXED});
   return {
     learned: endpointsNeeded(signs.workRate, signs.use.usual),
-    true: endpointsNeeded(workMs(work, truth), plannedUse(truth, aims).usual),
+    true: endpointsNeeded(
+      workMs(work, truth),
+      targetUtilization(truth, aims).usual,
+    ),
     fixed: endpointsNeeded(fixedMs, FIXED.use),
   };
 }
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -116,15 +116,15 @@
       return;
     }
     const call = callOf(kind, demand.model);
-    entry.engines.work.note(SERVICE, promptWork(demand.model));
-    const wait = entry.observer.wait(call, choice, kind.deadlineMs);
+    entry.engines.work.record(SERVICE, promptWork(demand.model));
+    const wait = entry.observer.expectedWait(call, choice, kind.deadlineMs);
     if (options.refusesLate && wait.isTooLong) {
       choice.finish({outcome: 'cancelled', latencyMs: 0});
       note('refused');
       return;
     }
     const seen = entry.observer.observe(call, choice, true);
-    const sink = seen.watched({
+    const sink = seen.wrap({
       begin() {},
       write: () => true,
       whenDrained() {},
@@ -146,7 +146,7 @@
       onDidEnd() {
         timer.dispose();
         seen.noteEnd();
-        entry.engines.work.note(
+        entry.engines.work.record(
           SERVICE,
           answerWork(demand.model, demand.answerTokens),
         );
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -7,10 +7,10 @@
 } from '@skylarkfield/base';
 import {
   createEngineObserver,
-  createEnginesView,
+  createEngineEstimates,
   createPeerReports,
   type EngineObserver,
-  type EnginesView,
+  type EngineEstimates,
 } from '@skylarkfield/gateway';
 import type {Messages} from '@skylarkfield/protocol';
 import {createRouter, type Router} from '@skylarkfield/routing';
@@ -36,7 +36,7 @@
 export interface ReplayEntry {
   readonly id: string;
   readonly router: Router;
-  readonly engines: EnginesView;
+  readonly engines: EngineEstimates;
   readonly observer: EngineObserver;
   digest(): Digest;
   hear(peer: string, digest: Digest): void;
@@ -61,18 +61,18 @@
   const reports = createPeerReports({
     clock,
     failureDomain: 'a',
-    silenceMs: SILENCE_MS,
+    reporterTimeoutMs: SILENCE_MS,
     quotaWindowMs: QUOTA_WINDOW_MS,
   });
   const aims = kinds.map(({goalMs, deadlineMs}) => ({
     goalMs,
     timeoutMs: deadlineMs,
   }));
-  const engines = createEnginesView({
+  const engines = createEngineEstimates({
     clock,
     reports,
     log,
-    recalled: () => ({}),
+    restored: () => ({}),
     isModel: () => true,
     aims: () => aims,
   });
@@ -119,12 +119,12 @@
       used: {},
       loads: router.ownLoads(),
       work: engines.work.rates(),
-      outcomes: engines.outcomes.sums(),
-      capacity: engines.model.sums(),
+      outcomes: engines.outcomes.counts(),
+      capacity: engines.model.stats(),
     }),
     hear(peer, digest) {
-      if (reports.take(peer, digest) !== undefined) {
-        router.reportEntry(peer, digest.loads);
+      if (reports.accept(peer, digest) !== undefined) {
+        router.reportEntryLoads(peer, digest.loads);
       }
     },
   };
--- a/packages/bench/src/moves.ts
+++ b/packages/bench/src/moves.ts
@@ -8,7 +8,7 @@
   silentLogger,
   virtualClock,
 } from '@skylarkfield/base';
-import {createMoveJudge, type MoveState} from '@skylarkfield/moves';
+import {createMoveController, type MoveState} from '@skylarkfield/moves';
 import type {Move} from '@skylarkfield/records';
 import type {MeasureOptions} from './measurements.js';
 import {createCanary} from './replay/canary.js';
@@ -163,7 +163,7 @@
 function judgeOurs(mix: Mix, version: Version, seed: number): Verdict {
   const clock = virtualClock(WALL_START_MS);
   const decisions = decisionLog(clock, silentLogger());
-  const judge = createMoveJudge({clock, decisions});
+  const judge = createMoveController({clock, decisions});
   const random = seededRandom(seed);
   const spanMs = mix.hours * HOUR_MS;
   const tickMs = TICK_MS[mix.name] as number;
--- a/packages/bench/src/orderHandOver.ts
+++ b/packages/bench/src/orderHandOver.ts
@@ -1,6 +1,6 @@
 /** Waiting orders handed over in the ledger against over the inner protocol. */
 import {seededRandom, sleep, type Clock} from '@skylarkfield/base';
-import {memoryPlatform} from '@skylarkfield/providers';
+import {createMemoryPlatform} from '@skylarkfield/providers';
 import {startLedgers, type LedgerFleet} from './orderLedgers.js';
 
 const ENTRIES = 3;
@@ -51,8 +51,8 @@
   way: HandOverResult['way'],
 ): Promise<HandOverResult> {
   const random = seededRandom(seed);
-  const platform = memoryPlatform({clock, random});
-  platform.faults.setSlow(PLATFORM_DELAY_MS);
+  const platform = createMemoryPlatform({clock, random});
+  platform.faults.setDelay(PLATFORM_DELAY_MS);
   let largest = 0;
   platform.table.onDidChange(change => {
     if (change.type === 'put' && change.kind === LEDGER_KIND) {
--- a/packages/bench/src/orderLedgers.ts
+++ b/packages/bench/src/orderLedgers.ts
@@ -5,7 +5,7 @@
   type Dispatch,
   type Ledger,
   type LedgerSettings,
-  type OrderAnswer,
+  type SubmitResult,
 } from '@skylarkfield/orders';
 import type {MemoryPlatform} from '@skylarkfield/providers';
 import {createMemoryNetwork, type NetworkTraffic} from '@skylarkfield/protocol';
@@ -16,7 +16,7 @@
     entry: number,
     timeoutMs: number,
     body?: Uint8Array,
-  ): Promise<OrderAnswer>;
+  ): Promise<SubmitResult>;
   /** Leaves at one entry, which takes no new work from then on. */
   leave(entry: number): Promise<void>;
   ledgers(): readonly Ledger[];
@@ -85,7 +85,7 @@
       return ledgerAt(entry).leave();
     },
     ledgers: () => ledgers,
-    traffic: () => network.total(),
+    traffic: () => network.totalTraffic(),
     dispose: () => ledgers.forEach(ledger => ledger.dispose()),
   };
 }
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -12,7 +12,10 @@
   type Random,
 } from '@skylarkfield/base';
 import type {LedgerSettings} from '@skylarkfield/orders';
-import {memoryPlatform, type MemoryPlatform} from '@skylarkfield/providers';
+import {
+  createMemoryPlatform,
+  type MemoryPlatform,
+} from '@skylarkfield/providers';
 import {measureHandOver} from './orderHandOver.js';
 import {startLedgers, type LedgerFleet} from './orderLedgers.js';
 import type {MeasureOptions} from './measurements.js';
@@ -76,7 +79,7 @@
     const random = seededRandom(options.seed);
     const rate = BASE_RATE * (FACTORS.at(-1) ?? 1);
     const result = await measureLedger(clock, random, rate, runSeconds, {
-      writeGapMs,
+      minWriteIntervalMs: writeGapMs,
     });
     gaps.push({writeGapMs, ...result});
   }
@@ -161,8 +164,8 @@
 }
 
 function slowPlatform(clock: Clock, random: Random): MemoryPlatform {
-  const platform = memoryPlatform({clock, random, historyLimit: 100});
-  platform.faults.setSlow(PLATFORM_DELAY_MS);
+  const platform = createMemoryPlatform({clock, random, historyLimit: 100});
+  platform.faults.setDelay(PLATFORM_DELAY_MS);
   return platform;
 }
 
--- a/packages/bench/src/reclaim/fleet.ts
+++ b/packages/bench/src/reclaim/fleet.ts
@@ -4,9 +4,9 @@
 import type {Engine} from '@skylarkfield/endpoints';
 import type {Candidate} from '@skylarkfield/routing';
 import {
-  createEngineModel,
+  createSimulatedEngine,
   createLocalEngine,
-  type EngineModel,
+  type SimulatedEngine,
 } from '@skylarkfield/standins';
 
 /** How a failure domain goes. */
@@ -21,7 +21,7 @@
   readonly candidate: Candidate;
   readonly url: string;
   readonly engine: Engine;
-  readonly model: EngineModel;
+  readonly model: SimulatedEngine;
   readonly leaving: AbortController;
   /** Monotonic milliseconds by which it is gone. */
   goneAt: number | undefined;
@@ -41,13 +41,13 @@
   clock: VirtualClock,
   seed: number,
 ): FleetEndpoint[] {
-  const models = new Map<string, EngineModel>();
+  const models = new Map<string, SimulatedEngine>();
   return Array.from({length: REPLICAS}, (_, index) => {
     const url = `model://r${index}`;
     const random = seededRandom(seed * 31 + index);
     const leaving = new AbortController();
     setMaxListeners(0, leaving.signal);
-    const model = createEngineModel({clock, random, version: 'v1'});
+    const model = createSimulatedEngine({clock, random, version: 'v1'});
     models.set(url, model);
     return {
       candidate: {
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -8,16 +8,16 @@
   virtualClock,
 } from '@skylarkfield/base';
 import {
-  promptBlocks,
-  promptTokens,
+  hashPromptBlocks,
+  tokenizePrompt,
   type Engine,
   type GenerationEvent,
 } from '@skylarkfield/endpoints';
 import {createRouter, type Router} from '@skylarkfield/routing';
-import {answerTokens} from '@skylarkfield/standins';
+import {generateAnswerTokens} from '@skylarkfield/standins';
 import {
   createStreamRunner,
-  type StreamPlace,
+  type EndpointPick,
   type StreamRequest,
 } from '@skylarkfield/streams';
 import {words} from '../routing/workloads.js';
@@ -126,14 +126,14 @@
     router: Router,
     excluded: ReadonlySet<string>,
     delivered: readonly string[],
-  ): StreamPlace {
-    const tokens = promptTokens(
+  ): EndpointPick {
+    const tokens = tokenizePrompt(
       `${stream.request.prompt}${delivered.length > 0 ? ' ' : ''}${delivered.join('')}`,
     );
     const choice = router.choose({
       service: 'assistant',
       version: 'v1',
-      blocks: promptBlocks(tokens),
+      blocks: hashPromptBlocks(tokens),
       promptTokens: tokens.length,
       excluded,
     });
@@ -152,8 +152,8 @@
           ? new AbortController().signal
           : endpoint.leaving.signal,
       goneAt: () => endpoint.goneAt,
-      started: found => choice.started(found),
-      streaming: () => choice.streaming(),
+      onStart: found => choice.started(found),
+      onFirstToken: () => choice.streaming(),
       finish: result => choice.finish(result),
     };
   }
@@ -207,7 +207,7 @@
         await entry.runner.run(
           request,
           {
-            place: (excluded, delivered) =>
+            pickEndpoint: (excluded, delivered) =>
               place(stream, entry.router, excluded, delivered),
             mayRetry() {
               entry.retries += 1;
@@ -305,7 +305,11 @@
 }
 
 function isWrong({request, tokens, isDone}: Stream): boolean {
-  const right = answerTokens(request.prompt, request.seed, request.maxTokens);
+  const right = generateAnswerTokens(
+    request.prompt,
+    request.seed,
+    request.maxTokens,
+  );
   const seen = isDone ? right : right.slice(0, tokens.length);
   return seen.join('') !== tokens.join('');
 }
--- a/packages/bench/src/replay/gates.ts
+++ b/packages/bench/src/replay/gates.ts
@@ -7,7 +7,7 @@
   type Random,
 } from '@skylarkfield/base';
 import {
-  createAdmission,
+  createAdmissionController,
   type AdmissionRequest,
   type LimitPolicy,
   type Permit,
@@ -69,7 +69,12 @@
 function admissionGate(options: GateOptions, limitPolicy: LimitPolicy): Gate {
   const {clock, random, services, entryCount} = options;
   const decisions = decisionLog(clock, silentLogger());
-  const admission = createAdmission({clock, random, decisions, limitPolicy});
+  const admission = createAdmissionController({
+    clock,
+    random,
+    decisions,
+    limitPolicy,
+  });
   admission.setEntryCount(entryCount);
   for (const service of services) {
     admission.setService(service.name, service);
--- a/packages/bench/src/routing/decisionTime.ts
+++ b/packages/bench/src/routing/decisionTime.ts
@@ -5,7 +5,7 @@
   silentLogger,
   systemClock,
 } from '@skylarkfield/base';
-import {promptBlocks} from '@skylarkfield/endpoints';
+import {hashPromptBlocks} from '@skylarkfield/endpoints';
 import {createRouter, type Candidate} from '@skylarkfield/routing';
 
 export interface DecisionTime {
@@ -39,7 +39,7 @@
  */
 export function measureDecisionTime(): DecisionTime[] {
   const tokens = Array.from({length: PROMPT_TOKENS}, (_, index) => `w${index}`);
-  const blocks = promptBlocks(tokens);
+  const blocks = hashPromptBlocks(tokens);
   const entries = Array.from({length: ENTRIES}, (_, index) => `e${index}`);
   return SIZES.map(replicas => {
     const clock = systemClock();
@@ -68,7 +68,7 @@
     const {user, system} = process.cpuUsage(start);
     return {
       replicas,
-      held: router.held().length,
+      held: router.assignedEndpoints().length,
       microseconds: Number(((user + system) / DECISIONS).toFixed(1)),
     };
   });
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -115,7 +115,8 @@
       return choice;
     },
     reportLoad: (endpoint, report) => router.reportLoad(endpoint, report),
-    reportCache: (endpoint, events) => router.reportCache(endpoint, events),
+    reportCache: (endpoint, events) =>
+      router.applyCacheEvents(endpoint, events),
   };
 }
 
--- a/packages/bench/src/routing/replay.ts
+++ b/packages/bench/src/routing/replay.ts
@@ -7,10 +7,10 @@
   type VirtualClock,
 } from '@skylarkfield/base';
 import {
-  BLOCK_TOKENS,
-  promptBlocks,
-  promptTokens,
-  type Generation,
+  TOKENS_PER_BLOCK,
+  hashPromptBlocks,
+  tokenizePrompt,
+  type GenerationRequest,
 } from '@skylarkfield/endpoints';
 import type {
   Candidate,
@@ -18,9 +18,9 @@
   RouteWeights,
 } from '@skylarkfield/routing';
 import {
-  createEngineModel,
+  createSimulatedEngine,
   type EngineCosts,
-  type EngineModel,
+  type SimulatedEngine,
 } from '@skylarkfield/standins';
 import {policies, type Policy, type PolicyName} from './policies.js';
 import {
@@ -95,7 +95,7 @@
   function countNew(blocks: readonly string[], tokens: number): number {
     const known = blocks.findIndex(block => !seen.has(block));
     const found = known < 0 ? blocks.length : known;
-    return Math.max(1, tokens - found * BLOCK_TOKENS);
+    return Math.max(1, tokens - found * TOKENS_PER_BLOCK);
   }
 
   function runTurn(
@@ -105,8 +105,8 @@
     done: (answer: string) => void,
     entry: number,
   ) {
-    const tokens = promptTokens(prompt);
-    const blocks = promptBlocks(tokens);
+    const tokens = tokenizePrompt(prompt);
+    const blocks = hashPromptBlocks(tokens);
     const routingRequest: RoutingRequest = {
       service: workload.name,
       version: 'v1',
@@ -128,7 +128,7 @@
     const texts: string[] = [];
     open += 1;
     attempts += 1;
-    const generation: Generation = {
+    const generation: GenerationRequest = {
       attempt: `entry${entry}-${attempts}`,
       prompt,
       maxTokens: turn.maxTokens,
@@ -162,8 +162,8 @@
             cachedTokens: event.cachedTokens,
           });
           const answer = texts.join('');
-          promptBlocks(promptTokens(`${prompt} ${answer}`)).forEach(block =>
-            seen.add(block),
+          hashPromptBlocks(tokenizePrompt(`${prompt} ${answer}`)).forEach(
+            block => seen.add(block),
           );
           done(answer);
         }
@@ -239,11 +239,11 @@
 function createEngines(
   options: ReplayOptions,
   clock: VirtualClock,
-): Map<string, EngineModel> {
+): Map<string, SimulatedEngine> {
   return new Map(
     describeEngines(options.workload).map(({id}, index) => [
       id,
-      createEngineModel({
+      createSimulatedEngine({
         clock,
         random: seededRandom(options.seed * 31 + index),
         version: 'v1',
@@ -274,7 +274,7 @@
 /** Each entry asks each engine at its own times, as processes without a common clock do. */
 function startPolling(
   clock: VirtualClock,
-  engines: ReadonlyMap<string, EngineModel>,
+  engines: ReadonlyMap<string, SimulatedEngine>,
   entries: readonly Policy[],
 ) {
   entries.forEach((entry, index) => {
--- a/packages/bench/src/slopes/memberCluster.ts
+++ b/packages/bench/src/slopes/memberCluster.ts
@@ -7,8 +7,8 @@
   virtualClock,
 } from '@skylarkfield/base';
 import {createMembership, type Membership} from '@skylarkfield/members';
-import {memoryPlatform} from '@skylarkfield/providers';
-import {MEMORY_SCHEME, createMemoryNetwork} from '@skylarkfield/protocol';
+import {createMemoryPlatform} from '@skylarkfield/providers';
+import {MEMORY_URL_PREFIX, createMemoryNetwork} from '@skylarkfield/protocol';
 
 const FAILURE_DOMAINS = 10;
 
@@ -23,7 +23,7 @@
   const clock = virtualClock();
   const random = seededRandom(seed);
   const net = createMemoryNetwork({clock, random});
-  const platform = memoryPlatform({clock, random});
+  const platform = createMemoryPlatform({clock, random});
   const decisions = decisionLog(clock, silentLogger());
   const members = new Map<string, Membership>();
   let incarnation = 0;
@@ -40,7 +40,7 @@
         id,
         incarnation,
         callerUrl: `http://10.0.0.1:8080/${id}`,
-        innerUrl: MEMORY_SCHEME + id,
+        innerUrl: MEMORY_URL_PREFIX + id,
         failureDomain: domainOf(id),
         region: 'region-1',
       },
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -59,11 +59,11 @@
 
 async function measureSteady(cluster: MemberCluster) {
   const {net, clock, members} = cluster;
-  const before = net.total();
+  const before = net.totalTraffic();
   const cpu = process.cpuUsage();
   await clock.advance(STEADY_MS);
   const used = process.cpuUsage(cpu);
-  const after = net.total();
+  const after = net.totalTraffic();
   const share = members.size * (STEADY_MS / 1000);
   return {
     messages: (2 * (after.messagesSent - before.messagesSent)) / share,
@@ -76,13 +76,13 @@
 async function measureChange(cluster: MemberCluster, steadyBytes: number) {
   const {net, clock, members} = cluster;
   const id = cluster.random.pick([...members.keys()])!;
-  const before = net.total().bytesSent;
+  const before = net.totalTraffic().bytesSent;
   cluster.crash(id);
   const noticed = await noticeTimes(cluster, new Set([id]));
   await clock.advance(CHANGE_WINDOW_MS - noticed.lastNoticeMs);
   cluster.start(id);
   await clock.advance(CHANGE_WINDOW_MS);
-  const bytes = (2 * (net.total().bytesSent - before)) / members.size;
+  const bytes = (2 * (net.totalTraffic().bytesSent - before)) / members.size;
   const steady = (steadyBytes * 2 * CHANGE_WINDOW_MS) / 1000;
   return {...noticed, bytesPerChange: Math.max(0, bytes - steady)};
 }
@@ -156,9 +156,9 @@
   let agreedMs = -1;
   let seconds = 0;
   for (; seconds < 90 && agreedMs < 0; seconds++) {
-    const before = cluster.net.total().bytesSent;
+    const before = cluster.net.totalTraffic().bytesSent;
     await cluster.clock.advance(1_000);
-    const sent = cluster.net.total().bytesSent - before;
+    const sent = cluster.net.totalTraffic().bytesSent - before;
     busiestBytes = Math.max(busiestBytes, (2 * sent) / cluster.members.size);
     if (cluster.listing(ids) === 0) {
       agreedMs = (seconds + 1) * 1_000;
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -11,7 +11,7 @@
 } from '@skylarkfield/base';
 import type {Dispatch} from '@skylarkfield/orders';
 import {
-  memoryPlatform,
+  createMemoryPlatform,
   type MemoryPlatform,
   type StoredObject,
 } from '@skylarkfield/providers';
@@ -47,8 +47,8 @@
 async function measureOwner(seed: number, rate: number) {
   const clock = virtualClock();
   const random = seededRandom(seed);
-  const memory = memoryPlatform({clock, random});
-  memory.faults.setSlow(PLATFORM_DELAY_MS);
+  const memory = createMemoryPlatform({clock, random});
+  memory.faults.setDelay(PLATFORM_DELAY_MS);
   const written = {bytes: 0};
   const fleet = startLedgers({
     clock,
--- a/packages/bench/src/slopes/replicaSlopes.ts
+++ b/packages/bench/src/slopes/replicaSlopes.ts
@@ -118,7 +118,7 @@
   type: T,
   body: Messages[T],
 ): number {
-  return encodeFrame({type, ask: 0, body}).length;
+  return encodeFrame({type, requestId: 0, body}).length;
 }
 
 /** A service with two routes: of the record kinds the one with the most fields. */
--- a/packages/bench/src/slopes/socketSlopes.ts
+++ b/packages/bench/src/slopes/socketSlopes.ts
@@ -39,7 +39,7 @@
   const [hub, ...spokes] = peers;
   const before = collectedResidentBytes();
   hub!.network.setPeers(spokes.map(spoke => spoke.address));
-  while (hub!.network.connected().length < PEERS) {
+  while (hub!.network.connectedPeers().length < PEERS) {
     await new Promise(resolve => setTimeout(resolve, 10));
   }
   const bytesPerEnd = (collectedResidentBytes() - before) / (2 * PEERS);
@@ -47,7 +47,7 @@
   const [peer] = spokes;
   peer!.network.onDidReceive('memberWord', () => ({heardAgoMs: 1}));
   const ask = () =>
-    hub!.network.ask(
+    hub!.network.request(
       peer!.address.id,
       'memberWord',
       {id: 'p1', incarnation: 1},
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -6,7 +6,7 @@
  * delay of 1 ms between entries and 4 ms to the platform on the real clock.
  */
 import {seededRandom, sleep, systemClock, type Clock} from '@skylarkfield/base';
-import {memoryPlatform} from '@skylarkfield/providers';
+import {createMemoryPlatform} from '@skylarkfield/providers';
 import type {MeasureOptions} from './measurements.js';
 import {startSpreadFleet, type SpreadFleet} from './spreadFleet.js';
 
@@ -141,8 +141,8 @@
   rounds: number,
   seed: number,
 ): Promise<SpreadResult> {
-  const platform = memoryPlatform({clock, random: seededRandom(seed)});
-  platform.faults.setSlow(PLATFORM_DELAY_MS);
+  const platform = createMemoryPlatform({clock, random: seededRandom(seed)});
+  platform.faults.setDelay(PLATFORM_DELAY_MS);
   const stores = Array.from({length: count}, (_, index) =>
     platform.client(`b${index}`, {liveEntries: count}),
   );
@@ -185,11 +185,11 @@
 
 async function measureIdle(clock: Clock, fleet: SpreadFleet) {
   const {platform, net, entries} = fleet;
-  const before = {load: platform.load(), total: net.total()};
+  const before = {load: platform.load(), total: net.totalTraffic()};
   const start = clock.now();
   await sleep(clock, IDLE_SECONDS * 1000);
   const seconds = (clock.now() - start) / 1000;
-  const after = {load: platform.load(), total: net.total()};
+  const after = {load: platform.load(), total: net.totalTraffic()};
   const calls =
     after.load.reads -
     before.load.reads +
--- a/packages/bench/src/spreadFleet.ts
+++ b/packages/bench/src/spreadFleet.ts
@@ -7,17 +7,17 @@
 } from '@skylarkfield/base';
 import {neighboursOf} from '@skylarkfield/members';
 import {
-  memoryPlatform,
+  createMemoryPlatform,
   type MemoryClient,
   type MemoryPlatform,
 } from '@skylarkfield/providers';
 import {
   createMemoryNetwork,
-  MEMORY_SCHEME,
+  MEMORY_URL_PREFIX,
   type MemoryNetwork,
 } from '@skylarkfield/protocol';
 import {
-  createAcceptance,
+  createAcceptanceController,
   createConfiguration,
   type ConfigurationClient,
 } from '@skylarkfield/records';
@@ -55,8 +55,8 @@
 ): SpreadFleet {
   const {count, seed} = options;
   const random = seededRandom(seed);
-  const platform = memoryPlatform({clock, random});
-  platform.faults.setSlow(PLATFORM_DELAY_MS);
+  const platform = createMemoryPlatform({clock, random});
+  platform.faults.setDelay(PLATFORM_DELAY_MS);
   const net = createMemoryNetwork({clock, random, delayMs: 1});
   const domains = count > SMALL_FLEET ? LARGE_DOMAINS : SMALL_DOMAINS;
   const members = Array.from({length: count}, (_, index) => ({
@@ -66,7 +66,7 @@
   const peers = members.map(({id}) => ({
     id,
     incarnation: 1,
-    url: `${MEMORY_SCHEME}${id}`,
+    url: `${MEMORY_URL_PREFIX}${id}`,
   }));
 
   const started = members.map(self => {
@@ -90,15 +90,16 @@
     return {id: self.id, store, configuration};
   });
   const [first] = entries;
-  const acceptance = createAcceptance({
+  const acceptance = createAcceptanceController({
     clock,
     random,
     store: (first as SpreadEntry).store,
     log: silentLogger(),
     canAct: () => true,
     onDidAccept: (key, accepted) =>
-      (first as SpreadEntry).configuration.offer(key, accepted),
-    lacking: records => (first as SpreadEntry).configuration.lacking(records),
+      (first as SpreadEntry).configuration.applyAccepted(key, accepted),
+    membersLacking: records =>
+      (first as SpreadEntry).configuration.membersLacking(records),
   });
 
   return {
--- a/packages/bench/src/test/streamFaults.test.ts
+++ b/packages/bench/src/test/streamFaults.test.ts
@@ -9,11 +9,11 @@
 import {createHttpEngine} from '@skylarkfield/endpoints';
 import {createRouter} from '@skylarkfield/routing';
 import {
-  answerTokens,
+  generateAnswerTokens,
   startEngineStandin,
   type EngineFault,
 } from '@skylarkfield/standins';
-import {createStreamRunner, type StreamPlace} from '@skylarkfield/streams';
+import {createStreamRunner, type EndpointPick} from '@skylarkfield/streams';
 
 const PROMPT = 'which oak stain matches this floor';
 const SEED = 12;
@@ -58,7 +58,7 @@
     })),
   );
   const places: string[] = [];
-  function place(excluded: ReadonlySet<string>): StreamPlace {
+  function place(excluded: ReadonlySet<string>): EndpointPick {
     // The first attempt has to meet the faults.
     const others = new Set(places.length === 0 ? ['r1', 'r2'] : excluded);
     const choice = router.choose({
@@ -82,7 +82,7 @@
   const texts: string[] = [];
   const faulty = {set: (f: EngineFault[]) => void standins[0]!.setFaults(f)};
   try {
-    const summary = await createStreamRunner({clock, self: 'e1'}).run(
+    const summary = await createStreamRunner({clock, entryId: 'e1'}).run(
       {
         id: 'q',
         prompt: PROMPT,
@@ -93,7 +93,7 @@
         deadline: clock.now() + 20_000,
       },
       {
-        place,
+        pickEndpoint: place,
         mayRetry: () => true,
         deliver(token) {
           texts.push(token.text);
@@ -110,7 +110,7 @@
 }
 
 describe('streams over HTTP', () => {
-  const right = answerTokens(PROMPT, SEED, MAX_TOKENS);
+  const right = generateAnswerTokens(PROMPT, SEED, MAX_TOKENS);
 
   // An engine fails in one of the ways that are known of real ones. The caller
   // must see the right text, whole and once.
--- a/packages/capacity/src/capacityStats.ts
+++ b/packages/capacity/src/capacityStats.ts
@@ -1,14 +1,16 @@
 /** Adds and scales the capacity statistics of entries. */
-import type {CapacitySums, PaceStats, ServiceStats} from './contracts.js';
+import type {CapacityStats, PaceStats, ServiceStats} from './contracts.js';
 import {addStats, scaleStats} from './regression.js';
 
 /**
  * Adds up the statistics of several entries.
  *
  * @example
- * const total = addCapacity([model.sums(), ...peers]);
+ * const total = addCapacityStats([model.sums(), ...peers]);
  */
-export function addCapacity(parts: readonly CapacitySums[]): CapacitySums {
+export function addCapacityStats(
+  parts: readonly CapacityStats[],
+): CapacityStats {
   const names = new Set(parts.flatMap(part => Object.keys(part)));
   return Object.fromEntries(
     [...names].map(name => [
@@ -22,12 +24,12 @@
  * Scales the weight of statistics by a factor.
  *
  * @example
- * const decayed = scaleCapacity(stats, 0.5);
+ * const decayed = scaleCapacityStats(stats, 0.5);
  */
-export function scaleCapacity(
-  stats: CapacitySums,
+export function scaleCapacityStats(
+  stats: CapacityStats,
   factor: number,
-): CapacitySums {
+): CapacityStats {
   return Object.fromEntries(
     Object.entries(stats).map(([name, {prompts, answers, paces}]) => [
       name,
--- a/packages/capacity/src/contracts.ts
+++ b/packages/capacity/src/contracts.ts
@@ -48,10 +48,10 @@
   readonly paces: Readonly<Record<string, PaceStats>>;
 }
 
-export type CapacitySums = Readonly<Record<string, ServiceStats>>;
+export type CapacityStats = Readonly<Record<string, ServiceStats>>;
 
 /** Latency goals of a route. */
-export interface RouteAim {
+export interface LatencyTargets {
   /** Target time to the first event, in milliseconds. */
   readonly goalMs: number;
   /** Upper bound of the time to the whole answer, in milliseconds. */
@@ -59,7 +59,7 @@
 }
 
 /** Estimated performance of a service's engines. */
-export interface EngineFigures {
+export interface EngineEstimate {
   /** Milliseconds per prompt token, without attention to earlier tokens. */
   readonly promptTokenMs: number;
   /** Milliseconds per million pairs of a prompt token with one before it. */
--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -1,8 +1,8 @@
 /** Estimates engine performance from statistics and priors. */
 import type {
-  EngineFigures,
+  EngineEstimate,
   PaceStats,
-  RouteAim,
+  LatencyTargets,
   ServiceStats,
 } from './contracts.js';
 import {fitSlopes, type Prior, type RegressionStats} from './regression.js';
@@ -48,12 +48,12 @@
  * follows from the routes' goals, which operators set to what engines can do.
  *
  * @example
- * const {usualPromptMs} = engineFigures(stats.chat, [{goalMs: 800, timeoutMs: 10_000}]);
+ * const {usualPromptMs} = estimateEngine(stats.chat, [{goalMs: 800, timeoutMs: 10_000}]);
  */
-export function engineFigures(
+export function estimateEngine(
   stats: ServiceStats | undefined,
-  latencyGoals: readonly RouteAim[],
-): EngineFigures {
+  latencyGoals: readonly LatencyTargets[],
+): EngineEstimate {
   const {
     prompts = emptyStats(),
     answers = emptyStats(),
--- a/packages/capacity/src/engineModel.ts
+++ b/packages/capacity/src/engineModel.ts
@@ -10,7 +10,7 @@
 import {addPaces, scalePace} from './capacityStats.js';
 import type {
   AnswerSample,
-  CapacitySums,
+  CapacityStats,
   PaceStats,
   PromptSample,
 } from './contracts.js';
@@ -18,14 +18,14 @@
 
 /** Performance statistics of engines from the requests of one entry. */
 export interface EngineModel {
-  notePrompt(sample: PromptSample): void;
-  noteAnswer(sample: AnswerSample): void;
+  recordPrompt(sample: PromptSample): void;
+  recordAnswer(sample: AnswerSample): void;
   /** Returns this entry's statistics, to be merged with those of its peers. */
-  sums(): CapacitySums;
+  stats(): CapacityStats;
 }
 
 /** Half-life of samples, in milliseconds: endpoints and versions change. */
-export const HALF_LIFE_MS = 20_000;
+export const SAMPLE_HALF_LIFE_MS = 20_000;
 
 const PAIRS_PER_UNIT = 1e6;
 const CONTEXT_TOKENS_PER_UNIT = 1e3;
@@ -63,7 +63,7 @@
  * Creates the model of one entry, without samples.
  *
  * @example
- * model.notePrompt({service: 'chat', route: 'r1', ownTokens: 900, ...rest, tookMs: 62});
+ * model.recordPrompt({service: 'chat', route: 'r1', ownTokens: 900, ...rest, tookMs: 62});
  */
 export function createEngineModel(clock: Clock): EngineModel {
   const services = new Map<string, ServiceState>();
@@ -73,7 +73,7 @@
     if (known !== undefined) {
       return known;
     }
-    const common = {clock, halfLifeMs: HALF_LIFE_MS};
+    const common = {clock, halfLifeMs: SAMPLE_HALF_LIFE_MS};
     const state = {
       prompts: createRegression({...common, features: PROMPT_FEATURES}),
       answers: createRegression({...common, features: ANSWER_FEATURES}),
@@ -94,25 +94,25 @@
   }
 
   function decayed({at, stats}: DecayingPace): PaceStats {
-    return scalePace(stats, 2 ** ((at - clock.now()) / HALF_LIFE_MS));
+    return scalePace(stats, 2 ** ((at - clock.now()) / SAMPLE_HALF_LIFE_MS));
   }
 
   return {
-    notePrompt(sample) {
+    recordPrompt(sample) {
       const {prompts} = serviceState(sample.service);
       const {ownTokens, pendingTokens, route, tookMs} = sample;
       const ownFraction = ownTokens / Math.max(1, ownTokens + pendingTokens);
       const weight = Math.max(MIN_SAMPLE_WEIGHT, ownFraction ** 2);
       prompts.add(route, promptFeatures(sample), tookMs, weight);
     },
-    noteAnswer(sample) {
+    recordAnswer(sample) {
       const state = serviceState(sample.service);
       const {route, requests, contextTokens, stepMs} = sample;
       const features = [requests, contextTokens / CONTEXT_TOKENS_PER_UNIT];
       state.answers.add(route, features, stepMs);
       recordPace(state, sample);
     },
-    sums: () =>
+    stats: () =>
       Object.fromEntries(
         [...services].map(([name, {prompts, answers, paces}]) => [
           name,
--- a/packages/capacity/src/index.ts
+++ b/packages/capacity/src/index.ts
@@ -1,12 +1,15 @@
 /** Performance of model engines, estimated from the requests they serve. */
 export * from './contracts.js';
-export {addCapacity, scaleCapacity} from './capacityStats.js';
-export {engineFigures} from './engineEstimate.js';
+export {addCapacityStats, scaleCapacityStats} from './capacityStats.js';
+export {estimateEngine} from './engineEstimate.js';
 export {
   createEngineModel,
-  HALF_LIFE_MS,
+  SAMPLE_HALF_LIFE_MS,
   type EngineModel,
 } from './engineModel.js';
 export * from './outcomeMeter.js';
-export {plannedUse, type UsePlan} from './targetUtilization.js';
+export {
+  targetUtilization,
+  type TargetUtilization,
+} from './targetUtilization.js';
 export type {RegressionStats} from './regression.js';
--- a/packages/capacity/src/outcomeMeter.ts
+++ b/packages/capacity/src/outcomeMeter.ts
@@ -7,14 +7,14 @@
 import type {Clock} from '@skylarkfield/base';
 
 /** Exponentially decayed counts of recent requests. */
-export interface OutcomeSums {
+export interface OutcomeCounts {
   readonly count: number;
   readonly late: number;
 }
 
 export interface OutcomeMeter {
-  note(service: string, isLate: boolean): void;
-  sums(): Readonly<Record<string, OutcomeSums>>;
+  record(service: string, isLate: boolean): void;
+  counts(): Readonly<Record<string, OutcomeCounts>>;
 }
 
 /** Half-life in milliseconds, about the time that an endpoint takes to start. */
@@ -27,9 +27,9 @@
  * outcomes.note('chat', firstMs > route.goalMs);
  */
 export function createOutcomeMeter(clock: Clock): OutcomeMeter {
-  const services = new Map<string, OutcomeSums & {readonly at: number}>();
+  const services = new Map<string, OutcomeCounts & {readonly at: number}>();
 
-  function decayed(service: string): OutcomeSums {
+  function decayed(service: string): OutcomeCounts {
     const {count, late, at} = services.get(service) ?? {
       count: 0,
       late: 0,
@@ -40,7 +40,7 @@
   }
 
   return {
-    note(service, isLate) {
+    record(service, isLate) {
       const {count, late} = decayed(service);
       services.set(service, {
         count: count + 1,
@@ -48,7 +48,7 @@
         at: clock.now(),
       });
     },
-    sums: () =>
+    counts: () =>
       Object.fromEntries(
         [...services.keys()].map(name => [name, decayed(name)]),
       ),
@@ -62,9 +62,9 @@
  * Returns the fraction of late requests, 0 for too few requests.
  *
  * @example
- * const fraction = latePart([own.chat, ...peers]);
+ * const fraction = lateRequestFraction([own.chat, ...peers]);
  */
-export function latePart(parts: readonly OutcomeSums[]): number {
+export function lateRequestFraction(parts: readonly OutcomeCounts[]): number {
   const count = parts.reduce((sum, part) => sum + part.count, 0);
   const late = parts.reduce((sum, part) => sum + part.late, 0);
   return count < MIN_COUNT ? 0 : late / count;
--- a/packages/capacity/src/targetUtilization.ts
+++ b/packages/capacity/src/targetUtilization.ts
@@ -1,8 +1,8 @@
 /** Target utilization of engines, from the latency goals of their routes. */
-import type {EngineFigures, RouteAim} from './contracts.js';
+import type {EngineEstimate, LatencyTargets} from './contracts.js';
 
 /** Target utilization of an endpoint, 0 to 1. */
-export interface UsePlan {
+export interface TargetUtilization {
   /** In normal operation. */
   readonly usual: number;
   /** For the seconds until lost endpoints are replaced. */
@@ -44,12 +44,12 @@
  * ones must still finish before their callers time out.
  *
  * @example
- * const {usual} = plannedUse(figures, [{goalMs: 800, timeoutMs: 10_000}]); // 0.4
+ * const {usual} = targetUtilization(figures, [{goalMs: 800, timeoutMs: 10_000}]); // 0.4
  */
-export function plannedUse(
-  figures: EngineFigures,
-  latencyGoals: readonly RouteAim[],
-): UsePlan {
+export function targetUtilization(
+  figures: EngineEstimate,
+  latencyGoals: readonly LatencyTargets[],
+): TargetUtilization {
   const unbounded = Math.min(
     maxUtilizationForGoals(figures, latencyGoals),
     maxUtilizationForPace(figures),
@@ -60,8 +60,8 @@
 
 /** Inverts a queue's mean wait, u / (1 - u) mean prompts at utilization u. */
 function maxUtilizationForGoals(
-  {usualPromptMs}: EngineFigures,
-  latencyGoals: readonly RouteAim[],
+  {usualPromptMs}: EngineEstimate,
+  latencyGoals: readonly LatencyTargets[],
 ): number {
   const goalsMs = latencyGoals
     .map(({goalMs}) => goalMs)
@@ -76,6 +76,6 @@
 }
 
 /** At utilization u by prompts a step takes stepMs / (1 - u). */
-function maxUtilizationForPace({stepMs, neededPace}: EngineFigures): number {
+function maxUtilizationForPace({stepMs, neededPace}: EngineEstimate): number {
   return neededPace <= 0 ? 1 : 1 - (stepMs * neededPace) / SECOND_MS;
 }
--- a/packages/capacity/src/test/engineModel.test.ts
+++ b/packages/capacity/src/test/engineModel.test.ts
@@ -2,12 +2,12 @@
 import {describe, it} from 'node:test';
 import {seededRandom, virtualClock, type Random} from '@skylarkfield/base';
 import {
-  addCapacity,
+  addCapacityStats,
   createEngineModel,
-  engineFigures,
-  plannedUse,
+  estimateEngine,
+  targetUtilization,
   type EngineModel,
-  type RouteAim,
+  type LatencyTargets,
 } from '../index.js';
 
 /** True performance of a simulated engine, hidden from the model. */
@@ -48,7 +48,7 @@
   },
 ];
 
-const LATENCY_GOALS: readonly RouteAim[] = [
+const LATENCY_GOALS: readonly LatencyTargets[] = [
   {goalMs: 1_000, timeoutMs: 10_000},
   {goalMs: 600, timeoutMs: 15_000},
 ];
@@ -76,7 +76,7 @@
     const promptTokens = kind.shared + ownTokens;
     const pendingTokens = random.next() * 4_000;
     const pairs = (ownTokens * promptTokens) / 1e6;
-    model.notePrompt({
+    model.recordPrompt({
       service: 'chat',
       route: kind.route,
       ownTokens,
@@ -91,7 +91,7 @@
         pendingTokens * profile.tokenMs * 0.5,
     });
     const contextTokens = random.next() * 200_000;
-    model.noteAnswer({
+    model.recordAnswer({
       service: 'chat',
       route: kind.route,
       tokens: kind.answer * exponential(),
@@ -132,7 +132,7 @@
       // endpoints.
       const model = createEngineModel(virtualClock());
       addSamples(model, profile, 600, seededRandom(1_000));
-      const figures = engineFigures(model.sums()['chat'], LATENCY_GOALS);
+      const figures = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
       assertWithin(figures.usualPromptMs, meanPromptMs(profile), 0.2);
       assertWithin(figures.contextStepMs, profile.contextStepMs, 0.2);
       assert.ok(figures.isSure);
@@ -146,10 +146,13 @@
     const sums = Array.from({length: 9}, () => {
       const model = createEngineModel(virtualClock());
       addSamples(model, profile!, 30, random);
-      return model.sums();
+      return model.stats();
     });
-    const alone = engineFigures(sums[0]!['chat'], LATENCY_GOALS);
-    const together = engineFigures(addCapacity(sums)['chat'], LATENCY_GOALS);
+    const alone = estimateEngine(sums[0]!['chat'], LATENCY_GOALS);
+    const together = estimateEngine(
+      addCapacityStats(sums)['chat'],
+      LATENCY_GOALS,
+    );
     assert.equal(alone.isSure, false);
     assert.equal(together.isSure, true);
     assertWithin(together.usualPromptMs, meanPromptMs(profile!), 0.2);
@@ -163,7 +166,7 @@
     addSamples(model, PROFILES[0]!, 300, seededRandom(1));
     clock.advanceSync(60_000);
     addSamples(model, PROFILES[1]!, 300, seededRandom(2));
-    const figures = engineFigures(model.sums()['chat'], LATENCY_GOALS);
+    const figures = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
     assertWithin(figures.usualPromptMs, meanPromptMs(PROFILES[1]!), 0.3);
   });
 
@@ -175,7 +178,7 @@
     addSamples(model, profile!, 600, random);
     for (let index = 0; index < 12; index++) {
       const ownTokens = 900 + 4_000 * random.next();
-      model.notePrompt({
+      model.recordPrompt({
         service: 'chat',
         route: 'long',
         ownTokens,
@@ -185,7 +188,7 @@
         tookMs: 5_000,
       });
     }
-    const figures = engineFigures(model.sums()['chat'], LATENCY_GOALS);
+    const figures = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
     assertWithin(figures.usualPromptMs, meanPromptMs(profile!), 0.3);
   });
 
@@ -197,7 +200,7 @@
     const random = seededRandom(6);
     for (let index = 0; index < 400; index++) {
       const ownTokens = 500 + 4_000 * random.next();
-      model.notePrompt({
+      model.recordPrompt({
         service: 'chat',
         route: 'long',
         ownTokens,
@@ -207,7 +210,7 @@
         tookMs: 6_000 - ownTokens / 2 + 2_000 * random.next(),
       });
     }
-    const figures = engineFigures(model.sums()['chat'], LATENCY_GOALS);
+    const figures = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
     assert.ok(figures.usualTokenMs > 0);
     assert.equal(figures.isSure, false);
   });
@@ -220,19 +223,19 @@
     const answer = {service: 'chat', stepMs: 5, requests: 1, contextTokens: 9};
     for (let index = 0; index < 20; index++) {
       const long = {route: 'gone', tokens: 900, allowedMs: 9_000};
-      model.noteAnswer({...answer, ...long});
+      model.recordAnswer({...answer, ...long});
     }
     clock.advanceSync(180_000);
     for (let index = 0; index < 20; index++) {
       const short = {route: 'kept', tokens: 90, allowedMs: 9_000};
-      model.noteAnswer({...answer, ...short});
+      model.recordAnswer({...answer, ...short});
     }
-    const {neededPace} = engineFigures(model.sums()['chat'], LATENCY_GOALS);
+    const {neededPace} = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
     assert.ok(neededPace < 20, `${neededPace}`);
   });
 
   it('assumes feasible goals without samples', () => {
-    const figures = engineFigures(undefined, LATENCY_GOALS);
+    const figures = estimateEngine(undefined, LATENCY_GOALS);
     assert.equal(figures.isSure, false);
     assert.ok(figures.usualPromptMs > 0);
     assert.ok(figures.usualPromptMs < 600);
@@ -242,12 +245,12 @@
 describe('target utilization', () => {
   function utilizationOf(
     profile: Profile,
-    latencyGoals: readonly RouteAim[],
+    latencyGoals: readonly LatencyTargets[],
   ): number {
     const model = createEngineModel(virtualClock());
     addSamples(model, profile, 300, seededRandom(4));
-    return plannedUse(
-      engineFigures(model.sums()['chat'], latencyGoals),
+    return targetUtilization(
+      estimateEngine(model.stats()['chat'], latencyGoals),
       latencyGoals,
     ).usual;
   }
--- a/packages/cli/src/commands/lookup.ts
+++ b/packages/cli/src/commands/lookup.ts
@@ -1,5 +1,5 @@
 import {Command, Flags} from '@oclif/core';
-import type {LookupAnswer} from '@skylarkfield/members';
+import type {LookupResult} from '@skylarkfield/members';
 import {callerFlags} from '../callerFlags.js';
 import {requestJson} from '../input.js';
 import {printJson, printTable} from '../output.js';
@@ -33,7 +33,7 @@
     }
     const response = (await requestJson(url.href, {
       key: flags.key,
-    })) as LookupAnswer;
+    })) as LookupResult;
     if (flags.json) {
       printJson(response);
       return;
--- a/packages/cli/src/input.ts
+++ b/packages/cli/src/input.ts
@@ -1,7 +1,7 @@
 /** JSON files and HTTP responses that commands read. */
 import {readFileSync} from 'node:fs';
 import {
-  errorAnswers,
+  errorResponses,
   parseJson,
   ServingError,
   type ErrorKind,
@@ -128,7 +128,7 @@
 function parseErrorBody(text: string): ErrorBody | undefined {
   try {
     const body = JSON.parse(text) as ErrorBody;
-    return body.kind in errorAnswers ? body : undefined;
+    return body.kind in errorResponses ? body : undefined;
   } catch {
     return undefined;
   }
--- a/packages/duties/src/contracts.ts
+++ b/packages/duties/src/contracts.ts
@@ -17,14 +17,14 @@
   readonly signal: AbortSignal;
 }
 
-export interface Duties extends Disposable {
+export interface DutyElections extends Disposable {
   /**
    * Competes for a duty until disposed. Calls `start` for each tenure and
    * disposes its result at the end.
    */
   compete(duty: DutyName, start: (tenure: Tenure) => Disposable): Disposable;
   /** Returns this process's current tenure of a duty, if any. */
-  held(duty: DutyName): Tenure | undefined;
+  currentTenure(duty: DutyName): Tenure | undefined;
   /** Releases all leases, for a planned shutdown. */
   release(): Promise<void>;
   dump(): unknown;
--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -10,7 +10,7 @@
 } from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import {startLeaseElection, type LeaseElection} from './leaseElection.js';
-import type {Duties, DutyName, Tenure} from './contracts.js';
+import type {DutyElections, DutyName, Tenure} from './contracts.js';
 import {defaultLeaseTiming, type LeaseTiming} from './lease.js';
 
 /** Candidates for one duty; more would only add reads of the lease. */
@@ -24,10 +24,10 @@
  * does not depend on this selection.
  *
  * @example
- * const duties = createDuties({clock, random, store, self: {id: 'a1', incarnation: 7}, members});
+ * const duties = createDutyElections({clock, random, store, self: {id: 'a1', incarnation: 7}, members});
  * duties.compete('acceptance', tenure => startAcceptance(tenure));
  */
-export function createDuties(options: {
+export function createDutyElections(options: {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: ObjectStore;
@@ -42,7 +42,7 @@
   readonly log?: Logger;
   readonly decisions?: DecisionLog;
   readonly timing?: LeaseTiming;
-}): Duties {
+}): DutyElections {
   const {clock, random, store, self, members, decisions} = options;
   const elections = new Map<DutyName, LeaseElection>();
 
@@ -83,7 +83,7 @@
       );
       return toDisposable(() => void stopElection(duty));
     },
-    held(duty): Tenure | undefined {
+    currentTenure(duty): Tenure | undefined {
       return elections.get(duty)?.tenure();
     },
     release,
--- a/packages/duties/src/test/duties.fuzz.test.ts
+++ b/packages/duties/src/test/duties.fuzz.test.ts
@@ -30,8 +30,8 @@
   platformDown: simulation => simulation.platform.faults.setDown(true),
   platformUp: simulation => simulation.platform.faults.setDown(false),
   slow: (simulation, _id, size) =>
-    simulation.platform.faults.setSlow(4 + size * 5000),
-  fast: simulation => simulation.platform.faults.setSlow(4),
+    simulation.platform.faults.setDelay(4 + size * 5000),
+  fast: simulation => simulation.platform.faults.setDelay(4),
 } satisfies Record<
   string,
   (simulation: Simulation, id: string, size: number) => Promise<void> | void
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -7,21 +7,21 @@
   virtualClock,
 } from '@skylarkfield/base';
 import {
-  memoryPlatform,
+  createMemoryPlatform,
   type Freshness,
   type MemoryClient,
   type StoredObject,
 } from '@skylarkfield/providers';
 import type {Tenure} from '../contracts.js';
-import {createDuties} from '../duties.js';
+import {createDutyElections} from '../duties.js';
 import {defaultLeaseTiming} from '../lease.js';
 import {createOrderGate} from '../orderGate.js';
 
 /** Creates one platform for two processes, started with `start`. */
 function createTwoProcesses() {
   const commonClock = virtualClock();
-  const platform = memoryPlatform({clock: commonClock});
-  platform.faults.setSlow(2);
+  const platform = createMemoryPlatform({clock: commonClock});
+  platform.faults.setDelay(2);
   function start(
     id: string,
     mayHold = () => true,
@@ -31,7 +31,7 @@
     const store = wrapStore(platform.client(id, {clock}));
     const tenures: Tenure[] = [];
     let running = 0;
-    const duties = createDuties({
+    const duties = createDutyElections({
       clock,
       random: seededRandom(5),
       store,
--- a/packages/duties/src/test/dutySimulation.ts
+++ b/packages/duties/src/test/dutySimulation.ts
@@ -7,15 +7,15 @@
   virtualClock,
   type PausableClock,
 } from '@skylarkfield/base';
-import {memoryPlatform, type MemoryClient} from '@skylarkfield/providers';
-import type {Duties, Tenure} from '../contracts.js';
-import {createDuties} from '../duties.js';
+import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
+import type {DutyElections, Tenure} from '../contracts.js';
+import {createDutyElections} from '../duties.js';
 
 export interface SimulatedProcess {
   readonly id: string;
   readonly clock: PausableClock;
   readonly store: MemoryClient;
-  readonly duties: Duties;
+  readonly duties: DutyElections;
 }
 
 const PROCESS_IDS = ['a', 'b', 'c', 'd'];
@@ -35,8 +35,8 @@
 export function createDutySimulation(seed: number) {
   const clock = virtualClock();
   const random = seededRandom(seed);
-  const platform = memoryPlatform({clock, random});
-  platform.faults.setSlow(NETWORK_LATENCY_MS);
+  const platform = createMemoryPlatform({clock, random});
+  platform.faults.setDelay(NETWORK_LATENCY_MS);
   const processes = new Map<string, SimulatedProcess>();
   let lastFencing = 0;
   let tenureCount = 0;
@@ -47,7 +47,7 @@
     const drift = 1 + MAX_CLOCK_DRIFT * (2 * random.next() - 1);
     const processClock = pausableClock(clock, drift);
     const store = platform.client(id, {clock: processClock});
-    const duties = createDuties({
+    const duties = createDutyElections({
       clock: processClock,
       random: seededRandom(random.integer(0, 1_000_000)),
       store,
@@ -73,7 +73,7 @@
   /** Returns all processes, even paused, with a tenure valid by their clock. */
   function holders(): readonly string[] {
     return [...processes.values()]
-      .filter(simulated => simulated.duties.held('fleet')?.isValid())
+      .filter(simulated => simulated.duties.currentTenure('fleet')?.isValid())
       .map(simulated => simulated.id);
   }
 
@@ -126,7 +126,7 @@
     /** Ends all faults and waits until leases had time to change hands. */
     async heal() {
       platform.faults.setDown(false);
-      platform.faults.setSlow(NETWORK_LATENCY_MS);
+      platform.faults.setDelay(NETWORK_LATENCY_MS);
       platform.faults.loseReplies(0);
       for (const id of PROCESS_IDS) {
         const simulated = processes.get(id);
--- a/packages/endpoints/src/contracts.ts
+++ b/packages/endpoints/src/contracts.ts
@@ -1,7 +1,7 @@
 /** Types of the clients of model engines and plain services. */
 
 /** Generation request to a model engine. */
-export interface Generation {
+export interface GenerationRequest {
   /** Unique id of the attempt; every event of the answer carries it. */
   readonly attempt: string;
   readonly prompt: string;
@@ -65,7 +65,7 @@
   /** Increases by one with each event; a gap means that events were lost. */
   readonly sequence: number;
   readonly type: 'stored' | 'evicted' | 'cleared';
-  /** Block hashes as computed by `promptBlocks`. */
+  /** Block hashes as computed by `hashPromptBlocks`. */
   readonly blocks: readonly string[];
 }
 
@@ -96,7 +96,7 @@
  */
 export interface Engine {
   generate(
-    request: Generation,
+    request: GenerationRequest,
     signal: AbortSignal,
   ): AsyncIterable<GenerationEvent>;
   cancel(attempt: string): Promise<void>;
@@ -130,7 +130,7 @@
 }
 
 /** Response of a plain service, with any status. */
-export interface ServiceReply {
+export interface ServiceResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
@@ -143,7 +143,7 @@
  * process (not run); `outcome-unknown` once any byte may have; `cancelled`.
  */
 export interface PlainService {
-  call(call: ServiceCall, signal: AbortSignal): Promise<ServiceReply>;
+  call(call: ServiceCall, signal: AbortSignal): Promise<ServiceResponse>;
   load(signal?: AbortSignal): Promise<LoadReport>;
 }
 
--- a/packages/endpoints/src/httpEngine.ts
+++ b/packages/endpoints/src/httpEngine.ts
@@ -1,14 +1,14 @@
 /** HTTP client of a model engine: server-sent events for answers, else JSON. */
 import {
   ServingError,
-  checkShape,
+  validateShape,
   parseJson,
   type Disposable,
 } from '@skylarkfield/base';
 import {createParser} from 'eventsource-parser';
 import {Pool} from 'undici';
 import * as z from 'zod';
-import type {Engine, Generation, GenerationEvent} from './contracts.js';
+import type {Engine, GenerationRequest, GenerationEvent} from './contracts.js';
 import {
   cacheEventsSchema,
   cacheExportSchema,
@@ -82,14 +82,14 @@
         'protocol-violation',
         operation,
       );
-      return checkShape(schema, value, 'protocol-violation', operation);
+      return validateShape(schema, value, 'protocol-violation', operation);
     } catch (error) {
       throw toRequestError(error, signal, operation);
     }
   }
 
   async function* generate(
-    request: Generation,
+    request: GenerationRequest,
     signal: AbortSignal,
   ): AsyncGenerator<GenerationEvent> {
     const operation = `generate ${request.attempt}`;
--- a/packages/endpoints/src/plainService.ts
+++ b/packages/endpoints/src/plainService.ts
@@ -5,7 +5,7 @@
   LoadReport,
   PlainService,
   ServiceCall,
-  ServiceReply,
+  ServiceResponse,
 } from './contracts.js';
 import {parseLoadReport} from './plainServiceLoad.js';
 import {removeHopByHopHeaders} from './plainServiceHeaders.js';
@@ -73,7 +73,7 @@
   function call(
     request: ServiceCall,
     signal: AbortSignal,
-  ): Promise<ServiceReply> {
+  ): Promise<ServiceResponse> {
     return new Promise((resolve, reject) => {
       if (signal.aborted) {
         reject(createError('cancelled', 'the call was cancelled', 'not-run'));
@@ -142,7 +142,7 @@
 function createExchange(
   signal: AbortSignal,
   maxResponseBytes: number,
-  resolve: (response: ServiceReply) => void,
+  resolve: (response: ServiceResponse) => void,
   reject: (error: ServingError) => void,
 ): Exchange {
   const chunks: Buffer[] = [];
--- a/packages/endpoints/src/plainServiceLoad.ts
+++ b/packages/endpoints/src/plainServiceLoad.ts
@@ -1,7 +1,7 @@
 /** Parsing of the load report of a plain service. */
-import {checkShape, parseJson, ServingError} from '@skylarkfield/base';
+import {validateShape, parseJson, ServingError} from '@skylarkfield/base';
 import * as z from 'zod';
-import type {LoadReport, ServiceReply} from './contracts.js';
+import type {LoadReport, ServiceResponse} from './contracts.js';
 
 const loadReportSchema = z.object({
   sequence: z.number(),
@@ -19,7 +19,7 @@
  * @example
  * const report = parseLoadReport(await service.call(loadRequest, signal));
  */
-export function parseLoadReport(response: ServiceReply): LoadReport {
+export function parseLoadReport(response: ServiceResponse): LoadReport {
   if (response.status !== 200) {
     throw new ServingError(
       'endpoint-failed',
@@ -28,5 +28,10 @@
   }
   const text = new TextDecoder().decode(response.body);
   const value = parseJson(text, 'endpoint-failed', 'load report');
-  return checkShape(loadReportSchema, value, 'endpoint-failed', 'load report');
+  return validateShape(
+    loadReportSchema,
+    value,
+    'endpoint-failed',
+    'load report',
+  );
 }
--- a/packages/endpoints/src/promptBlocks.ts
+++ b/packages/endpoints/src/promptBlocks.ts
@@ -2,7 +2,7 @@
 import {hash} from 'node:crypto';
 
 /** Number of tokens in one block of an engine's prefix cache. */
-export const BLOCK_TOKENS = 16;
+export const TOKENS_PER_BLOCK = 16;
 /** Characters of a block hash: 72 bits make collisions negligible. */
 const BLOCK_HASH_LENGTH = 12;
 
@@ -11,9 +11,9 @@
  * this project's engines, accurate enough to estimate prompt sizes for others.
  *
  * @example
- * promptTokens('match this oak').length; // 3
+ * tokenizePrompt('match this oak').length; // 3
  */
-export function promptTokens(prompt: string): string[] {
+export function tokenizePrompt(prompt: string): string[] {
   return prompt.match(/\S+/g) ?? [];
 }
 
@@ -22,10 +22,10 @@
  * preceding tokens, so that equal hashes imply an equal prefix.
  *
  * @example
- * const blocks = promptBlocks(promptTokens(prompt));
+ * const blocks = hashPromptBlocks(tokenizePrompt(prompt));
  */
-export function promptBlocks(tokens: readonly string[]): string[] {
-  return extendBlocks([], tokens);
+export function hashPromptBlocks(tokens: readonly string[]): string[] {
+  return extendBlockHashes([], tokens);
 }
 
 /**
@@ -33,20 +33,20 @@
  * so that a growing history is not hashed from the start each time.
  *
  * @example
- * const blocks = extendBlocks(promptBlocks(tokens), [...tokens, ...answer]);
+ * const blocks = extendBlockHashes(hashPromptBlocks(tokens), [...tokens, ...answer]);
  */
-export function extendBlocks(
+export function extendBlockHashes(
   knownBlocks: readonly string[],
   tokens: readonly string[],
 ): string[] {
   const blocks = [...knownBlocks];
   let previousHash = blocks.at(-1) ?? '';
   for (
-    let start = knownBlocks.length * BLOCK_TOKENS;
-    start + BLOCK_TOKENS <= tokens.length;
-    start += BLOCK_TOKENS
+    let start = knownBlocks.length * TOKENS_PER_BLOCK;
+    start + TOKENS_PER_BLOCK <= tokens.length;
+    start += TOKENS_PER_BLOCK
   ) {
-    const text = tokens.slice(start, start + BLOCK_TOKENS).join(' ');
+    const text = tokens.slice(start, start + TOKENS_PER_BLOCK).join(' ');
     previousHash = hash('sha256', `${previousHash} ${text}`, 'base64url').slice(
       0,
       BLOCK_HASH_LENGTH,
--- a/packages/endpoints/src/test/promptBlocks.test.ts
+++ b/packages/endpoints/src/test/promptBlocks.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {BLOCK_TOKENS, extendBlocks, promptBlocks} from '../promptBlocks.js';
+import {
+  TOKENS_PER_BLOCK,
+  extendBlockHashes,
+  hashPromptBlocks,
+} from '../promptBlocks.js';
 
 function tokens(count: number): string[] {
   return Array.from({length: count}, (_, index) => `t${index}`);
@@ -8,20 +12,20 @@
 
 describe('prompt blocks', () => {
   it('omits a block that is not full', () => {
-    assert.equal(promptBlocks(tokens(BLOCK_TOKENS * 2 + 3)).length, 2);
+    assert.equal(hashPromptBlocks(tokens(TOKENS_PER_BLOCK * 2 + 3)).length, 2);
   });
 
   it('changes the hash of a block when an earlier token differs', () => {
-    const same = promptBlocks(tokens(64));
-    const other = promptBlocks(['x', ...tokens(64).slice(1)]);
+    const same = hashPromptBlocks(tokens(64));
+    const other = hashPromptBlocks(['x', ...tokens(64).slice(1)]);
     assert.notEqual(same[3], other[3]);
   });
 
   it('extends known blocks to the same hashes as a full computation', () => {
-    const known = promptBlocks(tokens(40));
+    const known = hashPromptBlocks(tokens(40));
     assert.deepEqual(
-      extendBlocks(known, tokens(100)),
-      promptBlocks(tokens(100)),
+      extendBlockHashes(known, tokens(100)),
+      hashPromptBlocks(tokens(100)),
     );
   });
 });
--- a/packages/entry/src/callers/answerBlocks.ts
+++ b/packages/entry/src/callers/answerBlocks.ts
@@ -1,5 +1,5 @@
 /** Cache blocks of a prompt together with what of its answer was delivered. */
-import {extendBlocks, promptTokens} from '@skylarkfield/endpoints';
+import {extendBlockHashes, tokenizePrompt} from '@skylarkfield/endpoints';
 
 /**
  * An answer that goes on elsewhere needs the blocks of its first part too, so
@@ -19,5 +19,5 @@
     return blocks;
   }
   const answer = delivered.map(text => text.trim());
-  return extendBlocks(blocks, [...promptTokens(prompt), ...answer]);
+  return extendBlockHashes(blocks, [...tokenizePrompt(prompt), ...answer]);
 }
--- a/packages/entry/src/callers/attempts.ts
+++ b/packages/entry/src/callers/attempts.ts
@@ -3,7 +3,7 @@
 import type {
   AttemptResult,
   ServiceCall,
-  ServiceReply,
+  ServiceResponse,
 } from '@skylarkfield/endpoints';
 import {listedVersions} from '../listedVersions.js';
 import type {Serving} from '../serving.js';
@@ -25,7 +25,7 @@
 
 export interface Attempts {
   /** Makes attempts until one answers, the retry budget is used up or the deadline passes. */
-  repeatable(call: PlacedCall, signal: AbortSignal): Promise<ServiceReply>;
+  repeatable(call: PlacedCall, signal: AbortSignal): Promise<ServiceResponse>;
   /**
    * Makes attempts only as long as none of them can have run. `begin` is asked
    * right before a call goes out; false means that it must not.
@@ -34,7 +34,7 @@
     call: PlacedCall,
     signal: AbortSignal,
     begin: () => boolean,
-  ): Promise<ServiceReply>;
+  ): Promise<ServiceResponse>;
 }
 
 /** What is asked before an attempt and after a failed one. */
@@ -89,7 +89,7 @@
     call: PlacedCall,
     signal: AbortSignal,
     rules: AttemptRules,
-  ): Promise<ServiceReply> {
+  ): Promise<ServiceResponse> {
     try {
       return await attemptUntil(call, signal, rules);
     } catch (error) {
@@ -135,7 +135,7 @@
     call: PlacedCall,
     signal: AbortSignal,
     rules: AttemptRules,
-  ): Promise<ServiceReply> {
+  ): Promise<ServiceResponse> {
     const excluded = new Set<string>();
     let lastError: ServingError | undefined;
     while (excluded.size < MOST_ATTEMPTS) {
@@ -158,7 +158,7 @@
     signal: AbortSignal,
     rules: AttemptRules,
     lastError: ServingError | undefined,
-  ): Promise<ServiceReply> {
+  ): Promise<ServiceResponse> {
     const choice = serving.router.choose({
       service: call.service,
       version: call.version,
--- a/packages/entry/src/callers/callerServer.ts
+++ b/packages/entry/src/callers/callerServer.ts
@@ -9,7 +9,7 @@
   type Logger,
 } from '@skylarkfield/base';
 import type {Customer, Service} from '@skylarkfield/records';
-import type {InFlight} from '@skylarkfield/base';
+import type {InFlightCounter} from '@skylarkfield/base';
 import type {HttpServer} from '../listener.js';
 import type {Serving} from '../serving.js';
 import type {EntrySettings} from '../settings.js';
@@ -41,7 +41,7 @@
   readonly limits: EntrySettings['limits'];
   readonly clock: Clock;
   readonly log: Logger;
-  readonly inFlight: InFlight;
+  readonly inFlight: InFlightCounter;
   readiness(): Readiness;
 }
 
--- a/packages/entry/src/callers/modelRequest.ts
+++ b/packages/entry/src/callers/modelRequest.ts
@@ -1,5 +1,5 @@
 /** The bodies of `POST /v1/chat/completions` and `POST /v1/completions`. */
-import {checkShape, hash32, parseJson} from '@skylarkfield/base';
+import {validateShape, hash32, parseJson} from '@skylarkfield/base';
 import * as z from 'zod';
 
 const DEFAULT_MAX_TOKENS = 256;
@@ -48,7 +48,7 @@
   text: string,
   session: string | undefined,
 ): ModelRequest {
-  const body = checkShape(
+  const body = validateShape(
     chatSchema,
     parseJson(text, 'bad-request', 'body'),
     'bad-request',
@@ -71,7 +71,7 @@
   text: string,
   session: string | undefined,
 ): ModelRequest {
-  const body = checkShape(
+  const body = validateShape(
     completionSchema,
     parseJson(text, 'bad-request', 'body'),
     'bad-request',
--- a/packages/entry/src/callers/problem.ts
+++ b/packages/entry/src/callers/problem.ts
@@ -1,7 +1,11 @@
 /** Refusals and failures as RFC 9457 problem answers. */
 import type {ServerResponse} from 'node:http';
-import {errorAnswers, type Fault, type ServingError} from '@skylarkfield/base';
-import type {LookupAnswer} from '@skylarkfield/members';
+import {
+  errorResponses,
+  type ValidationFault,
+  type ServingError,
+} from '@skylarkfield/base';
+import type {LookupResult} from '@skylarkfield/members';
 
 /** Body of a problem answer. */
 export interface Problem {
@@ -13,9 +17,9 @@
   readonly run: 'not-run' | 'may-have-run';
   readonly requestId: string;
   readonly retryAfterMs?: number;
-  readonly faults?: readonly Fault[];
+  readonly faults?: readonly ValidationFault[];
   /** Entries to use instead, when this one is leaving or not ready. */
-  readonly entries?: LookupAnswer;
+  readonly entries?: LookupResult;
 }
 
 /**
@@ -27,9 +31,9 @@
 export function toProblem(
   error: ServingError,
   requestId: string,
-  entries?: LookupAnswer,
+  entries?: LookupResult,
 ): Problem {
-  const {status, title} = errorAnswers[error.kind];
+  const {status, title} = errorResponses[error.kind];
   return {
     type: `urn:skylarkfield:error:${error.kind}`,
     title,
--- a/packages/entry/src/callers/requestCost.ts
+++ b/packages/entry/src/callers/requestCost.ts
@@ -50,7 +50,7 @@
  *
  * @example
  * const costs = createRequestCosts();
- * costs.costOf('match', {promptTokens: 900, cachedTokens: 0, maxTokens: 64});
+ * costs.costOf('match', {tokenizePrompt: 900, cachedTokens: 0, maxTokens: 64});
  */
 export function createRequestCosts(): RequestCosts {
   const means = new Map<string, Mean>();
--- a/packages/entry/src/callers/serveModel.ts
+++ b/packages/entry/src/callers/serveModel.ts
@@ -1,10 +1,10 @@
 /** The way of a model request: version, admission, attempts, answer. */
 import {ServingError, toServingError, type Clock} from '@skylarkfield/base';
 import type {AdmissionRequest, Permit} from '@skylarkfield/admission';
-import {promptBlocks, promptTokens} from '@skylarkfield/endpoints';
+import {hashPromptBlocks, tokenizePrompt} from '@skylarkfield/endpoints';
 import type {Service} from '@skylarkfield/records';
 import type {
-  StreamPlace,
+  EndpointPick,
   StreamRequest,
   StreamSummary,
 } from '@skylarkfield/streams';
@@ -75,7 +75,7 @@
         const summary = await serving.streams.run(
           toStreamRequest(exchange, request, plan),
           {
-            place: (excluded, delivered) =>
+            pickEndpoint: (excluded, delivered) =>
               placeAttempt(plan, request, excluded, delivered),
             mayRetry: () => serving.admission.tryRetry(service.name),
             deliver(token) {
@@ -104,8 +104,8 @@
     const {headers} = exchange.request;
     const deadline =
       exchange.arrivedAt + requestTimeout(headers, service.timeoutMs);
-    const tokens = promptTokens(request.prompt);
-    const blocks = promptBlocks(tokens);
+    const tokens = tokenizePrompt(request.prompt);
+    const blocks = hashPromptBlocks(tokens);
     const version = serving.split.versionFor({
       service: service.name,
       incumbent: service.version,
@@ -231,7 +231,7 @@
     request: ModelRequest,
     excluded: ReadonlySet<string>,
     delivered: readonly string[],
-  ): StreamPlace {
+  ): EndpointPick {
     const {service} = plan.ask;
     const blocks = answerBlocks(request.prompt, plan.blocks, delivered);
     const placed = firstPlaced(plan.answering.usable(delivered.length));
@@ -247,8 +247,8 @@
       cachedTokens: choice.cachedTokens,
       leaving: endpoint.leaving,
       goneAt: () => endpoint.goneAt?.(),
-      started: cachedTokens => choice.started(cachedTokens),
-      streaming() {
+      onStart: cachedTokens => choice.started(cachedTokens),
+      onFirstToken() {
         plan.answering.streaming(version);
         choice.streaming();
       },
--- a/packages/entry/src/callers/servePlain.ts
+++ b/packages/entry/src/callers/servePlain.ts
@@ -2,8 +2,8 @@
 import {createHash} from 'node:crypto';
 import {ServingError, toServingError, type Clock} from '@skylarkfield/base';
 import type {Permit} from '@skylarkfield/admission';
-import type {ServiceCall, ServiceReply} from '@skylarkfield/endpoints';
-import type {OrderAnswer} from '@skylarkfield/orders';
+import type {ServiceCall, ServiceResponse} from '@skylarkfield/endpoints';
+import type {SubmitResult} from '@skylarkfield/orders';
 import type {Service} from '@skylarkfield/records';
 import type {Serving} from '../serving.js';
 import type {Attempts} from './attempts.js';
@@ -158,7 +158,7 @@
     .digest('hex');
 }
 
-function sendReply(exchange: Exchange, reply: ServiceReply): void {
+function sendReply(exchange: Exchange, reply: ServiceResponse): void {
   const {response} = exchange;
   if (response.destroyed) {
     throw new ServingError('cancelled', 'the caller went away');
@@ -170,9 +170,9 @@
   response.end(reply.body);
 }
 
-function sendOrderAnswer(exchange: Exchange, answer: OrderAnswer): void {
+function sendOrderAnswer(exchange: Exchange, answer: SubmitResult): void {
   exchange.response.setHeader('Idempotent-Replayed', String(answer.isReplay));
-  if (answer.isUnrecognisable) {
+  if (answer.isUnkeyed) {
     exchange.response.setHeader(
       'Warning',
       '299 - "no Idempotency-Key: a retry of this request can not be recognised"',
--- a/packages/entry/src/entryParts.ts
+++ b/packages/entry/src/entryParts.ts
@@ -4,7 +4,7 @@
   type Disposable,
   type DisposableStore,
 } from '@skylarkfield/base';
-import type {Duties} from '@skylarkfield/duties';
+import type {DutyElections} from '@skylarkfield/duties';
 import type {Membership} from '@skylarkfield/members';
 import {createStreamRunner} from '@skylarkfield/streams';
 import {createAttempts, type Attempts} from './callers/attempts.js';
@@ -28,7 +28,7 @@
   readonly serving: Serving;
   readonly attempts: Attempts;
   readonly membership: Membership;
-  readonly duties: Duties;
+  readonly duties: DutyElections;
   /** Address of the inner port. */
   readonly innerUrl: string;
 }
@@ -93,7 +93,7 @@
   owned.add(loads.start(endpoints));
 
   const split = createMovesPart(context);
-  const streams = createStreamRunner({clock, self: settings.id});
+  const streams = createStreamRunner({clock, entryId: settings.id});
   dumps.add('streams', () => streams.dump());
   const attempts = createAttempts({router, endpoints, split, admission}, clock);
   const ledger = owned.add(
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -2,10 +2,10 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {
   createDumps,
-  createInFlight,
+  createInFlightCounter,
   createLogger,
   createMetrics,
-  createProcessLife,
+  createProcessLifecycle,
   decisionLog,
   disposableStore,
   processRandom,
@@ -14,7 +14,7 @@
   toDisposable,
   type Disposable,
   type DisposableStore,
-  type LifeState,
+  type LifecycleState,
 } from '@skylarkfield/base';
 import {attachAdminRoutes} from './admin/adminServer.js';
 import {attachCallerRoutes, type Readiness} from './callers/callerServer.js';
@@ -77,8 +77,8 @@
   const {clock, log, decisions, dumps} = context;
   const adminKey = resolveSecret(settings.keys.admin, 'keys.admin');
   const innerKey = resolveSecret(settings.keys.inner, 'keys.inner');
-  const life = createProcessLife();
-  const inFlight = createInFlight(clock);
+  const life = createProcessLifecycle();
+  const inFlight = createInFlightCounter(clock);
 
   const callers = await openPort(settings.callers);
   const admin = await openPort(settings.admin);
@@ -173,7 +173,7 @@
     await lingered();
     life.send('refuse');
     await parts.serving.ledger.leave();
-    const isIdle = await inFlight.idle(settings.drainMs);
+    const isIdle = await inFlight.waitUntilIdle(settings.drainMs);
     log.info({isIdle, inFlight: inFlight.count()}, 'drained');
     life.send('close');
     await callers.listener.close(CLOSE_MS);
@@ -189,7 +189,7 @@
 
 /** What callers are told in each state of the process's life. */
 const readinessOf: Readonly<
-  Record<LifeState, (parts: EntryParts) => Readiness>
+  Record<LifecycleState, (parts: EntryParts) => Readiness>
 > = {
   // After a pause what is in force here may be long replaced: requests are
   // refused, as not run, until a peer or the platform has answered again.
--- a/packages/entry/src/parts/admissionPart.ts
+++ b/packages/entry/src/parts/admissionPart.ts
@@ -1,5 +1,8 @@
 /** The admission of this entry, kept in step with the records in force. */
-import {createAdmission, type Admission} from '@skylarkfield/admission';
+import {
+  createAdmissionController,
+  type AdmissionController,
+} from '@skylarkfield/admission';
 import type {Membership} from '@skylarkfield/members';
 import type {Configuration} from '@skylarkfield/records';
 import type {EntryContext} from '../context.js';
@@ -15,9 +18,9 @@
   context: EntryContext,
   configuration: Configuration,
   membership: Membership,
-): Admission {
+): AdmissionController {
   const {clock, random, decisions, dumps} = context;
-  const admission = createAdmission({clock, random, decisions});
+  const admission = createAdmissionController({clock, random, decisions});
   dumps.add('admission', () => admission.dump());
   configuration.list('service').forEach(service => applyService(service.name));
   configuration
--- a/packages/entry/src/parts/dutiesPart.ts
+++ b/packages/entry/src/parts/dutiesPart.ts
@@ -1,7 +1,7 @@
 /** The control work that this entry does while it holds the lease for it. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
-import {createDuties, type Duties} from '@skylarkfield/duties';
-import {createAcceptance} from '@skylarkfield/records';
+import {createDutyElections, type DutyElections} from '@skylarkfield/duties';
+import {createAcceptanceController} from '@skylarkfield/records';
 import type {EntryContext} from '../context.js';
 import type {MembersPart} from './membersPart.js';
 import type {PlatformPart} from './platformPart.js';
@@ -22,13 +22,13 @@
 export function createDutiesPart(
   context: EntryContext,
   options: DutiesOptions,
-): Duties & Disposable {
+): DutyElections & Disposable {
   const {clock, random, log, decisions, dumps} = context;
   const {platform, members, records} = options;
   const {membership} = members;
   const owned = disposableStore();
   const duties = owned.add(
-    createDuties({
+    createDutyElections({
       clock,
       random,
       store: platform.store,
@@ -41,15 +41,17 @@
   dumps.add('duties', () => duties.dump());
   owned.add(
     duties.compete('acceptance', tenure => {
-      const acceptance = createAcceptance({
+      const acceptance = createAcceptanceController({
         clock,
         random,
         store: platform.store,
         log,
         decisions,
         canAct: () => tenure.isValid(),
-        onDidAccept: (key, object) => records.configuration.offer(key, object),
-        lacking: versions => records.configuration.lacking(versions),
+        onDidAccept: (key, object) =>
+          records.configuration.applyAccepted(key, object),
+        membersLacking: versions =>
+          records.configuration.membersLacking(versions),
       });
       const shown = dumps.add('acceptance', () => acceptance.dump());
       return {
--- a/packages/entry/src/parts/endpointPolling.ts
+++ b/packages/entry/src/parts/endpointPolling.ts
@@ -68,7 +68,7 @@
     const after = lastEvents.get(id) ?? -1;
     const events = await endpoint.engine?.cacheEvents(after, signal);
     if (events !== undefined) {
-      lastEvents.set(id, router.reportCache(id, events));
+      lastEvents.set(id, router.applyCacheEvents(id, events));
     }
   }
 
@@ -96,7 +96,9 @@
     owned.add({dispose: () => timer.dispose()});
 
     function next(): void {
-      const held = router.held().filter(({type}) => round.types.includes(type));
+      const held = router
+        .assignedEndpoints()
+        .filter(({type}) => round.types.includes(type));
       const paceMs = Math.max(
         SECOND_MS / round.questionsPerSecond,
         round.intervalMs / Math.max(1, held.length),
--- a/packages/entry/src/parts/fleetPart.ts
+++ b/packages/entry/src/parts/fleetPart.ts
@@ -1,6 +1,6 @@
 /** The fleet duty of this entry: hosts by the plan, endpoints that run what is listed. */
 import {disposableStore, every, type Disposable} from '@skylarkfield/base';
-import {createOrderGate, type Duties} from '@skylarkfield/duties';
+import {createOrderGate, type DutyElections} from '@skylarkfield/duties';
 import {
   createEndpointRepair,
   createFleetDuty,
@@ -18,7 +18,7 @@
 const REPAIR_INTERVAL_MS = 5_000;
 
 interface FleetOptions {
-  readonly duties: Duties;
+  readonly duties: DutyElections;
   readonly platform: PlatformPart;
   readonly configuration: Configuration;
   readonly endpoints: EndpointPool;
@@ -72,7 +72,7 @@
       }
       isRepairing = true;
       try {
-        await repair.round(managedEndpoints(), weightsOf);
+        await repair.repairAll(managedEndpoints(), weightsOf);
       } finally {
         isRepairing = false;
       }
--- a/packages/entry/src/parts/leavingPart.ts
+++ b/packages/entry/src/parts/leavingPart.ts
@@ -1,9 +1,9 @@
 /** Which endpoints leave, and the host list corrected by it. */
 import {disposableStore, every, type Disposable} from '@skylarkfield/base';
 import {
-  createEndpointLeaving,
+  createLeavingEndpointTracker,
   isReader,
-  type EndpointLeaving,
+  type LeavingEndpointTracker,
 } from '@skylarkfield/members';
 import type {HostList} from '@skylarkfield/providers';
 import type {EntryContext} from '../context.js';
@@ -11,7 +11,7 @@
 import type {PlatformPart} from './platformPart.js';
 
 export interface LeavingPart extends Disposable {
-  readonly leaving: EndpointLeaving;
+  readonly leaving: LeavingEndpointTracker;
   /** Shows what is known to leave as leaving, whatever the platform's list still says. */
   readonly hostList: HostList;
 }
@@ -34,7 +34,7 @@
   const {membership, network} = members;
   const owned = disposableStore();
   const leaving = owned.add(
-    createEndpointLeaving({
+    createLeavingEndpointTracker({
       cloud: platform.cloud,
       hostList: platform.hostList,
       network,
--- a/packages/entry/src/parts/loadFeed.ts
+++ b/packages/entry/src/parts/loadFeed.ts
@@ -1,5 +1,5 @@
 /** Keeps what endpoints report of their load, for the admission and the fleet. */
-import type {Admission} from '@skylarkfield/admission';
+import type {AdmissionController} from '@skylarkfield/admission';
 import {every, type Clock, type Disposable} from '@skylarkfield/base';
 import type {LoadReport} from '@skylarkfield/endpoints';
 import type {Configuration} from '@skylarkfield/records';
@@ -31,7 +31,7 @@
 
 interface LoadFeedOptions {
   readonly clock: Clock;
-  readonly admission: Admission;
+  readonly admission: AdmissionController;
   readonly configuration: Pick<Configuration, 'list'>;
 }
 
@@ -85,7 +85,7 @@
    */
   function busyOf(service: string): number | undefined {
     const usable = usableEndpoints(service);
-    const held = new Set(router.held().map(({id}) => id));
+    const held = new Set(router.assignedEndpoints().map(({id}) => id));
     const asked = usable.filter(({listed: {id}}) => held.has(id)).length;
     const known = reportsOf(service);
     const needed = Math.min(ENOUGH_REPORTS, asked * LEAST_REPORTED);
--- a/packages/entry/src/parts/membersPart.ts
+++ b/packages/entry/src/parts/membersPart.ts
@@ -6,16 +6,16 @@
 } from '@skylarkfield/base';
 import {
   createMembership,
-  orderEntries,
-  type LookupAnswer,
-  type LookupQuestion,
+  rankEntries,
+  type LookupResult,
+  type LookupQuery,
   type Membership,
 } from '@skylarkfield/members';
 import {
   createPeerNetwork,
-  readTls,
+  watchTls,
   type PeerNetwork,
-  type RenewedTls,
+  type TlsWatcher,
 } from '@skylarkfield/protocol';
 import type {EntryContext} from '../context.js';
 import type {PlatformPart} from './platformPart.js';
@@ -24,7 +24,7 @@
   readonly network: PeerNetwork;
   readonly membership: Membership;
   readonly innerUrl: string;
-  lookup(question: LookupQuestion): LookupAnswer;
+  lookup(question: LookupQuery): LookupResult;
 }
 
 interface MembersOptions {
@@ -91,14 +91,14 @@
     network,
     membership,
     innerUrl,
-    lookup: question => orderEntries(membership.members(), question, random),
+    lookup: question => rankEntries(membership.members(), question, random),
     dispose: () => owned.dispose(),
   };
 }
 
 async function readInnerTls(
   context: EntryContext,
-): Promise<RenewedTls | undefined> {
+): Promise<TlsWatcher | undefined> {
   const {settings, clock, log} = context;
   const {tls} = settings.inner;
   if (tls === undefined) {
@@ -110,5 +110,5 @@
       faults: [{path: 'inner.tls.ca', expected}],
     });
   }
-  return readTls({paths: {...tls, ca: tls.ca}, clock, log});
+  return watchTls({paths: {...tls, ca: tls.ca}, clock, log});
 }
--- a/packages/entry/src/parts/movesPart.ts
+++ b/packages/entry/src/parts/movesPart.ts
@@ -1,10 +1,10 @@
 /** The version moves of this entry: its traffic split, what it follows, and the duty. */
 import {disposableStore, every, type Disposable} from '@skylarkfield/base';
-import type {Duties} from '@skylarkfield/duties';
+import type {DutyElections} from '@skylarkfield/duties';
 import {
   createMoveDuty,
   createMoveFollower,
-  createMoveJudge,
+  createMoveController,
   createTrafficSplit,
   type TrafficSplit,
 } from '@skylarkfield/moves';
@@ -24,7 +24,7 @@
   readonly network: PeerNetwork;
   readonly objects: ObjectStore;
   readonly endpoints: EndpointPool;
-  readonly duties: Pick<Duties, 'compete'>;
+  readonly duties: Pick<DutyElections, 'compete'>;
 }
 
 /**
@@ -53,10 +53,17 @@
   const {clock, log, decisions, dumps} = context;
   const {split, configuration, network, objects, endpoints, duties} = options;
   const owned = disposableStore();
-  const judge = createMoveJudge({clock, decisions});
-  owned.add(dumps.add('moveJudge', () => judge.dump()));
+  const controller = createMoveController({clock, decisions});
+  owned.add(dumps.add('moveJudge', () => controller.dump()));
   owned.add(
-    createMoveFollower({clock, objects, network, configuration, split, judge}),
+    createMoveFollower({
+      clock,
+      objects,
+      network,
+      configuration,
+      split,
+      controller,
+    }),
   );
   owned.add(every(clock, AVAILABILITY_INTERVAL_MS, setAvailable));
   owned.add(
@@ -66,7 +73,7 @@
         log,
         objects,
         configuration,
-        judge,
+        controller,
         tenure,
         hasEndpoints: (service, version) =>
           listedVersions(service, endpoints).has(version),
--- a/packages/entry/src/parts/sharedHostList.ts
+++ b/packages/entry/src/parts/sharedHostList.ts
@@ -9,7 +9,7 @@
   type Random,
 } from '@skylarkfield/base';
 import {
-  listedEndpointShape,
+  listedEndpointSchema,
   type HostList,
   type ListedEndpoint,
 } from '@skylarkfield/providers';
@@ -21,7 +21,7 @@
 /** Time that a peer has to answer, in milliseconds. */
 const ASK_TIMEOUT_MS = 2_000;
 
-const answerShape = z.object({endpoints: z.array(listedEndpointShape)});
+const answerShape = z.object({endpoints: z.array(listedEndpointSchema)});
 
 interface SharedHostListOptions {
   readonly hostList: HostList;
@@ -73,13 +73,13 @@
       asking.dispose();
       return;
     }
-    const peer = random.pick(network.connected());
+    const peer = random.pick(network.connectedPeers());
     if (peer === undefined || isAsking) {
       return;
     }
     isAsking = true;
     try {
-      const answer = await network.ask(
+      const answer = await network.request(
         peer,
         'endpointsWanted',
         {},
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/serving.ts
@@ -1,7 +1,7 @@
 /** The parts of a running entry that requests go through. */
-import type {Admission} from '@skylarkfield/admission';
+import type {AdmissionController} from '@skylarkfield/admission';
 import type {Engine, PlainService} from '@skylarkfield/endpoints';
-import type {LookupAnswer, LookupQuestion} from '@skylarkfield/members';
+import type {LookupResult, LookupQuery} from '@skylarkfield/members';
 import type {TrafficSplit} from '@skylarkfield/moves';
 import type {Ledger} from '@skylarkfield/orders';
 import type {ListedEndpoint} from '@skylarkfield/providers';
@@ -29,11 +29,11 @@
 
 export interface Serving {
   readonly configuration: Configuration;
-  readonly admission: Admission;
+  readonly admission: AdmissionController;
   readonly router: Router;
   readonly endpoints: EndpointPool;
   readonly streams: StreamRunner;
   readonly split: TrafficSplit;
   readonly ledger: Ledger;
-  lookup(question: LookupQuestion): LookupAnswer;
+  lookup(question: LookupQuery): LookupResult;
 }
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -1,6 +1,6 @@
 /** Settings of an entry process: schema, defaults, and how they are read. */
 import {readFileSync} from 'node:fs';
-import {checkShape, parseJson, ServingError} from '@skylarkfield/base';
+import {validateShape, parseJson, ServingError} from '@skylarkfield/base';
 import * as z from 'zod';
 
 const port = z.number().int().min(0).max(65_535);
@@ -102,7 +102,7 @@
  * const settings = checkEntrySettings(JSON.parse(text));
  */
 export function checkEntrySettings(value: unknown): EntrySettings {
-  return checkShape(entrySettingsSchema, value, 'bad-settings', 'settings');
+  return validateShape(entrySettingsSchema, value, 'bad-settings', 'settings');
 }
 
 /**
--- a/packages/entry/src/test/answerBlocks.test.ts
+++ b/packages/entry/src/test/answerBlocks.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {promptBlocks, promptTokens} from '@skylarkfield/endpoints';
+import {hashPromptBlocks, tokenizePrompt} from '@skylarkfield/endpoints';
 import {answerBlocks} from '../callers/answerBlocks.js';
 
 describe('blocks of an answer that goes on elsewhere', () => {
@@ -9,11 +9,11 @@
   for (const promptLength of [1, 16, 20, 32]) {
     it(`are those of the whole text after ${promptLength} tokens of prompt`, () => {
       const prompt = words.slice(0, promptLength).join(' ');
-      const known = promptBlocks(promptTokens(prompt));
+      const known = hashPromptBlocks(tokenizePrompt(prompt));
       const delivered = words.slice(promptLength).map(word => ` ${word}`);
       assert.deepEqual(
         answerBlocks(prompt, known, delivered),
-        promptBlocks(words),
+        hashPromptBlocks(words),
       );
       assert.equal(answerBlocks(prompt, known, []), known);
     });
--- a/packages/entry/src/test/callerServer.test.ts
+++ b/packages/entry/src/test/callerServer.test.ts
@@ -11,7 +11,7 @@
 } from '@skylarkfield/base';
 import {attachCallerRoutes} from '../callers/callerServer.js';
 import {createRequestMetrics} from '../callers/observation.js';
-import {createInFlight} from '@skylarkfield/base';
+import {createInFlightCounter} from '@skylarkfield/base';
 import type {Serving} from '../serving.js';
 import {checkEntrySettings} from '../settings.js';
 
@@ -45,7 +45,7 @@
     const clock = systemClock();
     const {meter} = await createMetrics('test');
     const server = createServer();
-    const inFlight = createInFlight(clock);
+    const inFlight = createInFlightCounter(clock);
     const configuration = {
       get: () => ({name: 'booking', type: 'plain'}),
       onDidChange: () => toDisposable(() => {}),
@@ -90,7 +90,7 @@
     let received = first.length;
     socket.on('data', (chunk: Buffer) => (received += chunk.length));
     socket.resume();
-    assert.equal(await inFlight.idle(20_000), true);
+    assert.equal(await inFlight.waitUntilIdle(20_000), true);
     while (received < BODY_BYTES) {
       await once(socket, 'data');
     }
@@ -102,6 +102,6 @@
     socket.write('GET /services/booking/all HTTP/1.1\r\nHost: a\r\n\r\n');
     await once(socket, 'data');
     socket.destroy();
-    assert.equal(await inFlight.idle(20_000), true);
+    assert.equal(await inFlight.waitUntilIdle(20_000), true);
   });
 });
--- a/packages/entry/src/test/enginesPart.test.ts
+++ b/packages/entry/src/test/enginesPart.test.ts
@@ -7,7 +7,10 @@
   silentLogger,
   virtualClock,
 } from '@skylarkfield/base';
-import type {EndpointLeaving, LeavingEndpoint} from '@skylarkfield/members';
+import type {
+  LeavingEndpointTracker,
+  LeavingEndpoint,
+} from '@skylarkfield/members';
 import type {ListedEndpoint} from '@skylarkfield/providers';
 import {createRouter} from '@skylarkfield/routing';
 import type {EntryContext} from '../context.js';
@@ -43,7 +46,7 @@
     const left = emitter<LeavingEndpoint>();
     const returned = emitter<string>();
     const lists = emitter<readonly ListedEndpoint[]>();
-    const leaving: Partial<EndpointLeaving> = {
+    const leaving: Partial<LeavingEndpointTracker> = {
       onDidLeave: left.event,
       onDidReturn: returned.event,
     };
@@ -51,7 +54,7 @@
       {clock, log} as unknown as EntryContext,
       {
         hostList: {watch: listener => lists.event(listener)},
-        leaving: leaving as EndpointLeaving,
+        leaving: leaving as LeavingEndpointTracker,
       },
       router,
     );
--- a/packages/entry/src/test/loadFeed.test.ts
+++ b/packages/entry/src/test/loadFeed.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import type {Admission} from '@skylarkfield/admission';
+import type {AdmissionController} from '@skylarkfield/admission';
 import {virtualClock} from '@skylarkfield/base';
 import type {Configuration} from '@skylarkfield/records';
 import type {Router} from '@skylarkfield/routing';
@@ -17,17 +17,17 @@
   const told: Array<number | undefined> = [];
   const ids = Array.from({length: listed}, (_, index) => `e${index}`);
   const router: Partial<Router> = {
-    held: () => ids.slice(0, held).map(id => ({id}) as never),
+    assignedEndpoints: () => ids.slice(0, held).map(id => ({id}) as never),
     slots: () => listed * 8,
     reportLoad: () => {},
   };
-  const admission: Partial<Admission> = {
+  const admission: Partial<AdmissionController> = {
     setReportedSlots: (_service, _slots, busy) => told.push(busy),
   };
   const configuration = {list: () => [{name: 'assistant'}]};
   const feed = createLoadFeed(router as Router, {
     clock,
-    admission: admission as Admission,
+    admission: admission as AdmissionController,
     configuration: configuration as unknown as Configuration,
   });
   const endpoints = ids.map(
--- a/packages/entry/src/test/orderMetrics.test.ts
+++ b/packages/entry/src/test/orderMetrics.test.ts
@@ -7,7 +7,7 @@
   virtualClock,
 } from '@skylarkfield/base';
 import {createLedger, type OrderReply} from '@skylarkfield/orders';
-import {memoryPlatform} from '@skylarkfield/providers';
+import {createMemoryPlatform} from '@skylarkfield/providers';
 import {createOrderMetrics} from '../parts/orderMetrics.js';
 
 const reply: OrderReply = {status: 201, headers: {}, body: new Uint8Array()};
@@ -17,11 +17,11 @@
   const clock = virtualClock();
   const random = seededRandom(1);
   const metrics = await createMetrics('test');
-  const platform = memoryPlatform({clock, random});
+  const platform = createMemoryPlatform({clock, random});
   const ledger = createLedger({
     store: platform.client('a'),
     network: {
-      ask: () => Promise.reject(new Error('no peers')),
+      request: () => Promise.reject(new Error('no peers')),
       onDidReceive: () => ({dispose: () => undefined}),
     },
     dispatch: async (service, _call, _signal, begin) => {
--- a/packages/entry/src/test/requestCost.test.ts
+++ b/packages/entry/src/test/requestCost.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createAdmission} from '@skylarkfield/admission';
+import {createAdmissionController} from '@skylarkfield/admission';
 import {
   decisionLog,
   seededRandom,
@@ -20,7 +20,7 @@
   costOf: (work: ExpectedWork) => number,
 ): Promise<number> {
   const clock = virtualClock();
-  const admission = createAdmission({
+  const admission = createAdmissionController({
     clock,
     random: seededRandom(1),
     decisions: decisionLog(clock, silentLogger()),
--- a/packages/entry/src/test/serveModel.test.ts
+++ b/packages/entry/src/test/serveModel.test.ts
@@ -3,7 +3,7 @@
 import {describe, it} from 'node:test';
 import {ServingError, virtualClock} from '@skylarkfield/base';
 import type {Engine, GenerationEvent} from '@skylarkfield/endpoints';
-import type {Sample} from '@skylarkfield/moves';
+import type {RequestSample} from '@skylarkfield/moves';
 import {createStreamRunner} from '@skylarkfield/streams';
 import {createModelServer} from '../callers/serveModel.js';
 import {parseCompletionRequest} from '../callers/modelRequest.js';
@@ -15,7 +15,7 @@
   endpoints: readonly {version: string; behaviour: Behaviour}[],
 ) {
   const clock = virtualClock();
-  const samples: Sample[] = [];
+  const samples: RequestSample[] = [];
   const listed = endpoints.map(({version, behaviour}, index) => ({
     listed: {id: `e${index}`, service: 'match', version, url: 'http://e'},
     leaving: new AbortController().signal,
@@ -49,7 +49,7 @@
     split: {
       versionFor: () => 'v2',
       incumbentFor: () => 'v1',
-      observe: (sample: Sample) => samples.push(sample),
+      observe: (sample: RequestSample) => samples.push(sample),
     },
     admission: {
       admit: () => Promise.resolve({waitedMs: 0, release() {}}),
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -20,7 +20,7 @@
 
 export interface EndpointRepair {
   /** Checks all endpoints; resolves with the number of accepted orders. */
-  round(
+  repairAll(
     endpoints: readonly ManagedEndpoint[],
     weightsOf: (service: string) => string,
   ): Promise<number>;
@@ -57,7 +57,7 @@
   let nextOrderNumber = 0;
 
   return {
-    async round(endpoints, weightsOf) {
+    async repairAll(endpoints, weightsOf) {
       const mismatches = await findMismatches(endpoints);
       let acceptedOrders = 0;
       for (const mismatch of mismatches) {
--- a/packages/gateway/src/activePolicy.ts
+++ b/packages/gateway/src/activePolicy.ts
@@ -4,8 +4,8 @@
   createCustomerTable,
   createRouteTable,
   type CallerLimits,
-  type DeclaredService,
-  type KeyedCustomer,
+  type ServiceConfig,
+  type CustomerConfig,
   type Route,
   type TrafficPolicy,
 } from '@skylarkfield/traffic';
@@ -19,7 +19,7 @@
   /** Milliseconds since the policy was last confirmed up to date. */
   ageMs(): number;
   limits(): CallerLimits;
-  services(): readonly DeclaredService[];
+  services(): readonly ServiceConfig[];
   /** All routes that may send requests to a service. */
   routesTo(service: string): readonly Route[];
   routeOf(authority: string, path: string): Route | undefined;
@@ -28,7 +28,7 @@
    * route. Throws `unauthenticated`, or `not-ready` if the policy is too old to
    * trust the key.
    */
-  customerOf(route: Route, head: CallHead): KeyedCustomer | undefined;
+  customerOf(route: Route, head: CallHead): CustomerConfig | undefined;
   /** Fires after a policy has replaced an older one. */
   onDidChange(listener: () => void): void;
 }
@@ -111,7 +111,7 @@
       ),
     routeOf: (authority, path) => routes.match(authority, path),
     customerOf(route, {key}) {
-      if (route.isPublic || !customers.isKeyed) {
+      if (route.isPublic || !customers.requiresKey) {
         return undefined;
       }
       if (mirror.ageMs() > maxPolicyAgeMs) {
@@ -121,7 +121,7 @@
           {retryAfterMs: STALE_POLICY_RETRY_MS},
         );
       }
-      const customer = key === undefined ? undefined : customers.holderOf(key);
+      const customer = key === undefined ? undefined : customers.findByKey(key);
       if (customer === undefined) {
         throw new ServingError('unauthenticated', 'the key is unknown');
       }
--- a/packages/gateway/src/admissionConfigurator.ts
+++ b/packages/gateway/src/admissionConfigurator.ts
@@ -1,6 +1,6 @@
 /** Keeps admission limits in sync with the policy and the ready endpoints. */
-import type {Admission} from '@skylarkfield/admission';
-import type {DeclaredService} from '@skylarkfield/traffic';
+import type {AdmissionController} from '@skylarkfield/admission';
+import type {ServiceConfig} from '@skylarkfield/traffic';
 import type {EndpointDirectory} from './endpointDirectory.js';
 import type {ActivePolicy} from './activePolicy.js';
 
@@ -33,14 +33,14 @@
  *   policy});
  */
 export function createAdmissionConfigurator(options: {
-  readonly admission: Admission;
+  readonly admission: AdmissionController;
   readonly directory: EndpointDirectory;
   readonly policy: ActivePolicy;
 }): AdmissionConfigurator {
   const {admission, directory, policy} = options;
   let configured = new Set<string>();
 
-  function slotsOf({name}: DeclaredService): number {
+  function slotsOf({name}: ServiceConfig): number {
     const ready = directory
       .forService(name)
       .filter(({state}) => state === 'ready');
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -1,6 +1,6 @@
 /** A single attempt of a request at one endpoint. */
 import {ServingError, type Clock, type Disposable} from '@skylarkfield/base';
-import type {CallFormat, ReplyHead, ReplyHeaders} from './contracts.js';
+import type {CallFormat, ResponseHead, ResponseHeaders} from './contracts.js';
 import {createEventFramer, type EventFrame} from './eventFramer.js';
 import type {UpstreamRequest, Upstreams} from './upstream.js';
 
@@ -10,7 +10,7 @@
   | {
       readonly type: 'answered';
       readonly status: number;
-      readonly headers: ReplyHeaders;
+      readonly headers: ResponseHeaders;
       readonly body: Buffer;
     }
   /** A stream that was delivered to its end. */
@@ -34,7 +34,7 @@
 /** Receives the events of a stream over all attempts of one request. */
 export interface EventSink {
   /** Passes on the status and headers of the first attempt only. */
-  begin(status: number, headers: ReplyHeaders): void;
+  begin(status: number, headers: ResponseHeaders): void;
   /** Passes on an event; false applies backpressure to the endpoint. */
   write(frame: EventFrame): boolean;
   /** Calls back once when the caller can take more data. */
@@ -65,9 +65,9 @@
    */
   isStopRequested(): boolean;
   /** Called with the response head of this attempt, whatever its status. */
-  onDidRespond(head: ReplyHead): void;
+  onDidRespond(head: ResponseHead): void;
   /** Called when the response has begun; for a stream, with its first event. */
-  onDidBegin(head: ReplyHead): void;
+  onDidBegin(head: ResponseHead): void;
 }
 
 /** Range of statuses whose body is a stream. */
@@ -90,8 +90,8 @@
     const {clock, format, signal, sink, idleTimeoutMs} = options;
     const chunks: Buffer[] = [];
     const framer = createEventFramer();
-    let reply: {status: number; headers: ReplyHeaders} | undefined;
-    let head: ReplyHead | undefined;
+    let reply: {status: number; headers: ResponseHeaders} | undefined;
+    let head: ResponseHead | undefined;
     let isStream = false;
     let hasBegun = false;
     let isSettled = false;
@@ -144,9 +144,9 @@
       options.onDidBegin(head);
     }
 
-    function onDidRespond(status: number, headers: ReplyHeaders): void {
+    function onDidRespond(status: number, headers: ResponseHeaders): void {
       noteActivity();
-      head = format.readReply(headers, status);
+      head = format.readResponse(headers, status);
       reply = {status, headers};
       if (head.attemptId !== options.attemptId) {
         abort(protocolViolation('the response has the id of another attempt'));
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -4,18 +4,18 @@
   ServingError,
   toServingError,
   type Clock,
-  type InFlight,
+  type InFlightCounter,
   type Logger,
 } from '@skylarkfield/base';
 import type {OutcomeMeter} from '@skylarkfield/capacity';
-import type {Admission, Permit} from '@skylarkfield/admission';
-import {requestFingerprint, type CrashSuspects} from '@skylarkfield/routing';
+import type {AdmissionController, Permit} from '@skylarkfield/admission';
+import {requestFingerprint, type CrashQuarantine} from '@skylarkfield/routing';
 import {
   chooseService,
   isRepeatable,
   ownTokens,
   promptKeys,
-  type KeyedCustomer,
+  type CustomerConfig,
   type Quotas,
   type Route,
 } from '@skylarkfield/traffic';
@@ -52,13 +52,13 @@
 interface CallerHandlerOptions {
   readonly policy: ActivePolicy;
   readonly quotas: Quotas;
-  readonly suspects: Pick<CrashSuspects, 'isEmpty' | 'judge'>;
+  readonly suspects: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>;
   readonly visibility: PeerVisibility;
-  readonly admission: Admission;
+  readonly admission: AdmissionController;
   readonly forwarding: Forwarding;
   readonly format: CallFormat;
   readonly state: ServingState;
-  readonly inFlight: InFlight;
+  readonly inFlight: InFlightCounter;
   /** Uncached prompt tokens of a typical request to a model service. */
   usualOwnTokens(service: string): number;
   /** Counts model requests whose first event is late. */
@@ -85,7 +85,7 @@
   readonly attemptId: string;
   readonly route: Route;
   readonly service: string;
-  readonly customer: KeyedCustomer | undefined;
+  readonly customer: CustomerConfig | undefined;
   /** 0 is the highest priority. */
   readonly priority: number;
   readonly deadlineAt: number;
@@ -190,17 +190,17 @@
     if (!options.visibility.isKnown()) {
       throw notReady('the number of entries is not known yet');
     }
-    if (!quotas.tryTake(customer, amount)) {
+    if (!quotas.tryConsume(customer, amount)) {
       throw new ServingError(
         'overloaded',
         `the quota of ${customer.name} is exhausted`,
         {
           run: 'not-run',
-          retryAfterMs: quotas.waitMs(customer, amount),
+          retryAfterMs: quotas.retryAfterMs(customer, amount),
         },
       );
     }
-    return () => quotas.giveBack(customer, amount);
+    return () => quotas.refund(customer, amount);
   }
 
   /**
@@ -357,7 +357,7 @@
 }
 
 function quotaAmount(
-  customer: KeyedCustomer | undefined,
+  customer: CustomerConfig | undefined,
   {demand}: CallHead,
 ): number {
   if (customer?.quota === undefined) {
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -1,7 +1,7 @@
 /** The response to one caller's request, written at most once. */
 import type {ServerResponse} from 'node:http';
-import {errorAnswers, type ServingError} from '@skylarkfield/base';
-import type {CallFormat, ReplyHeaders} from './contracts.js';
+import {errorResponses, type ServingError} from '@skylarkfield/base';
+import type {CallFormat, ResponseHeaders} from './contracts.js';
 import type {EventFrame} from './eventFramer.js';
 import type {EventSink} from './attempt.js';
 import {isServerError} from './attemptOutcome.js';
@@ -14,7 +14,7 @@
   /** Number of events passed on so far. */
   eventCount(): number;
   readonly sink: EventSink;
-  sendWhole(status: number, headers: ReplyHeaders, body: Buffer): void;
+  sendWhole(status: number, headers: ResponseHeaders, body: Buffer): void;
   sendError(error: ServingError): number;
   /** Aborts an incomplete response so that it does not appear complete. */
   abort(): void;
@@ -65,7 +65,7 @@
     sink: {
       begin(status, headers) {
         if (!response.headersSent) {
-          writeHead(status, format.replyHeaders(headers));
+          writeHead(status, format.callerHeaders(headers));
         }
       },
       write({bytes, id}: EventFrame) {
@@ -85,7 +85,7 @@
       },
     },
     sendWhole(status, headers, body) {
-      const replyHeaders = format.replyHeaders(headers);
+      const replyHeaders = format.callerHeaders(headers);
       replyHeaders['content-length'] = String(body.length);
       writeHead(status, replyHeaders);
       response.end(body);
@@ -98,7 +98,7 @@
       }
       const body = Buffer.from(
         JSON.stringify({
-          title: errorAnswers[error.kind].title,
+          title: errorResponses[error.kind].title,
           kind: error.kind,
           run: error.run,
           detail: error.message,
@@ -108,7 +108,7 @@
         'content-type': 'application/problem+json',
         'content-length': String(body.length),
       };
-      if (error.run === 'not-run' && errorAnswers[error.kind].retryable) {
+      if (error.run === 'not-run' && errorResponses[error.kind].retryable) {
         const waitMs = error.retryAfterMs ?? DEFAULT_RETRY_MS;
         headers['retry-after'] = (waitMs / MS_PER_SECOND).toFixed(2);
       }
@@ -126,7 +126,7 @@
  * holds.
  */
 function statusOf(error: ServingError): number {
-  const {status} = errorAnswers[error.kind];
+  const {status} = errorResponses[error.kind];
   if (error.run === 'not-run') {
     return isServerError(status) ? UNAVAILABLE_STATUS : status;
   }
--- a/packages/gateway/src/clusterDuty.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -48,7 +48,7 @@
           traffic.policy
             .services()
             .filter(({name}) => !traffic.rollouts.isOpen(name)),
-        demandSigns: traffic.engines.signs,
+        demandSigns: traffic.engines.demandSignals,
       }),
     );
     work.add(
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -3,9 +3,9 @@
   Clock,
   DecisionLog,
   Dumps,
-  InFlight,
+  InFlightCounter,
   Logger,
-  ProcessLife,
+  ProcessLifecycle,
   Random,
 } from '@skylarkfield/base';
 import type {Platform} from './contracts.js';
@@ -23,8 +23,8 @@
   readonly decisions: DecisionLog;
   readonly dumps: Dumps;
   readonly metrics: RequestMetrics;
-  readonly life: ProcessLife;
-  readonly inFlight: InFlight;
+  readonly life: ProcessLifecycle;
+  readonly inFlight: InFlightCounter;
 }
 
 export const MS_PER_SECOND = 1_000;
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -28,7 +28,7 @@
 }
 
 /** Fields that the gateway adds to a request when it forwards it. */
-export interface SendTerms {
+export interface UpstreamFields {
   /** Time left for the response, in milliseconds. */
   readonly timeoutMs: number;
   /** Id of the process that must respond; any other refuses the request. */
@@ -49,7 +49,7 @@
 }
 
 /** Result of migrating a request. */
-export type MoveAnswer =
+export type MigrationResult =
   /** The request was stopped and its KV cache copied to the target. */
   | {readonly type: 'moved'; readonly memory: KvCacheRef}
   /** The request was stopped, and its KV cache is only at the source. */
@@ -60,14 +60,14 @@
   | {readonly type: 'unknown'};
 
 /** Migration of running requests between model engines. */
-export interface EngineMoves {
+export interface RequestMigrator {
   /** Stops a running request and copies its KV cache to another engine. */
-  move(
+  migrate(
     source: string,
     attemptId: string,
     target: string,
     signal: AbortSignal,
-  ): Promise<MoveAnswer>;
+  ): Promise<MigrationResult>;
 }
 
 /** Load of an endpoint as reported by the endpoint itself. */
@@ -78,7 +78,7 @@
 }
 
 /** Metadata of an endpoint's response, read from its headers and status. */
-export interface ReplyHead {
+export interface ResponseHead {
   readonly attemptId: string | undefined;
   /** The endpoint guarantees that the request has not run and will not run. */
   readonly isNotRun: boolean;
@@ -91,7 +91,7 @@
 }
 
 /** Response headers in the form that undici passes them. */
-export type ReplyHeaders = Readonly<
+export type ResponseHeaders = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
@@ -99,16 +99,19 @@
 export interface CallFormat {
   readCall(headers: IncomingHttpHeaders): CallHead;
   /** Returns headers for the endpoint as alternating names and values. */
-  sendHeaders(rawHeaders: readonly string[], terms: SendTerms): string[];
-  readReply(headers: ReplyHeaders, status: number): ReplyHead;
+  upstreamHeaders(
+    rawHeaders: readonly string[],
+    fields: UpstreamFields,
+  ): string[];
+  readResponse(headers: ResponseHeaders, status: number): ResponseHead;
   /** Returns the headers of an endpoint's response for the caller. */
-  replyHeaders(headers: ReplyHeaders): Record<string, string | string[]>;
+  callerHeaders(headers: ResponseHeaders): Record<string, string | string[]>;
 }
 
 /** Codec for service discovery by callers and for readiness checks. */
 export interface LookupFormat {
   /** Returns the failure domain of a lookup; undefined for other paths. */
-  readLookup(url: string): {readonly failureDomain: string} | undefined;
+  parseLookup(url: string): {readonly failureDomain: string} | undefined;
   /** Returns a response body; addresses are `IP:port`. */
   writeAnswer(addresses: readonly string[], ttlMs: number): string;
   /** Whether the path is that of the readiness check. */
@@ -146,10 +149,10 @@
  *
  * Errors: `platform-unavailable`, `overloaded`, `cancelled`.
  */
-export interface Source<T> {
+export interface ObjectSource<T> {
   list(signal: AbortSignal, freshness: Freshness): Promise<SourceListing<T>>;
   /**
-   * Returns the changes after a revision, long-polling up to `waitMs` for the
+   * Returns the changes after a revision, long-polling up to `retryAfterMs` for the
    * first. Undefined if the store has compacted them.
    */
   changes(
@@ -160,7 +163,7 @@
 }
 
 /** The duty's holder and its fencing token, sent with each order. */
-export interface OrderAuthority {
+export interface FencingCredentials {
   readonly holder: string;
   readonly fencing: number;
 }
@@ -174,7 +177,7 @@
 }
 
 /** Result of an order. */
-export type OrderAnswer =
+export type EndpointOrderResult =
   | 'accepted'
   /** No capacity is available at present. */
   | 'unavailable'
@@ -184,31 +187,31 @@
 /** Platform calls that only the holder of the duty makes. */
 export interface PlatformOrders {
   reportUsage(
-    authority: OrderAuthority,
+    authority: FencingCredentials,
     window: number,
     counts: CustomerCounts,
     signal: AbortSignal,
-  ): Promise<OrderAnswer>;
+  ): Promise<EndpointOrderResult>;
   orderEndpoints(
-    authority: OrderAuthority,
+    authority: FencingCredentials,
     order: EndpointOrder,
     signal: AbortSignal,
-  ): Promise<OrderAnswer>;
+  ): Promise<EndpointOrderResult>;
 }
 
 /** The platform as used by the gateway. */
 export interface Platform {
   readonly calls: CallFormat;
   readonly lookups: LookupFormat;
-  readonly policy: Source<TrafficPolicy>;
-  readonly endpoints: Source<RegisteredEndpoint>;
-  readonly rollouts: Source<Rollout>;
+  readonly policy: ObjectSource<TrafficPolicy>;
+  readonly endpoints: ObjectSource<RegisteredEndpoint>;
+  readonly rollouts: ObjectSource<Rollout>;
   /** Objects that the gateway writes: members, leases, usage, crashes. */
   readonly objects: ObjectTransport;
   /** Returns one kind of these as a source; `read` throws on invalid values. */
-  ownObjects<T>(kind: string, read: (value: unknown) => T): Source<T>;
+  systemObjects<T>(kind: string, read: (value: unknown) => T): ObjectSource<T>;
   readonly orders: PlatformOrders;
-  readonly engines: EngineMoves;
+  readonly engines: RequestMigrator;
   /** Publishes the state of a rollout to the operator. */
   writeRolloutState(
     name: string,
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -5,8 +5,8 @@
   type Disposable,
 } from '@skylarkfield/base';
 import {
-  createDuties,
-  type Duties,
+  createDutyElections,
+  type DutyElections,
   type LeaseTiming,
 } from '@skylarkfield/duties';
 import {
@@ -25,7 +25,7 @@
   readonly network: PeerNetwork;
   readonly store: ObjectStore;
   readonly membership: Membership;
-  readonly duties: Duties;
+  readonly duties: DutyElections;
   /** Receivers of this entry's digests, and candidates for duties. */
   plan(): RelayPlan;
 }
@@ -106,7 +106,7 @@
   }
 
   const duties = owned.add(
-    createDuties({
+    createDutyElections({
       clock,
       random,
       store,
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -1,5 +1,5 @@
 /** Stops resending requests that crash endpoints, and collects the evidence. */
-import type {CrashSuspects, Verdict} from '@skylarkfield/routing';
+import type {CrashQuarantine, QuarantineVerdict} from '@skylarkfield/routing';
 import type {AttemptEnd} from './attempt.js';
 import {isServerError} from './attemptOutcome.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
@@ -14,7 +14,7 @@
   checkSend(
     call: FingerprintedCall,
     progress: Pick<Progress, 'continuation'>,
-  ): Verdict;
+  ): QuarantineVerdict;
   isSuspected(call: FingerprintedCall): boolean;
   isQuarantined(call: FingerprintedCall): boolean;
   /** Records the end of an attempt that its endpoint was not told to stop. */
@@ -25,7 +25,7 @@
   ): void;
 }
 
-const CLEAR: Verdict = {type: 'clear'};
+const CLEAR: QuarantineVerdict = {type: 'clear'};
 
 /**
  * Returns the verdict on a call. Fingerprints cost processor time, so none is
@@ -36,9 +36,9 @@
  */
 export function verdictFor(
   call: FingerprintedCall,
-  suspects: Pick<CrashSuspects, 'isEmpty' | 'judge'>,
-): Verdict {
-  return suspects.isEmpty() ? CLEAR : suspects.judge(call.fingerprint());
+  suspects: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>,
+): QuarantineVerdict {
+  return suspects.isEmpty() ? CLEAR : suspects.verdictFor(call.fingerprint());
 }
 
 /**
@@ -48,7 +48,7 @@
  * const verdict = crashGuard.checkSend(call, progress);
  */
 export function createCrashGuard(options: {
-  readonly suspects: CrashSuspects;
+  readonly suspects: CrashQuarantine;
   readonly directory: Pick<EndpointDirectory, 'get'>;
 }): CrashGuard {
   const {suspects, directory} = options;
@@ -71,9 +71,9 @@
     }
     const lostRequest = {request: call.fingerprint(), endpoint};
     if (loss === 'closed' && state === 'ready') {
-      suspects.noteClosed(lostRequest);
+      suspects.noteConnectionLost(lostRequest);
     } else {
-      suspects.noteSilent(lostRequest);
+      suspects.noteUnanswered(lostRequest);
     }
   }
 
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -16,12 +16,12 @@
 } from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import {
-  CRASH_MEMORY_MS,
+  CRASH_TTL_MS,
   type CrashReport,
-  type CrashSuspects,
+  type CrashQuarantine,
 } from '@skylarkfield/routing';
 import * as z from 'zod';
-import type {Platform, Source} from './contracts.js';
+import type {Platform, ObjectSource} from './contracts.js';
 import type {Mirror} from './mirror.js';
 
 /** Kind of the objects, each named after the entry that writes it. */
@@ -53,8 +53,12 @@
  * const view = createPlatformView({crashReports: crashReportSource(platform),
  *   ...rest});
  */
-export function crashReportSource(platform: Platform): Source<CrashReport> {
-  return platform.ownObjects(OBJECT_KIND, value => reportSchema.parse(value));
+export function crashReportSource(
+  platform: Platform,
+): ObjectSource<CrashReport> {
+  return platform.systemObjects(OBJECT_KIND, value =>
+    reportSchema.parse(value),
+  );
 }
 
 /**
@@ -66,7 +70,7 @@
  */
 export function startCrashPersistence(options: {
   readonly mirror: Mirror<CrashReport>;
-  readonly suspects: CrashSuspects;
+  readonly suspects: CrashQuarantine;
   readonly store: ObjectStore;
   readonly self: string;
   readonly clock: Clock;
@@ -98,7 +102,7 @@
       if (mirror.get(name) === undefined) {
         revisions.delete(name);
         log.info({entry: name}, 'persisted crashes removed');
-        suspects.dropKept(name);
+        suspects.removeStoredReport(name);
       }
     }
     isRestored = true;
@@ -106,9 +110,9 @@
 
   function applyReport(name: string, report: CrashReport): void {
     if (name !== self) {
-      suspects.takeKept(name, report);
+      suspects.setStoredReport(name, report);
     } else if (!isRestored) {
-      suspects.restore(report);
+      suspects.restoreOwnReport(report);
     }
   }
 
@@ -138,11 +142,11 @@
 
   async function writeOnce(failures: number): Promise<boolean> {
     isDirty = false;
-    const report = suspects.own();
+    const report = suspects.reportToStore();
     try {
       const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
       await store.put(OBJECT_KIND, self, report, {type: 'any'}, signal);
-      suspects.noteKept(report);
+      suspects.noteStored(report);
       log.info({crashes: report.crashes.length, failures}, 'crashes persisted');
       return true;
     } catch (error) {
@@ -159,7 +163,7 @@
     if (!options.isReader()) {
       return;
     }
-    const oldestMs = clock.wall() - CRASH_MEMORY_MS;
+    const oldestMs = clock.wall() - CRASH_TTL_MS;
     for (const {name, revision, value} of mirror.items()) {
       if (value.crashes.some(({atMs}) => atMs >= oldestMs)) {
         continue;
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -2,7 +2,7 @@
 import {emitter, type Event, type Logger} from '@skylarkfield/base';
 import type {Candidate, Router} from '@skylarkfield/routing';
 import {
-  writtenState,
+  currentRolloutState,
   type RegisteredEndpoint,
   type Rollout,
 } from '@skylarkfield/traffic';
@@ -57,7 +57,7 @@
     return rollouts
       .items()
       .filter(({value}) => value.service === service)
-      .filter(({value}) => writtenState(value) !== 'done')
+      .filter(({value}) => currentRolloutState(value) !== 'done')
       .map(({value}) => value.target);
   }
 
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -13,9 +13,9 @@
   type Logger,
 } from '@skylarkfield/base';
 import {
-  HALF_LIFE_MS,
-  scaleCapacity,
-  type CapacitySums,
+  SAMPLE_HALF_LIFE_MS,
+  scaleCapacityStats,
+  type CapacityStats,
 } from '@skylarkfield/capacity';
 import type {ObjectStore} from '@skylarkfield/providers';
 import * as z from 'zod';
@@ -69,9 +69,9 @@
 
 export interface EngineCapacityStore extends Disposable {
   /** Returns the restored measurements, decayed by age; initially empty. */
-  restored(): CapacitySums;
+  restored(): CapacityStats;
   /** Writes the measurements periodically until disposed. */
-  startPersisting(sums: () => CapacitySums): Disposable;
+  startPersisting(sums: () => CapacityStats): Disposable;
 }
 
 /**
@@ -86,7 +86,7 @@
   readonly log: Logger;
 }): EngineCapacityStore {
   const {store, clock, log} = options;
-  let stored: {at: number; sums: CapacitySums} | undefined;
+  let stored: {at: number; sums: CapacityStats} | undefined;
   let readings = 0;
   let isDisposed = false;
 
@@ -102,7 +102,7 @@
       if (object === undefined) {
         return;
       }
-      const sums = scaleCapacity(
+      const sums = scaleCapacityStats(
         capacitySchema.parse(object.value),
         RESTORED_WEIGHT,
       );
@@ -125,7 +125,7 @@
     }
   }
 
-  async function write(sums: CapacitySums): Promise<void> {
+  async function write(sums: CapacityStats): Promise<void> {
     if (Object.keys(sums).length === 0) {
       return;
     }
@@ -150,7 +150,10 @@
         return {};
       }
       const ageMs = clock.now() - stored.at;
-      return scaleCapacity(stored.sums, 2 ** (-ageMs / HALF_LIFE_MS));
+      return scaleCapacityStats(
+        stored.sums,
+        2 ** (-ageMs / SAMPLE_HALF_LIFE_MS),
+      );
     },
     startPersisting: sums =>
       every(clock, WRITE_INTERVAL_MS, () => void write(sums())),
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -1,5 +1,5 @@
 /** Observes the speed of engines, per attempt. */
-import type {EngineFigures, EngineModel} from '@skylarkfield/capacity';
+import type {EngineEstimate, EngineModel} from '@skylarkfield/capacity';
 import type {Clock} from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
 import {ownTokens, type ModelDemand, type Route} from '@skylarkfield/traffic';
@@ -17,7 +17,7 @@
 /** Observes one attempt of a model request. */
 export interface AttemptObserver {
   /** Returns a sink that also records the events. */
-  watched(sink: EventSink): EventSink;
+  wrap(sink: EventSink): EventSink;
   noteBegin(): void;
   noteEnd(): void;
 }
@@ -32,7 +32,11 @@
 
 export interface EngineObserver {
   /** Returns the delay at an endpoint; `leftMs` remains until the deadline. */
-  wait(call: ObservedCall, choice: Choice, leftMs: number): ExpectedWait;
+  expectedWait(
+    call: ObservedCall,
+    choice: Choice,
+    leftMs: number,
+  ): ExpectedWait;
   /** `isFresh` is false for a resumed request, which reads little prompt. */
   observe(
     call: ObservedCall,
@@ -42,7 +46,7 @@
 }
 
 const NO_OBSERVER: AttemptObserver = {
-  watched: sink => sink,
+  wrap: sink => sink,
   noteBegin() {},
   noteEnd() {},
 };
@@ -68,7 +72,7 @@
 export function createEngineObserver(options: {
   readonly model: EngineModel;
   readonly clock: Clock;
-  figures(service: string): EngineFigures;
+  figures(service: string): EngineEstimate;
   /** Whether the request fits into an engine's memory. */
   fits(service: string, demand: ModelDemand): boolean;
   /** Tokens per event of the service's streams. */
@@ -78,7 +82,7 @@
 }): EngineObserver {
   const {model, clock} = options;
   return {
-    wait({head, service}, {tokensAhead}, leftMs) {
+    expectedWait({head, service}, {tokensAhead}, leftMs) {
       const figures = options.figures(service);
       // Until the figures are reliable, a guess could reject callers wrongly.
       if (head.demand === undefined || !figures.isSure) {
@@ -103,7 +107,7 @@
         options.onDidReread(service, rereadTokens);
       }
       return {
-        watched: sink => ({
+        wrap: sink => ({
           ...sink,
           write(frame) {
             steps.noteEvent();
@@ -114,7 +118,7 @@
           if (!isFresh) {
             return;
           }
-          model.notePrompt({
+          model.recordPrompt({
             service,
             route: route.name,
             ownTokens: own,
@@ -131,7 +135,7 @@
             return;
           }
           const perEvent = options.tokensPerEvent(service);
-          model.noteAnswer({
+          model.recordAnswer({
             service,
             route: route.name,
             tokens: events * perEvent,
--- a/packages/gateway/src/enginesView.ts
+++ b/packages/gateway/src/enginesView.ts
@@ -1,45 +1,45 @@
 /** Estimates of engines' capacity and load, combined from all entries. */
 import type {Clock, Logger} from '@skylarkfield/base';
 import {
-  addCapacity,
+  addCapacityStats,
   createEngineModel,
   createOutcomeMeter,
-  engineFigures,
-  latePart,
-  plannedUse,
-  type CapacitySums,
-  type EngineFigures,
+  estimateEngine,
+  lateRequestFraction,
+  targetUtilization,
+  type CapacityStats,
+  type EngineEstimate,
   type EngineModel,
   type OutcomeMeter,
-  type RouteAim,
+  type LatencyTargets,
   type WorkRate,
 } from '@skylarkfield/capacity';
 import type {RouteWeights} from '@skylarkfield/routing';
 import {
   addWork,
   createWorkMeter,
-  NO_WORK,
+  ZERO_WORK,
   workMs,
-  type DemandSigns,
+  type DemandSignals,
   type WorkMeter,
 } from '@skylarkfield/traffic';
 import type {PeerReports} from './peerReports.js';
 
-export interface EnginesView {
+export interface EngineEstimates {
   readonly model: EngineModel;
   readonly outcomes: OutcomeMeter;
   readonly work: WorkMeter;
-  figures(service: string): EngineFigures;
+  figures(service: string): EngineEstimate;
   /** Returns the work rate of a service over all entries. */
-  workOf(service: string): WorkRate;
+  workRate(service: string): WorkRate;
   /** Returns the demand for a service, and the fraction served late. */
-  signs(service: string): Omit<DemandSigns, 'present'>;
+  demandSignals(service: string): Omit<DemandSignals, 'present'>;
   /** Returns the routing weights; undefined for a plain service. */
   routeWeights(service: string): Partial<RouteWeights> | undefined;
   /** Returns this entry's observations; undefined if published recently. */
-  unpublishedCapacity(): CapacitySums | undefined;
+  unpublishedCapacity(): CapacityStats | undefined;
   /** Returns the observations of all entries. */
-  fleetCapacity(): CapacitySums;
+  fleetCapacity(): CapacityStats;
   dump(): unknown;
 }
 
@@ -60,7 +60,7 @@
 
 interface CachedFigures {
   readonly at: number;
-  readonly figures: EngineFigures;
+  readonly figures: EngineEstimate;
   readonly weights: Partial<RouteWeights>;
 }
 
@@ -68,33 +68,33 @@
  * Creates the view; `aims` are the targets of the routes to a service.
  *
  * @example
- * const engines = createEnginesView({clock, reports, log, recalled:
+ * const engines = createEngineEstimates({clock, reports, log, recalled:
  *   store.restored, isModel, aims});
  */
-export function createEnginesView(options: {
+export function createEngineEstimates(options: {
   readonly clock: Clock;
   readonly reports: PeerReports;
   readonly log: Logger;
   /** Observations from before all entries were lost, decayed by age. */
-  recalled(): CapacitySums;
+  restored(): CapacityStats;
   isModel(service: string): boolean;
-  aims(service: string): readonly RouteAim[];
-}): EnginesView {
+  aims(service: string): readonly LatencyTargets[];
+}): EngineEstimates {
   const {clock, reports, log} = options;
   const model = createEngineModel(clock);
   const outcomes = createOutcomeMeter(clock);
   const work = createWorkMeter(clock);
   const cache = new Map<string, CachedFigures>();
-  const logged = new Map<string, EngineFigures>();
+  const logged = new Map<string, EngineEstimate>();
   let publishedAt = -Infinity;
 
-  function fleetCapacity(): CapacitySums {
-    return addCapacity([model.sums(), ...reports.capacity()]);
+  function fleetCapacity(): CapacityStats {
+    return addCapacityStats([model.stats(), ...reports.capacity()]);
   }
 
   function computeFigures(service: string): CachedFigures {
-    const all = addCapacity([fleetCapacity(), options.recalled()]);
-    const figures = engineFigures(all[service], options.aims(service));
+    const all = addCapacityStats([fleetCapacity(), options.restored()]);
+    const figures = estimateEngine(all[service], options.aims(service));
     return {at: clock.now(), figures, weights: routeWeightsFor(figures)};
   }
 
@@ -110,7 +110,7 @@
   }
 
   /** Logs figures that are new or differ enough from those logged last. */
-  function logChange(service: string, figures: EngineFigures): void {
+  function logChange(service: string, figures: EngineEstimate): void {
     const last = logged.get(service);
     const ratio = last ? figures.usualPromptMs / last.usualPromptMs : Infinity;
     const isSimilar = Math.abs(ratio - 1) < LOGGED_CHANGE;
@@ -121,21 +121,21 @@
     log.info({service, ...figures}, 'engine figures updated');
   }
 
-  function workOf(service: string): WorkRate {
-    const own = work.rates()[service] ?? NO_WORK;
+  function workRate(service: string): WorkRate {
+    const own = work.rates()[service] ?? ZERO_WORK;
     return addWork(own, reports.workOf(service));
   }
 
   function lateFraction(service: string): number {
-    const parts = [outcomes.sums(), ...reports.outcomes()];
-    return latePart(parts.flatMap(part => part[service] ?? []));
+    const parts = [outcomes.counts(), ...reports.outcomes()];
+    return lateRequestFraction(parts.flatMap(part => part[service] ?? []));
   }
 
-  function demandSigns(service: string): Omit<DemandSigns, 'present'> {
+  function demandSignals(service: string): Omit<DemandSignals, 'present'> {
     const {figures} = cachedFigures(service);
     return {
-      workRate: workMs(workOf(service), figures),
-      use: plannedUse(figures, options.aims(service)),
+      workRate: workMs(workRate(service), figures),
+      use: targetUtilization(figures, options.aims(service)),
       latePart: lateFraction(service),
       isSure: figures.isSure,
     };
@@ -146,8 +146,8 @@
     outcomes,
     work,
     figures: service => cachedFigures(service).figures,
-    workOf,
-    signs: demandSigns,
+    workRate,
+    demandSignals,
     routeWeights: service =>
       options.isModel(service) ? cachedFigures(service).weights : undefined,
     unpublishedCapacity() {
@@ -155,25 +155,25 @@
         return undefined;
       }
       publishedAt = clock.now();
-      return model.sums();
+      return model.stats();
     },
     fleetCapacity,
     dump: () =>
       Object.fromEntries(
         [...cache].map(([service, {figures}]) => [
           service,
-          {...figures, ...demandSigns(service)},
+          {...figures, ...demandSignals(service)},
         ]),
       ),
   };
 }
 
-function routeWeightsFor(figures: EngineFigures): Partial<RouteWeights> {
+function routeWeightsFor(figures: EngineEstimate): Partial<RouteWeights> {
   const {usualTokenMs, usualPromptMs, usualAnswerTokens} = figures;
   return {
     knownMsPerToken: usualTokenMs,
-    rereadPart: Math.min(1, figures.rereadTokenMs / usualTokenMs),
-    uncached: REREAD_WEIGHT,
+    recomputedTokenShare: Math.min(1, figures.rereadTokenMs / usualTokenMs),
+    uncachedTokenWeight: REREAD_WEIGHT,
     perRequestMs: figures.requestStepMs * usualAnswerTokens,
     perContextTokenMs: (figures.contextStepMs * usualAnswerTokens) / 1_000,
     affinityMs: usualPromptMs * AFFINITY_PROMPTS,
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -8,17 +8,21 @@
 } from '@skylarkfield/base';
 import type {Tenure} from '@skylarkfield/duties';
 import {
-  createFleetDemand,
+  createDemandEstimator,
   planFleet,
-  type DeclaredService,
-  type DemandSigns,
+  type ServiceConfig,
+  type DemandSignals,
   type DomainFleet,
   type EndpointNeed,
-  type FleetDemand,
+  type DemandEstimator,
   type FleetPlan,
-  type FleetTerms,
+  type FleetConfig,
 } from '@skylarkfield/traffic';
-import type {EndpointOrder, OrderAnswer, PlatformOrders} from './contracts.js';
+import type {
+  EndpointOrder,
+  EndpointOrderResult,
+  PlatformOrders,
+} from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
 /** Planning interval, in milliseconds. */
@@ -51,9 +55,9 @@
   readonly holder: string;
   readonly orders: PlatformOrders;
   readonly directory: EndpointDirectory;
-  services(): readonly DeclaredService[];
+  services(): readonly ServiceConfig[];
   /** Demand for a service over all entries, and the fraction served late. */
-  demandSigns(service: string): Omit<DemandSigns, 'present'>;
+  demandSigns(service: string): Omit<DemandSignals, 'present'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -69,7 +73,7 @@
   const issuedOrders = new Map<string, IssuedOrder>();
   /** Next probe of each failure domain without reclaimable capacity. */
   const scarceRetryAt = new Map<string, number>();
-  const demands = new Map<string, FleetDemand>();
+  const demands = new Map<string, DemandEstimator>();
   const startedAt = clock.now();
   let isBusy = false;
 
@@ -120,11 +124,11 @@
 
   function updateNeed(
     service: string,
-    signs: Omit<DemandSigns, 'present'>,
+    signs: Omit<DemandSignals, 'present'>,
   ): EndpointNeed {
-    const demand = demands.get(service) ?? createFleetDemand(clock);
+    const demand = demands.get(service) ?? createDemandEstimator(clock);
     demands.set(service, demand);
-    return demand.note({...signs, present: readyCount(service)});
+    return demand.update({...signs, present: readyCount(service)});
   }
 
   /**
@@ -204,7 +208,9 @@
     return newOrders;
   }
 
-  async function issueOrder(order: EndpointOrder): Promise<OrderAnswer> {
+  async function issueOrder(
+    order: EndpointOrder,
+  ): Promise<EndpointOrderResult> {
     const market: Market = order.isReclaimable ? 'reclaimable' : 'onDemand';
     const key = `${order.service}/${order.failureDomain}/${market}`;
     if (!tenure.isValid()) {
@@ -233,7 +239,7 @@
    */
   async function probeScarceDomains(
     service: string,
-    {most}: FleetTerms,
+    {most}: FleetConfig,
   ): Promise<void> {
     for (const [key, retryAt] of scarceRetryAt) {
       const [name, failureDomain = ''] = key.split('/');
@@ -262,7 +268,7 @@
     }
   }
 
-  async function planService({name, fleet}: DeclaredService): Promise<void> {
+  async function planService({name, fleet}: ServiceConfig): Promise<void> {
     if (fleet === undefined || directory.forService(name).length === 0) {
       return;
     }
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -1,10 +1,10 @@
 /** Forwards an admitted request to an endpoint, with retries at others. */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
-import type {Admission} from '@skylarkfield/admission';
+import type {AdmissionController} from '@skylarkfield/admission';
 import type {
   Choice,
-  CrashSuspects,
-  RequestLimits,
+  CrashQuarantine,
+  RateLimits,
   Router,
 } from '@skylarkfield/routing';
 import {ownTokens, type Route} from '@skylarkfield/traffic';
@@ -22,7 +22,7 @@
   withRunState,
 } from './attemptOutcome.js';
 import type {CallerReply} from './callerReply.js';
-import type {CallFormat, CallHead, ReplyHead} from './contracts.js';
+import type {CallFormat, CallHead, ResponseHead} from './contracts.js';
 import type {EngineObserver} from './engineObserver.js';
 import type {EndpointDirectory, VersionGroup} from './endpointDirectory.js';
 import {createProgress, createRetryRules, type Progress} from './retryRules.js';
@@ -91,10 +91,10 @@
  */
 export function createForwarding(options: {
   readonly router: Router;
-  readonly limits: Pick<RequestLimits, 'note'>;
-  readonly suspects: CrashSuspects;
+  readonly limits: Pick<RateLimits, 'noteLimit'>;
+  readonly suspects: CrashQuarantine;
   readonly directory: EndpointDirectory;
-  readonly admission: Admission;
+  readonly admission: AdmissionController;
   readonly upstreams: Upstreams;
   readonly migrator: StreamMigrator;
   readonly engines: EngineObserver;
@@ -167,7 +167,7 @@
       request: {
         method: call.method,
         path: call.path,
-        headers: format.sendHeaders(call.rawHeaders, {
+        headers: format.upstreamHeaders(call.rawHeaders, {
           timeoutMs: Math.max(1, Math.floor(call.deadlineAt - sentAt)),
           endpointId: endpoint.id,
           customer: call.customer,
@@ -183,12 +183,12 @@
       format,
       clock,
       signal: call.signal,
-      sink: isStream ? observer.watched(reply.sink) : undefined,
+      sink: isStream ? observer.wrap(reply.sink) : undefined,
       idleTimeoutMs: rules.idleTimeoutMs(call, progress),
       isStopRequested: watchedStream.isStopRequested,
       onDidRespond({limitPerSecond}) {
-        options.limits.note(choice.endpoint, limitPerSecond);
-        options.suspects.noteHeard(choice.endpoint, sentAt);
+        options.limits.noteLimit(choice.endpoint, limitPerSecond);
+        options.suspects.noteResponse(choice.endpoint, sentAt);
       },
       onDidBegin(head) {
         beganAt = clock.now();
@@ -233,7 +233,7 @@
   }
 
   let reports = 0;
-  function noteLoad(endpoint: string, {load}: ReplyHead): void {
+  function noteLoad(endpoint: string, {load}: ResponseHead): void {
     if (load === undefined) {
       return;
     }
@@ -302,7 +302,7 @@
 
   /** Returns the reason why no endpoint can be tried. */
   function noEndpointError(service: string): ServingError {
-    const waitMs = router.limitWaitMs(service);
+    const waitMs = router.rateLimitWaitMs(service);
     return waitMs === undefined
       ? unavailable(service, 'none is left to try')
       : rateLimited(service, waitMs);
@@ -321,7 +321,11 @@
     if (progress.runs > 0 || memory !== undefined) {
       return undefined;
     }
-    const wait = engines.wait(call, choice, call.deadlineAt - clock.now());
+    const wait = engines.expectedWait(
+      call,
+      choice,
+      call.deadlineAt - clock.now(),
+    );
     if (!wait.isTooLong) {
       return undefined;
     }
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -43,7 +43,7 @@
   }
 
   function answerLookup(request: IncomingMessage, response: ServerResponse) {
-    const query = lookups.readLookup(request.url ?? '');
+    const query = lookups.parseLookup(request.url ?? '');
     if (query === undefined) {
       sendStatus(response, NOT_FOUND);
       return;
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -1,10 +1,10 @@
 /** Startup and graceful shutdown of a gateway process. */
 import {
   createDumps,
-  createInFlight,
+  createInFlightCounter,
   createLogger,
   createMetrics,
-  createProcessLife,
+  createProcessLifecycle,
   decisionLog,
   disposableStore,
   processRandom,
@@ -99,8 +99,8 @@
     decisions: decisionLog(clock, log),
     dumps: createDumps(),
     metrics: createRequestMetrics(() => createMetrics('skylarkfield'), log),
-    life: createProcessLife(),
-    inFlight: createInFlight(clock),
+    life: createProcessLifecycle(),
+    inFlight: createInFlightCounter(clock),
   };
   context.dumps.add('process', () => ({
     id: settings.id,
@@ -144,7 +144,7 @@
     clock.after(Math.min(LINGER_MS, graceMs / 2), resolve);
   });
   life.send('refuse');
-  const isIdle = await inFlight.idle(Math.max(0, endAt - clock.now()));
+  const isIdle = await inFlight.waitUntilIdle(Math.max(0, endAt - clock.now()));
   life.send('close');
   log.info({isIdle, inFlight: inFlight.count()}, 'stopped');
 }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,7 +1,7 @@
 /** The gateway: routes requests to services by the traffic policy. */
 export * from './contracts.js';
 export {createEngineObserver, type EngineObserver} from './engineObserver.js';
-export {createEnginesView, type EnginesView} from './enginesView.js';
+export {createEngineEstimates, type EngineEstimates} from './enginesView.js';
 export * from './gatewayProcess.js';
 export {createPeerReports} from './peerReports.js';
 export * from './settings.js';
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -5,7 +5,7 @@
 import {emitter, type Clock, type Event, type Logger} from '@skylarkfield/base';
 import type {
   MirrorChange,
-  MirrorCopy,
+  MirrorSnapshot,
   MirrorKind,
   SyncStatus,
 } from '@skylarkfield/protocol';
@@ -42,13 +42,13 @@
   ): MirrorStep | undefined;
   /** Applies a step from a peer; false on a gap, which requires a copy. */
   applyStep(step: MirrorStep): boolean;
-  applyCopy(copy: MirrorCopy): void;
+  applyCopy(copy: MirrorSnapshot): void;
   /**
    * Confirms the replica by a peer's that was up to date at the timestamp;
    * false if it lacks changes.
    */
   confirmBy(syncStatus: SyncStatus, timestamp: Timestamp): boolean;
-  copy(): MirrorCopy;
+  copy(): MirrorSnapshot;
   /** Returns the status for peers; `isReader` if this entry reads the store. */
   syncStatus(isReader: boolean): SyncStatus;
 }
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -15,7 +15,7 @@
 } from '@skylarkfield/base';
 import type {Freshness} from '@skylarkfield/providers';
 import {timestampOf} from '@skylarkfield/traffic';
-import type {Source} from './contracts.js';
+import type {ObjectSource} from './contracts.js';
 import type {Mirror, MirrorStep} from './mirror.js';
 
 /** Timing of one kind's reads, in milliseconds. */
@@ -62,7 +62,7 @@
  */
 export function startMirrorReader<T>(options: {
   readonly mirror: Mirror<T>;
-  readonly source: Source<T>;
+  readonly source: ObjectSource<T>;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
--- a/packages/gateway/src/outcomeWatch.ts
+++ b/packages/gateway/src/outcomeWatch.ts
@@ -47,7 +47,7 @@
   function note(isLate: boolean): void {
     if (!isNoted) {
       isNoted = true;
-      outcomes.note(service, isLate);
+      outcomes.record(service, isLate);
     }
   }
   const timer = clock.after(route.goalMs, () => note(!reply.hasBegun()));
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -8,20 +8,20 @@
  */
 import type {Clock} from '@skylarkfield/base';
 import {
-  addCapacity,
-  type CapacitySums,
-  type OutcomeSums,
+  addCapacityStats,
+  type CapacityStats,
+  type OutcomeCounts,
   type WorkRate,
 } from '@skylarkfield/capacity';
 import type {EndpointLoad, Messages} from '@skylarkfield/protocol';
 import {
   addLoads,
-  mergeReports,
-  newestLimits,
+  mergeCrashReports,
+  mergeRateLimitReports,
   type CrashReport,
-  type LimitReports,
+  type RateLimitReports,
 } from '@skylarkfield/routing';
-import {addWork, NO_WORK} from '@skylarkfield/traffic';
+import {addWork, ZERO_WORK} from '@skylarkfield/traffic';
 import type {DigestScope} from './relayPlan.js';
 
 type Digest = Messages['digest'];
@@ -34,13 +34,13 @@
   readonly used: Amounts;
   readonly loads: Readonly<Record<string, EndpointLoad>>;
   /** Request limits announced by endpoints. */
-  readonly limits: LimitReports;
+  readonly limits: RateLimitReports;
   /** Crashes of endpoints to propagate now; undefined if there are none. */
   readonly crashes?: CrashReport | undefined;
   readonly work: Readonly<Record<string, WorkRate>>;
   /** Measurements of engines; undefined if not published this time. */
-  readonly capacity?: CapacitySums;
-  readonly outcomes: Readonly<Record<string, OutcomeSums>>;
+  readonly capacity?: CapacityStats;
+  readonly outcomes: Readonly<Record<string, OutcomeCounts>>;
 }
 
 /** An accepted digest. */
@@ -53,7 +53,7 @@
 
 export interface PeerReports {
   /** Applies a digest; undefined if the origin has another active reporter. */
-  take(peer: string, digest: Digest): AcceptedReport | undefined;
+  accept(peer: string, digest: Digest): AcceptedReport | undefined;
   /**
    * Returns this entry's report combined with those of the origins that a
    * receiver of the scope has no other reports from.
@@ -68,9 +68,9 @@
   /** Returns the work rate of a service reported by the peers. */
   workOf(service: string): WorkRate;
   /** Returns the engine measurements of each origin. */
-  capacity(): readonly CapacitySums[];
+  capacity(): readonly CapacityStats[];
   /** Returns the counts of late requests of each origin. */
-  outcomes(): readonly Readonly<Record<string, OutcomeSums>>[];
+  outcomes(): readonly Readonly<Record<string, OutcomeCounts>>[];
   dump(): unknown;
 }
 
@@ -79,7 +79,7 @@
   receivedAt: number;
   digest: Digest;
   /** Latest value, since not every digest contains it. */
-  capacity: CapacitySums;
+  capacity: CapacityStats;
   /** Sum of the increases; never falls when a reporter restarts or changes. */
   readonly used: Record<string, number>;
 }
@@ -100,17 +100,17 @@
  *
  * @example
  * const taken = reports.take('a2', digest);
- * if (taken !== undefined) { quotas.noteIncrease(taken.increase); }
+ * if (taken !== undefined) { quotas.addPeerUsage(taken.increase); }
  */
 export function createPeerReports(options: {
   readonly clock: Clock;
   readonly failureDomain: string;
   /** Time until a silent reporter may be replaced, in milliseconds. */
-  readonly silenceMs: number;
+  readonly reporterTimeoutMs: number;
   /** Window of the quotas, in milliseconds. */
   readonly quotaWindowMs: number;
 }): PeerReports {
-  const {clock, failureDomain, silenceMs, quotaWindowMs} = options;
+  const {clock, failureDomain, reporterTimeoutMs, quotaWindowMs} = options;
   const origins = new Map<string, OriginState>();
   const lastUsed = new Map<string, {incarnation: number; used: Amounts}>();
 
@@ -124,12 +124,12 @@
   }
 
   function isFresh({receivedAt}: OriginState): boolean {
-    return clock.now() - receivedAt < silenceMs;
+    return clock.now() - receivedAt < reporterTimeoutMs;
   }
 
   function isOverdue({receivedAt, digest}: OriginState): boolean {
     const isOwn = (digest.scope ?? 'own') === 'own';
-    return clock.now() - receivedAt >= (isOwn ? OVERDUE_MS : silenceMs);
+    return clock.now() - receivedAt >= (isOwn ? OVERDUE_MS : reporterTimeoutMs);
   }
 
   function freshOrigins(): OriginState[] {
@@ -185,7 +185,7 @@
   }
 
   return {
-    take(peer, digest) {
+    accept(peer, digest) {
       const originName = originOf(peer, digest);
       const increase = increases(peer, digest);
       const origin = origins.get(originName);
@@ -218,7 +218,11 @@
           addWorkRates(work, origin.digest.work);
           addOutcomes(outcomes, origin.digest.outcomes);
           const sinceMs = clock.now() - origin.receivedAt;
-          limits = newestLimits(limits, origin.digest.limits ?? {}, sinceMs);
+          limits = mergeRateLimitReports(
+            limits,
+            origin.digest.limits ?? {},
+            sinceMs,
+          );
           crashes = addCrashes(crashes, origin.digest.crashes);
           entries += origin.digest.entries ?? 1;
         }
@@ -236,7 +240,7 @@
         return sum;
       }
       const seen = selected.filter(isFresh).map(({capacity}) => capacity);
-      return {...sum, capacity: addCapacity([own.capacity, ...seen])};
+      return {...sum, capacity: addCapacityStats([own.capacity, ...seen])};
     },
     visiblePeers: () =>
       [...origins.values()]
@@ -244,8 +248,8 @@
         .reduce((sum, {digest}) => sum + (digest.entries ?? 1), 0),
     workOf: service =>
       freshOrigins().reduce(
-        (sum, {digest}) => addWork(sum, digest.work[service] ?? NO_WORK),
-        NO_WORK,
+        (sum, {digest}) => addWork(sum, digest.work[service] ?? ZERO_WORK),
+        ZERO_WORK,
       ),
     capacity: () => freshOrigins().map(({capacity}) => capacity),
     outcomes: () => freshOrigins().map(({digest}) => digest.outcomes),
@@ -284,7 +288,7 @@
   from: Readonly<Record<string, WorkRate>>,
 ): void {
   for (const [service, work] of Object.entries(from)) {
-    to[service] = addWork(to[service] ?? NO_WORK, work);
+    to[service] = addWork(to[service] ?? ZERO_WORK, work);
   }
 }
 
@@ -292,12 +296,14 @@
   a: CrashReport | undefined,
   b: CrashReport | undefined,
 ): CrashReport | undefined {
-  return a === undefined || b === undefined ? (a ?? b) : mergeReports(a, b);
+  return a === undefined || b === undefined
+    ? (a ?? b)
+    : mergeCrashReports(a, b);
 }
 
 function addOutcomes(
-  to: Record<string, OutcomeSums>,
-  from: Readonly<Record<string, OutcomeSums>>,
+  to: Record<string, OutcomeCounts>,
+  from: Readonly<Record<string, OutcomeCounts>>,
 ): void {
   for (const [service, {count, late}] of Object.entries(from)) {
     const sum = to[service];
--- a/packages/gateway/src/peerVisibility.ts
+++ b/packages/gateway/src/peerVisibility.ts
@@ -28,7 +28,7 @@
  *
  * @example
  * const visibility = createPeerVisibility({clock, membership, reports,
- *   onDidRefresh: quotas.setHeard});
+ *   onDidRefresh: quotas.setReportingPeers});
  */
 export function createPeerVisibility(options: {
   readonly clock: Clock;
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -8,20 +8,20 @@
 } from '@skylarkfield/base';
 import type {
   Messages,
-  MirrorCopy,
+  MirrorSnapshot,
   MirrorKind,
   SyncStatus,
   PeerNetwork,
 } from '@skylarkfield/protocol';
 import {
-  before,
+  earlierTimestamp,
   type Timestamp,
   type RegisteredEndpoint,
   type Rollout,
   type TrafficPolicy,
 } from '@skylarkfield/traffic';
 import type {CrashReport} from '@skylarkfield/routing';
-import type {Platform, Source} from './contracts.js';
+import type {Platform, ObjectSource} from './contracts.js';
 import {createMirror, type Mirror} from './mirror.js';
 import {
   startMirrorReader,
@@ -77,7 +77,7 @@
  */
 export function createPlatformView(options: {
   readonly platform: Platform;
-  readonly crashReports: Source<CrashReport>;
+  readonly crashReports: ObjectSource<CrashReport>;
   readonly network: PeerNetwork;
   readonly self: string;
   plan(): RelayPlan;
@@ -136,7 +136,7 @@
     return [...options.plan().targets.values()].includes('rest');
   }
 
-  function startReader<T>(mirror: Mirror<T>, source: Source<T>): void {
+  function startReader<T>(mirror: Mirror<T>, source: ObjectSource<T>): void {
     const reader = startMirrorReader({
       mirror,
       source,
@@ -156,13 +156,13 @@
     }
     fetching.add(kind);
     try {
-      const answer = await network.ask(
+      const answer = await network.request(
         peer,
         'mirrorWanted',
         {kind},
         COPY_TIMEOUT_MS,
       );
-      mirrors[kind].applyCopy(answer as MirrorCopy);
+      mirrors[kind].applyCopy(answer as MirrorSnapshot);
     } catch (error) {
       log.info(
         {mirror: kind, peer, reason: String(error)},
@@ -189,7 +189,10 @@
     if (timestamp === undefined || syncStatus.confirmedAgoMs < 0) {
       return;
     }
-    mirror.confirmBy(syncStatus, before(timestamp, syncStatus.confirmedAgoMs));
+    mirror.confirmBy(
+      syncStatus,
+      earlierTimestamp(timestamp, syncStatus.confirmedAgoMs),
+    );
   }
 
   function broadcastStep(step: Messages['mirrorChanges'], from: string): void {
--- a/packages/gateway/src/requestLog.ts
+++ b/packages/gateway/src/requestLog.ts
@@ -1,6 +1,6 @@
 /** Log line and metrics of a completed request. */
 import type {Clock, Logger} from '@skylarkfield/base';
-import type {KeyedCustomer, Route} from '@skylarkfield/traffic';
+import type {CustomerConfig, Route} from '@skylarkfield/traffic';
 import type {CallHead} from './contracts.js';
 import type {ForwardingResult} from './forwarding.js';
 import type {ActivePolicy} from './activePolicy.js';
@@ -14,7 +14,7 @@
         readonly head: CallHead;
         readonly route: Route;
         readonly service: string;
-        readonly customer: KeyedCustomer | undefined;
+        readonly customer: CustomerConfig | undefined;
       }
     | undefined;
   readonly attemptId: string | undefined;
--- a/packages/gateway/src/retryRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -1,5 +1,5 @@
 /** Rules for retries at other endpoints and for idle timeouts of attempts. */
-import type {Admission} from '@skylarkfield/admission';
+import type {AdmissionController} from '@skylarkfield/admission';
 import type {Clock} from '@skylarkfield/base';
 import {isRepeatable, type Route} from '@skylarkfield/traffic';
 import type {Continuation} from './streamMigration.js';
@@ -98,7 +98,7 @@
  *   progress)); }
  */
 export function createRetryRules(options: {
-  readonly admission: Pick<Admission, 'tryRetry'>;
+  readonly admission: Pick<AdmissionController, 'tryRetry'>;
   readonly clock: Clock;
 }): RetryRules {
   const {admission, clock} = options;
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -5,11 +5,11 @@
   toServingError,
   type Disposable,
 } from '@skylarkfield/base';
-import type {Duties} from '@skylarkfield/duties';
+import type {DutyElections} from '@skylarkfield/duties';
 import {
   createMoveDuty,
   createMoveFollower,
-  createMoveJudge,
+  createMoveController,
   createTrafficSplit,
   type MoveState,
   type TrafficSplit,
@@ -46,7 +46,7 @@
   readonly directory: EndpointDirectory;
   readonly network: PeerNetwork;
   readonly store: ObjectStore;
-  readonly duties: Pick<Duties, 'compete'>;
+  readonly duties: Pick<DutyElections, 'compete'>;
   plan(): RelayPlan;
   /** Ids of all other entries. */
   others(): readonly string[];
@@ -130,7 +130,7 @@
   const {clock, log, decisions} = context;
   const {directory, store, duties} = options;
   const owned = disposableStore();
-  const judge = createMoveJudge({clock, decisions});
+  const judge = createMoveController({clock, decisions});
   const inFlightUpdates = new Set<string>();
 
   function availableGroups(service: string): VersionGroup[] {
@@ -185,7 +185,7 @@
       network: evidenceNetwork(options),
       configuration: moves.records,
       split,
-      judge,
+      controller: judge,
     }),
   );
   owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
@@ -196,7 +196,7 @@
         log,
         objects: store,
         configuration: moves.records,
-        judge,
+        controller: judge,
         tenure,
         hasEndpoints: (service, group) =>
           availableGroups(service).some(name => name === group),
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -3,7 +3,7 @@
 import type {MoveState} from '@skylarkfield/moves';
 import type {Configuration, Move} from '@skylarkfield/records';
 import {
-  writtenState,
+  currentRolloutState,
   type Rollout,
   type RolloutState,
 } from '@skylarkfield/traffic';
@@ -153,7 +153,7 @@
         }
         const {target} = rollout;
         const newState = stateToReport(rollout, state, move);
-        const isWritten = writtenState(rollout) === newState;
+        const isWritten = currentRolloutState(rollout) === newState;
         return isWritten ? [] : [{name, target, state: newState}];
       });
     },
@@ -168,5 +168,5 @@
 
 /** Whether a rollout is still in progress. */
 function isUnsettled(rollout: Rollout): boolean {
-  return !SETTLED_STATES.has(writtenState(rollout));
+  return !SETTLED_STATES.has(currentRolloutState(rollout));
 }
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -1,6 +1,6 @@
 /** Settings of a gateway process: schema, defaults and loading. */
 import {readFileSync} from 'node:fs';
-import {checkShape, parseJson, ServingError} from '@skylarkfield/base';
+import {validateShape, parseJson, ServingError} from '@skylarkfield/base';
 import * as z from 'zod';
 
 /** An address as `IP:port`; port 0 selects any free port. */
@@ -85,7 +85,12 @@
  * const settings = checkGatewaySettings(JSON.parse(text));
  */
 export function checkGatewaySettings(value: unknown): GatewaySettings {
-  return checkShape(gatewaySettingsSchema, value, 'bad-settings', 'settings');
+  return validateShape(
+    gatewaySettingsSchema,
+    value,
+    'bad-settings',
+    'settings',
+  );
 }
 
 /**
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -12,7 +12,7 @@
   type Logger,
 } from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
-import type {EngineMoves, KvCacheRef} from './contracts.js';
+import type {RequestMigrator, KvCacheRef} from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
 /** Target of a migrated stream. */
@@ -64,7 +64,7 @@
  */
 export function createStreamMigrator(options: {
   readonly directory: EndpointDirectory;
-  readonly engines: EngineMoves;
+  readonly engines: RequestMigrator;
   readonly clock: Clock;
   readonly log: Logger;
 }): StreamMigrator {
@@ -84,7 +84,7 @@
     }
     const startedAt = clock.now();
     const answer = await engines
-      .move(
+      .migrate(
         source.address,
         attemptId,
         target.address,
--- a/packages/gateway/src/test/crashGuard.test.ts
+++ b/packages/gateway/src/test/crashGuard.test.ts
@@ -6,7 +6,7 @@
   silentLogger,
   virtualClock,
 } from '@skylarkfield/base';
-import {createCrashSuspects} from '@skylarkfield/routing';
+import {createCrashQuarantine} from '@skylarkfield/routing';
 import type {RegisteredEndpoint} from '@skylarkfield/traffic';
 import type {AttemptEnd, ConnectionLoss} from '../attempt.js';
 import {createCrashGuard} from '../crashGuard.js';
@@ -28,7 +28,7 @@
 /** Creates a guard over endpoints with these states in the directory. */
 function createGuard(states: Readonly<Record<string, 'ready' | 'draining'>>) {
   const clock = virtualClock();
-  const suspects = createCrashSuspects({
+  const suspects = createCrashQuarantine({
     clock,
     self: 'a1',
     decisions: decisionLog(clock, silentLogger()),
@@ -94,7 +94,7 @@
 
   it('suspects a request whose endpoint was removed before the connection closed', () => {
     const {guard, suspects, loseConnections} = createGuard({});
-    suspects.noteGone('e1');
+    suspects.noteDeregistered('e1');
     loseConnections(['e1']);
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'suspected');
   });
@@ -109,7 +109,7 @@
   it('permits one send in a trial', () => {
     const {guard, suspects, clock} = createGuard(READY);
     for (const endpoint of ['e1', 'e2', 'e3']) {
-      suspects.noteClosed({request: 'f00d', endpoint});
+      suspects.noteConnectionLost({request: 'f00d', endpoint});
     }
     clock.advanceSync(10_000);
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'trial');
--- a/packages/gateway/src/test/crashPersistence.test.ts
+++ b/packages/gateway/src/test/crashPersistence.test.ts
@@ -8,8 +8,8 @@
   virtualClock,
   type VirtualClock,
 } from '@skylarkfield/base';
-import {memoryPlatform, type ObjectStore} from '@skylarkfield/providers';
-import {createCrashSuspects, type CrashReport} from '@skylarkfield/routing';
+import {createMemoryPlatform, type ObjectStore} from '@skylarkfield/providers';
+import {createCrashQuarantine, type CrashReport} from '@skylarkfield/routing';
 import {startCrashPersistence} from '../crashPersistence.js';
 import {createMirror} from '../mirror.js';
 
@@ -20,7 +20,7 @@
 /** Creates an entry whose mirror reads the store only on `refresh`. */
 function startEntry(self: string, store: ObjectStore, clock: VirtualClock) {
   const log = silentLogger();
-  const suspects = createCrashSuspects({
+  const suspects = createCrashQuarantine({
     clock,
     self,
     decisions: decisionLog(clock, log),
@@ -50,7 +50,7 @@
     },
     async crash(...endpoints: string[]) {
       for (const endpoint of endpoints) {
-        suspects.noteClosed({request: REQUEST, endpoint});
+        suspects.noteConnectionLost({request: REQUEST, endpoint});
         await clock.advance(2_000);
       }
     },
@@ -59,7 +59,7 @@
 
 function createFleet() {
   const clock = virtualClock();
-  const store: ObjectStore = memoryPlatform({clock}).client('e1');
+  const store: ObjectStore = createMemoryPlatform({clock}).client('e1');
   const start = (self: string, over = store) => startEntry(self, over, clock);
   return {clock, store, start};
 }
@@ -75,7 +75,7 @@
     before.persistence.dispose();
     const after = start('b1');
     await after.refresh();
-    assert.equal(after.suspects.judge(REQUEST).type, 'quarantined');
+    assert.equal(after.suspects.verdictFor(REQUEST).type, 'quarantined');
   });
 
   // Guards against a restarted entry that overwrites its persisted report.
@@ -92,8 +92,8 @@
     await after.refresh();
     await after.crash();
     await new Promise(resolve => setImmediate(resolve));
-    assert.equal(after.suspects.judge(REQUEST).type, 'quarantined');
-    assert.equal(after.suspects.own().crashes.length, 3);
+    assert.equal(after.suspects.verdictFor(REQUEST).type, 'quarantined');
+    assert.equal(after.suspects.reportToStore().crashes.length, 3);
   });
 
   it('retries failed writes', async () => {
@@ -129,7 +129,7 @@
     const entry = start('a1', counting);
     await entry.refresh();
     for (let index = 0; index < 40; index++) {
-      entry.suspects.noteClosed({request: `r${index}`, endpoint: 'e1'});
+      entry.suspects.noteConnectionLost({request: `r${index}`, endpoint: 'e1'});
     }
     await clock.advance(CONFIRM_MS + 2_000);
     assert.equal(writes, 1);
@@ -145,7 +145,7 @@
     await entry.refresh();
     await store.remove(KIND, 'a1', {type: 'any'});
     await entry.refresh();
-    assert.equal(entry.suspects.judge(REQUEST).type, 'clear');
+    assert.equal(entry.suspects.verdictFor(REQUEST).type, 'clear');
   });
 
   it('removes objects whose crashes have all expired', async () => {
--- a/packages/gateway/src/test/engineCapacityStore.test.ts
+++ b/packages/gateway/src/test/engineCapacityStore.test.ts
@@ -3,25 +3,25 @@
 import {seededRandom, silentLogger, virtualClock} from '@skylarkfield/base';
 import {
   createEngineModel,
-  engineFigures,
-  type CapacitySums,
+  estimateEngine,
+  type CapacityStats,
 } from '@skylarkfield/capacity';
-import {memoryPlatform, type ObjectStore} from '@skylarkfield/providers';
+import {createMemoryPlatform, type ObjectStore} from '@skylarkfield/providers';
 import {createEngineCapacityStore} from '../engineCapacityStore.js';
 
 const AIMS = [{goalMs: 800, timeoutMs: 10_000}];
 const TOKEN_MS = 0.04;
 
 function createStore(): ObjectStore {
-  return memoryPlatform({clock: virtualClock()}).client('e1');
+  return createMemoryPlatform({clock: virtualClock()}).client('e1');
 }
 
-function measuredCapacity(): CapacitySums {
+function measuredCapacity(): CapacityStats {
   const random = seededRandom(7);
   const model = createEngineModel(virtualClock());
   for (let index = 0; index < 400; index++) {
     const ownTokens = 500 + 3_000 * random.next();
-    model.notePrompt({
+    model.recordPrompt({
       service: 'chat',
       route: 'r1',
       ownTokens,
@@ -31,7 +31,7 @@
       tookMs: 20 * random.next() + ownTokens * TOKEN_MS,
     });
   }
-  return model.sums();
+  return model.stats();
 }
 
 async function settle(): Promise<void> {
@@ -54,7 +54,7 @@
 
     const after = createEngineCapacityStore({store, clock, log});
     await settle();
-    const figures = engineFigures(after.restored()['chat'], AIMS);
+    const figures = estimateEngine(after.restored()['chat'], AIMS);
     assert.ok(Math.abs(figures.usualTokenMs - TOKEN_MS) < TOKEN_MS * 0.2);
     assert.ok(figures.isSure);
   });
@@ -71,7 +71,7 @@
     const memory = createEngineCapacityStore({store, clock, log});
     await settle();
     clock.advanceSync(120_000);
-    const figures = engineFigures(memory.restored()['chat'], AIMS);
+    const figures = estimateEngine(memory.restored()['chat'], AIMS);
     assert.ok(figures.prompts < 10, `${figures.prompts}`);
   });
 
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -3,15 +3,15 @@
 import {virtualClock} from '@skylarkfield/base';
 import {
   createEngineModel,
-  engineFigures,
-  type EngineFigures,
+  estimateEngine,
+  type EngineEstimate,
 } from '@skylarkfield/capacity';
 import type {Choice} from '@skylarkfield/routing';
 import {waitTooLong} from '../attemptOutcome.js';
 import {createEngineObserver} from '../engineObserver.js';
 
-const reliableFigures: EngineFigures = {
-  ...engineFigures(undefined, []),
+const reliableFigures: EngineEstimate = {
+  ...estimateEngine(undefined, []),
   usualTokenMs: 0.03,
   isSure: true,
 };
@@ -24,7 +24,7 @@
 };
 
 function waitOf(options: {
-  readonly figures?: EngineFigures;
+  readonly figures?: EngineEstimate;
   readonly isModel?: boolean;
   readonly tokensAhead: number;
   readonly leftMs: number;
@@ -46,7 +46,7 @@
     service: 'chat',
   };
   const choice = {tokensAhead: options.tokensAhead} as Choice;
-  return observer.wait(call, choice, options.leftMs);
+  return observer.expectedWait(call, choice, options.leftMs);
 }
 
 describe('expected wait', () => {
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -2,15 +2,15 @@
 import http from 'node:http';
 import type {AddressInfo} from 'node:net';
 import {describe, it} from 'node:test';
-import {createAdmission} from '@skylarkfield/admission';
+import {createAdmissionController} from '@skylarkfield/admission';
 import {
   decisionLog,
   seededRandom,
   silentLogger,
   systemClock,
 } from '@skylarkfield/base';
-import {createEngineModel, engineFigures} from '@skylarkfield/capacity';
-import {createCrashSuspects, createRouter} from '@skylarkfield/routing';
+import {createEngineModel, estimateEngine} from '@skylarkfield/capacity';
+import {createCrashQuarantine, createRouter} from '@skylarkfield/routing';
 import type {RegisteredEndpoint, Route} from '@skylarkfield/traffic';
 import {createCallerReply} from '../callerReply.js';
 import type {CallFormat} from '../contracts.js';
@@ -33,18 +33,18 @@
   readCall: () => {
     throw new Error('not used here');
   },
-  sendHeaders: (_, {lastEventId}) => [
+  upstreamHeaders: (_, {lastEventId}) => [
     'attempt',
     'r1',
     ...(lastEventId === undefined ? [] : ['last-event', lastEventId]),
   ],
-  readReply: headers => ({
+  readResponse: headers => ({
     attemptId: headers['attempt'] as string | undefined,
     isNotRun: headers['not-run'] !== undefined,
     load: undefined,
     limitPerSecond: undefined,
   }),
-  replyHeaders: () => ({}),
+  callerHeaders: () => ({}),
 };
 
 const plain: Route = {
@@ -155,7 +155,7 @@
       type: 'plain',
     })),
   );
-  const admission = createAdmission({clock, random, decisions});
+  const admission = createAdmissionController({clock, random, decisions});
   admission.setService('s', {
     name: 's',
     concurrency: 10,
@@ -165,8 +165,8 @@
   const upstreams = createUpstreams();
   const forwarding = createForwarding({
     router,
-    limits: {note: () => {}},
-    suspects: createCrashSuspects({
+    limits: {noteLimit: () => {}},
+    suspects: createCrashQuarantine({
       clock,
       self: 'x',
       decisions,
@@ -179,7 +179,7 @@
     engines: createEngineObserver({
       model: createEngineModel(clock),
       clock,
-      figures: () => engineFigures(undefined, []),
+      figures: () => estimateEngine(undefined, []),
       tokensPerEvent: () => 1,
       fits: () => true,
       onDidReread: () => {},
--- a/packages/gateway/src/test/mirrorReader.test.ts
+++ b/packages/gateway/src/test/mirrorReader.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {seededRandom, silentLogger, virtualClock} from '@skylarkfield/base';
-import type {Source} from '../contracts.js';
+import type {ObjectSource} from '../contracts.js';
 import {createMirror} from '../mirror.js';
 import {startMirrorReader} from '../mirrorReader.js';
 
@@ -18,7 +18,7 @@
   const calls: string[] = [];
   let isTurn = true;
   let isCompacted = false;
-  const source: Source<string> = {
+  const source: ObjectSource<string> = {
     list(_, freshness) {
       calls.push(`list ${freshness}`);
       return Promise.resolve({revision: 5, items: []});
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {virtualClock} from '@skylarkfield/base';
-import {createQuotas, NO_WORK, type KeyedCustomer} from '@skylarkfield/traffic';
+import {
+  createQuotas,
+  ZERO_WORK,
+  type CustomerConfig,
+} from '@skylarkfield/traffic';
 import {createPeerVisibility} from '../peerVisibility.js';
 import {createPeerReports, OVERDUE_MS} from '../peerReports.js';
 
@@ -15,7 +19,7 @@
 /** Allowed overshoot of a window, for usage not exchanged yet. */
 const ALLOWED_OVERSHOOT = 1.1;
 
-const customer: KeyedCustomer = {
+const customer: CustomerConfig = {
   name: 'chain',
   keys: ['k'],
   priority: undefined,
@@ -39,7 +43,7 @@
     const reports = createPeerReports({
       clock,
       failureDomain: 'a',
-      silenceMs: 1_200,
+      reporterTimeoutMs: 1_200,
       quotaWindowMs: WINDOW_MS,
     });
     const visibility = createPeerVisibility({
@@ -47,7 +51,7 @@
       membership: {entryCount: () => ENTRIES},
       reports,
       onDidRefresh: (visibleFraction, count) =>
-        quotas.setHeard(visibleFraction, count, OVERDUE_MS),
+        quotas.setReportingPeers(visibleFraction, count, OVERDUE_MS),
     });
     return {index, id: `entry-${index}`, quotas, reports, visibility};
   });
@@ -67,16 +71,16 @@
         },
         usage: {},
         loads: {},
-        work: {chat: NO_WORK},
+        work: {chat: ZERO_WORK},
         outcomes: {},
-        used: {...sender.quotas.used()},
+        used: {...sender.quotas.ownUsage()},
       };
       for (const receiver of entries) {
         const isReached =
           !isPartitioned || sender.index % 2 === receiver.index % 2;
         if (receiver !== sender && isReached) {
-          const taken = receiver.reports.take(sender.id, digest);
-          receiver.quotas.noteIncrease(taken?.increase ?? {});
+          const taken = receiver.reports.accept(sender.id, digest);
+          receiver.quotas.addPeerUsage(taken?.increase ?? {});
         }
       }
     }
@@ -95,7 +99,7 @@
         }
         const passed = entries.filter(
           ({visibility, quotas}) =>
-            visibility.isKnown() && quotas.tryTake(customer, amount),
+            visibility.isKnown() && quotas.tryConsume(customer, amount),
         );
         granted.push(passed.length * amount);
         clock.advanceSync(STEP_MS);
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -3,7 +3,7 @@
 import {virtualClock} from '@skylarkfield/base';
 import type {Messages} from '@skylarkfield/protocol';
 import type {CrashReport} from '@skylarkfield/routing';
-import {createQuotas, NO_WORK} from '@skylarkfield/traffic';
+import {createQuotas, ZERO_WORK} from '@skylarkfield/traffic';
 import {createPeerReports, type PeerReports} from '../peerReports.js';
 import {
   MAX_FULL_MESH_ENTRIES,
@@ -49,7 +49,7 @@
         reports: createPeerReports({
           clock,
           failureDomain: node.failureDomain,
-          silenceMs: PEER_TIMEOUT_MS,
+          reporterTimeoutMs: PEER_TIMEOUT_MS,
           quotaWindowMs: QUOTA_WINDOW_MS,
         }),
         /** Milliseconds since its process started. */
@@ -96,7 +96,7 @@
         ...(crashReports.get(node.id) && {
           crashes: crashReports.get(node.id),
         }),
-        work: {chat: {...NO_WORK, ownTokens: 5}},
+        work: {chat: {...ZERO_WORK, ownTokens: 5}},
         outcomes: {chat: {count: 2, late: 1}},
       }),
     };
@@ -126,7 +126,7 @@
     for (const {request} of digest.crashes?.crashes ?? []) {
       receiver.receivedCrashes.add(request);
     }
-    const taken = receiver.reports.take(from.node.id, digest);
+    const taken = receiver.reports.accept(from.node.id, digest);
     if (taken !== undefined) {
       const used = receiver.usedByOthers.get(taken.origin) ?? 0;
       receiver.usedByOthers.set(
@@ -268,16 +268,16 @@
       priority: undefined,
       quota: {...quota, plainTokens: 1},
     };
-    assert.ok(quotas.tryTake(customer, 1));
+    assert.ok(quotas.tryConsume(customer, 1));
     for (const used of [0, 60, 120]) {
       const digest = {
         ...fleet.digestFrom('entry-1', 'entry-0'),
         used: {chain: used},
       };
-      const taken = reports.take('entry-1', digest)!;
-      quotas.noteIncrease(taken.increase);
+      const taken = reports.accept('entry-1', digest)!;
+      quotas.addPeerUsage(taken.increase);
     }
-    assert.ok(!quotas.tryTake(customer, 1));
+    assert.ok(!quotas.tryConsume(customer, 1));
   });
 
   it('treats a restarted entry as a new one', () => {
--- a/packages/gateway/src/test/usageDuty.test.ts
+++ b/packages/gateway/src/test/usageDuty.test.ts
@@ -7,9 +7,9 @@
   type VirtualClock,
 } from '@skylarkfield/base';
 import type {Tenure} from '@skylarkfield/duties';
-import {memoryPlatform, type ObjectStore} from '@skylarkfield/providers';
+import {createMemoryPlatform, type ObjectStore} from '@skylarkfield/providers';
 import {createUsageWindows, type CustomerCounts} from '@skylarkfield/traffic';
-import type {OrderAnswer, PlatformOrders} from '../contracts.js';
+import type {EndpointOrderResult, PlatformOrders} from '../contracts.js';
 import {startUsageDuty} from '../usageDuty.js';
 
 const WINDOW_MS = 5_000;
@@ -20,7 +20,7 @@
   readonly fencing: number;
 }
 
-function createRecorder(answers: OrderAnswer[]) {
+function createRecorder(answers: EndpointOrderResult[]) {
   const reports: Report[] = [];
   const orders: PlatformOrders = {
     async reportUsage({fencing}, window, counts) {
@@ -58,7 +58,7 @@
     self: `e${options.fencing}`,
   });
   for (let count = 0; count < options.ownCount; count++) {
-    usage.note('chain', clock.wall());
+    usage.recordRequest('chain', clock.wall());
   }
   const tenure = tenureOf(options.fencing);
   const duty = startUsageDuty({
@@ -97,7 +97,7 @@
     // learns so. Its successor has other counts; a second, different report
     // would bill the customer twice.
     const clock = virtualClock();
-    const platform = memoryPlatform({clock, random: seededRandom(1)});
+    const platform = createMemoryPlatform({clock, random: seededRandom(1)});
     const {reports, orders} = createRecorder(['failed', 'accepted']);
     const store = platform.client('e1');
     const first = startHolder({clock, store, orders, fencing: 1, ownCount: 7});
@@ -123,7 +123,7 @@
     // reported. If the report were forgotten by then, the window would be
     // reported again with other counts, billing the customer twice.
     const clock = virtualClock();
-    const platform = memoryPlatform({clock, random: seededRandom(1)});
+    const platform = createMemoryPlatform({clock, random: seededRandom(1)});
     const {reports, orders} = createRecorder([]);
     const startedAt = clock.wall();
     const {usage} = startHolder({
@@ -135,7 +135,7 @@
       ownCount: 7,
     });
     await clock.advance(7_200);
-    usage.note('chain', startedAt);
+    usage.recordRequest('chain', startedAt);
     await clock.advance(10_000);
     assert.ok(reports.some(({counts}) => counts['chain'] === 7));
     assertOneReportPerWindow(reports);
@@ -143,7 +143,7 @@
 
   it('sends nothing after its tenure has ended', async () => {
     const clock = virtualClock();
-    const platform = memoryPlatform({clock, random: seededRandom(1)});
+    const platform = createMemoryPlatform({clock, random: seededRandom(1)});
     const {reports, orders} = createRecorder([]);
     const {tenure} = startHolder({
       clock,
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -1,10 +1,10 @@
 /** The request path of a gateway, and its state exchange with other entries. */
-import {createAdmission} from '@skylarkfield/admission';
+import {createAdmissionController} from '@skylarkfield/admission';
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {Messages} from '@skylarkfield/protocol';
 import {
-  createCrashSuspects,
-  createRequestLimits,
+  createCrashQuarantine,
+  createRateLimits,
   createRouter,
 } from '@skylarkfield/routing';
 import {
@@ -12,10 +12,10 @@
   createQuotas,
   createUsageWindows,
   fitsMemory,
-  KEY_TOKENS,
-  NO_WORK,
+  TOKENS_PER_KEY,
+  ZERO_WORK,
   promptWork,
-  type DeclaredService,
+  type ServiceConfig,
   type ModelDemand,
   type UsageWindows,
   type WindowCounts,
@@ -36,7 +36,7 @@
   type EngineCapacityStore,
 } from './engineCapacityStore.js';
 import {createEngineObserver} from './engineObserver.js';
-import {createEnginesView, type EnginesView} from './enginesView.js';
+import {createEngineEstimates, type EngineEstimates} from './enginesView.js';
 import {createPeerVisibility} from './peerVisibility.js';
 import {createForwarding} from './forwarding.js';
 import {createPeerReports, OVERDUE_MS} from './peerReports.js';
@@ -58,7 +58,7 @@
   readonly usage: UsageWindows;
   readonly digests: Digests;
   readonly rollouts: RolloutController;
-  readonly engines: EnginesView;
+  readonly engines: EngineEstimates;
   readonly engineStore: EngineCapacityStore;
 }
 
@@ -99,7 +99,7 @@
     log,
     maxPolicyAgeMs: settings.keyRevocationMs - KEY_MARGIN_MS,
   });
-  const findService = (name: string): DeclaredService | undefined =>
+  const findService = (name: string): ServiceConfig | undefined =>
     policy.services().find(service => service.name === name);
   const isModel = (service: string): boolean =>
     findService(service)?.engine !== undefined;
@@ -109,17 +109,17 @@
   const reports = createPeerReports({
     clock,
     failureDomain: settings.failureDomain,
-    silenceMs: PEER_TIMEOUT_MS,
+    reporterTimeoutMs: PEER_TIMEOUT_MS,
     quotaWindowMs,
   });
   const engineStore = owned.add(
     createEngineCapacityStore({store: coordination.store, clock, log}),
   );
-  const engines = createEnginesView({
+  const engines = createEngineEstimates({
     clock,
     reports,
     log,
-    recalled: engineStore.restored,
+    restored: engineStore.restored,
     isModel,
     aims: policy.routesTo,
   });
@@ -127,7 +127,7 @@
   const tokensPerEvent = (service: string): number =>
     findService(service)?.engine?.tokensPerEvent ?? 1;
   const upstreams = owned.add(createUpstreams());
-  const limits = createRequestLimits({clock, self: settings.id, decisions});
+  const limits = createRateLimits({clock, self: settings.id, decisions});
   const router = createRouter({
     clock,
     random,
@@ -135,7 +135,7 @@
     limits,
     failureDomain: settings.failureDomain,
     self: settings.id,
-    blockTokens: KEY_TOKENS,
+    blockTokens: TOKENS_PER_KEY,
     weightsOf: service => engines.routeWeights(service),
   });
   const directory = createEndpointDirectory({
@@ -146,13 +146,13 @@
     log,
     isModel,
   });
-  const suspects = createCrashSuspects({
+  const suspects = createCrashQuarantine({
     clock,
     self: settings.id,
     decisions,
     wallMs: () => digests.commonWallMs(),
   });
-  directory.onDidVanish(suspects.noteGone);
+  directory.onDidVanish(suspects.noteDeregistered);
   owned.add(
     startCrashPersistence({
       mirror: view.crashes,
@@ -165,7 +165,7 @@
       isReader: () => view.syncStatuses().crashes?.isReader === true,
     }),
   );
-  const admission = createAdmission({
+  const admission = createAdmissionController({
     clock,
     random,
     decisions,
@@ -190,7 +190,7 @@
     membership,
     reports,
     onDidRefresh(visibleFraction, entryCount) {
-      quotas.setHeard(visibleFraction, entryCount, OVERDUE_MS);
+      quotas.setReportingPeers(visibleFraction, entryCount, OVERDUE_MS);
     },
   });
   /**
@@ -198,8 +198,8 @@
    * never behind a relay.
    */
   const usageFor: Readonly<Record<DigestScope, () => WindowCounts>> = {
-    own: usage.own,
-    domain: usage.near,
+    own: usage.ownCounts,
+    domain: usage.domainCounts,
     rest: () => ({}),
   };
   const digests = owned.add(
@@ -217,12 +217,12 @@
         const mirrors = view.syncStatuses();
         const own = {
           entries: 1,
-          used: quotas.used(),
+          used: quotas.ownUsage(),
           loads: router.ownLoads(),
-          limits: limits.own(),
-          crashes: suspects.recent(),
+          limits: limits.ownReports(),
+          crashes: suspects.reportToGossip(),
           work: work.rates(),
-          outcomes: engines.outcomes.sums(),
+          outcomes: engines.outcomes.counts(),
           capacity: engines.unpublishedCapacity(),
         };
         return (scope, receiver) => ({
@@ -232,16 +232,16 @@
         });
       },
       onDidReceive(peer, digest, timestamp) {
-        limits.report(digest.limits ?? {});
+        limits.mergeReports(digest.limits ?? {});
         if (digest.crashes !== undefined) {
-          suspects.hear(digest.crashes);
+          suspects.mergeGossip(digest.crashes);
         }
         view.noteSyncStatuses(peer, digest.mirrors, timestamp);
         noteUsage(peer, digest);
-        const accepted = reports.take(peer, digest);
+        const accepted = reports.accept(peer, digest);
         if (accepted !== undefined) {
-          quotas.noteIncrease(accepted.increase);
-          router.reportEntry(accepted.origin, digest.loads);
+          quotas.addPeerUsage(accepted.increase);
+          router.reportEntryLoads(accepted.origin, digest.loads);
         }
       },
     }),
@@ -252,7 +252,7 @@
     const isOwn = scope === 'own';
     const origin = isOwn ? `${peer}.${incarnation}` : `all of ${failureDomain}`;
     const isLocal = isOwn && failureDomain === settings.failureDomain;
-    usage.noteCounts(origin, counts, isLocal);
+    usage.mergeCounts(origin, counts, isLocal);
   }
 
   function updateEntries(): void {
@@ -266,7 +266,9 @@
 
   function refreshEndpoints(): void {
     directory.refresh();
-    limits.keepOnly(new Set(router.held().map(({id}) => id)));
+    limits.retainEndpoints(
+      new Set(router.assignedEndpoints().map(({id}) => id)),
+    );
     admissionConfigurator.update();
   }
 
@@ -306,14 +308,17 @@
       tokensPerEvent,
       fits,
       onDidReread: (service, rereadTokens) =>
-        work.note(service, {...NO_WORK, rereadTokens}),
+        work.record(service, {...ZERO_WORK, rereadTokens}),
     }),
     format: platform.calls,
     clock,
     log,
     onDidRun(customer, wallMs) {
       if (customer !== undefined) {
-        usage.note(customer, wallMs + digests.commonWallMs() - clock.wall());
+        usage.recordRequest(
+          customer,
+          wallMs + digests.commonWallMs() - clock.wall(),
+        );
       }
     },
   });
@@ -345,13 +350,13 @@
     },
     onDidAccept(service: string, {demand}: CallHead) {
       if (demand !== undefined && fits(service, demand)) {
-        work.note(service, promptWork(demand));
+        work.record(service, promptWork(demand));
       }
     },
     onDidAnswer(service: string, {demand}: CallHead, events: number) {
       if (demand !== undefined && fits(service, demand)) {
         const tokens = events * tokensPerEvent(service);
-        work.note(service, answerWork(demand, tokens));
+        work.record(service, answerWork(demand, tokens));
       }
     },
   });
--- a/packages/gateway/src/upstream.ts
+++ b/packages/gateway/src/upstream.ts
@@ -2,7 +2,7 @@
 import type {Socket} from 'node:net';
 import {buildConnector, Pool, type Dispatcher} from 'undici';
 import {ServingError, type Disposable} from '@skylarkfield/base';
-import type {ReplyHeaders} from './contracts.js';
+import type {ResponseHeaders} from './contracts.js';
 
 /** A request as sent to an endpoint. */
 export interface UpstreamRequest {
@@ -15,7 +15,7 @@
 
 /** Events of an exchange, in order; it ends with either of the last two. */
 export interface UpstreamListener {
-  onDidRespond(status: number, headers: ReplyHeaders): void;
+  onDidRespond(status: number, headers: ResponseHeaders): void;
   onDidReceive(chunk: Buffer): void;
   /** `isDelimited` is false if only a closed connection marks the end. */
   onDidEnd(isDelimited: boolean): void;
@@ -226,8 +226,8 @@
       },
       onResponseStart(_, status, headers) {
         if (!isSettled) {
-          framing = framingOf(headers as ReplyHeaders);
-          listener.onDidRespond(status, headers as ReplyHeaders);
+          framing = framingOf(headers as ResponseHeaders);
+          listener.onDidRespond(status, headers as ResponseHeaders);
         }
       },
       onResponseData(_, chunk) {
@@ -258,7 +258,7 @@
   };
 }
 
-function framingOf(headers: ReplyHeaders): Framing {
+function framingOf(headers: ResponseHeaders): Framing {
   if (headers['transfer-encoding'] !== undefined) {
     return 'chunks';
   }
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -84,7 +84,7 @@
 
   /** Returns the counts to report: a predecessor's, else the local ones. */
   async function persistedCounts(window: number): Promise<CustomerCounts> {
-    const counts = usage.total(window);
+    const counts = usage.totalCounts(window);
     try {
       await store.put(
         OBJECT_KIND,
--- a/packages/members/src/contracts.ts
+++ b/packages/members/src/contracts.ts
@@ -47,7 +47,7 @@
 }
 
 /** Result of an entry lookup. */
-export interface LookupAnswer {
+export interface LookupResult {
   /** Best first. */
   readonly entries: readonly {
     readonly id: string;
@@ -59,7 +59,7 @@
 }
 
 /** Properties of the requests for which a caller looks up an entry. */
-export interface LookupQuestion {
+export interface LookupQuery {
   readonly customer?: string;
   /** Session or prompt prefix; routes long histories to a warm cache. */
   readonly affinity?: string;
--- a/packages/members/src/endpointLeaving.ts
+++ b/packages/members/src/endpointLeaving.ts
@@ -42,7 +42,7 @@
   readonly source: LeavingSource;
 }
 
-export interface EndpointLeaving extends Disposable {
+export interface LeavingEndpointTracker extends Disposable {
   /**
    * Whether the endpoint must receive no new work. The host distinguishes two
    * processes of one id; by default it is the listed one.
@@ -78,16 +78,16 @@
  * Creates a tracker that follows all three sources until disposed.
  *
  * @example
- * const leaving = createEndpointLeaving({cloud, hostList, network, ...rest});
+ * const leaving = createLeavingEndpointTracker({cloud, hostList, network, ...rest});
  * leaving.onDidLeave(({endpoint}) => router.remove(endpoint));
  */
-export function createEndpointLeaving(options: {
+export function createLeavingEndpointTracker(options: {
   readonly cloud: Pick<Cloud, 'watchNotices'>;
   readonly hostList: HostList;
   readonly network: PeerNetwork;
   readonly clock: Clock;
   readonly decisions: DecisionLog;
-}): EndpointLeaving {
+}): LeavingEndpointTracker {
   const {cloud, network, clock, decisions} = options;
   const hosts = new Map<string, LeavingHost>();
   const didLeave = emitter<LeavingEndpoint>();
@@ -184,7 +184,7 @@
     if (known === undefined) {
       return;
     }
-    const receivers = network.connected().filter(peer => peer !== except);
+    const receivers = network.connectedPeers().filter(peer => peer !== except);
     network.broadcast('endpointLeaving', toMessage(known), receivers);
   }
 
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -5,9 +5,9 @@
  */
 import type {Clock, DecisionLog, Random} from '@skylarkfield/base';
 import type {
-  MemberNews,
-  MemberProof,
-  MemberWord,
+  MemberUpdate,
+  MemberProbeResponse,
+  LastHeardResponse,
   PeerNetwork,
 } from '@skylarkfield/protocol';
 import type {KnownMember, MemberTable} from './memberTable.js';
@@ -20,7 +20,7 @@
   /** Requests a member's current update; resolves with whether it answered. */
   probe(id: string): Promise<boolean>;
   /** Returns when this entry last heard directly from a member. */
-  lastHeard(id: string, incarnation: number): MemberWord;
+  lastHeard(id: string, incarnation: number): LastHeardResponse;
   recordHeartbeat(id: string): void;
   /** Records that a neighbour's connection opened or closed. */
   connectionChanged(id: string, isOpen: boolean): void;
@@ -51,9 +51,9 @@
   readonly random: Random;
   readonly decisions: DecisionLog;
   readonly timing: MemberTiming;
-  localUpdate(): MemberNews;
+  localUpdate(): MemberUpdate;
   /** Applies the updates in a probe response. */
-  applyUpdate(update: MemberNews): void;
+  applyUpdate(update: MemberUpdate): void;
   /** Called when a suspect was confirmed gone. */
   onDidConfirmGone(known: KnownMember): void;
 }): FailureDetector {
@@ -73,12 +73,12 @@
     try {
       const from = options.localUpdate();
       const body = {from, ...(believed && {believed})};
-      const proof = (await network.ask(
+      const proof = (await network.request(
         id,
         'memberProbe',
         body,
         timing.probeTimeoutMs,
-      )) as MemberProof;
+      )) as MemberProbeResponse;
       options.applyUpdate(proof.news);
       if (proof.believed !== undefined) {
         options.applyUpdate(proof.believed);
@@ -110,12 +110,12 @@
     const {id, incarnation} = known.update;
     const body = {id, incarnation};
     const response = await network
-      .ask(peer, 'memberWord', body, timing.probeTimeoutMs)
+      .request(peer, 'memberWord', body, timing.probeTimeoutMs)
       .catch(() => undefined);
     if (response === undefined) {
       return;
     }
-    const {heardAgoMs} = response as MemberWord;
+    const {heardAgoMs} = response as LastHeardResponse;
     const heardAt = clock.now() - heardAgoMs;
     // A sign of life from before its connection closed can precede a crash.
     const isFresh =
