--- a/packages/members/src/gossip.ts
+++ b/packages/members/src/gossip.ts
@@ -1,16 +1,16 @@
 /** Queue of member updates to be gossiped with heartbeats. */
-import type {MemberChange, MemberNews} from '@skylarkfield/protocol';
+import type {MemberChange, MemberUpdate} from '@skylarkfield/protocol';
 
 /** Updates carried by one heartbeat. */
 export interface GossipBatch {
-  readonly news: readonly MemberNews[];
+  readonly news: readonly MemberUpdate[];
   readonly changes: readonly MemberChange[];
 }
 
 /** Queue of the updates that this entry still has to gossip. */
 export interface GossipQueue {
   /** Queues an update; replaces a queued one of the same member. */
-  add(update: MemberNews): void;
+  add(update: MemberUpdate): void;
   /** Dequeues the updates for the next heartbeat, up to the size limit. */
   take(): GossipBatch;
   size(): number;
@@ -37,14 +37,14 @@
  * network.broadcast('heartbeat', {...head, ...gossip.take()});
  */
 export function createGossipQueue(): GossipQueue {
-  const queue = new Map<string, MemberNews>();
+  const queue = new Map<string, MemberUpdate>();
   return {
     add(update) {
       queue.delete(update.id);
       queue.set(update.id, update);
     },
     take() {
-      const news: MemberNews[] = [];
+      const news: MemberUpdate[] = [];
       const changes: MemberChange[] = [];
       let bytes = 0;
       for (const item of queue.values()) {
@@ -66,7 +66,7 @@
   };
 }
 
-function toChange(update: MemberNews): MemberChange | undefined {
+function toChange(update: MemberUpdate): MemberChange | undefined {
   const {id, incarnation, sequence, state} = update;
   if (state === 'leaving' || state === 'gone') {
     return {id, incarnation, sequence, state};
--- a/packages/members/src/localMember.ts
+++ b/packages/members/src/localMember.ts
@@ -1,6 +1,6 @@
 /** This entry's own member update, and refutation of false updates about it. */
 import type {DecisionLog} from '@skylarkfield/base';
-import type {MemberNews} from '@skylarkfield/protocol';
+import type {MemberUpdate} from '@skylarkfield/protocol';
 import type {Member} from './contracts.js';
 import {buildMember} from './memberView.js';
 
@@ -20,12 +20,12 @@
 /** This entry as announced to its peers. */
 export interface LocalMember {
   /** Update without the current load, for digests and neighbour selection. */
-  baseUpdate(): MemberNews;
+  baseUpdate(): MemberUpdate;
   /** Update with the current load, as sent to peers. */
-  currentUpdate(): MemberNews;
+  currentUpdate(): MemberUpdate;
   member(): Member;
   /** Raises the sequence to refute a false update; returns whether it did. */
-  refute(update: MemberNews): boolean;
+  refute(update: MemberUpdate): boolean;
   /** Enters the state `leaving`; returns false if already entered. */
   leave(): boolean;
 }
@@ -44,14 +44,14 @@
   load(): number;
 }): LocalMember {
   const {decisions, load} = options;
-  let base: MemberNews = {
+  let base: MemberUpdate = {
     ...options.self,
     sequence: 0,
     state: 'live',
     load: 0,
   };
 
-  function isFalseReport(update: MemberNews): boolean {
+  function isFalseReport(update: MemberUpdate): boolean {
     if (update.incarnation !== base.incarnation) {
       return update.incarnation > base.incarnation;
     }
--- a/packages/members/src/lookup.ts
+++ b/packages/members/src/lookup.ts
@@ -1,6 +1,6 @@
 /** Ranking of entries for a caller: bounded-load rendezvous hashing. */
 import {hashFraction, rendezvousOrder, type Random} from '@skylarkfield/base';
-import type {LookupAnswer, LookupQuestion, Member} from './contracts.js';
+import type {LookupResult, LookupQuery, Member} from './contracts.js';
 
 /** Maximum entries in a result; enough for failover if several fail at once. */
 const MAX_ENTRIES = 8;
@@ -20,13 +20,13 @@
  *
  * @example
  * const query = {customer: 'namu', affinity: 's1'};
- * const {entries} = orderEntries(membership.members(), query);
+ * const {entries} = rankEntries(membership.members(), query);
  */
-export function orderEntries(
+export function rankEntries(
   members: readonly Member[],
-  query: LookupQuestion,
+  query: LookupQuery,
   random?: Random,
-): LookupAnswer {
+): LookupResult {
   const live = members.filter(member => member.state === 'live');
   const costs = new Map(
     live.map(member => [member.id, overloadCost(member, live)]),
@@ -75,7 +75,7 @@
 
 function preferenceOrder(
   live: readonly Member[],
-  query: LookupQuestion,
+  query: LookupQuery,
   random: Random | undefined,
 ): string[] {
   const ids = live.map(member => member.id);
--- a/packages/members/src/memberObjects.ts
+++ b/packages/members/src/memberObjects.ts
@@ -13,7 +13,7 @@
   type Random,
 } from '@skylarkfield/base';
 import type {ObjectStore, StoredObject} from '@skylarkfield/providers';
-import type {MemberNews} from '@skylarkfield/protocol';
+import type {MemberUpdate} from '@skylarkfield/protocol';
 import type {KnownMember, MemberTable} from './memberTable.js';
 import type {MemberTiming} from './timing.js';
 
@@ -66,7 +66,7 @@
   readonly log: Logger;
   readonly decisions: DecisionLog;
   readonly timing: MemberTiming;
-  localUpdate(): MemberNews;
+  localUpdate(): MemberUpdate;
   /** Contacts a member known only by its object; returns whether it replied. */
   contact(id: string, value: MemberObject): Promise<boolean>;
 }): MemberObjects {
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -1,6 +1,6 @@
 /** Table of all members known to one entry, and the ordering of updates. */
 import {hash32, type Clock} from '@skylarkfield/base';
-import type {MemberNews} from '@skylarkfield/protocol';
+import type {MemberUpdate} from '@skylarkfield/protocol';
 import type {Member} from './contracts.js';
 import {
   createMemberMachine,
@@ -12,7 +12,7 @@
 /** State that this entry keeps of another member. */
 export interface KnownMember {
   /** Most recent update of the member. */
-  update: MemberNews;
+  update: MemberUpdate;
   readonly machine: MemberMachine;
   /** Monotonic milliseconds of the last sign of life, direct or via a peer. */
   heardAt: number;
@@ -34,19 +34,19 @@
   /** Members that are not gone. */
   present(): readonly KnownMember[];
   /** Applies an update if newer than the stored one; returns whether it was. */
-  apply(update: MemberNews): boolean;
+  apply(update: MemberUpdate): boolean;
   /** Sends an event to a member's machine; returns whether it changed state. */
   send(known: KnownMember, event: MemberEvent): boolean;
   forget(id: string): void;
   /** Hash of each bucket over members not gone, including the local one. */
-  bucketHashesWith(localUpdate: MemberNews): readonly number[];
+  bucketHashesWith(localUpdate: MemberUpdate): readonly number[];
   /** Hash over all buckets, including the local member. */
-  digestWith(localUpdate: MemberNews): number;
+  digestWith(localUpdate: MemberUpdate): number;
   /** Updates of all buckets whose hash differs from the peer's. */
   differingUpdates(
     peerHashes: readonly number[],
-    localUpdate: MemberNews,
-  ): MemberNews[];
+    localUpdate: MemberUpdate,
+  ): MemberUpdate[];
   /** Number of membership changes so far; lets users cache derived values. */
   revision(): number;
 }
@@ -80,7 +80,7 @@
   let revision = 0;
   /** Cached digest, valid until the buckets or the local update change. */
   let digest:
-    | {readonly localUpdate: MemberNews; readonly hash: number}
+    | {readonly localUpdate: MemberUpdate; readonly hash: number}
     | undefined;
 
   /** Adds a member's hash to its bucket or removes it; XOR does both. */
@@ -105,7 +105,7 @@
     return true;
   }
 
-  function add(update: MemberNews): KnownMember {
+  function add(update: MemberUpdate): KnownMember {
     const now = clock.now();
     const known: KnownMember = {
       update,
@@ -128,7 +128,7 @@
     return known;
   }
 
-  function replace(known: KnownMember, update: MemberNews) {
+  function replace(known: KnownMember, update: MemberUpdate) {
     const isNewProcess = update.incarnation > known.update.incarnation;
     toggleHash(known);
     known.update = update;
@@ -145,7 +145,7 @@
     }
   }
 
-  function bucketHashesWith(localUpdate: MemberNews): readonly number[] {
+  function bucketHashesWith(localUpdate: MemberUpdate): readonly number[] {
     const hashes = [...bucketHashes];
     const index = bucketOf(localUpdate.id);
     hashes[index] = (hashes[index]! ^ hashOf(localUpdate)) >>> 0;
@@ -217,7 +217,7 @@
  * @example
  * if (!isNewer(update, known.update)) { return false; }
  */
-export function isNewer(update: MemberNews, known: MemberNews): boolean {
+export function isNewer(update: MemberUpdate, known: MemberUpdate): boolean {
   if (update.incarnation !== known.incarnation) {
     return update.incarnation > known.incarnation;
   }
@@ -231,7 +231,7 @@
   return hash32(id) % BUCKET_COUNT;
 }
 
-function hashOf(update: MemberNews): number {
+function hashOf(update: MemberUpdate): number {
   const state = update.state === 'suspect' ? 'live' : update.state;
   return hash32(
     `${update.id} ${update.incarnation} ${update.sequence} ${state}`,
--- a/packages/members/src/memberView.ts
+++ b/packages/members/src/memberView.ts
@@ -1,5 +1,5 @@
 /** Conversion of member updates to the public `Member` type. */
-import type {MemberNews} from '@skylarkfield/protocol';
+import type {MemberUpdate} from '@skylarkfield/protocol';
 import type {Member, MemberState} from './contracts.js';
 
 /**
@@ -10,7 +10,7 @@
  * const member = buildMember(known.update, known.machine.state(), known.load);
  */
 export function buildMember(
-  update: MemberNews,
+  update: MemberUpdate,
   state: MemberState,
   load: number,
 ): Member {
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -10,8 +10,8 @@
 } from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {
-  MemberNews,
-  MemberProof,
+  MemberUpdate,
+  MemberProbeResponse,
   Messages,
   PeerNetwork,
 } from '@skylarkfield/protocol';
@@ -150,7 +150,7 @@
   });
 
   /** Answers a probe; includes the sender's state if it is leaving or gone. */
-  function answerProbe(body: Messages['memberProbe']): MemberProof {
+  function answerProbe(body: Messages['memberProbe']): MemberProbeResponse {
     if (body.believed !== undefined) {
       applyUpdate(body.believed);
     }
@@ -175,12 +175,12 @@
 
   /** Sends an update to peers and returns those that did not acknowledge it. */
   async function notifyLeaving(
-    update: MemberNews,
+    update: MemberUpdate,
     receivers: readonly string[],
   ) {
     const results = await Promise.allSettled(
       receivers.map(id =>
-        network.ask(id, 'leaving', {news: update}, timing.probeTimeoutMs),
+        network.request(id, 'leaving', {news: update}, timing.probeTimeoutMs),
       ),
     );
     return receivers.filter(
--- a/packages/members/src/pauseRecovery.ts
+++ b/packages/members/src/pauseRecovery.ts
@@ -58,7 +58,7 @@
       return;
     }
     const platformAnswer = objects.isPlatformReachable();
-    const peers = network.connected().slice(0, MAX_PROBES);
+    const peers = network.connectedPeers().slice(0, MAX_PROBES);
     const answers = [
       ...peers.map(peer => failureDetector.probe(peer)),
       platformAnswer,
--- a/packages/members/src/peerDirectory.ts
+++ b/packages/members/src/peerDirectory.ts
@@ -1,5 +1,5 @@
 /** Peers that the network connects to: neighbours always, others on demand. */
-import type {MemberNews, PeerNetwork} from '@skylarkfield/protocol';
+import type {MemberUpdate, PeerNetwork} from '@skylarkfield/protocol';
 import type {KnownMember, MemberTable} from './memberTable.js';
 import {neighboursOf} from './neighbours.js';
 
@@ -25,7 +25,7 @@
 export function createPeerDirectory(options: {
   readonly table: MemberTable;
   readonly network: PeerNetwork;
-  localUpdate(): MemberNews;
+  localUpdate(): MemberUpdate;
 }): PeerDirectory {
   const {table, network} = options;
   const contacts = new Map<string, string>();
--- a/packages/members/src/reconciler.ts
+++ b/packages/members/src/reconciler.ts
@@ -4,8 +4,8 @@
  */
 import {toServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {
-  MemberNews,
-  MembersGiven,
+  MemberUpdate,
+  MembersResponse,
   PeerNetwork,
 } from '@skylarkfield/protocol';
 import type {MemberTable} from './memberTable.js';
@@ -33,8 +33,8 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly timing: MemberTiming;
-  localUpdate(): MemberNews;
-  applyUpdate(update: MemberNews): void;
+  localUpdate(): MemberUpdate;
+  applyUpdate(update: MemberUpdate): void;
 }): Reconciler {
   const {table, network, clock, log, timing} = options;
   /** By peer: agreement with one lacking the same member proves nothing. */
@@ -45,10 +45,12 @@
     fetches += 1;
     const buckets = table.bucketHashesWith(options.localUpdate());
     const response = await network
-      .ask(peer, 'membersWanted', {buckets}, timing.probeTimeoutMs)
+      .request(peer, 'membersWanted', {buckets}, timing.probeTimeoutMs)
       .catch(() => undefined);
     try {
-      (response as MembersGiven | undefined)?.news.forEach(options.applyUpdate);
+      (response as MembersResponse | undefined)?.news.forEach(
+        options.applyUpdate,
+      );
     } catch (error) {
       log.warn({peer, err: toServingError(error)}, 'invalid member list');
     }
--- a/packages/members/src/test/cluster.ts
+++ b/packages/members/src/test/cluster.ts
@@ -6,8 +6,8 @@
   silentLogger,
   virtualClock,
 } from '@skylarkfield/base';
-import {memoryPlatform} from '@skylarkfield/providers';
-import {MEMORY_SCHEME, createMemoryNetwork} from '@skylarkfield/protocol';
+import {createMemoryPlatform} from '@skylarkfield/providers';
+import {MEMORY_URL_PREFIX, createMemoryNetwork} from '@skylarkfield/protocol';
 import {createMembership, type Membership} from '../index.js';
 
 /** Creates a cluster whose entries can be started, crashed and partitioned. */
@@ -15,7 +15,7 @@
   const clock = virtualClock();
   const random = seededRandom(seed);
   const net = createMemoryNetwork({clock, random});
-  const platform = memoryPlatform({clock, random});
+  const platform = createMemoryPlatform({clock, random});
   const running = new Map<string, Membership>();
   let incarnation = 0;
 
@@ -27,7 +27,7 @@
         id,
         incarnation,
         callerUrl: `http://${id}`,
-        innerUrl: MEMORY_SCHEME + id,
+        innerUrl: MEMORY_URL_PREFIX + id,
         failureDomain: `domain-${domainIndex(id)}`,
         region: 'region-1',
       },
@@ -38,7 +38,7 @@
       random: seededRandom(hash32(`${seed}/${incarnation}`)),
       log: silentLogger(),
       decisions: decisionLog(clock, silentLogger()),
-      seeds: seeds.map(seedId => MEMORY_SCHEME + seedId),
+      seeds: seeds.map(seedId => MEMORY_URL_PREFIX + seedId),
     });
     running.set(id, membership);
     return membership;
@@ -80,8 +80,8 @@
     },
     isolate(id: string, others: Iterable<string>) {
       for (const other of others) {
-        net.cut(id, other);
-        net.cut(other, id);
+        net.partition(id, other);
+        net.partition(other, id);
       }
     },
     /** Ids of the members that an entry considers live. */
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -8,8 +8,8 @@
   virtualClock,
 } from '@skylarkfield/base';
 import type {ListedEndpoint, ReclaimNotice} from '@skylarkfield/providers';
-import {MEMORY_SCHEME, createMemoryNetwork} from '@skylarkfield/protocol';
-import {createEndpointLeaving} from '../index.js';
+import {MEMORY_URL_PREFIX, createMemoryNetwork} from '@skylarkfield/protocol';
+import {createLeavingEndpointTracker} from '../index.js';
 
 const MINUTE_MS = 60_000;
 
@@ -38,13 +38,17 @@
   const net = createMemoryNetwork({clock, random: seededRandom(1)});
   const ids = ['a', 'b', 'c'];
   const networks = ids.map(id => net.start(id).network);
-  const peers = ids.map(id => ({id, incarnation: 1, url: MEMORY_SCHEME + id}));
+  const peers = ids.map(id => ({
+    id,
+    incarnation: 1,
+    url: MEMORY_URL_PREFIX + id,
+  }));
   networks[1]!.setPeers(peers);
   const entries = networks.map(network => {
     const seen: string[] = [];
     let onNotice: (notice: ReclaimNotice) => void = () => {};
     let onList: (endpoints: readonly ListedEndpoint[]) => void = () => {};
-    const leaving = createEndpointLeaving({
+    const leaving = createLeavingEndpointTracker({
       cloud: {
         watchNotices(listener) {
           onNotice = listener;
@@ -258,7 +262,7 @@
     again.onDidReceive('endpointLeaving', (_, {endpoints}) => {
       heard.push(...endpoints);
     });
-    const url = `${MEMORY_SCHEME}b`;
+    const url = `${MEMORY_URL_PREFIX}b`;
     again.setPeers([{id: 'b', incarnation: 1, url}]);
     await clock.advance(10);
     assert.deepEqual(heard, ['e1']);
--- a/packages/members/src/test/lookup.test.ts
+++ b/packages/members/src/test/lookup.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {seededRandom} from '@skylarkfield/base';
-import {orderEntries, type Member} from '../index.js';
+import {rankEntries, type Member} from '../index.js';
 
 function member(index: number, overrides: Partial<Member> = {}): Member {
   return {
@@ -25,7 +25,7 @@
   for (const state of ['leaving', 'suspect', 'gone'] as const) {
     it(`excludes a ${state} entry`, () => {
       const all = [...members(3), member(3, {state})];
-      const {entries} = orderEntries(all, {});
+      const {entries} = rankEntries(all, {});
       assert.ok(!entries.some(entry => entry.id === 'm3'));
       assert.equal(entries.length, 3);
     });
@@ -36,9 +36,9 @@
     let moved = 0;
     for (let session = 0; session < 700; session++) {
       const query = {customer: 'namu', affinity: `s${session}`};
-      const [first] = orderEntries(all, query).entries;
+      const [first] = rankEntries(all, query).entries;
       const remaining = all.filter(other => other.id !== 'm3');
-      const [after] = orderEntries(remaining, query).entries;
+      const [after] = rankEntries(remaining, query).entries;
       if (first!.id !== after!.id) {
         assert.equal(first!.id, 'm3');
         moved += 1;
@@ -49,11 +49,11 @@
 
   it('skips an entry loaded beyond the bound, also with affinity', () => {
     const query = {customer: 'namu', affinity: 's1'};
-    const [first] = orderEntries(members(7), query).entries;
+    const [first] = rankEntries(members(7), query).entries;
     const loaded = members(7).map(other =>
       other.id === first!.id ? {...other, load: 100} : other,
     );
-    const {entries} = orderEntries(loaded, query);
+    const {entries} = rankEntries(loaded, query);
     assert.notEqual(entries[0]!.id, first!.id);
     const ids = entries.map(entry => entry.id);
     assert.equal(ids.at(-1), first!.id, 'it is ranked last of seven');
@@ -61,18 +61,18 @@
 
   it("prefers the caller's failure domain only at equal load", () => {
     const query = {failureDomain: 'domain-1'};
-    assert.equal(orderEntries(members(4), query).entries[0]!.id, 'm1');
+    assert.equal(rankEntries(members(4), query).entries[0]!.id, 'm1');
     const loaded = members(4).map(other =>
       other.id === 'm1' ? {...other, load: 60} : other,
     );
-    assert.notEqual(orderEntries(loaded, query).entries[0]!.id, 'm1');
+    assert.notEqual(rankEntries(loaded, query).entries[0]!.id, 'm1');
   });
 
   it('spreads callers without affinity evenly', () => {
     const random = seededRandom(5);
     const counts = new Map<string, number>();
     for (let call = 0; call < 7_000; call++) {
-      const [first] = orderEntries(members(7), {}, random).entries;
+      const [first] = rankEntries(members(7), {}, random).entries;
       counts.set(first!.id, (counts.get(first!.id) ?? 0) + 1);
     }
     for (const [id, count] of counts) {
--- a/packages/members/src/test/membership.fuzz.test.ts
+++ b/packages/members/src/test/membership.fuzz.test.ts
@@ -106,7 +106,7 @@
     }
   },
   cut(cluster, _, {id, other}) {
-    cluster.net.cut(id, other);
+    cluster.net.partition(id, other);
   },
   heal(cluster, _, {id, other}) {
     cluster.net.heal(id, other);
--- a/packages/members/src/test/membership.test.ts
+++ b/packages/members/src/test/membership.test.ts
@@ -43,7 +43,7 @@
     // Only the link from m1 to m2 is broken. Without confirmation by another
     // member, m2 would route its callers away from a healthy entry.
     const {cluster, ids} = await settledCluster(7);
-    cluster.net.cut('m1', 'm2');
+    cluster.net.partition('m1', 'm2');
     for (let second = 0; second < 60; second++) {
       await cluster.clock.advance(1_000);
       const gone = cluster.running
@@ -183,7 +183,7 @@
     const from = {id: 'odd', state: 'live'} as never;
     network.onDidReceive('memberProbe', () => ({news: from}));
     network.onDidReceive('membersWanted', () => ({news: 5}));
-    const probe = network.ask('m0', 'memberProbe', {from}, 1_000);
+    const probe = network.request('m0', 'memberProbe', {from}, 1_000);
     const refused = assert.rejects(probe, {kind: 'protocol-violation'});
     await cluster.clock.advance(SETTLE_MS);
     await refused;
--- a/packages/members/src/test/pauseDetector.test.ts
+++ b/packages/members/src/test/pauseDetector.test.ts
@@ -11,14 +11,14 @@
   it('detects the gap before its own timer has run', () => {
     const clock = virtualClock();
     const detector = createPauseDetector(clock, PAUSE_MS);
-    clock.pause(PAUSE_MS + 1);
+    clock.jump(PAUSE_MS + 1);
     assert.equal(detector.isCurrent(), false);
   });
 
   it('stays stale after the timer has run until a response arrives', () => {
     const clock = virtualClock();
     const detector = createPauseDetector(clock, PAUSE_MS);
-    clock.pause(60_000);
+    clock.jump(60_000);
     assert.equal(detector.tick(), 60_000);
     assert.equal(detector.tick(), 0);
     assert.equal(detector.isCurrent(), false);
@@ -32,7 +32,7 @@
     const clock = virtualClock();
     const detector = createPauseDetector(clock, PAUSE_MS);
     const requestedAt = clock.now();
-    clock.pause(60_000);
+    clock.jump(60_000);
     detector.tick();
     detector.confirm(requestedAt);
     assert.equal(detector.isCurrent(), false);
@@ -41,7 +41,7 @@
   it('ignores a gap within the threshold', () => {
     const clock = virtualClock();
     const detector = createPauseDetector(clock, PAUSE_MS);
-    clock.pause(PAUSE_MS);
+    clock.jump(PAUSE_MS);
     assert.equal(detector.isCurrent(), true);
     assert.equal(detector.tick(), 0);
   });
--- a/packages/members/src/updateHandler.ts
+++ b/packages/members/src/updateHandler.ts
@@ -1,5 +1,5 @@
 /** Applies member updates from peers and queues the new ones for gossip. */
-import type {MemberChange, MemberNews} from '@skylarkfield/protocol';
+import type {MemberChange, MemberUpdate} from '@skylarkfield/protocol';
 import type {GossipQueue} from './gossip.js';
 import type {MemberTable} from './memberTable.js';
 import {validateUpdate} from './updateValidation.js';
@@ -8,7 +8,7 @@
 /** Applies member updates of any message type. */
 export interface UpdateHandler {
   /** Returns whether the update was new. Throws `ServingError` if malformed. */
-  applyUpdate(update: MemberNews): boolean;
+  applyUpdate(update: MemberUpdate): boolean;
   /** Applies a state change without addresses; ignored for unknown members. */
   applyChange(change: MemberChange): void;
 }
@@ -29,21 +29,21 @@
 }): UpdateHandler {
   const {localMember, table, gossip} = options;
 
-  function refute(update: MemberNews) {
+  function refute(update: MemberUpdate) {
     if (localMember.refute(update)) {
       gossip.add(localMember.currentUpdate());
       options.onDidRefute();
     }
   }
 
-  function applyUpdate(update: MemberNews): boolean {
+  function applyUpdate(update: MemberUpdate): boolean {
     validateUpdate(update);
     if (update.id === localMember.baseUpdate().id) {
       refute(update);
       return false;
     }
     // Suspicion is local to each entry; gossiped, it would outlive its cause.
-    const shared: MemberNews =
+    const shared: MemberUpdate =
       update.state === 'suspect' ? {...update, state: 'live'} : update;
     if (!table.apply(shared)) {
       return false;
--- a/packages/members/src/updateValidation.ts
+++ b/packages/members/src/updateValidation.ts
@@ -1,6 +1,6 @@
 /** Validation of member updates before they are stored and gossiped. */
 import {ServingError} from '@skylarkfield/base';
-import type {MemberNews} from '@skylarkfield/protocol';
+import type {MemberUpdate} from '@skylarkfield/protocol';
 
 const TEXT_FIELDS = [
   'id',
@@ -21,8 +21,8 @@
  * @example
  * validateUpdate(proof.news);
  */
-export function validateUpdate(update: MemberNews): void {
-  const fields: Partial<Record<keyof MemberNews, unknown>> = update ?? {};
+export function validateUpdate(update: MemberUpdate): void {
+  const fields: Partial<Record<keyof MemberUpdate, unknown>> = update ?? {};
   const isValid =
     TEXT_FIELDS.every(field => isText(fields[field])) &&
     NUMBER_FIELDS.every(field => Number.isFinite(fields[field])) &&
--- a/packages/moves/src/contracts.ts
+++ b/packages/moves/src/contracts.ts
@@ -8,7 +8,7 @@
 export type {MovePhase, MoveState, RouteProof} from '@skylarkfield/protocol';
 
 /** Outcome of one request, as evidence about its version. */
-export interface Sample {
+export interface RequestSample {
   readonly service: string;
   readonly version: string;
   readonly route: string;
@@ -40,7 +40,7 @@
    */
   incumbentFor(service: string, incumbent: string): string;
   /** Records a request; cuts the candidate's share to 0 on a fault. */
-  observe(sample: Sample): void;
+  observe(sample: RequestSample): void;
   /** Applies the cut of a candidate by another entry. */
   applyCut(move: string, why: string): void;
   /** Returns and clears the evidence since the last call, for broadcast. */
--- a/packages/moves/src/localEvidence.ts
+++ b/packages/moves/src/localEvidence.ts
@@ -5,13 +5,13 @@
 import type {Clock} from '@skylarkfield/base';
 import type {EvidenceSum} from '@skylarkfield/protocol';
 import type {Move} from '@skylarkfield/records';
-import type {Sample} from './contracts.js';
+import type {RequestSample} from './contracts.js';
 import {createEvidenceWindow, loadLevelOf} from './evidence.js';
 import {createFaultDetector} from './faultDetector.js';
 
 export interface LocalEvidence {
   /** Adds a request; returns a reason to cut the candidate on a fault. */
-  observe(sample: Sample): string | undefined;
+  observe(sample: RequestSample): string | undefined;
   /** Returns and clears the sums since the last call. */
   takeSums(): readonly EvidenceSum[];
   /** Drops the pending window after a change of the shares. */
@@ -91,7 +91,7 @@
 }
 
 /** Omits the latency of failed requests, which measures the failure only. */
-function evidenceOf(sample: Sample): EvidenceSum {
+function evidenceOf(sample: RequestSample): EvidenceSum {
   const logLatency = sample.isError
     ? 0
     : Math.log(LATENCY_OFFSET_MS + Math.max(0, sample.latencyMs));
--- a/packages/moves/src/moveController.ts
+++ b/packages/moves/src/moveController.ts
@@ -82,10 +82,10 @@
  * of the duty already has the evidence.
  *
  * @example
- * const controller = createMoveJudge({clock, decisions});
+ * const controller = createMoveController({clock, decisions});
  * const next = controller.advance(move, state, clock.wall());
  */
-export function createMoveJudge({
+export function createMoveController({
   decisions,
 }: MoveControllerOptions): MoveController {
   const analyses = new Map<string, MoveAnalysis>();
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -21,7 +21,7 @@
   readonly log: Logger;
   readonly objects: Pick<ObjectStore, 'get' | 'list' | 'put' | 'remove'>;
   readonly configuration: Pick<Configuration, 'list' | 'isReady'>;
-  readonly judge: MoveController;
+  readonly controller: MoveController;
   readonly tenure: Tenure;
   /** Returns whether any endpoint runs the version, so a move may start. */
   hasEndpoints?(service: string, version: string): boolean;
@@ -41,7 +41,7 @@
  * duties.compete('moves', tenure => createMoveDuty({...parts, tenure}));
  */
 export function createMoveDuty(options: MoveDutyOptions): Disposable {
-  const {clock, log, objects, configuration, judge, tenure} = options;
+  const {clock, log, objects, configuration, controller, tenure} = options;
   const store = disposableStore();
   const storedStates = new Map<string, StoredObject<MoveState>>();
   let isLoaded = false;
@@ -133,7 +133,7 @@
     const wallMs = clock.wall();
     const next =
       waitingFor === undefined
-        ? judge.advance(move, state, wallMs)
+        ? controller.advance(move, state, wallMs)
         : waitingState(move, state, waitingFor, wallMs);
     if (next !== state) {
       await writeState(next);
@@ -178,7 +178,7 @@
     }
     const moves = configuration.list('move');
     const names = moves.map(move => move.name);
-    judge.retainMoves(names);
+    controller.retainMoves(names);
     for (const service of new Set(moves.map(move => move.service))) {
       await advanceService(moves.filter(move => move.service === service));
     }
--- a/packages/moves/src/moveFollower.ts
+++ b/packages/moves/src/moveFollower.ts
@@ -30,7 +30,7 @@
   readonly configuration: Pick<Configuration, 'list' | 'onDidChange'>;
   readonly split: TrafficSplit;
   /** Runs on every entry, so a new holder of the duty has the evidence. */
-  readonly judge: MoveController;
+  readonly controller: MoveController;
 }
 
 /** Cut that is not in the stored state yet. */
@@ -46,7 +46,7 @@
  * store.add(createMoveFollower({clock, objects, network, configuration, split, judge}));
  */
 export function createMoveFollower(options: MoveFollowerOptions): Disposable {
-  const {clock, objects, network, configuration, split, judge} = options;
+  const {clock, objects, network, configuration, split, controller} = options;
   const store = disposableStore();
   const states = new Map<string, MoveState>();
   const pendingCuts = new Map<string, PendingCut>();
@@ -89,7 +89,7 @@
     }
     pendingCuts.set(name, {to: move.to, why});
     split.applyCut(name, why);
-    judge.reportCut(name, why);
+    controller.reportCut(name, why);
   }
 
   /** Drops cuts that are stored or whose move has changed or gone. */
@@ -111,7 +111,7 @@
     for (const move of configuration.list('move')) {
       const state = states.get(move.name);
       if (isStateOf(state, move)) {
-        judge.track(move, state, clock.wall());
+        controller.track(move, state, clock.wall());
       }
     }
   }
@@ -119,7 +119,7 @@
   function broadcastEvidence() {
     trackMoves();
     for (const {move, sums} of split.takeEvidence()) {
-      judge.addEvidence(move, sums);
+      controller.addEvidence(move, sums);
       network.broadcast('moveEvidence', {move, sequence: sequence++, sums});
     }
     dropObsoleteCuts();
@@ -160,7 +160,7 @@
   );
   store.add(
     network.onDidReceive('moveEvidence', (_from, {move, sums}) =>
-      judge.addEvidence(move, sums),
+      controller.addEvidence(move, sums),
     ),
   );
   store.add(
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -23,7 +23,7 @@
 import {
   createMoveDuty,
   createMoveFollower,
-  createMoveJudge,
+  createMoveController,
   createTrafficSplit,
   type MoveState,
 } from '../index.js';
@@ -189,11 +189,18 @@
   function startEntry(index: number) {
     const decisions = decisionLog(clock, silentLogger());
     const split = createTrafficSplit({clock, decisions});
-    const judge = createMoveJudge({clock, decisions});
+    const controller = createMoveController({clock, decisions});
     const network = bus.networkOf(`e${index}`);
     const objects = platform.store;
-    createMoveFollower({clock, objects, network, configuration, split, judge});
-    return {split, judge};
+    createMoveFollower({
+      clock,
+      objects,
+      network,
+      configuration,
+      split,
+      controller,
+    });
+    return {split, controller};
   }
   const entries = Array.from({length: count}, (_, index) => startEntry(index));
   function holdDuty(index: number) {
@@ -210,7 +217,7 @@
       log: silentLogger(),
       objects: platform.store,
       configuration,
-      judge: entries[index]?.judge as never,
+      controller: entries[index]?.controller as never,
       tenure,
     });
     return toDisposable(() => {
--- a/packages/moves/src/test/moveCluster.test.ts
+++ b/packages/moves/src/test/moveCluster.test.ts
@@ -127,11 +127,11 @@
     const first = holdDuty(0);
     await serve(1, 300, false);
     first.dispose();
-    const before = proofRequests(entries[2]?.judge.dump());
+    const before = proofRequests(entries[2]?.controller.dump());
     assert.ok(before > 1000, `${before}`);
     holdDuty(2);
     await serve(1, 5, false);
-    assert.ok(proofRequests(entries[2]?.judge.dump()) >= before);
+    assert.ok(proofRequests(entries[2]?.controller.dump()) >= before);
   });
 
   it('ignores writes of a holder that was paused beyond its tenure', async () => {
--- a/packages/moves/src/test/moveController.test.ts
+++ b/packages/moves/src/test/moveController.test.ts
@@ -3,7 +3,7 @@
 import {decisionLog, silentLogger, virtualClock} from '@skylarkfield/base';
 import type {EvidenceSum} from '@skylarkfield/protocol';
 import type {Move} from '@skylarkfield/records';
-import {createMoveJudge, type MoveState} from '../index.js';
+import {createMoveController, type MoveState} from '../index.js';
 import {HOUR_MS, move, START_MS, evidenceOfWindow} from './fakes.js';
 
 const healthy = {errors: 0, medianMs: 100};
@@ -12,7 +12,7 @@
 function createController() {
   const clock = virtualClock();
   const decisions = decisionLog(clock, silentLogger());
-  return createMoveJudge({clock, decisions});
+  return createMoveController({clock, decisions});
 }
 
 /** Runs a move until it ends, adding the given evidence at each step. */
--- a/packages/orders/src/contracts.ts
+++ b/packages/orders/src/contracts.ts
@@ -28,12 +28,12 @@
   readonly body: Uint8Array;
 }
 
-export interface OrderAnswer {
+export interface SubmitResult {
   readonly reply: OrderReply;
   /** True when the reply comes from an earlier execution under the same key. */
   readonly isReplay: boolean;
   /** True when the caller sent no key, so that a retry cannot be recognised. */
-  readonly isUnrecognisable: boolean;
+  readonly isUnkeyed: boolean;
 }
 
 /**
@@ -63,7 +63,7 @@
    * (both not run), `deadline-exceeded`, `outcome-unknown` (may have run),
    * `overloaded`.
    */
-  submit(order: Order, signal: AbortSignal): Promise<OrderAnswer>;
+  submit(order: Order, signal: AbortSignal): Promise<SubmitResult>;
   /** Rejects new orders, hands over waiting ones, awaits those in progress. */
   leave(): Promise<void>;
   dump(): unknown;
--- a/packages/orders/src/handOver.ts
+++ b/packages/orders/src/handOver.ts
@@ -118,7 +118,7 @@
       const body = {shard: shard.index};
       for (const successor of successors.slice(0, MAX_SUCCESSORS_NOTIFIED)) {
         try {
-          await options.network.ask(
+          await options.network.request(
             successor,
             'orderHandOver',
             body,
--- a/packages/orders/src/ledger.ts
+++ b/packages/orders/src/ledger.ts
@@ -1,7 +1,7 @@
 /** Ledger of one process: submission, hand-over, messages between entries. */
 import {disposableStore, every, ServingError, sleep} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
-import type {Ledger, Order, OrderAnswer} from './contracts.js';
+import type {Ledger, Order, SubmitResult} from './contracts.js';
 import type {ActiveOrder, OrderRequest} from './activeOrder.js';
 import {createHandOver} from './handOver.js';
 import {createOutcomeCache} from './outcomeCache.js';
@@ -61,7 +61,7 @@
           decisions: options.decisions,
           member,
           instance,
-          minWriteIntervalMs: settings.writeGapMs,
+          minWriteIntervalMs: settings.minWriteIntervalMs,
           outcomeDelayMs: settings.outcomeDelayMs,
           dedupeWindowMs: settings.dedupeWindowMs,
           sealThresholdBytes: settings.sealThresholdBytes,
@@ -190,7 +190,7 @@
       const answer = await router.requestWhileLive(
         entry.member,
         timeoutMs =>
-          network.ask(
+          network.request(
             entry.member,
             'orderOutcomeWanted',
             {id, token},
@@ -252,7 +252,7 @@
   async function submit(
     order: Order,
     signal: AbortSignal,
-  ): Promise<OrderAnswer> {
+  ): Promise<SubmitResult> {
     if (isLeaving || !isAlive) {
       throw new ServingError('leaving', 'this entry is leaving');
     }
@@ -274,7 +274,7 @@
       throw addKeyToMessage(result.error, order.key);
     }
     const {reply, isReplay} = result;
-    return {reply, isReplay, isUnrecognisable};
+    return {reply, isReplay, isUnkeyed: isUnrecognisable};
   }
 
   async function routeOrder(request: OrderRequest, signal: AbortSignal) {
--- a/packages/orders/src/ledgerSettings.ts
+++ b/packages/orders/src/ledgerSettings.ts
@@ -27,7 +27,7 @@
   /** Must be the same in all entries and never change: maps keys to shards. */
   readonly shardCount: number;
   /** Minimum time between two writes of one shard. */
-  readonly writeGapMs: number;
+  readonly minWriteIntervalMs: number;
   /** Upper bound of the time that an outcome waits for a write. */
   readonly outcomeDelayMs: number;
   /** How long a key is remembered after its order has ended. */
@@ -53,7 +53,7 @@
 /** Settings used where none are given. */
 export const defaultLedgerSettings: LedgerSettings = {
   shardCount: 8,
-  writeGapMs: 80,
+  minWriteIntervalMs: 80,
   outcomeDelayMs: 200,
   dedupeWindowMs: 3_600_000,
   holdOffMs: 3_000,
--- a/packages/orders/src/orderObserver.ts
+++ b/packages/orders/src/orderObserver.ts
@@ -1,7 +1,7 @@
 /** Events of a ledger, for metrics. */
 import {toServingError} from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
-import type {OrderAnswer} from './contracts.js';
+import type {SubmitResult} from './contracts.js';
 
 /** How an order submitted by a caller of this entry ended. */
 export type OrderOutcome =
@@ -55,8 +55,8 @@
 export async function observeAnswer(
   observer: OrderObserver,
   service: string,
-  answer: Promise<OrderAnswer>,
-): Promise<OrderAnswer> {
+  answer: Promise<SubmitResult>,
+): Promise<SubmitResult> {
   try {
     const {isReplay} = await answer;
     observer.onDidAnswer(service, isReplay ? 'replay' : 'reply');
--- a/packages/orders/src/orderRouter.ts
+++ b/packages/orders/src/orderRouter.ts
@@ -39,7 +39,7 @@
 }
 
 /** The part of the inner protocol that the ledger uses. */
-export type OrderNetwork = Pick<PeerNetwork, 'ask' | 'onDidReceive'>;
+export type OrderNetwork = Pick<PeerNetwork, 'request' | 'onDidReceive'>;
 
 export interface OrderRouterOptions {
   readonly network: OrderNetwork;
@@ -120,7 +120,7 @@
     try {
       const answer = await requestWhileLive(
         peer,
-        timeoutMs => network.ask(peer, 'orderForward', body, timeoutMs),
+        timeoutMs => network.request(peer, 'orderForward', body, timeoutMs),
         deadline,
       );
       return fromForwardAnswer(answer as ForwardAnswer);
--- a/packages/orders/src/outcomeSender.ts
+++ b/packages/orders/src/outcomeSender.ts
@@ -60,7 +60,12 @@
     const outcomes = cached.map(({outcome}) => outcome);
     try {
       const body = {shard, hops, outcomes};
-      await network.ask(recipient, 'orderOutcomes', body, REQUEST_TIMEOUT_MS);
+      await network.request(
+        recipient,
+        'orderOutcomes',
+        body,
+        REQUEST_TIMEOUT_MS,
+      );
       outcomes.forEach(({id, token}) => undelivered.remove(id, token));
     } catch {
       // The outcomes stay in the cache and are sent again in the next round.
--- a/packages/orders/src/test/atMostOnce.test.ts
+++ b/packages/orders/src/test/atMostOnce.test.ts
@@ -108,7 +108,7 @@
     );
     await cluster.clock.advance(60);
     cluster.entries.get(owner)?.process.lostReplyEffects.push('now');
-    cluster.entries.get(owner)?.client.faults.setSlow(1_000);
+    cluster.entries.get(owner)?.client.faults.setDelay(1_000);
     void cluster.leave(owner);
     await cluster.clock.advance(10_000);
     for (const {subject, answer} of orders) {
@@ -126,7 +126,7 @@
     const order = cluster.submit(owner, 'k1', undefined, 300);
     await cluster.clock.advance(60);
     cluster.entries.get(owner)?.process.lostReplyEffects.push('now');
-    cluster.entries.get(owner)?.client.faults.setSlow(1_000);
+    cluster.entries.get(owner)?.client.faults.setDelay(1_000);
     cluster.service.waitMs = 1;
     void cluster.leave(owner);
     await cluster.clock.advance(10_000);
--- a/packages/orders/src/test/cluster.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -12,7 +12,7 @@
   type Clock,
   type RunState,
 } from '@skylarkfield/base';
-import {memoryPlatform, type MemoryClient} from '@skylarkfield/providers';
+import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
 import {
   createLedger,
   type Dispatch,
@@ -72,7 +72,7 @@
 
 export interface Cluster {
   readonly clock: ReturnType<typeof virtualClock>;
-  readonly platform: ReturnType<typeof memoryPlatform>;
+  readonly platform: ReturnType<typeof createMemoryPlatform>;
   readonly network: ReturnType<typeof createSimulatedNetwork>;
   readonly entries: Map<string, Entry>;
   readonly submitted: readonly SubmittedRequest[];
@@ -101,7 +101,7 @@
 
 const testSettings: Partial<LedgerSettings> = {
   shardCount: 2,
-  writeGapMs: 10,
+  minWriteIntervalMs: 10,
   outcomeDelayMs: 20,
   holdOffMs: 300,
   graceMs: 500,
@@ -116,8 +116,8 @@
 ): Cluster {
   const clock = virtualClock();
   const random = seededRandom(seed);
-  const platform = memoryPlatform({clock, random});
-  platform.faults.setSlow(4);
+  const platform = createMemoryPlatform({clock, random});
+  platform.faults.setDelay(4);
   const network = createSimulatedNetwork(clock, random);
   const entries = new Map<string, Entry>();
   const submitted: SubmittedRequest[] = [];
--- a/packages/orders/src/test/handOver.test.ts
+++ b/packages/orders/src/test/handOver.test.ts
@@ -13,7 +13,7 @@
     const handOver = createHandOver({
       clock: virtualClock(),
       network: {
-        ask: (_to, _type, body) => {
+        request: (_to, _type, body) => {
           bodies.push(body);
           return Promise.resolve(true);
         },
--- a/packages/orders/src/test/schedule.ts
+++ b/packages/orders/src/test/schedule.ts
@@ -220,7 +220,7 @@
       .get(idOf(step.entry))
       ?.process.lostReplyEffects.push(...step.effects),
   platform: (cluster, step) => cluster.platform.faults.setDown(step.isDown),
-  'platform-slow': (cluster, step) => cluster.platform.faults.setSlow(step.ms),
+  'platform-slow': (cluster, step) => cluster.platform.faults.setDelay(step.ms),
   disconnect: (cluster, step) =>
     cluster.entries.get(idOf(step.entry))?.client.faults.setDown(step.isDown),
 };
@@ -246,7 +246,7 @@
 export async function healAndCheck(cluster: Cluster): Promise<void> {
   const {clock, platform, network, service, entries} = cluster;
   platform.faults.setDown(false);
-  platform.faults.setSlow(4);
+  platform.faults.setDelay(4);
   network.cuts.clear();
   network.lost = 0;
   Object.assign(service, {refused: 0, lostAfter: 0, lostBefore: 0, waitMs: 1});
--- a/packages/orders/src/test/simulatedProcess.ts
+++ b/packages/orders/src/test/simulatedProcess.ts
@@ -180,7 +180,7 @@
         process.handlers.set(type, handler as unknown as Handler);
         return toDisposable(() => process.handlers.delete(type));
       },
-      ask: (to, type, body, timeoutMs) =>
+      request: (to, type, body, timeoutMs) =>
         new Promise((resolve, reject) => {
           process.clock.after(timeoutMs, () => reject(new Error('timeout')));
           if (!processes.get(to)?.isAlive) {
--- a/packages/protocol/src/codec.ts
+++ b/packages/protocol/src/codec.ts
@@ -6,7 +6,7 @@
 export interface Frame {
   readonly type: string;
   /** Id that a request and its response share; 0 for a one-way message. */
-  readonly ask: number;
+  readonly requestId: number;
   readonly body: unknown;
 }
 
@@ -26,7 +26,7 @@
  */
 export function encodeFrame(frame: Frame): Buffer {
   // Packr reuses its buffer while a socket may still hold the bytes: copy them.
-  return Buffer.from(packr.pack([frame.type, frame.ask, frame.body]));
+  return Buffer.from(packr.pack([frame.type, frame.requestId, frame.body]));
 }
 
 /**
@@ -50,7 +50,7 @@
       'the frame has an invalid type or request id',
     );
   }
-  return {type, ask: requestId, body};
+  return {type, requestId, body};
 }
 
 function unpack(bytes: Buffer): unknown {
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -62,7 +62,7 @@
    */
   dial(url: string): Promise<string>;
   /** Ids of the peers with an open connection. */
-  connected(): readonly string[];
+  connectedPeers(): readonly string[];
   /** Sends a one-way message; returns false without an open connection. */
   send<T extends MessageType>(to: string, type: T, body: Messages[T]): boolean;
   /**
@@ -81,7 +81,7 @@
    * (`may-have-run`), `interrupted` (`not-run` if nothing was sent),
    * `cancelled`, or the kind and run state thrown by the peer's handler.
    */
-  ask<T extends MessageType>(
+  request<T extends MessageType>(
     to: string,
     type: T,
     body: Messages[T],
--- a/packages/protocol/src/dispatcher.ts
+++ b/packages/protocol/src/dispatcher.ts
@@ -4,7 +4,7 @@
  */
 import {
   ServingError,
-  errorAnswers,
+  errorResponses,
   toDisposable,
   toServingError,
   type Clock,
@@ -110,11 +110,12 @@
 
   function respond(from: string, frame: Frame, reply: (b: Buffer) => void) {
     runHandlers(from, frame).then(
-      body => reply(encode({type: RESPONSE_FRAME, ask: frame.ask, body})),
+      body =>
+        reply(encode({type: RESPONSE_FRAME, requestId: frame.requestId, body})),
       error => {
         const {kind, message, run} = toServingError(error);
         const body: ErrorBody = {kind, message, run};
-        reply(encode({type: ERROR_FRAME, ask: frame.ask, body}));
+        reply(encode({type: ERROR_FRAME, requestId: frame.requestId, body}));
       },
     );
   }
@@ -133,7 +134,7 @@
   }
 
   function settleRequest(from: string, frame: Frame) {
-    const request = pending.get(frame.ask);
+    const request = pending.get(frame.requestId);
     // Drops responses that come from another peer or after the timeout.
     if (request === undefined || request.to !== from) {
       traffic.rejected += 1;
@@ -154,17 +155,17 @@
     if (!handlers.has(frame.type)) {
       traffic.rejected += 1;
       log.debug({peer: from, type: frame.type}, 'unknown message type');
-      if (frame.ask !== 0) {
+      if (frame.requestId !== 0) {
         const body: ErrorBody = {
           kind: 'protocol-violation',
           message: `no handler for ${frame.type}`,
           run: 'not-run',
         };
-        reply(encode({type: ERROR_FRAME, ask: frame.ask, body}));
+        reply(encode({type: ERROR_FRAME, requestId: frame.requestId, body}));
       }
       return;
     }
-    if (frame.ask !== 0) {
+    if (frame.requestId !== 0) {
       respond(from, frame, reply);
       return;
     }
@@ -216,7 +217,7 @@
           resolve(outcome.body);
         }
         pending.set(requestId, {to, channel, settle});
-        if (!send(encode({type, ask: requestId, body}))) {
+        if (!send(encode({type, requestId, body}))) {
           settle({error: notConnectedError(to)});
         }
       });
@@ -247,7 +248,7 @@
 function toRequestError(body: unknown): ServingError {
   const failure = (body ?? {}) as Partial<ErrorBody>;
   const kind = String(failure.kind);
-  if (!Object.hasOwn(errorAnswers, kind)) {
+  if (!Object.hasOwn(errorResponses, kind)) {
     return new ServingError(
       'protocol-violation',
       'the peer returned an unknown error kind',
--- a/packages/protocol/src/handshakes.ts
+++ b/packages/protocol/src/handshakes.ts
@@ -62,7 +62,7 @@
       protocolVersion: PROTOCOL_VERSION,
       ...(withKey ? {key} : {}),
     };
-    return encodeFrame({type: HELLO_FRAME, ask: 0, body});
+    return encodeFrame({type: HELLO_FRAME, requestId: 0, body});
   }
 
   function refuse(socket: WebSocket, reason: string) {
--- a/packages/protocol/src/innerListener.ts
+++ b/packages/protocol/src/innerListener.ts
@@ -6,7 +6,7 @@
 import {WebSocketServer, type WebSocket} from 'ws';
 import {ServingError, type Disposable, type Logger} from '@skylarkfield/base';
 import {isSameKey} from './hello.js';
-import type {RenewedTls} from './innerTls.js';
+import type {TlsWatcher} from './innerTls.js';
 import type {NetworkLimits} from './limits.js';
 
 export interface InnerListener extends Disposable {
@@ -29,7 +29,7 @@
   readonly host: string;
   readonly port: number;
   readonly key: string;
-  readonly tls?: RenewedTls;
+  readonly tls?: TlsWatcher;
   readonly limits: NetworkLimits;
   readonly log: Logger;
   /** Number of handshakes in progress. */
--- a/packages/protocol/src/innerTls.ts
+++ b/packages/protocol/src/innerTls.ts
@@ -26,7 +26,7 @@
   readonly ca: Buffer;
 }
 
-export interface RenewedTls extends Disposable {
+export interface TlsWatcher extends Disposable {
   current(): TlsMaterial;
   onDidRenew(listener: (material: TlsMaterial) => void): Disposable;
 }
@@ -38,15 +38,15 @@
  * the old key. Throws `bad-settings` if a file cannot be read.
  *
  * @example
- * const tls = await readTls({paths, clock, log});
+ * const tls = await watchTls({paths, clock, log});
  * tls.onDidRenew(material => server.setSecureContext(material));
  */
-export async function readTls(options: {
+export async function watchTls(options: {
   readonly paths: TlsPaths;
   readonly clock: Clock;
   readonly log: Logger;
   readonly checkIntervalMs?: number;
-}): Promise<RenewedTls> {
+}): Promise<TlsWatcher> {
   const {paths, clock, log} = options;
   const renewed = emitter<TlsMaterial>();
   let fingerprint = await readFingerprint(paths);
--- a/packages/protocol/src/memoryNetwork.ts
+++ b/packages/protocol/src/memoryNetwork.ts
@@ -34,12 +34,12 @@
   pause(id: string): void;
   resume(id: string): void;
   /** Drops messages in one direction; the opposite direction stays open. */
-  cut(from: string, to: string): void;
+  partition(from: string, to: string): void;
   heal(from: string, to: string): void;
   healAll(): void;
   setLoss(probability: number): void;
   /** Sums of the traffic of all processes. */
-  total(): NetworkTraffic;
+  totalTraffic(): NetworkTraffic;
 }
 
 interface SimulatedProcess {
@@ -57,7 +57,7 @@
 const DEFAULT_DELAY_MS = 1;
 
 /** URL prefix of simulated processes; the id follows. */
-export const MEMORY_SCHEME = 'memory://';
+export const MEMORY_URL_PREFIX = 'memory://';
 
 /**
  * Creates an empty network of simulated processes.
@@ -208,21 +208,24 @@
         addressBook = new Set(peers.map(peer => peer.id));
       },
       dial(url) {
-        const id = url.replace(MEMORY_SCHEME, '');
+        const id = url.replace(MEMORY_URL_PREFIX, '');
         connect(process, id);
         return isConnected(process, id)
           ? Promise.resolve(id)
           : Promise.reject(notConnectedError(url));
       },
-      connected,
+      connectedPeers: connected,
       send: (to, type, body) =>
-        sendBytes(to, dispatcher.encode({type, ask: 0, body})),
+        sendBytes(to, dispatcher.encode({type, requestId: 0, body})),
       broadcast(type, body, to) {
         const receivers = to ?? connected();
-        const bytes = dispatcher.encode({type, ask: 0, body}, receivers.length);
+        const bytes = dispatcher.encode(
+          {type, requestId: 0, body},
+          receivers.length,
+        );
         return receivers.filter(id => sendBytes(id, bytes)).length;
       },
-      ask: (to, type, body, timeoutMs) =>
+      request: (to, type, body, timeoutMs) =>
         dispatcher.request(to, type, body, timeoutMs, bytes =>
           sendBytes(to, bytes),
         ),
@@ -297,13 +300,13 @@
         runOrDefer(process, action);
       }
     },
-    cut: (from, to) => partitions.add(partitionKey(from, to)),
+    partition: (from, to) => partitions.add(partitionKey(from, to)),
     heal: (from, to) => partitions.delete(partitionKey(from, to)),
     healAll: () => partitions.clear(),
     setLoss(probability) {
       lossProbability = probability;
     },
-    total() {
+    totalTraffic() {
       return [...processes.values()]
         .map(process => process.dispatcher.traffic())
         .reduce(addTraffic, NO_TRAFFIC);
--- a/packages/protocol/src/messages/gatewayMessages.ts
+++ b/packages/protocol/src/messages/gatewayMessages.ts
@@ -1,6 +1,10 @@
 /** Messages that replicate platform objects and usage among gateways. */
 
-import type {CapacitySums, OutcomeSums, WorkRate} from '@skylarkfield/capacity';
+import type {
+  CapacityStats,
+  OutcomeCounts,
+  WorkRate,
+} from '@skylarkfield/capacity';
 
 /** Kinds of platform objects that entries mirror. */
 export type MirrorKind = 'policy' | 'endpoints' | 'rollouts' | 'crashes';
@@ -84,9 +88,9 @@
     /** Rate of work that callers request, by service. */
     readonly work: Readonly<Record<string, WorkRate>>;
     /** Engine measurements; unchanged since the last digest if absent. */
-    readonly capacity?: CapacitySums;
+    readonly capacity?: CapacityStats;
     /** Outcomes of requests, by service. */
-    readonly outcomes: Readonly<Record<string, OutcomeSums>>;
+    readonly outcomes: Readonly<Record<string, OutcomeCounts>>;
   };
   /** Changes of one kind between two revisions, sent when they are read. */
   mirrorChanges: {
@@ -95,12 +99,12 @@
     readonly to: number;
     readonly changes: readonly MirrorChange[];
   };
-  /** Requests the receiver's whole copy of a kind. Response: `MirrorCopy`. */
+  /** Requests the receiver's whole copy of a kind. Response: `MirrorSnapshot`. */
   mirrorWanted: {readonly kind: MirrorKind};
 }
 
 /** Response to `mirrorWanted`. */
-export interface MirrorCopy {
+export interface MirrorSnapshot {
   readonly revision: number;
   readonly changedAt: number;
   readonly items: readonly MirrorChange[];
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -1,7 +1,7 @@
 /** Membership messages. */
 
 /** State of one member; the higher incarnation, then sequence, wins. */
-export interface MemberNews {
+export interface MemberUpdate {
   readonly id: string;
   readonly incarnation: number;
   /** Increases with each change that the member itself announces. */
@@ -31,38 +31,38 @@
     readonly incarnation: number;
     readonly sequence: number;
     readonly load: number;
-    readonly news: readonly MemberNews[];
+    readonly news: readonly MemberUpdate[];
     readonly changes?: readonly MemberChange[];
     /** Hash of all known members; a lasting difference is reconciled. */
     readonly digest?: number;
   };
   /** First message of a stopping entry; a request, to be acknowledged. */
-  leaving: {readonly news: MemberNews};
+  leaving: {readonly news: MemberUpdate};
   /**
    * Probes a member for its current state; carries the state that the sender
-   * has recorded for it, so that it can refute it. Response: `MemberProof`.
+   * has recorded for it, so that it can refute it. Response: `MemberProbeResponse`.
    */
-  memberProbe: {readonly from: MemberNews; readonly believed?: MemberNews};
-  /** Asks when a silent member was last heard from. Response: `MemberWord`. */
+  memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
+  /** Asks when a silent member was last heard from. Response: `LastHeardResponse`. */
   memberWord: {readonly id: string; readonly incarnation: number};
-  /** Requests the members of buckets that differ. Response: `MembersGiven`. */
+  /** Requests the members of buckets that differ. Response: `MembersResponse`. */
   membersWanted: {readonly buckets: readonly number[]};
 }
 
 /** Response to `memberProbe`. */
-export interface MemberProof {
-  readonly news: MemberNews;
+export interface MemberProbeResponse {
+  readonly news: MemberUpdate;
   /** State recorded for the prober by the responder, unless `live`. */
-  readonly believed?: MemberNews;
+  readonly believed?: MemberUpdate;
 }
 
 /** Response to `memberWord`. */
-export interface MemberWord {
+export interface LastHeardResponse {
   /** Milliseconds since that or a later incarnation was heard; -1 for never. */
   readonly heardAgoMs: number;
 }
 
 /** Response to `membersWanted`. */
-export interface MembersGiven {
-  readonly news: readonly MemberNews[];
+export interface MembersResponse {
+  readonly news: readonly MemberUpdate[];
 }
--- a/packages/protocol/src/peerNetwork.ts
+++ b/packages/protocol/src/peerNetwork.ts
@@ -14,7 +14,7 @@
 import type {Hello} from './hello.js';
 import {createHandshakes} from './handshakes.js';
 import {listenForPeers} from './innerListener.js';
-import type {RenewedTls} from './innerTls.js';
+import type {TlsWatcher} from './innerTls.js';
 import {DEFAULT_LIMITS, type NetworkLimits} from './limits.js';
 import type {PeerLink} from './peerLink.js';
 import {createPeerLinks} from './peerLinks.js';
@@ -44,7 +44,7 @@
   readonly log: Logger;
   /** Secret shared by all entries. */
   readonly key: string;
-  readonly tls?: RenewedTls;
+  readonly tls?: TlsWatcher;
   readonly limits?: Partial<NetworkLimits>;
 }): ListeningNetwork {
   const {self, clock, random, log, key, tls} = options;
@@ -243,15 +243,18 @@
         });
       });
     },
-    connected: () => [...connections.keys()],
+    connectedPeers: () => [...connections.keys()],
     send: (to, type, body) =>
-      sendBytes(to, dispatcher.encode({type, ask: 0, body})),
+      sendBytes(to, dispatcher.encode({type, requestId: 0, body})),
     broadcast(type, body, to) {
       const receivers = to ?? [...connections.keys()];
-      const bytes = dispatcher.encode({type, ask: 0, body}, receivers.length);
+      const bytes = dispatcher.encode(
+        {type, requestId: 0, body},
+        receivers.length,
+      );
       return receivers.filter(id => sendBytes(id, bytes)).length;
     },
-    async ask(to, type, body, timeoutMs) {
+    async request(to, type, body, timeoutMs) {
       const startedAt = clock.now();
       if (!(await waitForConnection(to, timeoutMs))) {
         throw notConnectedError(to);
--- a/packages/protocol/src/peerSocket.ts
+++ b/packages/protocol/src/peerSocket.ts
@@ -2,7 +2,7 @@
 import {WebSocket} from 'ws';
 import type {Logger} from '@skylarkfield/base';
 import {PEER_PATH} from './innerListener.js';
-import type {RenewedTls} from './innerTls.js';
+import type {TlsWatcher} from './innerTls.js';
 import type {NetworkLimits} from './limits.js';
 
 /**
@@ -16,7 +16,7 @@
   /** Secret shared by all entries. */
   readonly key: string;
   readonly limits: NetworkLimits;
-  readonly tls?: RenewedTls;
+  readonly tls?: TlsWatcher;
   readonly log: Logger;
 }): WebSocket | undefined {
   const {url, key, limits, tls, log} = options;
--- a/packages/protocol/src/test/compatibility.test.ts
+++ b/packages/protocol/src/test/compatibility.test.ts
@@ -32,7 +32,7 @@
 
 function encodeHello(protocolVersion: number | undefined, more = {}): Buffer {
   const body = {id: 'x', incarnation: 1, protocolVersion, ...more};
-  return encodeFrame({type: HELLO_FRAME, ask: 0, body});
+  return encodeFrame({type: HELLO_FRAME, requestId: 0, body});
 }
 
 /** A peer of another release: a raw socket controlled by the test. */
@@ -74,7 +74,10 @@
 
   async function join(hello: Buffer): Promise<OtherReleasePeer> {
     const other = dial(a.address.url, hello);
-    await until(() => a.network.connected().includes('x'), 'x is connected');
+    await until(
+      () => a.network.connectedPeers().includes('x'),
+      'x is connected',
+    );
     await until(() => other.received.length > 0, 'x received the hello');
     return other;
   }
@@ -82,7 +85,7 @@
   async function leave(other: OtherReleasePeer): Promise<void> {
     other.socket.close();
     await until(
-      () => !a.network.connected().includes('x'),
+      () => !a.network.connectedPeers().includes('x'),
       'x is disconnected',
     );
   }
@@ -92,7 +95,10 @@
       const before = a.network.traffic().rejected;
       const other = dial(a.address.url, encodeHello(protocolVersion));
       if (isAccepted) {
-        await until(() => a.network.connected().includes('x'), 'connected');
+        await until(
+          () => a.network.connectedPeers().includes('x'),
+          'connected',
+        );
         assert.equal(a.network.traffic().rejected, before);
         await leave(other);
         return;
@@ -100,7 +106,7 @@
       await until(() => other.socket.readyState === WebSocket.CLOSED, 'closed');
       assert.deepEqual(other.received, []);
       assert.equal(a.network.traffic().rejected, before + 1);
-      assert.deepEqual(a.network.connected(), []);
+      assert.deepEqual(a.network.connectedPeers(), []);
     });
 
     it(`${isAccepted ? 'connects to' : 'refuses'} an accepting peer of ${name} version`, async () => {
@@ -116,12 +122,12 @@
         assert.equal(await dialed, 'x');
       } else {
         await assert.rejects(dialed, {kind: 'interrupted', run: 'not-run'});
-        assert.deepEqual(a.network.connected(), []);
+        assert.deepEqual(a.network.connectedPeers(), []);
       }
       server.clients.forEach(client => client.terminate());
       server.close();
       await until(
-        () => a.network.connected().length === 0,
+        () => a.network.connectedPeers().length === 0,
         'x is disconnected',
       );
     });
@@ -130,15 +136,15 @@
   it('counts and ignores messages of unknown types', async () => {
     const other = await join(encodeHello(PROTOCOL_VERSION + 1));
     const before = a.network.traffic().rejected;
-    other.send({type: 'unknownMessage', ask: 0, body: {a: 1}});
-    other.send({type: 'unknownRequest', ask: 7, body: {a: 1}});
+    other.send({type: 'unknownMessage', requestId: 0, body: {a: 1}});
+    other.send({type: 'unknownRequest', requestId: 7, body: {a: 1}});
     await until(() => other.received.length === 2, 'the response arrives');
     assert.equal(a.network.traffic().rejected, before + 2);
-    const {type, ask, body} = other.received[1]!;
+    const {type, requestId: ask, body} = other.received[1]!;
     assert.deepEqual({type, ask}, {type: ERROR_FRAME, ask: 7});
     const {kind, run} = body as {kind: string; run: string};
     assert.deepEqual({kind, run}, {kind: 'protocol-violation', run: 'not-run'});
-    assert.ok(a.network.connected().includes('x'));
+    assert.ok(a.network.connectedPeers().includes('x'));
     await leave(other);
   });
 
@@ -153,16 +159,16 @@
     });
     const before = a.network.traffic().rejected;
     const body = {id: 'b', incarnation: 1, unknownField: [1, {nested: true}]};
-    other.send({type: 'memberWord', ask: 3, body});
+    other.send({type: 'memberWord', requestId: 3, body});
     await until(() => other.received.length === 2, 'the response arrives');
     assert.deepEqual(other.received[1], {
       type: RESPONSE_FRAME,
-      ask: 3,
+      requestId: 3,
       body: {heardAgoMs: 5},
     });
     assert.deepEqual(seen, [body]);
     assert.equal(a.network.traffic().rejected, before);
-    assert.ok(a.network.connected().includes('x'));
+    assert.ok(a.network.connectedPeers().includes('x'));
     handling.dispose();
     await leave(other);
   });
@@ -170,17 +176,22 @@
   it('accepts a response with an unknown field', async () => {
     const other = await join(encodeHello(PROTOCOL_VERSION));
     other.socket.on('message', (data: RawData) => {
-      const {ask} = decodeFrame(data as Buffer);
+      const {requestId: ask} = decodeFrame(data as Buffer);
       other.send({
         type: RESPONSE_FRAME,
-        ask,
+        requestId: ask,
         body: {heardAgoMs: 5, unknownField: 1},
       });
     });
     const requestBody = {id: 'b', incarnation: 1};
-    const response = await a.network.ask('x', 'memberWord', requestBody, 2_000);
+    const response = await a.network.request(
+      'x',
+      'memberWord',
+      requestBody,
+      2_000,
+    );
     assert.equal((response as {heardAgoMs: number}).heardAgoMs, 5);
-    assert.ok(a.network.connected().includes('x'));
+    assert.ok(a.network.connectedPeers().includes('x'));
     await leave(other);
   });
 
@@ -189,15 +200,18 @@
     // the sender would retry a call that its peer has already run.
     const other = await join(encodeHello(PROTOCOL_VERSION + 1));
     other.socket.on('message', (data: RawData) => {
-      const {ask} = decodeFrame(data as Buffer);
+      const {requestId: ask} = decodeFrame(data as Buffer);
       const body = {kind: 'unknown-kind', message: 'new', run: 'not-run'};
-      other.send({type: ERROR_FRAME, ask, body});
+      other.send({type: ERROR_FRAME, requestId: ask, body});
     });
     const requestBody = {id: 'b', incarnation: 1};
-    await assert.rejects(a.network.ask('x', 'memberWord', requestBody, 2_000), {
-      kind: 'protocol-violation',
-      run: 'may-have-run',
-    });
+    await assert.rejects(
+      a.network.request('x', 'memberWord', requestBody, 2_000),
+      {
+        kind: 'protocol-violation',
+        run: 'may-have-run',
+      },
+    );
     await leave(other);
   });
 });
--- a/packages/protocol/src/test/hostileInput.test.ts
+++ b/packages/protocol/src/test/hostileInput.test.ts
@@ -17,7 +17,7 @@
 };
 
 function encodeHello(body: object): Buffer {
-  return encodeFrame({type: HELLO_FRAME, ask: 0, body});
+  return encodeFrame({type: HELLO_FRAME, requestId: 0, body});
 }
 
 const VALID_HELLO = encodeHello({
@@ -44,7 +44,7 @@
   {name: 'a text frame instead of a hello', frames: ['hello']},
   {
     name: 'a message before the hello',
-    frames: [encodeFrame({type: 'heartbeat', ask: 0, body: {}})],
+    frames: [encodeFrame({type: 'heartbeat', requestId: 0, body: {}})],
   },
   {
     name: 'an incompatible protocol version',
@@ -81,7 +81,7 @@
     frames: [
       VALID_HELLO,
       ...new Array<Buffer>(400).fill(
-        encodeFrame({type: 'unknownMessage', ask: 0, body: 0}),
+        encodeFrame({type: 'unknownMessage', requestId: 0, body: 0}),
       ),
     ],
   },
@@ -108,7 +108,10 @@
     a = await startPeer('a', {limits: LIMITS});
     b = await startPeer('b');
     b.network.setPeers([a.address]);
-    await until(() => a.network.connected().includes('b'), 'b is connected');
+    await until(
+      () => a.network.connectedPeers().includes('b'),
+      'b is connected',
+    );
   });
 
   after(() => {
@@ -121,9 +124,17 @@
       const before = a.network.traffic().rejected;
       await attack(a.address.url, hostile);
       await until(() => a.network.traffic().rejected > before, 'counted');
-      await until(() => !a.network.connected().includes('x'), 'disconnected');
-      assert.ok(a.network.connected().includes('b'));
-      const response = b.network.ask('a', 'recordsWanted', {known: []}, 2_000);
+      await until(
+        () => !a.network.connectedPeers().includes('x'),
+        'disconnected',
+      );
+      assert.ok(a.network.connectedPeers().includes('b'));
+      const response = b.network.request(
+        'a',
+        'recordsWanted',
+        {known: []},
+        2_000,
+      );
       await assert.rejects(response, {
         kind: 'protocol-violation',
         run: 'not-run',
@@ -162,6 +173,6 @@
     socket.write('GET /peers HTTP/1.1\r\n');
     socket.resume();
     await new Promise(resolve => socket.once('close', resolve));
-    assert.ok(a.network.connected().includes('b'));
+    assert.ok(a.network.connectedPeers().includes('b'));
   });
 });
--- a/packages/protocol/src/test/innerTls.test.ts
+++ b/packages/protocol/src/test/innerTls.test.ts
@@ -6,7 +6,7 @@
 import {fileURLToPath} from 'node:url';
 import {afterEach, describe, it} from 'node:test';
 import {silentLogger, systemClock} from '@skylarkfield/base';
-import {readTls, type RenewedTls} from '../index.js';
+import {watchTls, type TlsWatcher} from '../index.js';
 import {startPeer, type TestPeer} from './peers.js';
 import {until} from './until.js';
 
@@ -36,8 +36,8 @@
     }
   }
 
-  async function watchTlsFiles(folder: string): Promise<RenewedTls> {
-    const watched = await readTls({
+  async function watchTlsFiles(folder: string): Promise<TlsWatcher> {
+    const watched = await watchTls({
       paths: {
         cert: join(folder, 'cert.pem'),
         key: join(folder, 'key.pem'),
@@ -80,11 +80,11 @@
     const b = await startTlsPeer('b', createTlsFolder('first'));
     a.network.setPeers([b.address]);
     await until(
-      () => b.network.connected().includes('a'),
+      () => b.network.connectedPeers().includes('a'),
       'b is connected to a',
     );
     await until(
-      () => a.network.connected().includes('b'),
+      () => a.network.connectedPeers().includes('b'),
       'a is connected to b',
     );
     const closed: string[] = [];
@@ -129,7 +129,7 @@
       cleanups.push(() => b.network.dispose());
       const url = folder ? a.address.url : a.address.url.replace('wss', 'ws');
       await assert.rejects(b.network.dial(url), {kind: 'interrupted'});
-      assert.deepEqual(a.network.connected(), []);
+      assert.deepEqual(a.network.connectedPeers(), []);
     });
   }
 
--- a/packages/protocol/src/test/peerNetwork.test.ts
+++ b/packages/protocol/src/test/peerNetwork.test.ts
@@ -21,11 +21,11 @@
     a.network.setPeers([b.address]);
     b.network.setPeers([a.address]);
     await until(
-      () => b.network.connected().includes('a'),
+      () => b.network.connectedPeers().includes('a'),
       'b is connected to a',
     );
     await until(
-      () => a.network.connected().includes('b'),
+      () => a.network.connectedPeers().includes('b'),
       'a is connected to b',
     );
     return {a, b};
@@ -37,7 +37,7 @@
       from,
       known: body.known.length,
     }));
-    const response = await a.network.ask(
+    const response = await a.network.request(
       'b',
       'recordsWanted',
       {known: []},
@@ -58,7 +58,7 @@
     b.network.onDidReceive('recordsWanted', () => {
       throw new ServingError('overloaded', 'busy');
     });
-    const response = a.network.ask(
+    const response = a.network.request(
       'b',
       'recordsWanted',
       {known: []},
@@ -73,7 +73,7 @@
     const {a, b} = await startPair();
     const handler = b.network.onDidReceive('recordsWanted', () => 'records');
     handler.dispose();
-    const response = a.network.ask(
+    const response = a.network.request(
       'b',
       'recordsWanted',
       {known: []},
@@ -91,7 +91,7 @@
     // whether the request ran, and must not tell a caller that it did not.
     const {a, b} = await startPair();
     b.network.onDidReceive('recordsWanted', () => new Promise(() => {}));
-    const response = a.network.ask('b', 'recordsWanted', {known: []}, 50);
+    const response = a.network.request('b', 'recordsWanted', {known: []}, 50);
     await assert.rejects(response, {
       kind: 'deadline-exceeded',
       run: 'may-have-run',
@@ -104,12 +104,17 @@
     const {a, b} = await startPair();
     const port = Number(new URL(b.address.url).port);
     b.network.onDidReceive('recordsWanted', () => new Promise(() => {}));
-    const response = a.network.ask('b', 'recordsWanted', {known: []}, 60_000);
+    const response = a.network.request(
+      'b',
+      'recordsWanted',
+      {known: []},
+      60_000,
+    );
     b.network.dispose();
     await assert.rejects(response, {kind: 'interrupted', run: 'may-have-run'});
     const replacement = await startPeer('b', {port});
     open.push(replacement.network);
-    await until(() => a.network.connected().includes('b'), 'reconnected');
+    await until(() => a.network.connectedPeers().includes('b'), 'reconnected');
   });
 
   it('connects to a peer of the address book on demand', async () => {
@@ -118,8 +123,8 @@
     open.push(a.network, b.network);
     b.network.onDidReceive('recordsWanted', () => 'here');
     a.network.setAddressBook([b.address]);
-    assert.deepEqual(a.network.connected(), []);
-    const response = await a.network.ask(
+    assert.deepEqual(a.network.connectedPeers(), []);
+    const response = await a.network.request(
       'b',
       'recordsWanted',
       {known: []},
@@ -134,7 +139,12 @@
     open.push(a.network);
     b.network.dispose();
     a.network.setAddressBook([b.address]);
-    const response = a.network.ask('b', 'recordsWanted', {known: []}, 60_000);
+    const response = a.network.request(
+      'b',
+      'recordsWanted',
+      {known: []},
+      60_000,
+    );
     await assert.rejects(response, {kind: 'interrupted', run: 'not-run'});
   });
 
@@ -145,7 +155,7 @@
     const b = await startPeer('b');
     open.push(a.network, b.network);
     a.network.setAddressBook([{...b.address, id: 'c'}]);
-    const response = a.network.ask(
+    const response = a.network.request(
       'c',
       'recordsWanted',
       {known: []},
--- a/packages/protocol/src/test/peers.ts
+++ b/packages/protocol/src/test/peers.ts
@@ -5,7 +5,7 @@
   type ListeningNetwork,
   type NetworkLimits,
   type PeerAddress,
-  type RenewedTls,
+  type TlsWatcher,
 } from '../index.js';
 
 export const KEY = 'inner key of the tests';
@@ -20,7 +20,7 @@
   options: {
     readonly key?: string;
     readonly limits?: Partial<NetworkLimits>;
-    readonly tls?: RenewedTls;
+    readonly tls?: TlsWatcher;
     readonly port?: number;
   } = {},
 ): Promise<TestPeer> {
--- a/packages/protocol/src/test/replacedConnection.test.ts
+++ b/packages/protocol/src/test/replacedConnection.test.ts
@@ -42,7 +42,7 @@
     const received: Frame[] = [];
     const body = {id: 'x', incarnation, protocolVersion: PROTOCOL_VERSION};
     socket.on('open', () =>
-      socket.send(encodeFrame({type: HELLO_FRAME, ask: 0, body})),
+      socket.send(encodeFrame({type: HELLO_FRAME, requestId: 0, body})),
     );
     socket.on('message', (data: RawData) =>
       received.push(decodeFrame(data as Buffer)),
@@ -57,7 +57,7 @@
   async function requestOver(connection: RawConnection) {
     const outcome: {value?: unknown} = {};
     const before = connection.received.length;
-    a.network.ask('x', 'memberWord', REQUEST_BODY, LONG_TIMEOUT_MS).then(
+    a.network.request('x', 'memberWord', REQUEST_BODY, LONG_TIMEOUT_MS).then(
       response => (outcome.value = response),
       error => (outcome.value = error),
     );
@@ -100,9 +100,9 @@
     const outcome = await requestOver(old);
     old.socket.pause();
     await connect(1);
-    const {ask} = old.received.at(-1)!;
+    const {requestId: ask} = old.received.at(-1)!;
     const body = {heardAgoMs: 5};
-    old.socket.send(encodeFrame({type: RESPONSE_FRAME, ask, body}));
+    old.socket.send(encodeFrame({type: RESPONSE_FRAME, requestId: ask, body}));
     await until(() => outcome.value !== undefined, 'the response arrives');
     assert.deepEqual(outcome.value, body);
   });
@@ -117,9 +117,11 @@
     const closed = new Promise(resolve => old.socket.once('close', resolve));
     old.socket.resume();
     await closed;
-    const {ask} = newer.received.at(-1)!;
+    const {requestId: ask} = newer.received.at(-1)!;
     const body = {heardAgoMs: 5};
-    newer.socket.send(encodeFrame({type: RESPONSE_FRAME, ask, body}));
+    newer.socket.send(
+      encodeFrame({type: RESPONSE_FRAME, requestId: ask, body}),
+    );
     await until(() => outcome.value !== undefined, 'the response arrives');
     assert.deepEqual(outcome.value, body);
   });
--- a/packages/providers/src/httpCalls.ts
+++ b/packages/providers/src/httpCalls.ts
@@ -3,7 +3,7 @@
 import {Agent, type Dispatcher} from 'undici';
 import {ServingError, toDisposable, type Disposable} from '@skylarkfield/base';
 
-export interface HttpReply {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Dispatcher.ResponseData['headers'];
   readonly text: string;
@@ -20,7 +20,7 @@
 }
 
 export interface HttpClient extends Disposable {
-  send(request: HttpRequest): Promise<HttpReply>;
+  send(request: HttpRequest): Promise<HttpResponse>;
   /** Reads a response of JSON lines until it ends or is disposed. */
   stream(path: string, listener: JsonLineListener): Disposable;
 }
@@ -48,10 +48,10 @@
  * Creates a client for one base URL, with its own connection pool.
  *
  * @example
- * const client = createHttpCaller('http://10.0.0.2:7000');
+ * const client = createHttpClient('http://10.0.0.2:7000');
  * const response = await client.send({method: 'GET', path: '/cloud/offers', hasEffect: false});
  */
-export function createHttpCaller(url: string): HttpClient {
+export function createHttpClient(url: string): HttpClient {
   // Callers set deadlines; a watch may be idle for any length of time.
   const dispatcher = new Agent({
     connect: {timeout: CONNECT_TIMEOUT_MS},
@@ -150,7 +150,7 @@
  * checkStatus(response, [200, 404], true);
  */
 export function checkStatus(
-  response: HttpReply,
+  response: HttpResponse,
   expected: readonly number[],
   hasEffect: boolean,
 ): void {
@@ -179,7 +179,7 @@
 }
 
 /** Converts a Retry-After header in seconds to milliseconds; 0 without one. */
-function parseRetryAfter(headers: HttpReply['headers']): number {
+function parseRetryAfter(headers: HttpResponse['headers']): number {
   const seconds = Number(headerValue(headers, 'retry-after') ?? 0);
   return Number.isFinite(seconds) ? seconds * 1000 : 0;
 }
@@ -191,7 +191,7 @@
  * const version = Number(headerValue(response.headers, 'x-store-version'));
  */
 export function headerValue(
-  headers: HttpReply['headers'],
+  headers: HttpResponse['headers'],
   name: string,
 ): string | undefined {
   const value = headers[name];
--- a/packages/providers/src/httpCloud.ts
+++ b/packages/providers/src/httpCloud.ts
@@ -1,6 +1,6 @@
 /** Client of the cloud API over HTTP. */
 import {
-  checkShape,
+  validateShape,
   isServingError,
   parseJson,
   processRandom,
@@ -12,7 +12,7 @@
 import * as z from 'zod';
 import type {Cloud} from './contracts.js';
 import {withDeadline} from './deadline.js';
-import {checkStatus, createHttpCaller, type HttpRequest} from './httpCalls.js';
+import {checkStatus, createHttpClient, type HttpRequest} from './httpCalls.js';
 import {openReconnectingStream} from './reconnectingStream.js';
 
 const marketSchema = z.enum(['reclaimable', 'on-demand']);
@@ -49,7 +49,7 @@
   readonly random?: Random;
 }): Cloud {
   const {clock = systemClock(), random = processRandom()} = options;
-  const client = createHttpCaller(options.url);
+  const client = createHttpClient(options.url);
 
   async function call<T extends z.ZodType>(
     schema: T,
@@ -75,7 +75,7 @@
       'protocol-violation',
       'reply',
     );
-    return checkShape(schema, value, 'protocol-violation', 'reply');
+    return validateShape(schema, value, 'protocol-violation', 'reply');
   }
 
   return {
@@ -127,7 +127,7 @@
         path: '/cloud/notices',
         onDidLine: value =>
           listener(
-            checkShape(noticeSchema, value, 'protocol-violation', 'notice'),
+            validateShape(noticeSchema, value, 'protocol-violation', 'notice'),
           ),
       }),
   };
--- a/packages/providers/src/httpHostList.ts
+++ b/packages/providers/src/httpHostList.ts
@@ -1,6 +1,6 @@
 /** Client of the host list over HTTP. */
 import {
-  checkShape,
+  validateShape,
   processRandom,
   systemClock,
   type Clock,
@@ -8,7 +8,7 @@
 } from '@skylarkfield/base';
 import * as z from 'zod';
 import type {HostList} from './contracts.js';
-import {createHttpCaller} from './httpCalls.js';
+import {createHttpClient} from './httpCalls.js';
 import {openReconnectingStream} from './reconnectingStream.js';
 
 const endpointSchema = z.object({
@@ -25,7 +25,7 @@
 });
 
 /** Schema of a listed endpoint; also validates endpoint registrations. */
-export {endpointSchema as listedEndpointShape};
+export {endpointSchema as listedEndpointSchema};
 
 /**
  * Creates a client of the host list.
@@ -40,7 +40,7 @@
   readonly random?: Random;
 }): HostList {
   const {clock = systemClock(), random = processRandom()} = options;
-  const client = createHttpCaller(options.url);
+  const client = createHttpClient(options.url);
   return {
     watch: listener =>
       openReconnectingStream({
@@ -50,7 +50,7 @@
         path: '/endpoints',
         onDidLine: value =>
           listener(
-            checkShape(
+            validateShape(
               z.array(endpointSchema),
               value,
               'protocol-violation',
--- a/packages/providers/src/httpObjectStore.ts
+++ b/packages/providers/src/httpObjectStore.ts
@@ -1,6 +1,6 @@
 /** Object API over HTTP: conditional requests, write ids, JSON lines watch. */
 import {
-  checkShape,
+  validateShape,
   parseJson,
   processRandom,
   ServingError,
@@ -12,10 +12,10 @@
 import type {StoredObject, WriteCondition} from './contracts.js';
 import {
   checkStatus,
-  createHttpCaller,
+  createHttpClient,
   headerValue,
   type HttpClient,
-  type HttpReply,
+  type HttpResponse,
 } from './httpCalls.js';
 import {
   createObjectStore,
@@ -27,7 +27,10 @@
   type ObjectChange,
   type ObjectWrite,
 } from './objectTable.js';
-import type {ObjectTransport, TransportWatch} from './objectTransport.js';
+import type {
+  ObjectTransport,
+  TransportWatchListener,
+} from './objectTransport.js';
 
 /** Header with the id of a write, on requests and responses. */
 export const WRITE_ID_HEADER = 'x-write-id';
@@ -76,7 +79,7 @@
     random = processRandom(),
     ...storeSettings
   } = options;
-  const transport = createHttpObjectTransport(createHttpCaller(options.url));
+  const transport = createHttpObjectTransport(createHttpClient(options.url));
   return createObjectStore({...storeSettings, clock, random, transport});
 }
 
@@ -145,14 +148,14 @@
   client: HttpClient,
   kind: string,
   fromVersion: number,
-  listener: TransportWatch,
+  listener: TransportWatchListener,
 ) {
   return client.stream(
     `/watch/${encodeURIComponent(kind)}?from=${fromVersion}`,
     {
       onDidOpen: () => listener.onDidOpen(),
       onDidLine(value) {
-        const event = checkShape(
+        const event = validateShape(
           watchEventSchema,
           value,
           'protocol-violation',
@@ -215,14 +218,14 @@
   }
 }
 
-function parseStoreVersion(response: HttpReply): number {
+function parseStoreVersion(response: HttpResponse): number {
   return Number(headerValue(response.headers, STORE_VERSION_HEADER) ?? 0);
 }
 
 function parseObject(
   kind: string,
   name: string,
-  response: HttpReply,
+  response: HttpResponse,
 ): StoredObject | undefined {
   if (response.status === 404) {
     return undefined;
@@ -239,8 +242,8 @@
 
 function parseBody<T extends z.ZodType>(
   schema: T,
-  response: HttpReply,
+  response: HttpResponse,
 ): z.output<T> {
   const value = parseJson(response.text, 'protocol-violation', 'reply');
-  return checkShape(schema, value, 'protocol-violation', 'reply');
+  return validateShape(schema, value, 'protocol-violation', 'reply');
 }
--- a/packages/providers/src/httpWeightStore.ts
+++ b/packages/providers/src/httpWeightStore.ts
@@ -1,6 +1,6 @@
 /** Client of the rate-limited weight store over HTTP. */
 import {
-  checkShape,
+  validateShape,
   parseJson,
   ServingError,
   systemClock,
@@ -9,7 +9,7 @@
 import * as z from 'zod';
 import type {WeightStore} from './contracts.js';
 import {withDeadline} from './deadline.js';
-import {checkStatus, createHttpCaller} from './httpCalls.js';
+import {checkStatus, createHttpClient} from './httpCalls.js';
 
 const reservationSchema = z.object({startAfterMs: z.number()});
 const CALL_DEADLINE_MS = 5000;
@@ -26,7 +26,7 @@
   readonly clock?: Clock;
 }): WeightStore {
   const clock = options.clock ?? systemClock();
-  const client = createHttpCaller(options.url);
+  const client = createHttpClient(options.url);
   return {
     async reserve(weights, host, signal) {
       const response = await withDeadline(
@@ -53,7 +53,7 @@
       );
       checkStatus(response, [200], true);
       const value = parseJson(response.text, 'protocol-violation', 'reply');
-      return checkShape(
+      return validateShape(
         reservationSchema,
         value,
         'protocol-violation',
--- a/packages/providers/src/memoryPlatform.ts
+++ b/packages/providers/src/memoryPlatform.ts
@@ -19,20 +19,23 @@
   type ObjectStoreSettings,
 } from './objectStore.js';
 import {createObjectTable, type ObjectTable} from './objectTable.js';
-import type {ObjectTransport, TransportWatch} from './objectTransport.js';
+import type {
+  ObjectTransport,
+  TransportWatchListener,
+} from './objectTransport.js';
 
 /** Fault injection for one client or, at the platform, for all clients. */
-export interface ObjectFaults {
+export interface ObjectFaultControls {
   /** Fails calls at once without effect and ends watches. */
   setDown(isDown: boolean): void;
   /** Delays calls, half before and half after the effect, and watch events. */
-  setSlow(delayMs: number): void;
+  setDelay(delayMs: number): void;
   /** Loses the replies of the next `count` writes, which take effect. */
   loseReplies(count: number): void;
   /** Ends open watches and rejects new ones. */
   rejectWatches(isRejecting: boolean): void;
   /** Keeps watches open without delivering events, as on a dead connection. */
-  silenceWatches(isStalled: boolean): void;
+  stallWatches(isStalled: boolean): void;
 }
 
 /** Number of calls by all clients. */
@@ -47,7 +50,7 @@
 export interface MemoryPlatform {
   /** The underlying table, to set up and inspect objects without a client. */
   readonly table: ObjectTable;
-  readonly faults: ObjectFaults;
+  readonly faults: ObjectFaultControls;
   /** Creates a client; each one simulates a separate process. */
   client(name: string, settings?: MemoryClientSettings): MemoryClient;
   load(): PlatformLoad;
@@ -61,7 +64,7 @@
 
 /** A client with fault injection for its own connection. */
 export interface MemoryClient extends ObjectClient {
-  readonly faults: ObjectFaults;
+  readonly faults: ObjectFaultControls;
 }
 
 interface FaultState {
@@ -77,7 +80,7 @@
   readonly processClock: Clock;
   readonly kind: string;
   readonly fromVersion: number;
-  readonly listener: TransportWatch;
+  readonly listener: TransportWatchListener;
 }
 
 interface OpenWatch {
@@ -89,11 +92,11 @@
  * Creates a platform whose clients run on the given clock.
  *
  * @example
- * const platform = memoryPlatform({clock: virtualClock()});
+ * const platform = createMemoryPlatform({clock: virtualClock()});
  * const store = platform.client('a1');
  * platform.faults.setDown(true);
  */
-export function memoryPlatform(options: {
+export function createMemoryPlatform(options: {
   readonly clock: Clock;
   readonly random?: Random;
   readonly historyLimit?: number;
@@ -261,7 +264,7 @@
   readonly clock: Clock;
   readonly random?: Random;
 }): MemoryClient {
-  return memoryPlatform(options).client('only');
+  return createMemoryPlatform(options).client('only');
 }
 
 function createFaultState(): FaultState {
@@ -277,13 +280,13 @@
 function createFaultControls(
   faults: FaultState,
   endWatches: () => void,
-): ObjectFaults {
+): ObjectFaultControls {
   return {
     setDown(isDown) {
       faults.isDown = isDown;
       endWatches();
     },
-    setSlow(delayMs) {
+    setDelay(delayMs) {
       faults.delayMs = delayMs;
     },
     loseReplies(count) {
@@ -293,7 +296,7 @@
       faults.isRejectingWatches = isRejecting;
       endWatches();
     },
-    silenceWatches(isStalled) {
+    stallWatches(isStalled) {
       faults.isStalled = isStalled;
     },
   };
--- a/packages/providers/src/objectTransport.ts
+++ b/packages/providers/src/objectTransport.ts
@@ -13,7 +13,7 @@
 export type WatchEndReason = 'compacted' | 'lost';
 
 /** Receives the events of one watch of a transport. */
-export interface TransportWatch {
+export interface TransportWatchListener {
   onDidOpen(): void;
   onDidChange(change: ObjectChange): void;
   /** All changes up to this version have been delivered. */
@@ -51,6 +51,6 @@
   watch(
     kind: string,
     fromVersion: number,
-    listener: TransportWatch,
+    listener: TransportWatchListener,
   ): Disposable;
 }
--- a/packages/providers/src/test/objectStore.test.ts
+++ b/packages/providers/src/test/objectStore.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {isServingError, seededRandom, virtualClock} from '@skylarkfield/base';
 import {createCallRateLimiter} from '../callRateLimiter.js';
-import {memoryPlatform} from '../memoryPlatform.js';
+import {createMemoryPlatform} from '../memoryPlatform.js';
 
 const noopListener = {
   onDidList: () => {},
@@ -15,7 +15,7 @@
   // watcher misses all changes until the watch is reopened.
   it('reopens a watch that has been idle for too long', async () => {
     const clock = virtualClock();
-    const platform = memoryPlatform({clock});
+    const platform = createMemoryPlatform({clock});
     const store = platform.client('a');
     const received: unknown[] = [];
     store.watch('thing', {
@@ -23,10 +23,10 @@
       onDidPut: object => received.push(object.value),
     });
     await clock.advance(100);
-    store.faults.silenceWatches(true);
+    store.faults.stallWatches(true);
     await platform.client('b').put('thing', 'x', 1, {type: 'any'});
     await clock.advance(1000);
-    store.faults.silenceWatches(false);
+    store.faults.stallWatches(false);
     assert.deepEqual(received, []);
     await clock.advance(20_000);
     assert.deepEqual(received, [1]);
@@ -36,7 +36,7 @@
   // moment, these calls alone can overload it again.
   it('spreads reconnects over time when the platform recovers', async () => {
     const clock = virtualClock();
-    const platform = memoryPlatform({clock, random: seededRandom(9)});
+    const platform = createMemoryPlatform({clock, random: seededRandom(9)});
     const count = 50;
     for (let index = 0; index < count; index++) {
       platform
--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -31,7 +31,7 @@
 import {createStatusWriter} from './statusWriter.js';
 import {unchangedCondition} from './writeCondition.js';
 
-export interface Acceptance extends Disposable {
+export interface AcceptanceController extends Disposable {
   dump(): {
     readonly isComplete: boolean;
     readonly waiting: readonly string[];
@@ -39,7 +39,7 @@
   };
 }
 
-export interface AcceptanceOptions {
+export interface AcceptanceControllerOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly store: ObjectStore;
@@ -53,7 +53,7 @@
   /** Whether the duty is certainly held; checked right before each effect. */
   readonly canAct: () => boolean;
   /** Returns the ids of live members that lack a record or did not respond. */
-  readonly lacking: (
+  readonly membersLacking: (
     records: readonly RecordVersion[],
   ) => Promise<readonly string[]>;
 }
@@ -68,10 +68,12 @@
  *
  * @example
  * duties.compete('acceptance', tenure =>
- *   createAcceptance({...options, canAct: () => tenure.isValid()}),
+ *   createAcceptanceController({...options, canAct: () => tenure.isValid()}),
  * );
  */
-export function createAcceptance(options: AcceptanceOptions): Acceptance {
+export function createAcceptanceController(
+  options: AcceptanceControllerOptions,
+): AcceptanceController {
   const {clock, random, store, log, decisions} = options;
   const owned = disposableStore();
   const abortController = new AbortController();
@@ -282,7 +284,7 @@
     }
     isConfirming = true;
     try {
-      const lacking = await options.lacking(pending);
+      const lacking = await options.membersLacking(pending);
       if (canAct()) {
         await statuses.handleConfirmation(pending, lacking);
       }
--- a/packages/records/src/acceptanceDecision.ts
+++ b/packages/records/src/acceptanceDecision.ts
@@ -1,5 +1,5 @@
 /** Decision on a record, without I/O so that every case can be tested. */
-import {isServingError, type Fault} from '@skylarkfield/base';
+import {isServingError, type ValidationFault} from '@skylarkfield/base';
 import type {AcceptedObject} from './acceptedSchemas.js';
 import type {Move, RecordKind} from './contracts.js';
 import {convertRecord} from './convertRecord.js';
@@ -38,7 +38,7 @@
   | {
       readonly type: 'refuse';
       readonly sourceVersion: number;
-      readonly faults: readonly Fault[];
+      readonly faults: readonly ValidationFault[];
     };
 
 /**
@@ -95,12 +95,12 @@
 function crossRecordFaults(
   {kind, acceptedIndex, wallMs}: AcceptanceInput,
   accepted: unknown,
-): readonly Fault[] {
+): readonly ValidationFault[] {
   if (kind !== 'move') {
     return [];
   }
   const move = accepted as Move;
-  const faults: Fault[] = [];
+  const faults: ValidationFault[] = [];
   if (!acceptedIndex.hasService(move.service)) {
     faults.push({path: 'service', expected: 'an accepted service'});
   }
--- a/packages/records/src/acceptedSchemas.ts
+++ b/packages/records/src/acceptedSchemas.ts
@@ -4,7 +4,7 @@
  * Unknown fields are dropped rather than rejected: during a rolling restart a
  * newer release accepts records with fields that this release lacks.
  */
-import {isServingError, checkShape} from '@skylarkfield/base';
+import {isServingError, validateShape} from '@skylarkfield/base';
 import type {RelayedRecord} from '@skylarkfield/protocol';
 import * as z from 'zod';
 import type {AcceptedRecordTypes, RecordKind} from './contracts.js';
@@ -117,7 +117,7 @@
     return {kind, name, sourceVersion, isRemoved: true};
   }
   try {
-    const value = checkShape(schema, record.value, 'bad-record');
+    const value = validateShape(schema, record.value, 'bad-record');
     return {kind, name, sourceVersion, isRemoved: false, value};
   } catch (error) {
     if (isServingError(error, 'bad-record')) {
--- a/packages/records/src/configuration.ts
+++ b/packages/records/src/configuration.ts
@@ -31,9 +31,9 @@
 /** Configuration with the operations of the process that maintains it. */
 export interface ConfigurationClient extends Configuration, Disposable {
   /** Applies an accepted object that this process has read or written. */
-  offer(key: string, accepted: AcceptedObject): void;
+  applyAccepted(key: string, accepted: AcceptedObject): void;
   /** Returns the ids of live members that lack a record or did not respond. */
-  lacking(records: readonly RecordVersion[]): Promise<readonly string[]>;
+  membersLacking(records: readonly RecordVersion[]): Promise<readonly string[]>;
   dump(): ConfigurationDump;
 }
 
@@ -242,8 +242,8 @@
       didChange.event(({kind, name}) => listener(kind, name)),
     isReady,
     versions: () => table.versions(),
-    offer: applyAccepted,
-    lacking: records => confirmation.membersLacking(records),
+    applyAccepted,
+    membersLacking: records => confirmation.membersLacking(records),
     dump: () => ({
       isReady: isReady(),
       readyFrom,
--- a/packages/records/src/convertRecord.ts
+++ b/packages/records/src/convertRecord.ts
@@ -1,5 +1,5 @@
 /** Conversion of records in any schema version to the accepted form. */
-import {ServingError, type Fault} from '@skylarkfield/base';
+import {ServingError, type ValidationFault} from '@skylarkfield/base';
 import type {AcceptedRecordTypes, RecordKind} from './contracts.js';
 import type {Conversions} from './schemas/conversion.js';
 import {customerConversions} from './schemas/customerSchemas.js';
@@ -67,7 +67,7 @@
   return typeof value.schema === 'number' ? value.schema : undefined;
 }
 
-function badRecordError(faults: readonly Fault[]): ServingError {
+function badRecordError(faults: readonly ValidationFault[]): ServingError {
   const messages = faults.map(fault => `${fault.path}: ${fault.expected}`);
   return new ServingError('bad-record', messages.join('; '), {faults});
 }
--- a/packages/records/src/messageSchemas.ts
+++ b/packages/records/src/messageSchemas.ts
@@ -1,7 +1,7 @@
 /** Schemas of the responses of peers to queries about records. */
 import type {
   RecordDifference,
-  RecordsInForceAnswer,
+  RecordsInForceResponse,
 } from '@skylarkfield/protocol';
 import * as z from 'zod';
 
@@ -24,4 +24,4 @@
 
 export const inForceSchema = z.object({
   lacking: z.array(z.string()),
-}) satisfies z.ZodType<RecordsInForceAnswer>;
+}) satisfies z.ZodType<RecordsInForceResponse>;
--- a/packages/records/src/moveClaims.ts
+++ b/packages/records/src/moveClaims.ts
@@ -5,7 +5,7 @@
  * would both succeed, since they write different objects. So a move first
  * claims one object per service, which only one of them can write.
  */
-import type {Clock, Fault} from '@skylarkfield/base';
+import type {Clock, ValidationFault} from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import * as z from 'zod';
 import type {AcceptedObject} from './acceptedSchemas.js';
@@ -20,7 +20,10 @@
 
 export interface MoveClaims {
   /** Claims the service of a move; returns faults if another move holds it. */
-  claim(key: string, object: AcceptedObject): Promise<readonly Fault[]>;
+  claim(
+    key: string,
+    object: AcceptedObject,
+  ): Promise<readonly ValidationFault[]>;
 }
 
 const claimSchema = z.object({move: z.string()});
@@ -104,7 +107,7 @@
  * @example
  * return [conflictingMoveFault('booking-v7')];
  */
-export function conflictingMoveFault(conflictingMove: string): Fault {
+export function conflictingMoveFault(conflictingMove: string): ValidationFault {
   return {
     path: 'service',
     expected: `a service without another move in progress; to start this one, remove ${conflictingMove}`,
--- a/packages/records/src/recordConfirmation.ts
+++ b/packages/records/src/recordConfirmation.ts
@@ -61,7 +61,12 @@
     const timeoutMs = scope === 'self' ? MEMBER_TIMEOUT_MS : DOMAIN_TIMEOUT_MS;
     try {
       const body = {records, scope};
-      const answer = await network.ask(to, 'recordsInForce', body, timeoutMs);
+      const answer = await network.request(
+        to,
+        'recordsInForce',
+        body,
+        timeoutMs,
+      );
       return inForceSchema.parse(answer).lacking;
     } catch {
       // No response counts as lacking: only confirmed records are in force.
--- a/packages/records/src/recordGossip.ts
+++ b/packages/records/src/recordGossip.ts
@@ -86,7 +86,9 @@
     if (records.length === 0) {
       return;
     }
-    const targets = network.connected().filter(peer => peer !== excludedPeer);
+    const targets = network
+      .connectedPeers()
+      .filter(peer => peer !== excludedPeer);
     for (const peer of randomSample(random, targets, PUSH_FANOUT)) {
       sendRecords(peer, records);
     }
@@ -107,7 +109,7 @@
     const digest = table.digest();
     for (const peer of randomSample(
       random,
-      network.connected(),
+      network.connectedPeers(),
       DIGEST_FANOUT,
     )) {
       network.send(peer, 'recordDigest', digest);
@@ -148,7 +150,7 @@
     buckets?: ReadonlySet<number>,
   ): Promise<RecordDifference | undefined> {
     try {
-      const answer = await network.ask(
+      const answer = await network.request(
         peer,
         'recordsWanted',
         {
@@ -200,7 +202,7 @@
   return {
     push,
     async pull() {
-      const peers = randomSample(random, network.connected(), PULL_FANOUT);
+      const peers = randomSample(random, network.connectedPeers(), PULL_FANOUT);
       const answers = await Promise.all(peers.map(peer => syncWithPeer(peer)));
       return answers.filter(answer => answer?.isReady === true).length;
     },
--- a/packages/records/src/recordStatus.ts
+++ b/packages/records/src/recordStatus.ts
@@ -1,5 +1,5 @@
 /** Status of a record for operators, in a stored object named by the key. */
-import type {Fault} from '@skylarkfield/base';
+import type {ValidationFault} from '@skylarkfield/base';
 import * as z from 'zod';
 
 /** Kind of the stored objects that hold record statuses. */
@@ -19,7 +19,7 @@
   /** Version of the record in force or being propagated, if any. */
   readonly acceptedVersion?: number;
   /** Reasons for a refusal, by field. */
-  readonly faults: readonly Fault[];
+  readonly faults: readonly ValidationFault[];
   /** Entries that have not confirmed yet; truncated if there are many. */
   readonly waitingFor: readonly string[];
   /** Wall-clock milliseconds at which the status was written. */
--- a/packages/records/src/schemas/conversion.ts
+++ b/packages/records/src/schemas/conversion.ts
@@ -1,5 +1,5 @@
 /** Conversion of the schema versions of a record kind to the accepted form. */
-import {checkShape} from '@skylarkfield/base';
+import {validateShape} from '@skylarkfield/base';
 import type * as z from 'zod';
 
 /** Validates and converts a record; throws `bad-record` with its faults. */
@@ -21,5 +21,5 @@
   toAccepted: (name: string, record: z.output<Schema>) => Accepted,
 ): Conversion<Accepted> {
   return (name, value) =>
-    toAccepted(name, checkShape(schema, value, 'bad-record', 'record'));
+    toAccepted(name, validateShape(schema, value, 'bad-record', 'record'));
 }
--- a/packages/records/src/test/configuration.fuzz.test.ts
+++ b/packages/records/src/test/configuration.fuzz.test.ts
@@ -55,7 +55,7 @@
   stop: (simulation, id) => simulation.stop(id),
   pause: (simulation, id) => simulation.net.pause(id),
   resume: (simulation, id) => simulation.net.resume(id),
-  cut: (simulation, id, other) => simulation.net.cut(id, other),
+  cut: (simulation, id, other) => simulation.net.partition(id, other),
   healCuts: simulation => simulation.net.healAll(),
   loss: (simulation, _id, _other, size) => simulation.net.setLoss(size / 2),
   loseReplies: (simulation, id, _other, size) =>
@@ -65,11 +65,11 @@
   healPlatform: (simulation, id) =>
     simulation.entries.get(id)?.store.faults.setDown(false),
   silence: (simulation, id) =>
-    simulation.entries.get(id)?.store.faults.silenceWatches(true),
+    simulation.entries.get(id)?.store.faults.stallWatches(true),
   platformDown: simulation => simulation.platform.faults.setDown(true),
   platformUp: simulation => simulation.platform.faults.setDown(false),
   slow: (simulation, _id, _other, size) =>
-    simulation.platform.faults.setSlow(2 + size * 3000),
+    simulation.platform.faults.setDelay(2 + size * 3000),
   compact: simulation => simulation.platform.table.compact(),
 } satisfies Record<
   string,
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -7,9 +7,12 @@
   virtualClock,
   type Clock,
 } from '@skylarkfield/base';
-import {memoryPlatform, type MemoryClient} from '@skylarkfield/providers';
-import {createMemoryNetwork, MEMORY_SCHEME} from '@skylarkfield/protocol';
-import {createAcceptance, type Acceptance} from '../acceptance.js';
+import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
+import {createMemoryNetwork, MEMORY_URL_PREFIX} from '@skylarkfield/protocol';
+import {
+  createAcceptanceController,
+  type AcceptanceController,
+} from '../acceptance.js';
 import type {AcceptedObject} from '../acceptedSchemas.js';
 import {
   ACCEPTED_KIND,
@@ -28,7 +31,7 @@
   readonly store: MemoryClient;
   readonly configuration: ConfigurationClient;
   readonly startedAt: number;
-  acceptance: Acceptance | undefined;
+  acceptance: AcceptanceController | undefined;
   /** Highest version observed in force on this entry, by record key. */
   readonly highestVersions: Map<string, number>;
   /** Versions that were in force on every entry when this one started. */
@@ -54,8 +57,8 @@
 }) {
   const clock = virtualClock();
   const random = seededRandom(options.seed);
-  const platform = memoryPlatform({clock, random, historyLimit: 40});
-  platform.faults.setSlow(NETWORK_LATENCY_MS);
+  const platform = createMemoryPlatform({clock, random, historyLimit: 40});
+  platform.faults.setDelay(NETWORK_LATENCY_MS);
   const net = createMemoryNetwork({clock, random, delayMs: 1});
   const entries = new Map<string, SimulatedEntry>();
   /** Every version that operators wrote, by key and source version. */
@@ -165,7 +168,7 @@
     const peers = [...entries.keys()].map(id => ({
       id,
       incarnation: 1,
-      url: `${MEMORY_SCHEME}${id}`,
+      url: `${MEMORY_URL_PREFIX}${id}`,
     }));
     for (const id of entries.keys()) {
       networks.get(id)?.setPeers(peers);
@@ -226,14 +229,15 @@
     if (entry === undefined || entry.acceptance !== undefined) {
       return;
     }
-    entry.acceptance = createAcceptance({
+    entry.acceptance = createAcceptanceController({
       clock: entry.clock,
       random: seededRandom(random.integer(0, 1_000_000)),
       store: entry.store,
       log: silentLogger(),
       canAct: () => true,
-      onDidAccept: (key, object) => entry.configuration.offer(key, object),
-      lacking: records => entry.configuration.lacking(records),
+      onDidAccept: (key, object) =>
+        entry.configuration.applyAccepted(key, object),
+      membersLacking: records => entry.configuration.membersLacking(records),
     });
   }
 
@@ -284,10 +288,10 @@
     /** Ends every fault and advances until the entries have converged. */
     async heal() {
       platform.faults.setDown(false);
-      platform.faults.setSlow(NETWORK_LATENCY_MS);
+      platform.faults.setDelay(NETWORK_LATENCY_MS);
       platform.faults.loseReplies(0);
       platform.faults.rejectWatches(false);
-      platform.faults.silenceWatches(false);
+      platform.faults.stallWatches(false);
       net.setLoss(0);
       net.healAll();
       for (const id of options.ids) {
@@ -295,7 +299,7 @@
         entry.store.faults.setDown(false);
         entry.store.faults.loseReplies(0);
         entry.store.faults.rejectWatches(false);
-        entry.store.faults.silenceWatches(false);
+        entry.store.faults.stallWatches(false);
         net.resume(id);
       }
       connectAll();
--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -1,6 +1,6 @@
 /** Expected content of one engine's prefix cache. */
 import type {Clock} from '@skylarkfield/base';
-import {BLOCK_TOKENS, type CacheEvent} from '@skylarkfield/endpoints';
+import {TOKENS_PER_BLOCK, type CacheEvent} from '@skylarkfield/endpoints';
 
 export interface CacheViewOptions {
   readonly clock: Clock;
@@ -51,7 +51,7 @@
  */
 export function createCacheView(options: CacheViewOptions): CacheView {
   const {clock, maxBlocks = DEFAULT_MAX_BLOCKS} = options;
-  const blockTokens = options.blockTokens ?? BLOCK_TOKENS;
+  const blockTokens = options.blockTokens ?? TOKENS_PER_BLOCK;
   /** Blocks confirmed by events or responses, oldest first. */
   const confirmed = new Set<string>();
   /** Unconfirmed blocks of sent requests, with the time of sending. */
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -76,7 +76,7 @@
    * Milliseconds until an endpoint's rate limit allows a request of the
    * service; undefined when no endpoint is rate limited now.
    */
-  limitWaitMs(service: string): number | undefined;
+  rateLimitWaitMs(service: string): number | undefined;
   /**
    * Tokens of the longest prefix expected in any endpoint's cache, to estimate
    * the cost of a request before an endpoint is chosen.
@@ -93,13 +93,16 @@
    * Replaces the loads reported by another entry. Endpoints' own reports lag
    * and count requests only; reports of entries give the load in tokens.
    */
-  reportEntry(entry: string, loads: Readonly<Record<string, EntryLoad>>): void;
+  reportEntryLoads(
+    entry: string,
+    loads: Readonly<Record<string, EntryLoad>>,
+  ): void;
   /** Notes that a load poll could not reach the endpoint. */
   reportUnreachable(endpoint: string): void;
   /** Applies cache events; returns the next sequence to poll (-1: resync). */
-  reportCache(endpoint: string, events: readonly CacheEvent[]): number;
+  applyCacheEvents(endpoint: string, events: readonly CacheEvent[]): number;
   /** Endpoints assigned to this entry: a subset when a service is large. */
-  held(): readonly Candidate[];
+  assignedEndpoints(): readonly Candidate[];
   /** Estimated slots of all usable endpoints of a service. */
   slots(service: string): number;
   dump(): unknown;
--- a/packages/routing/src/crashEvidence.ts
+++ b/packages/routing/src/crashEvidence.ts
@@ -125,9 +125,9 @@
  * Merges two reports: each crash once, and the latest complete responses.
  *
  * @example
- * const all = mergeReports(before, {crashes: [crash], served: {}});
+ * const all = mergeCrashReports(before, {crashes: [crash], served: {}});
  */
-export function mergeReports(a: CrashReport, b: CrashReport): CrashReport {
+export function mergeCrashReports(a: CrashReport, b: CrashReport): CrashReport {
   const crashes = new Map<string, Crash>();
   for (const crash of [...a.crashes, ...b.crashes]) {
     const key = crashKey(crash);
@@ -147,7 +147,7 @@
  *
  * @example
  * if (hasNewEvidence(known, report)) {
- *   evidence.setReport(source, mergeReports(known, report));
+ *   evidence.setReport(source, mergeCrashReports(known, report));
  * }
  */
 export function hasNewEvidence(
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -18,7 +18,7 @@
   EMPTY_CRASH_REPORT,
   createCrashEvidence,
   hasNewEvidence,
-  mergeReports,
+  mergeCrashReports,
   reportSince,
   type Crash,
   type CrashReport,
@@ -26,7 +26,7 @@
 import {createCrashDetector, type CrashDetector} from './crashDetector.js';
 
 /** Whether a request may go to an endpoint. */
-export type Verdict =
+export type QuarantineVerdict =
   | {readonly type: 'clear'}
   /** Too few endpoints crashed under it to quarantine it. */
   | {readonly type: 'suspected'; readonly crashes: number}
@@ -38,29 +38,29 @@
       readonly retryAfterMs: number;
     };
 
-export interface CrashSuspects extends Omit<CrashDetector, 'isUnconfirmed'> {
+export interface CrashQuarantine extends Omit<CrashDetector, 'isUnconfirmed'> {
   /** Whether no crash is known; every verdict is then `clear`. */
   isEmpty(): boolean;
   /** Returns whether the request may be sent. */
-  judge(request: string): Verdict;
+  verdictFor(request: string): QuarantineVerdict;
   /** Notes that this entry sends the request after its quarantine. */
   beginTrial(request: string): void;
   /** Notes a complete response to the request. */
   noteServed(request: string): void;
   /** Replaces another entry's stored report. */
-  takeKept(entry: string, report: CrashReport): void;
+  setStoredReport(entry: string, report: CrashReport): void;
   /** Removes the deleted report of an entry, which may be this one. */
-  dropKept(entry: string): void;
+  removeStoredReport(entry: string): void;
   /** Merges a report gossiped by another entry, which may not be stored yet. */
-  hear(report: CrashReport): void;
+  mergeGossip(report: CrashReport): void;
   /** Merges the report that this entry stored before a restart. */
-  restore(report: CrashReport): void;
+  restoreOwnReport(report: CrashReport): void;
   /** Report of this entry to be stored: confirmed crashes only. */
-  own(): CrashReport;
+  reportToStore(): CrashReport;
   /** Notes that a report of this entry was stored, where the others read it. */
-  noteKept(report: CrashReport): void;
+  noteStored(report: CrashReport): void;
   /** New or not yet stored evidence to gossip; undefined for none. */
-  recent(): CrashReport | undefined;
+  reportToGossip(): CrashReport | undefined;
   /** Ids of the serving entries; one of them retries after a quarantine. */
   setEntries(entries: readonly string[]): void;
   /** Fires when the report to be stored changes. */
@@ -77,13 +77,13 @@
 const INCIDENT_MS = 1_000;
 
 /** Lifetime of crash evidence in milliseconds. */
-export const CRASH_MEMORY_MS = 3_600_000;
+export const CRASH_TTL_MS = 3_600_000;
 
 /**
  * Milliseconds of quarantine after the last crash, by the number of incidents:
  * a single one is weak evidence.
  */
-const QUARANTINE_MS = [10_000, 60_000, CRASH_MEMORY_MS] as const;
+const QUARANTINE_MS = [10_000, 60_000, CRASH_TTL_MS] as const;
 
 /** Milliseconds after which a trial without a result may be repeated. */
 const TRIAL_TIMEOUT_MS = 10_000;
@@ -115,16 +115,16 @@
  * Creates the crash quarantine of one entry.
  *
  * @example
- * suspects.noteClosed({request: fingerprint, endpoint: 'i-1@7'});
+ * suspects.noteConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
  * if (suspects.judge(fingerprint).type === 'quarantined') { return reject(); }
  */
-export function createCrashSuspects(options: {
+export function createCrashQuarantine(options: {
   readonly clock: Clock;
   readonly self: string;
   readonly decisions: DecisionLog;
   /** Wall-clock milliseconds, comparable between entries. */
   wallMs(): number;
-}): CrashSuspects {
+}): CrashQuarantine {
   const {clock, self, decisions, wallMs} = options;
   const evidence = createCrashEvidence();
   const changed = emitter<void>();
@@ -144,7 +144,7 @@
   });
 
   function recentCrashTimesMs(request: string): readonly number[] {
-    const from = wallMs() - CRASH_MEMORY_MS;
+    const from = wallMs() - CRASH_TTL_MS;
     return evidence.crashTimesMs(request).filter(at => at >= from);
   }
 
@@ -159,7 +159,7 @@
     );
   }
 
-  function judge(request: string): Verdict {
+  function judge(request: string): QuarantineVerdict {
     const times = recentCrashTimesMs(request);
     const crashes = times.length;
     if (crashes === 0) {
@@ -199,8 +199,8 @@
   }
 
   function addToOwnReport(report: CrashReport): void {
-    const from = wallMs() - CRASH_MEMORY_MS;
-    const merged = mergeReports(evidence.reportOf(OWN), report);
+    const from = wallMs() - CRASH_TTL_MS;
+    const merged = mergeCrashReports(evidence.reportOf(OWN), report);
     const {crashes, served} = reportSince(merged, from);
     // A complete response matters only beside crashes that others report.
     const relevant = Object.entries(served).filter(([request]) =>
@@ -263,7 +263,7 @@
   return {
     ...detector,
     isEmpty: evidence.isEmpty,
-    judge,
+    verdictFor: judge,
     beginTrial(request) {
       trials.set(request, clock.now());
       const figures = {crashes: crashCountOf(request)};
@@ -282,20 +282,20 @@
         changed.fire();
       }
     },
-    takeKept: (entry, report) =>
+    setStoredReport: (entry, report) =>
       logQuarantineChanges(evidence.setReport(storedBy(entry), report)),
-    dropKept(entry) {
+    removeStoredReport(entry) {
       const source = entry === self ? OWN : storedBy(entry);
       logQuarantineChanges(evidence.removeReport(source));
       logQuarantineChanges(evidence.removeReport(GOSSIP));
     },
-    hear(report) {
+    mergeGossip(report) {
       const known = evidence.reportOf(GOSSIP);
       if (!hasNewEvidence(known, report)) {
         return;
       }
-      const merged = mergeReports(known, report);
-      const current = reportSince(merged, wallMs() - CRASH_MEMORY_MS);
+      const merged = mergeCrashReports(known, report);
+      const current = reportSince(merged, wallMs() - CRASH_TTL_MS);
       const truncated = truncateReport(
         current,
         MAX_GOSSIPED_CRASHES,
@@ -303,12 +303,12 @@
       );
       logQuarantineChanges(evidence.setReport(GOSSIP, truncated));
     },
-    restore: addToOwnReport,
-    own,
-    noteKept(report) {
+    restoreOwnReport: addToOwnReport,
+    reportToStore: own,
+    noteStored(report) {
       storedReport = report;
     },
-    recent() {
+    reportToGossip() {
       if (evidence.isEmpty()) {
         return undefined;
       }
@@ -337,7 +337,7 @@
   };
 }
 
-function crashesInVerdict(verdict: Verdict): number {
+function crashesInVerdict(verdict: QuarantineVerdict): number {
   return verdict.type === 'clear' ? 0 : verdict.crashes;
 }
 
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -7,14 +7,14 @@
 export {defaultRouteWeights, type RouteWeights} from './routeCosts.js';
 export {pickSubset, SUBSET_SIZE} from './subset.js';
 export {
-  createCrashSuspects,
-  CRASH_MEMORY_MS,
-  type CrashSuspects,
-  type Verdict,
+  createCrashQuarantine,
+  CRASH_TTL_MS,
+  type CrashQuarantine,
+  type QuarantineVerdict,
 } from './crashQuarantine.js';
 export {
   EMPTY_CRASH_REPORT,
-  mergeReports,
+  mergeCrashReports,
   type Crash,
   type CrashReport,
 } from './crashEvidence.js';
--- a/packages/routing/src/requestLimits.ts
+++ b/packages/routing/src/requestLimits.ts
@@ -21,19 +21,19 @@
 }
 
 /** Reports by endpoint. */
-export type LimitReports = Readonly<Record<string, RateLimitReport>>;
+export type RateLimitReports = Readonly<Record<string, RateLimitReport>>;
 
-export interface RequestLimits {
+export interface RateLimits {
   /** Notes the limit in a response; undefined when it sets none. */
-  note(endpoint: string, perSecond: number | undefined): void;
+  noteLimit(endpoint: string, perSecond: number | undefined): void;
   /** Merges the reports of another entry. */
-  report(reports: LimitReports): void;
+  mergeReports(reports: RateLimitReports): void;
   /** Limits set in responses to this entry, unless others have newer ones. */
-  own(): LimitReports;
+  ownReports(): RateLimitReports;
   /** Ids of the entries that serve; this one has no share unless included. */
   setEntries(entries: readonly string[]): void;
   /** Drops the limits of all other endpoints. */
-  keepOnly(endpoints: ReadonlySet<string>): void;
+  retainEndpoints(endpoints: ReadonlySet<string>): void;
   /** Whether a request may be sent to the endpoint now. */
   allowsRequest(endpoint: string): boolean;
   /** Takes a token for a request that is sent to the endpoint. */
@@ -80,11 +80,11 @@
  * limits.note('i-1', 2.9);
  * if (limits.allowsRequest('i-1')) { limits.consume('i-1'); }
  */
-export function createRequestLimits(options: {
+export function createRateLimits(options: {
   readonly clock: Clock;
   readonly self: string;
   readonly decisions: DecisionLog;
-}): RequestLimits {
+}): RateLimits {
   const {clock, self, decisions} = options;
   const buckets = new Map<string, TokenBucket>();
   let entries: readonly string[] = [self];
@@ -165,13 +165,13 @@
   }
 
   return {
-    note(endpoint, perSecond) {
+    noteLimit(endpoint, perSecond) {
       if (perSecond === undefined && !hasLimit(endpoint)) {
         return;
       }
       observe(endpoint, {perSecond, at: clock.now(), isOwn: true});
     },
-    report(reports) {
+    mergeReports(reports) {
       for (const [endpoint, {perSecond, agoMs}] of Object.entries(reports)) {
         if (perSecond !== undefined || hasLimit(endpoint)) {
           const at = clock.now() - agoMs;
@@ -179,7 +179,7 @@
         }
       }
     },
-    own() {
+    ownReports() {
       const reports: Record<string, RateLimitReport> = {};
       for (const [endpoint, {newest}] of buckets) {
         const {perSecond, at, isOwn} = newest;
@@ -198,7 +198,7 @@
       entries = ids;
       shares.clear();
     },
-    keepOnly(endpoints) {
+    retainEndpoints(endpoints) {
       for (const endpoint of buckets.keys()) {
         if (!endpoints.has(endpoint)) {
           buckets.delete(endpoint);
@@ -249,13 +249,13 @@
  * the second reports were sent.
  *
  * @example
- * const limits = newestLimits(own, digest.limits, clock.now() - heardAt);
+ * const limits = mergeRateLimitReports(own, digest.limits, clock.now() - heardAt);
  */
-export function newestLimits(
-  first: LimitReports,
-  second: LimitReports,
+export function mergeRateLimitReports(
+  first: RateLimitReports,
+  second: RateLimitReports,
   elapsedMs: number,
-): LimitReports {
+): RateLimitReports {
   const newest: Record<string, RateLimitReport> = {...first};
   for (const [endpoint, report] of Object.entries(second)) {
     const agoMs = report.agoMs + elapsedMs;
--- a/packages/routing/src/routeCosts.ts
+++ b/packages/routing/src/routeCosts.ts
@@ -7,9 +7,9 @@
    * Expected time of a shareable token that seems uncached, relative to one
    * that surely is; 1 when absent.
    */
-  readonly rereadPart?: number;
+  readonly recomputedTokenShare?: number;
   /** Weight of an uncached token's compute time: it delays others too. */
-  readonly uncached: number;
+  readonly uncachedTokenWeight: number;
   /** The same for tokens of a shared prefix: later requests reuse them. */
   readonly uncachedSharedTokenWeight: number;
   /** Milliseconds per request at the endpoint: each slows every step. */
@@ -31,7 +31,7 @@
 }
 
 export const defaultRouteWeights: RouteWeights = {
-  uncached: 5,
+  uncachedTokenWeight: 5,
   uncachedSharedTokenWeight: 1,
   perRequestMs: 8,
   perContextTokenMs: 0,
@@ -98,7 +98,8 @@
     score(load, unsharedTokens, sharedTokens, affinity) {
       const weights = getWeights();
       const msPerToken = currentMsPerToken();
-      const unsharedMs = unsharedTokens * weights.uncached * msPerToken;
+      const unsharedMs =
+        unsharedTokens * weights.uncachedTokenWeight * msPerToken;
       const sharedMs =
         sharedTokens * weights.uncachedSharedTokenWeight * msPerToken;
       const affinityMs =
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -1,13 +1,13 @@
 /** Router: chooses endpoints by expected wait, cached prefix and health. */
 import type {Clock, DecisionLog, Random} from '@skylarkfield/base';
-import {BLOCK_TOKENS, type AttemptResult} from '@skylarkfield/endpoints';
+import {TOKENS_PER_BLOCK, type AttemptResult} from '@skylarkfield/endpoints';
 import {affinitiesFor} from './affinity.js';
 import type {Choice, RoutingRequest, Router} from './contracts.js';
 import {liveEndpointsOfLostDomain, ejectionReason} from './ejection.js';
 import {createEndpointPools, type PooledEndpoint} from './endpointPool.js';
 import {tokensAhead} from './loadView.js';
 import {createPrefixPopularity, type PrefixPopularity} from './popularity.js';
-import type {RequestLimits} from './requestLimits.js';
+import type {RateLimits} from './requestLimits.js';
 import {
   createRouteCosts,
   defaultRouteWeights,
@@ -29,7 +29,7 @@
   /** Weights that override the others for one service; read at each choice. */
   weightsOf?(service: string): Partial<RouteWeights> | undefined;
   /** Rate limits set by endpoints; none when absent. */
-  readonly limits?: Pick<RequestLimits, 'allowsRequest' | 'consume' | 'waitMs'>;
+  readonly limits?: Pick<RateLimits, 'allowsRequest' | 'consume' | 'waitMs'>;
   /** Prompt tokens per block; the engines' block size when absent. */
   readonly blockTokens?: number;
 }
@@ -82,7 +82,7 @@
  */
 export function createRouter(options: RouterOptions): Router {
   const {clock, random, decisions, failureDomain, self, limits} = options;
-  const blockTokens = options.blockTokens ?? BLOCK_TOKENS;
+  const blockTokens = options.blockTokens ?? TOKENS_PER_BLOCK;
   const weights = {...defaultRouteWeights, ...options.weights};
   const isOwn =
     options.isOwn ?? ((attempt: string) => attempt.startsWith(`${self}-`));
@@ -269,7 +269,7 @@
   ): number {
     const {service, ownTokens = uncached} = routingRequest;
     const own = Math.min(uncached, ownTokens);
-    const recomputedShare = weightsFor(service).rereadPart ?? 1;
+    const recomputedShare = weightsFor(service).recomputedTokenShare ?? 1;
     return own + (uncached - own) * recomputedShare;
   }
 
@@ -356,7 +356,7 @@
         ? undefined
         : startAttempt(routingRequest, scored);
     },
-    limitWaitMs(service) {
+    rateLimitWaitMs(service) {
       const limited = pools
         .all()
         .map(({candidate}) => candidate)
@@ -390,7 +390,7 @@
           .filter(({load}) => load.ownRequestCount > 0)
           .map(({candidate, load}) => [candidate.id, load.ownLoad()]),
       ),
-    reportEntry(entry, loads) {
+    reportEntryLoads(entry, loads) {
       for (const {candidate, load} of pools.all()) {
         load.reportEntryLoad(entry, loads[candidate.id]);
       }
@@ -402,9 +402,9 @@
         updateHealth(known);
       }
     },
-    reportCache: (endpoint, events) =>
+    applyCacheEvents: (endpoint, events) =>
       pools.get(endpoint)?.cache.apply(events) ?? -1,
-    held: () => pools.all().map(({candidate}) => candidate),
+    assignedEndpoints: () => pools.all().map(({candidate}) => candidate),
     slots(service) {
       const assigned = pools
         .all()
--- a/packages/routing/src/test/crashQuarantine.test.ts
+++ b/packages/routing/src/test/crashQuarantine.test.ts
@@ -6,14 +6,14 @@
   silentLogger,
   virtualClock,
 } from '@skylarkfield/base';
-import {CRASH_MEMORY_MS, createCrashSuspects} from '../crashQuarantine.js';
+import {CRASH_TTL_MS, createCrashQuarantine} from '../crashQuarantine.js';
 import type {CrashReport} from '../crashEvidence.js';
 
 const REQUEST = 'f00d';
 const CONFIRM_MS = 300;
 
 function createEntry(self = 'a1', clock = virtualClock()) {
-  const suspects = createCrashSuspects({
+  const suspects = createCrashQuarantine({
     clock,
     self,
     decisions: decisionLog(clock, silentLogger()),
@@ -22,11 +22,11 @@
   return {
     clock,
     suspects,
-    verdict: (request = REQUEST) => suspects.judge(request).type,
+    verdict: (request = REQUEST) => suspects.verdictFor(request).type,
     /** Crashes endpoints one after the other while they run a request. */
     crash(endpoints: readonly string[], gapMs = 2_000, request = REQUEST) {
       for (const endpoint of endpoints) {
-        suspects.noteClosed({request, endpoint});
+        suspects.noteConnectionLost({request, endpoint});
         clock.advanceSync(gapMs);
       }
     },
@@ -41,7 +41,7 @@
     assert.equal(verdict(), 'suspected');
     crash(['e2']);
     assert.equal(verdict(), 'suspected');
-    suspects.noteClosed({request: REQUEST, endpoint: 'e3'});
+    suspects.noteConnectionLost({request: REQUEST, endpoint: 'e3'});
     assert.equal(verdict(), 'quarantined');
     assert.equal(verdict('another'), 'clear');
   });
@@ -50,8 +50,8 @@
     const {crash, verdict, suspects, clock} = createEntry();
     crash(['e1', 'e2']);
     const seen = {request: REQUEST, endpoint: 'e2', atMs: clock.wall()};
-    suspects.takeKept('a2', {crashes: [seen], served: {}});
-    suspects.hear({crashes: [seen], served: {}});
+    suspects.setStoredReport('a2', {crashes: [seen], served: {}});
+    suspects.mergeGossip({crashes: [seen], served: {}});
     assert.equal(verdict(), 'suspected');
   });
 
@@ -61,56 +61,56 @@
     const one = createEntry('a1');
     const other = createEntry('a2', one.clock);
     one.crash(['e1', 'e2', 'e3']);
-    other.suspects.takeKept('a1', one.suspects.own());
+    other.suspects.setStoredReport('a1', one.suspects.reportToStore());
     assert.equal(other.verdict(), 'quarantined');
     one.suspects.noteServed(REQUEST);
     assert.equal(one.verdict(), 'clear');
-    other.suspects.takeKept('a1', one.suspects.own());
+    other.suspects.setStoredReport('a1', one.suspects.reportToStore());
     assert.equal(other.verdict(), 'clear');
   });
 
   it('are not suspected if the endpoint answers a later request', () => {
     const {suspects, clock, verdict} = createEntry();
-    suspects.noteClosed({request: REQUEST, endpoint: 'e1'});
+    suspects.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
     clock.advanceSync(CONFIRM_MS / 2);
-    suspects.noteHeard('e1', clock.now());
+    suspects.noteResponse('e1', clock.now());
     clock.advanceSync(CONFIRM_MS);
     assert.equal(verdict(), 'clear');
-    assert.deepEqual(suspects.own().crashes, []);
+    assert.deepEqual(suspects.reportToStore().crashes, []);
   });
 
   it('stay suspected if the endpoint answers an earlier request only', () => {
     const {suspects, clock, verdict} = createEntry();
     const sentAt = clock.now();
     clock.advanceSync(10);
-    suspects.noteClosed({request: REQUEST, endpoint: 'e1'});
-    suspects.noteHeard('e1', sentAt);
+    suspects.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
+    suspects.noteResponse('e1', sentAt);
     assert.equal(verdict(), 'suspected');
   });
 
   // A slow endpoint must not be taken for a crashed one.
   it('are suspected once an unresponsive endpoint is deregistered', () => {
     const {suspects, clock, verdict} = createEntry();
-    suspects.noteSilent({request: REQUEST, endpoint: 'e1'});
+    suspects.noteUnanswered({request: REQUEST, endpoint: 'e1'});
     clock.advanceSync(3_000);
     assert.equal(verdict(), 'clear');
-    suspects.noteGone('e1');
+    suspects.noteDeregistered('e1');
     assert.equal(verdict(), 'suspected');
   });
 
   it('are suspected if a deregistered endpoint does not respond', () => {
     const {suspects, verdict} = createEntry();
-    suspects.noteGone('e1');
-    suspects.noteSilent({request: REQUEST, endpoint: 'e1'});
+    suspects.noteDeregistered('e1');
+    suspects.noteUnanswered({request: REQUEST, endpoint: 'e1'});
     assert.equal(verdict(), 'suspected');
   });
 
   // Registrations can lapse while the platform's store is down.
   it('are not suspected if a deregistered endpoint answered since', () => {
     const {suspects, clock, verdict} = createEntry();
-    suspects.noteGone('e1');
-    suspects.noteHeard('e1', clock.now());
-    suspects.noteSilent({request: REQUEST, endpoint: 'e1'});
+    suspects.noteDeregistered('e1');
+    suspects.noteResponse('e1', clock.now());
+    suspects.noteUnanswered({request: REQUEST, endpoint: 'e1'});
     assert.equal(verdict(), 'clear');
   });
 
@@ -118,35 +118,35 @@
     const {suspects, clock} = createEntry();
     let fired = 0;
     suspects.onDidChange(() => (fired += 1));
-    suspects.noteClosed({request: REQUEST, endpoint: 'e1'});
+    suspects.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
     assert.equal(fired, 0);
     clock.advanceSync(CONFIRM_MS);
     assert.equal(fired, 1);
-    assert.equal(suspects.own().crashes.length, 1);
+    assert.equal(suspects.reportToStore().crashes.length, 1);
   });
 
   it('are gossiped until they are stored, and for a while after that', () => {
     const {suspects, crash, clock} = createEntry();
-    assert.equal(suspects.recent(), undefined);
+    assert.equal(suspects.reportToGossip(), undefined);
     crash(['e1'], CONFIRM_MS);
     clock.advanceSync(60_000);
-    assert.equal(suspects.recent()?.crashes.length, 1);
-    suspects.noteKept(suspects.own());
-    assert.equal(suspects.recent(), undefined);
+    assert.equal(suspects.reportToGossip()?.crashes.length, 1);
+    suspects.noteStored(suspects.reportToStore());
+    assert.equal(suspects.reportToGossip(), undefined);
     crash(['e2'], CONFIRM_MS);
-    suspects.noteKept(suspects.own());
-    assert.equal(suspects.recent()?.crashes.length, 1);
+    suspects.noteStored(suspects.reportToStore());
+    assert.equal(suspects.reportToGossip()?.crashes.length, 1);
     clock.advanceSync(1_500);
-    assert.equal(suspects.recent(), undefined);
+    assert.equal(suspects.reportToGossip(), undefined);
   });
 
   it('are cleared locally if only one crash is known', () => {
     const {suspects, crash, verdict} = createEntry();
     crash(['e1']);
-    suspects.noteKept(suspects.own());
+    suspects.noteStored(suspects.reportToStore());
     suspects.noteServed(REQUEST);
     assert.equal(verdict(), 'clear');
-    assert.equal(suspects.recent(), undefined);
+    assert.equal(suspects.reportToGossip(), undefined);
   });
 
   it('are suspected again for a crash after the complete response', () => {
@@ -162,20 +162,20 @@
     const before = createEntry();
     before.crash(['e1', 'e2', 'e3']);
     const after = createEntry('a1', before.clock);
-    after.suspects.restore(before.suspects.own());
+    after.suspects.restoreOwnReport(before.suspects.reportToStore());
     assert.equal(after.verdict(), 'quarantined');
-    assert.equal(after.suspects.own().crashes.length, 3);
+    assert.equal(after.suspects.reportToStore().crashes.length, 3);
   });
 
   it('are cleared when the stored reports are deleted', () => {
     const {suspects, crash, verdict, clock} = createEntry();
     crash(['e1', 'e2']);
     const seen = {request: REQUEST, endpoint: 'e3', atMs: clock.wall()};
-    suspects.takeKept('a2', {crashes: [seen], served: {}});
+    suspects.setStoredReport('a2', {crashes: [seen], served: {}});
     assert.equal(verdict(), 'quarantined');
-    suspects.dropKept('a2');
+    suspects.removeStoredReport('a2');
     assert.equal(verdict(), 'suspected');
-    suspects.dropKept('a1');
+    suspects.removeStoredReport('a1');
     assert.equal(verdict(), 'clear');
   });
 });
@@ -184,17 +184,17 @@
   it('is short if all endpoints crashed at once', () => {
     const {crash, suspects, clock} = createEntry();
     crash(['e1', 'e2', 'e3'], 0);
-    const verdict = suspects.judge(REQUEST);
+    const verdict = suspects.verdictFor(REQUEST);
     assert.ok(verdict.type === 'quarantined');
     assert.ok(verdict.retryAfterMs <= 10_000);
     clock.advanceSync(10_000);
-    assert.equal(suspects.judge(REQUEST).type, 'trial');
+    assert.equal(suspects.verdictFor(REQUEST).type, 'trial');
   });
 
   it('lasts until the crashes expire if they came one by one', () => {
     const {crash, verdict, clock} = createEntry();
     crash(['e1', 'e2', 'e3']);
-    clock.advanceSync(CRASH_MEMORY_MS - 10_000);
+    clock.advanceSync(CRASH_TTL_MS - 10_000);
     assert.equal(verdict(), 'quarantined');
     clock.advanceSync(10_000);
     assert.equal(verdict(), 'clear');
@@ -213,7 +213,7 @@
     }));
     for (const {suspects} of entries) {
       suspects.setEntries(ids);
-      suspects.hear({crashes, served: {}});
+      suspects.mergeGossip({crashes, served: {}});
     }
     clock.advanceSync(10_000);
     const [owner] = rendezvousOrder(REQUEST, ids);
@@ -246,7 +246,7 @@
     for (let index = 0; index < 1_000; index++) {
       crash([`x${index}`], CONFIRM_MS, `generated ${index}`);
     }
-    assert.ok(suspects.own().crashes.length <= 100);
+    assert.ok(suspects.reportToStore().crashes.length <= 100);
     assert.equal(verdict(), 'quarantined');
   });
 
@@ -259,7 +259,7 @@
       served: {},
     });
     for (let index = 0; index < 1_200; index++) {
-      suspects.hear(report(index));
+      suspects.mergeGossip(report(index));
     }
     assert.equal((suspects.dump() as {requests: number}).requests, 1_000);
   });
--- a/packages/routing/src/test/ejection.test.ts
+++ b/packages/routing/src/test/ejection.test.ts
@@ -49,7 +49,7 @@
   it('readmits an endpoint after successful probes', () => {
     const {clock, send, healthOf} = createRig(candidates);
     send(200, id => (id === 'r3' ? 'unreachable' : 'ok'));
-    clock.pause(5000);
+    clock.jump(5000);
     const counts = send(100, () => 'ok');
     assert.equal(healthOf('r3'), 'live');
     assert.ok((counts.get('r3') ?? 0) > 2);
@@ -58,7 +58,7 @@
   it('probes an endpoint with only one request at a time', () => {
     const {clock, send, router} = createRig(candidates);
     send(200, id => (id === 'r3' ? 'unreachable' : 'ok'));
-    clock.pause(5000);
+    clock.jump(5000);
     const chosen = Array.from(
       {length: 60},
       () => router.choose(routingRequest())?.endpoint,
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -2,9 +2,9 @@
 import {describe, it} from 'node:test';
 import {decisionLog, silentLogger, virtualClock} from '@skylarkfield/base';
 import {
-  createRequestLimits,
-  newestLimits,
-  type RequestLimits,
+  createRateLimits,
+  mergeRateLimitReports,
+  type RateLimits,
 } from '../requestLimits.js';
 
 const WINDOW_SECONDS = 4;
@@ -18,27 +18,27 @@
   const ids = Array.from({length: count}, (_, index) => `entry-${index}`);
   const entries = ids.map(self => {
     const decisions = decisionLog(clock, silentLogger());
-    const limits = createRequestLimits({clock, self, decisions});
+    const limits = createRateLimits({clock, self, decisions});
     limits.setEntries(ids);
     return limits;
   });
   const sent: number[] = [];
 
   function exchangeDigests(): void {
-    const digests = entries.map(entry => entry.own());
+    const digests = entries.map(entry => entry.ownReports());
     entries.forEach((to, index) =>
       digests
         .filter((_, from) => from !== index)
-        .forEach(reports => to.report(reports)),
+        .forEach(reports => to.mergeReports(reports)),
     );
   }
 
-  function sendFrom(entry: RequestLimits, limit: number | undefined): number {
+  function sendFrom(entry: RateLimits, limit: number | undefined): number {
     if (!entry.allowsRequest(ENDPOINT)) {
       return 0;
     }
     entry.consume(ENDPOINT);
-    entry.note(ENDPOINT, limit);
+    entry.noteLimit(ENDPOINT, limit);
     return 1;
   }
 
@@ -120,20 +120,24 @@
 
   it('follow the newest response at any entry', () => {
     const {clock, entries} = createFleet(2);
-    const [first, second] = entries as [RequestLimits, RequestLimits];
-    first.note(ENDPOINT, 1);
+    const [first, second] = entries as [RateLimits, RateLimits];
+    first.noteLimit(ENDPOINT, 1);
     clock.advanceSync(100);
-    second.note(ENDPOINT, 5);
+    second.noteLimit(ENDPOINT, 5);
     clock.advanceSync(100);
-    second.report(first.own());
-    first.report(second.own());
+    second.mergeReports(first.ownReports());
+    first.mergeReports(second.ownReports());
     for (const entry of entries) {
       const {perSecond} = (entry.dump() as Record<string, {perSecond: number}>)[
         ENDPOINT
       ]!;
       assert.equal(perSecond, 5);
     }
-    const merged = newestLimits(first.own(), second.own(), 50);
+    const merged = mergeRateLimitReports(
+      first.ownReports(),
+      second.ownReports(),
+      50,
+    );
     assert.deepEqual(merged[ENDPOINT], {perSecond: 5, agoMs: 150});
   });
 
@@ -141,25 +145,25 @@
   it('are no longer gossiped by entries that learned of their removal', () => {
     const {clock, entries} = createFleet(3);
     const [first, second, late] = entries as [
-      RequestLimits,
-      RequestLimits,
-      RequestLimits,
+      RateLimits,
+      RateLimits,
+      RateLimits,
     ];
-    first.note(ENDPOINT, 1);
-    second.report(first.own());
+    first.noteLimit(ENDPOINT, 1);
+    second.mergeReports(first.ownReports());
     clock.advanceSync(100);
-    second.note(ENDPOINT, undefined);
-    first.report(second.own());
+    second.noteLimit(ENDPOINT, undefined);
+    first.mergeReports(second.ownReports());
     clock.advanceSync(20_000);
-    late.report(first.own());
-    late.report(second.own());
+    late.mergeReports(first.ownReports());
+    late.mergeReports(second.ownReports());
     assert.ok(late.allowsRequest(ENDPOINT));
   });
 
   it('do not exist for endpoints that set none', () => {
     const {entries} = createFleet(1);
-    entries[0]!.note(ENDPOINT, undefined);
-    assert.deepEqual(entries[0]!.own(), {});
+    entries[0]!.noteLimit(ENDPOINT, undefined);
+    assert.deepEqual(entries[0]!.ownReports(), {});
     assert.ok(entries[0]!.allowsRequest(ENDPOINT));
   });
 });
--- a/packages/routing/src/test/router.test.ts
+++ b/packages/routing/src/test/router.test.ts
@@ -23,7 +23,7 @@
     for (const id of others) {
       router.reportLoad(id, loadReport({running: 3, attempts: ['e2-1#1']}));
     }
-    router.reportCache('a', [{sequence: 1, type: 'stored', blocks}]);
+    router.applyCacheEvents('a', [{sequence: 1, type: 'stored', blocks}]);
     const choice = router.choose({...longRequest, isSuspected: true});
     assert.equal(choice?.endpoint, 'c');
   });
@@ -39,7 +39,7 @@
 
   it('prefers the endpoint with the cached prefix unless overloaded', () => {
     const {router} = createRig(candidates);
-    router.reportCache('c', [{sequence: 1, type: 'stored', blocks}]);
+    router.applyCacheEvents('c', [{sequence: 1, type: 'stored', blocks}]);
     assert.equal(router.cachedTokens('s', 'v1', blocks), 960);
     assert.equal(router.cachedTokens('s', 'v2', blocks), 0);
     const choice = router.choose(longRequest);
@@ -54,7 +54,7 @@
     const {router, clock} = createRig(candidates);
     const first = router.choose(longRequest);
     first?.finish({outcome: 'ok', latencyMs: 30});
-    clock.pause(60_000);
+    clock.jump(60_000);
     assert.equal(router.choose(longRequest)?.endpoint, first?.endpoint);
   });
 
@@ -86,21 +86,25 @@
     const {router, clock} = createRig(candidates);
     const event = (sequence: number) =>
       ({sequence, type: 'stored', blocks: [`x${sequence}`]}) as const;
-    assert.equal(router.reportCache('a', [event(1), event(2)]), 2);
-    assert.equal(router.reportCache('a', [event(5)]), 5, 'too soon to resync');
-    clock.pause(10_000);
-    assert.equal(router.reportCache('a', [event(6)]), -1);
+    assert.equal(router.applyCacheEvents('a', [event(1), event(2)]), 2);
+    assert.equal(
+      router.applyCacheEvents('a', [event(5)]),
+      5,
+      'too soon to resync',
+    );
+    clock.jump(10_000);
+    assert.equal(router.applyCacheEvents('a', [event(6)]), -1);
     const content = [
       {sequence: 6, type: 'cleared', blocks: []} as const,
       {sequence: 7, type: 'stored', blocks} as const,
     ];
-    assert.equal(router.reportCache('a', content), 7);
+    assert.equal(router.applyCacheEvents('a', content), 7);
     assert.equal(router.choose(longRequest)?.endpoint, 'a');
   });
 
   it('corrects the cache view by the cached tokens of a response', () => {
     const {router} = createRig([candidate('a')]);
-    router.reportCache('a', [{sequence: 1, type: 'stored', blocks}]);
+    router.applyCacheEvents('a', [{sequence: 1, type: 'stored', blocks}]);
     const choice = router.choose(longRequest);
     choice?.finish({outcome: 'ok', latencyMs: 30, cachedTokens: 0});
     const {endpoints} = router.dump() as {
@@ -116,7 +120,7 @@
     const {router, send, clock} = createRig([]);
     router.markLeaving('a');
     router.setEndpoints(candidates);
-    clock.pause(30_000);
+    clock.jump(30_000);
     router.setEndpoints(candidates);
     assert.equal(send(40, () => 'ok').has('a'), false);
     assert.equal(
--- a/packages/standins/src/engine/answerText.ts
+++ b/packages/standins/src/engine/answerText.ts
@@ -36,9 +36,9 @@
  * Returns the first tokens of an answer, to compare with received tokens.
  *
  * @example
- * assert.equal(received.join(''), answerTokens(prompt, 7, 20).join(''));
+ * assert.equal(received.join(''), generateAnswerTokens(prompt, 7, 20).join(''));
  */
-export function answerTokens(
+export function generateAnswerTokens(
   prompt: string,
   seed: number,
   maxTokens: number,
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -10,10 +10,10 @@
   type Random,
 } from '@skylarkfield/base';
 import {
-  BLOCK_TOKENS,
+  TOKENS_PER_BLOCK,
   type CacheEvent,
   type EndpointOrder,
-  type Generation,
+  type GenerationRequest,
   type LoadReport,
 } from '@skylarkfield/endpoints';
 import {createAnswer} from './answerText.js';
@@ -35,7 +35,7 @@
 } from './sequence.js';
 import {createStreamOutput} from './streamOutput.js';
 
-export interface EngineModelOptions {
+export interface SimulatedEngineOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly version: string;
@@ -53,9 +53,9 @@
   readonly importedTokens: number;
 }
 
-export interface EngineModel extends Disposable {
+export interface SimulatedEngine extends Disposable {
   /** Enqueues a request; the sink receives its events and its end. */
-  submit(request: Generation, sink: StreamSink): void;
+  submit(request: GenerationRequest, sink: StreamSink): void;
   cancel(attempt: string): void;
   load(): LoadReport;
   cacheEvents(after: number): readonly CacheEvent[];
@@ -80,10 +80,12 @@
  * Creates an idle engine.
  *
  * @example
- * const model = createEngineModel({clock, random, version: 'v1'});
+ * const model = createSimulatedEngine({clock, random, version: 'v1'});
  * model.submit(request, {event: show, fail: report});
  */
-export function createEngineModel(options: EngineModelOptions): EngineModel {
+export function createSimulatedEngine(
+  options: SimulatedEngineOptions,
+): SimulatedEngine {
   const {clock, random} = options;
   const costs = {...defaultEngineCosts, ...options.costs};
   const cache = createBlockCache({
@@ -156,7 +158,7 @@
     const {request, tokens} = sequence;
     const importedTokenCount = imports.get(request.importedCache ?? '') ?? 0;
     const prefixTokens =
-      cache.countCachedPrefix(sequence.blocks) * BLOCK_TOKENS;
+      cache.countCachedPrefix(sequence.blocks) * TOKENS_PER_BLOCK;
     const total = tokens.length;
     // The last token is always computed, since the next one is sampled from it.
     const reusableTokens = Math.min(
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -7,19 +7,19 @@
 import type {AddressInfo, Socket} from 'node:net';
 import {
   ServingError,
-  checkShape,
-  errorAnswers,
+  validateShape,
+  errorResponses,
   parseJson,
   processRandom,
   systemClock,
   toServingError,
   type Random,
 } from '@skylarkfield/base';
-import type {EndpointOrder, Generation} from '@skylarkfield/endpoints';
+import type {EndpointOrder, GenerationRequest} from '@skylarkfield/endpoints';
 import polka from 'polka';
 import type {EngineCosts} from './engineCosts.js';
 import type {EngineFault} from './engineFaults.js';
-import {createEngineModel, type EngineModel} from './engineModel.js';
+import {createSimulatedEngine, type SimulatedEngine} from './engineModel.js';
 import {
   attemptSchema,
   engineFaultsSchema,
@@ -45,7 +45,7 @@
 export interface EngineStandin {
   readonly url: string;
   readonly port: number;
-  readonly model: EngineModel;
+  readonly model: SimulatedEngine;
   /** Replaces the injected faults, like `POST /control/faults`. */
   setFaults(faults: readonly EngineFault[]): Promise<void>;
   stop(): Promise<void>;
@@ -71,7 +71,7 @@
   options: EngineStandinOptions,
 ): Promise<EngineStandin> {
   const clock = systemClock();
-  const model = createEngineModel({
+  const model = createSimulatedEngine({
     ...options,
     clock,
     random: options.random ?? processRandom(),
@@ -132,15 +132,15 @@
   }
 
   route('post', '/v1/generate', async (request, response) => {
-    const generation = checkShape(
+    const generation = validateShape(
       generationSchema,
       await readBody(request),
       'bad-request',
     );
-    streamAnswer(model, generation as Generation, response);
+    streamAnswer(model, generation as GenerationRequest, response);
   });
   route('post', '/v1/cancel', async (request, response) => {
-    const body = checkShape(
+    const body = validateShape(
       attemptSchema,
       await readBody(request),
       'bad-request',
@@ -157,7 +157,7 @@
     sendJson(response, model.cacheEvents(after));
   });
   route('post', '/v1/export', async (request, response) => {
-    const body = checkShape(
+    const body = validateShape(
       attemptSchema,
       await readBody(request),
       'bad-request',
@@ -181,7 +181,7 @@
     sendJson(response, exported);
   });
   route('post', '/v1/import', async (request, response) => {
-    const source = checkShape(
+    const source = validateShape(
       importSourceSchema,
       await readBody(request),
       'bad-request',
@@ -195,7 +195,7 @@
     sendJson(response, {handle, tokens, bytes});
   });
   route('post', '/v1/order', async (request, response) => {
-    const order = checkShape(
+    const order = validateShape(
       orderSchema,
       await readBody(request),
       'bad-request',
@@ -210,7 +210,7 @@
     'post',
     '/control/faults',
     async (request, response) => {
-      const body = checkShape(
+      const body = validateShape(
         engineFaultsSchema,
         await readBody(request),
         'bad-request',
@@ -243,8 +243,8 @@
 
 /** Streams an answer as server-sent events; a disconnect cancels it. */
 function streamAnswer(
-  model: EngineModel,
-  generation: Generation,
+  model: SimulatedEngine,
+  generation: GenerationRequest,
   response: ServerResponse,
 ) {
   let isStarted = false;
@@ -310,5 +310,5 @@
     response.destroy();
     return;
   }
-  sendJson(response, {kind, title: message}, errorAnswers[kind].status);
+  sendJson(response, {kind, title: message}, errorResponses[kind].status);
 }
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -4,19 +4,19 @@
   createEventQueue,
   type CacheExport,
   type Engine,
-  type Generation,
+  type GenerationRequest,
   type GenerationEvent,
 } from '@skylarkfield/endpoints';
-import type {EngineModel} from './engineModel.js';
+import type {SimulatedEngine} from './engineModel.js';
 
 /** Response time of a paused engine: effectively unbounded. */
 const PAUSED_RESPONSE_MS = 1e9;
 
 export interface LocalEngineOptions {
   readonly clock: Clock;
-  readonly model: EngineModel;
+  readonly model: SimulatedEngine;
   /** Returns the model behind a URL, to fetch exported KV caches from it. */
-  resolve(url: string): EngineModel | undefined;
+  resolve(url: string): SimulatedEngine | undefined;
 }
 
 /**
@@ -36,7 +36,7 @@
   }
 
   async function* generate(
-    request: Generation,
+    request: GenerationRequest,
     signal: AbortSignal,
   ): AsyncGenerator<GenerationEvent> {
     throwIfDown();
--- a/packages/standins/src/engine/sequence.ts
+++ b/packages/standins/src/engine/sequence.ts
@@ -1,10 +1,10 @@
 /** State of one request inside an engine, from the queue to the last token. */
 import type {ServingError} from '@skylarkfield/base';
 import {
-  extendBlocks,
-  promptBlocks,
-  promptTokens,
-  type Generation,
+  extendBlockHashes,
+  hashPromptBlocks,
+  tokenizePrompt,
+  type GenerationRequest,
   type GenerationEvent,
 } from '@skylarkfield/endpoints';
 import type {Answer} from './answerText.js';
@@ -19,7 +19,7 @@
 
 /** A request that is waiting, being prefilled or being decoded. */
 export interface Sequence {
-  readonly request: Generation;
+  readonly request: GenerationRequest;
   readonly sink: StreamSink;
   readonly answer: Answer;
   /** Faults injected into this request. */
@@ -43,12 +43,12 @@
  * const sequence = createSequence(request, sink, answer, []);
  */
 export function createSequence(
-  request: Generation,
+  request: GenerationRequest,
   sink: StreamSink,
   answer: Answer,
   faults: readonly EngineFault[],
 ): Sequence {
-  const prompt = promptTokens(request.prompt);
+  const prompt = tokenizePrompt(request.prompt);
   const tokens = [...prompt, ...request.delivered.map(text => text.trim())];
   return {
     request,
@@ -57,7 +57,7 @@
     faults,
     promptLength: prompt.length,
     tokens,
-    blocks: promptBlocks(tokens),
+    blocks: hashPromptBlocks(tokens),
     prefillLeft: tokens.length,
     cachedTokens: 0,
     sentTokens: 0,
@@ -84,5 +84,5 @@
  * cache.store(sequenceBlocks(sequence));
  */
 export function sequenceBlocks(sequence: Sequence): string[] {
-  return extendBlocks(sequence.blocks, sequence.tokens);
+  return extendBlockHashes(sequence.blocks, sequence.tokens);
 }
--- a/packages/standins/src/platform/cloudRoutes.ts
+++ b/packages/standins/src/platform/cloudRoutes.ts
@@ -1,6 +1,6 @@
 /** HTTP routes of the simulated cloud API, host list and weight store. */
 import type {ServerResponse} from 'node:http';
-import {checkShape, ServingError, type Clock} from '@skylarkfield/base';
+import {validateShape, ServingError, type Clock} from '@skylarkfield/base';
 import type {Polka} from 'polka';
 import * as z from 'zod';
 import type {CloudModel} from './cloudModel.js';
@@ -64,7 +64,11 @@
   app.post('/cloud/hosts', (request, response) => {
     void respond(response, async () =>
       cloud.start(
-        checkShape(startRequestSchema, await readJson(request), 'bad-request'),
+        validateShape(
+          startRequestSchema,
+          await readJson(request),
+          'bad-request',
+        ),
       ),
     );
   });
@@ -98,7 +102,7 @@
   });
   app.post('/weights/reservations', (request, response) => {
     void respond(response, async () => {
-      checkShape(reservationSchema, await readJson(request), 'bad-request');
+      validateShape(reservationSchema, await readJson(request), 'bad-request');
       const now = clock.now();
       if (now < nextLoadAt) {
         throw new ServingError(
--- a/packages/standins/src/platform/controlRoutes.ts
+++ b/packages/standins/src/platform/controlRoutes.ts
@@ -1,7 +1,7 @@
 /** Control routes: fault injection and the state of the simulated cloud. */
 import type {ServerResponse} from 'node:http';
-import {checkShape} from '@skylarkfield/base';
-import {listedEndpointShape, type ObjectTable} from '@skylarkfield/providers';
+import {validateShape} from '@skylarkfield/base';
+import {listedEndpointSchema, type ObjectTable} from '@skylarkfield/providers';
 import type {Polka} from 'polka';
 import * as z from 'zod';
 import type {CloudModel} from './cloudModel.js';
@@ -74,7 +74,7 @@
       const body = await readJson(request);
       Object.assign(
         faults,
-        checkShape(platformFaultsSchema, body, 'bad-request'),
+        validateShape(platformFaultsSchema, body, 'bad-request'),
       );
       if (faults.isDown || faults.isRejectingWatches) {
         options.dropWatches();
@@ -90,14 +90,18 @@
   app.post('/control/offers', (request, response) => {
     void respond(response, async () =>
       cloud.setOffers(
-        checkShape(offersSchema, await readJson(request), 'bad-request'),
+        validateShape(offersSchema, await readJson(request), 'bad-request'),
       ),
     );
   });
   app.post('/control/endpoints', (request, response) => {
     void respond(response, async () =>
       endpoints.set(
-        checkShape(listedEndpointShape, await readJson(request), 'bad-request'),
+        validateShape(
+          listedEndpointSchema,
+          await readJson(request),
+          'bad-request',
+        ),
       ),
     );
   });
@@ -108,7 +112,7 @@
   });
   app.post('/control/reclaim', (request, response) => {
     void respond(response, async () => {
-      const body = checkShape(
+      const body = validateShape(
         reclaimSchema,
         await readJson(request),
         'bad-request',
--- a/packages/standins/src/platform/httpResponses.ts
+++ b/packages/standins/src/platform/httpResponses.ts
@@ -2,7 +2,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {PlatformFaults} from './platformFaults.js';
 import {
-  errorAnswers,
+  errorResponses,
   parseJson,
   ServingError,
   toServingError,
@@ -15,7 +15,7 @@
  *
  * @example
  * const body = await readJson(request);
- * const start = checkShape(startRequestSchema, body, 'bad-request');
+ * const start = validateShape(startRequestSchema, body, 'bad-request');
  */
 export async function readJson(request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
@@ -62,7 +62,8 @@
     return;
   }
   const {kind, message, retryAfterMs, faults} = toServingError(error);
-  const status = kind === 'version-conflict' ? 412 : errorAnswers[kind].status;
+  const status =
+    kind === 'version-conflict' ? 412 : errorResponses[kind].status;
   const headers: Record<string, string> = {};
   if (retryAfterMs !== undefined) {
     headers['retry-after'] = String(Math.ceil(retryAfterMs / 1000));
--- a/packages/standins/src/service/serviceStandin.ts
+++ b/packages/standins/src/service/serviceStandin.ts
@@ -8,7 +8,7 @@
   type ServerResponse,
 } from 'node:http';
 import type {AddressInfo} from 'node:net';
-import {checkShape, parseJson, seededRandom} from '@skylarkfield/base';
+import {validateShape, parseJson, seededRandom} from '@skylarkfield/base';
 import polka from 'polka';
 import * as z from 'zod';
 import {
@@ -173,7 +173,9 @@
     '/control/faults',
     withErrorResponse(async (request, response) => {
       const value = parseJson(await readBody(request), 'bad-request', 'fault');
-      faults.add(checkShape(serviceFaultSchema, value, 'bad-request', 'fault'));
+      faults.add(
+        validateShape(serviceFaultSchema, value, 'bad-request', 'fault'),
+      );
       sendJson(response, 200, faults.list());
     }),
   );
@@ -185,7 +187,7 @@
     '/control/lag',
     withErrorResponse(async (request, response) => {
       const value = parseJson(await readBody(request), 'bad-request', 'lag');
-      const {lagMs} = checkShape(lagSchema, value, 'bad-request', 'lag');
+      const {lagMs} = validateShape(lagSchema, value, 'bad-request', 'lag');
       load.setLag(lagMs);
       sendJson(response, 200, {lagMs});
     }),
@@ -283,7 +285,7 @@
     return key;
   }
   const value = parseJson(body, 'bad-request', 'body');
-  const {id} = checkShape(orderBodySchema, value, 'bad-request', 'body');
+  const {id} = validateShape(orderBodySchema, value, 'bad-request', 'body');
   return `body:${id}`;
 }
 
--- a/packages/standins/src/test/engineModel.test.ts
+++ b/packages/standins/src/test/engineModel.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {seededRandom, virtualClock} from '@skylarkfield/base';
-import type {Generation, GenerationEvent} from '@skylarkfield/endpoints';
-import {answerTokens, createEngineModel} from '../index.js';
+import type {GenerationRequest, GenerationEvent} from '@skylarkfield/endpoints';
+import {generateAnswerTokens, createSimulatedEngine} from '../index.js';
 
 function words(count: number, name = 'w'): string {
   return Array.from({length: count}, (_, i) => `${name}${i}`).join(' ');
 }
 
-function generation(overrides: Partial<Generation>): Generation {
+function generation(overrides: Partial<GenerationRequest>): GenerationRequest {
   return {
     attempt: 'a1',
     prompt: words(40),
@@ -23,7 +23,7 @@
 function setUp(costs = {}) {
   const clock = virtualClock();
   const random = seededRandom(1);
-  const model = createEngineModel({clock, random, version: 'v1', costs});
+  const model = createSimulatedEngine({clock, random, version: 'v1', costs});
   const events: GenerationEvent[] = [];
   const errors: string[] = [];
   const sink = {
@@ -38,7 +38,7 @@
 describe('engine model', () => {
   it('continues a resumed answer identically', async () => {
     const {clock, model, events, sink, text} = setUp();
-    const expected = answerTokens(words(40), 7, 20);
+    const expected = generateAnswerTokens(words(40), 7, 20);
     model.submit(generation({delivered: expected.slice(0, 5)}), sink);
     await clock.advance(5000);
     assert.equal(text(), expected.slice(5).join(''));
@@ -110,7 +110,7 @@
     for (const checksFencing of [true, false]) {
       const clock = virtualClock();
       const random = seededRandom(1);
-      const model = createEngineModel({
+      const model = createSimulatedEngine({
         clock,
         random,
         version: 'v1',
--- a/packages/standins/src/test/engineStandin.test.ts
+++ b/packages/standins/src/test/engineStandin.test.ts
@@ -1,11 +1,18 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createHttpEngine, type Generation} from '@skylarkfield/endpoints';
-import {answerTokens, startEngineStandin, type EngineFault} from '../index.js';
+import {
+  createHttpEngine,
+  type GenerationRequest,
+} from '@skylarkfield/endpoints';
+import {
+  generateAnswerTokens,
+  startEngineStandin,
+  type EngineFault,
+} from '../index.js';
 
 const fastCosts = {stepMs: 1, decodeMsPerSequence: 0, prefillMsPerToken: 0};
 
-const generation: Generation = {
+const generation: GenerationRequest = {
   attempt: 'a1',
   prompt: 'match this oak floor',
   maxTokens: 12,
@@ -54,7 +61,7 @@
     await withEngine([], async engine => {
       assert.deepEqual(
         await read(engine),
-        answerTokens(generation.prompt, generation.seed, 12),
+        generateAnswerTokens(generation.prompt, generation.seed, 12),
       );
     });
   });
--- a/packages/standins/src/test/objectApiFixtures.ts
+++ b/packages/standins/src/test/objectApiFixtures.ts
@@ -3,9 +3,9 @@
 import {seededRandom, systemClock, toDisposable} from '@skylarkfield/base';
 import {
   createHttpObjectStore,
-  memoryPlatform,
+  createMemoryPlatform,
   type ObjectClient,
-  type ObjectFaults,
+  type ObjectFaultControls,
   type ObjectStoreSettings,
   type ObjectTable,
 } from '@skylarkfield/providers';
@@ -14,7 +14,7 @@
 /** A running object API with its fault controls. */
 export interface ObjectApiFixture {
   readonly table: ObjectTable;
-  readonly faults: ObjectFaults;
+  readonly faults: ObjectFaultControls;
   client(writer: string, settings?: ObjectStoreSettings): ObjectClient;
   stop(): Promise<void>;
 }
@@ -39,7 +39,7 @@
 ];
 
 async function startMemory(): Promise<ObjectApiFixture> {
-  const platform = memoryPlatform({clock: testClock});
+  const platform = createMemoryPlatform({clock: testClock});
   return {
     table: platform.table,
     faults: platform.faults,
@@ -59,7 +59,7 @@
         platform.faults.isDown = isDown;
         platform.dropWatches();
       },
-      setSlow(delayMs) {
+      setDelay(delayMs) {
         platform.faults.delayMs = delayMs;
       },
       loseReplies(count) {
@@ -69,7 +69,7 @@
         platform.faults.isRejectingWatches = isRejecting;
         platform.dropWatches();
       },
-      silenceWatches(isSilent) {
+      stallWatches(isSilent) {
         platform.faults.isSilent = isSilent;
       },
     },
--- a/packages/standins/src/test/objectStore.test.ts
+++ b/packages/standins/src/test/objectStore.test.ts
@@ -95,9 +95,9 @@
   {
     fault: 'the call times out and another writer comes first',
     arrange: ({fixture}) => {
-      fixture.faults.setSlow(1500);
+      fixture.faults.setDelay(1500);
       setTimeout(() => overwrite(fixture, 'theirs'), 50);
-      setTimeout(() => fixture.faults.setSlow(0), 100);
+      setTimeout(() => fixture.faults.setDelay(0), 100);
     },
     outcome: 'version-conflict',
     finalValue: 'theirs',
@@ -105,8 +105,8 @@
   {
     fault: 'the call times out and takes effect later',
     arrange: ({fixture}) => {
-      fixture.faults.setSlow(900);
-      setTimeout(() => fixture.faults.setSlow(0), 100);
+      fixture.faults.setDelay(900);
+      setTimeout(() => fixture.faults.setDelay(0), 100);
     },
     outcome: 'written',
     finalValue: 'ours',
--- a/packages/streams/src/attempt.ts
+++ b/packages/streams/src/attempt.ts
@@ -7,13 +7,13 @@
 } from '@skylarkfield/base';
 import type {
   AttemptResult,
-  Generation,
+  GenerationRequest,
   GenerationEvent,
 } from '@skylarkfield/endpoints';
 import {createAttemptStateMachine} from './attemptMachine.js';
 import {createAttemptAbortController} from './attemptAbortController.js';
 import {createAttemptMeter} from './attemptMeter.js';
-import type {StreamPlace, StreamToken} from './contracts.js';
+import type {EndpointPick, StreamToken} from './contracts.js';
 import {validateEvent, type EventVerdict} from './eventValidation.js';
 import {migrateWhenLeaving} from './leavingMigration.js';
 import type {MigrationCosts} from './migrationCosts.js';
@@ -40,7 +40,7 @@
   readonly attemptIdPrefix: string;
   readonly target: AttemptTarget;
   /** Picks an endpoint other than the current one, or throws. */
-  pickEndpoint(): StreamPlace;
+  pickEndpoint(): EndpointPick;
   deliver(token: StreamToken): void | Promise<void>;
   /** The caller's signal. */
   readonly signal: AbortSignal;
@@ -97,7 +97,7 @@
   function handleFirstToken() {
     meter.recordFirstToken();
     stateMachine.send('token');
-    pick.streaming?.();
+    pick.onFirstToken?.();
     firstTokenTimeout?.dispose();
   }
 
@@ -128,7 +128,7 @@
     }
     if (verdict.type === 'start' && !meter.hasStarted) {
       stateMachine.send('start');
-      pick.started?.(verdict.event.cachedTokens);
+      pick.onStart?.(verdict.event.cachedTokens);
       meter.recordStart(verdict.event);
     }
     if (verdict.type === 'deliver') {
@@ -240,7 +240,7 @@
 
 function beginAttempt(
   progress: RequestProgress,
-  pick: StreamPlace,
+  pick: EndpointPick,
   stateMachine: RequestProgress['stateMachine'],
 ) {
   progress.attempts += 1;
@@ -253,7 +253,7 @@
   attemptIdPrefix,
   progress,
   target,
-}: AttemptOptions): Generation {
+}: AttemptOptions): GenerationRequest {
   const {request, delivered, attempts} = progress;
   return {
     attempt: `${attemptIdPrefix}${request.id}#${attempts}`,
--- a/packages/streams/src/contracts.ts
+++ b/packages/streams/src/contracts.ts
@@ -20,7 +20,7 @@
 }
 
 /** Endpoint picked for an attempt, with callbacks for its progress. */
-export interface StreamPlace {
+export interface EndpointPick {
   readonly endpoint: string;
   readonly url: string;
   readonly engine: Engine;
@@ -31,9 +31,9 @@
   /** Monotonic milliseconds by which a leaving endpoint is gone, if known. */
   goneAt?(): number | undefined;
   /** Called at most once, when the engine starts to process the prompt. */
-  started?(cachedTokens: number): void;
+  onStart?(cachedTokens: number): void;
   /** Called at most once, with the first token. */
-  streaming?(): void;
+  onFirstToken?(): void;
   /** Called exactly once, with the result of the attempt. */
   finish(result: AttemptResult): void;
 }
@@ -66,10 +66,10 @@
   run(
     request: StreamRequest,
     hooks: {
-      place(
+      pickEndpoint(
         excluded: ReadonlySet<string>,
         delivered: readonly string[],
-      ): StreamPlace;
+      ): EndpointPick;
       mayRetry(): boolean;
       deliver(token: StreamToken): void | Promise<void>;
     },
--- a/packages/streams/src/eventValidation.ts
+++ b/packages/streams/src/eventValidation.ts
@@ -1,5 +1,5 @@
 /** Validation of the events that an engine sends for an attempt. */
-import type {Generation, GenerationEvent} from '@skylarkfield/endpoints';
+import type {GenerationRequest, GenerationEvent} from '@skylarkfield/endpoints';
 
 type EndEvent = GenerationEvent & {readonly type: 'end'};
 type StartEvent = GenerationEvent & {readonly type: 'start'};
@@ -16,7 +16,7 @@
 const validators: {
   readonly [T in GenerationEvent['type']]: (
     event: GenerationEvent & {readonly type: T},
-    request: Generation,
+    request: GenerationRequest,
     delivered: readonly string[],
   ) => EventVerdict;
 } = {
@@ -59,7 +59,7 @@
  */
 export function validateEvent(
   event: GenerationEvent,
-  request: Generation,
+  request: GenerationRequest,
   delivered: readonly string[],
 ): EventVerdict {
   if (event.attempt !== request.attempt) {
@@ -67,7 +67,7 @@
   }
   const validator = validators[event.type] as (
     event: GenerationEvent,
-    request: Generation,
+    request: GenerationRequest,
     delivered: readonly string[],
   ) => EventVerdict;
   return validator(event, request, delivered);
--- a/packages/streams/src/leavingMigration.ts
+++ b/packages/streams/src/leavingMigration.ts
@@ -1,21 +1,21 @@
 /** Migration of a stream from an endpoint that is about to leave. */
 import {sleep, type Clock, type Disposable} from '@skylarkfield/base';
 import type {AttemptAbortController} from './attemptAbortController.js';
-import type {StreamPlace} from './contracts.js';
+import type {EndpointPick} from './contracts.js';
 import type {MigrationCosts} from './migrationCosts.js';
 import {prepareMigration} from './migration.js';
 
 export interface LeavingMigrationOptions {
   readonly clock: Clock;
   readonly costs: MigrationCosts;
-  readonly pick: StreamPlace;
+  readonly pick: EndpointPick;
   readonly attempt: string;
   readonly abortController: AttemptAbortController;
   /** Estimated milliseconds until the answer ends; undefined when unknown. */
   remainingMs(): number | undefined;
   /** Called when the preparation of the migration starts. */
   onPreparing(): void;
-  pickEndpoint(): StreamPlace;
+  pickEndpoint(): EndpointPick;
 }
 
 /** Time reserved for a migration: lower bound, and fraction of the notice. */
--- a/packages/streams/src/migration.ts
+++ b/packages/streams/src/migration.ts
@@ -1,11 +1,11 @@
 /** Prepares another endpoint to continue the stream of a leaving one. */
 import {sleep, type Clock} from '@skylarkfield/base';
-import type {StreamPlace} from './contracts.js';
+import type {EndpointPick} from './contracts.js';
 import type {MigrationCosts} from './migrationCosts.js';
 
 /** Endpoint of an attempt. */
 export interface AttemptTarget {
-  readonly pick: StreamPlace;
+  readonly pick: EndpointPick;
   /** Handle of the KV cache imported there; undefined when none was. */
   readonly importedCache: string | undefined;
 }
@@ -24,11 +24,11 @@
 export async function prepareMigration(options: {
   readonly clock: Clock;
   readonly costs: MigrationCosts;
-  readonly source: StreamPlace;
+  readonly source: EndpointPick;
   readonly attempt: string;
   /** Monotonic milliseconds by which the source endpoint is gone. */
   readonly goneAtMs: number;
-  pickEndpoint(): StreamPlace;
+  pickEndpoint(): EndpointPick;
   readonly signal: AbortSignal;
 }): Promise<AttemptTarget> {
   const pick = await waitForPick(options);
@@ -38,9 +38,9 @@
 
 async function waitForPick(options: {
   readonly clock: Clock;
-  pickEndpoint(): StreamPlace;
+  pickEndpoint(): EndpointPick;
   readonly signal: AbortSignal;
-}): Promise<StreamPlace> {
+}): Promise<EndpointPick> {
   for (;;) {
     try {
       return options.pickEndpoint();
@@ -53,7 +53,7 @@
 
 async function transferCache(
   options: Parameters<typeof prepareMigration>[0],
-  pick: StreamPlace,
+  pick: EndpointPick,
 ): Promise<string | undefined> {
   const {clock, costs, source, attempt, goneAtMs, signal} = options;
   try {
--- a/packages/streams/src/streamRunner.ts
+++ b/packages/streams/src/streamRunner.ts
@@ -8,7 +8,7 @@
 } from '@skylarkfield/base';
 import {runAttempt, type AttemptEnd} from './attempt.js';
 import type {
-  StreamPlace,
+  EndpointPick,
   StreamRequest,
   StreamRunner,
   StreamSummary,
@@ -23,7 +23,7 @@
   readonly clock: Clock;
   readonly limits?: Partial<StallLimits>;
   /** Entry id, prefixed to attempt ids to make them unique across entries. */
-  readonly self?: string;
+  readonly entryId?: string;
   /** Upper bound of the attempts of one request. */
   readonly maxAttempts?: number;
 }
@@ -51,8 +51,8 @@
  * const summary = await runner.run(request, hooks, signal);
  */
 export function createStreamRunner(options: StreamRunnerOptions): StreamRunner {
-  const {clock, self, maxAttempts = DEFAULT_MAX_ATTEMPTS} = options;
-  const attemptIdPrefix = self === undefined ? '' : `${self}-`;
+  const {clock, entryId, maxAttempts = DEFAULT_MAX_ATTEMPTS} = options;
+  const attemptIdPrefix = entryId === undefined ? '' : `${entryId}-`;
   const limits = {...defaultStallLimits, ...options.limits};
   const costs = createMigrationCosts();
   const openRequests = new Set<RequestProgress>();
@@ -63,10 +63,10 @@
     progress: RequestProgress,
     hooks: Hooks,
     signal: AbortSignal,
-  ): Promise<StreamPlace> {
+  ): Promise<EndpointPick> {
     const {excluded, delivered} = progress;
     try {
-      return hooks.place(excluded, delivered);
+      return hooks.pickEndpoint(excluded, delivered);
     } catch (error) {
       if (excluded.size === 0) {
         throw error;
@@ -74,7 +74,7 @@
     }
     await sleep(clock, EXCLUDED_RETRY_DELAY_MS, signal);
     excluded.clear();
-    return hooks.place(excluded, delivered);
+    return hooks.pickEndpoint(excluded, delivered);
   }
 
   async function runAttempts(
@@ -97,7 +97,7 @@
         attemptIdPrefix,
         target,
         pickEndpoint: () =>
-          hooks.place(
+          hooks.pickEndpoint(
             new Set([...progress.excluded, pick.endpoint]),
             progress.delivered,
           ),
@@ -120,7 +120,7 @@
   /** Throws if no retry is allowed; may exclude the failed endpoint. */
   async function prepareRetry(
     progress: RequestProgress,
-    pick: StreamPlace,
+    pick: EndpointPick,
     error: ServingError,
     hooks: Hooks,
   ) {
@@ -147,7 +147,7 @@
   /** An engine that only lost the connection still has the tokens cached. */
   async function canResumeAtSameEndpoint(
     progress: RequestProgress,
-    pick: StreamPlace,
+    pick: EndpointPick,
     error: ServingError,
     hasProgress: boolean,
   ): Promise<boolean> {
--- a/packages/streams/src/test/fakeEngine.ts
+++ b/packages/streams/src/test/fakeEngine.ts
@@ -2,7 +2,7 @@
 import {ServingError, sleep, type Clock} from '@skylarkfield/base';
 import type {
   Engine,
-  Generation,
+  GenerationRequest,
   GenerationEvent,
 } from '@skylarkfield/endpoints';
 
@@ -45,7 +45,7 @@
 }
 
 export interface FakeEngine extends Engine {
-  readonly received: Generation[];
+  readonly received: GenerationRequest[];
   readonly cancelledAttempts: string[];
   /** When true, the engine does not respond, not even to load requests. */
   isHung: boolean;
@@ -71,11 +71,11 @@
   clock: Clock,
   nextPlan: () => FaultPlan,
 ): FakeEngine {
-  const received: Generation[] = [];
+  const received: GenerationRequest[] = [];
   const cancelledAttempts: string[] = [];
 
   async function* generate(
-    request: Generation,
+    request: GenerationRequest,
     signal: AbortSignal,
   ): AsyncGenerator<GenerationEvent> {
     const {fault, at} = nextPlan();
--- a/packages/streams/src/test/streamRig.ts
+++ b/packages/streams/src/test/streamRig.ts
@@ -5,7 +5,7 @@
   virtualClock,
   type ServingError as Failure,
 } from '@skylarkfield/base';
-import type {StreamPlace, StreamRequest, StreamSummary} from '../contracts.js';
+import type {EndpointPick, StreamRequest, StreamSummary} from '../contracts.js';
 import {createStreamRunner} from '../streamRunner.js';
 import {ANSWER_LENGTH, createFakeEngine, type FaultPlan} from './fakeEngine.js';
 
@@ -36,7 +36,7 @@
   const picks: {endpoint: string; outcomes: string[]}[] = [];
   let retriesLeft = options.retryBudget ?? 100;
 
-  function pickEndpoint(excluded: ReadonlySet<string>): StreamPlace {
+  function pickEndpoint(excluded: ReadonlySet<string>): EndpointPick {
     const index = engines.findIndex(
       (_, i) => !excluded.has(`e${i}`) && !leaving[i]!.signal.aborted,
     );
@@ -68,7 +68,7 @@
 
   function start(): void {
     const hooks = {
-      place: pickEndpoint,
+      pickEndpoint,
       mayRetry: () => (retriesLeft -= 1) >= 0,
       deliver(token: {readonly text: string}) {
         tokens.push(token.text);
--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -39,7 +39,10 @@
  * @example
  * confirmation.confirm(before(receivedAt, ageAtPeerMs));
  */
-export function before(timestamp: Timestamp, spanMs: number): Timestamp {
+export function earlierTimestamp(
+  timestamp: Timestamp,
+  spanMs: number,
+): Timestamp {
   return {
     monotonicMs: timestamp.monotonicMs - spanMs,
     wallMs: timestamp.wallMs - spanMs,
--- a/packages/traffic/src/contracts.ts
+++ b/packages/traffic/src/contracts.ts
@@ -36,7 +36,7 @@
 }
 
 /** Bounds and prices of the endpoints that may be ordered for a service. */
-export interface FleetTerms {
+export interface FleetConfig {
   /** Bounds of the endpoints in each failure domain, both markets together. */
   readonly least: number;
   readonly most: number;
@@ -49,7 +49,7 @@
 }
 
 /** Configuration of a model engine. */
-export interface EngineTerms {
+export interface EngineConfig {
   /** Maximum number of concurrent requests. */
   readonly slots: number;
   /** Capacity of the engine's memory, in tokens. */
@@ -59,14 +59,14 @@
 }
 
 /** Configuration of a service. */
-export interface DeclaredService {
+export interface ServiceConfig {
   readonly name: string;
   /** Maximum connections to one endpoint, over all callers. */
   readonly mostConnections: number;
   /** Undefined for a plain service. */
-  readonly engine: EngineTerms | undefined;
+  readonly engine: EngineConfig | undefined;
   /** Undefined when its endpoints are not autoscaled. */
-  readonly fleet: FleetTerms | undefined;
+  readonly fleet: FleetConfig | undefined;
 }
 
 /** Rate limit of a customer over all entries. */
@@ -79,7 +79,7 @@
 }
 
 /** A customer with the keys that its callers authenticate with. */
-export interface KeyedCustomer {
+export interface CustomerConfig {
   readonly name: string;
   readonly keys: readonly string[];
   /** Overrides the route's priority unless undefined. */
@@ -102,9 +102,9 @@
 export interface TrafficPolicy {
   readonly version: number;
   readonly routes: readonly Route[];
-  readonly services: readonly DeclaredService[];
+  readonly services: readonly ServiceConfig[];
   /** Empty when no keys are required. */
-  readonly customers: readonly KeyedCustomer[];
+  readonly customers: readonly CustomerConfig[];
   readonly limits: CallerLimits;
 }
 
--- a/packages/traffic/src/customerTable.ts
+++ b/packages/traffic/src/customerTable.ts
@@ -1,10 +1,10 @@
 /** Looks up customers by their keys. */
-import type {KeyedCustomer} from './contracts.js';
+import type {CustomerConfig} from './contracts.js';
 
 export interface CustomerTable {
   /** Whether requests need a key. */
-  readonly isKeyed: boolean;
-  holderOf(key: string): KeyedCustomer | undefined;
+  readonly requiresKey: boolean;
+  findByKey(key: string): CustomerConfig | undefined;
 }
 
 /**
@@ -13,19 +13,19 @@
  * channel).
  *
  * @example
- * const customer = createCustomerTable(policy.customers).holderOf(key);
+ * const customer = createCustomerTable(policy.customers).findByKey(key);
  */
 export function createCustomerTable(
-  customers: readonly KeyedCustomer[],
+  customers: readonly CustomerConfig[],
 ): CustomerTable {
-  const byKey = new Map<string, KeyedCustomer>();
+  const byKey = new Map<string, CustomerConfig>();
   for (const customer of customers) {
     for (const key of customer.keys) {
       byKey.set(key, customer);
     }
   }
   return {
-    isKeyed: customers.length > 0,
-    holderOf: key => byKey.get(key),
+    requiresKey: customers.length > 0,
+    findByKey: key => byKey.get(key),
   };
 }
--- a/packages/traffic/src/engineWork.ts
+++ b/packages/traffic/src/engineWork.ts
@@ -1,12 +1,12 @@
 /** Amounts of work that requests cause, and the engine time that they take. */
-import type {EngineFigures, WorkRate} from '@skylarkfield/capacity';
-import type {EngineTerms, ModelDemand} from './contracts.js';
+import type {EngineEstimate, WorkRate} from '@skylarkfield/capacity';
+import type {EngineConfig, ModelDemand} from './contracts.js';
 
 const PAIRS_PER_UNIT = 1e6;
 const CONTEXT_TOKENS_PER_UNIT = 1e3;
 
 /** Zero work. */
-export const NO_WORK: WorkRate = {
+export const ZERO_WORK: WorkRate = {
   ownTokens: 0,
   pairs: 0,
   rereadTokens: 0,
@@ -36,7 +36,7 @@
  */
 export function fitsMemory(
   {promptTokens}: ModelDemand,
-  engine: EngineTerms | undefined,
+  engine: EngineConfig | undefined,
 ): boolean {
   return engine !== undefined && promptTokens <= engine.memoryTokens;
 }
@@ -52,7 +52,7 @@
 export function promptWork(demand: ModelDemand): WorkRate {
   const own = ownTokens(demand);
   const pairs = (own * demand.promptTokens) / PAIRS_PER_UNIT;
-  return {...NO_WORK, ownTokens: own, pairs};
+  return {...ZERO_WORK, ownTokens: own, pairs};
 }
 
 /**
@@ -69,7 +69,7 @@
 ): WorkRate {
   const answerContext =
     (answerTokens * demand.promptTokens) / CONTEXT_TOKENS_PER_UNIT;
-  return {...NO_WORK, answerTokens, answerContext};
+  return {...ZERO_WORK, answerTokens, answerContext};
 }
 
 /**
@@ -79,7 +79,7 @@
  * @example
  * const busyMs = workMs(work.rates().chat, figures);
  */
-export function workMs(work: WorkRate, figures: EngineFigures): number {
+export function workMs(work: WorkRate, figures: EngineEstimate): number {
   return (
     work.ownTokens * figures.promptTokenMs +
     work.pairs * figures.pairsMs +
--- a/packages/traffic/src/fleetDemand.ts
+++ b/packages/traffic/src/fleetDemand.ts
@@ -11,15 +11,15 @@
  * rate, and none is released until requests have been on time for a while.
  */
 import type {Clock} from '@skylarkfield/base';
-import type {UsePlan} from '@skylarkfield/capacity';
+import type {TargetUtilization} from '@skylarkfield/capacity';
 import {endpointsNeeded, type EndpointNeed} from './fleetPlan.js';
 
 /** Inputs of the estimated need. */
-export interface DemandSigns {
+export interface DemandSignals {
   /** Arriving work, in milliseconds of one endpoint per second. */
   readonly workRate: number;
   /** Target utilization of an endpoint. */
-  readonly use: UsePlan;
+  readonly use: TargetUtilization;
   /** Endpoints that accept requests now. */
   readonly present: number;
   /** Fraction of recent requests that were late. */
@@ -28,9 +28,9 @@
   readonly isSure: boolean;
 }
 
-export interface FleetDemand {
+export interface DemandEstimator {
   /** Records the present signals and returns the endpoints needed. */
-  note(signals: DemandSigns): EndpointNeed;
+  update(signals: DemandSignals): EndpointNeed;
 }
 
 /** Window of the maximum need in ms, longer than the lulls between bursts. */
@@ -71,9 +71,9 @@
  * Creates the demand estimator of one service.
  *
  * @example
- * const {usual} = demand.note({workRate: 1_400, use, present: 6, latePart: 0, isSure: true});
+ * const {usual} = demand.note({workRate: 1_400, use, present: 6, lateRequestFraction: 0, isSure: true});
  */
-export function createFleetDemand(clock: Clock): FleetDemand {
+export function createDemandEstimator(clock: Clock): DemandEstimator {
   let recentNeeds: NeedSample[] = [];
   let initialCount = 0;
   let firstWorkAt: number | undefined;
@@ -88,13 +88,13 @@
   }
 
   /** Returns more endpoints than are present while many requests are late. */
-  function needFromLateness({latePart, present}: DemandSigns): number {
+  function needFromLateness({latePart, present}: DemandSignals): number {
     return latePart < LATE_FRACTION_LIMIT
       ? 1
       : Math.ceil(present * SCALE_UP_FACTOR);
   }
 
-  function needFromWork(signals: DemandSigns, utilization: number): number {
+  function needFromWork(signals: DemandSignals, utilization: number): number {
     const needed = endpointsNeeded(signals.workRate, utilization);
     // An uncertain estimate must not exceed the operator's initial fleet.
     return signals.isSure
@@ -102,7 +102,7 @@
       : Math.min(needed, Math.max(1, initialCount));
   }
 
-  function currentNeed(signals: DemandSigns): NeedSample {
+  function currentNeed(signals: DemandSignals): NeedSample {
     const usual = needFromWork(signals, signals.use.usual);
     const brief = needFromWork(signals, signals.use.brief);
     const lateNeed = Math.min(
@@ -116,7 +116,7 @@
     };
   }
 
-  function recordStart({workRate, present, isSure}: DemandSigns): void {
+  function recordStart({workRate, present, isSure}: DemandSignals): void {
     if (firstWorkAt === undefined) {
       // Endpoints register one by one when the system starts.
       initialCount = Math.max(initialCount, present);
@@ -131,7 +131,7 @@
   }
 
   return {
-    note(signals) {
+    update(signals) {
       recordStart(signals);
       recentNeeds.push(currentNeed(signals));
       recentNeeds = recentNeeds.filter(
--- a/packages/traffic/src/fleetPlan.ts
+++ b/packages/traffic/src/fleetPlan.ts
@@ -9,7 +9,7 @@
  * endpoints fill up to the brief need only: the remainder is not worth their
  * price.
  */
-import type {FleetTerms} from './contracts.js';
+import type {FleetConfig} from './contracts.js';
 
 /** Endpoints of one service in one failure domain. */
 export interface DomainFleet {
@@ -29,7 +29,7 @@
 }
 
 export interface FleetPlanInput {
-  readonly terms: FleetTerms;
+  readonly terms: FleetConfig;
   readonly needed: EndpointNeed;
   /** Reclaimable endpoints present where no more are available, by domain. */
   readonly scarce: ReadonlyMap<string, number>;
--- a/packages/traffic/src/promptKeys.ts
+++ b/packages/traffic/src/promptKeys.ts
@@ -5,7 +5,7 @@
  * Tokens per key. Fewer tokens per key track caches more exactly, but every key
  * of a request costs a map entry.
  */
-export const KEY_TOKENS = 64;
+export const TOKENS_PER_KEY = 64;
 
 /**
  * Returns the keys of the shared parts in order; a prefix of the prompt is a
@@ -20,6 +20,6 @@
 }
 
 function partKeys(part: PromptPart): string[] {
-  const count = Math.max(1, Math.round(part.tokens / KEY_TOKENS));
+  const count = Math.max(1, Math.round(part.tokens / TOKENS_PER_KEY));
   return Array.from({length: count}, (_, index) => `${part.id}.${index}`);
 }
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -8,7 +8,7 @@
  * the quota.
  */
 import type {Clock, Logger} from '@skylarkfield/base';
-import type {KeyedCustomer, Quota} from './contracts.js';
+import type {CustomerConfig, Quota} from './contracts.js';
 import {
   createQuotaWindow,
   type QuotaWindow,
@@ -20,24 +20,24 @@
 
 export interface Quotas {
   /** Charges the customer's quota; false when it is exhausted. */
-  tryTake(customer: KeyedCustomer, amount: number): boolean;
+  tryConsume(customer: CustomerConfig, amount: number): boolean;
   /** Refunds a request that has not run. */
-  giveBack(customer: KeyedCustomer, amount: number): void;
+  refund(customer: CustomerConfig, amount: number): void;
   /**
    * Returns the Retry-After of a rejected request in milliseconds, staggered
    * behind the retries already announced.
    */
-  waitMs(customer: KeyedCustomer, amount: number): number;
+  retryAfterMs(customer: CustomerConfig, amount: number): number;
   /** Returns the usage at this entry, to report to peers. */
-  used(): UsageByCustomer;
+  ownUsage(): UsageByCustomer;
   /** Adds the usage of peers since their last report. */
-  noteIncrease(increase: UsageByCustomer): void;
+  addPeerUsage(increase: UsageByCustomer): void;
   /**
    * Sets the fraction of peers with a recent report, 0 to 1, and the number of
    * entries. `silentMs` is the time without a report after which a peer no
    * longer counts as reporting.
    */
-  setHeard(
+  setReportingPeers(
     reportingFraction: number,
     entryCount: number,
     silentMs?: number,
@@ -85,7 +85,7 @@
  *
  * @example
  * const quotas = createQuotas(clock, 8_000);
- * if (!quotas.tryTake(customer, 1_540)) { reject(quotas.waitMs(customer, 1_540)); }
+ * if (!quotas.tryConsume(customer, 1_540)) { reject(quotas.retryAfterMs(customer, 1_540)); }
  */
 export function createQuotas(
   clock: Clock,
@@ -206,7 +206,7 @@
   }
 
   return {
-    tryTake({name, quota}, amount) {
+    tryConsume({name, quota}, amount) {
       if (quota === undefined) {
         return true;
       }
@@ -222,12 +222,12 @@
       recordUsage(name, account, amount);
       return true;
     },
-    giveBack({name, quota}, amount) {
+    refund({name, quota}, amount) {
       if (quota !== undefined) {
         recordUsage(name, currentAccount(name, quota), -amount);
       }
     },
-    waitMs({name, quota}, amount) {
+    retryAfterMs({name, quota}, amount) {
       if (quota === undefined) {
         return 0;
       }
@@ -254,8 +254,8 @@
       );
       return Math.max(0, availableAt - now);
     },
-    used: () => ownUsage,
-    noteIncrease(increase) {
+    ownUsage: () => ownUsage,
+    addPeerUsage(increase) {
       for (const [name, amount] of Object.entries(increase)) {
         const account = accounts.get(name);
         if (account !== undefined) {
@@ -264,7 +264,7 @@
         }
       }
     },
-    setHeard(reportingFraction, entryCount, silentMs = 0) {
+    setReportingPeers(reportingFraction, entryCount, silentMs = 0) {
       const peerCount = Math.max(0, entryCount - 1);
       const lostPeers = Math.max(
         0,
--- a/packages/traffic/src/rolloutStates.ts
+++ b/packages/traffic/src/rolloutStates.ts
@@ -6,9 +6,9 @@
  * there is none, as the state of an earlier target does not apply.
  *
  * @example
- * if (writtenState(rollout) === 'done') { useTarget(); }
+ * if (currentRolloutState(rollout) === 'done') { useTarget(); }
  */
-export function writtenState({
+export function currentRolloutState({
   state,
   stateTarget,
   target,
--- a/packages/traffic/src/test/fleet.test.ts
+++ b/packages/traffic/src/test/fleet.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {virtualClock} from '@skylarkfield/base';
-import type {FleetTerms, ModelDemand} from '../contracts.js';
+import type {FleetConfig, ModelDemand} from '../contracts.js';
 import {fitsMemory, promptWork} from '../engineWork.js';
 import {
-  createFleetDemand,
-  type DemandSigns,
-  type FleetDemand,
+  createDemandEstimator,
+  type DemandSignals,
+  type DemandEstimator,
 } from '../fleetDemand.js';
 import {endpointsNeeded, planFleet, type FleetPlan} from '../fleetPlan.js';
 
 const UTILIZATION = {usual: 0.34, brief: 0.5};
 
-const terms: FleetTerms = {
+const terms: FleetConfig = {
   least: 1,
   most: 4,
   bootMs: 4_000,
@@ -106,8 +106,8 @@
 function signalsOf(
   workRate: number,
   present: number,
-  other: Partial<DemandSigns> = {},
-): DemandSigns {
+  other: Partial<DemandSignals> = {},
+): DemandSignals {
   return {
     workRate,
     present,
@@ -118,8 +118,8 @@
   };
 }
 
-function usualNeed(demand: FleetDemand, now: DemandSigns): number {
-  return demand.note(now).usual;
+function usualNeed(demand: DemandEstimator, now: DemandSignals): number {
+  return demand.update(now).usual;
 }
 
 describe('fleet demand', () => {
@@ -127,8 +127,8 @@
     // The system starts before its callers. If idle endpoints were released at
     // once, none would be left for the first callers.
     const clock = virtualClock();
-    const demand = createFleetDemand(clock);
-    demand.note(signalsOf(0, 3));
+    const demand = createDemandEstimator(clock);
+    demand.update(signalsOf(0, 3));
     assert.equal(usualNeed(demand, signalsOf(0, 10)), 6);
     clock.advanceSync(60_000);
     assert.equal(usualNeed(demand, signalsOf(0, 5)), 6);
@@ -144,9 +144,9 @@
     // Little traffic gives few samples. Endpoints released by an uncertain
     // estimate would be missing when the busy hour starts.
     const clock = virtualClock();
-    const demand = createFleetDemand(clock);
-    demand.note(signalsOf(0, 10));
-    demand.note(signalsOf(400, 10, {isSure: false}));
+    const demand = createDemandEstimator(clock);
+    demand.update(signalsOf(0, 10));
+    demand.update(signalsOf(400, 10, {isSure: false}));
     clock.advanceSync(60_000);
     assert.equal(usualNeed(demand, signalsOf(400, 10, {isSure: false})), 6);
     assert.equal(usualNeed(demand, signalsOf(400, 10)), 2);
@@ -154,8 +154,8 @@
 
   it('rises at once and falls only after a while', () => {
     const clock = virtualClock();
-    const demand = createFleetDemand(clock);
-    demand.note(signalsOf(100, 1));
+    const demand = createDemandEstimator(clock);
+    demand.update(signalsOf(100, 1));
     clock.advanceSync(20_000);
     const high = usualNeed(demand, signalsOf(3_000, 1));
     assert.equal(high, endpointsNeeded(3_000, UTILIZATION.usual));
@@ -172,8 +172,8 @@
     // The first prompts are processed with empty caches, and a model of a few
     // requests estimated three times the actual work.
     const clock = virtualClock();
-    const demand = createFleetDemand(clock);
-    demand.note(signalsOf(0, 10));
+    const demand = createDemandEstimator(clock);
+    demand.update(signalsOf(0, 10));
     const uncertain = signalsOf(8_000, 10, {isSure: false});
     assert.equal(usualNeed(demand, uncertain), 10);
     clock.advanceSync(1_000);
@@ -184,8 +184,8 @@
     // A new version processes prompts at half the estimated speed. The work
     // looks as small as before while requests time out.
     const clock = virtualClock();
-    const demand = createFleetDemand(clock);
-    demand.note(signalsOf(1_200, 4));
+    const demand = createDemandEstimator(clock);
+    demand.update(signalsOf(1_200, 4));
     clock.advanceSync(20_000);
     assert.equal(usualNeed(demand, signalsOf(1_200, 4)), 4);
     assert.equal(usualNeed(demand, signalsOf(1_200, 4, {latePart: 0.5})), 5);
@@ -196,8 +196,8 @@
   it('is bounded when requests are late for another reason', () => {
     // Every endpoint fails for a while. More endpoints would fail as well.
     const clock = virtualClock();
-    const demand = createFleetDemand(clock);
-    demand.note(signalsOf(1_200, 4));
+    const demand = createDemandEstimator(clock);
+    demand.update(signalsOf(1_200, 4));
     clock.advanceSync(20_000);
     const late = {latePart: 1};
     assert.equal(usualNeed(demand, signalsOf(1_200, 30, late)), 8);
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {seededRandom, virtualClock} from '@skylarkfield/base';
-import type {KeyedCustomer} from '../contracts.js';
+import type {CustomerConfig} from '../contracts.js';
 import {createQuotas, type Quotas, type UsageByCustomer} from '../quotas.js';
 
 const PER_SECOND = 1_000;
@@ -17,7 +17,7 @@
 /** Factor by which a window may exceed the quota: reports are delayed. */
 const MAX_OVERSHOOT = 1.1;
 
-const customer: KeyedCustomer = {
+const customer: CustomerConfig = {
   name: 'chain',
   keys: ['k'],
   priority: undefined,
@@ -37,7 +37,7 @@
   let granted = 0;
   for (let at = 0; at < options.spanMs; at += STEP_MS) {
     for (const entry of entries) {
-      if (entry.tryTake(customer, options.amount)) {
+      if (entry.tryConsume(customer, options.amount)) {
         granted += options.amount;
       }
     }
@@ -58,7 +58,7 @@
   const entries = Array.from({length: count}, () =>
     createQuotas(clock, WINDOW_SECONDS * 1_000),
   );
-  entries.forEach(entry => entry.setHeard(1, count));
+  entries.forEach(entry => entry.setReportingPeers(1, count));
   exchangeUsage(entries);
   const perSlice: number[] = [];
   const slices = options.seconds * SLICES_PER_SECOND;
@@ -103,14 +103,14 @@
     const members = joined();
     for (const {quotas, name} of processes) {
       const isJoined = members.some(process => process.name === name);
-      quotas.setHeard(1, isJoined ? members.length : 1);
+      quotas.setReportingPeers(1, isJoined ? members.length : 1);
     }
     for (const from of members) {
-      const used = {...from.quotas.used()};
+      const used = {...from.quotas.ownUsage()};
       const isNew = clock.now() - from.startedAt < WINDOW_SECONDS * 1_000;
       for (const to of members.filter(other => other !== from)) {
         const before = to.lastReports.get(from.name) ?? (isNew ? {} : used);
-        to.quotas.noteIncrease(increaseOf(before, used));
+        to.quotas.addPeerUsage(increaseOf(before, used));
         to.lastReports.set(from.name, used);
       }
     }
@@ -157,12 +157,12 @@
 
 function exchangeUsage(entries: readonly Quotas[]): void {
   for (const from of entries) {
-    const used = {...from.used()};
+    const used = {...from.ownUsage()};
     const increase = increaseOf(lastReported.get(from), used);
     lastReported.set(from, used);
     entries
       .filter(other => other !== from)
-      .forEach(other => other.noteIncrease(increase));
+      .forEach(other => other.addPeerUsage(increase));
   }
 }
 
@@ -211,7 +211,7 @@
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
     let rejected = 0;
     for (let at = 0; at < 80_000; at += 100) {
-      const isGranted = quotas.tryTake(customer, 108);
+      const isGranted = quotas.tryConsume(customer, 108);
       // By then, usage assumed from before the start has left the window.
       rejected += !isGranted && at > 9_000 ? 1 : 0;
       clock.advanceSync(100);
@@ -223,7 +223,7 @@
   it('grants only its fraction without reports from peers', () => {
     const clock = virtualClock();
     const entries = Array.from({length: 4}, () => createQuotas(clock));
-    entries.forEach(entry => entry.setHeard(0, 4));
+    entries.forEach(entry => entry.setReportingPeers(0, 4));
     takeRepeatedly(clock, entries, {
       spanMs: 10_000,
       amount: 50,
@@ -285,11 +285,11 @@
   it('grants a fraction of the burst before the first report from a peer', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
-    assert.ok(quotas.tryTake(customer, 1));
-    quotas.setHeard(0, 7);
+    assert.ok(quotas.tryConsume(customer, 1));
+    quotas.setReportingPeers(0, 7);
     clock.advanceSync(100);
     let granted = 0;
-    while (quotas.tryTake(customer, 10)) {
+    while (quotas.tryConsume(customer, 10)) {
       granted += 10;
     }
     assert.ok(granted >= BURST / 7 - 20, `${granted}`);
@@ -305,13 +305,13 @@
       amount: 50,
       exchangesUsage: false,
     });
-    const lowered: KeyedCustomer = {
+    const lowered: CustomerConfig = {
       ...customer,
       quota: {...customer.quota!, perSecond: 250, burst: 250},
     };
     let granted = 0;
     for (let at = 0; at < 8_000; at += STEP_MS) {
-      granted += quotas.tryTake(lowered, 50) ? 50 : 0;
+      granted += quotas.tryConsume(lowered, 50) ? 50 : 0;
       clock.advanceSync(STEP_MS);
     }
     const allowed = 250 * WINDOW_SECONDS + 250;
@@ -329,7 +329,7 @@
     const amounts = {small: 10, large: 300};
     for (let at = 0; at < 600_000; at += STEP_MS) {
       const size = random.chance(0.5) ? 'small' : 'large';
-      served[size] += quotas.tryTake(customer, amounts[size]) ? 1 : 0;
+      served[size] += quotas.tryConsume(customer, amounts[size]) ? 1 : 0;
       clock.advanceSync(STEP_MS);
     }
     assert.ok(served.large > served.small / 2, JSON.stringify(served));
@@ -340,8 +340,8 @@
     // all but one would be rejected again.
     const clock = virtualClock();
     const quotas = createQuotas(clock);
-    while (quotas.tryTake(customer, 100));
-    const waits = [1, 2, 3].map(() => quotas.waitMs(customer, 500));
+    while (quotas.tryConsume(customer, 100));
+    const waits = [1, 2, 3].map(() => quotas.retryAfterMs(customer, 500));
     assert.deepEqual(
       waits.map(wait => Math.round(wait - waits[0]!)),
       [0, 500, 1_000].map(ms => Math.round(ms / SUSTAINED_FACTOR)),
@@ -351,8 +351,8 @@
   it('refunds a request that has not run', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock);
-    assert.ok(quotas.tryTake(customer, 600));
-    quotas.giveBack(customer, 600);
-    assert.equal(quotas.used()['chain'], 0);
+    assert.ok(quotas.tryConsume(customer, 600));
+    quotas.refund(customer, 600);
+    assert.equal(quotas.ownUsage()['chain'], 0);
   });
 });
