--- a/packages/traffic/src/test/traffic.test.ts
+++ b/packages/traffic/src/test/traffic.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {virtualClock} from '@skylarkfield/base';
-import {before, createConfirmation, timestampOf} from '../confirmation.js';
+import {
+  earlierTimestamp,
+  createConfirmation,
+  timestampOf,
+} from '../confirmation.js';
 import type {Route} from '../contracts.js';
 import {createCustomerTable} from '../customerTable.js';
 import {promptKeys} from '../promptKeys.js';
@@ -54,10 +58,10 @@
     const table = createCustomerTable([
       {name: 'a', keys: ['k1', 'k2'], priority: 1, quota: undefined},
     ]);
-    assert.equal(table.holderOf('k2')?.name, 'a');
-    assert.equal(table.holderOf('k3'), undefined);
-    assert.ok(table.isKeyed);
-    assert.ok(!createCustomerTable([]).isKeyed);
+    assert.equal(table.findByKey('k2')?.name, 'a');
+    assert.equal(table.findByKey('k3'), undefined);
+    assert.ok(table.requiresKey);
+    assert.ok(!createCustomerTable([]).requiresKey);
   });
 });
 
@@ -100,7 +104,7 @@
     clock.advanceSync(800);
     confirmation.confirm(requestedAt);
     assert.equal(confirmation.ageMs(), 800);
-    confirmation.confirm(before(timestampOf(clock), 5_000));
+    confirmation.confirm(earlierTimestamp(timestampOf(clock), 5_000));
     assert.equal(confirmation.ageMs(), 800);
   });
 
@@ -129,42 +133,42 @@
 
   it('adds the counts of all processes, each once', () => {
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
-    usage.note('chain', 12_000);
-    usage.note('chain', 14_999);
-    usage.noteCounts('b.1', {2: {chain: 3}});
-    usage.noteCounts('b.1', {2: {chain: 4, shop: 1}});
-    assert.deepEqual(usage.total(2), {chain: 6, shop: 1});
-    assert.deepEqual(usage.total(3), {});
+    usage.recordRequest('chain', 12_000);
+    usage.recordRequest('chain', 14_999);
+    usage.mergeCounts('b.1', {2: {chain: 3}});
+    usage.mergeCounts('b.1', {2: {chain: 4, shop: 1}});
+    assert.deepEqual(usage.totalCounts(2), {chain: 6, shop: 1});
+    assert.deepEqual(usage.totalCounts(3), {});
   });
 
   it('keeps the counts of a process from before its restart', () => {
     // An entry crashes in the middle of a window and restarts with zero counts.
     // The report must include the requests that it served before.
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
-    usage.noteCounts('b.1', {2: {chain: 40}});
-    usage.noteCounts('b.2', {2: {chain: 2}});
-    assert.deepEqual(usage.total(2), {chain: 42});
+    usage.mergeCounts('b.1', {2: {chain: 40}});
+    usage.mergeCounts('b.2', {2: {chain: 2}});
+    assert.deepEqual(usage.totalCounts(2), {chain: 42});
   });
 
   it('sums up its failure domain, and ignores lower sums of a restarted relay', () => {
     // A relay crashes and its successor lacks the counts of some entries so
     // far. The report would lose counts that the first relay had already sent.
     const relay = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
-    relay.note('chain', 12_000);
-    relay.noteCounts('b.1', {2: {chain: 3}}, true);
-    relay.noteCounts('all of another', {2: {chain: 50}});
-    assert.deepEqual(relay.near(), {2: {chain: 4}});
+    relay.recordRequest('chain', 12_000);
+    relay.mergeCounts('b.1', {2: {chain: 3}}, true);
+    relay.mergeCounts('all of another', {2: {chain: 50}});
+    assert.deepEqual(relay.domainCounts(), {2: {chain: 4}});
 
     const reporter = createUsageWindows({windowMs: WINDOW_MS, self: 'z.1'});
-    reporter.noteCounts('all of a', {2: {chain: 4}});
-    reporter.noteCounts('all of a', {2: {chain: 1, shop: 2}});
-    assert.deepEqual(reporter.total(2), {chain: 4, shop: 2});
+    reporter.mergeCounts('all of a', {2: {chain: 4}});
+    reporter.mergeCounts('all of a', {2: {chain: 1, shop: 2}});
+    assert.deepEqual(reporter.totalCounts(2), {chain: 4, shop: 2});
   });
 
   it('drops old windows', () => {
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
-    usage.note('chain', 0);
-    usage.note('chain', WINDOW_MS * 20);
-    assert.deepEqual(Object.keys(usage.own()), ['20']);
+    usage.recordRequest('chain', 0);
+    usage.recordRequest('chain', WINDOW_MS * 20);
+    assert.deepEqual(Object.keys(usage.ownCounts()), ['20']);
   });
 });
--- a/packages/traffic/src/usageWindows.ts
+++ b/packages/traffic/src/usageWindows.ts
@@ -14,22 +14,22 @@
 
 export interface UsageWindows {
   /** Counts a request that started at this wall-clock time in milliseconds. */
-  note(customer: string, wallMs: number): void;
+  recordRequest(customer: string, wallMs: number): void;
   /** Returns this process's counts of the retained windows. */
-  own(): WindowCounts;
+  ownCounts(): WindowCounts;
   /** Returns counts of the retained windows over the failure domain. */
-  near(): WindowCounts;
+  domainCounts(): WindowCounts;
   /**
    * Merges counts of another process, identified with its incarnation, or of a
    * group of processes. `isSameDomain` sets whether `near` includes them.
    */
-  noteCounts(
+  mergeCounts(
     source: string,
     counts: WindowCounts,
     isSameDomain?: boolean,
   ): void;
   /** Returns the counts of a window over all known processes. */
-  total(window: number): CustomerCounts;
+  totalCounts(window: number): CustomerCounts;
   windowAt(wallMs: number): number;
 }
 
@@ -94,15 +94,15 @@
 
   return {
     windowAt,
-    note(customer, wallMs) {
+    recordRequest(customer, wallMs) {
       const window = windowAt(wallMs);
       const counts = bySource.get(self)!;
       const customerCounts = (counts[window] ??= {});
       customerCounts[customer] = (customerCounts[customer] ?? 0) + 1;
       dropOldWindows(counts, window);
     },
-    own: () => bySource.get(self)!,
-    near() {
+    ownCounts: () => bySource.get(self)!,
+    domainCounts() {
       const sum: Record<string, Record<string, number>> = {};
       for (const source of domainSources) {
         for (const [window, counts] of Object.entries(bySource.get(source)!)) {
@@ -111,7 +111,7 @@
       }
       return sum;
     },
-    noteCounts(source, counts, isSameDomain = false) {
+    mergeCounts(source, counts, isSameDomain = false) {
       const sourceCounts = bySource.get(source) ?? {};
       bySource.set(source, sourceCounts);
       if (isSameDomain) {
@@ -124,7 +124,7 @@
       dropOldWindows(sourceCounts, newest);
       dropOldSources(newest);
     },
-    total(window) {
+    totalCounts(window) {
       const sum: Record<string, number> = {};
       for (const counts of bySource.values()) {
         addCounts(sum, counts[window] ?? {});
--- a/packages/traffic/src/workMeter.ts
+++ b/packages/traffic/src/workMeter.ts
@@ -1,10 +1,10 @@
 /** Smoothed rate of arriving work. */
 import type {Clock} from '@skylarkfield/base';
 import type {WorkRate} from '@skylarkfield/capacity';
-import {addWork, NO_WORK, scaleWork} from './engineWork.js';
+import {addWork, ZERO_WORK, scaleWork} from './engineWork.js';
 
 export interface WorkMeter {
-  note(service: string, work: WorkRate): void;
+  record(service: string, work: WorkRate): void;
   /** Returns the work per second by service. */
   rates(): Readonly<Record<string, WorkRate>>;
 }
@@ -38,8 +38,8 @@
   }
 
   return {
-    note(service, work) {
-      const sum = sums.get(service) ?? {work: NO_WORK, at: clock.now()};
+    record(service, work) {
+      const sum = sums.get(service) ?? {work: ZERO_WORK, at: clock.now()};
       sum.work = addWork(decayed(sum), work);
       sum.at = clock.now();
       sums.set(service, sum);
