--- a/tools/capacity.mjs
+++ b/tools/capacity.mjs
@@ -3,8 +3,8 @@
  * docs/reports/orderOwner.json.
  *
  *   node tools/capacity.mjs            prints the tables
- *   node tools/capacity.mjs --write    puts them into the page
- *   node tools/capacity.mjs --check    ends with code 1 when the page differs
+ *   node tools/capacity.mjs --write    updates them in the page
+ *   node tools/capacity.mjs --check    exits with 1 if the page is outdated
  */
 import {readFileSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
@@ -13,10 +13,10 @@
 
 const root = fileURLToPath(new URL('..', import.meta.url));
 const pagePath = join(root, 'docs', 'CAPACITY.md');
-const START = '<!-- computed by tools/capacity.mjs -->';
-const END = '<!-- end of computed part -->';
+const START_MARKER = '<!-- computed by tools/capacity.mjs -->';
+const END_MARKER = '<!-- end of computed part -->';
 
-const SIZE = {
+const DEPLOYMENT = {
   entries: 1_700,
   replicas: 4_800,
   failureDomains: 10,
@@ -26,67 +26,86 @@
 const BUDGET = {bytes: 7_000, cpuMicros: 45_000, memory: 128e6};
 const SECONDS_PER_DAY = 86_400;
 
-/** Bytes of Ethernet, IP and TCP heads of a segment and its acknowledgement, and the WebSocket head. By the standards, not measured. */
-const HEAD_BYTES = 66 + 66 + 6;
+/**
+ * Ethernet, IP and TCP headers of a segment and of its acknowledgement, and the
+ * WebSocket header; from the standards, not measured.
+ */
+const HEADER_BYTES = 66 + 66 + 6;
 
-/** Counts that the code fixes; each names its constant. */
-const CODE = {
-  /** PUSH_FANOUT in records/recordSpread: sent, and as many received. */
+/** Values that the code fixes or bounds, with the names of its constants. */
+const CODE_CONSTANTS = {
+  /** PUSH_FANOUT in records/recordGossip; as many are received as are sent. */
   pushFanout: 4,
-  /** DIGEST_FANOUT in records/recordSpread, each second. */
+  /** DIGEST_FANOUT in records/recordGossip, per second. */
   digestFanout: 2,
-  /** LOAD_INTERVAL_MS in entry/enginesPart. */
+  /** Per replica; LOAD_INTERVAL_MS in entry/parts/endpointPolling allows 2. */
   pollsPerSecond: 1,
-  /** READERS_PER_FAILURE_DOMAIN in records and READERS_PER_DOMAIN in members. */
+  /**
+   * READERS_PER_FAILURE_DOMAIN in records/recordReaders, READERS_PER_DOMAIN in
+   * members/readers.
+   */
   readersPerDomain: 2,
-  /** sweepMs and ownObjectMs in members/timing. */
+  /** sweepIntervalMs and ownObjectCheckIntervalMs in members/timing. */
   sweepSeconds: 60,
   ownObjectSeconds: 600,
   /** defaultLeaseTiming in duties/lease. */
   renewSeconds: 2,
   pollLeaseSeconds: 1.5,
-  /** shardCount and LINGER_MS in orders/ledger. */
+  /**
+   * shardCount in orders/ledgerSettings; minWriteIntervalMs there allows 12.5
+   * writes per second.
+   */
   shards: 8,
   shardWritesPerSecond: 10,
   /** maxShardBytes in orders/ledgerSettings. */
   maxShardBytes: 2_097_152,
 };
 
-const {idleEntry, sockets, loadPolls, sizes, members} = JSON.parse(
+const {
+  idleEntry,
+  sockets,
+  loadPolls,
+  sizes,
+  members: membershipRuns,
+} = JSON.parse(
   readFileSync(join(root, 'docs', 'reports', 'slopes.json'), 'utf8'),
 );
 
-const {owners} = JSON.parse(
+const {owners: shardOwnerRuns} = JSON.parse(
   readFileSync(join(root, 'docs', 'reports', 'orderOwner.json'), 'utf8'),
 );
 
-/** The largest simulated size, and the slope of memory up to it. */
-const largest = members[members.length - 1];
-const smaller = members[members.length - 2];
-const heapPerMember =
-  (largest.heapBytes - smaller.heapBytes) / (largest.entries - smaller.entries);
+/** Two largest simulated sizes; heap per member is the slope between them. */
+const largestRun = membershipRuns[membershipRuns.length - 1];
+const secondLargestRun = membershipRuns[membershipRuns.length - 2];
+const heapBytesPerMember =
+  (largestRun.heapBytes - secondLargestRun.heapBytes) /
+  (largestRun.entries - secondLargestRun.entries);
 
-/** One line of a role's bill: messages sent and received a second, and bytes. */
-function line(name, mechanism, messages, bytes, cpuMicros, memory = 0) {
+/**
+ * Returns a cost item: messages sent and received, bytes and CPU time per
+ * second, and memory in bytes.
+ */
+function costItem(name, mechanism, messages, bytes, cpuMicros, memory = 0) {
   return {name, mechanism, messages, bytes, cpuMicros, memory};
 }
 
-/** A message end costs half of what a whole message costs at both ends. */
-function messageCpu(messages) {
+/** CPU time of one end of messages: half of the cost measured at both ends. */
+function messageCpuMicros(messages) {
   return (messages * sockets.cpuMicrosPerMessage) / 2;
 }
 
-function messageLine(name, mechanism, messages, bytesEach) {
-  const bytes = messages * (bytesEach + HEAD_BYTES);
-  return line(name, mechanism, messages, bytes, messageCpu(messages));
+function messageCostItem(name, mechanism, messages, bytesEach) {
+  const bytes = messages * (bytesEach + HEADER_BYTES);
+  return costItem(name, mechanism, messages, bytes, messageCpuMicros(messages));
 }
 
-const changesPerSecond = SIZE.changesPerDay / SECONDS_PER_DAY;
-const entryChangesPerSecond = SIZE.entryChangesPerDay / SECONDS_PER_DAY;
-const domainMembers = SIZE.entries / SIZE.failureDomains;
+const changesPerSecond = DEPLOYMENT.changesPerDay / SECONDS_PER_DAY;
+const entryChangesPerSecond = DEPLOYMENT.entryChangesPerDay / SECONDS_PER_DAY;
+const membersPerDomain = DEPLOYMENT.entries / DEPLOYMENT.failureDomains;
 
-const common = [
-  line(
+const commonCosts = [
+  costItem(
     'process, idle, with 4 endpoints',
     'one loop, one thread',
     0,
@@ -94,86 +113,92 @@
     idleEntry.cpuMicrosPerSecond,
     idleEntry.residentBytes,
   ),
-  line(
+  costItem(
     'heartbeats',
     'rings of neighbours beyond 24 entries',
-    largest.messages,
-    largest.bytes + largest.messages * HEAD_BYTES,
-    largest.cpuMicros + messageCpu(largest.messages),
-    heapPerMember * SIZE.entries +
-      largest.neighbours * sockets.residentBytesPerConnectionEnd,
+    largestRun.messages,
+    largestRun.bytes + largestRun.messages * HEADER_BYTES,
+    largestRun.cpuMicros + messageCpuMicros(largestRun.messages),
+    heapBytesPerMember * DEPLOYMENT.entries +
+      largestRun.neighbours * sockets.residentBytesPerConnectionEnd,
   ),
-  line(
+  costItem(
     'entries that start, leave or die',
     'news on heartbeats, at most 500 bytes each',
     0,
-    entryChangesPerSecond * largest.bytesPerChange,
+    entryChangesPerSecond * largestRun.bytesPerChange,
     0,
   ),
-  messageLine(
+  messageCostItem(
     'configuration digests',
     'two peers a second compare sums',
-    2 * CODE.digestFanout,
+    2 * CODE_CONSTANTS.digestFanout,
     sizes.digestBytes,
   ),
-  messageLine(
+  messageCostItem(
     'configuration changes',
     'pushed once to four peers by each entry',
-    2 * CODE.pushFanout * changesPerSecond,
+    2 * CODE_CONSTANTS.pushFanout * changesPerSecond,
     sizes.recordBytes,
   ),
-  messageLine(
+  messageCostItem(
     'leaving endpoints',
     'passed on once to the neighbours; one host in a day',
-    (2 * largest.neighbours * SIZE.replicas) / SECONDS_PER_DAY,
+    (2 * largestRun.neighbours * DEPLOYMENT.replicas) / SECONDS_PER_DAY,
     sizes.leavingBytes,
   ),
 ];
 
-/** A shard's owner at the most orders that its bound of keys holds for ever: per order as measured at the highest rate. */
-const busiest = owners[owners.length - 1];
-const fullRatio = CODE.maxShardBytes / busiest.stateBytes;
-const shardOwner = line(
+/**
+ * Owner of a shard at the highest sustainable order rate, where its keys fill
+ * `maxShardBytes`; scaled from the highest measured rate.
+ */
+const busiestOwner = shardOwnerRuns[shardOwnerRuns.length - 1];
+const fullShardRatio = CODE_CONSTANTS.maxShardBytes / busiestOwner.stateBytes;
+const fullShardOwner = costItem(
   'owner of one full shard',
   'orders forwarded, one write for all that wait',
-  (busiest.messages + 2 * busiest.platformWrites) * fullRatio,
-  (busiest.bytes +
-    busiest.platformBytes +
-    (busiest.messages + 2 * busiest.platformWrites) * HEAD_BYTES) *
-    fullRatio,
-  busiest.cpuMicros * fullRatio,
-  busiest.heapBytes * fullRatio,
+  (busiestOwner.messages + 2 * busiestOwner.platformWrites) * fullShardRatio,
+  (busiestOwner.bytes +
+    busiestOwner.platformBytes +
+    (busiestOwner.messages + 2 * busiestOwner.platformWrites) * HEADER_BYTES) *
+    fullShardRatio,
+  busiestOwner.cpuMicros * fullShardRatio,
+  busiestOwner.heapBytes * fullShardRatio,
 );
 
-const roles = {
+const roleCosts = {
   'caller-facing node': [],
   'record reader': [
-    messageLine(
+    messageCostItem(
       'confirming changes within its failure domain',
       'one reader asks its domain, not one holder all entries',
-      2 * domainMembers * changesPerSecond,
+      2 * membersPerDomain * changesPerSecond,
       sizes.confirmBytes,
     ),
   ],
   'duty holder': [
-    messageLine(
+    messageCostItem(
       'lease and its candidates',
       'one object, renewed every 2 s',
-      2 / CODE.renewSeconds,
+      2 / CODE_CONSTANTS.renewSeconds,
       sizes.recordBytes,
     ),
-    messageLine(
+    messageCostItem(
       'asking the readers whether changes are in force',
       'two readers in each failure domain',
-      2 * CODE.readersPerDomain * SIZE.failureDomains * changesPerSecond,
+      2 *
+        CODE_CONSTANTS.readersPerDomain *
+        DEPLOYMENT.failureDomains *
+        changesPerSecond,
       sizes.confirmBytes,
     ),
   ],
-  'ledger-shard owner': [shardOwner],
+  'ledger-shard owner': [fullShardOwner],
 };
 
-function sum(lines) {
-  return lines.reduce(
+function sumCosts(items) {
+  return items.reduce(
     (total, item) => ({
       messages: total.messages + item.messages,
       bytes: total.bytes + item.bytes,
@@ -184,12 +209,12 @@
   );
 }
 
-function table(head, rows) {
-  const cells = [head, head.map(() => '---'), ...rows];
+function markdownTable(header, rows) {
+  const cells = [header, header.map(() => '---'), ...rows];
   return cells.map(row => `| ${row.join(' | ')} |`).join('\n');
 }
 
-function figures({messages, bytes, cpuMicros, memory}) {
+function formatCost({messages, bytes, cpuMicros, memory}) {
   return [
     messages.toFixed(2),
     bytes.toFixed(0),
@@ -198,19 +223,19 @@
   ];
 }
 
-function billTable(lines) {
-  return table(
+function costTable(items) {
+  return markdownTable(
     ['part', 'mechanism', 'messages/s', 'bytes/s', 'CPU %', 'MB'],
-    lines.map(item => [item.name, item.mechanism, ...figures(item)]),
+    items.map(item => [item.name, item.mechanism, ...formatCost(item)]),
   );
 }
 
 function roleTable() {
-  const rows = Object.entries(roles).map(([name, extra]) => {
-    const total = sum([...common, ...extra]);
+  const rows = Object.entries(roleCosts).map(([name, roleItems]) => {
+    const total = sumCosts([...commonCosts, ...roleItems]);
     return [
       name,
-      ...figures(total),
+      ...formatCost(total),
       `${((total.bytes / BUDGET.bytes) * 100).toFixed(0)} % bytes, ${(
         (total.cpuMicros / BUDGET.cpuMicros) *
         100
@@ -219,38 +244,45 @@
       )} % memory`,
     ];
   });
-  return table(
+  return markdownTable(
     ['role', 'messages/s', 'bytes/s', 'CPU %', 'MB', 'of the budget'],
     rows,
   );
 }
 
-/** What today's way of knowing replicas costs, and what would fit. */
+/**
+ * Cost of tracking replicas by load reports and host lists, and the rate of
+ * reports that fits the budget.
+ */
 function replicaTable() {
-  const spent = sum(common);
-  const bytesLeft = BUDGET.bytes - spent.bytes;
-  const pollBytes = loadPolls.bytesPerPoll + HEAD_BYTES;
-  const all = SIZE.replicas * CODE.pollsPerSecond;
-  const listBytes = SIZE.replicas * sizes.bytesPerListedEndpoint;
-  const listPerSecond = SIZE.replicas / SECONDS_PER_DAY;
-  return table(
+  const commonTotal = sumCosts(commonCosts);
+  const remainingBytes = BUDGET.bytes - commonTotal.bytes;
+  const pollBytes = loadPolls.bytesPerPoll + HEADER_BYTES;
+  const pollsPerSecond = DEPLOYMENT.replicas * CODE_CONSTANTS.pollsPerSecond;
+  const listBytes = DEPLOYMENT.replicas * sizes.bytesPerListedEndpoint;
+  const listReadsPerSecond = DEPLOYMENT.replicas / SECONDS_PER_DAY;
+  return markdownTable(
     ['what', 'bytes/s', 'CPU %'],
     [
       [
-        `load reports of all ${SIZE.replicas} replicas, every second (today)`,
-        (all * pollBytes).toFixed(0),
-        ((all * loadPolls.cpuMicrosPerPollBothSides) / 2 / 1e4).toFixed(0),
+        `load reports of all ${DEPLOYMENT.replicas} replicas, every second (today)`,
+        (pollsPerSecond * pollBytes).toFixed(0),
+        (
+          (pollsPerSecond * loadPolls.cpuMicrosPerPollBothSides) /
+          2 /
+          1e4
+        ).toFixed(0),
       ],
       [
         `whole host list (${(listBytes / 1e6).toFixed(1)} MB) after each change, one per replica and day (today)`,
-        (listBytes * listPerSecond).toFixed(0),
+        (listBytes * listReadsPerSecond).toFixed(0),
         'not measured',
       ],
       [
-        `reports a second that the rest of the budget holds: ${Math.floor(bytesLeft / pollBytes)}`,
-        bytesLeft.toFixed(0),
+        `reports a second that the rest of the budget holds: ${Math.floor(remainingBytes / pollBytes)}`,
+        remainingBytes.toFixed(0),
         (
-          ((bytesLeft / pollBytes) * loadPolls.cpuMicrosPerPollBothSides) /
+          ((remainingBytes / pollBytes) * loadPolls.cpuMicrosPerPollBothSides) /
           2 /
           1e4
         ).toFixed(1),
@@ -260,36 +292,41 @@
 }
 
 function platformTable() {
-  const readers = CODE.readersPerDomain * SIZE.failureDomains;
-  const starts = entryChangesPerSecond;
+  const readers = CODE_CONSTANTS.readersPerDomain * DEPLOYMENT.failureDomains;
+  const startsPerSecond = entryChangesPerSecond;
   const rows = [
     ['accepted records', 'few readers per failure domain', readers, 0],
     ['reclaim notices (cloud)', 'few readers per failure domain', readers, 0],
-    ['state of moves', 'a watch at every entry (today)', SIZE.entries, 0],
+    ['state of moves', 'a watch at every entry (today)', DEPLOYMENT.entries, 0],
     [
       'own member object',
       'looked at every 10 minutes',
-      SIZE.entries / CODE.ownObjectSeconds,
+      DEPLOYMENT.entries / CODE_CONSTANTS.ownObjectSeconds,
       0,
     ],
     [
       'entries that start and leave',
       'one write and one listing, one removal',
-      starts,
-      2 * starts,
+      startsPerSecond,
+      2 * startsPerSecond,
+    ],
+    [
+      'sweep of dead entries',
+      'one entry',
+      1 / CODE_CONSTANTS.sweepSeconds,
+      startsPerSecond,
     ],
-    ['sweep of dead entries', 'one entry', 1 / CODE.sweepSeconds, starts],
     [
       'leases of three duties',
       'three candidates each',
-      (3 * 3) / CODE.pollLeaseSeconds,
-      3 / CODE.renewSeconds,
+      (3 * 3) / CODE_CONSTANTS.pollLeaseSeconds,
+      3 / CODE_CONSTANTS.renewSeconds,
     ],
     [
       'order ledger, at most',
       'one write for all claims waiting',
       0,
-      CODE.shards * CODE.shardWritesPerSecond,
+      CODE_CONSTANTS.shards * CODE_CONSTANTS.shardWritesPerSecond,
     ],
     [
       'configuration',
@@ -300,7 +337,7 @@
   ];
   const reads = rows.reduce((total, row) => total + row[2], 0);
   const writes = rows.reduce((total, row) => total + row[3], 0);
-  return table(
+  return markdownTable(
     ['what', 'mechanism', 'reads/s, a waiting watch as one', 'writes/s'],
     [...rows, ['sum', '', reads, writes]].map(row => [
       row[0],
@@ -312,7 +349,7 @@
 }
 
 function ownerTable() {
-  return table(
+  return markdownTable(
     [
       'orders/s',
       'keys',
@@ -324,7 +361,7 @@
       'platform bytes/s',
       'CPU µs/s',
     ],
-    owners.map(item => [
+    shardOwnerRuns.map(item => [
       item.ordersPerSecond,
       item.entries,
       item.stateBytes,
@@ -339,7 +376,7 @@
 }
 
 function memberTable() {
-  return table(
+  return markdownTable(
     [
       'entries',
       'neighbours',
@@ -350,7 +387,7 @@
       'bytes per change',
       'first / last notices a kill, ms',
     ],
-    members.map(item => [
+    membershipRuns.map(item => [
       item.entries,
       item.neighbours,
       item.messages,
@@ -363,16 +400,16 @@
   );
 }
 
-const computed = [
-  START,
+const computedSection = [
+  START_MARKER,
   '',
   '### Measured: membership per entry',
   '',
   memberTable(),
   '',
-  `### Computed: what every entry spends at ${SIZE.entries} entries`,
+  `### Computed: what every entry spends at ${DEPLOYMENT.entries} entries`,
   '',
-  billTable(common),
+  costTable(commonCosts),
   '',
   '### Measured: owner of one shard of the order ledger, by its orders',
   '',
@@ -390,30 +427,35 @@
   '',
   platformTable(),
   '',
-  END,
+  END_MARKER,
 ].join('\n');
 
-/** The page with its computed part replaced, formatted as the repository is. */
-async function renewedPage(page) {
-  const start = page.indexOf(START);
-  const end = page.indexOf(END);
+/** Returns the page with a new computed section, formatted by prettier. */
+async function withComputedSection(page) {
+  const start = page.indexOf(START_MARKER);
+  const end = page.indexOf(END_MARKER);
   if (start < 0 || end < 0) {
-    throw new Error(`${pagePath} has no computed part`);
+    throw new Error(`${pagePath} has no markers of a computed section`);
   }
-  const text = page.slice(0, start) + computed + page.slice(end + END.length);
+  const text =
+    page.slice(0, start) +
+    computedSection +
+    page.slice(end + END_MARKER.length);
   const config = await prettier.resolveConfig(pagePath);
   return prettier.format(text, {...config, filepath: pagePath});
 }
 
 if (process.argv.includes('--write')) {
   const page = readFileSync(pagePath, 'utf8');
-  writeFileSync(pagePath, await renewedPage(page));
+  writeFileSync(pagePath, await withComputedSection(page));
 } else if (process.argv.includes('--check')) {
   const page = readFileSync(pagePath, 'utf8');
-  if ((await renewedPage(page)) !== page) {
-    console.error('docs/CAPACITY.md differs from the files in docs/reports');
+  if ((await withComputedSection(page)) !== page) {
+    console.error(
+      'docs/CAPACITY.md is outdated: it differs from the results in docs/reports',
+    );
     process.exit(1);
   }
 } else {
-  console.log(computed);
+  console.log(computedSection);
 }
--- a/tools/report.mjs
+++ b/tools/report.mjs
@@ -1,6 +1,6 @@
 /**
- * Writes docs/reports/index.html, a page with plots and tables, from the
- * results in docs/reports/*.json, which `npm run bench -- NAME --out FILE` makes.
+ * Generates docs/reports/index.html, a page with plots and tables, from the
+ * results in docs/reports/*.json (from `npm run bench -- NAME --out FILE`).
  *
  *   node tools/report.mjs
  */
@@ -13,10 +13,10 @@
 import {plots} from './reportPlots.mjs';
 
 const root = fileURLToPath(new URL('..', import.meta.url));
-const folder = join(root, 'docs', 'reports');
+const reportsFolder = join(root, 'docs', 'reports');
 const SIGNIFICANT_DIGITS = 4;
 /** Length of `2026-01-31`. */
-const DATE_LENGTH = 10;
+const ISO_DATE_LENGTH = 10;
 
 const STYLE = `
 body { font-family: sans-serif; margin: 2rem auto; max-width: 72rem; padding: 0 1rem; }
@@ -37,7 +37,7 @@
   return typeof value === 'object' && value !== null;
 }
 
-function isRows(value) {
+function isObjectArray(value) {
   return Array.isArray(value) && value.length > 0 && value.every(isObject);
 }
 
@@ -50,25 +50,28 @@
 
 function renderTable(rows) {
   const columns = [...new Set(rows.flatMap(row => Object.keys(row)))];
-  const line = (tag, cells) =>
+  const renderRow = (tag, cells) =>
     `<tr>${cells.map(cell => `<${tag}>${cell}</${tag}>`).join('')}</tr>`;
-  const head = line('th', columns.map(escapeHtml));
-  const body = rows.map(row =>
-    line(
+  const headerRow = renderRow('th', columns.map(escapeHtml));
+  const bodyRows = rows.map(row =>
+    renderRow(
       'td',
       columns.map(column => renderValue(row[column])),
     ),
   );
-  return `<div class="wide"><table>\n${[head, ...body].join('\n')}\n</table></div>`;
+  return `<div class="wide"><table>\n${[headerRow, ...bodyRows].join('\n')}\n</table></div>`;
 }
 
-/** Lists become tables; an object of objects becomes one with its keys in front. */
-function renderPart(name, value) {
-  if (isRows(value)) {
+/**
+ * Renders lists as tables, and an object of flat objects as one table with its
+ * keys as first column.
+ */
+function renderTables(name, value) {
+  if (isObjectArray(value)) {
     return `<h3>${escapeHtml(name)}</h3>\n${renderTable(value)}`;
   }
   if (!isObject(value) || Array.isArray(value)) {
-    return renderPart(name, [{[name]: value}]);
+    return renderTables(name, [{[name]: value}]);
   }
   const entries = Object.entries(value);
   const isFlat = entries.every(
@@ -76,17 +79,17 @@
   );
   if (isFlat) {
     const rows = entries.map(([key, row]) => ({name: key, ...row}));
-    return renderPart(name, rows);
+    return renderTables(name, rows);
   }
-  const figures = entries.filter(([, inner]) => !isObject(inner));
+  const scalars = entries.filter(([, inner]) => !isObject(inner));
   const nested = entries.filter(([, inner]) => isObject(inner));
-  const parts = nested.map(([key, inner]) =>
-    renderPart(`${name}.${key}`, inner),
+  const tables = nested.map(([key, inner]) =>
+    renderTables(`${name}.${key}`, inner),
   );
-  if (figures.length > 0) {
-    parts.unshift(renderPart(name, [Object.fromEntries(figures)]));
+  if (scalars.length > 0) {
+    tables.unshift(renderTables(name, [Object.fromEntries(scalars)]));
   }
-  return parts.join('\n');
+  return tables.join('\n');
 }
 
 async function renderPlot(spec) {
@@ -98,15 +101,17 @@
   return svg;
 }
 
-/** The day the result was committed; of the file itself while it is not. */
-function dateOf(path) {
+/** Returns the date of a result's commit, or of the file if it is modified. */
+function reportDate(path) {
   const git = (...args) =>
     execFileSync('git', args, {cwd: root, encoding: 'utf8'}).trim();
-  const isChanged = git('status', '--porcelain', '--', path) !== '';
-  const committed = isChanged
+  const isModified = git('status', '--porcelain', '--', path) !== '';
+  const commitDate = isModified
     ? ''
     : git('log', '-1', '--format=%cs', '--', path);
-  return committed || statSync(path).mtime.toISOString().slice(0, DATE_LENGTH);
+  return (
+    commitDate || statSync(path).mtime.toISOString().slice(0, ISO_DATE_LENGTH)
+  );
 }
 
 async function renderReport(path) {
@@ -114,27 +119,29 @@
     readFileSync(path, 'utf8'),
   );
   const specs = plots[measurement]?.(result) ?? [];
-  const drawn = await Promise.all(specs.map(renderPlot));
-  const single = Object.entries(result).filter(([, value]) => !isObject(value));
+  const svgs = await Promise.all(specs.map(renderPlot));
+  const scalars = Object.entries(result).filter(
+    ([, value]) => !isObject(value),
+  );
   const tables = Object.entries(result).filter(([, value]) => isObject(value));
   return [
     `<h2 id="${escapeHtml(measurement)}">${escapeHtml(measurement)}</h2>`,
-    `<p>Seed ${seed}, ${dateOf(path)}, took ${renderValue(tookSeconds)} s; ` +
+    `<p>Seed ${seed}, ${reportDate(path)}, took ${renderValue(tookSeconds)} s; ` +
       `data: <a href="${basename(path)}">${basename(path)}</a>.</p>`,
-    ...drawn,
-    ...(single.length > 0 ? [renderTable([Object.fromEntries(single)])] : []),
-    ...tables.map(([name, value]) => renderPart(name, value)),
+    ...svgs,
+    ...(scalars.length > 0 ? [renderTable([Object.fromEntries(scalars)])] : []),
+    ...tables.map(([name, value]) => renderTables(name, value)),
   ].join('\n');
 }
 
-const names = readdirSync(folder)
+const fileNames = readdirSync(reportsFolder)
   .filter(name => name.endsWith('.json'))
   .sort();
 const sections = [];
-for (const name of names) {
-  sections.push(await renderReport(join(folder, name)));
+for (const name of fileNames) {
+  sections.push(await renderReport(join(reportsFolder, name)));
 }
-const contents = names
+const links = fileNames
   .map(name => basename(name, '.json'))
   .map(name => `<a href="#${name}">${name}</a>`);
 const page = `<!doctype html>
@@ -147,13 +154,13 @@
 </head>
 <body>
 <h1>Measurements</h1>
-<p>Written by <code>tools/report.mjs</code> from the results beside this page. The machine was shared with
-other work during the runs: times and processor figures of real processes vary with it; decisions on virtual
-clocks depend on the seed alone.</p>
-<p>${contents.join(' · ')}</p>
+<p>Generated by <code>tools/report.mjs</code> from the results beside this page. The machine was shared with
+other processes during the runs, so durations and CPU times of real processes vary; decisions on virtual
+clocks depend only on the seed.</p>
+<p>${links.join(' · ')}</p>
 ${sections.join('\n')}
 </body>
 </html>
 `;
-writeFileSync(join(folder, 'index.html'), page);
-console.log(`docs/reports/index.html: ${names.join(', ')}`);
+writeFileSync(join(reportsFolder, 'index.html'), page);
+console.log(`docs/reports/index.html: ${fileNames.join(', ')}`);
--- a/tools/reportPlots.mjs
+++ b/tools/reportPlots.mjs
@@ -1,19 +1,19 @@
-/** What `report.mjs` draws: for each measurement, plots in vega-lite's terms. */
+/** Vega-Lite specifications of the plots rendered by `report.mjs`. */
 
 const WIDTH = 300;
 const HEIGHT = 200;
 
-/** Rows of a table whose keys are one column: `{a: {x: 1}}` becomes `[{policy: 'a', x: 1}]`. */
-function keyed(table, column) {
+/** Turns keys into a column: `{a: {x: 1}}` becomes `[{policy: 'a', x: 1}]`. */
+function rowsWithKey(table, column) {
   return Object.entries(table).map(([key, row]) => ({[column]: key, ...row}));
 }
 
-function mark(type, title, values, encoding) {
+function plotSpec(type, title, values, encoding) {
   return {
     $schema: 'https://vega.github.io/schema/vega-lite/v5.json',
     title,
     background: 'white',
-    // Names of cases are long: cut off they cannot be told apart.
+    // No truncation: long names of cases would become indistinguishable.
     config: {axis: {labelLimit: 0}, legend: {labelLimit: 0}},
     width: WIDTH,
     height: HEIGHT,
@@ -23,28 +23,28 @@
   };
 }
 
-function axis(field, title, more = {}) {
-  return {field, title, ...more};
+function channel(field, title, options = {}) {
+  return {field, title, ...options};
 }
 
-/** Bars by the column `x`, side by side for each value of the column `by`. */
-function bars(title, values, {x, y, by, unit}) {
-  return mark('bar', title, values, {
-    x: axis(x, x, {type: 'nominal', sort: null}),
-    y: axis(y, unit ?? y, {type: 'quantitative'}),
+/** Returns a bar chart over the column `x`, grouped by the column `by`. */
+function barChart(title, values, {x, y, by, unit}) {
+  return plotSpec('bar', title, values, {
+    x: channel(x, x, {type: 'nominal', sort: null}),
+    y: channel(y, unit ?? y, {type: 'quantitative'}),
     ...(by && {
       xOffset: {field: by, sort: null},
-      color: axis(by, by, {type: 'nominal', sort: null}),
+      color: channel(by, by, {type: 'nominal', sort: null}),
     }),
   });
 }
 
-/** One line for each value of the column `by`. */
-function lines(title, values, {x, y, by, unit, scale = 'linear'}) {
-  return mark('line', title, values, {
-    x: axis(x, x, {type: 'quantitative', scale: {type: scale}}),
-    y: axis(y, unit ?? y, {type: 'quantitative'}),
-    color: axis(by, by, {type: 'nominal', sort: null}),
+/** Returns a line chart with a line for each value of the column `by`. */
+function lineChart(title, values, {x, y, by, unit, scale = 'linear'}) {
+  return plotSpec('line', title, values, {
+    x: channel(x, x, {type: 'quantitative', scale: {type: scale}}),
+    y: channel(y, unit ?? y, {type: 'quantitative'}),
+    color: channel(by, by, {type: 'nominal', sort: null}),
   });
 }
 
@@ -52,13 +52,13 @@
 
 function reclaimRows(report) {
   return RECLAIM_CASES.flatMap(name =>
-    keyed(report[name], 'policy').map(row => ({case: name, ...row})),
+    rowsWithKey(report[name], 'policy').map(row => ({case: name, ...row})),
   );
 }
 
 function routingRows({users}) {
   return Object.entries(users).flatMap(([user, {policies}]) =>
-    keyed(policies, 'policy').map(row => ({user, ...row})),
+    rowsWithKey(policies, 'policy').map(row => ({user, ...row})),
   );
 }
 
@@ -68,30 +68,30 @@
   );
 }
 
-/** Without the sum over both users, whose mixes have rows of their own. */
+/** Returns the rows per mix, without the sum over both users. */
 function moveRows({summary}) {
   return summary.filter(row => row.mix !== 'both users');
 }
 
-/** Plots by measurement; one that is not named here has tables only. */
+/** Plots by measurement; those not listed here have only tables. */
 export const plots = {
   isolation: ({rows}) => [
-    bars(
+    barChart(
       'Requests of the other services answered in time',
       rows.map(row => ({...row, case: `${row.trouble}, ${row.service}`})),
       {x: 'case', y: 'success', by: 'gate', unit: 'share'},
     ),
   ],
   overload: ({rows}) => {
-    const told = rows.filter(row => !row.isOverstated);
+    const accurateRows = rows.filter(row => !row.isOverstated);
     return [
-      lines('Goodput by load', told, {
+      lineChart('Goodput by load', accurateRows, {
         x: 'load',
         y: 'goodputPerSecond',
         by: 'gate',
         unit: 'requests a second',
       }),
-      lines('Most important requests in time', told, {
+      lineChart('Most urgent requests answered in time', accurateRows, {
         x: 'load',
         y: 'inTimeUrgency1',
         by: 'gate',
@@ -100,13 +100,13 @@
     ];
   },
   routing: report => [
-    bars('Tokens recomputed', routingRows(report), {
+    barChart('Tokens recomputed', routingRows(report), {
       x: 'policy',
       y: 'recomputedTokens',
       by: 'user',
       unit: 'tokens',
     }),
-    bars('First token, 95th percentile', routingRows(report), {
+    barChart('Time to first token, 95th percentile', routingRows(report), {
       x: 'policy',
       y: 'firstTokenP95Ms',
       by: 'user',
@@ -114,13 +114,13 @@
     }),
   ],
   reclaim: report => [
-    bars('Tokens recomputed', reclaimRows(report), {
+    barChart('Tokens recomputed', reclaimRows(report), {
       x: 'case',
       y: 'recomputedTokens',
       by: 'policy',
       unit: 'tokens',
     }),
-    bars('Longest pause of a stream', reclaimRows(report), {
+    barChart('Longest pause of a stream', reclaimRows(report), {
       x: 'case',
       y: 'pauseMaxMs',
       by: 'policy',
@@ -128,13 +128,13 @@
     }),
   ],
   orders: report => [
-    lines('Writes to the platform', orderRows(report), {
+    lineChart('Writes to the platform', orderRows(report), {
       x: 'ordersPerSecond',
       y: 'writesPerSecond',
       by: 'way',
       unit: 'writes a second',
     }),
-    lines('Added latency, 95th percentile', orderRows(report), {
+    lineChart('Added latency, 95th percentile', orderRows(report), {
       x: 'ordersPerSecond',
       y: 'addedP95Ms',
       by: 'way',
@@ -142,19 +142,19 @@
     }),
   ],
   moves: report => [
-    bars('Good versions moved in on time', moveRows(report), {
+    barChart('Good versions rolled out in time', moveRows(report), {
       x: 'mix',
       y: 'goodMovedIn',
       by: 'judge',
       unit: 'share',
     }),
-    bars('Bad versions taken back', moveRows(report), {
+    barChart('Bad versions rolled back', moveRows(report), {
       x: 'mix',
       y: 'badTakenBack',
       by: 'judge',
       unit: 'share',
     }),
-    bars('Requests served by a bad version, median', moveRows(report), {
+    barChart('Requests served by a bad version, median', moveRows(report), {
       x: 'mix',
       y: 'badServedMedian',
       by: 'judge',
@@ -162,14 +162,14 @@
     }),
   ],
   spread: ({results}) => [
-    lines('Until a configuration is in force, longest', results, {
+    lineChart('Longest time until a configuration is in force', results, {
       x: 'entries',
       y: 'inForceMaxMs',
       by: 'mode',
       unit: 'ms',
       scale: 'log',
     }),
-    lines('Calls to the platform', results, {
+    lineChart('Calls to the platform', results, {
       x: 'entries',
       y: 'platformCallsPerSecond',
       by: 'mode',
@@ -178,16 +178,16 @@
     }),
   ],
   fleet: ({rows}) => [
-    bars('Cost of a day', rows, {x: 'policy', y: 'costPerDay'}),
-    bars('Time at the latency target', rows, {
+    barChart('Cost of a day', rows, {x: 'policy', y: 'costPerDay'}),
+    barChart('Time within the latency target', rows, {
       x: 'policy',
       y: 'targetHeld',
       unit: 'share',
     }),
   ],
   capacity: ({curves, plans}) => [
-    lines(
-      "Learned time of the usual prompt, relative to the engine's",
+    lineChart(
+      "Estimated time of the usual prompt, relative to the engine's",
       curves,
       {
         x: 'second',
@@ -195,12 +195,12 @@
         by: 'profile',
       },
     ),
-    bars('Engines planned for the same work', plans, {
+    barChart('Engines planned for the same load', plans, {
       x: 'profile',
       y: 'engines',
       by: 'plan',
     }),
-    bars('Served within the goal by that plan', plans, {
+    barChart('Requests served within the goal by that plan', plans, {
       x: 'profile',
       y: 'inTime',
       by: 'plan',
@@ -208,13 +208,13 @@
     }),
   ],
   shedding: ({rows}) => [
-    bars('Served within the goal at twice the capacity', rows, {
+    barChart('Requests served within the goal at twice the capacity', rows, {
       x: 'profile',
       y: 'inTime',
       by: 'refusesLate',
       unit: 'share',
     }),
-    bars('Without an answer until the deadline', rows, {
+    barChart('Requests without an answer by the deadline', rows, {
       x: 'profile',
       y: 'timedOut',
       by: 'refusesLate',
@@ -222,14 +222,14 @@
     }),
   ],
   overhead: ({rows}) => [
-    bars('Time of a request, 95th percentile', rows, {
+    barChart('Request duration, 95th percentile', rows, {
       x: 'target',
       y: 'p95Ms',
       unit: 'ms',
     }),
   ],
   slopes: ({members}) => [
-    lines('Bytes of membership per entry', members.map(withSeries), {
+    lineChart('Bytes of membership per entry', members.map(withSeries), {
       x: 'entries',
       y: 'bytes',
       by: 'series',
