--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,7 +7,7 @@
 );
 const packageNames = Object.keys(layers);
 
-/** Imports point only downward: each package may import just what its line in layers.json lists. */
+/** Restricts each package's imports to the packages listed in layers.json. */
 function layerRules() {
   return packageNames.map(name => {
     const forbidden = packageNames.filter(
@@ -25,7 +25,7 @@
                   `@skylarkfield/${other}`,
                   `@skylarkfield/${other}/*`,
                 ]),
-                message: `The layer table (layers.json) does not let ${name} import this.`,
+                message: `layers.json does not allow ${name} to import this package.`,
               },
             ],
           },
@@ -35,18 +35,22 @@
   });
 }
 
-/** The platform's headers and paths, in any case, and its fields, as they are spelled. */
-const PLATFORM_NAMES = [
+/**
+ * Patterns of the platform's headers and paths (case-insensitive) and of its
+ * fields (case-sensitive).
+ */
+const PLATFORM_NAME_PATTERNS = [
   '/^(x-(try-id|reply-seal|duty-holder|fence-token|expect-replica|prompt-prefix|token-counts|deadline-ms|replica-|kv-)|kv-(from|fetch)|.*skylarkfield\\/(resolve|readyz|objects|report|kv-))/i',
   '/^(PathPrefix|ApiKeys|KvTokens|CurrentRev|MorePages)$/',
 ];
 
-/** Only the adapter knows the platform's names. */
+/** Restricts the platform's wire names to its adapter in platform/. */
 function platformNameRule() {
-  const message = "The platform's names are decoded in platform/ alone.";
-  const selectors = PLATFORM_NAMES.flatMap(names => [
-    `Literal[value=${names}]`,
-    `Property > Identifier.key[name=${names}]`,
+  const message =
+    "Names of the platform's wire format are allowed only in platform/.";
+  const selectors = PLATFORM_NAME_PATTERNS.flatMap(pattern => [
+    `Literal[value=${pattern}]`,
+    `Property > Identifier.key[name=${pattern}]`,
   ]);
   return {
     files: ['packages/**/*.ts'],
--- a/tools/buildBinary.mjs
+++ b/tools/buildBinary.mjs
@@ -1,6 +1,6 @@
 /**
- * Builds dist/skylarkfield, one executable that needs no Node.js beside it:
- * bundle, single-executable blob, injection into a copy of the node binary.
+ * Builds dist/skylarkfield, an executable that needs no Node.js installed:
+ * bundles the code, makes a blob of it and injects it into a copy of `node`.
  */
 import {copyFileSync, mkdirSync, rmSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
@@ -10,49 +10,49 @@
 
 const root = fileURLToPath(new URL('..', import.meta.url));
 const dist = join(root, 'dist');
-const bundle = join(dist, 'skylarkfield.cjs');
-const blob = join(dist, 'skylarkfield.blob');
-const config = join(dist, 'sea.json');
-const binary = join(dist, 'skylarkfield');
+const bundlePath = join(dist, 'skylarkfield.cjs');
+const blobPath = join(dist, 'skylarkfield.blob');
+const seaConfigPath = join(dist, 'sea.json');
+const binaryPath = join(dist, 'skylarkfield');
 
-/** The mark by which node finds the blob in its own executable. */
+/** Sentinel in the node executable that tells whether a blob was injected. */
 const SENTINEL_FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
 await run('npm', ['run', '--silent', 'build'], {cwd: root});
 mkdirSync(dist, {recursive: true});
 await build({
   entryPoints: [join(root, 'packages', 'cli', 'out', 'main.js')],
-  outfile: bundle,
+  outfile: bundlePath,
   bundle: true,
   platform: 'node',
   target: 'node20',
   format: 'cjs',
   external: ['msgpackr-extract', 'typescript'],
-  // A single executable's own require knows only built-in modules and warns
-  // when asked for others.
+  // The `require` of a single executable loads only built-in modules and warns
+  // about any other.
   banner: {
     js: "require=require('node:module').createRequire(process.execPath);",
   },
-  // ES modules have no __dirname; the bundle is CommonJS and has no import.meta.
+  // ES modules lack __dirname and use import.meta, which is empty in CommonJS.
   logOverride: {'empty-import-meta': 'silent'},
 });
 writeFileSync(
-  config,
+  seaConfigPath,
   JSON.stringify({
-    main: bundle,
-    output: blob,
+    main: bundlePath,
+    output: blobPath,
     disableExperimentalSEAWarning: true,
   }),
 );
-await run(process.execPath, ['--experimental-sea-config', config]);
-rmSync(binary, {force: true});
-copyFileSync(process.execPath, binary);
+await run(process.execPath, ['--experimental-sea-config', seaConfigPath]);
+rmSync(binaryPath, {force: true});
+copyFileSync(process.execPath, binaryPath);
 await run(process.execPath, [
   join(root, 'node_modules', 'postject', 'dist', 'cli.js'),
-  binary,
+  binaryPath,
   'NODE_SEA_BLOB',
-  blob,
+  blobPath,
   '--sentinel-fuse',
   SENTINEL_FUSE,
 ]);
-console.log(`built ${binary}`);
+console.log(`built ${binaryPath}`);
--- a/tools/checkBinary.mjs
+++ b/tools/checkBinary.mjs
@@ -1,4 +1,4 @@
-/** Serves one streamed answer and one order through processes of the built binary. */
+/** Checks that the built binary serves a streamed answer and an order. */
 import assert from 'node:assert/strict';
 import {existsSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
@@ -8,12 +8,14 @@
   streamChat,
 } from '../packages/bench/out/processes/trialCalls.js';
 
-const binary = fileURLToPath(new URL('../dist/skylarkfield', import.meta.url));
-if (!existsSync(binary)) {
-  console.error('no binary: npm run binary builds it');
+const binaryPath = fileURLToPath(
+  new URL('../dist/skylarkfield', import.meta.url),
+);
+if (!existsSync(binaryPath)) {
+  console.error('dist/skylarkfield is missing; build it with `npm run binary`');
   process.exit(1);
 }
-process.env.SKYLARKFIELD_BINARY = binary;
+process.env.SKYLARKFIELD_BINARY = binaryPath;
 
 const {fleet, urls} = await startServingFleet();
 try {
--- a/tools/demo.mjs
+++ b/tools/demo.mjs
@@ -1,7 +1,7 @@
 /**
- * `npm start`: a small fleet on loopback with stand-ins for the platform, two
- * model replicas and two plain services; shows a streamed answer and an order,
- * says what to try next and stays up until Ctrl-C.
+ * `npm start`: runs three entries on loopback with stand-ins for the platform,
+ * two model replicas and two plain services. Prints a streamed answer, an order
+ * and commands to try, and runs until Ctrl-C.
  */
 import {startServingFleet} from '../packages/bench/out/processes/servingFleet.js';
 import {
@@ -28,15 +28,15 @@
   process.exit(1);
 }
 
-async function showFleet([entry, other]) {
-  console.log('\na streamed answer of the model service "match":');
+async function showFleet([entry, otherEntry]) {
+  console.log('\na streamed answer from the model service "match":');
   const answer = await streamChat(entry, 'match a warm oak floor', 12);
   console.log(answer.text);
 
   console.log(
-    '\nan order at "booking", and again with its key at another entry:',
+    '\nan order at "booking", repeated with the same key at another entry:',
   );
-  for (const url of [entry, other]) {
+  for (const url of [entry, otherEntry]) {
     const {status, text} = await sendOrder(url, 'shift-17');
     console.log(`${url}: ${status} ${text.trim()}`);
   }
@@ -45,11 +45,11 @@
 
 function showNextSteps(entry) {
   const cli = 'node packages/cli/out/main.js';
-  const admin = fleet.entries[0].ready.admin;
+  const adminAddress = fleet.entries[0].ready.admin;
   console.log(`
-the fleet stays up until Ctrl-C; in another terminal:
+the fleet runs until Ctrl-C; in another terminal, try:
   ${cli} lookup --entry ${entry} --key ${TRIAL_CUSTOMER_KEY}
   ${cli} send chat "match this walnut table" --entry ${entry} --service match --key ${TRIAL_CUSTOMER_KEY}
   ${cli} status --platform ${fleet.platform.ready.url}
-  ${cli} dump --admin ${admin} --key ${TRIAL_ADMIN_KEY}`);
+  ${cli} dump --admin ${adminAddress} --key ${TRIAL_ADMIN_KEY}`);
 }
--- a/tools/leanBundle.mjs
+++ b/tools/leanBundle.mjs
@@ -1,14 +1,14 @@
 /**
- * Plugins that keep out of a gateway's start what it does not use: a process
- * that was killed serves nobody until its bundle is loaded.
+ * esbuild plugins that shorten the start of a gateway by not loading what it
+ * does not use: a killed process serves no requests until its bundle is loaded.
  */
 import {createRequire, isBuiltin} from 'node:module';
 import {fileURLToPath} from 'node:url';
 
 const require = createRequire(import.meta.url);
 
-/** Modules of Node that libraries load at their start and use rarely or never. */
-const RARELY_USED = [
+/** Built-in modules that libraries load at startup but use rarely or never. */
+const RARELY_USED_BUILTINS = [
   'assert',
   'child_process',
   'http2',
@@ -19,59 +19,62 @@
   'zlib',
 ];
 
-/** Exports that libraries read at their start, and that a program of one thread has as constants. */
-const CONSTANTS = {worker_threads: {isMainThread: true}};
+/** Exports that libraries read at startup; constant without worker threads. */
+const CONSTANT_EXPORTS = {worker_threads: {isMainThread: true}};
 
-const LAZY = 'lazy-builtin';
-const ABSENT = 'absent';
+const LAZY_NAMESPACE = 'lazy-builtin';
+const STUB_NAMESPACE = 'absent';
 
-/** Packages and files that are left out; each has a fallback, or is for a protocol that no endpoint speaks. */
-const LEFT_OUT = {
-  // msgpackr falls back to JavaScript.
-  '^msgpackr-extract$': 'throw new Error("msgpackr-extract is left out");',
-  // Loaded by undici's client; it is used only where HTTP/2 was agreed.
+/**
+ * Stub sources by pattern, for modules with a fallback or of a protocol that no
+ * endpoint uses.
+ */
+const STUBS = {
+  // msgpackr falls back to its JavaScript implementation.
+  '^msgpackr-extract$': 'throw new Error("msgpackr-extract is not bundled");',
+  // Loaded by undici's client, which uses it only if HTTP/2 was negotiated.
   '/client-h2(\\.js)?$':
-    'module.exports = () => { throw new Error("HTTP/2 is left out"); };',
+    'module.exports = () => { throw new Error("HTTP/2 support is not bundled"); };',
 };
 
 /**
- * Loads a rarely used module of Node when one of its exports is first read.
+ * Loads rarely used built-in modules only when one of their exports is read.
  *
  * @example
  * await build({...options, plugins: [lazyBuiltins()]});
  */
 export function lazyBuiltins() {
-  const filter = new RegExp(`^(node:)?(${RARELY_USED.join('|')})$`);
+  const filter = new RegExp(`^(node:)?(${RARELY_USED_BUILTINS.join('|')})$`);
   return {
-    name: LAZY,
+    name: LAZY_NAMESPACE,
     setup(bundler) {
       bundler.onResolve({filter}, ({path, namespace}) =>
-        namespace === LAZY || !isBuiltin(path)
+        namespace === LAZY_NAMESPACE || !isBuiltin(path)
           ? undefined
-          : {path: path.replace(/^node:/, ''), namespace: LAZY},
+          : {path: path.replace(/^node:/, ''), namespace: LAZY_NAMESPACE},
       );
-      bundler.onLoad({filter: /.*/, namespace: LAZY}, ({path}) => ({
-        contents: lazyModule(path),
+      bundler.onLoad({filter: /.*/, namespace: LAZY_NAMESPACE}, ({path}) => ({
+        contents: lazyModuleSource(path),
         loader: 'js',
       }));
     },
   };
 }
 
-/** An assertion that holds costs no load of the module. */
-function lazyModule(name) {
-  const constants = CONSTANTS[name] ?? {};
-  const exported = Object.keys(require(`node:${name}`)).filter(
+/** Source of a lazy module; an `assert` call that holds does not load it. */
+function lazyModuleSource(name) {
+  const constants = CONSTANT_EXPORTS[name] ?? {};
+  const lazyExports = Object.keys(require(`node:${name}`)).filter(
     key => !Object.hasOwn(constants, key),
   );
-  const base =
+  const initialExports =
     typeof require(`node:${name}`) === 'function'
       ? '(value, ...rest) => { if (!value) load()(value, ...rest); }'
       : '{}';
   return `
     const load = () => require('node:${name}');
-    module.exports = ${base};
-    for (const key of ${JSON.stringify(exported)}) {
+    module.exports = ${initialExports};
+    for (const key of ${JSON.stringify(lazyExports)}) {
       Object.defineProperty(module.exports, key, {
         enumerable: true,
         configurable: true,
@@ -83,39 +86,42 @@
 }
 
 /**
- * Replaces packages and files that a gateway never uses.
+ * Replaces packages and files that a gateway never uses by stubs.
  *
  * @example
- * await build({...options, plugins: [withoutUnused()]});
+ * await build({...options, plugins: [stubUnusedModules()]});
  */
-export function withoutUnused() {
+export function stubUnusedModules() {
   return {
-    name: ABSENT,
+    name: STUB_NAMESPACE,
     setup(bundler) {
-      for (const [pattern, contents] of Object.entries(LEFT_OUT)) {
+      for (const [pattern, contents] of Object.entries(STUBS)) {
         const filter = new RegExp(pattern);
         bundler.onResolve({filter}, ({path}) => ({
           path,
-          namespace: ABSENT,
+          namespace: STUB_NAMESPACE,
           pluginData: {contents},
         }));
       }
-      bundler.onLoad({filter: /.*/, namespace: ABSENT}, ({pluginData}) => ({
-        contents: pluginData.contents,
-        loader: 'js',
-      }));
+      bundler.onLoad(
+        {filter: /.*/, namespace: STUB_NAMESPACE},
+        ({pluginData}) => ({
+          contents: pluginData.contents,
+          loader: 'js',
+        }),
+      );
     },
   };
 }
 
 /**
- * Loads the parts of undici that a gateway uses instead of the whole.
+ * Replaces undici by the subset of it that a gateway uses.
  *
  * @example
- * await build({...options, plugins: [undiciParts()]});
+ * await build({...options, plugins: [undiciSubset()]});
  */
-export function undiciParts() {
-  const path = fileURLToPath(new URL('undiciParts.cjs', import.meta.url));
+export function undiciSubset() {
+  const path = fileURLToPath(new URL('undiciSubset.cjs', import.meta.url));
   return {
     name: 'undici-parts',
     setup(bundler) {
--- a/tools/prepare.mjs
+++ b/tools/prepare.mjs
@@ -1,6 +1,6 @@
 /**
- * Installs and builds what is missing, so that `npm start`, `npm test` and
- * `npm run bench` each work on a fresh clone.
+ * Installs dependencies if they are missing or outdated and builds, so that
+ * `npm start`, `npm test` and `npm run bench` work in a fresh clone.
  */
 import {existsSync, statSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
@@ -9,14 +9,14 @@
 
 const root = fileURLToPath(new URL('..', import.meta.url));
 
-/** True when node_modules is absent or older than the lock file. */
+/** Returns whether node_modules is missing or older than the lock file. */
 function needsInstall() {
-  const installed = join(root, 'node_modules', '.package-lock.json');
-  const wanted = join(root, 'package-lock.json');
-  if (!existsSync(installed)) {
+  const installedLockFile = join(root, 'node_modules', '.package-lock.json');
+  const lockFile = join(root, 'package-lock.json');
+  if (!existsSync(installedLockFile)) {
     return true;
   }
-  return statSync(installed).mtimeMs < statSync(wanted).mtimeMs;
+  return statSync(installedLockFile).mtimeMs < statSync(lockFile).mtimeMs;
 }
 
 if (needsInstall()) {
--- a/tools/run.mjs
+++ b/tools/run.mjs
@@ -1,19 +1,19 @@
 import {spawn} from 'node:child_process';
 
 /**
- * Runs a command with inherited output and waits for it.
- * Ends this process with the command's exit code when it fails.
+ * Runs a command with inherited stdio and waits for its exit.
+ * Exits this process with the command's exit code if it fails.
  */
 export async function run(command, args, options = {}) {
-  const code = await runForCode(command, args, options);
+  const code = await runForExitCode(command, args, options);
   if (code !== 0) {
-    console.error(`${command} ${args.join(' ')} failed with code ${code}`);
+    console.error(`${command} ${args.join(' ')} failed with exit code ${code}`);
     process.exit(code);
   }
 }
 
-/** Runs a command with inherited output; resolves with its exit code. */
-export function runForCode(command, args, options = {}) {
+/** Runs a command with inherited stdio; resolves with its exit code. */
+export function runForExitCode(command, args, options = {}) {
   return new Promise((resolve, reject) => {
     const child = spawn(command, args, {stdio: 'inherit', ...options});
     child.once('error', reject);
--- a/tools/runTests.mjs
+++ b/tools/runTests.mjs
@@ -1,14 +1,14 @@
 /**
- * Runs the compiled tests of every package with node's own runner.
+ * Runs the compiled tests of the packages with Node's test runner.
  *
  *   node tools/runTests.mjs               all tests
- *   node tools/runTests.mjs orders moves  the tests of some packages
- *   node tools/runTests.mjs --fuzz        the stateful fuzzers with fresh seeds, longer
+ *   node tools/runTests.mjs orders moves  tests of the given packages
+ *   node tools/runTests.mjs --fuzz        longer stateful fuzzing, new seeds
  *
- * A failing test that KNOWN-RED.txt names (the text before the first `|` of a
- * line is the test's full name) is printed and passed over when
- * SKYLARKFIELD_KNOWN_RED is set, as `.ci/run` does. Any other failure, and a
- * run without tests, ends with code 1.
+ * If SKYLARKFIELD_KNOWN_RED is set, as in `.ci/run`, failures of tests that
+ * KNOWN-RED.txt lists are printed and ignored; the text before the first `|` of
+ * a line is the test's full name. Any other failure, or a run without passed
+ * tests, results in exit code 1.
  */
 import {existsSync, readFileSync, readdirSync, statSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
@@ -17,94 +17,101 @@
 import {spec} from 'node:test/reporters';
 
 const root = fileURLToPath(new URL('..', import.meta.url));
-const chosen = process.argv.slice(2).filter(word => !word.startsWith('--'));
+const selectedPackages = process.argv
+  .slice(2)
+  .filter(argument => !argument.startsWith('--'));
 const isFuzz = process.argv.includes('--fuzz');
-const ending = isFuzz ? '.fuzz.test.js' : '.test.js';
+const testSuffix = isFuzz ? '.fuzz.test.js' : '.test.js';
 
-/** All files below a folder whose names end in the given ending. */
-function filesBelow(folder) {
+/** Returns the compiled test files in a folder and its subfolders. */
+function findTestFiles(folder) {
   if (!existsSync(folder)) {
     return [];
   }
   return readdirSync(folder).flatMap(name => {
-    const path = join(folder, name);
-    if (statSync(path).isDirectory()) {
-      return filesBelow(path);
+    const filePath = join(folder, name);
+    if (statSync(filePath).isDirectory()) {
+      return findTestFiles(filePath);
     }
-    return name.endsWith(ending) ? [path] : [];
+    return name.endsWith(testSuffix) ? [filePath] : [];
   });
 }
 
-/** The source of a compiled test: the stale output of a renamed test has none and is not run. */
-function sourceOf(path) {
-  return path
+/** Returns the source of a compiled test; output of a renamed test has none. */
+function sourcePath(filePath) {
+  return filePath
     .replace(`${sep}out${sep}`, `${sep}src${sep}`)
     .replace(/\.js$/, '.ts');
 }
 
-/** Lines of KNOWN-RED.txt that are neither empty nor comments. */
-function knownRedLines() {
-  const path = join(root, 'KNOWN-RED.txt');
-  if (!process.env.SKYLARKFIELD_KNOWN_RED || !existsSync(path)) {
+/** Returns the entries of KNOWN-RED.txt without empty lines and comments. */
+function readKnownRed() {
+  const filePath = join(root, 'KNOWN-RED.txt');
+  if (!process.env.SKYLARKFIELD_KNOWN_RED || !existsSync(filePath)) {
     return [];
   }
-  return readFileSync(path, 'utf8')
+  return readFileSync(filePath, 'utf8')
     .split('\n')
     .filter(line => line.trim() !== '' && !line.startsWith('#'));
 }
 
 const layers = JSON.parse(readFileSync(join(root, 'layers.json'), 'utf8'));
-/** The adapter to the users' platform stands at the root, beside the packages. */
-const ADAPTER = 'platform';
-const packages = chosen.length > 0 ? chosen : [...Object.keys(layers), ADAPTER];
+/** Folder of the adapter to the users' platform, next to packages/. */
+const PLATFORM_ADAPTER = 'platform';
+const packages =
+  selectedPackages.length > 0
+    ? selectedPackages
+    : [...Object.keys(layers), PLATFORM_ADAPTER];
 const files = packages
-  .map(name => (name === ADAPTER ? [ADAPTER] : ['packages', name]))
-  .flatMap(path => filesBelow(join(root, ...path, 'out')))
-  .filter(path => existsSync(sourceOf(path)));
+  .map(name =>
+    name === PLATFORM_ADAPTER ? [PLATFORM_ADAPTER] : ['packages', name],
+  )
+  .flatMap(segments => findTestFiles(join(root, ...segments, 'out')))
+  .filter(filePath => existsSync(sourcePath(filePath)));
 if (files.length === 0) {
-  console.error('no test files found');
+  console.error('no compiled test files found');
   process.exit(1);
 }
 if (isFuzz) {
   process.env.SKYLARKFIELD_FUZZ ??= 'long';
 }
 
-const red = knownRedLines();
-const redNames = new Set(red.map(line => line.split('|')[0].trim()));
-let passed = 0;
+const knownRed = readKnownRed();
+const knownRedNames = new Set(knownRed.map(line => line.split('|')[0].trim()));
+let passedCount = 0;
 const failures = [];
-const passedOver = [];
+const ignoredFailures = [];
 
-/** A suite or file fails because of a test inside it; only the test itself is judged. */
+/** Returns false for a suite or file that failed only due to a test in it. */
 function isOwnFailure(event) {
   return event.details.error?.failureType !== 'subtestsFailed';
 }
 
-/** Time that one test file may take, in milliseconds; long fuzzing takes minutes. */
+/** Timeout of one test file; long fuzzing takes minutes. */
 const FILE_TIMEOUT_MS = isFuzz ? 1_800_000 : 240_000;
 
 const stream = run({files, concurrency: 4, timeout: FILE_TIMEOUT_MS});
 stream.on('test:pass', event => {
   if (event.details.type !== 'suite') {
-    passed += 1;
+    passedCount += 1;
   }
 });
 stream.on('test:fail', event => {
   if (!isOwnFailure(event)) {
     return;
   }
-  (redNames.has(event.name) ? passedOver : failures).push(event.name);
+  (knownRedNames.has(event.name) ? ignoredFailures : failures).push(event.name);
 });
 stream.compose(new spec()).pipe(process.stdout);
 stream.once('end', () => {
-  for (const line of red) {
+  for (const line of knownRed) {
     console.log(`KNOWN RED, listed: ${line}`);
   }
-  for (const name of passedOver) {
-    console.log(`KNOWN RED, failed and passed over: ${name}`);
+  for (const name of ignoredFailures) {
+    console.log(`KNOWN RED, failed and ignored: ${name}`);
   }
   for (const name of failures) {
     console.log(`FAILED: ${name}`);
   }
-  process.exitCode = failures.length > 0 || passed === 0 ? 1 : 0;
+  process.exitCode = failures.length > 0 || passedCount === 0 ? 1 : 0;
 });
--- a/tools/undiciParts.cjs
+++ b/tools/undiciSubset.cjs
@@ -1,7 +1,7 @@
 'use strict';
 /**
- * The parts of undici that a gateway uses. The package's own index also loads
- * fetch, WebSocket, caches and mocks.
+ * Subset of undici that a gateway uses. The package's index also loads fetch,
+ * WebSocket, caches and mocks.
  */
 const Dispatcher = require('undici/lib/dispatcher/dispatcher');
 
--- a/tools/writeCodeCache.cjs
+++ b/tools/writeCodeCache.cjs
@@ -1,7 +1,7 @@
 'use strict';
 /**
- * Writes V8's code cache of a gateway's bundle, with the functions that a short
- * life of the program has compiled. Arguments: the bundle and the cache.
+ * Writes V8's code cache of a gateway's bundle, with the functions compiled in
+ * a warm-up run. Arguments: the paths of the bundle and of the cache.
  */
 const {readFileSync, writeFileSync} = require('node:fs');
 const Module = require('node:module');
@@ -9,35 +9,35 @@
 const {Script} = require('node:vm');
 const {warmUp} = require('../deploy/warmUp.cjs');
 
-const [, , bundle, cache] = process.argv;
-const script = new Script(Module.wrap(readFileSync(bundle, 'utf8')), {
-  filename: bundle,
+const [, , bundlePath, cachePath] = process.argv;
+const script = new Script(Module.wrap(readFileSync(bundlePath, 'utf8')), {
+  filename: bundlePath,
 });
 
-function start(settingsPath) {
+function startGateway(settingsPath) {
   process.argv[2] = settingsPath;
-  const main = {exports: {}};
+  const mainModule = {exports: {}};
   script.runInThisContext()(
-    main.exports,
+    mainModule.exports,
     require,
-    main,
-    bundle,
-    dirname(bundle),
+    mainModule,
+    bundlePath,
+    dirname(bundlePath),
   );
 }
 
-/** Upper bound of the warm-up, in milliseconds; a build must not hang on it. */
-const WARM_UP_MS = 60_000;
+/** Timeout of the warm-up, so that it cannot block a build. */
+const WARM_UP_TIMEOUT_MS = 60_000;
 
-function finish() {
-  writeFileSync(cache, script.createCachedData());
+function writeCacheAndExit() {
+  writeFileSync(cachePath, script.createCachedData());
   process.exit(0);
 }
 
-setTimeout(finish, WARM_UP_MS);
-warmUp(start)
+setTimeout(writeCacheAndExit, WARM_UP_TIMEOUT_MS);
+warmUp(startGateway)
   .catch(error => {
-    // A cache of fewer functions only makes starts slower.
-    console.error(`the warm-up ended early: ${error}`);
+    // A cache with fewer functions only slows down starts.
+    console.error(`warm-up failed; the code cache is incomplete: ${error}`);
   })
-  .finally(finish);
+  .finally(writeCacheAndExit);
