--- a/packages/entry/src/admin/adminServer.ts
+++ b/packages/entry/src/admin/adminServer.ts
@@ -1,4 +1,4 @@
-/** The operators' port: health, metrics, state dump and decisions. */
+/** Admin HTTP routes: health, metrics, state dump and decisions. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import polka from 'polka';
 import {
@@ -24,7 +24,7 @@
 type Handler = (response: ServerResponse) => Promise<void> | void;
 
 /**
- * Attaches the operators' routes; all but `/health` want the admin key.
+ * Attaches the admin routes; all but `/health` require the admin key.
  *
  * @example
  * attachAdminRoutes({server, key, dumps, decisions, metrics});
@@ -40,15 +40,15 @@
     },
   });
   app.get('/health', (_request, response) => response.end('ok\n'));
-  app.get('/dump', guarded(sendDump));
-  app.get('/decisions', guarded(sendDecisions));
-  app.get('/metrics', guarded(sendMetrics));
+  app.get('/dump', requireAdminKey(sendDump));
+  app.get('/decisions', requireAdminKey(sendDecisions));
+  app.get('/metrics', requireAdminKey(sendMetrics));
   options.server.on('request', app.handler as never);
 
-  function guarded(handler: Handler) {
+  function requireAdminKey(handler: Handler) {
     return async (request: IncomingMessage, response: ServerResponse) => {
       try {
-        checkKey(request);
+        checkAdminKey(request);
         await handler(response);
       } catch (error) {
         sendProblem(response, toProblem(toServingError(error), ''));
@@ -56,10 +56,10 @@
     };
   }
 
-  function checkKey(request: IncomingMessage): void {
+  function checkAdminKey(request: IncomingMessage): void {
     const given = bearerKey(request.headers);
     if (given === undefined || !isSameKey(given, options.key)) {
-      throw new ServingError('unauthenticated', 'the admin key is needed');
+      throw new ServingError('unauthenticated', 'the admin key is required');
     }
   }
 
@@ -80,10 +80,10 @@
 
 function sendJson(response: ServerResponse, value: unknown): void {
   response.setHeader('Content-Type', 'application/json');
-  response.end(JSON.stringify(value, mapsAsObjects, 2));
+  response.end(JSON.stringify(value, replaceCollections, 2));
 }
 
-function mapsAsObjects(_name: string, value: unknown): unknown {
+function replaceCollections(_name: string, value: unknown): unknown {
   if (value instanceof Map) {
     return Object.fromEntries(value);
   }
--- a/packages/entry/src/listedVersions.ts
+++ b/packages/entry/src/availableVersions.ts
@@ -1,13 +1,13 @@
-/** Which versions of a service the host list shows. */
-import type {EndpointPool} from './serving.js';
+/** Versions of a service that have endpoints to serve them. */
+import type {EndpointPool} from './servingContext.js';
 
 /**
- * Versions of a service that some endpoint runs which is not leaving.
+ * Returns the versions of a service with at least one endpoint not leaving.
  *
  * @example
- * listedVersions('booking', endpoints).has('v2');
+ * availableVersions('booking', endpoints).has('v2');
  */
-export function listedVersions(
+export function availableVersions(
   service: string,
   endpoints: Pick<EndpointPool, 'list'>,
 ): Set<string> {
--- a/packages/entry/src/callers/callerServer.ts
+++ b/packages/entry/src/callers/callerServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP front for callers. */
+/** HTTP routes for callers. */
 import {randomUUID} from 'node:crypto';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import polka from 'polka';
@@ -11,29 +11,29 @@
 import type {Customer, Service} from '@skylarkfield/records';
 import type {InFlightCounter} from '@skylarkfield/base';
 import type {HttpServer} from '../listener.js';
-import type {Serving} from '../serving.js';
+import type {ServingContext} from '../servingContext.js';
 import type {EntrySettings} from '../settings.js';
 import type {CustomerKeys} from './customerKeys.js';
 import {callerSignal, type Exchange} from './exchange.js';
-import type {AnswerShape} from './modelAnswer.js';
+import type {ResponseShape} from './modelResponse.js';
 import {
   parseChatRequest,
   parseCompletionRequest,
   type ModelRequest,
 } from './modelRequest.js';
-import type {RequestMetrics, RequestType} from './observation.js';
+import type {RequestMetrics, RequestType} from './requestMetrics.js';
 import {sendProblem, toProblem} from './problem.js';
 import {readBody} from './requestBody.js';
 import {bearerKey} from './requestHeaders.js';
-import type {ModelServer} from './serveModel.js';
-import type {PlainServer} from './servePlain.js';
+import type {ModelServer} from './modelServer.js';
+import type {PlainServer} from './plainServer.js';
 
-/** Whether the process takes requests; a lookup table turns it into an answer. */
+/** Whether the process accepts requests. */
 export type Readiness = 'starting' | 'ready' | 'lingering' | 'leaving';
 
 interface CallerServerOptions {
   readonly server: HttpServer;
-  readonly serving: Serving;
+  readonly serving: ServingContext;
   readonly keys: CustomerKeys;
   readonly models: ModelServer;
   readonly plain: PlainServer;
@@ -45,7 +45,7 @@
   readiness(): Readiness;
 }
 
-/** What a request turned out to be, for metrics and the log line. */
+/** Labels of a request for metrics and the log line. */
 interface RequestLabel {
   service: string;
   type: RequestType;
@@ -54,15 +54,15 @@
 type Handler = (exchange: Exchange, label: RequestLabel) => Promise<void>;
 
 const parsers: Record<
-  AnswerShape,
+  ResponseShape,
   (text: string, session: string | undefined) => ModelRequest
 > = {chat: parseChatRequest, completion: parseCompletionRequest};
 
-/** Time after which a caller may try this or another entry again, in milliseconds. */
+/** Delay before a caller may retry here or elsewhere, in milliseconds. */
 const NOT_SERVING_RETRY_MS = 1_000;
 
 /**
- * Attaches the callers' routes to a server.
+ * Attaches the routes for callers to a server.
  *
  * @example
  * attachCallerRoutes(options);
@@ -88,15 +88,15 @@
     response.statusCode = options.readiness() === 'ready' ? 200 : 503;
     response.end(`${options.readiness()}\n`);
   });
-  app.get('/v1/entries', handle(serveLookup));
-  app.post('/v1/chat/completions', handle(modelHandler('chat')));
-  app.post('/v1/completions', handle(modelHandler('completion')));
-  app.all('/services/:name', handle(servePlain));
-  app.all('/services/:name/*', handle(servePlain));
+  app.get('/v1/entries', wrapHandler(serveLookup));
+  app.post('/v1/chat/completions', wrapHandler(modelHandler('chat')));
+  app.post('/v1/completions', wrapHandler(modelHandler('completion')));
+  app.all('/services/:name', wrapHandler(servePlain));
+  app.all('/services/:name/*', wrapHandler(servePlain));
   options.server.on('request', app.handler as never);
 
-  /** Wraps a handler with what every request has: id, key, bounds, one answer, one log line. */
-  function handle(handler: Handler) {
+  /** Adds request id, authentication, error response, metrics and logging. */
+  function wrapHandler(handler: Handler) {
     return async (request: IncomingMessage, response: ServerResponse) => {
       const id = randomUUID();
       const arrivedAt = clock.now();
@@ -104,7 +104,7 @@
       let customer: Customer | undefined;
       let result = 'ok';
       options.inFlight.begin();
-      endWhenSent(response);
+      countUntilClosed(response);
       metrics.begin();
       response.setHeader('X-Request-Id', id);
       try {
@@ -118,7 +118,7 @@
       } catch (error) {
         const failure = toServingError(error);
         result = failure.kind;
-        answerFailure(request, response, failure, id);
+        sendFailure(request, response, failure, id);
       } finally {
         const durationMs = clock.now() - arrivedAt;
         metrics.end({...label, result, durationMs});
@@ -138,11 +138,11 @@
   }
 
   /**
-   * A request is in flight until its answer has left this process. The handler
-   * is done earlier: a slow reader's answer still waits in buffers then, and a
-   * stop that closed the connection would cut it off in the middle.
+   * Counts a request as in flight until its response is sent. The handler
+   * returns earlier, while the response may still be buffered for a slow
+   * reader; a stop that closed the connection then would truncate it.
    */
-  function endWhenSent(response: ServerResponse): void {
+  function countUntilClosed(response: ServerResponse): void {
     response.once('close', () => options.inFlight.end());
   }
 
@@ -151,7 +151,7 @@
     if (readiness === 'ready' || readiness === 'lingering') {
       return;
     }
-    // A leaving entry still answers lookups: that is how callers learn where to go.
+    // A leaving entry serves lookups, which direct callers to other entries.
     if (readiness === 'leaving' && isLookup(request)) {
       return;
     }
@@ -161,7 +161,7 @@
     });
   }
 
-  function answerFailure(
+  function sendFailure(
     request: IncomingMessage,
     response: ServerResponse,
     failure: ServingError,
@@ -170,11 +170,11 @@
     if (failure.kind === 'internal') {
       log.error({requestId: id, error: failure.cause}, failure.message);
     }
-    const isElsewhere =
+    const isNotServing =
       failure.kind === 'leaving' || failure.kind === 'not-ready';
-    const entries = isElsewhere ? serving.lookup({}) : undefined;
-    if (isElsewhere || !request.complete) {
-      // The rest of an unread body would otherwise be taken for the next request.
+    const entries = isNotServing ? serving.lookup({}) : undefined;
+    if (isNotServing || !request.complete) {
+      // Otherwise the unread body would be parsed as the next request.
       response.setHeader('Connection', 'close');
     }
     sendProblem(response, toProblem(failure, id, entries));
@@ -182,13 +182,13 @@
 
   async function serveLookup(exchange: Exchange): Promise<void> {
     const url = new URL(exchange.request.url ?? '/', 'http://entry');
-    const answer = serving.lookup({
+    const result = serving.lookup({
       customer: exchange.customer.name,
-      ...optional('affinity', url.searchParams.get('affinity')),
-      ...optional('failureDomain', url.searchParams.get('failure-domain')),
+      ...optionalField('affinity', url.searchParams.get('affinity')),
+      ...optionalField('failureDomain', url.searchParams.get('failure-domain')),
     });
-    const body = JSON.stringify(answer);
-    const seconds = Math.floor(answer.ttlMs / 1000);
+    const body = JSON.stringify(result);
+    const seconds = Math.floor(result.ttlMs / 1000);
     exchange.response.writeHead(200, {
       'Content-Type': 'application/json',
       'Cache-Control': `private, max-age=${seconds}`,
@@ -196,7 +196,7 @@
     exchange.response.end(body);
   }
 
-  function modelHandler(shape: AnswerShape): Handler {
+  function modelHandler(shape: ResponseShape): Handler {
     return async (exchange, label) => {
       const body = await readBody(exchange.request, limits.bodyBytes);
       const session = exchange.request.headers['x-session-id'];
@@ -237,7 +237,10 @@
     }
     const {services} = exchange.customer;
     if (services.length > 0 && !services.includes(name)) {
-      throw new ServingError('forbidden', `the key may not call ${name}`);
+      throw new ServingError(
+        'forbidden',
+        `the key does not permit calls to ${name}`,
+      );
     }
     return service;
   }
@@ -245,16 +248,19 @@
 
 const SERVICES_PREFIX = '/services/';
 
-/** Splits `/services/booking/slots?day=3` into `booking` and `/slots?day=3`, leaving escapes as they are. */
+/**
+ * Splits `/services/booking/slots?day=3` into `booking` and `/slots?day=3`,
+ * without decoding escapes.
+ */
 function splitServicePath(url: string): {name: string; path: string} {
-  const rest = url.slice(SERVICES_PREFIX.length);
-  const end = rest.search(/[/?]/);
+  const nameAndPath = url.slice(SERVICES_PREFIX.length);
+  const end = nameAndPath.search(/[/?]/);
   if (end === -1) {
-    return {name: rest, path: '/'};
+    return {name: nameAndPath, path: '/'};
   }
-  const path = rest.slice(end);
+  const path = nameAndPath.slice(end);
   return {
-    name: rest.slice(0, end),
+    name: nameAndPath.slice(0, end),
     path: path.startsWith('/') ? path : `/${path}`,
   };
 }
@@ -263,7 +269,7 @@
   return (request.url ?? '').startsWith('/v1/entries');
 }
 
-function optional<K extends string>(
+function optionalField<K extends string>(
   name: K,
   value: string | null,
 ): Partial<Record<K, string>> {
--- a/packages/entry/src/callers/customerKeys.ts
+++ b/packages/entry/src/callers/customerKeys.ts
@@ -1,13 +1,13 @@
-/** Which customer a key belongs to. */
+/** Authentication of customers by bearer key. */
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {ServingError} from '@skylarkfield/base';
 import type {Configuration, Customer} from '@skylarkfield/records';
 
-/** Hex digits by which hashes are grouped; the rest is compared in constant time. */
-const INDEX_DIGITS = 4;
+/** Hex digits that index hashes; whole ones are compared in constant time. */
+const INDEX_PREFIX_DIGITS = 4;
 
 export interface CustomerKeys {
-  /** The customer of a key. Throws `unauthenticated`. */
+  /** Returns the customer of a key. Throws `unauthenticated`. */
   authenticate(key: string | undefined): Customer;
 }
 
@@ -17,8 +17,8 @@
 }
 
 /**
- * Follows the customers in force. Only hashes are kept; a key that is taken
- * out of a record stops working as soon as the record is in force here.
+ * Follows the customer records in force. Only hashes are stored; a key removed
+ * from a record is rejected as soon as the record is in force at this entry.
  *
  * @example
  * const keys = createCustomerKeys(configuration);
@@ -37,10 +37,15 @@
         throw new ServingError('unauthenticated', 'no bearer key was given');
       }
       const hash = createHash('sha256').update(key).digest();
-      const group = index.get(hash.toString('hex').slice(0, INDEX_DIGITS));
-      const found = group?.find(entry => timingSafeEqual(entry.hash, hash));
+      const bucket = index.get(
+        hash.toString('hex').slice(0, INDEX_PREFIX_DIGITS),
+      );
+      const found = bucket?.find(entry => timingSafeEqual(entry.hash, hash));
       if (found === undefined) {
-        throw new ServingError('unauthenticated', 'the key is not known');
+        throw new ServingError(
+          'unauthenticated',
+          'the bearer key is not recognized',
+        );
       }
       return found.customer;
     },
@@ -51,10 +56,10 @@
   const index = new Map<string, IndexedHash[]>();
   for (const customer of configuration.list('customer')) {
     for (const hex of customer.keyHashes) {
-      const prefix = hex.slice(0, INDEX_DIGITS);
-      const group = index.get(prefix) ?? [];
-      group.push({hash: Buffer.from(hex, 'hex'), customer});
-      index.set(prefix, group);
+      const prefix = hex.slice(0, INDEX_PREFIX_DIGITS);
+      const bucket = index.get(prefix) ?? [];
+      bucket.push({hash: Buffer.from(hex, 'hex'), customer});
+      index.set(prefix, bucket);
     }
   }
   return index;
--- a/packages/entry/src/callers/deadlineSignal.ts
+++ b/packages/entry/src/callers/deadlineSignal.ts
@@ -1,15 +1,15 @@
-/** A caller's signal and a deadline in one, for calls to endpoints. */
+/** Abort signal that combines a caller's signal with a deadline. */
 import {ServingError, type Clock, type Disposable} from '@skylarkfield/base';
 
 export interface DeadlineSignal extends Disposable {
-  /** Aborted when the caller goes or the deadline passes, whichever is first. */
+  /** Aborted when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
-  /** Turns the error of an aborted call into `deadline-exceeded` when that was the reason. */
-  explain(error: ServingError): ServingError;
+  /** Converts an error to `deadline-exceeded` if the deadline has passed. */
+  toCallError(error: ServingError): ServingError;
 }
 
 /**
- * Makes the signal; `deadline` is in monotonic milliseconds.
+ * Creates the signal; `deadline` is in monotonic milliseconds.
  *
  * @example
  * const limit = createDeadlineSignal(clock, call.deadline, signal);
@@ -21,25 +21,25 @@
   caller: AbortSignal,
 ): DeadlineSignal {
   const controller = new AbortController();
-  let isLate = false;
+  let hasExpired = false;
   const onAbort = () => controller.abort();
   caller.addEventListener('abort', onAbort, {once: true});
   if (caller.aborted) {
     controller.abort();
   }
   const timer = clock.after(deadline - clock.now(), () => {
-    isLate = true;
+    hasExpired = true;
     controller.abort();
   });
   return {
     signal: controller.signal,
-    explain(error) {
-      if (!isLate) {
+    toCallError(error) {
+      if (!hasExpired) {
         return error;
       }
       return new ServingError(
         'deadline-exceeded',
-        'the endpoint did not answer before the deadline',
+        'the endpoint did not respond before the deadline',
         {run: error.run, cause: error},
       );
     },
--- a/packages/entry/src/callers/exchange.ts
+++ b/packages/entry/src/callers/exchange.ts
@@ -1,4 +1,4 @@
-/** One request of a caller with what was found out about it. */
+/** An HTTP exchange with a caller. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Customer} from '@skylarkfield/records';
 
@@ -7,15 +7,15 @@
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly customer: Customer;
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
   /** Monotonic milliseconds at which the request arrived. */
   readonly arrivedAt: number;
 }
 
 /**
- * Gives a signal that aborts when the caller closes its connection before the
- * answer is complete, so that nothing goes on working for nobody.
+ * Returns a signal that aborts when the caller disconnects before the response
+ * is complete, so that abandoned requests use no more capacity.
  *
  * @example
  * const signal = callerSignal(response);
--- a/packages/entry/src/callers/forwardedHeaders.ts
+++ b/packages/entry/src/callers/forwardedHeaders.ts
@@ -1,8 +1,8 @@
-/** Which headers are passed on to plain services, and back. */
+/** Filters of headers forwarded to plain services and back. */
 import type {IncomingHttpHeaders} from 'node:http';
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), and those the entry sets itself. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+/** Hop-by-hop headers (RFC 9110, 7.6.1) and those set by the entry itself. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -16,14 +16,14 @@
   'expect',
 ]);
 
-/** What the entry has used up; a service has no business with customers' keys. */
+/** Headers consumed by the entry; services must not receive customers' keys. */
 const CONSUMED_HEADERS: ReadonlySet<string> = new Set([
   'authorization',
   'x-request-timeout-ms',
 ]);
 
 /**
- * Headers of a caller's request as the service gets them.
+ * Returns the headers to forward to a service.
  *
  * @example
  * const headers = toServiceHeaders(request.headers, customer.name, exchange.id);
@@ -33,20 +33,20 @@
   customer: string,
   requestId: string,
 ): Record<string, string> {
-  const passed: Record<string, string> = {};
+  const forwarded: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined || isDropped(name, headers)) {
       continue;
     }
-    passed[name] = Array.isArray(value) ? value.join(', ') : value;
+    forwarded[name] = Array.isArray(value) ? value.join(', ') : value;
   }
-  passed['x-customer'] = customer;
-  passed['x-request-id'] = requestId;
-  return passed;
+  forwarded['x-customer'] = customer;
+  forwarded['x-request-id'] = requestId;
+  return forwarded;
 }
 
 /**
- * Headers of a service's reply as the caller gets them.
+ * Returns the headers to return to the caller.
  *
  * @example
  * response.writeHead(reply.status, toCallerHeaders(reply.headers));
@@ -55,15 +55,17 @@
   headers: Readonly<Record<string, string>>,
 ): Record<string, string> {
   const entries = Object.entries(headers).filter(
-    ([name]) => !CONNECTION_HEADERS.has(name.toLowerCase()),
+    ([name]) => !HOP_BY_HOP_HEADERS.has(name.toLowerCase()),
   );
   return Object.fromEntries(entries);
 }
 
 function isDropped(name: string, headers: IncomingHttpHeaders): boolean {
-  if (CONNECTION_HEADERS.has(name) || CONSUMED_HEADERS.has(name)) {
+  if (HOP_BY_HOP_HEADERS.has(name) || CONSUMED_HEADERS.has(name)) {
     return true;
   }
-  const named = (headers.connection ?? '').toLowerCase().split(/\s*,\s*/);
-  return named.includes(name);
+  const connectionOptions = (headers.connection ?? '')
+    .toLowerCase()
+    .split(/\s*,\s*/);
+  return connectionOptions.includes(name);
 }
--- a/packages/entry/src/callers/modelRequest.ts
+++ b/packages/entry/src/callers/modelRequest.ts
@@ -1,45 +1,45 @@
-/** The bodies of `POST /v1/chat/completions` and `POST /v1/completions`. */
+/** Request bodies of `POST /v1/chat/completions` and `POST /v1/completions`. */
 import {validateShape, hash32, parseJson} from '@skylarkfield/base';
 import * as z from 'zod';
 
 const DEFAULT_MAX_TOKENS = 256;
-const MOST_TOKENS = 32_768;
+const MAX_TOKENS_LIMIT = 32_768;
 
-const shared = {
+const sharedFields = {
   model: z.string().min(1),
   stream: z.boolean().default(false),
   max_tokens: z
     .number()
     .int()
     .min(1)
-    .max(MOST_TOKENS)
+    .max(MAX_TOKENS_LIMIT)
     .default(DEFAULT_MAX_TOKENS),
   seed: z.number().int().optional(),
   user: z.string().max(255).optional(),
 };
 
 const chatSchema = z.object({
-  ...shared,
+  ...sharedFields,
   messages: z
     .array(z.object({role: z.string().min(1), content: z.string()}))
     .min(1),
 });
 
-const completionSchema = z.object({...shared, prompt: z.string().min(1)});
+const completionSchema = z.object({...sharedFields, prompt: z.string().min(1)});
 
-/** A request to a model, whichever shape it came in. */
+/** A model request, independent of the shape of its body. */
 export interface ModelRequest {
   readonly service: string;
   readonly prompt: string;
   readonly maxTokens: number;
   readonly isStream: boolean;
   readonly seed: number;
-  /** What keeps requests of one conversation together. */
+  /** Key that requests of one conversation share. */
   readonly session: string;
 }
 
 /**
- * Reads a chat request. Throws `bad-request` with every fault.
+ * Parses a chat request. Throws `bad-request` with all faults.
  *
  * @example
  * const request = parseChatRequest(bodyText, headers['x-session-id']);
@@ -62,7 +62,7 @@
 }
 
 /**
- * Reads a plain completion request. Throws `bad-request` with every fault.
+ * Parses a completion request. Throws `bad-request` with all faults.
  *
  * @example
  * const request = parseCompletionRequest(bodyText, undefined);
@@ -99,7 +99,7 @@
     prompt,
     maxTokens: body.max_tokens,
     isStream: body.stream,
-    // A fixed seed for the whole request lets a resumed answer go on alike.
+    // A fixed seed keeps sampling consistent across attempts of one response.
     seed: body.seed ?? hash32(prompt),
     session: session ?? body.user ?? `opening-${hash32(opening)}`,
   };
--- a/packages/entry/src/callers/modelAnswer.ts
+++ b/packages/entry/src/callers/modelResponse.ts
@@ -1,35 +1,35 @@
-/** Answers of model requests, streamed as server-sent events or whole. */
+/** Responses to model requests, streamed as server-sent events or buffered. */
 import type {ServerResponse} from 'node:http';
 import {ServingError, sleep, type Clock} from '@skylarkfield/base';
 import type {StreamSummary, StreamToken} from '@skylarkfield/streams';
 import type {Problem} from './problem.js';
 
-export type AnswerShape = 'chat' | 'completion';
+export type ResponseShape = 'chat' | 'completion';
 
-export interface ModelAnswer {
-  /** Takes the next token; a returned promise holds the stream back. */
+export interface ModelResponse {
+  /** Sends the next token; a returned promise applies backpressure. */
   deliver(token: StreamToken): void | Promise<void>;
   finish(summary: StreamSummary): void;
-  /** Ends an answer that has begun with an error; false when nothing was sent yet. */
-  failMidway(problem: Problem): boolean;
+  /** Ends a started response with an error; false if nothing was sent. */
+  failIfStarted(problem: Problem): boolean;
 }
 
-interface AnswerOptions {
+interface ModelResponseOptions {
   readonly id: string;
   readonly model: string;
-  readonly shape: AnswerShape;
+  readonly shape: ResponseShape;
   readonly response: ServerResponse;
   readonly clock: Clock;
-  /** Bytes that may wait for the reader before the stream is held back. */
+  /** Bytes buffered for the reader before backpressure applies. */
   readonly bufferedBytes: number;
-  /** How long a held-back reader may take nothing before it is cut off, in milliseconds. */
+  /** Drain timeout of a reader under backpressure, in milliseconds. */
   readonly stalledReaderMs: number;
   readonly signal: AbortSignal;
 }
 
-/** One piece of a streamed answer, per shape. */
+/** Builders of a streamed chunk, by shape. */
 const chunkMakers: Record<
-  AnswerShape,
+  ResponseShape,
   (text: string, reason: string | null) => unknown
 > = {
   chat: (text, reason) => ({
@@ -40,9 +40,9 @@
   completion: (text, reason) => ({index: 0, text, finish_reason: reason}),
 };
 
-/** The one choice of a whole answer, per shape. */
+/** Builders of the only choice in a buffered response, by shape. */
 const choiceMakers: Record<
-  AnswerShape,
+  ResponseShape,
   (text: string, reason: string) => unknown
 > = {
   chat: (text, reason) => ({
@@ -53,27 +53,29 @@
   completion: (text, reason) => ({index: 0, text, finish_reason: reason}),
 };
 
-const objectNames: Record<AnswerShape, string> = {
+const objectTypes: Record<ResponseShape, string> = {
   chat: 'chat.completion',
   completion: 'text_completion',
 };
 
 /**
- * An answer sent token by token.
+ * Creates a response that is sent token by token.
  *
  * @example
- * const answer = streamedAnswer(options);
- * await answer.deliver({index: 0, text: 'Oak'});
+ * const response = createStreamedResponse(options);
+ * await response.deliver({index: 0, text: 'Oak'});
  */
-export function streamedAnswer(options: AnswerOptions): ModelAnswer {
+export function createStreamedResponse(
+  options: ModelResponseOptions,
+): ModelResponse {
   const {response, shape} = options;
-  let hasBegun = false;
+  let isStarted = false;
 
-  function begin(): void {
-    if (hasBegun) {
+  function writeHeadOnce(): void {
+    if (isStarted) {
       return;
     }
-    hasBegun = true;
+    isStarted = true;
     response.writeHead(200, {
       'Content-Type': 'text/event-stream',
       'Cache-Control': 'no-store',
@@ -83,7 +85,7 @@
   function send(text: string, reason: string | null, extra = {}): void {
     const chunk = {
       id: options.id,
-      object: `${objectNames[shape]}.chunk`,
+      object: `${objectTypes[shape]}.chunk`,
       model: options.model,
       choices: [chunkMakers[shape](text, reason)],
       ...extra,
@@ -93,24 +95,24 @@
 
   return {
     deliver(token) {
-      begin();
+      writeHeadOnce();
       send(token.text, null);
       if (response.writableLength <= options.bufferedBytes) {
         return undefined;
       }
-      return drained(options);
+      return waitForDrain(options);
     },
     finish(summary) {
-      begin();
+      writeHeadOnce();
       send('', summary.reason, {usage: usageOf(summary)});
       response.end('data: [DONE]\n\n');
     },
-    failMidway(problem) {
-      if (!hasBegun) {
+    failIfStarted(problem) {
+      if (!isStarted) {
         return false;
       }
-      // The status line is gone, so the end of the stream has to tell: without
-      // it, a caller could take a cut answer for a whole one.
+      // The status line was sent already: without an error event, a caller
+      // could take a truncated response for a complete one.
       response.end(`event: error\ndata: ${JSON.stringify(problem)}\n\n`);
       return true;
     },
@@ -118,12 +120,14 @@
 }
 
 /**
- * An answer sent whole at its end.
+ * Creates a response that is sent as a whole at its end.
  *
  * @example
- * const answer = wholeAnswer(options);
+ * const response = createBufferedResponse(options);
  */
-export function wholeAnswer(options: AnswerOptions): ModelAnswer {
+export function createBufferedResponse(
+  options: ModelResponseOptions,
+): ModelResponse {
   const texts: string[] = [];
   return {
     deliver(token) {
@@ -136,7 +140,7 @@
       );
       const body = JSON.stringify({
         id: options.id,
-        object: objectNames[options.shape],
+        object: objectTypes[options.shape],
         model: options.model,
         choices: [choice],
         usage: usageOf(summary),
@@ -147,7 +151,7 @@
       });
       options.response.end(body);
     },
-    failMidway: () => false,
+    failIfStarted: () => false,
   };
 }
 
@@ -163,10 +167,11 @@
 }
 
 /**
- * Waits until a slow reader has taken what waits for it. A reader that takes
- * nothing would hold an endpoint's slot for ever, so it is cut off after a while.
+ * Waits until a slow reader has drained its buffer. A stalled reader would
+ * occupy an endpoint's slot indefinitely, so it is disconnected after a
+ * timeout.
  */
-async function drained(options: AnswerOptions): Promise<void> {
+async function waitForDrain(options: ModelResponseOptions): Promise<void> {
   const {response, clock, signal} = options;
   const stop = new AbortController();
   const onAbort = () => stop.abort();
@@ -185,5 +190,5 @@
     return;
   }
   response.destroy();
-  throw new ServingError('cancelled', `the reader has ${result}`);
+  throw new ServingError('cancelled', `response reader ${result}`);
 }
--- a/packages/entry/src/callers/serveModel.ts
+++ b/packages/entry/src/callers/modelServer.ts
@@ -1,4 +1,4 @@
-/** The way of a model request: version, admission, attempts, answer. */
+/** Model request handling: version, admission, attempts and response. */
 import {ServingError, toServingError, type Clock} from '@skylarkfield/base';
 import type {AdmissionRequest, Permit} from '@skylarkfield/admission';
 import {hashPromptBlocks, tokenizePrompt} from '@skylarkfield/endpoints';
@@ -9,23 +9,23 @@
   StreamSummary,
 } from '@skylarkfield/streams';
 import type {EntrySettings} from '../settings.js';
-import {listedVersions} from '../listedVersions.js';
-import type {Serving} from '../serving.js';
-import {answerBlocks} from './answerBlocks.js';
+import {availableVersions} from '../availableVersions.js';
+import type {ServingContext} from '../servingContext.js';
+import {hashSequenceBlocks} from './sequenceBlocks.js';
 import {
-  createAnsweringVersion,
-  type AnsweringVersion,
-} from './answeringVersion.js';
+  createVersionFallback,
+  type VersionFallback,
+} from './versionFallback.js';
 import type {Exchange} from './exchange.js';
 import {
-  streamedAnswer,
-  wholeAnswer,
-  type AnswerShape,
-  type ModelAnswer,
-} from './modelAnswer.js';
+  createStreamedResponse,
+  createBufferedResponse,
+  type ResponseShape,
+  type ModelResponse,
+} from './modelResponse.js';
 import type {ModelRequest} from './modelRequest.js';
-import {isVersionFault, type RequestMetrics} from './observation.js';
-import {noEndpoint} from './noEndpoint.js';
+import {isVersionFault, type RequestMetrics} from './requestMetrics.js';
+import {noEndpointError} from './noEndpointError.js';
 import {requestTimeout, requestUrgency} from './requestHeaders.js';
 import {toProblem} from './problem.js';
 import {createRequestCosts} from './requestCost.js';
@@ -35,28 +35,28 @@
     exchange: Exchange,
     request: ModelRequest,
     service: Service,
-    shape: AnswerShape,
+    shape: ResponseShape,
   ): Promise<void>;
 }
 
-/** What is decided about a request before it asks for capacity. */
-interface ModelPlan {
-  readonly ask: AdmissionRequest;
+/** Decisions on a request made before admission. */
+interface RequestPlan {
+  readonly admissionRequest: AdmissionRequest;
   readonly version: string;
-  readonly answering: AnsweringVersion;
+  readonly fallback: VersionFallback;
   readonly promptTokens: number;
   readonly blocks: readonly string[];
 }
 
 interface ModelServerOptions {
-  readonly serving: Serving;
+  readonly serving: ServingContext;
   readonly clock: Clock;
   readonly limits: EntrySettings['limits'];
   readonly metrics: RequestMetrics;
 }
 
 /**
- * Makes the handler of model requests.
+ * Creates the handler of model requests.
  *
  * @example
  * await models.serve(exchange, parseChatRequest(text, undefined), service, 'chat');
@@ -68,29 +68,32 @@
   return {
     async serve(exchange, request, service, shape) {
       const plan = planRequest(exchange, request, service);
-      const permit = await serving.admission.admit(plan.ask, exchange.signal);
-      const answer = makeAnswer(exchange, request, shape);
-      const progress = followProgress(exchange, plan, permit, shape);
+      const permit = await serving.admission.admit(
+        plan.admissionRequest,
+        exchange.signal,
+      );
+      const modelResponse = createResponse(exchange, request, shape);
+      const progress = trackProgress(exchange, plan, permit, shape);
       try {
         const summary = await serving.streams.run(
           toStreamRequest(exchange, request, plan),
           {
             pickEndpoint: (excluded, delivered) =>
-              placeAttempt(plan, request, excluded, delivered),
+              pickEndpoint(plan, request, excluded, delivered),
             mayRetry: () => serving.admission.tryRetry(service.name),
             deliver(token) {
-              progress.noteToken();
-              return answer.deliver(token);
+              progress.recordToken();
+              return modelResponse.deliver(token);
             },
           },
           exchange.signal,
         );
         progress.succeed(summary);
-        answer.finish(summary);
+        modelResponse.finish(summary);
       } catch (error) {
         const failure = toServingError(error);
         progress.fail(failure);
-        answer.failMidway(toProblem(failure, exchange.id));
+        modelResponse.failIfStarted(toProblem(failure, exchange.id));
         throw failure;
       }
     },
@@ -100,7 +103,7 @@
     exchange: Exchange,
     request: ModelRequest,
     service: Service,
-  ): ModelPlan {
+  ): RequestPlan {
     const {headers} = exchange.request;
     const deadline =
       exchange.arrivedAt + requestTimeout(headers, service.timeoutMs);
@@ -113,7 +116,7 @@
       isIdempotent: true,
     });
     return {
-      ask: {
+      admissionRequest: {
         service: service.name,
         customer: exchange.customer.name,
         urgency: requestUrgency(headers, exchange.customer.bestUrgency),
@@ -129,7 +132,7 @@
         }),
       },
       version,
-      answering: createAnsweringVersion(
+      fallback: createVersionFallback(
         version,
         serving.split.incumbentFor(service.name, service.version),
       ),
@@ -138,14 +141,14 @@
     };
   }
 
-  /** Follows one answer and reports how it went, once, to admission, moves and metrics. */
-  function followProgress(
+  /** Reports one response, exactly once, to admission, moves and metrics. */
+  function trackProgress(
     exchange: Exchange,
-    plan: ModelPlan,
+    plan: RequestPlan,
     permit: Permit,
-    shape: AnswerShape,
+    shape: ResponseShape,
   ) {
-    const {service} = plan.ask;
+    const {service} = plan.admissionRequest;
     const admittedAt = clock.now();
     let firstTokenMs: number | undefined;
 
@@ -165,17 +168,17 @@
     }
 
     /**
-     * The request ended without an answer from the version it was given. That
-     * is no fault of a version whose endpoints were all reclaimed.
+     * Counts a request not served by its assigned version as that version's
+     * error, unless all endpoints of the version were reclaimed.
      */
     function observeUnavailable(): void {
-      if (listedVersions(service, serving.endpoints).has(plan.version)) {
+      if (availableVersions(service, serving.endpoints).has(plan.version)) {
         observe(plan.version, true, 0);
       }
     }
 
     return {
-      noteToken() {
+      recordToken() {
         if (firstTokenMs !== undefined) {
           return;
         }
@@ -186,7 +189,7 @@
         const latencyMs = firstTokenMs ?? clock.now() - admittedAt;
         permit.release({outcome: 'ok', latencyMs});
         metrics.recomputed(service, summary.recomputedTokens);
-        if (plan.answering.current() !== plan.version) {
+        if (plan.fallback.current() !== plan.version) {
           observeUnavailable();
           return;
         }
@@ -196,7 +199,7 @@
         const latencyMs = clock.now() - admittedAt;
         const outcome = error.kind === 'cancelled' ? 'cancelled' : 'failed';
         permit.release({outcome, latencyMs});
-        const version = plan.answering.current();
+        const version = plan.fallback.current();
         if (isVersionFault(error)) {
           observe(version, true, latencyMs);
         }
@@ -208,13 +211,15 @@
     };
   }
 
-  function makeAnswer(
+  function createResponse(
     exchange: Exchange,
     request: ModelRequest,
-    shape: AnswerShape,
-  ): ModelAnswer {
-    const make = request.isStream ? streamedAnswer : wholeAnswer;
-    return make({
+    shape: ResponseShape,
+  ): ModelResponse {
+    const create = request.isStream
+      ? createStreamedResponse
+      : createBufferedResponse;
+    return create({
       id: exchange.id,
       model: request.service,
       shape,
@@ -226,20 +231,22 @@
     });
   }
 
-  function placeAttempt(
-    plan: ModelPlan,
+  function pickEndpoint(
+    plan: RequestPlan,
     request: ModelRequest,
     excluded: ReadonlySet<string>,
     delivered: readonly string[],
   ): EndpointPick {
-    const {service} = plan.ask;
-    const blocks = answerBlocks(request.prompt, plan.blocks, delivered);
-    const placed = firstPlaced(plan.answering.usable(delivered.length));
-    if (placed === undefined) {
-      throw noEndpoint(service, plan.version);
+    const {service} = plan.admissionRequest;
+    const blocks = hashSequenceBlocks(request.prompt, plan.blocks, delivered);
+    const picked = pickFirstAvailable(
+      plan.fallback.eligibleVersions(delivered.length),
+    );
+    if (picked === undefined) {
+      throw noEndpointError(service, plan.version);
     }
-    const {choice, endpoint, engine, version} = placed;
-    plan.answering.placed(version);
+    const {choice, endpoint, engine, version} = picked;
+    plan.fallback.recordAttempt(version);
     return {
       endpoint: choice.endpoint,
       url: endpoint.listed.url,
@@ -249,13 +256,13 @@
       goneAt: () => endpoint.goneAt?.(),
       onStart: cachedTokens => choice.started(cachedTokens),
       onFirstToken() {
-        plan.answering.streaming(version);
+        plan.fallback.recordFirstToken(version);
         choice.streaming();
       },
       finish: result => choice.finish(result),
     };
 
-    function firstPlaced(versions: readonly string[]) {
+    function pickFirstAvailable(versions: readonly string[]) {
       for (const version of versions) {
         const choice = serving.router.choose({
           service,
@@ -278,9 +285,9 @@
 function toStreamRequest(
   exchange: Exchange,
   request: ModelRequest,
-  plan: ModelPlan,
+  plan: RequestPlan,
 ): StreamRequest {
-  const {deadline, urgency} = plan.ask;
+  const {deadline, urgency} = plan.admissionRequest;
   return {
     id: exchange.id,
     prompt: request.prompt,
--- /dev/null
+++ b/packages/entry/src/callers/noEndpointError.ts
@@ -0,0 +1,22 @@
+/** Error for a request that no endpoint can accept. */
+import {ServingError} from '@skylarkfield/base';
+
+/** Delay before a caller may retry, in milliseconds. */
+const NO_ENDPOINT_RETRY_MS = 1_000;
+
+/**
+ * Returns the error for a service version without an endpoint for a request.
+ *
+ * @example
+ * throw noEndpointError('booking', 'v2');
+ */
+export function noEndpointError(
+  service: string,
+  version: string,
+): ServingError {
+  return new ServingError(
+    'endpoint-unavailable',
+    `no endpoint of ${service} ${version} can accept the request`,
+    {retryAfterMs: NO_ENDPOINT_RETRY_MS},
+  );
+}
--- a/packages/entry/src/callers/servePlain.ts
+++ b/packages/entry/src/callers/plainServer.ts
@@ -1,12 +1,12 @@
-/** The way of a call to a plain service: version, admission, one or more attempts. */
+/** Handling of calls to plain services: version, admission and attempts. */
 import {createHash} from 'node:crypto';
 import {ServingError, toServingError, type Clock} from '@skylarkfield/base';
 import type {Permit} from '@skylarkfield/admission';
 import type {ServiceCall, ServiceResponse} from '@skylarkfield/endpoints';
 import type {SubmitResult} from '@skylarkfield/orders';
 import type {Service} from '@skylarkfield/records';
-import type {Serving} from '../serving.js';
-import type {Attempts} from './attempts.js';
+import type {ServingContext} from '../servingContext.js';
+import type {AttemptRunner} from './attemptRunner.js';
 import type {Exchange} from './exchange.js';
 import {toCallerHeaders, toServiceHeaders} from './forwardedHeaders.js';
 import {
@@ -17,7 +17,7 @@
 import {matchRoute} from './routes.js';
 
 export interface PlainServer {
-  /** Passes a call through; `path` is what follows the service's name, with its query. */
+  /** Forwards a call; `path` follows the service's name, with its query. */
   serve(
     exchange: Exchange,
     service: Service,
@@ -27,13 +27,13 @@
 }
 
 interface PlainServerOptions {
-  readonly serving: Serving;
-  readonly attempts: Attempts;
+  readonly serving: ServingContext;
+  readonly attempts: AttemptRunner;
   readonly clock: Clock;
 }
 
 /**
- * Makes the handler of calls to plain services.
+ * Creates the handler of calls to plain services.
  *
  * @example
  * await plain.serve(exchange, service, '/bookings?day=3', body);
@@ -67,7 +67,7 @@
     service: Service,
     deadline: number,
   ): Promise<Permit> {
-    const ask = {
+    const admissionRequest = {
       service: service.name,
       customer: exchange.customer.name,
       urgency: requestUrgency(
@@ -77,7 +77,7 @@
       deadline,
       cost: 1,
     };
-    return serving.admission.admit(ask, exchange.signal);
+    return serving.admission.admit(admissionRequest, exchange.signal);
   }
 
   async function withPermit(
@@ -109,7 +109,7 @@
       session: sessionOf(exchange),
       isIdempotent: true,
     });
-    const reply = await attempts.repeatable(
+    const reply = await attempts.runIdempotent(
       {
         service: service.name,
         version,
@@ -130,7 +130,7 @@
     key: string | undefined,
     deadline: number,
   ): Promise<void> {
-    const answer = await serving.ledger.submit(
+    const result = await serving.ledger.submit(
       {
         customer: exchange.customer.name,
         service: service.name,
@@ -141,7 +141,7 @@
       },
       exchange.signal,
     );
-    sendOrderAnswer(exchange, answer);
+    sendOrderResult(exchange, result);
   }
 }
 
@@ -150,7 +150,7 @@
   return typeof session === 'string' ? session : exchange.customer.name;
 }
 
-/** The same key with another fingerprint is another request, and refused. */
+/** Returns a digest of a call; reusing a key for another call is rejected. */
 function fingerprintOf(service: string, call: ServiceCall): string {
   return createHash('sha256')
     .update(`${service}\n${call.method}\n${call.path}\n`)
@@ -161,7 +161,7 @@
 function sendReply(exchange: Exchange, reply: ServiceResponse): void {
   const {response} = exchange;
   if (response.destroyed) {
-    throw new ServingError('cancelled', 'the caller went away');
+    throw new ServingError('cancelled', 'the caller disconnected');
   }
   response.writeHead(reply.status, {
     ...toCallerHeaders(reply.headers),
@@ -170,13 +170,13 @@
   response.end(reply.body);
 }
 
-function sendOrderAnswer(exchange: Exchange, answer: SubmitResult): void {
-  exchange.response.setHeader('Idempotent-Replayed', String(answer.isReplay));
-  if (answer.isUnkeyed) {
+function sendOrderResult(exchange: Exchange, result: SubmitResult): void {
+  exchange.response.setHeader('Idempotent-Replayed', String(result.isReplay));
+  if (result.isUnkeyed) {
     exchange.response.setHeader(
       'Warning',
       '299 - "no Idempotency-Key: a retry of this request can not be recognised"',
     );
   }
-  sendReply(exchange, answer.reply);
+  sendReply(exchange, result.reply);
 }
--- a/packages/entry/src/callers/problem.ts
+++ b/packages/entry/src/callers/problem.ts
@@ -1,4 +1,4 @@
-/** Refusals and failures as RFC 9457 problem answers. */
+/** Error responses as RFC 9457 problem details. */
 import type {ServerResponse} from 'node:http';
 import {
   errorResponses,
@@ -7,7 +7,7 @@
 } from '@skylarkfield/base';
 import type {LookupResult} from '@skylarkfield/members';
 
-/** Body of a problem answer. */
+/** Body of an error response. */
 export interface Problem {
   readonly type: string;
   readonly title: string;
@@ -18,12 +18,12 @@
   readonly requestId: string;
   readonly retryAfterMs?: number;
   readonly faults?: readonly ValidationFault[];
-  /** Entries to use instead, when this one is leaving or not ready. */
+  /** Entries to use instead of one that is leaving or not ready. */
   readonly entries?: LookupResult;
 }
 
 /**
- * Makes the problem for an error.
+ * Converts an error to a problem.
  *
  * @example
  * const problem = toProblem(error, requestId);
@@ -38,7 +38,7 @@
     type: `urn:skylarkfield:error:${error.kind}`,
     title,
     status,
-    // The message of an internal error may hold anything; it goes to the log only.
+    // An internal message may have sensitive data; it is only logged.
     detail: error.kind === 'internal' ? title : error.message,
     kind: error.kind,
     run: error.run,
@@ -52,7 +52,7 @@
 }
 
 /**
- * Sends a problem as the whole answer; does nothing when an answer has begun.
+ * Sends a problem as the response; does nothing if a response was started.
  *
  * @example
  * sendProblem(response, toProblem(error, requestId));
@@ -66,7 +66,7 @@
   response.setHeader('Content-Type', 'application/problem+json');
   response.setHeader('Content-Length', Buffer.byteLength(body));
   if (problem.retryAfterMs !== undefined) {
-    // The header has whole seconds; rounding down would bring callers back too early.
+    // The header is in whole seconds; rounding down would cause early retries.
     const seconds = Math.max(1, Math.ceil(problem.retryAfterMs / 1000));
     response.setHeader('Retry-After', String(seconds));
   }
--- a/packages/entry/src/callers/requestBody.ts
+++ b/packages/entry/src/callers/requestBody.ts
@@ -1,49 +1,49 @@
-/** Reads request bodies within a bound. */
+/** Reading of request bodies with a size limit. */
 import type {IncomingMessage} from 'node:http';
 import {ServingError} from '@skylarkfield/base';
 
 /**
- * Reads a whole body. Throws `too-large` as soon as the bound is passed, and
- * `cancelled` when the caller goes away first.
+ * Reads a whole body. Rejects with `too-large` as soon as the limit is
+ * exceeded, and with `cancelled` when the caller disconnects first.
  *
  * @example
  * const body = await readBody(request, settings.limits.bodyBytes);
  */
 export function readBody(
   request: IncomingMessage,
-  limitBytes: number,
+  maxBytes: number,
 ): Promise<Uint8Array> {
-  const announced = Number(request.headers['content-length'] ?? 0);
-  if (announced > limitBytes) {
-    return Promise.reject(tooLarge(limitBytes));
+  const contentLength = Number(request.headers['content-length'] ?? 0);
+  if (contentLength > maxBytes) {
+    return Promise.reject(bodyTooLargeError(maxBytes));
   }
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
     request.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size > limitBytes) {
+      if (size > maxBytes) {
         request.pause();
-        reject(tooLarge(limitBytes));
+        reject(bodyTooLargeError(maxBytes));
         return;
       }
       chunks.push(chunk);
     });
     request.once('end', () => resolve(Buffer.concat(chunks)));
-    request.once('error', error => reject(goneError(error)));
-    request.once('close', () => reject(goneError(undefined)));
+    request.once('error', error => reject(disconnectedError(error)));
+    request.once('close', () => reject(disconnectedError(undefined)));
   });
 }
 
-function tooLarge(limitBytes: number): ServingError {
+function bodyTooLargeError(maxBytes: number): ServingError {
   return new ServingError(
     'too-large',
-    `the body may have at most ${limitBytes} bytes`,
+    `the request body exceeds ${maxBytes} bytes`,
   );
 }
 
-function goneError(cause: unknown): ServingError {
-  return new ServingError('cancelled', 'the caller went away', {
+function disconnectedError(cause: unknown): ServingError {
+  return new ServingError('cancelled', 'the caller disconnected', {
     run: 'not-run',
     cause,
   });
--- a/packages/entry/src/callers/requestCost.ts
+++ b/packages/entry/src/callers/requestCost.ts
@@ -1,44 +1,45 @@
 /**
- * What a model request will cost, relative to a typical one of its service.
+ * Estimated cost of a model request, relative to the service's mean.
  *
- * Fairness among customers is by cost. If every request cost the same, a
- * customer with long histories would be given many times the work of the
- * others, whose requests would wait behind it for as long as it sends.
+ * Fair queuing among customers is by cost. With equal costs, a customer with
+ * long prompts would get many times the compute of the others, whose requests
+ * would queue behind it for as long as it sends.
  */
 
-/** What is known of a request's work before it is admitted. */
+/** Expected work of a request, as known before admission. */
 export interface ExpectedWork {
   readonly promptTokens: number;
-  /** Prompt tokens that some endpoint is believed to have in its cache. */
+  /** Prompt tokens expected to be in the cache of some endpoint. */
   readonly cachedTokens: number;
-  /** Most tokens that the answer may have. */
+  /** Maximum number of tokens to generate. */
   readonly maxTokens: number;
 }
 
 export interface RequestCosts {
-  /** Cost of a request, 1 for a typical one of the service; counts it into what is typical. */
+  /** Returns the cost, 1 for an average request, and updates the mean. */
   costOf(service: string, work: ExpectedWork): number;
 }
 
 /**
- * Work of a generated token, in prompt tokens computed. Engines compute a
- * prompt in parallel but an answer token by token. A full batch makes it
- * nearer to ten; answers mostly end before their limit, which is what is known.
+ * Work of a generated token, in computed prompt tokens. Engines process a
+ * prompt in parallel but generate token by token. With a full batch it is
+ * nearer to 10, but only the token limit is known, and most responses end
+ * before it.
  */
-const GENERATED_TOKEN_WORK = 4;
+const GENERATED_TOKEN_WEIGHT = 4;
 
 /**
- * Bounds of a cost. Without them one odd request could hold its customer back
- * for minutes, or make the expected wait of those behind it look hopeless.
+ * Bounds of a cost. Without them one unusual request could block its customer
+ * for minutes, or inflate the expected wait of the requests queued behind it.
  */
-const LEAST_COST = 1 / 16;
-const MOST_COST = 16;
+const MIN_COST = 1 / 16;
+const MAX_COST = 16;
 
-/** Requests over which the mean is taken once that many have come. */
-const MEAN_SPAN = 256;
+/** Window of the moving mean, in requests. */
+const MEAN_WINDOW_REQUESTS = 256;
 
-/** Services remembered; the one unused for longest goes first. */
-const MOST_SERVICES = 1_024;
+/** Maximum number of tracked services; the least recently used is evicted. */
+const MAX_SERVICES = 1_024;
 
 interface Mean {
   value: number;
@@ -46,11 +47,11 @@
 }
 
 /**
- * Makes costs that know no service yet: its first request costs 1.
+ * Creates an empty cost estimator; the first request of each service costs 1.
  *
  * @example
  * const costs = createRequestCosts();
- * costs.costOf('match', {tokenizePrompt: 900, cachedTokens: 0, maxTokens: 64});
+ * costs.costOf('match', {promptTokens: 900, cachedTokens: 0, maxTokens: 64});
  */
 export function createRequestCosts(): RequestCosts {
   const means = new Map<string, Mean>();
@@ -59,7 +60,7 @@
     const mean = means.get(service) ?? {value: 0, count: 0};
     means.delete(service);
     means.set(service, mean);
-    if (means.size > MOST_SERVICES) {
+    if (means.size > MAX_SERVICES) {
       const [oldest] = means.keys();
       means.delete(oldest!);
     }
@@ -68,17 +69,24 @@
 
   return {
     costOf(service, work) {
-      const own = workOf(work);
+      const weightedTokens = estimateWork(work);
       const mean = meanOf(service);
-      mean.count = Math.min(MEAN_SPAN, mean.count + 1);
-      mean.value += (own - mean.value) / mean.count;
-      return Math.min(MOST_COST, Math.max(LEAST_COST, own / mean.value));
+      mean.count = Math.min(MEAN_WINDOW_REQUESTS, mean.count + 1);
+      mean.value += (weightedTokens - mean.value) / mean.count;
+      return Math.min(
+        MAX_COST,
+        Math.max(MIN_COST, weightedTokens / mean.value),
+      );
     },
   };
 }
 
-/** At least 1, so that a mean is never 0. */
-function workOf({promptTokens, cachedTokens, maxTokens}: ExpectedWork): number {
+/** Returns the work in prompt tokens; at least 1, so that a mean is never 0. */
+function estimateWork({
+  promptTokens,
+  cachedTokens,
+  maxTokens,
+}: ExpectedWork): number {
   const computed = Math.max(0, promptTokens - cachedTokens);
-  return Math.max(1, computed + maxTokens * GENERATED_TOKEN_WORK);
+  return Math.max(1, computed + maxTokens * GENERATED_TOKEN_WEIGHT);
 }
--- a/packages/entry/src/callers/requestHeaders.ts
+++ b/packages/entry/src/callers/requestHeaders.ts
@@ -1,15 +1,15 @@
-/** What callers say in request headers: importance, time limit, session. */
+/** Request headers: urgency, timeout, idempotency key and bearer key. */
 import type {IncomingHttpHeaders} from 'node:http';
 import {ServingError} from '@skylarkfield/base';
 
-/** RFC 9218: urgency when the caller names none. */
+/** RFC 9218: urgency of requests without one. */
 const DEFAULT_URGENCY = 3;
-const LEAST_URGENCY = 7;
-const MAX_KEY_LENGTH = 255;
+const LOWEST_URGENCY = 7;
+const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 
 /**
- * The urgency of a request: what the caller asks for by `Priority: u=N`, but
- * never more important than its customer's record allows.
+ * Returns the urgency of a request: that of its `Priority: u=N` header, limited
+ * to the most urgent value in the customer's record.
  *
  * @example
  * requestUrgency({priority: 'u=0'}, 2); // 2
@@ -18,23 +18,24 @@
   headers: IncomingHttpHeaders,
   bestUrgency: number,
 ): number {
-  const asked = askedUrgency(headers['priority']);
-  return Math.max(asked, bestUrgency);
+  const requestedUrgency = parseUrgency(headers['priority']);
+  return Math.max(requestedUrgency, bestUrgency);
 }
 
-function askedUrgency(priority: string | string[] | undefined): number {
+function parseUrgency(priority: string | string[] | undefined): number {
   const match = /(?:^|,)\s*u=(\d+)/.exec(String(priority ?? ''));
   if (match === null) {
     return DEFAULT_URGENCY;
   }
   const urgency = Number(match[1]);
-  // RFC 9218: a value out of range is ignored.
-  return urgency <= LEAST_URGENCY ? urgency : DEFAULT_URGENCY;
+  // RFC 9218: out-of-range values are ignored.
+  return urgency <= LOWEST_URGENCY ? urgency : DEFAULT_URGENCY;
 }
 
 /**
- * The time that a request has, in milliseconds: `X-Request-Timeout-Ms`, at
- * most what the service allows. Throws `bad-request` when it is no positive number.
+ * Returns the timeout of a request in milliseconds: `X-Request-Timeout-Ms`, at
+ * most the service's timeout. Throws `bad-request` unless it is a positive
+ * number.
  *
  * @example
  * requestTimeout(request.headers, service.timeoutMs);
@@ -47,16 +48,16 @@
   if (text === undefined) {
     return serviceTimeoutMs;
   }
-  const asked = Number(text);
-  if (!Number.isFinite(asked) || asked <= 0) {
-    throw headerFault('x-request-timeout-ms', 'a positive number');
+  const requestedMs = Number(text);
+  if (!Number.isFinite(requestedMs) || requestedMs <= 0) {
+    throw invalidHeader('x-request-timeout-ms', 'a positive number');
   }
-  return Math.min(asked, serviceTimeoutMs);
+  return Math.min(requestedMs, serviceTimeoutMs);
 }
 
 /**
- * The caller's idempotency key, if it gave one. Throws `bad-request` for an
- * empty or overlong one.
+ * Returns the idempotency key, if any. Throws `bad-request` when it is empty or
+ * too long.
  *
  * @example
  * const key = idempotencyKey(request.headers);
@@ -69,14 +70,17 @@
     return undefined;
   }
   const key = String(text).replace(/^"(.*)"$/, '$1');
-  if (key === '' || key.length > MAX_KEY_LENGTH) {
-    throw headerFault('idempotency-key', `1 to ${MAX_KEY_LENGTH} characters`);
+  if (key === '' || key.length > MAX_IDEMPOTENCY_KEY_LENGTH) {
+    throw invalidHeader(
+      'idempotency-key',
+      `1 to ${MAX_IDEMPOTENCY_KEY_LENGTH} characters`,
+    );
   }
   return key;
 }
 
 /**
- * The bearer key of a request; undefined when there is none.
+ * Returns the bearer key of a request, if any.
  *
  * @example
  * const key = bearerKey(request.headers);
@@ -86,7 +90,7 @@
   return match?.[1];
 }
 
-function headerFault(path: string, expected: string): ServingError {
+function invalidHeader(path: string, expected: string): ServingError {
   return new ServingError('bad-request', `${path}: ${expected}`, {
     faults: [{path, expected}],
   });
--- a/packages/entry/src/callers/observation.ts
+++ b/packages/entry/src/callers/requestMetrics.ts
@@ -1,11 +1,11 @@
-/** Request metrics and the evidence that version moves are judged by. */
+/** Request metrics, and classification of errors for version moves. */
 import type {ErrorKind, Meter, ServingError} from '@skylarkfield/base';
 
-/** What a request turned out to be; `none` when it was refused before that was known. */
+/** Type of a request; `none` when it was rejected before its type was known. */
 export type RequestType = 'model' | 'plain' | 'none';
 
-/** How one request of a caller ended. */
-export interface RequestEnd {
+/** Result of a completed request. */
+export interface CompletedRequest {
   readonly service: string;
   readonly type: RequestType;
   /** `ok` or the kind of the error. */
@@ -15,19 +15,19 @@
 
 export interface RequestMetrics {
   begin(): void;
-  end(end: RequestEnd): void;
+  end(end: CompletedRequest): void;
   firstToken(service: string, latencyMs: number): void;
   recomputed(service: string, tokens: number): void;
 }
 
-/** A service name that no record has must not become a label: callers could make up any number. */
+/** Label of unknown services; callers' made-up names must not become labels. */
 const UNKNOWN_SERVICE = 'unknown';
 
 /**
- * Makes the instruments; label sets are bounded by the services in force.
+ * Creates the instruments; label sets are bounded by the services in force.
  *
  * @example
- * const metrics = createRequestMetrics(meter, name => configuration.get('service', name) !== undefined);
+ * const metrics = createRequestMetrics(meter, isKnownService);
  */
 export function createRequestMetrics(
   meter: Meter,
@@ -36,11 +36,11 @@
   const active = meter.createUpDownCounter('http.server.active_requests');
   const duration = meter.createHistogram('http.server.request.duration', {
     unit: 's',
-    advice: {explicitBucketBoundaries: durationBounds()},
+    advice: {explicitBucketBoundaries: durationBucketsSeconds()},
   });
   const firstToken = meter.createHistogram(
     'gen_ai.server.time_to_first_token',
-    {unit: 's', advice: {explicitBucketBoundaries: durationBounds()}},
+    {unit: 's', advice: {explicitBucketBoundaries: durationBucketsSeconds()}},
   );
   const recomputed = meter.createCounter('skylarkfield.recomputed_tokens');
   const label = (service: string) =>
@@ -66,24 +66,24 @@
   };
 }
 
-function durationBounds(): number[] {
+function durationBucketsSeconds(): number[] {
   return [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.5, 2.5, 5, 10,
     30,
   ];
 }
 
-/** Error kinds that speak against the version that served, not against the caller or the entry. */
-const VERSION_FAULTS: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
+/** Error kinds attributed to the version, not to the caller or the entry. */
+const VERSION_FAULT_KINDS: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
   'endpoint-failed',
   'interrupted',
   'outcome-unknown',
 ]);
 
 /**
- * Whether an error is evidence against the version that served the request.
- * A version that hangs shows as deadlines that pass after the request was sent;
- * one that passes before says nothing about it.
+ * Returns whether an error is evidence against the version that served the
+ * request. A deadline counts only if it passed after the request was sent,
+ * which is how a hung version fails.
  *
  * @example
  * isVersionFault(new ServingError('endpoint-failed', 'status 500')); // true
@@ -92,5 +92,5 @@
   if (error.kind === 'deadline-exceeded') {
     return error.run === 'may-have-run';
   }
-  return VERSION_FAULTS.has(error.kind);
+  return VERSION_FAULT_KINDS.has(error.kind);
 }
--- a/packages/entry/src/callers/routes.ts
+++ b/packages/entry/src/callers/routes.ts
@@ -1,18 +1,19 @@
-/** Whether a call to a plain service may be repeated, by its record's routes. */
+/** Route matching, which decides whether a plain call is idempotent. */
 import type {Route, Service} from '@skylarkfield/records';
 
-/** Methods that RFC 9110 calls safe: idempotent even where no route says so. */
+/** Safe methods of RFC 9110, idempotent unless a route overrides it. */
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS']);
 
-/** How a call is to be treated. */
+/** Route of a call. */
 export interface RouteMatch {
-  /** Label of the route for evidence and metrics; bounded by the record. */
+  /** Label for evidence and metrics; the record bounds its cardinality. */
   readonly label: string;
   readonly isIdempotent: boolean;
 }
 
 /**
- * Finds the route of a call: the longest matching prefix, a named method before `*`.
+ * Returns the route with the longest matching prefix; a named method precedes
+ * `*`.
  *
  * @example
  * matchRoute(service, 'POST', '/bookings').isIdempotent; // false
@@ -24,7 +25,7 @@
 ): RouteMatch {
   const best = service.routes
     .filter(route => isMatch(route, method, path))
-    .sort(byPrecision)[0];
+    .sort(bySpecificity)[0];
   if (best === undefined) {
     return {label: 'other', isIdempotent: SAFE_METHODS.has(method)};
   }
@@ -41,7 +42,7 @@
   return path.startsWith(route.pathPrefix);
 }
 
-function byPrecision(a: Route, b: Route): number {
+function bySpecificity(a: Route, b: Route): number {
   const byLength = b.pathPrefix.length - a.pathPrefix.length;
   if (byLength !== 0) {
     return byLength;
--- a/packages/entry/src/parts/admissionPart.ts
+++ b/packages/entry/src/components/admissionComponent.ts
@@ -1,4 +1,4 @@
-/** The admission of this entry, kept in step with the records in force. */
+/** Admission control of this entry, configured by the records in force. */
 import {
   createAdmissionController,
   type AdmissionController,
@@ -8,13 +8,13 @@
 import type {EntryContext} from '../context.js';
 
 /**
- * Makes the admission; services, customers' weights and the number of live
- * entries follow configuration and membership.
+ * Creates the admission controller; services, customers' weights and the number
+ * of live entries follow configuration and membership.
  *
  * @example
- * const admission = createAdmissionPart(context, configuration, membership);
+ * createAdmissionComponent(context, configuration, membership);
  */
-export function createAdmissionPart(
+export function createAdmissionComponent(
   context: EntryContext,
   configuration: Configuration,
   membership: Membership,
--- a/packages/entry/src/parts/dutiesPart.ts
+++ b/packages/entry/src/components/dutiesComponent.ts
@@ -1,27 +1,27 @@
-/** The control work that this entry does while it holds the lease for it. */
+/** Control duties that this entry performs while it holds their leases. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import {createDutyElections, type DutyElections} from '@skylarkfield/duties';
 import {createAcceptanceController} from '@skylarkfield/records';
 import type {EntryContext} from '../context.js';
-import type {MembersPart} from './membersPart.js';
-import type {PlatformPart} from './platformPart.js';
-import type {RecordsPart} from './recordsPart.js';
+import type {MembersComponent} from './membersComponent.js';
+import type {PlatformComponent} from './platformComponent.js';
+import type {RecordsComponent} from './recordsComponent.js';
 
-interface DutiesOptions {
-  readonly platform: PlatformPart;
-  readonly members: MembersPart;
-  readonly records: RecordsPart;
+interface DutiesComponentOptions {
+  readonly platform: PlatformComponent;
+  readonly members: MembersComponent;
+  readonly records: RecordsComponent;
 }
 
 /**
- * Competes for the duties; each runs on one entry at a time.
+ * Takes part in the lease elections of duties; one entry at a time runs each.
  *
  * @example
- * const duties = createDutiesPart(context, {platform, members, records});
+ * const duties = createDutiesComponent(context, {platform, members, records});
  */
-export function createDutiesPart(
+export function createDutiesComponent(
   context: EntryContext,
-  options: DutiesOptions,
+  options: DutiesComponentOptions,
 ): DutyElections & Disposable {
   const {clock, random, log, decisions, dumps} = context;
   const {platform, members, records} = options;
@@ -53,10 +53,10 @@
         membersLacking: versions =>
           records.configuration.membersLacking(versions),
       });
-      const shown = dumps.add('acceptance', () => acceptance.dump());
+      const dumpRegistration = dumps.add('acceptance', () => acceptance.dump());
       return {
         dispose() {
-          shown.dispose();
+          dumpRegistration.dispose();
           acceptance.dispose();
         },
       };
--- a/packages/entry/src/parts/enginesPart.ts
+++ b/packages/entry/src/components/endpointPoolComponent.ts
@@ -1,4 +1,4 @@
-/** The endpoints of the host list, each with the client that speaks to it. */
+/** Pool of the endpoints in the host list, each with its client. */
 import {setMaxListeners} from 'node:events';
 import {
   disposableStore,
@@ -13,32 +13,32 @@
 import type {ListedEndpoint} from '@skylarkfield/providers';
 import type {Router} from '@skylarkfield/routing';
 import type {EntryContext} from '../context.js';
-import type {ConnectedEndpoint, EndpointPool} from '../serving.js';
+import type {ConnectedEndpoint, EndpointPool} from '../servingContext.js';
 import {startPolling} from './endpointPolling.js';
-import type {LeavingPart} from './leavingPart.js';
+import type {LeavingComponent} from './leavingComponent.js';
 
-export interface EnginesPart extends EndpointPool, Disposable {
-  /** The endpoint gets no new work, and its streams are told. */
+export interface EndpointPoolComponent extends EndpointPool, Disposable {
+  /** Sends the endpoint no new requests and signals its streams to migrate. */
   markLeaving(id: string): void;
 }
 
 interface OpenEndpoint extends ConnectedEndpoint, Disposable {
-  /** Monotonic milliseconds by which it is gone, when a notice said so. */
+  /** Monotonic milliseconds by which it is gone, if a notice gave a time. */
   goneAtMs: number | undefined;
   leave(): void;
 }
 
 /**
- * Follows the host list and keeps one client per endpoint.
+ * Watches the host list and maintains one client per endpoint.
  *
  * @example
- * const engines = createEnginesPart(context, leavingPart, router);
+ * const endpoints = createEndpointPoolComponent(context, leaving, router);
  */
-export function createEnginesPart(
+export function createEndpointPoolComponent(
   context: EntryContext,
-  {hostList, leaving}: Pick<LeavingPart, 'hostList' | 'leaving'>,
+  {hostList, leaving}: Pick<LeavingComponent, 'hostList' | 'leaving'>,
   router: Router,
-): EnginesPart {
+): EndpointPoolComponent {
   const {clock, log} = context;
   const open = new Map<string, OpenEndpoint>();
   const store = disposableStore();
@@ -47,27 +47,27 @@
     list: () => [...open.values()],
   };
   store.add(toDisposable(() => open.forEach(endpoint => endpoint.dispose())));
-  store.add(hostList.watch(adopt));
-  store.add(leaving.onDidLeave(noteLeaving));
-  store.add(leaving.onDidReturn(reopen));
+  store.add(hostList.watch(applyHostList));
+  store.add(leaving.onDidLeave(handleLeaving));
+  store.add(leaving.onDidReturn(handleReturn));
   store.add(startPolling({clock, log, router, endpoints: pool}));
 
   return {...pool, markLeaving, dispose: () => store.dispose()};
 
-  /** A notice says when the host is gone, and may come before the list says anything. */
-  function noteLeaving({endpoint, goneAt}: LeavingEndpoint): void {
-    const present = open.get(endpoint);
-    if (present !== undefined && goneAt > 0) {
-      present.goneAtMs = clock.now() + goneAt - clock.wall();
+  /** Applies a notice; it has the removal time and may precede the list. */
+  function handleLeaving({endpoint, goneAt}: LeavingEndpoint): void {
+    const existing = open.get(endpoint);
+    if (existing !== undefined && goneAt > 0) {
+      existing.goneAtMs = clock.now() + goneAt - clock.wall();
     }
     markLeaving(endpoint);
   }
 
   /**
-   * The client of the old process was told that it leaves, for good. Kept for
-   * the new one at the same address, it would end every stream sent there.
+   * Discards the client of the old process: its `leaving` signal stays aborted
+   * and would end every stream sent to the new process at the same address.
    */
-  function reopen(id: string): void {
+  function handleReturn(id: string): void {
     open.get(id)?.dispose();
     open.delete(id);
     router.markReturned(id);
@@ -78,10 +78,10 @@
     open.get(id)?.leave();
   }
 
-  function adopt(listed: readonly ListedEndpoint[]): void {
+  function applyHostList(listed: readonly ListedEndpoint[]): void {
     closeUnlisted(listed);
     for (const endpoint of listed) {
-      openOrKeep(endpoint);
+      ensureOpen(endpoint);
     }
     router.setEndpoints(listed);
     for (const endpoint of listed) {
@@ -101,17 +101,17 @@
     }
   }
 
-  function openOrKeep(listed: ListedEndpoint): void {
-    const present = open.get(listed.id);
-    if (present !== undefined && isSame(present.listed, listed)) {
+  function ensureOpen(listed: ListedEndpoint): void {
+    const existing = open.get(listed.id);
+    if (existing !== undefined && isSameEndpoint(existing.listed, listed)) {
       return;
     }
-    present?.dispose();
+    existing?.dispose();
     open.set(listed.id, openEndpoint(listed));
   }
 }
 
-function isSame(a: ListedEndpoint, b: ListedEndpoint): boolean {
+function isSameEndpoint(a: ListedEndpoint, b: ListedEndpoint): boolean {
   return (
     a.url === b.url &&
     a.type === b.type &&
@@ -122,7 +122,7 @@
 
 function openEndpoint(listed: ListedEndpoint): OpenEndpoint {
   const leaving = new AbortController();
-  // Every stream at the endpoint listens; more than ten are no leak.
+  // Every stream at the endpoint adds a listener; more than 10 are no leak.
   setMaxListeners(0, leaving.signal);
   const {url} = listed;
   const client =
--- a/packages/entry/src/parts/fleetPart.ts
+++ b/packages/entry/src/components/fleetComponent.ts
@@ -1,4 +1,4 @@
-/** The fleet duty of this entry: hosts by the plan, endpoints that run what is listed. */
+/** Fleet duty of this entry: host scaling and endpoint repair. */
 import {disposableStore, every, type Disposable} from '@skylarkfield/base';
 import {createOrderGate, type DutyElections} from '@skylarkfield/duties';
 import {
@@ -10,30 +10,30 @@
 import type {ListedEndpoint} from '@skylarkfield/providers';
 import type {Configuration} from '@skylarkfield/records';
 import type {EntryContext} from '../context.js';
-import type {EndpointPool} from '../serving.js';
-import type {LoadFeed} from './loadFeed.js';
-import type {PlatformPart} from './platformPart.js';
+import type {EndpointPool} from '../servingContext.js';
+import type {LoadReportAggregator} from './loadReportAggregator.js';
+import type {PlatformComponent} from './platformComponent.js';
 
-/** How often endpoints are asked what they run, in milliseconds. */
+/** Interval of endpoint repair checks, in milliseconds. */
 const REPAIR_INTERVAL_MS = 5_000;
 
-interface FleetOptions {
+interface FleetComponentOptions {
   readonly duties: DutyElections;
-  readonly platform: PlatformPart;
+  readonly platform: PlatformComponent;
   readonly configuration: Configuration;
   readonly endpoints: EndpointPool;
-  readonly loads: Pick<LoadFeed, 'reports'>;
+  readonly loadReports: Pick<LoadReportAggregator, 'reports'>;
 }
 
 /**
- * Competes for the fleet duty.
+ * Takes part in the lease election of the fleet duty.
  *
  * @example
- * owned.add(createFleetPart(context, {duties, platform, configuration, endpoints, loads}));
+ * owned.add(createFleetComponent(context, options));
  */
-export function createFleetPart(
+export function createFleetComponent(
   context: EntryContext,
-  options: FleetOptions,
+  options: FleetComponentOptions,
 ): Disposable {
   const {clock, random, decisions, dumps} = context;
   const {platform, configuration, endpoints} = options;
@@ -47,7 +47,7 @@
         decisions,
         tenure,
         services: () => configuration.list('service'),
-        reports: options.loads.reports,
+        reports: options.loadReports.reports,
       }),
     );
     const repair = createEndpointRepair({
@@ -83,16 +83,21 @@
     return endpoints
       .list()
       .flatMap(({listed, engine}) =>
-        engine === undefined ? [] : [{listed: withClass(listed), engine}],
+        engine === undefined
+          ? []
+          : [{listed: withClassOverrides(listed), engine}],
       );
   }
 
-  /** What operators say of a class goes before what the list says of an endpoint. */
-  function withClass(listed: ListedEndpoint): ListedEndpoint {
-    const known = configuration.get('endpoint-class', listed.machineClass);
+  /** Prefers the operators' endpoint class record over the listed value. */
+  function withClassOverrides(listed: ListedEndpoint): ListedEndpoint {
+    const classRecord = configuration.get(
+      'endpoint-class',
+      listed.machineClass,
+    );
     return {
       ...listed,
-      checksFencing: known?.checksFencing ?? listed.checksFencing,
+      checksFencing: classRecord?.checksFencing ?? listed.checksFencing,
     };
   }
 
--- a/packages/entry/src/parts/leavingPart.ts
+++ b/packages/entry/src/components/leavingComponent.ts
@@ -1,4 +1,4 @@
-/** Which endpoints leave, and the host list corrected by it. */
+/** Tracking of leaving endpoints, and the host list corrected by it. */
 import {disposableStore, every, type Disposable} from '@skylarkfield/base';
 import {
   createLeavingEndpointTracker,
@@ -7,29 +7,29 @@
 } from '@skylarkfield/members';
 import type {HostList} from '@skylarkfield/providers';
 import type {EntryContext} from '../context.js';
-import type {MembersPart} from './membersPart.js';
-import type {PlatformPart} from './platformPart.js';
+import type {MembersComponent} from './membersComponent.js';
+import type {PlatformComponent} from './platformComponent.js';
 
-export interface LeavingPart extends Disposable {
+export interface LeavingComponent extends Disposable {
   readonly leaving: LeavingEndpointTracker;
-  /** Shows what is known to leave as leaving, whatever the platform's list still says. */
+  /** Marks leaving endpoints as such before the platform's list does. */
   readonly hostList: HostList;
 }
 
-/** How often an entry looks whether it is one of those that watch notices. */
-const READER_INTERVAL_MS = 2_000;
+/** Interval of checks whether to watch notices, in milliseconds. */
+const READER_CHECK_INTERVAL_MS = 2_000;
 
 /**
- * Follows notices, the host list and peers.
+ * Tracks leaving endpoints from notices, the host list and peers.
  *
  * @example
- * const {hostList} = createLeavingPart(context, platform, members);
+ * const {hostList} = createLeavingComponent(context, platform, members);
  */
-export function createLeavingPart(
+export function createLeavingComponent(
   context: EntryContext,
-  platform: Pick<PlatformPart, 'cloud' | 'hostList'>,
-  members: MembersPart,
-): LeavingPart {
+  platform: Pick<PlatformComponent, 'cloud' | 'hostList'>,
+  members: MembersComponent,
+): LeavingComponent {
   const {clock, decisions, dumps} = context;
   const {membership, network} = members;
   const owned = disposableStore();
@@ -43,7 +43,7 @@
     }),
   );
   owned.add(
-    every(clock, READER_INTERVAL_MS, () =>
+    every(clock, READER_CHECK_INTERVAL_MS, () =>
       leaving.setReader(
         isReader(membership.live(), membership.self, 'notices'),
       ),
--- /dev/null
+++ b/packages/entry/src/components/loadReportAggregator.ts
@@ -0,0 +1,141 @@
+/** Aggregates endpoints' load reports for admission and the fleet duty. */
+import type {AdmissionController} from '@skylarkfield/admission';
+import {every, type Clock, type Disposable} from '@skylarkfield/base';
+import type {LoadReport} from '@skylarkfield/endpoints';
+import type {Configuration} from '@skylarkfield/records';
+import type {Router} from '@skylarkfield/routing';
+import type {EndpointPool} from '../servingContext.js';
+
+/** Interval of updates to admission control, in milliseconds. */
+const PUBLISH_INTERVAL_MS = 1_000;
+
+/**
+ * Maximum age of a report, in milliseconds. Without the bound, missing reports
+ * would look like idle slots, and entries would borrow slots that are in use.
+ */
+const MAX_REPORT_AGE_MS = 5_000;
+
+/**
+ * Fresh reports required to estimate a service's load: a fraction of the polled
+ * endpoints, or a number that is a sufficient sample of many. The poll rate is
+ * bounded, so with many endpoints some reports are always stale. Missing
+ * reports count as the mean of the others.
+ */
+const MIN_REPORTING_FRACTION = 0.75;
+const SUFFICIENT_REPORTS = 16;
+
+interface TimedReport {
+  readonly report: LoadReport;
+  readonly at: number;
+}
+
+interface LoadReportAggregatorOptions {
+  readonly clock: Clock;
+  readonly admission: AdmissionController;
+  readonly configuration: Pick<Configuration, 'list'>;
+}
+
+export interface LoadReportAggregator {
+  /** Wraps the router to record each reported load. */
+  readonly router: Router;
+  /** Returns the latest fresh reports of a service's endpoints. */
+  reports(service: string): readonly LoadReport[];
+  /** Starts to update admission control, for the given endpoints. */
+  start(endpoints: EndpointPool): Disposable;
+}
+
+/**
+ * Creates an aggregator that wraps a router.
+ *
+ * @example
+ * const loadReports = createLoadReportAggregator(router, options);
+ * const {router: reporting} = loadReports;
+ * const endpoints = createEndpointPoolComponent(context, leaving, reporting);
+ * owned.add(loadReports.start(endpoints));
+ */
+export function createLoadReportAggregator(
+  router: Router,
+  {clock, admission, configuration}: LoadReportAggregatorOptions,
+): LoadReportAggregator {
+  const reports = new Map<string, TimedReport>();
+  let pool: EndpointPool | undefined;
+
+  function freshReport(id: string): LoadReport | undefined {
+    const freshReports = reports.get(id);
+    if (
+      freshReports === undefined ||
+      clock.now() - freshReports.at > MAX_REPORT_AGE_MS
+    ) {
+      return undefined;
+    }
+    return freshReports.report;
+  }
+
+  function usableEndpoints(service: string) {
+    return (pool?.list() ?? []).filter(
+      ({listed, leaving}) => listed.service === service && !leaving.aborted,
+    );
+  }
+
+  function reportsOf(service: string): LoadReport[] {
+    return usableEndpoints(service).flatMap(
+      ({listed}) => freshReport(listed.id) ?? [],
+    );
+  }
+
+  /**
+   * Estimates the requests at all endpoints of a service, including those not
+   * polled by this entry; undefined while too few of the polled ones report.
+   */
+  function estimateBusySlots(service: string): number | undefined {
+    const usable = usableEndpoints(service);
+    const assigned = new Set(router.assignedEndpoints().map(({id}) => id));
+    const polledCount = usable.filter(({listed: {id}}) =>
+      assigned.has(id),
+    ).length;
+    const freshReports = reportsOf(service);
+    const requiredCount = Math.min(
+      SUFFICIENT_REPORTS,
+      polledCount * MIN_REPORTING_FRACTION,
+    );
+    if (freshReports.length === 0 || freshReports.length < requiredCount) {
+      return undefined;
+    }
+    const sum = freshReports.reduce(
+      (total, report) => total + report.running + report.waiting,
+      0,
+    );
+    return Math.round((sum * usable.length) / freshReports.length);
+  }
+
+  function publishLoad(endpoints: EndpointPool): void {
+    const listed = new Set(endpoints.list().map(({listed: {id}}) => id));
+    for (const id of reports.keys()) {
+      if (!listed.has(id)) {
+        reports.delete(id);
+      }
+    }
+    for (const {name} of configuration.list('service')) {
+      admission.setReportedSlots(
+        name,
+        router.slots(name),
+        estimateBusySlots(name),
+      );
+    }
+  }
+
+  return {
+    router: {
+      ...router,
+      reportLoad(id, report) {
+        reports.set(id, {report, at: clock.now()});
+        router.reportLoad(id, report);
+      },
+    },
+    reports: reportsOf,
+    start(endpoints) {
+      pool = endpoints;
+      return every(clock, PUBLISH_INTERVAL_MS, () => publishLoad(endpoints));
+    },
+  };
+}
--- a/packages/entry/src/parts/membersPart.ts
+++ b/packages/entry/src/components/membersComponent.ts
@@ -1,4 +1,4 @@
-/** The inner network, the membership over it, and lookup answers. */
+/** Peer network, cluster membership and entry lookup. */
 import {
   disposableStore,
   ServingError,
@@ -18,20 +18,20 @@
   type TlsWatcher,
 } from '@skylarkfield/protocol';
 import type {EntryContext} from '../context.js';
-import type {PlatformPart} from './platformPart.js';
+import type {PlatformComponent} from './platformComponent.js';
 
-export interface MembersPart extends Disposable {
+export interface MembersComponent extends Disposable {
   readonly network: PeerNetwork;
   readonly membership: Membership;
   readonly innerUrl: string;
-  lookup(question: LookupQuery): LookupResult;
+  query(query: LookupQuery): LookupResult;
 }
 
-interface MembersOptions {
+interface MembersComponentOptions {
   readonly innerKey: string;
-  /** Where callers connect. */
+  /** URL that callers connect to. */
   readonly callersUrl: string;
-  /** Requests in flight here. */
+  /** Number of requests in flight at this entry. */
   load(): number;
 }
 
@@ -39,18 +39,18 @@
  * Opens the inner port and joins the membership.
  *
  * @example
- * const members = await createMembersPart(context, platform, options);
+ * const members = await createMembersComponent(context, platform, options);
  */
-export async function createMembersPart(
+export async function createMembersComponent(
   context: EntryContext,
-  platform: PlatformPart,
-  options: MembersOptions,
-): Promise<MembersPart> {
+  platform: PlatformComponent,
+  options: MembersComponentOptions,
+): Promise<MembersComponent> {
   const {settings, clock, random, log, decisions, dumps} = context;
   const owned = disposableStore();
-  // A restart must be told from a pause: the wall clock rises over restarts.
+  // Distinguishes a restart from a pause; wall time increases across restarts.
   const incarnation = clock.wall();
-  const tls = await readInnerTls(context);
+  const tls = await watchInnerTls(context);
   const network = owned.add(
     createPeerNetwork({
       self: {id: settings.id, incarnation},
@@ -91,12 +91,12 @@
     network,
     membership,
     innerUrl,
-    lookup: question => rankEntries(membership.members(), question, random),
+    query: query => rankEntries(membership.members(), query, random),
     dispose: () => owned.dispose(),
   };
 }
 
-async function readInnerTls(
+async function watchInnerTls(
   context: EntryContext,
 ): Promise<TlsWatcher | undefined> {
   const {settings, clock, log} = context;
@@ -105,7 +105,7 @@
     return undefined;
   }
   if (tls.ca === undefined) {
-    const expected = 'the authorities of the other entries';
+    const expected = 'the certificate authorities of the other entries';
     throw new ServingError('bad-settings', `inner.tls.ca: ${expected}`, {
       faults: [{path: 'inner.tls.ca', expected}],
     });
--- a/packages/entry/src/parts/movesPart.ts
+++ b/packages/entry/src/components/movesComponent.ts
@@ -1,4 +1,4 @@
-/** The version moves of this entry: its traffic split, what it follows, and the duty. */
+/** Version moves of this entry: traffic split, move follower and move duty. */
 import {disposableStore, every, type Disposable} from '@skylarkfield/base';
 import type {DutyElections} from '@skylarkfield/duties';
 import {
@@ -12,13 +12,13 @@
 import type {PeerNetwork} from '@skylarkfield/protocol';
 import type {Configuration} from '@skylarkfield/records';
 import type {EntryContext} from '../context.js';
-import {listedVersions} from '../listedVersions.js';
-import type {EndpointPool} from '../serving.js';
+import {availableVersions} from '../availableVersions.js';
+import type {EndpointPool} from '../servingContext.js';
 
-/** How often the split hears which versions have endpoints, in milliseconds. */
+/** Interval of updates of the available versions, in milliseconds. */
 const AVAILABILITY_INTERVAL_MS = 1_000;
 
-interface MovesOptions {
+interface MovesComponentOptions {
   readonly split: TrafficSplit;
   readonly configuration: Configuration;
   readonly network: PeerNetwork;
@@ -28,12 +28,14 @@
 }
 
 /**
- * Makes the split, which requests ask from the first one on.
+ * Creates the traffic split, which must exist before the first request.
  *
  * @example
- * const split = createMovesPart(context);
+ * const split = createTrafficSplitComponent(context);
  */
-export function createMovesPart(context: EntryContext): TrafficSplit {
+export function createTrafficSplitComponent(
+  context: EntryContext,
+): TrafficSplit {
   const {clock, decisions, dumps} = context;
   const split = createTrafficSplit({clock, decisions});
   dumps.add('moves', () => split.dump());
@@ -41,14 +43,14 @@
 }
 
 /**
- * Follows moves and competes for the duty of advancing them.
+ * Follows moves and takes part in the lease election of the move duty.
  *
  * @example
- * owned.add(startMoves(context, {split, configuration, network, objects, endpoints, duties}));
+ * owned.add(startMovesComponent(context, options));
  */
-export function startMoves(
+export function startMovesComponent(
   context: EntryContext,
-  options: MovesOptions,
+  options: MovesComponentOptions,
 ): Disposable {
   const {clock, log, decisions, dumps} = context;
   const {split, configuration, network, objects, endpoints, duties} = options;
@@ -65,7 +67,7 @@
       controller,
     }),
   );
-  owned.add(every(clock, AVAILABILITY_INTERVAL_MS, setAvailable));
+  owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailableVersions));
   owned.add(
     duties.compete('moves', tenure =>
       createMoveDuty({
@@ -76,16 +78,16 @@
         controller,
         tenure,
         hasEndpoints: (service, version) =>
-          listedVersions(service, endpoints).has(version),
+          availableVersions(service, endpoints).has(version),
       }),
     ),
   );
   return owned;
 
-  function setAvailable(): void {
+  function updateAvailableVersions(): void {
     for (const {service} of configuration.list('move')) {
       split.setAvailableVersions(service, [
-        ...listedVersions(service, endpoints),
+        ...availableVersions(service, endpoints),
       ]);
     }
   }
--- a/packages/entry/src/parts/orderMetrics.ts
+++ b/packages/entry/src/components/orderMetrics.ts
@@ -1,16 +1,16 @@
-/** Counters of the order ledger. */
+/** Metrics of the order ledger. */
 import type {Meter} from '@skylarkfield/base';
 import type {OrderObserver} from '@skylarkfield/orders';
 
-/** A service name that no record has must not become a label: callers could make up any number. */
+/** Label of unknown services; callers' made-up names must not become labels. */
 const UNKNOWN_SERVICE = 'unknown';
 
 /**
- * Makes the counters; label sets are bounded by the services in force and the
+ * Creates the counters; label sets are bounded by the services in force and the
  * closed list of outcomes.
  *
  * @example
- * const observer = createOrderMetrics(meter, name => configuration.get('service', name) !== undefined);
+ * const observer = createOrderMetrics(meter, isKnownService);
  */
 export function createOrderMetrics(
   meter: Meter,
--- a/packages/entry/src/parts/ordersPart.ts
+++ b/packages/entry/src/components/ordersComponent.ts
@@ -1,4 +1,4 @@
-/** The ledger of this entry: calls that run at most once. */
+/** Order ledger of this entry, for calls that run at most once. */
 import {ServingError} from '@skylarkfield/base';
 import type {TrafficSplit} from '@skylarkfield/moves';
 import {
@@ -8,31 +8,31 @@
   type OrderReply,
 } from '@skylarkfield/orders';
 import type {Configuration} from '@skylarkfield/records';
-import type {Attempts} from '../callers/attempts.js';
+import type {AttemptRunner} from '../callers/attemptRunner.js';
 import {matchRoute} from '../callers/routes.js';
 import type {EntryContext} from '../context.js';
-import type {MembersPart} from './membersPart.js';
+import type {MembersComponent} from './membersComponent.js';
 import {createOrderMetrics} from './orderMetrics.js';
-import type {PlatformPart} from './platformPart.js';
+import type {PlatformComponent} from './platformComponent.js';
 
-interface OrdersOptions {
-  readonly platform: PlatformPart;
-  readonly members: MembersPart;
+interface OrdersComponentOptions {
+  readonly platform: PlatformComponent;
+  readonly members: MembersComponent;
   readonly configuration: Configuration;
   readonly split: TrafficSplit;
-  readonly attempts: Attempts;
+  readonly attempts: AttemptRunner;
 }
 
 /**
- * Makes the ledger; a claimed order is dispatched to an endpoint of the version
- * that its session has at that moment.
+ * Creates the ledger; a claimed order is dispatched to an endpoint of the
+ * version assigned to its session at that time.
  *
  * @example
- * const ledger = createOrdersPart(context, {platform, members, configuration, split, attempts});
+ * const ledger = createOrdersComponent(context, options);
  */
-export function createOrdersPart(
+export function createOrdersComponent(
   context: EntryContext,
-  options: OrdersOptions,
+  options: OrdersComponentOptions,
 ): Ledger {
   const {settings, clock, random, decisions, dumps} = context;
   const {membership, network} = options.members;
@@ -66,8 +66,11 @@
   ): Promise<OrderReply> {
     const service = options.configuration.get('service', name);
     if (service === undefined) {
-      // Nothing was sent: the record was removed while the order waited.
-      throw new ServingError('endpoint-unavailable', `${name} was removed`);
+      // Not run: the record was removed while the order was queued.
+      throw new ServingError(
+        'endpoint-unavailable',
+        `service ${name} was removed`,
+      );
     }
     const version = options.split.versionFor({
       service: name,
@@ -76,7 +79,7 @@
         call.headers['x-session-id'] ?? call.headers['x-request-id'] ?? '',
       isIdempotent: false,
     });
-    return options.attempts.atMostOnce(
+    return options.attempts.runAtMostOnce(
       {
         service: name,
         version,
--- /dev/null
+++ b/packages/entry/src/components/peerFallbackHostList.ts
@@ -0,0 +1,110 @@
+/** Host list from the platform, or from peers until the platform responds. */
+import {
+  disposableStore,
+  every,
+  toDisposable,
+  type Clock,
+  type Disposable,
+  type Logger,
+  type Random,
+} from '@skylarkfield/base';
+import {
+  listedEndpointSchema,
+  type HostList,
+  type ListedEndpoint,
+} from '@skylarkfield/providers';
+import type {PeerNetwork} from '@skylarkfield/protocol';
+import * as z from 'zod';
+
+/** Interval of requests to peers while there is no list, in milliseconds. */
+const PEER_REQUEST_INTERVAL_MS = 500;
+/** Timeout of a request to a peer, in milliseconds. */
+const PEER_REQUEST_TIMEOUT_MS = 2_000;
+
+const responseSchema = z.object({endpoints: z.array(listedEndpointSchema)});
+
+interface PeerFallbackHostListOptions {
+  readonly hostList: HostList;
+  readonly network: PeerNetwork;
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly log: Logger;
+}
+
+/**
+ * Wraps a host list with a fallback to peers' lists. Without it, a process
+ * started during a platform outage would have no endpoints and reject all
+ * requests while its peers serve. The platform's list always replaces a peer's.
+ *
+ * @example
+ * const hostList = createPeerFallbackHostList(options);
+ * const watch = hostList.watch(applyHostList);
+ */
+export function createPeerFallbackHostList(
+  options: PeerFallbackHostListOptions,
+): HostList {
+  return {watch: listener => watchWithPeerFallback(options, listener)};
+}
+
+function watchWithPeerFallback(
+  options: PeerFallbackHostListOptions,
+  listener: (endpoints: readonly ListedEndpoint[]) => void,
+): Disposable {
+  const {hostList, network, clock, random, log} = options;
+  const owned = disposableStore();
+  let current: readonly ListedEndpoint[] | undefined;
+  let isFromPlatform = false;
+  let isRequesting = false;
+
+  owned.add(
+    hostList.watch(endpoints => {
+      isFromPlatform = true;
+      current = endpoints;
+      listener(endpoints);
+    }),
+  );
+  owned.add(
+    network.onDidReceive('endpointsWanted', () => ({endpoints: current ?? []})),
+  );
+  const requestTimer = owned.add(
+    every(clock, PEER_REQUEST_INTERVAL_MS, () => void requestFromPeer()),
+  );
+  owned.add(toDisposable(() => (current = undefined)));
+  return owned;
+
+  async function requestFromPeer(): Promise<void> {
+    if (current !== undefined) {
+      requestTimer.dispose();
+      return;
+    }
+    const peer = random.pick(network.connectedPeers());
+    if (peer === undefined || isRequesting) {
+      return;
+    }
+    isRequesting = true;
+    try {
+      const response = await network.request(
+        peer,
+        'endpointsWanted',
+        {},
+        PEER_REQUEST_TIMEOUT_MS,
+      );
+      applyPeerList(responseSchema.parse(response).endpoints);
+    } catch (error) {
+      log.debug(
+        {peer, error: String(error)},
+        'host list request to peer failed',
+      );
+    } finally {
+      isRequesting = false;
+    }
+  }
+
+  function applyPeerList(endpoints: readonly ListedEndpoint[]): void {
+    if (isFromPlatform || endpoints.length === 0 || owned.isDisposed) {
+      return;
+    }
+    current = endpoints;
+    listener(endpoints);
+  }
+}
--- a/packages/entry/src/parts/platformPart.ts
+++ b/packages/entry/src/components/platformComponent.ts
@@ -1,4 +1,4 @@
-/** The clients through which this entry reaches the platform. */
+/** Clients of the platform services. */
 import {
   createHttpCloud,
   createHttpHostList,
@@ -11,7 +11,7 @@
 } from '@skylarkfield/providers';
 import type {EntryContext} from '../context.js';
 
-export interface PlatformPart {
+export interface PlatformComponent {
   readonly store: ObjectClient;
   readonly cloud: Cloud;
   readonly hostList: HostList;
@@ -19,12 +19,14 @@
 }
 
 /**
- * Makes the clients; nothing is called before it is used.
+ * Creates the clients; none calls the platform before its first use.
  *
  * @example
- * const platform = createPlatformPart(context);
+ * const platform = createPlatformComponent(context);
  */
-export function createPlatformPart(context: EntryContext): PlatformPart {
+export function createPlatformComponent(
+  context: EntryContext,
+): PlatformComponent {
   const {settings, clock, random, dumps} = context;
   const {url, callsPerSecond, timeoutMs} = settings.platform;
   const store = createHttpObjectStore({
--- a/packages/entry/src/parts/recordsPart.ts
+++ b/packages/entry/src/components/recordsComponent.ts
@@ -1,28 +1,28 @@
-/** The configuration in force at this entry. */
+/** Configuration in force at this entry. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import {
   createConfiguration,
   type ConfigurationClient,
 } from '@skylarkfield/records';
 import type {EntryContext} from '../context.js';
-import type {MembersPart} from './membersPart.js';
-import type {PlatformPart} from './platformPart.js';
+import type {MembersComponent} from './membersComponent.js';
+import type {PlatformComponent} from './platformComponent.js';
 
-export interface RecordsPart extends Disposable {
+export interface RecordsComponent extends Disposable {
   readonly configuration: ConfigurationClient;
 }
 
 /**
- * Follows the accepted records, from the platform or over peers.
+ * Follows the accepted records, from the platform or from peers.
  *
  * @example
- * const {configuration} = createRecordsPart(context, platform, members);
+ * const {configuration} = createRecordsComponent(context, platform, members);
  */
-export function createRecordsPart(
+export function createRecordsComponent(
   context: EntryContext,
-  platform: PlatformPart,
-  members: MembersPart,
-): RecordsPart {
+  platform: PlatformComponent,
+  members: MembersComponent,
+): RecordsComponent {
   const {clock, random, log, dumps} = context;
   const {membership, network} = members;
   const owned = disposableStore();
@@ -38,12 +38,12 @@
     }),
   );
   dumps.add('configuration', () => configuration.dump());
-  shareBudget();
-  owned.add(membership.onDidChange(shareBudget));
+  updatePlatformShare();
+  owned.add(membership.onDidChange(updatePlatformShare));
   return {configuration, dispose: () => owned.dispose()};
 
-  /** The platform's rate is one for all entries; each takes its part of it. */
-  function shareBudget(): void {
+  /** Splits the platform's rate limit evenly among the live entries. */
+  function updatePlatformShare(): void {
     platform.store.setLiveEntries(Math.max(1, membership.live().length));
   }
 }
--- a/packages/entry/src/parts/routingPart.ts
+++ b/packages/entry/src/components/routingComponent.ts
@@ -1,16 +1,16 @@
-/** The router of this entry. */
+/** Router of this entry. */
 import type {Membership} from '@skylarkfield/members';
 import {createRouter, type Router} from '@skylarkfield/routing';
 import type {EntryContext} from '../context.js';
 
 /**
- * Makes the router, tells it which entries share the endpoints, and shows its
- * state in the dump.
+ * Creates the router, updates it with the live entries that share the endpoints
+ * and adds its state to the dump.
  *
  * @example
- * const router = createRoutingPart(context, membership);
+ * const router = createRoutingComponent(context, membership);
  */
-export function createRoutingPart(
+export function createRoutingComponent(
   context: EntryContext,
   membership: Pick<Membership, 'live' | 'onDidChange'>,
 ): Router {
@@ -22,9 +22,10 @@
     failureDomain: settings.failureDomain,
     self: settings.id,
   });
-  const shareOut = () => router.setEntries(membership.live().map(({id}) => id));
-  shareOut();
-  membership.onDidChange(shareOut);
+  const updateEntries = () =>
+    router.setEntries(membership.live().map(({id}) => id));
+  updateEntries();
+  membership.onDidChange(updateEntries);
   dumps.add('routing', () => router.dump());
   return router;
 }
--- a/packages/entry/src/context.ts
+++ b/packages/entry/src/context.ts
@@ -1,4 +1,4 @@
-/** What every part of an entry process gets. */
+/** Dependencies shared by the components of an entry process. */
 import type {
   Clock,
   DecisionLog,
--- /dev/null
+++ b/packages/entry/src/entryComponents.ts
@@ -0,0 +1,169 @@
+/** Builds the components of an entry in order of their dependencies. */
+import {
+  disposableStore,
+  type Disposable,
+  type DisposableStore,
+} from '@skylarkfield/base';
+import type {DutyElections} from '@skylarkfield/duties';
+import type {Membership} from '@skylarkfield/members';
+import {createStreamRunner} from '@skylarkfield/streams';
+import {
+  createAttemptRunner,
+  type AttemptRunner,
+} from './callers/attemptRunner.js';
+import type {EntryContext} from './context.js';
+import {createAdmissionComponent} from './components/admissionComponent.js';
+import {createDutiesComponent} from './components/dutiesComponent.js';
+import {createEndpointPoolComponent} from './components/endpointPoolComponent.js';
+import {createFleetComponent} from './components/fleetComponent.js';
+import {createLeavingComponent} from './components/leavingComponent.js';
+import {createLoadReportAggregator} from './components/loadReportAggregator.js';
+import {createMembersComponent} from './components/membersComponent.js';
+import {
+  createTrafficSplitComponent,
+  startMovesComponent,
+} from './components/movesComponent.js';
+import {createOrdersComponent} from './components/ordersComponent.js';
+import {createPlatformComponent} from './components/platformComponent.js';
+import {createRecordsComponent} from './components/recordsComponent.js';
+import {createRoutingComponent} from './components/routingComponent.js';
+import {createPeerFallbackHostList} from './components/peerFallbackHostList.js';
+import type {ServingContext} from './servingContext.js';
+
+export interface EntryComponents extends Disposable {
+  readonly serving: ServingContext;
+  readonly attempts: AttemptRunner;
+  readonly membership: Membership;
+  readonly duties: DutyElections;
+  /** Address of the inner port. */
+  readonly innerUrl: string;
+}
+
+interface EntryComponentsOptions {
+  readonly innerKey: string;
+  /** URL that callers connect to. */
+  readonly callersUrl: string;
+  /** Number of requests in flight at this entry. */
+  load(): number;
+}
+
+/**
+ * Builds and starts all components; they are disposed in reverse order, so that
+ * none outlives its dependencies.
+ *
+ * @example
+ * const components = await createEntryComponents(context, options);
+ */
+export async function createEntryComponents(
+  context: EntryContext,
+  options: EntryComponentsOptions,
+): Promise<EntryComponents> {
+  const owned = disposableStore();
+  try {
+    return await buildComponents(context, options, owned);
+  } catch (error) {
+    owned.dispose();
+    throw error;
+  }
+}
+
+async function buildComponents(
+  context: EntryContext,
+  options: EntryComponentsOptions,
+  owned: DisposableStore,
+): Promise<EntryComponents> {
+  const {settings, clock, dumps} = context;
+  const platform = createPlatformComponent(context);
+  owned.add(platform.store);
+  const members = owned.add(
+    await createMembersComponent(context, platform, options),
+  );
+  const {membership, network} = members;
+  const records = owned.add(createRecordsComponent(context, platform, members));
+  const {configuration} = records;
+
+  const router = createRoutingComponent(context, membership);
+  const fallbackHostList = createPeerFallbackHostList({
+    ...context,
+    hostList: platform.hostList,
+    network,
+  });
+  const leaving = owned.add(
+    createLeavingComponent(
+      context,
+      {...platform, hostList: fallbackHostList},
+      members,
+    ),
+  );
+  const admission = createAdmissionComponent(
+    context,
+    configuration,
+    membership,
+  );
+  const loadReports = createLoadReportAggregator(router, {
+    clock,
+    admission,
+    configuration,
+  });
+  const endpoints = owned.add(
+    createEndpointPoolComponent(context, leaving, loadReports.router),
+  );
+  owned.add(loadReports.start(endpoints));
+
+  const split = createTrafficSplitComponent(context);
+  const streams = createStreamRunner({clock, entryId: settings.id});
+  dumps.add('streams', () => streams.dump());
+  const attempts = createAttemptRunner(
+    {router, endpoints, split, admission},
+    clock,
+  );
+  const ledger = owned.add(
+    createOrdersComponent(context, {
+      platform,
+      members,
+      configuration,
+      split,
+      attempts,
+    }),
+  );
+
+  const duties = owned.add(
+    createDutiesComponent(context, {platform, members, records}),
+  );
+  owned.add(
+    startMovesComponent(context, {
+      split,
+      configuration,
+      network,
+      objects: platform.store,
+      endpoints,
+      duties,
+    }),
+  );
+  owned.add(
+    createFleetComponent(context, {
+      duties,
+      platform,
+      configuration,
+      endpoints,
+      loadReports,
+    }),
+  );
+  return {
+    serving: {
+      configuration,
+      admission,
+      router,
+      endpoints,
+      streams,
+      split,
+      ledger,
+      lookup: members.query,
+    },
+    attempts,
+    membership,
+    duties,
+    innerUrl: members.innerUrl,
+    dispose: () => owned.dispose(),
+  };
+}
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -1,4 +1,4 @@
-/** One entry process: its ports, the order in which it starts, and how it stops. */
+/** An entry process: its ports, startup order and graceful shutdown. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {
   createDumps,
@@ -19,12 +19,15 @@
 import {attachAdminRoutes} from './admin/adminServer.js';
 import {attachCallerRoutes, type Readiness} from './callers/callerServer.js';
 import {createCustomerKeys} from './callers/customerKeys.js';
-import {createRequestMetrics} from './callers/observation.js';
+import {createRequestMetrics} from './callers/requestMetrics.js';
 import {sendProblem, toProblem} from './callers/problem.js';
-import {createModelServer} from './callers/serveModel.js';
-import {createPlainServer} from './callers/servePlain.js';
+import {createModelServer} from './callers/modelServer.js';
+import {createPlainServer} from './callers/plainServer.js';
 import type {EntryContext} from './context.js';
-import {createEntryParts, type EntryParts} from './entryParts.js';
+import {
+  createEntryComponents,
+  type EntryComponents,
+} from './entryComponents.js';
 import {
   createServer,
   openListener,
@@ -34,22 +37,22 @@
 import {resolveSecret, type EntrySettings} from './settings.js';
 
 export interface EntryProcess {
-  /** Addresses of the ports, with the numbers that port 0 became. */
+  /** Addresses of the ports; port 0 is resolved to the bound port. */
   readonly addresses: {
     readonly callers: string;
     readonly inner: string;
     readonly admin: string;
   };
-  /** A planned stop: tells peers, serves what is in flight, then closes. */
+  /** Stops gracefully: notifies peers, drains requests, then closes. */
   stop(): Promise<void>;
 }
 
-/** Time for refusals that are on their way when the port closes, in milliseconds. */
-const CLOSE_MS = 1_000;
+/** Time to flush rejections when the port closes, in milliseconds. */
+const CLOSE_TIMEOUT_MS = 1_000;
 
 /**
- * Starts an entry. Throws `bad-settings` when a port, key or file can't be used;
- * what was opened by then is closed again.
+ * Starts an entry. Throws `bad-settings` when a port, key or file can't be
+ * used, after closing all ports that it has opened.
  *
  * @example
  * const entry = await startEntry(readEntrySettings('entry-a1.json'));
@@ -77,25 +80,25 @@
   const {clock, log, decisions, dumps} = context;
   const adminKey = resolveSecret(settings.keys.admin, 'keys.admin');
   const innerKey = resolveSecret(settings.keys.inner, 'keys.inner');
-  const life = createProcessLifecycle();
+  const lifecycle = createProcessLifecycle();
   const inFlight = createInFlightCounter(clock);
 
   const callers = await openPort(settings.callers);
   const admin = await openPort(settings.admin);
   const callersUrl = settings.advertised.callers ?? callers.url;
-  const unready = refuseUntilReady(callers.server);
+  const startupHandler = rejectUntilReady(callers.server);
   const parts = owned.add(
-    await createEntryParts(context, {
+    await createEntryComponents(context, {
       innerKey,
       callersUrl,
       load: inFlight.count,
     }),
   );
-  unready.dispose();
+  startupHandler.dispose();
   attachRoutes(parts);
   dumps.add('process', () => ({
     id: settings.id,
-    life: life.state(),
+    lifecycle: lifecycle.state(),
     readiness: readiness(),
     inFlight: inFlight.count(),
     memory: process.memoryUsage(),
@@ -123,7 +126,7 @@
     return {server, listener, url: addressOf(listener, port.host)};
   }
 
-  function attachRoutes({serving, attempts}: EntryParts): void {
+  function attachRoutes({serving, attempts}: EntryComponents): void {
     const {configuration} = serving;
     const requestMetrics = createRequestMetrics(
       metrics.meter,
@@ -157,42 +160,42 @@
   }
 
   function readiness(): Readiness {
-    return readinessOf[life.state()](parts);
+    return readinessByState[lifecycle.state()](parts);
   }
 
   /**
-   * Peers hear of the stop before anything else, so that no lookup names this
-   * entry any more by the time it refuses requests; only then does it wait for
-   * what is in flight. Closing earlier would cut answers that callers are reading.
+   * Notifies peers first, so that lookups no longer return this entry when it
+   * starts to reject requests, and then drains requests in flight. Closing
+   * earlier would truncate responses that callers are reading.
    */
   async function stop(): Promise<void> {
     log.info('stopping');
-    life.send('announce');
+    lifecycle.send('announce');
     await parts.membership.leave();
     await parts.duties.release();
-    await lingered();
-    life.send('refuse');
+    await waitLinger();
+    lifecycle.send('refuse');
     await parts.serving.ledger.leave();
     const isIdle = await inFlight.waitUntilIdle(settings.drainMs);
     log.info({isIdle, inFlight: inFlight.count()}, 'drained');
-    life.send('close');
-    await callers.listener.close(CLOSE_MS);
+    lifecycle.send('close');
+    await callers.listener.close(CLOSE_TIMEOUT_MS);
     owned.dispose();
   }
 
-  function lingered(): Promise<void> {
+  function waitLinger(): Promise<void> {
     return new Promise(resolve => {
       clock.after(settings.lingerMs, resolve);
     });
   }
 }
 
-/** What callers are told in each state of the process's life. */
-const readinessOf: Readonly<
-  Record<LifecycleState, (parts: EntryParts) => Readiness>
+/** Readiness reported to callers in each lifecycle state. */
+const readinessByState: Readonly<
+  Record<LifecycleState, (parts: EntryComponents) => Readiness>
 > = {
-  // After a pause what is in force here may be long replaced: requests are
-  // refused, as not run, until a peer or the platform has answered again.
+  // After a pause of the process its configuration may be outdated: requests
+  // are rejected as not run until a peer or the platform has responded again.
   serving: ({serving, membership}) =>
     serving.configuration.isReady() && membership.isCurrent()
       ? 'ready'
@@ -203,17 +206,17 @@
 };
 
 /**
- * The port is open before the parts are there, since its number is part of the
- * address that peers are told. A request that came in between would get no
- * answer at all; this one tells it to come back.
+ * Rejects requests as retryable during startup. The port opens before the
+ * components exist, since peers are sent its number; without a handler, early
+ * requests would get no response.
  */
-function refuseUntilReady(server: HttpServer): Disposable {
-  function refuse(_request: IncomingMessage, response: ServerResponse) {
+function rejectUntilReady(server: HttpServer): Disposable {
+  function reject(_request: IncomingMessage, response: ServerResponse) {
     const error = new ServingError('not-ready', 'this entry is starting');
     sendProblem(response, toProblem(error, ''));
   }
-  server.on('request', refuse);
-  return toDisposable(() => server.off('request', refuse));
+  server.on('request', reject);
+  return toDisposable(() => server.off('request', reject));
 }
 
 function createContext(
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -1,4 +1,4 @@
-/** HTTP and HTTPS servers by settings, with renewed certificates picked up while running. */
+/** HTTP and HTTPS listeners with hot reload of certificates. */
 import {readFileSync, statSync} from 'node:fs';
 import http from 'node:http';
 import https from 'node:https';
@@ -14,15 +14,15 @@
 } from '@skylarkfield/base';
 import type {EntrySettings, ListenerSettings} from './settings.js';
 
-/** How often certificate files are looked at, in milliseconds. */
-const RELOAD_INTERVAL_MS = 5_000;
+/** Interval of checks for changed certificate files, in milliseconds. */
+const CERTIFICATE_CHECK_INTERVAL_MS = 5_000;
 
 export type HttpServer = http.Server | https.Server;
 
 export interface Listener extends Disposable {
   /**
-   * Takes no more connections and closes each one that has no request; what is
-   * left after the given time in milliseconds is for `dispose` to cut.
+   * Accepts no more connections, closes idle ones and waits for the others up
+   * to the timeout in milliseconds; `dispose` closes the remaining ones.
    */
   close(timeoutMs: number): Promise<void>;
   readonly server: HttpServer;
@@ -31,8 +31,8 @@
 }
 
 /**
- * Makes a server with the limits of the settings; the caller adds handlers and
- * then opens it with `openListener`.
+ * Creates a server with the limits of the settings; the caller adds handlers
+ * and then opens it with `openListener`.
  *
  * @example
  * const server = createServer(settings.admin, settings.limits);
@@ -45,8 +45,8 @@
     maxHeaderSize: limits.headerBytes,
     headersTimeout: limits.headerMs,
     requestTimeout: limits.requestMs,
-    // Node looks for late senders only this often; its default of 30 s would
-    // let a slow sender hold a connection far beyond the limits above.
+    // Node enforces the timeouts above only at this interval; with its default
+    // of 30 s, a slow sender could hold a connection far beyond them.
     connectionsCheckingInterval: Math.min(limits.headerMs, 1_000),
   };
   const server =
@@ -58,7 +58,7 @@
 }
 
 /**
- * Binds a server and keeps its certificate fresh until disposed.
+ * Binds a server and reloads renewed certificates until disposed.
  * Throws `bad-settings` when the address can't be bound.
  *
  * @example
@@ -72,9 +72,11 @@
 ): Promise<Listener> {
   await bind(server, settings);
   const store = disposableStore();
-  store.add(toDisposable(() => closeNow(server)));
+  store.add(toDisposable(() => closeImmediately(server)));
   if (settings.tls !== undefined) {
-    store.add(reloadRenewed(server as https.Server, settings.tls, clock, log));
+    store.add(
+      watchCertificates(server as https.Server, settings.tls, clock, log),
+    );
   }
   return {
     server,
@@ -88,11 +90,11 @@
 function bind(server: HttpServer, settings: ListenerSettings): Promise<void> {
   return new Promise((resolve, reject) => {
     function onError(error: Error) {
-      const where = `${settings.host}:${settings.port}`;
+      const address = `${settings.host}:${settings.port}`;
       reject(
         new ServingError(
           'bad-settings',
-          `cannot listen on ${where}: ${error.message}`,
+          `cannot listen on ${address}: ${error.message}`,
         ),
       );
     }
@@ -119,7 +121,7 @@
   });
 }
 
-function closeNow(server: HttpServer): void {
+function closeImmediately(server: HttpServer): void {
   server.close();
   server.closeAllConnections();
 }
@@ -140,28 +142,31 @@
 }
 
 /**
- * Certificates are renewed in place. A process that kept the old one would
- * refuse every caller once it expires; open connections stay as they are. A
- * pair that can't be used (half-written, say) is logged and the old one kept.
+ * Reloads certificates that are renewed in place: once the loaded one expires,
+ * every handshake would fail. Open connections are unaffected. An unusable pair
+ * (partly written, for example) is logged and the loaded one stays in use.
  */
-function reloadRenewed(
+function watchCertificates(
   server: https.Server,
   files: TlsFiles,
   clock: Clock,
   log: Logger,
 ): Disposable {
-  let seen = modificationTimes(files);
-  return every(clock, RELOAD_INTERVAL_MS, () => {
-    const current = modificationTimes(files);
-    if (current === seen) {
+  let loadedTimes = modificationTimes(files);
+  return every(clock, CERTIFICATE_CHECK_INTERVAL_MS, () => {
+    const currentTimes = modificationTimes(files);
+    if (currentTimes === loadedTimes) {
       return;
     }
     try {
       server.setSecureContext(readTls(files));
-      seen = current;
+      loadedTimes = currentTimes;
       log.info({cert: files.cert}, 'certificate reloaded');
     } catch (error) {
-      log.warn({cert: files.cert, error: String(error)}, 'reload failed');
+      log.warn(
+        {cert: files.cert, error: String(error)},
+        'certificate reload failed',
+      );
     }
   });
 }
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/servingContext.ts
@@ -1,4 +1,4 @@
-/** The parts of a running entry that requests go through. */
+/** Components of an entry that handle requests. */
 import type {AdmissionController} from '@skylarkfield/admission';
 import type {Engine, PlainService} from '@skylarkfield/endpoints';
 import type {LookupResult, LookupQuery} from '@skylarkfield/members';
@@ -9,16 +9,16 @@
 import type {Router} from '@skylarkfield/routing';
 import type {StreamRunner} from '@skylarkfield/streams';
 
-/** An endpoint with the client that speaks to it. */
+/** An endpoint with its client. */
 export interface ConnectedEndpoint {
   readonly listed: ListedEndpoint;
   /** For endpoints of type `model`. */
   readonly engine?: Engine;
   /** For endpoints of type `plain`. */
   readonly plain?: PlainService;
-  /** Aborted when the endpoint is known to leave. */
+  /** Aborted when the endpoint starts leaving. */
   readonly leaving: AbortSignal;
-  /** Monotonic milliseconds by which a leaving endpoint is gone, when known. */
+  /** Monotonic milliseconds by which a leaving endpoint is gone, if known. */
   goneAt?(): number | undefined;
 }
 
@@ -27,7 +27,7 @@
   list(): readonly ConnectedEndpoint[];
 }
 
-export interface Serving {
+export interface ServingContext {
   readonly configuration: Configuration;
   readonly admission: AdmissionController;
   readonly router: Router;
@@ -35,5 +35,5 @@
   readonly streams: StreamRunner;
   readonly split: TrafficSplit;
   readonly ledger: Ledger;
-  lookup(question: LookupQuery): LookupResult;
+  lookup(query: LookupQuery): LookupResult;
 }
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of an entry process: schema, defaults, and how they are read. */
+/** Settings of an entry process: schema, defaults and loading. */
 import {readFileSync} from 'node:fs';
 import {validateShape, parseJson, ServingError} from '@skylarkfield/base';
 import * as z from 'zod';
@@ -11,18 +11,18 @@
   cert: z.string().min(1),
   /** Path of the private key, PEM. */
   key: z.string().min(1),
-  /** Path of the authorities that peers' certificates must come from, PEM. */
+  /** Path of the trusted certificate authorities of peers, PEM. */
   ca: z.string().min(1).optional(),
 });
 
 const listener = z.strictObject({
   host: z.string().min(1).default('127.0.0.1'),
-  /** 0 takes any free port. */
+  /** 0 selects a free port. */
   port,
   tls: tls.optional(),
 });
 
-/** A secret is given by reference, so that settings files hold none. */
+/** Reference to a secret, which keeps secrets out of settings files. */
 const secret = z.union([
   z.strictObject({env: z.string().min(1)}),
   z.strictObject({file: z.string().min(1)}),
@@ -30,25 +30,25 @@
 ]);
 
 const limits = z.strictObject({
-  /** The largest request body that is read, in bytes. */
+  /** Maximum size of a request body, in bytes. */
   bodyBytes: z.number().int().min(1024).max(67_108_864).default(4_194_304),
-  /** The largest request head, in bytes. */
+  /** Maximum size of the request headers, in bytes. */
   headerBytes: z.number().int().min(1024).max(1_048_576).default(16_384),
-  /** Open connections of callers. */
+  /** Maximum number of open connections from callers. */
   connections: z.number().int().min(1).max(1_000_000).default(10_000),
-  /** Time that a caller has to send a request's head, in milliseconds. */
+  /** Timeout for receiving the request headers, in milliseconds. */
   headerMs: milliseconds.default(10_000),
-  /** Time that a caller has to send a whole request, in milliseconds. */
+  /** Timeout for receiving a whole request, in milliseconds. */
   requestMs: milliseconds.default(30_000),
-  /** Bytes that may wait for a slow reader before its stream is held back. */
+  /** Bytes buffered for a slow reader before backpressure applies. */
   bufferedBytes: z.number().int().min(1024).max(16_777_216).default(262_144),
-  /** Time that a held-back reader has to take something, in milliseconds. */
+  /** Drain timeout of a reader under backpressure, in milliseconds. */
   stalledReaderMs: milliseconds.default(30_000),
 });
 
-/** Schema of an entry's settings; unknown keys are refused. */
+/** Schema of an entry's settings; unknown keys are rejected. */
 export const entrySettingsSchema = z.strictObject({
-  /** Unique among entries; a restarted process may keep it. */
+  /** Unique among entries; a restarted process may reuse it. */
   id: z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, {
     message: 'lower-case letters, digits and hyphens, at most 63',
   }),
@@ -57,7 +57,7 @@
   callers: listener,
   inner: listener,
   admin: listener,
-  /** Addresses that others use, when they differ from where the process listens. */
+  /** Addresses for other processes, if different from the listen addresses. */
   advertised: z
     .strictObject({
       callers: z.url().optional(),
@@ -66,20 +66,20 @@
     .prefault({}),
   platform: z.strictObject({
     url: z.url(),
-    /** Calls a second that all entries together may make, waiting watches included. */
+    /** Maximum calls a second by all entries, long-polled watches included. */
     callsPerSecond: z.number().min(1).max(100_000).default(400),
-    /** Time that one call may take, in milliseconds. */
+    /** Timeout of one call, in milliseconds. */
     timeoutMs: milliseconds.default(2_000),
   }),
-  /** Inner addresses of other entries, used when the platform can't be reached at start. */
+  /** Inner addresses of peers, for startup while the platform is unreachable. */
   seeds: z.array(z.url()).default([]),
   keys: z.strictObject({inner: secret, admin: secret}),
   limits: limits.prefault({}),
-  /** The longest that a planned stop waits for requests in flight, in milliseconds. */
+  /** Drain timeout of a graceful stop, in milliseconds. */
   drainMs: milliseconds.default(30_000),
   /**
-   * How long a stopping entry goes on taking requests after it has told its
-   * peers, in milliseconds, so that callers with an older answer are served.
+   * Time that a stopping entry keeps accepting requests after notifying its
+   * peers, in milliseconds, to serve callers with an outdated lookup result.
    */
   lingerMs: z.number().int().min(0).max(60_000).default(1_000),
   log: z
@@ -96,7 +96,8 @@
 export type Secret = EntrySettings['keys']['inner'];
 
 /**
- * Checks settings and fills in defaults. Throws `bad-settings` with every fault.
+ * Validates settings and applies defaults. Throws `bad-settings` with all
+ * faults.
  *
  * @example
  * const settings = checkEntrySettings(JSON.parse(text));
@@ -106,7 +107,7 @@
 }
 
 /**
- * Reads and checks a settings file. Throws `bad-settings`.
+ * Reads and validates a settings file. Throws `bad-settings`.
  *
  * @example
  * const settings = readEntrySettings('entry-a1.json');
@@ -117,7 +118,7 @@
 }
 
 /**
- * Finds the text of a secret. Throws `bad-settings` when it is absent or too short.
+ * Resolves a secret. Throws `bad-settings` when it is missing or too short.
  *
  * @example
  * const key = resolveSecret(settings.keys.inner, 'keys.inner');
--- a/packages/entry/src/test/attempts.test.ts
+++ b/packages/entry/src/test/attemptRunner.test.ts
@@ -8,16 +8,19 @@
 } from '@skylarkfield/base';
 import {createTrafficSplit} from '@skylarkfield/moves';
 import type {Candidate, Choice, Router} from '@skylarkfield/routing';
-import {createAttempts} from '../callers/attempts.js';
-import type {ConnectedEndpoint} from '../serving.js';
+import {createAttemptRunner} from '../callers/attemptRunner.js';
+import type {ConnectedEndpoint} from '../servingContext.js';
 
 type Behaviour = 'ok' | 'refuse' | 'fail';
 
 const MOVE_MS = 600_000;
 const CALL_INTERVAL_MS = 50;
 
-/** An entry whose endpoints behave as told; half the sessions go to `v2`. */
-function entryWith(
+/**
+ * Creates an entry with the given endpoint behaviours; half the sessions use
+ * `v2`.
+ */
+function createEntry(
   behaviours: readonly {version: string; behaviour: Behaviour}[],
 ) {
   const clock = virtualClock();
@@ -56,7 +59,7 @@
       const found = [...endpoints.values()].find(
         ({listed}) => listed.version === version && !excluded.has(listed.id),
       );
-      return found && choiceOf(found.listed.id);
+      return found && choiceFor(found.listed.id);
     },
   };
   const serving = {
@@ -68,11 +71,14 @@
     split,
     admission: {tryRetry: () => true, loadFraction: () => 0.1},
   };
-  const attempts = createAttempts(serving as never, clock);
+  const attempts = createAttemptRunner(serving as never, clock);
   const cuts: string[] = [];
   split.onDidCut((_move, why) => cuts.push(why));
 
-  /** One call of a session; the version that answered, or the error. */
+  /**
+   * Makes one call of a session; returns the version that responded, or
+   * rejects.
+   */
   async function call(session: string, isIdempotent = true) {
     const version = split.versionFor({
       service: 'booking',
@@ -84,7 +90,7 @@
   }
 
   async function callVersion(version: string, isIdempotent = true) {
-    const placed = {
+    const routedCall = {
       service: 'booking',
       version,
       incumbent: split.incumbentFor('booking', 'v1'),
@@ -94,12 +100,12 @@
     };
     const {signal} = new AbortController();
     const reply = isIdempotent
-      ? await attempts.repeatable(placed, signal)
-      : await attempts.atMostOnce(placed, signal, () => true);
+      ? await attempts.runIdempotent(routedCall, signal)
+      : await attempts.runAtMostOnce(routedCall, signal, () => true);
     return Buffer.from(reply.body).toString();
   }
 
-  /** Errors of `v2` that the next shared evidence shows. */
+  /** Returns the errors of `v2` in the evidence to be broadcast next. */
   function candidateErrors(): number {
     return split
       .takeEvidence()
@@ -111,7 +117,7 @@
   return {clock, call, callVersion, candidateErrors, cuts};
 }
 
-function choiceOf(endpoint: string): Choice {
+function choiceFor(endpoint: string): Choice {
   return {
     endpoint,
     cachedTokens: 0,
@@ -145,11 +151,11 @@
   } as unknown as ConnectedEndpoint & {listed: Candidate};
 }
 
-describe('attempts at a version under move', () => {
-  // The new version's processes have died or never listened. Callers whose
-  // sessions belong to it would be refused until the deadline of the move.
-  it('goes to the incumbent when all endpoints refuse, and soon cuts', async () => {
-    const entry = entryWith([
+describe('attempts at a candidate version', () => {
+  // The candidate's processes have crashed or never listened. Without fallback,
+  // its sessions would be rejected until the deadline of the move.
+  it('falls back when all endpoints refuse connections, and soon cuts the share', async () => {
+    const entry = createEntry([
       {version: 'v1', behaviour: 'ok'},
       {version: 'v2', behaviour: 'refuse'},
       {version: 'v2', behaviour: 'refuse'},
@@ -167,65 +173,65 @@
     name: string;
     candidates: readonly Behaviour[];
     isIdempotent: boolean;
-    answer: string;
+    expected: string;
     errors: number;
   }[] = [
     {
-      name: 'an order that certainly did not run falls back',
+      name: 'an order known not to have run falls back',
       candidates: ['refuse'],
       isIdempotent: false,
-      answer: 'v1',
+      expected: 'v1',
       errors: 1,
     },
     {
-      name: 'an order that may have run goes nowhere else',
+      name: 'an order that may have run is not retried',
       candidates: ['fail', 'ok'],
       isIdempotent: false,
-      answer: 'endpoint-failed may-have-run',
+      expected: 'endpoint-failed may-have-run',
       errors: 1,
     },
     {
-      name: 'an unreachable endpoint made up for by another is no error',
+      name: 'an unreachable endpoint is no error if another responds',
       candidates: ['refuse', 'ok'],
       isIdempotent: true,
-      answer: 'v2',
+      expected: 'v2',
       errors: 0,
     },
     {
-      name: 'a version without listed endpoints falls back and is not at fault',
+      name: 'a version without listed endpoints falls back without an error',
       candidates: [],
       isIdempotent: true,
-      answer: 'v1',
+      expected: 'v1',
       errors: 0,
     },
     {
-      name: 'a call that ran at one endpoint is not refused as not run by the next',
+      name: 'a call that may have run is not reported as not run by the next attempt',
       candidates: ['fail', 'refuse'],
       isIdempotent: true,
-      answer: 'endpoint-unavailable may-have-run',
+      expected: 'endpoint-unavailable may-have-run',
       errors: 1,
     },
   ];
-  // What a caller gets, and what the move is told, when some endpoints of the
-  // candidate cannot be reached or break: an answer, or a refusal that is true.
-  for (const {name, candidates, isIdempotent, answer, errors} of cases) {
+  // Response or correct run state for the caller, and evidence for the move,
+  // when some endpoints of the candidate are unreachable or fail.
+  for (const {name, candidates, isIdempotent, expected, errors} of cases) {
     it(name, async () => {
-      const entry = entryWith([
+      const entry = createEntry([
         {version: 'v1', behaviour: 'ok'},
         ...candidates.map(behaviour => ({version: 'v2', behaviour})),
       ]);
       const got = await entry
         .callVersion('v2', isIdempotent)
         .catch((error: ServingError) => `${error.kind} ${error.run}`);
-      assert.equal(got, answer);
+      assert.equal(got, expected);
       assert.equal(entry.candidateErrors(), errors);
     });
   }
 
-  it('refuses as not run when the incumbent cannot be reached either', async () => {
-    // This entry has lost its way to all endpoints: the candidate must not be
-    // blamed alone, so both versions get the error.
-    const entry = entryWith([
+  it('rejects as not run when the incumbent is unreachable too', async () => {
+    // This entry has lost connectivity to all endpoints: the error must count
+    // against both versions, not only against the candidate.
+    const entry = createEntry([
       {version: 'v1', behaviour: 'refuse'},
       {version: 'v2', behaviour: 'refuse'},
     ]);
--- a/packages/entry/src/test/callerServer.test.ts
+++ b/packages/entry/src/test/callerServer.test.ts
@@ -10,12 +10,12 @@
   toDisposable,
 } from '@skylarkfield/base';
 import {attachCallerRoutes} from '../callers/callerServer.js';
-import {createRequestMetrics} from '../callers/observation.js';
+import {createRequestMetrics} from '../callers/requestMetrics.js';
 import {createInFlightCounter} from '@skylarkfield/base';
-import type {Serving} from '../serving.js';
+import type {ServingContext} from '../servingContext.js';
 import {checkEntrySettings} from '../settings.js';
 
-/** More than sockets and streams buffer on the way. */
+/** Exceeds the buffers of sockets and streams. */
 const BODY_BYTES = 32 * 1024 * 1024;
 
 const {limits} = checkEntrySettings({
@@ -40,7 +40,7 @@
   const closing: (() => void)[] = [];
   afterEach(() => closing.splice(0).forEach(close => close()));
 
-  /** A server whose plain service answers with a large body at once. */
+  /** Starts a server whose plain service responds with a large body at once. */
   async function startServer() {
     const clock = systemClock();
     const {meter} = await createMetrics('test');
@@ -52,9 +52,9 @@
     };
     attachCallerRoutes({
       server,
-      serving: {configuration} as unknown as Serving,
+      serving: {configuration} as unknown as ServingContext,
       keys: {authenticate: () => customer},
-      models: {serve: () => Promise.reject(new Error('not asked'))},
+      models: {serve: () => Promise.reject(new Error('unexpected call'))},
       plain: {
         async serve(exchange) {
           exchange.response.end(Buffer.alloc(BODY_BYTES, 'x'));
@@ -76,10 +76,9 @@
     return {port: (server.address() as AddressInfo).port, inFlight};
   }
 
-  // A caller reads its answer slowly while the entry is stopped. The entry has
-  // handed the answer over to its buffers; were that the end of the request, the
-  // stop would close the connection and the caller's answer end in the middle.
-  it('counts a request as in flight until its answer has been read', async () => {
+  // A caller reads slowly while the entry stops. If the request ended when its
+  // response was buffered, the stop would close the connection and truncate it.
+  it('counts a request as in flight until its response has been read', async () => {
     const {port, inFlight} = await startServer();
     const socket = connect(port, '127.0.0.1');
     closing.push(() => socket.destroy());
@@ -96,7 +95,7 @@
     }
   });
 
-  it('counts a request as ended when its caller goes away', async () => {
+  it('counts a request as ended when its caller disconnects', async () => {
     const {port, inFlight} = await startServer();
     const socket = connect(port, '127.0.0.1');
     socket.write('GET /services/booking/all HTTP/1.1\r\nHost: a\r\n\r\n');
--- a/packages/entry/src/test/enginesPart.test.ts
+++ b/packages/entry/src/test/endpointPoolComponent.test.ts
@@ -14,7 +14,7 @@
 import type {ListedEndpoint} from '@skylarkfield/providers';
 import {createRouter} from '@skylarkfield/routing';
 import type {EntryContext} from '../context.js';
-import {createEnginesPart} from '../parts/enginesPart.js';
+import {createEndpointPoolComponent} from '../components/endpointPoolComponent.js';
 
 const endpoint: ListedEndpoint = {
   id: 'e1',
@@ -29,10 +29,11 @@
   state: 'live',
 };
 
-describe('clients of endpoints', () => {
-  it('sends work to an endpoint that returned at its old address', () => {
-    // An endpoint restarts on its host. Streams that the entry sends to it over
-    // what it had opened for the old process would all be told to move away.
+describe('endpoint pool', () => {
+  it('sends requests to an endpoint that restarted at its address', () => {
+    // An endpoint restarts on its host. Streams on the client of the old
+    // process, whose `leaving` signal is aborted, would all migrate away at
+    // once.
     const clock = virtualClock();
     const log = silentLogger();
     const random = seededRandom(1);
@@ -43,14 +44,14 @@
       failureDomain: 'a',
       self: 'n1',
     });
-    const left = emitter<LeavingEndpoint>();
+    const leavingEmitter = emitter<LeavingEndpoint>();
     const returned = emitter<string>();
     const lists = emitter<readonly ListedEndpoint[]>();
     const leaving: Partial<LeavingEndpointTracker> = {
-      onDidLeave: left.event,
+      onDidLeave: leavingEmitter.event,
       onDidReturn: returned.event,
     };
-    const engines = createEnginesPart(
+    const pool = createEndpointPoolComponent(
       {clock, log} as unknown as EntryContext,
       {
         hostList: {watch: listener => lists.event(listener)},
@@ -67,15 +68,20 @@
         excluded: new Set(),
       });
     lists.fire([endpoint]);
-    left.fire({endpoint: 'e1', host: 'h1', goneAt: 0, source: 'peer'});
+    leavingEmitter.fire({
+      endpoint: 'e1',
+      host: 'h1',
+      goneAt: 0,
+      source: 'peer',
+    });
     lists.fire([endpoint]);
     assert.equal(choose(), undefined);
-    assert.equal(engines.get('e1')?.leaving.aborted, true);
+    assert.equal(pool.get('e1')?.leaving.aborted, true);
     returned.fire('e1');
     assert.equal(choose(), undefined);
     lists.fire([endpoint]);
     assert.equal(choose()?.endpoint, 'e1');
-    assert.equal(engines.get('e1')?.leaving.aborted, false);
-    engines.dispose();
+    assert.equal(pool.get('e1')?.leaving.aborted, false);
+    pool.dispose();
   });
 });
--- a/packages/entry/src/test/serveModel.test.ts
+++ b/packages/entry/src/test/modelServer.test.ts
@@ -5,12 +5,15 @@
 import type {Engine, GenerationEvent} from '@skylarkfield/endpoints';
 import type {RequestSample} from '@skylarkfield/moves';
 import {createStreamRunner} from '@skylarkfield/streams';
-import {createModelServer} from '../callers/serveModel.js';
+import {createModelServer} from '../callers/modelServer.js';
 import {parseCompletionRequest} from '../callers/modelRequest.js';
 
 type Behaviour = 'ok' | 'refuse';
 
-/** Serves one request that belongs to `v2`; what the caller got and the moves heard. */
+/**
+ * Serves one request assigned to `v2`; returns the response and the samples
+ * recorded.
+ */
 async function serveOne(
   endpoints: readonly {version: string; behaviour: Behaviour}[],
 ) {
@@ -19,7 +22,7 @@
   const listed = endpoints.map(({version, behaviour}, index) => ({
     listed: {id: `e${index}`, service: 'match', version, url: 'http://e'},
     leaving: new AbortController().signal,
-    engine: engineOf(version, behaviour),
+    engine: createEngine(version, behaviour),
   }));
   const serving = {
     router: {
@@ -82,18 +85,18 @@
     's1',
   );
   const service = {name: 'match', version: 'v1', timeoutMs: 30_000} as never;
-  const serves = server
+  const served = server
     .serve(exchange, request, service, 'completion')
     .catch((error: ServingError) => (body = `${error.kind} ${error.run}`));
   await clock.advance(10_000);
-  await serves;
+  await served;
   return {
     body,
     samples: samples.map(({version, isError}) => ({version, isError})),
   };
 }
 
-function engineOf(version: string, behaviour: Behaviour): Partial<Engine> {
+function createEngine(version: string, behaviour: Behaviour): Partial<Engine> {
   return {
     async *generate({attempt}): AsyncGenerator<GenerationEvent> {
       await Promise.resolve();
@@ -115,10 +118,10 @@
   };
 }
 
-describe('a model request of a candidate version', () => {
-  // The replicas of the new version are listed and refuse connections. A
-  // designer whose session belongs to it would wait and then be refused.
-  it('is answered by the incumbent and counts against the candidate', async () => {
+describe('a model request assigned to a candidate version', () => {
+  // The candidate's replicas are listed but refuse connections. Without
+  // fallback, requests of its sessions would wait and then be rejected.
+  it('is served by the incumbent and counts against the candidate', async () => {
     const {body, samples} = await serveOne([
       {version: 'v1', behaviour: 'ok'},
       {version: 'v2', behaviour: 'refuse'},
@@ -127,13 +130,13 @@
     assert.deepEqual(samples, [{version: 'v2', isError: true}]);
   });
 
-  it('is answered by the incumbent when the candidate has no replica, at no fault', async () => {
+  it('is served by the incumbent, without an error, when the candidate has no replica', async () => {
     const {body, samples} = await serveOne([{version: 'v1', behaviour: 'ok'}]);
     assert.match(body, /by v1/);
     assert.deepEqual(samples, []);
   });
 
-  it('is refused as not run, and counted, when nobody can be reached', async () => {
+  it('is rejected as not run, and counted, when no endpoint is reachable', async () => {
     const {body, samples} = await serveOne([
       {version: 'v2', behaviour: 'refuse'},
     ]);
--- a/packages/entry/src/test/orderMetrics.test.ts
+++ b/packages/entry/src/test/orderMetrics.test.ts
@@ -8,12 +8,15 @@
 } from '@skylarkfield/base';
 import {createLedger, type OrderReply} from '@skylarkfield/orders';
 import {createMemoryPlatform} from '@skylarkfield/providers';
-import {createOrderMetrics} from '../parts/orderMetrics.js';
+import {createOrderMetrics} from '../components/orderMetrics.js';
 
 const reply: OrderReply = {status: 201, headers: {}, body: new Uint8Array()};
 
-/** A ledger alone on its platform, with a service that answers or loses each call. */
-async function createCounted() {
+/**
+ * Creates a ledger without peers, with a service that responds and one that
+ * fails.
+ */
+async function createMeteredLedger() {
   const clock = virtualClock();
   const random = seededRandom(1);
   const metrics = await createMetrics('test');
@@ -49,16 +52,16 @@
   return {clock, ledger, metrics, platform, submit};
 }
 
-/** Reads single values out of a page of metrics. */
+/** Returns a reader of single values of rendered metrics. */
 function valuesOf(page: string): (name: string) => number {
   const lines = page.split('\n');
   return name =>
     Number(lines.find(line => line.startsWith(name))?.split(' ')[1]);
 }
 
-describe('counters of orders', () => {
+describe('order metrics', () => {
   it('count each outcome once, by known services only', async () => {
-    const {ledger, metrics, platform, submit} = await createCounted();
+    const {ledger, metrics, platform, submit} = await createMeteredLedger();
     await submit('k1');
     await submit('k1');
     await submit('k1', 'booking', 'other');
--- a/packages/entry/src/test/requestCost.test.ts
+++ b/packages/entry/src/test/requestCost.test.ts
@@ -15,8 +15,11 @@
   tags: {promptTokens: 40, cachedTokens: 0, maxTokens: 64},
 };
 
-/** Part of the tokens, of prompts and answers, that the customer with long prompts gets while both always wait. */
-async function longShare(
+/**
+ * Returns the token share of the customer with long prompts while both have a
+ * backlog.
+ */
+async function longPromptShare(
   costOf: (work: ExpectedWork) => number,
 ): Promise<number> {
   const clock = virtualClock();
@@ -36,9 +39,9 @@
     queue: 1_000,
     fleet: {minReplicas: 1, maxReplicas: 1, machineClass: 's', weights: ''},
   });
-  const given = {rosters: 0, tags: 0};
+  const admittedTokens = {rosters: 0, tags: 0};
 
-  async function ask(customer: 'rosters' | 'tags'): Promise<void> {
+  async function submit(customer: 'rosters' | 'tags'): Promise<void> {
     const work = workOfCustomers[customer];
     const {signal} = new AbortController();
     const permit = await admission.admit(
@@ -51,32 +54,36 @@
       },
       signal,
     );
-    given[customer] += work.promptTokens + work.maxTokens;
+    admittedTokens[customer] += work.promptTokens + work.maxTokens;
     await sleep(clock, 10, signal);
     permit.release({outcome: 'ok', latencyMs: 10});
   }
 
   for (let count = 0; count < 400; count++) {
-    void ask('rosters');
-    void ask('tags');
+    void submit('rosters');
+    void submit('tags');
   }
   await clock.advance(3_000);
-  return given.rosters / (given.rosters + given.tags);
+  return (
+    admittedTokens.rosters / (admittedTokens.rosters + admittedTokens.tags)
+  );
 }
 
 describe('cost of a request', () => {
-  it('keeps a customer with long prompts from taking the work of the others', async () => {
-    // A cooperative sends long worker histories while another tags short job
-    // requests. Counted by requests, nearly all of the computing goes to the
-    // histories, and those who tag wait behind them.
+  it('keeps a customer with long prompts from starving the others', async () => {
+    // One customer sends long prompts, another short ones. With fairness by
+    // request count, nearly all compute goes to the long prompts, and the other
+    // customer queues behind them.
     const costs = createRequestCosts();
-    const before = await longShare(() => 1);
-    const after = await longShare(work => costs.costOf('assistant', work));
+    const before = await longPromptShare(() => 1);
+    const after = await longPromptShare(work =>
+      costs.costOf('assistant', work),
+    );
     assert.ok(before > 0.95, `${before}`);
     assert.ok(after < 0.8, `${after}`);
   });
 
-  it('is 1 for what is typical and bounded for what is not', () => {
+  it('is 1 for typical requests and bounded for others', () => {
     const costs = createRequestCosts();
     const {rosters, tags} = workOfCustomers;
     assert.equal(costs.costOf('assistant', tags), 1);
@@ -99,7 +106,7 @@
     assert.equal(costs.costOf('match', rosters), 1);
   });
 
-  it('leaves out what is cached', () => {
+  it('excludes cached tokens', () => {
     const costs = createRequestCosts();
     const {rosters} = workOfCustomers;
     const cold = costs.costOf('assistant', rosters);
--- a/packages/entry/src/test/requestHeaders.test.ts
+++ b/packages/entry/src/test/requestHeaders.test.ts
@@ -19,20 +19,20 @@
 
 describe('request headers', () => {
   for (const [priority, best, expected] of urgencies) {
-    it(`bounds priority ${priority} by ${best} to ${expected}`, () => {
+    it(`limits priority ${priority} by ${best} to ${expected}`, () => {
       const headers = priority === undefined ? {} : {priority};
       assert.equal(requestUrgency(headers, best), expected);
     });
   }
 
-  it('never gives a request more time than its service allows', () => {
+  it('limits the timeout to that of the service', () => {
     assert.equal(requestTimeout({'x-request-timeout-ms': '900000'}, 500), 500);
     assert.equal(requestTimeout({'x-request-timeout-ms': '200'}, 500), 200);
     assert.equal(requestTimeout({}, 500), 500);
   });
 
   for (const text of ['0', '-1', 'soon', '']) {
-    it(`refuses the time limit ${JSON.stringify(text)}`, () => {
+    it(`rejects the timeout ${JSON.stringify(text)}`, () => {
       assert.throws(() => requestTimeout({'x-request-timeout-ms': text}, 500), {
         kind: 'bad-request',
         run: 'not-run',
@@ -47,7 +47,7 @@
   });
 
   for (const text of ['', '""', 'x'.repeat(256)]) {
-    it(`refuses an idempotency key of ${text.length} characters`, () => {
+    it(`rejects an idempotency key of ${text.length} characters`, () => {
       assert.throws(() => idempotencyKey({'idempotency-key': text}), {
         kind: 'bad-request',
       });
--- a/packages/entry/src/test/observation.test.ts
+++ b/packages/entry/src/test/requestMetrics.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {ServingError, type ErrorKind, type RunState} from '@skylarkfield/base';
-import {isVersionFault} from '../callers/observation.js';
+import {isVersionFault} from '../callers/requestMetrics.js';
 
 const cases: readonly [ErrorKind, RunState, boolean][] = [
   ['endpoint-failed', 'may-have-run', true],
@@ -15,8 +15,8 @@
   ['platform-unavailable', 'not-run', false],
 ];
 
-// A version that hangs answers nothing until deadlines pass. Were these no
-// evidence, its share of the callers would wait in vain until the move's end.
+// A hung version fails only by deadlines. If these were no evidence, its share
+// of the callers would time out until the end of the move.
 describe('evidence against a version', () => {
   for (const [kind, run, expected] of cases) {
     it(`${kind}, ${run}: ${expected ? 'counts' : 'does not count'}`, () => {
--- a/packages/entry/src/test/settings.test.ts
+++ b/packages/entry/src/test/settings.test.ts
@@ -17,17 +17,17 @@
   ['an unknown key', {colour: 'red'}, ''],
   ['a port out of range', {callers: {port: 70_000}}, 'callers.port'],
   ['an id with spaces', {id: 'a 1'}, 'id'],
-  ['an address that is none', {platform: {url: 'somewhere'}}, 'platform.url'],
+  ['an invalid URL', {platform: {url: 'somewhere'}}, 'platform.url'],
   [
-    'a key in plain view that is too short',
+    'an inline key that is too short',
     {keys: {inner: {value: 'x'}, admin: {env: 'A'}}},
     'keys.inner',
   ],
-  ['a log level of its own', {log: {level: 'loud'}}, 'log.level'],
+  ['an unknown log level', {log: {level: 'loud'}}, 'log.level'],
 ];
 
 describe('entry settings', () => {
-  it('fills in defaults', () => {
+  it('applies defaults', () => {
     const settings = checkEntrySettings(valid);
     assert.equal(settings.callers.host, '127.0.0.1');
     assert.equal(settings.limits.headerBytes, 16_384);
@@ -35,7 +35,7 @@
   });
 
   for (const [title, change, path] of faulty) {
-    it(`refuses ${title} and names its path`, () => {
+    it(`rejects ${title} and reports its path`, () => {
       assert.throws(
         () => checkEntrySettings({...valid, ...change}),
         error =>
@@ -45,14 +45,14 @@
     });
   }
 
-  it('names every fault at once', () => {
+  it('reports all faults at once', () => {
     assert.throws(
       () => checkEntrySettings({...valid, id: 'A', drainMs: -1}),
       error => isServingError(error) && error.faults.length === 2,
     );
   });
 
-  it('refuses a secret that its variable does not hold', () => {
+  it('rejects a secret whose variable is not set', () => {
     assert.throws(
       () => resolveSecret({env: 'SKYLARKFIELD_NO_SUCH_VARIABLE'}, 'keys.admin'),
       {kind: 'bad-settings'},
