--- a/packages/entry/src/components/membersComponent.ts
+++ b/packages/entry/src/components/membersComponent.ts
@@ -24,7 +24,7 @@
   readonly network: PeerNetwork;
   readonly membership: Membership;
   readonly innerUrl: string;
-  query(query: LookupQuery): LookupResult;
+  lookup(query: LookupQuery): LookupResult;
 }
 
 interface MembersComponentOptions {
@@ -91,7 +91,7 @@
     network,
     membership,
     innerUrl,
-    query: query => rankEntries(membership.members(), query, random),
+    lookup: query => rankEntries(membership.members(), query, random),
     dispose: () => owned.dispose(),
   };
 }
--- a/packages/entry/src/entryComponents.ts
+++ b/packages/entry/src/entryComponents.ts
@@ -158,7 +158,7 @@
       streams,
       split,
       ledger,
-      lookup: members.query,
+      lookup: members.lookup,
     },
     attempts,
     membership,
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -98,7 +98,7 @@
   attachRoutes(parts);
   dumps.add('process', () => ({
     id: settings.id,
-    lifecycle: lifecycle.state(),
+    life: lifecycle.state(),
     readiness: readiness(),
     inFlight: inFlight.count(),
     memory: process.memoryUsage(),
