--- a/deploy/warmUp.cjs
+++ b/deploy/warmUp.cjs
@@ -1,8 +1,8 @@
 'use strict';
 /**
- * A short life of two gateways in one process, against a platform and an
- * endpoint made here. The build runs it so that V8's code cache holds the
- * functions that a process needs to serve its first requests.
+ * Runs two gateways in one process for a short time, with a stand-in platform
+ * and endpoint. The build runs it so that V8's code cache holds the functions
+ * that a process needs to serve its first requests.
  */
 const {mkdtempSync, rmSync, writeFileSync} = require('node:fs');
 const http = require('node:http');
@@ -11,18 +11,21 @@
 
 const HOST = 'warm.example';
 const KEY = 'warm-key';
-const GATEWAYS = 2;
-const PORTS = ['callers', 'readiness', 'lookup', 'inner', 'status'];
-const OBJECTS = '/skylarkfield/objects/';
+const GATEWAY_COUNT = 2;
+const PORT_NAMES = ['callers', 'readiness', 'lookup', 'inner', 'status'];
+const OBJECTS_PATH = '/skylarkfield/objects/';
 
-/** Time until both gateways serve, in milliseconds; a build on a busy machine may give up sooner. */
+/**
+ * Timeout for readiness, in milliseconds; a build on a busy machine may exceed
+ * it and continues without.
+ */
 const READY_TIMEOUT_MS = 10_000;
 const POLL_MS = 50;
 
-/** Time for digests, heartbeats and duties to come round, in milliseconds. */
-const LIFE_MS = 2_000;
-const WATCH_MS = 200;
-const EVENTS = 5;
+/** Time for digests, heartbeats and duties to run, in milliseconds. */
+const RUN_MS = 2_000;
+const LONG_POLL_MS = 200;
+const EVENTS_PER_STREAM = 5;
 
 function listen(handler) {
   return new Promise(resolve => {
@@ -126,7 +129,7 @@
   });
 }
 
-/** Keeps what is written, and gives every watch an empty answer. */
+/** Starts a stand-in store that keeps writes and reports no changes. */
 async function startPlatform(endpointAddress) {
   const objects = new Map([
     ['config', new Map([['main', configuration()]])],
@@ -140,43 +143,43 @@
   ]);
 
   function read(kind, name) {
-    const held = objects.get(kind) ?? new Map();
+    const stored = objects.get(kind) ?? new Map();
     if (name === undefined) {
-      return {Items: [...held.values()], MorePages: false, CurrentRev: 2};
+      return {Items: [...stored.values()], MorePages: false, CurrentRev: 2};
     }
-    return held.get(name);
+    return stored.get(name);
   }
 
   function write(kind, name, text) {
     const {Metadata = {}, Spec} = JSON.parse(text || '{}');
     const object = toObject(name ?? Metadata.Name, Spec);
-    const held = objects.get(kind) ?? new Map();
-    objects.set(kind, held.set(object.Metadata.Name, object));
+    const stored = objects.get(kind) ?? new Map();
+    objects.set(kind, stored.set(object.Metadata.Name, object));
     return object;
   }
 
-  async function answer(request, response) {
+  async function handle(request, response) {
     const text = await readText(request);
     const url = new URL(request.url, 'http://platform');
-    const [kind, name] = url.pathname.slice(OBJECTS.length).split('/');
+    const [kind, name] = url.pathname.slice(OBJECTS_PATH.length).split('/');
     if (url.searchParams.has('Watch')) {
-      await delay(WATCH_MS);
-      end(response, 200, {events: [], CurrentRev: 2});
+      await delay(LONG_POLL_MS);
+      sendJson(response, 200, {events: [], CurrentRev: 2});
       return;
     }
-    if (!url.pathname.startsWith(OBJECTS) || request.method === 'DELETE') {
-      end(response, 200, {});
+    if (!url.pathname.startsWith(OBJECTS_PATH) || request.method === 'DELETE') {
+      sendJson(response, 200, {});
       return;
     }
     const body =
       request.method === 'GET' ? read(kind, name) : write(kind, name, text);
-    end(response, body === undefined ? 404 : 200, body ?? {});
+    sendJson(response, body === undefined ? 404 : 200, body ?? {});
   }
 
-  return listen((request, response) => void answer(request, response));
+  return listen((request, response) => void handle(request, response));
 }
 
-function end(response, status, body) {
+function sendJson(response, status, body) {
   response.writeHead(status, {'content-type': 'application/json'});
   response.end(JSON.stringify(body));
 }
@@ -193,7 +196,7 @@
       response.end('x'.repeat(800));
       return;
     }
-    for (let id = 1; id <= EVENTS; id++) {
+    for (let id = 1; id <= EVENTS_PER_STREAM; id++) {
       response.write(`id: ${id}\ndata: ${'x'.repeat(80)}\n\n`);
       await delay(5);
     }
@@ -201,14 +204,14 @@
   });
 }
 
-function settingsOf(index, ports, platform) {
+function createSettings(index, ports, platform) {
   const [own] = ports.slice(index);
   return {
     id: `warm-${index}`,
     failureDomain: 'a',
     region: 'r',
     ...Object.fromEntries(
-      PORTS.map((name, place) => [name, `127.0.0.1:${own[place]}`]),
+      PORT_NAMES.map((name, position) => [name, `127.0.0.1:${own[position]}`]),
     ),
     seeds: ports.map(([, , , inner]) => `127.0.0.1:${inner}`),
     platform: {store: platform, orders: platform, callsPerSecond: 400},
@@ -221,7 +224,7 @@
   };
 }
 
-/** Sends one request and reads its answer; the status is 0 when none came. */
+/** Sends one request and returns its status; 0 without a response. */
 function send(port, path, headers, body) {
   return new Promise(resolve => {
     const request = http.request(
@@ -248,9 +251,9 @@
   return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-async function untilReady(port) {
-  const endAt = Date.now() + READY_TIMEOUT_MS;
-  while (Date.now() < endAt) {
+async function waitUntilReady(port) {
+  const deadline = Date.now() + READY_TIMEOUT_MS;
+  while (Date.now() < deadline) {
     if ((await send(port, '/skylarkfield/readyz', {})) === 200) {
       return;
     }
@@ -258,14 +261,14 @@
   }
 }
 
-async function callBoth(port, round) {
-  const common = {Host: HOST, 'X-Key': KEY, 'X-Deadline-Ms': '3000'};
-  await send(port, '/plain/x', {...common, 'X-Try-Id': `p${round}`});
+async function callBothRoutes(port, round) {
+  const headers = {Host: HOST, 'X-Key': KEY, 'X-Deadline-Ms': '3000'};
+  await send(port, '/plain/x', {...headers, 'X-Try-Id': `p${round}`});
   await send(
     port,
     '/stream/x',
     {
-      ...common,
+      ...headers,
       'X-Try-Id': `s${round}`,
       'X-Model': 'm',
       'X-Token-Counts': '900,80',
@@ -276,36 +279,39 @@
 }
 
 /**
- * Lives through a start and some requests. `start` runs the gateway's program
+ * Starts the gateways and sends some requests. `startGateway` runs the gateway
  * with a settings file and returns at once.
  */
-async function warmUp(start) {
+async function warmUp(startGateway) {
   const folder = mkdtempSync(join(tmpdir(), 'skylarkfield-warm-'));
   try {
-    const target = await startEndpoint();
-    const platform = await startPlatform(addressOf(target));
-    const flat = await freePorts(GATEWAYS * PORTS.length);
-    const ports = Array.from({length: GATEWAYS}, (_, index) =>
-      flat.slice(index * PORTS.length, (index + 1) * PORTS.length),
+    const endpointServer = await startEndpoint();
+    const platform = await startPlatform(addressOf(endpointServer));
+    const allPorts = await freePorts(GATEWAY_COUNT * PORT_NAMES.length);
+    const ports = Array.from({length: GATEWAY_COUNT}, (_, index) =>
+      allPorts.slice(
+        index * PORT_NAMES.length,
+        (index + 1) * PORT_NAMES.length,
+      ),
     );
     ports.forEach((_, index) => {
       const path = join(folder, `${index}.json`);
-      const settings = settingsOf(index, ports, addressOf(platform));
+      const settings = createSettings(index, ports, addressOf(platform));
       writeFileSync(path, JSON.stringify(settings));
-      start(path);
+      startGateway(path);
     });
     for (const [callers, readiness, lookup] of ports) {
-      await untilReady(readiness);
+      await waitUntilReady(readiness);
       await send(
         lookup,
         `/skylarkfield/resolve?Name=${HOST}&Region=r&Zone=a`,
         {},
       );
       for (let round = 0; round < 3; round++) {
-        await callBoth(callers, round);
+        await callBothRoutes(callers, round);
       }
     }
-    await delay(LIFE_MS);
+    await delay(RUN_MS);
   } finally {
     rmSync(folder, {recursive: true, force: true});
   }
