--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -11,7 +11,7 @@
   promptMs,
   type EngineProfile,
 } from './engines/profiles.js';
-import {playEngines} from './engines/engineReplay.js';
+import {replayEngines} from './engines/engineReplay.js';
 import {SERVICE, type ReplayEntry} from './engines/replayEntry.js';
 import type {MeasureOptions} from './measurements.js';
 
@@ -19,10 +19,10 @@
 const ENGINES = 6;
 const ENTRIES = 6;
 const LOAD = 0.4;
-const NEAR = 0.2;
+const RATIO_TOLERANCE = 0.2;
 
 /** What the program believed of every engine before it learned. */
-const FIXED = {promptTokenMs: 1 / 140, pairsMs: 0.3, use: 0.34};
+const FIXED_ESTIMATE = {promptTokenMs: 1 / 140, pairsMs: 0.3, use: 0.34};
 
 type PlanName = 'learned' | 'true' | 'fixed';
 
@@ -38,23 +38,27 @@
   const plans = [];
   const curves: object[] = [];
   for (const profile of ENGINE_PROFILES) {
-    const learning = await learn(options.seed, seconds, profile);
+    const learning = await measureLearning(options.seed, seconds, profile);
     rows.push(learning.row);
     curves.push(...learning.curve);
-    for (const [plan, engines] of Object.entries(learning.needed)) {
-      const served = await serveWith(options.seed, seconds, profile, engines);
+    for (const [plan, engines] of Object.entries(learning.enginesNeeded)) {
+      const served = await measurePlan(options.seed, seconds, profile, engines);
       plans.push({profile: profile.name, plan, engines, ...served});
     }
   }
   return {engines: ENGINES, entries: ENTRIES, load: LOAD, rows, plans, curves};
 }
 
-async function learn(seed: number, seconds: number, profile: EngineProfile) {
+async function measureLearning(
+  seed: number,
+  seconds: number,
+  profile: EngineProfile,
+) {
   const trueMs = usualPromptMs(profile);
   const ratios: number[] = [];
-  let needed: Record<PlanName, number> = {learned: 1, true: 1, fixed: 1};
+  let enginesNeeded: Record<PlanName, number> = {learned: 1, true: 1, fixed: 1};
   let usualUse = 0;
-  await playEngines({
+  await replayEngines({
     seed,
     seconds,
     profile,
@@ -62,15 +66,15 @@
     entries: ENTRIES,
     loadAt: () => LOAD,
     refusesLate: true,
-    onDidSecond(_, entry) {
+    onDidElapseSecond(_, entry) {
       const {engines} = entry;
       ratios.push(engines.figures(SERVICE).usualPromptMs / trueMs);
       usualUse = engines.demandSignals(SERVICE).use.usual;
-      needed = neededBy(entry, profile);
+      enginesNeeded = computeEnginesNeeded(entry, profile);
     },
   });
   return {
-    needed,
+    enginesNeeded,
     curve: ratios.map((ratio, index) => ({
       profile: profile.name,
       second: index + 1,
@@ -80,19 +84,19 @@
       profile: profile.name,
       trueMs,
       ratioAtEnd: ratios.at(-1),
-      secondsUntilNear: secondsUntilNear(ratios),
+      secondsUntilNear: secondsUntilConverged(ratios),
       usualUse,
     },
   };
 }
 
 /** Engines that the same work needs, by what is known of them in three ways. */
-function neededBy(
+function computeEnginesNeeded(
   {engines}: ReplayEntry,
   profile: EngineProfile,
 ): Record<PlanName, number> {
   const learned = engines.figures(SERVICE);
-  const signs = engines.demandSignals(SERVICE);
+  const signals = engines.demandSignals(SERVICE);
   const truth: EngineEstimate = {
     ...learned,
     promptTokenMs: profile.tokenMs,
@@ -106,29 +110,29 @@
     timeoutMs: deadlineMs,
   }));
   const work = engines.workRate(SERVICE);
-  const fixedMs = workMs(work, {...learned, ...FIXED});
+  const fixedMs = workMs(work, {...learned, ...FIXED_ESTIMATE});
   return {
-    learned: endpointsNeeded(signs.workRate, signs.use.usual),
+    learned: endpointsNeeded(signals.workRate, signals.use.usual),
     true: endpointsNeeded(
       workMs(work, truth),
       targetUtilization(truth, aims).usual,
     ),
-    fixed: endpointsNeeded(fixedMs, FIXED.use),
+    fixed: endpointsNeeded(fixedMs, FIXED_ESTIMATE.use),
   };
 }
 
-async function serveWith(
+async function measurePlan(
   seed: number,
   seconds: number,
   profile: EngineProfile,
   engines: number,
 ) {
-  const outcomes = await playEngines({
+  const outcomes = await replayEngines({
     seed,
     seconds,
     profile,
     engines,
-    fullEngines: ENGINES,
+    referenceEngines: ENGINES,
     entries: ENTRIES,
     loadAt: () => LOAD,
     refusesLate: true,
@@ -138,8 +142,10 @@
 }
 
 /** The second from which on the ratio stays near one; -1 when it does not. */
-function secondsUntilNear(ratios: readonly number[]): number {
-  const lastFar = ratios.findLastIndex(ratio => Math.abs(ratio - 1) > NEAR);
+function secondsUntilConverged(ratios: readonly number[]): number {
+  const lastFar = ratios.findLastIndex(
+    ratio => Math.abs(ratio - 1) > RATIO_TOLERANCE,
+  );
   return lastFar === ratios.length - 1 ? -1 : lastFar + 2;
 }
 
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -24,26 +24,26 @@
   readonly tookMs: number;
 }
 
-export interface ReplayOptions {
+export interface EngineReplayOptions {
   readonly seed: number;
   readonly seconds: number;
   readonly profile: EngineProfile;
   readonly engines: number;
   /** Engines whose whole time a load of 1 takes; those that are there when absent. */
-  readonly fullEngines?: number;
+  readonly referenceEngines?: number;
   readonly entries: number;
   /** Work offered relative to what the engines can read, by the second. */
   loadAt(second: number): number;
   /** Whether entries refuse what would come far too late. */
   readonly refusesLate: boolean;
   /** Called once a second with the first entry. */
-  onDidSecond?(second: number, entry: ReplayEntry): void;
+  onDidElapseSecond?(second: number, entry: ReplayEntry): void;
 }
 
-const DIGEST_MS = 300;
+const DIGEST_INTERVAL_MS = 300;
 const SECOND_MS = 1_000;
 /** Sizes spread from half to one and a half of the mean. */
-const LEAST_SIZE = 0.5;
+const MIN_SIZE_FACTOR = 0.5;
 
 /**
  * Plays one case; requests still open at the end are left out.
@@ -51,8 +51,8 @@
  * @example
  * const outcomes = await playEngines({seed: 1, seconds: 30, profile, engines: 6, entries: 6, loadAt: () => 2, refusesLate: true});
  */
-export async function playEngines(
-  options: ReplayOptions,
+export async function replayEngines(
+  options: EngineReplayOptions,
 ): Promise<readonly ReplayOutcome[]> {
   const clock = virtualClock();
   const random = seededRandom(options.seed);
@@ -76,12 +76,12 @@
   );
   const outcomes: ReplayOutcome[] = [];
 
-  function exchange(): void {
+  function exchangeDigests(): void {
     for (const entry of entries) {
       const digest = entry.digest();
       entries
         .filter(other => other !== entry)
-        .forEach(other => other.hear(entry.id, digest));
+        .forEach(other => other.acceptDigest(entry.id, digest));
     }
   }
 
@@ -93,9 +93,9 @@
 
   function serve(kind: RequestKind, entry: ReplayEntry): void {
     const arrivedMs = clock.now();
-    const size = LEAST_SIZE + random.next();
-    const demand = demandOf(kind, size);
-    const note = (result: ReplayOutcome['result']) =>
+    const size = MIN_SIZE_FACTOR + random.next();
+    const demand = createDemand(kind, size);
+    const recordOutcome = (result: ReplayOutcome['result']) =>
       outcomes.push({
         kind: kind.name,
         arrivedMs,
@@ -112,15 +112,15 @@
       excluded: new Set(),
     });
     if (choice === undefined) {
-      note('refused');
+      recordOutcome('refused');
       return;
     }
-    const call = callOf(kind, demand.model);
+    const call = createCall(kind, demand.model);
     entry.engines.work.record(SERVICE, promptWork(demand.model));
     const wait = entry.observer.expectedWait(call, choice, kind.deadlineMs);
     if (options.refusesLate && wait.isTooLong) {
       choice.finish({outcome: 'cancelled', latencyMs: 0});
-      note('refused');
+      recordOutcome('refused');
       return;
     }
     const seen = entry.observer.observe(call, choice, true);
@@ -151,37 +151,40 @@
           answerWork(demand.model, demand.answerTokens),
         );
         choice.finish({outcome: 'ok', latencyMs: firstMs ?? 0});
-        note((firstMs ?? Infinity) <= kind.goalMs ? 'in-time' : 'late');
+        recordOutcome(
+          (firstMs ?? Infinity) <= kind.goalMs ? 'in-time' : 'late',
+        );
       },
     };
     const timer = clock.after(kind.deadlineMs, () => {
       engine.cancel(request);
       choice.finish({outcome: 'failed', latencyMs: kind.deadlineMs});
-      note('timed-out');
+      recordOutcome('timed-out');
     });
     engine.submit(request);
   }
 
-  const digests = every(clock, DIGEST_MS, exchange);
-  const fullPerMs = fullRate(options, kinds);
-  const rateNow = () => fullPerMs * options.loadAt(clock.now() / SECOND_MS);
+  const digests = every(clock, DIGEST_INTERVAL_MS, exchangeDigests);
+  const fullLoadPerMs = fullLoadRate(options, kinds);
+  const rateNow = () => fullLoadPerMs * options.loadAt(clock.now() / SECOND_MS);
   scheduleArrivals(clock, random, rateNow, arrive);
   for (let second = 1; second <= options.seconds; second++) {
     clock.advanceSync(SECOND_MS);
-    options.onDidSecond?.(second, entries[0]!);
+    options.onDidElapseSecond?.(second, entries[0]!);
   }
   digests.dispose();
   return outcomes;
 }
 
 function pickKind(kinds: readonly RequestKind[], random: Random): RequestKind {
-  let left = random.next() * kinds.reduce((sum, {weight}) => sum + weight, 0);
-  return kinds.find(({weight}) => (left -= weight) <= 0) ?? kinds[0]!;
+  let remaining =
+    random.next() * kinds.reduce((sum, {weight}) => sum + weight, 0);
+  return kinds.find(({weight}) => (remaining -= weight) <= 0) ?? kinds[0]!;
 }
 
 /** Requests a millisecond that would take all of the engines' time for reading. */
-function fullRate(
-  {profile, engines, fullEngines = engines}: ReplayOptions,
+function fullLoadRate(
+  {profile, engines, referenceEngines = engines}: EngineReplayOptions,
   kinds: readonly RequestKind[],
 ): number {
   const weights = kinds.reduce((sum, {weight}) => sum + weight, 0);
@@ -189,7 +192,7 @@
     (sum, kind) => sum + (kind.weight / weights) * promptMs(kind, profile),
     0,
   );
-  return fullEngines / meanMs;
+  return referenceEngines / meanMs;
 }
 
 function scheduleArrivals(
@@ -205,7 +208,7 @@
   });
 }
 
-function demandOf(kind: RequestKind, size: number) {
+function createDemand(kind: RequestKind, size: number) {
   const ownTokens = Math.round(kind.ownTokens * size);
   const promptTokens = ownTokens + kind.sharedTokens;
   const model: ModelDemand = {
@@ -218,7 +221,7 @@
   return {ownTokens, promptTokens, answerTokens, model};
 }
 
-function callOf(kind: RequestKind, demand: ModelDemand) {
+function createCall(kind: RequestKind, demand: ModelDemand) {
   return {
     head: {demand},
     route: {
--- a/packages/bench/src/engines/profiles.ts
+++ b/packages/bench/src/engines/profiles.ts
@@ -19,7 +19,7 @@
   readonly tokensPerEvent: number;
 }
 
-const usual = {
+const defaults = {
   slots: 48,
   pairsMs: 0.3,
   requestStepMs: 0.02,
@@ -30,12 +30,12 @@
 
 /** Prompt speeds from 8 to 200 tokens a millisecond, steps of 2 to 20 ms, 8 to 128 slots. */
 export const ENGINE_PROFILES: readonly EngineProfile[] = [
-  {...usual, name: 'fast', tokenMs: 1 / 140, stepMs: 2.2},
-  {...usual, name: 'fastest', tokenMs: 1 / 200, stepMs: 2, slots: 128},
-  {...usual, name: 'dense', tokenMs: 1 / 38, pairsMs: 1.2, stepMs: 4.7},
-  {...usual, name: 'few slots', tokenMs: 1 / 60, stepMs: 6, slots: 8},
-  {...usual, name: 'slow steps', tokenMs: 1 / 25, stepMs: 20, slots: 96},
-  {...usual, name: 'slow', tokenMs: 1 / 8, pairsMs: 2, stepMs: 12},
+  {...defaults, name: 'fast', tokenMs: 1 / 140, stepMs: 2.2},
+  {...defaults, name: 'fastest', tokenMs: 1 / 200, stepMs: 2, slots: 128},
+  {...defaults, name: 'dense', tokenMs: 1 / 38, pairsMs: 1.2, stepMs: 4.7},
+  {...defaults, name: 'few slots', tokenMs: 1 / 60, stepMs: 6, slots: 8},
+  {...defaults, name: 'slow steps', tokenMs: 1 / 25, stepMs: 20, slots: 96},
+  {...defaults, name: 'slow', tokenMs: 1 / 8, pairsMs: 2, stepMs: 12},
 ];
 
 /** A kind of request. */
--- a/packages/bench/src/engines/replayEngine.ts
+++ b/packages/bench/src/engines/replayEngine.ts
@@ -48,7 +48,7 @@
     }
   }
 
-  function decodeMs(): number {
+  function decodeStepMs(): number {
     const context = running.reduce(
       (sum, {request}) => sum + request.promptTokens,
       0,
@@ -60,7 +60,7 @@
     );
   }
 
-  function chunkMs(sequence: Sequence, tokens: number): number {
+  function chunkPrefillMs(sequence: Sequence, tokens: number): number {
     const pairs = (tokens * sequence.request.promptTokens) / 1e6;
     return tokens * profile.tokenMs + pairs * profile.pairsMs;
   }
@@ -72,18 +72,19 @@
       return;
     }
     isBusy = true;
-    const reading = running.find(({promptLeft}) => promptLeft > 0);
-    const tokens = Math.min(reading?.promptLeft ?? 0, profile.chunkTokens);
-    const readMs = reading === undefined ? 0 : chunkMs(reading, tokens);
-    clock.after(decodeMs() + readMs, () => {
+    const prefilling = running.find(({promptLeft}) => promptLeft > 0);
+    const tokens = Math.min(prefilling?.promptLeft ?? 0, profile.chunkTokens);
+    const prefillMs =
+      prefilling === undefined ? 0 : chunkPrefillMs(prefilling, tokens);
+    clock.after(decodeStepMs() + prefillMs, () => {
       const decoding = running.filter(({promptLeft}) => promptLeft === 0);
-      if (reading !== undefined) {
-        reading.promptLeft -= tokens;
-        reading.spentMs += readMs;
+      if (prefilling !== undefined) {
+        prefilling.promptLeft -= tokens;
+        prefilling.spentMs += prefillMs;
       }
       decoding.forEach(decode);
-      if (reading?.promptLeft === 0) {
-        decode(reading);
+      if (prefilling?.promptLeft === 0) {
+        decode(prefilling);
       }
       step();
     });
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -21,12 +21,12 @@
 /** The service that all requests go to. */
 export const SERVICE = 'chat';
 
-const SILENCE_MS = 1_200;
+const REPORTER_TIMEOUT_MS = 1_200;
 
 /** Window of the quotas, in milliseconds; replayed requests have none. */
 const QUOTA_WINDOW_MS = 8_000;
 
-const unread = {
+const emptyMirror = {
   revision: 0,
   changedAt: 0,
   confirmedAgoMs: -1,
@@ -39,7 +39,7 @@
   readonly engines: EngineEstimates;
   readonly observer: EngineObserver;
   digest(): Digest;
-  hear(peer: string, digest: Digest): void;
+  acceptDigest(peer: string, digest: Digest): void;
 }
 
 /**
@@ -61,7 +61,7 @@
   const reports = createPeerReports({
     clock,
     failureDomain: 'a',
-    reporterTimeoutMs: SILENCE_MS,
+    reporterTimeoutMs: REPORTER_TIMEOUT_MS,
     quotaWindowMs: QUOTA_WINDOW_MS,
   });
   const aims = kinds.map(({goalMs, deadlineMs}) => ({
@@ -113,7 +113,11 @@
       incarnation: 1,
       stamp: clock.now(),
       wallMs: clock.wall(),
-      mirrors: {policy: unread, endpoints: unread, rollouts: unread},
+      mirrors: {
+        policy: emptyMirror,
+        endpoints: emptyMirror,
+        rollouts: emptyMirror,
+      },
       usage: {},
       entries: 1,
       used: {},
@@ -122,7 +126,7 @@
       outcomes: engines.outcomes.counts(),
       capacity: engines.model.stats(),
     }),
-    hear(peer, digest) {
+    acceptDigest(peer, digest) {
       if (reports.accept(peer, digest) !== undefined) {
         router.reportEntryLoads(peer, digest.loads);
       }
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -26,18 +26,18 @@
 /** Days replayed per policy, each with prices and waves of its own. */
 const DAYS = 6;
 const STEP_MS = 15_000;
-const SLOTS = 8;
+const SLOTS_PER_REPLICA = 8;
 /** Use of the slots beyond which the latency target is missed. */
-const TARGET_USE = 0.7;
+const TARGET_UTILIZATION = 0.7;
 /** Requests in progress at the quietest and at the busiest hour. */
-const LEAST_REQUESTS = 12;
-const MOST_REQUESTS = 40;
+const MIN_CONCURRENT_REQUESTS = 12;
+const MAX_CONCURRENT_REQUESTS = 40;
 
-type Plan = typeof planHosts;
+type Planner = typeof planHosts;
 export type FleetPolicy = 'planned' | 'on-demand' | 'cheapest';
 
 /** Ways to plan; the baselines use the same duty with another plan. */
-const plans: Readonly<Record<FleetPolicy, Plan>> = {
+const planners: Readonly<Record<FleetPolicy, Planner>> = {
   planned: planHosts,
   'on-demand': (demand, offers, supplies) =>
     planHosts(
@@ -45,7 +45,7 @@
       offers.filter(offer => offer.market === 'on-demand'),
       supplies,
     ),
-  cheapest: cheapestPlan,
+  cheapest: planCheapestHosts,
 };
 
 const service: Service = {
@@ -73,7 +73,7 @@
  */
 export async function measureFleet(options: MeasureOptions) {
   const rows = [];
-  for (const policy of Object.keys(plans) as FleetPolicy[]) {
+  for (const policy of Object.keys(planners) as FleetPolicy[]) {
     rows.push(await runDays(policy, options.seed));
   }
   const [planned, onDemand, cheapest] = rows;
@@ -90,13 +90,13 @@
 async function runDays(policy: FleetPolicy, seed: number) {
   let cost = 0;
   let targetHours = 0;
-  let deadHours = 0;
+  let hoursWithoutReplica = 0;
   let waves = 0;
   for (let day = 0; day < DAYS; day++) {
     const result = await runDay(policy, seed + day);
     cost += result.cost;
     targetHours += result.targetHours;
-    deadHours += result.deadHours;
+    hoursWithoutReplica += result.hoursWithoutReplica;
     waves += result.waves;
   }
   return {
@@ -104,7 +104,7 @@
     waves,
     costPerDay: cost / DAYS,
     targetHeld: targetHours / (DAYS * 24),
-    withoutAnyReplica: deadHours / (DAYS * 24),
+    withoutAnyReplica: hoursWithoutReplica / (DAYS * 24),
     costPerTargetHour: cost / targetHours,
   };
 }
@@ -125,53 +125,60 @@
       signal: new AbortController().signal,
     },
     services: () => [service],
-    reports: () => reportsOf(replay.serving().length, requestsAt(clock.now())),
-    plan: plans[policy],
+    reports: () =>
+      createLoadReports(
+        replay.serving().length,
+        concurrentRequestsAt(clock.now()),
+      ),
+    plan: planners[policy],
   });
   // The first hours bring the fleet up; they are not counted.
   await clock.advance(HOUR_MS);
   let cost = 0;
   let targetHours = 0;
-  let deadHours = 0;
+  let hoursWithoutReplica = 0;
   const stepHours = STEP_MS / HOUR_MS;
   for (let elapsed = 0; elapsed < DAY_MS; elapsed += STEP_MS) {
     await clock.advance(STEP_MS);
     cost += replay.pricePerHour() * stepHours;
-    const slots = replay.serving().length * SLOTS;
-    if (requestsAt(clock.now()) <= slots * TARGET_USE) {
+    const slots = replay.serving().length * SLOTS_PER_REPLICA;
+    if (concurrentRequestsAt(clock.now()) <= slots * TARGET_UTILIZATION) {
       targetHours += stepHours;
     }
     if (slots === 0) {
-      deadHours += stepHours;
+      hoursWithoutReplica += stepHours;
     }
   }
   duty.dispose();
-  return {cost, targetHours, deadHours, waves: replay.waves()};
+  return {cost, targetHours, hoursWithoutReplica, waves: replay.waves()};
 }
 
 /** Load over the day: quiet at night, busiest after noon. */
-function requestsAt(nowMs: number): number {
+function concurrentRequestsAt(nowMs: number): number {
   const angle = (2 * Math.PI * nowMs) / DAY_MS;
-  const part = (1 - Math.cos(angle)) / 2;
-  return LEAST_REQUESTS + (MOST_REQUESTS - LEAST_REQUESTS) * part;
+  const dailyFraction = (1 - Math.cos(angle)) / 2;
+  return (
+    MIN_CONCURRENT_REQUESTS +
+    (MAX_CONCURRENT_REQUESTS - MIN_CONCURRENT_REQUESTS) * dailyFraction
+  );
 }
 
-function reportsOf(replicas: number, requests: number): LoadReport[] {
+function createLoadReports(replicas: number, requests: number): LoadReport[] {
   return Array.from({length: replicas}, () => ({
     sequence: 0,
     running: requests / replicas,
     waiting: 0,
-    slots: SLOTS,
+    slots: SLOTS_PER_REPLICA,
     waitingPromptTokens: 0,
     cacheUse: 0,
   }));
 }
 
 /** As many reclaimable hosts as the load needs, all where they are cheapest now. */
-function cheapestPlan(
+function planCheapestHosts(
   demand: Demand,
   offers: readonly Offer[],
-  supplies: Parameters<Plan>[2],
+  supplies: Parameters<Planner>[2],
 ): HostPlan {
   const best = offers
     .filter(offer => offer.market === 'reclaimable')
--- a/packages/bench/src/isolation.ts
+++ b/packages/bench/src/isolation.ts
@@ -8,17 +8,17 @@
 import type {ServiceFault} from './replay/replayService.js';
 import {
   quantile,
-  replayRecord,
-  runWorld,
-  todaysCustomers,
-} from './replay/world.js';
+  createServiceRecord,
+  runAdmissionReplay,
+  defaultCustomers,
+} from './replay/admissionReplay.js';
 
 const DEFAULT_SECONDS = 40;
 const FAULT_FROM_MS = 10_000;
 const FAULT_UNTIL_FRACTION = 0.75;
 const TIMEOUT_MS = 2000;
 const FLOOD_FACTOR = 20;
-const VICTIM = 'roster';
+const FAULTY_SERVICE = 'roster';
 const GATES: readonly GateType[] = ['shared-fifo', 'aimd'];
 
 type Trouble = Exclude<ServiceFault, 'none'> | 'flooded';
@@ -26,7 +26,7 @@
 
 /** Names, places and mean times; each service is used to about two thirds. */
 const SERVICES = [
-  {name: VICTIM, slots: 32, meanMs: 200, perSecond: 105},
+  {name: FAULTY_SERVICE, slots: 32, meanMs: 200, perSecond: 105},
   {name: 'booking', slots: 16, meanMs: 40, perSecond: 265},
   {name: 'match', slots: 24, meanMs: 150, perSecond: 105},
 ];
@@ -46,19 +46,29 @@
   const seconds = options.seconds ?? DEFAULT_SECONDS;
   const rows = [];
   for (const gate of GATES) {
-    const calm = await runCase(options.seed, seconds, gate, undefined);
+    const baselineFigures = await runCase(
+      options.seed,
+      seconds,
+      gate,
+      undefined,
+    );
     for (const trouble of TROUBLES) {
-      const troubled = await runCase(options.seed, seconds, gate, trouble);
-      for (const [index, other] of troubled.entries()) {
-        const base = calm[index] as Figures;
+      const disturbedFigures = await runCase(
+        options.seed,
+        seconds,
+        gate,
+        trouble,
+      );
+      for (const [index, other] of disturbedFigures.entries()) {
+        const baseline = baselineFigures[index] as ServiceFigures;
         rows.push({
           gate,
           trouble,
           service: other.service,
           p95Ms: other.p95Ms,
-          p95Ratio: other.p95Ms / base.p95Ms,
+          p95Ratio: other.p95Ms / baseline.p95Ms,
           success: other.success,
-          successUndisturbed: base.success,
+          successUndisturbed: baseline.success,
         });
       }
     }
@@ -66,7 +76,7 @@
   return {timeoutMs: TIMEOUT_MS, summary: summarize(rows), rows};
 }
 
-interface Figures {
+interface ServiceFigures {
   readonly service: string;
   readonly p95Ms: number;
   readonly success: number;
@@ -91,17 +101,17 @@
   seconds: number,
   gate: GateType,
   trouble: Trouble | undefined,
-): Promise<Figures[]> {
+): Promise<ServiceFigures[]> {
   const untilMs = seconds * 1000 * FAULT_UNTIL_FRACTION;
-  function isTroubled(nowMs: number): boolean {
+  function isDuringFault(nowMs: number): boolean {
     return nowMs >= FAULT_FROM_MS && nowMs < untilMs;
   }
-  const {outcomes} = await runWorld({
+  const {outcomes} = await runAdmissionReplay({
     seed,
     seconds,
     gate,
     services: SERVICES.map(({name, slots, meanMs}) => ({
-      record: replayRecord(name, {
+      record: createServiceRecord(name, {
         concurrency: slots,
         queue: 60,
         targetMs: meanMs * 3,
@@ -114,24 +124,24 @@
       service: name,
       perSecond,
       rateFactor: nowMs =>
-        trouble === 'flooded' && name === VICTIM && isTroubled(nowMs)
+        trouble === 'flooded' && name === FAULTY_SERVICE && isDuringFault(nowMs)
           ? FLOOD_FACTOR
           : 1,
       timeoutMs: TIMEOUT_MS,
-      customers: todaysCustomers,
+      customers: defaultCustomers,
       urgencies: URGENCIES,
     })),
-    disturb(clock, services) {
+    scheduleFaults(clock, services) {
       if (trouble === undefined || trouble === 'flooded') {
         return;
       }
-      const victim = services.get(VICTIM);
-      clock.after(FAULT_FROM_MS, () => victim?.setFault(trouble));
-      clock.after(untilMs, () => victim?.setFault('none'));
+      const faultyService = services.get(FAULTY_SERVICE);
+      clock.after(FAULT_FROM_MS, () => faultyService?.setFault(trouble));
+      clock.after(untilMs, () => faultyService?.setFault('none'));
     },
   });
-  const counted = outcomes.filter(({arrivedMs}) => isTroubled(arrivedMs));
-  return SERVICES.filter(({name}) => name !== VICTIM).map(({name}) => {
+  const counted = outcomes.filter(({arrivedMs}) => isDuringFault(arrivedMs));
+  return SERVICES.filter(({name}) => name !== FAULTY_SERVICE).map(({name}) => {
     const own = counted.filter(({service}) => service === name);
     const ok = own.filter(({result}) => result === 'ok');
     return {
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -10,7 +10,7 @@
 
 function listMeasurements(): string {
   return Object.entries(measurements)
-    .map(([name, {about}]) => `${name.padEnd(10)}  ${about}`)
+    .map(([name, {description}]) => `${name.padEnd(10)}  ${description}`)
     .join('\n');
 }
 
--- a/packages/bench/src/measurements.ts
+++ b/packages/bench/src/measurements.ts
@@ -28,85 +28,87 @@
   /** Module beside this one, loaded only when it is asked for. */
   readonly module: string;
   /** The function that the module exports. */
-  readonly exported: string;
-  readonly about: string;
+  readonly exportName: string;
+  readonly description: string;
 }
 
 /** Every measurement by name. */
 export const measurements: Readonly<Record<MeasurementName, Measurement>> = {
   overhead: {
     module: './overhead.js',
-    exported: 'measureOverhead',
-    about: 'time per request against calling the endpoint directly',
+    exportName: 'measureOverhead',
+    description: 'time per request against calling the endpoint directly',
   },
   isolation: {
     module: './isolation.js',
-    exported: 'measureIsolation',
-    about: 'other services while one hangs, slows, fails or is flooded',
+    exportName: 'measureIsolation',
+    description: 'other services while one hangs, slows, fails or is flooded',
   },
   overload: {
     module: './overload.js',
-    exported: 'measureOverload',
-    about: 'goodput by importance at 1x, 2x and 5x of capacity',
+    exportName: 'measureOverload',
+    description: 'goodput by importance at 1x, 2x and 5x of capacity',
   },
   routing: {
     module: './routing.js',
-    exported: 'measureRouting',
-    about: 'tokens recomputed and first-token latency by routing policy',
+    exportName: 'measureRouting',
+    description: 'tokens recomputed and first-token latency by routing policy',
   },
   reclaim: {
     module: './reclaim.js',
-    exported: 'measureReclaim',
-    about: 'streams while a failure domain of engines is reclaimed',
+    exportName: 'measureReclaim',
+    description: 'streams while a failure domain of engines is reclaimed',
   },
   moves: {
     module: './moves.js',
-    exported: 'measureMoves',
-    about: 'good versions moved in, bad versions taken back',
+    exportName: 'measureMoves',
+    description: 'good versions moved in, bad versions taken back',
   },
   fleet: {
     module: './fleet.js',
-    exported: 'measureFleet',
-    about: 'cost of a priced day at the latency target',
+    exportName: 'measureFleet',
+    description: 'cost of a priced day at the latency target',
   },
   orders: {
     module: './orders.js',
-    exported: 'measureOrders',
-    about: 'platform writes and added latency as orders grow',
+    exportName: 'measureOrders',
+    description: 'platform writes and added latency as orders grow',
   },
   spread: {
     module: './spread.js',
-    exported: 'measureSpread',
-    about: 'time until a configuration is in force as entries grow',
+    exportName: 'measureSpread',
+    description: 'time until a configuration is in force as entries grow',
   },
   slopes: {
     module: './slopes.js',
-    exported: 'measureSlopes',
-    about: 'control traffic, processor time and memory as the fleet grows',
+    exportName: 'measureSlopes',
+    description:
+      'control traffic, processor time and memory as the fleet grows',
   },
   orderOwner: {
     module: './slopes/orderOwner.js',
-    exported: 'measureOrderOwners',
-    about: 'what owning one shard of the order ledger costs as orders grow',
+    exportName: 'measureOrderOwners',
+    description:
+      'what owning one shard of the order ledger costs as orders grow',
   },
   capacity: {
     module: './capacity.js',
-    exported: 'measureCapacity',
-    about: 'what entries learn of engines that nobody described',
+    exportName: 'measureCapacity',
+    description: 'what entries learn of engines that nobody described',
   },
   shedding: {
     module: './shedding.js',
-    exported: 'measureShedding',
-    about: 'what callers get of engines offered twice what they can read',
+    exportName: 'measureShedding',
+    description: 'what callers get of engines offered twice what they can read',
   },
 };
 
 /** Why a measurement cannot be run. */
-export type Unavailable = 'unknown name' | 'not written yet';
+export type UnavailableReason = 'unknown name' | 'not written yet';
 
-export type Loaded =
+export type LoadedMeasurement =
   | {readonly type: 'found'; readonly measure: Measure}
-  | {readonly type: 'unavailable'; readonly reason: Unavailable};
+  | {readonly type: 'unavailable'; readonly reason: UnavailableReason};
 
 /**
  * Loads a measurement by name.
@@ -114,15 +116,17 @@
  * @example
  * const loaded = await loadMeasurement('isolation');
  */
-export async function loadMeasurement(name: string): Promise<Loaded> {
+export async function loadMeasurement(
+  name: string,
+): Promise<LoadedMeasurement> {
   if (!Object.hasOwn(measurements, name)) {
     return {type: 'unavailable', reason: 'unknown name'};
   }
-  const {module, exported} = measurements[name as MeasurementName];
+  const {module, exportName} = measurements[name as MeasurementName];
   const url = new URL(module, import.meta.url).href;
   try {
     const content = (await import(url)) as Record<string, Measure | undefined>;
-    const measure = content[exported];
+    const measure = content[exportName];
     if (measure === undefined) {
       return {type: 'unavailable', reason: 'not written yet'};
     }
--- a/packages/bench/src/moves.ts
+++ b/packages/bench/src/moves.ts
@@ -17,10 +17,10 @@
   drawVersion,
   kinds,
   mixes,
-  type Mix,
+  type TrafficMix,
   type Version,
 } from './replay/versions.js';
-import {quantile} from './replay/world.js';
+import {quantile} from './replay/admissionReplay.js';
 
 /** Versions for each mix; four mixes. */
 const DEFAULT_VERSIONS = 130;
@@ -42,16 +42,19 @@
 interface Verdict {
   readonly mix: string;
   readonly version: Version;
-  readonly isIn: boolean;
+  readonly isFinished: boolean;
   readonly badRequests: number;
   readonly why: string;
 }
 
-type JudgeType = 'ours' | 'canary';
+type JudgeName = 'ours' | 'canary';
 
 const judges: Readonly<
-  Record<JudgeType, (mix: Mix, version: Version, seed: number) => Verdict>
-> = {ours: judgeOurs, canary: judgeCanary};
+  Record<
+    JudgeName,
+    (mix: TrafficMix, version: Version, seed: number) => Verdict
+  >
+> = {ours: judgeWithMoveController, canary: judgeWithCanary};
 
 /**
  * Runs the measurement.
@@ -60,14 +63,14 @@
  * const report = await measureMoves({seed: 1000});
  */
 export async function measureMoves(options: MeasureOptions) {
-  const perMix =
+  const versionsPerMix =
     options.seconds === undefined
       ? DEFAULT_VERSIONS
       : Math.ceil((options.seconds * VERSIONS_PER_SECOND) / mixes.length);
-  const verdicts: Record<JudgeType, Verdict[]> = {ours: [], canary: []};
+  const verdicts: Record<JudgeName, Verdict[]> = {ours: [], canary: []};
   for (const mix of mixes) {
     const random = seededRandom(options.seed);
-    for (let index = 0; index < perMix; index++) {
+    for (let index = 0; index < versionsPerMix; index++) {
       const kind = pickKind(index);
       const version = drawVersion(kind, mix, random);
       const seed = options.seed * 100_003 + index;
@@ -85,10 +88,10 @@
       ...summarize('canary', verdicts.canary),
     ],
     kinds: [
-      ...byKind('ours', verdicts.ours),
-      ...byKind('canary', verdicts.canary),
+      ...summarizeByKind('ours', verdicts.ours),
+      ...summarizeByKind('canary', verdicts.canary),
     ],
-    wrong: listWrong(verdicts.ours),
+    wrong: listMisjudged(verdicts.ours),
   };
 }
 
@@ -99,10 +102,13 @@
   return all[(index * 37) % all.length];
 }
 
-function summarize(judge: JudgeType, verdicts: readonly Verdict[]) {
-  const users = ['namu', 'sahakarana'];
+function summarize(judge: JudgeName, verdicts: readonly Verdict[]) {
+  const userMixes = ['namu', 'sahakarana'];
   return [
-    {name: 'both users', own: verdicts.filter(({mix}) => users.includes(mix))},
+    {
+      name: 'both users',
+      own: verdicts.filter(({mix}) => userMixes.includes(mix)),
+    },
     ...mixes.map(({name}) => ({
       name,
       own: verdicts.filter(({mix}) => mix === name),
@@ -110,29 +116,32 @@
   ].map(({name, own}) => {
     const good = own.filter(({version}) => !version.isBad);
     const bad = own.filter(({version}) => version.isBad);
-    const served = bad.map(({badRequests}) => badRequests);
+    const badRequestCounts = bad.map(({badRequests}) => badRequests);
     return {
       judge,
       mix: name,
       good: good.length,
-      goodMovedIn: part(good, ({isIn}) => isIn),
+      goodMovedIn: fractionOf(good, ({isFinished}) => isFinished),
       falseAlarms: good.filter(({why}) => why.includes('incumbent')).length,
       bad: bad.length,
-      badTakenBack: part(bad, ({isIn}) => !isIn),
-      badServedMedian: quantile(served, 0.5),
-      badServedP95: quantile(served, 0.95),
+      badTakenBack: fractionOf(bad, ({isFinished}) => !isFinished),
+      badServedMedian: quantile(badRequestCounts, 0.5),
+      badServedP95: quantile(badRequestCounts, 0.95),
     };
   });
 }
 
-function byKind(judge: JudgeType, verdicts: readonly Verdict[]) {
+function summarizeByKind(judge: JudgeName, verdicts: readonly Verdict[]) {
   return kinds.map(({kind}) => {
     const own = verdicts.filter(({version}) => version.kind === kind);
     return {
       judge,
       kind,
       versions: own.length,
-      judgedRight: part(own, ({isIn, version}) => isIn !== version.isBad),
+      judgedRight: fractionOf(
+        own,
+        ({isFinished, version}) => isFinished !== version.isBad,
+      ),
       servedMedian: quantile(
         own.map(({badRequests}) => badRequests),
         0.5,
@@ -141,9 +150,9 @@
   });
 }
 
-function listWrong(verdicts: readonly Verdict[]) {
+function listMisjudged(verdicts: readonly Verdict[]) {
   return verdicts
-    .filter(({isIn, version}) => isIn === version.isBad)
+    .filter(({isFinished, version}) => isFinished === version.isBad)
     .map(({mix, version, why, badRequests}) => ({
       mix,
       kind: version.kind,
@@ -156,51 +165,68 @@
     }));
 }
 
-function part<T>(items: readonly T[], matches: (item: T) => boolean): number {
+function fractionOf<T>(
+  items: readonly T[],
+  matches: (item: T) => boolean,
+): number {
   return items.filter(matches).length / Math.max(1, items.length);
 }
 
-function judgeOurs(mix: Mix, version: Version, seed: number): Verdict {
+function judgeWithMoveController(
+  mix: TrafficMix,
+  version: Version,
+  seed: number,
+): Verdict {
   const clock = virtualClock(WALL_START_MS);
   const decisions = decisionLog(clock, silentLogger());
-  const judge = createMoveController({clock, decisions});
+  const controller = createMoveController({clock, decisions});
   const random = seededRandom(seed);
-  const spanMs = mix.hours * HOUR_MS;
+  const durationMs = mix.hours * HOUR_MS;
   const tickMs = TICK_MS[mix.name] as number;
   const move: Move = {
     name: 'move',
     service: mix.name,
     from: 'v1',
     to: 'v2',
-    deadline: WALL_START_MS + spanMs,
+    deadline: WALL_START_MS + durationMs,
     maxUnprovenShare: 0.1,
   };
   let state: MoveState | undefined;
   let badRequests = 0;
-  for (let passedMs = 0; passedMs <= spanMs; passedMs += tickMs) {
-    state = judge.advance(move, state, WALL_START_MS + passedMs);
+  for (let elapsedMs = 0; elapsedMs <= durationMs; elapsedMs += tickMs) {
+    state = controller.advance(move, state, WALL_START_MS + elapsedMs);
     if (state.phase === 'taken-back' || state.phase === 'finished') {
       break;
     }
-    const progress = passedMs / spanMs;
+    const progress = elapsedMs / durationMs;
     const tick = drawTick(mix, version, state, progress, tickMs / 1000, random);
     badRequests += tick.badRequests;
-    judge.addEvidence(move.name, tick.sums);
+    controller.addEvidence(move.name, tick.sums);
   }
-  const isIn = state?.phase === 'finished';
-  return {mix: mix.name, version, isIn, badRequests, why: state?.why ?? ''};
+  const isFinished = state?.phase === 'finished';
+  return {
+    mix: mix.name,
+    version,
+    isFinished,
+    badRequests,
+    why: state?.why ?? '',
+  };
 }
 
-function judgeCanary(mix: Mix, version: Version, seed: number): Verdict {
+function judgeWithCanary(
+  mix: TrafficMix,
+  version: Version,
+  seed: number,
+): Verdict {
   const canary = createCanary();
   const random = seededRandom(seed);
-  const spanMs = mix.hours * HOUR_MS;
+  const durationMs = mix.hours * HOUR_MS;
   const tickMs = TICK_MS[mix.name] as number;
   let badRequests = 0;
-  for (let passedMs = 0; passedMs <= spanMs; passedMs += tickMs) {
-    const progress = passedMs / spanMs;
+  for (let elapsedMs = 0; elapsedMs <= durationMs; elapsedMs += tickMs) {
+    const progress = elapsedMs / durationMs;
     const shares = canary.advance(progress);
-    if (canary.isTakenBack()) {
+    if (canary.isRolledBack()) {
       break;
     }
     const tick = drawTick(
@@ -214,7 +240,7 @@
     badRequests += tick.badRequests;
     canary.add(tick.sums);
   }
-  const isIn = !canary.isTakenBack();
-  const why = isIn ? '' : 'worse than the incumbent';
-  return {mix: mix.name, version, isIn, badRequests, why};
+  const isFinished = !canary.isRolledBack();
+  const why = isFinished ? '' : 'worse than the incumbent';
+  return {mix: mix.name, version, isFinished, badRequests, why};
 }
--- a/packages/bench/src/orderHandOver.ts
+++ b/packages/bench/src/orderHandOver.ts
@@ -9,7 +9,7 @@
 const PLATFORM_DELAY_MS = 4;
 const TIMEOUT_MS = 30_000;
 /** Orders wait this long for a place at the service, so that none is sent before the hand-over. */
-const WAIT_MS = 1_000;
+const DISPATCH_DELAY_MS = 1_000;
 const LEDGER_KIND = 'ledger';
 
 interface HandOverResult {
@@ -36,15 +36,15 @@
 ): Promise<readonly HandOverResult[]> {
   const results: HandOverResult[] = [];
   for (const bodyBytes of BODY_BYTES) {
-    results.push(await handOver(clock, seed, bodyBytes, 'in the ledger'));
+    results.push(await runHandOver(clock, seed, bodyBytes, 'in the ledger'));
     results.push(
-      await handOver(clock, seed, bodyBytes, 'over the inner protocol'),
+      await runHandOver(clock, seed, bodyBytes, 'over the inner protocol'),
     );
   }
   return results;
 }
 
-async function handOver(
+async function runHandOver(
   clock: Clock,
   seed: number,
   bodyBytes: number,
@@ -53,21 +53,21 @@
   const random = seededRandom(seed);
   const platform = createMemoryPlatform({clock, random});
   platform.faults.setDelay(PLATFORM_DELAY_MS);
-  let largest = 0;
+  let maxLedgerBytes = 0;
   platform.table.onDidChange(change => {
     if (change.type === 'put' && change.kind === LEDGER_KIND) {
       const bytes = JSON.stringify(change.object.value).length;
-      largest = Math.max(largest, bytes);
+      maxLedgerBytes = Math.max(maxLedgerBytes, bytes);
     }
   });
-  let waitMs = WAIT_MS;
+  let dispatchDelayMs = DISPATCH_DELAY_MS;
   const fleet = startLedgers({
     clock,
     random,
     platform,
     entries: ENTRIES,
     dispatch: async (_service, _call, signal, begin) => {
-      await sleep(clock, waitMs, signal);
+      await sleep(clock, dispatchDelayMs, signal);
       begin();
       return {status: 201, headers: {}, body: new Uint8Array(200)};
     },
@@ -79,24 +79,24 @@
   });
   const body = new Uint8Array(bodyBytes).fill(seed);
   await fleet.submit('warm-up', 0, TIMEOUT_MS, body);
-  const owner = ownerOf(fleet);
-  const answers = Array.from({length: ORDERS}, (_, index) =>
+  const owner = findOwner(fleet);
+  const replies = Array.from({length: ORDERS}, (_, index) =>
     fleet.submit(`key ${index}`, owner, TIMEOUT_MS, body),
   );
-  await sleep(clock, WAIT_MS / 2);
-  waitMs = 0;
+  await sleep(clock, DISPATCH_DELAY_MS / 2);
+  dispatchDelayMs = 0;
   const bytesBefore = fleet.traffic().bytesSent;
   const start = clock.now();
   await fleet.leave(owner);
   const leaveMs = Math.round(clock.now() - start);
-  const settled = await Promise.allSettled(answers);
+  const settled = await Promise.allSettled(replies);
   const result = {
     way,
     bodyBytes,
     orders: ORDERS,
     answered: settled.filter(({status}) => status === 'fulfilled').length,
     leaveMs,
-    ledgerBytes: largest,
+    ledgerBytes: maxLedgerBytes,
     innerBytes: fleet.traffic().bytesSent - bytesBefore,
   };
   fleet.dispose();
@@ -104,7 +104,7 @@
 }
 
 /** The entry that owns the one shard. */
-function ownerOf(fleet: LedgerFleet): number {
+function findOwner(fleet: LedgerFleet): number {
   return fleet.ledgers().findIndex(ledger => {
     const {shards} = ledger.dump() as {shards: Array<{state: string}>};
     return shards[0]?.state === 'owned';
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -24,7 +24,7 @@
 const BASE_RATE = 5;
 const FACTORS = [1, 10, 100];
 /** Least times between two writes of a shard that are compared at the highest rate. */
-const WRITE_GAPS_MS = [20, 40, 80];
+const MIN_WRITE_INTERVALS_MS = [20, 40, 80];
 const ENTRIES = 7;
 /** Time of one platform call. */
 const PLATFORM_DELAY_MS = 4;
@@ -54,17 +54,17 @@
 export async function measureOrders(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
   // The clock's timers do not keep a process alive, and nothing here holds a socket.
-  const keptAlive = setInterval(() => undefined, 1_000);
+  const keepAliveTimer = setInterval(() => undefined, 1_000);
   try {
     return await measure(clock, options);
   } finally {
-    clearInterval(keptAlive);
+    clearInterval(keepAliveTimer);
   }
 }
 
 async function measure(clock: Clock, options: MeasureOptions): Promise<object> {
   const seconds = options.seconds ?? DEFAULT_SECONDS;
-  const runs = 2 * FACTORS.length + WRITE_GAPS_MS.length;
+  const runs = 2 * FACTORS.length + MIN_WRITE_INTERVALS_MS.length;
   const runSeconds = seconds / runs;
   const ledger: RateResult[] = [];
   const objectPerOrder: RateResult[] = [];
@@ -75,7 +75,7 @@
     objectPerOrder.push(await measureBaseline(clock, random, rate, runSeconds));
   }
   const gaps: object[] = [];
-  for (const writeGapMs of WRITE_GAPS_MS) {
+  for (const writeGapMs of MIN_WRITE_INTERVALS_MS) {
     const random = seededRandom(options.seed);
     const rate = BASE_RATE * (FACTORS.at(-1) ?? 1);
     const result = await measureLedger(clock, random, rate, runSeconds, {
@@ -94,8 +94,10 @@
   };
 }
 
-function ratio(one?: RateResult, other?: RateResult): number {
-  return round((one?.writesPerSecond ?? 0) / (other?.writesPerSecond ?? 1));
+function ratio(numerator?: RateResult, denominator?: RateResult): number {
+  return round(
+    (numerator?.writesPerSecond ?? 0) / (denominator?.writesPerSecond ?? 1),
+  );
 }
 
 async function measureLedger(
@@ -105,7 +107,7 @@
   seconds: number,
   settings: Partial<LedgerSettings>,
 ): Promise<RateResult> {
-  const platform = slowPlatform(clock, random);
+  const platform = createDelayedPlatform(clock, random);
   const fleet: LedgerFleet = startLedgers({
     clock,
     random,
@@ -121,7 +123,7 @@
   const submit: Submit = (key, entry) => fleet.submit(key, entry, TIMEOUT_MS);
   try {
     await warmUp(submit);
-    return await offer(clock, random, platform, submit, rate, seconds);
+    return await offerOrders(clock, random, platform, submit, rate, seconds);
   } finally {
     fleet.dispose();
   }
@@ -134,7 +136,7 @@
   rate: number,
   seconds: number,
 ): Promise<RateResult> {
-  const platform = slowPlatform(clock, random);
+  const platform = createDelayedPlatform(clock, random);
   const clients = Array.from({length: ENTRIES}, (_, index) =>
     platform.client(`e${index}`),
   );
@@ -157,13 +159,13 @@
       .catch(() => undefined);
   };
   try {
-    return await offer(clock, random, platform, submit, rate, seconds);
+    return await offerOrders(clock, random, platform, submit, rate, seconds);
   } finally {
     clients.forEach(client => client.dispose());
   }
 }
 
-function slowPlatform(clock: Clock, random: Random): MemoryPlatform {
+function createDelayedPlatform(clock: Clock, random: Random): MemoryPlatform {
   const platform = createMemoryPlatform({clock, random, historyLimit: 100});
   platform.faults.setDelay(PLATFORM_DELAY_MS);
   return platform;
@@ -175,7 +177,7 @@
   await Promise.all(keys.map((key, index) => submit(key, index)));
 }
 
-async function offer(
+async function offerOrders(
   clock: Clock,
   random: Random,
   platform: MemoryPlatform,
@@ -183,8 +185,8 @@
   rate: number,
   seconds: number,
 ): Promise<RateResult> {
-  const added: number[] = [];
-  const open: Array<Promise<void>> = [];
+  const addedLatenciesMs: number[] = [];
+  const pending: Array<Promise<void>> = [];
   const before = platform.load();
   const start = clock.now();
   let refused = 0;
@@ -197,24 +199,24 @@
     }
     const sentAt = clock.now();
     const sent = submit(`key ${count}`, count).then(
-      () => void added.push(clock.now() - sentAt - SERVICE_MS),
+      () => void addedLatenciesMs.push(clock.now() - sentAt - SERVICE_MS),
       () => void (refused += 1),
     );
-    open.push(sent);
+    pending.push(sent);
     count += 1;
   }
-  await Promise.all(open);
-  const took = (clock.now() - start) / 1_000;
+  await Promise.all(pending);
+  const elapsedSeconds = (clock.now() - start) / 1_000;
   const after = platform.load();
-  added.sort((a, b) => a - b);
+  addedLatenciesMs.sort((a, b) => a - b);
   return {
     ordersPerSecond: rate,
     orders: count,
     refused,
-    addedP50Ms: round(quantile(added, 0.5)),
-    addedP95Ms: round(quantile(added, 0.95)),
-    writesPerSecond: round((after.writes - before.writes) / took),
-    readsPerSecond: round((after.reads - before.reads) / took),
+    addedP50Ms: round(quantile(addedLatenciesMs, 0.5)),
+    addedP95Ms: round(quantile(addedLatenciesMs, 0.95)),
+    writesPerSecond: round((after.writes - before.writes) / elapsedSeconds),
+    readsPerSecond: round((after.reads - before.reads) / elapsedSeconds),
   };
 }
 
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -19,7 +19,7 @@
 /** Calls in flight while throughput is measured. */
 const CONCURRENCY = 64;
 const WARM_UP_CALLS = 500;
-const MICROSECONDS = 1000;
+const MICROSECONDS_PER_MS = 1000;
 
 const SERVICE = 'booking';
 const HEADERS = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
@@ -63,15 +63,23 @@
   await fleet.store.put('service', SERVICE, serviceRecord, {type: 'any'});
   const entryUrl = await untilServing(fleet, [SERVICE]);
   const endpointUrl = fleet.endpoints.get('b1')?.ready['url'] ?? '';
-  const direct = target('direct', endpointUrl, '/availability');
-  const entry = target('entry', entryUrl, `/services/${SERVICE}/availability`);
+  const direct = createTarget('direct', endpointUrl, '/availability');
+  const entry = createTarget(
+    'entry',
+    entryUrl,
+    `/services/${SERVICE}/availability`,
+  );
   const targets = [direct, entry];
   try {
     for (const each of targets) {
-      await callTimes(each, WARM_UP_CALLS);
+      await callRepeatedly(each, WARM_UP_CALLS);
     }
-    const latencies = await alternate(targets, runMs / 2);
-    const throughput = await saturate(entry, fleet.entries[0]!, runMs / 2);
+    const latencies = await measureLatencies(targets, runMs / 2);
+    const throughput = await measureThroughput(
+      entry,
+      fleet.entries[0]!,
+      runMs / 2,
+    );
     const medians = latencies.map(each => each.p50Ms);
     return {
       rows: latencies,
@@ -83,12 +91,12 @@
   }
 }
 
-function target(name: Target['name'], url: string, path: string): Target {
+function createTarget(name: Target['name'], url: string, path: string): Target {
   return {name, pool: new Pool(url, {connections: CONCURRENCY}), path};
 }
 
 /** One call at a time, the targets in turns, so that both see the same machine. */
-async function alternate(targets: readonly Target[], runMs: number) {
+async function measureLatencies(targets: readonly Target[], runMs: number) {
   const histograms = targets.map(() => buildHistogram());
   const endAt = performance.now() + runMs;
   while (performance.now() < endAt) {
@@ -101,27 +109,31 @@
     return {
       target: each.name,
       calls: histogram.totalCount,
-      p50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS,
-      p95Ms: histogram.getValueAtPercentile(95) / MICROSECONDS,
+      p50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
+      p95Ms: histogram.getValueAtPercentile(95) / MICROSECONDS_PER_MS,
     };
   });
 }
 
 /** Many calls at once, with the processor time that the entry used meanwhile. */
-async function saturate(entry: Target, process: TrialProcess, runMs: number) {
-  const cpuBefore = await cpuSecondsOf(process);
+async function measureThroughput(
+  entry: Target,
+  entryProcess: TrialProcess,
+  runMs: number,
+) {
+  const cpuBefore = await cpuSecondsOf(entryProcess);
   const startedAt = performance.now();
   const endAt = startedAt + runMs;
   let calls = 0;
-  async function work(): Promise<void> {
+  async function callUntilEnd(): Promise<void> {
     while (performance.now() < endAt) {
       await callOnce(entry);
       calls += 1;
     }
   }
-  await Promise.all(Array.from({length: CONCURRENCY}, work));
+  await Promise.all(Array.from({length: CONCURRENCY}, callUntilEnd));
   const seconds = (performance.now() - startedAt) / 1000;
-  const cpuSeconds = (await cpuSecondsOf(process)) - cpuBefore;
+  const cpuSeconds = (await cpuSecondsOf(entryProcess)) - cpuBefore;
   return {
     callsPerSecond: calls / seconds,
     callsPerCoreSecond: calls / cpuSeconds,
@@ -129,29 +141,31 @@
   };
 }
 
-async function callTimes(each: Target, times: number): Promise<void> {
+async function callRepeatedly(target: Target, times: number): Promise<void> {
   for (let call = 0; call < times; call++) {
-    await callOnce(each);
+    await callOnce(target);
   }
 }
 
-async function callOnce(each: Target, histogram?: Histogram): Promise<void> {
+async function callOnce(target: Target, histogram?: Histogram): Promise<void> {
   const startedAt = performance.now();
-  const reply = await each.pool.request({
+  const reply = await target.pool.request({
     method: 'GET',
-    path: each.path,
+    path: target.path,
     headers: HEADERS,
   });
   const text = await reply.body.text();
   if (reply.statusCode !== 200) {
-    throw new Error(`${each.name}: ${reply.statusCode} ${text}`);
+    throw new Error(`${target.name}: ${reply.statusCode} ${text}`);
   }
   const elapsed = performance.now() - startedAt;
-  histogram?.recordValue(Math.max(1, Math.round(elapsed * MICROSECONDS)));
+  histogram?.recordValue(
+    Math.max(1, Math.round(elapsed * MICROSECONDS_PER_MS)),
+  );
 }
 
-async function cpuSecondsOf(process: TrialProcess): Promise<number> {
-  const response = await fetch(`${process.ready['admin']}/dump`, {
+async function cpuSecondsOf(trialProcess: TrialProcess): Promise<number> {
+  const response = await fetch(`${trialProcess.ready['admin']}/dump`, {
     headers: {authorization: `Bearer ${TRIAL_ADMIN_KEY}`},
   });
   const dump = (await response.json()) as {
--- a/packages/bench/src/overload.ts
+++ b/packages/bench/src/overload.ts
@@ -9,19 +9,19 @@
 import type {Outcome} from './replay/traffic.js';
 import {
   quantile,
-  replayRecord,
-  runWorld,
-  todaysCustomers,
-  type World,
-} from './replay/world.js';
+  createServiceRecord,
+  runAdmissionReplay,
+  defaultCustomers,
+  type AdmissionReplayResult,
+} from './replay/admissionReplay.js';
 
 const DEFAULT_SECONDS = 30;
 const WARM_UP_MS = 5000;
 const SLOTS = 28;
-const MEAN_MS = 100;
-const OVERSTATED = 4;
+const MEAN_SERVICE_MS = 100;
+const OVERSTATEMENT_FACTOR = 4;
 const TIMEOUT_MS = 1000;
-const CAPACITY_PER_SECOND = (SLOTS * 1000) / MEAN_MS;
+const CAPACITY_PER_SECOND = (SLOTS * 1000) / MEAN_SERVICE_MS;
 const LOADS = [1, 2, 5];
 const GATES: readonly GateType[] = [
   'service-fifo',
@@ -37,14 +37,14 @@
   {urgency: 5, part: 0.4},
 ];
 
-const record = replayRecord('match', {
+const record = createServiceRecord('match', {
   concurrency: SLOTS,
   queue: 100,
   targetMs: 250,
   timeoutMs: TIMEOUT_MS,
 });
 
-const overstated = {...record, concurrency: SLOTS * OVERSTATED};
+const overstatedRecord = {...record, concurrency: SLOTS * OVERSTATEMENT_FACTOR};
 
 /**
  * Runs the measurement.
@@ -76,12 +76,12 @@
   return GATES.map(gate => {
     const own = rows.filter(row => row.gate === gate && !row.isOverstated);
     const peak = Math.max(...own.map(row => row.goodputPerSecond));
-    const worst = own.find(row => row.load === Math.max(...LOADS)) as Row;
+    const highestLoad = own.find(row => row.load === Math.max(...LOADS)) as Row;
     return {
       gate,
-      mostImportantInTimeAt5x: worst.inTimeUrgency1,
-      totalGoodputAt5xOfPeak: worst.goodputPerSecond / peak,
-      wastedWorkAt5x: worst.wastedWork,
+      mostImportantInTimeAt5x: highestLoad.inTimeUrgency1,
+      totalGoodputAt5xOfPeak: highestLoad.goodputPerSecond / peak,
+      wastedWorkAt5x: highestLoad.wastedWork,
     };
   });
 }
@@ -93,16 +93,16 @@
   load: number,
   isOverstated: boolean,
 ) {
-  const world = await runWorld({
+  const world = await runAdmissionReplay({
     seed,
     seconds,
     gate,
     services: [
       {
-        record: isOverstated ? overstated : record,
+        record: isOverstated ? overstatedRecord : record,
         slots: SLOTS,
-        reportedSlots: isOverstated ? SLOTS * OVERSTATED : SLOTS,
-        meanMs: MEAN_MS,
+        reportedSlots: isOverstated ? SLOTS * OVERSTATEMENT_FACTOR : SLOTS,
+        meanMs: MEAN_SERVICE_MS,
       },
     ],
     streams: [
@@ -111,24 +111,27 @@
         perSecond: CAPACITY_PER_SECOND * load,
         rateFactor: () => 1,
         timeoutMs: TIMEOUT_MS,
-        customers: todaysCustomers,
+        customers: defaultCustomers,
         urgencies: URGENCIES,
       },
     ],
   });
-  return {gate, load, isOverstated, ...describe(world, seconds)};
+  return {gate, load, isOverstated, ...describeResult(world, seconds)};
 }
 
-function describe({outcomes, services}: World, seconds: number) {
+function describeResult(
+  {outcomes, services}: AdmissionReplayResult,
+  seconds: number,
+) {
   const counted = outcomes.filter(({arrivedMs}) => arrivedMs >= WARM_UP_MS);
   const ok = counted.filter(({result}) => result === 'ok');
   const refused = counted.filter(({result}) => result === 'refused');
   const work = services.get(record.name)?.work();
   return {
     goodputPerSecond: ok.length / (seconds - WARM_UP_MS / 1000),
-    inTimeUrgency1: inTime(counted, 1),
-    inTimeUrgency3: inTime(counted, 3),
-    inTimeUrgency5: inTime(counted, 5),
+    inTimeUrgency1: inTimeFraction(counted, 1),
+    inTimeUrgency3: inTimeFraction(counted, 3),
+    inTimeUrgency5: inTimeFraction(counted, 5),
     p95Urgency1Ms: quantile(
       ok.filter(({urgency}) => urgency === 1).map(({latencyMs}) => latencyMs),
       0.95,
@@ -142,7 +145,7 @@
   };
 }
 
-function inTime(outcomes: readonly Outcome[], urgency: number): number {
+function inTimeFraction(outcomes: readonly Outcome[], urgency: number): number {
   const own = outcomes.filter(outcome => outcome.urgency === urgency);
   return own.filter(({result}) => result === 'ok').length / own.length;
 }
--- a/packages/bench/src/processes/childProcess.ts
+++ b/packages/bench/src/processes/childProcess.ts
@@ -8,7 +8,7 @@
 /** Time that a process has to stop gracefully before it is killed, in milliseconds. */
 const STOP_TIMEOUT_MS = 45_000;
 /** Lines of standard error that are kept to explain a failure. */
-const KEPT_LINES = 200;
+const MAX_LOG_LINES = 200;
 
 /** Path of a built binary to run instead of the compiled command line. */
 const BINARY_VARIABLE = 'SKYLARKFIELD_BINARY';
@@ -56,7 +56,7 @@
   const lines: string[] = [];
   createInterface({input: child.stderr}).on('line', line => {
     lines.push(line);
-    if (lines.length > KEPT_LINES) {
+    if (lines.length > MAX_LOG_LINES) {
       lines.shift();
     }
   });
--- a/packages/bench/src/processes/untilServing.ts
+++ b/packages/bench/src/processes/untilServing.ts
@@ -4,7 +4,7 @@
 /** How often a condition is looked at, in milliseconds. */
 const POLL_MS = 50;
 /** When a condition that has not come is taken for a failure, in milliseconds. */
-const GIVE_UP_MS = 30_000;
+const CONDITION_TIMEOUT_MS = 30_000;
 
 /**
  * Waits for a condition; throws with its description when it does not come.
@@ -13,17 +13,17 @@
  * await until('the order ran', async () => (await runs()).total === 1);
  */
 export async function until(
-  what: string,
+  description: string,
   condition: () => Promise<boolean> | boolean,
-  giveUpMs = GIVE_UP_MS,
+  timeoutMs = CONDITION_TIMEOUT_MS,
 ): Promise<void> {
-  const giveUpAt = performance.now() + giveUpMs;
+  const deadline = performance.now() + timeoutMs;
   for (;;) {
     if (await condition()) {
       return;
     }
-    if (performance.now() > giveUpAt) {
-      throw new Error(`gave up waiting: ${what}`);
+    if (performance.now() > deadline) {
+      throw new Error(`gave up waiting: ${description}`);
     }
     await new Promise(resolve => setTimeout(resolve, POLL_MS));
   }
--- a/packages/bench/src/reclaim/fleet.ts
+++ b/packages/bench/src/reclaim/fleet.ts
@@ -29,7 +29,7 @@
 
 const REPLICAS = 8;
 const FAILURE_DOMAINS = ['a', 'b', 'c', 'd'];
-export const LOST_DOMAIN = 'b';
+export const RECLAIMED_DOMAIN = 'b';
 
 /**
  * Makes the endpoints of the fleet.
@@ -37,7 +37,7 @@
  * @example
  * const fleet = createFleet(clock, 1);
  */
-export function createFleet(
+export function createEngineFleet(
   clock: VirtualClock,
   seed: number,
 ): FleetEndpoint[] {
@@ -83,23 +83,23 @@
   reclaim: Reclaim,
   markLeaving: (endpoint: string) => void,
 ): void {
-  const lost = fleet.filter(
-    ({candidate}) => candidate.failureDomain === LOST_DOMAIN,
+  const reclaimed = fleet.filter(
+    ({candidate}) => candidate.failureDomain === RECLAIMED_DOMAIN,
   );
   if (reclaim.type === 'silence') {
-    lost.forEach(({model}) => model.setFaults([{type: 'pause'}]));
+    reclaimed.forEach(({model}) => model.setFaults([{type: 'pause'}]));
     return;
   }
   const noticeMs = reclaim.type === 'notice' ? reclaim.noticeMs : 0;
   if (reclaim.type === 'notice') {
-    for (const endpoint of lost) {
+    for (const endpoint of reclaimed) {
       endpoint.goneAt = clock.now() + noticeMs;
       markLeaving(endpoint.candidate.id);
       endpoint.leaving.abort();
     }
   }
   clock.after(noticeMs, () => {
-    for (const {model} of lost) {
+    for (const {model} of reclaimed) {
       model.setFaults([{type: 'down'}]);
       model.dispose();
     }
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -20,10 +20,10 @@
   type EndpointPick,
   type StreamRequest,
 } from '@skylarkfield/streams';
-import {words} from '../routing/workloads.js';
+import {distinctWords} from '../routing/workloads.js';
 import {
-  LOST_DOMAIN,
-  createFleet,
+  RECLAIMED_DOMAIN,
+  createEngineFleet,
   reclaimDomain,
   type FleetEndpoint,
   type Reclaim,
@@ -47,30 +47,30 @@
   readonly pauseMaxMs: number;
 }
 
-interface Stream {
+interface StreamState {
   readonly request: StreamRequest;
   readonly tokens: string[];
   lastMs: number;
   longestPauseMs: number;
   isAffected: boolean;
   isDone: boolean;
-  recomputed: number;
-  hasBegun: boolean;
+  recomputedTokens: number;
+  hasStarted: boolean;
   engine: string;
 }
 
 const STREAMS_PER_SECOND = 12;
 const RECLAIM_AT_MS = 12_000;
 const ARRIVALS_END_MS = 20_000;
-const END_MS = 60_000;
+const RUN_MS = 60_000;
 const STEP_MS = 1000;
 const ENTRIES = 2;
 const POLL_MS = 400;
-const PLAIN_ATTEMPTS = 6;
-const BUDGET_SHARE = 0.1;
-const BUDGET_FLOOR = 10;
+const MAX_PLAIN_ATTEMPTS = 6;
+const RETRY_BUDGET_FRACTION = 0.1;
+const MIN_RETRY_BUDGET = 10;
 const TIMEOUT_MS = 30_000;
-const FIRST_TOKEN_MS = 10_000;
+const FIRST_TOKEN_TIMEOUT_MS = 10_000;
 
 /**
  * Runs streams while a failure domain is taken away.
@@ -84,12 +84,12 @@
   seed: number,
 ): Promise<ReclaimFigures> {
   const clock = virtualClock();
-  const fleet = createFleet(clock, seed);
+  const fleet = createEngineFleet(clock, seed);
   const byId = new Map(fleet.map(item => [item.candidate.id, item]));
   const entries = Array.from({length: ENTRIES}, (_, index) =>
     createEntry(index),
   );
-  const streams: Stream[] = [];
+  const streams: StreamState[] = [];
   const arrivals = seededRandom(seed);
 
   function createEntry(index: number) {
@@ -112,17 +112,17 @@
 
   async function poll(router: Router) {
     for (const {candidate, engine} of fleet) {
-      const stop = new AbortController();
-      clock.after(POLL_MS, () => stop.abort());
-      engine.load(stop.signal).then(
+      const timeoutController = new AbortController();
+      clock.after(POLL_MS, () => timeoutController.abort());
+      engine.load(timeoutController.signal).then(
         report => router.reportLoad(candidate.id, report),
         () => {},
       );
     }
   }
 
-  function place(
-    stream: Stream,
+  function chooseEndpoint(
+    stream: StreamState,
     router: Router,
     excluded: ReadonlySet<string>,
     delivered: readonly string[],
@@ -144,7 +144,7 @@
     return {
       endpoint: choice.endpoint,
       url: endpoint.url,
-      engine: counted(stream, endpoint),
+      engine: countRecomputedTokens(stream, endpoint),
       cachedTokens: choice.cachedTokens,
       // A plain retry learns of a reclaim only from its broken stream.
       leaving:
@@ -159,7 +159,10 @@
   }
 
   /** The endpoint's engine, with tokens counted that are computed again. */
-  function counted(stream: Stream, endpoint: FleetEndpoint): Engine {
+  function countRecomputedTokens(
+    stream: StreamState,
+    endpoint: FleetEndpoint,
+  ): Engine {
     const {engine} = endpoint;
     async function* generate(
       ...[request, signal]: Parameters<Engine['generate']>
@@ -169,11 +172,13 @@
         if (event.type === 'start') {
           const total = event.promptTokens + request.delivered.length;
           // An attempt that was refused computed nothing to be done again.
-          stream.recomputed += stream.hasBegun ? total - event.cachedTokens : 0;
-          stream.hasBegun = true;
+          stream.recomputedTokens += stream.hasStarted
+            ? total - event.cachedTokens
+            : 0;
+          stream.hasStarted = true;
         }
         if (event.type === 'token' && event.index < stream.tokens.length) {
-          stream.recomputed += 1;
+          stream.recomputedTokens += 1;
         }
         yield event;
       }
@@ -181,7 +186,7 @@
     return {...engine, generate};
   }
 
-  function note(stream: Stream, index: number, text: string) {
+  function recordToken(stream: StreamState, index: number, text: string) {
     if (index < stream.tokens.length) {
       return;
     }
@@ -194,10 +199,10 @@
     stream.tokens.push(text);
   }
 
-  async function runStream(stream: Stream) {
+  async function runStream(stream: StreamState) {
     const entry = entries[streams.length % ENTRIES]!;
     entry.requests += 1;
-    const attempts = policy === 'plain' ? PLAIN_ATTEMPTS : 1;
+    const attempts = policy === 'plain' ? MAX_PLAIN_ATTEMPTS : 1;
     for (let attempt = 1; attempt <= attempts; attempt++) {
       const request = {
         ...stream.request,
@@ -208,13 +213,14 @@
           request,
           {
             pickEndpoint: (excluded, delivered) =>
-              place(stream, entry.router, excluded, delivered),
+              chooseEndpoint(stream, entry.router, excluded, delivered),
             mayRetry() {
               entry.retries += 1;
-              const budget = BUDGET_FLOOR + entry.requests * BUDGET_SHARE;
+              const budget =
+                MIN_RETRY_BUDGET + entry.requests * RETRY_BUDGET_FRACTION;
               return entry.retries <= budget;
             },
-            deliver: token => note(stream, token.index, token.text),
+            deliver: token => recordToken(stream, token.index, token.text),
           },
           new AbortController().signal,
         );
@@ -233,14 +239,14 @@
       return;
     }
     const id = streams.length;
-    const stream: Stream = {
+    const stream: StreamState = {
       request: {
         id: `e${id % ENTRIES}-${id}`,
-        prompt: words(`s${seed}-${id}`, arrivals.integer(600, 3000)),
+        prompt: distinctWords(`s${seed}-${id}`, arrivals.integer(600, 3000)),
         maxTokens: arrivals.integer(100, 380),
         urgency: 3,
         seed: id,
-        firstTokenDeadline: clock.now() + FIRST_TOKEN_MS,
+        firstTokenDeadline: clock.now() + FIRST_TOKEN_TIMEOUT_MS,
         deadline: clock.now() + TIMEOUT_MS,
       },
       tokens: [],
@@ -248,8 +254,8 @@
       longestPauseMs: 0,
       isAffected: false,
       isDone: false,
-      recomputed: 0,
-      hasBegun: false,
+      recomputedTokens: 0,
+      hasStarted: false,
       engine: '',
     };
     void runStream(stream);
@@ -257,14 +263,14 @@
     clock.after(arrivals.exponential(1000 / STREAMS_PER_SECOND), arrive);
   }
 
-  function takeDomain() {
-    const lost = new Set(
+  function startReclaim() {
+    const reclaimedIds = new Set(
       fleet
-        .filter(({candidate}) => candidate.failureDomain === LOST_DOMAIN)
+        .filter(({candidate}) => candidate.failureDomain === RECLAIMED_DOMAIN)
         .map(({candidate}) => candidate.id),
     );
     for (const stream of streams) {
-      stream.isAffected = !stream.isDone && lost.has(stream.engine);
+      stream.isAffected = !stream.isDone && reclaimedIds.has(stream.engine);
       stream.longestPauseMs = 0;
     }
     reclaimDomain(clock, fleet, reclaim, id =>
@@ -273,21 +279,21 @@
   }
 
   clock.after(0, arrive);
-  clock.after(RECLAIM_AT_MS, takeDomain);
-  for (let ms = 0; ms < END_MS; ms += STEP_MS) {
+  clock.after(RECLAIM_AT_MS, startReclaim);
+  for (let ms = 0; ms < RUN_MS; ms += STEP_MS) {
     await clock.advance(STEP_MS);
   }
   return summarize(streams);
 }
 
-function summarize(streams: readonly Stream[]): ReclaimFigures {
+function summarize(streams: readonly StreamState[]): ReclaimFigures {
   const affected = streams.filter(({isAffected}) => isAffected);
   const others = streams.filter(({isAffected}) => !isAffected);
   const pauses = affected
     .map(({longestPauseMs}) => longestPauseMs)
     .sort((a, b) => a - b);
-  const quantile = (part: number) =>
-    Math.round(pauses[Math.floor((pauses.length - 1) * part)] ?? 0);
+  const quantile = (fraction: number) =>
+    Math.round(pauses[Math.floor((pauses.length - 1) * fraction)] ?? 0);
   return {
     streams: streams.length,
     affected: affected.length,
@@ -295,7 +301,7 @@
     otherCompleted: others.filter(({isDone}) => isDone).length,
     wrong: streams.filter(isWrong).length,
     recomputedTokens: streams.reduce(
-      (sum, {recomputed}) => sum + recomputed,
+      (sum, {recomputedTokens}) => sum + recomputedTokens,
       0,
     ),
     pauseP50Ms: quantile(0.5),
@@ -304,12 +310,12 @@
   };
 }
 
-function isWrong({request, tokens, isDone}: Stream): boolean {
-  const right = generateAnswerTokens(
+function isWrong({request, tokens, isDone}: StreamState): boolean {
+  const expected = generateAnswerTokens(
     request.prompt,
     request.seed,
     request.maxTokens,
   );
-  const seen = isDone ? right : right.slice(0, tokens.length);
-  return seen.join('') !== tokens.join('');
+  const expectedSoFar = isDone ? expected : expected.slice(0, tokens.length);
+  return expectedSoFar.join('') !== tokens.join('');
 }
--- a/packages/bench/src/replay/world.ts
+++ b/packages/bench/src/replay/admissionReplay.ts
@@ -1,19 +1,22 @@
 /** One replay: entries with gates, services with places, callers; everything from one seed. */
 import {every, seededRandom} from '@skylarkfield/base';
 import type {Service} from '@skylarkfield/records';
-import {gateTypes, type GateType} from './gates.js';
+import {gateFactories, type GateType} from './gates.js';
 import {createReplayClock, type ReplayClock} from './replayClock.js';
 import {createReplayService, type ReplayService} from './replayService.js';
-import {startTraffic, type Outcome, type Stream} from './traffic.js';
+import {startTraffic, type Outcome, type ArrivalStream} from './traffic.js';
 
-export interface WorldOptions {
+export interface AdmissionReplayOptions {
   readonly seed: number;
   readonly seconds: number;
   readonly gate: GateType;
   readonly services: readonly ReplayServiceSettings[];
-  readonly streams: readonly Stream[];
+  readonly streams: readonly ArrivalStream[];
   /** Plans faults before the run starts. */
-  disturb?(clock: ReplayClock, services: Map<string, ReplayService>): void;
+  scheduleFaults?(
+    clock: ReplayClock,
+    services: Map<string, ReplayService>,
+  ): void;
 }
 
 /** A service with its record and what it can really carry. */
@@ -25,7 +28,7 @@
   readonly meanMs: number;
 }
 
-export interface World {
+export interface AdmissionReplayResult {
   readonly outcomes: readonly Outcome[];
   readonly services: ReadonlyMap<string, ReplayService>;
 }
@@ -43,7 +46,9 @@
  * @example
  * const {outcomes} = await runWorld({seed: 1, seconds: 30, gate: 'aimd', services, streams});
  */
-export async function runWorld(options: WorldOptions): Promise<World> {
+export async function runAdmissionReplay(
+  options: AdmissionReplayOptions,
+): Promise<AdmissionReplayResult> {
   const clock = createReplayClock();
   const services = new Map(
     options.services.map(({record, slots, meanMs}, index) => [
@@ -57,7 +62,7 @@
     ]),
   );
   const gates = Array.from({length: ENTRY_COUNT}, (_, index) =>
-    gateTypes[options.gate]({
+    gateFactories[options.gate]({
       clock,
       random: seededRandom(options.seed * 13 + index),
       services: options.services.map(({record}) => record),
@@ -77,7 +82,7 @@
       });
     }
   });
-  options.disturb?.(clock, services);
+  options.scheduleFaults?.(clock, services);
   const untilMs = options.seconds * 1000;
   const outcomes: Outcome[] = [];
   startTraffic({
@@ -89,15 +94,15 @@
     streams: options.streams,
     record: outcome => outcomes.push(outcome),
   });
-  const longestMs = Math.max(
+  const maxTimeoutMs = Math.max(
     ...options.streams.map(({timeoutMs}) => timeoutMs),
   );
-  await clock.run(untilMs + longestMs + 1);
+  await clock.run(untilMs + maxTimeoutMs + 1);
   return {outcomes, services};
 }
 
 /** Today's customers: about five, a few large. */
-export const todaysCustomers = [
+export const defaultCustomers = [
   {name: 'chain', part: 0.45},
   {name: 'studio', part: 0.3},
   {name: 'flooring', part: 0.15},
@@ -120,7 +125,7 @@
 }
 
 /** A service record for a replay. */
-export function replayRecord(
+export function createServiceRecord(
   name: string,
   limits: Pick<Service, 'concurrency' | 'queue' | 'targetMs' | 'timeoutMs'>,
 ): Service {
--- a/packages/bench/src/replay/canary.ts
+++ b/packages/bench/src/replay/canary.ts
@@ -6,7 +6,7 @@
   /** The shares at this part of the move's time; zero for good once it was taken back. */
   advance(progress: number): Shares;
   add(sums: readonly EvidenceSum[]): void;
-  isTakenBack(): boolean;
+  isRolledBack(): boolean;
 }
 
 const STEPS = [
@@ -17,10 +17,10 @@
 ];
 
 /** Looks at the sums since the last look this often, as a part of the move's time. */
-const LOOK_EVERY = 0.02;
-const LEAST_REQUESTS = 50;
-const MOST_ADDED_ERROR_RATE = 0.01;
-const MOST_LATENCY_FACTOR = 1.3;
+const CHECK_INTERVAL = 0.02;
+const MIN_REQUESTS = 50;
+const MAX_ADDED_ERROR_RATE = 0.01;
+const MAX_LATENCY_FACTOR = 1.3;
 
 /**
  * Makes a canary: all routes in one, thresholds on the error rate and on the mean latency.
@@ -29,29 +29,30 @@
  * const canary = createCanary();
  */
 export function createCanary(): Canary {
-  let lookedAt = 0;
-  let isBack = false;
-  let totals = {v1: empty(), v2: empty()};
+  let lastCheckAt = 0;
+  let hasRolledBack = false;
+  let totals = {v1: emptyTotals(), v2: emptyTotals()};
 
-  function look() {
+  function checkThresholds() {
     const {v1, v2} = totals;
-    if (v2.requests < LEAST_REQUESTS || v1.requests < LEAST_REQUESTS) {
+    if (v2.requests < MIN_REQUESTS || v1.requests < MIN_REQUESTS) {
       return;
     }
-    totals = {v1: empty(), v2: empty()};
+    totals = {v1: emptyTotals(), v2: emptyTotals()};
     const added = v2.errors / v2.requests - v1.errors / v1.requests;
     const factor = Math.exp(meanLog(v2) - meanLog(v1));
-    isBack ||= added > MOST_ADDED_ERROR_RATE || factor > MOST_LATENCY_FACTOR;
+    hasRolledBack ||=
+      added > MAX_ADDED_ERROR_RATE || factor > MAX_LATENCY_FACTOR;
   }
 
   return {
     advance(progress) {
-      if (progress - lookedAt >= LOOK_EVERY) {
-        lookedAt = progress;
-        look();
+      if (progress - lastCheckAt >= CHECK_INTERVAL) {
+        lastCheckAt = progress;
+        checkThresholds();
       }
       const step = STEPS.findLast(({from}) => progress >= from);
-      const share = isBack ? 0 : (step?.share ?? 0);
+      const share = hasRolledBack ? 0 : (step?.share ?? 0);
       return {share, orderShare: share};
     },
     add(sums) {
@@ -62,14 +63,14 @@
         total.logLatency += sum.logLatency;
       }
     },
-    isTakenBack: () => isBack,
+    isRolledBack: () => hasRolledBack,
   };
 }
 
-function empty() {
+function emptyTotals() {
   return {requests: 0, errors: 0, logLatency: 0};
 }
 
-function meanLog(sums: ReturnType<typeof empty>): number {
+function meanLog(sums: ReturnType<typeof emptyTotals>): number {
   return sums.logLatency / Math.max(1, sums.requests - sums.errors);
 }
--- a/packages/bench/src/replay/gates.ts
+++ b/packages/bench/src/replay/gates.ts
@@ -34,7 +34,7 @@
  * `service-fifo`: a pool and a queue for each service, first come first served.
  * The others are the admission package with that limit policy.
  */
-export const gateTypes: Readonly<
+export const gateFactories: Readonly<
   Record<GateType, (options: GateOptions) => Gate>
 > = {
   'shared-fifo': options => {
--- a/packages/bench/src/replay/moveTraffic.ts
+++ b/packages/bench/src/replay/moveTraffic.ts
@@ -2,26 +2,26 @@
 import type {Random} from '@skylarkfield/base';
 import {LATENCY_OFFSET_MS} from '@skylarkfield/moves';
 import type {EvidenceSum} from '@skylarkfield/protocol';
-import type {Mix, MixRoute, Version} from './versions.js';
+import type {TrafficMix, MixRoute, Version} from './versions.js';
 
 /** Sigma of log latency of single requests. */
-const SIGMA = 0.5;
+const LATENCY_SIGMA = 0.5;
 
 /** Load swings this often during a move, between these fractions. */
-const SWINGS = 6;
-const LOW_LOAD = 0.25;
-const HIGH_LOAD = 0.95;
-const FAULTY_LOAD = 0.8;
+const LOAD_CYCLES = 6;
+const MIN_LOAD = 0.25;
+const MAX_LOAD = 0.95;
+const LOAD_FAULT_THRESHOLD = 0.8;
 
 /** Latency rises by this factor from no load to full load, for both versions. */
-const LOADED_LATENCY = 1.6;
+const FULL_LOAD_LATENCY_FACTOR = 1.6;
 
 /** Both versions fail and slow this much while something else is ill. */
-const SHARED_ERROR_RATE = 0.3;
-const SHARED_LATENCY_FACTOR = 3;
-const SHARED_FROM = 0.3;
-const SHARED_UNTIL = 0.36;
-const ILL_INCUMBENT_FACTOR = 8;
+const SHARED_FAULT_ERROR_RATE = 0.3;
+const SHARED_FAULT_LATENCY_FACTOR = 3;
+const SHARED_FAULT_START = 0.3;
+const SHARED_FAULT_END = 0.36;
+const FAULTY_INCUMBENT_ERROR_FACTOR = 8;
 
 export interface Shares {
   readonly share: number;
@@ -41,34 +41,34 @@
  * const {sums} = drawTick(mix, version, {share: 0.01, orderShare: 0}, 0.2, 5, random);
  */
 export function drawTick(
-  mix: Mix,
+  mix: TrafficMix,
   version: Version,
   shares: Shares,
   progress: number,
   seconds: number,
   random: Random,
 ): Tick {
-  const swing = (1 - Math.cos(2 * Math.PI * SWINGS * progress)) / 2;
-  const load = LOW_LOAD + (HIGH_LOAD - LOW_LOAD) * swing;
+  const loadCycle = (1 - Math.cos(2 * Math.PI * LOAD_CYCLES * progress)) / 2;
+  const load = MIN_LOAD + (MAX_LOAD - MIN_LOAD) * loadCycle;
   const loadLevel = load >= 0.8 ? 'high' : load >= 0.5 ? 'middle' : 'low';
-  const perSecond = mix.perSecond * (0.4 + 1.2 * swing);
+  const perSecond = mix.perSecond * (0.4 + 1.2 * loadCycle);
   const sums: EvidenceSum[] = [];
   let badRequests = 0;
   for (const route of mix.routes) {
     const count = poisson(perSecond * seconds * route.part, random);
     const share = route.isOrder ? shares.orderShare : shares.share;
-    const candidates = binomial(count, share, random);
-    const isFaulty = showsFault(version, route, progress, load);
-    badRequests += isFaulty ? candidates : 0;
+    const candidateRequests = binomial(count, share, random);
+    const isFaulty = isFaultActive(version, route, progress, load);
+    badRequests += isFaulty ? candidateRequests : 0;
     for (const [name, requests] of [
-      ['v2', candidates],
-      ['v1', count - candidates],
+      ['v2', candidateRequests],
+      ['v1', count - candidateRequests],
     ] as const) {
       if (requests === 0) {
         continue;
       }
       const isCandidate = name === 'v2';
-      const health = healthOf(
+      const health = healthAt(
         version,
         route,
         progress,
@@ -79,10 +79,10 @@
       const successes = requests - errors;
       const shifted = health.medianMs + LATENCY_OFFSET_MS;
       const mean = Math.log(shifted);
-      const sigma = (SIGMA * health.medianMs) / shifted;
+      const sigma = (LATENCY_SIGMA * health.medianMs) / shifted;
       const noise = sigma * Math.sqrt(successes) * normal(random);
       const logLatency = successes * mean + noise;
-      const within =
+      const squaredDeviations =
         sigma * sigma * chiSquare(Math.max(0, successes - 1), random);
       sums.push({
         route: route.name,
@@ -93,14 +93,14 @@
         errors,
         logLatency,
         logLatencySquared:
-          within + (successes > 0 ? logLatency ** 2 / successes : 0),
+          squaredDeviations + (successes > 0 ? logLatency ** 2 / successes : 0),
       });
     }
   }
   return {sums, badRequests};
 }
 
-function showsFault(
+function isFaultActive(
   version: Version,
   route: MixRoute,
   progress: number,
@@ -109,13 +109,13 @@
   if (!version.isBad || progress < version.onset) {
     return false;
   }
-  if (version.isUnderLoadOnly && load < FAULTY_LOAD) {
+  if (version.isUnderLoadOnly && load < LOAD_FAULT_THRESHOLD) {
     return false;
   }
   return version.route === undefined || version.route === route.name;
 }
 
-function healthOf(
+function healthAt(
   version: Version,
   route: MixRoute,
   progress: number,
@@ -123,14 +123,15 @@
   isFaulty: boolean,
 ) {
   let errorRate = route.errorRate;
-  let medianMs = route.medianMs * LOADED_LATENCY ** load;
+  let medianMs = route.medianMs * FULL_LOAD_LATENCY_FACTOR ** load;
   if (version.kind === 'good, incumbent ill') {
-    errorRate *= ILL_INCUMBENT_FACTOR;
+    errorRate *= FAULTY_INCUMBENT_ERROR_FACTOR;
   }
-  const isShared = progress >= SHARED_FROM && progress < SHARED_UNTIL;
-  if (version.kind === 'good, both ill for a while' && isShared) {
-    errorRate = SHARED_ERROR_RATE;
-    medianMs *= SHARED_LATENCY_FACTOR;
+  const isSharedFault =
+    progress >= SHARED_FAULT_START && progress < SHARED_FAULT_END;
+  if (version.kind === 'good, both ill for a while' && isSharedFault) {
+    errorRate = SHARED_FAULT_ERROR_RATE;
+    medianMs *= SHARED_FAULT_LATENCY_FACTOR;
   }
   if (isFaulty) {
     errorRate = Math.min(1, errorRate * version.errorFactor);
@@ -151,10 +152,10 @@
 }
 
 /** Above this mean the normal approximation is used. */
-const EXACT_UNTIL = 30;
+const MAX_EXACT_MEAN = 30;
 
 function poisson(mean: number, random: Random): number {
-  if (mean > EXACT_UNTIL) {
+  if (mean > MAX_EXACT_MEAN) {
     return Math.max(0, Math.round(mean + Math.sqrt(mean) * normal(random)));
   }
   const limit = Math.exp(-mean);
@@ -167,27 +168,28 @@
   return count;
 }
 
-function binomial(count: number, chance: number, random: Random): number {
-  if (count === 0 || chance <= 0) {
+function binomial(count: number, probability: number, random: Random): number {
+  if (count === 0 || probability <= 0) {
     return 0;
   }
-  if (chance >= 1) {
+  if (probability >= 1) {
     return count;
   }
-  const mean = count * chance;
-  if (mean > EXACT_UNTIL && count - mean > EXACT_UNTIL) {
-    const drawn = mean + Math.sqrt(mean * (1 - chance)) * normal(random);
+  const mean = count * probability;
+  if (mean > MAX_EXACT_MEAN && count - mean > MAX_EXACT_MEAN) {
+    const drawn = mean + Math.sqrt(mean * (1 - probability)) * normal(random);
     return Math.min(count, Math.max(0, Math.round(drawn)));
   }
-  if (chance > 0.5) {
-    return count - binomial(count, 1 - chance, random);
+  if (probability > 0.5) {
+    return count - binomial(count, 1 - probability, random);
   }
   // Geometric gaps between successes: work in proportion to the mean, not the count.
-  const logMiss = Math.log(1 - chance);
+  const logFailureProbability = Math.log(1 - probability);
   let position = -1;
   let successes = 0;
   for (;;) {
-    position += 1 + Math.floor(Math.log(1 - random.next()) / logMiss);
+    position +=
+      1 + Math.floor(Math.log(1 - random.next()) / logFailureProbability);
     if (position >= count) {
       return successes;
     }
@@ -195,12 +197,15 @@
   }
 }
 
-function chiSquare(freedom: number, random: Random): number {
-  if (freedom > EXACT_UNTIL) {
-    return Math.max(0, freedom + Math.sqrt(2 * freedom) * normal(random));
+function chiSquare(degreesOfFreedom: number, random: Random): number {
+  if (degreesOfFreedom > MAX_EXACT_MEAN) {
+    return Math.max(
+      0,
+      degreesOfFreedom + Math.sqrt(2 * degreesOfFreedom) * normal(random),
+    );
   }
   let sum = 0;
-  for (let index = 0; index < freedom; index++) {
+  for (let index = 0; index < degreesOfFreedom; index++) {
     sum += normal(random) ** 2;
   }
   return sum;
--- a/packages/bench/src/replay/replayClock.ts
+++ b/packages/bench/src/replay/replayClock.ts
@@ -13,7 +13,7 @@
 }
 
 /** Microtask rounds after each timer: more than any chain of awaits in a replay. */
-const SETTLE_ROUNDS = 8;
+const MICROTASK_ROUNDS = 8;
 
 /**
  * Makes a replay clock that starts at 0.
@@ -49,7 +49,7 @@
         }
         nowMs = timer.dueMs;
         callback();
-        for (let round = 0; round < SETTLE_ROUNDS; round++) {
+        for (let round = 0; round < MICROTASK_ROUNDS; round++) {
           await Promise.resolve();
         }
       }
--- a/packages/bench/src/replay/replayService.ts
+++ b/packages/bench/src/replay/replayService.ts
@@ -25,7 +25,7 @@
 const FAILURE_MS = 3;
 
 /** Spread of service times: sigma of the logarithm. */
-const SIGMA = 0.4;
+const SERVICE_TIME_SIGMA = 0.4;
 
 /**
  * Makes a service with the given places and mean time per request of cost 1.
@@ -40,7 +40,7 @@
   meanMs: number,
 ): ReplayService {
   const waiting: Job[] = [];
-  const parked: Job[] = [];
+  const hungJobs: Job[] = [];
   let slotCount = initialSlots;
   let running = 0;
   let fault: ServiceFault = 'none';
@@ -52,15 +52,18 @@
     return radius * Math.cos(2 * Math.PI * random.next());
   }
 
-  function timeFor(cost: number): number {
+  function sampleServiceTimeMs(cost: number): number {
     if (fault === 'failing') {
       return FAILURE_MS;
     }
-    const spread = Math.exp(SIGMA * normal() - (SIGMA * SIGMA) / 2);
+    const spread = Math.exp(
+      SERVICE_TIME_SIGMA * normal() -
+        (SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA) / 2,
+    );
     return meanMs * cost * spread * (fault === 'slow' ? SLOW_FACTOR : 1);
   }
 
-  function startNext() {
+  function startWaitingJobs() {
     while (running < slotCount && waiting.length > 0) {
       const job = waiting.shift() as Job;
       if (!job.isCancelled) {
@@ -72,20 +75,20 @@
   function start(job: Job) {
     running += 1;
     if (fault === 'hung') {
-      parked.push(job);
+      hungJobs.push(job);
       return;
     }
     const isOk = fault !== 'failing';
-    const spanMs = timeFor(job.cost);
-    clock.after(spanMs, () => {
+    const serviceTimeMs = sampleServiceTimeMs(job.cost);
+    clock.after(serviceTimeMs, () => {
       running -= 1;
-      doneMs += spanMs;
+      doneMs += serviceTimeMs;
       if (job.isCancelled) {
-        wastedMs += spanMs;
+        wastedMs += serviceTimeMs;
       } else {
         job.done(isOk);
       }
-      startNext();
+      startWaitingJobs();
     });
   }
 
@@ -93,7 +96,7 @@
     run(cost, done) {
       const job: Job = {cost, done, isCancelled: false};
       waiting.push(job);
-      startNext();
+      startWaitingJobs();
       return {cancel: () => (job.isCancelled = true)};
     },
     setFault(next) {
@@ -101,17 +104,17 @@
       if (next === 'hung') {
         return;
       }
-      for (const job of parked.splice(0)) {
+      for (const job of hungJobs.splice(0)) {
         running -= 1;
         if (!job.isCancelled) {
           job.done(false);
         }
       }
-      startNext();
+      startWaitingJobs();
     },
     setSlots(next) {
       slotCount = next;
-      startNext();
+      startWaitingJobs();
     },
     slots: () => slotCount,
     busy: () => running + waiting.filter(job => !job.isCancelled).length,
--- a/packages/bench/src/replay/traffic.ts
+++ b/packages/bench/src/replay/traffic.ts
@@ -10,7 +10,7 @@
 import type {ReplayService} from './replayService.js';
 
 /** Requests for one service. */
-export interface Stream {
+export interface ArrivalStream {
   readonly service: string;
   readonly perSecond: number;
   /** Multiplies the rate while it returns more than 1. */
@@ -41,12 +41,12 @@
   readonly untilMs: number;
   readonly gates: readonly Gate[];
   readonly services: ReadonlyMap<string, ReplayService>;
-  readonly streams: readonly Stream[];
+  readonly streams: readonly ArrivalStream[];
   record(outcome: Outcome): void;
 }
 
 /** Part of the requests that go to the entry that their customer's lookups prefer. */
-const AFFINITY = 0.6;
+const AFFINITY_PROBABILITY = 0.6;
 
 /**
  * Starts the arrivals; they go on with the clock until the given time.
@@ -61,41 +61,51 @@
   }
 }
 
-function startStream(options: TrafficOptions, stream: Stream, random: Random) {
+function startStream(
+  options: TrafficOptions,
+  stream: ArrivalStream,
+  random: Random,
+) {
   const {clock, gates, untilMs} = options;
   function arrive() {
     if (clock.now() >= untilMs) {
       return;
     }
-    const customer = pickPart(stream.customers, random);
-    const {urgency} = pickPart(stream.urgencies, random);
+    const customer = pickWeighted(stream.customers, random);
+    const {urgency} = pickWeighted(stream.urgencies, random);
     const preferred = stream.customers.indexOf(customer) % gates.length;
-    const chosen = random.chance(AFFINITY)
+    const chosen = random.chance(AFFINITY_PROBABILITY)
       ? preferred
       : random.integer(0, gates.length - 1);
-    void issue(options, stream, gates[chosen] as Gate, customer.name, urgency);
-    planNext();
+    void sendRequest(
+      options,
+      stream,
+      gates[chosen] as Gate,
+      customer.name,
+      urgency,
+    );
+    scheduleNext();
   }
-  function planNext() {
+  function scheduleNext() {
     const factor = stream.rateFactor(clock.now());
     clock.after(random.exponential(1000 / (stream.perSecond * factor)), arrive);
   }
-  planNext();
+  scheduleNext();
 }
 
-async function issue(
+async function sendRequest(
   options: TrafficOptions,
-  stream: Stream,
+  stream: ArrivalStream,
   gate: Gate,
   customer: string,
   urgency: number,
 ) {
   const {clock} = options;
   const arrivedMs = clock.now();
-  const stop = new AbortController();
-  const timer = clock.after(stream.timeoutMs, () => stop.abort());
+  const timeoutController = new AbortController();
+  const timer = clock.after(stream.timeoutMs, () => timeoutController.abort());
   let startedMs: number | undefined;
-  function end(result: Outcome['result']) {
+  function recordOutcome(result: Outcome['result']) {
     timer.dispose();
     const latencyMs = clock.now() - arrivedMs;
     const {service} = stream;
@@ -114,16 +124,23 @@
     const {service} = stream;
     const permit = await gate.admit(
       {service, customer, urgency, deadline, cost: 1},
-      stop.signal,
+      timeoutController.signal,
     );
     startedMs = clock.now();
-    end(await work(options, stream.service, permit, stop.signal));
+    recordOutcome(
+      await callService(
+        options,
+        stream.service,
+        permit,
+        timeoutController.signal,
+      ),
+    );
   } catch (error) {
-    end(isServingError(error, 'cancelled') ? 'late' : 'refused');
+    recordOutcome(isServingError(error, 'cancelled') ? 'late' : 'refused');
   }
 }
 
-function work(
+function callService(
   {clock, services}: TrafficOptions,
   service: string,
   permit: Permit,
@@ -132,33 +149,33 @@
   const startedMs = clock.now();
   return new Promise(resolve => {
     const latency = () => clock.now() - startedMs;
-    function giveUp() {
+    function cancel() {
       job.cancel();
       permit.release({outcome: 'cancelled', latencyMs: latency()});
       resolve('late');
     }
     const job = (services.get(service) as ReplayService).run(1, isOk => {
-      signal.removeEventListener('abort', giveUp);
+      signal.removeEventListener('abort', cancel);
       const outcome = isOk ? 'ok' : 'failed';
       permit.release({outcome, latencyMs: latency()});
       resolve(outcome);
     });
     if (signal.aborted) {
-      giveUp();
+      cancel();
       return;
     }
-    signal.addEventListener('abort', giveUp, {once: true});
+    signal.addEventListener('abort', cancel, {once: true});
   });
 }
 
-function pickPart<T extends {readonly part: number}>(
+function pickWeighted<T extends {readonly part: number}>(
   parts: readonly T[],
   random: Random,
 ): T {
-  let left = random.next() * parts.reduce((sum, {part}) => sum + part, 0);
+  let remaining = random.next() * parts.reduce((sum, {part}) => sum + part, 0);
   for (const candidate of parts) {
-    left -= candidate.part;
-    if (left < 0) {
+    remaining -= candidate.part;
+    if (remaining < 0) {
       return candidate;
     }
   }
--- a/packages/bench/src/replay/versions.ts
+++ b/packages/bench/src/replay/versions.ts
@@ -12,14 +12,14 @@
 }
 
 /** One service's traffic and the time that its moves get. */
-export interface Mix {
+export interface TrafficMix {
   readonly name: string;
   readonly perSecond: number;
   readonly hours: number;
   readonly routes: readonly MixRoute[];
 }
 
-export const mixes: readonly Mix[] = [
+export const mixes: readonly TrafficMix[] = [
   {
     name: 'namu',
     perSecond: 25,
@@ -63,7 +63,7 @@
   },
 ];
 
-export type Kind =
+export type VersionKind =
   | 'good'
   | 'good, both ill for a while'
   | 'good, incumbent ill'
@@ -78,7 +78,10 @@
   | 'hanging';
 
 /** Half of the versions are good, as most versions are. */
-export const kinds: readonly {readonly kind: Kind; readonly part: number}[] = [
+export const kinds: readonly {
+  readonly kind: VersionKind;
+  readonly part: number;
+}[] = [
   {kind: 'good', part: 30},
   {kind: 'good, both ill for a while', part: 8},
   {kind: 'good, incumbent ill', part: 8},
@@ -95,7 +98,7 @@
 
 /** What is wrong with a version. */
 export interface Version {
-  readonly kind: Kind;
+  readonly kind: VersionKind;
   readonly isBad: boolean;
   /** Factor on the error rate and on the latency where the fault shows. */
   readonly errorFactor: number;
@@ -112,7 +115,7 @@
 const LATENCY_FACTORS = [1.5, 1.7, 2, 4, 10];
 
 /** Latest onset of a fault that comes late, as a part of the move's time. */
-const LATEST_ONSET = 0.8;
+const MAX_ONSET_RANGE = 0.8;
 
 /**
  * Draws one version of a kind.
@@ -120,7 +123,11 @@
  * @example
  * const version = drawVersion('slow later', mix, random);
  */
-export function drawVersion(kind: Kind, mix: Mix, random: Random): Version {
+export function drawVersion(
+  kind: VersionKind,
+  mix: TrafficMix,
+  random: Random,
+): Version {
   const isFailing = kind.startsWith('failing');
   const isSlow = kind.startsWith('slow');
   const isHanging = kind === 'hanging';
@@ -134,7 +141,7 @@
         ? pick(ERROR_FACTORS, random)
         : 1,
     latencyFactor: isSlow ? pick(LATENCY_FACTORS, random) : 1,
-    onset: kind.endsWith('later') ? 0.02 + random.next() * LATEST_ONSET : 0,
+    onset: kind.endsWith('later') ? 0.02 + random.next() * MAX_ONSET_RANGE : 0,
     isUnderLoadOnly: kind.endsWith('under load'),
     route: kind.endsWith('one route')
       ? random.pick(mix.routes)?.name
--- a/packages/bench/src/routing.ts
+++ b/packages/bench/src/routing.ts
@@ -1,7 +1,7 @@
 /** Tokens computed again and first-token latency by routing policy. */
 import {quantileSorted} from 'simple-statistics';
 import {policies, type PolicyName} from './routing/policies.js';
-import {replay, type ReplayResult} from './routing/replay.js';
+import {replayWorkload, type RoutingReplayResult} from './routing/replay.js';
 import {workloads, type Workload} from './routing/workloads.js';
 import {measureDecisionTime} from './routing/decisionTime.js';
 
@@ -46,23 +46,29 @@
   const figures = Object.fromEntries(
     names.map(policy => [
       policy,
-      summarize(replay({workload, policy, seed, seconds})),
+      summarize(replayWorkload({workload, policy, seed, seconds})),
     ]),
   ) as Record<PolicyName, PolicyFigures>;
-  const plain = names
+  const baselines = names
     .filter(name => name !== 'skylarkfield')
     .map(name => figures[name]);
-  const own = figures.skylarkfield;
-  const fewest = Math.min(...plain.map(item => item.recomputedTokens));
-  const bestP95 = Math.min(...plain.map(item => item.firstTokenP95Ms));
+  const skylarkfield = figures.skylarkfield;
+  const fewestRecomputed = Math.min(
+    ...baselines.map(item => item.recomputedTokens),
+  );
+  const bestP95 = Math.min(...baselines.map(item => item.firstTokenP95Ms));
   return {
     policies: figures,
-    recomputedMoreThanBestPlain: own.recomputedTokens - fewest,
-    firstTokenP95AgainstBestPlain: round(own.firstTokenP95Ms / bestP95, 3),
+    recomputedMoreThanBestPlain:
+      skylarkfield.recomputedTokens - fewestRecomputed,
+    firstTokenP95AgainstBestPlain: round(
+      skylarkfield.firstTokenP95Ms / bestP95,
+      3,
+    ),
   };
 }
 
-function summarize(result: ReplayResult): PolicyFigures {
+function summarize(result: RoutingReplayResult): PolicyFigures {
   const sorted = [...result.firstTokenMs].sort((a, b) => a - b);
   const cached = result.promptTokens - result.prefilledTokens;
   const cachedAtBest = result.promptTokens - result.boundTokens;
--- a/packages/bench/src/routing/decisionTime.ts
+++ b/packages/bench/src/routing/decisionTime.ts
@@ -15,12 +15,12 @@
   readonly microseconds: number;
 }
 
-const SIZES = [8, 48, 480, 4800];
+const REPLICA_COUNTS = [8, 48, 480, 4800];
 const ENTRIES = 1700;
 const DECISIONS = 3000;
 const PROMPT_TOKENS = 2000;
 
-function describe(replicas: number): Candidate[] {
+function createCandidates(replicas: number): Candidate[] {
   return Array.from({length: replicas}, (_, index) => ({
     id: `replica-${index}`,
     service: 's',
@@ -41,7 +41,7 @@
   const tokens = Array.from({length: PROMPT_TOKENS}, (_, index) => `w${index}`);
   const blocks = hashPromptBlocks(tokens);
   const entries = Array.from({length: ENTRIES}, (_, index) => `e${index}`);
-  return SIZES.map(replicas => {
+  return REPLICA_COUNTS.map(replicas => {
     const clock = systemClock();
     const router = createRouter({
       clock,
@@ -51,7 +51,7 @@
       self: 'e1',
     });
     router.setEntries(entries);
-    router.setEndpoints(describe(replicas));
+    router.setEndpoints(createCandidates(replicas));
     const routingRequest = {
       service: 's',
       version: 'v1',
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -40,7 +40,7 @@
   | 'prefixHash'
   | 'skylarkfield';
 
-function plainChoice(endpoint: string, finish = () => {}): Choice {
+function createPlainChoice(endpoint: string, finish = () => {}): Choice {
   return {
     endpoint,
     cachedTokens: 0,
@@ -56,7 +56,7 @@
   const ids = options.endpoints.map(({id}) => id);
   let next = options.random.integer(0, ids.length - 1);
   return {
-    choose: () => plainChoice(ids[next++ % ids.length]!),
+    choose: () => createPlainChoice(ids[next++ % ids.length]!),
     reportLoad() {},
     reportCache: () => -1,
   };
@@ -72,7 +72,7 @@
       const least = Math.min(...loads.values());
       const chosen = random.pick(ids.filter(id => loads.get(id) === least))!;
       loads.set(chosen, least + 1);
-      return plainChoice(chosen);
+      return createPlainChoice(chosen);
     },
     reportLoad(endpoint, report) {
       loads.set(endpoint, report.running + report.waiting);
@@ -88,7 +88,7 @@
     choose(routingRequest) {
       const {blocks} = routingRequest;
       const depth = Math.min(options.sharedBlocks, blocks.length - 1);
-      return plainChoice(rendezvousOrder(blocks[depth] ?? '', ids)[0]!);
+      return createPlainChoice(rendezvousOrder(blocks[depth] ?? '', ids)[0]!);
     },
     reportLoad() {},
     reportCache: () => -1,
--- a/packages/bench/src/routing/replay.ts
+++ b/packages/bench/src/routing/replay.ts
@@ -30,7 +30,7 @@
   type Workload,
 } from './workloads.js';
 
-export interface ReplayOptions {
+export interface RoutingReplayOptions {
   readonly workload: Workload;
   readonly policy: PolicyName;
   readonly seed: number;
@@ -41,7 +41,7 @@
   readonly rate?: number;
 }
 
-export interface ReplayResult {
+export interface RoutingReplayResult {
   readonly requests: number;
   readonly promptTokens: number;
   readonly prefilledTokens: number;
@@ -57,10 +57,10 @@
 const LOAD_POLL_MS = 750;
 const CACHE_POLL_MS = 1000;
 /** Probability that a caller asks another entry for its next turn. */
-const ENTRY_CHANGE = 0.3;
-const EVENT_LOSS = 0.03;
+const ENTRY_CHANGE_PROBABILITY = 0.3;
+const CACHE_EVENT_LOSS = 0.03;
 /** Results of the first part of a run, while caches fill, are left out. */
-const WARM_UP_SHARE = 0.2;
+const WARM_UP_FRACTION = 0.2;
 const MAX_DRAIN_STEPS = 600;
 
 /**
@@ -70,32 +70,37 @@
  * @example
  * const result = replay({workload, policy: 'roundRobin', seed: 1, seconds: 60});
  */
-export function replay(options: ReplayOptions): ReplayResult {
+export function replayWorkload(
+  options: RoutingReplayOptions,
+): RoutingReplayResult {
   const {workload, seed, seconds} = options;
   const clock = virtualClock();
   const engines = createEngines(options, clock);
-  const candidates = describeEngines(workload);
+  const candidates = createCandidates(workload);
   const entries = createEntries(options, clock, candidates);
   startPolling(clock, engines, entries);
 
-  const seen = new Set<string>();
+  const seenBlocks = new Set<string>();
   const firstTokenMs: number[] = [];
-  const counts = new Map<string, number>();
+  const requestsByReplica = new Map<string, number>();
   const sums = {
     requests: 0,
     promptTokens: 0,
     boundTokens: 0,
     prefilledTokens: 0,
   };
-  const warmMs = seconds * 1000 * WARM_UP_SHARE;
-  let open = 0;
+  const warmUpMs = seconds * 1000 * WARM_UP_FRACTION;
+  let openRequests = 0;
   let attempts = 0;
 
   /** Tokens of a prompt that nobody had computed before. */
-  function countNew(blocks: readonly string[], tokens: number): number {
-    const known = blocks.findIndex(block => !seen.has(block));
-    const found = known < 0 ? blocks.length : known;
-    return Math.max(1, tokens - found * TOKENS_PER_BLOCK);
+  function countUnseenTokens(
+    blocks: readonly string[],
+    tokens: number,
+  ): number {
+    const firstUnseen = blocks.findIndex(block => !seenBlocks.has(block));
+    const seenPrefix = firstUnseen < 0 ? blocks.length : firstUnseen;
+    return Math.max(1, tokens - seenPrefix * TOKENS_PER_BLOCK);
   }
 
   function runTurn(
@@ -114,19 +119,22 @@
       promptTokens: tokens.length,
       excluded: new Set(),
     };
-    const isCounted = clock.now() >= warmMs;
-    if (isCounted) {
+    const isPastWarmUp = clock.now() >= warmUpMs;
+    if (isPastWarmUp) {
       sums.requests += 1;
       sums.promptTokens += tokens.length;
-      sums.boundTokens += countNew(blocks, tokens.length);
+      sums.boundTokens += countUnseenTokens(blocks, tokens.length);
     }
-    blocks.forEach(block => seen.add(block));
+    blocks.forEach(block => seenBlocks.add(block));
     const choice = entries[entry]!.choose(routingRequest);
-    counts.set(choice.endpoint, (counts.get(choice.endpoint) ?? 0) + 1);
+    requestsByReplica.set(
+      choice.endpoint,
+      (requestsByReplica.get(choice.endpoint) ?? 0) + 1,
+    );
     const startMs = clock.now();
     let latencyMs = 0;
     const texts: string[] = [];
-    open += 1;
+    openRequests += 1;
     attempts += 1;
     const generation: GenerationRequest = {
       attempt: `entry${entry}-${attempts}`,
@@ -140,7 +148,7 @@
       event(event) {
         if (event.type === 'start') {
           choice.started(event.cachedTokens);
-          if (isCounted) {
+          if (isPastWarmUp) {
             sums.prefilledTokens += tokens.length - event.cachedTokens;
           }
         }
@@ -148,14 +156,14 @@
           if (texts.length === 0) {
             latencyMs = clock.now() - startMs;
             choice.streaming();
-            if (isCounted) {
+            if (isPastWarmUp) {
               firstTokenMs.push(latencyMs);
             }
           }
           texts.push(event.text);
         }
         if (event.type === 'end') {
-          open -= 1;
+          openRequests -= 1;
           choice.finish({
             outcome: 'ok',
             latencyMs,
@@ -163,7 +171,7 @@
           });
           const answer = texts.join('');
           hashPromptBlocks(tokenizePrompt(`${prompt} ${answer}`)).forEach(
-            block => seen.add(block),
+            block => seenBlocks.add(block),
           );
           done(answer);
         }
@@ -178,13 +186,13 @@
     const session = workload.session(drawCustomer(workload, random), random);
     const maxTurns = session.turns.length;
     let entry = random.integer(0, ENTRIES - 1);
-    function next(index: number, history: string) {
+    function runTurnAt(index: number, history: string) {
       const turn = session.turns[index];
       if (turn === undefined || index >= maxTurns) {
         return;
       }
       clock.after(turn.thinkMs, () => {
-        if (random.chance(ENTRY_CHANGE)) {
+        if (random.chance(ENTRY_CHANGE_PROBABILITY)) {
           entry = random.integer(0, ENTRIES - 1);
         }
         const prompt = `${history} ${turn.question}`;
@@ -192,12 +200,12 @@
           session,
           turn,
           prompt,
-          answer => next(index + 1, `${prompt} ${answer}`),
+          answer => runTurnAt(index + 1, `${prompt} ${answer}`),
           entry,
         );
       });
     }
-    next(0, session.prompt);
+    runTurnAt(0, session.prompt);
   }
 
   const arrivals = seededRandom(seed);
@@ -213,10 +221,12 @@
   }
   clock.after(0, arrive);
   clock.advanceSync(seconds * 1000);
-  for (let step = 0; open > 0 && step < MAX_DRAIN_STEPS; step++) {
+  for (let step = 0; openRequests > 0 && step < MAX_DRAIN_STEPS; step++) {
     clock.advanceSync(100);
   }
-  const perReplica = [...engines.keys()].map(id => counts.get(id) ?? 0);
+  const perReplica = [...engines.keys()].map(
+    id => requestsByReplica.get(id) ?? 0,
+  );
   const mean = perReplica.reduce((a, b) => a + b, 0) / perReplica.length;
   return {
     ...sums,
@@ -225,7 +235,7 @@
   };
 }
 
-function describeEngines(workload: Workload): Candidate[] {
+function createCandidates(workload: Workload): Candidate[] {
   return Array.from({length: workload.replicas}, (_, index) => ({
     id: `r${index}`,
     service: workload.name,
@@ -237,24 +247,24 @@
 }
 
 function createEngines(
-  options: ReplayOptions,
+  options: RoutingReplayOptions,
   clock: VirtualClock,
 ): Map<string, SimulatedEngine> {
   return new Map(
-    describeEngines(options.workload).map(({id}, index) => [
+    createCandidates(options.workload).map(({id}, index) => [
       id,
       createSimulatedEngine({
         clock,
         random: seededRandom(options.seed * 31 + index),
         version: 'v1',
-        costs: {cacheEventLoss: EVENT_LOSS, ...options.costs},
+        costs: {cacheEventLoss: CACHE_EVENT_LOSS, ...options.costs},
       }),
     ]),
   );
 }
 
 function createEntries(
-  options: ReplayOptions,
+  options: RoutingReplayOptions,
   clock: VirtualClock,
   endpoints: readonly Candidate[],
 ): Policy[] {
@@ -278,8 +288,8 @@
   entries: readonly Policy[],
 ) {
   entries.forEach((entry, index) => {
-    const shift = index / entries.length;
-    const after = new Map<string, number>();
+    const phase = index / entries.length;
+    const lastSequences = new Map<string, number>();
     function pollLoad() {
       for (const [id, engine] of engines) {
         entry.reportLoad(id, engine.load());
@@ -287,14 +297,14 @@
     }
     function pollCache() {
       for (const [id, engine] of engines) {
-        const events = engine.cacheEvents(after.get(id) ?? -1);
-        after.set(id, entry.reportCache(id, events));
+        const events = engine.cacheEvents(lastSequences.get(id) ?? -1);
+        lastSequences.set(id, entry.reportCache(id, events));
       }
     }
-    clock.after(shift * LOAD_POLL_MS, () => {
+    clock.after(phase * LOAD_POLL_MS, () => {
       every(clock, LOAD_POLL_MS, pollLoad);
     });
-    clock.after(shift * CACHE_POLL_MS, () => {
+    clock.after(phase * CACHE_POLL_MS, () => {
       every(clock, CACHE_POLL_MS, pollCache);
     });
   });
--- a/packages/bench/src/routing/workloads.ts
+++ b/packages/bench/src/routing/workloads.ts
@@ -35,7 +35,7 @@
  * @example
  * words('a', 2); // 'a.0 a.1'
  */
-export function words(name: string, count: number): string {
+export function distinctWords(name: string, count: number): string {
   return Array.from({length: count}, (_, index) => `${name}.${index}`).join(
     ' ',
   );
@@ -52,22 +52,22 @@
 ): Turn[] {
   const count = random.integer(...shape.turns);
   return Array.from({length: count}, (_, turn) => ({
-    question: words(`${id}q${turn}`, random.integer(15, 60)),
+    question: distinctWords(`${id}q${turn}`, random.integer(15, 60)),
     maxTokens: random.integer(...shape.answer),
     thinkMs: turn === 0 ? 0 : random.exponential(shape.thinkMs),
   }));
 }
 
 /** Draws an index with weight falling as 1/(rank + 1): some histories are asked about far more. */
-function drawRank(random: Random, count: number): number {
+function drawZipfRank(random: Random, count: number): number {
   const total = Array.from({length: count}, (_, i) => 1 / (i + 1)).reduce(
     (a, b) => a + b,
     0,
   );
-  let left = random.next() * total;
+  let remaining = random.next() * total;
   for (let rank = 0; rank < count; rank++) {
-    left -= 1 / (rank + 1);
-    if (left <= 0) {
+    remaining -= 1 / (rank + 1);
+    if (remaining <= 0) {
       return rank;
     }
   }
@@ -90,9 +90,9 @@
   session(customer, random) {
     const id = drawId(random);
     const prompt = [
-      words('system', 320),
-      words(`catalogue${customer}`, 384),
-      words(`photo${id}`, random.integer(500, 1600)),
+      distinctWords('system', 320),
+      distinctWords(`catalogue${customer}`, 384),
+      distinctWords(`photo${id}`, random.integer(500, 1600)),
     ].join(' ');
     const turns = drawTurns(random, id, {
       turns: [1, 5],
@@ -112,12 +112,12 @@
   sharedBlocks: 12,
   session(customer, random) {
     const crews = Math.round(20 + 80 * (CUSTOMER_SHARES[customer] ?? 0));
-    const crew = `crew${customer}-${drawRank(random, crews)}`;
+    const crew = `crew${customer}-${drawZipfRank(random, crews)}`;
     // The same history each time: its length follows from its name.
     const lengths = seededRandom(hash32(crew));
     const prompt = [
-      words('system', 192),
-      words(crew, lengths.integer(1800, 5200)),
+      distinctWords('system', 192),
+      distinctWords(crew, lengths.integer(1800, 5200)),
     ].join(' ');
     const turns = drawTurns(random, drawId(random), {
       turns: [2, 6],
@@ -137,7 +137,9 @@
  * const customer = drawCustomer(workload, random);
  */
 export function drawCustomer(workload: Workload, random: Random): number {
-  let left = random.next();
-  const index = workload.customerShares.findIndex(share => (left -= share) < 0);
+  let remaining = random.next();
+  const index = workload.customerShares.findIndex(
+    share => (remaining -= share) < 0,
+  );
   return index < 0 ? 0 : index;
 }
--- a/packages/bench/src/shedding.ts
+++ b/packages/bench/src/shedding.ts
@@ -4,18 +4,18 @@
  * answered in their time, and when they send everything.
  */
 import {ENGINE_PROFILES} from './engines/profiles.js';
-import {playEngines, type ReplayOutcome} from './engines/engineReplay.js';
+import {replayEngines, type ReplayOutcome} from './engines/engineReplay.js';
 import type {MeasureOptions} from './measurements.js';
 
 const DEFAULT_SECONDS = 24;
 /** Load and second at which it comes; before, entries learn at the usual one. */
-const USUAL_LOAD = 0.4;
+const BASELINE_LOAD = 0.4;
 const OVERLOAD = 2;
-const OVERLOAD_SECOND = 12;
+const OVERLOAD_START_SECOND = 12;
 const ENGINES = 4;
 const ENTRIES = 4;
 /** Faster engines open so many requests under overload that a run takes minutes. */
-const LEAST_TOKEN_MS = 1 / 40;
+const MIN_TOKEN_MS = 1 / 40;
 
 /**
  * Runs the measurement.
@@ -27,42 +27,46 @@
   const seconds = options.seconds ?? DEFAULT_SECONDS;
   const rows = [];
   const profiles = ENGINE_PROFILES.filter(
-    ({tokenMs}) => tokenMs >= LEAST_TOKEN_MS,
+    ({tokenMs}) => tokenMs >= MIN_TOKEN_MS,
   );
   for (const profile of profiles) {
     for (const refusesLate of [false, true]) {
-      const outcomes = await playEngines({
+      const outcomes = await replayEngines({
         seed: options.seed,
         seconds,
         profile,
         engines: ENGINES,
         entries: ENTRIES,
-        loadAt: second => (second < OVERLOAD_SECOND ? USUAL_LOAD : OVERLOAD),
+        loadAt: second =>
+          second < OVERLOAD_START_SECOND ? BASELINE_LOAD : OVERLOAD,
         refusesLate,
       });
-      rows.push({profile: profile.name, refusesLate, ...describe(outcomes)});
+      rows.push({profile: profile.name, refusesLate, ...summarize(outcomes)});
     }
   }
   return {engines: ENGINES, entries: ENTRIES, load: OVERLOAD, rows};
 }
 
-function describe(all: readonly ReplayOutcome[]) {
+function summarize(all: readonly ReplayOutcome[]) {
   const outcomes = all.filter(
-    ({arrivedMs}) => arrivedMs >= OVERLOAD_SECOND * 1_000,
+    ({arrivedMs}) => arrivedMs >= OVERLOAD_START_SECOND * 1_000,
   );
-  const part = (result: ReplayOutcome['result'], kind?: string): number => {
-    const own = outcomes.filter(
+  const fractionOf = (
+    result: ReplayOutcome['result'],
+    kind?: string,
+  ): number => {
+    const matching = outcomes.filter(
       outcome => kind === undefined || outcome.kind === kind,
     );
-    const found = own.filter(outcome => outcome.result === result);
-    return found.length / Math.max(1, own.length);
+    const found = matching.filter(outcome => outcome.result === result);
+    return found.length / Math.max(1, matching.length);
   };
   return {
-    inTime: part('in-time'),
-    revisionInTime: part('in-time', 'revision'),
-    draftInTime: part('in-time', 'draft'),
-    chatInTime: part('in-time', 'chat'),
-    refused: part('refused'),
-    timedOut: part('timed-out'),
+    inTime: fractionOf('in-time'),
+    revisionInTime: fractionOf('in-time', 'revision'),
+    draftInTime: fractionOf('in-time', 'draft'),
+    chatInTime: fractionOf('in-time', 'chat'),
+    refused: fractionOf('refused'),
+    timedOut: fractionOf('timed-out'),
   };
 }
--- a/packages/bench/src/slopes.ts
+++ b/packages/bench/src/slopes.ts
@@ -10,15 +10,15 @@
   measureFalseAlarms,
   measureMembers,
 } from './slopes/memberSlopes.js';
-import {measureLoadPolls, measureSizes} from './slopes/replicaSlopes.js';
+import {measureLoadPolls, measureEncodedSizes} from './slopes/replicaSlopes.js';
 import {measureSockets} from './slopes/socketSlopes.js';
 
-const SIZES = [7, 25, 100, 300] as const;
+const ENTRY_COUNTS = [7, 25, 100, 300] as const;
 /** Members simulated for a lost failure domain. */
-const LOSS_SIZE = 100;
+const DOMAIN_LOSS_ENTRIES = 100;
 /** With this many seconds or more the largest size is measured as well. */
-const LONG_SECONDS = 120;
-const LONG_SIZE = 600;
+const LARGE_COUNT_MIN_SECONDS = 120;
+const LARGE_ENTRY_COUNT = 600;
 
 /**
  * Measures all slopes.
@@ -28,7 +28,10 @@
  */
 export async function measureSlopes(options: MeasureOptions): Promise<object> {
   const {seed, seconds = 0} = options;
-  const sizes = seconds >= LONG_SECONDS ? [...SIZES, LONG_SIZE] : SIZES;
+  const sizes =
+    seconds >= LARGE_COUNT_MIN_SECONDS
+      ? [...ENTRY_COUNTS, LARGE_ENTRY_COUNT]
+      : ENTRY_COUNTS;
   const idleEntry = await measureIdleEntries();
   const sockets = await measureSockets();
   const loadPolls = await measureLoadPolls();
@@ -40,9 +43,9 @@
     idleEntry,
     sockets,
     loadPolls,
-    sizes: measureSizes(),
+    sizes: measureEncodedSizes(),
     members,
-    domainLoss: [await measureDomainLoss(seed, LOSS_SIZE)],
+    domainLoss: [await measureDomainLoss(seed, DOMAIN_LOSS_ENTRIES)],
     falseAlarms: [
       await measureFalseAlarms(seed, 7),
       await measureFalseAlarms(seed, 40),
--- a/packages/bench/src/slopes/heap.ts
+++ b/packages/bench/src/slopes/heap.ts
@@ -3,7 +3,7 @@
 import vm from 'node:vm';
 
 v8.setFlagsFromString('--expose_gc');
-const collect = vm.runInNewContext('gc') as () => void;
+const collectGarbage = vm.runInNewContext('gc') as () => void;
 
 /**
  * Collects garbage and reads the heap in use, in bytes.
@@ -12,7 +12,7 @@
  * const before = collectedHeapBytes();
  */
 export function collectedHeapBytes(): number {
-  collect();
+  collectGarbage();
   return process.memoryUsage().heapUsed;
 }
 
@@ -23,6 +23,6 @@
  * const before = collectedResidentBytes();
  */
 export function collectedResidentBytes(): number {
-  collect();
+  collectGarbage();
   return process.memoryUsage().rss;
 }
--- a/packages/bench/src/slopes/memberCluster.ts
+++ b/packages/bench/src/slopes/memberCluster.ts
@@ -72,7 +72,7 @@
       members.delete(id);
     },
     /** Members that list exactly those that run. */
-    agreeing(): number {
+    countAgreeing(): number {
       const expected = members.size;
       return [...members.values()].filter(
         membership =>
@@ -81,7 +81,7 @@
       ).length;
     },
     /** Members that still offer one of these. */
-    listing(ids: ReadonlySet<string>): number {
+    countListing(ids: ReadonlySet<string>): number {
       return [...members.values()].filter(membership =>
         membership.live().some(member => ids.has(member.id)),
       ).length;
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -20,15 +20,18 @@
 }
 
 const STEADY_MS = 10_000;
-const SETTLE_LIMIT_MS = 120_000;
+const SETTLE_TIMEOUT_MS = 120_000;
 const STEP_MS = 250;
 const CHANGE_WINDOW_MS = 20_000;
 
 /** Runs until all agree and no news is left to spread. */
 async function settle(cluster: MemberCluster): Promise<void> {
-  for (let ms = 0; ms < SETTLE_LIMIT_MS; ms += 1_000) {
+  for (let ms = 0; ms < SETTLE_TIMEOUT_MS; ms += 1_000) {
     await cluster.clock.advance(1_000);
-    if (cluster.agreeing() === cluster.members.size && isQuiet(cluster)) {
+    if (
+      cluster.countAgreeing() === cluster.members.size &&
+      isGossipIdle(cluster)
+    ) {
       return;
     }
   }
@@ -41,18 +44,18 @@
   readonly gossip: number;
 }
 
-function dumps(cluster: MemberCluster): MembershipDump[] {
+function readDumps(cluster: MemberCluster): MembershipDump[] {
   return [...cluster.members.values()].map(
     membership => membership.dump() as MembershipDump,
   );
 }
 
-function isQuiet(cluster: MemberCluster): boolean {
-  return dumps(cluster).every(({gossip}) => gossip === 0);
+function isGossipIdle(cluster: MemberCluster): boolean {
+  return readDumps(cluster).every(({gossip}) => gossip === 0);
 }
 
-function neighbourMean(cluster: MemberCluster): number {
-  const all = dumps(cluster);
+function meanNeighbours(cluster: MemberCluster): number {
+  const all = readDumps(cluster);
   const sum = all.reduce((total, {neighbours}) => total + neighbours.length, 0);
   return sum / all.length;
 }
@@ -78,26 +81,26 @@
   const id = cluster.random.pick([...members.keys()])!;
   const before = net.totalTraffic().bytesSent;
   cluster.crash(id);
-  const noticed = await noticeTimes(cluster, new Set([id]));
-  await clock.advance(CHANGE_WINDOW_MS - noticed.lastNoticeMs);
+  const detection = await measureDetectionTimes(cluster, new Set([id]));
+  await clock.advance(CHANGE_WINDOW_MS - detection.lastNoticeMs);
   cluster.start(id);
   await clock.advance(CHANGE_WINDOW_MS);
   const bytes = (2 * (net.totalTraffic().bytesSent - before)) / members.size;
   const steady = (steadyBytes * 2 * CHANGE_WINDOW_MS) / 1000;
-  return {...noticed, bytesPerChange: Math.max(0, bytes - steady)};
+  return {...detection, bytesPerChange: Math.max(0, bytes - steady)};
 }
 
 /** Runs until no entry offers the given ones, or the window ends. */
-export async function noticeTimes(
+export async function measureDetectionTimes(
   cluster: MemberCluster,
-  dead: ReadonlySet<string>,
+  lostIds: ReadonlySet<string>,
   limitMs = CHANGE_WINDOW_MS,
 ) {
   const all = cluster.members.size;
   let firstNoticeMs = -1;
   for (let ms = STEP_MS; ms <= limitMs; ms += STEP_MS) {
     await cluster.clock.advance(STEP_MS);
-    const listing = cluster.listing(dead);
+    const listing = cluster.countListing(lostIds);
     if (firstNoticeMs < 0 && listing < all) {
       firstNoticeMs = ms;
     }
@@ -126,7 +129,7 @@
   const change = await measureChange(cluster, steady.bytes);
   return {
     entries,
-    neighbours: round(neighbourMean(cluster)),
+    neighbours: round(meanNeighbours(cluster)),
     messages: round(steady.messages),
     bytes: round(steady.bytes),
     cpuMicros: round(steady.cpuMicros),
@@ -147,27 +150,27 @@
 export async function measureDomainLoss(seed: number, entries: number) {
   const cluster = createMemberCluster(seed, entries);
   await settle(cluster);
-  const dead = [...cluster.members.keys()].filter(
+  const lostIds = [...cluster.members.keys()].filter(
     id => cluster.domainOf(id) === 'domain-3',
   );
-  dead.forEach(id => cluster.crash(id));
-  const ids = new Set(dead);
+  lostIds.forEach(id => cluster.crash(id));
+  const ids = new Set(lostIds);
   let busiestBytes = 0;
-  let agreedMs = -1;
+  let detectedMs = -1;
   let seconds = 0;
-  for (; seconds < 90 && agreedMs < 0; seconds++) {
+  for (; seconds < 90 && detectedMs < 0; seconds++) {
     const before = cluster.net.totalTraffic().bytesSent;
     await cluster.clock.advance(1_000);
     const sent = cluster.net.totalTraffic().bytesSent - before;
     busiestBytes = Math.max(busiestBytes, (2 * sent) / cluster.members.size);
-    if (cluster.listing(ids) === 0) {
-      agreedMs = (seconds + 1) * 1_000;
+    if (cluster.countListing(ids) === 0) {
+      detectedMs = (seconds + 1) * 1_000;
     }
   }
   return {
     entries,
-    lost: dead.length,
-    allNoticedMs: agreedMs,
+    lost: lostIds.length,
+    allNoticedMs: detectedMs,
     busiestBytes: Math.round(busiestBytes),
   };
 }
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -21,9 +21,9 @@
 
 /** Orders per second of one shard. */
 const RATES = [0.1, 0.3, 1] as const;
-const WINDOW_SECONDS = 3_600;
+const DEDUPE_WINDOW_SECONDS = 3_600;
 /** The shard is full of keys before the measured span starts. */
-const SPAN_SECONDS = 600;
+const MEASURED_SECONDS = 600;
 const PLATFORM_DELAY_MS = 4;
 const TIMEOUT_MS = 10_000;
 const BODY_BYTES = 200;
@@ -41,7 +41,7 @@
   for (const rate of RATES) {
     owners.push(await measureOwner(options.seed, rate));
   }
-  return {windowSeconds: WINDOW_SECONDS, owners};
+  return {windowSeconds: DEDUPE_WINDOW_SECONDS, owners};
 }
 
 async function measureOwner(seed: number, rate: number) {
@@ -53,7 +53,7 @@
   const fleet = startLedgers({
     clock,
     random,
-    platform: overWire(memory, written),
+    platform: withWireCopies(memory, written),
     entries: 2,
     settings: {shardCount: 1},
     dispatch,
@@ -61,15 +61,27 @@
   const first = fleet.submit('first', 0, TIMEOUT_MS);
   await clock.advance(TIMEOUT_MS);
   await first;
-  const forwarding = fleet.ledgers().findIndex(ledger => !isOwner(ledger));
-  let refused = await offer(clock, fleet, forwarding, rate, WINDOW_SECONDS);
+  const forwardingEntry = fleet.ledgers().findIndex(ledger => !isOwner(ledger));
+  let refused = await offerOrders(
+    clock,
+    fleet,
+    forwardingEntry,
+    rate,
+    DEDUPE_WINDOW_SECONDS,
+  );
   const before = {
     writes: memory.load().writes,
     bytes: written.bytes,
     traffic: fleet.traffic(),
     cpu: process.cpuUsage(),
   };
-  refused += await offer(clock, fleet, forwarding, rate, SPAN_SECONDS);
+  refused += await offerOrders(
+    clock,
+    fleet,
+    forwardingEntry,
+    rate,
+    MEASURED_SECONDS,
+  );
   const cpu = process.cpuUsage(before.cpu);
   const traffic = fleet.traffic();
   const owner = fleet.ledgers().find(isOwner);
@@ -86,7 +98,7 @@
     cpuMicros: perSecond(cpu.user + cpu.system),
   };
   fleet.dispose();
-  return {...result, heapBytes: await measureTakeOverHeap(clock, memory)};
+  return {...result, heapBytes: await measureTakeoverHeap(clock, memory)};
 }
 
 /**
@@ -94,7 +106,7 @@
  * heap of the first owner would not tell: the platform beside it keeps every
  * version written.
  */
-async function measureTakeOverHeap(
+async function measureTakeoverHeap(
   clock: VirtualClock,
   platform: MemoryPlatform,
 ): Promise<number> {
@@ -102,7 +114,7 @@
   const fleet = startLedgers({
     clock,
     random: seededRandom(1),
-    platform: overWire(platform, {bytes: 0}),
+    platform: withWireCopies(platform, {bytes: 0}),
     entries: 1,
     settings: {shardCount: 1},
     dispatch,
@@ -121,7 +133,7 @@
 };
 
 /** Offers orders evenly; returns how many were not answered with a reply. */
-async function offer(
+async function offerOrders(
   clock: VirtualClock,
   fleet: LedgerFleet,
   entry: number,
@@ -156,7 +168,7 @@
 }
 
 /** The platform as over the wire: reads are copies, and written bytes are counted. */
-function overWire(
+function withWireCopies(
   memory: MemoryPlatform,
   written: {bytes: number},
 ): MemoryPlatform {
@@ -182,5 +194,5 @@
 }
 
 function perSecond(total: number): number {
-  return Math.round((total / SPAN_SECONDS) * 100) / 100;
+  return Math.round((total / MEASURED_SECONDS) * 100) / 100;
 }
--- a/packages/bench/src/slopes/replicaSlopes.ts
+++ b/packages/bench/src/slopes/replicaSlopes.ts
@@ -6,20 +6,20 @@
 import {startEngineStandin} from '@skylarkfield/standins';
 
 const POLLS = 1_000;
-const LISTED = 200;
+const LISTED_ENDPOINTS = 200;
 /** Buckets of a record digest, as the records package makes it. */
 const DIGEST_BUCKETS = 16;
-const BUCKET_SUM = 0xfedc_ba98;
+const BUCKET_HASH = 0xfedc_ba98;
 
 /** Passes bytes on to a port and counts them, both ways. */
-async function countBytesTo(target: number) {
+async function startCountingProxy(target: number) {
   let bytes = 0;
   const sockets = new Set<Socket>();
-  const server = net.createServer(near => {
-    const far = net.connect(target, '127.0.0.1');
+  const server = net.createServer(downstream => {
+    const upstream = net.connect(target, '127.0.0.1');
     for (const [from, to] of [
-      [near, far],
-      [far, near],
+      [downstream, upstream],
+      [upstream, downstream],
     ] as const) {
       sockets.add(from);
       from.on('data', chunk => {
@@ -55,7 +55,7 @@
     service: 'match',
     version: 'v1',
   });
-  const counter = await countBytesTo(standin.port);
+  const counter = await startCountingProxy(standin.port);
   const direct = createHttpEngine({url: standin.url});
   const counted = createHttpEngine({url: `http://127.0.0.1:${counter.port}`});
   for (let warmUp = 0; warmUp < POLLS / 5; warmUp++) {
@@ -89,12 +89,12 @@
  * @example
  * const {recordBytes} = measureSizes();
  */
-export function measureSizes() {
+export function measureEncodedSizes() {
   return {
     recordBytes: encodedBytes('records', {records: [exampleRecord()]}),
     digestBytes: encodedBytes('recordDigest', {
       count: 500,
-      buckets: new Array<number>(DIGEST_BUCKETS).fill(BUCKET_SUM),
+      buckets: new Array<number>(DIGEST_BUCKETS).fill(BUCKET_HASH),
     }),
     confirmBytes: encodedBytes('recordsInForce', {
       records: [
@@ -109,7 +109,7 @@
       isWhole: true,
     }),
     bytesPerListedEndpoint: Math.round(
-      JSON.stringify(exampleList()).length / LISTED,
+      JSON.stringify(exampleList()).length / LISTED_ENDPOINTS,
     ),
   };
 }
@@ -149,7 +149,7 @@
 }
 
 function exampleList(): ListedEndpoint[] {
-  return Array.from({length: LISTED}, (_, index) => ({
+  return Array.from({length: LISTED_ENDPOINTS}, (_, index) => ({
     id: `replica-${1_000 + index}`,
     type: 'model' as const,
     service: 'roster-assistant',
--- a/packages/bench/src/slopes/socketSlopes.ts
+++ b/packages/bench/src/slopes/socketSlopes.ts
@@ -3,9 +3,9 @@
 import {createPeerNetwork, type PeerAddress} from '@skylarkfield/protocol';
 import {collectedResidentBytes} from './heap.js';
 
-const ASKS = 5_000;
+const REQUESTS = 5_000;
 const PEERS = 60;
-const ASK_TIMEOUT_MS = 5_000;
+const REQUEST_TIMEOUT_MS = 5_000;
 
 async function startPeer(index: number) {
   const id = `p${index}`;
@@ -46,23 +46,23 @@
 
   const [peer] = spokes;
   peer!.network.onDidReceive('memberWord', () => ({heardAgoMs: 1}));
-  const ask = () =>
+  const sendRequest = () =>
     hub!.network.request(
       peer!.address.id,
       'memberWord',
       {id: 'p1', incarnation: 1},
-      ASK_TIMEOUT_MS,
+      REQUEST_TIMEOUT_MS,
     );
-  for (let warmUp = 0; warmUp < ASKS / 5; warmUp++) {
-    await ask();
+  for (let warmUp = 0; warmUp < REQUESTS / 5; warmUp++) {
+    await sendRequest();
   }
   const cpu = process.cpuUsage();
-  for (let index = 0; index < ASKS; index++) {
-    await ask();
+  for (let index = 0; index < REQUESTS; index++) {
+    await sendRequest();
   }
   const used = process.cpuUsage(cpu);
   peers.forEach(({network}) => network.dispose());
-  const messages = 2 * ASKS;
+  const messages = 2 * REQUESTS;
   return {
     messages,
     cpuMicrosPerMessage: Math.round((used.user + used.system) / messages),
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -15,10 +15,10 @@
 /** What the target asks for, in milliseconds. */
 const TARGET_MS = 2000;
 const POLL_MS = 2;
-const GIVE_UP_MS = 5_000;
+const CONDITION_TIMEOUT_MS = 5_000;
 const IDLE_SECONDS = 2;
 const PLATFORM_DELAY_MS = 4;
-const READY_EXTRA_MS = 2500;
+const SETTLE_MS = 2500;
 
 type Mode = 'platform watched' | 'platform cut for all but one';
 
@@ -48,7 +48,7 @@
 export async function measureSpread(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
   // The clock's timers do not keep a process alive, and nothing here holds a socket.
-  const keptAlive = setInterval(() => undefined, 1000);
+  const keepAliveTimer = setInterval(() => undefined, 1000);
   const rounds = Math.max(
     3,
     Math.round((options.seconds ?? DEFAULT_SECONDS) / 8),
@@ -59,13 +59,15 @@
       results.push(...(await measureFleet(clock, count, rounds, options.seed)));
       results.push(await measureBaseline(clock, count, rounds, options.seed));
     }
-    const ours = results.filter(result => !result.mode.startsWith('baseline'));
-    const isMet = ours.every(
+    const fleetResults = results.filter(
+      result => !result.mode.startsWith('baseline'),
+    );
+    const isMet = fleetResults.every(
       result => result.missed === 0 && result.inForceMaxMs < TARGET_MS,
     );
     return {targetMs: TARGET_MS, isTargetMet: isMet, results};
   } finally {
-    clearInterval(keptAlive);
+    clearInterval(keepAliveTimer);
   }
 }
 
@@ -77,16 +79,16 @@
 ): Promise<readonly SpreadResult[]> {
   const fleet = startSpreadFleet(clock, {count, seed});
   try {
-    await until(clock, () =>
+    await waitUntil(clock, () =>
       fleet.entries.every(entry => entry.configuration.isReady()),
     );
     // Readers settle after the first rounds.
-    await sleep(clock, READY_EXTRA_MS);
+    await sleep(clock, SETTLE_MS);
     const watched = await measureMode(clock, fleet, 'platform watched', rounds);
     for (const entry of fleet.entries.slice(1)) {
       entry.store.faults.setDown(true);
     }
-    await sleep(clock, READY_EXTRA_MS);
+    await sleep(clock, SETTLE_MS);
     const cut = await measureMode(
       clock,
       fleet,
@@ -106,29 +108,29 @@
   rounds: number,
 ): Promise<SpreadResult> {
   const idle = await measureIdle(clock, fleet);
-  const spans: number[] = [];
-  const statusSpans: number[] = [];
+  const delaysMs: number[] = [];
+  const statusDelaysMs: number[] = [];
   let missed = 0;
   for (let round = 0; round < rounds; round++) {
     const start = clock.now();
     const version = writeCustomer(fleet, round);
-    const isEverywhere = await until(clock, () =>
+    const isInForceEverywhere = await waitUntil(clock, () =>
       fleet.entries.every(entry => hasVersion(entry.configuration, version)),
     );
-    missed += isEverywhere ? 0 : 1;
-    spans.push(clock.now() - start);
-    const isSaid = await until(clock, () => isInForce(fleet, version));
-    statusSpans.push(isSaid ? clock.now() - start : -1);
+    missed += isInForceEverywhere ? 0 : 1;
+    delaysMs.push(clock.now() - start);
+    const isReported = await waitUntil(clock, () => isInForce(fleet, version));
+    statusDelaysMs.push(isReported ? clock.now() - start : -1);
   }
   return {
     entries: fleet.entries.length,
     mode,
     rounds,
-    inForceP50Ms: middle(spans),
-    inForceMaxMs: Math.round(Math.max(...spans)),
-    statusMaxMs: statusSpans.includes(-1)
+    inForceP50Ms: median(delaysMs),
+    inForceMaxMs: Math.round(Math.max(...delaysMs)),
+    statusMaxMs: statusDelaysMs.includes(-1)
       ? -1
-      : Math.round(Math.max(...statusSpans)),
+      : Math.round(Math.max(...statusDelaysMs)),
     missed,
     ...idle,
   };
@@ -146,25 +148,28 @@
   const stores = Array.from({length: count}, (_, index) =>
     platform.client(`b${index}`, {liveEntries: count}),
   );
-  const seen = new Array<number>(count).fill(0);
+  const latestVersions = new Array<number>(count).fill(0);
   stores.forEach((store, index) => {
     store.watch('customer', {
       onDidList: () => {},
-      onDidPut: object => (seen[index] = object.version),
+      onDidPut: object => (latestVersions[index] = object.version),
       onDidRemove: () => {},
     });
   });
-  await until(clock, () => platform.load().openWatches === count);
-  const spans: number[] = [];
+  await waitUntil(clock, () => platform.load().openWatches === count);
+  const delaysMs: number[] = [];
   let missed = 0;
   for (let round = 0; round < rounds; round++) {
     const start = clock.now();
-    const {version} = platform.table.put(operatorWrite(), customer(round));
-    const isEverywhere = await until(clock, () =>
-      seen.every(reached => reached >= version),
+    const {version} = platform.table.put(
+      createOperatorWrite(),
+      customerRecord(round),
+    );
+    const isInForceEverywhere = await waitUntil(clock, () =>
+      latestVersions.every(reached => reached >= version),
     );
-    missed += isEverywhere ? 0 : 1;
-    spans.push(clock.now() - start);
+    missed += isInForceEverywhere ? 0 : 1;
+    delaysMs.push(clock.now() - start);
   }
   const {openWatches} = platform.load();
   stores.forEach(store => store.dispose());
@@ -172,8 +177,8 @@
     entries: count,
     mode: 'baseline: a watch at every entry',
     rounds,
-    inForceP50Ms: middle(spans),
-    inForceMaxMs: Math.round(Math.max(...spans)),
+    inForceP50Ms: median(delaysMs),
+    inForceMaxMs: Math.round(Math.max(...delaysMs)),
     statusMaxMs: -1,
     missed,
     openWatches,
@@ -198,10 +203,11 @@
     after.load.watchCalls -
     before.load.watchCalls;
   const {openWatches} = after.load;
-  const perEntry = (span: number) => rounded(span / seconds / entries.length);
+  const perEntry = (span: number) =>
+    roundToHundredths(span / seconds / entries.length);
   return {
     openWatches,
-    platformCallsPerSecond: rounded(calls / seconds + openWatches),
+    platformCallsPerSecond: roundToHundredths(calls / seconds + openWatches),
     messagesPerEntryPerSecond: perEntry(
       after.total.messagesSent - before.total.messagesSent,
     ),
@@ -212,10 +218,11 @@
 }
 
 function writeCustomer(fleet: SpreadFleet, round: number): number {
-  return fleet.platform.table.put(operatorWrite(), customer(round)).version;
+  return fleet.platform.table.put(createOperatorWrite(), customerRecord(round))
+    .version;
 }
 
-function operatorWrite() {
+function createOperatorWrite() {
   return {
     kind: 'customer',
     name: 'namu',
@@ -224,7 +231,7 @@
   };
 }
 
-function customer(round: number) {
+function customerRecord(round: number) {
   return {schema: 1, keyHashes: ['ab'.repeat(32)], weight: round + 1};
 }
 
@@ -246,9 +253,12 @@
 }
 
 /** Waits for a condition; false when it does not come true in time. */
-async function until(clock: Clock, isTrue: () => boolean): Promise<boolean> {
-  const deadline = clock.now() + GIVE_UP_MS;
-  while (!isTrue()) {
+async function waitUntil(
+  clock: Clock,
+  condition: () => boolean,
+): Promise<boolean> {
+  const deadline = clock.now() + CONDITION_TIMEOUT_MS;
+  while (!condition()) {
     if (clock.now() > deadline) {
       return false;
     }
@@ -257,11 +267,11 @@
   return true;
 }
 
-function middle(spans: readonly number[]): number {
-  const sorted = [...spans].sort((a, b) => a - b);
+function median(values: readonly number[]): number {
+  const sorted = [...values].sort((a, b) => a - b);
   return Math.round(sorted[Math.floor(sorted.length / 2)] ?? 0);
 }
 
-function rounded(value: number): number {
+function roundToHundredths(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/packages/bench/src/spreadFleet.ts
+++ b/packages/bench/src/spreadFleet.ts
@@ -36,9 +36,9 @@
 }
 
 const PLATFORM_DELAY_MS = 4;
-const SMALL_FLEET = 24;
-const SMALL_DOMAINS = 4;
-const LARGE_DOMAINS = 10;
+const MAX_SMALL_FLEET_ENTRIES = 24;
+const SMALL_FLEET_DOMAINS = 4;
+const LARGE_FLEET_DOMAINS = 10;
 
 /**
  * Starts a fleet whose first entry accepts records.
@@ -58,7 +58,8 @@
   const platform = createMemoryPlatform({clock, random});
   platform.faults.setDelay(PLATFORM_DELAY_MS);
   const net = createMemoryNetwork({clock, random, delayMs: 1});
-  const domains = count > SMALL_FLEET ? LARGE_DOMAINS : SMALL_DOMAINS;
+  const domains =
+    count > MAX_SMALL_FLEET_ENTRIES ? LARGE_FLEET_DOMAINS : SMALL_FLEET_DOMAINS;
   const members = Array.from({length: count}, (_, index) => ({
     id: `e${index}`,
     failureDomain: `d${index % domains}`,
--- a/packages/bench/src/test/engines.test.ts
+++ b/packages/bench/src/test/engines.test.ts
@@ -1,20 +1,20 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {ENGINE_PROFILES, kindsFor, promptMs} from '../engines/profiles.js';
-import {playEngines, type ReplayOutcome} from '../engines/engineReplay.js';
+import {replayEngines, type ReplayOutcome} from '../engines/engineReplay.js';
 import {SERVICE} from '../engines/replayEntry.js';
 
 const dense = ENGINE_PROFILES.find(({name}) => name === 'dense')!;
 const OVERLOAD_SECOND = 10;
 const SEEDS = [1, 2, 3, 7, 8, 9];
 /** Requests that are refused leave others to arrive in another order; more than this part is no chance. */
-const CHANCE = 0.02;
+const TOLERANCE = 0.02;
 
 /** What callers get after the load has risen, over several seeds, as parts of all requests. */
-async function playOverload(refusesLate: boolean) {
+async function replayOverload(refusesLate: boolean) {
   const outcomes: ReplayOutcome[] = [];
   for (const seed of SEEDS) {
-    const all = await playEngines({
+    const all = await replayEngines({
       seed,
       seconds: 20,
       profile: dense,
@@ -43,7 +43,7 @@
       0,
     );
     let learnedMs = 0;
-    await playEngines({
+    await replayEngines({
       seed: 7,
       seconds: 20,
       profile: dense,
@@ -51,7 +51,7 @@
       entries: 4,
       loadAt: () => 0.4,
       refusesLate: true,
-      onDidSecond(_, {engines}) {
+      onDidElapseSecond(_, {engines}) {
         learnedMs = engines.figures(SERVICE).usualPromptMs;
       },
     });
@@ -62,10 +62,10 @@
   it('tell callers at once what can not be answered in their time', async () => {
     // Twice as many callers come as the engines can serve. Sent on all the same,
     // a third of them would hear nothing until their time is over.
-    const sent = await playOverload(false);
-    const refused = await playOverload(true);
+    const sent = await replayOverload(false);
+    const refused = await replayOverload(true);
     assert.ok(refused.timedOut < sent.timedOut * 0.9);
-    assert.ok(refused.inTime >= sent.inTime - CHANCE);
+    assert.ok(refused.inTime >= sent.inTime - TOLERANCE);
     for (const {result, tookMs} of refused.outcomes) {
       assert.ok(result !== 'refused' || tookMs === 0);
     }
--- a/packages/bench/src/test/failures.test.ts
+++ b/packages/bench/src/test/failures.test.ts
@@ -10,7 +10,7 @@
 import type {TrialFleet} from '../processes/trialFleet.js';
 import {until} from '../processes/untilServing.js';
 
-const PLAINS = ['b1', 'b2'];
+const PLAIN_ENDPOINTS = ['b1', 'b2'];
 const QUESTION = 'match a warm oak floor with a matte finish';
 
 let fleet: TrialFleet | undefined;
@@ -110,13 +110,16 @@
     const refused = await sendOrder(urls[0]!, 'shift-3');
     assert.equal(refused.status, 503, refused.text);
     assert.equal(refused.run, 'not-run', refused.text);
-    assert.equal((await runsByKey(fleet, PLAINS)).get('shift-3'), undefined);
+    assert.equal(
+      (await runsByKey(fleet, PLAIN_ENDPOINTS)).get('shift-3'),
+      undefined,
+    );
     await fleet.control(fleet.platform, 'faults', {isDown: false});
     await until('orders are taken again', async () => {
       const reply = await sendOrder(urls[0]!, 'shift-3');
       return reply.status === 201;
     });
-    assert.equal((await runsByKey(fleet, PLAINS)).get('shift-3'), 1);
+    assert.equal((await runsByKey(fleet, PLAIN_ENDPOINTS)).get('shift-3'), 1);
   });
 
   // A host is replaced during an outage of the platform: the new process knows
@@ -136,7 +139,7 @@
   // without a bulkhead the other services' calls would wait behind them.
   it('serves other services while one hangs', async () => {
     const {fleet, urls} = await startServing();
-    for (const id of PLAINS) {
+    for (const id of PLAIN_ENDPOINTS) {
       await fleet.control(fleet.endpoints.get(id)!, 'faults', {type: 'hang'});
     }
     const hung = new AbortController();
--- a/packages/bench/src/test/hostileCallers.test.ts
+++ b/packages/bench/src/test/hostileCallers.test.ts
@@ -12,7 +12,7 @@
 const KEY = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
 const MODEL_PATH = '/v1/chat/completions';
 const LIMIT_BYTES = 65_536;
-const HEADER_MS = 500;
+const HEADER_TIMEOUT_MS = 500;
 
 interface HostileRequest {
   readonly title: string;
@@ -163,7 +163,7 @@
       ],
       settings: {
         log: {level: 'info'},
-        limits: {bodyBytes: LIMIT_BYTES, headerMs: HEADER_MS},
+        limits: {bodyBytes: LIMIT_BYTES, headerMs: HEADER_TIMEOUT_MS},
       },
     });
     await fleet.store.put(
--- a/packages/bench/src/test/leavingEndpoints.test.ts
+++ b/packages/bench/src/test/leavingEndpoints.test.ts
@@ -7,7 +7,7 @@
 import {TRIAL_ADMIN_KEY, type TrialFleet} from '../processes/trialFleet.js';
 import {until} from '../processes/untilServing.js';
 
-const PLAINS = ['b1', 'b2', 'b3'];
+const PLAIN_ENDPOINTS = ['b1', 'b2', 'b3'];
 
 let running: TrialFleet | undefined;
 
@@ -22,7 +22,7 @@
   return serving;
 }
 
-const leavingWords = [
+const leavingSignals = [
   {
     word: 'its reclaim notice, while the host list still names it',
     async announce(fleet: TrialFleet, host: string) {
@@ -70,7 +70,7 @@
 }
 
 /** Sends an order through an entry and tells whether the endpoint has run it. */
-async function reaches(fleet: TrialFleet, url: string, endpoint: string) {
+async function isReachable(fleet: TrialFleet, url: string, endpoint: string) {
   const before = await runsAt(fleet, endpoint);
   await sendOrder(url, `probe-${Math.random()}`);
   return (await runsAt(fleet, endpoint)) > before;
@@ -82,14 +82,14 @@
 }
 
 async function runsOfPrefix(fleet: TrialFleet, prefix: string) {
-  const runs = await runsByKey(fleet, PLAINS);
+  const runs = await runsByKey(fleet, PLAIN_ENDPOINTS);
   return [...runs]
     .filter(([key]) => key.startsWith(prefix))
     .reduce((sum, [, count]) => sum + count, 0);
 }
 
 /** Whether an entry's router counts the endpoint as leaving. */
-async function knowsLeaving(
+async function isMarkedLeaving(
   entry: TrialProcess,
   endpoint: string,
 ): Promise<boolean> {
@@ -108,7 +108,7 @@
 }
 
 describe('leaving endpoints of real processes', () => {
-  for (const {word, announce} of leavingWords) {
+  for (const {word, announce} of leavingSignals) {
     // An endpoint's host is taken back with a little notice. A call sent there in
     // its last seconds would be cut off, and an order's outcome would be unknown.
     it(`gives an endpoint no new work after ${word}`, async () => {
@@ -119,11 +119,11 @@
         flags: ['--machine-host', host],
       });
       await until('every entry sends work to it', () =>
-        everyEntry(urls, url => reaches(fleet, url, 'b3')),
+        everyEntry(urls, url => isReachable(fleet, url, 'b3')),
       );
       await announce(fleet, host);
       await until('every entry knows', () =>
-        everyEntry(fleet.entries, entry => knowsLeaving(entry, 'b3')),
+        everyEntry(fleet.entries, entry => isMarkedLeaving(entry, 'b3')),
       );
       const before = await runsAt(fleet, 'b3');
       await Promise.all(
--- a/packages/bench/src/test/ordersUnderFaults.test.ts
+++ b/packages/bench/src/test/ordersUnderFaults.test.ts
@@ -10,15 +10,15 @@
 import {startTrialFleet, type TrialFleet} from '../processes/trialFleet.js';
 import {until, untilServing} from '../processes/untilServing.js';
 
-const PLAINS = ['b1', 'b2'];
+const PLAIN_ENDPOINTS = ['b1', 'b2'];
 const ORDERS = 60;
 /** Between two orders, so that faults fall among them. */
-const PACE_MS = 15;
+const ORDER_INTERVAL_MS = 15;
 /** Longer than the others wait for an entry that is silent. */
 const PAUSE_MS = 6_000;
 
 /** What a caller saw of one order. */
-interface Seen {
+interface OrderOutcome {
   readonly key: string;
   readonly status: number;
   readonly run: string | undefined;
@@ -31,7 +31,7 @@
   before(async () => {
     fleet = await startTrialFleet({
       entryDomains: ['a', 'b', 'c', 'd'],
-      endpoints: PLAINS.map(id => ({
+      endpoints: PLAIN_ENDPOINTS.map(id => ({
         ...trialPlain(id, 'a'),
         flags: ['--work-ms', '20'],
       })),
@@ -52,7 +52,10 @@
     return fleet.entries.filter(entry => !entry.hasEnded());
   }
 
-  async function order(key: string, entry: TrialProcess): Promise<Seen> {
+  async function order(
+    key: string,
+    entry: TrialProcess,
+  ): Promise<OrderOutcome> {
     try {
       const url = entry.ready['callers'] ?? '';
       const {status, text, run} = await sendOrder(url, key);
@@ -66,26 +69,26 @@
   async function placeAround(
     prefix: string,
     fault: () => unknown,
-  ): Promise<readonly Seen[]> {
+  ): Promise<readonly OrderOutcome[]> {
     const entries = running();
-    const placed: Array<Promise<Seen>> = [];
+    const placed: Array<Promise<OrderOutcome>> = [];
     for (let index = 0; index < ORDERS; index++) {
       if (index === ORDERS / 2) {
         void fault();
       }
       const entry = entries[index % entries.length] as TrialProcess;
       placed.push(order(`${prefix}-${index}`, entry));
-      await new Promise(resolve => setTimeout(resolve, PACE_MS));
+      await new Promise(resolve => setTimeout(resolve, ORDER_INTERVAL_MS));
     }
     return Promise.all(placed);
   }
 
   function runs(): Promise<ReadonlyMap<string, number>> {
-    return runsByKey(fleet, PLAINS);
+    return runsByKey(fleet, PLAIN_ENDPOINTS);
   }
 
   /** No order ran whose caller heard `not-run`, and each answered one did. */
-  async function checkTruth(seen: readonly Seen[]): Promise<void> {
+  async function checkTruth(seen: readonly OrderOutcome[]): Promise<void> {
     const counts = await runs();
     for (const {key, run, body} of seen) {
       const count = counts.get(key) ?? 0;
@@ -95,7 +98,9 @@
   }
 
   /** Callers try again with their keys at another entry, as they are told to. */
-  async function retryAll(seen: readonly Seen[]): Promise<readonly Seen[]> {
+  async function retryAll(
+    seen: readonly OrderOutcome[],
+  ): Promise<readonly OrderOutcome[]> {
     const entry = running()[0] as TrialProcess;
     return Promise.all(seen.map(({key}) => order(key, entry)));
   }
--- a/packages/bench/src/test/recordsUnderFaults.test.ts
+++ b/packages/bench/src/test/recordsUnderFaults.test.ts
@@ -15,17 +15,17 @@
 
 interface Fault {
   readonly name: string;
-  strike(holder: TrialProcess): Promise<void> | void;
+  inject(holder: TrialProcess): Promise<void> | void;
   /** What happens once others have taken over. */
-  mend(holder: TrialProcess): void;
+  clear(holder: TrialProcess): void;
 }
 
 const faults: readonly Fault[] = [
-  {name: 'killed', strike: holder => holder.kill(), mend: () => {}},
+  {name: 'killed', inject: holder => holder.kill(), clear: () => {}},
   {
     name: 'paused, and wakes',
-    strike: holder => holder.pause(),
-    mend: holder => holder.resume(),
+    inject: holder => holder.pause(),
+    clear: holder => holder.resume(),
   },
 ];
 
@@ -74,7 +74,7 @@
 }
 
 describe('records while their acceptor fails, as separate processes', () => {
-  for (const {name, strike, mend} of faults) {
+  for (const {name, inject: strike, clear: mend} of faults) {
     // The entry that validates records fails just as an operator writes one.
     // The record would stay without effect, or, when the entry wakes and goes on
     // with what it last saw, an older version would come back into force.
--- a/packages/bench/src/test/streamFaults.test.ts
+++ b/packages/bench/src/test/streamFaults.test.ts
@@ -21,7 +21,7 @@
 const FAULTY = 'r0';
 
 /** Runs one stream over HTTP: the first attempt meets `faults`, the others none. */
-async function runOver(
+async function runWithFaults(
   faults: readonly EngineFault[],
   onToken: (index: number, faulty: {set(f: EngineFault[]): void}) => void,
 ) {
@@ -57,10 +57,10 @@
       type: 'model',
     })),
   );
-  const places: string[] = [];
-  function place(excluded: ReadonlySet<string>): EndpointPick {
+  const endpoints: string[] = [];
+  function pickEndpoint(excluded: ReadonlySet<string>): EndpointPick {
     // The first attempt has to meet the faults.
-    const others = new Set(places.length === 0 ? ['r1', 'r2'] : excluded);
+    const others = new Set(endpoints.length === 0 ? ['r1', 'r2'] : excluded);
     const choice = router.choose({
       service: 's',
       version: 'v1',
@@ -69,7 +69,7 @@
       excluded: others,
     });
     assert.ok(choice);
-    places.push(choice.endpoint);
+    endpoints.push(choice.endpoint);
     const index = Number(choice.endpoint.slice(1));
     return {
       endpoint: choice.endpoint,
@@ -93,7 +93,7 @@
         deadline: clock.now() + 20_000,
       },
       {
-        pickEndpoint: place,
+        pickEndpoint: pickEndpoint,
         mayRetry: () => true,
         deliver(token) {
           texts.push(token.text);
@@ -102,7 +102,7 @@
       },
       new AbortController().signal,
     );
-    return {texts, summary, places};
+    return {texts, summary, endpoints: endpoints};
   } finally {
     engines.forEach(engine => engine.dispose());
     await Promise.all(standins.map(standin => standin.stop()));
@@ -129,7 +129,11 @@
   ];
   for (const [name, faults, attempts] of cases) {
     it(`shows the right text once when an engine ${name}`, async () => {
-      const {texts, summary, places} = await runOver(faults, () => {});
+      const {
+        texts,
+        summary,
+        endpoints: places,
+      } = await runWithFaults(faults, () => {});
       assert.deepEqual(texts, right);
       assert.equal(places[0], FAULTY);
       assert.ok(attempts.includes(summary.attempts), `${summary.attempts}`);
@@ -137,7 +141,7 @@
   }
 
   it('goes on elsewhere when the engine dies in the middle', async () => {
-    const {texts, summary} = await runOver([], (index, faulty) => {
+    const {texts, summary} = await runWithFaults([], (index, faulty) => {
       if (index === 6) {
         faulty.set([{type: 'down'}]);
       }
@@ -147,7 +151,7 @@
   });
 
   it('goes on elsewhere when the engine hangs in the middle', async () => {
-    const {texts, summary} = await runOver([], (index, faulty) => {
+    const {texts, summary} = await runWithFaults([], (index, faulty) => {
       if (index === 6) {
         faulty.set([{type: 'pause'}]);
       }
