--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -1,7 +1,7 @@
 /**
- * `capacity`: what entries learn of engines that nobody described, against their
- * true speed, over time; and what callers get of a plan by it, by the truth, and
- * by figures that were fixed for another engine.
+ * `capacity`: convergence of the estimated speed of engines that have no
+ * configured speed, and requests in time with as many engines as the estimate,
+ * the true speed, or constants of another engine call for.
  */
 import {targetUtilization, type EngineEstimate} from '@skylarkfield/capacity';
 import {endpointsNeeded, workMs} from '@skylarkfield/traffic';
@@ -21,13 +21,13 @@
 const LOAD = 0.4;
 const RATIO_TOLERANCE = 0.2;
 
-/** What the program believed of every engine before it learned. */
+/** Constants that applied to every engine before speed was estimated. */
 const FIXED_ESTIMATE = {promptTokenMs: 1 / 140, pairsMs: 0.3, use: 0.34};
 
 type PlanName = 'learned' | 'true' | 'fixed';
 
 /**
- * Runs the measurement.
+ * Measures each engine profile.
  *
  * @example
  * const report = await measureCapacity({seed: 1000});
@@ -90,7 +90,7 @@
   };
 }
 
-/** Engines that the same work needs, by what is known of them in three ways. */
+/** Returns the engines needed for the observed work by each speed estimate. */
 function computeEnginesNeeded(
   {engines}: ReplayEntry,
   profile: EngineProfile,
@@ -141,7 +141,7 @@
   return {inTime: inTime / Math.max(1, outcomes.length)};
 }
 
-/** The second from which on the ratio stays near one; -1 when it does not. */
+/** Returns the second after which the ratio stays near one, or -1. */
 function secondsUntilConverged(ratios: readonly number[]): number {
   const lastFar = ratios.findLastIndex(
     ratio => Math.abs(ratio - 1) > RATIO_TOLERANCE,
--- a/packages/bench/src/commandLine.ts
+++ b/packages/bench/src/commandLine.ts
@@ -1,4 +1,7 @@
-/** The command line of the bench: `NAME [--seed N] [--seconds N] [--out FILE]` or `--list`. */
+/**
+ * Parses the command line: `NAME [--seed N] [--seconds N] [--out FILE]` or
+ * `--list`.
+ */
 import {parseArgs} from 'node:util';
 
 export interface BenchCommand {
@@ -13,11 +16,11 @@
   'usage: npm run bench -- NAME [--seed N] [--seconds N] [--out FILE]\n' +
   '       npm run bench -- --list';
 
-/** Seeds from 1 to 999 are for tuning, those from 1000 on for reports. */
+/** Seeds below 1000 are for tuning, those from 1000 on for reports. */
 const DEFAULT_SEED = 1000;
 
 /**
- * Reads the arguments; throws an error that says what is wrong with them.
+ * Parses the arguments; throws an error that describes an invalid one.
  *
  * @example
  * const command = readCommand(process.argv.slice(2));
@@ -34,7 +37,9 @@
     },
   });
   if (positionals.length > 1) {
-    throw new Error(`one measurement at a time, not ${positionals.join(', ')}`);
+    throw new Error(
+      `expected one measurement name, got ${positionals.join(', ')}`,
+    );
   }
   return {
     name: positionals[0],
@@ -54,7 +59,7 @@
   }
   const value = Number(text);
   if (!Number.isFinite(value) || value <= 0) {
-    throw new Error(`--${name} has to be a number above 0, not ${text}`);
+    throw new Error(`--${name} must be a number above 0, got ${text}`);
   }
   return value;
 }
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -1,4 +1,7 @@
-/** Plays requests through several entries to several engines on a virtual clock. */
+/**
+ * Replays requests through several entries to several engines on a virtual
+ * clock.
+ */
 import {
   every,
   seededRandom,
@@ -16,7 +19,7 @@
 import {createReplayEngine, type EngineRequest} from './replayEngine.js';
 import {createReplayEntry, SERVICE, type ReplayEntry} from './replayEntry.js';
 
-/** How a request ended for its caller. */
+/** Result of a request for its caller. */
 export interface ReplayOutcome {
   readonly kind: string;
   readonly arrivedMs: number;
@@ -29,27 +32,30 @@
   readonly seconds: number;
   readonly profile: EngineProfile;
   readonly engines: number;
-  /** Engines whose whole time a load of 1 takes; those that are there when absent. */
+  /** Number of engines that a load of 1 saturates; default: `engines`. */
   readonly referenceEngines?: number;
   readonly entries: number;
-  /** Work offered relative to what the engines can read, by the second. */
+  /** Offered load relative to the prompt capacity of the engines. */
   loadAt(second: number): number;
-  /** Whether entries refuse what would come far too late. */
+  /** Whether entries refuse requests that would miss their deadline. */
   readonly refusesLate: boolean;
-  /** Called once a second with the first entry. */
+  /** Called with the first entry once per second of virtual time. */
   onDidElapseSecond?(second: number, entry: ReplayEntry): void;
 }
 
 const DIGEST_INTERVAL_MS = 300;
 const SECOND_MS = 1_000;
-/** Sizes spread from half to one and a half of the mean. */
+/** Sizes are uniform from 0.5 to 1.5 times the mean. */
 const MIN_SIZE_FACTOR = 0.5;
 
 /**
- * Plays one case; requests still open at the end are left out.
+ * Replays one case; requests that are open at the end are not counted.
  *
  * @example
- * const outcomes = await playEngines({seed: 1, seconds: 30, profile, engines: 6, entries: 6, loadAt: () => 2, refusesLate: true});
+ * const outcomes = await replayEngines({
+ *   seed: 1, seconds: 30, profile, engines: 6, entries: 6,
+ *   loadAt: () => 2, refusesLate: true,
+ * });
  */
 export async function replayEngines(
   options: EngineReplayOptions,
@@ -182,7 +188,7 @@
   return kinds.find(({weight}) => (remaining -= weight) <= 0) ?? kinds[0]!;
 }
 
-/** Requests a millisecond that would take all of the engines' time for reading. */
+/** Returns the requests per millisecond whose prompts saturate the engines. */
 function fullLoadRate(
   {profile, engines, referenceEngines = engines}: EngineReplayOptions,
   kinds: readonly RequestKind[],
--- a/packages/bench/src/engines/profiles.ts
+++ b/packages/bench/src/engines/profiles.ts
@@ -1,21 +1,21 @@
-/** Engines that differ as much as those of real customers may. */
+/** Engine profiles that cover the range expected at real customers. */
 
-/** An engine's true speed, which no entry is told. */
+/** True speed of an engine, which entries have to estimate. */
 export interface EngineProfile {
   readonly name: string;
   readonly slots: number;
-  /** Milliseconds for a prompt token. */
+  /** Milliseconds per prompt token. */
   readonly tokenMs: number;
-  /** Milliseconds for a million pairs of a prompt's token with one before it. */
+  /** Milliseconds per million attention pairs of prompt tokens. */
   readonly pairsMs: number;
-  /** Milliseconds of a step with nothing running. */
+  /** Base milliseconds of a step, with no request running. */
   readonly stepMs: number;
   readonly requestStepMs: number;
-  /** Milliseconds that a thousand tokens of running prompts add to a step. */
+  /** Milliseconds added to a step per thousand tokens of running prompts. */
   readonly contextStepMs: number;
-  /** Prompt tokens that one step takes at most. */
+  /** Maximum prompt tokens per step. */
   readonly chunkTokens: number;
-  /** Tokens of an answer that one event holds. */
+  /** Answer tokens per event. */
   readonly tokensPerEvent: number;
 }
 
@@ -28,7 +28,7 @@
   tokensPerEvent: 4,
 };
 
-/** Prompt speeds from 8 to 200 tokens a millisecond, steps of 2 to 20 ms, 8 to 128 slots. */
+/** 8 to 200 prompt tokens per ms, steps of 2 to 20 ms, 8 to 128 slots. */
 export const ENGINE_PROFILES: readonly EngineProfile[] = [
   {...defaults, name: 'fast', tokenMs: 1 / 140, stepMs: 2.2},
   {...defaults, name: 'fastest', tokenMs: 1 / 200, stepMs: 2, slots: 128},
@@ -38,21 +38,21 @@
   {...defaults, name: 'slow', tokenMs: 1 / 8, pairsMs: 2, stepMs: 12},
 ];
 
-/** A kind of request. */
+/** Class of requests with the same size and goals. */
 export interface RequestKind {
   readonly name: string;
   readonly ownTokens: number;
   readonly sharedTokens: number;
   readonly answerTokens: number;
-  /** 0 is served first. */
+  /** Lower values are served first. */
   readonly urgency: number;
   readonly goalMs: number;
   readonly deadlineMs: number;
-  /** Relative to the other kinds. */
+  /** Relative frequency. */
   readonly weight: number;
 }
 
-/** Kinds whose goals suit an engine: its usual prompt takes a fifteenth of them. */
+/** Returns kinds with goals of 15 times an engine's typical prompt time. */
 export function kindsFor(profile: EngineProfile): readonly RequestKind[] {
   const usualMs = 1_500 * profile.tokenMs + 3 * profile.pairsMs;
   const goalMs = Math.max(300, usualMs * 15);
@@ -91,7 +91,7 @@
 }
 
 /**
- * Milliseconds of one engine that reading a kind's prompt takes.
+ * Returns the milliseconds that one engine needs for a kind's prompt.
  *
  * @example
  * const ms = promptMs(kind, profile);
--- a/packages/bench/src/engines/replayEngine.ts
+++ b/packages/bench/src/engines/replayEngine.ts
@@ -1,14 +1,14 @@
-/** An engine that batches, on a virtual clock: prompts by urgency, in chunks between the steps of answers. */
+/** Simulated batching engine with chunked prefill in order of urgency. */
 import type {Clock} from '@skylarkfield/base';
 import type {EngineProfile} from './profiles.js';
 
-/** A request as the engine sees it. */
+/** Request to the simulated engine. */
 export interface EngineRequest {
   readonly ownTokens: number;
   readonly promptTokens: number;
   readonly answerTokens: number;
   readonly urgency: number;
-  /** An event of the answer has come; the first one is the end of the prompt. */
+  /** Called for each answer event; the first one ends the prefill. */
   onDidEvent(): void;
   onDidEnd(): void;
 }
@@ -16,7 +16,7 @@
 export interface ReplayEngine {
   submit(request: EngineRequest): void;
   cancel(request: EngineRequest): void;
-  /** Milliseconds of work spent on requests that were cancelled. */
+  /** Returns the milliseconds spent on cancelled requests. */
   wastedMs(): number;
 }
 
@@ -28,7 +28,7 @@
 }
 
 /**
- * Makes an idle engine.
+ * Creates an idle engine.
  *
  * @example
  * const engine = createReplayEngine(clock, ENGINE_PROFILES[0]);
@@ -126,7 +126,7 @@
   };
 }
 
-/** Behind all that are as urgent. */
+/** Inserts a sequence behind those of the same or higher urgency. */
 function insert(sequences: Sequence[], sequence: Sequence): void {
   const {urgency} = sequence.request;
   const before = sequences.findLastIndex(
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -1,4 +1,4 @@
-/** The decisions of one entry about model requests, as the gateway puts them together. */
+/** Request decisions of one entry, composed as in the gateway. */
 import {
   decisionLog,
   silentLogger,
@@ -18,12 +18,12 @@
 
 type Digest = Messages['digest'];
 
-/** The service that all requests go to. */
+/** Service of all requests. */
 export const SERVICE = 'chat';
 
 const REPORTER_TIMEOUT_MS = 1_200;
 
-/** Window of the quotas, in milliseconds; replayed requests have none. */
+/** Quota window; replayed requests have no quota. */
 const QUOTA_WINDOW_MS = 8_000;
 
 const emptyMirror = {
@@ -43,10 +43,12 @@
 }
 
 /**
- * Makes an entry that knows these engines.
+ * Creates an entry that routes to the given engines.
  *
  * @example
- * const entry = createReplayEntry({id: 'e1', engineIds, profile, kinds, clock, random});
+ * const entry = createReplayEntry({
+ *   id: 'e1', engineIds, profile, kinds, clock, random,
+ * });
  */
 export function createReplayEntry(options: {
   readonly id: string;
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * `fleet`: priced days with waves of reclaims; what the plan costs and how much
- * of the time it holds the latency target, against all hosts on demand and
- * against the cheapest reclaimable hosts. A decision replay on a virtual clock.
+ * `fleet`: replays days with varying prices and waves of reclaims on a virtual
+ * clock. Compares cost and time within the latency target of the host plan with
+ * all hosts on demand and with the cheapest reclaimable hosts.
  */
 import {
   decisionLog,
@@ -23,20 +23,20 @@
 
 const HOUR_MS = 3_600_000;
 const DAY_MS = 24 * HOUR_MS;
-/** Days replayed per policy, each with prices and waves of its own. */
+/** Days replayed per policy, each with its own prices and waves. */
 const DAYS = 6;
 const STEP_MS = 15_000;
 const SLOTS_PER_REPLICA = 8;
-/** Use of the slots beyond which the latency target is missed. */
+/** Slot utilization above which the latency target is missed. */
 const TARGET_UTILIZATION = 0.7;
-/** Requests in progress at the quietest and at the busiest hour. */
+/** Concurrent requests at the lowest and the highest load of the day. */
 const MIN_CONCURRENT_REQUESTS = 12;
 const MAX_CONCURRENT_REQUESTS = 40;
 
 type Planner = typeof planHosts;
 export type FleetPolicy = 'planned' | 'on-demand' | 'cheapest';
 
-/** Ways to plan; the baselines use the same duty with another plan. */
+/** Planning functions; the baselines run the same duty with another one. */
 const planners: Readonly<Record<FleetPolicy, Planner>> = {
   planned: planHosts,
   'on-demand': (demand, offers, supplies) =>
@@ -66,7 +66,7 @@
 };
 
 /**
- * Runs the measurement.
+ * Measures each policy over the same days.
  *
  * @example
  * const report = await measureFleet({seed: 1000});
@@ -132,7 +132,7 @@
       ),
     plan: planners[policy],
   });
-  // The first hours bring the fleet up; they are not counted.
+  // The first hour starts the fleet and is not counted.
   await clock.advance(HOUR_MS);
   let cost = 0;
   let targetHours = 0;
@@ -153,7 +153,7 @@
   return {cost, targetHours, hoursWithoutReplica, waves: replay.waves()};
 }
 
-/** Load over the day: quiet at night, busiest after noon. */
+/** Returns the load of a sinusoidal day with its minimum at midnight. */
 function concurrentRequestsAt(nowMs: number): number {
   const angle = (2 * Math.PI * nowMs) / DAY_MS;
   const dailyFraction = (1 - Math.cos(angle)) / 2;
@@ -174,7 +174,7 @@
   }));
 }
 
-/** As many reclaimable hosts as the load needs, all where they are cheapest now. */
+/** Plans the needed replicas on the cheapest reclaimable offer. */
 function planCheapestHosts(
   demand: Demand,
   offers: readonly Offer[],
@@ -197,7 +197,7 @@
       wanted: [],
       costPerHour: 0,
       replicasAfterLoss: 0,
-      shortfall: 'every failure domain refuses',
+      shortfall: 'all failure domains refuse reclaimable hosts',
     };
   }
   const {failureDomain, machineClass, market, pricePerHour} = best;
--- a/packages/bench/src/fleet/replayCloud.ts
+++ b/packages/bench/src/fleet/replayCloud.ts
@@ -1,4 +1,4 @@
-/** A cloud for replays: prices that drift, waves of reclaims, refusals meanwhile. */
+/** Simulated cloud with drifting prices, waves of reclaims and refusals. */
 import {
   ServingError,
   toDisposable,
@@ -9,13 +9,13 @@
 
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
-/** From the start of a host until its replica has loaded its weights. */
+/** Time from the start of a host until its replica has loaded its weights. */
 const START_MS = 3 * MINUTE_MS;
 const NOTICE_MS = 30_000;
-/** Mean time between waves; each takes one failure domain, some take two. */
+/** Mean time between waves; each reclaims one or two failure domains. */
 const WAVE_INTERVAL_MS = 4 * HOUR_MS;
 const SECOND_DOMAIN_CHANCE = 0.25;
-/** After a wave its failure domains refuse reclaimable starts for so long. */
+/** Time for which a failure domain refuses reclaimable starts after a wave. */
 const REFUSAL_MS = 40 * MINUTE_MS;
 const PRICE_INTERVAL_MS = 30 * MINUTE_MS;
 const ON_DEMAND_PRICE = 3;
@@ -24,9 +24,9 @@
 
 export interface ReplayCloud {
   readonly cloud: Cloud;
-  /** Hosts that serve now: started long enough ago and not gone. */
+  /** Returns the hosts that have finished starting and are not gone. */
   serving(): readonly Host[];
-  /** What the hosts there are cost per hour. */
+  /** Returns the cost per hour of all present hosts. */
   pricePerHour(): number;
   waves(): number;
 }
@@ -37,8 +37,8 @@
 }
 
 /**
- * Makes a cloud that lives on the given clock; its waves and prices depend on
- * the random numbers alone, so that every policy meets the same.
+ * Creates a cloud on the given clock. Waves and prices depend only on the
+ * random numbers, so that every policy gets the same ones.
  *
  * @example
  * const replay = createReplayCloud(clock, seededRandom(1000));
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,3 +1,3 @@
-/** Measurements of decisions and of running processes. */
+/** Benchmarks of decision code and of running processes. */
 export * from './measurements.js';
 export * from './table.js';
--- a/packages/bench/src/isolation.ts
+++ b/packages/bench/src/isolation.ts
@@ -1,7 +1,7 @@
 /**
- * `isolation`: of three services one hangs, slows, fails or is flooded; what the
- * other two notice, against an undisturbed run with the same arrivals, for our
- * admission and for one pool shared by all services.
+ * `isolation`: one of three services hangs, slows, fails or is flooded.
+ * Compares the other two with an undisturbed run of the same arrivals, for the
+ * admission package and for one pool shared by all services.
  */
 import type {MeasureOptions} from './measurements.js';
 import type {GateType} from './replay/gates.js';
@@ -24,7 +24,7 @@
 type Trouble = Exclude<ServiceFault, 'none'> | 'flooded';
 const TROUBLES: readonly Trouble[] = ['hung', 'slow', 'failing', 'flooded'];
 
-/** Names, places and mean times; each service is used to about two thirds. */
+/** Each service has a utilization of about two thirds. */
 const SERVICES = [
   {name: FAULTY_SERVICE, slots: 32, meanMs: 200, perSecond: 105},
   {name: 'booking', slots: 16, meanMs: 40, perSecond: 265},
@@ -37,7 +37,7 @@
 ];
 
 /**
- * Runs the measurement.
+ * Measures each gate under each disturbance.
  *
  * @example
  * const report = await measureIsolation({seed: 1000});
@@ -95,7 +95,7 @@
   });
 }
 
-/** The figures of the services that are not in trouble, while the trouble lasts. */
+/** Returns the figures of the undisturbed services during the disturbance. */
 async function runCase(
   seed: number,
   seconds: number,
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,4 +1,6 @@
-/** Runs one measurement: a readable table, then the JSON object as the last line. */
+/**
+ * Runs one measurement and prints a table, then the report as one line of JSON.
+ */
 import {writeFileSync} from 'node:fs';
 import {performance} from 'node:perf_hooks';
 import {readCommand, USAGE, type BenchCommand} from './commandLine.js';
--- a/packages/bench/src/measurements.ts
+++ b/packages/bench/src/measurements.ts
@@ -1,9 +1,9 @@
-/** The table of measurements, and how one is loaded by name. */
+/** Registry of measurements, loaded by name. */
 
 export interface MeasureOptions {
   /** Seed of every random number of the run. */
   readonly seed: number;
-  /** Wanted length of the run in seconds; each measurement has its own default. */
+  /** Length of the run; the default depends on the measurement. */
   readonly seconds?: number;
 }
 
@@ -25,14 +25,14 @@
   | 'shedding';
 
 interface Measurement {
-  /** Module beside this one, loaded only when it is asked for. */
+  /** Path of the module relative to this one, imported on demand. */
   readonly module: string;
-  /** The function that the module exports. */
+  /** Name of the measuring function that the module exports. */
   readonly exportName: string;
   readonly description: string;
 }
 
-/** Every measurement by name. */
+/** All measurements by name. */
 export const measurements: Readonly<Record<MeasurementName, Measurement>> = {
   overhead: {
     module: './overhead.js',
@@ -42,12 +42,13 @@
   isolation: {
     module: './isolation.js',
     exportName: 'measureIsolation',
-    description: 'other services while one hangs, slows, fails or is flooded',
+    description:
+      'latency and success of services while another one is faulty or flooded',
   },
   overload: {
     module: './overload.js',
     exportName: 'measureOverload',
-    description: 'goodput by importance at 1x, 2x and 5x of capacity',
+    description: 'goodput by urgency at 1x, 2x and 5x of capacity',
   },
   routing: {
     module: './routing.js',
@@ -62,12 +63,12 @@
   moves: {
     module: './moves.js',
     exportName: 'measureMoves',
-    description: 'good versions moved in, bad versions taken back',
+    description: 'good versions rolled out, bad versions rolled back',
   },
   fleet: {
     module: './fleet.js',
     exportName: 'measureFleet',
-    description: 'cost of a priced day at the latency target',
+    description: 'host cost per day at the latency target, with varying prices',
   },
   orders: {
     module: './orders.js',
@@ -88,23 +89,22 @@
   orderOwner: {
     module: './slopes/orderOwner.js',
     exportName: 'measureOrderOwners',
-    description:
-      'what owning one shard of the order ledger costs as orders grow',
+    description: 'cost of owning one shard of the order ledger as orders grow',
   },
   capacity: {
     module: './capacity.js',
     exportName: 'measureCapacity',
-    description: 'what entries learn of engines that nobody described',
+    description: 'speed estimates of engines that have no configured speed',
   },
   shedding: {
     module: './shedding.js',
     exportName: 'measureShedding',
-    description: 'what callers get of engines offered twice what they can read',
+    description: 'request results at twice the prompt capacity of the engines',
   },
 };
 
-/** Why a measurement cannot be run. */
-export type UnavailableReason = 'unknown name' | 'not written yet';
+/** Reason why a measurement cannot be run. */
+export type UnavailableReason = 'unknown name' | 'not implemented';
 
 export type LoadedMeasurement =
   | {readonly type: 'found'; readonly measure: Measure}
@@ -128,18 +128,18 @@
     const content = (await import(url)) as Record<string, Measure | undefined>;
     const measure = content[exportName];
     if (measure === undefined) {
-      return {type: 'unavailable', reason: 'not written yet'};
+      return {type: 'unavailable', reason: 'not implemented'};
     }
     return {type: 'found', measure};
   } catch (error) {
     if (isMissingModule(error, url)) {
-      return {type: 'unavailable', reason: 'not written yet'};
+      return {type: 'unavailable', reason: 'not implemented'};
     }
     throw error;
   }
 }
 
-/** True only for the measurement's own module: a missing dependency of it is a real error. */
+/** Excludes missing dependencies of the module, which are real errors. */
 function isMissingModule(error: unknown, url: string): boolean {
   const {code, url: missing} = error as {code?: string; url?: string};
   return code === 'ERR_MODULE_NOT_FOUND' && missing === url;
--- a/packages/bench/src/moves.ts
+++ b/packages/bench/src/moves.ts
@@ -1,6 +1,6 @@
 /**
- * `moves`: seeded versions of every kind, judged by the moves package and by a
- * canary with fixed thresholds on the same traffic model.
+ * `moves`: simulated good and bad versions, rolled out by the moves package and
+ * by a canary with fixed thresholds on the same traffic model.
  */
 import {
   decisionLog,
@@ -22,14 +22,14 @@
 } from './replay/versions.js';
 import {quantile} from './replay/admissionReplay.js';
 
-/** Versions for each mix; four mixes. */
+/** Versions for each of the four traffic mixes. */
 const DEFAULT_VERSIONS = 130;
 
-/** Versions judged in a second, about, for `--seconds`. */
+/** Approximate versions evaluated per second, to convert `--seconds`. */
 const VERSIONS_PER_SECOND = 14;
 const HOUR_MS = 3_600_000;
 
-/** Ticks of a move; a tick is the time until the judge sees and acts. */
+/** Interval at which a move is evaluated, by traffic mix. */
 const TICK_MS: Readonly<Record<string, number>> = {
   namu: 10_000,
   sahakarana: 15_000,
@@ -57,7 +57,7 @@
 > = {ours: judgeWithMoveController, canary: judgeWithCanary};
 
 /**
- * Runs the measurement.
+ * Measures both rollout methods on the same versions.
  *
  * @example
  * const report = await measureMoves({seed: 1000});
@@ -78,7 +78,7 @@
         verdicts[type].push(judges[type](mix, version, seed));
       }
     }
-    // A long run must not keep the process from hearing signals.
+    // Lets the process handle signals during a long run.
     await new Promise(resolve => setImmediate(resolve));
   }
   return {
@@ -95,10 +95,10 @@
   };
 }
 
-/** Kinds in turn by their parts, so that every run has all of them. */
+/** Cycles through the kinds by weight, so that every run has all of them. */
 function pickKind(index: number) {
   const all = kinds.flatMap(({kind, part}) => Array(part).fill(kind));
-  // A step that has no factor in common with 100 visits all of them.
+  // The weights sum to 100; a step coprime to 100 visits every item.
   return all[(index * 37) % all.length];
 }
 
--- a/packages/bench/src/orderHandOver.ts
+++ b/packages/bench/src/orderHandOver.ts
@@ -1,4 +1,7 @@
-/** Waiting orders handed over in the ledger against over the inner protocol. */
+/**
+ * Compares hand-over of waiting orders in the ledger and over the inner
+ * protocol.
+ */
 import {seededRandom, sleep, type Clock} from '@skylarkfield/base';
 import {createMemoryPlatform} from '@skylarkfield/providers';
 import {startLedgers, type LedgerFleet} from './orderLedgers.js';
@@ -8,7 +11,7 @@
 const BODY_BYTES = [1_024, 8_192];
 const PLATFORM_DELAY_MS = 4;
 const TIMEOUT_MS = 30_000;
-/** Orders wait this long for a place at the service, so that none is sent before the hand-over. */
+/** Delay before dispatch, so that no order is sent before the hand-over. */
 const DISPATCH_DELAY_MS = 1_000;
 const LEDGER_KIND = 'ledger';
 
@@ -17,15 +20,15 @@
   readonly bodyBytes: number;
   readonly orders: number;
   readonly answered: number;
-  /** From the start of leaving until the shards are released. */
+  /** Time from the start of leaving until the shards are released. */
   readonly leaveMs: number;
-  /** Largest ledger object during the hand-over. */
+  /** Size of the largest ledger object during the hand-over. */
   readonly ledgerBytes: number;
   readonly innerBytes: number;
 }
 
 /**
- * Hands over orders of several sizes in both ways.
+ * Measures both ways of hand-over with several order sizes.
  *
  * @example
  * const results = await measureHandOver(systemClock(), 1);
@@ -103,7 +106,7 @@
   return result;
 }
 
-/** The entry that owns the one shard. */
+/** Returns the index of the entry that owns the only shard. */
 function findOwner(fleet: LedgerFleet): number {
   return fleet.ledgers().findIndex(ledger => {
     const {shards} = ledger.dump() as {shards: Array<{state: string}>};
--- a/packages/bench/src/orderLedgers.ts
+++ b/packages/bench/src/orderLedgers.ts
@@ -1,4 +1,4 @@
-/** Several order ledgers in one process, over one memory platform and network. */
+/** Order ledgers of several entries over an in-process platform and network. */
 import type {Clock, Random} from '@skylarkfield/base';
 import {
   createLedger,
@@ -17,7 +17,7 @@
     timeoutMs: number,
     body?: Uint8Array,
   ): Promise<SubmitResult>;
-  /** Leaves at one entry, which takes no new work from then on. */
+  /** Makes one entry leave; it accepts no new orders afterwards. */
   leave(entry: number): Promise<void>;
   ledgers(): readonly Ledger[];
   traffic(): NetworkTraffic;
@@ -25,7 +25,7 @@
 }
 
 /**
- * Starts the ledgers.
+ * Starts one ledger per entry.
  *
  * @example
  * const fleet = startLedgers({clock, random, platform, entries: 7, dispatch});
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -1,8 +1,8 @@
 /**
- * What the order ledger costs: latency added and platform writes per second as
- * orders grow, against one platform object per order, and two ways of handing
- * waiting orders over. Entries and platform live in this process; the
- * platform's delay is simulated on the real clock.
+ * `orders`: added latency and platform writes per second of the order ledger as
+ * orders grow, compared with one platform object per order, and two ways of
+ * handing over waiting orders. Entries and platform run in this process on the
+ * real clock, with a simulated platform delay.
  */
 import {
   seededRandom,
@@ -23,12 +23,12 @@
 /** Orders per second at 1x. */
 const BASE_RATE = 5;
 const FACTORS = [1, 10, 100];
-/** Least times between two writes of a shard that are compared at the highest rate. */
+/** Minimum write intervals of a shard, compared at the highest order rate. */
 const MIN_WRITE_INTERVALS_MS = [20, 40, 80];
 const ENTRIES = 7;
-/** Time of one platform call. */
+/** Duration of one platform call. */
 const PLATFORM_DELAY_MS = 4;
-/** Time of the service itself; subtracted from what is measured. */
+/** Simulated service time, subtracted from the measured latency. */
 const SERVICE_MS = 10;
 const DEFAULT_SECONDS = 36;
 const TIMEOUT_MS = 10_000;
@@ -46,14 +46,14 @@
 }
 
 /**
- * Measures the ledger against the plainest baseline in the same run.
+ * Measures the ledger and the baseline of one object per order.
  *
  * @example
  * const result = await measureOrders({seed: 1, seconds: 30});
  */
 export async function measureOrders(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
-  // The clock's timers do not keep a process alive, and nothing here holds a socket.
+  // The clock's timers are unreferenced and no socket is open.
   const keepAliveTimer = setInterval(() => undefined, 1_000);
   try {
     return await measure(clock, options);
@@ -129,7 +129,9 @@
   }
 }
 
-/** One object per order: written before the call, and again with its reply. */
+/**
+ * Measures one object per order, written before the call and with its reply.
+ */
 async function measureBaseline(
   clock: Clock,
   random: Random,
@@ -153,7 +155,7 @@
     await sleep(clock, SERVICE_MS);
     const settled = {state: 'settled', status: 201, body: 'x'.repeat(200)};
     const version = claim?.version ?? 0;
-    // As in the ledger, the caller does not wait until its reply is kept.
+    // As in the ledger, the caller does not wait until the reply is stored.
     void store
       ?.put('order', key, settled, {type: 'version', version})
       .catch(() => undefined);
@@ -171,7 +173,7 @@
   return platform;
 }
 
-/** Every shard gets its owner before the clock starts. */
+/** Sends orders until every shard has an owner. */
 async function warmUp(submit: Submit): Promise<void> {
   const keys = Array.from({length: 100}, (_, index) => `warm-up ${index}`);
   await Promise.all(keys.map((key, index) => submit(key, index)));
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -1,7 +1,7 @@
 /**
- * `overhead`: what an entry adds to a small call of a plain service, as
- * separate processes on loopback: latency one call at a time against calling
- * the endpoint directly, and calls a second per core of the entry.
+ * `overhead`: cost of an entry for small calls to a plain service, with
+ * separate processes on loopback: latency of sequential calls compared with
+ * direct calls to the endpoint, and calls per second and core of the entry.
  */
 import {build as buildHistogram, type Histogram} from 'hdr-histogram-js';
 import {Pool} from 'undici';
@@ -24,7 +24,7 @@
 const SERVICE = 'booking';
 const HEADERS = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
 
-/** Where calls go. */
+/** Destination of calls. */
 interface Target {
   readonly name: 'direct' | 'entry';
   readonly pool: Pool;
@@ -32,7 +32,7 @@
 }
 
 /**
- * Runs the measurement.
+ * Measures latency and throughput on a trial fleet.
  *
  * @example
  * const report = await measureOverhead({seed: 1000});
@@ -95,7 +95,7 @@
   return {name, pool: new Pool(url, {connections: CONCURRENCY}), path};
 }
 
-/** One call at a time, the targets in turns, so that both see the same machine. */
+/** Calls the targets alternately, so that both see the same machine load. */
 async function measureLatencies(targets: readonly Target[], runMs: number) {
   const histograms = targets.map(() => buildHistogram());
   const endAt = performance.now() + runMs;
@@ -115,7 +115,7 @@
   });
 }
 
-/** Many calls at once, with the processor time that the entry used meanwhile. */
+/** Makes concurrent calls and measures the processor time of the entry. */
 async function measureThroughput(
   entry: Target,
   entryProcess: TrialProcess,
--- a/packages/bench/src/overload.ts
+++ b/packages/bench/src/overload.ts
@@ -1,8 +1,8 @@
 /**
- * `overload`: one service offered 1, 2 and 5 times what it can carry, with the
- * load uneven over the entries; our admission against a first-come-first-served
- * pool, and the limit policies against each other, also while the record
- * and the reports promise four times what the service carries.
+ * `overload`: one service at 1, 2 and 5 times its capacity, with load uneven
+ * over the entries. Compares the limit policies of the admission package with
+ * each other and with a FIFO pool, also while the record and the load reports
+ * state four times the real capacity.
  */
 import type {MeasureOptions} from './measurements.js';
 import type {GateType} from './replay/gates.js';
@@ -30,7 +30,7 @@
   'gradient',
 ];
 
-/** At five times the capacity the most important class alone asks for half of it. */
+/** At 5 times the capacity the most urgent class alone needs half of it. */
 const URGENCIES = [
   {urgency: 1, part: 0.1},
   {urgency: 3, part: 0.5},
@@ -47,7 +47,7 @@
 const overstatedRecord = {...record, concurrency: SLOTS * OVERSTATEMENT_FACTOR};
 
 /**
- * Runs the measurement.
+ * Measures each gate at each load.
  *
  * @example
  * const report = await measureOverload({seed: 1000});
@@ -71,7 +71,7 @@
 
 type Row = Awaited<ReturnType<typeof runCase>>;
 
-/** The aims: the most important class at five times, and total goodput against the peak. */
+/** Summarizes the targets: the most urgent class and goodput at 5 times. */
 function summarize(rows: readonly Row[]) {
   return GATES.map(gate => {
     const own = rows.filter(row => row.gate === gate && !row.isOverstated);
--- a/packages/bench/src/processes/childProcess.ts
+++ b/packages/bench/src/processes/childProcess.ts
@@ -1,13 +1,13 @@
-/** One process of a trial fleet: started, waited for, paused, ended by its id. */
+/** Starts, pauses and stops one process of a trial fleet. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {createInterface} from 'node:readline';
 import {fileURLToPath} from 'node:url';
 
-/** Time that a process has to say that it listens, in milliseconds. */
+/** Time limit for a process to start listening. */
 const READY_TIMEOUT_MS = 30_000;
-/** Time that a process has to stop gracefully before it is killed, in milliseconds. */
+/** Time limit for a graceful stop before the process is killed. */
 const STOP_TIMEOUT_MS = 45_000;
-/** Lines of standard error that are kept to explain a failure. */
+/** Last lines of standard error that are kept for error messages. */
 const MAX_LOG_LINES = 200;
 
 /** Path of a built binary to run instead of the compiled command line. */
@@ -16,7 +16,7 @@
   new URL('../../../cli/out/main.js', import.meta.url),
 );
 
-/** What a process prints when it listens. */
+/** JSON line that a process prints when it listens. */
 export type ReadyLine = Readonly<Record<string, string>>;
 
 export interface TrialProcess {
@@ -25,20 +25,20 @@
   readonly ready: ReadyLine;
   /** Last lines of its log. */
   logLines(): readonly string[];
-  /** SIGSTOP: the process stands still and keeps its sockets. */
+  /** Sends SIGSTOP: the process is suspended and keeps its sockets. */
   pause(): void;
-  /** SIGCONT. */
+  /** Sends SIGCONT. */
   resume(): void;
-  /** SIGTERM, then waits; resolves with the exit code. */
+  /** Sends SIGTERM and resolves with the exit code. */
   stop(): Promise<number | null>;
-  /** SIGKILL, then waits. */
+  /** Sends SIGKILL and waits for the exit. */
   kill(): Promise<void>;
   hasEnded(): boolean;
 }
 
 /**
  * Starts `skylarkfield ARGUMENTS` and waits until it listens.
- * Throws with the end of its log when it doesn't.
+ * Throws an error with the end of its log when it does not.
  *
  * @example
  * const platform = await startProcess('platform', ['standin', 'platform']);
@@ -94,10 +94,10 @@
   return new Promise((resolve, reject) => {
     const output = createInterface({input: child.stdout as never});
     const timer = setTimeout(
-      () => fail('did not listen in time'),
+      () => fail('did not start listening in time'),
       READY_TIMEOUT_MS,
     );
-    const onExit = () => fail('ended before it listened');
+    const onExit = () => fail('exited before it started listening');
     child.once('exit', onExit);
     output.once('line', line => {
       clearTimeout(timer);
--- a/packages/bench/src/processes/servingFleet.ts
+++ b/packages/bench/src/processes/servingFleet.ts
@@ -1,11 +1,13 @@
-/** The usual trial fleet: three entries, two model replicas, two plain services. */
+/**
+ * Default trial fleet: three entries, two model replicas, two plain endpoints.
+ */
 import {putTrialRecords, trialEngine, trialPlain} from './trialCalls.js';
 import {startTrialFleet, type TrialFleet} from './trialFleet.js';
 import {untilServing} from './untilServing.js';
 
 export interface ServingFleet {
   readonly fleet: TrialFleet;
-  /** Addresses of the entries for callers. */
+  /** Caller URLs of the entries. */
   readonly urls: readonly string[];
 }
 
--- a/packages/bench/src/processes/trialCalls.ts
+++ b/packages/bench/src/processes/trialCalls.ts
@@ -1,14 +1,14 @@
-/** Calls of callers at a trial fleet, and the records and endpoints that they need. */
+/** Caller requests to a trial fleet, with their records and endpoints. */
 import type {TrialEndpoint, TrialFleet} from './trialFleet.js';
 import {TRIAL_CUSTOMER_KEY} from './trialFleet.js';
 
-/** Headers that every call of the trial customer has. */
+/** Headers of every call of the trial customer. */
 export const trialHeaders: Readonly<Record<string, string>> = {
   authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`,
   'content-type': 'application/json',
 };
 
-/** Records of a model service and of a plain service, one in each schema version. */
+/** Records of a model service (schema 2) and a plain service (schema 1). */
 export const trialRecords: Readonly<Record<string, unknown>> = {
   match: {
     schema: 2,
@@ -42,7 +42,7 @@
 }
 
 /**
- * A replica of the trial model.
+ * Describes a replica of the trial model.
  *
  * @example
  * const endpoints = [trialEngine('m1', 'a'), trialEngine('m2', 'b')];
@@ -52,7 +52,7 @@
 }
 
 /**
- * An endpoint of the trial plain service.
+ * Describes an endpoint of the trial plain service.
  *
  * @example
  * const endpoints = [trialPlain('b1', 'a')];
@@ -67,11 +67,11 @@
   };
 }
 
-/** A streamed answer as the caller has it at the end. */
+/** Streamed answer as received by the caller. */
 export interface StreamedAnswer {
   readonly status: number;
   readonly text: string;
-  /** Whether the stream said that it was complete. */
+  /** Whether the stream ended with `[DONE]`. */
   readonly isComplete: boolean;
   /** Data of an error event, if there was one. */
   readonly error: string | undefined;
@@ -79,7 +79,8 @@
 }
 
 /**
- * Streams one chat answer to its end; `onToken` hears the count of tokens so far.
+ * Streams one chat answer to its end; calls `onToken` with the token count so
+ * far.
  *
  * @example
  * const answer = await streamChat(entry, 'match this oak', 40);
@@ -133,7 +134,7 @@
   };
 }
 
-/** A reply to an order. */
+/** Reply to an order. */
 export interface OrderReply {
   readonly status: number;
   readonly text: string;
@@ -141,7 +142,7 @@
 }
 
 /**
- * Sends one order under a key.
+ * Sends one order with an idempotency key.
  *
  * @example
  * const reply = await sendOrder(entry, 'shift-17');
@@ -161,7 +162,7 @@
 }
 
 /**
- * How often each key has run, summed over endpoints of the plain service.
+ * Returns how often each key has run, summed over the given endpoints.
  *
  * @example
  * (await runsByKey(fleet, ['b1', 'b2'])).get('shift-17'); // 1
--- a/packages/bench/src/processes/trialFleet.ts
+++ b/packages/bench/src/processes/trialFleet.ts
@@ -1,4 +1,6 @@
-/** A small fleet on loopback: platform stand-in, entries, endpoints, each a process. */
+/**
+ * Small fleet of processes on loopback: platform stand-in, entries, endpoints.
+ */
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -12,7 +14,7 @@
   'eb89da154c67313e506cdd94bd4ede3a337175d5f81e9e42b6a379b7f924edc4';
 const INNER_KEY = 'trial-inner-key';
 
-/** An endpoint to start. */
+/** Endpoint stand-in to start. */
 export interface TrialEndpoint {
   readonly id: string;
   readonly type: 'engine' | 'service';
@@ -23,7 +25,7 @@
 }
 
 export interface TrialFleetOptions {
-  /** Failure domain of each entry; one entry is started per item. */
+  /** Failure domain of each entry to start. */
   readonly entryDomains: readonly string[];
   readonly endpoints: readonly TrialEndpoint[];
   /** Merged into each entry's settings. */
@@ -35,29 +37,29 @@
   readonly entries: readonly TrialProcess[];
   readonly endpoints: ReadonlyMap<string, TrialProcess>;
   readonly store: ObjectStore;
-  /** Starts one more entry, also under an id used before. */
+  /** Starts one more entry; the id may have been used before. */
   startEntry(
     id: string,
     failureDomain: string,
     settings?: Readonly<Record<string, unknown>>,
   ): Promise<TrialProcess>;
   startEndpoint(endpoint: TrialEndpoint): Promise<TrialProcess>;
-  /** Sets faults or other state at a stand-in's control port. */
+  /** Calls the control API of a stand-in, for example to set faults. */
   control(
     standin: TrialProcess,
     path: string,
     body?: unknown,
     method?: string,
   ): Promise<unknown>;
-  /** Ends every process that was started, whatever state it is in. */
+  /** Kills every started process, in whatever state it is. */
   dispose(): Promise<void>;
 }
 
 /**
- * Starts a fleet; when a part fails to start, what runs already is ended.
+ * Starts a fleet; kills the started processes when one fails to start.
  *
  * @example
- * const fleet = await startTrialFleet({entryDomains: ['a', 'b', 'c'], endpoints});
+ * const fleet = await startTrialFleet({entryDomains: ['a', 'b'], endpoints});
  * await fleet.dispose();
  */
 export async function startTrialFleet(
--- a/packages/bench/src/processes/untilServing.ts
+++ b/packages/bench/src/processes/untilServing.ts
@@ -1,13 +1,13 @@
-/** Waits until a trial fleet serves, on conditions rather than for a time. */
+/** Polls until a trial fleet serves. */
 import {TRIAL_CUSTOMER_KEY, type TrialFleet} from './trialFleet.js';
 
-/** How often a condition is looked at, in milliseconds. */
+/** Interval at which a condition is checked. */
 const POLL_MS = 50;
-/** When a condition that has not come is taken for a failure, in milliseconds. */
+/** Time after which an unmet condition is a failure. */
 const CONDITION_TIMEOUT_MS = 30_000;
 
 /**
- * Waits for a condition; throws with its description when it does not come.
+ * Waits for a condition; throws an error with its description on timeout.
  *
  * @example
  * await until('the order ran', async () => (await runs()).total === 1);
@@ -23,15 +23,15 @@
       return;
     }
     if (performance.now() > deadline) {
-      throw new Error(`gave up waiting: ${description}`);
+      throw new Error(`timed out waiting for condition: ${description}`);
     }
     await new Promise(resolve => setTimeout(resolve, POLL_MS));
   }
 }
 
 /**
- * Waits until every entry knows the services and answers lookups with all
- * entries; returns the first entry's address for callers.
+ * Waits until every entry serves the services and lists all entries; returns
+ * the caller URL of the first entry.
  *
  * @example
  * const entry = await untilServing(fleet, ['booking']);
@@ -61,7 +61,7 @@
   return urls[0] ?? '';
 }
 
-/** A service of either type answers a probe of both shapes with something else than unknown-service. */
+/** Probes a service as a plain service and then as a model. */
 async function servesService(url: string, service: string): Promise<boolean> {
   const plain = await get(`${url}/services/${service}/health`);
   const plainBody = await plain.text();
--- a/packages/bench/src/reclaim.ts
+++ b/packages/bench/src/reclaim.ts
@@ -1,4 +1,7 @@
-/** Streams while a failure domain of engines is reclaimed, against plain retry. */
+/**
+ * Compares stream migration with plain retry while a failure domain is
+ * reclaimed.
+ */
 import type {Reclaim} from './reclaim/fleet.js';
 import {replayReclaim} from './reclaim/replay.js';
 
@@ -10,8 +13,8 @@
 };
 
 /**
- * Measures each way in which a failure domain goes, with the same streams for
- * both policies.
+ * Measures each way of losing a failure domain, with the same streams for both
+ * policies.
  *
  * @example
  * const result = await measureReclaim({seed: 1000});
--- a/packages/bench/src/reclaim/fleet.ts
+++ b/packages/bench/src/reclaim/fleet.ts
@@ -1,4 +1,4 @@
-/** Engine models in four failure domains, one of which is reclaimed. */
+/** Simulated engines in four failure domains, one of which is reclaimed. */
 import {setMaxListeners} from 'node:events';
 import {seededRandom, type VirtualClock} from '@skylarkfield/base';
 import type {Engine} from '@skylarkfield/endpoints';
@@ -9,12 +9,12 @@
   type SimulatedEngine,
 } from '@skylarkfield/standins';
 
-/** How a failure domain goes. */
+/** Way in which a failure domain is lost. */
 export type Reclaim =
   | {readonly type: 'notice'; readonly noticeMs: number}
-  /** Processes end; connections break at once. */
+  /** Processes exit; connections break at once. */
   | {readonly type: 'crash'}
-  /** Hosts fall silent; connections stay open and nothing is answered. */
+  /** Hosts stop responding; connections stay open. */
   | {readonly type: 'silence'};
 
 export interface FleetEndpoint {
@@ -23,7 +23,7 @@
   readonly engine: Engine;
   readonly model: SimulatedEngine;
   readonly leaving: AbortController;
-  /** Monotonic milliseconds by which it is gone. */
+  /** Monotonic time at which the endpoint is gone, in milliseconds. */
   goneAt: number | undefined;
 }
 
@@ -32,10 +32,10 @@
 export const RECLAIMED_DOMAIN = 'b';
 
 /**
- * Makes the endpoints of the fleet.
+ * Creates the endpoints of the fleet.
  *
  * @example
- * const fleet = createFleet(clock, 1);
+ * const fleet = createEngineFleet(clock, 1);
  */
 export function createEngineFleet(
   clock: VirtualClock,
@@ -72,7 +72,7 @@
 }
 
 /**
- * Takes the failure domain away, after its notice if it gets one.
+ * Reclaims the failure domain, after the notice period if there is one.
  *
  * @example
  * reclaimDomain(clock, fleet, {type: 'crash'}, markLeaving);
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -1,4 +1,4 @@
-/** Replays streams over a reclaim, on a virtual clock. */
+/** Replays streams during a reclaim on a virtual clock. */
 import {
   decisionLog,
   every,
@@ -29,19 +29,19 @@
   type Reclaim,
 } from './fleet.js';
 
-/** `plain` starts a lost answer again from its first token. */
+/** `plain` restarts an interrupted answer from its first token. */
 export type RetryPolicy = 'plain' | 'skylarkfield';
 
 export interface ReclaimFigures {
   readonly streams: number;
-  /** Streams that had an attempt at a lost engine when it was reclaimed. */
+  /** Streams with an attempt on an engine that was reclaimed. */
   readonly affected: number;
   readonly affectedCompleted: number;
   readonly otherCompleted: number;
-  /** Answers that differ from the right text; has to be 0. */
+  /** Answers that differ from the expected text; must be 0. */
   readonly wrong: number;
   readonly recomputedTokens: number;
-  /** Longest time without a new token that the callers of affected streams saw. */
+  /** Longest time without a new token, over the affected streams. */
   readonly pauseP50Ms: number;
   readonly pauseP95Ms: number;
   readonly pauseMaxMs: number;
@@ -73,7 +73,7 @@
 const FIRST_TOKEN_TIMEOUT_MS = 10_000;
 
 /**
- * Runs streams while a failure domain is taken away.
+ * Runs streams while a failure domain is reclaimed.
  *
  * @example
  * const figures = await replayReclaim('plain', {type: 'crash'}, 1);
@@ -138,7 +138,7 @@
       excluded,
     });
     if (choice === undefined) {
-      throw new Error('no endpoint');
+      throw new Error('the router found no endpoint');
     }
     const endpoint = byId.get(choice.endpoint)!;
     return {
@@ -146,7 +146,7 @@
       url: endpoint.url,
       engine: countRecomputedTokens(stream, endpoint),
       cachedTokens: choice.cachedTokens,
-      // A plain retry learns of a reclaim only from its broken stream.
+      // A plain retry detects a reclaim only by its broken stream.
       leaving:
         policy === 'plain'
           ? new AbortController().signal
@@ -158,7 +158,7 @@
     };
   }
 
-  /** The endpoint's engine, with tokens counted that are computed again. */
+  /** Wraps the endpoint's engine to count recomputed tokens. */
   function countRecomputedTokens(
     stream: StreamState,
     endpoint: FleetEndpoint,
@@ -171,7 +171,7 @@
       for await (const event of engine.generate(request, signal)) {
         if (event.type === 'start') {
           const total = event.promptTokens + request.delivered.length;
-          // An attempt that was refused computed nothing to be done again.
+          // A refused attempt computed nothing that has to be recomputed.
           stream.recomputedTokens += stream.hasStarted
             ? total - event.cachedTokens
             : 0;
--- a/packages/bench/src/replay/admissionReplay.ts
+++ b/packages/bench/src/replay/admissionReplay.ts
@@ -1,4 +1,4 @@
-/** One replay: entries with gates, services with places, callers; everything from one seed. */
+/** Seeded replay of callers, entries with admission gates, and services. */
 import {every, seededRandom} from '@skylarkfield/base';
 import type {Service} from '@skylarkfield/records';
 import {gateFactories, type GateType} from './gates.js';
@@ -12,18 +12,18 @@
   readonly gate: GateType;
   readonly services: readonly ReplayServiceSettings[];
   readonly streams: readonly ArrivalStream[];
-  /** Plans faults before the run starts. */
+  /** Schedules faults before the run starts. */
   scheduleFaults?(
     clock: ReplayClock,
     services: Map<string, ReplayService>,
   ): void;
 }
 
-/** A service with its record and what it can really carry. */
+/** Service with its record and its real capacity. */
 export interface ReplayServiceSettings {
   readonly record: Service;
   readonly slots: number;
-  /** What the endpoints claim to have; the truth when not given. */
+  /** Slots that the endpoints report; default: the real number. */
   readonly reportedSlots?: number;
   readonly meanMs: number;
 }
@@ -33,10 +33,10 @@
   readonly services: ReadonlyMap<string, ReplayService>;
 }
 
-/** Entries that each of the two users has today. */
+/** Number of entries in a fleet of either user. */
 const ENTRY_COUNT = 7;
 
-/** Endpoints report their load this often, and entries hear of it this much later. */
+/** Interval of load reports, and their delay until they reach the entries. */
 const REPORT_INTERVAL_MS = 500;
 const REPORT_LAG_MS = 300;
 
@@ -44,7 +44,9 @@
  * Runs a replay to its end.
  *
  * @example
- * const {outcomes} = await runWorld({seed: 1, seconds: 30, gate: 'aimd', services, streams});
+ * const {outcomes} = await runAdmissionReplay({
+ *   seed: 1, seconds: 30, gate: 'aimd', services, streams,
+ * });
  */
 export async function runAdmissionReplay(
   options: AdmissionReplayOptions,
@@ -101,7 +103,7 @@
   return {outcomes, services};
 }
 
-/** Today's customers: about five, a few large. */
+/** Typical customers and their fraction of the requests. */
 export const defaultCustomers = [
   {name: 'chain', part: 0.45},
   {name: 'studio', part: 0.3},
@@ -111,7 +113,7 @@
 ];
 
 /**
- * The value below which the given fraction of the numbers lies; NaN for none.
+ * Returns the given quantile of the values; NaN for no values.
  *
  * @example
  * quantile([1, 2, 3, 4], 0.5); // 3
@@ -124,7 +126,7 @@
   );
 }
 
-/** A service record for a replay. */
+/** Creates a service record for a replay. */
 export function createServiceRecord(
   name: string,
   limits: Pick<Service, 'concurrency' | 'queue' | 'targetMs' | 'timeoutMs'>,
--- a/packages/bench/src/replay/canary.ts
+++ b/packages/bench/src/replay/canary.ts
@@ -1,9 +1,9 @@
-/** The plain baseline: a canary with fixed steps and fixed thresholds. */
+/** Baseline rollout: a canary with fixed steps and fixed thresholds. */
 import type {EvidenceSum} from '@skylarkfield/protocol';
 import type {Shares} from './moveTraffic.js';
 
 export interface Canary {
-  /** The shares at this part of the move's time; zero for good once it was taken back. */
+  /** Returns the shares at this fraction of the move; zero after a rollback. */
   advance(progress: number): Shares;
   add(sums: readonly EvidenceSum[]): void;
   isRolledBack(): boolean;
@@ -16,14 +16,15 @@
   {from: 0.75, share: 1},
 ];
 
-/** Looks at the sums since the last look this often, as a part of the move's time. */
+/** Interval between threshold checks, as a fraction of the move. */
 const CHECK_INTERVAL = 0.02;
 const MIN_REQUESTS = 50;
 const MAX_ADDED_ERROR_RATE = 0.01;
 const MAX_LATENCY_FACTOR = 1.3;
 
 /**
- * Makes a canary: all routes in one, thresholds on the error rate and on the mean latency.
+ * Creates a canary that checks the error rate and the mean log latency over all
+ * routes together.
  *
  * @example
  * const canary = createCanary();
--- a/packages/bench/src/replay/gates.ts
+++ b/packages/bench/src/replay/gates.ts
@@ -1,4 +1,4 @@
-/** What stands between callers and services in a replay: our admission, or a plain baseline. */
+/** Admission gates of a replay: the admission package and plain baselines. */
 import {
   decisionLog,
   ServingError,
@@ -14,7 +14,7 @@
 } from '@skylarkfield/admission';
 import type {Service} from '@skylarkfield/records';
 
-/** One entry's gate. */
+/** Admission gate of one entry. */
 export interface Gate {
   admit(ask: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
   reportSlots(service: string, slots: number, busy: number): void;
@@ -31,8 +31,8 @@
 
 /**
  * `shared-fifo`: one pool and one queue for all services.
- * `service-fifo`: a pool and a queue for each service, first come first served.
- * The others are the admission package with that limit policy.
+ * `service-fifo`: one pool and one FIFO queue per service.
+ * Others: the admission package with that limit policy.
  */
 export const gateFactories: Readonly<
   Record<GateType, (options: GateOptions) => Gate>
@@ -88,7 +88,10 @@
 
 type FifoPool = (signal: AbortSignal) => Promise<Permit>;
 
-/** The plainest pool: a place, else a bounded queue; whoever gave up is skipped. */
+/**
+ * Creates a concurrency limit with a bounded FIFO queue; skips cancelled
+ * waiters.
+ */
 function createFifoPool(limit: number, queueLimit: number): FifoPool {
   const waiting: {start: () => void; signal: AbortSignal}[] = [];
   let inFlight = 0;
@@ -123,7 +126,10 @@
       waiting.push({start: () => resolve(permit()), signal});
       signal.addEventListener(
         'abort',
-        () => reject(new ServingError('cancelled', 'gave up')),
+        () =>
+          reject(
+            new ServingError('cancelled', 'caller cancelled while queued'),
+          ),
         {once: true},
       );
     });
--- a/packages/bench/src/replay/moveTraffic.ts
+++ b/packages/bench/src/replay/moveTraffic.ts
@@ -1,22 +1,23 @@
-/** Draws a tick's requests of a move, summed by route and version. */
+/** Simulates the requests of a move per tick, summed by route and version. */
 import type {Random} from '@skylarkfield/base';
 import {LATENCY_OFFSET_MS} from '@skylarkfield/moves';
 import type {EvidenceSum} from '@skylarkfield/protocol';
 import type {TrafficMix, MixRoute, Version} from './versions.js';
 
-/** Sigma of log latency of single requests. */
+/** Standard deviation of the log latency of single requests. */
 const LATENCY_SIGMA = 0.5;
 
-/** Load swings this often during a move, between these fractions. */
+/** Load cycles per move, and the range of the load. */
 const LOAD_CYCLES = 6;
 const MIN_LOAD = 0.25;
 const MAX_LOAD = 0.95;
+/** Load at which faults under load become active. */
 const LOAD_FAULT_THRESHOLD = 0.8;
 
-/** Latency rises by this factor from no load to full load, for both versions. */
+/** Latency factor from no load to full load, for both versions. */
 const FULL_LOAD_LATENCY_FACTOR = 1.6;
 
-/** Both versions fail and slow this much while something else is ill. */
+/** Error rate and latency factor of both versions during a shared fault. */
 const SHARED_FAULT_ERROR_RATE = 0.3;
 const SHARED_FAULT_LATENCY_FACTOR = 3;
 const SHARED_FAULT_START = 0.3;
@@ -30,15 +31,16 @@
 
 export interface Tick {
   readonly sums: readonly EvidenceSum[];
-  /** Requests that the candidate got where its fault shows. */
+  /** Requests to the candidate while and where its fault is active. */
   readonly badRequests: number;
 }
 
 /**
- * Draws the requests of one tick at the given part of the move's time.
+ * Draws the requests of one tick at the given fraction of the move.
  *
  * @example
- * const {sums} = drawTick(mix, version, {share: 0.01, orderShare: 0}, 0.2, 5, random);
+ * const shares = {share: 0.01, orderShare: 0};
+ * const {sums} = drawTick(mix, version, shares, 0.2, 5, random);
  */
 export function drawTick(
   mix: TrafficMix,
@@ -151,7 +153,7 @@
   return radius * Math.cos(2 * Math.PI * random.next());
 }
 
-/** Above this mean the normal approximation is used. */
+/** Largest mean sampled exactly; above it, the normal approximation is used. */
 const MAX_EXACT_MEAN = 30;
 
 function poisson(mean: number, random: Random): number {
@@ -183,7 +185,7 @@
   if (probability > 0.5) {
     return count - binomial(count, 1 - probability, random);
   }
-  // Geometric gaps between successes: work in proportion to the mean, not the count.
+  // Draws geometric gaps between successes: O(mean) instead of O(count).
   const logFailureProbability = Math.log(1 - probability);
   let position = -1;
   let successes = 0;
--- a/packages/bench/src/replay/replayClock.ts
+++ b/packages/bench/src/replay/replayClock.ts
@@ -1,8 +1,10 @@
-/** A virtual clock with a heap of timers, for replays with many requests at once. */
+/**
+ * Virtual clock with a timer heap, for replays with many concurrent requests.
+ */
 import {toDisposable, type Clock} from '@skylarkfield/base';
 
 export interface ReplayClock extends Clock {
-  /** Runs every timer due by the given time, letting promises settle in between. */
+  /** Runs every timer due by the given time, with microtasks in between. */
   run(untilMs: number): Promise<void>;
 }
 
@@ -12,11 +14,11 @@
   callback: (() => void) | undefined;
 }
 
-/** Microtask rounds after each timer: more than any chain of awaits in a replay. */
+/** Microtask rounds after each timer: more than any await chain in a replay. */
 const MICROTASK_ROUNDS = 8;
 
 /**
- * Makes a replay clock that starts at 0.
+ * Creates a replay clock that starts at 0.
  *
  * @example
  * const clock = createReplayClock();
--- a/packages/bench/src/replay/replayService.ts
+++ b/packages/bench/src/replay/replayService.ts
@@ -1,17 +1,17 @@
-/** A service as a replay sees it: places, a queue of its own, and faults. */
+/** Simulated service with slots, a queue and faults. */
 import type {Clock, Random} from '@skylarkfield/base';
 
 export type ServiceFault = 'none' | 'hung' | 'slow' | 'failing';
 
 export interface ReplayService {
-  /** Starts or queues work; `done` is called once unless the work was cancelled. */
+  /** Starts or queues a job; calls `done` once unless the job is cancelled. */
   run(cost: number, done: (isOk: boolean) => void): {cancel(): void};
   setFault(fault: ServiceFault): void;
   setSlots(slots: number): void;
   slots(): number;
-  /** Running and waiting here. */
+  /** Returns the number of running and queued jobs. */
   busy(): number;
-  /** Milliseconds of work done so far, and how much of it was for callers that had gone. */
+  /** Returns the milliseconds of work, in total and for cancelled jobs. */
   work(): {readonly doneMs: number; readonly wastedMs: number};
 }
 
@@ -24,11 +24,11 @@
 const SLOW_FACTOR = 10;
 const FAILURE_MS = 3;
 
-/** Spread of service times: sigma of the logarithm. */
+/** Standard deviation of the logarithm of service times. */
 const SERVICE_TIME_SIGMA = 0.4;
 
 /**
- * Makes a service with the given places and mean time per request of cost 1.
+ * Creates a service with the given slots and mean time per job of cost 1.
  *
  * @example
  * const service = createReplayService(clock, random, 28, 100);
--- a/packages/bench/src/replay/traffic.ts
+++ b/packages/bench/src/replay/traffic.ts
@@ -1,4 +1,4 @@
-/** Callers of a replay: arrivals, customers, urgencies, and how each request ended. */
+/** Simulated callers: arrivals, customers, urgencies and request results. */
 import {
   isServingError,
   seededRandom,
@@ -9,11 +9,11 @@
 import type {Gate} from './gates.js';
 import type {ReplayService} from './replayService.js';
 
-/** Requests for one service. */
+/** Arrival process of one service. */
 export interface ArrivalStream {
   readonly service: string;
   readonly perSecond: number;
-  /** Multiplies the rate while it returns more than 1. */
+  /** Returns the factor on the arrival rate at the given time. */
   rateFactor(nowMs: number): number;
   readonly timeoutMs: number;
   readonly customers: readonly {readonly name: string; readonly part: number}[];
@@ -23,7 +23,7 @@
   }[];
 }
 
-/** How one request ended. */
+/** Result of one request. */
 export interface Outcome {
   readonly service: string;
   readonly customer: string;
@@ -31,7 +31,7 @@
   readonly arrivedMs: number;
   readonly latencyMs: number;
   readonly result: 'ok' | 'failed' | 'late' | 'refused';
-  /** Time until the refusal, for those refused. */
+  /** Time of admission; undefined for requests that were not admitted. */
   readonly startedMs: number | undefined;
 }
 
@@ -45,18 +45,18 @@
   record(outcome: Outcome): void;
 }
 
-/** Part of the requests that go to the entry that their customer's lookups prefer. */
+/** Probability that a request goes to the preferred entry of its customer. */
 const AFFINITY_PROBABILITY = 0.6;
 
 /**
- * Starts the arrivals; they go on with the clock until the given time.
+ * Starts arrivals that continue until `untilMs`.
  *
  * @example
  * startTraffic({clock, seed, untilMs, gates, services, streams, record});
  */
 export function startTraffic(options: TrafficOptions) {
   for (const [index, stream] of options.streams.entries()) {
-    // Own random numbers for each stream keep its arrivals alike in runs that differ elsewhere.
+    // One generator per stream keeps arrivals equal between different runs.
     startStream(options, stream, seededRandom(options.seed * 101 + index));
   }
 }
--- a/packages/bench/src/replay/versions.ts
+++ b/packages/bench/src/replay/versions.ts
@@ -1,17 +1,17 @@
-/** Seeded versions, good and bad in every way that matters, and users' traffic mixes. */
+/** Simulated good and bad versions, and traffic mixes of services. */
 import type {Random} from '@skylarkfield/base';
 
-/** One route of a mix. */
+/** One route of a traffic mix. */
 export interface MixRoute {
   readonly name: string;
-  /** Part of the requests. */
+  /** Fraction of the requests. */
   readonly part: number;
   readonly isOrder: boolean;
   readonly errorRate: number;
   readonly medianMs: number;
 }
 
-/** One service's traffic and the time that its moves get. */
+/** Traffic of one service and the duration of its moves. */
 export interface TrafficMix {
   readonly name: string;
   readonly perSecond: number;
@@ -77,7 +77,7 @@
   | 'slow on one route'
   | 'hanging';
 
-/** Half of the versions are good, as most versions are. */
+/** Kinds with weights that sum to 100; about half of the versions are good. */
 export const kinds: readonly {
   readonly kind: VersionKind;
   readonly part: number;
@@ -96,29 +96,29 @@
   {kind: 'hanging', part: 6},
 ];
 
-/** What is wrong with a version. */
+/** Simulated version and its fault. */
 export interface Version {
   readonly kind: VersionKind;
   readonly isBad: boolean;
-  /** Factor on the error rate and on the latency where the fault shows. */
+  /** Factors on the error rate and the latency while the fault is active. */
   readonly errorFactor: number;
   readonly latencyFactor: number;
-  /** Part of the move's time after which the fault shows. */
+  /** Fraction of the move after which the fault is active. */
   readonly onset: number;
   readonly isUnderLoadOnly: boolean;
-  /** The only route with the fault; undefined for all. */
+  /** The only route with the fault; undefined when all have it. */
   readonly route: string | undefined;
 }
 
-/** Effects from just bad enough to gross. */
+/** Fault magnitudes from barely relevant to severe. */
 const ERROR_FACTORS = [2, 2.5, 4, 10, 50, 200];
 const LATENCY_FACTORS = [1.5, 1.7, 2, 4, 10];
 
-/** Latest onset of a fault that comes late, as a part of the move's time. */
-const MAX_ONSET_RANGE = 0.8;
+/** Range of the onset of a late fault, as a fraction of the move. */
+const ONSET_RANGE = 0.8;
 
 /**
- * Draws one version of a kind.
+ * Draws a version of the given kind.
  *
  * @example
  * const version = drawVersion('slow later', mix, random);
@@ -141,7 +141,7 @@
         ? pick(ERROR_FACTORS, random)
         : 1,
     latencyFactor: isSlow ? pick(LATENCY_FACTORS, random) : 1,
-    onset: kind.endsWith('later') ? 0.02 + random.next() * MAX_ONSET_RANGE : 0,
+    onset: kind.endsWith('later') ? 0.02 + random.next() * ONSET_RANGE : 0,
     isUnderLoadOnly: kind.endsWith('under load'),
     route: kind.endsWith('one route')
       ? random.pick(mix.routes)?.name
--- a/packages/bench/src/routing.ts
+++ b/packages/bench/src/routing.ts
@@ -1,4 +1,4 @@
-/** Tokens computed again and first-token latency by routing policy. */
+/** Compares recomputed tokens and first-token latency of routing policies. */
 import {quantileSorted} from 'simple-statistics';
 import {policies, type PolicyName} from './routing/policies.js';
 import {replayWorkload, type RoutingReplayResult} from './routing/replay.js';
@@ -7,22 +7,24 @@
 
 const DEFAULT_SECONDS = 90;
 
-/** One policy's figures on one workload. */
+/** Results of one policy on one workload. */
 interface PolicyFigures {
   readonly requests: number;
   readonly prefilledTokens: number;
-  /** Tokens computed although they had been computed before, at any replica. */
+  /** Tokens computed although some replica had computed them before. */
   readonly recomputedTokens: number;
-  /** Prompt tokens found in caches, as a share of what an unlimited cache would find. */
+  /**
+   * Cached prompt tokens as a fraction of those an unlimited cache would hold.
+   */
   readonly shareOfBound: number;
   readonly firstTokenP50Ms: number;
   readonly firstTokenP95Ms: number;
-  /** Requests at the busiest replica relative to the mean. */
+  /** Requests of the busiest replica relative to the mean. */
   readonly busiest: number;
 }
 
 /**
- * Measures every policy on both users' workloads, the same sessions for each.
+ * Measures every policy on both workloads, with the same sessions for each.
  *
  * @example
  * const result = await measureRouting({seed: 101});
--- a/packages/bench/src/routing/decisionTime.ts
+++ b/packages/bench/src/routing/decisionTime.ts
@@ -1,4 +1,4 @@
-/** Processor time of one routing decision as the number of replicas grows. */
+/** Measures the processor time of a routing decision as replicas grow. */
 import {
   decisionLog,
   seededRandom,
@@ -10,7 +10,7 @@
 
 export interface DecisionTime {
   readonly replicas: number;
-  /** Replicas that the entry uses of these. */
+  /** Replicas assigned to the entry. */
   readonly held: number;
   readonly microseconds: number;
 }
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -1,4 +1,4 @@
-/** Ways of choosing an endpoint, the plain ones to compare with. */
+/** Routing policies: the router and plain baselines. */
 import {
   decisionLog,
   silentLogger,
@@ -15,7 +15,7 @@
   type RouteWeights,
 } from '@skylarkfield/routing';
 
-/** One entry's way of choosing. */
+/** Routing policy of one entry. */
 export interface Policy {
   choose(routingRequest: RoutingRequest): Choice;
   reportLoad(endpoint: string, report: LoadReport): void;
@@ -29,7 +29,7 @@
   readonly self: string;
   readonly failureDomain: string;
   readonly endpoints: readonly Candidate[];
-  /** Blocks that all callers share, for prefix hashing. */
+  /** Number of prompt blocks that all callers share, for prefix hashing. */
   readonly sharedBlocks: number;
   readonly weights?: Partial<RouteWeights>;
 }
@@ -62,7 +62,7 @@
   };
 }
 
-/** Last reported load plus what this entry has sent since the report came. */
+/** Chooses by last reported load plus the requests sent since that report. */
 function leastLoaded(options: PolicyOptions): Policy {
   const {random} = options;
   const ids = options.endpoints.map(({id}) => id);
@@ -81,7 +81,7 @@
   };
 }
 
-/** Hash of a prompt's start, reaching just past what all callers share. */
+/** Hashes a prompt up to the first block that not all callers share. */
 function prefixHash(options: PolicyOptions): Policy {
   const ids = options.endpoints.map(({id}) => id);
   return {
--- a/packages/bench/src/routing/replay.ts
+++ b/packages/bench/src/routing/replay.ts
@@ -1,4 +1,4 @@
-/** Replays a workload against engine models on a virtual clock. */
+/** Replays a workload against simulated engines on a virtual clock. */
 import {
   every,
   seededRandom,
@@ -37,7 +37,7 @@
   readonly seconds: number;
   readonly weights?: Partial<RouteWeights>;
   readonly costs?: Partial<EngineCosts>;
-  /** Factor on the rate of sessions. */
+  /** Factor on the session arrival rate. */
   readonly rate?: number;
 }
 
@@ -45,10 +45,10 @@
   readonly requests: number;
   readonly promptTokens: number;
   readonly prefilledTokens: number;
-  /** Tokens that a single cache without limit would have had to compute. */
+  /** Lower bound of computed tokens, reached by one unlimited shared cache. */
   readonly boundTokens: number;
   readonly firstTokenMs: readonly number[];
-  /** Requests per replica relative to the mean, the busiest one. */
+  /** Requests of the busiest replica relative to the mean. */
   readonly busiest: number;
 }
 
@@ -56,19 +56,21 @@
 const FAILURE_DOMAINS = ['a', 'b', 'c', 'd'];
 const LOAD_POLL_MS = 750;
 const CACHE_POLL_MS = 1000;
-/** Probability that a caller asks another entry for its next turn. */
+/** Probability that a caller switches to a random entry for its next turn. */
 const ENTRY_CHANGE_PROBABILITY = 0.3;
 const CACHE_EVENT_LOSS = 0.03;
-/** Results of the first part of a run, while caches fill, are left out. */
+/** Fraction of a run that is not counted because caches are still cold. */
 const WARM_UP_FRACTION = 0.2;
 const MAX_DRAIN_STEPS = 600;
 
 /**
- * Runs one policy over one workload. Two policies with one seed get the same
+ * Runs one policy over one workload. Runs with the same seed have the same
  * sessions.
  *
  * @example
- * const result = replay({workload, policy: 'roundRobin', seed: 1, seconds: 60});
+ * const result = replayWorkload({
+ *   workload, policy: 'roundRobin', seed: 1, seconds: 60,
+ * });
  */
 export function replayWorkload(
   options: RoutingReplayOptions,
@@ -93,7 +95,7 @@
   let openRequests = 0;
   let attempts = 0;
 
-  /** Tokens of a prompt that nobody had computed before. */
+  /** Returns the tokens of a prompt that no replica has computed before. */
   function countUnseenTokens(
     blocks: readonly string[],
     tokens: number,
@@ -281,7 +283,7 @@
   );
 }
 
-/** Each entry asks each engine at its own times, as processes without a common clock do. */
+/** Polls the engines at a different phase for each entry. */
 function startPolling(
   clock: VirtualClock,
   engines: ReadonlyMap<string, SimulatedEngine>,
--- a/packages/bench/src/routing/workloads.ts
+++ b/packages/bench/src/routing/workloads.ts
@@ -1,39 +1,39 @@
-/** Multi-turn requests like those of the two users, drawn from a seed. */
+/** Seeded multi-turn workloads modelled on the two users. */
 import {hash32, seededRandom, type Random} from '@skylarkfield/base';
 
-/** One user's model pool and its callers. */
+/** Model pool and callers of one user. */
 export interface Workload {
   readonly name: 'namu' | 'sahakarana';
   readonly replicas: number;
-  /** New sessions a second over all customers. */
+  /** New sessions per second over all customers. */
   readonly sessionsPerSecond: number;
-  /** Shares of the customers, a few of them large. */
+  /** Fraction of the sessions by customer. */
   readonly customerShares: readonly number[];
-  /** Blocks from the start of a prompt after which it is no longer shared by all callers. */
+  /** Length in blocks of the prompt prefix that all callers share. */
   readonly sharedBlocks: number;
   /** Draws a session of a customer. */
   session(customer: number, random: Random): Session;
 }
 
-/** A caller's conversation: each turn adds the answer and a question. */
+/** Conversation whose prompt grows by an answer and a question per turn. */
 export interface Session {
   readonly prompt: string;
   readonly turns: readonly Turn[];
 }
 
 export interface Turn {
-  /** What the caller adds after the previous answer. */
+  /** Text that the caller appends to the previous answer. */
   readonly question: string;
   readonly maxTokens: number;
-  /** Milliseconds from the previous answer's end. */
+  /** Milliseconds after the end of the previous answer. */
   readonly thinkMs: number;
 }
 
 /**
- * Distinct words of one text, the same for the same name.
+ * Returns distinct words that depend only on the name.
  *
  * @example
- * words('a', 2); // 'a.0 a.1'
+ * distinctWords('a', 2); // 'a.0 a.1'
  */
 export function distinctWords(name: string, count: number): string {
   return Array.from({length: count}, (_, index) => `${name}.${index}`).join(
@@ -58,7 +58,9 @@
   }));
 }
 
-/** Draws an index with weight falling as 1/(rank + 1): some histories are asked about far more. */
+/**
+ * Draws an index with weight 1/(rank + 1), as few histories get most requests.
+ */
 function drawZipfRank(random: Random, count: number): number {
   const total = Array.from({length: count}, (_, i) => 1 / (i + 1)).reduce(
     (a, b) => a + b,
@@ -80,7 +82,7 @@
 
 const CUSTOMER_SHARES = [0.42, 0.28, 0.15, 0.1, 0.05];
 
-/** Image matching: a shared prompt and catalogue, then a photo seen nowhere else. */
+/** Image matching: a shared prompt and catalogue, then a unique photo. */
 const namu: Workload = {
   name: 'namu',
   replicas: 6,
@@ -103,7 +105,7 @@
   },
 };
 
-/** Long worker histories, asked about again and again by few customers. */
+/** Long worker histories, queried repeatedly by few customers. */
 const sahakarana: Workload = {
   name: 'sahakarana',
   replicas: 8,
@@ -113,7 +115,7 @@
   session(customer, random) {
     const crews = Math.round(20 + 80 * (CUSTOMER_SHARES[customer] ?? 0));
     const crew = `crew${customer}-${drawZipfRank(random, crews)}`;
-    // The same history each time: its length follows from its name.
+    // The length depends on the name only, so that the history is the same.
     const lengths = seededRandom(hash32(crew));
     const prompt = [
       distinctWords('system', 192),
@@ -131,7 +133,7 @@
 export const workloads: readonly Workload[] = [namu, sahakarana];
 
 /**
- * Draws a customer by the workload's shares.
+ * Draws a customer by the workload's customer shares.
  *
  * @example
  * const customer = drawCustomer(workload, random);
--- a/packages/bench/src/shedding.ts
+++ b/packages/bench/src/shedding.ts
@@ -1,24 +1,24 @@
 /**
- * `shedding`: engines that are suddenly offered twice what they can read, for
- * several profiles; what callers get when entries refuse at once what can't be
- * answered in their time, and when they send everything.
+ * `shedding`: load on engines rises to twice their prompt capacity. Compares,
+ * for several engine profiles, the results of requests when entries refuse at
+ * once those that would miss their deadline and when they send all of them.
  */
 import {ENGINE_PROFILES} from './engines/profiles.js';
 import {replayEngines, type ReplayOutcome} from './engines/engineReplay.js';
 import type {MeasureOptions} from './measurements.js';
 
 const DEFAULT_SECONDS = 24;
-/** Load and second at which it comes; before, entries learn at the usual one. */
+/** Load until `OVERLOAD_START_SECOND`, while entries estimate engine speed. */
 const BASELINE_LOAD = 0.4;
 const OVERLOAD = 2;
 const OVERLOAD_START_SECOND = 12;
 const ENGINES = 4;
 const ENTRIES = 4;
-/** Faster engines open so many requests under overload that a run takes minutes. */
+/** Faster engines have so many open requests that a run takes minutes. */
 const MIN_TOKEN_MS = 1 / 40;
 
 /**
- * Runs the measurement.
+ * Measures each profile with and without load shedding.
  *
  * @example
  * const report = await measureShedding({seed: 1000});
--- a/packages/bench/src/slopes.ts
+++ b/packages/bench/src/slopes.ts
@@ -1,7 +1,6 @@
 /**
- * Slopes for the capacity page: what control costs one process as entries,
- * replicas and changes grow. Each part is a plain function; the page's script
- * reads the object that this returns.
+ * `slopes`: cost of control traffic per process as entries, replicas and
+ * changes grow. The script of the capacity page reads the returned object.
  */
 import type {MeasureOptions} from './measurements.js';
 import {measureIdleEntries} from './slopes/idleEntry.js';
@@ -14,9 +13,9 @@
 import {measureSockets} from './slopes/socketSlopes.js';
 
 const ENTRY_COUNTS = [7, 25, 100, 300] as const;
-/** Members simulated for a lost failure domain. */
+/** Entries simulated for the loss of a failure domain. */
 const DOMAIN_LOSS_ENTRIES = 100;
-/** With this many seconds or more the largest size is measured as well. */
+/** Runs of at least this many seconds also measure the largest count. */
 const LARGE_COUNT_MIN_SECONDS = 120;
 const LARGE_ENTRY_COUNT = 600;
 
--- a/packages/bench/src/slopes/heap.ts
+++ b/packages/bench/src/slopes/heap.ts
@@ -1,4 +1,4 @@
-/** Heap in use after a collection. */
+/** Memory use after garbage collection. */
 import v8 from 'node:v8';
 import vm from 'node:vm';
 
@@ -6,7 +6,7 @@
 const collectGarbage = vm.runInNewContext('gc') as () => void;
 
 /**
- * Collects garbage and reads the heap in use, in bytes.
+ * Collects garbage and returns the used heap in bytes.
  *
  * @example
  * const before = collectedHeapBytes();
@@ -17,7 +17,7 @@
 }
 
 /**
- * Collects garbage and reads the memory of the process, in bytes.
+ * Collects garbage and returns the resident set size in bytes.
  *
  * @example
  * const before = collectedResidentBytes();
--- a/packages/bench/src/slopes/idleEntry.ts
+++ b/packages/bench/src/slopes/idleEntry.ts
@@ -1,4 +1,4 @@
-/** What a real entry process spends when nobody calls: the fixed part of each role. */
+/** Measures the resource use of real entry processes without calls. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {
   putTrialRecords,
@@ -34,7 +34,7 @@
 
 /**
  * Measures seven entries with four endpoints over some idle seconds; returns
- * the mean per entry.
+ * the mean per entry, and the maximum for memory.
  *
  * @example
  * const {residentBytes} = await measureIdleEntries();
--- a/packages/bench/src/slopes/memberCluster.ts
+++ b/packages/bench/src/slopes/memberCluster.ts
@@ -1,4 +1,4 @@
-/** Many entries' memberships in this process, on a virtual clock and the memory network. */
+/** Memberships of many entries on a virtual clock and an in-process network. */
 import {
   decisionLog,
   hash32,
@@ -13,7 +13,7 @@
 const FAILURE_DOMAINS = 10;
 
 /**
- * Makes a cluster of simulated entries spread over ten failure domains.
+ * Creates a cluster of simulated entries in ten failure domains.
  *
  * @example
  * const cluster = createMemberCluster(1, 100);
@@ -47,7 +47,7 @@
       store: platform.client(id),
       network: peer.network,
       clock: peer.clock,
-      // Neighbouring small seeds give nearly the same first numbers.
+      // Consecutive small seeds give nearly the same first numbers.
       random: seededRandom(hash32(`${seed}/${incarnation}`)),
       log: silentLogger(),
       decisions,
@@ -71,7 +71,7 @@
       net.crash(id);
       members.delete(id);
     },
-    /** Members that list exactly those that run. */
+    /** Returns the number of members that list exactly the running ones. */
     countAgreeing(): number {
       const expected = members.size;
       return [...members.values()].filter(
@@ -80,7 +80,7 @@
           membership.live().every(member => members.has(member.id)),
       ).length;
     },
-    /** Members that still offer one of these. */
+    /** Returns the number of members that still list one of these ids. */
     countListing(ids: ReadonlySet<string>): number {
       return [...members.values()].filter(membership =>
         membership.live().some(member => ids.has(member.id)),
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -1,20 +1,20 @@
-/** What membership costs one entry as the entries grow, and how fast it notices. */
+/** Measures the membership cost per entry and the failure detection time. */
 import {collectedHeapBytes} from './heap.js';
 import {createMemberCluster, type MemberCluster} from './memberCluster.js';
 
 export interface MemberSlope {
   readonly entries: number;
   readonly neighbours: number;
-  /** Per entry and second, sent and received together, with nothing happening. */
+  /** Per entry and second, sent and received, without membership changes. */
   readonly messages: number;
   readonly bytes: number;
-  /** Microseconds a second per entry, cost of the simulation included. */
+  /** Microseconds per second and entry, including the simulation. */
   readonly cpuMicros: number;
-  /** Heap per entry with all it knows. */
+  /** Heap per entry, including its member list. */
   readonly heapBytes: number;
-  /** Bytes per entry, both ways, that one crash and one start add. */
+  /** Bytes per entry, sent and received, for one crash and one start. */
   readonly bytesPerChange: number;
-  /** From a kill until the first and the last entry stop offering it. */
+  /** Time from a crash until the first and the last entry remove the member. */
   readonly firstNoticeMs: number;
   readonly lastNoticeMs: number;
 }
@@ -24,7 +24,7 @@
 const STEP_MS = 250;
 const CHANGE_WINDOW_MS = 20_000;
 
-/** Runs until all agree and no news is left to spread. */
+/** Runs until all members agree and no gossip is pending. */
 async function settle(cluster: MemberCluster): Promise<void> {
   for (let ms = 0; ms < SETTLE_TIMEOUT_MS; ms += 1_000) {
     await cluster.clock.advance(1_000);
@@ -35,12 +35,12 @@
       return;
     }
   }
-  throw new Error('the members did not settle');
+  throw new Error('the members did not converge in time');
 }
 
 interface MembershipDump {
   readonly neighbours: readonly string[];
-  /** News still to be passed on. */
+  /** Pending membership updates. */
   readonly gossip: number;
 }
 
@@ -75,7 +75,7 @@
   };
 }
 
-/** Kills one and measures who notices when, and what the news costs. */
+/** Crashes one entry; measures its detection and the bytes of the change. */
 async function measureChange(cluster: MemberCluster, steadyBytes: number) {
   const {net, clock, members} = cluster;
   const id = cluster.random.pick([...members.keys()])!;
@@ -90,7 +90,7 @@
   return {...detection, bytesPerChange: Math.max(0, bytes - steady)};
 }
 
-/** Runs until no entry offers the given ones, or the window ends. */
+/** Runs until no entry lists the given ids, or until the limit. */
 export async function measureDetectionTimes(
   cluster: MemberCluster,
   lostIds: ReadonlySet<string>,
@@ -112,7 +112,7 @@
 }
 
 /**
- * Measures one size.
+ * Measures a cluster with the given number of entries.
  *
  * @example
  * const slope = await measureMembers(1, 100);
@@ -141,8 +141,8 @@
 }
 
 /**
- * Loses a failure domain at once: how long until nobody offers any of it, and
- * the busiest second of an entry meanwhile.
+ * Crashes a failure domain; measures the time until no entry lists any of it
+ * and the bytes of the busiest second per entry until then.
  *
  * @example
  * const loss = await measureDomainLoss(1, 100);
@@ -176,8 +176,8 @@
 }
 
 /**
- * Counts live entries that others wrongly took out, under loss of a tenth of
- * all messages and short pauses of single processes.
+ * Counts suspicions and removals of live entries, with 10 % message loss and
+ * short pauses of single processes.
  *
  * @example
  * const {suspicions, wronglyGone} = await measureFalseAlarms(1, 25);
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -1,8 +1,9 @@
 /**
- * What owning one shard of the order ledger costs as its orders grow: two
- * ledgers over the memory platform on a virtual clock for longer than the dedupe window, all
- * orders forwarded to the owner by the real codec. Processor time includes the
- * forwarding entry, the platform and the simulation: it is an upper bound.
+ * `orderOwner`: cost of owning one shard of the order ledger as orders grow.
+ * Two ledgers run on a virtual clock for longer than the dedupe window, and all
+ * orders are forwarded to the owner by the real codec. Processor time is an
+ * upper bound: it includes the forwarding entry, the platform and the
+ * simulation.
  */
 import {
   seededRandom,
@@ -19,17 +20,17 @@
 import {startLedgers, type LedgerFleet} from '../orderLedgers.js';
 import {collectedHeapBytes} from './heap.js';
 
-/** Orders per second of one shard. */
+/** Orders per second and shard. */
 const RATES = [0.1, 0.3, 1] as const;
 const DEDUPE_WINDOW_SECONDS = 3_600;
-/** The shard is full of keys before the measured span starts. */
+/** Measured time, which starts when the shard holds a full window of keys. */
 const MEASURED_SECONDS = 600;
 const PLATFORM_DELAY_MS = 4;
 const TIMEOUT_MS = 10_000;
 const BODY_BYTES = 200;
 
 /**
- * Measures an owner at each rate.
+ * Measures the owner at each order rate.
  *
  * @example
  * const {owners} = await measureOrderOwners({seed: 1});
@@ -90,7 +91,7 @@
     refused,
     stateBytes: owner === undefined ? 0 : shardOf(owner).bytes,
     entries: owner === undefined ? 0 : shardOf(owner).entries,
-    // What one end sends the other receives: the owner has half of all ends.
+    // Bytes sent by both entries equal those sent and received by the owner.
     messages: perSecond(traffic.messagesSent - before.traffic.messagesSent),
     bytes: perSecond(traffic.bytesSent - before.traffic.bytesSent),
     platformWrites: perSecond(memory.load().writes - before.writes),
@@ -102,9 +103,9 @@
 }
 
 /**
- * Heap that a shard's state takes at an owner that has just taken it over. The
- * heap of the first owner would not tell: the platform beside it keeps every
- * version written.
+ * Measures the heap of a shard's state at an owner that has just taken it over.
+ * The heap of the first owner is no measure, since the in-process platform
+ * keeps every written version.
  */
 async function measureTakeoverHeap(
   clock: VirtualClock,
@@ -132,7 +133,7 @@
   return {status: 201, headers: {}, body: new Uint8Array(BODY_BYTES)};
 };
 
-/** Offers orders evenly; returns how many were not answered with a reply. */
+/** Sends orders at a constant rate; returns how many failed. */
 async function offerOrders(
   clock: VirtualClock,
   fleet: LedgerFleet,
@@ -167,7 +168,9 @@
   return shardOf(ledger).state === 'owned';
 }
 
-/** The platform as over the wire: reads are copies, and written bytes are counted. */
+/**
+ * Wraps the platform so that reads are copies and written bytes are counted.
+ */
 function withWireCopies(
   memory: MemoryPlatform,
   written: {bytes: number},
@@ -178,7 +181,7 @@
       const client = memory.client(name);
       return {
         ...client,
-        // Without a copy a ledger would share its entries with the platform, and its heap be told too small.
+        // Sharing entries with the platform would hide heap of the ledger.
         async get<T>(kind: string, object: string, signal?: AbortSignal) {
           const stored = await client.get<T>(kind, object, signal);
           const text = JSON.stringify(stored);
--- a/packages/bench/src/slopes/replicaSlopes.ts
+++ b/packages/bench/src/slopes/replicaSlopes.ts
@@ -1,4 +1,4 @@
-/** What knowing replicas and records costs an entry, by unit. */
+/** Measures the cost per replica and per record for an entry. */
 import net, {type AddressInfo, type Socket} from 'node:net';
 import {createHttpEngine} from '@skylarkfield/endpoints';
 import type {ListedEndpoint} from '@skylarkfield/providers';
@@ -7,11 +7,11 @@
 
 const POLLS = 1_000;
 const LISTED_ENDPOINTS = 200;
-/** Buckets of a record digest, as the records package makes it. */
+/** Number of buckets of a record digest in the records package. */
 const DIGEST_BUCKETS = 16;
 const BUCKET_HASH = 0xfedc_ba98;
 
-/** Passes bytes on to a port and counts them, both ways. */
+/** Starts a TCP proxy that counts the bytes in both directions. */
 async function startCountingProxy(target: number) {
   let bytes = 0;
   const sockets = new Set<Socket>();
@@ -42,8 +42,8 @@
 }
 
 /**
- * Measures one load report of an engine: bytes both ways, and processor time of
- * the asking and the answering side together.
+ * Measures one load poll of an engine: bytes in both directions, and processor
+ * time of client and server together.
  *
  * @example
  * const {bytesPerPoll} = await measureLoadPolls();
@@ -84,10 +84,10 @@
 }
 
 /**
- * Sizes of messages and list items, by the real codecs.
+ * Returns the encoded sizes of messages and list items.
  *
  * @example
- * const {recordBytes} = measureSizes();
+ * const {recordBytes} = measureEncodedSizes();
  */
 export function measureEncodedSizes() {
   return {
@@ -121,7 +121,7 @@
   return encodeFrame({type, requestId: 0, body}).length;
 }
 
-/** A service with two routes: of the record kinds the one with the most fields. */
+/** Creates a service record, the record kind with the most fields. */
 function exampleRecord() {
   const route = {method: 'POST', pathPrefix: '/v1/shifts', isIdempotent: false};
   return {
--- a/packages/bench/src/slopes/socketSlopes.ts
+++ b/packages/bench/src/slopes/socketSlopes.ts
@@ -1,4 +1,4 @@
-/** What a message and a connection cost over real sockets on loopback. */
+/** Measures the cost of messages and connections on loopback sockets. */
 import {seededRandom, silentLogger, systemClock} from '@skylarkfield/base';
 import {createPeerNetwork, type PeerAddress} from '@skylarkfield/protocol';
 import {collectedResidentBytes} from './heap.js';
@@ -26,8 +26,8 @@
 }
 
 /**
- * Measures processor time per message (sent, carried and received) and memory
- * per end of a connection.
+ * Measures processor time per message (sent, transferred and received) and
+ * memory per connection end.
  *
  * @example
  * const {cpuMicrosPerMessage} = await measureSockets();
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -1,9 +1,9 @@
 /**
- * How fast a record is in force on every entry as entries grow, and what it
- * costs the platform: with its watches working, with the platform cut off from
- * all entries but one, and against the plainest baseline, a watch at every
- * entry. Entries, network and platform live in this process, with a simulated
- * delay of 1 ms between entries and 4 ms to the platform on the real clock.
+ * `spread`: time until a record is in force on every entry, and platform load,
+ * as entries grow: with working watches, with the platform reachable from only
+ * one entry, and with the baseline of a watch at every entry. Entries, network
+ * and platform run in this process on the real clock, with a simulated delay of
+ * 1 ms between entries and 4 ms to the platform.
  */
 import {seededRandom, sleep, systemClock, type Clock} from '@skylarkfield/base';
 import {createMemoryPlatform} from '@skylarkfield/providers';
@@ -12,7 +12,7 @@
 
 const SIZES = [7, 25, 100, 300];
 const DEFAULT_SECONDS = 24;
-/** What the target asks for, in milliseconds. */
+/** Target for the time until a record is in force everywhere. */
 const TARGET_MS = 2000;
 const POLL_MS = 2;
 const CONDITION_TIMEOUT_MS = 5_000;
@@ -26,28 +26,28 @@
   readonly entries: number;
   readonly mode: Mode | 'baseline: a watch at every entry';
   readonly rounds: number;
-  /** Milliseconds from the operator's write until the last entry has it. */
+  /** Milliseconds from the operator's write until the last entry applies it. */
   readonly inForceP50Ms: number;
   readonly inForceMaxMs: number;
-  /** Milliseconds until the status says so; -1 when it was not reached. */
+  /** Milliseconds until the status is `in-force`; -1 when it never was. */
   readonly statusMaxMs: number;
   readonly missed: number;
   readonly openWatches: number;
-  /** Calls in an idle second, each waiting watch counted as one. */
+  /** Platform calls per idle second; each open watch counts as one. */
   readonly platformCallsPerSecond: number;
   readonly messagesPerEntryPerSecond: number;
   readonly bytesPerEntryPerSecond: number;
 }
 
 /**
- * Measures the spread at several sizes.
+ * Measures propagation for several numbers of entries.
  *
  * @example
  * const result = await measureSpread({seed: 1});
  */
 export async function measureSpread(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
-  // The clock's timers do not keep a process alive, and nothing here holds a socket.
+  // The clock's timers are unreferenced and no socket is open.
   const keepAliveTimer = setInterval(() => undefined, 1000);
   const rounds = Math.max(
     3,
@@ -82,7 +82,7 @@
     await waitUntil(clock, () =>
       fleet.entries.every(entry => entry.configuration.isReady()),
     );
-    // Readers settle after the first rounds.
+    // The set of watching entries settles after the first rounds.
     await sleep(clock, SETTLE_MS);
     const watched = await measureMode(clock, fleet, 'platform watched', rounds);
     for (const entry of fleet.entries.slice(1)) {
@@ -136,7 +136,7 @@
   };
 }
 
-/** The baseline: no peers, every entry watches accepted records itself. */
+/** Measures the baseline without peers: every entry watches the records. */
 async function measureBaseline(
   clock: Clock,
   count: number,
@@ -252,7 +252,7 @@
   return value?.state === 'in-force' && value.sourceVersion === version;
 }
 
-/** Waits for a condition; false when it does not come true in time. */
+/** Waits for a condition; returns false on timeout. */
 async function waitUntil(
   clock: Clock,
   condition: () => boolean,
--- a/packages/bench/src/spreadFleet.ts
+++ b/packages/bench/src/spreadFleet.ts
@@ -1,4 +1,7 @@
-/** Many entries' configurations in one process, over in-process networks and platform. */
+/**
+ * Configuration clients of many entries over an in-process network and
+ * platform.
+ */
 import {
   seededRandom,
   silentLogger,
@@ -22,7 +25,7 @@
   type ConfigurationClient,
 } from '@skylarkfield/records';
 
-/** One entry as far as its configuration goes. */
+/** The configuration part of one entry. */
 export interface SpreadEntry {
   readonly id: string;
   readonly store: MemoryClient;
@@ -43,8 +46,8 @@
 /**
  * Starts a fleet whose first entry accepts records.
  *
- * Beyond a small fleet each entry is connected to its heartbeat neighbours
- * alone, as the membership connects it.
+ * As with real membership, an entry of a larger fleet is connected only to its
+ * heartbeat neighbours.
  *
  * @example
  * const fleet = startSpreadFleet(systemClock(), {count: 100, seed: 1});
--- a/packages/bench/src/table.ts
+++ b/packages/bench/src/table.ts
@@ -1,11 +1,12 @@
-/** Readable tables from the object that a measurement returns. */
+/** Renders the report of a measurement as text tables. */
 
 type Row = Record<string, unknown>;
 
 const SIGNIFICANT_DIGITS = 4;
 
 /**
- * Renders single figures as `name  value` lines and each list of objects as a table.
+ * Renders scalar values as `name  value` lines and each list of objects as a
+ * table.
  *
  * @example
  * console.log(renderTable({seed: 1, cases: [{load: 1, goodput: 0.99}]}));
@@ -30,7 +31,7 @@
   );
 }
 
-/** Nested objects become dotted names. */
+/** Flattens nested objects to dotted names. */
 function flatten(pairs: [string, unknown][]): [string, unknown][] {
   return pairs.flatMap(([name, value]) => {
     if (typeof value !== 'object' || value === null || Array.isArray(value)) {
