--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -97,7 +97,7 @@
 ): Record<PlanName, number> {
   const learned = engines.figures(SERVICE);
   const signals = engines.demandSignals(SERVICE);
-  const truth: EngineEstimate = {
+  const trueEstimate: EngineEstimate = {
     ...learned,
     promptTokenMs: profile.tokenMs,
     pairsMs: profile.pairsMs,
@@ -114,8 +114,8 @@
   return {
     learned: endpointsNeeded(signals.workRate, signals.use.usual),
     true: endpointsNeeded(
-      workMs(work, truth),
-      targetUtilization(truth, aims).usual,
+      workMs(work, trueEstimate),
+      targetUtilization(trueEstimate, aims).usual,
     ),
     fixed: endpointsNeeded(fixedMs, FIXED_ESTIMATE.use),
   };
@@ -143,10 +143,10 @@
 
 /** Returns the second after which the ratio stays near one, or -1. */
 function secondsUntilConverged(ratios: readonly number[]): number {
-  const lastFar = ratios.findLastIndex(
+  const lastOutside = ratios.findLastIndex(
     ratio => Math.abs(ratio - 1) > RATIO_TOLERANCE,
   );
-  return lastFar === ratios.length - 1 ? -1 : lastFar + 2;
+  return lastOutside === ratios.length - 1 ? -1 : lastOutside + 2;
 }
 
 function usualPromptMs(profile: EngineProfile): number {
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -129,8 +129,8 @@
       recordOutcome('refused');
       return;
     }
-    const seen = entry.observer.observe(call, choice, true);
-    const sink = seen.wrap({
+    const observation = entry.observer.observe(call, choice, true);
+    const sink = observation.wrap({
       begin() {},
       write: () => true,
       whenDrained() {},
@@ -144,14 +144,14 @@
       onDidEvent() {
         if (firstMs === undefined) {
           firstMs = clock.now() - arrivedMs;
-          seen.noteBegin();
+          observation.noteBegin();
           choice.streaming();
         }
         sink.write({bytes: Buffer.alloc(0), id: undefined});
       },
       onDidEnd() {
         timer.dispose();
-        seen.noteEnd();
+        observation.noteEnd();
         entry.engines.work.record(
           SERVICE,
           answerWork(demand.model, demand.answerTokens),
--- a/packages/bench/src/engines/replayEngine.ts
+++ b/packages/bench/src/engines/replayEngine.ts
@@ -40,7 +40,7 @@
   let waiting: Sequence[] = [];
   let running: Sequence[] = [];
   let isBusy = false;
-  let wasted = 0;
+  let wastedMs = 0;
 
   function admit(): void {
     while (waiting.length > 0 && running.length < profile.slots) {
@@ -115,14 +115,14 @@
       }
     },
     cancel(request) {
-      const known = [...waiting, ...running].find(
+      const cancelled = [...waiting, ...running].find(
         sequence => sequence.request === request,
       );
-      wasted += known?.spentMs ?? 0;
-      waiting = waiting.filter(sequence => sequence !== known);
-      running = running.filter(sequence => sequence !== known);
+      wastedMs += cancelled?.spentMs ?? 0;
+      waiting = waiting.filter(sequence => sequence !== cancelled);
+      running = running.filter(sequence => sequence !== cancelled);
     },
-    wastedMs: () => wasted,
+    wastedMs: () => wastedMs,
   };
 }
 
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -13,7 +13,7 @@
   TRIAL_CUSTOMER_KEY,
   type TrialFleet,
 } from './processes/trialFleet.js';
-import {untilServing} from './processes/untilServing.js';
+import {waitUntilServing} from './processes/waitUntilServing.js';
 
 const DEFAULT_SECONDS = 20;
 /** Calls in flight while throughput is measured. */
@@ -61,7 +61,7 @@
 
 async function measure(fleet: TrialFleet, runMs: number) {
   await fleet.store.put('service', SERVICE, serviceRecord, {type: 'any'});
-  const entryUrl = await untilServing(fleet, [SERVICE]);
+  const entryUrl = await waitUntilServing(fleet, [SERVICE]);
   const endpointUrl = fleet.endpoints.get('b1')?.ready['url'] ?? '';
   const direct = createTarget('direct', endpointUrl, '/availability');
   const entry = createTarget(
--- a/packages/bench/src/processes/servingFleet.ts
+++ b/packages/bench/src/processes/servingFleet.ts
@@ -1,9 +1,13 @@
 /**
  * Default trial fleet: three entries, two model replicas, two plain endpoints.
  */
-import {putTrialRecords, trialEngine, trialPlain} from './trialCalls.js';
+import {
+  putTrialRecords,
+  trialEngineEndpoint,
+  trialServiceEndpoint,
+} from './trialCalls.js';
 import {startTrialFleet, type TrialFleet} from './trialFleet.js';
-import {untilServing} from './untilServing.js';
+import {waitUntilServing} from './waitUntilServing.js';
 
 export interface ServingFleet {
   readonly fleet: TrialFleet;
@@ -23,16 +27,16 @@
   const fleet = await startTrialFleet({
     entryDomains: ['a', 'b', 'c'],
     endpoints: [
-      trialEngine('m1', 'a'),
-      trialEngine('m2', 'b'),
-      trialPlain('b1', 'a'),
-      trialPlain('b2', 'b'),
+      trialEngineEndpoint('m1', 'a'),
+      trialEngineEndpoint('m2', 'b'),
+      trialServiceEndpoint('b1', 'a'),
+      trialServiceEndpoint('b2', 'b'),
     ],
     settings: {log: {level: 'warn'}, ...settings},
   });
   try {
     await putTrialRecords(fleet);
-    await untilServing(fleet, ['match', 'booking']);
+    await waitUntilServing(fleet, ['match', 'booking']);
   } catch (error) {
     await fleet.dispose();
     throw error;
--- a/packages/bench/src/processes/trialCalls.ts
+++ b/packages/bench/src/processes/trialCalls.ts
@@ -45,9 +45,12 @@
  * Describes a replica of the trial model.
  *
  * @example
- * const endpoints = [trialEngine('m1', 'a'), trialEngine('m2', 'b')];
+ * const endpoints = [trialEngineEndpoint('m1', 'a'), trialEngineEndpoint('m2', 'b')];
  */
-export function trialEngine(id: string, failureDomain: string): TrialEndpoint {
+export function trialEngineEndpoint(
+  id: string,
+  failureDomain: string,
+): TrialEndpoint {
   return {id, type: 'engine', service: 'match', version: 'v1', failureDomain};
 }
 
@@ -55,9 +58,12 @@
  * Describes an endpoint of the trial plain service.
  *
  * @example
- * const endpoints = [trialPlain('b1', 'a')];
+ * const endpoints = [trialServiceEndpoint('b1', 'a')];
  */
-export function trialPlain(id: string, failureDomain: string): TrialEndpoint {
+export function trialServiceEndpoint(
+  id: string,
+  failureDomain: string,
+): TrialEndpoint {
   return {
     id,
     type: 'service',
--- a/packages/bench/src/processes/untilServing.ts
+++ b/packages/bench/src/processes/waitUntilServing.ts
@@ -10,9 +10,9 @@
  * Waits for a condition; throws an error with its description on timeout.
  *
  * @example
- * await until('the order ran', async () => (await runs()).total === 1);
+ * await waitUntil('the order ran', async () => (await runs()).total === 1);
  */
-export async function until(
+export async function waitUntil(
   description: string,
   condition: () => Promise<boolean> | boolean,
   timeoutMs = CONDITION_TIMEOUT_MS,
@@ -34,9 +34,9 @@
  * the caller URL of the first entry.
  *
  * @example
- * const entry = await untilServing(fleet, ['booking']);
+ * const entry = await waitUntilServing(fleet, ['booking']);
  */
-export async function untilServing(
+export async function waitUntilServing(
   fleet: TrialFleet,
   services: readonly string[],
 ): Promise<string> {
@@ -44,7 +44,7 @@
     .filter(entry => !entry.hasEnded())
     .map(entry => entry.ready['callers'] ?? '');
   for (const url of urls) {
-    await until(`${url} lists every entry`, async () => {
+    await waitUntil(`${url} lists every entry`, async () => {
       const answer = await get(`${url}/v1/entries`);
       if (!answer.ok) {
         return false;
@@ -53,7 +53,7 @@
       return body.entries.length === urls.length;
     });
     for (const service of services) {
-      await until(`${url} serves ${service}`, () =>
+      await waitUntil(`${url} serves ${service}`, () =>
         servesService(url, service),
       );
     }
--- a/packages/bench/src/slopes/idleEntry.ts
+++ b/packages/bench/src/slopes/idleEntry.ts
@@ -2,11 +2,11 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {
   putTrialRecords,
-  trialEngine,
-  trialPlain,
+  trialEngineEndpoint,
+  trialServiceEndpoint,
 } from '../processes/trialCalls.js';
 import {TRIAL_ADMIN_KEY, startTrialFleet} from '../processes/trialFleet.js';
-import {untilServing} from '../processes/untilServing.js';
+import {waitUntilServing} from '../processes/waitUntilServing.js';
 
 const WINDOW_MS = 8_000;
 
@@ -43,16 +43,16 @@
   const fleet = await startTrialFleet({
     entryDomains: ['a', 'b', 'c', 'd', 'a', 'b', 'c'],
     endpoints: [
-      trialEngine('m1', 'a'),
-      trialEngine('m2', 'b'),
-      trialPlain('b1', 'a'),
-      trialPlain('b2', 'b'),
+      trialEngineEndpoint('m1', 'a'),
+      trialEngineEndpoint('m2', 'b'),
+      trialServiceEndpoint('b1', 'a'),
+      trialServiceEndpoint('b2', 'b'),
     ],
     settings: {log: {level: 'warn'}},
   });
   try {
     await putTrialRecords(fleet);
-    await untilServing(fleet, ['match', 'booking']);
+    await waitUntilServing(fleet, ['match', 'booking']);
     const admins = fleet.entries.map(entry => entry.ready['admin'] ?? '');
     await delay(WINDOW_MS / 2);
     const before = await Promise.all(admins.map(readDump));
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -20,13 +20,13 @@
 }
 
 const STEADY_MS = 10_000;
-const SETTLE_TIMEOUT_MS = 120_000;
+const CONVERGENCE_TIMEOUT_MS = 120_000;
 const STEP_MS = 250;
 const CHANGE_WINDOW_MS = 20_000;
 
 /** Runs until all members agree and no gossip is pending. */
-async function settle(cluster: MemberCluster): Promise<void> {
-  for (let ms = 0; ms < SETTLE_TIMEOUT_MS; ms += 1_000) {
+async function waitForConvergence(cluster: MemberCluster): Promise<void> {
+  for (let ms = 0; ms < CONVERGENCE_TIMEOUT_MS; ms += 1_000) {
     await cluster.clock.advance(1_000);
     if (
       cluster.countAgreeing() === cluster.members.size &&
@@ -60,18 +60,18 @@
   return sum / all.length;
 }
 
-async function measureSteady(cluster: MemberCluster) {
+async function measureSteadyState(cluster: MemberCluster) {
   const {net, clock, members} = cluster;
   const before = net.totalTraffic();
   const cpu = process.cpuUsage();
   await clock.advance(STEADY_MS);
   const used = process.cpuUsage(cpu);
   const after = net.totalTraffic();
-  const share = members.size * (STEADY_MS / 1000);
+  const entrySeconds = members.size * (STEADY_MS / 1000);
   return {
-    messages: (2 * (after.messagesSent - before.messagesSent)) / share,
-    bytes: (2 * (after.bytesSent - before.bytesSent)) / share,
-    cpuMicros: (used.user + used.system) / share,
+    messages: (2 * (after.messagesSent - before.messagesSent)) / entrySeconds,
+    bytes: (2 * (after.bytesSent - before.bytesSent)) / entrySeconds,
+    cpuMicros: (used.user + used.system) / entrySeconds,
   };
 }
 
@@ -123,9 +123,9 @@
 ): Promise<MemberSlope> {
   const heapBefore = collectedHeapBytes();
   const cluster = createMemberCluster(seed, entries);
-  await settle(cluster);
+  await waitForConvergence(cluster);
   const heap = (collectedHeapBytes() - heapBefore) / entries;
-  const steady = await measureSteady(cluster);
+  const steady = await measureSteadyState(cluster);
   const change = await measureChange(cluster, steady.bytes);
   return {
     entries,
@@ -149,7 +149,7 @@
  */
 export async function measureDomainLoss(seed: number, entries: number) {
   const cluster = createMemberCluster(seed, entries);
-  await settle(cluster);
+  await waitForConvergence(cluster);
   const lostIds = [...cluster.members.keys()].filter(
     id => cluster.domainOf(id) === 'domain-3',
   );
@@ -184,7 +184,7 @@
  */
 export async function measureFalseAlarms(seed: number, entries: number) {
   const cluster = createMemberCluster(seed, entries);
-  await settle(cluster);
+  await waitForConvergence(cluster);
   let suspicions = 0;
   let wronglyGone = 0;
   for (const membership of cluster.members.values()) {
--- a/packages/bench/src/test/engines.test.ts
+++ b/packages/bench/src/test/engines.test.ts
@@ -7,10 +7,12 @@
 const dense = ENGINE_PROFILES.find(({name}) => name === 'dense')!;
 const OVERLOAD_SECOND = 10;
 const SEEDS = [1, 2, 3, 7, 8, 9];
-/** Requests that are refused leave others to arrive in another order; more than this part is no chance. */
+/** Refusals change the request sequence; smaller differences are noise. */
 const TOLERANCE = 0.02;
 
-/** What callers get after the load has risen, over several seeds, as parts of all requests. */
+/**
+ * Returns the fractions of request results during overload, over several seeds.
+ */
 async function replayOverload(refusesLate: boolean) {
   const outcomes: ReplayOutcome[] = [];
   for (const seed of SEEDS) {
@@ -27,16 +29,20 @@
       ...all.filter(({arrivedMs}) => arrivedMs >= OVERLOAD_SECOND * 1_000),
     );
   }
-  const part = (result: ReplayOutcome['result']) =>
+  const fractionOf = (result: ReplayOutcome['result']) =>
     outcomes.filter(outcome => outcome.result === result).length /
     outcomes.length;
-  return {outcomes, inTime: part('in-time'), timedOut: part('timed-out')};
+  return {
+    outcomes,
+    inTime: fractionOf('in-time'),
+    timedOut: fractionOf('timed-out'),
+  };
 }
 
-describe('entries before engines that nobody described', () => {
-  it('find their speed from the requests that they serve', async () => {
-    // A new customer's engines read prompts at a quarter of the speed of those
-    // known before. By the old figures callers would wait in vain.
+describe('entries with engines of unknown speed', () => {
+  it('estimate the speed from served requests', async () => {
+    // A new customer's engines process prompts at a quarter of the default
+    // speed. With the default estimate, accepted requests would time out.
     const kinds = kindsFor(dense);
     const trueMs = kinds.reduce(
       (sum, kind) => sum + kind.weight * promptMs(kind, dense),
@@ -59,9 +65,9 @@
     assert.ok(learnedMs < trueMs * 1.7, `${learnedMs} of ${trueMs}`);
   });
 
-  it('tell callers at once what can not be answered in their time', async () => {
-    // Twice as many callers come as the engines can serve. Sent on all the same,
-    // a third of them would hear nothing until their time is over.
+  it('refuse at once requests that would miss their deadline', async () => {
+    // The load is twice the capacity of the engines. Without refusals, a third
+    // of the requests would time out.
     const sent = await replayOverload(false);
     const refused = await replayOverload(true);
     assert.ok(refused.timedOut < sent.timedOut * 0.9);
--- a/packages/bench/src/test/failures.test.ts
+++ b/packages/bench/src/test/failures.test.ts
@@ -8,7 +8,7 @@
   trialHeaders,
 } from '../processes/trialCalls.js';
 import type {TrialFleet} from '../processes/trialFleet.js';
-import {until} from '../processes/untilServing.js';
+import {waitUntil} from '../processes/waitUntilServing.js';
 
 const PLAIN_ENDPOINTS = ['b1', 'b2'];
 const QUESTION = 'match a warm oak floor with a matte finish';
@@ -26,7 +26,7 @@
   return serving;
 }
 
-/** Addresses that an entry names to callers. */
+/** Returns the entry URLs that an entry lists to callers. */
 async function listedEntries(url: string): Promise<string[]> {
   const response = await fetch(`${url}/v1/entries`, {headers: trialHeaders});
   const body = (await response.json()) as {entries: {url: string}[]};
@@ -35,13 +35,13 @@
 
 describe('failures of real processes', () => {
   // The host of a model replica is lost without notice while it streams. The
-  // caller would see its answer end in the middle of a word.
-  it('finishes a stream on another replica when its own is killed', async () => {
+  // caller would get a truncated answer.
+  it('finishes a stream on another replica when its replica is killed', async () => {
     const {fleet, urls} = await startServing();
     const expected = await streamChat(urls[0]!, QUESTION, 160);
     let killed: Promise<void> | undefined;
     const answer = await streamChat(urls[0]!, QUESTION, 160, count => {
-      // Load reports lag; by now they show which engine is at work.
+      // Load reports are delayed; by now they show which engine is busy.
       if (count >= 80) {
         killed ??= killBusyEngine(fleet);
       }
@@ -53,9 +53,9 @@
     assert.equal(answer.usage?.['attempts'], 2);
   });
 
-  // A rolling restart stops an entry while callers read answers from it and
-  // send orders to it. Cut answers and orders of unknown outcome would follow.
-  it('cuts nothing in flight at a planned stop, and leaves lookups first', async () => {
+  // A rolling restart stops an entry while callers read answers from it.
+  // Without draining, answers would be cut and orders have an unknown outcome.
+  it('completes requests in flight on a graceful stop, and is no longer listed', async () => {
     const {fleet, urls} = await startServing();
     const [leaving, other] = [urls[0]!, urls[1]!];
     let stopped: Promise<number | null> | undefined;
@@ -70,15 +70,15 @@
     assert.equal(listed.length, 2);
   });
 
-  // Callers keep a lookup's answer a while and come to an entry that is
-  // stopping. Without a truthful refusal they could not tell whether to repeat.
-  it('refuses truthfully with a fresh list while it drains', async () => {
+  // Callers cache lookups and send requests to an entry that is draining.
+  // Without an explicit refusal they could not tell whether a retry is safe.
+  it('refuses requests as not run with a current entry list while it drains', async () => {
     const {fleet, urls} = await startServing({lingerMs: 0});
     let stopped: Promise<number | null> | undefined;
     const stream = streamChat(urls[0]!, QUESTION, 150, () => {
       stopped ??= fleet.entries[0]!.stop();
     });
-    await until('the entry refuses', async () => {
+    await waitUntil('the entry refuses', async () => {
       const reply = await sendOrder(urls[0]!, `probe-${Math.random()}`);
       if (reply.status !== 503) {
         return false;
@@ -96,9 +96,9 @@
     assert.equal(await stopped, 0);
   });
 
-  // The platform is out for a while. Everything that needs no agreement has to
-  // go on; an order taken without its claim kept could run twice.
-  it('serves on without the platform, and refuses orders as not run', async () => {
+  // The platform is down for a while. Requests that need no coordination must
+  // succeed; an order accepted without a stored claim could run twice.
+  it('serves requests without the platform, and refuses orders as not run', async () => {
     const {fleet, urls} = await startServing();
     await fleet.control(fleet.platform, 'faults', {isDown: true});
     const answer = await streamChat(urls[1]!, QUESTION, 5);
@@ -115,28 +115,28 @@
       undefined,
     );
     await fleet.control(fleet.platform, 'faults', {isDown: false});
-    await until('orders are taken again', async () => {
+    await waitUntil('orders are taken again', async () => {
       const reply = await sendOrder(urls[0]!, 'shift-3');
       return reply.status === 201;
     });
     assert.equal((await runsByKey(fleet, PLAIN_ENDPOINTS)).get('shift-3'), 1);
   });
 
-  // A host is replaced during an outage of the platform: the new process knows
-  // nothing and can read nothing. It must not serve an older configuration.
+  // A host is replaced during a platform outage: the new process has no state
+  // and cannot read the platform. It must not serve an older configuration.
   it('starts an entry from its peers while the platform is down', async () => {
     const {fleet} = await startServing();
     const seed = fleet.entries[0]!.ready['inner']!;
     await fleet.control(fleet.platform, 'faults', {isDown: true});
     const late = await fleet.startEntry('late', 'a', {seeds: [seed]});
-    await until('the new entry serves', async () => {
+    await waitUntil('the new entry serves', async () => {
       const answer = await streamChat(late.ready['callers']!, QUESTION, 2);
       return answer.isComplete;
     });
   });
 
-  // A service hangs: it takes calls and answers none. Its calls pile up, and
-  // without a bulkhead the other services' calls would wait behind them.
+  // A service accepts calls and answers none. Without a bulkhead, calls to
+  // other services would queue behind its open calls.
   it('serves other services while one hangs', async () => {
     const {fleet, urls} = await startServing();
     for (const id of PLAIN_ENDPOINTS) {
@@ -159,7 +159,7 @@
   });
 });
 
-/** Kills the engine that has worked most: the one whose stream runs. */
+/** Kills the engine that is running a stream. */
 async function killBusyEngine(fleet: TrialFleet): Promise<void> {
   for (const id of ['m1', 'm2']) {
     const engine = fleet.endpoints.get(id)!;
--- a/packages/bench/src/test/fleetMoves.test.ts
+++ b/packages/bench/src/test/fleetMoves.test.ts
@@ -4,16 +4,16 @@
 import {
   putTrialRecords,
   trialHeaders,
-  trialPlain,
+  trialServiceEndpoint,
 } from '../processes/trialCalls.js';
 import type {TrialProcess} from '../processes/childProcess.js';
 import {startTrialFleet, type TrialFleet} from '../processes/trialFleet.js';
-import {until, untilServing} from '../processes/untilServing.js';
+import {waitUntil, waitUntilServing} from '../processes/waitUntilServing.js';
 
 const MOVE_MS = 600_000;
 
-/** Sessions enough that a share of a hundredth would reach some of them. */
-const MANY_SESSIONS = 400;
+/** Enough sessions that a share of 1 % includes some of them. */
+const SESSION_COUNT = 400;
 
 describe('a version move over running entries', () => {
   let fleet: TrialFleet;
@@ -24,15 +24,15 @@
     fleet = await startTrialFleet({
       entryDomains: ['a', 'b', 'c'],
       endpoints: [
-        trialPlain('b1', 'a'),
-        trialPlain('b2', 'b'),
-        {...trialPlain('b3', 'c'), version: 'v2'},
-        {...trialPlain('b4', 'a'), version: 'v3'},
+        trialServiceEndpoint('b1', 'a'),
+        trialServiceEndpoint('b2', 'b'),
+        {...trialServiceEndpoint('b3', 'c'), version: 'v2'},
+        {...trialServiceEndpoint('b4', 'a'), version: 'v3'},
       ],
     });
     await putTrialRecords(fleet);
-    await untilServing(fleet, ['booking']);
-    calling = Promise.all(fleet.entries.map(callOnAndOn));
+    await waitUntilServing(fleet, ['booking']);
+    calling = Promise.all(fleet.entries.map(callContinuously));
   });
 
   after(async () => {
@@ -41,8 +41,8 @@
     await fleet.dispose();
   });
 
-  /** Look-ups at one entry until the test ends, each of its own session. */
-  async function callOnAndOn(entry: TrialProcess) {
+  /** Calls one entry until the test ends, with a new session per call. */
+  async function callContinuously(entry: TrialProcess) {
     for (let call = 0; isCalling; call++) {
       await callOnce(entry, `s${call}`);
     }
@@ -56,10 +56,10 @@
     return reply.status;
   }
 
-  /** Calls of many sessions at one entry that got no good answer. */
+  /** Calls one entry with many sessions; returns the failed calls. */
   async function countFailures(entry: TrialProcess): Promise<number> {
     let failures = 0;
-    for (let call = 0; call < MANY_SESSIONS; call++) {
+    for (let call = 0; call < SESSION_COUNT; call++) {
       failures += (await callOnce(entry, `many-${call}`)) === 200 ? 0 : 1;
     }
     return failures;
@@ -75,36 +75,36 @@
     await fleet.store.put('move', name, record, {type: 'any'});
   }
 
-  it('takes a failing version back, and entries stop sending to it', async () => {
-    // The new version fails every request. Callers at each entry would meet its
-    // failures until somebody noticed and changed the record by hand.
+  it('rolls back a failing version, and entries stop sending to it', async () => {
+    // The new version fails every request. Callers would get errors until an
+    // operator changed the record.
     const bad = fleet.endpoints.get('b3');
     assert.ok(bad);
     await fleet.control(bad, 'faults', {type: 'fail'});
     await startMove('to-v2', 'v2');
-    await until('taken back', async () => {
+    await waitUntil('the move is rolled back', async () => {
       return (await stateOf('to-v2'))?.phase === 'taken-back';
     });
     const state = await stateOf('to-v2');
     assert.match(state?.why ?? '', /errors/);
     assert.equal(state?.share, 0);
-    await until('no more requests at the bad version', async () => {
+    await waitUntil('no more requests at the bad version', async () => {
       const failures = await Promise.all(fleet.entries.map(countFailures));
       return failures.every(count => count === 0);
     });
   });
 
-  it('takes a version back whose endpoints refuse connections, and fails no call', async () => {
-    // The process of the new version dies while the host list goes on naming it.
-    // Callers whose sessions belong to it would be refused until the deadline.
+  it('rolls back a version whose endpoints refuse connections, and fails no call', async () => {
+    // The process of the new version crashes while the host list still has it.
+    // Calls of the sessions assigned to it would fail until the deadline.
     const dead = fleet.endpoints.get('b4');
     assert.ok(dead);
     await dead.kill();
-    // One move of a service at a time: the earlier record has to go first.
+    // Only one move per service: the earlier record has to be removed first.
     await fleet.store.remove('move', 'to-v2', {type: 'any'});
     await startMove('to-v3', 'v3');
     let failures = 0;
-    await until('taken back', async () => {
+    await waitUntil('the move is rolled back', async () => {
       const counts = await Promise.all(fleet.entries.map(countFailures));
       failures += counts.reduce((sum, count) => sum + count, 0);
       return (await stateOf('to-v3'))?.phase === 'taken-back';
--- a/packages/bench/src/test/frame.test.ts
+++ b/packages/bench/src/test/frame.test.ts
@@ -4,8 +4,8 @@
 import {loadMeasurement} from '../measurements.js';
 import {renderTable} from '../table.js';
 
-describe('bench frame', () => {
-  it('reads a name, seed and length', () => {
+describe('bench command', () => {
+  it('parses a name, seed and duration', () => {
     const command = readCommand(['moves', '--seed', '7', '--seconds', '3']);
     assert.equal(command.name, 'moves');
     assert.equal(command.seed, 7);
@@ -18,19 +18,19 @@
     ['a', '--seconds', '-1'],
     ['a', '--colour'],
   ]) {
-    it(`refuses ${args.join(' ')}`, () => {
+    it(`rejects ${args.join(' ')}`, () => {
       assert.throws(() => readCommand(args));
     });
   }
 
-  it('says that a name is unknown', async () => {
+  it('reports an unknown name', async () => {
     assert.deepEqual(await loadMeasurement('toString'), {
       type: 'unavailable',
       reason: 'unknown name',
     });
   });
 
-  it('renders figures and rows', () => {
+  it('renders scalar values and rows', () => {
     const text = renderTable({
       seed: 1,
       limits: {low: 0.123456},
--- a/packages/bench/src/test/hostileCallers.test.ts
+++ b/packages/bench/src/test/hostileCallers.test.ts
@@ -7,7 +7,7 @@
   TRIAL_CUSTOMER_KEY,
   type TrialFleet,
 } from '../processes/trialFleet.js';
-import {until, untilServing} from '../processes/untilServing.js';
+import {waitUntil, waitUntilServing} from '../processes/waitUntilServing.js';
 
 const KEY = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
 const MODEL_PATH = '/v1/chat/completions';
@@ -38,7 +38,7 @@
     kind: 'unauthenticated',
   },
   {
-    title: 'a key nobody has',
+    title: 'an unknown key',
     path: '/v1/entries',
     init: {headers: {authorization: 'Bearer guess'}},
     status: 401,
@@ -87,7 +87,7 @@
     kind: 'unknown-service',
   },
   {
-    title: 'a plain service asked as a model',
+    title: 'a plain service called as a model',
     path: MODEL_PATH,
     init: post(
       '{"model":"booking","messages":[{"role":"user","content":"a"}]}',
@@ -103,14 +103,14 @@
     kind: 'bad-request',
   },
   {
-    title: 'a time limit that is no number',
+    title: 'a timeout that is not a number',
     path: '/services/booking/availability',
     init: {headers: {...KEY, 'x-request-timeout-ms': 'soon'}},
     status: 400,
     kind: 'bad-request',
   },
   {
-    title: 'a path that is not there',
+    title: 'an unknown path',
     path: '/v2/nothing',
     init: {headers: KEY},
     status: 404,
@@ -118,21 +118,27 @@
   },
 ];
 
-/** What raw bytes get, or that the connection is closed on them. */
+/**
+ * Raw inputs with the expected response; empty when the connection is closed.
+ */
 const rawInputs: readonly [string, string, RegExp][] = [
-  ['bytes that are no HTTP', '\u0000\u0001nonsense\r\n\r\n', /^HTTP\/1\.1 400/],
+  [
+    'bytes that are not HTTP',
+    '\u0000\u0001nonsense\r\n\r\n',
+    /^HTTP\/1\.1 400/,
+  ],
   [
     'a head over the limit',
     `GET /health HTTP/1.1\r\nHost: a\r\nX-Pad: ${'x'.repeat(40_000)}\r\n\r\n`,
     /^HTTP\/1\.1 431/,
   ],
   [
-    'two lengths for one body',
+    'two Content-Length headers',
     'POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab',
     /^HTTP\/1\.1 400/,
   ],
   [
-    'a length and chunks at once',
+    'Content-Length and chunked encoding',
     'POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n',
     /^HTTP\/1\.1 400/,
   ],
@@ -143,8 +149,8 @@
   ],
 ];
 
-// Callers send what they like: broken clients, scanners, attackers. A process
-// that crashes on it, or waits for ever, takes every other caller down with it.
+// Broken clients, scanners and attackers send arbitrary input. A process that
+// crashes on it or waits forever fails all other callers too.
 describe('hostile callers', () => {
   let fleet: TrialFleet;
   let entry: string;
@@ -179,7 +185,7 @@
       },
       {type: 'any'},
     );
-    entry = await untilServing(fleet, ['booking']);
+    entry = await waitUntilServing(fleet, ['booking']);
   });
 
   after(() => fleet?.dispose());
@@ -201,27 +207,28 @@
     });
   }
 
-  // A caller closes its sending side once its request is out. That looks the same
-  // as a caller that has gone, whose work has to stop; it must do no harm.
-  it('takes a caller that has closed its sending side for gone: no answer, or a whole one', async () => {
+  // A half-closed connection cannot be told from a disconnected caller, whose
+  // work has to stop. A caller that half-closes must not get a partial
+  // response.
+  it('treats a half-closed connection as disconnected: no response, or a complete one', async () => {
     const head = `GET /services/booking/availability HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer ${TRIAL_CUSTOMER_KEY}\r\n\r\n`;
     const answer = await sendRaw(entry, head, 'half-close');
     assert.match(answer, /^$|^HTTP\/1\.1 200[^]*"service":"booking"/);
   });
 
-  it('goes on serving after all of it, with nothing left in flight', async () => {
+  it('still serves after all of these, with nothing in flight', async () => {
     const response = await fetch(`${entry}/services/booking/availability`, {
       headers: KEY,
     });
     assert.equal(response.status, 200);
     await response.text();
-    await until('nothing is in flight', async () => {
+    await waitUntil('nothing is in flight', async () => {
       const state = (await dump(fleet)) as {process: {inFlight: number}};
       return state.process.inFlight === 0;
     });
   });
 
-  it('keeps the admin port shut without its key', async () => {
+  it('rejects admin requests without the admin key', async () => {
     const admin = fleet.entries[0]?.ready['admin'];
     for (const path of ['/dump', '/metrics', '/decisions']) {
       assert.equal((await fetch(`${admin}${path}`)).status, 401);
@@ -230,8 +237,8 @@
     }
   });
 
-  // Operators paste dumps and logs into tickets; a key in one of them is a leak
-  // that nobody notices until it is used.
+  // Operators paste dumps and logs into tickets; a key in one of them would
+  // leak unnoticed.
   it('shows no key in dump, metrics or log', async () => {
     const admin = fleet.entries[0]?.ready['admin'];
     const headers = {authorization: `Bearer ${TRIAL_ADMIN_KEY}`};
@@ -249,16 +256,16 @@
     }
   });
 
-  // A key leaks and the operator takes it out of the customer's record; until
-  // that is in force everywhere, whoever has the key goes on using it.
-  it('refuses a key soon after it is taken out of its record', async () => {
+  // An operator removes a leaked key from the customer's record; the key
+  // remains usable until that is in force everywhere.
+  it('refuses a key soon after its removal from the record', async () => {
     await fleet.store.put(
       'customer',
       'trial',
       {schema: 1, keyHashes: ['0'.repeat(64)]},
       {type: 'any'},
     );
-    await until('the key is refused', async () => {
+    await waitUntil('the key is refused', async () => {
       const response = await fetch(`${entry}/v1/entries`, {headers: KEY});
       await response.text();
       return response.status === 401;
@@ -273,7 +280,7 @@
   return response.json();
 }
 
-/** Sends bytes and gives what comes back until the connection ends. */
+/** Sends bytes; returns what is received until the connection ends. */
 function sendRaw(
   url: string,
   bytes: string,
--- a/packages/bench/src/test/leavingEndpoints.test.ts
+++ b/packages/bench/src/test/leavingEndpoints.test.ts
@@ -3,9 +3,13 @@
 import {createHttpCloud} from '@skylarkfield/providers';
 import type {TrialProcess} from '../processes/childProcess.js';
 import {startServingFleet} from '../processes/servingFleet.js';
-import {runsByKey, sendOrder, trialPlain} from '../processes/trialCalls.js';
+import {
+  runsByKey,
+  sendOrder,
+  trialServiceEndpoint,
+} from '../processes/trialCalls.js';
 import {TRIAL_ADMIN_KEY, type TrialFleet} from '../processes/trialFleet.js';
-import {until} from '../processes/untilServing.js';
+import {waitUntil} from '../processes/waitUntilServing.js';
 
 const PLAIN_ENDPOINTS = ['b1', 'b2', 'b3'];
 
@@ -24,14 +28,14 @@
 
 const leavingSignals = [
   {
-    word: 'its reclaim notice, while the host list still names it',
+    signal: 'its reclaim notice, while the host list still has it as live',
     async announce(fleet: TrialFleet, host: string) {
       await fleet.control(fleet.platform, 'faults', {listLagMs: 60_000});
       await fleet.control(fleet.platform, 'reclaim', {host, noticeSeconds: 40});
     },
   },
   {
-    word: 'the host list says that it leaves',
+    signal: 'the host list marks it as leaving',
     async announce(fleet: TrialFleet, host: string) {
       const url = fleet.endpoints.get('b3')!.ready['url'];
       await fleet.control(fleet.platform, 'endpoints', {
@@ -50,7 +54,7 @@
   },
 ];
 
-/** Starts a host at the cloud stand-in, so that it can be reclaimed. */
+/** Starts a reclaimable host at the cloud stand-in. */
 async function startCloudHost(fleet: TrialFleet): Promise<string> {
   const cloud = createHttpCloud({url: fleet.platform.ready['url']!});
   const host = await cloud.start({
@@ -69,7 +73,7 @@
   return (await Promise.all(entries.map(condition))).every(Boolean);
 }
 
-/** Sends an order through an entry and tells whether the endpoint has run it. */
+/** Sends an order through an entry; returns whether the endpoint ran it. */
 async function isReachable(fleet: TrialFleet, url: string, endpoint: string) {
   const before = await runsAt(fleet, endpoint);
   await sendOrder(url, `probe-${Math.random()}`);
@@ -88,7 +92,7 @@
     .reduce((sum, [, count]) => sum + count, 0);
 }
 
-/** Whether an entry's router counts the endpoint as leaving. */
+/** Returns whether an entry's router marks the endpoint as leaving. */
 async function isMarkedLeaving(
   entry: TrialProcess,
   endpoint: string,
@@ -108,21 +112,21 @@
 }
 
 describe('leaving endpoints of real processes', () => {
-  for (const {word, announce} of leavingSignals) {
-    // An endpoint's host is taken back with a little notice. A call sent there in
-    // its last seconds would be cut off, and an order's outcome would be unknown.
-    it(`gives an endpoint no new work after ${word}`, async () => {
+  for (const {signal, announce} of leavingSignals) {
+    // An endpoint's host is reclaimed with short notice. A call sent there in
+    // its last seconds would be cut, and the outcome of an order unknown.
+    it(`gives an endpoint no new work after ${signal}`, async () => {
       const {fleet, urls} = await startServing();
       const host = await startCloudHost(fleet);
       await fleet.startEndpoint({
-        ...trialPlain('b3', 'c'),
+        ...trialServiceEndpoint('b3', 'c'),
         flags: ['--machine-host', host],
       });
-      await until('every entry sends work to it', () =>
+      await waitUntil('every entry sends work to it', () =>
         everyEntry(urls, url => isReachable(fleet, url, 'b3')),
       );
       await announce(fleet, host);
-      await until('every entry knows', () =>
+      await waitUntil('every entry marks it as leaving', () =>
         everyEntry(fleet.entries, entry => isMarkedLeaving(entry, 'b3')),
       );
       const before = await runsAt(fleet, 'b3');
--- a/packages/bench/src/test/ordersUnderFaults.test.ts
+++ b/packages/bench/src/test/ordersUnderFaults.test.ts
@@ -5,19 +5,19 @@
   putTrialRecords,
   runsByKey,
   sendOrder,
-  trialPlain,
+  trialServiceEndpoint,
 } from '../processes/trialCalls.js';
 import {startTrialFleet, type TrialFleet} from '../processes/trialFleet.js';
-import {until, untilServing} from '../processes/untilServing.js';
+import {waitUntil, waitUntilServing} from '../processes/waitUntilServing.js';
 
 const PLAIN_ENDPOINTS = ['b1', 'b2'];
 const ORDERS = 60;
-/** Between two orders, so that faults fall among them. */
+/** Interval between orders, so that a fault occurs among them. */
 const ORDER_INTERVAL_MS = 15;
-/** Longer than the others wait for an entry that is silent. */
+/** Longer than the failure detection time of the other entries. */
 const PAUSE_MS = 6_000;
 
-/** What a caller saw of one order. */
+/** Result of one order as received by its caller. */
 interface OrderOutcome {
   readonly key: string;
   readonly status: number;
@@ -32,13 +32,13 @@
     fleet = await startTrialFleet({
       entryDomains: ['a', 'b', 'c', 'd'],
       endpoints: PLAIN_ENDPOINTS.map(id => ({
-        ...trialPlain(id, 'a'),
+        ...trialServiceEndpoint(id, 'a'),
         flags: ['--work-ms', '20'],
       })),
       settings: {log: {level: 'warn'}},
     });
     await putTrialRecords(fleet);
-    await untilServing(fleet, ['booking']);
+    await waitUntilServing(fleet, ['booking']);
   });
 
   after(() => fleet?.dispose());
@@ -65,8 +65,8 @@
     }
   }
 
-  /** Places orders at all entries in turn, with a fault in their midst. */
-  async function placeAround(
+  /** Sends orders to all entries in turn and injects a fault halfway. */
+  async function sendOrdersAround(
     prefix: string,
     fault: () => unknown,
   ): Promise<readonly OrderOutcome[]> {
@@ -87,98 +87,105 @@
     return runsByKey(fleet, PLAIN_ENDPOINTS);
   }
 
-  /** No order ran whose caller heard `not-run`, and each answered one did. */
-  async function checkTruth(seen: readonly OrderOutcome[]): Promise<void> {
+  /** Checks that `not-run` orders did not run and answered ones ran once. */
+  async function checkRuns(outcomes: readonly OrderOutcome[]): Promise<void> {
     const counts = await runs();
-    for (const {key, run, body} of seen) {
+    for (const {key, run, body} of outcomes) {
       const count = counts.get(key) ?? 0;
       assert.ok(run !== 'not-run' || count === 0, `${key} ran: ${body}`);
       assert.ok(run !== 'ran' || count === 1, `${key} ran ${count} times`);
     }
   }
 
-  /** Callers try again with their keys at another entry, as they are told to. */
+  /** Retries the orders with the same keys at another entry. */
   async function retryAll(
-    seen: readonly OrderOutcome[],
+    outcomes: readonly OrderOutcome[],
   ): Promise<readonly OrderOutcome[]> {
     const entry = running()[0] as TrialProcess;
-    return Promise.all(seen.map(({key}) => order(key, entry)));
+    return Promise.all(outcomes.map(({key}) => order(key, entry)));
   }
 
-  // The host of an entry dies without notice in the midst of orders. Callers get no answer and try
-  // again elsewhere; each order must run at most once, and a reply seen before must be seen again.
+  // The host of an entry is lost during orders. Callers get no answer and retry
+  // elsewhere; an order could run twice, or a retry get another reply.
   it('runs each order at most once when an entry is killed', async () => {
     const [victim] = running();
-    const seen = await placeAround('kill', () => victim?.kill());
-    await checkTruth(seen);
-    const again = await retryAll(seen);
-    await checkTruth(again);
-    const replies = new Map(again.map(({key, body}) => [key, body]));
-    for (const {key, run, body} of seen) {
+    const outcomes = await sendOrdersAround('kill', () => victim?.kill());
+    await checkRuns(outcomes);
+    const retried = await retryAll(outcomes);
+    await checkRuns(retried);
+    const replies = new Map(retried.map(({key, body}) => [key, body]));
+    for (const {key, run, body} of outcomes) {
       if (run === 'ran') {
-        const retry = again.find(one => one.key === key);
+        const retry = retried.find(one => one.key === key);
         assert.ok(retry?.run !== 'ran' || replies.get(key) === body, key);
       }
     }
-    const answered = again.filter(({run}) => run === 'ran').length;
+    const answered = retried.filter(({run}) => run === 'ran').length;
     assert.ok(answered > ORDERS / 2, `${answered} of ${ORDERS} were answered`);
   });
 
-  // An entry stands still for longer than the others wait for it, and then goes on as if nothing had
-  // happened. What it had claimed must not run a second time, neither by it nor by its successors.
-  it('runs each order at most once when an entry is paused and wakes', async () => {
+  // An entry is suspended beyond the failure detection time and then resumes.
+  // The orders that it had claimed could run twice, by it or by a successor.
+  it('runs each order at most once when an entry is paused and resumes', async () => {
     const [victim] = running();
-    const placing = placeAround('pause', () => victim?.pause());
+    const placing = sendOrdersAround('pause', () => victim?.pause());
     await new Promise(resolve => setTimeout(resolve, PAUSE_MS));
     victim?.resume();
-    const seen = await placing;
-    await checkTruth(seen);
-    await checkTruth(await retryAll(seen));
+    const outcomes = await placing;
+    await checkRuns(outcomes);
+    await checkRuns(await retryAll(outcomes));
   });
 
-  // An entry is stopped in the midst of orders. None of its callers may be cut off: every order is
-  // answered with its reply, or refused as not run with entries to go to.
-  it('answers every order when an entry is stopped as planned', async () => {
+  // An entry is stopped gracefully during orders. Each order must get its
+  // reply, or a refusal as not run with other entries; no connection may be
+  // cut.
+  it('answers every order when an entry is stopped gracefully', async () => {
     const [victim] = running();
     let stopped: Promise<number | null> | undefined;
-    const seen = await placeAround('stop', () => (stopped = victim?.stop()));
+    const outcomes = await sendOrdersAround(
+      'stop',
+      () => (stopped = victim?.stop()),
+    );
     assert.equal(await stopped, 0);
-    await checkTruth(seen);
-    const cut = seen.filter(({run}) => run === undefined);
-    // Once the entry has ended, nothing listens there: such calls were never taken.
+    await checkRuns(outcomes);
+    const cut = outcomes.filter(({run}) => run === undefined);
+    // After the entry has exited, connections fail: such calls were not
+    // accepted.
     assert.deepEqual(
       cut.filter(({status}) => status !== 0),
       [],
     );
-    const unclear = seen.filter(({run}) => run === 'may-have-run');
+    const unclear = outcomes.filter(({run}) => run === 'may-have-run');
     assert.deepEqual(unclear, []);
-    const again = await retryAll(seen);
+    const retried = await retryAll(outcomes);
     assert.deepEqual(
-      again.filter(({run}) => run !== 'ran').map(({key, body}) => [key, body]),
+      retried
+        .filter(({run}) => run !== 'ran')
+        .map(({key, body}) => [key, body]),
       [],
     );
   });
 
-  // The platform goes away in the midst of orders. Those that can't be kept safe are refused at once
-  // as not run; when it is back, a retry of each runs.
-  it('refuses orders at once while the platform is down, and takes them after', async () => {
+  // The platform is down. Orders whose claim cannot be stored must be refused
+  // at once as not run; after recovery, a retry of each must run.
+  it('refuses orders at once while the platform is down, and accepts them afterwards', async () => {
     await fleet.control(fleet.platform, 'faults', {isDown: true});
     const first = running()[0] as TrialProcess;
-    await until('an order is refused', async () => {
+    await waitUntil('an order is refused', async () => {
       const {run} = await order(`down-${Math.random()}`, first);
       return run === 'not-run';
     });
-    const seen = await placeAround('down', () => undefined);
-    await checkTruth(seen);
-    assert.ok(seen.every(({run}) => run === 'not-run'));
+    const outcomes = await sendOrdersAround('down', () => undefined);
+    await checkRuns(outcomes);
+    assert.ok(outcomes.every(({run}) => run === 'not-run'));
     await fleet.control(fleet.platform, 'faults', {isDown: false});
-    // Each entry notices at a moment of its own that the platform is back, and
-    // the owner of an order's shard may be a later one: callers try again.
-    let again = await retryAll(seen);
-    await until('a retry of each order runs', async () => {
-      again = await retryAll(seen);
-      return again.every(({run}) => run === 'ran');
+    // Entries detect the recovery at different times, and the owner of an
+    // order's shard may be a late one: callers retry.
+    let retried = await retryAll(outcomes);
+    await waitUntil('a retry of each order runs', async () => {
+      retried = await retryAll(outcomes);
+      return retried.every(({run}) => run === 'ran');
     });
-    await checkTruth(again);
+    await checkRuns(retried);
   });
 });
--- a/packages/bench/src/test/outsideShapes.test.ts
+++ b/packages/bench/src/test/outsideShapes.test.ts
@@ -8,22 +8,23 @@
   import.meta.url,
 );
 
-/** Items of the first list that the second one lacks, counting repeats. */
-function missing(wanted: readonly string[], found: readonly string[]) {
-  const left = [...found];
+/** Returns the items of the first list missing in the second, with repeats. */
+function findMissing(wanted: readonly string[], found: readonly string[]) {
+  const remaining = [...found];
   return wanted.filter(item => {
-    const at = left.indexOf(item);
-    if (at >= 0) {
-      left.splice(at, 1);
+    const index = remaining.indexOf(item);
+    if (index >= 0) {
+      remaining.splice(index, 1);
     }
-    return at < 0;
+    return index < 0;
   });
 }
 
-// Guards against a rename that changes what another release reads: field names
-// of messages, stored objects and settings travel as the interfaces spell them.
-// A release that adds to a shape updates its line in the fixture.
-describe('data of the release before', () => {
+// Guards against a rename that breaks compatibility with another release: field
+// names of messages, stored objects and settings are serialized as the
+// interfaces spell them. A release that adds to a shape updates its line in the
+// fixture.
+describe('data of the previous release', () => {
   const released = JSON.parse(readFileSync(FIXTURE, 'utf8')) as OutsideShapes;
   let shapes: OutsideShapes;
 
@@ -38,10 +39,10 @@
   });
 
   it('has the same stored objects and answers', () => {
-    assert.deepEqual(missing(released.types, shapes.types), []);
+    assert.deepEqual(findMissing(released.types, shapes.types), []);
   });
 
   it('is accepted by the same schemas', () => {
-    assert.deepEqual(missing(released.schemas, shapes.schemas), []);
+    assert.deepEqual(findMissing(released.schemas, shapes.schemas), []);
   });
 });
--- a/packages/bench/src/test/outsideShapes.ts
+++ b/packages/bench/src/test/outsideShapes.ts
@@ -1,13 +1,13 @@
-/** Structure of the data that leaves a process, as the compiler sees it. */
+/** Extracts the structure of all serialized data with the TypeScript compiler. */
 import {readFileSync, readdirSync} from 'node:fs';
 import {join} from 'node:path';
 import {fileURLToPath} from 'node:url';
 import ts from 'typescript';
 
-/** Root of the repository, seen from the compiled test. */
+/** Root of the repository, relative to the compiled test. */
 const ROOT = fileURLToPath(new URL('../../../../', import.meta.url));
 
-/** Types of stored objects and of answers that no message body names. */
+/** Types of stored objects and responses that no message body refers to. */
 const NAMED_TYPES: Readonly<Record<string, readonly string[]>> = {
   'packages/protocol/src/hello.ts': ['Hello'],
   'packages/protocol/src/messages/orderMessages.ts': [
@@ -32,11 +32,13 @@
 const MAX_DEPTH = 12;
 
 export interface OutsideShapes {
-  /** Body of each message type between entries. */
+  /** Structure of the body by message type. */
   readonly messages: Readonly<Record<string, string>>;
-  /** Stored objects and answers, sorted. */
+  /** Structures of stored objects and responses, sorted. */
   readonly types: readonly string[];
-  /** Values that schemas accept: settings, records, stored objects, sorted. */
+  /**
+   * Output types of schemas of settings, records and stored objects, sorted.
+   */
   readonly schemas: readonly string[];
 }
 
@@ -57,7 +59,9 @@
   return [...packages, join(ROOT, 'platform', 'src')].flatMap(sourceFiles);
 }
 
-/** Reads packages from their sources, so that nothing depends on compiled files. */
+/**
+ * Creates a program that resolves packages to sources, not to compiled files.
+ */
 function createProgram(files: readonly string[]): ts.Program {
   const paths = Object.fromEntries(
     readdirSync(join(ROOT, 'packages')).map(name => [
@@ -84,8 +88,8 @@
 }
 
 /**
- * Reads the structure of all data that leaves a process: names of fields and
- * string values, whatever the types are called.
+ * Returns the structure of all serialized data: names of fields and string
+ * values, independent of type names.
  *
  * @example
  * const {messages} = readOutsideShapes();
@@ -143,7 +147,7 @@
     return checker.getDeclaredTypeOfSymbol(found);
   }
 
-  /** Output types of the schemas that a file declares. */
+  /** Returns the output types of the schemas that a file declares. */
   function schemasOf(path: string): string[] {
     const source = program.getSourceFile(path)!;
     return source.statements
--- a/packages/bench/src/test/recordsUnderFaults.test.ts
+++ b/packages/bench/src/test/recordsUnderFaults.test.ts
@@ -4,7 +4,7 @@
 import {startServingFleet} from '../processes/servingFleet.js';
 import {trialHeaders, trialRecords} from '../processes/trialCalls.js';
 import type {TrialFleet} from '../processes/trialFleet.js';
-import {until} from '../processes/untilServing.js';
+import {waitUntil} from '../processes/waitUntilServing.js';
 
 let running: TrialFleet | undefined;
 
@@ -16,20 +16,20 @@
 interface Fault {
   readonly name: string;
   inject(holder: TrialProcess): Promise<void> | void;
-  /** What happens once others have taken over. */
+  /** Ends the fault after another entry has taken over. */
   clear(holder: TrialProcess): void;
 }
 
 const faults: readonly Fault[] = [
   {name: 'killed', inject: holder => holder.kill(), clear: () => {}},
   {
-    name: 'paused, and wakes',
+    name: 'paused and resumes',
     inject: holder => holder.pause(),
     clear: holder => holder.resume(),
   },
 ];
 
-/** The entry that holds a duty, by the lease's holder. */
+/** Returns the entry that holds the lease of a duty. */
 async function holderOf(
   fleet: TrialFleet,
   duty: string,
@@ -41,7 +41,7 @@
   return holder;
 }
 
-/** Writes the booking record with one more route; the route's prefix tells versions apart. */
+/** Writes the booking record with an additional route. */
 function putBooking(fleet: TrialFleet, prefix: string) {
   const record = trialRecords['booking'] as {routes: object[]};
   const route = {method: 'POST', pathPrefix: prefix, idempotent: true};
@@ -58,7 +58,7 @@
   return status?.value;
 }
 
-/** Version of the booking record that an entry has in force. */
+/** Returns the version of the booking record in force at an entry. */
 async function versionAt(entry: TrialProcess): Promise<number | undefined> {
   const response = await fetch(`${entry.ready['admin']}/dump`, {
     headers: {authorization: 'Bearer trial-admin-key'},
@@ -74,29 +74,29 @@
 }
 
 describe('records while their acceptor fails, as separate processes', () => {
-  for (const {name, inject: strike, clear: mend} of faults) {
-    // The entry that validates records fails just as an operator writes one.
-    // The record would stay without effect, or, when the entry wakes and goes on
-    // with what it last saw, an older version would come back into force.
+  for (const {name, inject, clear} of faults) {
+    // The entry that accepts records fails when an operator writes one. The
+    // record would have no effect, or the resumed entry, acting on its stale
+    // state, would put an older version in force again.
     it(`puts a record in force when its acceptor is ${name}`, async () => {
       const {fleet} = await startServingFleet();
       running = fleet;
-      await until('the first record is in force', async () => {
+      await waitUntil('the first record is in force', async () => {
         return (await statusOf(fleet))?.state === 'in-force';
       });
       const holder = await holderOf(fleet, 'acceptance');
-      await strike(holder);
+      await inject(holder);
       const stored = await putBooking(fleet, '/drafts');
       const others = fleet.entries.filter(entry => entry !== holder);
-      await until('the record is in force at the others', async () => {
+      await waitUntil('the record is in force at the others', async () => {
         const versions = await Promise.all(others.map(versionAt));
         return versions.every(version => version === stored.version);
       });
       assert.notEqual(await holderOf(fleet, 'acceptance'), holder);
-      mend(holder);
+      clear(holder);
       const latest = await putBooking(fleet, '/later');
       const alive = fleet.entries.filter(entry => !entry.hasEnded());
-      await until('the last record is reported in force', async () => {
+      await waitUntil('the last record is reported in force', async () => {
         const status = await statusOf(fleet);
         return (
           status?.state === 'in-force' &&
--- a/packages/bench/src/test/streamFaults.test.ts
+++ b/packages/bench/src/test/streamFaults.test.ts
@@ -20,7 +20,7 @@
 const MAX_TOKENS = 30;
 const FAULTY = 'r0';
 
-/** Runs one stream over HTTP: the first attempt meets `faults`, the others none. */
+/** Runs one stream over HTTP whose first attempt uses a faulty engine. */
 async function runWithFaults(
   faults: readonly EngineFault[],
   onToken: (index: number, faulty: {set(f: EngineFault[]): void}) => void,
@@ -58,8 +58,8 @@
     })),
   );
   const endpoints: string[] = [];
-  function pickEndpoint(excluded: ReadonlySet<string>): EndpointPick {
-    // The first attempt has to meet the faults.
+  function chooseEndpoint(excluded: ReadonlySet<string>): EndpointPick {
+    // The first attempt has to use the faulty engine.
     const others = new Set(endpoints.length === 0 ? ['r1', 'r2'] : excluded);
     const choice = router.choose({
       service: 's',
@@ -93,7 +93,7 @@
         deadline: clock.now() + 20_000,
       },
       {
-        pickEndpoint: pickEndpoint,
+        pickEndpoint: chooseEndpoint,
         mayRetry: () => true,
         deliver(token) {
           texts.push(token.text);
@@ -110,53 +110,49 @@
 }
 
 describe('streams over HTTP', () => {
-  const right = generateAnswerTokens(PROMPT, SEED, MAX_TOKENS);
+  const expected = generateAnswerTokens(PROMPT, SEED, MAX_TOKENS);
 
-  // An engine fails in one of the ways that are known of real ones. The caller
-  // must see the right text, whole and once.
-  // The numbers are the attempts that it may take: after a cut the router may
-  // choose the same engine once more, since its cache has the tokens.
+  // An engine fails in one of the ways seen with real engines. The caller must
+  // get the complete text exactly once.
+  // The numbers are the allowed attempts: after a cut the router may choose the
+  // same engine again, since its cache holds the tokens.
   const cases: [string, EngineFault[], number[]][] = [
     ['none', [], [1]],
     ['refuses connections', [{type: 'down'}], [2]],
     ['fails', [{type: 'fail'}], [2]],
-    ['cuts the stream again and again', [{type: 'cut', amount: 5}], [2, 3]],
+    ['cuts the stream repeatedly', [{type: 'cut', amount: 5}], [2, 3]],
     ['sends another answer', [{type: 'cross', amount: 5}], [2]],
     ['sends a token twice', [{type: 'double', amount: 5}], [1]],
-    ['leaves a token out', [{type: 'gap', amount: 5}], [2]],
+    ['omits a token', [{type: 'gap', amount: 5}], [2]],
     ['ends too early', [{type: 'truncate', amount: 5}], [2]],
-    ['takes connections and is silent', [{type: 'pause'}], [2]],
+    ['accepts connections and does not respond', [{type: 'pause'}], [2]],
   ];
   for (const [name, faults, attempts] of cases) {
-    it(`shows the right text once when an engine ${name}`, async () => {
-      const {
-        texts,
-        summary,
-        endpoints: places,
-      } = await runWithFaults(faults, () => {});
-      assert.deepEqual(texts, right);
-      assert.equal(places[0], FAULTY);
+    it(`delivers the complete text once when an engine ${name}`, async () => {
+      const {texts, summary, endpoints} = await runWithFaults(faults, () => {});
+      assert.deepEqual(texts, expected);
+      assert.equal(endpoints[0], FAULTY);
       assert.ok(attempts.includes(summary.attempts), `${summary.attempts}`);
     });
   }
 
-  it('goes on elsewhere when the engine dies in the middle', async () => {
+  it('continues on another engine when the engine goes down mid-stream', async () => {
     const {texts, summary} = await runWithFaults([], (index, faulty) => {
       if (index === 6) {
         faulty.set([{type: 'down'}]);
       }
     });
-    assert.deepEqual(texts, right);
+    assert.deepEqual(texts, expected);
     assert.equal(summary.attempts, 2);
   });
 
-  it('goes on elsewhere when the engine hangs in the middle', async () => {
+  it('continues on another engine when the engine hangs mid-stream', async () => {
     const {texts, summary} = await runWithFaults([], (index, faulty) => {
       if (index === 6) {
         faulty.set([{type: 'pause'}]);
       }
     });
-    assert.deepEqual(texts, right);
+    assert.deepEqual(texts, expected);
     assert.equal(summary.attempts, 2);
   });
 });
--- a/packages/bench/src/test/wholePath.test.ts
+++ b/packages/bench/src/test/wholePath.test.ts
@@ -5,14 +5,14 @@
   runsByKey,
   sendOrder,
   streamChat,
-  trialEngine,
+  trialEngineEndpoint,
   trialHeaders,
-  trialPlain,
+  trialServiceEndpoint,
 } from '../processes/trialCalls.js';
 import {startTrialFleet, type TrialFleet} from '../processes/trialFleet.js';
-import {until, untilServing} from '../processes/untilServing.js';
+import {waitUntil, waitUntilServing} from '../processes/waitUntilServing.js';
 
-describe('the whole path, as separate processes', () => {
+describe('requests through separate processes', () => {
   let fleet: TrialFleet;
   let entry: string;
 
@@ -20,20 +20,20 @@
     fleet = await startTrialFleet({
       entryDomains: ['a', 'b', 'c'],
       endpoints: [
-        trialEngine('m1', 'a'),
-        trialEngine('m2', 'b'),
-        trialPlain('b1', 'a'),
-        trialPlain('b2', 'b'),
+        trialEngineEndpoint('m1', 'a'),
+        trialEngineEndpoint('m2', 'b'),
+        trialServiceEndpoint('b1', 'a'),
+        trialServiceEndpoint('b2', 'b'),
       ],
       settings: {log: {level: 'warn'}},
     });
     await putTrialRecords(fleet);
-    entry = await untilServing(fleet, ['match', 'booking']);
+    entry = await waitUntilServing(fleet, ['match', 'booking']);
   });
 
   after(() => fleet?.dispose());
 
-  it('streams an answer of a model, token by token, with its end', async () => {
+  it('streams a model answer token by token, with its end marker', async () => {
     const counts: number[] = [];
     const answer = await streamChat(entry, 'match a warm oak floor', 6, count =>
       counts.push(count),
@@ -41,10 +41,10 @@
     assert.equal(answer.status, 200);
     assert.equal(answer.isComplete, true);
     assert.equal(answer.usage?.['completion_tokens'], 6);
-    assert.ok(counts.length > 1, 'tokens came one after the other');
+    assert.ok(counts.length > 1, 'tokens arrived one by one');
   });
 
-  it('gives the same text whole as streamed', async () => {
+  it('returns the same text unary as streamed', async () => {
     const question = 'match a pale ash table';
     const response = await fetch(`${entry}/v1/chat/completions`, {
       method: 'POST',
@@ -62,7 +62,7 @@
     assert.equal(streamed.text, whole.choices[0].message.content);
   });
 
-  it('passes an idempotent call through with its headers', async () => {
+  it('forwards an idempotent call with its headers', async () => {
     const response = await fetch(`${entry}/services/booking/availability`, {
       headers: trialHeaders,
     });
@@ -70,7 +70,7 @@
     assert.ok(response.headers.get('x-request-id'));
   });
 
-  it('runs an order once however often and wherever its key is sent', async () => {
+  it('runs an order once when its key is sent repeatedly to all entries', async () => {
     const urls = fleet.entries.map(process => process.ready['callers'] ?? '');
     const replies = new Set<string>();
     for (const url of [...urls, ...urls]) {
@@ -103,7 +103,7 @@
     const answer = (await response.json()) as {entries: {url: string}[]};
     const urls = new Set(answer.entries.map(item => item.url));
     assert.equal(urls.size, 3);
-    await until('the record is reported in force', async () => {
+    await waitUntil('the record is reported in force', async () => {
       const status = await fleet.store.get<{state: string}>(
         'status',
         'service.booking',
