--- a/packages/bench/src/commandLine.ts
+++ b/packages/bench/src/commandLine.ts
@@ -16,7 +16,7 @@
   'usage: npm run bench -- NAME [--seed N] [--seconds N] [--out FILE]\n' +
   '       npm run bench -- --list';
 
-/** Seeds below 1000 are for tuning, those from 1000 on for reports. */
+/** Seeds from 1 to 999 are for tuning, seeds from 1000 on for reports. */
 const DEFAULT_SEED = 1000;
 
 /**
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -1,7 +1,4 @@
-/**
- * Replays requests through several entries to several engines on a virtual
- * clock.
- */
+/** Replays requests through entries to engines on a virtual clock. */
 import {
   every,
   seededRandom,
--- a/packages/bench/src/engines/profiles.ts
+++ b/packages/bench/src/engines/profiles.ts
@@ -44,7 +44,7 @@
   readonly ownTokens: number;
   readonly sharedTokens: number;
   readonly answerTokens: number;
-  /** Lower values are served first. */
+  /** Lower values are served first; 0 is the most urgent. */
   readonly urgency: number;
   readonly goalMs: number;
   readonly deadlineMs: number;
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -18,7 +18,7 @@
   type Offer,
 } from '@skylarkfield/fleet';
 import type {Service} from '@skylarkfield/records';
-import {createReplayCloud, REPLAY_CLASS} from './fleet/replayCloud.js';
+import {createReplayCloud, REPLAY_MACHINE_CLASS} from './fleet/replayCloud.js';
 import type {MeasureOptions} from './measurements.js';
 
 const HOUR_MS = 3_600_000;
@@ -60,7 +60,7 @@
   fleet: {
     minReplicas: 3,
     maxReplicas: 40,
-    machineClass: REPLAY_CLASS,
+    machineClass: REPLAY_MACHINE_CLASS,
     weights: 'match',
   },
 };
--- a/packages/bench/src/fleet/replayCloud.ts
+++ b/packages/bench/src/fleet/replayCloud.ts
@@ -10,7 +10,7 @@
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
 /** Time from the start of a host until its replica has loaded its weights. */
-const START_MS = 3 * MINUTE_MS;
+const HOST_START_MS = 3 * MINUTE_MS;
 const NOTICE_MS = 30_000;
 /** Mean time between waves; each reclaims one or two failure domains. */
 const WAVE_INTERVAL_MS = 4 * HOUR_MS;
@@ -20,7 +20,7 @@
 const PRICE_INTERVAL_MS = 30 * MINUTE_MS;
 const ON_DEMAND_PRICE = 3;
 const DOMAINS = ['a', 'b', 'c', 'd'];
-export const REPLAY_CLASS = 'gpu';
+export const REPLAY_MACHINE_CLASS = 'gpu';
 
 export interface ReplayCloud {
   readonly cloud: Cloud;
@@ -48,13 +48,13 @@
   random: Random,
 ): ReplayCloud {
   const hosts = new Map<string, ReplayHost>();
-  const prices = new Map(DOMAINS.map(domain => [domain, firstPrice()]));
+  const prices = new Map(DOMAINS.map(domain => [domain, drawInitialPrice()]));
   const refusedUntil = new Map<string, number>();
   let notify: (notice: ReclaimNotice) => void = () => {};
   let started = 0;
   let waveCount = 0;
-  planWave();
-  planPrices();
+  scheduleWave();
+  schedulePriceChange();
 
   const cloud: Cloud = {
     offers: async () => DOMAINS.flatMap(offersOf),
@@ -65,7 +65,7 @@
         throw new ServingError('overloaded', 'no reclaimable capacity');
       }
       const host: Host = {...request, id: `h${started++}`, state: 'running'};
-      hosts.set(host.id, {host, servesFromMs: clock.now() + START_MS});
+      hosts.set(host.id, {host, servesFromMs: clock.now() + HOST_START_MS});
       return host;
     },
     async stop(id) {
@@ -92,12 +92,12 @@
     return [...hosts.values()];
   }
 
-  function firstPrice(): number {
+  function drawInitialPrice(): number {
     return 0.8 + random.next() * 0.6;
   }
 
   function offersOf(failureDomain: string): Offer[] {
-    const shared = {failureDomain, machineClass: REPLAY_CLASS};
+    const shared = {failureDomain, machineClass: REPLAY_MACHINE_CLASS};
     return [
       {
         ...shared,
@@ -114,18 +114,18 @@
       : prices.get(host.failureDomain)!;
   }
 
-  function planPrices(): void {
+  function schedulePriceChange(): void {
     clock.after(PRICE_INTERVAL_MS, () => {
       for (const domain of DOMAINS) {
         const drift = 0.9 + random.next() * 0.2;
         const price = prices.get(domain)! * drift;
         prices.set(domain, Math.min(2.5, Math.max(0.5, price)));
       }
-      planPrices();
+      schedulePriceChange();
     });
   }
 
-  function planWave(): void {
+  function scheduleWave(): void {
     clock.after(random.exponential(WAVE_INTERVAL_MS), () => {
       waveCount += 1;
       const first = random.integer(0, DOMAINS.length - 1);
@@ -133,7 +133,7 @@
       if (random.chance(SECOND_DOMAIN_CHANCE)) {
         reclaim(DOMAINS[(first + 1) % DOMAINS.length]!);
       }
-      planWave();
+      scheduleWave();
     });
   }
 
--- a/packages/bench/src/isolation.ts
+++ b/packages/bench/src/isolation.ts
@@ -14,8 +14,8 @@
 } from './replay/admissionReplay.js';
 
 const DEFAULT_SECONDS = 40;
-const FAULT_FROM_MS = 10_000;
-const FAULT_UNTIL_FRACTION = 0.75;
+const FAULT_START_MS = 10_000;
+const FAULT_END_FRACTION = 0.75;
 const TIMEOUT_MS = 2000;
 const FLOOD_FACTOR = 20;
 const FAULTY_SERVICE = 'roster';
@@ -102,9 +102,9 @@
   gate: GateType,
   trouble: Trouble | undefined,
 ): Promise<ServiceFigures[]> {
-  const untilMs = seconds * 1000 * FAULT_UNTIL_FRACTION;
+  const faultEndMs = seconds * 1000 * FAULT_END_FRACTION;
   function isDuringFault(nowMs: number): boolean {
-    return nowMs >= FAULT_FROM_MS && nowMs < untilMs;
+    return nowMs >= FAULT_START_MS && nowMs < faultEndMs;
   }
   const {outcomes} = await runAdmissionReplay({
     seed,
@@ -136,8 +136,8 @@
         return;
       }
       const faultyService = services.get(FAULTY_SERVICE);
-      clock.after(FAULT_FROM_MS, () => faultyService?.setFault(trouble));
-      clock.after(untilMs, () => faultyService?.setFault('none'));
+      clock.after(FAULT_START_MS, () => faultyService?.setFault(trouble));
+      clock.after(faultEndMs, () => faultyService?.setFault('none'));
     },
   });
   const counted = outcomes.filter(({arrivedMs}) => isDuringFault(arrivedMs));
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,6 +1,4 @@
-/**
- * Runs one measurement and prints a table, then the report as one line of JSON.
- */
+/** Runs one measurement; prints its report as tables and as a JSON line. */
 import {writeFileSync} from 'node:fs';
 import {performance} from 'node:perf_hooks';
 import {readCommand, USAGE, type BenchCommand} from './commandLine.js';
--- a/packages/bench/src/orderHandOver.ts
+++ b/packages/bench/src/orderHandOver.ts
@@ -1,7 +1,4 @@
-/**
- * Compares hand-over of waiting orders in the ledger and over the inner
- * protocol.
- */
+/** Compares order hand-over in the ledger and over the inner protocol. */
 import {seededRandom, sleep, type Clock} from '@skylarkfield/base';
 import {createMemoryPlatform} from '@skylarkfield/providers';
 import {startLedgers, type LedgerFleet} from './orderLedgers.js';
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -129,9 +129,7 @@
   }
 }
 
-/**
- * Measures one object per order, written before the call and with its reply.
- */
+/** Measures one object per order, written before the call and with the reply. */
 async function measureBaseline(
   clock: Clock,
   random: Random,
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -121,7 +121,7 @@
   entryProcess: TrialProcess,
   runMs: number,
 ) {
-  const cpuBefore = await cpuSecondsOf(entryProcess);
+  const cpuBefore = await readCpuSeconds(entryProcess);
   const startedAt = performance.now();
   const endAt = startedAt + runMs;
   let calls = 0;
@@ -133,7 +133,7 @@
   }
   await Promise.all(Array.from({length: CONCURRENCY}, callUntilEnd));
   const seconds = (performance.now() - startedAt) / 1000;
-  const cpuSeconds = (await cpuSecondsOf(entryProcess)) - cpuBefore;
+  const cpuSeconds = (await readCpuSeconds(entryProcess)) - cpuBefore;
   return {
     callsPerSecond: calls / seconds,
     callsPerCoreSecond: calls / cpuSeconds,
@@ -164,7 +164,7 @@
   );
 }
 
-async function cpuSecondsOf(trialProcess: TrialProcess): Promise<number> {
+async function readCpuSeconds(trialProcess: TrialProcess): Promise<number> {
   const response = await fetch(`${trialProcess.ready['admin']}/dump`, {
     headers: {authorization: `Bearer ${TRIAL_ADMIN_KEY}`},
   });
--- a/packages/bench/src/processes/servingFleet.ts
+++ b/packages/bench/src/processes/servingFleet.ts
@@ -1,6 +1,4 @@
-/**
- * Default trial fleet: three entries, two model replicas, two plain endpoints.
- */
+/** Default trial fleet: three entries, two model and two plain endpoints. */
 import {
   putTrialRecords,
   trialEngineEndpoint,
--- a/packages/bench/src/processes/trialFleet.ts
+++ b/packages/bench/src/processes/trialFleet.ts
@@ -1,6 +1,4 @@
-/**
- * Small fleet of processes on loopback: platform stand-in, entries, endpoints.
- */
+/** Fleet of processes on loopback: platform stand-in, entries, endpoints. */
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
--- a/packages/bench/src/reclaim.ts
+++ b/packages/bench/src/reclaim.ts
@@ -1,7 +1,4 @@
-/**
- * Compares stream migration with plain retry while a failure domain is
- * reclaimed.
- */
+/** Compares stream migration with plain retry during a reclaim. */
 import type {Reclaim} from './reclaim/fleet.js';
 import {replayReclaim} from './reclaim/replay.js';
 
--- a/packages/bench/src/replay/admissionReplay.ts
+++ b/packages/bench/src/replay/admissionReplay.ts
@@ -85,12 +85,12 @@
     }
   });
   options.scheduleFaults?.(clock, services);
-  const untilMs = options.seconds * 1000;
+  const endMs = options.seconds * 1000;
   const outcomes: Outcome[] = [];
   startTraffic({
     clock,
     seed: options.seed,
-    untilMs,
+    endMs,
     gates,
     services,
     streams: options.streams,
@@ -99,7 +99,7 @@
   const maxTimeoutMs = Math.max(
     ...options.streams.map(({timeoutMs}) => timeoutMs),
   );
-  await clock.run(untilMs + maxTimeoutMs + 1);
+  await clock.run(endMs + maxTimeoutMs + 1);
   return {outcomes, services};
 }
 
--- a/packages/bench/src/replay/gates.ts
+++ b/packages/bench/src/replay/gates.ts
@@ -88,10 +88,7 @@
 
 type FifoPool = (signal: AbortSignal) => Promise<Permit>;
 
-/**
- * Creates a concurrency limit with a bounded FIFO queue; skips cancelled
- * waiters.
- */
+/** Creates a concurrency limit with a bounded FIFO queue. */
 function createFifoPool(limit: number, queueLimit: number): FifoPool {
   const waiting: {start: () => void; signal: AbortSignal}[] = [];
   let inFlight = 0;
--- a/packages/bench/src/replay/replayClock.ts
+++ b/packages/bench/src/replay/replayClock.ts
@@ -1,6 +1,4 @@
-/**
- * Virtual clock with a timer heap, for replays with many concurrent requests.
- */
+/** Virtual clock with a timer heap, for many concurrent requests. */
 import {toDisposable, type Clock} from '@skylarkfield/base';
 
 export interface ReplayClock extends Clock {
--- a/packages/bench/src/replay/traffic.ts
+++ b/packages/bench/src/replay/traffic.ts
@@ -13,7 +13,7 @@
 export interface ArrivalStream {
   readonly service: string;
   readonly perSecond: number;
-  /** Returns the factor on the arrival rate at the given time. */
+  /** Returns the factor on `perSecond` at the given time; 1 for none. */
   rateFactor(nowMs: number): number;
   readonly timeoutMs: number;
   readonly customers: readonly {readonly name: string; readonly part: number}[];
@@ -38,7 +38,7 @@
 export interface TrafficOptions {
   readonly clock: Clock;
   readonly seed: number;
-  readonly untilMs: number;
+  readonly endMs: number;
   readonly gates: readonly Gate[];
   readonly services: ReadonlyMap<string, ReplayService>;
   readonly streams: readonly ArrivalStream[];
@@ -49,10 +49,10 @@
 const AFFINITY_PROBABILITY = 0.6;
 
 /**
- * Starts arrivals that continue until `untilMs`.
+ * Starts arrivals that continue until `endMs`.
  *
  * @example
- * startTraffic({clock, seed, untilMs, gates, services, streams, record});
+ * startTraffic({clock, seed, endMs, gates, services, streams, record});
  */
 export function startTraffic(options: TrafficOptions) {
   for (const [index, stream] of options.streams.entries()) {
@@ -66,9 +66,9 @@
   stream: ArrivalStream,
   random: Random,
 ) {
-  const {clock, gates, untilMs} = options;
+  const {clock, gates, endMs} = options;
   function arrive() {
-    if (clock.now() >= untilMs) {
+    if (clock.now() >= endMs) {
       return;
     }
     const customer = pickWeighted(stream.customers, random);
--- a/packages/bench/src/routing.ts
+++ b/packages/bench/src/routing.ts
@@ -13,9 +13,7 @@
   readonly prefilledTokens: number;
   /** Tokens computed although some replica had computed them before. */
   readonly recomputedTokens: number;
-  /**
-   * Cached prompt tokens as a fraction of those an unlimited cache would hold.
-   */
+  /** Cached prompt tokens relative to those in an unlimited cache. */
   readonly shareOfBound: number;
   readonly firstTokenP50Ms: number;
   readonly firstTokenP95Ms: number;
--- a/packages/bench/src/routing/workloads.ts
+++ b/packages/bench/src/routing/workloads.ts
@@ -58,9 +58,7 @@
   }));
 }
 
-/**
- * Draws an index with weight 1/(rank + 1), as few histories get most requests.
- */
+/** Draws an index with weight 1/(rank + 1): few histories are popular. */
 function drawZipfRank(random: Random, count: number): number {
   const total = Array.from({length: count}, (_, i) => 1 / (i + 1)).reduce(
     (a, b) => a + b,
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -168,9 +168,7 @@
   return shardOf(ledger).state === 'owned';
 }
 
-/**
- * Wraps the platform so that reads are copies and written bytes are counted.
- */
+/** Wraps the platform: reads return copies, written bytes are counted. */
 function withWireCopies(
   memory: MemoryPlatform,
   written: {bytes: number},
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -10,7 +10,7 @@
 import type {MeasureOptions} from './measurements.js';
 import {startSpreadFleet, type SpreadFleet} from './spreadFleet.js';
 
-const SIZES = [7, 25, 100, 300];
+const ENTRY_COUNTS = [7, 25, 100, 300];
 const DEFAULT_SECONDS = 24;
 /** Target for the time until a record is in force everywhere. */
 const TARGET_MS = 2000;
@@ -55,7 +55,7 @@
   );
   try {
     const results: SpreadResult[] = [];
-    for (const count of SIZES) {
+    for (const count of ENTRY_COUNTS) {
       results.push(...(await measureFleet(clock, count, rounds, options.seed)));
       results.push(await measureBaseline(clock, count, rounds, options.seed));
     }
@@ -115,7 +115,9 @@
     const start = clock.now();
     const version = writeCustomer(fleet, round);
     const isInForceEverywhere = await waitUntil(clock, () =>
-      fleet.entries.every(entry => hasVersion(entry.configuration, version)),
+      fleet.entries.every(entry =>
+        hasAppliedVersion(entry.configuration, version),
+      ),
     );
     missed += isInForceEverywhere ? 0 : 1;
     delaysMs.push(clock.now() - start);
@@ -163,7 +165,7 @@
     const start = clock.now();
     const {version} = platform.table.put(
       createOperatorWrite(),
-      customerRecord(round),
+      createCustomerRecord(round),
     );
     const isInForceEverywhere = await waitUntil(clock, () =>
       latestVersions.every(reached => reached >= version),
@@ -218,8 +220,10 @@
 }
 
 function writeCustomer(fleet: SpreadFleet, round: number): number {
-  return fleet.platform.table.put(createOperatorWrite(), customerRecord(round))
-    .version;
+  return fleet.platform.table.put(
+    createOperatorWrite(),
+    createCustomerRecord(round),
+  ).version;
 }
 
 function createOperatorWrite() {
@@ -231,11 +235,11 @@
   };
 }
 
-function customerRecord(round: number) {
+function createCustomerRecord(round: number) {
   return {schema: 1, keyHashes: ['ab'.repeat(32)], weight: round + 1};
 }
 
-function hasVersion(
+function hasAppliedVersion(
   configuration: SpreadFleet['entries'][number]['configuration'],
   version: number,
 ): boolean {
--- a/packages/bench/src/spreadFleet.ts
+++ b/packages/bench/src/spreadFleet.ts
@@ -1,7 +1,4 @@
-/**
- * Configuration clients of many entries over an in-process network and
- * platform.
- */
+/** Configurations of many entries over an in-process network and platform. */
 import {
   seededRandom,
   silentLogger,
--- a/packages/bench/src/test/engines.test.ts
+++ b/packages/bench/src/test/engines.test.ts
@@ -5,14 +5,12 @@
 import {SERVICE} from '../engines/replayEntry.js';
 
 const dense = ENGINE_PROFILES.find(({name}) => name === 'dense')!;
-const OVERLOAD_SECOND = 10;
+const OVERLOAD_START_SECOND = 10;
 const SEEDS = [1, 2, 3, 7, 8, 9];
 /** Refusals change the request sequence; smaller differences are noise. */
 const TOLERANCE = 0.02;
 
-/**
- * Returns the fractions of request results during overload, over several seeds.
- */
+/** Returns request results during overload, over several seeds. */
 async function replayOverload(refusesLate: boolean) {
   const outcomes: ReplayOutcome[] = [];
   for (const seed of SEEDS) {
@@ -22,11 +20,13 @@
       profile: dense,
       engines: 3,
       entries: 3,
-      loadAt: second => (second < OVERLOAD_SECOND ? 0.4 : 2),
+      loadAt: second => (second < OVERLOAD_START_SECOND ? 0.4 : 2),
       refusesLate,
     });
     outcomes.push(
-      ...all.filter(({arrivedMs}) => arrivedMs >= OVERLOAD_SECOND * 1_000),
+      ...all.filter(
+        ({arrivedMs}) => arrivedMs >= OVERLOAD_START_SECOND * 1_000,
+      ),
     );
   }
   const fractionOf = (result: ReplayOutcome['result']) =>
--- a/packages/bench/src/test/failures.test.ts
+++ b/packages/bench/src/test/failures.test.ts
@@ -53,7 +53,7 @@
     assert.equal(answer.usage?.['attempts'], 2);
   });
 
-  // A rolling restart stops an entry while callers read answers from it.
+  // A rolling restart stops an entry while callers read answers and send orders.
   // Without draining, answers would be cut and orders have an unknown outcome.
   it('completes requests in flight on a graceful stop, and is no longer listed', async () => {
     const {fleet, urls} = await startServing();
@@ -115,7 +115,7 @@
       undefined,
     );
     await fleet.control(fleet.platform, 'faults', {isDown: false});
-    await waitUntil('orders are taken again', async () => {
+    await waitUntil('orders are accepted again', async () => {
       const reply = await sendOrder(urls[0]!, 'shift-3');
       return reply.status === 201;
     });
--- a/packages/bench/src/test/hostileCallers.test.ts
+++ b/packages/bench/src/test/hostileCallers.test.ts
@@ -118,9 +118,7 @@
   },
 ];
 
-/**
- * Raw inputs with the expected response; empty when the connection is closed.
- */
+/** Raw inputs and responses; an empty one means a closed connection. */
 const rawInputs: readonly [string, string, RegExp][] = [
   [
     'bytes that are not HTTP',
@@ -207,9 +205,8 @@
     });
   }
 
-  // A half-closed connection cannot be told from a disconnected caller, whose
-  // work has to stop. A caller that half-closes must not get a partial
-  // response.
+  // A half-closed connection looks like a disconnected caller, whose work has to
+  // stop. The caller must not get a partial response.
   it('treats a half-closed connection as disconnected: no response, or a complete one', async () => {
     const head = `GET /services/booking/availability HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer ${TRIAL_CUSTOMER_KEY}\r\n\r\n`;
     const answer = await sendRaw(entry, head, 'half-close');
--- a/packages/bench/src/test/ordersUnderFaults.test.ts
+++ b/packages/bench/src/test/ordersUnderFaults.test.ts
@@ -149,8 +149,7 @@
     assert.equal(await stopped, 0);
     await checkRuns(outcomes);
     const cut = outcomes.filter(({run}) => run === undefined);
-    // After the entry has exited, connections fail: such calls were not
-    // accepted.
+    // After the entry has exited, connections fail without being accepted.
     assert.deepEqual(
       cut.filter(({status}) => status !== 0),
       [],
--- a/packages/bench/src/test/outsideShapes.ts
+++ b/packages/bench/src/test/outsideShapes.ts
@@ -36,9 +36,7 @@
   readonly messages: Readonly<Record<string, string>>;
   /** Structures of stored objects and responses, sorted. */
   readonly types: readonly string[];
-  /**
-   * Output types of schemas of settings, records and stored objects, sorted.
-   */
+  /** Output types of setting, record and stored object schemas, sorted. */
   readonly schemas: readonly string[];
 }
 
@@ -59,9 +57,7 @@
   return [...packages, join(ROOT, 'platform', 'src')].flatMap(sourceFiles);
 }
 
-/**
- * Creates a program that resolves packages to sources, not to compiled files.
- */
+/** Creates a program that resolves packages to their sources. */
 function createProgram(files: readonly string[]): ts.Program {
   const paths = Object.fromEntries(
     readdirSync(join(ROOT, 'packages')).map(name => [
--- a/packages/bench/src/test/wholePath.test.ts
+++ b/packages/bench/src/test/wholePath.test.ts
@@ -44,7 +44,7 @@
     assert.ok(counts.length > 1, 'tokens arrived one by one');
   });
 
-  it('returns the same text unary as streamed', async () => {
+  it('returns the same text with and without streaming', async () => {
     const question = 'match a pale ash table';
     const response = await fetch(`${entry}/v1/chat/completions`, {
       method: 'POST',
