--- a/packages/bench/src/engines/profiles.ts
+++ b/packages/bench/src/engines/profiles.ts
@@ -6,7 +6,7 @@
   readonly slots: number;
   /** Milliseconds per prompt token. */
   readonly tokenMs: number;
-  /** Milliseconds per million attention pairs of prompt tokens. */
+  /** Milliseconds per million pairs of a prompt token and a preceding one. */
   readonly pairsMs: number;
   /** Base milliseconds of a step, with no request running. */
   readonly stepMs: number;
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -53,7 +53,7 @@
  */
 export async function measureOrders(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
-  // The clock's timers are unreferenced and no socket is open.
+  // The clock's timers are unreferenced; no socket keeps the process alive.
   const keepAliveTimer = setInterval(() => undefined, 1_000);
   try {
     return await measure(clock, options);
--- a/packages/bench/src/replay/gates.ts
+++ b/packages/bench/src/replay/gates.ts
@@ -88,7 +88,7 @@
 
 type FifoPool = (signal: AbortSignal) => Promise<Permit>;
 
-/** Creates a concurrency limit with a bounded FIFO queue. */
+/** Creates a limit with a bounded FIFO queue that skips cancelled waiters. */
 function createFifoPool(limit: number, queueLimit: number): FifoPool {
   const waiting: {start: () => void; signal: AbortSignal}[] = [];
   let inFlight = 0;
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -47,7 +47,7 @@
  */
 export async function measureSpread(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
-  // The clock's timers are unreferenced and no socket is open.
+  // The clock's timers are unreferenced; no socket keeps the process alive.
   const keepAliveTimer = setInterval(() => undefined, 1000);
   const rounds = Math.max(
     3,
