--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -1,4 +1,4 @@
-/** Plays requests through several entries to several engines on a virtual clock. */
+/** Replays requests through entries to engines on a virtual clock. */
 import {
   every,
   seededRandom,
@@ -16,7 +16,7 @@
 import {createReplayEngine, type EngineRequest} from './replayEngine.js';
 import {createReplayEntry, SERVICE, type ReplayEntry} from './replayEntry.js';
 
-/** How a request ended for its caller. */
+/** Result of a request for its caller. */
 export interface ReplayOutcome {
   readonly kind: string;
   readonly arrivedMs: number;
@@ -24,35 +24,38 @@
   readonly tookMs: number;
 }
 
-export interface ReplayOptions {
+export interface EngineReplayOptions {
   readonly seed: number;
   readonly seconds: number;
   readonly profile: EngineProfile;
   readonly engines: number;
-  /** Engines whose whole time a load of 1 takes; those that are there when absent. */
-  readonly fullEngines?: number;
+  /** Number of engines that a load of 1 saturates; default: `engines`. */
+  readonly referenceEngines?: number;
   readonly entries: number;
-  /** Work offered relative to what the engines can read, by the second. */
+  /** Offered load relative to the prompt capacity of the engines. */
   loadAt(second: number): number;
-  /** Whether entries refuse what would come far too late. */
+  /** Whether entries refuse requests that would miss their deadline. */
   readonly refusesLate: boolean;
-  /** Called once a second with the first entry. */
-  onDidSecond?(second: number, entry: ReplayEntry): void;
+  /** Called with the first entry once per second of virtual time. */
+  onDidElapseSecond?(second: number, entry: ReplayEntry): void;
 }
 
-const DIGEST_MS = 300;
+const DIGEST_INTERVAL_MS = 300;
 const SECOND_MS = 1_000;
-/** Sizes spread from half to one and a half of the mean. */
-const LEAST_SIZE = 0.5;
+/** Sizes are uniform from 0.5 to 1.5 times the mean. */
+const MIN_SIZE_FACTOR = 0.5;
 
 /**
- * Plays one case; requests still open at the end are left out.
+ * Replays one case; requests that are open at the end are not counted.
  *
  * @example
- * const outcomes = await playEngines({seed: 1, seconds: 30, profile, engines: 6, entries: 6, loadAt: () => 2, refusesLate: true});
+ * const outcomes = await replayEngines({
+ *   seed: 1, seconds: 30, profile, engines: 6, entries: 6,
+ *   loadAt: () => 2, refusesLate: true,
+ * });
  */
-export async function playEngines(
-  options: ReplayOptions,
+export async function replayEngines(
+  options: EngineReplayOptions,
 ): Promise<readonly ReplayOutcome[]> {
   const clock = virtualClock();
   const random = seededRandom(options.seed);
@@ -76,12 +79,12 @@
   );
   const outcomes: ReplayOutcome[] = [];
 
-  function exchange(): void {
+  function exchangeDigests(): void {
     for (const entry of entries) {
       const digest = entry.digest();
       entries
         .filter(other => other !== entry)
-        .forEach(other => other.hear(entry.id, digest));
+        .forEach(other => other.acceptDigest(entry.id, digest));
     }
   }
 
@@ -93,9 +96,9 @@
 
   function serve(kind: RequestKind, entry: ReplayEntry): void {
     const arrivedMs = clock.now();
-    const size = LEAST_SIZE + random.next();
-    const demand = demandOf(kind, size);
-    const note = (result: ReplayOutcome['result']) =>
+    const size = MIN_SIZE_FACTOR + random.next();
+    const demand = createDemand(kind, size);
+    const recordOutcome = (result: ReplayOutcome['result']) =>
       outcomes.push({
         kind: kind.name,
         arrivedMs,
@@ -112,19 +115,19 @@
       excluded: new Set(),
     });
     if (choice === undefined) {
-      note('refused');
+      recordOutcome('refused');
       return;
     }
-    const call = callOf(kind, demand.model);
+    const call = createCall(kind, demand.model);
     entry.engines.work.record(SERVICE, promptWork(demand.model));
     const wait = entry.observer.expectedWait(call, choice, kind.deadlineMs);
     if (options.refusesLate && wait.isTooLong) {
       choice.finish({outcome: 'cancelled', latencyMs: 0});
-      note('refused');
+      recordOutcome('refused');
       return;
     }
-    const seen = entry.observer.observe(call, choice, true);
-    const sink = seen.wrap({
+    const observation = entry.observer.observe(call, choice, true);
+    const sink = observation.wrap({
       begin() {},
       write: () => true,
       whenDrained() {},
@@ -138,50 +141,53 @@
       onDidEvent() {
         if (firstMs === undefined) {
           firstMs = clock.now() - arrivedMs;
-          seen.noteBegin();
+          observation.noteBegin();
           choice.streaming();
         }
         sink.write({bytes: Buffer.alloc(0), id: undefined});
       },
       onDidEnd() {
         timer.dispose();
-        seen.noteEnd();
+        observation.noteEnd();
         entry.engines.work.record(
           SERVICE,
           answerWork(demand.model, demand.answerTokens),
         );
         choice.finish({outcome: 'ok', latencyMs: firstMs ?? 0});
-        note((firstMs ?? Infinity) <= kind.goalMs ? 'in-time' : 'late');
+        recordOutcome(
+          (firstMs ?? Infinity) <= kind.goalMs ? 'in-time' : 'late',
+        );
       },
     };
     const timer = clock.after(kind.deadlineMs, () => {
       engine.cancel(request);
       choice.finish({outcome: 'failed', latencyMs: kind.deadlineMs});
-      note('timed-out');
+      recordOutcome('timed-out');
     });
     engine.submit(request);
   }
 
-  const digests = every(clock, DIGEST_MS, exchange);
-  const fullPerMs = fullRate(options, kinds);
-  const rateNow = () => fullPerMs * options.loadAt(clock.now() / SECOND_MS);
+  const digests = every(clock, DIGEST_INTERVAL_MS, exchangeDigests);
+  const fullLoadPerMs = fullLoadRate(options, kinds);
+  const rateNow = () => fullLoadPerMs * options.loadAt(clock.now() / SECOND_MS);
   scheduleArrivals(clock, random, rateNow, arrive);
   for (let second = 1; second <= options.seconds; second++) {
     clock.advanceSync(SECOND_MS);
-    options.onDidSecond?.(second, entries[0]!);
+    options.onDidElapseSecond?.(second, entries[0]!);
   }
   digests.dispose();
   return outcomes;
 }
 
 function pickKind(kinds: readonly RequestKind[], random: Random): RequestKind {
-  let left = random.next() * kinds.reduce((sum, {weight}) => sum + weight, 0);
-  return kinds.find(({weight}) => (left -= weight) <= 0) ?? kinds[0]!;
+  let remaining =
+    random.next() * kinds.reduce((sum, {weight}) => sum + weight, 0);
+  return kinds.find(({weight}) => (remaining -= weight) <= 0) ?? kinds[0]!;
 }
 
-/** Requests a millisecond that would take all of the engines' time for reading. */
-function fullRate(
-  {profile, engines, fullEngines = engines}: ReplayOptions,
+/** Returns the requests per millisecond whose prompts saturate the engines. */
+function fullLoadRate(
+  {profile, engines, referenceEngines = engines}: EngineReplayOptions,
   kinds: readonly RequestKind[],
 ): number {
   const weights = kinds.reduce((sum, {weight}) => sum + weight, 0);
@@ -189,7 +195,7 @@
     (sum, kind) => sum + (kind.weight / weights) * promptMs(kind, profile),
     0,
   );
-  return fullEngines / meanMs;
+  return referenceEngines / meanMs;
 }
 
 function scheduleArrivals(
@@ -205,7 +211,7 @@
   });
 }
 
-function demandOf(kind: RequestKind, size: number) {
+function createDemand(kind: RequestKind, size: number) {
   const ownTokens = Math.round(kind.ownTokens * size);
   const promptTokens = ownTokens + kind.sharedTokens;
   const model: ModelDemand = {
@@ -218,7 +224,7 @@
   return {ownTokens, promptTokens, answerTokens, model};
 }
 
-function callOf(kind: RequestKind, demand: ModelDemand) {
+function createCall(kind: RequestKind, demand: ModelDemand) {
   return {
     head: {demand},
     route: {
--- a/packages/bench/src/engines/profiles.ts
+++ b/packages/bench/src/engines/profiles.ts
@@ -1,25 +1,25 @@
-/** Engines that differ as much as those of real customers may. */
+/** Engine profiles that cover the range expected at real customers. */
 
-/** An engine's true speed, which no entry is told. */
+/** True speed of an engine, which entries have to estimate. */
 export interface EngineProfile {
   readonly name: string;
   readonly slots: number;
-  /** Milliseconds for a prompt token. */
+  /** Milliseconds per prompt token. */
   readonly tokenMs: number;
-  /** Milliseconds for a million pairs of a prompt's token with one before it. */
+  /** Milliseconds per million pairs of a prompt token and a preceding one. */
   readonly pairsMs: number;
-  /** Milliseconds of a step with nothing running. */
+  /** Base milliseconds of a step, with no request running. */
   readonly stepMs: number;
   readonly requestStepMs: number;
-  /** Milliseconds that a thousand tokens of running prompts add to a step. */
+  /** Milliseconds added to a step per thousand tokens of running prompts. */
   readonly contextStepMs: number;
-  /** Prompt tokens that one step takes at most. */
+  /** Maximum prompt tokens per step. */
   readonly chunkTokens: number;
-  /** Tokens of an answer that one event holds. */
+  /** Answer tokens per event. */
   readonly tokensPerEvent: number;
 }
 
-const usual = {
+const defaults = {
   slots: 48,
   pairsMs: 0.3,
   requestStepMs: 0.02,
@@ -28,31 +28,31 @@
   tokensPerEvent: 4,
 };
 
-/** Prompt speeds from 8 to 200 tokens a millisecond, steps of 2 to 20 ms, 8 to 128 slots. */
+/** 8 to 200 prompt tokens per ms, steps of 2 to 20 ms, 8 to 128 slots. */
 export const ENGINE_PROFILES: readonly EngineProfile[] = [
-  {...usual, name: 'fast', tokenMs: 1 / 140, stepMs: 2.2},
-  {...usual, name: 'fastest', tokenMs: 1 / 200, stepMs: 2, slots: 128},
-  {...usual, name: 'dense', tokenMs: 1 / 38, pairsMs: 1.2, stepMs: 4.7},
-  {...usual, name: 'few slots', tokenMs: 1 / 60, stepMs: 6, slots: 8},
-  {...usual, name: 'slow steps', tokenMs: 1 / 25, stepMs: 20, slots: 96},
-  {...usual, name: 'slow', tokenMs: 1 / 8, pairsMs: 2, stepMs: 12},
+  {...defaults, name: 'fast', tokenMs: 1 / 140, stepMs: 2.2},
+  {...defaults, name: 'fastest', tokenMs: 1 / 200, stepMs: 2, slots: 128},
+  {...defaults, name: 'dense', tokenMs: 1 / 38, pairsMs: 1.2, stepMs: 4.7},
+  {...defaults, name: 'few slots', tokenMs: 1 / 60, stepMs: 6, slots: 8},
+  {...defaults, name: 'slow steps', tokenMs: 1 / 25, stepMs: 20, slots: 96},
+  {...defaults, name: 'slow', tokenMs: 1 / 8, pairsMs: 2, stepMs: 12},
 ];
 
-/** A kind of request. */
+/** Class of requests with the same size and goals. */
 export interface RequestKind {
   readonly name: string;
   readonly ownTokens: number;
   readonly sharedTokens: number;
   readonly answerTokens: number;
-  /** 0 is served first. */
+  /** Lower values are served first; 0 is the most urgent. */
   readonly urgency: number;
   readonly goalMs: number;
   readonly deadlineMs: number;
-  /** Relative to the other kinds. */
+  /** Relative frequency. */
   readonly weight: number;
 }
 
-/** Kinds whose goals suit an engine: its usual prompt takes a fifteenth of them. */
+/** Returns kinds with goals of 15 times an engine's typical prompt time. */
 export function kindsFor(profile: EngineProfile): readonly RequestKind[] {
   const usualMs = 1_500 * profile.tokenMs + 3 * profile.pairsMs;
   const goalMs = Math.max(300, usualMs * 15);
@@ -91,7 +91,7 @@
 }
 
 /**
- * Milliseconds of one engine that reading a kind's prompt takes.
+ * Returns the milliseconds that one engine needs for a kind's prompt.
  *
  * @example
  * const ms = promptMs(kind, profile);
--- a/packages/bench/src/engines/replayEngine.ts
+++ b/packages/bench/src/engines/replayEngine.ts
@@ -1,14 +1,14 @@
-/** An engine that batches, on a virtual clock: prompts by urgency, in chunks between the steps of answers. */
+/** Simulated batching engine with chunked prefill in order of urgency. */
 import type {Clock} from '@skylarkfield/base';
 import type {EngineProfile} from './profiles.js';
 
-/** A request as the engine sees it. */
+/** Request to the simulated engine. */
 export interface EngineRequest {
   readonly ownTokens: number;
   readonly promptTokens: number;
   readonly answerTokens: number;
   readonly urgency: number;
-  /** An event of the answer has come; the first one is the end of the prompt. */
+  /** Called for each answer event; the first one ends the prefill. */
   onDidEvent(): void;
   onDidEnd(): void;
 }
@@ -16,7 +16,7 @@
 export interface ReplayEngine {
   submit(request: EngineRequest): void;
   cancel(request: EngineRequest): void;
-  /** Milliseconds of work spent on requests that were cancelled. */
+  /** Returns the milliseconds spent on cancelled requests. */
   wastedMs(): number;
 }
 
@@ -28,7 +28,7 @@
 }
 
 /**
- * Makes an idle engine.
+ * Creates an idle engine.
  *
  * @example
  * const engine = createReplayEngine(clock, ENGINE_PROFILES[0]);
@@ -40,7 +40,7 @@
   let waiting: Sequence[] = [];
   let running: Sequence[] = [];
   let isBusy = false;
-  let wasted = 0;
+  let wastedMs = 0;
 
   function admit(): void {
     while (waiting.length > 0 && running.length < profile.slots) {
@@ -48,7 +48,7 @@
     }
   }
 
-  function decodeMs(): number {
+  function decodeStepMs(): number {
     const context = running.reduce(
       (sum, {request}) => sum + request.promptTokens,
       0,
@@ -60,7 +60,7 @@
     );
   }
 
-  function chunkMs(sequence: Sequence, tokens: number): number {
+  function chunkPrefillMs(sequence: Sequence, tokens: number): number {
     const pairs = (tokens * sequence.request.promptTokens) / 1e6;
     return tokens * profile.tokenMs + pairs * profile.pairsMs;
   }
@@ -72,18 +72,19 @@
       return;
     }
     isBusy = true;
-    const reading = running.find(({promptLeft}) => promptLeft > 0);
-    const tokens = Math.min(reading?.promptLeft ?? 0, profile.chunkTokens);
-    const readMs = reading === undefined ? 0 : chunkMs(reading, tokens);
-    clock.after(decodeMs() + readMs, () => {
+    const prefilling = running.find(({promptLeft}) => promptLeft > 0);
+    const tokens = Math.min(prefilling?.promptLeft ?? 0, profile.chunkTokens);
+    const prefillMs =
+      prefilling === undefined ? 0 : chunkPrefillMs(prefilling, tokens);
+    clock.after(decodeStepMs() + prefillMs, () => {
       const decoding = running.filter(({promptLeft}) => promptLeft === 0);
-      if (reading !== undefined) {
-        reading.promptLeft -= tokens;
-        reading.spentMs += readMs;
+      if (prefilling !== undefined) {
+        prefilling.promptLeft -= tokens;
+        prefilling.spentMs += prefillMs;
       }
       decoding.forEach(decode);
-      if (reading?.promptLeft === 0) {
-        decode(reading);
+      if (prefilling?.promptLeft === 0) {
+        decode(prefilling);
       }
       step();
     });
@@ -114,18 +115,18 @@
       }
     },
     cancel(request) {
-      const known = [...waiting, ...running].find(
+      const cancelled = [...waiting, ...running].find(
         sequence => sequence.request === request,
       );
-      wasted += known?.spentMs ?? 0;
-      waiting = waiting.filter(sequence => sequence !== known);
-      running = running.filter(sequence => sequence !== known);
+      wastedMs += cancelled?.spentMs ?? 0;
+      waiting = waiting.filter(sequence => sequence !== cancelled);
+      running = running.filter(sequence => sequence !== cancelled);
     },
-    wastedMs: () => wasted,
+    wastedMs: () => wastedMs,
   };
 }
 
-/** Behind all that are as urgent. */
+/** Inserts a sequence behind those of the same or higher urgency. */
 function insert(sequences: Sequence[], sequence: Sequence): void {
   const {urgency} = sequence.request;
   const before = sequences.findLastIndex(
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -1,4 +1,4 @@
-/** The decisions of one entry about model requests, as the gateway puts them together. */
+/** Request decisions of one entry, composed as in the gateway. */
 import {
   decisionLog,
   silentLogger,
@@ -18,15 +18,15 @@
 
 type Digest = Messages['digest'];
 
-/** The service that all requests go to. */
+/** Service of all requests. */
 export const SERVICE = 'chat';
 
-const SILENCE_MS = 1_200;
+const REPORTER_TIMEOUT_MS = 1_200;
 
-/** Window of the quotas, in milliseconds; replayed requests have none. */
+/** Quota window; replayed requests have no quota. */
 const QUOTA_WINDOW_MS = 8_000;
 
-const unread = {
+const emptyMirror = {
   revision: 0,
   changedAt: 0,
   confirmedAgoMs: -1,
@@ -39,14 +39,16 @@
   readonly engines: EngineEstimates;
   readonly observer: EngineObserver;
   digest(): Digest;
-  hear(peer: string, digest: Digest): void;
+  acceptDigest(peer: string, digest: Digest): void;
 }
 
 /**
- * Makes an entry that knows these engines.
+ * Creates an entry that routes to the given engines.
  *
  * @example
- * const entry = createReplayEntry({id: 'e1', engineIds, profile, kinds, clock, random});
+ * const entry = createReplayEntry({
+ *   id: 'e1', engineIds, profile, kinds, clock, random,
+ * });
  */
 export function createReplayEntry(options: {
   readonly id: string;
@@ -61,7 +63,7 @@
   const reports = createPeerReports({
     clock,
     failureDomain: 'a',
-    reporterTimeoutMs: SILENCE_MS,
+    reporterTimeoutMs: REPORTER_TIMEOUT_MS,
     quotaWindowMs: QUOTA_WINDOW_MS,
   });
   const aims = kinds.map(({goalMs, deadlineMs}) => ({
@@ -113,7 +115,11 @@
       incarnation: 1,
       stamp: clock.now(),
       wallMs: clock.wall(),
-      mirrors: {policy: unread, endpoints: unread, rollouts: unread},
+      mirrors: {
+        policy: emptyMirror,
+        endpoints: emptyMirror,
+        rollouts: emptyMirror,
+      },
       usage: {},
       entries: 1,
       used: {},
@@ -122,7 +128,7 @@
       outcomes: engines.outcomes.counts(),
       capacity: engines.model.stats(),
     }),
-    hear(peer, digest) {
+    acceptDigest(peer, digest) {
       if (reports.accept(peer, digest) !== undefined) {
         router.reportEntryLoads(peer, digest.loads);
       }
--- a/packages/bench/src/isolation.ts
+++ b/packages/bench/src/isolation.ts
@@ -1,32 +1,32 @@
 /**
- * `isolation`: of three services one hangs, slows, fails or is flooded; what the
- * other two notice, against an undisturbed run with the same arrivals, for our
- * admission and for one pool shared by all services.
+ * `isolation`: one of three services hangs, slows, fails or is flooded.
+ * Compares the other two with an undisturbed run of the same arrivals, for the
+ * admission package and for one pool shared by all services.
  */
 import type {MeasureOptions} from './measurements.js';
 import type {GateType} from './replay/gates.js';
 import type {ServiceFault} from './replay/replayService.js';
 import {
   quantile,
-  replayRecord,
-  runWorld,
-  todaysCustomers,
-} from './replay/world.js';
+  createServiceRecord,
+  runAdmissionReplay,
+  defaultCustomers,
+} from './replay/admissionReplay.js';
 
 const DEFAULT_SECONDS = 40;
-const FAULT_FROM_MS = 10_000;
-const FAULT_UNTIL_FRACTION = 0.75;
+const FAULT_START_MS = 10_000;
+const FAULT_END_FRACTION = 0.75;
 const TIMEOUT_MS = 2000;
 const FLOOD_FACTOR = 20;
-const VICTIM = 'roster';
+const FAULTY_SERVICE = 'roster';
 const GATES: readonly GateType[] = ['shared-fifo', 'aimd'];
 
 type Trouble = Exclude<ServiceFault, 'none'> | 'flooded';
 const TROUBLES: readonly Trouble[] = ['hung', 'slow', 'failing', 'flooded'];
 
-/** Names, places and mean times; each service is used to about two thirds. */
+/** Each service has a utilization of about two thirds. */
 const SERVICES = [
-  {name: VICTIM, slots: 32, meanMs: 200, perSecond: 105},
+  {name: FAULTY_SERVICE, slots: 32, meanMs: 200, perSecond: 105},
   {name: 'booking', slots: 16, meanMs: 40, perSecond: 265},
   {name: 'match', slots: 24, meanMs: 150, perSecond: 105},
 ];
@@ -37,7 +37,7 @@
 ];
 
 /**
- * Runs the measurement.
+ * Measures each gate under each disturbance.
  *
  * @example
  * const report = await measureIsolation({seed: 1000});
@@ -46,19 +46,29 @@
   const seconds = options.seconds ?? DEFAULT_SECONDS;
   const rows = [];
   for (const gate of GATES) {
-    const calm = await runCase(options.seed, seconds, gate, undefined);
+    const baselineFigures = await runCase(
+      options.seed,
+      seconds,
+      gate,
+      undefined,
+    );
     for (const trouble of TROUBLES) {
-      const troubled = await runCase(options.seed, seconds, gate, trouble);
-      for (const [index, other] of troubled.entries()) {
-        const base = calm[index] as Figures;
+      const disturbedFigures = await runCase(
+        options.seed,
+        seconds,
+        gate,
+        trouble,
+      );
+      for (const [index, other] of disturbedFigures.entries()) {
+        const baseline = baselineFigures[index] as ServiceFigures;
         rows.push({
           gate,
           trouble,
           service: other.service,
           p95Ms: other.p95Ms,
-          p95Ratio: other.p95Ms / base.p95Ms,
+          p95Ratio: other.p95Ms / baseline.p95Ms,
           success: other.success,
-          successUndisturbed: base.success,
+          successUndisturbed: baseline.success,
         });
       }
     }
@@ -66,7 +76,7 @@
   return {timeoutMs: TIMEOUT_MS, summary: summarize(rows), rows};
 }
 
-interface Figures {
+interface ServiceFigures {
   readonly service: string;
   readonly p95Ms: number;
   readonly success: number;
@@ -85,23 +95,23 @@
   });
 }
 
-/** The figures of the services that are not in trouble, while the trouble lasts. */
+/** Returns the figures of the undisturbed services during the disturbance. */
 async function runCase(
   seed: number,
   seconds: number,
   gate: GateType,
   trouble: Trouble | undefined,
-): Promise<Figures[]> {
-  const untilMs = seconds * 1000 * FAULT_UNTIL_FRACTION;
-  function isTroubled(nowMs: number): boolean {
-    return nowMs >= FAULT_FROM_MS && nowMs < untilMs;
+): Promise<ServiceFigures[]> {
+  const faultEndMs = seconds * 1000 * FAULT_END_FRACTION;
+  function isDuringFault(nowMs: number): boolean {
+    return nowMs >= FAULT_START_MS && nowMs < faultEndMs;
   }
-  const {outcomes} = await runWorld({
+  const {outcomes} = await runAdmissionReplay({
     seed,
     seconds,
     gate,
     services: SERVICES.map(({name, slots, meanMs}) => ({
-      record: replayRecord(name, {
+      record: createServiceRecord(name, {
         concurrency: slots,
         queue: 60,
         targetMs: meanMs * 3,
@@ -114,24 +124,24 @@
       service: name,
       perSecond,
       rateFactor: nowMs =>
-        trouble === 'flooded' && name === VICTIM && isTroubled(nowMs)
+        trouble === 'flooded' && name === FAULTY_SERVICE && isDuringFault(nowMs)
           ? FLOOD_FACTOR
           : 1,
       timeoutMs: TIMEOUT_MS,
-      customers: todaysCustomers,
+      customers: defaultCustomers,
       urgencies: URGENCIES,
     })),
-    disturb(clock, services) {
+    scheduleFaults(clock, services) {
       if (trouble === undefined || trouble === 'flooded') {
         return;
       }
-      const victim = services.get(VICTIM);
-      clock.after(FAULT_FROM_MS, () => victim?.setFault(trouble));
-      clock.after(untilMs, () => victim?.setFault('none'));
+      const faultyService = services.get(FAULTY_SERVICE);
+      clock.after(FAULT_START_MS, () => faultyService?.setFault(trouble));
+      clock.after(faultEndMs, () => faultyService?.setFault('none'));
     },
   });
-  const counted = outcomes.filter(({arrivedMs}) => isTroubled(arrivedMs));
-  return SERVICES.filter(({name}) => name !== VICTIM).map(({name}) => {
+  const counted = outcomes.filter(({arrivedMs}) => isDuringFault(arrivedMs));
+  return SERVICES.filter(({name}) => name !== FAULTY_SERVICE).map(({name}) => {
     const own = counted.filter(({service}) => service === name);
     const ok = own.filter(({result}) => result === 'ok');
     return {
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,4 +1,4 @@
-/** Runs one measurement: a readable table, then the JSON object as the last line. */
+/** Runs one measurement; prints its report as tables and as a JSON line. */
 import {writeFileSync} from 'node:fs';
 import {performance} from 'node:perf_hooks';
 import {readCommand, USAGE, type BenchCommand} from './commandLine.js';
@@ -10,7 +10,7 @@
 
 function listMeasurements(): string {
   return Object.entries(measurements)
-    .map(([name, {about}]) => `${name.padEnd(10)}  ${about}`)
+    .map(([name, {description}]) => `${name.padEnd(10)}  ${description}`)
     .join('\n');
 }
 
--- a/packages/bench/src/measurements.ts
+++ b/packages/bench/src/measurements.ts
@@ -1,9 +1,9 @@
-/** The table of measurements, and how one is loaded by name. */
+/** Registry of measurements, loaded by name. */
 
 export interface MeasureOptions {
   /** Seed of every random number of the run. */
   readonly seed: number;
-  /** Wanted length of the run in seconds; each measurement has its own default. */
+  /** Length of the run; the default depends on the measurement. */
   readonly seconds?: number;
 }
 
@@ -25,88 +25,90 @@
   | 'shedding';
 
 interface Measurement {
-  /** Module beside this one, loaded only when it is asked for. */
+  /** Path of the module relative to this one, imported on demand. */
   readonly module: string;
-  /** The function that the module exports. */
-  readonly exported: string;
-  readonly about: string;
+  /** Name of the measuring function that the module exports. */
+  readonly exportName: string;
+  readonly description: string;
 }
 
-/** Every measurement by name. */
+/** All measurements by name. */
 export const measurements: Readonly<Record<MeasurementName, Measurement>> = {
   overhead: {
     module: './overhead.js',
-    exported: 'measureOverhead',
-    about: 'time per request against calling the endpoint directly',
+    exportName: 'measureOverhead',
+    description: 'time per request against calling the endpoint directly',
   },
   isolation: {
     module: './isolation.js',
-    exported: 'measureIsolation',
-    about: 'other services while one hangs, slows, fails or is flooded',
+    exportName: 'measureIsolation',
+    description:
+      'latency and success of services while another one is faulty or flooded',
   },
   overload: {
     module: './overload.js',
-    exported: 'measureOverload',
-    about: 'goodput by importance at 1x, 2x and 5x of capacity',
+    exportName: 'measureOverload',
+    description: 'goodput by urgency at 1x, 2x and 5x of capacity',
   },
   routing: {
     module: './routing.js',
-    exported: 'measureRouting',
-    about: 'tokens recomputed and first-token latency by routing policy',
+    exportName: 'measureRouting',
+    description: 'tokens recomputed and first-token latency by routing policy',
   },
   reclaim: {
     module: './reclaim.js',
-    exported: 'measureReclaim',
-    about: 'streams while a failure domain of engines is reclaimed',
+    exportName: 'measureReclaim',
+    description: 'streams while a failure domain of engines is reclaimed',
   },
   moves: {
     module: './moves.js',
-    exported: 'measureMoves',
-    about: 'good versions moved in, bad versions taken back',
+    exportName: 'measureMoves',
+    description: 'good versions rolled out, bad versions rolled back',
   },
   fleet: {
     module: './fleet.js',
-    exported: 'measureFleet',
-    about: 'cost of a priced day at the latency target',
+    exportName: 'measureFleet',
+    description: 'host cost per day at the latency target, with varying prices',
   },
   orders: {
     module: './orders.js',
-    exported: 'measureOrders',
-    about: 'platform writes and added latency as orders grow',
+    exportName: 'measureOrders',
+    description: 'platform writes and added latency as orders grow',
   },
   spread: {
     module: './spread.js',
-    exported: 'measureSpread',
-    about: 'time until a configuration is in force as entries grow',
+    exportName: 'measureSpread',
+    description: 'time until a configuration is in force as entries grow',
   },
   slopes: {
     module: './slopes.js',
-    exported: 'measureSlopes',
-    about: 'control traffic, processor time and memory as the fleet grows',
+    exportName: 'measureSlopes',
+    description:
+      'control traffic, processor time and memory as the fleet grows',
   },
   orderOwner: {
     module: './slopes/orderOwner.js',
-    exported: 'measureOrderOwners',
-    about: 'what owning one shard of the order ledger costs as orders grow',
+    exportName: 'measureOrderOwners',
+    description: 'cost of owning one shard of the order ledger as orders grow',
   },
   capacity: {
     module: './capacity.js',
-    exported: 'measureCapacity',
-    about: 'what entries learn of engines that nobody described',
+    exportName: 'measureCapacity',
+    description: 'speed estimates of engines that have no configured speed',
   },
   shedding: {
     module: './shedding.js',
-    exported: 'measureShedding',
-    about: 'what callers get of engines offered twice what they can read',
+    exportName: 'measureShedding',
+    description: 'request results at twice the prompt capacity of the engines',
   },
 };
 
-/** Why a measurement cannot be run. */
-export type Unavailable = 'unknown name' | 'not written yet';
+/** Reason why a measurement cannot be run. */
+export type UnavailableReason = 'unknown name' | 'not implemented';
 
-export type Loaded =
+export type LoadedMeasurement =
   | {readonly type: 'found'; readonly measure: Measure}
-  | {readonly type: 'unavailable'; readonly reason: Unavailable};
+  | {readonly type: 'unavailable'; readonly reason: UnavailableReason};
 
 /**
  * Loads a measurement by name.
@@ -114,28 +116,30 @@
  * @example
  * const loaded = await loadMeasurement('isolation');
  */
-export async function loadMeasurement(name: string): Promise<Loaded> {
+export async function loadMeasurement(
+  name: string,
+): Promise<LoadedMeasurement> {
   if (!Object.hasOwn(measurements, name)) {
     return {type: 'unavailable', reason: 'unknown name'};
   }
-  const {module, exported} = measurements[name as MeasurementName];
+  const {module, exportName} = measurements[name as MeasurementName];
   const url = new URL(module, import.meta.url).href;
   try {
     const content = (await import(url)) as Record<string, Measure | undefined>;
-    const measure = content[exported];
+    const measure = content[exportName];
     if (measure === undefined) {
-      return {type: 'unavailable', reason: 'not written yet'};
+      return {type: 'unavailable', reason: 'not implemented'};
     }
     return {type: 'found', measure};
   } catch (error) {
     if (isMissingModule(error, url)) {
-      return {type: 'unavailable', reason: 'not written yet'};
+      return {type: 'unavailable', reason: 'not implemented'};
     }
     throw error;
   }
 }
 
-/** True only for the measurement's own module: a missing dependency of it is a real error. */
+/** Excludes missing dependencies of the module, which are real errors. */
 function isMissingModule(error: unknown, url: string): boolean {
   const {code, url: missing} = error as {code?: string; url?: string};
   return code === 'ERR_MODULE_NOT_FOUND' && missing === url;
--- a/packages/bench/src/replay/world.ts
+++ b/packages/bench/src/replay/admissionReplay.ts
@@ -1,39 +1,42 @@
-/** One replay: entries with gates, services with places, callers; everything from one seed. */
+/** Seeded replay of callers, entries with admission gates, and services. */
 import {every, seededRandom} from '@skylarkfield/base';
 import type {Service} from '@skylarkfield/records';
-import {gateTypes, type GateType} from './gates.js';
+import {gateFactories, type GateType} from './gates.js';
 import {createReplayClock, type ReplayClock} from './replayClock.js';
 import {createReplayService, type ReplayService} from './replayService.js';
-import {startTraffic, type Outcome, type Stream} from './traffic.js';
+import {startTraffic, type Outcome, type ArrivalStream} from './traffic.js';
 
-export interface WorldOptions {
+export interface AdmissionReplayOptions {
   readonly seed: number;
   readonly seconds: number;
   readonly gate: GateType;
   readonly services: readonly ReplayServiceSettings[];
-  readonly streams: readonly Stream[];
-  /** Plans faults before the run starts. */
-  disturb?(clock: ReplayClock, services: Map<string, ReplayService>): void;
+  readonly streams: readonly ArrivalStream[];
+  /** Schedules faults before the run starts. */
+  scheduleFaults?(
+    clock: ReplayClock,
+    services: Map<string, ReplayService>,
+  ): void;
 }
 
-/** A service with its record and what it can really carry. */
+/** Service with its record and its real capacity. */
 export interface ReplayServiceSettings {
   readonly record: Service;
   readonly slots: number;
-  /** What the endpoints claim to have; the truth when not given. */
+  /** Slots that the endpoints report; default: the real number. */
   readonly reportedSlots?: number;
   readonly meanMs: number;
 }
 
-export interface World {
+export interface AdmissionReplayResult {
   readonly outcomes: readonly Outcome[];
   readonly services: ReadonlyMap<string, ReplayService>;
 }
 
-/** Entries that each of the two users has today. */
+/** Number of entries in a fleet of either user. */
 const ENTRY_COUNT = 7;
 
-/** Endpoints report their load this often, and entries hear of it this much later. */
+/** Interval of load reports, and their delay until they reach the entries. */
 const REPORT_INTERVAL_MS = 500;
 const REPORT_LAG_MS = 300;
 
@@ -41,9 +44,13 @@
  * Runs a replay to its end.
  *
  * @example
- * const {outcomes} = await runWorld({seed: 1, seconds: 30, gate: 'aimd', services, streams});
+ * const {outcomes} = await runAdmissionReplay({
+ *   seed: 1, seconds: 30, gate: 'aimd', services, streams,
+ * });
  */
-export async function runWorld(options: WorldOptions): Promise<World> {
+export async function runAdmissionReplay(
+  options: AdmissionReplayOptions,
+): Promise<AdmissionReplayResult> {
   const clock = createReplayClock();
   const services = new Map(
     options.services.map(({record, slots, meanMs}, index) => [
@@ -57,7 +64,7 @@
     ]),
   );
   const gates = Array.from({length: ENTRY_COUNT}, (_, index) =>
-    gateTypes[options.gate]({
+    gateFactories[options.gate]({
       clock,
       random: seededRandom(options.seed * 13 + index),
       services: options.services.map(({record}) => record),
@@ -77,27 +84,27 @@
       });
     }
   });
-  options.disturb?.(clock, services);
-  const untilMs = options.seconds * 1000;
+  options.scheduleFaults?.(clock, services);
+  const endMs = options.seconds * 1000;
   const outcomes: Outcome[] = [];
   startTraffic({
     clock,
     seed: options.seed,
-    untilMs,
+    endMs,
     gates,
     services,
     streams: options.streams,
     record: outcome => outcomes.push(outcome),
   });
-  const longestMs = Math.max(
+  const maxTimeoutMs = Math.max(
     ...options.streams.map(({timeoutMs}) => timeoutMs),
   );
-  await clock.run(untilMs + longestMs + 1);
+  await clock.run(endMs + maxTimeoutMs + 1);
   return {outcomes, services};
 }
 
-/** Today's customers: about five, a few large. */
-export const todaysCustomers = [
+/** Typical customers and their fraction of the requests. */
+export const defaultCustomers = [
   {name: 'chain', part: 0.45},
   {name: 'studio', part: 0.3},
   {name: 'flooring', part: 0.15},
@@ -106,7 +113,7 @@
 ];
 
 /**
- * The value below which the given fraction of the numbers lies; NaN for none.
+ * Returns the given quantile of the values; NaN for no values.
  *
  * @example
  * quantile([1, 2, 3, 4], 0.5); // 3
@@ -119,8 +126,8 @@
   );
 }
 
-/** A service record for a replay. */
-export function replayRecord(
+/** Creates a service record for a replay. */
+export function createServiceRecord(
   name: string,
   limits: Pick<Service, 'concurrency' | 'queue' | 'targetMs' | 'timeoutMs'>,
 ): Service {
--- a/packages/bench/src/replay/replayClock.ts
+++ b/packages/bench/src/replay/replayClock.ts
@@ -1,8 +1,8 @@
-/** A virtual clock with a heap of timers, for replays with many requests at once. */
+/** Virtual clock with a timer heap, for many concurrent requests. */
 import {toDisposable, type Clock} from '@skylarkfield/base';
 
 export interface ReplayClock extends Clock {
-  /** Runs every timer due by the given time, letting promises settle in between. */
+  /** Runs every timer due by the given time, with microtasks in between. */
   run(untilMs: number): Promise<void>;
 }
 
@@ -12,11 +12,11 @@
   callback: (() => void) | undefined;
 }
 
-/** Microtask rounds after each timer: more than any chain of awaits in a replay. */
-const SETTLE_ROUNDS = 8;
+/** Microtask rounds after each timer: more than any await chain in a replay. */
+const MICROTASK_ROUNDS = 8;
 
 /**
- * Makes a replay clock that starts at 0.
+ * Creates a replay clock that starts at 0.
  *
  * @example
  * const clock = createReplayClock();
@@ -49,7 +49,7 @@
         }
         nowMs = timer.dueMs;
         callback();
-        for (let round = 0; round < SETTLE_ROUNDS; round++) {
+        for (let round = 0; round < MICROTASK_ROUNDS; round++) {
           await Promise.resolve();
         }
       }
--- a/packages/bench/src/routing.ts
+++ b/packages/bench/src/routing.ts
@@ -1,28 +1,28 @@
-/** Tokens computed again and first-token latency by routing policy. */
+/** Compares recomputed tokens and first-token latency of routing policies. */
 import {quantileSorted} from 'simple-statistics';
 import {policies, type PolicyName} from './routing/policies.js';
-import {replay, type ReplayResult} from './routing/replay.js';
+import {replayWorkload, type RoutingReplayResult} from './routing/replay.js';
 import {workloads, type Workload} from './routing/workloads.js';
 import {measureDecisionTime} from './routing/decisionTime.js';
 
 const DEFAULT_SECONDS = 90;
 
-/** One policy's figures on one workload. */
+/** Results of one policy on one workload. */
 interface PolicyFigures {
   readonly requests: number;
   readonly prefilledTokens: number;
-  /** Tokens computed although they had been computed before, at any replica. */
+  /** Tokens computed although some replica had computed them before. */
   readonly recomputedTokens: number;
-  /** Prompt tokens found in caches, as a share of what an unlimited cache would find. */
+  /** Cached prompt tokens relative to those in an unlimited cache. */
   readonly shareOfBound: number;
   readonly firstTokenP50Ms: number;
   readonly firstTokenP95Ms: number;
-  /** Requests at the busiest replica relative to the mean. */
+  /** Requests of the busiest replica relative to the mean. */
   readonly busiest: number;
 }
 
 /**
- * Measures every policy on both users' workloads, the same sessions for each.
+ * Measures every policy on both workloads, with the same sessions for each.
  *
  * @example
  * const result = await measureRouting({seed: 101});
@@ -46,23 +46,29 @@
   const figures = Object.fromEntries(
     names.map(policy => [
       policy,
-      summarize(replay({workload, policy, seed, seconds})),
+      summarize(replayWorkload({workload, policy, seed, seconds})),
     ]),
   ) as Record<PolicyName, PolicyFigures>;
-  const plain = names
+  const baselines = names
     .filter(name => name !== 'skylarkfield')
     .map(name => figures[name]);
-  const own = figures.skylarkfield;
-  const fewest = Math.min(...plain.map(item => item.recomputedTokens));
-  const bestP95 = Math.min(...plain.map(item => item.firstTokenP95Ms));
+  const skylarkfield = figures.skylarkfield;
+  const fewestRecomputed = Math.min(
+    ...baselines.map(item => item.recomputedTokens),
+  );
+  const bestP95 = Math.min(...baselines.map(item => item.firstTokenP95Ms));
   return {
     policies: figures,
-    recomputedMoreThanBestPlain: own.recomputedTokens - fewest,
-    firstTokenP95AgainstBestPlain: round(own.firstTokenP95Ms / bestP95, 3),
+    recomputedMoreThanBestPlain:
+      skylarkfield.recomputedTokens - fewestRecomputed,
+    firstTokenP95AgainstBestPlain: round(
+      skylarkfield.firstTokenP95Ms / bestP95,
+      3,
+    ),
   };
 }
 
-function summarize(result: ReplayResult): PolicyFigures {
+function summarize(result: RoutingReplayResult): PolicyFigures {
   const sorted = [...result.firstTokenMs].sort((a, b) => a - b);
   const cached = result.promptTokens - result.prefilledTokens;
   const cachedAtBest = result.promptTokens - result.boundTokens;
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -1,4 +1,4 @@
-/** Ways of choosing an endpoint, the plain ones to compare with. */
+/** Routing policies: the router and plain baselines. */
 import {
   decisionLog,
   silentLogger,
@@ -15,7 +15,7 @@
   type RouteWeights,
 } from '@skylarkfield/routing';
 
-/** One entry's way of choosing. */
+/** Routing policy of one entry. */
 export interface Policy {
   choose(routingRequest: RoutingRequest): Choice;
   reportLoad(endpoint: string, report: LoadReport): void;
@@ -29,7 +29,7 @@
   readonly self: string;
   readonly failureDomain: string;
   readonly endpoints: readonly Candidate[];
-  /** Blocks that all callers share, for prefix hashing. */
+  /** Number of prompt blocks that all callers share, for prefix hashing. */
   readonly sharedBlocks: number;
   readonly weights?: Partial<RouteWeights>;
 }
@@ -40,7 +40,7 @@
   | 'prefixHash'
   | 'skylarkfield';
 
-function plainChoice(endpoint: string, finish = () => {}): Choice {
+function createPlainChoice(endpoint: string, finish = () => {}): Choice {
   return {
     endpoint,
     cachedTokens: 0,
@@ -56,13 +56,13 @@
   const ids = options.endpoints.map(({id}) => id);
   let next = options.random.integer(0, ids.length - 1);
   return {
-    choose: () => plainChoice(ids[next++ % ids.length]!),
+    choose: () => createPlainChoice(ids[next++ % ids.length]!),
     reportLoad() {},
     reportCache: () => -1,
   };
 }
 
-/** Last reported load plus what this entry has sent since the report came. */
+/** Chooses by last reported load plus the requests sent since that report. */
 function leastLoaded(options: PolicyOptions): Policy {
   const {random} = options;
   const ids = options.endpoints.map(({id}) => id);
@@ -72,7 +72,7 @@
       const least = Math.min(...loads.values());
       const chosen = random.pick(ids.filter(id => loads.get(id) === least))!;
       loads.set(chosen, least + 1);
-      return plainChoice(chosen);
+      return createPlainChoice(chosen);
     },
     reportLoad(endpoint, report) {
       loads.set(endpoint, report.running + report.waiting);
@@ -81,14 +81,14 @@
   };
 }
 
-/** Hash of a prompt's start, reaching just past what all callers share. */
+/** Hashes a prompt up to the first block that not all callers share. */
 function prefixHash(options: PolicyOptions): Policy {
   const ids = options.endpoints.map(({id}) => id);
   return {
     choose(routingRequest) {
       const {blocks} = routingRequest;
       const depth = Math.min(options.sharedBlocks, blocks.length - 1);
-      return plainChoice(rendezvousOrder(blocks[depth] ?? '', ids)[0]!);
+      return createPlainChoice(rendezvousOrder(blocks[depth] ?? '', ids)[0]!);
     },
     reportLoad() {},
     reportCache: () => -1,
--- a/packages/bench/src/routing/workloads.ts
+++ b/packages/bench/src/routing/workloads.ts
@@ -1,41 +1,41 @@
-/** Multi-turn requests like those of the two users, drawn from a seed. */
+/** Seeded multi-turn workloads modelled on the two users. */
 import {hash32, seededRandom, type Random} from '@skylarkfield/base';
 
-/** One user's model pool and its callers. */
+/** Model pool and callers of one user. */
 export interface Workload {
   readonly name: 'namu' | 'sahakarana';
   readonly replicas: number;
-  /** New sessions a second over all customers. */
+  /** New sessions per second over all customers. */
   readonly sessionsPerSecond: number;
-  /** Shares of the customers, a few of them large. */
+  /** Fraction of the sessions by customer. */
   readonly customerShares: readonly number[];
-  /** Blocks from the start of a prompt after which it is no longer shared by all callers. */
+  /** Length in blocks of the prompt prefix that all callers share. */
   readonly sharedBlocks: number;
   /** Draws a session of a customer. */
   session(customer: number, random: Random): Session;
 }
 
-/** A caller's conversation: each turn adds the answer and a question. */
+/** Conversation whose prompt grows by an answer and a question per turn. */
 export interface Session {
   readonly prompt: string;
   readonly turns: readonly Turn[];
 }
 
 export interface Turn {
-  /** What the caller adds after the previous answer. */
+  /** Text that the caller appends to the previous answer. */
   readonly question: string;
   readonly maxTokens: number;
-  /** Milliseconds from the previous answer's end. */
+  /** Milliseconds after the end of the previous answer. */
   readonly thinkMs: number;
 }
 
 /**
- * Distinct words of one text, the same for the same name.
+ * Returns distinct words that depend only on the name.
  *
  * @example
- * words('a', 2); // 'a.0 a.1'
+ * distinctWords('a', 2); // 'a.0 a.1'
  */
-export function words(name: string, count: number): string {
+export function distinctWords(name: string, count: number): string {
   return Array.from({length: count}, (_, index) => `${name}.${index}`).join(
     ' ',
   );
@@ -52,22 +52,22 @@
 ): Turn[] {
   const count = random.integer(...shape.turns);
   return Array.from({length: count}, (_, turn) => ({
-    question: words(`${id}q${turn}`, random.integer(15, 60)),
+    question: distinctWords(`${id}q${turn}`, random.integer(15, 60)),
     maxTokens: random.integer(...shape.answer),
     thinkMs: turn === 0 ? 0 : random.exponential(shape.thinkMs),
   }));
 }
 
-/** Draws an index with weight falling as 1/(rank + 1): some histories are asked about far more. */
-function drawRank(random: Random, count: number): number {
+/** Draws an index with weight 1/(rank + 1): few histories are popular. */
+function drawZipfRank(random: Random, count: number): number {
   const total = Array.from({length: count}, (_, i) => 1 / (i + 1)).reduce(
     (a, b) => a + b,
     0,
   );
-  let left = random.next() * total;
+  let remaining = random.next() * total;
   for (let rank = 0; rank < count; rank++) {
-    left -= 1 / (rank + 1);
-    if (left <= 0) {
+    remaining -= 1 / (rank + 1);
+    if (remaining <= 0) {
       return rank;
     }
   }
@@ -80,7 +80,7 @@
 
 const CUSTOMER_SHARES = [0.42, 0.28, 0.15, 0.1, 0.05];
 
-/** Image matching: a shared prompt and catalogue, then a photo seen nowhere else. */
+/** Image matching: a shared prompt and catalogue, then a unique photo. */
 const namu: Workload = {
   name: 'namu',
   replicas: 6,
@@ -90,9 +90,9 @@
   session(customer, random) {
     const id = drawId(random);
     const prompt = [
-      words('system', 320),
-      words(`catalogue${customer}`, 384),
-      words(`photo${id}`, random.integer(500, 1600)),
+      distinctWords('system', 320),
+      distinctWords(`catalogue${customer}`, 384),
+      distinctWords(`photo${id}`, random.integer(500, 1600)),
     ].join(' ');
     const turns = drawTurns(random, id, {
       turns: [1, 5],
@@ -103,7 +103,7 @@
   },
 };
 
-/** Long worker histories, asked about again and again by few customers. */
+/** Long worker histories, queried repeatedly by few customers. */
 const sahakarana: Workload = {
   name: 'sahakarana',
   replicas: 8,
@@ -112,12 +112,12 @@
   sharedBlocks: 12,
   session(customer, random) {
     const crews = Math.round(20 + 80 * (CUSTOMER_SHARES[customer] ?? 0));
-    const crew = `crew${customer}-${drawRank(random, crews)}`;
-    // The same history each time: its length follows from its name.
+    const crew = `crew${customer}-${drawZipfRank(random, crews)}`;
+    // The length depends on the name only, so that the history is the same.
     const lengths = seededRandom(hash32(crew));
     const prompt = [
-      words('system', 192),
-      words(crew, lengths.integer(1800, 5200)),
+      distinctWords('system', 192),
+      distinctWords(crew, lengths.integer(1800, 5200)),
     ].join(' ');
     const turns = drawTurns(random, drawId(random), {
       turns: [2, 6],
@@ -131,13 +131,15 @@
 export const workloads: readonly Workload[] = [namu, sahakarana];
 
 /**
- * Draws a customer by the workload's shares.
+ * Draws a customer by the workload's customer shares.
  *
  * @example
  * const customer = drawCustomer(workload, random);
  */
 export function drawCustomer(workload: Workload, random: Random): number {
-  let left = random.next();
-  const index = workload.customerShares.findIndex(share => (left -= share) < 0);
+  let remaining = random.next();
+  const index = workload.customerShares.findIndex(
+    share => (remaining -= share) < 0,
+  );
   return index < 0 ? 0 : index;
 }
--- a/packages/bench/src/slopes.ts
+++ b/packages/bench/src/slopes.ts
@@ -1,7 +1,6 @@
 /**
- * Slopes for the capacity page: what control costs one process as entries,
- * replicas and changes grow. Each part is a plain function; the page's script
- * reads the object that this returns.
+ * `slopes`: cost of control traffic per process as entries, replicas and
+ * changes grow. The script of the capacity page reads the returned object.
  */
 import type {MeasureOptions} from './measurements.js';
 import {measureIdleEntries} from './slopes/idleEntry.js';
@@ -10,15 +9,15 @@
   measureFalseAlarms,
   measureMembers,
 } from './slopes/memberSlopes.js';
-import {measureLoadPolls, measureSizes} from './slopes/replicaSlopes.js';
+import {measureLoadPolls, measureEncodedSizes} from './slopes/replicaSlopes.js';
 import {measureSockets} from './slopes/socketSlopes.js';
 
-const SIZES = [7, 25, 100, 300] as const;
-/** Members simulated for a lost failure domain. */
-const LOSS_SIZE = 100;
-/** With this many seconds or more the largest size is measured as well. */
-const LONG_SECONDS = 120;
-const LONG_SIZE = 600;
+const ENTRY_COUNTS = [7, 25, 100, 300] as const;
+/** Entries simulated for the loss of a failure domain. */
+const DOMAIN_LOSS_ENTRIES = 100;
+/** Runs of at least this many seconds also measure the largest count. */
+const LARGE_COUNT_MIN_SECONDS = 120;
+const LARGE_ENTRY_COUNT = 600;
 
 /**
  * Measures all slopes.
@@ -28,7 +27,10 @@
  */
 export async function measureSlopes(options: MeasureOptions): Promise<object> {
   const {seed, seconds = 0} = options;
-  const sizes = seconds >= LONG_SECONDS ? [...SIZES, LONG_SIZE] : SIZES;
+  const sizes =
+    seconds >= LARGE_COUNT_MIN_SECONDS
+      ? [...ENTRY_COUNTS, LARGE_ENTRY_COUNT]
+      : ENTRY_COUNTS;
   const idleEntry = await measureIdleEntries();
   const sockets = await measureSockets();
   const loadPolls = await measureLoadPolls();
@@ -40,9 +42,9 @@
     idleEntry,
     sockets,
     loadPolls,
-    sizes: measureSizes(),
+    sizes: measureEncodedSizes(),
     members,
-    domainLoss: [await measureDomainLoss(seed, LOSS_SIZE)],
+    domainLoss: [await measureDomainLoss(seed, DOMAIN_LOSS_ENTRIES)],
     falseAlarms: [
       await measureFalseAlarms(seed, 7),
       await measureFalseAlarms(seed, 40),
--- a/packages/bench/src/slopes/heap.ts
+++ b/packages/bench/src/slopes/heap.ts
@@ -1,28 +1,28 @@
-/** Heap in use after a collection. */
+/** Memory use after garbage collection. */
 import v8 from 'node:v8';
 import vm from 'node:vm';
 
 v8.setFlagsFromString('--expose_gc');
-const collect = vm.runInNewContext('gc') as () => void;
+const collectGarbage = vm.runInNewContext('gc') as () => void;
 
 /**
- * Collects garbage and reads the heap in use, in bytes.
+ * Collects garbage and returns the used heap in bytes.
  *
  * @example
  * const before = collectedHeapBytes();
  */
 export function collectedHeapBytes(): number {
-  collect();
+  collectGarbage();
   return process.memoryUsage().heapUsed;
 }
 
 /**
- * Collects garbage and reads the memory of the process, in bytes.
+ * Collects garbage and returns the resident set size in bytes.
  *
  * @example
  * const before = collectedResidentBytes();
  */
 export function collectedResidentBytes(): number {
-  collect();
+  collectGarbage();
   return process.memoryUsage().rss;
 }
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -1,103 +1,106 @@
-/** What membership costs one entry as the entries grow, and how fast it notices. */
+/** Measures the membership cost per entry and the failure detection time. */
 import {collectedHeapBytes} from './heap.js';
 import {createMemberCluster, type MemberCluster} from './memberCluster.js';
 
 export interface MemberSlope {
   readonly entries: number;
   readonly neighbours: number;
-  /** Per entry and second, sent and received together, with nothing happening. */
+  /** Per entry and second, sent and received, without membership changes. */
   readonly messages: number;
   readonly bytes: number;
-  /** Microseconds a second per entry, cost of the simulation included. */
+  /** Microseconds per second and entry, including the simulation. */
   readonly cpuMicros: number;
-  /** Heap per entry with all it knows. */
+  /** Heap per entry, including its member list. */
   readonly heapBytes: number;
-  /** Bytes per entry, both ways, that one crash and one start add. */
+  /** Bytes per entry, sent and received, for one crash and one start. */
   readonly bytesPerChange: number;
-  /** From a kill until the first and the last entry stop offering it. */
+  /** Time from a crash until the first and the last entry remove the member. */
   readonly firstNoticeMs: number;
   readonly lastNoticeMs: number;
 }
 
 const STEADY_MS = 10_000;
-const SETTLE_LIMIT_MS = 120_000;
+const CONVERGENCE_TIMEOUT_MS = 120_000;
 const STEP_MS = 250;
 const CHANGE_WINDOW_MS = 20_000;
 
-/** Runs until all agree and no news is left to spread. */
-async function settle(cluster: MemberCluster): Promise<void> {
-  for (let ms = 0; ms < SETTLE_LIMIT_MS; ms += 1_000) {
+/** Runs until all members agree and no gossip is pending. */
+async function waitForConvergence(cluster: MemberCluster): Promise<void> {
+  for (let ms = 0; ms < CONVERGENCE_TIMEOUT_MS; ms += 1_000) {
     await cluster.clock.advance(1_000);
-    if (cluster.agreeing() === cluster.members.size && isQuiet(cluster)) {
+    if (
+      cluster.countAgreeing() === cluster.members.size &&
+      isGossipIdle(cluster)
+    ) {
       return;
     }
   }
-  throw new Error('the members did not settle');
+  throw new Error('the members did not converge in time');
 }
 
 interface MembershipDump {
   readonly neighbours: readonly string[];
-  /** News still to be passed on. */
+  /** Pending membership updates. */
   readonly gossip: number;
 }
 
-function dumps(cluster: MemberCluster): MembershipDump[] {
+function readDumps(cluster: MemberCluster): MembershipDump[] {
   return [...cluster.members.values()].map(
     membership => membership.dump() as MembershipDump,
   );
 }
 
-function isQuiet(cluster: MemberCluster): boolean {
-  return dumps(cluster).every(({gossip}) => gossip === 0);
+function isGossipIdle(cluster: MemberCluster): boolean {
+  return readDumps(cluster).every(({gossip}) => gossip === 0);
 }
 
-function neighbourMean(cluster: MemberCluster): number {
-  const all = dumps(cluster);
+function meanNeighbours(cluster: MemberCluster): number {
+  const all = readDumps(cluster);
   const sum = all.reduce((total, {neighbours}) => total + neighbours.length, 0);
   return sum / all.length;
 }
 
-async function measureSteady(cluster: MemberCluster) {
+async function measureSteadyState(cluster: MemberCluster) {
   const {net, clock, members} = cluster;
   const before = net.totalTraffic();
   const cpu = process.cpuUsage();
   await clock.advance(STEADY_MS);
   const used = process.cpuUsage(cpu);
   const after = net.totalTraffic();
-  const share = members.size * (STEADY_MS / 1000);
+  const entrySeconds = members.size * (STEADY_MS / 1000);
   return {
-    messages: (2 * (after.messagesSent - before.messagesSent)) / share,
-    bytes: (2 * (after.bytesSent - before.bytesSent)) / share,
-    cpuMicros: (used.user + used.system) / share,
+    messages: (2 * (after.messagesSent - before.messagesSent)) / entrySeconds,
+    bytes: (2 * (after.bytesSent - before.bytesSent)) / entrySeconds,
+    cpuMicros: (used.user + used.system) / entrySeconds,
   };
 }
 
-/** Kills one and measures who notices when, and what the news costs. */
+/** Crashes one entry; measures its detection and the bytes of the change. */
 async function measureChange(cluster: MemberCluster, steadyBytes: number) {
   const {net, clock, members} = cluster;
   const id = cluster.random.pick([...members.keys()])!;
   const before = net.totalTraffic().bytesSent;
   cluster.crash(id);
-  const noticed = await noticeTimes(cluster, new Set([id]));
-  await clock.advance(CHANGE_WINDOW_MS - noticed.lastNoticeMs);
+  const detection = await measureDetectionTimes(cluster, new Set([id]));
+  await clock.advance(CHANGE_WINDOW_MS - detection.lastNoticeMs);
   cluster.start(id);
   await clock.advance(CHANGE_WINDOW_MS);
   const bytes = (2 * (net.totalTraffic().bytesSent - before)) / members.size;
   const steady = (steadyBytes * 2 * CHANGE_WINDOW_MS) / 1000;
-  return {...noticed, bytesPerChange: Math.max(0, bytes - steady)};
+  return {...detection, bytesPerChange: Math.max(0, bytes - steady)};
 }
 
-/** Runs until no entry offers the given ones, or the window ends. */
-export async function noticeTimes(
+/** Runs until no entry lists the given ids, or until the limit. */
+export async function measureDetectionTimes(
   cluster: MemberCluster,
-  dead: ReadonlySet<string>,
+  lostIds: ReadonlySet<string>,
   limitMs = CHANGE_WINDOW_MS,
 ) {
   const all = cluster.members.size;
   let firstNoticeMs = -1;
   for (let ms = STEP_MS; ms <= limitMs; ms += STEP_MS) {
     await cluster.clock.advance(STEP_MS);
-    const listing = cluster.listing(dead);
+    const listing = cluster.countListing(lostIds);
     if (firstNoticeMs < 0 && listing < all) {
       firstNoticeMs = ms;
     }
@@ -109,7 +112,7 @@
 }
 
 /**
- * Measures one size.
+ * Measures a cluster with the given number of entries.
  *
  * @example
  * const slope = await measureMembers(1, 100);
@@ -120,13 +123,13 @@
 ): Promise<MemberSlope> {
   const heapBefore = collectedHeapBytes();
   const cluster = createMemberCluster(seed, entries);
-  await settle(cluster);
+  await waitForConvergence(cluster);
   const heap = (collectedHeapBytes() - heapBefore) / entries;
-  const steady = await measureSteady(cluster);
+  const steady = await measureSteadyState(cluster);
   const change = await measureChange(cluster, steady.bytes);
   return {
     entries,
-    neighbours: round(neighbourMean(cluster)),
+    neighbours: round(meanNeighbours(cluster)),
     messages: round(steady.messages),
     bytes: round(steady.bytes),
     cpuMicros: round(steady.cpuMicros),
@@ -138,50 +141,50 @@
 }
 
 /**
- * Loses a failure domain at once: how long until nobody offers any of it, and
- * the busiest second of an entry meanwhile.
+ * Crashes a failure domain; measures the time until no entry lists any of it
+ * and the bytes of the busiest second per entry until then.
  *
  * @example
  * const loss = await measureDomainLoss(1, 100);
  */
 export async function measureDomainLoss(seed: number, entries: number) {
   const cluster = createMemberCluster(seed, entries);
-  await settle(cluster);
-  const dead = [...cluster.members.keys()].filter(
+  await waitForConvergence(cluster);
+  const lostIds = [...cluster.members.keys()].filter(
     id => cluster.domainOf(id) === 'domain-3',
   );
-  dead.forEach(id => cluster.crash(id));
-  const ids = new Set(dead);
+  lostIds.forEach(id => cluster.crash(id));
+  const ids = new Set(lostIds);
   let busiestBytes = 0;
-  let agreedMs = -1;
+  let detectedMs = -1;
   let seconds = 0;
-  for (; seconds < 90 && agreedMs < 0; seconds++) {
+  for (; seconds < 90 && detectedMs < 0; seconds++) {
     const before = cluster.net.totalTraffic().bytesSent;
     await cluster.clock.advance(1_000);
     const sent = cluster.net.totalTraffic().bytesSent - before;
     busiestBytes = Math.max(busiestBytes, (2 * sent) / cluster.members.size);
-    if (cluster.listing(ids) === 0) {
-      agreedMs = (seconds + 1) * 1_000;
+    if (cluster.countListing(ids) === 0) {
+      detectedMs = (seconds + 1) * 1_000;
     }
   }
   return {
     entries,
-    lost: dead.length,
-    allNoticedMs: agreedMs,
+    lost: lostIds.length,
+    allNoticedMs: detectedMs,
     busiestBytes: Math.round(busiestBytes),
   };
 }
 
 /**
- * Counts live entries that others wrongly took out, under loss of a tenth of
- * all messages and short pauses of single processes.
+ * Counts suspicions and removals of live entries, with 10 % message loss and
+ * short pauses of single processes.
  *
  * @example
  * const {suspicions, wronglyGone} = await measureFalseAlarms(1, 25);
  */
 export async function measureFalseAlarms(seed: number, entries: number) {
   const cluster = createMemberCluster(seed, entries);
-  await settle(cluster);
+  await waitForConvergence(cluster);
   let suspicions = 0;
   let wronglyGone = 0;
   for (const membership of cluster.members.values()) {
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -1,8 +1,9 @@
 /**
- * What owning one shard of the order ledger costs as its orders grow: two
- * ledgers over the memory platform on a virtual clock for longer than the dedupe window, all
- * orders forwarded to the owner by the real codec. Processor time includes the
- * forwarding entry, the platform and the simulation: it is an upper bound.
+ * `orderOwner`: cost of owning one shard of the order ledger as orders grow.
+ * Two ledgers run on a virtual clock for longer than the dedupe window, and all
+ * orders are forwarded to the owner by the real codec. Processor time is an
+ * upper bound: it includes the forwarding entry, the platform and the
+ * simulation.
  */
 import {
   seededRandom,
@@ -19,17 +20,17 @@
 import {startLedgers, type LedgerFleet} from '../orderLedgers.js';
 import {collectedHeapBytes} from './heap.js';
 
-/** Orders per second of one shard. */
+/** Orders per second and shard. */
 const RATES = [0.1, 0.3, 1] as const;
-const WINDOW_SECONDS = 3_600;
-/** The shard is full of keys before the measured span starts. */
-const SPAN_SECONDS = 600;
+const DEDUPE_WINDOW_SECONDS = 3_600;
+/** Measured time, which starts when the shard holds a full window of keys. */
+const MEASURED_SECONDS = 600;
 const PLATFORM_DELAY_MS = 4;
 const TIMEOUT_MS = 10_000;
 const BODY_BYTES = 200;
 
 /**
- * Measures an owner at each rate.
+ * Measures the owner at each order rate.
  *
  * @example
  * const {owners} = await measureOrderOwners({seed: 1});
@@ -41,7 +42,7 @@
   for (const rate of RATES) {
     owners.push(await measureOwner(options.seed, rate));
   }
-  return {windowSeconds: WINDOW_SECONDS, owners};
+  return {windowSeconds: DEDUPE_WINDOW_SECONDS, owners};
 }
 
 async function measureOwner(seed: number, rate: number) {
@@ -53,7 +54,7 @@
   const fleet = startLedgers({
     clock,
     random,
-    platform: overWire(memory, written),
+    platform: withWireCopies(memory, written),
     entries: 2,
     settings: {shardCount: 1},
     dispatch,
@@ -61,15 +62,27 @@
   const first = fleet.submit('first', 0, TIMEOUT_MS);
   await clock.advance(TIMEOUT_MS);
   await first;
-  const forwarding = fleet.ledgers().findIndex(ledger => !isOwner(ledger));
-  let refused = await offer(clock, fleet, forwarding, rate, WINDOW_SECONDS);
+  const forwardingEntry = fleet.ledgers().findIndex(ledger => !isOwner(ledger));
+  let refused = await offerOrders(
+    clock,
+    fleet,
+    forwardingEntry,
+    rate,
+    DEDUPE_WINDOW_SECONDS,
+  );
   const before = {
     writes: memory.load().writes,
     bytes: written.bytes,
     traffic: fleet.traffic(),
     cpu: process.cpuUsage(),
   };
-  refused += await offer(clock, fleet, forwarding, rate, SPAN_SECONDS);
+  refused += await offerOrders(
+    clock,
+    fleet,
+    forwardingEntry,
+    rate,
+    MEASURED_SECONDS,
+  );
   const cpu = process.cpuUsage(before.cpu);
   const traffic = fleet.traffic();
   const owner = fleet.ledgers().find(isOwner);
@@ -78,7 +91,7 @@
     refused,
     stateBytes: owner === undefined ? 0 : shardOf(owner).bytes,
     entries: owner === undefined ? 0 : shardOf(owner).entries,
-    // What one end sends the other receives: the owner has half of all ends.
+    // Bytes sent by both entries equal those sent and received by the owner.
     messages: perSecond(traffic.messagesSent - before.traffic.messagesSent),
     bytes: perSecond(traffic.bytesSent - before.traffic.bytesSent),
     platformWrites: perSecond(memory.load().writes - before.writes),
@@ -86,15 +99,15 @@
     cpuMicros: perSecond(cpu.user + cpu.system),
   };
   fleet.dispose();
-  return {...result, heapBytes: await measureTakeOverHeap(clock, memory)};
+  return {...result, heapBytes: await measureTakeoverHeap(clock, memory)};
 }
 
 /**
- * Heap that a shard's state takes at an owner that has just taken it over. The
- * heap of the first owner would not tell: the platform beside it keeps every
- * version written.
+ * Measures the heap of a shard's state at an owner that has just taken it over.
+ * The heap of the first owner is no measure, since the in-process platform
+ * keeps every written version.
  */
-async function measureTakeOverHeap(
+async function measureTakeoverHeap(
   clock: VirtualClock,
   platform: MemoryPlatform,
 ): Promise<number> {
@@ -102,7 +115,7 @@
   const fleet = startLedgers({
     clock,
     random: seededRandom(1),
-    platform: overWire(platform, {bytes: 0}),
+    platform: withWireCopies(platform, {bytes: 0}),
     entries: 1,
     settings: {shardCount: 1},
     dispatch,
@@ -120,8 +133,8 @@
   return {status: 201, headers: {}, body: new Uint8Array(BODY_BYTES)};
 };
 
-/** Offers orders evenly; returns how many were not answered with a reply. */
-async function offer(
+/** Sends orders at a constant rate; returns how many failed. */
+async function offerOrders(
   clock: VirtualClock,
   fleet: LedgerFleet,
   entry: number,
@@ -155,8 +168,8 @@
   return shardOf(ledger).state === 'owned';
 }
 
-/** The platform as over the wire: reads are copies, and written bytes are counted. */
-function overWire(
+/** Wraps the platform: reads return copies, written bytes are counted. */
+function withWireCopies(
   memory: MemoryPlatform,
   written: {bytes: number},
 ): MemoryPlatform {
@@ -166,7 +179,7 @@
       const client = memory.client(name);
       return {
         ...client,
-        // Without a copy a ledger would share its entries with the platform, and its heap be told too small.
+        // Sharing entries with the platform would hide heap of the ledger.
         async get<T>(kind: string, object: string, signal?: AbortSignal) {
           const stored = await client.get<T>(kind, object, signal);
           const text = JSON.stringify(stored);
@@ -182,5 +195,5 @@
 }
 
 function perSecond(total: number): number {
-  return Math.round((total / SPAN_SECONDS) * 100) / 100;
+  return Math.round((total / MEASURED_SECONDS) * 100) / 100;
 }
--- a/packages/bench/src/slopes/socketSlopes.ts
+++ b/packages/bench/src/slopes/socketSlopes.ts
@@ -1,11 +1,11 @@
-/** What a message and a connection cost over real sockets on loopback. */
+/** Measures the cost of messages and connections on loopback sockets. */
 import {seededRandom, silentLogger, systemClock} from '@skylarkfield/base';
 import {createPeerNetwork, type PeerAddress} from '@skylarkfield/protocol';
 import {collectedResidentBytes} from './heap.js';
 
-const ASKS = 5_000;
+const REQUESTS = 5_000;
 const PEERS = 60;
-const ASK_TIMEOUT_MS = 5_000;
+const REQUEST_TIMEOUT_MS = 5_000;
 
 async function startPeer(index: number) {
   const id = `p${index}`;
@@ -26,8 +26,8 @@
 }
 
 /**
- * Measures processor time per message (sent, carried and received) and memory
- * per end of a connection.
+ * Measures processor time per message (sent, transferred and received) and
+ * memory per connection end.
  *
  * @example
  * const {cpuMicrosPerMessage} = await measureSockets();
@@ -46,23 +46,23 @@
 
   const [peer] = spokes;
   peer!.network.onDidReceive('memberWord', () => ({heardAgoMs: 1}));
-  const ask = () =>
+  const sendRequest = () =>
     hub!.network.request(
       peer!.address.id,
       'memberWord',
       {id: 'p1', incarnation: 1},
-      ASK_TIMEOUT_MS,
+      REQUEST_TIMEOUT_MS,
     );
-  for (let warmUp = 0; warmUp < ASKS / 5; warmUp++) {
-    await ask();
+  for (let warmUp = 0; warmUp < REQUESTS / 5; warmUp++) {
+    await sendRequest();
   }
   const cpu = process.cpuUsage();
-  for (let index = 0; index < ASKS; index++) {
-    await ask();
+  for (let index = 0; index < REQUESTS; index++) {
+    await sendRequest();
   }
   const used = process.cpuUsage(cpu);
   peers.forEach(({network}) => network.dispose());
-  const messages = 2 * ASKS;
+  const messages = 2 * REQUESTS;
   return {
     messages,
     cpuMicrosPerMessage: Math.round((used.user + used.system) / messages),
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -1,24 +1,24 @@
 /**
- * How fast a record is in force on every entry as entries grow, and what it
- * costs the platform: with its watches working, with the platform cut off from
- * all entries but one, and against the plainest baseline, a watch at every
- * entry. Entries, network and platform live in this process, with a simulated
- * delay of 1 ms between entries and 4 ms to the platform on the real clock.
+ * `spread`: time until a record is in force on every entry, and platform load,
+ * as entries grow: with working watches, with the platform reachable from only
+ * one entry, and with the baseline of a watch at every entry. Entries, network
+ * and platform run in this process on the real clock, with a simulated delay of
+ * 1 ms between entries and 4 ms to the platform.
  */
 import {seededRandom, sleep, systemClock, type Clock} from '@skylarkfield/base';
 import {createMemoryPlatform} from '@skylarkfield/providers';
 import type {MeasureOptions} from './measurements.js';
 import {startSpreadFleet, type SpreadFleet} from './spreadFleet.js';
 
-const SIZES = [7, 25, 100, 300];
+const ENTRY_COUNTS = [7, 25, 100, 300];
 const DEFAULT_SECONDS = 24;
-/** What the target asks for, in milliseconds. */
+/** Target for the time until a record is in force everywhere. */
 const TARGET_MS = 2000;
 const POLL_MS = 2;
-const GIVE_UP_MS = 5_000;
+const CONDITION_TIMEOUT_MS = 5_000;
 const IDLE_SECONDS = 2;
 const PLATFORM_DELAY_MS = 4;
-const READY_EXTRA_MS = 2500;
+const SETTLE_MS = 2500;
 
 type Mode = 'platform watched' | 'platform cut for all but one';
 
@@ -26,46 +26,48 @@
   readonly entries: number;
   readonly mode: Mode | 'baseline: a watch at every entry';
   readonly rounds: number;
-  /** Milliseconds from the operator's write until the last entry has it. */
+  /** Milliseconds from the operator's write until the last entry applies it. */
   readonly inForceP50Ms: number;
   readonly inForceMaxMs: number;
-  /** Milliseconds until the status says so; -1 when it was not reached. */
+  /** Milliseconds until the status is `in-force`; -1 when it never was. */
   readonly statusMaxMs: number;
   readonly missed: number;
   readonly openWatches: number;
-  /** Calls in an idle second, each waiting watch counted as one. */
+  /** Platform calls per idle second; each open watch counts as one. */
   readonly platformCallsPerSecond: number;
   readonly messagesPerEntryPerSecond: number;
   readonly bytesPerEntryPerSecond: number;
 }
 
 /**
- * Measures the spread at several sizes.
+ * Measures propagation for several numbers of entries.
  *
  * @example
  * const result = await measureSpread({seed: 1});
  */
 export async function measureSpread(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
-  // The clock's timers do not keep a process alive, and nothing here holds a socket.
-  const keptAlive = setInterval(() => undefined, 1000);
+  // The clock's timers are unreferenced; no socket keeps the process alive.
+  const keepAliveTimer = setInterval(() => undefined, 1000);
   const rounds = Math.max(
     3,
     Math.round((options.seconds ?? DEFAULT_SECONDS) / 8),
   );
   try {
     const results: SpreadResult[] = [];
-    for (const count of SIZES) {
+    for (const count of ENTRY_COUNTS) {
       results.push(...(await measureFleet(clock, count, rounds, options.seed)));
       results.push(await measureBaseline(clock, count, rounds, options.seed));
     }
-    const ours = results.filter(result => !result.mode.startsWith('baseline'));
-    const isMet = ours.every(
+    const fleetResults = results.filter(
+      result => !result.mode.startsWith('baseline'),
+    );
+    const isMet = fleetResults.every(
       result => result.missed === 0 && result.inForceMaxMs < TARGET_MS,
     );
     return {targetMs: TARGET_MS, isTargetMet: isMet, results};
   } finally {
-    clearInterval(keptAlive);
+    clearInterval(keepAliveTimer);
   }
 }
 
@@ -77,16 +79,16 @@
 ): Promise<readonly SpreadResult[]> {
   const fleet = startSpreadFleet(clock, {count, seed});
   try {
-    await until(clock, () =>
+    await waitUntil(clock, () =>
       fleet.entries.every(entry => entry.configuration.isReady()),
     );
-    // Readers settle after the first rounds.
-    await sleep(clock, READY_EXTRA_MS);
+    // The set of watching entries settles after the first rounds.
+    await sleep(clock, SETTLE_MS);
     const watched = await measureMode(clock, fleet, 'platform watched', rounds);
     for (const entry of fleet.entries.slice(1)) {
       entry.store.faults.setDown(true);
     }
-    await sleep(clock, READY_EXTRA_MS);
+    await sleep(clock, SETTLE_MS);
     const cut = await measureMode(
       clock,
       fleet,
@@ -106,35 +108,37 @@
   rounds: number,
 ): Promise<SpreadResult> {
   const idle = await measureIdle(clock, fleet);
-  const spans: number[] = [];
-  const statusSpans: number[] = [];
+  const delaysMs: number[] = [];
+  const statusDelaysMs: number[] = [];
   let missed = 0;
   for (let round = 0; round < rounds; round++) {
     const start = clock.now();
     const version = writeCustomer(fleet, round);
-    const isEverywhere = await until(clock, () =>
-      fleet.entries.every(entry => hasVersion(entry.configuration, version)),
+    const isInForceEverywhere = await waitUntil(clock, () =>
+      fleet.entries.every(entry =>
+        hasAppliedVersion(entry.configuration, version),
+      ),
     );
-    missed += isEverywhere ? 0 : 1;
-    spans.push(clock.now() - start);
-    const isSaid = await until(clock, () => isInForce(fleet, version));
-    statusSpans.push(isSaid ? clock.now() - start : -1);
+    missed += isInForceEverywhere ? 0 : 1;
+    delaysMs.push(clock.now() - start);
+    const isReported = await waitUntil(clock, () => isInForce(fleet, version));
+    statusDelaysMs.push(isReported ? clock.now() - start : -1);
   }
   return {
     entries: fleet.entries.length,
     mode,
     rounds,
-    inForceP50Ms: middle(spans),
-    inForceMaxMs: Math.round(Math.max(...spans)),
-    statusMaxMs: statusSpans.includes(-1)
+    inForceP50Ms: median(delaysMs),
+    inForceMaxMs: Math.round(Math.max(...delaysMs)),
+    statusMaxMs: statusDelaysMs.includes(-1)
       ? -1
-      : Math.round(Math.max(...statusSpans)),
+      : Math.round(Math.max(...statusDelaysMs)),
     missed,
     ...idle,
   };
 }
 
-/** The baseline: no peers, every entry watches accepted records itself. */
+/** Measures the baseline without peers: every entry watches the records. */
 async function measureBaseline(
   clock: Clock,
   count: number,
@@ -146,25 +150,28 @@
   const stores = Array.from({length: count}, (_, index) =>
     platform.client(`b${index}`, {liveEntries: count}),
   );
-  const seen = new Array<number>(count).fill(0);
+  const latestVersions = new Array<number>(count).fill(0);
   stores.forEach((store, index) => {
     store.watch('customer', {
       onDidList: () => {},
-      onDidPut: object => (seen[index] = object.version),
+      onDidPut: object => (latestVersions[index] = object.version),
       onDidRemove: () => {},
     });
   });
-  await until(clock, () => platform.load().openWatches === count);
-  const spans: number[] = [];
+  await waitUntil(clock, () => platform.load().openWatches === count);
+  const delaysMs: number[] = [];
   let missed = 0;
   for (let round = 0; round < rounds; round++) {
     const start = clock.now();
-    const {version} = platform.table.put(operatorWrite(), customer(round));
-    const isEverywhere = await until(clock, () =>
-      seen.every(reached => reached >= version),
+    const {version} = platform.table.put(
+      createOperatorWrite(),
+      createCustomerRecord(round),
+    );
+    const isInForceEverywhere = await waitUntil(clock, () =>
+      latestVersions.every(reached => reached >= version),
     );
-    missed += isEverywhere ? 0 : 1;
-    spans.push(clock.now() - start);
+    missed += isInForceEverywhere ? 0 : 1;
+    delaysMs.push(clock.now() - start);
   }
   const {openWatches} = platform.load();
   stores.forEach(store => store.dispose());
@@ -172,8 +179,8 @@
     entries: count,
     mode: 'baseline: a watch at every entry',
     rounds,
-    inForceP50Ms: middle(spans),
-    inForceMaxMs: Math.round(Math.max(...spans)),
+    inForceP50Ms: median(delaysMs),
+    inForceMaxMs: Math.round(Math.max(...delaysMs)),
     statusMaxMs: -1,
     missed,
     openWatches,
@@ -198,10 +205,11 @@
     after.load.watchCalls -
     before.load.watchCalls;
   const {openWatches} = after.load;
-  const perEntry = (span: number) => rounded(span / seconds / entries.length);
+  const perEntry = (span: number) =>
+    roundToHundredths(span / seconds / entries.length);
   return {
     openWatches,
-    platformCallsPerSecond: rounded(calls / seconds + openWatches),
+    platformCallsPerSecond: roundToHundredths(calls / seconds + openWatches),
     messagesPerEntryPerSecond: perEntry(
       after.total.messagesSent - before.total.messagesSent,
     ),
@@ -212,10 +220,13 @@
 }
 
 function writeCustomer(fleet: SpreadFleet, round: number): number {
-  return fleet.platform.table.put(operatorWrite(), customer(round)).version;
+  return fleet.platform.table.put(
+    createOperatorWrite(),
+    createCustomerRecord(round),
+  ).version;
 }
 
-function operatorWrite() {
+function createOperatorWrite() {
   return {
     kind: 'customer',
     name: 'namu',
@@ -224,11 +235,11 @@
   };
 }
 
-function customer(round: number) {
+function createCustomerRecord(round: number) {
   return {schema: 1, keyHashes: ['ab'.repeat(32)], weight: round + 1};
 }
 
-function hasVersion(
+function hasAppliedVersion(
   configuration: SpreadFleet['entries'][number]['configuration'],
   version: number,
 ): boolean {
@@ -245,10 +256,13 @@
   return value?.state === 'in-force' && value.sourceVersion === version;
 }
 
-/** Waits for a condition; false when it does not come true in time. */
-async function until(clock: Clock, isTrue: () => boolean): Promise<boolean> {
-  const deadline = clock.now() + GIVE_UP_MS;
-  while (!isTrue()) {
+/** Waits for a condition; returns false on timeout. */
+async function waitUntil(
+  clock: Clock,
+  condition: () => boolean,
+): Promise<boolean> {
+  const deadline = clock.now() + CONDITION_TIMEOUT_MS;
+  while (!condition()) {
     if (clock.now() > deadline) {
       return false;
     }
@@ -257,11 +271,11 @@
   return true;
 }
 
-function middle(spans: readonly number[]): number {
-  const sorted = [...spans].sort((a, b) => a - b);
+function median(values: readonly number[]): number {
+  const sorted = [...values].sort((a, b) => a - b);
   return Math.round(sorted[Math.floor(sorted.length / 2)] ?? 0);
 }
 
-function rounded(value: number): number {
+function roundToHundredths(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/packages/bench/src/spreadFleet.ts
+++ b/packages/bench/src/spreadFleet.ts
@@ -1,4 +1,4 @@
-/** Many entries' configurations in one process, over in-process networks and platform. */
+/** Configurations of many entries over an in-process network and platform. */
 import {
   seededRandom,
   silentLogger,
@@ -22,7 +22,7 @@
   type ConfigurationClient,
 } from '@skylarkfield/records';
 
-/** One entry as far as its configuration goes. */
+/** The configuration part of one entry. */
 export interface SpreadEntry {
   readonly id: string;
   readonly store: MemoryClient;
@@ -36,15 +36,15 @@
 }
 
 const PLATFORM_DELAY_MS = 4;
-const SMALL_FLEET = 24;
-const SMALL_DOMAINS = 4;
-const LARGE_DOMAINS = 10;
+const MAX_SMALL_FLEET_ENTRIES = 24;
+const SMALL_FLEET_DOMAINS = 4;
+const LARGE_FLEET_DOMAINS = 10;
 
 /**
  * Starts a fleet whose first entry accepts records.
  *
- * Beyond a small fleet each entry is connected to its heartbeat neighbours
- * alone, as the membership connects it.
+ * As with real membership, an entry of a larger fleet is connected only to its
+ * heartbeat neighbours.
  *
  * @example
  * const fleet = startSpreadFleet(systemClock(), {count: 100, seed: 1});
@@ -58,7 +58,8 @@
   const platform = createMemoryPlatform({clock, random});
   platform.faults.setDelay(PLATFORM_DELAY_MS);
   const net = createMemoryNetwork({clock, random, delayMs: 1});
-  const domains = count > SMALL_FLEET ? LARGE_DOMAINS : SMALL_DOMAINS;
+  const domains =
+    count > MAX_SMALL_FLEET_ENTRIES ? LARGE_FLEET_DOMAINS : SMALL_FLEET_DOMAINS;
   const members = Array.from({length: count}, (_, index) => ({
     id: `e${index}`,
     failureDomain: `d${index % domains}`,
