--- a/packages/base/src/inFlight.ts
+++ b/packages/base/src/inFlight.ts
@@ -14,7 +14,7 @@
  *
  * @example
  * const inFlight = createInFlightCounter(clock);
- * await inFlight.idle(30_000);
+ * await inFlight.waitUntilIdle(30_000);
  */
 export function createInFlightCounter(clock: Clock): InFlightCounter {
   let count = 0;
--- a/packages/capacity/src/capacityStats.ts
+++ b/packages/capacity/src/capacityStats.ts
@@ -6,7 +6,7 @@
  * Adds up the statistics of several entries.
  *
  * @example
- * const total = addCapacityStats([model.sums(), ...peers]);
+ * const total = addCapacityStats([model.stats(), ...peers]);
  */
 export function addCapacityStats(
   parts: readonly CapacityStats[],
--- a/packages/capacity/src/outcomeMeter.ts
+++ b/packages/capacity/src/outcomeMeter.ts
@@ -24,7 +24,7 @@
  * Creates a meter without counts.
  *
  * @example
- * outcomes.note('chat', firstMs > route.goalMs);
+ * outcomes.record('chat', firstMs > route.goalMs);
  */
 export function createOutcomeMeter(clock: Clock): OutcomeMeter {
   const services = new Map<string, OutcomeCounts & {readonly at: number}>();
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -44,7 +44,7 @@
  *
  * @example
  * const repair = createEndpointRepair({clock, decisions, weights, tenure, gate});
- * await repair.round(endpoints, service => service);
+ * await repair.repairAll(endpoints, service => service);
  */
 export function createEndpointRepair(options: {
   readonly clock: Clock;
--- a/packages/gateway/src/enginesView.ts
+++ b/packages/gateway/src/enginesView.ts
@@ -68,7 +68,7 @@
  * Creates the view; `aims` are the targets of the routes to a service.
  *
  * @example
- * const engines = createEngineEstimates({clock, reports, log, recalled:
+ * const engines = createEngineEstimates({clock, reports, log, restored:
  *   store.restored, isModel, aims});
  */
 export function createEngineEstimates(options: {
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -99,7 +99,7 @@
  * Creates the reports of one entry.
  *
  * @example
- * const taken = reports.take('a2', digest);
+ * const taken = reports.accept('a2', digest);
  * if (taken !== undefined) { quotas.addPeerUsage(taken.increase); }
  */
 export function createPeerReports(options: {
--- a/packages/moves/src/moveFollower.ts
+++ b/packages/moves/src/moveFollower.ts
@@ -43,7 +43,7 @@
  * Starts following moves until disposed.
  *
  * @example
- * store.add(createMoveFollower({clock, objects, network, configuration, split, judge}));
+ * store.add(createMoveFollower({clock, objects, network, configuration, split, controller}));
  */
 export function createMoveFollower(options: MoveFollowerOptions): Disposable {
   const {clock, objects, network, configuration, split, controller} = options;
--- a/packages/orders/src/forwardAnswer.ts
+++ b/packages/orders/src/forwardAnswer.ts
@@ -42,7 +42,7 @@
  * Converts the answer to a forwarded order back to a result.
  *
  * @example
- * const result = fromForwardAnswer(await network.ask(...));
+ * const result = fromForwardAnswer(await network.request(...));
  */
 export function fromForwardAnswer(answer: ForwardAnswer): ExecuteResult {
   if (answer.type === 'reply') {
--- a/packages/protocol/src/codec.ts
+++ b/packages/protocol/src/codec.ts
@@ -22,7 +22,7 @@
  * Encodes a frame.
  *
  * @example
- * socket.send(encodeFrame({type: 'heartbeat', ask: 0, body}));
+ * socket.send(encodeFrame({type: 'heartbeat', requestId: 0, body}));
  */
 export function encodeFrame(frame: Frame): Buffer {
   // Packr reuses its buffer while a socket may still hold the bytes: copy them.
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -87,7 +87,7 @@
     body: Messages[T],
     timeoutMs: number,
   ): Promise<unknown>;
-  /** Handles messages of a type; the result is the response to an `ask`. */
+  /** Handles messages of a type; the result is the response to a `request`. */
   onDidReceive<T extends MessageType>(
     type: T,
     handler: (from: string, body: Messages[T]) => unknown,
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -116,7 +116,7 @@
  *
  * @example
  * suspects.noteConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
- * if (suspects.judge(fingerprint).type === 'quarantined') { return reject(); }
+ * if (suspects.verdictFor(fingerprint).type === 'quarantined') { return reject(); }
  */
 export function createCrashQuarantine(options: {
   readonly clock: Clock;
--- a/packages/routing/src/requestLimits.ts
+++ b/packages/routing/src/requestLimits.ts
@@ -77,7 +77,7 @@
  * Creates the rate limits of one entry.
  *
  * @example
- * limits.note('i-1', 2.9);
+ * limits.noteLimit('i-1', 2.9);
  * if (limits.allowsRequest('i-1')) { limits.consume('i-1'); }
  */
 export function createRateLimits(options: {
--- a/packages/streams/src/contracts.ts
+++ b/packages/streams/src/contracts.ts
@@ -55,7 +55,7 @@
 export interface StreamRunner {
   /**
    * Runs a request to completion, with further attempts after failures.
-   * `place` picks an endpoint that is not excluded, or throws;
+   * `pickEndpoint` picks an endpoint that is not excluded, or throws;
    * `mayRetry` consumes from the retry budget.
    * `deliver` receives each token once and in order; a returned promise applies
    * backpressure.
--- a/packages/traffic/src/engineWork.ts
+++ b/packages/traffic/src/engineWork.ts
@@ -32,7 +32,7 @@
  * bound and distort the learned estimates.
  *
  * @example
- * if (fitsMemory(demand, service.engine)) { work.note(name, promptWork(demand)); }
+ * if (fitsMemory(demand, service.engine)) { work.record(name, promptWork(demand)); }
  */
 export function fitsMemory(
   {promptTokens}: ModelDemand,
@@ -47,7 +47,7 @@
  * tokens.
  *
  * @example
- * work.note('chat', promptWork(demand));
+ * work.record('chat', promptWork(demand));
  */
 export function promptWork(demand: ModelDemand): WorkRate {
   const own = ownTokens(demand);
@@ -61,7 +61,7 @@
  * left out: all requests of a batch share it.
  *
  * @example
- * work.note('chat', answerWork(demand, 48 * 8));
+ * work.record('chat', answerWork(demand, 48 * 8));
  */
 export function answerWork(
   demand: ModelDemand,
--- a/packages/traffic/src/usageWindows.ts
+++ b/packages/traffic/src/usageWindows.ts
@@ -21,7 +21,7 @@
   domainCounts(): WindowCounts;
   /**
    * Merges counts of another process, identified with its incarnation, or of a
-   * group of processes. `isSameDomain` sets whether `near` includes them.
+   * group of processes. `isSameDomain` sets whether `domainCounts` includes them.
    */
   mergeCounts(
     source: string,
@@ -46,7 +46,7 @@
  *
  * @example
  * const usage = createUsageWindows({windowMs: 5_000, self: 'a1.17'});
- * usage.note('chain-4', clock.wall());
+ * usage.recordRequest('chain-4', clock.wall());
  */
 export function createUsageWindows(options: {
   readonly windowMs: number;
--- a/packages/traffic/src/workMeter.ts
+++ b/packages/traffic/src/workMeter.ts
@@ -27,7 +27,7 @@
  * engine speed may change after the work has arrived.
  *
  * @example
- * meter.note('chat', promptWork(demand));
+ * meter.record('chat', promptWork(demand));
  * const {chat} = meter.rates();
  */
 export function createWorkMeter(clock: Clock): WorkMeter {
