--- a/packages/base/src/processLifecycle.ts
+++ b/packages/base/src/processLifecycle.ts
@@ -28,8 +28,8 @@
  * Creates the lifecycle of a process that has just started.
  *
  * @example
- * const life = createProcessLifecycle();
- * life.send('announce');
+ * const lifecycle = createProcessLifecycle();
+ * lifecycle.send('announce');
  */
 export function createProcessLifecycle(): ProcessLifecycle {
   const service = interpret(lifecycleMachine, () => {});
--- a/packages/base/src/test/processLifecycle.test.ts
+++ b/packages/base/src/test/processLifecycle.test.ts
@@ -18,9 +18,9 @@
 describe('process lifecycle', () => {
   for (const [events, expected] of cases) {
     it(`is ${expected} after ${events.join(', ') || 'nothing'}`, () => {
-      const life = createProcessLifecycle();
-      events.forEach(life.send);
-      assert.equal(life.state(), expected);
+      const lifecycle = createProcessLifecycle();
+      events.forEach(lifecycle.send);
+      assert.equal(lifecycle.state(), expected);
     });
   }
 });
--- a/packages/capacity/src/capacityStats.ts
+++ b/packages/capacity/src/capacityStats.ts
@@ -1,5 +1,5 @@
 /** Adds and scales the capacity statistics of entries. */
-import type {CapacityStats, PaceStats, ServiceStats} from './contracts.js';
+import type {CapacityStats, ServiceStats, TokenRateStats} from './contracts.js';
 import {addStats, scaleStats} from './regression.js';
 
 /**
@@ -37,9 +37,9 @@
         prompts: scaleStats(prompts, factor),
         answers: scaleStats(answers, factor),
         paces: Object.fromEntries(
-          Object.entries(paces).map(([route, pace]) => [
+          Object.entries(paces).map(([route, rate]) => [
             route,
-            scalePace(pace, factor),
+            scaleTokenRateStats(rate, factor),
           ]),
         ),
       },
@@ -51,9 +51,12 @@
  * Adds two statistics of one route's answers.
  *
  * @example
- * const total = addPaces(own, peers);
+ * const total = addTokenRateStats(own, peers);
  */
-export function addPaces(a: PaceStats, b: PaceStats): PaceStats {
+export function addTokenRateStats(
+  a: TokenRateStats,
+  b: TokenRateStats,
+): TokenRateStats {
   return {
     count: a.count + b.count,
     tokens: a.tokens + b.tokens,
@@ -66,24 +69,27 @@
  * Scales the weight of the statistics of one route's answers by a factor.
  *
  * @example
- * const decayed = scalePace(pace, 0.5);
+ * const decayed = scaleTokenRateStats(stats, 0.5);
  */
-export function scalePace(pace: PaceStats, factor: number): PaceStats {
+export function scaleTokenRateStats(
+  stats: TokenRateStats,
+  factor: number,
+): TokenRateStats {
   return {
-    count: pace.count * factor,
-    tokens: pace.tokens * factor,
-    total: pace.total * factor,
-    squares: pace.squares * factor,
+    count: stats.count * factor,
+    tokens: stats.tokens * factor,
+    total: stats.total * factor,
+    squares: stats.squares * factor,
   };
 }
 
 function addServiceStats(parts: readonly ServiceStats[]): ServiceStats {
-  const paces: Record<string, PaceStats> = {};
+  const paces: Record<string, TokenRateStats> = {};
   for (const [route, stats] of parts.flatMap(part =>
     Object.entries(part.paces),
   )) {
     const known = paces[route];
-    paces[route] = known ? addPaces(known, stats) : stats;
+    paces[route] = known ? addTokenRateStats(known, stats) : stats;
   }
   return {
     prompts: addStats(
--- a/packages/capacity/src/contracts.ts
+++ b/packages/capacity/src/contracts.ts
@@ -32,7 +32,7 @@
 }
 
 /** Statistics of the tokens per second that answers of a route need. */
-export interface PaceStats {
+export interface TokenRateStats {
   readonly count: number;
   /** Sum of the answers' tokens. */
   readonly tokens: number;
@@ -45,12 +45,12 @@
 export interface ServiceStats {
   readonly prompts: RegressionStats;
   readonly answers: RegressionStats;
-  readonly paces: Readonly<Record<string, PaceStats>>;
+  readonly paces: Readonly<Record<string, TokenRateStats>>;
 }
 
 export type CapacityStats = Readonly<Record<string, ServiceStats>>;
 
-/** Latency goals of a route. */
+/** Latency targets of a route. */
 export interface LatencyTargets {
   /** Target time to the first event, in milliseconds. */
   readonly goalMs: number;
--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -1,7 +1,7 @@
 /** Estimates engine performance from statistics and priors. */
 import type {
   EngineEstimate,
-  PaceStats,
+  TokenRateStats,
   LatencyTargets,
   ServiceStats,
 } from './contracts.js';
@@ -14,7 +14,7 @@
 const MIN_CONFIDENT_PROMPTS = 60;
 const MAX_CONFIDENT_ERROR = 0.3;
 
-/** Prior time of a prompt as a fraction of the goal, assumed feasible. */
+/** Prior time of a prompt as a fraction of the latency target, assumed feasible. */
 const PRIOR_GOAL_FRACTION = 0.1;
 
 /**
@@ -28,31 +28,31 @@
 
 /** Mean uncached tokens of a prompt until one was sampled. */
 const PRIOR_PROMPT_TOKENS = 1_000;
-/** Goal of a service whose routes declare none, in milliseconds. */
+/** Latency target of a service whose routes set none, in milliseconds. */
 const DEFAULT_GOAL_MS = 1_000;
 
 /** Prior step time per thousand context tokens, in times of a prompt token. */
 const PRIOR_CONTEXT_FRACTION = 0.5;
 
-/** Standard deviations above a route's mean pace that are planned for. */
-const HIGH_PACE_DEVIATIONS = 1.5;
+/** Standard deviations above a route's mean token rate that are planned for. */
+const HIGH_RATE_DEVIATIONS = 1.5;
 
-/** Minimum fraction of all answers for a route's pace to count. */
+/** Minimum fraction of all answers for a route's token rate to count. */
 const MIN_ROUTE_FRACTION = 0.03;
 
-/** Minimum number of answers for a route's pace to count. */
+/** Minimum number of answers for a route's token rate to count. */
 const MIN_ROUTE_ANSWERS = 5;
 
 /**
  * Estimates engine performance from statistics. Without samples the estimate
- * follows from the routes' goals, which operators set to what engines can do.
+ * follows from the routes' targets, which operators set to what engines can do.
  *
  * @example
  * const {usualPromptMs} = estimateEngine(stats.chat, [{goalMs: 800, timeoutMs: 10_000}]);
  */
 export function estimateEngine(
   stats: ServiceStats | undefined,
-  latencyGoals: readonly LatencyTargets[],
+  latencyTargets: readonly LatencyTargets[],
 ): EngineEstimate {
   const {
     prompts = emptyStats(),
@@ -61,10 +61,11 @@
   } = stats ?? {};
   const meanOwnTokens = meanOf(prompts, 0, PRIOR_PROMPT_TOKENS);
   const meanPairs = meanOf(prompts, 1, 0);
-  const goalsMs = latencyGoals
+  const targetsMs = latencyTargets
     .map(({goalMs}) => goalMs)
-    .filter(goal => goal > 0);
-  const goalMs = goalsMs.length > 0 ? Math.min(...goalsMs) : DEFAULT_GOAL_MS;
+    .filter(targetMs => targetMs > 0);
+  const goalMs =
+    targetsMs.length > 0 ? Math.min(...targetsMs) : DEFAULT_GOAL_MS;
   const priorTokenMs =
     (goalMs * PRIOR_GOAL_FRACTION) / Math.max(1, meanOwnTokens);
   const pairsPerToken = meanPairs / Math.max(1, meanOwnTokens);
@@ -91,7 +92,7 @@
     requestStepMs,
     contextStepMs,
     usualAnswerTokens: meanAnswerTokens(Object.values(paces)),
-    neededPace: neededPace(Object.values(paces)),
+    neededPace: neededTokenRate(Object.values(paces)),
     prompts: Math.round(prompts.count),
     errorPart: errorMs / Math.max(Number.EPSILON, usualPromptMs),
     isSure:
@@ -131,27 +132,27 @@
   return stats.count > 0 ? (stats.totals[index] ?? 0) / stats.count : fallback;
 }
 
-function meanPace({count, total}: PaceStats): number {
+function meanTokenRate({count, total}: TokenRateStats): number {
   return count > 0 ? total / count : 0;
 }
 
-function highPace(stats: PaceStats): number {
-  const mean = meanPace(stats);
+function highTokenRate(stats: TokenRateStats): number {
+  const mean = meanTokenRate(stats);
   const variance = Math.max(0, stats.squares / stats.count - mean * mean);
-  return mean + HIGH_PACE_DEVIATIONS * Math.sqrt(variance);
+  return mean + HIGH_RATE_DEVIATIONS * Math.sqrt(variance);
 }
 
-function neededPace(paces: readonly PaceStats[]): number {
-  const totalCount = paces.reduce((sum, {count}) => sum + count, 0);
-  const significant = paces.filter(
+function neededTokenRate(rates: readonly TokenRateStats[]): number {
+  const totalCount = rates.reduce((sum, {count}) => sum + count, 0);
+  const significant = rates.filter(
     ({count}) =>
       count >= Math.max(MIN_ROUTE_ANSWERS, totalCount * MIN_ROUTE_FRACTION),
   );
-  return Math.max(0, ...significant.map(highPace));
+  return Math.max(0, ...significant.map(highTokenRate));
 }
 
-function meanAnswerTokens(paces: readonly PaceStats[]): number {
-  const count = paces.reduce((sum, pace) => sum + pace.count, 0);
-  const tokens = paces.reduce((sum, pace) => sum + pace.tokens, 0);
+function meanAnswerTokens(rates: readonly TokenRateStats[]): number {
+  const count = rates.reduce((sum, rate) => sum + rate.count, 0);
+  const tokens = rates.reduce((sum, rate) => sum + rate.tokens, 0);
   return count > 0 ? tokens / count : 0;
 }
--- a/packages/capacity/src/engineModel.ts
+++ b/packages/capacity/src/engineModel.ts
@@ -7,11 +7,11 @@
  * deadlines; underestimated, too many are paid for.
  */
 import type {Clock} from '@skylarkfield/base';
-import {addPaces, scalePace} from './capacityStats.js';
+import {addTokenRateStats, scaleTokenRateStats} from './capacityStats.js';
 import type {
   AnswerSample,
   CapacityStats,
-  PaceStats,
+  TokenRateStats,
   PromptSample,
 } from './contracts.js';
 import {createRegression, type Regression} from './regression.js';
@@ -51,12 +51,12 @@
 interface ServiceState {
   readonly prompts: Regression;
   readonly answers: Regression;
-  readonly paces: Map<string, DecayingPace>;
+  readonly paces: Map<string, DecayingTokenRate>;
 }
 
-interface DecayingPace {
+interface DecayingTokenRate {
   readonly at: number;
-  readonly stats: PaceStats;
+  readonly stats: TokenRateStats;
 }
 
 /**
@@ -83,18 +83,26 @@
     return state;
   }
 
-  function recordPace({paces}: ServiceState, sample: AnswerSample): void {
+  function recordTokenRate({paces}: ServiceState, sample: AnswerSample): void {
     const {route, tokens, allowedMs} = sample;
-    const pace = (tokens * SECOND_MS) / Math.max(1, allowedMs);
+    const tokensPerSecond = (tokens * SECOND_MS) / Math.max(1, allowedMs);
     const now = clock.now();
     const last = paces.get(route);
-    const own = {count: 1, tokens, total: pace, squares: pace * pace};
-    const stats = last ? addPaces(decayed(last), own) : own;
+    const own = {
+      count: 1,
+      tokens,
+      total: tokensPerSecond,
+      squares: tokensPerSecond * tokensPerSecond,
+    };
+    const stats = last ? addTokenRateStats(decayed(last), own) : own;
     paces.set(route, {at: now, stats});
   }
 
-  function decayed({at, stats}: DecayingPace): PaceStats {
-    return scalePace(stats, 2 ** ((at - clock.now()) / SAMPLE_HALF_LIFE_MS));
+  function decayed({at, stats}: DecayingTokenRate): TokenRateStats {
+    return scaleTokenRateStats(
+      stats,
+      2 ** ((at - clock.now()) / SAMPLE_HALF_LIFE_MS),
+    );
   }
 
   return {
@@ -110,7 +118,7 @@
       const {route, requests, contextTokens, stepMs} = sample;
       const features = [requests, contextTokens / CONTEXT_TOKENS_PER_UNIT];
       state.answers.add(route, features, stepMs);
-      recordPace(state, sample);
+      recordTokenRate(state, sample);
     },
     stats: () =>
       Object.fromEntries(
@@ -120,7 +128,7 @@
             prompts: prompts.stats(),
             answers: answers.stats(),
             paces: Object.fromEntries(
-              [...paces].map(([route, pace]) => [route, decayed(pace)]),
+              [...paces].map(([route, rate]) => [route, decayed(rate)]),
             ),
           },
         ]),
--- a/packages/capacity/src/targetUtilization.ts
+++ b/packages/capacity/src/targetUtilization.ts
@@ -1,4 +1,4 @@
-/** Target utilization of engines, from the latency goals of their routes. */
+/** Target utilization of engines, from the latency targets of their routes. */
 import type {EngineEstimate, LatencyTargets} from './contracts.js';
 
 /** Target utilization of an endpoint, 0 to 1. */
@@ -20,7 +20,7 @@
 
 /**
  * Bounds of the utilization limit. Below, more endpoints don't help to meet the
- * goals; above, every burst causes a queue.
+ * targets; above, every burst causes a queue.
  */
 const MIN_UTILIZATION = 0.3;
 const MAX_UTILIZATION = 0.85;
@@ -40,42 +40,45 @@
  * Returns the fraction of an endpoint's time that may be spent on prompts.
  *
  * Two things bound it. A prompt queues behind others, and its first event must
- * arrive within the goal. And prompts stall all running answers, of which long
+ * arrive within the target. And prompts stall all running answers, of which long
  * ones must still finish before their callers time out.
  *
  * @example
- * const {usual} = targetUtilization(figures, [{goalMs: 800, timeoutMs: 10_000}]); // 0.4
+ * const {usual} = targetUtilization(estimate, [{goalMs: 800, timeoutMs: 10_000}]); // 0.4
  */
 export function targetUtilization(
-  figures: EngineEstimate,
-  latencyGoals: readonly LatencyTargets[],
+  estimate: EngineEstimate,
+  latencyTargets: readonly LatencyTargets[],
 ): TargetUtilization {
   const unbounded = Math.min(
-    maxUtilizationForGoals(figures, latencyGoals),
-    maxUtilizationForPace(figures),
+    maxUtilizationForTargets(estimate, latencyTargets),
+    maxUtilizationForTokenRate(estimate),
   );
   const limit = Math.min(MAX_UTILIZATION, Math.max(MIN_UTILIZATION, unbounded));
   return {usual: limit * USUAL_FRACTION, brief: limit * BRIEF_FRACTION};
 }
 
 /** Inverts a queue's mean wait, u / (1 - u) mean prompts at utilization u. */
-function maxUtilizationForGoals(
+function maxUtilizationForTargets(
   {usualPromptMs}: EngineEstimate,
-  latencyGoals: readonly LatencyTargets[],
+  latencyTargets: readonly LatencyTargets[],
 ): number {
-  const goalsMs = latencyGoals
+  const targetsMs = latencyTargets
     .map(({goalMs}) => goalMs)
-    .filter(goal => goal > 0);
-  if (goalsMs.length === 0 || usualPromptMs <= 0) {
+    .filter(targetMs => targetMs > 0);
+  if (targetsMs.length === 0 || usualPromptMs <= 0) {
     return 1;
   }
-  const maxWaitMs = Math.min(...goalsMs) - LONG_PROMPT_FACTOR * usualPromptMs;
+  const maxWaitMs = Math.min(...targetsMs) - LONG_PROMPT_FACTOR * usualPromptMs;
   const meanWaitRatio =
     maxWaitMs / (P95_WAIT_FACTOR * BURST_WAIT_FACTOR * usualPromptMs);
   return meanWaitRatio <= 0 ? 0 : meanWaitRatio / (1 + meanWaitRatio);
 }
 
 /** At utilization u by prompts a step takes stepMs / (1 - u). */
-function maxUtilizationForPace({stepMs, neededPace}: EngineEstimate): number {
+function maxUtilizationForTokenRate({
+  stepMs,
+  neededPace,
+}: EngineEstimate): number {
   return neededPace <= 0 ? 1 : 1 - (stepMs * neededPace) / SECOND_MS;
 }
--- a/packages/capacity/src/test/engineModel.test.ts
+++ b/packages/capacity/src/test/engineModel.test.ts
@@ -48,7 +48,7 @@
   },
 ];
 
-const LATENCY_GOALS: readonly LatencyTargets[] = [
+const LATENCY_TARGETS: readonly LatencyTargets[] = [
   {goalMs: 1_000, timeoutMs: 10_000},
   {goalMs: 600, timeoutMs: 15_000},
 ];
@@ -132,7 +132,7 @@
       // endpoints.
       const model = createEngineModel(virtualClock());
       addSamples(model, profile, 600, seededRandom(1_000));
-      const figures = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
+      const figures = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
       assertWithin(figures.usualPromptMs, meanPromptMs(profile), 0.2);
       assertWithin(figures.contextStepMs, profile.contextStepMs, 0.2);
       assert.ok(figures.isSure);
@@ -148,10 +148,10 @@
       addSamples(model, profile!, 30, random);
       return model.stats();
     });
-    const alone = estimateEngine(sums[0]!['chat'], LATENCY_GOALS);
+    const alone = estimateEngine(sums[0]!['chat'], LATENCY_TARGETS);
     const together = estimateEngine(
       addCapacityStats(sums)['chat'],
-      LATENCY_GOALS,
+      LATENCY_TARGETS,
     );
     assert.equal(alone.isSure, false);
     assert.equal(together.isSure, true);
@@ -166,7 +166,7 @@
     addSamples(model, PROFILES[0]!, 300, seededRandom(1));
     clock.advanceSync(60_000);
     addSamples(model, PROFILES[1]!, 300, seededRandom(2));
-    const figures = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
+    const figures = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
     assertWithin(figures.usualPromptMs, meanPromptMs(PROFILES[1]!), 0.3);
   });
 
@@ -188,7 +188,7 @@
         tookMs: 5_000,
       });
     }
-    const figures = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
+    const figures = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
     assertWithin(figures.usualPromptMs, meanPromptMs(profile!), 0.3);
   });
 
@@ -210,13 +210,13 @@
         tookMs: 6_000 - ownTokens / 2 + 2_000 * random.next(),
       });
     }
-    const figures = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
+    const figures = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
     assert.ok(figures.usualTokenMs > 0);
     assert.equal(figures.isSure, false);
   });
 
-  it('decays the pace of a removed route', () => {
-    // An operator removes the route with the longest answers. If its pace
+  it('decays the token rate of a removed route', () => {
+    // An operator removes the route with the longest answers. If its rate
     // stayed in the plan, the service would keep endpoints that are not needed.
     const clock = virtualClock();
     const model = createEngineModel(clock);
@@ -230,12 +230,12 @@
       const short = {route: 'kept', tokens: 90, allowedMs: 9_000};
       model.recordAnswer({...answer, ...short});
     }
-    const {neededPace} = estimateEngine(model.stats()['chat'], LATENCY_GOALS);
+    const {neededPace} = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
     assert.ok(neededPace < 20, `${neededPace}`);
   });
 
-  it('assumes feasible goals without samples', () => {
-    const figures = estimateEngine(undefined, LATENCY_GOALS);
+  it('assumes feasible targets without samples', () => {
+    const figures = estimateEngine(undefined, LATENCY_TARGETS);
     assert.equal(figures.isSure, false);
     assert.ok(figures.usualPromptMs > 0);
     assert.ok(figures.usualPromptMs < 600);
@@ -245,18 +245,18 @@
 describe('target utilization', () => {
   function utilizationOf(
     profile: Profile,
-    latencyGoals: readonly LatencyTargets[],
+    latencyTargets: readonly LatencyTargets[],
   ): number {
     const model = createEngineModel(virtualClock());
     addSamples(model, profile, 300, seededRandom(4));
     return targetUtilization(
-      estimateEngine(model.stats()['chat'], latencyGoals),
-      latencyGoals,
+      estimateEngine(model.stats()['chat'], latencyTargets),
+      latencyTargets,
     ).usual;
   }
 
-  it('is lower for goals close to the time of a prompt', () => {
-    const wide = utilizationOf(PROFILES[1]!, LATENCY_GOALS);
+  it('is lower for targets close to the time of a prompt', () => {
+    const wide = utilizationOf(PROFILES[1]!, LATENCY_TARGETS);
     const tight = utilizationOf(PROFILES[1]!, [
       {goalMs: 250, timeoutMs: 10_000},
     ]);
@@ -269,8 +269,8 @@
     // timeouts.
     const [, slow, verySlow] = PROFILES;
     assert.ok(
-      utilizationOf(verySlow!, LATENCY_GOALS) <
-        utilizationOf(slow!, LATENCY_GOALS),
+      utilizationOf(verySlow!, LATENCY_TARGETS) <
+        utilizationOf(slow!, LATENCY_TARGETS),
     );
   });
 });
--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -10,7 +10,7 @@
 } from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
 import {startLeaseElection, type LeaseElection} from './leaseElection.js';
-import type {DutyElections, DutyName, Tenure} from './contracts.js';
+import type {DutyElections, DutyName, DutyTerm} from './contracts.js';
 import {defaultLeaseTiming, type LeaseTiming} from './lease.js';
 
 /** Candidates for one duty; more would only add reads of the lease. */
@@ -24,8 +24,8 @@
  * does not depend on this selection.
  *
  * @example
- * const duties = createDutyElections({clock, random, store, self: {id: 'a1', incarnation: 7}, members});
- * duties.compete('acceptance', tenure => startAcceptance(tenure));
+ * const dutyElections = createDutyElections({clock, random, store, self: {id: 'a1', incarnation: 7}, members});
+ * dutyElections.compete('acceptance', term => startAcceptance(term));
  */
 export function createDutyElections(options: {
   readonly clock: Clock;
@@ -83,8 +83,8 @@
       );
       return toDisposable(() => void stopElection(duty));
     },
-    currentTenure(duty): Tenure | undefined {
-      return elections.get(duty)?.tenure();
+    currentTerm(duty): DutyTerm | undefined {
+      return elections.get(duty)?.currentTerm();
     },
     release,
     dump: () =>
--- a/packages/duties/src/leaseElection.ts
+++ b/packages/duties/src/leaseElection.ts
@@ -17,7 +17,7 @@
   ObjectStore,
   StoredObject,
 } from '@skylarkfield/providers';
-import type {DutyName, Tenure} from './contracts.js';
+import type {DutyName, DutyTerm} from './contracts.js';
 import {
   LEASE_KIND,
   leaseCondition,
@@ -40,8 +40,8 @@
 export interface LeaseElection {
   readonly duty: DutyName;
   state(): LeaseElectionState;
-  tenure(): Tenure | undefined;
-  /** Ends the tenure, releases the lease and stops competing. */
+  currentTerm(): DutyTerm | undefined;
+  /** Ends the term, releases the lease and stops competing. */
   resign(): Promise<void>;
   dump(): {
     readonly state: LeaseElectionState;
@@ -64,12 +64,12 @@
   readonly isCandidate: () => boolean;
   /** Whether this process may keep holding the duty. */
   readonly mayHold: () => boolean;
-  readonly start: (tenure: Tenure) => Disposable;
+  readonly start: (term: DutyTerm) => Disposable;
 }
 
 interface HeldLease {
   readonly fencing: number;
-  readonly tenure: Tenure;
+  readonly term: DutyTerm;
   readonly work: Disposable;
   readonly controller: AbortController;
 }
@@ -208,7 +208,7 @@
 
   function beginTenure(fencing: number, previous: Lease | undefined): void {
     const controller = new AbortController();
-    const tenure: Tenure = {
+    const term: DutyTerm = {
       duty,
       fencing,
       acquiredAt: clock.now(),
@@ -226,9 +226,9 @@
         ? 'no process held the lease'
         : describeVacancy(previous);
     options.decisions?.note('duties', duty, 'take', why, {fencing});
-    // Set before `start` runs, which may check whether the tenure is valid.
-    heldLease = {fencing, tenure, controller, work: toDisposable(() => {})};
-    heldLease = {...heldLease, work: options.start(tenure)};
+    // Set before `start` runs, which may check whether the term is valid.
+    heldLease = {fencing, term, controller, work: toDisposable(() => {})};
+    heldLease = {...heldLease, work: options.start(term)};
   }
 
   async function renewOrHandOver(held: HeldLease): Promise<void> {
@@ -319,7 +319,7 @@
   return {
     duty,
     state: currentState,
-    tenure: () => heldLease?.tenure,
+    currentTerm: () => heldLease?.term,
     async resign() {
       isResigned = true;
       roundTimer.dispose();
--- a/packages/duties/src/orderGate.ts
+++ b/packages/duties/src/orderGate.ts
@@ -7,7 +7,7 @@
  * of the previous holder have passed.
  */
 import type {Clock} from '@skylarkfield/base';
-import type {Tenure} from './contracts.js';
+import type {DutyTerm} from './contracts.js';
 import {defaultLeaseTiming} from './lease.js';
 
 /** Decides when a new holder may send orders to an endpoint. */
@@ -19,22 +19,22 @@
 }
 
 /**
- * Creates the order gate of a tenure.
+ * Creates the order gate of a term.
  *
  * @param options.orderDeadlineMs Maximum deadline of orders in milliseconds.
  * @example
- * const gate = createOrderGate({clock, tenure, orderDeadlineMs: 5000});
- * if (gate.isOpen(endpoint)) { await model.order(order, tenure.fencing); }
+ * const gate = createOrderGate({clock, term, orderDeadlineMs: 5000});
+ * if (gate.isOpen(endpoint)) { await model.order(order, term.fencing); }
  */
 export function createOrderGate(options: {
   readonly clock: Clock;
-  readonly tenure: Tenure;
+  readonly tenure: DutyTerm;
   readonly orderDeadlineMs: number;
   readonly marginMs?: number;
 }): OrderGate {
-  const {clock, tenure, orderDeadlineMs} = options;
+  const {clock, tenure: term, orderDeadlineMs} = options;
   const marginMs = options.marginMs ?? defaultLeaseTiming.marginMs;
-  const opensAt = tenure.acquiredAt + orderDeadlineMs + marginMs;
+  const opensAt = term.acquiredAt + orderDeadlineMs + marginMs;
 
   function opensInMs(): number {
     return Math.max(0, opensAt - clock.now());
@@ -43,6 +43,6 @@
   return {
     opensInMs,
     isOpen: endpoint =>
-      tenure.isValid() && (endpoint.checksFencing || opensInMs() === 0),
+      term.isValid() && (endpoint.checksFencing || opensInMs() === 0),
   };
 }
--- a/packages/duties/src/test/duties.fuzz.test.ts
+++ b/packages/duties/src/test/duties.fuzz.test.ts
@@ -59,7 +59,7 @@
   `duties: never two valid holders (${runs} schedules, seed ${seed})`,
   {timeout: TIMEOUT_MS},
   async () => {
-    let tenures = 0;
+    let terms = 0;
     await fc.assert(
       fc.asyncProperty(
         fc.integer(),
@@ -75,11 +75,11 @@
             1,
             'no single holder after the faults ended',
           );
-          tenures += simulation.tenureCount();
+          terms += simulation.termCount();
         },
       ),
       {numRuns: runs, seed, endOnFailure: isLong},
     );
-    console.log(`${runs} schedules with ${tenures} tenures`);
+    console.log(`${runs} schedules with ${terms} terms`);
   },
 );
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -12,7 +12,7 @@
   type MemoryClient,
   type StoredObject,
 } from '@skylarkfield/providers';
-import type {Tenure} from '../contracts.js';
+import type {DutyTerm} from '../contracts.js';
 import {createDutyElections} from '../duties.js';
 import {defaultLeaseTiming} from '../lease.js';
 import {createOrderGate} from '../orderGate.js';
@@ -29,9 +29,9 @@
   ) {
     const clock = pausableClock(commonClock);
     const store = wrapStore(platform.client(id, {clock}));
-    const tenures: Tenure[] = [];
+    const terms: DutyTerm[] = [];
     let running = 0;
-    const duties = createDutyElections({
+    const dutyElections = createDutyElections({
       clock,
       random: seededRandom(5),
       store,
@@ -39,12 +39,12 @@
       members: () => ['a', 'b'],
       mayHold,
     });
-    duties.compete('fleet', tenure => {
-      tenures.push(tenure);
+    dutyElections.compete('fleet', term => {
+      terms.push(term);
       running += 1;
       return toDisposable(() => (running -= 1));
     });
-    return {clock, store, duties, tenures, running: () => running};
+    return {clock, store, dutyElections, terms, running: () => running};
   }
   return {commonClock, platform, start};
 }
@@ -78,7 +78,7 @@
     const {commonClock, start} = createTwoProcesses();
     const [a, b] = [start('a'), start('b')];
     await commonClock.advance(60_000);
-    assert.equal(a.tenures.length + b.tenures.length, 1);
+    assert.equal(a.terms.length + b.terms.length, 1);
     assert.equal(a.running() + b.running(), 1);
   });
 
@@ -90,10 +90,10 @@
     const b = start('b', () => true, withStaleReads);
     await commonClock.advance(60_000);
     assert.equal(a.running(), 1);
-    assert.equal(b.tenures.length, 0);
+    assert.equal(b.terms.length, 0);
     a.clock.kill();
     await commonClock.advance(30_000);
-    assert.equal(b.tenures.length, 1);
+    assert.equal(b.terms.length, 1);
   });
 
   // A holder that learns of more members may only receive aggregates, so that
@@ -111,12 +111,12 @@
     await commonClock.advance(6_000);
     assert.equal(a.running(), 0);
     assert.equal(b.running(), 1);
-    const handedOverAt = b.tenures[0]!.acquiredAt;
+    const handedOverAt = b.terms[0]!.acquiredAt;
     allowed.a = true;
     allowed.b = false;
     await commonClock.advance(20_000);
     assert.equal(a.running(), 1);
-    const reacquiredAt = a.tenures[1]!.acquiredAt;
+    const reacquiredAt = a.terms[1]!.acquiredAt;
     const {durationMs} = defaultLeaseTiming;
     assert.ok(
       reacquiredAt - handedOverAt >= durationMs,
@@ -131,12 +131,12 @@
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
-    const [previous] = a.tenures;
+    const [previous] = a.terms;
     assert.ok(previous !== undefined && previous.isValid());
     const b = start('b');
     a.clock.pause();
     await commonClock.advance(20_000);
-    const [current] = b.tenures;
+    const [current] = b.terms;
     assert.ok(current !== undefined && current.isValid());
     assert.ok(current.fencing > previous.fencing);
     assert.equal(previous.isValid(), false);
@@ -149,7 +149,7 @@
 
   // The reply to the acquiring write is lost, and the new holder can confirm it
   // by a read only seconds later. Measured from then, its lease would overlap
-  // the tenure of its successor.
+  // the term of its successor.
   it('measures a lease from the start of the write, not from its confirmation', async () => {
     const {commonClock, platform, start} = createTwoProcesses();
     const a = start('a');
@@ -161,16 +161,16 @@
     await commonClock.advance(10);
     const b = start('b');
     await commonClock.advance(4000);
-    assert.equal(a.tenures.length, 0);
+    assert.equal(a.terms.length, 0);
     a.store.faults.setDown(false);
-    while (a.tenures.length === 0) {
+    while (a.terms.length === 0) {
       await commonClock.advance(10);
     }
     a.store.faults.setDown(true);
-    while (!b.tenures[0]?.isValid()) {
+    while (!b.terms[0]?.isValid()) {
       await commonClock.advance(10);
     }
-    assert.equal(a.tenures[0]?.isValid(), false);
+    assert.equal(a.terms[0]?.isValid(), false);
   });
 
   // The monotonic clock of a suspended host stops, so that by this clock alone
@@ -179,9 +179,9 @@
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
-    assert.ok(a.tenures[0]?.isValid());
+    assert.ok(a.terms[0]?.isValid());
     commonClock.shiftWall(10_000);
-    assert.equal(a.tenures[0]?.isValid(), false);
+    assert.equal(a.terms[0]?.isValid(), false);
   });
 
   // The platform is down for longer than the lease. A holder that continued
@@ -196,7 +196,7 @@
     platform.faults.setDown(false);
     await commonClock.advance(20_000);
     assert.equal(a.running(), 1);
-    assert.equal(a.tenures.length, 2);
+    assert.equal(a.terms.length, 2);
   });
 
   it('is acquired by a successor at once when the holder shuts down', async () => {
@@ -205,7 +205,7 @@
     await commonClock.advance(3000);
     const b = start('b');
     await commonClock.advance(3000);
-    const released = a.duties.release();
+    const released = a.dutyElections.release();
     assert.equal(a.running(), 0);
     await commonClock.advance(100);
     await released;
@@ -219,7 +219,7 @@
     const {commonClock, platform, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
-    void a.duties.release();
+    void a.dutyElections.release();
     await commonClock.advance(100);
     platform.table.remove({
       kind: 'lease',
@@ -229,7 +229,7 @@
     });
     const b = start('b');
     await commonClock.advance(3000);
-    const [previous, current] = [a.tenures[0], b.tenures[0]];
+    const [previous, current] = [a.terms[0], b.terms[0]];
     assert.ok(previous !== undefined && current !== undefined);
     assert.ok(current.fencing > previous.fencing);
   });
@@ -241,11 +241,11 @@
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
-    const [tenure] = a.tenures;
-    assert.ok(tenure !== undefined);
+    const [term] = a.terms;
+    assert.ok(term !== undefined);
     const gate = createOrderGate({
       clock: a.clock,
-      tenure,
+      tenure: term,
       orderDeadlineMs: 5000,
       marginMs: 1000,
     });
@@ -253,7 +253,7 @@
     assert.equal(gate.isOpen({checksFencing: false}), false);
     await commonClock.advance(gate.opensInMs());
     assert.equal(gate.isOpen({checksFencing: false}), true);
-    void a.duties.release();
+    void a.dutyElections.release();
     assert.equal(gate.isOpen({checksFencing: true}), false);
   });
 });
--- a/packages/duties/src/test/dutySimulation.ts
+++ b/packages/duties/src/test/dutySimulation.ts
@@ -8,14 +8,14 @@
   type PausableClock,
 } from '@skylarkfield/base';
 import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
-import type {DutyElections, Tenure} from '../contracts.js';
+import type {DutyElections, DutyTerm} from '../contracts.js';
 import {createDutyElections} from '../duties.js';
 
 export interface SimulatedProcess {
   readonly id: string;
   readonly clock: PausableClock;
   readonly store: MemoryClient;
-  readonly duties: DutyElections;
+  readonly dutyElections: DutyElections;
 }
 
 const PROCESS_IDS = ['a', 'b', 'c', 'd'];
@@ -26,7 +26,7 @@
 const CHECK_INTERVAL_MS = 250;
 
 /**
- * Creates the simulation; checks the invariants at the start of each tenure.
+ * Creates the simulation; checks the invariants at the start of each term.
  *
  * @example
  * const simulation = createDutySimulation(7);
@@ -39,7 +39,7 @@
   platform.faults.setDelay(NETWORK_LATENCY_MS);
   const processes = new Map<string, SimulatedProcess>();
   let lastFencing = 0;
-  let tenureCount = 0;
+  let termCount = 0;
   let incarnationCount = 0;
 
   function start(id: string): void {
@@ -47,33 +47,35 @@
     const drift = 1 + MAX_CLOCK_DRIFT * (2 * random.next() - 1);
     const processClock = pausableClock(clock, drift);
     const store = platform.client(id, {clock: processClock});
-    const duties = createDutyElections({
+    const dutyElections = createDutyElections({
       clock: processClock,
       random: seededRandom(random.integer(0, 1_000_000)),
       store,
       self: {id, incarnation: incarnationCount},
       members: () => [...processes.keys()],
     });
-    const simulated = {id, clock: processClock, store, duties};
+    const simulated = {id, clock: processClock, store, dutyElections};
     processes.set(id, simulated);
-    duties.compete('fleet', tenure => beginTenure(tenure));
+    dutyElections.compete('fleet', term => beginTerm(term));
   }
 
-  function beginTenure(tenure: Tenure) {
-    tenureCount += 1;
+  function beginTerm(term: DutyTerm) {
+    termCount += 1;
     assert.ok(
-      tenure.fencing > lastFencing,
-      `fencing token ${tenure.fencing} follows ${lastFencing}`,
+      term.fencing > lastFencing,
+      `fencing token ${term.fencing} follows ${lastFencing}`,
     );
-    lastFencing = tenure.fencing;
+    lastFencing = term.fencing;
     checkSingleHolder();
     return toDisposable(() => {});
   }
 
-  /** Returns all processes, even paused, with a tenure valid by their clock. */
+  /** Returns all processes, even paused, with a term valid by their clock. */
   function holders(): readonly string[] {
     return [...processes.values()]
-      .filter(simulated => simulated.duties.currentTenure('fleet')?.isValid())
+      .filter(simulated =>
+        simulated.dutyElections.currentTerm('fleet')?.isValid(),
+      )
       .map(simulated => simulated.id);
   }
 
@@ -97,7 +99,7 @@
     platform,
     processes,
     holders,
-    tenureCount: () => tenureCount,
+    termCount: () => termCount,
     processIds: PROCESS_IDS,
     async advance(spanMs: number) {
       for (
@@ -117,7 +119,7 @@
         return;
       }
       processes.delete(id);
-      void simulated.duties.release();
+      void simulated.dutyElections.release();
     },
     restart(id: string) {
       crash(id);
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -5,7 +5,7 @@
   type Clock,
   type DecisionLog,
 } from '@skylarkfield/base';
-import type {OrderGate, Tenure} from '@skylarkfield/duties';
+import type {OrderGate, DutyTerm} from '@skylarkfield/duties';
 import type {Engine} from '@skylarkfield/endpoints';
 import type {ListedEndpoint, WeightStore} from '@skylarkfield/providers';
 
@@ -34,7 +34,7 @@
 }
 
 /**
- * Creates the repair of one tenure.
+ * Creates the repair of one term.
  *
  * Routing relies on the host list. A replica that restarts after a crash with
  * another version would serve it under the listed one's name, so a rolled-back
@@ -43,17 +43,17 @@
  * new holder needs no history.
  *
  * @example
- * const repair = createEndpointRepair({clock, decisions, weights, tenure, gate});
+ * const repair = createEndpointRepair({clock, decisions, weights, term, gate});
  * await repair.repairAll(endpoints, service => service);
  */
 export function createEndpointRepair(options: {
   readonly clock: Clock;
   readonly decisions: DecisionLog;
   readonly weights: WeightStore;
-  readonly tenure: Tenure;
+  readonly tenure: DutyTerm;
   readonly gate: OrderGate;
 }): EndpointRepair {
-  const {clock, decisions, weights, tenure, gate} = options;
+  const {clock, decisions, weights, tenure: term, gate} = options;
   let nextOrderNumber = 0;
 
   return {
@@ -61,7 +61,7 @@
       const mismatches = await findMismatches(endpoints);
       let acceptedOrders = 0;
       for (const mismatch of mismatches) {
-        if (!tenure.isValid()) {
+        if (!term.isValid()) {
           return acceptedOrders;
         }
         const {service} = mismatch.endpoint.listed;
@@ -113,7 +113,7 @@
     endpoint: ManagedEndpoint,
   ): Promise<string | undefined> {
     try {
-      return (await endpoint.engine.running(tenure.signal)).version;
+      return (await endpoint.engine.running(term.signal)).version;
     } catch {
       // Routing handles endpoints that do not respond; a reload would not help.
       return undefined;
@@ -129,19 +129,19 @@
       return false;
     }
     try {
-      await weights.reserve(weightsName, listed.host, tenure.signal);
+      await weights.reserve(weightsName, listed.host, term.signal);
       if (!gate.isOpen(listed)) {
         return false;
       }
       await engine.order(
         {
-          id: `repair-${tenure.fencing}-${nextOrderNumber++}`,
+          id: `repair-${term.fencing}-${nextOrderNumber++}`,
           type: 'load-version',
           target: listed.version,
-          fencing: tenure.fencing,
+          fencing: term.fencing,
           expiresAt: clock.wall() + ORDER_DEADLINE_MS,
         },
-        tenure.signal,
+        term.signal,
       );
       noteDecision(
         mismatch,
@@ -176,7 +176,7 @@
     decisions.note('fleet', listed.id, what, why, {
       runs: mismatch.runningVersion,
       listed: listed.version,
-      fencing: tenure.fencing,
+      fencing: term.fencing,
     });
   }
 }
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -10,7 +10,7 @@
   type Disposable,
   type Random,
 } from '@skylarkfield/base';
-import type {Tenure} from '@skylarkfield/duties';
+import type {DutyTerm} from '@skylarkfield/duties';
 import type {LoadReport} from '@skylarkfield/endpoints';
 import type {Cloud} from '@skylarkfield/providers';
 import type {Service} from '@skylarkfield/records';
@@ -37,25 +37,32 @@
 }
 
 /**
- * Starts the duty for a tenure. Services without a machine class are ignored,
+ * Starts the duty for a term. Services without a machine class are ignored,
  * as their hosts are managed elsewhere.
  *
  * @example
- * duties.compete('fleet', tenure => createFleetDuty({...parts, tenure}));
+ * dutyElections.compete('fleet', term => createFleetDuty({...parts, term}));
  */
 export function createFleetDuty(options: {
   readonly cloud: Cloud;
   readonly clock: Clock;
   readonly random: Random;
   readonly decisions: DecisionLog;
-  readonly tenure: Tenure;
+  readonly tenure: DutyTerm;
   services(): readonly Service[];
   /** Latest load reports of a service's endpoints. */
   reports(service: string): readonly LoadReport[];
   /** Replaces the planner, for comparison in benchmarks. */
   readonly plan?: typeof planHosts;
 }): FleetDuty {
-  const {cloud, clock, random, decisions, tenure, plan = planHosts} = options;
+  const {
+    cloud,
+    clock,
+    random,
+    decisions,
+    tenure: term,
+    plan = planHosts,
+  } = options;
   const owned = disposableStore();
   const capacityPools = createCapacityPoolTracker({clock, random});
   const demandEstimator = createReplicaDemandEstimator();
@@ -81,7 +88,7 @@
   return {
     reconcile,
     dump: () => ({
-      fencing: tenure.fencing,
+      fencing: term.fencing,
       plans: [...plans].map(([service, plan]) => ({service, ...plan})),
       hosts,
       openStarts: unconfirmedStarts.length,
@@ -118,8 +125,8 @@
     if (managedServices.length === 0) {
       return;
     }
-    const offers = await cloud.offers(tenure.signal);
-    hosts = await cloud.hosts(tenure.signal);
+    const offers = await cloud.offers(term.signal);
+    hosts = await cloud.hosts(term.signal);
     capacityPools.observe(hosts);
     plans = new Map(
       managedServices.map(service => {
@@ -134,7 +141,7 @@
     await retryUnconfirmedStarts();
     const wanted = [...plans.values()].flatMap(plan => plan.wanted);
     for (const action of planFleetActions(wanted, hosts)) {
-      if (!tenure.isValid()) {
+      if (!term.isValid()) {
         return;
       }
       await execute(action);
@@ -163,7 +170,7 @@
   async function retryUnconfirmedStarts(): Promise<void> {
     const tokens = new Set(hosts.map(host => host.clientToken));
     for (const unconfirmed of unconfirmedStarts.splice(0)) {
-      if (!tokens.has(unconfirmed.token) && tenure.isValid()) {
+      if (!tokens.has(unconfirmed.token) && term.isValid()) {
         await startHost(unconfirmed.action, unconfirmed.token);
       }
     }
@@ -177,12 +184,12 @@
       sequence += 1;
       await startHost(
         action,
-        makeClientToken(action.service, tenure.fencing, sequence),
+        makeClientToken(action.service, term.fencing, sequence),
       );
       return;
     }
     decisions.note('fleet', action.host, 'stop host', action.why);
-    await cloud.stop(action.host, tenure.signal);
+    await cloud.stop(action.host, term.signal);
   }
 
   /** Returns whether a start is in backoff, also after a refusal this round. */
@@ -206,7 +213,7 @@
     try {
       const host = await cloud.start(
         {clientToken: token, failureDomain, machineClass, market},
-        tenure.signal,
+        term.signal,
       );
       hosts = [...hosts.filter(other => other.id !== host.id), host];
       capacityPools.recordStart(failureDomain, machineClass, market);
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -206,7 +206,7 @@
     assert.deepEqual(new Set(owners), new Set(['other']));
   });
 
-  it('starts no hosts while its tenure is not valid', async () => {
+  it('starts no hosts while its term is not valid', async () => {
     const fake = createFakeCloud();
     const {clock, state} = createDuty(fake);
     state.isValid = false;
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -52,7 +52,7 @@
 interface CallerHandlerOptions {
   readonly policy: ActivePolicy;
   readonly quotas: Quotas;
-  readonly suspects: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>;
+  readonly crashQuarantine: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>;
   readonly visibility: PeerVisibility;
   readonly admission: AdmissionController;
   readonly forwarding: Forwarding;
@@ -176,7 +176,7 @@
   }
 
   function rejectQuarantined(fingerprint: () => string): void {
-    const verdict = verdictFor({fingerprint}, options.suspects);
+    const verdict = verdictFor({fingerprint}, options.crashQuarantine);
     if (verdict.type === 'quarantined') {
       throw quarantined(verdict);
     }
--- a/packages/gateway/src/clusterDuty.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -1,6 +1,6 @@
 /** Work that one entry does on behalf of all while it holds the duty. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
-import type {Tenure} from '@skylarkfield/duties';
+import type {DutyTerm} from '@skylarkfield/duties';
 import type {Coordination} from './coordination.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
 import {startFleetDuty} from './fleetDuty.js';
@@ -21,10 +21,10 @@
 ): Disposable {
   const {settings, platform, clock, log} = context;
 
-  function start(tenure: Tenure): Disposable {
+  function start(term: DutyTerm): Disposable {
     const work = disposableStore();
     const common = {
-      tenure,
+      term,
       holder: settings.id,
       orders: platform.orders,
       clock,
@@ -48,7 +48,7 @@
           traffic.policy
             .services()
             .filter(({name}) => !traffic.rollouts.isOpen(name)),
-        demandSigns: traffic.engines.demandSignals,
+        demandSignals: traffic.engines.demandSignals,
       }),
     );
     work.add(
@@ -57,5 +57,5 @@
     return work;
   }
 
-  return coordination.duties.compete('fleet', start);
+  return coordination.dutyElections.compete('fleet', start);
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -23,7 +23,7 @@
   readonly decisions: DecisionLog;
   readonly dumps: Dumps;
   readonly metrics: RequestMetrics;
-  readonly life: ProcessLifecycle;
+  readonly lifecycle: ProcessLifecycle;
   readonly inFlight: InFlightCounter;
 }
 
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -187,13 +187,13 @@
 /** Platform calls that only the holder of the duty makes. */
 export interface PlatformOrders {
   reportUsage(
-    authority: FencingCredentials,
+    credentials: FencingCredentials,
     window: number,
     counts: CustomerCounts,
     signal: AbortSignal,
   ): Promise<EndpointOrderResult>;
   orderEndpoints(
-    authority: FencingCredentials,
+    credentials: FencingCredentials,
     order: EndpointOrder,
     signal: AbortSignal,
   ): Promise<EndpointOrderResult>;
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -25,7 +25,7 @@
   readonly network: PeerNetwork;
   readonly store: ObjectStore;
   readonly membership: Membership;
-  readonly duties: DutyElections;
+  readonly dutyElections: DutyElections;
   /** Receivers of this entry's digests, and candidates for duties. */
   plan(): RelayPlan;
 }
@@ -105,7 +105,7 @@
     return cachedPlan;
   }
 
-  const duties = owned.add(
+  const dutyElections = owned.add(
     createDutyElections({
       clock,
       random,
@@ -123,12 +123,12 @@
   context.dumps.add('members', () => membership.dump());
   context.dumps.add('network', () => network.dump());
   context.dumps.add('store', () => store.dump());
-  context.dumps.add('duties', () => duties.dump());
+  context.dumps.add('duties', () => dutyElections.dump());
   return {
     network,
     store,
     membership,
-    duties,
+    dutyElections,
     plan,
     dispose: () => owned.dispose(),
   };
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -32,13 +32,15 @@
  * computed while no request is suspected.
  *
  * @example
- * if (verdictFor(call, suspects).type === 'quarantined') { return reject(); }
+ * if (verdictFor(call, crashQuarantine).type === 'quarantined') { return reject(); }
  */
 export function verdictFor(
   call: FingerprintedCall,
-  suspects: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>,
+  crashQuarantine: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>,
 ): QuarantineVerdict {
-  return suspects.isEmpty() ? CLEAR : suspects.verdictFor(call.fingerprint());
+  return crashQuarantine.isEmpty()
+    ? CLEAR
+    : crashQuarantine.verdictFor(call.fingerprint());
 }
 
 /**
@@ -48,10 +50,10 @@
  * const verdict = crashGuard.checkSend(call, progress);
  */
 export function createCrashGuard(options: {
-  readonly suspects: CrashQuarantine;
+  readonly crashQuarantine: CrashQuarantine;
   readonly directory: Pick<EndpointDirectory, 'get'>;
 }): CrashGuard {
-  const {suspects, directory} = options;
+  const {crashQuarantine, directory} = options;
 
   function isSuccess(end: AttemptEnd): boolean {
     return (
@@ -71,9 +73,9 @@
     }
     const lostRequest = {request: call.fingerprint(), endpoint};
     if (loss === 'closed' && state === 'ready') {
-      suspects.noteConnectionLost(lostRequest);
+      crashQuarantine.noteConnectionLost(lostRequest);
     } else {
-      suspects.noteUnanswered(lostRequest);
+      crashQuarantine.noteUnanswered(lostRequest);
     }
   }
 
@@ -83,21 +85,22 @@
       if (continuation !== undefined) {
         return CLEAR;
       }
-      const verdict = verdictFor(call, suspects);
+      const verdict = verdictFor(call, crashQuarantine);
       if (verdict.type === 'trial') {
-        suspects.beginTrial(call.fingerprint());
+        crashQuarantine.beginTrial(call.fingerprint());
       }
       return verdict;
     },
-    isSuspected: call => verdictFor(call, suspects).type !== 'clear',
-    isQuarantined: call => verdictFor(call, suspects).type === 'quarantined',
+    isSuspected: call => verdictFor(call, crashQuarantine).type !== 'clear',
+    isQuarantined: call =>
+      verdictFor(call, crashQuarantine).type === 'quarantined',
     noteAttemptEnd(call, endpoint, end) {
       if (end.type === 'failed' && end.loss !== undefined) {
         noteLoss(call, endpoint, end.loss);
         return;
       }
-      if (isSuccess(end) && !suspects.isEmpty()) {
-        suspects.noteServed(call.fingerprint());
+      if (isSuccess(end) && !crashQuarantine.isEmpty()) {
+        crashQuarantine.noteServed(call.fingerprint());
       }
     },
   };
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -66,11 +66,11 @@
  *
  * @example
  * const persistence = owned.add(startCrashPersistence({mirror: view.crashes,
- *   suspects, store, self, ...rest}));
+ *   crashQuarantine, store, self, ...rest}));
  */
 export function startCrashPersistence(options: {
   readonly mirror: Mirror<CrashReport>;
-  readonly suspects: CrashQuarantine;
+  readonly crashQuarantine: CrashQuarantine;
   readonly store: ObjectStore;
   readonly self: string;
   readonly clock: Clock;
@@ -82,7 +82,7 @@
    */
   isReader(): boolean;
 }): Disposable {
-  const {mirror, suspects, store, self, clock, random, log} = options;
+  const {mirror, crashQuarantine, store, self, clock, random, log} = options;
   const owned = disposableStore();
   const revisions = new Map<string, number>();
   let isRestored = false;
@@ -102,7 +102,7 @@
       if (mirror.get(name) === undefined) {
         revisions.delete(name);
         log.info({entry: name}, 'persisted crashes removed');
-        suspects.removeStoredReport(name);
+        crashQuarantine.removeStoredReport(name);
       }
     }
     isRestored = true;
@@ -110,9 +110,9 @@
 
   function applyReport(name: string, report: CrashReport): void {
     if (name !== self) {
-      suspects.setStoredReport(name, report);
+      crashQuarantine.setStoredReport(name, report);
     } else if (!isRestored) {
-      suspects.restoreOwnReport(report);
+      crashQuarantine.restoreOwnReport(report);
     }
   }
 
@@ -142,11 +142,11 @@
 
   async function writeOnce(failures: number): Promise<boolean> {
     isDirty = false;
-    const report = suspects.reportToStore();
+    const report = crashQuarantine.reportToStore();
     try {
       const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
       await store.put(OBJECT_KIND, self, report, {type: 'any'}, signal);
-      suspects.noteStored(report);
+      crashQuarantine.noteStored(report);
       log.info({crashes: report.crashes.length, failures}, 'crashes persisted');
       return true;
     } catch (error) {
@@ -181,7 +181,7 @@
   }
 
   mirror.onDidChange(applyItems);
-  suspects.onDidChange(() => {
+  crashQuarantine.onDidChange(() => {
     isDirty = true;
     void flush();
   });
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -83,12 +83,12 @@
   const {model, clock} = options;
   return {
     expectedWait({head, service}, {tokensAhead}, leftMs) {
-      const figures = options.figures(service);
+      const estimate = options.figures(service);
       // Until the figures are reliable, a guess could reject callers wrongly.
-      if (head.demand === undefined || !figures.isSure) {
+      if (head.demand === undefined || !estimate.isSure) {
         return NO_WAIT;
       }
-      const ms = tokensAhead * figures.usualTokenMs;
+      const ms = tokensAhead * estimate.usualTokenMs;
       const longestMs = leftMs * MAX_WAIT_FRACTION;
       return {ms, longestMs, isTooLong: ms > longestMs};
     },
--- a/packages/gateway/src/enginesView.ts
+++ b/packages/gateway/src/enginesView.ts
@@ -58,9 +58,9 @@
 /** Cost factor of recomputing a prefix, which delays concurrent responses. */
 const REREAD_WEIGHT = 4;
 
-interface CachedFigures {
+interface CachedEstimate {
   readonly at: number;
-  readonly figures: EngineEstimate;
+  readonly estimate: EngineEstimate;
   readonly weights: Partial<RouteWeights>;
 }
 
@@ -84,7 +84,7 @@
   const model = createEngineModel(clock);
   const outcomes = createOutcomeMeter(clock);
   const work = createWorkMeter(clock);
-  const cache = new Map<string, CachedFigures>();
+  const cache = new Map<string, CachedEstimate>();
   const logged = new Map<string, EngineEstimate>();
   let publishedAt = -Infinity;
 
@@ -92,33 +92,37 @@
     return addCapacityStats([model.stats(), ...reports.capacity()]);
   }
 
-  function computeFigures(service: string): CachedFigures {
+  function computeEstimate(service: string): CachedEstimate {
     const all = addCapacityStats([fleetCapacity(), options.restored()]);
-    const figures = estimateEngine(all[service], options.aims(service));
-    return {at: clock.now(), figures, weights: routeWeightsFor(figures)};
+    const estimate = estimateEngine(all[service], options.aims(service));
+    return {
+      at: clock.now(),
+      estimate,
+      weights: routeWeightsFor(estimate),
+    };
   }
 
-  function cachedFigures(service: string): CachedFigures {
+  function cachedEstimate(service: string): CachedEstimate {
     const last = cache.get(service);
     if (last !== undefined && clock.now() - last.at < REFRESH_INTERVAL_MS) {
       return last;
     }
-    const fresh = computeFigures(service);
+    const fresh = computeEstimate(service);
     cache.set(service, fresh);
-    logChange(service, fresh.figures);
+    logChange(service, fresh.estimate);
     return fresh;
   }
 
   /** Logs figures that are new or differ enough from those logged last. */
-  function logChange(service: string, figures: EngineEstimate): void {
+  function logChange(service: string, estimate: EngineEstimate): void {
     const last = logged.get(service);
-    const ratio = last ? figures.usualPromptMs / last.usualPromptMs : Infinity;
+    const ratio = last ? estimate.usualPromptMs / last.usualPromptMs : Infinity;
     const isSimilar = Math.abs(ratio - 1) < LOGGED_CHANGE;
-    if (isSimilar && figures.isSure === last?.isSure) {
+    if (isSimilar && estimate.isSure === last?.isSure) {
       return;
     }
-    logged.set(service, figures);
-    log.info({service, ...figures}, 'engine figures updated');
+    logged.set(service, estimate);
+    log.info({service, ...estimate}, 'engine figures updated');
   }
 
   function workRate(service: string): WorkRate {
@@ -132,12 +136,12 @@
   }
 
   function demandSignals(service: string): Omit<DemandSignals, 'present'> {
-    const {figures} = cachedFigures(service);
+    const {estimate} = cachedEstimate(service);
     return {
-      workRate: workMs(workRate(service), figures),
-      use: targetUtilization(figures, options.aims(service)),
+      workRate: workMs(workRate(service), estimate),
+      use: targetUtilization(estimate, options.aims(service)),
       latePart: lateFraction(service),
-      isSure: figures.isSure,
+      isSure: estimate.isSure,
     };
   }
 
@@ -145,11 +149,11 @@
     model,
     outcomes,
     work,
-    figures: service => cachedFigures(service).figures,
+    figures: service => cachedEstimate(service).estimate,
     workRate,
     demandSignals,
     routeWeights: service =>
-      options.isModel(service) ? cachedFigures(service).weights : undefined,
+      options.isModel(service) ? cachedEstimate(service).weights : undefined,
     unpublishedCapacity() {
       if (clock.now() - publishedAt < PUBLISH_INTERVAL_MS) {
         return undefined;
@@ -160,22 +164,22 @@
     fleetCapacity,
     dump: () =>
       Object.fromEntries(
-        [...cache].map(([service, {figures}]) => [
+        [...cache].map(([service, {estimate}]) => [
           service,
-          {...figures, ...demandSignals(service)},
+          {...estimate, ...demandSignals(service)},
         ]),
       ),
   };
 }
 
-function routeWeightsFor(figures: EngineEstimate): Partial<RouteWeights> {
-  const {usualTokenMs, usualPromptMs, usualAnswerTokens} = figures;
+function routeWeightsFor(estimate: EngineEstimate): Partial<RouteWeights> {
+  const {usualTokenMs, usualPromptMs, usualAnswerTokens} = estimate;
   return {
     knownMsPerToken: usualTokenMs,
-    recomputedTokenShare: Math.min(1, figures.rereadTokenMs / usualTokenMs),
+    recomputedTokenShare: Math.min(1, estimate.rereadTokenMs / usualTokenMs),
     uncachedTokenWeight: REREAD_WEIGHT,
-    perRequestMs: figures.requestStepMs * usualAnswerTokens,
-    perContextTokenMs: (figures.contextStepMs * usualAnswerTokens) / 1_000,
+    perRequestMs: estimate.requestStepMs * usualAnswerTokens,
+    perContextTokenMs: (estimate.contextStepMs * usualAnswerTokens) / 1_000,
     affinityMs: usualPromptMs * AFFINITY_PROMPTS,
   };
 }
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -6,7 +6,7 @@
   type Disposable,
   type Logger,
 } from '@skylarkfield/base';
-import type {Tenure} from '@skylarkfield/duties';
+import type {DutyTerm} from '@skylarkfield/duties';
 import {
   createDemandEstimator,
   planFleet,
@@ -51,29 +51,29 @@
 }
 
 export interface FleetDutyOptions {
-  readonly tenure: Tenure;
+  readonly term: DutyTerm;
   readonly holder: string;
   readonly orders: PlatformOrders;
   readonly directory: EndpointDirectory;
   services(): readonly ServiceConfig[];
   /** Demand for a service over all entries, and the fraction served late. */
-  demandSigns(service: string): Omit<DemandSignals, 'present'>;
+  demandSignals(service: string): Omit<DemandSignals, 'present'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
 /**
- * Starts to issue orders for the duration of the tenure.
+ * Starts to issue orders for the duration of the term.
  *
  * @example
- * duties.compete('fleet', tenure => startFleetDuty({tenure, ...rest}));
+ * dutyElections.compete('fleet', term => startFleetDuty({term, ...rest}));
  */
 export function startFleetDuty(options: FleetDutyOptions): Disposable {
-  const {tenure, orders, directory, clock, log} = options;
+  const {term, orders, directory, clock, log} = options;
   const issuedOrders = new Map<string, IssuedOrder>();
   /** Next probe of each failure domain without reclaimable capacity. */
   const scarceRetryAt = new Map<string, number>();
-  const demands = new Map<string, DemandEstimator>();
+  const estimators = new Map<string, DemandEstimator>();
   const startedAt = clock.now();
   let isBusy = false;
 
@@ -124,11 +124,11 @@
 
   function updateNeed(
     service: string,
-    signs: Omit<DemandSignals, 'present'>,
+    signals: Omit<DemandSignals, 'present'>,
   ): EndpointNeed {
-    const demand = demands.get(service) ?? createDemandEstimator(clock);
-    demands.set(service, demand);
-    return demand.update({...signs, present: readyCount(service)});
+    const estimator = estimators.get(service) ?? createDemandEstimator(clock);
+    estimators.set(service, estimator);
+    return estimator.update({...signals, present: readyCount(service)});
   }
 
   /**
@@ -213,16 +213,16 @@
   ): Promise<EndpointOrderResult> {
     const market: Market = order.isReclaimable ? 'reclaimable' : 'onDemand';
     const key = `${order.service}/${order.failureDomain}/${market}`;
-    if (!tenure.isValid()) {
+    if (!term.isValid()) {
       return 'failed';
     }
     issuedOrders.set(key, {count: order.count, at: clock.now()});
     const answer = await orders.orderEndpoints(
-      {holder: options.holder, fencing: tenure.fencing},
+      {holder: options.holder, fencing: term.fencing},
       order,
-      AbortSignal.any([tenure.signal, AbortSignal.timeout(CALL_TIMEOUT_MS)]),
+      AbortSignal.any([term.signal, AbortSignal.timeout(CALL_TIMEOUT_MS)]),
     );
-    log.info({...order, answer, fencing: tenure.fencing}, 'endpoints ordered');
+    log.info({...order, answer, fencing: term.fencing}, 'endpoints ordered');
     if (answer === 'unavailable') {
       markScarce(order.service, order.failureDomain);
     }
@@ -274,14 +274,14 @@
     }
     noteReclaims(name);
     await probeScarceDomains(name, fleet);
-    const signs = options.demandSigns(name);
-    const needed = updateNeed(name, signs);
+    const signals = options.demandSignals(name);
+    const needed = updateNeed(name, signals);
     const scarce = scarceDomains(name, Object.keys(fleet.prices));
-    const plan = planFleet({terms: fleet, needed, scarce});
+    const plan = planFleet({config: fleet, needed, scarce});
     const newOrders = ordersFor(name, plan, fleet.most, needed.usual);
     if (newOrders.length > 0) {
       log.info(
-        {service: name, ...signs, needed, scarce: [...scarce.keys()], plan},
+        {service: name, ...signals, needed, scarce: [...scarce.keys()], plan},
         'endpoints planned',
       );
     }
@@ -291,7 +291,7 @@
   }
 
   async function planAll(): Promise<void> {
-    if (isBusy || !tenure.isValid()) {
+    if (isBusy || !term.isValid()) {
       return;
     }
     isBusy = true;
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -91,8 +91,8 @@
  */
 export function createForwarding(options: {
   readonly router: Router;
-  readonly limits: Pick<RateLimits, 'noteLimit'>;
-  readonly suspects: CrashQuarantine;
+  readonly rateLimits: Pick<RateLimits, 'noteLimit'>;
+  readonly crashQuarantine: CrashQuarantine;
   readonly directory: EndpointDirectory;
   readonly admission: AdmissionController;
   readonly upstreams: Upstreams;
@@ -187,8 +187,8 @@
       idleTimeoutMs: rules.idleTimeoutMs(call, progress),
       isStopRequested: watchedStream.isStopRequested,
       onDidRespond({limitPerSecond}) {
-        options.limits.noteLimit(choice.endpoint, limitPerSecond);
-        options.suspects.noteResponse(choice.endpoint, sentAt);
+        options.rateLimits.noteLimit(choice.endpoint, limitPerSecond);
+        options.crashQuarantine.noteResponse(choice.endpoint, sentAt);
       },
       onDidBegin(head) {
         beganAt = clock.now();
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -27,11 +27,11 @@
   {membership}: Coordination,
   {policy, handler}: TrafficPipeline,
 ): Promise<Disposable> {
-  const {settings, platform, life} = context;
+  const {settings, platform, lifecycle} = context;
   const {lookups} = platform;
 
   function isReady(): boolean {
-    return life.state() === 'serving' && policy.isKnown();
+    return lifecycle.state() === 'serving' && policy.isKnown();
   }
 
   function answerReadiness(request: IncomingMessage, response: ServerResponse) {
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -99,13 +99,13 @@
     decisions: decisionLog(clock, log),
     dumps: createDumps(),
     metrics: createRequestMetrics(() => createMetrics('skylarkfield'), log),
-    life: createProcessLifecycle(),
+    lifecycle: createProcessLifecycle(),
     inFlight: createInFlightCounter(clock),
   };
   context.dumps.add('process', () => ({
     id: settings.id,
     incarnation: context.incarnation,
-    life: context.life.state(),
+    life: context.lifecycle.state(),
     inFlight: context.inFlight.count(),
     memory: process.memoryUsage(),
     cpu: process.cpuUsage(),
@@ -119,20 +119,23 @@
  * time for responses in flight.
  */
 async function shutDown(
-  {settings, clock, log, life, inFlight}: GatewayContext,
+  {settings, clock, log, lifecycle, inFlight}: GatewayContext,
   {
     membership,
-    duties,
+    dutyElections,
   }: {
     membership: {leave(): Promise<void>};
-    duties: {release(): Promise<void>};
+    dutyElections: {release(): Promise<void>};
   },
 ): Promise<void> {
   const graceMs = settings.graceSeconds * MS_PER_SECOND;
   const endAt = clock.now() + graceMs - SHUTDOWN_MARGIN_MS;
   log.info({inFlight: inFlight.count(), graceMs}, 'stopping');
-  life.send('announce');
-  const departure = Promise.allSettled([membership.leave(), duties.release()]);
+  lifecycle.send('announce');
+  const departure = Promise.allSettled([
+    membership.leave(),
+    dutyElections.release(),
+  ]);
   void departure.then(outcomes => {
     const failed = outcomes.filter(({status}) => status === 'rejected');
     log.info(
@@ -143,8 +146,8 @@
   await new Promise<void>(resolve => {
     clock.after(Math.min(LINGER_MS, graceMs / 2), resolve);
   });
-  life.send('refuse');
+  lifecycle.send('refuse');
   const isIdle = await inFlight.waitUntilIdle(Math.max(0, endAt - clock.now()));
-  life.send('close');
+  lifecycle.send('close');
   log.info({isIdle, inFlight: inFlight.count()}, 'stopped');
 }
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -42,7 +42,7 @@
   ): MirrorStep | undefined;
   /** Applies a step from a peer; false on a gap, which requires a copy. */
   applyStep(step: MirrorStep): boolean;
-  applyCopy(copy: MirrorSnapshot): void;
+  applyCopy(snapshot: MirrorSnapshot): void;
   /**
    * Confirms the replica by a peer's that was up to date at the timestamp;
    * false if it lacks changes.
@@ -182,7 +182,8 @@
       }
       return true;
     },
-    applyCopy: copy => replace(copy.revision, copy.changedAt, copy.items),
+    applyCopy: snapshot =>
+      replace(snapshot.revision, snapshot.changedAt, snapshot.items),
     confirmBy(syncStatus, timestamp) {
       if (revision === undefined || revision < syncStatus.changedAt) {
         return false;
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -46,7 +46,7 @@
   readonly directory: EndpointDirectory;
   readonly network: PeerNetwork;
   readonly store: ObjectStore;
-  readonly duties: Pick<DutyElections, 'compete'>;
+  readonly dutyElections: Pick<DutyElections, 'compete'>;
   plan(): RelayPlan;
   /** Ids of all other entries. */
   others(): readonly string[];
@@ -128,7 +128,7 @@
   split: TrafficSplit,
 ): Disposable {
   const {clock, log, decisions} = context;
-  const {directory, store, duties} = options;
+  const {directory, store, dutyElections} = options;
   const owned = disposableStore();
   const judge = createMoveController({clock, decisions});
   const inFlightUpdates = new Set<string>();
@@ -190,14 +190,14 @@
   );
   owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
   owned.add(
-    duties.compete('moves', tenure =>
+    dutyElections.compete('moves', term =>
       createMoveDuty({
         clock,
         log,
         objects: store,
         configuration: moves.records,
         controller: judge,
-        tenure,
+        tenure: term,
         hasEndpoints: (service, group) =>
           availableGroups(service).some(name => name === group),
         onDidAdvance,
--- a/packages/gateway/src/test/crashGuard.test.ts
+++ b/packages/gateway/src/test/crashGuard.test.ts
@@ -28,7 +28,7 @@
 /** Creates a guard over endpoints with these states in the directory. */
 function createGuard(states: Readonly<Record<string, 'ready' | 'draining'>>) {
   const clock = virtualClock();
-  const suspects = createCrashQuarantine({
+  const crashQuarantine = createCrashQuarantine({
     clock,
     self: 'a1',
     decisions: decisionLog(clock, silentLogger()),
@@ -40,10 +40,10 @@
         ? undefined
         : ({id, state: states[id]} as RegisteredEndpoint),
   };
-  const guard = createCrashGuard({suspects, directory});
+  const guard = createCrashGuard({crashQuarantine, directory});
   return {
     clock,
-    suspects,
+    crashQuarantine,
     guard,
     loseConnections(
       endpoints: readonly string[],
@@ -93,8 +93,8 @@
   });
 
   it('suspects a request whose endpoint was removed before the connection closed', () => {
-    const {guard, suspects, loseConnections} = createGuard({});
-    suspects.noteDeregistered('e1');
+    const {guard, crashQuarantine, loseConnections} = createGuard({});
+    crashQuarantine.noteDeregistered('e1');
     loseConnections(['e1']);
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'suspected');
   });
@@ -107,9 +107,9 @@
   });
 
   it('permits one send in a trial', () => {
-    const {guard, suspects, clock} = createGuard(READY);
+    const {guard, crashQuarantine, clock} = createGuard(READY);
     for (const endpoint of ['e1', 'e2', 'e3']) {
-      suspects.noteConnectionLost({request: 'f00d', endpoint});
+      crashQuarantine.noteConnectionLost({request: 'f00d', endpoint});
     }
     clock.advanceSync(10_000);
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'trial');
--- a/packages/gateway/src/test/crashPersistence.test.ts
+++ b/packages/gateway/src/test/crashPersistence.test.ts
@@ -20,7 +20,7 @@
 /** Creates an entry whose mirror reads the store only on `refresh`. */
 function startEntry(self: string, store: ObjectStore, clock: VirtualClock) {
   const log = silentLogger();
-  const suspects = createCrashQuarantine({
+  const crashQuarantine = createCrashQuarantine({
     clock,
     self,
     decisions: decisionLog(clock, log),
@@ -29,7 +29,7 @@
   const mirror = createMirror<CrashReport>({kind: 'crashes', clock, log});
   const persistence = startCrashPersistence({
     mirror,
-    suspects,
+    crashQuarantine,
     store,
     self,
     clock,
@@ -38,7 +38,7 @@
     isReader: () => true,
   });
   return {
-    suspects,
+    crashQuarantine,
     persistence,
     async refresh() {
       const {version, objects} = await store.list<CrashReport>(KIND);
@@ -50,7 +50,7 @@
     },
     async crash(...endpoints: string[]) {
       for (const endpoint of endpoints) {
-        suspects.noteConnectionLost({request: REQUEST, endpoint});
+        crashQuarantine.noteConnectionLost({request: REQUEST, endpoint});
         await clock.advance(2_000);
       }
     },
@@ -75,7 +75,7 @@
     before.persistence.dispose();
     const after = start('b1');
     await after.refresh();
-    assert.equal(after.suspects.verdictFor(REQUEST).type, 'quarantined');
+    assert.equal(after.crashQuarantine.verdictFor(REQUEST).type, 'quarantined');
   });
 
   // Guards against a restarted entry that overwrites its persisted report.
@@ -92,8 +92,8 @@
     await after.refresh();
     await after.crash();
     await new Promise(resolve => setImmediate(resolve));
-    assert.equal(after.suspects.verdictFor(REQUEST).type, 'quarantined');
-    assert.equal(after.suspects.reportToStore().crashes.length, 3);
+    assert.equal(after.crashQuarantine.verdictFor(REQUEST).type, 'quarantined');
+    assert.equal(after.crashQuarantine.reportToStore().crashes.length, 3);
   });
 
   it('retries failed writes', async () => {
@@ -129,7 +129,10 @@
     const entry = start('a1', counting);
     await entry.refresh();
     for (let index = 0; index < 40; index++) {
-      entry.suspects.noteConnectionLost({request: `r${index}`, endpoint: 'e1'});
+      entry.crashQuarantine.noteConnectionLost({
+        request: `r${index}`,
+        endpoint: 'e1',
+      });
     }
     await clock.advance(CONFIRM_MS + 2_000);
     assert.equal(writes, 1);
@@ -145,7 +148,7 @@
     await entry.refresh();
     await store.remove(KIND, 'a1', {type: 'any'});
     await entry.refresh();
-    assert.equal(entry.suspects.verdictFor(REQUEST).type, 'clear');
+    assert.equal(entry.crashQuarantine.verdictFor(REQUEST).type, 'clear');
   });
 
   it('removes objects whose crashes have all expired', async () => {
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -165,8 +165,8 @@
   const upstreams = createUpstreams();
   const forwarding = createForwarding({
     router,
-    limits: {noteLimit: () => {}},
-    suspects: createCrashQuarantine({
+    rateLimits: {noteLimit: () => {}},
+    crashQuarantine: createCrashQuarantine({
       clock,
       self: 'x',
       decisions,
--- a/packages/gateway/src/test/usageDuty.test.ts
+++ b/packages/gateway/src/test/usageDuty.test.ts
@@ -6,7 +6,7 @@
   virtualClock,
   type VirtualClock,
 } from '@skylarkfield/base';
-import type {Tenure} from '@skylarkfield/duties';
+import type {DutyTerm} from '@skylarkfield/duties';
 import {createMemoryPlatform, type ObjectStore} from '@skylarkfield/providers';
 import {createUsageWindows, type CustomerCounts} from '@skylarkfield/traffic';
 import type {EndpointOrderResult, PlatformOrders} from '../contracts.js';
@@ -32,7 +32,7 @@
   return {reports, orders};
 }
 
-function tenureOf(fencing: number): Tenure & {end(): void} {
+function termOf(fencing: number): DutyTerm & {end(): void} {
   const controller = new AbortController();
   return {
     duty: 'fleet',
@@ -60,9 +60,9 @@
   for (let count = 0; count < options.ownCount; count++) {
     usage.recordRequest('chain', clock.wall());
   }
-  const tenure = tenureOf(options.fencing);
+  const term = termOf(options.fencing);
   const duty = startUsageDuty({
-    tenure,
+    term,
     holder: `e${options.fencing}`,
     store: options.store,
     orders: options.orders,
@@ -72,7 +72,7 @@
     commonWallMs: () => clock.wall(),
     log: silentLogger(),
   });
-  return {tenure, duty, usage};
+  return {term, duty, usage};
 }
 
 function assertOneReportPerWindow(reports: readonly Report[]): void {
@@ -102,7 +102,7 @@
     const store = platform.client('e1');
     const first = startHolder({clock, store, orders, fencing: 1, ownCount: 7});
     await clock.advance(WINDOW_MS + 2_000);
-    first.tenure.end();
+    first.term.end();
     first.duty.dispose();
     const before = reports.length;
     assert.ok(before >= 1);
@@ -141,18 +141,18 @@
     assertOneReportPerWindow(reports);
   });
 
-  it('sends nothing after its tenure has ended', async () => {
+  it('sends nothing after its term has ended', async () => {
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
     const {reports, orders} = createRecorder([]);
-    const {tenure} = startHolder({
+    const {term} = startHolder({
       clock,
       store: platform.client('e1'),
       orders,
       fencing: 1,
       ownCount: 1,
     });
-    tenure.end();
+    term.end();
     await clock.advance(20_000);
     assert.equal(reports.length, 0);
   });
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -78,7 +78,8 @@
   context: GatewayContext,
   coordination: Coordination,
 ): TrafficPipeline {
-  const {settings, platform, clock, random, log, decisions, life} = context;
+  const {settings, platform, clock, random, log, decisions, lifecycle} =
+    context;
   const {network, membership} = coordination;
   const owned = disposableStore();
   const view = owned.add(
@@ -127,12 +128,12 @@
   const tokensPerEvent = (service: string): number =>
     findService(service)?.engine?.tokensPerEvent ?? 1;
   const upstreams = owned.add(createUpstreams());
-  const limits = createRateLimits({clock, self: settings.id, decisions});
+  const rateLimits = createRateLimits({clock, self: settings.id, decisions});
   const router = createRouter({
     clock,
     random,
     decisions,
-    limits,
+    limits: rateLimits,
     failureDomain: settings.failureDomain,
     self: settings.id,
     blockTokens: TOKENS_PER_KEY,
@@ -146,17 +147,17 @@
     log,
     isModel,
   });
-  const suspects = createCrashQuarantine({
+  const crashQuarantine = createCrashQuarantine({
     clock,
     self: settings.id,
     decisions,
     wallMs: () => digests.commonWallMs(),
   });
-  directory.onDidVanish(suspects.noteDeregistered);
+  directory.onDidVanish(crashQuarantine.noteDeregistered);
   owned.add(
     startCrashPersistence({
       mirror: view.crashes,
-      suspects,
+      crashQuarantine,
       store: coordination.store,
       self: settings.id,
       clock,
@@ -219,8 +220,8 @@
           entries: 1,
           used: quotas.ownUsage(),
           loads: router.ownLoads(),
-          limits: limits.ownReports(),
-          crashes: suspects.reportToGossip(),
+          limits: rateLimits.ownReports(),
+          crashes: crashQuarantine.reportToGossip(),
           work: work.rates(),
           outcomes: engines.outcomes.counts(),
           capacity: engines.unpublishedCapacity(),
@@ -232,9 +233,9 @@
         });
       },
       onDidReceive(peer, digest, timestamp) {
-        limits.mergeReports(digest.limits ?? {});
+        rateLimits.mergeReports(digest.limits ?? {});
         if (digest.crashes !== undefined) {
-          suspects.mergeGossip(digest.crashes);
+          crashQuarantine.mergeGossip(digest.crashes);
         }
         view.noteSyncStatuses(peer, digest.mirrors, timestamp);
         noteUsage(peer, digest);
@@ -257,8 +258,8 @@
 
   function updateEntries(): void {
     const ids = membership.live().map(({id}) => id);
-    limits.setEntries(ids);
-    suspects.setEntries(ids);
+    rateLimits.setEntries(ids);
+    crashQuarantine.setEntries(ids);
   }
 
   owned.add(membership.onDidChange(updateEntries));
@@ -266,7 +267,7 @@
 
   function refreshEndpoints(): void {
     directory.refresh();
-    limits.retainEndpoints(
+    rateLimits.retainEndpoints(
       new Set(router.assignedEndpoints().map(({id}) => id)),
     );
     admissionConfigurator.update();
@@ -278,7 +279,7 @@
       directory,
       network,
       store: coordination.store,
-      duties: coordination.duties,
+      dutyElections: coordination.dutyElections,
       plan: coordination.plan,
       others: () =>
         membership
@@ -290,8 +291,8 @@
 
   const forwarding = createForwarding({
     router,
-    limits,
-    suspects,
+    rateLimits,
+    crashQuarantine,
     directory,
     admission,
     upstreams,
@@ -325,15 +326,15 @@
   const handler = createCallerHandler({
     policy,
     quotas,
-    suspects,
+    crashQuarantine,
     visibility,
     admission,
     forwarding,
     format: platform.calls,
     state: {
       isServing: () =>
-        life.state() === 'serving' || life.state() === 'lingering',
-      isClosing: () => life.state() !== 'serving',
+        lifecycle.state() === 'serving' || lifecycle.state() === 'lingering',
+      isClosing: () => lifecycle.state() !== 'serving',
     },
     inFlight: context.inFlight,
     usualOwnTokens: service => engines.figures(service).usualOwnTokens,
@@ -365,8 +366,8 @@
   context.dumps.add('admission', () => admission.dump());
   context.dumps.add('engines', () => engines.dump());
   context.dumps.add('reports', () => reports.dump());
-  context.dumps.add('limits', () => limits.dump());
-  context.dumps.add('crashes', () => suspects.dump());
+  context.dumps.add('limits', () => rateLimits.dump());
+  context.dumps.add('crashes', () => crashQuarantine.dump());
   context.dumps.add('quotas', () => quotas.dump());
   context.dumps.add('upstreams', () => upstreams.dump());
   return {
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -14,7 +14,7 @@
   type Disposable,
   type Logger,
 } from '@skylarkfield/base';
-import type {Tenure} from '@skylarkfield/duties';
+import type {DutyTerm} from '@skylarkfield/duties';
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {CustomerCounts, UsageWindows} from '@skylarkfield/traffic';
 import type {PlatformOrders} from './contracts.js';
@@ -41,7 +41,7 @@
 const CALL_TIMEOUT_MS = 1_500;
 
 export interface UsageDutyOptions {
-  readonly tenure: Tenure;
+  readonly term: DutyTerm;
   readonly holder: string;
   readonly store: ObjectStore;
   readonly orders: PlatformOrders;
@@ -55,13 +55,13 @@
 }
 
 /**
- * Starts to report for the duration of the tenure.
+ * Starts to report for the duration of the term.
  *
  * @example
- * duties.compete('usage', tenure => startUsageDuty({tenure, ...rest}));
+ * dutyElections.compete('usage', term => startUsageDuty({term, ...rest}));
  */
 export function startUsageDuty(options: UsageDutyOptions): Disposable {
-  const {tenure, store, orders, usage, clock, log} = options;
+  const {term, store, orders, usage, clock, log} = options;
   const firstWindow = usage.windowAt(options.commonWallMs() - options.lateMs);
   const retainedReports =
     usage.windowAt(options.lateMs) + EXTRA_RETAINED_REPORTS;
@@ -108,20 +108,17 @@
 
   async function report(window: number): Promise<void> {
     const counts = await persistedCounts(window);
-    if (!tenure.isValid()) {
+    if (!term.isValid()) {
       return;
     }
-    const authority = {holder: options.holder, fencing: tenure.fencing};
+    const credentials = {holder: options.holder, fencing: term.fencing};
     const answer = await orders.reportUsage(
-      authority,
+      credentials,
       window,
       counts,
-      AbortSignal.any([tenure.signal, AbortSignal.timeout(CALL_TIMEOUT_MS)]),
-    );
-    log.info(
-      {window, counts, answer, fencing: tenure.fencing},
-      'usage reported',
+      AbortSignal.any([term.signal, AbortSignal.timeout(CALL_TIMEOUT_MS)]),
     );
+    log.info({window, counts, answer, fencing: term.fencing}, 'usage reported');
     if (answer !== 'accepted') {
       return;
     }
@@ -139,7 +136,7 @@
 
   async function check(): Promise<void> {
     const window = dueWindow();
-    if (isBusy || window === undefined || !tenure.isValid()) {
+    if (isBusy || window === undefined || !term.isValid()) {
       return;
     }
     isBusy = true;
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -67,12 +67,15 @@
 
   async function probe(id: string): Promise<boolean> {
     const known = table.get(id);
-    const believed = known && {...known.update, state: known.machine.state()};
+    const knownUpdate = known && {
+      ...known.update,
+      state: known.machine.state(),
+    };
     const startedAt = clock.now();
     probes += 1;
     try {
       const from = options.localUpdate();
-      const body = {from, ...(believed && {believed})};
+      const body = {from, ...(knownUpdate && {believed: knownUpdate})};
       const proof = (await network.request(
         id,
         'memberProbe',
--- a/packages/members/src/gossip.ts
+++ b/packages/members/src/gossip.ts
@@ -44,7 +44,7 @@
       queue.set(update.id, update);
     },
     take() {
-      const news: MemberUpdate[] = [];
+      const updates: MemberUpdate[] = [];
       const changes: MemberChange[] = [];
       let bytes = 0;
       for (const item of queue.values()) {
@@ -55,12 +55,12 @@
         }
         queue.delete(item.id);
         if (change === undefined) {
-          news.push(item);
+          updates.push(item);
         } else {
           changes.push(change);
         }
       }
-      return {news, changes};
+      return {news: updates, changes};
     },
     size: () => queue.size,
   };
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -8,7 +8,7 @@
   type Disposable,
   type Logger,
 } from '@skylarkfield/base';
-import type {Tenure} from '@skylarkfield/duties';
+import type {DutyTerm} from '@skylarkfield/duties';
 import type {ObjectStore, StoredObject} from '@skylarkfield/providers';
 import type {Configuration, Move} from '@skylarkfield/records';
 import type {MoveController, MoveState} from './contracts.js';
@@ -22,7 +22,7 @@
   readonly objects: Pick<ObjectStore, 'get' | 'list' | 'put' | 'remove'>;
   readonly configuration: Pick<Configuration, 'list' | 'isReady'>;
   readonly controller: MoveController;
-  readonly tenure: Tenure;
+  readonly tenure: DutyTerm;
   /** Returns whether any endpoint runs the version, so a move may start. */
   hasEndpoints?(service: string, version: string): boolean;
   /** Called with all stored states after each round. */
@@ -35,23 +35,27 @@
 const ENDED_STATE_RETENTION_MS = 7 * 24 * 3_600_000;
 
 /**
- * Starts the duty for one tenure; the result is disposed at the tenure's end.
+ * Starts the duty for one term; the result is disposed at the term's end.
  *
  * @example
- * duties.compete('moves', tenure => createMoveDuty({...parts, tenure}));
+ * dutyElections.compete('moves', term => createMoveDuty({...parts, term}));
  */
 export function createMoveDuty(options: MoveDutyOptions): Disposable {
-  const {clock, log, objects, configuration, controller, tenure} = options;
+  const {
+    clock,
+    log,
+    objects,
+    configuration,
+    controller,
+    tenure: term,
+  } = options;
   const store = disposableStore();
   const storedStates = new Map<string, StoredObject<MoveState>>();
   let isLoaded = false;
   let isAdvancing = false;
 
   async function loadStates() {
-    const listing = await objects.list<MoveState>(
-      MOVE_STATE_KIND,
-      tenure.signal,
-    );
+    const listing = await objects.list<MoveState>(MOVE_STATE_KIND, term.signal);
     storedStates.clear();
     for (const object of listing.objects) {
       storedStates.set(object.name, object);
@@ -65,7 +69,7 @@
    * successor, such as a rollback.
    */
   async function writeState(next: MoveState) {
-    if (!tenure.isValid()) {
+    if (!term.isValid()) {
       return;
     }
     const storedState = storedStates.get(next.move);
@@ -83,7 +87,7 @@
         storedState === undefined
           ? {type: 'absent'}
           : {type: 'version', version: storedState.version},
-        tenure.signal,
+        term.signal,
       );
       storedStates.set(next.move, written);
     } catch (error) {
@@ -161,7 +165,7 @@
           MOVE_STATE_KIND,
           object.name,
           condition,
-          tenure.signal,
+          term.signal,
         );
         storedStates.delete(object.name);
       }
@@ -170,7 +174,7 @@
 
   async function advanceAll() {
     // Without the configuration, every move would look withdrawn.
-    if (!configuration.isReady() || !tenure.isValid()) {
+    if (!configuration.isReady() || !term.isValid()) {
       return;
     }
     if (!isLoaded) {
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -11,7 +11,7 @@
   toDisposable,
   type VirtualClock,
 } from '@skylarkfield/base';
-import type {Tenure} from '@skylarkfield/duties';
+import type {DutyTerm} from '@skylarkfield/duties';
 import type {
   ObjectStore,
   StoredObject,
@@ -205,7 +205,7 @@
   const entries = Array.from({length: count}, (_, index) => startEntry(index));
   function holdDuty(index: number) {
     const abortController = new AbortController();
-    const tenure: Tenure = {
+    const term: DutyTerm = {
       duty: 'moves',
       fencing: index,
       acquiredAt: clock.now(),
@@ -218,7 +218,7 @@
       objects: platform.store,
       configuration,
       controller: entries[index]?.controller as never,
-      tenure,
+      tenure: term,
     });
     return toDisposable(() => {
       abortController.abort();
--- a/packages/moves/src/test/moveCluster.test.ts
+++ b/packages/moves/src/test/moveCluster.test.ts
@@ -134,7 +134,7 @@
     assert.ok(proofRequests(entries[2]?.controller.dump()) >= before);
   });
 
-  it('ignores writes of a holder that was paused beyond its tenure', async () => {
+  it('ignores writes of a holder that was paused beyond its term', async () => {
     // A paused holder loses its lease and its successor rolls the move back.
     // The old holder resumes with its old state and must not undo the rollback.
     const {clock, holdDuty, platform, entries} = setUp();
--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -67,8 +67,8 @@
  * Starts to accept records; disposed when the duty is lost.
  *
  * @example
- * duties.compete('acceptance', tenure =>
- *   createAcceptanceController({...options, canAct: () => tenure.isValid()}),
+ * dutyElections.compete('acceptance', term =>
+ *   createAcceptanceController({...options, canAct: () => term.isValid()}),
  * );
  */
 export function createAcceptanceController(
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -115,8 +115,8 @@
  * Creates the crash quarantine of one entry.
  *
  * @example
- * suspects.noteConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
- * if (suspects.verdictFor(fingerprint).type === 'quarantined') { return reject(); }
+ * crashQuarantine.noteConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
+ * if (crashQuarantine.verdictFor(fingerprint).type === 'quarantined') { return reject(); }
  */
 export function createCrashQuarantine(options: {
   readonly clock: Clock;
@@ -159,7 +159,7 @@
     );
   }
 
-  function judge(request: string): QuarantineVerdict {
+  function computeVerdict(request: string): QuarantineVerdict {
     const times = recentCrashTimesMs(request);
     const crashes = times.length;
     if (crashes === 0) {
@@ -263,7 +263,7 @@
   return {
     ...detector,
     isEmpty: evidence.isEmpty,
-    verdictFor: judge,
+    verdictFor: computeVerdict,
     beginTrial(request) {
       trials.set(request, clock.now());
       const figures = {crashes: crashCountOf(request)};
@@ -330,7 +330,7 @@
       losses: detector.dump(),
       most: evidence
         .requests()
-        .map(request => ({request, ...judge(request)}))
+        .map(request => ({request, ...computeVerdict(request)}))
         .sort((a, b) => crashesInVerdict(b) - crashesInVerdict(a))
         .slice(0, MAX_DUMPED_REQUESTS),
     }),
--- a/packages/routing/src/requestLimits.ts
+++ b/packages/routing/src/requestLimits.ts
@@ -77,8 +77,8 @@
  * Creates the rate limits of one entry.
  *
  * @example
- * limits.noteLimit('i-1', 2.9);
- * if (limits.allowsRequest('i-1')) { limits.consume('i-1'); }
+ * rateLimits.noteLimit('i-1', 2.9);
+ * if (rateLimits.allowsRequest('i-1')) { rateLimits.consume('i-1'); }
  */
 export function createRateLimits(options: {
   readonly clock: Clock;
@@ -249,7 +249,7 @@
  * the second reports were sent.
  *
  * @example
- * const limits = mergeRateLimitReports(own, digest.limits, clock.now() - heardAt);
+ * const reports = mergeRateLimitReports(own, digest.limits, clock.now() - heardAt);
  */
 export function mergeRateLimitReports(
   first: RateLimitReports,
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -81,7 +81,14 @@
  * const choice = router.choose(routingRequest);
  */
 export function createRouter(options: RouterOptions): Router {
-  const {clock, random, decisions, failureDomain, self, limits} = options;
+  const {
+    clock,
+    random,
+    decisions,
+    failureDomain,
+    self,
+    limits: rateLimits,
+  } = options;
   const blockTokens = options.blockTokens ?? TOKENS_PER_BLOCK;
   const weights = {...defaultRouteWeights, ...options.weights};
   const isOwn =
@@ -143,7 +150,7 @@
         ({candidate, health}) =>
           health.state !== 'leaving' &&
           !routingRequest.excluded.has(candidate.id) &&
-          limits?.allowsRequest(candidate.id) !== false,
+          rateLimits?.allowsRequest(candidate.id) !== false,
       );
     const available = present.filter(({health}) => health.allowsRequest());
     if (available.length > 0 || present.length === 0) {
@@ -294,7 +301,7 @@
     cache.noteSent(routingRequest.blocks);
     popularityOf(routingRequest.service).noteRequest(routingRequest.blocks);
     health.noteSent();
-    limits?.consume(candidate.id);
+    rateLimits?.consume(candidate.id);
     totals.choices += 1;
 
     function finish(result: AttemptResult) {
@@ -363,12 +370,14 @@
         .filter(
           candidate =>
             candidate.service === service &&
-            limits?.allowsRequest(candidate.id) === false,
+            rateLimits?.allowsRequest(candidate.id) === false,
         );
       return limited.length === 0
         ? undefined
         : Math.min(
-            ...limited.map(({id}) => limits?.waitMs(id) ?? NO_SHARE_RETRY_MS),
+            ...limited.map(
+              ({id}) => rateLimits?.waitMs(id) ?? NO_SHARE_RETRY_MS,
+            ),
           );
     },
     cachedTokens(service, version, blocks) {
--- a/packages/routing/src/test/crashQuarantine.test.ts
+++ b/packages/routing/src/test/crashQuarantine.test.ts
@@ -13,7 +13,7 @@
 const CONFIRM_MS = 300;
 
 function createEntry(self = 'a1', clock = virtualClock()) {
-  const suspects = createCrashQuarantine({
+  const crashQuarantine = createCrashQuarantine({
     clock,
     self,
     decisions: decisionLog(clock, silentLogger()),
@@ -21,12 +21,12 @@
   });
   return {
     clock,
-    suspects,
-    verdict: (request = REQUEST) => suspects.verdictFor(request).type,
+    crashQuarantine,
+    verdict: (request = REQUEST) => crashQuarantine.verdictFor(request).type,
     /** Crashes endpoints one after the other while they run a request. */
     crash(endpoints: readonly string[], gapMs = 2_000, request = REQUEST) {
       for (const endpoint of endpoints) {
-        suspects.noteConnectionLost({request, endpoint});
+        crashQuarantine.noteConnectionLost({request, endpoint});
         clock.advanceSync(gapMs);
       }
     },
@@ -35,23 +35,23 @@
 
 describe('suspected requests', () => {
   it('are quarantined from the third crash on', () => {
-    const {crash, verdict, suspects} = createEntry();
+    const {crash, verdict, crashQuarantine} = createEntry();
     assert.equal(verdict(), 'clear');
     crash(['e1']);
     assert.equal(verdict(), 'suspected');
     crash(['e2']);
     assert.equal(verdict(), 'suspected');
-    suspects.noteConnectionLost({request: REQUEST, endpoint: 'e3'});
+    crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e3'});
     assert.equal(verdict(), 'quarantined');
     assert.equal(verdict('another'), 'clear');
   });
 
   it('count each crashed endpoint once for all entries that report it', () => {
-    const {crash, verdict, suspects, clock} = createEntry();
+    const {crash, verdict, crashQuarantine, clock} = createEntry();
     crash(['e1', 'e2']);
     const seen = {request: REQUEST, endpoint: 'e2', atMs: clock.wall()};
-    suspects.setStoredReport('a2', {crashes: [seen], served: {}});
-    suspects.mergeGossip({crashes: [seen], served: {}});
+    crashQuarantine.setStoredReport('a2', {crashes: [seen], served: {}});
+    crashQuarantine.mergeGossip({crashes: [seen], served: {}});
     assert.equal(verdict(), 'suspected');
   });
 
@@ -61,98 +61,104 @@
     const one = createEntry('a1');
     const other = createEntry('a2', one.clock);
     one.crash(['e1', 'e2', 'e3']);
-    other.suspects.setStoredReport('a1', one.suspects.reportToStore());
+    other.crashQuarantine.setStoredReport(
+      'a1',
+      one.crashQuarantine.reportToStore(),
+    );
     assert.equal(other.verdict(), 'quarantined');
-    one.suspects.noteServed(REQUEST);
+    one.crashQuarantine.noteServed(REQUEST);
     assert.equal(one.verdict(), 'clear');
-    other.suspects.setStoredReport('a1', one.suspects.reportToStore());
+    other.crashQuarantine.setStoredReport(
+      'a1',
+      one.crashQuarantine.reportToStore(),
+    );
     assert.equal(other.verdict(), 'clear');
   });
 
   it('are not suspected if the endpoint answers a later request', () => {
-    const {suspects, clock, verdict} = createEntry();
-    suspects.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
+    const {crashQuarantine, clock, verdict} = createEntry();
+    crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
     clock.advanceSync(CONFIRM_MS / 2);
-    suspects.noteResponse('e1', clock.now());
+    crashQuarantine.noteResponse('e1', clock.now());
     clock.advanceSync(CONFIRM_MS);
     assert.equal(verdict(), 'clear');
-    assert.deepEqual(suspects.reportToStore().crashes, []);
+    assert.deepEqual(crashQuarantine.reportToStore().crashes, []);
   });
 
   it('stay suspected if the endpoint answers an earlier request only', () => {
-    const {suspects, clock, verdict} = createEntry();
+    const {crashQuarantine, clock, verdict} = createEntry();
     const sentAt = clock.now();
     clock.advanceSync(10);
-    suspects.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
-    suspects.noteResponse('e1', sentAt);
+    crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
+    crashQuarantine.noteResponse('e1', sentAt);
     assert.equal(verdict(), 'suspected');
   });
 
   // A slow endpoint must not be taken for a crashed one.
   it('are suspected once an unresponsive endpoint is deregistered', () => {
-    const {suspects, clock, verdict} = createEntry();
-    suspects.noteUnanswered({request: REQUEST, endpoint: 'e1'});
+    const {crashQuarantine, clock, verdict} = createEntry();
+    crashQuarantine.noteUnanswered({request: REQUEST, endpoint: 'e1'});
     clock.advanceSync(3_000);
     assert.equal(verdict(), 'clear');
-    suspects.noteDeregistered('e1');
+    crashQuarantine.noteDeregistered('e1');
     assert.equal(verdict(), 'suspected');
   });
 
   it('are suspected if a deregistered endpoint does not respond', () => {
-    const {suspects, verdict} = createEntry();
-    suspects.noteDeregistered('e1');
-    suspects.noteUnanswered({request: REQUEST, endpoint: 'e1'});
+    const {crashQuarantine, verdict} = createEntry();
+    crashQuarantine.noteDeregistered('e1');
+    crashQuarantine.noteUnanswered({request: REQUEST, endpoint: 'e1'});
     assert.equal(verdict(), 'suspected');
   });
 
   // Registrations can lapse while the platform's store is down.
   it('are not suspected if a deregistered endpoint answered since', () => {
-    const {suspects, clock, verdict} = createEntry();
-    suspects.noteDeregistered('e1');
-    suspects.noteResponse('e1', clock.now());
-    suspects.noteUnanswered({request: REQUEST, endpoint: 'e1'});
+    const {crashQuarantine, clock, verdict} = createEntry();
+    crashQuarantine.noteDeregistered('e1');
+    crashQuarantine.noteResponse('e1', clock.now());
+    crashQuarantine.noteUnanswered({request: REQUEST, endpoint: 'e1'});
     assert.equal(verdict(), 'clear');
   });
 
   it('fire a change once a crash is confirmed', () => {
-    const {suspects, clock} = createEntry();
+    const {crashQuarantine, clock} = createEntry();
     let fired = 0;
-    suspects.onDidChange(() => (fired += 1));
-    suspects.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
+    crashQuarantine.onDidChange(() => (fired += 1));
+    crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
     assert.equal(fired, 0);
     clock.advanceSync(CONFIRM_MS);
     assert.equal(fired, 1);
-    assert.equal(suspects.reportToStore().crashes.length, 1);
+    assert.equal(crashQuarantine.reportToStore().crashes.length, 1);
   });
 
   it('are gossiped until they are stored, and for a while after that', () => {
-    const {suspects, crash, clock} = createEntry();
-    assert.equal(suspects.reportToGossip(), undefined);
+    const {crashQuarantine, crash, clock} = createEntry();
+    assert.equal(crashQuarantine.reportToGossip(), undefined);
     crash(['e1'], CONFIRM_MS);
     clock.advanceSync(60_000);
-    assert.equal(suspects.reportToGossip()?.crashes.length, 1);
-    suspects.noteStored(suspects.reportToStore());
-    assert.equal(suspects.reportToGossip(), undefined);
+    assert.equal(crashQuarantine.reportToGossip()?.crashes.length, 1);
+    crashQuarantine.noteStored(crashQuarantine.reportToStore());
+    assert.equal(crashQuarantine.reportToGossip(), undefined);
     crash(['e2'], CONFIRM_MS);
-    suspects.noteStored(suspects.reportToStore());
-    assert.equal(suspects.reportToGossip()?.crashes.length, 1);
+    crashQuarantine.noteStored(crashQuarantine.reportToStore());
+    assert.equal(crashQuarantine.reportToGossip()?.crashes.length, 1);
     clock.advanceSync(1_500);
-    assert.equal(suspects.reportToGossip(), undefined);
+    assert.equal(crashQuarantine.reportToGossip(), undefined);
   });
 
   it('are cleared locally if only one crash is known', () => {
-    const {suspects, crash, verdict} = createEntry();
+    const {crashQuarantine, crash, verdict} = createEntry();
     crash(['e1']);
-    suspects.noteStored(suspects.reportToStore());
-    suspects.noteServed(REQUEST);
+    crashQuarantine.noteStored(crashQuarantine.reportToStore());
+    crashQuarantine.noteServed(REQUEST);
     assert.equal(verdict(), 'clear');
-    assert.equal(suspects.reportToGossip(), undefined);
+    assert.equal(crashQuarantine.reportToGossip(), undefined);
   });
 
   it('are suspected again for a crash after the complete response', () => {
-    const {suspects, crash, clock, verdict} = createEntry();
+    const {crashQuarantine, crash, clock, verdict} = createEntry();
     crash(['e1', 'e2', 'e3']);
-    suspects.noteServed(REQUEST);
+    crashQuarantine.noteServed(REQUEST);
     clock.advanceSync(1);
     crash(['e4']);
     assert.equal(verdict(), 'suspected');
@@ -162,33 +168,35 @@
     const before = createEntry();
     before.crash(['e1', 'e2', 'e3']);
     const after = createEntry('a1', before.clock);
-    after.suspects.restoreOwnReport(before.suspects.reportToStore());
+    after.crashQuarantine.restoreOwnReport(
+      before.crashQuarantine.reportToStore(),
+    );
     assert.equal(after.verdict(), 'quarantined');
-    assert.equal(after.suspects.reportToStore().crashes.length, 3);
+    assert.equal(after.crashQuarantine.reportToStore().crashes.length, 3);
   });
 
   it('are cleared when the stored reports are deleted', () => {
-    const {suspects, crash, verdict, clock} = createEntry();
+    const {crashQuarantine, crash, verdict, clock} = createEntry();
     crash(['e1', 'e2']);
     const seen = {request: REQUEST, endpoint: 'e3', atMs: clock.wall()};
-    suspects.setStoredReport('a2', {crashes: [seen], served: {}});
+    crashQuarantine.setStoredReport('a2', {crashes: [seen], served: {}});
     assert.equal(verdict(), 'quarantined');
-    suspects.removeStoredReport('a2');
+    crashQuarantine.removeStoredReport('a2');
     assert.equal(verdict(), 'suspected');
-    suspects.removeStoredReport('a1');
+    crashQuarantine.removeStoredReport('a1');
     assert.equal(verdict(), 'clear');
   });
 });
 
 describe('a quarantine', () => {
   it('is short if all endpoints crashed at once', () => {
-    const {crash, suspects, clock} = createEntry();
+    const {crash, crashQuarantine, clock} = createEntry();
     crash(['e1', 'e2', 'e3'], 0);
-    const verdict = suspects.verdictFor(REQUEST);
+    const verdict = crashQuarantine.verdictFor(REQUEST);
     assert.ok(verdict.type === 'quarantined');
     assert.ok(verdict.retryAfterMs <= 10_000);
     clock.advanceSync(10_000);
-    assert.equal(suspects.verdictFor(REQUEST).type, 'trial');
+    assert.equal(crashQuarantine.verdictFor(REQUEST).type, 'trial');
   });
 
   it('lasts until the crashes expire if they came one by one', () => {
@@ -211,9 +219,9 @@
       endpoint,
       atMs,
     }));
-    for (const {suspects} of entries) {
-      suspects.setEntries(ids);
-      suspects.mergeGossip({crashes, served: {}});
+    for (const {crashQuarantine} of entries) {
+      crashQuarantine.setEntries(ids);
+      crashQuarantine.mergeGossip({crashes, served: {}});
     }
     clock.advanceSync(10_000);
     const [owner] = rendezvousOrder(REQUEST, ids);
@@ -221,7 +229,7 @@
       assert.equal(verdict(), ids[index] === owner ? 'trial' : 'quarantined'),
     );
     const trialEntry = entries[ids.indexOf(owner!)]!;
-    trialEntry.suspects.beginTrial(REQUEST);
+    trialEntry.crashQuarantine.beginTrial(REQUEST);
     assert.equal(trialEntry.verdict(), 'quarantined');
     trialEntry.crash(['e4']);
     clock.advanceSync(10_000);
@@ -229,11 +237,11 @@
   });
 
   it('ends with a trial that is served', () => {
-    const {crash, suspects, clock, verdict} = createEntry();
+    const {crash, crashQuarantine, clock, verdict} = createEntry();
     crash(['e1', 'e2', 'e3'], 0);
     clock.advanceSync(10_000);
-    suspects.beginTrial(REQUEST);
-    suspects.noteServed(REQUEST);
+    crashQuarantine.beginTrial(REQUEST);
+    crashQuarantine.noteServed(REQUEST);
     assert.equal(verdict(), 'clear');
   });
 });
@@ -241,17 +249,17 @@
 describe('crash evidence', () => {
   // A caller may generate any number of distinct crashing requests.
   it('is bounded, and keeps the requests with the most crashes', () => {
-    const {crash, suspects, verdict} = createEntry();
+    const {crash, crashQuarantine, verdict} = createEntry();
     crash(['e1', 'e2', 'e3'], 1_100);
     for (let index = 0; index < 1_000; index++) {
       crash([`x${index}`], CONFIRM_MS, `generated ${index}`);
     }
-    assert.ok(suspects.reportToStore().crashes.length <= 100);
+    assert.ok(crashQuarantine.reportToStore().crashes.length <= 100);
     assert.equal(verdict(), 'quarantined');
   });
 
   it('is bounded for gossip', () => {
-    const {suspects, clock} = createEntry();
+    const {crashQuarantine, clock} = createEntry();
     const report = (index: number): CrashReport => ({
       crashes: [
         {request: `r${index}`, endpoint: `x${index}`, atMs: clock.wall()},
@@ -259,8 +267,11 @@
       served: {},
     });
     for (let index = 0; index < 1_200; index++) {
-      suspects.mergeGossip(report(index));
+      crashQuarantine.mergeGossip(report(index));
     }
-    assert.equal((suspects.dump() as {requests: number}).requests, 1_000);
+    assert.equal(
+      (crashQuarantine.dump() as {requests: number}).requests,
+      1_000,
+    );
   });
 });
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -18,9 +18,9 @@
   const ids = Array.from({length: count}, (_, index) => `entry-${index}`);
   const entries = ids.map(self => {
     const decisions = decisionLog(clock, silentLogger());
-    const limits = createRateLimits({clock, self, decisions});
-    limits.setEntries(ids);
-    return limits;
+    const rateLimits = createRateLimits({clock, self, decisions});
+    rateLimits.setEntries(ids);
+    return rateLimits;
   });
   const sent: number[] = [];
 
--- a/packages/traffic/src/engineWork.ts
+++ b/packages/traffic/src/engineWork.ts
@@ -77,15 +77,15 @@
  * estimate of its speed.
  *
  * @example
- * const busyMs = workMs(work.rates().chat, figures);
+ * const busyMs = workMs(work.rates().chat, estimate);
  */
-export function workMs(work: WorkRate, figures: EngineEstimate): number {
+export function workMs(work: WorkRate, estimate: EngineEstimate): number {
   return (
-    work.ownTokens * figures.promptTokenMs +
-    work.pairs * figures.pairsMs +
-    work.rereadTokens * figures.rereadTokenMs +
-    work.answerTokens * figures.requestStepMs +
-    work.answerContext * figures.contextStepMs
+    work.ownTokens * estimate.promptTokenMs +
+    work.pairs * estimate.pairsMs +
+    work.rereadTokens * estimate.rereadTokenMs +
+    work.answerTokens * estimate.requestStepMs +
+    work.answerContext * estimate.contextStepMs
   );
 }
 
--- a/packages/traffic/src/fleetDemand.ts
+++ b/packages/traffic/src/fleetDemand.ts
@@ -71,7 +71,7 @@
  * Creates the demand estimator of one service.
  *
  * @example
- * const {usual} = demand.update({workRate: 1_400, use, present: 6, lateRequestFraction: 0, isSure: true});
+ * const {usual} = demand.update({workRate: 1_400, use, present: 6, latePart: 0, isSure: true});
  */
 export function createDemandEstimator(clock: Clock): DemandEstimator {
   let recentNeeds: NeedSample[] = [];
--- a/packages/traffic/src/fleetPlan.ts
+++ b/packages/traffic/src/fleetPlan.ts
@@ -29,7 +29,7 @@
 }
 
 export interface FleetPlanInput {
-  readonly terms: FleetConfig;
+  readonly config: FleetConfig;
   readonly needed: EndpointNeed;
   /** Reclaimable endpoints present where no more are available, by domain. */
   readonly scarce: ReadonlyMap<string, number>;
@@ -58,11 +58,11 @@
  * Plans a service's endpoints.
  *
  * @example
- * const plan = planFleet({terms, needed: {usual: 4, brief: 3}, scarce: new Map()});
+ * const plan = planFleet({config, needed: {usual: 4, brief: 3}, scarce: new Map()});
  */
-export function planFleet({terms, needed, scarce}: FleetPlanInput): FleetPlan {
-  const domains = Object.keys(terms.prices).sort(
-    (a, b) => terms.prices[a]! - terms.prices[b]!,
+export function planFleet({config, needed, scarce}: FleetPlanInput): FleetPlan {
+  const domains = Object.keys(config.prices).sort(
+    (a, b) => config.prices[a]! - config.prices[b]!,
   );
   const counts = new Map(
     domains.map(domain => [
@@ -71,7 +71,7 @@
     ]),
   );
   const canAddReclaimable = (domain: string) =>
-    terms.reclaimablePrice !== undefined && !scarce.has(domain);
+    config.reclaimablePrice !== undefined && !scarce.has(domain);
 
   function domainTotal(domain: string): number {
     const {onDemand, reclaimable} = counts.get(domain)!;
@@ -80,7 +80,7 @@
 
   function addOnDemand(count: number): void {
     for (let remaining = count; remaining > 0; remaining--) {
-      const domain = domains.find(name => domainTotal(name) < terms.most);
+      const domain = domains.find(name => domainTotal(name) < config.most);
       if (domain === undefined) {
         return;
       }
@@ -102,14 +102,16 @@
 
   addOnDemand(Math.max(1, Math.round(needed.usual * ON_DEMAND_FRACTION)));
   for (const domain of domains) {
-    const missing = terms.least - domainTotal(domain);
+    const missing = config.least - domainTotal(domain);
     if (missing > 0 && canAddReclaimable(domain)) {
       counts.get(domain)!.reclaimable += missing;
     }
   }
   while (remainingAfterLoss() < needed.brief || fleetTotal() < needed.usual) {
     const domain = domains
-      .filter(name => canAddReclaimable(name) && domainTotal(name) < terms.most)
+      .filter(
+        name => canAddReclaimable(name) && domainTotal(name) < config.most,
+      )
       .sort((a, b) => domainTotal(a) - domainTotal(b))[0];
     if (domain === undefined) {
       break;
--- a/packages/traffic/src/test/fleet.test.ts
+++ b/packages/traffic/src/test/fleet.test.ts
@@ -12,7 +12,7 @@
 
 const UTILIZATION = {usual: 0.34, brief: 0.5};
 
-const terms: FleetConfig = {
+const config: FleetConfig = {
   least: 1,
   most: 4,
   bootMs: 4_000,
@@ -31,7 +31,7 @@
       // those that are left could not carry the work, requests would wait for
       // as long as a new endpoint takes to start.
       const plan = planFleet({
-        terms,
+        config,
         needed: {usual: needed, brief: needed},
         scarce: new Map(),
       });
@@ -45,20 +45,20 @@
   it('respects the bounds of every failure domain', () => {
     for (const needed of [1, 5, 40]) {
       const plan = planFleet({
-        terms,
+        config,
         needed: {usual: needed, brief: needed},
         scarce: new Map(),
       });
       for (const {onDemand, reclaimable} of Object.values(plan)) {
-        assert.ok(onDemand + reclaimable >= terms.least);
-        assert.ok(onDemand + reclaimable <= terms.most);
+        assert.ok(onDemand + reclaimable >= config.least);
+        assert.ok(onDemand + reclaimable <= config.most);
       }
     }
   });
 
   it('places on-demand endpoints in the cheapest failure domain', () => {
     const plan = planFleet({
-      terms,
+      config,
       needed: {usual: 4, brief: 4},
       scarce: new Map(),
     });
@@ -74,7 +74,7 @@
       ['c', 0],
       ['d', 1],
     ]);
-    const plan = planFleet({terms, needed: {usual: 5, brief: 5}, scarce});
+    const plan = planFleet({config, needed: {usual: 5, brief: 5}, scarce});
     assert.equal(count(plan, 'reclaimable'), 2);
     assert.equal(count(plan, 'onDemand'), 3);
   });
@@ -83,7 +83,7 @@
     // Lost endpoints are replaced within seconds. Covering the usual need after
     // a loss would cost a third more for endpoints that are rarely used.
     const needed = {usual: 8, brief: 5};
-    const plan = planFleet({terms, needed, scarce: new Map()});
+    const plan = planFleet({config, needed, scarce: new Map()});
     const all = count(plan, 'onDemand') + count(plan, 'reclaimable');
     assert.ok(all >= needed.usual && all <= needed.usual + 1, `${all}`);
     for (const {reclaimable} of Object.values(plan)) {
@@ -93,7 +93,7 @@
 
   it('orders no reclaimable endpoints when none are offered', () => {
     const plan = planFleet({
-      terms: {...terms, reclaimablePrice: undefined},
+      config: {...config, reclaimablePrice: undefined},
       needed: {usual: 3, brief: 3},
       scarce: new Map(),
     });
