--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -36,7 +36,10 @@
   type EngineCapacityStore,
 } from './engineCapacityStore.js';
 import {createEngineObserver} from './engineObserver.js';
-import {createEngineEstimates, type EngineEstimates} from './enginesView.js';
+import {
+  createEngineEstimates,
+  type EngineEstimates,
+} from './engineEstimates.js';
 import {createPeerVisibility} from './peerVisibility.js';
 import {createForwarding} from './forwarding.js';
 import {createPeerReports, OVERDUE_MS} from './peerReports.js';
--- a/packages/members/src/index.ts
+++ b/packages/members/src/index.ts
@@ -1,6 +1,6 @@
 /** Entry membership, failure detection, leaving endpoints and entry lookup. */
 export * from './contracts.js';
-export * from './endpointLeaving.js';
+export * from './leavingEndpointTracker.js';
 export * from './lookup.js';
 export * from './membership.js';
 export * from './neighbours.js';
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,7 +1,7 @@
 /** Endpoint selection: routing, health, rate limits and crash quarantine. */
 export * from './contracts.js';
 export * from './router.js';
-export * from './requestLimits.js';
+export * from './rateLimits.js';
 export * from './requestFingerprint.js';
 export {addLoads} from './loadView.js';
 export {defaultRouteWeights, type RouteWeights} from './routeCosts.js';
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -7,7 +7,7 @@
 import {createEndpointPools, type PooledEndpoint} from './endpointPool.js';
 import {tokensAhead} from './loadView.js';
 import {createPrefixPopularity, type PrefixPopularity} from './popularity.js';
-import type {RateLimits} from './requestLimits.js';
+import type {RateLimits} from './rateLimits.js';
 import {
   createRouteCosts,
   defaultRouteWeights,
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -5,7 +5,7 @@
   createRateLimits,
   mergeRateLimitReports,
   type RateLimits,
-} from '../requestLimits.js';
+} from '../rateLimits.js';
 
 const WINDOW_SECONDS = 4;
 const STEP_MS = 20;
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -19,7 +19,10 @@
 import polka from 'polka';
 import type {EngineCosts} from './engineCosts.js';
 import type {EngineFault} from './engineFaults.js';
-import {createSimulatedEngine, type SimulatedEngine} from './engineModel.js';
+import {
+  createSimulatedEngine,
+  type SimulatedEngine,
+} from './simulatedEngine.js';
 import {
   attemptSchema,
   engineFaultsSchema,
--- a/packages/standins/src/engine/index.ts
+++ b/packages/standins/src/engine/index.ts
@@ -2,7 +2,7 @@
 export * from './answerText.js';
 export * from './engineCosts.js';
 export * from './engineFaults.js';
-export * from './engineModel.js';
+export * from './simulatedEngine.js';
 export * from './engineStandin.js';
 export type {ExportedCache} from './exportedCache.js';
 export * from './localEngine.js';
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -7,7 +7,7 @@
   type GenerationRequest,
   type GenerationEvent,
 } from '@skylarkfield/endpoints';
-import type {SimulatedEngine} from './engineModel.js';
+import type {SimulatedEngine} from './simulatedEngine.js';
 
 /** Response time of a paused engine: effectively unbounded. */
 const PAUSED_RESPONSE_MS = 1e9;
--- a/packages/traffic/src/index.ts
+++ b/packages/traffic/src/index.ts
@@ -3,7 +3,7 @@
 export * from './contracts.js';
 export * from './customerTable.js';
 export * from './engineWork.js';
-export * from './fleetDemand.js';
+export * from './demandEstimator.js';
 export * from './fleetPlan.js';
 export * from './promptKeys.js';
 export * from './quotas.js';
--- a/packages/traffic/src/test/fleet.test.ts
+++ b/packages/traffic/src/test/fleet.test.ts
@@ -7,7 +7,7 @@
   createDemandEstimator,
   type DemandSignals,
   type DemandEstimator,
-} from '../fleetDemand.js';
+} from '../demandEstimator.js';
 import {endpointsNeeded, planFleet, type FleetPlan} from '../fleetPlan.js';
 
 const UTILIZATION = {usual: 0.34, brief: 0.5};
