--- a/packages/admission/src/waitEstimate.ts
+++ b/packages/admission/src/waitEstimate.ts
@@ -31,7 +31,7 @@
 /** Minimum fraction of the drain rate assumed left by more urgent work. */
 const MIN_DRAIN_FRACTION = 0.005;
 
-/** Number of recent latencies kept for the quantile. */
+/** Number of recent latencies held for the quantile. */
 const LATENCY_WINDOW_SIZE = 32;
 
 /**
--- a/packages/base/src/processLifecycle.ts
+++ b/packages/base/src/processLifecycle.ts
@@ -4,7 +4,7 @@
 /**
  * `serving`: accepts requests once it has a configuration. `lingering`: has
  * announced its shutdown to its peers, and still accepts requests of callers
- * with an older lookup result. `leaving`: refuses new requests and drains those
+ * with an older lookup result. `leaving`: rejects new requests and drains those
  * in flight. `stopped`.
  */
 export type LifecycleState = 'serving' | 'lingering' | 'leaving' | 'stopped';
--- a/packages/cli/src/commands/putRecord.ts
+++ b/packages/cli/src/commands/putRecord.ts
@@ -4,7 +4,7 @@
 import {printJson, printLine} from '../output.js';
 import {parseRecordFile, platformFlag, withStore} from '../recordStore.js';
 
-/** Writes a record, which the system then accepts or refuses. */
+/** Writes a record, which the system then accepts or rejects. */
 export class PutRecordCommand extends Command {
   static override description =
     'Write a record. The status command shows whether it is accepted.';
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -6,7 +6,7 @@
 /** Description of each exit code, shown by `skylarkfield --help`. */
 export const exitCodeMeanings: Readonly<Record<ExitCode, string>> = {
   0: 'done',
-  1: 'refused or failed',
+  1: 'rejected or failed',
   2: 'invalid arguments, settings, records or input',
   3: 'a process or the platform is unreachable',
   4: 'the requested object does not exist',
--- a/packages/cli/src/standinFlags.ts
+++ b/packages/cli/src/standinFlags.ts
@@ -39,7 +39,7 @@
   }),
   'checks-fencing': Flags.boolean({
     default: false,
-    description: 'refuse orders with an outdated fencing token',
+    description: 'reject orders with an outdated fencing token',
   }),
   register: Flags.string({
     description:
--- a/packages/endpoints/src/plainService.ts
+++ b/packages/endpoints/src/plainService.ts
@@ -135,7 +135,7 @@
 /** State of one call, from queuing to completion. */
 interface Exchange {
   readonly handler: Dispatcher.DispatchHandler;
-  /** Fails a call that undici refused to queue. */
+  /** Fails a call that undici did not queue. */
   failUnsent(error: unknown): void;
 }
 
--- a/packages/endpoints/src/test/plainService.test.ts
+++ b/packages/endpoints/src/test/plainService.test.ts
@@ -96,7 +96,7 @@
   });
 });
 
-// The endpoint crashes, refuses or closes the connection at some point of a
+// The endpoint crashes, rejects or closes the connection at some point of a
 // call. A sent call reported as unsent would run again elsewhere and double a
 // booking; an unsent call reported as sent would be assumed to have run.
 describe('plain service client under faults', () => {
--- a/packages/fleet/src/capacityPools.ts
+++ b/packages/fleet/src/capacityPools.ts
@@ -1,4 +1,4 @@
-/** Tracks reclaims and refused starts per failure domain and machine class. */
+/** Tracks reclaims and rejected starts per failure domain and machine class. */
 import type {Clock, Random} from '@skylarkfield/base';
 import type {Host, Market, CapacityPool} from './contracts.js';
 
@@ -16,7 +16,7 @@
   /** Adds the present hosts' running time; called every round. */
   observe(hosts: readonly Host[]): void;
   recordReclaim(failureDomain: string, machineClass: string): void;
-  recordRefusal(
+  recordRejection(
     failureDomain: string,
     machineClass: string,
     market: Market,
@@ -34,18 +34,18 @@
   readonly machineClass: string;
   hostHours: number;
   reclaims: number;
-  readonly refusals: Map<Market, {count: number; untilMs: number}>;
+  readonly rejections: Map<Market, {count: number; untilMs: number}>;
 }
 
 /**
  * Creates the tracker of all capacity pools.
  *
- * Refused starts put a pool's market into exponential backoff: immediate
+ * Rejected starts put a pool's market into exponential backoff: immediate
  * retries would use up calls while hosts could be started elsewhere.
  *
  * @example
  * const tracker = createCapacityPoolTracker({clock, random});
- * tracker.recordRefusal('a', 'gpu-small', 'reclaimable');
+ * tracker.recordRejection('a', 'gpu-small', 'reclaimable');
  */
 export function createCapacityPoolTracker(options: {
   readonly clock: Clock;
@@ -62,7 +62,7 @@
       machineClass,
       hostHours: PRIOR_HOST_HOURS,
       reclaims: PRIOR_RECLAIMS_PER_HOST_HOUR * PRIOR_HOST_HOURS,
-      refusals: new Map(),
+      rejections: new Map(),
     };
     pools.set(key, pool);
     return pool;
@@ -93,19 +93,19 @@
     recordReclaim(failureDomain, machineClass) {
       poolFor(failureDomain, machineClass).reclaims += 1;
     },
-    recordRefusal(failureDomain, machineClass, market) {
-      const {refusals} = poolFor(failureDomain, machineClass);
-      const count = (refusals.get(market)?.count ?? 0) + 1;
+    recordRejection(failureDomain, machineClass, market) {
+      const {rejections} = poolFor(failureDomain, machineClass);
+      const count = (rejections.get(market)?.count ?? 0) + 1;
       const backoffMs = Math.min(
         MAX_BACKOFF_MS,
         INITIAL_BACKOFF_MS * 2 ** (count - 1),
       );
       // Several services use the same pool; jitter spreads their retries.
       const untilMs = clock.now() + backoffMs * (0.75 + random.next() / 2);
-      refusals.set(market, {count, untilMs});
+      rejections.set(market, {count, untilMs});
     },
     recordStart(failureDomain, machineClass, market) {
-      poolFor(failureDomain, machineClass).refusals.delete(market);
+      poolFor(failureDomain, machineClass).rejections.delete(market);
     },
     list: () =>
       [...pools.values()].map(pool => ({
@@ -113,7 +113,7 @@
         machineClass: pool.machineClass,
         reclaimRate: pool.reclaims / pool.hostHours,
         isRefused: market =>
-          (pool.refusals.get(market)?.untilMs ?? 0) > clock.now(),
+          (pool.rejections.get(market)?.untilMs ?? 0) > clock.now(),
       })),
   };
 }
--- a/packages/fleet/src/contracts.ts
+++ b/packages/fleet/src/contracts.ts
@@ -11,13 +11,13 @@
   readonly maxReplicas: number;
 }
 
-/** Observed reclaims and refusals of one failure domain and machine class. */
+/** Reclaims and rejected starts of one failure domain and machine class. */
 export interface CapacityPool {
   readonly failureDomain: string;
   readonly machineClass: string;
   /** Exponentially weighted reclaims per reclaimable host and hour. */
   readonly reclaimRate: number;
-  /** Whether starts in a market are in backoff after refusals. */
+  /** Whether starts in a market are in backoff after rejections. */
   readonly isRefused: (market: Market) => boolean;
 }
 
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -192,7 +192,7 @@
     await cloud.stop(action.host, term.signal);
   }
 
-  /** Returns whether a start is in backoff, also after a refusal this round. */
+  /** Whether a start is in backoff, also after a rejection this round. */
   function isRefused(action: UnconfirmedStart['action']): boolean {
     return capacityPools
       .list()
@@ -226,12 +226,12 @@
       if (!isServingError(error, 'overloaded')) {
         throw error;
       }
-      capacityPools.recordRefusal(failureDomain, machineClass, market);
+      capacityPools.recordRejection(failureDomain, machineClass, market);
       decisions.note(
         'fleet',
         subject,
         'look elsewhere',
-        'the cloud refused the start',
+        'the cloud rejected the start',
       );
     }
   }
--- a/packages/fleet/src/hostPlan.ts
+++ b/packages/fleet/src/hostPlan.ts
@@ -8,7 +8,7 @@
   WantedHosts,
 } from './contracts.js';
 
-/** Time to replace a replica (refusals, start, loading weights), in hours. */
+/** Time to replace a replica (rejections, start, loading weights), in hours. */
 const REPLACEMENT_HOURS = 0.1;
 /** Cost of a missing replica, in multiples of its price: answers are late. */
 const MISSING_REPLICA_COST_FACTOR = 5;
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -148,9 +148,9 @@
     });
   }
 
-  // A failure domain refuses a start. Retrying only there would leave the
+  // A failure domain rejects a start. Retrying only there would leave the
   // service without replicas that other domains could provide.
-  it('uses another failure domain when a start is refused', async () => {
+  it('uses another failure domain when a start is rejected', async () => {
     const fake = createFakeCloud();
     fake.startFaults.push('refuse');
     const {clock} = createDuty(fake);
--- a/packages/fleet/src/test/hostPlan.test.ts
+++ b/packages/fleet/src/test/hostPlan.test.ts
@@ -120,7 +120,7 @@
     assert.ok(total - reclaimable[0]! - reclaimable[1]! >= 6);
   });
 
-  it('avoids pools that refuse starts and reports the shortfall', () => {
+  it('avoids pools that reject starts and reports the shortfall', () => {
     const onlyA: CapacityPool[] = DOMAINS.slice(1).map(failureDomain => ({
       failureDomain,
       machineClass: 'gpu',
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -60,7 +60,7 @@
    */
   readonly idleTimeoutMs: number | undefined;
   /**
-   * Whether the endpoint was told to stop the request, so that a closed
+   * Whether the endpoint was ordered to stop the request, so that a closed
    * connection does not mean that the response is complete.
    */
   isStopRequested(): boolean;
--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -71,7 +71,7 @@
 }
 
 /**
- * Returns the error with the run state of all attempts: a later refusal does
+ * Returns the error with the run state of all attempts: a later rejection does
  * not undo an earlier run. `runs` counts the endpoints that may have run the
  * request.
  *
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -15,7 +15,7 @@
 export interface GatewayContext {
   readonly settings: GatewaySettings;
   readonly platform: Platform;
-  /** Wall-clock milliseconds of the start; tells a restart from a pause. */
+  /** Wall-clock milliseconds of the start; a pause does not change it. */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly random: Random;
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -31,7 +31,7 @@
 export interface UpstreamFields {
   /** Time left for the response, in milliseconds. */
   readonly timeoutMs: number;
-  /** Id of the process that must respond; any other refuses the request. */
+  /** Id of the process that must respond; any other rejects the request. */
   readonly endpointId: string;
   readonly customer: string | undefined;
   /** 0 (most urgent) to 9; undefined if the service ignores urgency. */
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -17,7 +17,7 @@
   ): QuarantineVerdict;
   isSuspected(call: FingerprintedCall): boolean;
   isQuarantined(call: FingerprintedCall): boolean;
-  /** Records the end of an attempt that its endpoint was not told to stop. */
+  /** Records the end of an attempt that its endpoint was not ordered to end. */
   noteAttemptEnd(
     call: FingerprintedCall,
     endpoint: string,
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -202,7 +202,7 @@
     watchedStream.dispose();
     progress.continuation = await watchedStream.continuation();
     const latencyMs = (beganAt ?? clock.now()) - sentAt;
-    // A migrated stream ended because its endpoint was told to stop it.
+    // A migrated stream ended because its endpoint was ordered to stop it.
     const outcome = progress.continuation ? 'ok' : outcomeOf(end);
     choice.finish({outcome, latencyMs});
     observer.noteEnd();
--- a/packages/gateway/src/outcomeWatch.ts
+++ b/packages/gateway/src/outcomeWatch.ts
@@ -1,4 +1,4 @@
-/** Records whether requests to model services meet their latency goal. */
+/** Records whether requests to model services meet their latency target. */
 import type {Clock, ErrorKind, ServingError} from '@skylarkfield/base';
 import type {OutcomeMeter} from '@skylarkfield/capacity';
 import type {Route} from '@skylarkfield/traffic';
@@ -17,13 +17,13 @@
   'deadline-exceeded',
 ]);
 
-/** Used for plain services and routes without a goal. */
+/** Used for plain services and routes without a target. */
 const UNWATCHED: WatchedOutcome = {end() {}};
 
 /**
- * Records whether the first event arrives within the route's goal as soon as
- * that is known: under overload the events themselves arrive far too late to be
- * a signal.
+ * Records whether the first event arrives within the route's target as soon
+ * as that is known: under overload the events themselves arrive far too late to
+ * be a signal.
  *
  * @example
  * const outcome = watchOutcome({head, route, service}, reply, {clock,
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -23,7 +23,7 @@
 
 /** A stream while it runs at one endpoint. */
 export interface WatchedStream extends Disposable {
-  /** Whether its endpoint was told to stop it. */
+  /** Whether its endpoint was ordered to stop it. */
   isStopRequested(): boolean;
   /**
    * Returns the target after a migration in progress has ended; undefined if
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -56,13 +56,13 @@
     // the start of a response.
     const wait = waitOf({tokensAhead: 100_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, true);
-    const refusal = waitTooLong('chat', wait);
-    assert.equal(refusal.run, 'not-run');
-    assert.equal(refusal.retryAfterMs, 600);
+    const rejection = waitTooLong('chat', wait);
+    assert.equal(rejection.run, 'not-run');
+    assert.equal(rejection.retryAfterMs, 600);
   });
 
   it('is accepted while the response can still meet the deadline', () => {
-    // A late response is better than none: the goal is missed, but the caller
+    // A late response is better than none: the target is missed, but the caller
     // is still waiting.
     const wait = waitOf({tokensAhead: 60_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, false);
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -248,8 +248,8 @@
     fleet.rounds(8);
     fleet.entries.forEach(entry => (entry.used += 1));
     fleet.rounds(5);
-    const heard = usedByOthersTotal(fleet.entries.get(leaf.id)!);
-    assert.equal(heard, 39 * 10 + 38);
+    const received = usedByOthersTotal(fleet.entries.get(leaf.id)!);
+    assert.equal(received, 39 * 10 + 38);
     assert.equal(fleet.entries.get(leaf.id)!.reports.visiblePeers(), 38);
   });
 
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -1,6 +1,6 @@
 /**
  * Failure detector for neighbours. Missing heartbeats make a member suspect; it
- * becomes gone only when another member has not heard from it either, so that
+ * becomes gone only when another member has received nothing either, so that
  * one broken link between two entries removes neither.
  */
 import type {Clock, DecisionLog, Random} from '@skylarkfield/base';
@@ -19,8 +19,8 @@
   check(neighbours: readonly string[]): void;
   /** Requests a member's current update; resolves with whether it answered. */
   probe(id: string): Promise<boolean>;
-  /** Returns when this entry last heard directly from a member. */
-  lastHeard(id: string, incarnation: number): LastHeardResponse;
+  /** Returns when a message from a member last arrived directly. */
+  lastSeen(id: string, incarnation: number): LastHeardResponse;
   recordHeartbeat(id: string): void;
   /** Records that a neighbour's connection opened or closed. */
   connectionChanged(id: string, isOpen: boolean): void;
@@ -29,7 +29,7 @@
 
 interface Suspicion {
   readonly since: number;
-  /** Members that have not heard from the suspect either. */
+  /** Members that received nothing from the suspect either. */
   readonly silentTo: Set<string>;
   isInvestigating: boolean;
 }
@@ -98,9 +98,9 @@
     if (known === undefined) {
       return;
     }
-    known.heardAt = Math.max(known.heardAt, at);
+    known.lastSeenAt = Math.max(known.lastSeenAt, at);
     if (isDirect) {
-      known.heardDirectlyAt = Math.max(known.heardDirectlyAt, at);
+      known.lastSeenDirectlyAt = Math.max(known.lastSeenDirectlyAt, at);
     }
     if (known.machine.state() === 'suspect') {
       falseSuspicions += 1;
@@ -109,7 +109,7 @@
     }
   }
 
-  async function askPeer(peer: string, known: KnownMember): Promise<void> {
+  async function queryPeer(peer: string, known: KnownMember): Promise<void> {
     const {id, incarnation} = known.update;
     const body = {id, incarnation};
     const response = await network
@@ -119,14 +119,14 @@
       return;
     }
     const {heardAgoMs} = response as LastHeardResponse;
-    const heardAt = clock.now() - heardAgoMs;
+    const lastSeenAt = clock.now() - heardAgoMs;
     // A sign of life from before its connection closed can precede a crash.
     const isFresh =
       heardAgoMs >= 0 &&
       heardAgoMs < timing.silenceTimeoutMs &&
-      heardAt > (closedAt.get(id) ?? -Infinity);
+      lastSeenAt > (closedAt.get(id) ?? -Infinity);
     if (isFresh) {
-      recordAlive(id, heardAt, false);
+      recordAlive(id, lastSeenAt, false);
       return;
     }
     suspicions.get(id)?.silentTo.add(peer);
@@ -154,7 +154,7 @@
         random.integer(0, candidates.length - 1),
         1,
       );
-      requests.push(askPeer(peer!, known));
+      requests.push(queryPeer(peer!, known));
     }
     await Promise.all(requests);
     suspicion.isInvestigating = false;
@@ -176,7 +176,7 @@
     }
     suspicions.delete(id);
     decisions.note('members', id, 'count as gone', 'no heartbeat, confirmed', {
-      silentMs: Math.round(clock.now() - known.heardAt),
+      silentMs: Math.round(clock.now() - known.lastSeenAt),
       confirmedBy: suspicion.silentTo.size,
       others,
     });
@@ -185,7 +185,7 @@
 
   function silenceTimeout(known: KnownMember): number {
     const closed = closedAt.get(known.update.id);
-    const isClosed = closed !== undefined && closed >= known.heardAt;
+    const isClosed = closed !== undefined && closed >= known.lastSeenAt;
     return isClosed ? timing.closedSilenceTimeoutMs : timing.silenceTimeoutMs;
   }
 
@@ -217,7 +217,7 @@
       }
       return;
     }
-    const since = Math.max(known.heardAt, neighbourSince.get(id) ?? 0);
+    const since = Math.max(known.lastSeenAt, neighbourSince.get(id) ?? 0);
     const silentMs = clock.now() - since;
     if (silentMs > silenceTimeout(known)) {
       markSuspect(known, silentMs);
@@ -239,12 +239,12 @@
     },
     probe,
     recordHeartbeat: id => recordAlive(id, clock.now(), true),
-    lastHeard(id, incarnation) {
+    lastSeen(id, incarnation) {
       const known = table.get(id);
       if (known === undefined || known.update.incarnation < incarnation) {
         return {heardAgoMs: -1};
       }
-      const agoMs = clock.now() - known.heardDirectlyAt;
+      const agoMs = clock.now() - known.lastSeenDirectlyAt;
       return {heardAgoMs: Number.isFinite(agoMs) ? agoMs : -1};
     },
     connectionChanged(id, isOpen) {
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -1,4 +1,4 @@
-/** State kept for a host that endpoints are leaving. */
+/** State held for a host that endpoints are leaving. */
 import type {Clock} from '@skylarkfield/base';
 import type {Departure} from './endpointDeparture.js';
 
--- a/packages/members/src/memberMachine.ts
+++ b/packages/members/src/memberMachine.ts
@@ -3,7 +3,7 @@
 import type {MemberState} from './contracts.js';
 
 /**
- * `heard`: a sign of life. `suspected`: no heartbeat within the timeout.
+ * `heard`: a message arrived. `suspected`: no heartbeat within the timeout.
  * `left`: it announced that it leaves. `lost`: a suspicion was confirmed, or it
  * announced its end. `returned`: a newer update of its own or a new process.
  */
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -9,15 +9,15 @@
 } from './memberMachine.js';
 import {buildMember} from './memberView.js';
 
-/** State that this entry keeps of another member. */
+/** State that this entry holds about another member. */
 export interface KnownMember {
   /** Most recent update of the member. */
   update: MemberUpdate;
   readonly machine: MemberMachine;
   /** Monotonic milliseconds of the last sign of life, direct or via a peer. */
-  heardAt: number;
-  /** Like `heardAt`, but direct only; reported to peers that ask. */
-  heardDirectlyAt: number;
+  lastSeenAt: number;
+  /** Like `lastSeenAt`, but direct only; reported to peers on request. */
+  lastSeenDirectlyAt: number;
   /** Monotonic milliseconds of the last state change. */
   changedAt: number;
   /** It announced its departure, so no reconnection is attempted. */
@@ -110,8 +110,8 @@
     const known: KnownMember = {
       update,
       machine: createMemberMachine(),
-      heardAt: now,
-      heardDirectlyAt: -Infinity,
+      lastSeenAt: now,
+      lastSeenDirectlyAt: -Infinity,
       changedAt: now,
       hasLeft: update.state === 'leaving',
       load: update.load,
@@ -133,7 +133,7 @@
     toggleHash(known);
     known.update = update;
     toggleHash(known);
-    known.heardAt = clock.now();
+    known.lastSeenAt = clock.now();
     known.load = update.load;
     known.hasLeft =
       update.state === 'leaving' ||
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -231,7 +231,7 @@
   );
   owned.add(
     network.onDidReceive('memberWord', (_, {id, incarnation}) =>
-      failureDetector.lastHeard(id, incarnation),
+      failureDetector.lastSeen(id, incarnation),
     ),
   );
   owned.add(
@@ -303,7 +303,7 @@
       members: [...table.all()].map(known => ({
         ...toMember(known),
         sequence: known.update.sequence,
-        heardAgoMs: Math.round(clock.now() - known.heardAt),
+        heardAgoMs: Math.round(clock.now() - known.lastSeenAt),
       })),
       neighbours: peerDirectory.neighbours(),
       gossip: gossip.size(),
--- a/packages/members/src/pauseDetector.ts
+++ b/packages/members/src/pauseDetector.ts
@@ -23,7 +23,7 @@
  * Creates a detector for a process that is initially current.
  *
  * @example
- * if (!pauseDetector.isCurrent()) { return refuse(); }
+ * if (!pauseDetector.isCurrent()) { return reject(); }
  */
 export function createPauseDetector(
   clock: Clock,
--- a/packages/members/src/pauseRecovery.ts
+++ b/packages/members/src/pauseRecovery.ts
@@ -46,7 +46,7 @@
       pauseMs: Math.round(pauseMs),
     });
     for (const known of table.all()) {
-      known.heardAt = now;
+      known.lastSeenAt = now;
     }
   }
 
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -258,14 +258,14 @@
     assert.deepEqual(c.seen, []);
     assert.deepEqual(b.seen, ['e1 by peer']);
     const again = net.start('c').network;
-    const heard: string[] = [];
+    const received: string[] = [];
     again.onDidReceive('endpointLeaving', (_, {endpoints}) => {
-      heard.push(...endpoints);
+      received.push(...endpoints);
     });
     const url = `${MEMORY_URL_PREFIX}b`;
     again.setPeers([{id: 'b', incarnation: 1, url}]);
     await clock.advance(10);
-    assert.deepEqual(heard, ['e1']);
+    assert.deepEqual(received, ['e1']);
   });
 
   it('bounds the number of tracked hosts', async () => {
--- a/packages/orders/src/handOver.ts
+++ b/packages/orders/src/handOver.ts
@@ -38,7 +38,7 @@
    * The `waiting` mark may not be in the ledger, and the new owner may have the
    * claim though the order was never sent. If the caller has disconnected,
    * nobody routes the order there, and a retry would get `may-have-run`: the
-   * owner must be told that the claim is void.
+   * owner must be notified that its claim is void.
    */
   readonly onDidVoidClaim: (order: ActiveOrder) => void;
   /** Continues with an order whose hand-over was not written. */
--- a/packages/orders/src/pendingOutcomes.ts
+++ b/packages/orders/src/pendingOutcomes.ts
@@ -19,9 +19,9 @@
 /**
  * Creates an empty collection.
  *
- * Outcomes are kept until their write is committed: a shard can be lost during
- * the write, and its next owner would report that the orders may have run
- * though their replies are known here.
+ * Outcomes are retained until their write is committed: a shard can be lost
+ * during the write, and its next owner would report that the orders may have
+ * run though their replies are known here.
  *
  * @example
  * outcomes.beginWrite();
--- a/packages/orders/src/shard.ts
+++ b/packages/orders/src/shard.ts
@@ -215,7 +215,7 @@
     }
   }
 
-  /** Writes the table; its outcomes are kept until the write is committed. */
+  /** Writes the table; retains its outcomes until the write is committed. */
   async function write(record: ShardRecord): Promise<WriteResult> {
     outcomes.beginWrite();
     const result = await writer.write(record, version);
@@ -249,7 +249,7 @@
     }
     // The new owner may have the claims. Nobody routes the order of a
     // disconnected caller there, and every retry would get `may-have-run`: the
-    // owner must be told that they are void.
+    // owner must be notified that they are void.
     options.onDidLose(claimed.map(releasedOutcome));
   }
 
--- a/packages/orders/src/shardTable.ts
+++ b/packages/orders/src/shardTable.ts
@@ -48,7 +48,7 @@
  * The dedupe window is measured in the ledger's own age: the sum of monotonic
  * spans in which the shard was owned. If a wall clock jumped ahead on one
  * entry, a key could be dropped too early and a retry would run its order
- * again; the ledger's age only ever lags, so a key is kept too long at worst.
+ * again; the ledger's age only ever lags, which at worst retains keys too long.
  *
  * @example
  * const table = createShardTable(clock, 3_600_000);
--- a/packages/orders/src/test/cluster.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -317,7 +317,7 @@
     seen.set(key, run);
     assert.ok(
       causes.some(({at, answer}) => at <= run.at && answer?.run !== 'not-run'),
-      `${run.subject} ran at ${run.at}, but all its callers were told not-run`,
+      `${run.subject} ran at ${run.at}, but all its callers received not-run`,
     );
   }
 }
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -31,7 +31,7 @@
 /** Address of a peer entry. */
 export interface PeerAddress {
   readonly id: string;
-  /** Increases with each start of the process; tells a restart from a pause. */
+  /** Increases with each start of the process, but not after a pause. */
   readonly incarnation: number;
   /** `ws://` or `wss://` URL of its inner port. */
   readonly url: string;
@@ -43,7 +43,7 @@
   readonly bytesSent: number;
   readonly messagesReceived: number;
   readonly bytesReceived: number;
-  /** Malformed or unexpected messages and refused connections. */
+  /** Malformed or unexpected messages and rejected connections. */
   readonly rejected: number;
 }
 
--- a/packages/protocol/src/handshakes.ts
+++ b/packages/protocol/src/handshakes.ts
@@ -48,8 +48,8 @@
   readonly timeoutMs: number;
   /** Turns a socket into a connection after a valid hello. */
   adopt(socket: WebSocket, peer: Hello, isOutbound: boolean): Connection;
-  /** Called for each refused peer. */
-  onRefusal(): void;
+  /** Called for each rejected peer. */
+  onReject(): void;
 }): Handshakes {
   const {self, key, clock, log, timeoutMs} = options;
   const pendingSockets = new Set<WebSocket>();
@@ -65,14 +65,14 @@
     return encodeFrame({type: HELLO_FRAME, requestId: 0, body});
   }
 
-  function refuse(socket: WebSocket, reason: string) {
-    options.onRefusal();
-    log.warn({reason}, 'refused a peer during the handshake');
+  function reject(socket: WebSocket, reason: string) {
+    options.onReject();
+    log.warn({reason}, 'rejected a peer during the handshake');
     socket.terminate();
   }
 
-  /** Returns why a peer is refused, or undefined if it is accepted. */
-  function refusalReason(
+  /** Returns why a peer is rejected, or undefined if it is accepted. */
+  function rejectionReason(
     hello: Hello,
     role: HandshakeRole,
   ): string | undefined {
@@ -99,7 +99,7 @@
     const {isOutbound, expectedId} = role;
     pendingSockets.add(socket);
     const timer = clock.after(timeoutMs, () =>
-      refuse(socket, 'no hello before the timeout'),
+      reject(socket, 'no hello before the timeout'),
     );
     function finish(connection: Connection | undefined) {
       if (!pendingSockets.delete(socket)) {
@@ -115,12 +115,12 @@
     socket.once('message', (data, isBinary) => {
       const hello = isBinary ? parseHelloFrame(data as Buffer) : 'text message';
       if (typeof hello === 'string') {
-        refuse(socket, hello);
+        reject(socket, hello);
         return;
       }
-      const reason = refusalReason(hello, role);
+      const reason = rejectionReason(hello, role);
       if (reason !== undefined) {
-        refuse(socket, reason);
+        reject(socket, reason);
         return;
       }
       if (!isOutbound) {
--- a/packages/protocol/src/hello.ts
+++ b/packages/protocol/src/hello.ts
@@ -18,7 +18,7 @@
  * Compares two secrets in constant time.
  *
  * @example
- * if (!isSameKey(given, expected)) { refuse(); }
+ * if (!isSameKey(given, expected)) { reject(); }
  */
 export function isSameKey(given: string, expected: string): boolean {
   return timingSafeEqual(sha256(given), sha256(expected));
@@ -29,7 +29,7 @@
  *
  * @example
  * const hello = parseHello(frame.body);
- * if (typeof hello === 'string') { refuse(socket, hello); }
+ * if (typeof hello === 'string') { reject(socket, hello); }
  */
 export function parseHello(body: unknown): Hello | string {
   const hello = (body ?? {}) as Partial<Hello>;
--- a/packages/protocol/src/innerListener.ts
+++ b/packages/protocol/src/innerListener.ts
@@ -35,7 +35,7 @@
   /** Number of handshakes in progress. */
   handshakeCount(): number;
   onSocket(socket: WebSocket): void;
-  onRefusal(reason: string): void;
+  onReject(reason: string): void;
 }): Promise<InnerListener> {
   const {limits, tls} = options;
   // Node checks for timed-out requests only every 30 s by default.
@@ -87,7 +87,7 @@
     stream.on('error', () => stream.destroy());
     const status = refusalStatus(request);
     if (status !== undefined) {
-      options.onRefusal(status);
+      options.onReject(status);
       stream.end(`HTTP/1.1 ${status}\r\nConnection: close\r\n\r\n`);
       return;
     }
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -43,7 +43,7 @@
    * has recorded for it, so that it can refute it. Response: `MemberProbeResponse`.
    */
   memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
-  /** Asks when a silent member was last heard from. Response: `LastHeardResponse`. */
+  /** Requests when a member was last active. Response: `LastHeardResponse`. */
   memberWord: {readonly id: string; readonly incarnation: number};
   /** Requests the members of buckets that differ. Response: `MembersResponse`. */
   membersWanted: {readonly buckets: readonly number[]};
@@ -58,7 +58,7 @@
 
 /** Response to `memberWord`. */
 export interface LastHeardResponse {
-  /** Milliseconds since that or a later incarnation was heard; -1 for never. */
+  /** Milliseconds since this or a later incarnation was active; -1: never. */
   readonly heardAgoMs: number;
 }
 
--- a/packages/protocol/src/peerNetwork.ts
+++ b/packages/protocol/src/peerNetwork.ts
@@ -61,7 +61,7 @@
     log,
     timeoutMs: limits.handshakeMs,
     adopt,
-    onRefusal: () => dispatcher.countRejected(),
+    onReject: () => dispatcher.countRejected(),
   });
   const links = createPeerLinks({
     selfId: self.id,
@@ -217,9 +217,9 @@
         log,
         handshakeCount: handshakes.count,
         onSocket: handshakes.accept,
-        onRefusal(reason) {
+        onReject(reason) {
           dispatcher.countRejected();
-          log.warn({reason}, 'refused a connection to the inner port');
+          log.warn({reason}, 'rejected a connection to the inner port');
         },
       });
       disposables.add(listener);
--- a/packages/protocol/src/test/compatibility.test.ts
+++ b/packages/protocol/src/test/compatibility.test.ts
@@ -91,7 +91,7 @@
   }
 
   for (const {name, protocolVersion, isAccepted} of VERSIONS) {
-    it(`${isAccepted ? 'accepts' : 'refuses'} a dialing peer of ${name} version`, async () => {
+    it(`${isAccepted ? 'accepts' : 'rejects'} a dialing peer of ${name} version`, async () => {
       const before = a.network.traffic().rejected;
       const other = dial(a.address.url, encodeHello(protocolVersion));
       if (isAccepted) {
@@ -109,7 +109,7 @@
       assert.deepEqual(a.network.connectedPeers(), []);
     });
 
-    it(`${isAccepted ? 'connects to' : 'refuses'} an accepting peer of ${name} version`, async () => {
+    it(`${isAccepted ? 'connects to' : 'rejects'} an accepting peer of ${name} version`, async () => {
       const server = new WebSocketServer({host: '127.0.0.1', port: 0});
       await new Promise(resolve => server.once('listening', resolve));
       const hello = encodeHello(protocolVersion, {key: KEY});
--- a/packages/protocol/src/test/innerTls.test.ts
+++ b/packages/protocol/src/test/innerTls.test.ts
@@ -120,7 +120,7 @@
     ['a certificate of an unknown CA', 'stranger'],
     ['no TLS', undefined],
   ] as const) {
-    it(`refuses a peer with ${name}, even with the inner key`, async () => {
+    it(`rejects a peer with ${name}, even with the inner key`, async () => {
       // A leaked inner key alone must not allow reading or sending messages.
       const a = await startTlsPeer('a', createTlsFolder('first'));
       const b = folder
--- a/packages/protocol/src/test/peerNetwork.test.ts
+++ b/packages/protocol/src/test/peerNetwork.test.ts
@@ -88,7 +88,7 @@
 
   it('reports that a request without a response may have run', async () => {
     // The peer is stopped or its response is lost: the sender cannot know
-    // whether the request ran, and must not tell a caller that it did not.
+    // whether the request ran, and must not report to a caller that it did not.
     const {a, b} = await startPair();
     b.network.onDidReceive('recordsWanted', () => new Promise(() => {}));
     const response = a.network.request('b', 'recordsWanted', {known: []}, 50);
--- a/packages/providers/src/contracts.ts
+++ b/packages/providers/src/contracts.ts
@@ -118,7 +118,10 @@
   readonly goneAt: number;
 }
 
-/** Errors: `platform-unavailable`, `overloaded` (start refused), `outcome-unknown`. */
+/**
+ * Errors: `platform-unavailable`, `overloaded` (start rejected),
+ * `outcome-unknown`.
+ */
 export interface Cloud {
   offers(signal?: AbortSignal): Promise<readonly Offer[]>;
   hosts(signal?: AbortSignal): Promise<readonly Host[]>;
--- a/packages/providers/src/storeCalls.ts
+++ b/packages/providers/src/storeCalls.ts
@@ -1,4 +1,4 @@
-/** Counted calls to the object API with deadline, rate limit and breaker. */
+/** Counted object API calls with deadline, rate limit and circuit breaker. */
 import {
   isServingError,
   type Clock,
--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -59,7 +59,7 @@
 }
 
 const CONFIRM_INTERVAL_MS = 250;
-/** A refused move may become valid when the deadline of another move passes. */
+/** A rejected move may become valid when the deadline of another one passes. */
 const MOVE_RECHECK_INTERVAL_MS = 10_000;
 const RETRY_DELAY_MS = 300;
 
@@ -181,7 +181,7 @@
         }
         break;
       case 'refuse':
-        await refuse(key, decision, input.accepted?.sourceVersion);
+        await reject(key, decision, input.accepted?.sourceVersion);
         return;
       case 'nothing':
         break;
@@ -198,7 +198,7 @@
     if (faults.length > 0) {
       const {sourceVersion} = object;
       const decision = {type: 'refuse', sourceVersion, faults} as const;
-      await refuse(key, decision, current?.value.sourceVersion);
+      await reject(key, decision, current?.value.sourceVersion);
       return false;
     }
     const written = await store.put(
@@ -215,14 +215,14 @@
       object.isRemoved ? 'remove' : 'accept',
       `record version ${object.sourceVersion}`,
     );
-    // Refused moves may have become valid, and valid ones invalid.
+    // Rejected moves may have become valid, and valid ones invalid.
     if (cache.canAffectMoves(key)) {
       markDirty(cache.moveKeys());
     }
     return true;
   }
 
-  async function refuse(
+  async function reject(
     key: string,
     decision: Extract<AcceptanceDecision, {type: 'refuse'}>,
     acceptedVersion: number | undefined,
@@ -262,7 +262,7 @@
     statuses.awaitConfirmation(key, accepted);
   }
 
-  /** Removes the status left by a refused record after its removal. */
+  /** Removes the status left by a rejected record after its removal. */
   async function removeOrphanedStatus(key: string): Promise<void> {
     if (cache.acceptanceInput(key, clock.wall()).source === undefined) {
       await statuses.remove(key);
--- a/packages/records/src/recordStatus.ts
+++ b/packages/records/src/recordStatus.ts
@@ -18,7 +18,7 @@
   readonly sourceVersion: number;
   /** Version of the record in force or being propagated, if any. */
   readonly acceptedVersion?: number;
-  /** Reasons for a refusal, by field. */
+  /** Reasons for a rejection, by field. */
   readonly faults: readonly ValidationFault[];
   /** Entries that have not confirmed yet; truncated if there are many. */
   readonly waitingFor: readonly string[];
--- a/packages/records/src/statusWriter.ts
+++ b/packages/records/src/statusWriter.ts
@@ -196,7 +196,7 @@
   if (currentStatus.sourceVersion > next.sourceVersion) {
     return true;
   }
-  // An acceptor with a stale cache refuses a version accepted since.
+  // An acceptor with a stale cache rejects a version accepted since.
   return (
     next.state === 'refused' &&
     (currentStatus.acceptedVersion ?? -1) >= next.sourceVersion
--- a/packages/records/src/test/configuration.test.ts
+++ b/packages/records/src/test/configuration.test.ts
@@ -121,7 +121,7 @@
 
   // An operator writes an invalid record of a running service. The service must
   // keep running unchanged, and the status must list the invalid fields.
-  it('keeps the older version in force when a newer one is refused', async () => {
+  it('keeps the older version in force when a newer one is rejected', async () => {
     const {simulation, version} = await createSettledSimulation();
     const refused = simulation.write('service', 'booking', {
       ...serviceV1,
@@ -154,7 +154,7 @@
   });
 
   // Two moves of one service would send its traffic to two candidates at once.
-  it('refuses a second move of a service until the first is removed', async () => {
+  it('rejects a second move of a service until the first is removed', async () => {
     const {simulation} = await createSettledSimulation();
     simulation.write('move', 'first', moveV1('booking'));
     await simulation.advance(2000);
--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -4,7 +4,7 @@
 
 export interface CacheViewOptions {
   readonly clock: Clock;
-  /** Largest number of blocks kept; the oldest are dropped first. */
+  /** Maximum number of blocks held; the oldest are dropped first. */
   readonly maxBlocks?: number;
   /** Prompt tokens per block. */
   readonly blockTokens?: number;
@@ -15,9 +15,9 @@
   expectedCachedTokens(blocks: readonly string[]): number;
   /** Whether the block is expected to be cached. */
   has(block: string): boolean;
-  /** Notes that a request with these blocks was sent to the engine. */
+  /** Records that a request with these blocks was sent to the engine. */
   noteSent(blocks: readonly string[]): void;
-  /** Notes how many tokens of a request the engine found cached. */
+  /** Records how many tokens of a request the engine found cached. */
   noteCachedTokens(blocks: readonly string[], cachedTokens: number): void;
   /** Applies events; returns the next sequence, -1 for a full resync. */
   apply(events: readonly CacheEvent[]): number;
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -97,7 +97,7 @@
     entry: string,
     loads: Readonly<Record<string, EntryLoad>>,
   ): void;
-  /** Notes that a load poll could not reach the endpoint. */
+  /** Records that a load poll could not reach the endpoint. */
   reportUnreachable(endpoint: string): void;
   /** Applies cache events; returns the next sequence to poll (-1: resync). */
   applyCacheEvents(endpoint: string, events: readonly CacheEvent[]): number;
--- a/packages/routing/src/crashEvidence.ts
+++ b/packages/routing/src/crashEvidence.ts
@@ -185,7 +185,7 @@
 
 /**
  * Limits the crashes of a report. Those under the requests with the most
- * crashes are kept, and among these the latest.
+ * crashes are retained, and among these the latest.
  *
  * @example
  * const truncated = truncateReport(report, 200, crashCountOf);
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -43,9 +43,9 @@
   isEmpty(): boolean;
   /** Returns whether the request may be sent. */
   verdictFor(request: string): QuarantineVerdict;
-  /** Notes that this entry sends the request after its quarantine. */
+  /** Records that this entry sends the request after its quarantine. */
   beginTrial(request: string): void;
-  /** Notes a complete response to the request. */
+  /** Records a complete response to the request. */
   noteServed(request: string): void;
   /** Replaces another entry's stored report. */
   setStoredReport(entry: string, report: CrashReport): void;
@@ -57,7 +57,7 @@
   restoreOwnReport(report: CrashReport): void;
   /** Report of this entry to be stored: confirmed crashes only. */
   reportToStore(): CrashReport;
-  /** Notes that a report of this entry was stored, where the others read it. */
+  /** Records that a report of this entry was stored, where others read it. */
   noteStored(report: CrashReport): void;
   /** New or not yet stored evidence to gossip; undefined for none. */
   reportToGossip(): CrashReport | undefined;
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -10,9 +10,9 @@
   /** Whether a request should be sent now to probe for recovery. */
   needsProbe(): boolean;
   noteSent(): void;
-  /** Notes a result; `slowness` is the ratio of actual to expected latency. */
+  /** Records a result; `slowness` is the actual over the expected latency. */
   noteOutcome(outcome: AttemptResult['outcome'], slowness: number): void;
-  /** Notes that the endpoint answered a load poll. */
+  /** Records that the endpoint answered a load poll. */
   noteReport(): void;
   eject(): void;
   /** Probes because its failure domain looks lost; one success ends it. */
--- a/packages/routing/src/loadView.ts
+++ b/packages/routing/src/loadView.ts
@@ -67,7 +67,7 @@
  * Creates a view of an endpoint with no load.
  *
  * A delayed report still counts requests of this entry that have ended and
- * lacks those just sent. So its figures for other entries are kept, and the
+ * lacks those just sent. So its figures for other entries are retained, and the
  * exact load of this entry replaces its own part. Otherwise all requests within
  * one report interval would go to the endpoint that last looked idle.
  *
--- a/packages/routing/src/rateLimits.ts
+++ b/packages/routing/src/rateLimits.ts
@@ -24,7 +24,7 @@
 export type RateLimitReports = Readonly<Record<string, RateLimitReport>>;
 
 export interface RateLimits {
-  /** Notes the limit in a response; undefined when it sets none. */
+  /** Records the limit in a response; undefined when it sets none. */
   noteLimit(endpoint: string, perSecond: number | undefined): void;
   /** Merges the reports of another entry. */
   mergeReports(reports: RateLimitReports): void;
@@ -249,7 +249,7 @@
  * the second reports were sent.
  *
  * @example
- * const reports = mergeRateLimitReports(own, digest.limits, clock.now() - heardAt);
+ * const reports = mergeRateLimitReports(own, digest.limits, clock.now() - receivedAt);
  */
 export function mergeRateLimitReports(
   first: RateLimitReports,
--- a/packages/standins/src/engine/blockCache.ts
+++ b/packages/standins/src/engine/blockCache.ts
@@ -24,7 +24,7 @@
   eventsAfter(after: number): readonly CacheEvent[];
 }
 
-/** Events kept for fetching; dropping older ones leaves a sequence gap. */
+/** Events retained for fetching; dropping older ones leaves a sequence gap. */
 const MAX_KEPT_EVENTS = 2000;
 
 /** An event that can be fetched from `fromMs` on. */
--- a/packages/standins/src/engine/simulatedEngine.ts
+++ b/packages/standins/src/engine/simulatedEngine.ts
@@ -73,7 +73,7 @@
   totals(): EngineTotals;
 }
 
-/** Maximum number of exports kept for fetching, and of imports kept for use. */
+/** Maximum number of exports held for fetching, and of imports held for use. */
 const MAX_KEPT_EXPORTS = 256;
 
 /**
--- a/packages/standins/src/platform/cloudModel.ts
+++ b/packages/standins/src/platform/cloudModel.ts
@@ -20,7 +20,7 @@
   offers(): readonly Offer[];
   setOffers(offers: readonly Offer[]): void;
   hosts(): readonly Host[];
-  /** Starts one host per client token. Throws `overloaded` on refusal. */
+  /** Starts one host per client token. Throws `overloaded` on rejection. */
   start(request: StartRequest): Host;
   stop(id: string): void;
   /** Reclaims hosts: after a notice, or at once when `noticeMs` is 0. */
--- a/packages/standins/src/platform/platformFaults.ts
+++ b/packages/standins/src/platform/platformFaults.ts
@@ -13,7 +13,7 @@
     isRejectingWatches: z.boolean(),
     /** Watches stay open but deliver no events. */
     isSilent: z.boolean(),
-    /** Number of next host starts that are refused. */
+    /** Number of next host starts that are rejected. */
     startsToRefuse: z.number().int().nonnegative(),
     /** Delay until a change of the host list becomes visible. */
     listLagMs: z.number().nonnegative(),
--- a/packages/standins/src/test/objectStore.test.ts
+++ b/packages/standins/src/test/objectStore.test.ts
@@ -136,7 +136,7 @@
       }
     }
 
-    it('refuses a write whose condition does not hold', () =>
+    it('rejects a write whose condition does not hold', () =>
       withScenario(async ({store, first}) => {
         await assertRejects(
           store.put('thing', 'a', 'x', {type: 'absent'}),
@@ -184,7 +184,7 @@
         successor.dispose();
       }));
 
-    it('refuses a value above a megabyte', () =>
+    it('rejects a value above a megabyte', () =>
       withScenario(({store}) =>
         assertRejects(
           store.put('thing', 'big', 'x'.repeat(1_100_000), {type: 'any'}),
@@ -236,7 +236,7 @@
       ));
 
     // While the platform is down, calls must not wait for their deadlines:
-    // requests would queue up instead of being refused at once.
+    // requests would queue up instead of being rejected at once.
     it('fails fast while the platform is down, and recovers by itself', () =>
       withScenario(async ({store, fixture}) => {
         fixture.faults.setDown(true);
--- a/packages/standins/src/test/platformStandin.test.ts
+++ b/packages/standins/src/test/platformStandin.test.ts
@@ -74,7 +74,7 @@
 }
 
 describe('platform stand-in', {timeout: TIMEOUT_MS}, () => {
-  it('starts one host per client token, refuses starts and stops hosts', () =>
+  it('starts one host per client token, rejects starts and stops hosts', () =>
     withPlatform(async platform => {
       const cloud = createHttpCloud({url: platform.url, clock: testClock});
       assert.ok((await cloud.offers()).length > 0);
--- a/packages/streams/src/contracts.ts
+++ b/packages/streams/src/contracts.ts
@@ -26,7 +26,7 @@
   readonly engine: Engine;
   /** Estimate of the prompt tokens cached there; 0 when unknown. */
   readonly cachedTokens?: number;
-  /** Aborts when the endpoint is told to leave: the stream has to migrate. */
+  /** Aborts when the endpoint has to leave: the stream has to migrate. */
   readonly leaving: AbortSignal;
   /** Monotonic milliseconds by which a leaving endpoint is gone, if known. */
   goneAt?(): number | undefined;
--- a/packages/streams/src/test/streamRunner.fuzz.test.ts
+++ b/packages/streams/src/test/streamRunner.fuzz.test.ts
@@ -99,7 +99,7 @@
           rig.clock.after(atMs, () => effects[type](rig, engine));
         }
         rig.start();
-        // Small steps: a series of refusals takes no virtual time, but more
+        // Small steps: a series of rejections takes no virtual time, but more
         // promise turns than the clock waits for in one step.
         for (let ms = 0; ms < DEADLINE_MS + 1000; ms += STEP_MS) {
           await rig.clock.advance(STEP_MS);
--- a/packages/streams/src/test/streamRunner.test.ts
+++ b/packages/streams/src/test/streamRunner.test.ts
@@ -5,7 +5,7 @@
 import {createRig, DEADLINE_MS} from './streamRig.js';
 
 describe('stream runner', () => {
-  // An engine refuses, fails, disconnects, stalls, or sends events of another
+  // An engine rejects, fails, disconnects, stalls, or sends events of another
   // answer. The caller may only notice a pause: the text must continue at the
   // exact token, without a gap or a duplicate.
   const faults: [FaultPlan['fault'], string[]][] = [
--- a/packages/traffic/src/contracts.ts
+++ b/packages/traffic/src/contracts.ts
@@ -111,7 +111,7 @@
 /** One process of a service, as registered by itself. */
 export interface RegisteredEndpoint {
   readonly id: string;
-  /** Wall-clock start in milliseconds; tells restarts under one id apart. */
+  /** Wall-clock start in milliseconds; distinguishes restarts under one id. */
   readonly bornAt: number;
   readonly service: string;
   /** `IP:port`. */
