--- a/packages/capacity/src/engineModel.ts
+++ b/packages/capacity/src/engineModel.ts
@@ -3,8 +3,8 @@
  * serve.
  *
  * Engines differ by a factor of ten between customers, and their speed is not
- * configured. Overestimated, too few endpoints run and requests miss their
- * deadlines; underestimated, too many are paid for.
+ * configured. If it is overestimated, too few endpoints run and requests miss
+ * their deadlines; if it is underestimated, idle endpoints cost money.
  */
 import type {Clock} from '@skylarkfield/base';
 import {addTokenRateStats, scaleTokenRateStats} from './capacityStats.js';
--- a/packages/capacity/src/targetUtilization.ts
+++ b/packages/capacity/src/targetUtilization.ts
@@ -39,9 +39,9 @@
 /**
  * Returns the fraction of an endpoint's time that may be spent on prompts.
  *
- * Two things bound it. A prompt queues behind others, and its first event must
- * arrive within the target. And prompts stall all running answers, of which long
- * ones must still finish before their callers time out.
+ * It has two bounds. A prompt queues behind others, and its first event must
+ * arrive within the target. And prompts stall all running answers, of which
+ * long ones must still finish before their callers time out.
  *
  * @example
  * const {usual} = targetUtilization(estimate, [{goalMs: 800, timeoutMs: 10_000}]); // 0.4
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -96,7 +96,7 @@
     assert.equal(b.terms.length, 1);
   });
 
-  // A holder that learns of more members may only receive aggregates, so that
+  // A holder that discovers more members may only receive aggregates, so that
   // its reports would cover its own part alone. If it reacquired the duty at
   // once, platforms that do not check fencing tokens would get orders from two
   // holders alternately.
@@ -213,7 +213,7 @@
     assert.equal(b.running(), 1);
   });
 
-  // The lease object is removed. Endpoints that remember the last fencing token
+  // The lease object is removed. Endpoints that store the last fencing token
   // would reject all orders of a holder whose tokens restart at 1.
   it('never reuses a fencing token after the lease was removed', async () => {
     const {commonClock, platform, start} = createTwoProcesses();
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -182,7 +182,7 @@
     }
   }
 
-  function takeQuota({customer, head}: AcceptedRequest): () => void {
+  function consumeQuota({customer, head}: AcceptedRequest): () => void {
     const amount = quotaAmount(customer, head);
     if (customer === undefined || amount === 0) {
       return () => {};
@@ -253,7 +253,7 @@
       }),
     );
     rejectQuarantined(fingerprint);
-    const refundQuota = takeQuota(accepted);
+    const refundQuota = consumeQuota(accepted);
     const outcome = watchOutcome(accepted, reply, options);
     let permit: Permit;
     try {
@@ -343,7 +343,7 @@
       } finally {
         options.inFlight.end();
       }
-      requestLog.note({
+      requestLog.record({
         accepted,
         attemptId:
           accepted?.attemptId ?? format.readCall(request.headers).attemptId,
--- a/packages/gateway/src/clusterDuty.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -48,11 +48,13 @@
           traffic.policy
             .services()
             .filter(({name}) => !traffic.rollouts.isOpen(name)),
-        demandSignals: traffic.engines.demandSignals,
+        demandSignals: traffic.engineEstimates.demandSignals,
       }),
     );
     work.add(
-      traffic.engineStore.startPersisting(traffic.engines.fleetCapacity),
+      traffic.engineStore.startPersisting(
+        traffic.engineEstimates.fleetCapacity,
+      ),
     );
     return work;
   }
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -1,8 +1,8 @@
 /**
  * Persists the requests that crash endpoints in the platform's store.
  *
- * Entries restart, are partitioned and fail together, yet each of them must
- * know within seconds what any of them has observed. Each entry writes its own
+ * Entries restart, are partitioned and fail together, yet each needs the
+ * observations of all others within seconds. Each entry writes its own
  * observations to one object and mirrors those of the others.
  */
 import {
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -97,7 +97,7 @@
       byKey = new Map(present.map(endpoint => [keyOf(endpoint), endpoint]));
       const usable = present.filter(({state}) => state === 'ready');
       router.setEndpoints(usable.map(toCandidate));
-      upstreams.keepOnly(new Set(present.map(({address}) => address)));
+      upstreams.retainOnly(new Set(present.map(({address}) => address)));
       noteChanges(before);
     },
   };
--- a/packages/gateway/src/engineEstimates.ts
+++ b/packages/gateway/src/engineEstimates.ts
@@ -43,7 +43,7 @@
   dump(): unknown;
 }
 
-/** Interval at which the figures are recomputed, in milliseconds. */
+/** Interval at which the estimates are recomputed, in milliseconds. */
 const REFRESH_INTERVAL_MS = 1_000;
 
 /** Interval of publishing observations, in milliseconds: they change slowly. */
@@ -113,7 +113,7 @@
     return fresh;
   }
 
-  /** Logs figures that are new or differ enough from those logged last. */
+  /** Logs an estimate that is new or differs enough from the last logged. */
   function logChange(service: string, estimate: EngineEstimate): void {
     const last = logged.get(service);
     const ratio = last ? estimate.usualPromptMs / last.usualPromptMs : Infinity;
@@ -122,7 +122,7 @@
       return;
     }
     logged.set(service, estimate);
-    log.info({service, ...estimate}, 'engine figures updated');
+    log.info({service, ...estimate}, 'engine estimate updated');
   }
 
   function workRate(service: string): WorkRate {
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -84,7 +84,7 @@
   return {
     expectedWait({head, service}, {tokensAhead}, leftMs) {
       const estimate = options.figures(service);
-      // Until the figures are reliable, a guess could reject callers wrongly.
+      // An unreliable estimate could reject callers wrongly.
       if (head.demand === undefined || !estimate.isSure) {
         return NO_WAIT;
       }
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -97,15 +97,23 @@
   readonly admission: AdmissionController;
   readonly upstreams: Upstreams;
   readonly migrator: StreamMigrator;
-  readonly engines: EngineObserver;
+  readonly engineObserver: EngineObserver;
   readonly format: CallFormat;
   readonly clock: Clock;
   readonly log: Logger;
   /** Called with the wall-clock time at which a request started to run. */
   onDidRun(customer: string | undefined, wallMs: number): void;
 }): Forwarding {
-  const {router, directory, upstreams, migrator, engines, format, clock, log} =
-    options;
+  const {
+    router,
+    directory,
+    upstreams,
+    migrator,
+    engineObserver,
+    format,
+    clock,
+    log,
+  } = options;
   const crashGuard = createCrashGuard(options);
   const rules = createRetryRules({admission: options.admission, clock});
 
@@ -152,7 +160,7 @@
     let beganAt: number | undefined;
     const lastEventId = reply.lastEventId() ?? call.head.lastEventId;
     const isFresh = memory === undefined && lastEventId === undefined;
-    const observer = engines.observe(call, choice, isFresh);
+    const observer = engineObserver.observe(call, choice, isFresh);
     const watchedStream = migrator.watch({
       endpoint: choice.endpoint,
       attemptId: call.attemptId,
@@ -321,7 +329,7 @@
     if (progress.runs > 0 || memory !== undefined) {
       return undefined;
     }
-    const wait = engines.expectedWait(
+    const wait = engineObserver.expectedWait(
       call,
       choice,
       call.deadlineAt - clock.now(),
--- a/packages/gateway/src/outcomeWatch.ts
+++ b/packages/gateway/src/outcomeWatch.ts
@@ -43,19 +43,19 @@
   if (head.demand === undefined || route.goalMs <= 0) {
     return UNWATCHED;
   }
-  let isNoted = false;
-  function note(isLate: boolean): void {
-    if (!isNoted) {
-      isNoted = true;
+  let isRecorded = false;
+  function recordOnce(isLate: boolean): void {
+    if (!isRecorded) {
+      isRecorded = true;
       outcomes.record(service, isLate);
     }
   }
-  const timer = clock.after(route.goalMs, () => note(!reply.hasBegun()));
+  const timer = clock.after(route.goalMs, () => recordOnce(!reply.hasBegun()));
   return {
     end(error) {
       timer.dispose();
       if (error === undefined || SHORTAGE_ERRORS.has(error.kind)) {
-        note(error !== undefined);
+        recordOnce(error !== undefined);
       }
     },
   };
--- a/packages/gateway/src/requestLog.ts
+++ b/packages/gateway/src/requestLog.ts
@@ -28,14 +28,14 @@
 }
 
 export interface RequestLog {
-  note(request: EndedRequest): void;
+  record(request: EndedRequest): void;
 }
 
 /**
  * Creates the log of one entry's requests.
  *
  * @example
- * requestLog.note({accepted, attemptId, result, hasDisconnected: false,
+ * requestLog.record({accepted, attemptId, result, hasDisconnected: false,
  *   arrivedAt, events: 0});
  */
 export function createRequestLog(options: {
@@ -46,10 +46,10 @@
 }): RequestLog {
   const {policy, metrics, clock, log} = options;
   return {
-    note({accepted, attemptId, result, hasDisconnected, arrivedAt, events}) {
+    record({accepted, attemptId, result, hasDisconnected, arrivedAt, events}) {
       const {status, error, firstMs, firstSendAt, fingerprint} = result;
       const tookMs = clock.now() - arrivedAt;
-      metrics.note({
+      metrics.record({
         service: accepted?.service,
         kind: error?.kind ?? 'ok',
         firstMs,
--- a/packages/gateway/src/requestMetrics.ts
+++ b/packages/gateway/src/requestMetrics.ts
@@ -11,7 +11,7 @@
 }
 
 export interface RequestMetrics {
-  note(observation: RequestObservation): void;
+  record(observation: RequestObservation): void;
   /** Returns all metrics in the Prometheus text format. */
   render(): Promise<string>;
   shutDown(): Promise<void>;
@@ -31,7 +31,7 @@
  * @example
  * const metrics = createRequestMetrics(() => createMetrics('skylarkfield'),
  *   log);
- * metrics.note({service: 'booking', kind: 'ok', firstMs: 21, tookMs: 23});
+ * metrics.record({service: 'booking', kind: 'ok', firstMs: 21, tookMs: 23});
  */
 export function createRequestMetrics(
   load: () => Promise<Metrics>,
@@ -66,7 +66,7 @@
   }
 
   return {
-    note: observation => record(observation),
+    record: observation => record(observation),
     async render() {
       const metrics = await loadOnce();
       return metrics.render();
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -109,8 +109,8 @@
         ...sample,
         version: group,
         isIdempotent: isRepeatable,
-        // Entries do not know a service's total load; failures under load show
-        // on the routes.
+        // An entry lacks a service's total load; failures under load show on
+        // the routes.
         loadFraction: 0,
       }),
     isOpen: moves.isOpen,
@@ -209,7 +209,7 @@
 }
 
 /**
- * Sends evidence only to the entries that may judge moves, so that its cost
+ * Sends evidence only to the entries that may evaluate moves, so that its cost
  * does not grow with the square of the entries; cuts go to all.
  */
 function evidenceNetwork(options: RolloutOptions) {
@@ -222,12 +222,12 @@
       network.broadcast(
         type,
         body,
-        type === 'moveEvidence' ? judges(options) : options.others(),
+        type === 'moveEvidence' ? moveEvaluators(options) : options.others(),
       )) as PeerNetwork['broadcast'],
   };
 }
 
-function judges({plan, others}: RolloutOptions): string[] {
+function moveEvaluators({plan, others}: RolloutOptions): string[] {
   const present = new Set(others());
   return plan().coordinators.filter(id => present.has(id));
 }
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -64,11 +64,11 @@
  */
 export function createStreamMigrator(options: {
   readonly directory: EndpointDirectory;
-  readonly engines: RequestMigrator;
+  readonly requestMigrator: RequestMigrator;
   readonly clock: Clock;
   readonly log: Logger;
 }): StreamMigrator {
-  const {directory, engines, clock, log} = options;
+  const {directory, requestMigrator, clock, log} = options;
 
   async function migrate(
     endpoint: string,
@@ -83,7 +83,7 @@
       return undefined;
     }
     const startedAt = clock.now();
-    const answer = await engines
+    const answer = await requestMigrator
       .migrate(
         source.address,
         attemptId,
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -68,8 +68,8 @@
     assert.equal(wait.isTooLong, false);
   });
 
-  it('rejects no request before the figures are reliable', () => {
-    // A system that has just started only has guesses about its engines, which
+  it('rejects no request before the estimate is reliable', () => {
+    // A system that has just started only has priors for its engines, which
     // must not reject callers while endpoints are idle.
     const figures = {...reliableFigures, isSure: false};
     const wait = waitOf({figures, tokensAhead: 1_000_000, leftMs: 100});
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -176,7 +176,7 @@
     admission,
     upstreams,
     migrator: moves,
-    engines: createEngineObserver({
+    engineObserver: createEngineObserver({
       model: createEngineModel(clock),
       clock,
       figures: () => estimateEngine(undefined, []),
@@ -232,7 +232,7 @@
     server.listen(0, '127.0.0.1', resolve);
   });
   const {port} = server.address() as AddressInfo;
-  const seen = await ask(port);
+  const seen = await sendRequest(port);
   while (result === undefined) {
     await new Promise(resolve => setImmediate(resolve));
   }
@@ -248,7 +248,7 @@
   };
 }
 
-function ask(port: number) {
+function sendRequest(port: number) {
   return new Promise<Omit<Outcome, 'arrivals' | 'result' | 'lastEventIds'>>(
     resolve => {
       const request = http.get(
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -90,7 +90,7 @@
     setPartitioned(value: boolean): void {
       isPartitioned = value;
     },
-    /** Each entry tries to take its part of three times the quota. */
+    /** Each entry tries to consume its part of three times the quota. */
     sendLoad(seconds: number): void {
       const amount = (3 * PER_SECOND * STEP_MS) / 1_000 / ENTRIES;
       for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
--- a/packages/gateway/src/test/requestMetrics.test.ts
+++ b/packages/gateway/src/test/requestMetrics.test.ts
@@ -13,11 +13,11 @@
     loads += 1;
     return createMetrics('test');
   }, silentLogger());
-  metrics.note(observed(7));
-  metrics.note(observed(30));
+  metrics.record(observed(7));
+  metrics.record(observed(30));
   assert.equal(loads, 0);
   const page = await metrics.render();
-  metrics.note(observed(30));
+  metrics.record(observed(30));
   const later = await metrics.render();
   assert.match(page, /gateway_requests_total\{[^}]*\} 2\b/);
   assert.match(page, /gateway_duration_bucket\{[^}]*le="10"[^}]*\} 1\b/);
@@ -35,10 +35,10 @@
     return createMetrics('test');
   }, silentLogger());
   for (let count = 0; count < 4_095; count++) {
-    metrics.note(observed(1));
+    metrics.record(observed(1));
   }
   assert.equal(loads, 0);
-  metrics.note(observed(1));
+  metrics.record(observed(1));
   assert.equal(loads, 1);
   assert.match(
     await metrics.render(),
@@ -52,6 +52,6 @@
     () => Promise.reject(new Error('loaded')),
     silentLogger(),
   );
-  metrics.note(observed(1));
+  metrics.record(observed(1));
   await metrics.shutDown();
 });
--- a/packages/gateway/src/test/rolloutMoves.test.ts
+++ b/packages/gateway/src/test/rolloutMoves.test.ts
@@ -101,8 +101,8 @@
   });
 
   it('measures the deadline from the start that an earlier process recorded', () => {
-    // The process that judged a rollout fails, and its successor starts in the
-    // middle. Measured from its own start, the deadline would be missed.
+    // The process that evaluated a rollout fails, and its successor starts in
+    // the middle. Measured from its own start, the deadline would be missed.
     const {clock, moves, setRollout} = setUp();
     setRollout();
     const startedAt = clock.wall() - 5_000;
--- a/packages/gateway/src/test/stepMeter.test.ts
+++ b/packages/gateway/src/test/stepMeter.test.ts
@@ -6,8 +6,8 @@
 describe('step meter', () => {
   it('measures decode steps, excluding the prompts processed between them', () => {
     // While the engine processes other requests' long prompts, a gap of 15 ms
-    // becomes one of 70 ms. Taken for steps, these would make the engine look
-    // so slow that twice the endpoints were ordered.
+    // becomes one of 70 ms. Measured as steps, these would make the engine
+    // seem so slow that twice the endpoints were ordered.
     const clock = virtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 20; index++) {
@@ -20,7 +20,7 @@
 
   it('divides a gap among events that arrived together', () => {
     // A busy entry reads two events in one turn. A zero gap between them would
-    // make the engine look infinitely fast.
+    // make the engine seem infinitely fast.
     const clock = virtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 5; index++) {
--- a/packages/gateway/src/test/usageDuty.test.ts
+++ b/packages/gateway/src/test/usageDuty.test.ts
@@ -94,8 +94,8 @@
 describe('usage duty', () => {
   it('reports the counts that a predecessor persisted', async () => {
     // The holder fails after its report has reached the platform but before it
-    // learns so. Its successor has other counts; a second, different report
-    // would bill the customer twice.
+    // gets the response. Its successor has other counts; a second, different
+    // report would bill the customer twice.
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
     const {reports, orders} = createRecorder(['failed', 'accepted']);
@@ -120,7 +120,7 @@
   it('does not report a window again if its last counts arrive late', async () => {
     // Windows are short compared to the time in which they may be reported, and
     // a partitioned entry delivers its counts long after the window was
-    // reported. If the report were forgotten by then, the window would be
+    // reported. If the report were no longer stored, the window would be
     // reported again with other counts, billing the customer twice.
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -61,7 +61,7 @@
   readonly usage: UsageWindows;
   readonly digests: Digests;
   readonly rollouts: RolloutController;
-  readonly engines: EngineEstimates;
+  readonly engineEstimates: EngineEstimates;
   readonly engineStore: EngineCapacityStore;
 }
 
@@ -119,7 +119,7 @@
   const engineStore = owned.add(
     createEngineCapacityStore({store: coordination.store, clock, log}),
   );
-  const engines = createEngineEstimates({
+  const engineEstimates = createEngineEstimates({
     clock,
     reports,
     log,
@@ -127,7 +127,7 @@
     isModel,
     aims: policy.routesTo,
   });
-  const {work} = engines;
+  const {work} = engineEstimates;
   const tokensPerEvent = (service: string): number =>
     findService(service)?.engine?.tokensPerEvent ?? 1;
   const upstreams = owned.add(createUpstreams());
@@ -140,7 +140,7 @@
     failureDomain: settings.failureDomain,
     self: settings.id,
     blockTokens: TOKENS_PER_KEY,
-    weightsOf: service => engines.routeWeights(service),
+    weightsOf: service => engineEstimates.routeWeights(service),
   });
   const directory = createEndpointDirectory({
     endpoints: view.endpoints,
@@ -226,8 +226,8 @@
           limits: rateLimits.ownReports(),
           crashes: crashQuarantine.reportToGossip(),
           work: work.rates(),
-          outcomes: engines.outcomes.counts(),
-          capacity: engines.unpublishedCapacity(),
+          outcomes: engineEstimates.outcomes.counts(),
+          capacity: engineEstimates.unpublishedCapacity(),
         };
         return (scope, receiver) => ({
           mirrors,
@@ -301,14 +301,14 @@
     upstreams,
     migrator: createStreamMigrator({
       directory,
-      engines: platform.engines,
+      requestMigrator: platform.engines,
       clock,
       log,
     }),
-    engines: createEngineObserver({
-      model: engines.model,
+    engineObserver: createEngineObserver({
+      model: engineEstimates.model,
       clock,
-      figures: engines.figures,
+      figures: engineEstimates.figures,
       tokensPerEvent,
       fits,
       onDidReread: (service, rereadTokens) =>
@@ -340,8 +340,8 @@
       isClosing: () => lifecycle.state() !== 'serving',
     },
     inFlight: context.inFlight,
-    usualOwnTokens: service => engines.figures(service).usualOwnTokens,
-    outcomes: engines.outcomes,
+    usualOwnTokens: service => engineEstimates.figures(service).usualOwnTokens,
+    outcomes: engineEstimates.outcomes,
     metrics: context.metrics,
     clock,
     log,
@@ -367,7 +367,7 @@
   context.dumps.add('view', () => view.dump());
   context.dumps.add('routing', () => router.dump());
   context.dumps.add('admission', () => admission.dump());
-  context.dumps.add('engines', () => engines.dump());
+  context.dumps.add('engines', () => engineEstimates.dump());
   context.dumps.add('reports', () => reports.dump());
   context.dumps.add('limits', () => rateLimits.dump());
   context.dumps.add('crashes', () => crashQuarantine.dump());
@@ -380,7 +380,7 @@
     usage,
     digests,
     rollouts,
-    engines,
+    engineEstimates,
     engineStore,
     dispose: () => owned.dispose(),
   };
--- a/packages/gateway/src/upstream.ts
+++ b/packages/gateway/src/upstream.ts
@@ -42,7 +42,7 @@
     listener: UpstreamListener,
   ): UpstreamExchange;
   /** Closes the pools of all other addresses. */
-  keepOnly(addresses: ReadonlySet<string>): void;
+  retainOnly(addresses: ReadonlySet<string>): void;
   dump(): unknown;
 }
 
@@ -156,7 +156,7 @@
   return {
     send: (address, request, listener) =>
       dispatch(poolOf(address), endState, request, listener),
-    keepOnly(addresses) {
+    retainOnly(addresses) {
       for (const [address, pool] of pools) {
         if (!addresses.has(address)) {
           pools.delete(address);
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -34,7 +34,7 @@
   isInvestigating: boolean;
 }
 
-/** Members asked about a suspect in one round. */
+/** Members queried about a suspect in one round. */
 const PEERS_PER_ROUND = 3;
 
 /**
--- a/packages/members/src/gossip.ts
+++ b/packages/members/src/gossip.ts
@@ -12,7 +12,7 @@
   /** Queues an update; replaces a queued one of the same member. */
   add(update: MemberUpdate): void;
   /** Dequeues the updates for the next heartbeat, up to the size limit. */
-  take(): GossipBatch;
+  dequeueBatch(): GossipBatch;
   size(): number;
 }
 
@@ -34,7 +34,7 @@
  *
  * @example
  * gossip.add(update);
- * network.broadcast('heartbeat', {...head, ...gossip.take()});
+ * network.broadcast('heartbeat', {...head, ...gossip.dequeueBatch()});
  */
 export function createGossipQueue(): GossipQueue {
   const queue = new Map<string, MemberUpdate>();
@@ -43,7 +43,7 @@
       queue.delete(update.id);
       queue.set(update.id, update);
     },
-    take() {
+    dequeueBatch() {
       const updates: MemberUpdate[] = [];
       const changes: MemberChange[] = [];
       let bytes = 0;
--- a/packages/members/src/heartbeats.ts
+++ b/packages/members/src/heartbeats.ts
@@ -41,7 +41,7 @@
 
   return {
     send(neighbours) {
-      const {news, changes} = gossip.take();
+      const {news, changes} = gossip.dequeueBatch();
       const {incarnation, sequence, load} = localMember.currentUpdate();
       const digest = table.digestWith(localMember.baseUpdate());
       const body = {
--- a/packages/members/src/memberObjects.ts
+++ b/packages/members/src/memberObjects.ts
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Writes before listing: of two entries that start at once, at least one sees
-   * the other in the list or learns of it from contacted members and seeds.
+   * Writes before listing: of two entries that start at once, at least one
+   * finds the other in the list or through contacted members and seeds.
    */
   async function tryJoin(): Promise<void> {
     await writeOwnObject();
--- a/packages/members/src/pauseRecovery.ts
+++ b/packages/members/src/pauseRecovery.ts
@@ -52,7 +52,7 @@
 
   async function confirmCurrent(): Promise<void> {
     const requestedAt = clock.now();
-    // Without other members nobody can have acted during the pause.
+    // Without other members no process can have acted during the pause.
     if (table.present().length === 0) {
       pauseDetector.confirm(requestedAt);
       return;
--- a/packages/members/src/test/membership.test.ts
+++ b/packages/members/src/test/membership.test.ts
@@ -192,7 +192,7 @@
 
   it('joins through a seed while the platform is down', async () => {
     // A host is replaced during an hour-long platform outage: the new process
-    // cannot read the member list and would otherwise serve nobody.
+    // cannot read the member list and would otherwise serve no caller.
     const {cluster, ids} = await settledCluster(7);
     cluster.platform.faults.setDown(true);
     cluster.start('m7', ['m0']);
--- a/packages/moves/src/contracts.ts
+++ b/packages/moves/src/contracts.ts
@@ -61,7 +61,7 @@
 export interface MoveController {
   /** Adds evidence that this entry or a peer collected. */
   addEvidence(move: string, sums: readonly EvidenceSum[]): void;
-  /** Records a cut; the next advance rolls the move back for good. */
+  /** Records a cut; the next advance rolls the move back permanently. */
   reportCut(move: string, why: string): void;
   /** Evaluates the evidence; returns the new state or an unchanged `state`. */
   advance(move: Move, state: MoveState | undefined, wallMs: number): MoveState;
--- a/packages/protocol/src/messages/recordMessages.ts
+++ b/packages/protocol/src/messages/recordMessages.ts
@@ -42,7 +42,7 @@
     /** Restricts the request to these buckets; absent for all. */
     readonly buckets?: readonly number[];
   };
-  /** Asks whether records are in force. Response: `RecordsInForceResponse`. */
+  /** Whether records are in force. Response: `RecordsInForceResponse`. */
   recordsInForce: {
     readonly records: readonly RecordVersion[];
     /** `domain`: all live members of the receiver's failure domain. */
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -15,7 +15,7 @@
   readonly type: 'model' | 'plain';
 }
 
-/** What routing needs to know about a request. */
+/** Properties of a request that affect its routing. */
 export interface RoutingRequest {
   readonly service: string;
   readonly version: string;
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -94,7 +94,7 @@
 /** Crashes from which suspicions and complete responses are shared. */
 const NOTABLE_CRASHES = 2;
 
-/** Largest number of crashes stored by an entry, and learned by gossip. */
+/** Maximum number of crashes stored by an entry, and received by gossip. */
 const MAX_STORED_CRASHES = 100;
 const MAX_GOSSIPED_CRASHES = 1_000;
 
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -142,7 +142,7 @@
   });
 
   // An entry that starts later must not learn a limit that was removed.
-  it('are no longer gossiped by entries that learned of their removal', () => {
+  it('are no longer gossiped by entries that received their removal', () => {
     const {clock, entries} = createFleet(3);
     const [first, second, late] = entries as [
       RateLimits,
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -182,7 +182,7 @@
   // Guards against entries that each grant the whole quota.
   it('grants the quota in every window when all entries are saturated', () => {
     for (const count of [1, 7, 60]) {
-      // All together ask for two and a half times the quota.
+      // All together request two and a half times the quota.
       const amount = (2.5 * PER_SECOND * STEP_MS) / 1_000 / count;
       const {granted, peak} = runConnected(count, {seconds: 40, amount});
       const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
--- a/packages/traffic/src/usageWindows.ts
+++ b/packages/traffic/src/usageWindows.ts
@@ -21,7 +21,7 @@
   domainCounts(): WindowCounts;
   /**
    * Merges counts of another process, identified with its incarnation, or of a
-   * group of processes. `isSameDomain` sets whether `domainCounts` includes them.
+   * group of processes. `isSameDomain` sets whether `domainCounts` covers them.
    */
   mergeCounts(
     source: string,
