--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -14,7 +14,7 @@
 const MIN_CONFIDENT_PROMPTS = 60;
 const MAX_CONFIDENT_ERROR = 0.3;
 
-/** Prior time of a prompt as a fraction of the latency target, assumed feasible. */
+/** Prior time of a prompt as a fraction of the target, assumed feasible. */
 const PRIOR_GOAL_FRACTION = 0.1;
 
 /**
--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -154,7 +154,7 @@
 }
 
 /**
- * The request limits of the service's remaining endpoints are exhausted.
+ * The rate limits of the service's remaining endpoints are exhausted.
  *
  * @example
  * throw rateLimited('chat', 350);
@@ -162,7 +162,7 @@
 export function rateLimited(service: string, waitMs: number): ServingError {
   return new ServingError(
     'overloaded',
-    `the endpoints of ${service} are at their request limits for ${Math.round(waitMs)} ms`,
+    `the endpoints of ${service} are at their rate limits for ${Math.round(waitMs)} ms`,
     {run: 'not-run', retryAfterMs: Math.max(MIN_RETRY_MS, waitMs)},
   );
 }
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -152,8 +152,8 @@
 export interface ObjectSource<T> {
   list(signal: AbortSignal, freshness: Freshness): Promise<SourceListing<T>>;
   /**
-   * Returns the changes after a revision, long-polling up to `retryAfterMs` for the
-   * first. Undefined if the store has compacted them.
+   * Returns the changes after a revision, long-polling up to `retryAfterMs` for
+   * the first. Undefined if the store has compacted them.
    */
   changes(
     after: number,
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -32,7 +32,7 @@
 
 /**
  * Delay before a failed read is retried, in milliseconds, and the maximum
- * reads: peers soon have better data.
+ * number of reads: peers soon have better data.
  */
 const READ_RETRY_MS = 1_500;
 const MAX_READS = 4;
--- a/packages/gateway/src/engineEstimates.ts
+++ b/packages/gateway/src/engineEstimates.ts
@@ -65,11 +65,11 @@
 }
 
 /**
- * Creates the view; `aims` are the targets of the routes to a service.
+ * Creates the estimates; `aims` are the latency targets of a service.
  *
  * @example
- * const engines = createEngineEstimates({clock, reports, log, restored:
- *   store.restored, isModel, aims});
+ * const engineEstimates = createEngineEstimates({clock, reports, log,
+ *   restored: store.restored, isModel, aims});
  */
 export function createEngineEstimates(options: {
   readonly clock: Clock;
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -67,7 +67,7 @@
  * Creates the observer of one entry.
  *
  * @example
- * const observer = engines.observe(call, choice, true);
+ * const observer = engineObserver.observe(call, choice, true);
  */
 export function createEngineObserver(options: {
   readonly model: EngineModel;
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -233,9 +233,9 @@
   }
 
   /**
-   * Orders one more endpoint in scarce failure domains now and then. If they
-   * were planned with again after some time alone, on-demand endpoints would be
-   * removed for reclaimable ones that are not available.
+   * Periodically orders one more endpoint in scarce failure domains. If the
+   * plan used them again after a fixed time, it would remove on-demand endpoints
+   * for reclaimable ones that are not available.
    */
   async function probeScarceDomains(
     service: string,
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -318,8 +318,8 @@
 
   /**
    * Rejects a request that has not run yet and cannot be answered before its
-   * deadline even at the best endpoint: the caller learns early when to retry,
-   * and no capacity is wasted on it.
+   * deadline even at the best endpoint: the caller gets Retry-After early, and
+   * no capacity is wasted on it.
    */
   function rejectIfTooLate(
     call: ForwardedCall,
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -33,7 +33,7 @@
   readonly entries: number;
   readonly used: Amounts;
   readonly loads: Readonly<Record<string, EndpointLoad>>;
-  /** Request limits announced by endpoints. */
+  /** Rate limits announced by endpoints. */
   readonly limits: RateLimitReports;
   /** Crashes of endpoints to propagate now; undefined if there are none. */
   readonly crashes?: CrashReport | undefined;
@@ -99,8 +99,8 @@
  * Creates the reports of one entry.
  *
  * @example
- * const taken = reports.accept('a2', digest);
- * if (taken !== undefined) { quotas.addPeerUsage(taken.increase); }
+ * const accepted = reports.accept('a2', digest);
+ * if (accepted) { quotas.addPeerUsage(accepted.increase); }
  */
 export function createPeerReports(options: {
   readonly clock: Clock;
--- a/packages/gateway/src/test/engineCapacityStore.test.ts
+++ b/packages/gateway/src/test/engineCapacityStore.test.ts
@@ -40,8 +40,8 @@
 
 describe('engine capacity store', () => {
   it('restores the capacity after all entries lost power', async () => {
-    // After a power loss the callers of a system return at once. With guessed
-    // capacity it would remove endpoints that it needs immediately.
+    // After a power loss the callers of a system return at once. With prior
+    // estimates it would remove endpoints that it needs immediately.
     const store = createStore();
     const clock = virtualClock();
     const log = silentLogger();
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -37,7 +37,7 @@
   apply(update: MemberUpdate): boolean;
   /** Sends an event to a member's machine; returns whether it changed state. */
   send(known: KnownMember, event: MemberEvent): boolean;
-  forget(id: string): void;
+  remove(id: string): void;
   /** Hash of each bucket over members not gone, including the local one. */
   bucketHashesWith(localUpdate: MemberUpdate): readonly number[];
   /** Hash over all buckets, including the local member. */
@@ -170,7 +170,7 @@
       return true;
     },
     send,
-    forget(id) {
+    remove(id) {
       const known = members.get(id);
       if (known === undefined) {
         return;
--- a/packages/members/src/tombstones.ts
+++ b/packages/members/src/tombstones.ts
@@ -23,7 +23,7 @@
   gone.forEach((known, index) => {
     const isExpired = now - known.changedAt > ttlMs;
     if (isExpired || index < surplus) {
-      table.forget(known.update.id);
+      table.remove(known.update.id);
     }
   });
 }
--- a/packages/moves/src/moveFollower.ts
+++ b/packages/moves/src/moveFollower.ts
@@ -92,7 +92,7 @@
     controller.reportCut(name, why);
   }
 
-  /** Drops cuts that are stored or whose move has changed or gone. */
+  /** Drops cuts that are stored or whose move has changed or was removed. */
   function dropObsoleteCuts() {
     for (const [name, {to}] of pendingCuts) {
       const move = findMove(name);
--- a/packages/orders/src/contracts.ts
+++ b/packages/orders/src/contracts.ts
@@ -32,7 +32,7 @@
   readonly reply: OrderReply;
   /** True when the reply comes from an earlier execution under the same key. */
   readonly isReplay: boolean;
-  /** True when the caller sent no key, so that a retry cannot be recognised. */
+  /** True when the caller sent no key, so that a retry cannot be recognized. */
   readonly isUnkeyed: boolean;
 }
 
--- a/packages/orders/src/ledgerSettings.ts
+++ b/packages/orders/src/ledgerSettings.ts
@@ -30,7 +30,7 @@
   readonly minWriteIntervalMs: number;
   /** Upper bound of the time that an outcome waits for a write. */
   readonly outcomeDelayMs: number;
-  /** How long a key is remembered after its order has ended. */
+  /** How long a key is retained after its order has ended. */
   readonly dedupeWindowMs: number;
   /** How long a deposed owner leaves a shard to the new one. */
   readonly holdOffMs: number;
--- a/packages/orders/src/shardSegments.ts
+++ b/packages/orders/src/shardSegments.ts
@@ -1,6 +1,6 @@
 /**
  * Segments of a shard: objects that are written once, so that the shard object
- * stays small however many ended orders are remembered.
+ * stays small however many ended orders are retained.
  */
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {LedgerEntry} from './shardRecord.js';
@@ -32,7 +32,7 @@
  *
  * A segment's name contains the epoch of its writer and is never reused. With
  * reused names, a deposed owner could overwrite a segment that its successor
- * already refers to, and those keys would be forgotten.
+ * already refers to, and those keys would be lost.
  *
  * @example
  * await segments.seal(table, epoch, 32_768);
--- a/packages/orders/src/test/ledgerSize.test.ts
+++ b/packages/orders/src/test/ledgerSize.test.ts
@@ -46,7 +46,7 @@
   });
 
   // The wall clock of an entry jumps ahead by hours. If the dedupe window were
-  // measured by it, all keys would be forgotten at once and a retry would run
+  // measured by it, all keys would be dropped at once and a retry would run
   // its order again.
   it('keeps keys when the wall clock jumps ahead', async () => {
     start();
@@ -71,7 +71,7 @@
     assert.ok(objectSizes(SEGMENT_KIND).length < before);
   });
 
-  // The ledger is full. Forgetting a key early would break deduplication of
+  // The ledger is full. Dropping a key early would break deduplication of
   // retries, so new orders are rejected with a retry delay.
   it('rejects new orders with a retry delay when it is full', async () => {
     start({maxShardBytes: 2_000});
--- a/packages/protocol/src/messages/gatewayMessages.ts
+++ b/packages/protocol/src/messages/gatewayMessages.ts
@@ -99,7 +99,7 @@
     readonly to: number;
     readonly changes: readonly MirrorChange[];
   };
-  /** Requests the receiver's whole copy of a kind. Response: `MirrorSnapshot`. */
+  /** Requests the receiver's copy of a kind. Response: `MirrorSnapshot`. */
   mirrorWanted: {readonly kind: MirrorKind};
 }
 
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -40,7 +40,8 @@
   leaving: {readonly news: MemberUpdate};
   /**
    * Probes a member for its current state; carries the state that the sender
-   * has recorded for it, so that it can refute it. Response: `MemberProbeResponse`.
+   * has recorded for it, so that it can refute it. Response:
+   * `MemberProbeResponse`.
    */
   memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
   /** Requests when a member was last active. Response: `LastHeardResponse`. */
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -141,7 +141,7 @@
     assert.deepEqual(merged[ENDPOINT], {perSecond: 5, agoMs: 150});
   });
 
-  // An entry that starts later must not learn a limit that was removed.
+  // An entry that starts later must not receive a limit that was removed.
   it('are no longer gossiped by entries that received their removal', () => {
     const {clock, entries} = createFleet(3);
     const [first, second, late] = entries as [
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -1,4 +1,4 @@
-/** HTTP server for an engine model, with control routes for fault injection. */
+/** HTTP server of a simulated engine, with control routes to inject faults. */
 import {
   createServer,
   type IncomingMessage,
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -1,4 +1,4 @@
-/** In-process `Engine` on top of an engine model, for benchmarks and tests. */
+/** In-process `Engine` over a simulated engine, for benchmarks and tests. */
 import {ServingError, sleep, type Clock} from '@skylarkfield/base';
 import {
   createEventQueue,
@@ -15,12 +15,12 @@
 export interface LocalEngineOptions {
   readonly clock: Clock;
   readonly model: SimulatedEngine;
-  /** Returns the model behind a URL, to fetch exported KV caches from it. */
+  /** Returns the simulation at a URL, to fetch exported KV caches from it. */
   resolve(url: string): SimulatedEngine | undefined;
 }
 
 /**
- * Creates an engine that calls the model directly.
+ * Creates an engine that calls the simulation directly.
  *
  * @example
  * const resolve = (url: string) => models.get(url);
--- a/packages/standins/src/test/engineModel.test.ts
+++ b/packages/standins/src/test/engineModel.test.ts
@@ -35,7 +35,7 @@
   return {clock, model, events, errors, sink, text};
 }
 
-describe('engine model', () => {
+describe('simulated engine', () => {
   it('continues a resumed answer identically', async () => {
     const {clock, model, events, sink, text} = setUp();
     const expected = generateAnswerTokens(words(40), 7, 20);
--- a/packages/streams/src/attemptMeter.ts
+++ b/packages/streams/src/attemptMeter.ts
@@ -33,7 +33,7 @@
  *
  * @example
  * const meter = createAttemptMeter({clock, costs, progress, resumedTokens: 0});
- * meter.recordStart({tokenizePrompt: 800, cachedTokens: 640});
+ * meter.recordStart({promptTokens: 800, cachedTokens: 640});
  */
 export function createAttemptMeter(options: AttemptMeterOptions): AttemptMeter {
   const {clock, costs, progress, resumedTokens} = options;
--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -37,7 +37,7 @@
  * Returns the timestamp `spanMs` milliseconds earlier.
  *
  * @example
- * confirmation.confirm(before(receivedAt, ageAtPeerMs));
+ * confirmation.confirm(earlierTimestamp(receivedAt, ageAtPeerMs));
  */
 export function earlierTimestamp(
   timestamp: Timestamp,
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -24,7 +24,7 @@
   quota: {unit: 'tokens', perSecond: PER_SECOND, burst: BURST, plainTokens: 1},
 };
 
-/** Takes an amount from every entry at each step; returns the total granted. */
+/** Consumes an amount at every entry and step; returns the total granted. */
 function takeRepeatedly(
   clock: ReturnType<typeof virtualClock>,
   entries: readonly Quotas[],
@@ -201,7 +201,7 @@
     const {granted} = runConnected(7, {seconds, amount: 30});
     const allowed = PER_SECOND * SUSTAINED_FACTOR * seconds + BURST;
     assert.ok(granted > 0.8 * allowed, `${granted} of ${allowed}`);
-    // Seven entries that take 30 every 10 ms use 6,300 between two exchanges.
+    // Seven entries that use 30 every 10 ms use 6,300 between two exchanges.
     assert.ok(granted < allowed + 6_300, `${granted} of ${allowed}`);
   });
 
