--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -15,7 +15,7 @@
 const MAX_CONFIDENT_ERROR = 0.3;
 
 /** Prior time of a prompt as a fraction of the target, assumed feasible. */
-const PRIOR_GOAL_FRACTION = 0.1;
+const PRIOR_TARGET_FRACTION = 0.1;
 
 /**
  * Lower bound of a prompt's time as a fraction of the prior. Where queueing
@@ -29,7 +29,7 @@
 /** Mean uncached tokens of a prompt until one was sampled. */
 const PRIOR_PROMPT_TOKENS = 1_000;
 /** Latency target of a service whose routes set none, in milliseconds. */
-const DEFAULT_GOAL_MS = 1_000;
+const DEFAULT_TARGET_MS = 1_000;
 
 /** Prior step time per thousand context tokens, in times of a prompt token. */
 const PRIOR_CONTEXT_FRACTION = 0.5;
@@ -65,9 +65,9 @@
     .map(({goalMs}) => goalMs)
     .filter(targetMs => targetMs > 0);
   const goalMs =
-    targetsMs.length > 0 ? Math.min(...targetsMs) : DEFAULT_GOAL_MS;
+    targetsMs.length > 0 ? Math.min(...targetsMs) : DEFAULT_TARGET_MS;
   const priorTokenMs =
-    (goalMs * PRIOR_GOAL_FRACTION) / Math.max(1, meanOwnTokens);
+    (goalMs * PRIOR_TARGET_FRACTION) / Math.max(1, meanOwnTokens);
   const pairsPerToken = meanPairs / Math.max(1, meanOwnTokens);
   const promptFit = fitSlopes(
     prompts,
--- a/packages/capacity/src/outcomeMeter.ts
+++ b/packages/capacity/src/outcomeMeter.ts
@@ -17,7 +17,7 @@
   counts(): Readonly<Record<string, OutcomeCounts>>;
 }
 
-/** Half-life in milliseconds, about the time that an endpoint takes to start. */
+/** Half-life in milliseconds, about the time an endpoint takes to start. */
 const HALF_LIFE_MS = 2_000;
 
 /**
--- a/packages/capacity/src/test/engineModel.test.ts
+++ b/packages/capacity/src/test/engineModel.test.ts
@@ -132,10 +132,10 @@
       // endpoints.
       const model = createEngineModel(virtualClock());
       addSamples(model, profile, 600, seededRandom(1_000));
-      const figures = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
-      assertWithin(figures.usualPromptMs, meanPromptMs(profile), 0.2);
-      assertWithin(figures.contextStepMs, profile.contextStepMs, 0.2);
-      assert.ok(figures.isSure);
+      const estimate = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
+      assertWithin(estimate.usualPromptMs, meanPromptMs(profile), 0.2);
+      assertWithin(estimate.contextStepMs, profile.contextStepMs, 0.2);
+      assert.ok(estimate.isSure);
     });
   }
 
@@ -143,14 +143,14 @@
     // Nine entries have a few requests each, too few for a confident estimate.
     const [, profile] = PROFILES;
     const random = seededRandom(5);
-    const sums = Array.from({length: 9}, () => {
+    const entryStats = Array.from({length: 9}, () => {
       const model = createEngineModel(virtualClock());
       addSamples(model, profile!, 30, random);
       return model.stats();
     });
-    const alone = estimateEngine(sums[0]!['chat'], LATENCY_TARGETS);
+    const alone = estimateEngine(entryStats[0]!['chat'], LATENCY_TARGETS);
     const together = estimateEngine(
-      addCapacityStats(sums)['chat'],
+      addCapacityStats(entryStats)['chat'],
       LATENCY_TARGETS,
     );
     assert.equal(alone.isSure, false);
@@ -166,8 +166,8 @@
     addSamples(model, PROFILES[0]!, 300, seededRandom(1));
     clock.advanceSync(60_000);
     addSamples(model, PROFILES[1]!, 300, seededRandom(2));
-    const figures = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
-    assertWithin(figures.usualPromptMs, meanPromptMs(PROFILES[1]!), 0.3);
+    const estimate = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
+    assertWithin(estimate.usualPromptMs, meanPromptMs(PROFILES[1]!), 0.3);
   });
 
   it('is robust against hung requests', () => {
@@ -188,8 +188,8 @@
         tookMs: 5_000,
       });
     }
-    const figures = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
-    assertWithin(figures.usualPromptMs, meanPromptMs(profile!), 0.3);
+    const estimate = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
+    assertWithin(estimate.usualPromptMs, meanPromptMs(profile!), 0.3);
   });
 
   it('never estimates zero time for a prompt', () => {
@@ -210,9 +210,9 @@
         tookMs: 6_000 - ownTokens / 2 + 2_000 * random.next(),
       });
     }
-    const figures = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
-    assert.ok(figures.usualTokenMs > 0);
-    assert.equal(figures.isSure, false);
+    const estimate = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
+    assert.ok(estimate.usualTokenMs > 0);
+    assert.equal(estimate.isSure, false);
   });
 
   it('decays the token rate of a removed route', () => {
@@ -235,10 +235,10 @@
   });
 
   it('assumes feasible targets without samples', () => {
-    const figures = estimateEngine(undefined, LATENCY_TARGETS);
-    assert.equal(figures.isSure, false);
-    assert.ok(figures.usualPromptMs > 0);
-    assert.ok(figures.usualPromptMs < 600);
+    const estimate = estimateEngine(undefined, LATENCY_TARGETS);
+    assert.equal(estimate.isSure, false);
+    assert.ok(estimate.usualPromptMs > 0);
+    assert.ok(estimate.usualPromptMs < 600);
   });
 });
 
--- a/packages/fleet/src/test/hostPlan.test.ts
+++ b/packages/fleet/src/test/hostPlan.test.ts
@@ -104,8 +104,8 @@
     assert.ok(plan.wanted.every(hosts => hosts.market === 'on-demand'));
   });
 
-  // A correlated reclaim takes the reclaimable hosts of two failure domains; the
-  // others have to keep the service available until replacements have started.
+  // A correlated reclaim takes the reclaimable hosts of two failure domains;
+  // the others have to keep the service available until replacements start.
   it('leaves the minimum of replicas after a reclaim in two failure domains', () => {
     const plan = planHosts({...demand, minReplicas: 6}, prices, []);
     const reclaimable = DOMAINS.map(domain =>
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -94,7 +94,7 @@
     const stamp = clock.now();
     const wallMs = clock.wall();
     wallAtStamp.set(stamp, wallMs);
-    forgetOldStamps(stamp);
+    dropOldStamps(stamp);
     const {targets, activeRelay, ownRelays} = options.plan();
     const content = options.content();
     const contentByScope = new Map<DigestScope, DigestContent>();
@@ -136,7 +136,7 @@
     return last !== undefined && clock.now() - last.at < PEER_TIMEOUT_MS;
   }
 
-  function forgetOldStamps(now: number): void {
+  function dropOldStamps(now: number): void {
     for (const stamp of wallAtStamp.keys()) {
       if (now - stamp < PEER_TIMEOUT_MS * 4) {
         return;
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -71,7 +71,7 @@
   /** Returns the restored measurements, decayed by age; initially empty. */
   restored(): CapacityStats;
   /** Writes the measurements periodically until disposed. */
-  startPersisting(sums: () => CapacityStats): Disposable;
+  startPersisting(stats: () => CapacityStats): Disposable;
 }
 
 /**
@@ -86,7 +86,7 @@
   readonly log: Logger;
 }): EngineCapacityStore {
   const {store, clock, log} = options;
-  let stored: {at: number; sums: CapacityStats} | undefined;
+  let stored: {at: number; stats: CapacityStats} | undefined;
   let readings = 0;
   let isDisposed = false;
 
@@ -102,12 +102,12 @@
       if (object === undefined) {
         return;
       }
-      const sums = scaleCapacityStats(
+      const stats = scaleCapacityStats(
         capacitySchema.parse(object.value),
         RESTORED_WEIGHT,
       );
-      stored = {at: clock.now(), sums};
-      log.info({services: Object.keys(sums)}, 'engine capacity restored');
+      stored = {at: clock.now(), stats};
+      log.info({services: Object.keys(stats)}, 'engine capacity restored');
     } catch (error) {
       const {kind, message} = toServingError(error);
       log.warn({kind, message, readings}, 'restoring engine capacity failed');
@@ -125,15 +125,15 @@
     }
   }
 
-  async function write(sums: CapacityStats): Promise<void> {
-    if (Object.keys(sums).length === 0) {
+  async function write(stats: CapacityStats): Promise<void> {
+    if (Object.keys(stats).length === 0) {
       return;
     }
     try {
       await store.put(
         OBJECT_KIND,
         OBJECT_NAME,
-        sums,
+        stats,
         {type: 'any'},
         AbortSignal.timeout(CALL_TIMEOUT_MS),
       );
@@ -151,12 +151,12 @@
       }
       const ageMs = clock.now() - stored.at;
       return scaleCapacityStats(
-        stored.sums,
+        stored.stats,
         2 ** (-ageMs / SAMPLE_HALF_LIFE_MS),
       );
     },
-    startPersisting: sums =>
-      every(clock, WRITE_INTERVAL_MS, () => void write(sums())),
+    startPersisting: stats =>
+      every(clock, WRITE_INTERVAL_MS, () => void write(stats())),
     dispose() {
       isDisposed = true;
     },
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -234,8 +234,8 @@
 
   /**
    * Periodically orders one more endpoint in scarce failure domains. If the
-   * plan used them again after a fixed time, it would remove on-demand endpoints
-   * for reclaimable ones that are not available.
+   * plan used them again after a fixed time, it would remove on-demand
+   * endpoints for reclaimable ones that are not available.
    */
   async function probeScarceDomains(
     service: string,
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -130,7 +130,7 @@
   const {clock, log, decisions} = context;
   const {directory, store, dutyElections} = options;
   const owned = disposableStore();
-  const judge = createMoveController({clock, decisions});
+  const controller = createMoveController({clock, decisions});
   const inFlightUpdates = new Set<string>();
 
   function availableGroups(service: string): VersionGroup[] {
@@ -185,7 +185,7 @@
       network: evidenceNetwork(options),
       configuration: moves.records,
       split,
-      controller: judge,
+      controller,
     }),
   );
   owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
@@ -196,7 +196,7 @@
         log,
         objects: store,
         configuration: moves.records,
-        controller: judge,
+        controller,
         tenure: term,
         hasEndpoints: (service, group) =>
           availableGroups(service).some(name => name === group),
--- a/packages/gateway/src/test/engineCapacityStore.test.ts
+++ b/packages/gateway/src/test/engineCapacityStore.test.ts
@@ -9,7 +9,7 @@
 import {createMemoryPlatform, type ObjectStore} from '@skylarkfield/providers';
 import {createEngineCapacityStore} from '../engineCapacityStore.js';
 
-const AIMS = [{goalMs: 800, timeoutMs: 10_000}];
+const LATENCY_TARGETS = [{goalMs: 800, timeoutMs: 10_000}];
 const TOKEN_MS = 0.04;
 
 function createStore(): ObjectStore {
@@ -54,9 +54,9 @@
 
     const after = createEngineCapacityStore({store, clock, log});
     await settle();
-    const figures = estimateEngine(after.restored()['chat'], AIMS);
-    assert.ok(Math.abs(figures.usualTokenMs - TOKEN_MS) < TOKEN_MS * 0.2);
-    assert.ok(figures.isSure);
+    const estimate = estimateEngine(after.restored()['chat'], LATENCY_TARGETS);
+    assert.ok(Math.abs(estimate.usualTokenMs - TOKEN_MS) < TOKEN_MS * 0.2);
+    assert.ok(estimate.isSure);
   });
 
   it('decays restored measurements', async () => {
@@ -71,8 +71,8 @@
     const memory = createEngineCapacityStore({store, clock, log});
     await settle();
     clock.advanceSync(120_000);
-    const figures = estimateEngine(memory.restored()['chat'], AIMS);
-    assert.ok(figures.prompts < 10, `${figures.prompts}`);
+    const estimate = estimateEngine(memory.restored()['chat'], LATENCY_TARGETS);
+    assert.ok(estimate.prompts < 10, `${estimate.prompts}`);
   });
 
   it('starts empty if the object is invalid', async () => {
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -10,7 +10,7 @@
 import {waitTooLong} from '../attemptOutcome.js';
 import {createEngineObserver} from '../engineObserver.js';
 
-const reliableFigures: EngineEstimate = {
+const reliableEstimate: EngineEstimate = {
   ...estimateEngine(undefined, []),
   usualTokenMs: 0.03,
   isSure: true,
@@ -24,7 +24,7 @@
 };
 
 function waitOf(options: {
-  readonly figures?: EngineEstimate;
+  readonly estimate?: EngineEstimate;
   readonly isModel?: boolean;
   readonly tokensAhead: number;
   readonly leftMs: number;
@@ -33,7 +33,7 @@
   const observer = createEngineObserver({
     model: createEngineModel(clock),
     clock,
-    figures: () => options.figures ?? reliableFigures,
+    figures: () => options.estimate ?? reliableEstimate,
     fits: () => true,
     tokensPerEvent: () => 4,
     onDidReread() {},
@@ -71,8 +71,8 @@
   it('rejects no request before the estimate is reliable', () => {
     // A system that has just started only has priors for its engines, which
     // must not reject callers while endpoints are idle.
-    const figures = {...reliableFigures, isSure: false};
-    const wait = waitOf({figures, tokensAhead: 1_000_000, leftMs: 100});
+    const estimate = {...reliableEstimate, isSure: false};
+    const wait = waitOf({estimate, tokensAhead: 1_000_000, leftMs: 100});
     assert.equal(wait.isTooLong, false);
   });
 
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -79,8 +79,8 @@
         const isReached =
           !isPartitioned || sender.index % 2 === receiver.index % 2;
         if (receiver !== sender && isReached) {
-          const taken = receiver.reports.accept(sender.id, digest);
-          receiver.quotas.addPeerUsage(taken?.increase ?? {});
+          const accepted = receiver.reports.accept(sender.id, digest);
+          receiver.quotas.addPeerUsage(accepted?.increase ?? {});
         }
       }
     }
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -126,12 +126,12 @@
     for (const {request} of digest.crashes?.crashes ?? []) {
       receiver.receivedCrashes.add(request);
     }
-    const taken = receiver.reports.accept(from.node.id, digest);
-    if (taken !== undefined) {
-      const used = receiver.usedByOthers.get(taken.origin) ?? 0;
+    const accepted = receiver.reports.accept(from.node.id, digest);
+    if (accepted !== undefined) {
+      const used = receiver.usedByOthers.get(accepted.origin) ?? 0;
       receiver.usedByOthers.set(
-        taken.origin,
-        used + (taken.increase['chain'] ?? 0),
+        accepted.origin,
+        used + (accepted.increase['chain'] ?? 0),
       );
     }
   }
@@ -274,8 +274,8 @@
         ...fleet.digestFrom('entry-1', 'entry-0'),
         used: {chain: used},
       };
-      const taken = reports.accept('entry-1', digest)!;
-      quotas.addPeerUsage(taken.increase);
+      const accepted = reports.accept('entry-1', digest)!;
+      quotas.addPeerUsage(accepted.increase);
     }
     assert.ok(!quotas.tryConsume(customer, 1));
   });
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -78,8 +78,8 @@
  * Creates a tracker that follows all three sources until disposed.
  *
  * @example
- * const leaving = createLeavingEndpointTracker({cloud, hostList, network, ...rest});
- * leaving.onDidLeave(({endpoint}) => router.remove(endpoint));
+ * const tracker = createLeavingEndpointTracker({cloud, hostList, network, ...rest});
+ * tracker.onDidLeave(({endpoint}) => router.remove(endpoint));
  */
 export function createLeavingEndpointTracker(options: {
   readonly cloud: Pick<Cloud, 'watchNotices'>;
@@ -289,7 +289,7 @@
   function expireHosts() {
     const now = clock.now();
     for (const known of [...hosts.values()]) {
-      if (now < known.forgetAt) {
+      if (now < known.dropAt) {
         continue;
       }
       hosts.delete(known.host);
--- a/packages/members/src/readers.ts
+++ b/packages/members/src/readers.ts
@@ -14,7 +14,7 @@
  * order. In small installations all members are readers.
  *
  * @example
- * leaving.setReader(isReader(membership.live(), membership.self, 'notices'));
+ * tracker.setReader(isReader(membership.live(), membership.self, 'notices'));
  */
 export function isReader(
   live: readonly Member[],
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -48,7 +48,7 @@
     const seen: string[] = [];
     let onNotice: (notice: ReclaimNotice) => void = () => {};
     let onList: (endpoints: readonly ListedEndpoint[]) => void = () => {};
-    const leaving = createLeavingEndpointTracker({
+    const tracker = createLeavingEndpointTracker({
       cloud: {
         watchNotices(listener) {
           onNotice = listener;
@@ -65,12 +65,12 @@
       clock,
       decisions: decisionLog(clock, silentLogger()),
     });
-    leaving.onDidLeave(({endpoint, source}) =>
+    tracker.onDidLeave(({endpoint, source}) =>
       seen.push(`${endpoint} by ${source}`),
     );
-    leaving.onDidReturn(endpoint => seen.push(`${endpoint} returns`));
+    tracker.onDidReturn(endpoint => seen.push(`${endpoint} returns`));
     return {
-      leaving,
+      tracker,
       seen,
       notice: (host: string, goneAt = clock.wall() + 30_000) =>
         onNotice({host, goneAt}),
@@ -148,8 +148,8 @@
     c.notice('h1');
     await clock.advance(10);
     assert.deepEqual(b.seen, ['e1 by peer']);
-    assert.equal(c.leaving.isLeaving('e1'), true);
-    assert.equal(c.leaving.isLeaving('e2'), false);
+    assert.equal(c.tracker.isLeaving('e1'), true);
+    assert.equal(c.tracker.isLeaving('e2'), false);
   });
 
   it('marks an endpoint that is listed only after the notice', async () => {
@@ -157,7 +157,7 @@
     const {clock, a, c} = createChain();
     a.notice('h1');
     await clock.advance(10);
-    assert.equal(c.leaving.isLeaving('e1', 'h1'), true);
+    assert.equal(c.tracker.isLeaving('e1', 'h1'), true);
     c.list(listedEndpoint('e1', 'h1'));
     assert.deepEqual(c.seen, ['e1 by list']);
   });
@@ -167,7 +167,7 @@
     // leave as live, even when another outdated list arrives.
     const {clock, a} = createChain();
     const states: string[] = [];
-    a.leaving.hostList.watch(list => {
+    a.tracker.hostList.watch(list => {
       states.push(list.map(({id, state}) => `${id} ${state}`).join());
     });
     a.list(listedEndpoint('e1', 'h1'), listedEndpoint('e2', 'h2'));
@@ -186,12 +186,12 @@
     a.notice('h1');
     await clock.advance(10 * MINUTE_MS);
     a.list(listedEndpoint('e1', 'h1'));
-    assert.equal(a.leaving.isLeaving('e1'), true);
+    assert.equal(a.tracker.isLeaving('e1'), true);
     a.list(listedEndpoint('e1', 'h9'));
-    assert.equal(a.leaving.isLeaving('e1'), false);
-    assert.equal(a.leaving.isLeaving('e1', 'h1'), true);
+    assert.equal(a.tracker.isLeaving('e1'), false);
+    assert.equal(a.tracker.isLeaving('e1', 'h1'), true);
     a.list(listedEndpoint('e1', 'h1'));
-    assert.equal(a.leaving.isLeaving('e1'), true);
+    assert.equal(a.tracker.isLeaving('e1'), true);
     assert.deepEqual(a.seen, ['e1 by notice', 'e1 returns']);
   });
 
@@ -211,13 +211,13 @@
           ...(state === undefined ? [] : [{...item, url: url ?? item.url}]),
         );
       }
-      assert.equal(a.leaving.isLeaving('e1'), !isBack);
+      assert.equal(a.tracker.isLeaving('e1'), !isBack);
       assert.equal(a.seen.includes('e1 returns'), isBack);
       // The same notice, repeated after a partition, must not change that.
       if (noticeMs > 0) {
         a.notice('h1', goneAt);
         await clock.advance(10);
-        assert.equal(a.leaving.isLeaving('e1'), !isBack);
+        assert.equal(a.tracker.isLeaving('e1'), !isBack);
       }
     });
   }
@@ -229,13 +229,13 @@
     await clock.advance(MINUTE_MS);
     a.list();
     a.list(listedEndpoint('e1', 'h1'));
-    assert.equal(a.leaving.isLeaving('e1'), false);
+    assert.equal(a.tracker.isLeaving('e1'), false);
     a.notice('h1');
     await clock.advance(10);
-    assert.equal(a.leaving.isLeaving('e1'), true);
+    assert.equal(a.tracker.isLeaving('e1'), true);
     a.list(listedEndpoint('e1', 'h1'));
-    assert.equal(a.leaving.isLeaving('e1'), true);
-    assert.equal(b.leaving.isLeaving('e1'), true);
+    assert.equal(a.tracker.isLeaving('e1'), true);
+    assert.equal(b.tracker.isLeaving('e1'), true);
   });
 
   it('readmits endpoints when the host was not reclaimed', async () => {
@@ -244,7 +244,7 @@
     a.list(listedEndpoint('e1', 'h1'));
     a.notice('h1');
     await clock.advance(17 * MINUTE_MS);
-    assert.equal(a.leaving.isLeaving('e1'), false);
+    assert.equal(a.tracker.isLeaving('e1'), false);
     assert.deepEqual(a.seen, ['e1 by notice', 'e1 returns']);
   });
 
@@ -253,7 +253,7 @@
     const {clock, net, a, b, c} = createChain();
     net.crash('c');
     a.notice('h1');
-    a.leaving.reportLeaving('h1', ['e1'], 0, 'fault');
+    a.tracker.reportLeaving('h1', ['e1'], 0, 'fault');
     await clock.advance(10);
     assert.deepEqual(c.seen, []);
     assert.deepEqual(b.seen, ['e1 by peer']);
@@ -271,10 +271,10 @@
   it('bounds the number of tracked hosts', async () => {
     const {a} = createChain();
     for (let host = 0; host < 5_000; host++) {
-      a.leaving.reportLeaving(`h${host}`, [`e${host}`], 0, 'fault');
+      a.tracker.reportLeaving(`h${host}`, [`e${host}`], 0, 'fault');
     }
-    const {hosts} = a.leaving.dump() as {hosts: unknown[]};
+    const {hosts} = a.tracker.dump() as {hosts: unknown[]};
     assert.equal(hosts.length, 4_000);
-    assert.equal(a.leaving.isLeaving('e4999', 'h4999'), true);
+    assert.equal(a.tracker.isLeaving('e4999', 'h4999'), true);
   });
 });
--- a/packages/protocol/src/innerListener.ts
+++ b/packages/protocol/src/innerListener.ts
@@ -66,7 +66,7 @@
     response.writeHead(404, {connection: 'close'}).end();
   });
 
-  function refusalStatus(request: http.IncomingMessage): string | undefined {
+  function rejectionStatus(request: http.IncomingMessage): string | undefined {
     const authorization = request.headers.authorization ?? '';
     const isAuthorized =
       authorization.startsWith(BEARER_PREFIX) &&
@@ -85,7 +85,7 @@
 
   server.on('upgrade', (request, stream: Duplex, head) => {
     stream.on('error', () => stream.destroy());
-    const status = refusalStatus(request);
+    const status = rejectionStatus(request);
     if (status !== undefined) {
       options.onReject(status);
       stream.end(`HTTP/1.1 ${status}\r\nConnection: close\r\n\r\n`);
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -46,7 +46,7 @@
   memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
   /** Requests when a member was last active. Response: `LastHeardResponse`. */
   memberWord: {readonly id: string; readonly incarnation: number};
-  /** Requests the members of buckets that differ. Response: `MembersResponse`. */
+  /** Requests the members of differing buckets. Response: `MembersResponse`. */
   membersWanted: {readonly buckets: readonly number[]};
 }
 
--- a/packages/records/src/contracts.ts
+++ b/packages/records/src/contracts.ts
@@ -34,7 +34,7 @@
   readonly version: string;
   /** Longest prefix wins; else only GET, HEAD and OPTIONS are idempotent. */
   readonly routes: readonly Route[];
-  /** Target p95 latency: first token for models, full response for plain ones. */
+  /** Target p95 latency: first token of models, full response of plain ones. */
   readonly targetMs: number;
   /** Default and upper bound of the timeout of a request. */
   readonly timeoutMs: number;
--- a/packages/standins/src/engine/blockCache.ts
+++ b/packages/standins/src/engine/blockCache.ts
@@ -25,7 +25,7 @@
 }
 
 /** Events retained for fetching; dropping older ones leaves a sequence gap. */
-const MAX_KEPT_EVENTS = 2000;
+const MAX_RETAINED_EVENTS = 2000;
 
 /** An event that can be fetched from `fromMs` on. */
 interface PublishedEvent {
@@ -59,7 +59,7 @@
       fromMs: clock.now() + eventDelayMs,
       event: {sequence: lastSequence, type, blocks},
     });
-    if (events.length > MAX_KEPT_EVENTS) {
+    if (events.length > MAX_RETAINED_EVENTS) {
       events.shift();
     }
   }
--- a/packages/standins/src/engine/simulatedEngine.ts
+++ b/packages/standins/src/engine/simulatedEngine.ts
@@ -74,7 +74,7 @@
 }
 
 /** Maximum number of exports held for fetching, and of imports held for use. */
-const MAX_KEPT_EXPORTS = 256;
+const MAX_HELD_EXPORTS = 256;
 
 /**
  * Creates an idle engine.
@@ -97,8 +97,8 @@
   });
   const waiting: Sequence[] = [];
   const batch: Sequence[] = [];
-  const exports = createBoundedMap<ExportedCache>(MAX_KEPT_EXPORTS);
-  const imports = createBoundedMap<number>(MAX_KEPT_EXPORTS);
+  const exports = createBoundedMap<ExportedCache>(MAX_HELD_EXPORTS);
+  const imports = createBoundedMap<number>(MAX_HELD_EXPORTS);
   const streamOutput = createStreamOutput(clock, removeFromBatch);
   const loadReports = createLoadReports({
     clock,
--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -14,7 +14,7 @@
 }
 
 export interface Confirmation {
-  /** Confirms that the replica was up to date; ignored if older than the last. */
+  /** Confirms that the replica was current; ignored if older than the last. */
   confirm(timestamp: Timestamp): void;
   /** Milliseconds since the last confirmation; Infinity before the first. */
   ageMs(): number;
