--- a/packages/capacity/src/outcomeMeter.ts
+++ b/packages/capacity/src/outcomeMeter.ts
@@ -17,14 +17,14 @@
   counts(): Readonly<Record<string, OutcomeCounts>>;
 }
 
-/** Half-life in milliseconds, about the time that an endpoint takes to start. */
+/** Half-life in milliseconds, about the time an endpoint takes to start. */
 const HALF_LIFE_MS = 2_000;
 
 /**
  * Creates a meter without counts.
  *
  * @example
- * outcomes.note('chat', firstMs > route.goalMs);
+ * outcomes.record('chat', firstMs > route.goalMs);
  */
 export function createOutcomeMeter(clock: Clock): OutcomeMeter {
   const services = new Map<string, OutcomeCounts & {readonly at: number}>();
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -148,9 +148,9 @@
     });
   }
 
-  // A failure domain refuses a start. Retrying only there would leave the
+  // A failure domain rejects a start. Retrying only there would leave the
   // service without replicas that other domains could provide.
-  it('uses another failure domain when a start is refused', async () => {
+  it('uses another failure domain when a start is rejected', async () => {
     const fake = createFakeCloud();
     fake.startFaults.push('refuse');
     const {clock} = createDuty(fake);
@@ -206,7 +206,7 @@
     assert.deepEqual(new Set(owners), new Set(['other']));
   });
 
-  it('starts no hosts while its tenure is not valid', async () => {
+  it('starts no hosts while its term is not valid', async () => {
     const fake = createFakeCloud();
     const {clock, state} = createDuty(fake);
     state.isValid = false;
--- a/packages/fleet/src/test/hostPlan.test.ts
+++ b/packages/fleet/src/test/hostPlan.test.ts
@@ -104,8 +104,8 @@
     assert.ok(plan.wanted.every(hosts => hosts.market === 'on-demand'));
   });
 
-  // A correlated reclaim takes the reclaimable hosts of two failure domains; the
-  // others have to keep the service available until replacements have started.
+  // A correlated reclaim takes the reclaimable hosts of two failure domains;
+  // the others have to keep the service available until replacements start.
   it('leaves the minimum of replicas after a reclaim in two failure domains', () => {
     const plan = planHosts({...demand, minReplicas: 6}, prices, []);
     const reclaimable = DOMAINS.map(domain =>
@@ -120,7 +120,7 @@
     assert.ok(total - reclaimable[0]! - reclaimable[1]! >= 6);
   });
 
-  it('avoids pools that refuse starts and reports the shortfall', () => {
+  it('avoids pools that reject starts and reports the shortfall', () => {
     const onlyA: CapacityPool[] = DOMAINS.slice(1).map(failureDomain => ({
       failureDomain,
       machineClass: 'gpu',
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -52,7 +52,7 @@
 interface CallerHandlerOptions {
   readonly policy: ActivePolicy;
   readonly quotas: Quotas;
-  readonly suspects: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>;
+  readonly crashQuarantine: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>;
   readonly visibility: PeerVisibility;
   readonly admission: AdmissionController;
   readonly forwarding: Forwarding;
@@ -176,13 +176,13 @@
   }
 
   function rejectQuarantined(fingerprint: () => string): void {
-    const verdict = verdictFor({fingerprint}, options.suspects);
+    const verdict = verdictFor({fingerprint}, options.crashQuarantine);
     if (verdict.type === 'quarantined') {
       throw quarantined(verdict);
     }
   }
 
-  function takeQuota({customer, head}: AcceptedRequest): () => void {
+  function consumeQuota({customer, head}: AcceptedRequest): () => void {
     const amount = quotaAmount(customer, head);
     if (customer === undefined || amount === 0) {
       return () => {};
@@ -253,7 +253,7 @@
       }),
     );
     rejectQuarantined(fingerprint);
-    const refundQuota = takeQuota(accepted);
+    const refundQuota = consumeQuota(accepted);
     const outcome = watchOutcome(accepted, reply, options);
     let permit: Permit;
     try {
@@ -343,7 +343,7 @@
       } finally {
         options.inFlight.end();
       }
-      requestLog.note({
+      requestLog.record({
         accepted,
         attemptId:
           accepted?.attemptId ?? format.readCall(request.headers).attemptId,
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -31,7 +31,7 @@
 export interface UpstreamFields {
   /** Time left for the response, in milliseconds. */
   readonly timeoutMs: number;
-  /** Id of the process that must respond; any other refuses the request. */
+  /** Id of the process that must respond; any other rejects the request. */
   readonly endpointId: string;
   readonly customer: string | undefined;
   /** 0 (most urgent) to 9; undefined if the service ignores urgency. */
@@ -152,8 +152,8 @@
 export interface ObjectSource<T> {
   list(signal: AbortSignal, freshness: Freshness): Promise<SourceListing<T>>;
   /**
-   * Returns the changes after a revision, long-polling up to `retryAfterMs` for the
-   * first. Undefined if the store has compacted them.
+   * Returns the changes after a revision, long-polling up to `retryAfterMs` for
+   * the first. Undefined if the store has compacted them.
    */
   changes(
     after: number,
@@ -187,13 +187,13 @@
 /** Platform calls that only the holder of the duty makes. */
 export interface PlatformOrders {
   reportUsage(
-    authority: FencingCredentials,
+    credentials: FencingCredentials,
     window: number,
     counts: CustomerCounts,
     signal: AbortSignal,
   ): Promise<EndpointOrderResult>;
   orderEndpoints(
-    authority: FencingCredentials,
+    credentials: FencingCredentials,
     order: EndpointOrder,
     signal: AbortSignal,
   ): Promise<EndpointOrderResult>;
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -67,7 +67,7 @@
  * Creates the observer of one entry.
  *
  * @example
- * const observer = engines.observe(call, choice, true);
+ * const observer = engineObserver.observe(call, choice, true);
  */
 export function createEngineObserver(options: {
   readonly model: EngineModel;
@@ -83,12 +83,12 @@
   const {model, clock} = options;
   return {
     expectedWait({head, service}, {tokensAhead}, leftMs) {
-      const figures = options.figures(service);
-      // Until the figures are reliable, a guess could reject callers wrongly.
-      if (head.demand === undefined || !figures.isSure) {
+      const estimate = options.figures(service);
+      // An unreliable estimate could reject callers wrongly.
+      if (head.demand === undefined || !estimate.isSure) {
         return NO_WAIT;
       }
-      const ms = tokensAhead * figures.usualTokenMs;
+      const ms = tokensAhead * estimate.usualTokenMs;
       const longestMs = leftMs * MAX_WAIT_FRACTION;
       return {ms, longestMs, isTooLong: ms > longestMs};
     },
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -91,21 +91,29 @@
  */
 export function createForwarding(options: {
   readonly router: Router;
-  readonly limits: Pick<RateLimits, 'noteLimit'>;
-  readonly suspects: CrashQuarantine;
+  readonly rateLimits: Pick<RateLimits, 'noteLimit'>;
+  readonly crashQuarantine: CrashQuarantine;
   readonly directory: EndpointDirectory;
   readonly admission: AdmissionController;
   readonly upstreams: Upstreams;
   readonly migrator: StreamMigrator;
-  readonly engines: EngineObserver;
+  readonly engineObserver: EngineObserver;
   readonly format: CallFormat;
   readonly clock: Clock;
   readonly log: Logger;
   /** Called with the wall-clock time at which a request started to run. */
   onDidRun(customer: string | undefined, wallMs: number): void;
 }): Forwarding {
-  const {router, directory, upstreams, migrator, engines, format, clock, log} =
-    options;
+  const {
+    router,
+    directory,
+    upstreams,
+    migrator,
+    engineObserver,
+    format,
+    clock,
+    log,
+  } = options;
   const crashGuard = createCrashGuard(options);
   const rules = createRetryRules({admission: options.admission, clock});
 
@@ -152,7 +160,7 @@
     let beganAt: number | undefined;
     const lastEventId = reply.lastEventId() ?? call.head.lastEventId;
     const isFresh = memory === undefined && lastEventId === undefined;
-    const observer = engines.observe(call, choice, isFresh);
+    const observer = engineObserver.observe(call, choice, isFresh);
     const watchedStream = migrator.watch({
       endpoint: choice.endpoint,
       attemptId: call.attemptId,
@@ -187,8 +195,8 @@
       idleTimeoutMs: rules.idleTimeoutMs(call, progress),
       isStopRequested: watchedStream.isStopRequested,
       onDidRespond({limitPerSecond}) {
-        options.limits.noteLimit(choice.endpoint, limitPerSecond);
-        options.suspects.noteResponse(choice.endpoint, sentAt);
+        options.rateLimits.noteLimit(choice.endpoint, limitPerSecond);
+        options.crashQuarantine.noteResponse(choice.endpoint, sentAt);
       },
       onDidBegin(head) {
         beganAt = clock.now();
@@ -202,7 +210,7 @@
     watchedStream.dispose();
     progress.continuation = await watchedStream.continuation();
     const latencyMs = (beganAt ?? clock.now()) - sentAt;
-    // A migrated stream ended because its endpoint was told to stop it.
+    // A migrated stream ended because its endpoint was ordered to stop it.
     const outcome = progress.continuation ? 'ok' : outcomeOf(end);
     choice.finish({outcome, latencyMs});
     observer.noteEnd();
@@ -310,8 +318,8 @@
 
   /**
    * Rejects a request that has not run yet and cannot be answered before its
-   * deadline even at the best endpoint: the caller learns early when to retry,
-   * and no capacity is wasted on it.
+   * deadline even at the best endpoint: the caller gets Retry-After early, and
+   * no capacity is wasted on it.
    */
   function rejectIfTooLate(
     call: ForwardedCall,
@@ -321,7 +329,7 @@
     if (progress.runs > 0 || memory !== undefined) {
       return undefined;
     }
-    const wait = engines.expectedWait(
+    const wait = engineObserver.expectedWait(
       call,
       choice,
       call.deadlineAt - clock.now(),
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -46,7 +46,7 @@
   readonly directory: EndpointDirectory;
   readonly network: PeerNetwork;
   readonly store: ObjectStore;
-  readonly duties: Pick<DutyElections, 'compete'>;
+  readonly dutyElections: Pick<DutyElections, 'compete'>;
   plan(): RelayPlan;
   /** Ids of all other entries. */
   others(): readonly string[];
@@ -109,8 +109,8 @@
         ...sample,
         version: group,
         isIdempotent: isRepeatable,
-        // Entries do not know a service's total load; failures under load show
-        // on the routes.
+        // An entry lacks a service's total load; failures under load show on
+        // the routes.
         loadFraction: 0,
       }),
     isOpen: moves.isOpen,
@@ -128,9 +128,9 @@
   split: TrafficSplit,
 ): Disposable {
   const {clock, log, decisions} = context;
-  const {directory, store, duties} = options;
+  const {directory, store, dutyElections} = options;
   const owned = disposableStore();
-  const judge = createMoveController({clock, decisions});
+  const controller = createMoveController({clock, decisions});
   const inFlightUpdates = new Set<string>();
 
   function availableGroups(service: string): VersionGroup[] {
@@ -185,19 +185,19 @@
       network: evidenceNetwork(options),
       configuration: moves.records,
       split,
-      controller: judge,
+      controller,
     }),
   );
   owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
   owned.add(
-    duties.compete('moves', tenure =>
+    dutyElections.compete('moves', term =>
       createMoveDuty({
         clock,
         log,
         objects: store,
         configuration: moves.records,
-        controller: judge,
-        tenure,
+        controller,
+        tenure: term,
         hasEndpoints: (service, group) =>
           availableGroups(service).some(name => name === group),
         onDidAdvance,
@@ -209,7 +209,7 @@
 }
 
 /**
- * Sends evidence only to the entries that may judge moves, so that its cost
+ * Sends evidence only to the entries that may evaluate moves, so that its cost
  * does not grow with the square of the entries; cuts go to all.
  */
 function evidenceNetwork(options: RolloutOptions) {
@@ -222,12 +222,12 @@
       network.broadcast(
         type,
         body,
-        type === 'moveEvidence' ? judges(options) : options.others(),
+        type === 'moveEvidence' ? moveEvaluators(options) : options.others(),
       )) as PeerNetwork['broadcast'],
   };
 }
 
-function judges({plan, others}: RolloutOptions): string[] {
+function moveEvaluators({plan, others}: RolloutOptions): string[] {
   const present = new Set(others());
   return plan().coordinators.filter(id => present.has(id));
 }
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -10,7 +10,7 @@
 import {waitTooLong} from '../attemptOutcome.js';
 import {createEngineObserver} from '../engineObserver.js';
 
-const reliableFigures: EngineEstimate = {
+const reliableEstimate: EngineEstimate = {
   ...estimateEngine(undefined, []),
   usualTokenMs: 0.03,
   isSure: true,
@@ -24,7 +24,7 @@
 };
 
 function waitOf(options: {
-  readonly figures?: EngineEstimate;
+  readonly estimate?: EngineEstimate;
   readonly isModel?: boolean;
   readonly tokensAhead: number;
   readonly leftMs: number;
@@ -33,7 +33,7 @@
   const observer = createEngineObserver({
     model: createEngineModel(clock),
     clock,
-    figures: () => options.figures ?? reliableFigures,
+    figures: () => options.estimate ?? reliableEstimate,
     fits: () => true,
     tokensPerEvent: () => 4,
     onDidReread() {},
@@ -56,23 +56,23 @@
     // the start of a response.
     const wait = waitOf({tokensAhead: 100_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, true);
-    const refusal = waitTooLong('chat', wait);
-    assert.equal(refusal.run, 'not-run');
-    assert.equal(refusal.retryAfterMs, 600);
+    const rejection = waitTooLong('chat', wait);
+    assert.equal(rejection.run, 'not-run');
+    assert.equal(rejection.retryAfterMs, 600);
   });
 
   it('is accepted while the response can still meet the deadline', () => {
-    // A late response is better than none: the goal is missed, but the caller
+    // A late response is better than none: the target is missed, but the caller
     // is still waiting.
     const wait = waitOf({tokensAhead: 60_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, false);
   });
 
-  it('rejects no request before the figures are reliable', () => {
-    // A system that has just started only has guesses about its engines, which
+  it('rejects no request before the estimate is reliable', () => {
+    // A system that has just started only has priors for its engines, which
     // must not reject callers while endpoints are idle.
-    const figures = {...reliableFigures, isSure: false};
-    const wait = waitOf({figures, tokensAhead: 1_000_000, leftMs: 100});
+    const estimate = {...reliableEstimate, isSure: false};
+    const wait = waitOf({estimate, tokensAhead: 1_000_000, leftMs: 100});
     assert.equal(wait.isTooLong, false);
   });
 
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -36,7 +36,10 @@
   type EngineCapacityStore,
 } from './engineCapacityStore.js';
 import {createEngineObserver} from './engineObserver.js';
-import {createEngineEstimates, type EngineEstimates} from './enginesView.js';
+import {
+  createEngineEstimates,
+  type EngineEstimates,
+} from './engineEstimates.js';
 import {createPeerVisibility} from './peerVisibility.js';
 import {createForwarding} from './forwarding.js';
 import {createPeerReports, OVERDUE_MS} from './peerReports.js';
@@ -58,7 +61,7 @@
   readonly usage: UsageWindows;
   readonly digests: Digests;
   readonly rollouts: RolloutController;
-  readonly engines: EngineEstimates;
+  readonly engineEstimates: EngineEstimates;
   readonly engineStore: EngineCapacityStore;
 }
 
@@ -78,7 +81,8 @@
   context: GatewayContext,
   coordination: Coordination,
 ): TrafficPipeline {
-  const {settings, platform, clock, random, log, decisions, life} = context;
+  const {settings, platform, clock, random, log, decisions, lifecycle} =
+    context;
   const {network, membership} = coordination;
   const owned = disposableStore();
   const view = owned.add(
@@ -115,7 +119,7 @@
   const engineStore = owned.add(
     createEngineCapacityStore({store: coordination.store, clock, log}),
   );
-  const engines = createEngineEstimates({
+  const engineEstimates = createEngineEstimates({
     clock,
     reports,
     log,
@@ -123,20 +127,20 @@
     isModel,
     aims: policy.routesTo,
   });
-  const {work} = engines;
+  const {work} = engineEstimates;
   const tokensPerEvent = (service: string): number =>
     findService(service)?.engine?.tokensPerEvent ?? 1;
   const upstreams = owned.add(createUpstreams());
-  const limits = createRateLimits({clock, self: settings.id, decisions});
+  const rateLimits = createRateLimits({clock, self: settings.id, decisions});
   const router = createRouter({
     clock,
     random,
     decisions,
-    limits,
+    limits: rateLimits,
     failureDomain: settings.failureDomain,
     self: settings.id,
     blockTokens: TOKENS_PER_KEY,
-    weightsOf: service => engines.routeWeights(service),
+    weightsOf: service => engineEstimates.routeWeights(service),
   });
   const directory = createEndpointDirectory({
     endpoints: view.endpoints,
@@ -146,17 +150,17 @@
     log,
     isModel,
   });
-  const suspects = createCrashQuarantine({
+  const crashQuarantine = createCrashQuarantine({
     clock,
     self: settings.id,
     decisions,
     wallMs: () => digests.commonWallMs(),
   });
-  directory.onDidVanish(suspects.noteDeregistered);
+  directory.onDidVanish(crashQuarantine.noteDeregistered);
   owned.add(
     startCrashPersistence({
       mirror: view.crashes,
-      suspects,
+      crashQuarantine,
       store: coordination.store,
       self: settings.id,
       clock,
@@ -219,11 +223,11 @@
           entries: 1,
           used: quotas.ownUsage(),
           loads: router.ownLoads(),
-          limits: limits.ownReports(),
-          crashes: suspects.reportToGossip(),
+          limits: rateLimits.ownReports(),
+          crashes: crashQuarantine.reportToGossip(),
           work: work.rates(),
-          outcomes: engines.outcomes.counts(),
-          capacity: engines.unpublishedCapacity(),
+          outcomes: engineEstimates.outcomes.counts(),
+          capacity: engineEstimates.unpublishedCapacity(),
         };
         return (scope, receiver) => ({
           mirrors,
@@ -232,9 +236,9 @@
         });
       },
       onDidReceive(peer, digest, timestamp) {
-        limits.mergeReports(digest.limits ?? {});
+        rateLimits.mergeReports(digest.limits ?? {});
         if (digest.crashes !== undefined) {
-          suspects.mergeGossip(digest.crashes);
+          crashQuarantine.mergeGossip(digest.crashes);
         }
         view.noteSyncStatuses(peer, digest.mirrors, timestamp);
         noteUsage(peer, digest);
@@ -257,8 +261,8 @@
 
   function updateEntries(): void {
     const ids = membership.live().map(({id}) => id);
-    limits.setEntries(ids);
-    suspects.setEntries(ids);
+    rateLimits.setEntries(ids);
+    crashQuarantine.setEntries(ids);
   }
 
   owned.add(membership.onDidChange(updateEntries));
@@ -266,7 +270,7 @@
 
   function refreshEndpoints(): void {
     directory.refresh();
-    limits.retainEndpoints(
+    rateLimits.retainEndpoints(
       new Set(router.assignedEndpoints().map(({id}) => id)),
     );
     admissionConfigurator.update();
@@ -278,7 +282,7 @@
       directory,
       network,
       store: coordination.store,
-      duties: coordination.duties,
+      dutyElections: coordination.dutyElections,
       plan: coordination.plan,
       others: () =>
         membership
@@ -290,21 +294,21 @@
 
   const forwarding = createForwarding({
     router,
-    limits,
-    suspects,
+    rateLimits,
+    crashQuarantine,
     directory,
     admission,
     upstreams,
     migrator: createStreamMigrator({
       directory,
-      engines: platform.engines,
+      requestMigrator: platform.engines,
       clock,
       log,
     }),
-    engines: createEngineObserver({
-      model: engines.model,
+    engineObserver: createEngineObserver({
+      model: engineEstimates.model,
       clock,
-      figures: engines.figures,
+      figures: engineEstimates.figures,
       tokensPerEvent,
       fits,
       onDidReread: (service, rereadTokens) =>
@@ -325,19 +329,19 @@
   const handler = createCallerHandler({
     policy,
     quotas,
-    suspects,
+    crashQuarantine,
     visibility,
     admission,
     forwarding,
     format: platform.calls,
     state: {
       isServing: () =>
-        life.state() === 'serving' || life.state() === 'lingering',
-      isClosing: () => life.state() !== 'serving',
+        lifecycle.state() === 'serving' || lifecycle.state() === 'lingering',
+      isClosing: () => lifecycle.state() !== 'serving',
     },
     inFlight: context.inFlight,
-    usualOwnTokens: service => engines.figures(service).usualOwnTokens,
-    outcomes: engines.outcomes,
+    usualOwnTokens: service => engineEstimates.figures(service).usualOwnTokens,
+    outcomes: engineEstimates.outcomes,
     metrics: context.metrics,
     clock,
     log,
@@ -363,10 +367,10 @@
   context.dumps.add('view', () => view.dump());
   context.dumps.add('routing', () => router.dump());
   context.dumps.add('admission', () => admission.dump());
-  context.dumps.add('engines', () => engines.dump());
+  context.dumps.add('engines', () => engineEstimates.dump());
   context.dumps.add('reports', () => reports.dump());
-  context.dumps.add('limits', () => limits.dump());
-  context.dumps.add('crashes', () => suspects.dump());
+  context.dumps.add('limits', () => rateLimits.dump());
+  context.dumps.add('crashes', () => crashQuarantine.dump());
   context.dumps.add('quotas', () => quotas.dump());
   context.dumps.add('upstreams', () => upstreams.dump());
   return {
@@ -376,7 +380,7 @@
     usage,
     digests,
     rollouts,
-    engines,
+    engineEstimates,
     engineStore,
     dispose: () => owned.dispose(),
   };
--- a/packages/members/src/gossip.ts
+++ b/packages/members/src/gossip.ts
@@ -12,7 +12,7 @@
   /** Queues an update; replaces a queued one of the same member. */
   add(update: MemberUpdate): void;
   /** Dequeues the updates for the next heartbeat, up to the size limit. */
-  take(): GossipBatch;
+  dequeueBatch(): GossipBatch;
   size(): number;
 }
 
@@ -34,7 +34,7 @@
  *
  * @example
  * gossip.add(update);
- * network.broadcast('heartbeat', {...head, ...gossip.take()});
+ * network.broadcast('heartbeat', {...head, ...gossip.dequeueBatch()});
  */
 export function createGossipQueue(): GossipQueue {
   const queue = new Map<string, MemberUpdate>();
@@ -43,8 +43,8 @@
       queue.delete(update.id);
       queue.set(update.id, update);
     },
-    take() {
-      const news: MemberUpdate[] = [];
+    dequeueBatch() {
+      const updates: MemberUpdate[] = [];
       const changes: MemberChange[] = [];
       let bytes = 0;
       for (const item of queue.values()) {
@@ -55,12 +55,12 @@
         }
         queue.delete(item.id);
         if (change === undefined) {
-          news.push(item);
+          updates.push(item);
         } else {
           changes.push(change);
         }
       }
-      return {news, changes};
+      return {news: updates, changes};
     },
     size: () => queue.size,
   };
--- a/packages/members/src/pauseRecovery.ts
+++ b/packages/members/src/pauseRecovery.ts
@@ -46,13 +46,13 @@
       pauseMs: Math.round(pauseMs),
     });
     for (const known of table.all()) {
-      known.heardAt = now;
+      known.lastSeenAt = now;
     }
   }
 
   async function confirmCurrent(): Promise<void> {
     const requestedAt = clock.now();
-    // Without other members nobody can have acted during the pause.
+    // Without other members no process can have acted during the pause.
     if (table.present().length === 0) {
       pauseDetector.confirm(requestedAt);
       return;
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -31,7 +31,7 @@
 /** Address of a peer entry. */
 export interface PeerAddress {
   readonly id: string;
-  /** Increases with each start of the process; tells a restart from a pause. */
+  /** Increases with each start of the process, but not after a pause. */
   readonly incarnation: number;
   /** `ws://` or `wss://` URL of its inner port. */
   readonly url: string;
@@ -43,7 +43,7 @@
   readonly bytesSent: number;
   readonly messagesReceived: number;
   readonly bytesReceived: number;
-  /** Malformed or unexpected messages and refused connections. */
+  /** Malformed or unexpected messages and rejected connections. */
   readonly rejected: number;
 }
 
@@ -87,7 +87,7 @@
     body: Messages[T],
     timeoutMs: number,
   ): Promise<unknown>;
-  /** Handles messages of a type; the result is the response to an `ask`. */
+  /** Handles messages of a type; the result is the response to a `request`. */
   onDidReceive<T extends MessageType>(
     type: T,
     handler: (from: string, body: Messages[T]) => unknown,
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -15,7 +15,7 @@
   readonly type: 'model' | 'plain';
 }
 
-/** What routing needs to know about a request. */
+/** Properties of a request that affect its routing. */
 export interface RoutingRequest {
   readonly service: string;
   readonly version: string;
@@ -97,7 +97,7 @@
     entry: string,
     loads: Readonly<Record<string, EntryLoad>>,
   ): void;
-  /** Notes that a load poll could not reach the endpoint. */
+  /** Records that a load poll could not reach the endpoint. */
   reportUnreachable(endpoint: string): void;
   /** Applies cache events; returns the next sequence to poll (-1: resync). */
   applyCacheEvents(endpoint: string, events: readonly CacheEvent[]): number;
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -43,9 +43,9 @@
   isEmpty(): boolean;
   /** Returns whether the request may be sent. */
   verdictFor(request: string): QuarantineVerdict;
-  /** Notes that this entry sends the request after its quarantine. */
+  /** Records that this entry sends the request after its quarantine. */
   beginTrial(request: string): void;
-  /** Notes a complete response to the request. */
+  /** Records a complete response to the request. */
   noteServed(request: string): void;
   /** Replaces another entry's stored report. */
   setStoredReport(entry: string, report: CrashReport): void;
@@ -57,7 +57,7 @@
   restoreOwnReport(report: CrashReport): void;
   /** Report of this entry to be stored: confirmed crashes only. */
   reportToStore(): CrashReport;
-  /** Notes that a report of this entry was stored, where the others read it. */
+  /** Records that a report of this entry was stored, where others read it. */
   noteStored(report: CrashReport): void;
   /** New or not yet stored evidence to gossip; undefined for none. */
   reportToGossip(): CrashReport | undefined;
@@ -94,7 +94,7 @@
 /** Crashes from which suspicions and complete responses are shared. */
 const NOTABLE_CRASHES = 2;
 
-/** Largest number of crashes stored by an entry, and learned by gossip. */
+/** Maximum number of crashes stored by an entry, and received by gossip. */
 const MAX_STORED_CRASHES = 100;
 const MAX_GOSSIPED_CRASHES = 1_000;
 
@@ -115,8 +115,8 @@
  * Creates the crash quarantine of one entry.
  *
  * @example
- * suspects.noteConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
- * if (suspects.judge(fingerprint).type === 'quarantined') { return reject(); }
+ * crashQuarantine.noteConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
+ * if (crashQuarantine.verdictFor(fingerprint).type === 'quarantined') { return reject(); }
  */
 export function createCrashQuarantine(options: {
   readonly clock: Clock;
@@ -159,7 +159,7 @@
     );
   }
 
-  function judge(request: string): QuarantineVerdict {
+  function computeVerdict(request: string): QuarantineVerdict {
     const times = recentCrashTimesMs(request);
     const crashes = times.length;
     if (crashes === 0) {
@@ -263,7 +263,7 @@
   return {
     ...detector,
     isEmpty: evidence.isEmpty,
-    verdictFor: judge,
+    verdictFor: computeVerdict,
     beginTrial(request) {
       trials.set(request, clock.now());
       const figures = {crashes: crashCountOf(request)};
@@ -330,7 +330,7 @@
       losses: detector.dump(),
       most: evidence
         .requests()
-        .map(request => ({request, ...judge(request)}))
+        .map(request => ({request, ...computeVerdict(request)}))
         .sort((a, b) => crashesInVerdict(b) - crashesInVerdict(a))
         .slice(0, MAX_DUMPED_REQUESTS),
     }),
--- a/packages/routing/src/requestLimits.ts
+++ b/packages/routing/src/rateLimits.ts
@@ -24,7 +24,7 @@
 export type RateLimitReports = Readonly<Record<string, RateLimitReport>>;
 
 export interface RateLimits {
-  /** Notes the limit in a response; undefined when it sets none. */
+  /** Records the limit in a response; undefined when it sets none. */
   noteLimit(endpoint: string, perSecond: number | undefined): void;
   /** Merges the reports of another entry. */
   mergeReports(reports: RateLimitReports): void;
@@ -77,8 +77,8 @@
  * Creates the rate limits of one entry.
  *
  * @example
- * limits.note('i-1', 2.9);
- * if (limits.allowsRequest('i-1')) { limits.consume('i-1'); }
+ * rateLimits.noteLimit('i-1', 2.9);
+ * if (rateLimits.allowsRequest('i-1')) { rateLimits.consume('i-1'); }
  */
 export function createRateLimits(options: {
   readonly clock: Clock;
@@ -249,7 +249,7 @@
  * the second reports were sent.
  *
  * @example
- * const limits = mergeRateLimitReports(own, digest.limits, clock.now() - heardAt);
+ * const reports = mergeRateLimitReports(own, digest.limits, clock.now() - receivedAt);
  */
 export function mergeRateLimitReports(
   first: RateLimitReports,
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -5,7 +5,7 @@
   createRateLimits,
   mergeRateLimitReports,
   type RateLimits,
-} from '../requestLimits.js';
+} from '../rateLimits.js';
 
 const WINDOW_SECONDS = 4;
 const STEP_MS = 20;
@@ -18,9 +18,9 @@
   const ids = Array.from({length: count}, (_, index) => `entry-${index}`);
   const entries = ids.map(self => {
     const decisions = decisionLog(clock, silentLogger());
-    const limits = createRateLimits({clock, self, decisions});
-    limits.setEntries(ids);
-    return limits;
+    const rateLimits = createRateLimits({clock, self, decisions});
+    rateLimits.setEntries(ids);
+    return rateLimits;
   });
   const sent: number[] = [];
 
@@ -141,8 +141,8 @@
     assert.deepEqual(merged[ENDPOINT], {perSecond: 5, agoMs: 150});
   });
 
-  // An entry that starts later must not learn a limit that was removed.
-  it('are no longer gossiped by entries that learned of their removal', () => {
+  // An entry that starts later must not receive a limit that was removed.
+  it('are no longer gossiped by entries that received their removal', () => {
     const {clock, entries} = createFleet(3);
     const [first, second, late] = entries as [
       RateLimits,
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -1,4 +1,4 @@
-/** HTTP server for an engine model, with control routes for fault injection. */
+/** HTTP server of a simulated engine, with control routes to inject faults. */
 import {
   createServer,
   type IncomingMessage,
@@ -19,7 +19,10 @@
 import polka from 'polka';
 import type {EngineCosts} from './engineCosts.js';
 import type {EngineFault} from './engineFaults.js';
-import {createSimulatedEngine, type SimulatedEngine} from './engineModel.js';
+import {
+  createSimulatedEngine,
+  type SimulatedEngine,
+} from './simulatedEngine.js';
 import {
   attemptSchema,
   engineFaultsSchema,
--- a/packages/streams/src/contracts.ts
+++ b/packages/streams/src/contracts.ts
@@ -26,7 +26,7 @@
   readonly engine: Engine;
   /** Estimate of the prompt tokens cached there; 0 when unknown. */
   readonly cachedTokens?: number;
-  /** Aborts when the endpoint is told to leave: the stream has to migrate. */
+  /** Aborts when the endpoint has to leave: the stream has to migrate. */
   readonly leaving: AbortSignal;
   /** Monotonic milliseconds by which a leaving endpoint is gone, if known. */
   goneAt?(): number | undefined;
@@ -55,7 +55,7 @@
 export interface StreamRunner {
   /**
    * Runs a request to completion, with further attempts after failures.
-   * `place` picks an endpoint that is not excluded, or throws;
+   * `pickEndpoint` picks an endpoint that is not excluded, or throws;
    * `mayRetry` consumes from the retry budget.
    * `deliver` receives each token once and in order; a returned promise applies
    * backpressure.
--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -14,7 +14,7 @@
 }
 
 export interface Confirmation {
-  /** Confirms that the replica was up to date; ignored if older than the last. */
+  /** Confirms that the replica was current; ignored if older than the last. */
   confirm(timestamp: Timestamp): void;
   /** Milliseconds since the last confirmation; Infinity before the first. */
   ageMs(): number;
@@ -37,7 +37,7 @@
  * Returns the timestamp `spanMs` milliseconds earlier.
  *
  * @example
- * confirmation.confirm(before(receivedAt, ageAtPeerMs));
+ * confirmation.confirm(earlierTimestamp(receivedAt, ageAtPeerMs));
  */
 export function earlierTimestamp(
   timestamp: Timestamp,
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -24,7 +24,7 @@
   quota: {unit: 'tokens', perSecond: PER_SECOND, burst: BURST, plainTokens: 1},
 };
 
-/** Takes an amount from every entry at each step; returns the total granted. */
+/** Consumes an amount at every entry and step; returns the total granted. */
 function takeRepeatedly(
   clock: ReturnType<typeof virtualClock>,
   entries: readonly Quotas[],
@@ -182,7 +182,7 @@
   // Guards against entries that each grant the whole quota.
   it('grants the quota in every window when all entries are saturated', () => {
     for (const count of [1, 7, 60]) {
-      // All together ask for two and a half times the quota.
+      // All together request two and a half times the quota.
       const amount = (2.5 * PER_SECOND * STEP_MS) / 1_000 / count;
       const {granted, peak} = runConnected(count, {seconds: 40, amount});
       const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
@@ -201,7 +201,7 @@
     const {granted} = runConnected(7, {seconds, amount: 30});
     const allowed = PER_SECOND * SUSTAINED_FACTOR * seconds + BURST;
     assert.ok(granted > 0.8 * allowed, `${granted} of ${allowed}`);
-    // Seven entries that take 30 every 10 ms use 6,300 between two exchanges.
+    // Seven entries that use 30 every 10 ms use 6,300 between two exchanges.
     assert.ok(granted < allowed + 6_300, `${granted} of ${allowed}`);
   });
 
