--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -68,7 +68,7 @@
     refusesLate: true,
     onDidElapseSecond(_, entry) {
       const {engines} = entry;
-      ratios.push(engines.figures(SERVICE).usualPromptMs / trueMs);
+      ratios.push(engines.estimateFor(SERVICE).usualPromptMs / trueMs);
       usualUse = engines.demandSignals(SERVICE).use.usual;
       enginesNeeded = computeEnginesNeeded(entry, profile);
     },
@@ -95,7 +95,7 @@
   {engines}: ReplayEntry,
   profile: EngineProfile,
 ): Record<PlanName, number> {
-  const learned = engines.figures(SERVICE);
+  const learned = engines.estimateFor(SERVICE);
   const signals = engines.demandSignals(SERVICE);
   const trueEstimate: EngineEstimate = {
     ...learned,
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -76,7 +76,7 @@
     log,
     restored: () => ({}),
     isModel: () => true,
-    aims: () => aims,
+    latencyTargets: () => aims,
   });
   const router = createRouter({
     clock,
@@ -99,7 +99,7 @@
   const observer = createEngineObserver({
     model: engines.model,
     clock,
-    figures: engines.figures,
+    estimateFor: engines.estimateFor,
     tokensPerEvent: () => profile.tokensPerEvent,
     fits: () => true,
     onDidReread() {},
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -117,7 +117,7 @@
     clock,
     random: seededRandom(seed + 1),
     decisions: decisionLog(clock, silentLogger()),
-    tenure: {
+    term: {
       duty: 'fleet',
       fencing: 1,
       acquiredAt: 0,
--- a/packages/bench/src/reclaim/fleet.ts
+++ b/packages/bench/src/reclaim/fleet.ts
@@ -61,7 +61,7 @@
       url,
       engine: createLocalEngine({
         clock,
-        model,
+        simulatedEngine: model,
         resolve: source => models.get(source),
       }),
       model,
--- a/packages/bench/src/test/engines.test.ts
+++ b/packages/bench/src/test/engines.test.ts
@@ -58,7 +58,7 @@
       loadAt: () => 0.4,
       refusesLate: true,
       onDidElapseSecond(_, {engines}) {
-        learnedMs = engines.figures(SERVICE).usualPromptMs;
+        learnedMs = engines.estimateFor(SERVICE).usualPromptMs;
       },
     });
     assert.ok(learnedMs > trueMs * 0.6, `${learnedMs} of ${trueMs}`);
--- a/packages/bench/src/test/outsideShapes.ts
+++ b/packages/bench/src/test/outsideShapes.ts
@@ -16,7 +16,7 @@
   ],
   'packages/protocol/src/messages/memberMessages.ts': [
     'MemberProbeResponse',
-    'LastHeardResponse',
+    'LastSeenResponse',
     'MembersResponse',
   ],
   'packages/protocol/src/messages/gatewayMessages.ts': ['MirrorSnapshot'],
--- a/packages/cli/src/commands/checkSettings.ts
+++ b/packages/cli/src/commands/checkSettings.ts
@@ -1,5 +1,5 @@
 import {Args, Command, Flags} from '@oclif/core';
-import {checkEntrySettings} from '@skylarkfield/entry';
+import {validateEntrySettings} from '@skylarkfield/entry';
 import {readJsonFile} from '../input.js';
 import {printJson, printLine} from '../output.js';
 
@@ -25,7 +25,7 @@
 
   async run(): Promise<void> {
     const {args, flags} = await this.parse(CheckSettingsCommand);
-    const settings = checkEntrySettings(
+    const settings = validateEntrySettings(
       readJsonFile(args.file, 'bad-settings'),
     );
     if (flags.json) {
--- a/packages/duties/src/orderGate.ts
+++ b/packages/duties/src/orderGate.ts
@@ -28,11 +28,11 @@
  */
 export function createOrderGate(options: {
   readonly clock: Clock;
-  readonly tenure: DutyTerm;
+  readonly term: DutyTerm;
   readonly orderDeadlineMs: number;
   readonly marginMs?: number;
 }): OrderGate {
-  const {clock, tenure: term, orderDeadlineMs} = options;
+  const {clock, term, orderDeadlineMs} = options;
   const marginMs = options.marginMs ?? defaultLeaseTiming.marginMs;
   const opensAt = term.acquiredAt + orderDeadlineMs + marginMs;
 
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -245,7 +245,7 @@
     assert.ok(term !== undefined);
     const gate = createOrderGate({
       clock: a.clock,
-      tenure: term,
+      term,
       orderDeadlineMs: 5000,
       marginMs: 1000,
     });
--- a/packages/entry/src/components/dutiesComponent.ts
+++ b/packages/entry/src/components/dutiesComponent.ts
@@ -40,14 +40,14 @@
   );
   dumps.add('duties', () => duties.dump());
   owned.add(
-    duties.compete('acceptance', tenure => {
+    duties.compete('acceptance', term => {
       const acceptance = createAcceptanceController({
         clock,
         random,
         store: platform.store,
         log,
         decisions,
-        canAct: () => tenure.isValid(),
+        canAct: () => term.isValid(),
         onDidAccept: (key, object) =>
           records.configuration.applyAccepted(key, object),
         membersLacking: versions =>
--- a/packages/entry/src/components/fleetComponent.ts
+++ b/packages/entry/src/components/fleetComponent.ts
@@ -37,7 +37,7 @@
 ): Disposable {
   const {clock, random, decisions, dumps} = context;
   const {platform, configuration, endpoints} = options;
-  return options.duties.compete('fleet', tenure => {
+  return options.duties.compete('fleet', term => {
     const owned = disposableStore();
     const duty = owned.add(
       createFleetDuty({
@@ -45,7 +45,7 @@
         clock,
         random,
         decisions,
-        tenure,
+        term,
         services: () => configuration.list('service'),
         reports: options.loadReports.reports,
       }),
@@ -54,10 +54,10 @@
       clock,
       decisions,
       weights: platform.weights,
-      tenure,
+      term,
       gate: createOrderGate({
         clock,
-        tenure,
+        term,
         orderDeadlineMs: ORDER_DEADLINE_MS,
       }),
     });
--- a/packages/entry/src/components/movesComponent.ts
+++ b/packages/entry/src/components/movesComponent.ts
@@ -69,14 +69,14 @@
   );
   owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailableVersions));
   owned.add(
-    duties.compete('moves', tenure =>
+    duties.compete('moves', term =>
       createMoveDuty({
         clock,
         log,
         objects,
         configuration,
         controller,
-        tenure,
+        term,
         hasEndpoints: (service, version) =>
           availableVersions(service, endpoints).has(version),
       }),
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -100,9 +100,9 @@
  * faults.
  *
  * @example
- * const settings = checkEntrySettings(JSON.parse(text));
+ * const settings = validateEntrySettings(JSON.parse(text));
  */
-export function checkEntrySettings(value: unknown): EntrySettings {
+export function validateEntrySettings(value: unknown): EntrySettings {
   return validateShape(entrySettingsSchema, value, 'bad-settings', 'settings');
 }
 
@@ -114,7 +114,7 @@
  */
 export function readEntrySettings(path: string): EntrySettings {
   const text = readTextFile(path);
-  return checkEntrySettings(parseJson(text, 'bad-settings', path));
+  return validateEntrySettings(parseJson(text, 'bad-settings', path));
 }
 
 /**
--- a/packages/entry/src/test/callerServer.test.ts
+++ b/packages/entry/src/test/callerServer.test.ts
@@ -13,12 +13,12 @@
 import {createRequestMetrics} from '../callers/requestMetrics.js';
 import {createInFlightCounter} from '@skylarkfield/base';
 import type {ServingContext} from '../servingContext.js';
-import {checkEntrySettings} from '../settings.js';
+import {validateEntrySettings} from '../settings.js';
 
 /** Exceeds the buffers of sockets and streams. */
 const BODY_BYTES = 32 * 1024 * 1024;
 
-const {limits} = checkEntrySettings({
+const {limits} = validateEntrySettings({
   id: 'a1',
   failureDomain: 'a',
   callers: {port: 0},
--- a/packages/entry/src/test/settings.test.ts
+++ b/packages/entry/src/test/settings.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {isServingError} from '@skylarkfield/base';
-import {checkEntrySettings, resolveSecret} from '../settings.js';
+import {validateEntrySettings, resolveSecret} from '../settings.js';
 
 const valid = {
   id: 'a1',
@@ -28,7 +28,7 @@
 
 describe('entry settings', () => {
   it('applies defaults', () => {
-    const settings = checkEntrySettings(valid);
+    const settings = validateEntrySettings(valid);
     assert.equal(settings.callers.host, '127.0.0.1');
     assert.equal(settings.limits.headerBytes, 16_384);
     assert.equal(settings.log.level, 'info');
@@ -37,7 +37,7 @@
   for (const [title, change, path] of faulty) {
     it(`rejects ${title} and reports its path`, () => {
       assert.throws(
-        () => checkEntrySettings({...valid, ...change}),
+        () => validateEntrySettings({...valid, ...change}),
         error =>
           isServingError(error, 'bad-settings') &&
           error.faults.some(fault => fault.path.startsWith(path)),
@@ -47,7 +47,7 @@
 
   it('reports all faults at once', () => {
     assert.throws(
-      () => checkEntrySettings({...valid, id: 'A', drainMs: -1}),
+      () => validateEntrySettings({...valid, id: 'A', drainMs: -1}),
       error => isServingError(error) && error.faults.length === 2,
     );
   });
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -50,10 +50,10 @@
   readonly clock: Clock;
   readonly decisions: DecisionLog;
   readonly weights: WeightStore;
-  readonly tenure: DutyTerm;
+  readonly term: DutyTerm;
   readonly gate: OrderGate;
 }): EndpointRepair {
-  const {clock, decisions, weights, tenure: term, gate} = options;
+  const {clock, decisions, weights, term, gate} = options;
   let nextOrderNumber = 0;
 
   return {
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -48,21 +48,14 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly decisions: DecisionLog;
-  readonly tenure: DutyTerm;
+  readonly term: DutyTerm;
   services(): readonly Service[];
   /** Latest load reports of a service's endpoints. */
   reports(service: string): readonly LoadReport[];
   /** Replaces the planner, for comparison in benchmarks. */
   readonly plan?: typeof planHosts;
 }): FleetDuty {
-  const {
-    cloud,
-    clock,
-    random,
-    decisions,
-    tenure: term,
-    plan = planHosts,
-  } = options;
+  const {cloud, clock, random, decisions, term, plan = planHosts} = options;
   const owned = disposableStore();
   const capacityPools = createCapacityPoolTracker({clock, random});
   const demandEstimator = createReplicaDemandEstimator();
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -94,7 +94,7 @@
     clock,
     random: seededRandom(5),
     decisions: decisionLog(clock, silentLogger()),
-    tenure: {
+    term: {
       duty: 'fleet',
       fencing,
       acquiredAt: 0,
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -211,7 +211,7 @@
   /** Returns one kind of these as a source; `read` throws on invalid values. */
   systemObjects<T>(kind: string, read: (value: unknown) => T): ObjectSource<T>;
   readonly orders: PlatformOrders;
-  readonly engines: RequestMigrator;
+  readonly requestMigrator: RequestMigrator;
   /** Publishes the state of a rollout to the operator. */
   writeRolloutState(
     name: string,
--- a/packages/gateway/src/engineEstimates.ts
+++ b/packages/gateway/src/engineEstimates.ts
@@ -29,7 +29,7 @@
   readonly model: EngineModel;
   readonly outcomes: OutcomeMeter;
   readonly work: WorkMeter;
-  figures(service: string): EngineEstimate;
+  estimateFor(service: string): EngineEstimate;
   /** Returns the work rate of a service over all entries. */
   workRate(service: string): WorkRate;
   /** Returns the demand for a service, and the fraction served late. */
@@ -78,7 +78,7 @@
   /** Observations from before all entries were lost, decayed by age. */
   restored(): CapacityStats;
   isModel(service: string): boolean;
-  aims(service: string): readonly LatencyTargets[];
+  latencyTargets(service: string): readonly LatencyTargets[];
 }): EngineEstimates {
   const {clock, reports, log} = options;
   const model = createEngineModel(clock);
@@ -94,7 +94,10 @@
 
   function computeEstimate(service: string): CachedEstimate {
     const all = addCapacityStats([fleetCapacity(), options.restored()]);
-    const estimate = estimateEngine(all[service], options.aims(service));
+    const estimate = estimateEngine(
+      all[service],
+      options.latencyTargets(service),
+    );
     return {
       at: clock.now(),
       estimate,
@@ -139,7 +142,7 @@
     const {estimate} = cachedEstimate(service);
     return {
       workRate: workMs(workRate(service), estimate),
-      use: targetUtilization(estimate, options.aims(service)),
+      use: targetUtilization(estimate, options.latencyTargets(service)),
       latePart: lateFraction(service),
       isSure: estimate.isSure,
     };
@@ -149,7 +152,7 @@
     model,
     outcomes,
     work,
-    figures: service => cachedEstimate(service).estimate,
+    estimateFor: service => cachedEstimate(service).estimate,
     workRate,
     demandSignals,
     routeWeights: service =>
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -72,7 +72,7 @@
 export function createEngineObserver(options: {
   readonly model: EngineModel;
   readonly clock: Clock;
-  figures(service: string): EngineEstimate;
+  estimateFor(service: string): EngineEstimate;
   /** Whether the request fits into an engine's memory. */
   fits(service: string, demand: ModelDemand): boolean;
   /** Tokens per event of the service's streams. */
@@ -83,7 +83,7 @@
   const {model, clock} = options;
   return {
     expectedWait({head, service}, {tokensAhead}, leftMs) {
-      const estimate = options.figures(service);
+      const estimate = options.estimateFor(service);
       // An unreliable estimate could reject callers wrongly.
       if (head.demand === undefined || !estimate.isSure) {
         return NO_WAIT;
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -197,7 +197,7 @@
         objects: store,
         configuration: moves.records,
         controller,
-        tenure: term,
+        term,
         hasEndpoints: (service, group) =>
           availableGroups(service).some(name => name === group),
         onDidAdvance,
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -33,7 +33,7 @@
   const observer = createEngineObserver({
     model: createEngineModel(clock),
     clock,
-    figures: () => options.estimate ?? reliableEstimate,
+    estimateFor: () => options.estimate ?? reliableEstimate,
     fits: () => true,
     tokensPerEvent: () => 4,
     onDidReread() {},
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -179,7 +179,7 @@
     engineObserver: createEngineObserver({
       model: createEngineModel(clock),
       clock,
-      figures: () => estimateEngine(undefined, []),
+      estimateFor: () => estimateEngine(undefined, []),
       tokensPerEvent: () => 1,
       fits: () => true,
       onDidReread: () => {},
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -125,7 +125,7 @@
     log,
     restored: engineStore.restored,
     isModel,
-    aims: policy.routesTo,
+    latencyTargets: policy.routesTo,
   });
   const {work} = engineEstimates;
   const tokensPerEvent = (service: string): number =>
@@ -136,7 +136,7 @@
     clock,
     random,
     decisions,
-    limits: rateLimits,
+    rateLimits,
     failureDomain: settings.failureDomain,
     self: settings.id,
     blockTokens: TOKENS_PER_KEY,
@@ -301,14 +301,14 @@
     upstreams,
     migrator: createStreamMigrator({
       directory,
-      requestMigrator: platform.engines,
+      requestMigrator: platform.requestMigrator,
       clock,
       log,
     }),
     engineObserver: createEngineObserver({
       model: engineEstimates.model,
       clock,
-      figures: engineEstimates.figures,
+      estimateFor: engineEstimates.estimateFor,
       tokensPerEvent,
       fits,
       onDidReread: (service, rereadTokens) =>
@@ -340,7 +340,8 @@
       isClosing: () => lifecycle.state() !== 'serving',
     },
     inFlight: context.inFlight,
-    usualOwnTokens: service => engineEstimates.figures(service).usualOwnTokens,
+    usualOwnTokens: service =>
+      engineEstimates.estimateFor(service).usualOwnTokens,
     outcomes: engineEstimates.outcomes,
     metrics: context.metrics,
     clock,
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -7,7 +7,7 @@
 import type {
   MemberUpdate,
   MemberProbeResponse,
-  LastHeardResponse,
+  LastSeenResponse,
   PeerNetwork,
 } from '@skylarkfield/protocol';
 import type {KnownMember, MemberTable} from './memberTable.js';
@@ -20,7 +20,7 @@
   /** Requests a member's current update; resolves with whether it answered. */
   probe(id: string): Promise<boolean>;
   /** Returns when a message from a member last arrived directly. */
-  lastSeen(id: string, incarnation: number): LastHeardResponse;
+  lastSeen(id: string, incarnation: number): LastSeenResponse;
   recordHeartbeat(id: string): void;
   /** Records that a neighbour's connection opened or closed. */
   connectionChanged(id: string, isOpen: boolean): void;
@@ -118,7 +118,7 @@
     if (response === undefined) {
       return;
     }
-    const {heardAgoMs} = response as LastHeardResponse;
+    const {heardAgoMs} = response as LastSeenResponse;
     const lastSeenAt = clock.now() - heardAgoMs;
     // A sign of life from before its connection closed can precede a crash.
     const isFresh =
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -289,7 +289,7 @@
   function expireHosts() {
     const now = clock.now();
     for (const known of [...hosts.values()]) {
-      if (now < known.dropAt) {
+      if (now < known.forgetAt) {
         continue;
       }
       hosts.delete(known.host);
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -12,7 +12,7 @@
   goneBy: number | undefined;
   /** Monotonic milliseconds of the first report. */
   readonly since: number;
-  dropAt: number;
+  forgetAt: number;
   readonly source: LeavingSource;
   /** The host itself leaves with all its endpoints, including unlisted ones. */
   isWhole: boolean;
@@ -42,7 +42,7 @@
     goneAt: 0,
     goneBy: undefined,
     since: now,
-    dropAt: now + MAX_LIST_LAG_MS,
+    forgetAt: now + MAX_LIST_LAG_MS,
     source,
     isWhole: false,
     endpoints: new Map(),
@@ -68,7 +68,7 @@
   const noticeMs = Math.max(0, goneAt - clock.wall());
   known.goneAt = goneAt;
   known.goneBy = clock.now() + Math.min(MAX_NOTICE_MS, noticeMs);
-  known.dropAt = known.goneBy + MAX_LIST_LAG_MS;
+  known.forgetAt = known.goneBy + MAX_LIST_LAG_MS;
 }
 
 /**
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -22,7 +22,7 @@
   readonly objects: Pick<ObjectStore, 'get' | 'list' | 'put' | 'remove'>;
   readonly configuration: Pick<Configuration, 'list' | 'isReady'>;
   readonly controller: MoveController;
-  readonly tenure: DutyTerm;
+  readonly term: DutyTerm;
   /** Returns whether any endpoint runs the version, so a move may start. */
   hasEndpoints?(service: string, version: string): boolean;
   /** Called with all stored states after each round. */
@@ -41,14 +41,7 @@
  * dutyElections.compete('moves', term => createMoveDuty({...parts, term}));
  */
 export function createMoveDuty(options: MoveDutyOptions): Disposable {
-  const {
-    clock,
-    log,
-    objects,
-    configuration,
-    controller,
-    tenure: term,
-  } = options;
+  const {clock, log, objects, configuration, controller, term} = options;
   const store = disposableStore();
   const storedStates = new Map<string, StoredObject<MoveState>>();
   let isLoaded = false;
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -218,7 +218,7 @@
       objects: platform.store,
       configuration,
       controller: entries[index]?.controller as never,
-      tenure: term,
+      term,
     });
     return toDisposable(() => {
       abortController.abort();
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -44,7 +44,7 @@
    * `MemberProbeResponse`.
    */
   memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
-  /** Requests when a member was last active. Response: `LastHeardResponse`. */
+  /** Requests when a member was last active. Response: `LastSeenResponse`. */
   memberWord: {readonly id: string; readonly incarnation: number};
   /** Requests the members of differing buckets. Response: `MembersResponse`. */
   membersWanted: {readonly buckets: readonly number[]};
@@ -58,7 +58,7 @@
 }
 
 /** Response to `memberWord`. */
-export interface LastHeardResponse {
+export interface LastSeenResponse {
   /** Milliseconds since this or a later incarnation was active; -1: never. */
   readonly heardAgoMs: number;
 }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -29,7 +29,10 @@
   /** Weights that override the others for one service; read at each choice. */
   weightsOf?(service: string): Partial<RouteWeights> | undefined;
   /** Rate limits set by endpoints; none when absent. */
-  readonly limits?: Pick<RateLimits, 'allowsRequest' | 'consume' | 'waitMs'>;
+  readonly rateLimits?: Pick<
+    RateLimits,
+    'allowsRequest' | 'consume' | 'waitMs'
+  >;
   /** Prompt tokens per block; the engines' block size when absent. */
   readonly blockTokens?: number;
 }
@@ -81,14 +84,7 @@
  * const choice = router.choose(routingRequest);
  */
 export function createRouter(options: RouterOptions): Router {
-  const {
-    clock,
-    random,
-    decisions,
-    failureDomain,
-    self,
-    limits: rateLimits,
-  } = options;
+  const {clock, random, decisions, failureDomain, self, rateLimits} = options;
   const blockTokens = options.blockTokens ?? TOKENS_PER_BLOCK;
   const weights = {...defaultRouteWeights, ...options.weights};
   const isOwn =
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -48,7 +48,7 @@
 export interface EngineStandin {
   readonly url: string;
   readonly port: number;
-  readonly model: SimulatedEngine;
+  readonly simulatedEngine: SimulatedEngine;
   /** Replaces the injected faults, like `POST /control/faults`. */
   setFaults(faults: readonly EngineFault[]): Promise<void>;
   stop(): Promise<void>;
@@ -235,7 +235,7 @@
   return {
     url: `http://${options.host}:${port}`,
     port,
-    model,
+    simulatedEngine: model,
     setFaults,
     async stop() {
       model.dispose();
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -14,7 +14,7 @@
 
 export interface LocalEngineOptions {
   readonly clock: Clock;
-  readonly model: SimulatedEngine;
+  readonly simulatedEngine: SimulatedEngine;
   /** Returns the simulation at a URL, to fetch exported KV caches from it. */
   resolve(url: string): SimulatedEngine | undefined;
 }
@@ -27,7 +27,7 @@
  * const engine = createLocalEngine({clock, model, resolve});
  */
 export function createLocalEngine(options: LocalEngineOptions): Engine {
-  const {clock, model, resolve} = options;
+  const {clock, simulatedEngine: model, resolve} = options;
 
   function throwIfDown() {
     if (model.hasFault('down')) {
