--- a/packages/gateway/src/activePolicy.ts
+++ b/packages/gateway/src/activePolicy.ts
@@ -29,7 +29,7 @@
    * trust the key.
    */
   customerOf(route: Route, head: CallHead): CustomerConfig | undefined;
-  /** Fires after a policy has replaced an older one. */
+  /** Fires after a new policy has become active. */
   onDidChange(listener: () => void): void;
 }
 
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -52,7 +52,7 @@
   readonly clock: Clock;
   /** Aborted when the response is no longer needed. */
   readonly signal: AbortSignal;
-  /** Receives the events of a stream; undefined for a request without one. */
+  /** Receives the events of a stream; undefined if the route has no streams. */
   readonly sink: EventSink | undefined;
   /**
    * Time without data after which the attempt is aborted, in milliseconds;
@@ -70,9 +70,9 @@
   onDidBegin(head: ResponseHead): void;
 }
 
-/** Range of statuses whose body is a stream. */
-const FIRST_SUCCESS = 200;
-const FIRST_REDIRECT = 300;
+/** Bounds of the success statuses, 200 to 299, which a stream requires. */
+const FIRST_SUCCESS_STATUS = 200;
+const FIRST_REDIRECT_STATUS = 300;
 
 /**
  * Runs one attempt.
@@ -90,7 +90,9 @@
     const {clock, format, signal, sink, idleTimeoutMs} = options;
     const chunks: Buffer[] = [];
     const framer = createEventFramer();
-    let reply: {status: number; headers: ResponseHeaders} | undefined;
+    let statusAndHeaders:
+      | {status: number; headers: ResponseHeaders}
+      | undefined;
     let head: ResponseHead | undefined;
     let isStream = false;
     let hasBegun = false;
@@ -147,7 +149,7 @@
     function onDidRespond(status: number, headers: ResponseHeaders): void {
       noteActivity();
       head = format.readResponse(headers, status);
-      reply = {status, headers};
+      statusAndHeaders = {status, headers};
       if (head.attemptId !== options.attemptId) {
         abort(protocolViolation('the response has the id of another attempt'));
         return;
@@ -157,7 +159,8 @@
         return;
       }
       options.onDidRespond(head);
-      const isSuccess = status >= FIRST_SUCCESS && status < FIRST_REDIRECT;
+      const isSuccess =
+        status >= FIRST_SUCCESS_STATUS && status < FIRST_REDIRECT_STATUS;
       isStream = sink !== undefined && isSuccess;
       if (!isStream && !head.isNotRun) {
         begin();
@@ -165,12 +168,12 @@
     }
 
     function forwardFrame(frame: EventFrame): void {
-      if (reply === undefined || sink === undefined) {
+      if (statusAndHeaders === undefined || sink === undefined) {
         return;
       }
       if (!hasBegun) {
         begin();
-        sink.begin(reply.status, reply.headers);
+        sink.begin(statusAndHeaders.status, statusAndHeaders.headers);
       }
       if (!sink.write(frame)) {
         exchange.pause();
@@ -200,24 +203,28 @@
         abort(interrupted('the request was stopped'));
         return;
       }
-      if (reply === undefined || head === undefined) {
+      if (statusAndHeaders === undefined || head === undefined) {
         abort(interrupted('the response has no head'), 'closed');
         return;
       }
       if (head.isNotRun) {
-        settle({type: 'declined', status: reply.status});
+        settle({type: 'declined', status: statusAndHeaders.status});
         return;
       }
       if (isStream && sink !== undefined) {
         if (!hasBegun) {
           begin();
-          sink.begin(reply.status, reply.headers);
+          sink.begin(statusAndHeaders.status, statusAndHeaders.headers);
         }
         sink.finish(framer.remainder());
         settle({type: 'streamed'});
         return;
       }
-      settle({type: 'answered', ...reply, body: Buffer.concat(chunks)});
+      settle({
+        type: 'answered',
+        ...statusAndHeaders,
+        body: Buffer.concat(chunks),
+      });
     }
 
     if (signal.aborted) {
@@ -234,7 +241,7 @@
   });
 }
 
-/** Connections that end before the request was sent do not implicate it. */
+/** A loss before the request was sent is no evidence against the request. */
 function connectionLost(error: ServingError): AttemptEnd {
   return error.run === 'not-run'
     ? {type: 'failed', error}
--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -6,11 +6,11 @@
 /** Outcome of an attempt as reported to the router. */
 export type AttemptOutcome = Parameters<Choice['finish']>[0]['outcome'];
 
-/** Minimum Retry-After, in milliseconds: the load data is older than that. */
+/** Minimum Retry-After, in milliseconds; the load data is older than that. */
 const MIN_RETRY_MS = 300;
 
 /** Lowest status of the server error class. */
-const FIRST_SERVER_ERROR = 500;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /**
  * Whether a status is a server error.
@@ -19,7 +19,7 @@
  * isServerError(502); // true
  */
 export function isServerError(status: number): boolean {
-  return status >= FIRST_SERVER_ERROR;
+  return status >= FIRST_SERVER_ERROR_STATUS;
 }
 
 /**
@@ -89,7 +89,7 @@
 }
 
 /**
- * No endpoint of the service can be tried.
+ * Returns the error for a service of which no endpoint can be tried.
  *
  * @example
  * throw unavailable('chat', 'none is left to try');
@@ -102,7 +102,7 @@
 }
 
 /**
- * All endpoints that were tried have declined the request.
+ * Returns the error if all endpoints that were tried declined the request.
  *
  * @example
  * throw withRunState(allDeclined('chat', 3), 0);
@@ -116,8 +116,8 @@
 }
 
 /**
- * The prompts queued at every endpoint of the service would delay the first
- * event of a new request too far. Retry-After is the time to process them.
+ * Returns the error if the prompts queued at every endpoint would delay the
+ * first event for more than `longestMs`. Retry-After is the excess.
  *
  * @example
  * throw waitTooLong('chat', {ms: 2_400, longestMs: 900});
@@ -134,7 +134,8 @@
 }
 
 /**
- * Endpoints crashed while running the request, so it is not sent to any other.
+ * Returns the error for a request that is no longer sent to any endpoint, since
+ * endpoints crashed while running it.
  *
  * @example
  * throw quarantined({crashes: 3, retryAfterMs: 60_000});
@@ -154,7 +155,7 @@
 }
 
 /**
- * The rate limits of the service's remaining endpoints are exhausted.
+ * Returns the error if the remaining endpoints' rate limits are exhausted.
  *
  * @example
  * throw rateLimited('chat', 350);
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -41,7 +41,7 @@
 export interface ServingState {
   /** Whether requests are accepted at all. */
   isServing(): boolean;
-  /** Whether connections close after the next response, before a stop. */
+  /** Whether connections close after their next response, before a stop. */
   isClosing(): boolean;
 }
 
@@ -68,10 +68,10 @@
   readonly log: Logger;
   /** Selects a request's version group; the same at every entry for one key. */
   chooseGroup(service: string, key: string, mayRepeat: boolean): VersionGroup;
-  /** Called before a request is queued, to record the work it brings. */
+  /** Called before a request is queued, to record its work. */
   onDidAccept(service: string, head: CallHead): void;
   /** Called when a response has ended, complete or not. */
-  onDidAnswer(service: string, head: CallHead, events: number): void;
+  onDidAnswer(service: string, head: CallHead, eventCount: number): void;
   /** Called when a version group has served or failed a request. */
   onDidConclude(
     call: Pick<ForwardedCall, 'service' | 'version' | 'route'>,
@@ -92,8 +92,9 @@
 }
 
 /**
- * Endpoints have ten urgency levels and callers' priorities are small numbers,
- * so steps of two leave room between them.
+ * Urgency levels per priority step. Endpoints have ten urgency levels and
+ * callers' priorities are small numbers, so steps of two leave room between
+ * them.
  */
 const URGENCY_PER_PRIORITY = 2;
 const LOWEST_URGENCY = 9;
@@ -101,7 +102,7 @@
 /** Admission has eight urgency levels. */
 const LOWEST_ADMISSION_URGENCY = 7;
 
-/** Minimum cost relative to a typical request, since each takes a slot. */
+/** Minimum cost as a fraction of a typical request; each occupies a slot. */
 const MIN_COST = 0.1;
 
 /** Abort reason of a request's signal at its deadline. */
@@ -211,8 +212,8 @@
     if (demand === undefined) {
       return 1;
     }
-    const usual = Math.max(1, options.usualOwnTokens(service));
-    return Math.max(MIN_COST, ownTokens(demand) / usual);
+    const usualOwnTokens = Math.max(1, options.usualOwnTokens(service));
+    return Math.max(MIN_COST, ownTokens(demand) / usualOwnTokens);
   }
 
   function admit(
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -46,7 +46,7 @@
 }): CallerReply {
   const {response, format} = options;
   let lastId: number | undefined;
-  let events = 0;
+  let eventCount = 0;
 
   function writeHead(
     status: number,
@@ -61,7 +61,7 @@
   return {
     hasBegun: () => response.headersSent,
     lastEventId: () => lastId,
-    eventCount: () => events,
+    eventCount: () => eventCount,
     sink: {
       begin(status, headers) {
         if (!response.headersSent) {
@@ -76,7 +76,7 @@
           }
           lastId = id;
         }
-        events += 1;
+        eventCount += 1;
         return response.write(bytes);
       },
       whenDrained: callback => response.once('drain', callback),
@@ -122,8 +122,8 @@
 
 /**
  * Returns the status of an error. Callers retry non-idempotent requests only on
- * the status that guarantees that nothing ran, so it is sent exactly when that
- * holds.
+ * a status that guarantees that the request has not run, so a request that may
+ * have run gets 502 or 504.
  */
 function statusOf(error: ServingError): number {
   const {status} = errorResponses[error.kind];
--- a/packages/gateway/src/clusterDuty.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -1,4 +1,4 @@
-/** Work that one entry does on behalf of all while it holds the duty. */
+/** Work that one entry does for all entries while it holds the duty. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {DutyTerm} from '@skylarkfield/duties';
 import type {Coordination} from './coordination.js';
@@ -22,7 +22,7 @@
   const {settings, platform, clock, log} = context;
 
   function start(term: DutyTerm): Disposable {
-    const work = disposableStore();
+    const tasks = disposableStore();
     const common = {
       term,
       holder: settings.id,
@@ -30,7 +30,7 @@
       clock,
       log,
     };
-    work.add(
+    tasks.add(
       startUsageDuty({
         ...common,
         store: coordination.store,
@@ -39,7 +39,7 @@
         commonWallMs: traffic.digests.commonWallMs,
       }),
     );
-    work.add(
+    tasks.add(
       startFleetDuty({
         ...common,
         directory: traffic.directory,
@@ -51,12 +51,12 @@
         demandSignals: traffic.engineEstimates.demandSignals,
       }),
     );
-    work.add(
+    tasks.add(
       traffic.engineStore.startPersisting(
         traffic.engineEstimates.fleetCapacity,
       ),
     );
-    return work;
+    return tasks;
   }
 
   return coordination.dutyElections.compete('fleet', start);
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -15,7 +15,7 @@
 export interface GatewayContext {
   readonly settings: GatewaySettings;
   readonly platform: Platform;
-  /** Wall-clock milliseconds of the start; a pause does not change it. */
+  /** Wall-clock milliseconds of the start; unchanged by a process pause. */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly random: Random;
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -152,11 +152,11 @@
 export interface ObjectSource<T> {
   list(signal: AbortSignal, freshness: Freshness): Promise<SourceListing<T>>;
   /**
-   * Returns the changes after a revision, long-polling up to `retryAfterMs` for
-   * the first. Undefined if the store has compacted them.
+   * Returns the changes after a revision, long-polling up to `waitMs` for the
+   * first. Undefined if the store has compacted them.
    */
   changes(
-    after: number,
+    afterRevision: number,
     waitMs: number,
     signal: AbortSignal,
   ): Promise<SourceChanges<T> | undefined>;
@@ -168,7 +168,7 @@
   readonly fencing: number;
 }
 
-/** Number of a service's endpoints in one market of a failure domain. */
+/** Target number of a service's endpoints in a market of a failure domain. */
 export interface EndpointOrder {
   readonly service: string;
   readonly failureDomain: string;
@@ -208,7 +208,7 @@
   readonly rollouts: ObjectSource<Rollout>;
   /** Objects that the gateway writes: members, leases, usage, crashes. */
   readonly objects: ObjectTransport;
-  /** Returns one kind of these as a source; `read` throws on invalid values. */
+  /** Returns one kind of `objects` as a source; `read` throws if invalid. */
   systemObjects<T>(kind: string, read: (value: unknown) => T): ObjectSource<T>;
   readonly orders: PlatformOrders;
   readonly requestMigrator: RequestMigrator;
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -34,7 +34,7 @@
  * A successor takes over within about four seconds of the holder's failure. A
  * new endpoint takes as long to start, so a reclaim together with the holder's
  * failure delays callers no longer than either alone. Each renewal and each
- * poll of a candidate is a call, three per second in total.
+ * poll of a candidate is a store call, three per second in total.
  */
 const LEASE_TIMING: LeaseTiming = {
   durationMs: 3_000,
@@ -43,7 +43,7 @@
   marginMs: 400,
 };
 
-/** Timeout of a store call, in milliseconds; it normally takes a few. */
+/** Timeout of a store call, in milliseconds; a call normally takes a few. */
 const STORE_CALL_TIMEOUT_MS = 1_000;
 
 /**
@@ -112,8 +112,8 @@
       store,
       self,
       members: () => plan().coordinators,
-      // Behind a relay an entry lacks the fleet-wide counts. It may have
-      // acquired a duty before it discovered that many peers.
+      // Behind a relay an entry lacks the fleet-wide counts. The entry may have
+      // acquired a duty before it discovered enough peers for relays.
       mayHold: () => plan().ownRelays.length === 0,
       log,
       decisions,
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -33,7 +33,7 @@
 /** Delay before a write, in milliseconds, to batch one crash's requests. */
 const WRITE_BATCH_MS = 50;
 
-/** Maximum delay before a write is retried, in milliseconds; at least half. */
+/** Maximum delay of a write retry, in milliseconds; the minimum is half. */
 const WRITE_RETRY_MS = 500;
 
 /** Interval at which expired objects are removed, in milliseconds. */
@@ -84,7 +84,7 @@
 }): Disposable {
   const {mirror, crashQuarantine, store, self, clock, random, log} = options;
   const owned = disposableStore();
-  const revisions = new Map<string, number>();
+  const appliedRevisions = new Map<string, number>();
   let isRestored = false;
   let isDirty = false;
   let isWriting = false;
@@ -93,14 +93,14 @@
   function applyItems(): void {
     const items = mirror.items();
     for (const {name, revision, value} of items) {
-      if (revisions.get(name) !== revision) {
-        revisions.set(name, revision);
+      if (appliedRevisions.get(name) !== revision) {
+        appliedRevisions.set(name, revision);
         applyReport(name, value);
       }
     }
-    for (const name of revisions.keys()) {
+    for (const name of appliedRevisions.keys()) {
       if (mirror.get(name) === undefined) {
-        revisions.delete(name);
+        appliedRevisions.delete(name);
         log.info({entry: name}, 'persisted crashes removed');
         crashQuarantine.removeStoredReport(name);
       }
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -29,19 +29,19 @@
 }
 
 /**
- * Interval of digests, in milliseconds. A shorter one costs processor time, a
- * longer one lets quotas overshoot more.
+ * Interval of digests, in milliseconds. A shorter interval costs processor
+ * time; a longer interval lets quotas overshoot more.
  */
-const INTERVAL_MS = 300;
+const DIGEST_INTERVAL_MS = 300;
 
-/** Time without digests until a peer is unreachable, in milliseconds. */
+/** Time without digests until a peer counts as unreachable, in milliseconds. */
 export const PEER_TIMEOUT_MS = 1_200;
 
 /** Ticks between digests to a standby relay, whose data must be fresh. */
 const STANDBY_INTERVAL_TICKS = 3;
 
 interface PeerContact {
-  readonly at: number;
+  readonly receivedAt: number;
   readonly stamp: number;
   /** Peer's wall clock minus the local one, in milliseconds. */
   readonly wallOffsetMs: number;
@@ -64,8 +64,8 @@
   /** Current relay plan; it changes with the membership. */
   plan(): RelayPlan;
   /**
-   * Takes a snapshot of the local state once per tick; the result returns its
-   * content for a scope. Only `rest` depends on the receiver.
+   * Takes a snapshot of the local state once per tick, and returns a function
+   * for the digest of a scope. Only that of `rest` depends on the receiver.
    */
   content(): (scope: DigestScope, receiver: string) => DigestContent;
   /** Called for each digest; it was sent after `timestamp`, if known. */
@@ -83,7 +83,7 @@
   const startedAt = clock.now();
   let ticks = 0;
 
-  /** Whether a target is a standby relay whose predecessor is alive. */
+  /** Whether a target is a standby relay while an earlier relay is alive. */
   function isStandby(peer: string, ownRelays: readonly string[]): boolean {
     const position = ownRelays.indexOf(peer);
     return position > 0 && ownRelays.slice(0, position).some(isAlive);
@@ -133,7 +133,9 @@
 
   function isAlive(peer: string): boolean {
     const last = contacts.get(peer);
-    return last !== undefined && clock.now() - last.at < PEER_TIMEOUT_MS;
+    return (
+      last !== undefined && clock.now() - last.receivedAt < PEER_TIMEOUT_MS
+    );
   }
 
   function dropOldStamps(now: number): void {
@@ -160,7 +162,7 @@
 
   function receive(peer: string, digest: Digest): void {
     contacts.set(peer, {
-      at: clock.now(),
+      receivedAt: clock.now(),
       stamp: digest.stamp,
       wallOffsetMs: digest.wallMs - clock.wall(),
     });
@@ -169,12 +171,12 @@
 
   function liveContacts(): [string, PeerContact][] {
     return [...contacts].filter(
-      ([, {at}]) => clock.now() - at < PEER_TIMEOUT_MS,
+      ([, {receivedAt}]) => clock.now() - receivedAt < PEER_TIMEOUT_MS,
     );
   }
 
   owned.add(network.onDidReceive('digest', receive));
-  owned.add(every(clock, INTERVAL_MS, send));
+  owned.add(every(clock, DIGEST_INTERVAL_MS, send));
   return {
     commonWallMs() {
       const offsets = [
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -129,8 +129,8 @@
 }
 
 /**
- * A process that restarts under its old id has an empty cache; a separate key
- * keeps the router from expecting the old one.
+ * Returns a key with the start time: a process that restarts under its old id
+ * has an empty cache, and the router must not expect the earlier cache.
  */
 function keyOf({id, bornAt}: RegisteredEndpoint): string {
   return `${id}@${bornAt}`;
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -3,7 +3,7 @@
  *
  * If all entries lose power at once, no peer has the measurements. Callers
  * return at once, and until enough of them are served, scaling and routing
- * would use priors only.
+ * would use prior estimates only.
  */
 import {
   every,
--- a/packages/gateway/src/engineEstimates.ts
+++ b/packages/gateway/src/engineEstimates.ts
@@ -49,7 +49,7 @@
 /** Interval of publishing observations, in milliseconds: they change slowly. */
 const PUBLISH_INTERVAL_MS = 1_000;
 
-/** Relative change of the typical prompt's time that is logged. */
+/** Minimum relative change of the typical prompt's time that is logged. */
 const LOGGED_CHANGE = 0.25;
 
 /** Affinity of a prefix, as a multiple of the typical prompt's time. */
@@ -65,11 +65,11 @@
 }
 
 /**
- * Creates the estimates; `aims` are the latency targets of a service.
+ * Creates the estimates of one entry.
  *
  * @example
  * const engineEstimates = createEngineEstimates({clock, reports, log,
- *   restored: store.restored, isModel, aims});
+ *   restored: store.restored, isModel, latencyTargets});
  */
 export function createEngineEstimates(options: {
   readonly clock: Clock;
@@ -134,8 +134,10 @@
   }
 
   function lateFraction(service: string): number {
-    const parts = [outcomes.counts(), ...reports.outcomes()];
-    return lateRequestFraction(parts.flatMap(part => part[service] ?? []));
+    const originCounts = [outcomes.counts(), ...reports.outcomes()];
+    return lateRequestFraction(
+      originCounts.flatMap(counts => counts[service] ?? []),
+    );
   }
 
   function demandSignals(service: string): Omit<DemandSignals, 'present'> {
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -31,13 +31,13 @@
 }
 
 export interface EngineObserver {
-  /** Returns the delay at an endpoint; `leftMs` remains until the deadline. */
+  /** Returns the delay at an endpoint; `leftMs` is the time to the deadline. */
   expectedWait(
     call: ObservedCall,
     choice: Choice,
     leftMs: number,
   ): ExpectedWait;
-  /** `isFresh` is false for a resumed request, which reads little prompt. */
+  /** `isFresh` is false for a resumed request: little prompt is processed. */
   observe(
     call: ObservedCall,
     choice: Choice,
@@ -97,9 +97,12 @@
       if (demand === undefined || !options.fits(service, demand)) {
         return NO_OBSERVER;
       }
-      const own = ownTokens(demand);
-      const uncached = Math.max(0, demand.promptTokens - choice.cachedTokens);
-      const rereadTokens = Math.max(0, uncached - own);
+      const ownTokenCount = ownTokens(demand);
+      const uncachedTokens = Math.max(
+        0,
+        demand.promptTokens - choice.cachedTokens,
+      );
+      const rereadTokens = Math.max(0, uncachedTokens - ownTokenCount);
       const {loadBefore} = choice;
       const sentAt = clock.now();
       const steps = createStepMeter(clock);
@@ -121,7 +124,7 @@
           model.recordPrompt({
             service,
             route: route.name,
-            ownTokens: own,
+            ownTokens: ownTokenCount,
             promptTokens: demand.promptTokens,
             rereadTokens,
             pendingTokens: choice.tokensAhead,
@@ -129,17 +132,17 @@
           });
         },
         noteEnd() {
-          const events = steps.eventCount();
+          const eventCount = steps.eventCount();
           const eventMs = steps.eventIntervalMs();
-          if (events < MIN_EVENTS || eventMs === undefined) {
+          if (eventCount < MIN_EVENTS || eventMs === undefined) {
             return;
           }
-          const perEvent = options.tokensPerEvent(service);
+          const tokensPerEvent = options.tokensPerEvent(service);
           model.recordAnswer({
             service,
             route: route.name,
-            tokens: events * perEvent,
-            stepMs: eventMs / perEvent,
+            tokens: eventCount * tokensPerEvent,
+            stepMs: eventMs / tokensPerEvent,
             requests: loadBefore.requests + 1,
             contextTokens: loadBefore.contextTokens + demand.promptTokens,
             allowedMs: route.timeoutMs - route.goalMs,
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -47,7 +47,7 @@
 
 interface IssuedOrder {
   readonly count: number;
-  readonly at: number;
+  readonly issuedAt: number;
 }
 
 export interface FleetDutyOptions {
@@ -71,7 +71,7 @@
 export function startFleetDuty(options: FleetDutyOptions): Disposable {
   const {term, orders, directory, clock, log} = options;
   const issuedOrders = new Map<string, IssuedOrder>();
-  /** Next probe of each failure domain without reclaimable capacity. */
+  /** Next probe time by `service/domain` without reclaimable capacity. */
   const scarceRetryAt = new Map<string, number>();
   const estimators = new Map<string, DemandEstimator>();
   const startedAt = clock.now();
@@ -144,20 +144,20 @@
 
   /** Returns the next count to order in a market, towards the planned one. */
   function nextCount(
-    planned: number,
-    current: number,
+    plannedCount: number,
+    currentCount: number,
     otherMarketCount: number,
     maxEndpoints: number,
     surplus: number,
   ): number {
-    if (current > planned) {
-      return Math.max(planned, current - surplus);
+    if (currentCount > plannedCount) {
+      return Math.max(plannedCount, currentCount - surplus);
     }
     // The limit covers both markets; the platform truncates an order beyond it
     // without an error.
     return Math.max(
-      current,
-      Math.min(planned, maxEndpoints - otherMarketCount),
+      currentCount,
+      Math.min(plannedCount, maxEndpoints - otherMarketCount),
     );
   }
 
@@ -165,7 +165,7 @@
     const lastOrder = issuedOrders.get(key);
     return (
       lastOrder?.count === count &&
-      clock.now() - lastOrder.at < ORDER_TIMEOUT_MS
+      clock.now() - lastOrder.issuedAt < ORDER_TIMEOUT_MS
     );
   }
 
@@ -181,22 +181,22 @@
       for (const market of ['reclaimable', 'onDemand'] as const) {
         const other = market === 'onDemand' ? 'reclaimable' : 'onDemand';
         const key = `${service}/${failureDomain}/${market}`;
-        const current = readyInMarket(service, failureDomain, market);
+        const currentCount = readyInMarket(service, failureDomain, market);
         const otherMarketCount = readyInMarket(service, failureDomain, other);
         const count = nextCount(
           fleet[market],
-          current,
+          currentCount,
           otherMarketCount,
           maxEndpoints,
           surplus,
         );
         const lastOrder = issuedOrders.get(key);
         const isSettled =
-          current === count && (lastOrder?.count ?? count) === count;
+          currentCount === count && (lastOrder?.count ?? count) === count;
         if (isSettled || isPending(key, count)) {
           continue;
         }
-        surplus -= Math.max(0, current - count);
+        surplus -= Math.max(0, currentCount - count);
         newOrders.push({
           service,
           failureDomain,
@@ -216,7 +216,7 @@
     if (!term.isValid()) {
       return 'failed';
     }
-    issuedOrders.set(key, {count: order.count, at: clock.now()});
+    issuedOrders.set(key, {count: order.count, issuedAt: clock.now()});
     const answer = await orders.orderEndpoints(
       {holder: options.holder, fencing: term.fencing},
       order,
@@ -243,7 +243,7 @@
   ): Promise<void> {
     for (const [key, retryAt] of scarceRetryAt) {
       const [name, failureDomain = ''] = key.split('/');
-      const current = readyInMarket(service, failureDomain, 'reclaimable');
+      const currentCount = readyInMarket(service, failureDomain, 'reclaimable');
       const otherMarketCount = readyInMarket(
         service,
         failureDomain,
@@ -252,14 +252,14 @@
       if (name !== service || retryAt > clock.now()) {
         continue;
       }
-      if (current + otherMarketCount >= most) {
+      if (currentCount + otherMarketCount >= most) {
         markScarce(service, failureDomain);
         continue;
       }
       const order = {
         service,
         failureDomain,
-        count: current + 1,
+        count: currentCount + 1,
         isReclaimable: true,
       };
       if ((await issueOrder(order)) === 'accepted') {
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -1,4 +1,4 @@
-/** Forwards an admitted request to an endpoint, with retries at others. */
+/** Forwards an admitted request, with retries at other endpoints. */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {AdmissionController} from '@skylarkfield/admission';
 import type {
@@ -61,11 +61,11 @@
    * undefined if none arrived.
    */
   readonly firstMs: number | undefined;
-  /** Endpoints that it was sent to, in order. */
+  /** Endpoints that the call was sent to, in order. */
   readonly endpoints: readonly string[];
-  /** Monotonic milliseconds of the first send; undefined if it was not sent. */
+  /** Monotonic milliseconds of the first send; undefined if there was none. */
   readonly firstSendAt?: number;
-  /** Prompt tokens queued ahead of it at the first endpoint, if it was sent. */
+  /** Prompt tokens queued at the first endpoint before the call was sent. */
   readonly tokensAhead?: number;
   /** Set if an endpoint closed its connection during the request. */
   readonly fingerprint?: string;
@@ -147,7 +147,10 @@
       choice.finish({outcome: 'unreachable', latencyMs: 0});
       return {
         type: 'failed',
-        error: unavailable(call.service, 'the chosen one was just removed'),
+        error: unavailable(
+          call.service,
+          'the chosen endpoint was just removed',
+        ),
       };
     }
     progress.endpoints.push(endpoint.id);
@@ -229,8 +232,8 @@
     return end;
 
     /**
-     * Counts a call once over all attempts. A plain request runs from its send,
-     * a model request from its first event.
+     * Counts a call once over all attempts. A stream counts as run at its first
+     * event, any other call at its send.
      */
     function countRun(wallMs: number): void {
       if (!progress.isCounted) {
@@ -240,14 +243,14 @@
     }
   }
 
-  let reports = 0;
+  let loadReportCount = 0;
   function noteLoad(endpoint: string, {load}: ResponseHead): void {
     if (load === undefined) {
       return;
     }
-    reports += 1;
+    loadReportCount += 1;
     router.reportLoad(endpoint, {
-      sequence: reports,
+      sequence: loadReportCount,
       ...load,
       waitingPromptTokens: 0,
       cacheUse: 0,
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -11,13 +11,13 @@
 /** Maximum TTL of lookups, in milliseconds, to drop failed entries soon. */
 const MAX_LOOKUP_TTL_MS = 2_000;
 
-const READY = 200;
-const NOT_READY = 503;
-const NOT_FOUND = 404;
+const READY_STATUS = 200;
+const NOT_READY_STATUS = 503;
+const NOT_FOUND_STATUS = 404;
 
 /**
- * Opens all ports. Throws `bad-settings` if one cannot be opened, after closing
- * the others, which would still accept callers.
+ * Opens all ports. Throws `bad-settings` if a port cannot be opened, after
+ * closing the open ports, which would otherwise still accept callers.
  *
  * @example
  * const ports = owned.add(await openPorts(context, coordination, traffic));
@@ -35,17 +35,17 @@
   }
 
   function answerReadiness(request: IncomingMessage, response: ServerResponse) {
-    const status = isReady() ? READY : NOT_READY;
+    const status = isReady() ? READY_STATUS : NOT_READY_STATUS;
     sendStatus(
       response,
-      lookups.isReadiness(request.url ?? '') ? status : NOT_FOUND,
+      lookups.isReadiness(request.url ?? '') ? status : NOT_FOUND_STATUS,
     );
   }
 
   function answerLookup(request: IncomingMessage, response: ServerResponse) {
     const query = lookups.parseLookup(request.url ?? '');
     if (query === undefined) {
-      sendStatus(response, NOT_FOUND);
+      sendStatus(response, NOT_FOUND_STATUS);
       return;
     }
     const members = membership
@@ -54,7 +54,7 @@
     const caller = request.socket.remoteAddress ?? '';
     const addresses = selectEntries(members, query.failureDomain, caller);
     if (addresses.length === 0) {
-      sendStatus(response, NOT_READY);
+      sendStatus(response, NOT_READY_STATUS);
       return;
     }
     const ttlMs = Math.min(
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -22,8 +22,8 @@
 
 export interface GatewayProcess {
   /**
-   * Shuts down gracefully: leaves the lookups, serves on for a while, then
-   * waits for requests in flight.
+   * Shuts down gracefully: leaves the lookups, accepts new requests for up to
+   * `LINGER_MS`, then waits for requests in flight.
    */
   stop(): Promise<void>;
   /** Applies the settings that can change at run time: the log level. */
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -18,10 +18,10 @@
 }
 
 /**
- * Interval of Node's checks for request timeouts, in milliseconds: on the port
- * with caller limits, and elsewhere.
+ * Interval of Node's checks for request timeouts, in milliseconds: `limited` on
+ * the port with caller limits, `free` elsewhere.
  */
-const CHECK_MS = {limited: 1_000, free: 30_000};
+const TIMEOUT_CHECK_INTERVAL_MS = {limited: 1_000, free: 30_000};
 
 /** Listen backlog; callers reconnect in bursts when an entry fails. */
 const BACKLOG = 1_024;
@@ -30,10 +30,10 @@
  * Maximum header size, in bytes; fixed per server, so policies can only lower
  * it.
  */
-const HEADER_BYTES = 16_384;
+const MAX_HEADER_BYTES = 16_384;
 
 /**
- * Opens a port. Throws `bad-settings` when it can't be bound.
+ * Opens a port. Throws `bad-settings` if the port cannot be bound.
  *
  * @example
  * const port = await openPort(settings.callers, handler);
@@ -41,11 +41,11 @@
 export async function openPort(
   address: Address,
   handler: RequestHandler,
-  senders: keyof typeof CHECK_MS = 'free',
+  limitMode: keyof typeof TIMEOUT_CHECK_INTERVAL_MS = 'free',
 ): Promise<Port> {
   const server = http.createServer({
-    maxHeaderSize: HEADER_BYTES,
-    connectionsCheckingInterval: CHECK_MS[senders],
+    maxHeaderSize: MAX_HEADER_BYTES,
+    connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS[limitMode],
     // Only the headers have a timeout; bodies may take long.
     requestTimeout: 0,
   });
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -4,7 +4,7 @@
 
 /**
  * Maximum entries in one response. Callers spread their requests evenly over
- * them, so a weighted subset shifts load to larger entries.
+ * them, so a subset weighted by cores shifts load to entries with more cores.
  */
 const MAX_ENTRIES = 8;
 
@@ -19,7 +19,7 @@
 
 /**
  * Returns addresses of live entries in the caller's failure domain, where
- * traffic is free, and of others only if there are too few.
+ * traffic is free, and of remote entries only if there are too few local ones.
  *
  * In large failure domains each caller gets a stable subset, weighted by cores:
  * callers close connections to entries that are no longer listed.
@@ -34,10 +34,12 @@
 ): readonly string[] {
   const local = live.filter(member => member.failureDomain === failureDomain);
   const remote = live.filter(member => member.failureDomain !== failureDomain);
-  const missing = Math.max(0, MIN_ENTRIES - local.length);
-  const byLoad = [...remote].sort((a, b) => a.load - b.load);
+  const missingCount = Math.max(0, MIN_ENTRIES - local.length);
+  const remoteByLoad = [...remote].sort((a, b) => a.load - b.load);
   const selected =
-    local.length === 0 ? byLoad : [...local, ...byLoad.slice(0, missing)];
+    local.length === 0
+      ? remoteByLoad
+      : [...local, ...remoteByLoad.slice(0, missingCount)];
   return chooseByCores(selected, caller).map(({callerUrl}) =>
     addressOf(callerUrl),
   );
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -12,7 +12,7 @@
 import {createConfirmation, type Timestamp} from '@skylarkfield/traffic';
 import type {SourceChanges, SourceItem, SourceListing} from './contracts.js';
 
-/** Changes that take a replica from one revision to another. */
+/** Changes that take a replica from store revision `from` to `to`. */
 export interface MirrorStep {
   readonly from: number;
   readonly to: number;
@@ -30,7 +30,7 @@
   ageMs(): number;
   /** Fires after the content has changed. */
   readonly onDidChange: Event<void>;
-  /** Applies a listing; `requestedAt` is undefined if it may be stale. */
+  /** Applies a listing, without `requestedAt` if the listing may be stale. */
   applyListing(
     listing: SourceListing<T>,
     requestedAt: Timestamp | undefined,
@@ -44,8 +44,8 @@
   applyStep(step: MirrorStep): boolean;
   applyCopy(snapshot: MirrorSnapshot): void;
   /**
-   * Confirms the replica by a peer's that was up to date at the timestamp;
-   * false if it lacks changes.
+   * Confirms the replica by the status of a peer that was up to date at the
+   * timestamp; false if this replica lacks changes that the peer has.
    */
   confirmBy(syncStatus: SyncStatus, timestamp: Timestamp): boolean;
   copy(): MirrorSnapshot;
@@ -99,15 +99,18 @@
     return items.delete(name);
   }
 
-  function applyAll(changes: readonly MirrorChange[], to: number): void {
+  function applyAll(
+    changes: readonly MirrorChange[],
+    toRevision: number,
+  ): void {
     let isDifferent = false;
     for (const change of changes) {
       isDifferent = apply(change) || isDifferent;
     }
-    changedAt = Math.max(changedAt, to);
+    changedAt = Math.max(changedAt, toRevision);
     if (isDifferent) {
       log.info(
-        {mirror: kind, to, changed: changes.map(({name}) => name)},
+        {mirror: kind, to: toRevision, changed: changes.map(({name}) => name)},
         'mirror changed',
       );
       changed.fire();
@@ -116,25 +119,28 @@
 
   /** Replaces the content unless the new content is older. */
   function replace(
-    to: number,
+    toRevision: number,
     changeRevision: number,
     newItems: readonly MirrorChange[],
   ): void {
-    if (revision !== undefined && to < revision) {
+    if (revision !== undefined && toRevision < revision) {
       return;
     }
     const names = new Set(newItems.map(({name}) => name));
     const removed = [...items.keys()].filter(name => !names.has(name));
     removed.forEach(name => items.delete(name));
     const isFirst = revision === undefined;
-    revision = to;
+    revision = toRevision;
     let isDifferent = isFirst || removed.length > 0;
     for (const change of newItems) {
       isDifferent = apply(change) || isDifferent;
     }
     changedAt = Math.max(changedAt, changeRevision);
     if (isDifferent) {
-      log.info({mirror: kind, to, objects: items.size}, 'mirror replaced');
+      log.info(
+        {mirror: kind, to: toRevision, objects: items.size},
+        'mirror replaced',
+      );
       changed.fire();
     }
   }
@@ -153,32 +159,32 @@
         confirmation.confirm(requestedAt);
       }
     },
-    applyChanges(read, requestedAt) {
-      const from = revision ?? 0;
-      if (read.revision < from) {
+    applyChanges(sourceChanges, requestedAt) {
+      const fromRevision = revision ?? 0;
+      if (sourceChanges.revision < fromRevision) {
         // A peer's step has overtaken this response.
         return undefined;
       }
-      const changes = read.changes.map(({name, item}) =>
+      const changes = sourceChanges.changes.map(({name, item}) =>
         item === undefined
-          ? {name, revision: read.revision}
+          ? {name, revision: sourceChanges.revision}
           : {name, revision: item.revision, value: item.value},
       );
-      revision = read.revision;
+      revision = sourceChanges.revision;
       confirmation.confirm(requestedAt);
       if (changes.length === 0) {
         return undefined;
       }
-      applyAll(changes, read.revision);
-      return {from, to: read.revision, changes};
+      applyAll(changes, sourceChanges.revision);
+      return {from: fromRevision, to: sourceChanges.revision, changes};
     },
-    applyStep({from, to, changes}) {
-      if (revision === undefined || revision < from) {
+    applyStep({from: fromRevision, to: toRevision, changes}) {
+      if (revision === undefined || revision < fromRevision) {
         return false;
       }
-      if (to > revision) {
-        revision = to;
-        applyAll(changes, to);
+      if (toRevision > revision) {
+        revision = toRevision;
+        applyAll(changes, toRevision);
       }
       return true;
     },
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -3,8 +3,8 @@
  *
  * Calls are billed and rate-limited for the whole fleet, so one entry reads and
  * broadcasts the changes. Entries take over in a fixed order when no
- * predecessor reports successful reads: it may be down, or the platform may
- * reject it alone.
+ * earlier entry reports successful reads: the reading entry may be down, or the
+ * platform may reject only its calls.
  */
 import {
   toServingError,
@@ -39,7 +39,7 @@
 
 /**
  * Backoff after a failed call, in milliseconds; short enough to notice the
- * platform's return within a second.
+ * platform's recovery within a second.
  */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 500;
@@ -67,7 +67,7 @@
   readonly random: Random;
   readonly log: Logger;
   readonly timing: ReadTiming;
-  /** Whether no entry before this one in the order reads. */
+  /** Whether no earlier entry in the takeover order reads. */
   shouldRead(): boolean;
   /** Called with changes to broadcast. */
   onDidStep(step: MirrorStep): void;
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -139,8 +139,8 @@
   /**
    * Returns usage since the reporter's previous report. The first report of a
    * process counts in full if all of it lies within the quota window. Otherwise
-   * it only sets the baseline, as do the first sums of a relay, which its
-   * predecessor has partly reported already.
+   * it only sets the baseline, as do the first sums of a relay, which the
+   * previous relay has partly reported already.
    */
   function increases(peer: string, digest: Digest): Record<string, number> {
     const {incarnation = 0, used, scope = 'own', upMs = Infinity} = digest;
@@ -239,8 +239,13 @@
       if (own.capacity === undefined) {
         return sum;
       }
-      const seen = selected.filter(isFresh).map(({capacity}) => capacity);
-      return {...sum, capacity: addCapacityStats([own.capacity, ...seen])};
+      const freshCapacities = selected
+        .filter(isFresh)
+        .map(({capacity}) => capacity);
+      return {
+        ...sum,
+        capacity: addCapacityStats([own.capacity, ...freshCapacities]),
+      };
     },
     visiblePeers: () =>
       [...origins.values()]
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -1,4 +1,4 @@
-/** Mirrors of the platform's objects, read by few entries and sent to all. */
+/** Mirrors of the platform's objects, read by few entries and sent to others. */
 import {
   disposableStore,
   type Clock,
@@ -101,7 +101,7 @@
   const readers = new Map<MirrorKind, MirrorReader>();
   const peerStatuses = new Map<
     string,
-    {at: number; syncStatuses: SyncStatuses}
+    {receivedAt: number; syncStatuses: SyncStatuses}
   >();
   const fetching = new Set<MirrorKind>();
 
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Whether no entry before this one in the order reads successfully. An entry
-   * behind relays reads only while none of them reports.
+   * Whether no coordinator before this entry reads successfully. An entry
+   * behind relays reads only while none of these relays sends digests.
    */
   function shouldRead(kind: MirrorKind): boolean {
     const {coordinators, ownRelays} = options.plan();
@@ -129,7 +129,7 @@
 
   function hasFreshStatus(peer: string): boolean {
     const last = peerStatuses.get(peer);
-    return last !== undefined && clock.now() - last.at < STATUS_TTL_MS;
+    return last !== undefined && clock.now() - last.receivedAt < STATUS_TTL_MS;
   }
 
   function isRelay(): boolean {
@@ -236,7 +236,7 @@
       crashes: mirrors.crashes.syncStatus(isReading('crashes')),
     }),
     noteSyncStatuses(peer, syncStatuses, timestamp) {
-      peerStatuses.set(peer, {at: clock.now(), syncStatuses});
+      peerStatuses.set(peer, {receivedAt: clock.now(), syncStatuses});
       for (const kind of kinds) {
         const syncStatus = syncStatuses[kind];
         if (syncStatus !== undefined) {
--- a/packages/gateway/src/relayPlan.ts
+++ b/packages/gateway/src/relayPlan.ts
@@ -1,9 +1,9 @@
 /**
  * Topology of the digests: a full mesh in small fleets, relays in large ones.
  *
- * The cost of a full mesh grows with the square of the entries. Above a limit,
- * an entry reports to the two relays of its failure domain; relays aggregate
- * and exchange sums.
+ * The cost of a full mesh grows with the square of the entries. Above
+ * `MAX_FULL_MESH_ENTRIES`, an entry reports to the two relays of its failure
+ * domain; relays aggregate and exchange sums.
  */
 import {rendezvousOrder} from '@skylarkfield/base';
 
@@ -16,7 +16,7 @@
   /** All entries except the receiver. */
   | 'rest';
 
-/** Inputs of the plan for one entry. */
+/** An entry, as an input of the plan. */
 export interface RelayNode {
   readonly id: string;
   readonly failureDomain: string;
@@ -31,7 +31,7 @@
   readonly targets: ReadonlyMap<string, DigestScope>;
   /** Active relay while this entry is its standby; undefined otherwise. */
   readonly activeRelay: string | undefined;
-  /** Entries that read the platform and compete for leases, in order. */
+  /** Entries that may read the platform and hold leases, by precedence. */
   readonly coordinators: readonly string[];
   /** Relays of this entry, active one first; empty in a mesh or for relays. */
   readonly ownRelays: readonly string[];
@@ -40,15 +40,15 @@
 /** Largest fleet that uses a full mesh. */
 export const MAX_FULL_MESH_ENTRIES = 24;
 
-/** One active and one standby. */
+/** One active and one standby relay. */
 const RELAYS_PER_DOMAIN = 2;
 
-/** Hash keys, so that different entries come first in the two orders. */
+/** Two hash keys, so that the two orders start with different entries. */
 const RELAY_KEY = 'relay';
 const COORDINATOR_KEY = 'platform-reader';
 
 /**
- * Plans for one entry; plans from the same nodes are consistent.
+ * Returns the plan of one entry. All entries' plans from the same nodes match.
  *
  * @example
  * const {targets} = planRelays({id: 'a1', failureDomain: 'a', isLive: true,
@@ -113,10 +113,10 @@
  * whole failure domain.
  */
 function groupByCores(nodes: readonly RelayNode[]): RelayNode[][] {
-  const sizes = new Set(nodes.map(({cores}) => cores));
-  return [...sizes]
+  const coreCounts = new Set(nodes.map(({cores}) => cores));
+  return [...coreCounts]
     .sort((a, b) => b - a)
-    .map(size => nodes.filter(({cores}) => cores === size));
+    .map(coreCount => nodes.filter(({cores}) => cores === coreCount));
 }
 
 /**
@@ -124,10 +124,10 @@
  * domains.
  */
 function activeFirst(relays: readonly (readonly string[])[]): string[] {
-  return Array.from({length: RELAYS_PER_DOMAIN}, (_, place) =>
+  return Array.from({length: RELAYS_PER_DOMAIN}, (_, relayIndex) =>
     rendezvousOrder(
       COORDINATOR_KEY,
-      relays.flatMap(ids => ids.slice(place, place + 1)),
+      relays.flatMap(ids => ids.slice(relayIndex, relayIndex + 1)),
     ),
   ).flat();
 }
--- a/packages/gateway/src/requestMetrics.ts
+++ b/packages/gateway/src/requestMetrics.ts
@@ -24,7 +24,7 @@
 const MAX_PENDING = 4_096;
 
 /**
- * Creates the metrics. The SDK is loaded when the page is first requested or
+ * Creates the metrics. The SDK is loaded when they are first rendered or
  * the buffer is full, so that a restarted process serves callers first. The
  * policy bounds the number of services, the only label with external names.
  *
@@ -90,14 +90,14 @@
     advice,
     description: 'Time from the first send to the first byte or event',
   });
-  const whole = meter.createHistogram('skylarkfield.gateway.duration', {
+  const duration = meter.createHistogram('skylarkfield.gateway.duration', {
     unit: 'ms',
     advice,
     description: 'Time from arrival to the end of the answer',
   });
   return ({service = '', kind, firstMs, tookMs}) => {
     requests.add(1, {service, kind});
-    whole.record(tookMs, {service});
+    duration.record(tookMs, {service});
     if (firstMs !== undefined) {
       first.record(firstMs, {service});
     }
--- a/packages/gateway/src/retryRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -20,9 +20,9 @@
 export interface Progress {
   readonly endpoints: string[];
   readonly excluded: Set<string>;
-  /** Prompt tokens queued ahead of it at the first endpoint, once sent. */
+  /** Prompt tokens queued at the first endpoint before the first send. */
   tokensAhead: number | undefined;
-  /** Number of endpoints that may have run it. */
+  /** Number of endpoints that may have run the request. */
   runs: number;
   startedAt: number;
   /** Monotonic milliseconds of the first send; undefined before that. */
@@ -30,7 +30,7 @@
   firstMs: number | undefined;
   /** Fingerprint, once an endpoint has closed its connection on the request. */
   fingerprint: string | undefined;
-  /** Whether it is already counted in the customer's usage. */
+  /** Whether the request is already counted in the customer's usage. */
   isCounted: boolean;
   /** Target of the request's migration off a draining endpoint. */
   continuation: Continuation | undefined;
@@ -42,8 +42,8 @@
   mayRerun(call: RetryableCall, progress: Progress): boolean;
   /**
    * Whether a request that has certainly not run at this endpoint may be sent
-   * to another. It may still have run elsewhere: a migrated stream whose new
-   * endpoint declines it.
+   * to another. A migrated stream that its new endpoint declines has still run
+   * at its first endpoint.
    */
   mayResend(call: RetryableCall, progress: Progress): boolean;
   /** Returns the idle timeout of the next attempt, in milliseconds, if any. */
@@ -52,7 +52,7 @@
 
 /**
  * Maximum sends of a request to endpoints that decline it or cannot be reached;
- * more failures mean that the service has no room.
+ * more failures mean that the service has no capacity.
  */
 const MAX_SENDS = 3;
 
@@ -63,9 +63,9 @@
 const IDLE_TIMEOUT_FRACTION = 0.4;
 
 /**
- * A resumable stream is retried after a pause of this multiple of its declared
- * longest pause: by then the response is late, and callers disconnect after
- * eight pauses.
+ * Idle timeout of a resumable stream, as a multiple of its route's latency
+ * target or longest pause, whichever is longer. By then the response is late;
+ * callers disconnect after eight such pauses.
  */
 const RESUME_PAUSE_MULTIPLE = 3;
 
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -53,8 +53,8 @@
 }
 
 /**
- * Interval of updating which groups have endpoints, in milliseconds; a new
- * version starts in seconds.
+ * Interval of updating which groups have endpoints, in milliseconds; endpoints
+ * of a new version take seconds to start.
  */
 const AVAILABILITY_INTERVAL_MS = 500;
 
@@ -109,8 +109,8 @@
         ...sample,
         version: group,
         isIdempotent: isRepeatable,
-        // An entry lacks a service's total load; failures under load show on
-        // the routes.
+        // An entry does not know a service's total load; failures under load
+        // appear in the samples of its routes.
         loadFraction: 0,
       }),
     isOpen: moves.isOpen,
@@ -210,7 +210,7 @@
 
 /**
  * Sends evidence only to the entries that may evaluate moves, so that its cost
- * does not grow with the square of the entries; cuts go to all.
+ * does not grow with the square of the entries; `moveCut` goes to all entries.
  */
 function evidenceNetwork(options: RolloutOptions) {
   const {network} = options;
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -43,16 +43,16 @@
 const TO_GROUP: VersionGroup = 'candidate';
 
 /**
- * Maximum fraction of an unproven version; operators allow a tenth plus a few
- * requests.
+ * Maximum fraction of requests for an unproven version; operators allow a tenth
+ * plus a few requests.
  */
 const MAX_UNPROVEN_SHARE = 0.08;
 
 /**
- * The old endpoints are terminated as soon as a rollout is reported done, with
- * the requests that they still run. It is therefore reported only this much
- * before the deadline, in milliseconds: long after traffic has moved, with time
- * to retry the call.
+ * Time before the deadline at which a rollout is reported done, in
+ * milliseconds. The old endpoints are then terminated with the requests that
+ * they still run, so this is long after traffic has moved, with time to retry
+ * the call.
  */
 const DONE_MARGIN_MS = 1_000;
 
@@ -147,7 +147,9 @@
     pendingUpdates(states) {
       return openRollouts().flatMap(({name, rollout}) => {
         const move = toMove(name, rollout);
-        const state = states.find(({move: of}) => of === move.name);
+        const state = states.find(
+          ({move: nameInState}) => nameInState === move.name,
+        );
         if (state === undefined) {
           return [];
         }
@@ -161,7 +163,7 @@
   };
 }
 
-/** Another target under the same name is a move with its own evidence. */
+/** Includes the target, since each target is a move with its own evidence. */
 function moveName(name: string, target: string): string {
   return `${name}.${target}`;
 }
--- a/packages/gateway/src/rolloutSample.ts
+++ b/packages/gateway/src/rolloutSample.ts
@@ -5,7 +5,7 @@
 import type {ForwardedCall, ForwardingResult} from './forwarding.js';
 import type {RolloutSample} from './rolloutController.js';
 
-/** Errors unrelated to the version: the caller left, or no capacity. */
+/** Errors unrelated to the version: a disconnect, no capacity, quarantine. */
 const NEUTRAL_ERRORS: ReadonlySet<ErrorKind> = new Set([
   'cancelled',
   'overloaded',
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -31,7 +31,7 @@
   inner: address,
   /** Listen address for metrics and state dumps. */
   status: address,
-  /** Available processor capacity; entries without it count as equal. */
+  /** Available processor capacity; entries without it count as one core. */
   processor: z
     .strictObject({
       /** Number of cores; may be a fraction. */
--- a/packages/gateway/src/stepMeter.ts
+++ b/packages/gateway/src/stepMeter.ts
@@ -8,12 +8,12 @@
   eventIntervalMs(): number | undefined;
 }
 
-/** Events closer than this were read late together, in milliseconds. */
+/** Interval below which events count as read together, in milliseconds. */
 const COALESCED_MS = 0.5;
 
 /**
- * Gaps are longer while the engine processes a prompt, which is most of the
- * time under load; a low quantile shows a step alone.
+ * Quantile of the gaps that is taken as the step time. It is low since gaps are
+ * longer while the engine processes a prompt, most of the time under load.
  */
 const STEP_QUANTILE = 0.25;
 
@@ -26,27 +26,27 @@
  */
 export function createStepMeter(clock: Clock): StepMeter {
   const gaps: number[] = [];
-  let events = 0;
-  let coalesced = 0;
+  let eventCount = 0;
+  let coalescedCount = 0;
   let lastAt: number | undefined;
 
   return {
     noteEvent() {
       const now = clock.now();
-      events += 1;
+      eventCount += 1;
       if (lastAt === undefined) {
         lastAt = now;
         return;
       }
-      coalesced += 1;
+      coalescedCount += 1;
       if (now - lastAt < COALESCED_MS) {
         return;
       }
-      gaps.push((now - lastAt) / coalesced);
-      coalesced = 0;
+      gaps.push((now - lastAt) / coalescedCount);
+      coalescedCount = 0;
       lastAt = now;
     },
-    eventCount: () => events,
+    eventCount: () => eventCount,
     eventIntervalMs() {
       const sorted = [...gaps].sort((a, b) => a - b);
       return sorted[Math.floor(sorted.length * STEP_QUANTILE)];
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -37,7 +37,7 @@
   watch(options: {
     readonly endpoint: string;
     readonly attemptId: string;
-    /** Whether the first event has arrived; before it there is no state. */
+    /** Whether the first event has arrived; a migration needs its KV cache. */
     hasBegun(): boolean;
     choose(): Choice | undefined;
   }): WatchedStream;
--- a/packages/gateway/src/test/crashPersistence.test.ts
+++ b/packages/gateway/src/test/crashPersistence.test.ts
@@ -15,7 +15,7 @@
 
 const KIND = 'endpoint-crashes';
 const REQUEST = 'f00d';
-const CONFIRM_MS = 300;
+const CRASH_CONFIRM_MS = 300;
 
 /** Creates an entry whose mirror reads the store only on `refresh`. */
 function startEntry(self: string, store: ObjectStore, clock: VirtualClock) {
@@ -60,7 +60,8 @@
 function createFleet() {
   const clock = virtualClock();
   const store: ObjectStore = createMemoryPlatform({clock}).client('e1');
-  const start = (self: string, over = store) => startEntry(self, over, clock);
+  const start = (self: string, entryStore = store) =>
+    startEntry(self, entryStore, clock);
   return {clock, store, start};
 }
 
@@ -134,7 +135,7 @@
         endpoint: 'e1',
       });
     }
-    await clock.advance(CONFIRM_MS + 2_000);
+    await clock.advance(CRASH_CONFIRM_MS + 2_000);
     assert.equal(writes, 1);
     const kept = await store.get<CrashReport>(KIND, 'a1');
     assert.equal(kept?.value.crashes.length, 40);
@@ -153,10 +154,10 @@
 
   it('removes objects whose crashes have all expired', async () => {
     const {clock, start, store} = createFleet();
-    const gone = start('a1');
-    await gone.refresh();
-    await gone.crash('e1');
-    gone.persistence.dispose();
+    const removedEntry = start('a1');
+    await removedEntry.refresh();
+    await removedEntry.crash('e1');
+    removedEntry.persistence.dispose();
     const reader = start('b1');
     await reader.refresh();
     await clock.advance(3_600_000 + 300_000);
--- a/packages/gateway/src/test/engineCapacityStore.test.ts
+++ b/packages/gateway/src/test/engineCapacityStore.test.ts
@@ -46,10 +46,10 @@
     const clock = virtualClock();
     const log = silentLogger();
     const before = createEngineCapacityStore({store, clock, log});
-    const keeping = before.startPersisting(measuredCapacity);
+    const persisting = before.startPersisting(measuredCapacity);
     clock.advanceSync(10_000);
     await settle();
-    keeping.dispose();
+    persisting.dispose();
     before.dispose();
 
     const after = createEngineCapacityStore({store, clock, log});
@@ -68,10 +68,13 @@
     await store.put('engine-capacity', 'learned', measuredCapacity(), {
       type: 'any',
     });
-    const memory = createEngineCapacityStore({store, clock, log});
+    const capacityStore = createEngineCapacityStore({store, clock, log});
     await settle();
     clock.advanceSync(120_000);
-    const estimate = estimateEngine(memory.restored()['chat'], LATENCY_TARGETS);
+    const estimate = estimateEngine(
+      capacityStore.restored()['chat'],
+      LATENCY_TARGETS,
+    );
     assert.ok(estimate.prompts < 10, `${estimate.prompts}`);
   });
 
@@ -80,12 +83,12 @@
     // failed on it would serve no requests.
     const store = createStore();
     await store.put('engine-capacity', 'learned', {chat: 7}, {type: 'any'});
-    const memory = createEngineCapacityStore({
+    const capacityStore = createEngineCapacityStore({
       store,
       clock: virtualClock(),
       log: silentLogger(),
     });
     await settle();
-    assert.deepEqual(memory.restored(), {});
+    assert.deepEqual(capacityStore.restored(), {});
   });
 });
--- a/packages/gateway/src/test/eventFramer.test.ts
+++ b/packages/gateway/src/test/eventFramer.test.ts
@@ -10,19 +10,19 @@
     it(`splits a stream received in chunks of ${size} bytes into complete events`, () => {
       // An endpoint may fail in the middle of an event. The partial event must
       // not precede the first event of the resumed stream.
-      const frames = createEventFramer();
+      const framer = createEventFramer();
       const bytes = Buffer.from(STREAM);
-      const cut = [];
+      const frames = [];
       for (let at = 0; at < bytes.length; at += size) {
-        cut.push(...frames.push(bytes.subarray(at, at + size)));
+        frames.push(...framer.push(bytes.subarray(at, at + size)));
       }
       assert.deepEqual(
-        cut.map(({id}) => id),
+        frames.map(({id}) => id),
         [1, 2, undefined, 30],
       );
-      const whole = Buffer.concat(cut.map(frame => frame.bytes)).toString();
-      assert.equal(whole + frames.remainder().toString(), STREAM);
-      assert.equal(frames.remainder().toString(), 'id: 4\nda');
+      const whole = Buffer.concat(frames.map(frame => frame.bytes)).toString();
+      assert.equal(whole + framer.remainder().toString(), STREAM);
+      assert.equal(framer.remainder().toString(), 'id: 4\nda');
     });
   }
 });
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -112,7 +112,7 @@
 async function forwardTo(
   route: Route,
   behaviours: readonly Behaviour[],
-  moves: StreamMigrator = noMigration,
+  streamMigrator: StreamMigrator = noMigration,
 ): Promise<Outcome> {
   const clock = systemClock();
   const log = silentLogger();
@@ -175,7 +175,7 @@
     directory: {get: id => registered.get(id)} as EndpointDirectory,
     admission,
     upstreams,
-    migrator: moves,
+    migrator: streamMigrator,
     engineObserver: createEngineObserver({
       model: createEngineModel(clock),
       clock,
@@ -191,8 +191,8 @@
   });
   let result: ForwardingResult | undefined;
   const server = http.createServer((request, response) => {
-    const gone = new AbortController();
-    response.once('close', () => gone.abort());
+    const disconnected = new AbortController();
+    response.once('close', () => disconnected.abort());
     const reply = createCallerReply({
       response,
       format,
@@ -222,7 +222,7 @@
           fingerprint: () => 'f1',
           promptKeys: [],
           deadlineAt: clock.now() + 5_000,
-          signal: gone.signal,
+          signal: disconnected.signal,
         },
         reply,
       )
@@ -232,7 +232,7 @@
     server.listen(0, '127.0.0.1', resolve);
   });
   const {port} = server.address() as AddressInfo;
-  const seen = await sendRequest(port);
+  const callerResponse = await sendRequest(port);
   while (result === undefined) {
     await new Promise(resolve => setImmediate(resolve));
   }
@@ -241,7 +241,7 @@
   endpoints.forEach(endpoint => endpoint.close());
   const arrivals = endpoints.flatMap(endpoint => endpoint.arrivals);
   return {
-    ...seen,
+    ...callerResponse,
     arrivals: arrivals.length,
     lastEventIds: arrivals.map(({lastEventId}) => lastEventId),
     result,
@@ -253,18 +253,18 @@
     resolve => {
       const request = http.get(
         {port, host: '127.0.0.1', agent: false},
-        reply => {
+        response => {
           let body = '';
           const end = (isBroken: boolean) =>
             resolve({
-              status: reply.statusCode ?? 0,
+              status: response.statusCode ?? 0,
               body,
-              retryAfter: reply.headers['retry-after'],
+              retryAfter: response.headers['retry-after'],
               isBroken,
             });
-          reply.on('data', chunk => (body += chunk));
-          reply.on('end', () => end(false));
-          reply.on('error', () => end(true));
+          response.on('data', chunk => (body += chunk));
+          response.on('end', () => end(false));
+          response.on('error', () => end(true));
         },
       );
       request.on('error', () =>
--- a/packages/gateway/src/test/lookup.test.ts
+++ b/packages/gateway/src/test/lookup.test.ts
@@ -66,11 +66,11 @@
     const share = requestShares(members);
     const cores = members.reduce((sum, each) => sum + each.cores!, 0);
     for (const {callerUrl, cores: own} of members) {
-      const wanted = own! / cores;
-      const got = share.get(new URL(callerUrl).host) ?? 0;
+      const expectedShare = own! / cores;
+      const actualShare = share.get(new URL(callerUrl).host) ?? 0;
       assert.ok(
-        got > wanted * 0.6 && got < wanted * 1.4,
-        `${callerUrl} gets ${got} of ${wanted}`,
+        actualShare > expectedShare * 0.6 && actualShare < expectedShare * 1.4,
+        `${callerUrl} gets ${actualShare} of ${expectedShare}`,
       );
     }
   });
@@ -91,8 +91,8 @@
     const members = Array.from({length: 20}, (_, index) =>
       member(index + 1, 'a'),
     );
-    const got = [...requestShares(members).values()];
-    assert.equal(got.length, 20);
-    assert.ok(Math.max(...got) < 0.08);
+    const shares = [...requestShares(members).values()];
+    assert.equal(shares.length, 20);
+    assert.ok(Math.max(...shares) < 0.08);
   });
 });
--- a/packages/gateway/src/test/mirror.test.ts
+++ b/packages/gateway/src/test/mirror.test.ts
@@ -19,12 +19,12 @@
   it('returns steps that replicate its changes to another mirror', () => {
     const {clock, createReplica} = setUp();
     const reader = createReplica();
-    const listener = createReplica();
+    const replica = createReplica();
     reader.applyListing(
       {revision: 5, items: [item('a', 2), item('b', 5)]},
       timestampOf(clock),
     );
-    listener.applyCopy(reader.copy());
+    replica.applyCopy(reader.copy());
     const step = reader.applyChanges(
       {
         revision: 9,
@@ -35,10 +35,10 @@
       },
       timestampOf(clock),
     );
-    assert.ok(step !== undefined && listener.applyStep(step));
-    assert.deepEqual(listener.items(), reader.items());
-    assert.equal(listener.get('a'), undefined);
-    assert.equal(listener.get('c'), 'c');
+    assert.ok(step !== undefined && replica.applyStep(step));
+    assert.deepEqual(replica.items(), reader.items());
+    assert.equal(replica.get('a'), undefined);
+    assert.equal(replica.get('c'), 'c');
   });
 
   it('rejects a step after a gap', () => {
--- a/packages/gateway/src/test/mirrorReader.test.ts
+++ b/packages/gateway/src/test/mirrorReader.test.ts
@@ -16,20 +16,20 @@
   const log = silentLogger();
   const mirror = createMirror<string>({kind: 'endpoints', clock, log});
   const calls: string[] = [];
-  let isTurn = true;
+  let shouldRead = true;
   let isCompacted = false;
   const source: ObjectSource<string> = {
     list(_, freshness) {
       calls.push(`list ${freshness}`);
       return Promise.resolve({revision: 5, items: []});
     },
-    async changes(after, waitMs) {
+    async changes(afterRevision, waitMs) {
       calls.push('changes');
       if (isCompacted) {
         return undefined;
       }
       await new Promise<void>(resolve => clock.after(waitMs, resolve));
-      return {revision: after, changes: []};
+      return {revision: afterRevision, changes: []};
     },
   };
   const reader = startMirrorReader({
@@ -39,7 +39,7 @@
     random: seededRandom(1),
     log,
     timing: TIMING,
-    shouldRead: () => isTurn,
+    shouldRead: () => shouldRead,
     onDidStep: () => {},
   });
   return {
@@ -47,7 +47,7 @@
     mirror,
     calls,
     reader,
-    setTurn: (next: boolean) => (isTurn = next),
+    setShouldRead: (next: boolean) => (shouldRead = next),
     compact: () => (isCompacted = true),
   };
 }
@@ -55,9 +55,9 @@
 describe('mirror reader', () => {
   // Guards against a burst of calls when all entries start at once.
   it('makes a single call at its start if another entry reads', async () => {
-    const {clock, calls, setTurn} = setUp();
+    const {clock, calls, setShouldRead} = setUp();
     await clock.advance(500);
-    setTurn(false);
+    setShouldRead(false);
     await clock.advance(10_000);
     assert.deepEqual(calls, ['list recent']);
   });
@@ -78,8 +78,8 @@
     await clock.advance(1_300);
     compact();
     await clock.advance(3_000);
-    const lost = calls.indexOf('list latest');
-    assert.ok(lost > 0);
-    assert.equal(calls[lost - 1], 'changes');
+    const relistIndex = calls.indexOf('list latest');
+    assert.ok(relistIndex > 0);
+    assert.equal(calls[relistIndex - 1], 'changes');
   });
 });
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -13,17 +13,22 @@
 const WINDOW_MS = 8_000;
 const DIGEST_MS = 300;
 const STEP_MS = 10;
-const PER_SECOND = 1_000;
+const QUOTA_PER_SECOND = 1_000;
 const BURST = 1_000;
 
-/** Allowed overshoot of a window, for usage not exchanged yet. */
-const ALLOWED_OVERSHOOT = 1.1;
+/** Factor on a window's quota that allows for usage not exchanged yet. */
+const ALLOWED_OVERSHOOT_FACTOR = 1.1;
 
 const customer: CustomerConfig = {
   name: 'chain',
   keys: ['k'],
   priority: undefined,
-  quota: {unit: 'tokens', perSecond: PER_SECOND, burst: BURST, plainTokens: 1},
+  quota: {
+    unit: 'tokens',
+    perSecond: QUOTA_PER_SECOND,
+    burst: BURST,
+    plainTokens: 1,
+  },
 };
 
 const emptyStatus = {
@@ -92,7 +97,7 @@
     },
     /** Each entry tries to consume its part of three times the quota. */
     sendLoad(seconds: number): void {
-      const amount = (3 * PER_SECOND * STEP_MS) / 1_000 / ENTRIES;
+      const amount = (3 * QUOTA_PER_SECOND * STEP_MS) / 1_000 / ENTRIES;
       for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
         if (at % DIGEST_MS === 0) {
           exchangeDigests();
@@ -128,8 +133,11 @@
     fleet.sendLoad(6);
     fleet.setPartitioned(false);
     fleet.sendLoad(12);
-    const allowed = (PER_SECOND * WINDOW_MS) / 1_000 + BURST;
-    const most = fleet.maxInWindow();
-    assert.ok(most <= allowed * ALLOWED_OVERSHOOT, `${most} of ${allowed}`);
+    const allowed = (QUOTA_PER_SECOND * WINDOW_MS) / 1_000 + BURST;
+    const maxGranted = fleet.maxInWindow();
+    assert.ok(
+      maxGranted <= allowed * ALLOWED_OVERSHOOT_FACTOR,
+      `${maxGranted} of ${allowed}`,
+    );
   });
 });
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -64,7 +64,7 @@
   const failed = new Set<string>();
   /** Crash reports to propagate, by entry. */
   const crashReports = new Map<string, CrashReport>();
-  let sent = 0;
+  let sentCount = 0;
 
   type Entry = NonNullable<ReturnType<typeof entries.get>>;
 
@@ -114,7 +114,7 @@
         if (failed.has(to) || (isActiveRelayAlive && scope !== 'own')) {
           continue;
         }
-        sent += 1;
+        sentCount += 1;
         deliver(entry, to, digestOf(entry, scope, to));
       }
     }
@@ -148,9 +148,9 @@
       }
     },
     sentIn(rounds: number): number {
-      const before = sent;
+      const before = sentCount;
       this.rounds(rounds);
-      return (sent - before) / rounds;
+      return (sentCount - before) / rounds;
     },
   };
 }
@@ -302,18 +302,18 @@
   it('counts usage before the first report of an entry that has just started', () => {
     const nodes = fleetOf(3);
     const fleet = createFleet(nodes);
-    const [first, second] = ['entry-1', 'entry-2'].map(
+    const [longRunning, justStarted] = ['entry-1', 'entry-2'].map(
       id => fleet.entries.get(id)!,
     );
-    first!.used = 1_000_000;
+    longRunning!.used = 1_000_000;
     fleet.failed.add('entry-2');
     fleet.rounds(2);
     assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 0);
-    second!.used = 500;
-    second!.upMs = 600;
+    justStarted!.used = 500;
+    justStarted!.upMs = 600;
     fleet.failed.delete('entry-2');
     fleet.rounds(1);
-    second!.used = 507;
+    justStarted!.used = 507;
     fleet.rounds(2);
     assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 507);
   });
--- a/packages/gateway/src/test/stepMeter.test.ts
+++ b/packages/gateway/src/test/stepMeter.test.ts
@@ -6,8 +6,8 @@
 describe('step meter', () => {
   it('measures decode steps, excluding the prompts processed between them', () => {
     // While the engine processes other requests' long prompts, a gap of 15 ms
-    // becomes one of 70 ms. Measured as steps, these would make the engine
-    // seem so slow that twice the endpoints were ordered.
+    // becomes one of 70 ms. Measured as steps, the long gaps would make the
+    // engine seem so slow that twice the endpoints were ordered.
     const clock = virtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 20; index++) {
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -198,8 +198,8 @@
     },
   });
   /**
-   * Only the holder of the cluster duty needs the counts of others, and it is
-   * never behind a relay.
+   * Usage counts by digest scope. Only the holder of the cluster duty needs the
+   * counts of other entries, and the holder is never behind a relay.
    */
   const usageFor: Readonly<Record<DigestScope, () => WindowCounts>> = {
     own: usage.ownCounts,
@@ -358,9 +358,9 @@
         work.record(service, promptWork(demand));
       }
     },
-    onDidAnswer(service: string, {demand}: CallHead, events: number) {
+    onDidAnswer(service: string, {demand}: CallHead, eventCount: number) {
       if (demand !== undefined && fits(service, demand)) {
-        const tokens = events * tokensPerEvent(service);
+        const tokens = eventCount * tokensPerEvent(service);
         work.record(service, answerWork(demand, tokens));
       }
     },
--- a/packages/gateway/src/upstream.ts
+++ b/packages/gateway/src/upstream.ts
@@ -13,7 +13,7 @@
   readonly body: Buffer | undefined;
 }
 
-/** Events of an exchange, in order; it ends with either of the last two. */
+/** Callbacks of an exchange; `onDidEnd` or `onDidFail` is the last call. */
 export interface UpstreamListener {
   onDidRespond(status: number, headers: ResponseHeaders): void;
   onDidReceive(chunk: Buffer): void;
@@ -59,8 +59,8 @@
 const IDLE_TIMEOUT_MS = 4_000;
 
 /**
- * Connections are closed this much before the endpoint's own timeout, in
- * milliseconds, so that a request does not race with its close.
+ * Time before the endpoint's own timeout at which an idle connection is closed,
+ * in milliseconds, so that no request is sent while the endpoint closes it.
  */
 const IDLE_MARGIN_MS = 1_000;
 
@@ -75,8 +75,8 @@
  *
  * If a response closes its connection, undici takes any end of the connection
  * for the end of the response, even a reset or a close in the middle of a
- * chunk, and a truncated response would be passed on as complete. The listeners
- * set here run before undici's own, in the same turn.
+ * chunk, and a truncated response would be passed on as complete. The socket
+ * listeners of `createConnector` run before undici's own, in the same turn.
  */
 type ConnectionEnd = 'none' | 'closed' | 'failed';
 
@@ -115,8 +115,8 @@
 type Framing = 'length' | 'chunks' | 'close';
 
 /**
- * Whether a response that undici reports as complete is so, given how its
- * connection is ending.
+ * Whether a response that undici reports as complete is really complete, given
+ * how its connection is ending.
  */
 const isComplete: Readonly<Record<Framing, (end: ConnectionEnd) => boolean>> = {
   // undici checks the length itself.
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -69,12 +69,13 @@
   let isBusy = false;
 
   function dueWindow(): number | undefined {
-    const latest = usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
-    const earliest = Math.max(
+    const latestWindow =
+      usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
+    const earliestWindow = Math.max(
       firstWindow,
       usage.windowAt(options.commonWallMs() - options.lateMs) - 1,
     );
-    for (let window = earliest; window <= latest; window++) {
+    for (let window = earliestWindow; window <= latestWindow; window++) {
       if (!reported.has(window)) {
         return window;
       }
