--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -107,10 +107,10 @@
  * @example
  * throw withRunState(allDeclined('chat', 3), 0);
  */
-export function allDeclined(service: string, tried: number): ServingError {
+export function allDeclined(service: string, triedCount: number): ServingError {
   return new ServingError(
     'overloaded',
-    `${tried} endpoints of ${service} declined the request`,
+    `${triedCount} endpoints of ${service} declined the request`,
     {run: 'not-run'},
   );
 }
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -92,9 +92,8 @@
 }
 
 /**
- * Urgency levels per priority step. Endpoints have ten urgency levels and
- * callers' priorities are small numbers, so steps of two leave room between
- * them.
+ * Urgency levels per priority step. Endpoints have ten levels and priorities
+ * are small numbers, so steps of two leave room between priorities.
  */
 const URGENCY_PER_PRIORITY = 2;
 const LOWEST_URGENCY = 9;
@@ -238,12 +237,16 @@
     request: IncomingMessage,
     reply: CallerReply,
     accepted: AcceptedRequest,
-    caller: AbortSignal,
+    callerSignal: AbortSignal,
   ): Promise<ForwardingResult> {
     const {head, attemptId, route, service, customer, priority, deadlineAt} =
       accepted;
-    const body = await readBody(request, policy.limits().bodyBytes, caller);
-    await checkConnected(caller);
+    const body = await readBody(
+      request,
+      policy.limits().bodyBytes,
+      callerSignal,
+    );
+    await checkConnected(callerSignal);
     const fingerprint = lazy(() =>
       requestFingerprint({
         customer: customer?.name,
@@ -258,7 +261,7 @@
     const outcome = watchOutcome(accepted, reply, options);
     let permit: Permit;
     try {
-      permit = await admit(accepted, caller);
+      permit = await admit(accepted, callerSignal);
     } catch (error) {
       outcome.end(toServingError(error));
       refundQuota();
@@ -294,7 +297,7 @@
           fingerprint,
           promptKeys: promptKeys(head.demand?.parts ?? []),
           deadlineAt,
-          signal: AbortSignal.any([caller, deadline.signal]),
+          signal: AbortSignal.any([callerSignal, deadline.signal]),
         },
         reply,
       );
@@ -305,7 +308,7 @@
         refundQuota();
       }
       permit.release({
-        outcome: permitOutcome(result, caller),
+        outcome: permitOutcome(result, callerSignal),
         latencyMs: result.firstMs ?? clock.now() - admittedAt,
       });
       return result;
@@ -372,11 +375,11 @@
     : demand.promptTokens + demand.mostOutputTokens;
 }
 
-function permitOutcome({error}: ForwardingResult, caller: AbortSignal) {
+function permitOutcome({error}: ForwardingResult, callerSignal: AbortSignal) {
   if (error === undefined) {
     return 'ok';
   }
-  if (caller.aborted) {
+  if (callerSignal.aborted) {
     return 'cancelled';
   }
   return error.kind === 'overloaded' ? 'overloaded' : 'failed';
--- a/packages/gateway/src/callerPresence.ts
+++ b/packages/gateway/src/callerPresence.ts
@@ -9,10 +9,10 @@
  * @example
  * await checkConnected(callerSignal);
  */
-export async function checkConnected(caller: AbortSignal): Promise<void> {
+export async function checkConnected(callerSignal: AbortSignal): Promise<void> {
   await nextTurn();
   await nextTurn();
-  if (caller.aborted) {
+  if (callerSignal.aborted) {
     throw new ServingError('cancelled', 'the caller disconnected', {
       run: 'not-run',
     });
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -17,7 +17,7 @@
   ): QuarantineVerdict;
   isSuspected(call: FingerprintedCall): boolean;
   isQuarantined(call: FingerprintedCall): boolean;
-  /** Records the end of an attempt that its endpoint was not ordered to end. */
+  /** Records an attempt's end, unless its endpoint was ordered to stop it. */
   noteAttemptEnd(
     call: FingerprintedCall,
     endpoint: string,
@@ -32,7 +32,7 @@
  * computed while no request is suspected.
  *
  * @example
- * if (verdictFor(call, crashQuarantine).type === 'quarantined') { return reject(); }
+ * if (verdictFor(call, crashQuarantine).type === 'quarantined') { reject(); }
  */
 export function verdictFor(
   call: FingerprintedCall,
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -103,25 +103,32 @@
   };
 
   function noteChanges(before: ReadonlyMap<string, RegisteredEndpoint>): void {
-    for (const [id, endpoint] of byKey) {
-      if (before.get(id)?.state !== endpoint.state) {
+    for (const [key, endpoint] of byKey) {
+      if (before.get(key)?.state !== endpoint.state) {
         const {service, state, failureDomain, version, isReclaimable} =
           endpoint;
         log.info(
-          {endpoint: id, service, state, failureDomain, version, isReclaimable},
+          {
+            endpoint: key,
+            service,
+            state,
+            failureDomain,
+            version,
+            isReclaimable,
+          },
           'endpoint state changed',
         );
         if (state === 'draining') {
-          leaving.fire(id);
+          leaving.fire(key);
         }
       }
     }
-    for (const [id, {state}] of before) {
-      if (!byKey.has(id)) {
-        log.info({endpoint: id}, 'endpoint no longer registered');
-        leaving.fire(id);
+    for (const [key, {state}] of before) {
+      if (!byKey.has(key)) {
+        log.info({endpoint: key}, 'endpoint no longer registered');
+        leaving.fire(key);
         if (state === 'ready') {
-          vanished.fire(id);
+          vanished.fire(key);
         }
       }
     }
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -51,8 +51,12 @@
     const members = membership
       .live()
       .filter(({id}) => isReady() || id !== settings.id);
-    const caller = request.socket.remoteAddress ?? '';
-    const addresses = selectEntries(members, query.failureDomain, caller);
+    const callerAddress = request.socket.remoteAddress ?? '';
+    const addresses = selectEntries(
+      members,
+      query.failureDomain,
+      callerAddress,
+    );
     if (addresses.length === 0) {
       sendStatus(response, NOT_READY_STATUS);
       return;
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -115,8 +115,8 @@
 
 /**
  * Shuts the process down. Leaving the membership and releasing leases is not
- * awaited beyond the linger time: if the platform is down, it would use up the
- * time for responses in flight.
+ * awaited beyond the linger time: if the platform is down, waiting would use up
+ * the time for responses in flight.
  */
 async function shutDown(
   {settings, clock, log, lifecycle, inFlight}: GatewayContext,
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -30,7 +30,7 @@
 export function selectEntries(
   live: readonly Member[],
   failureDomain: string,
-  caller: string,
+  callerAddress: string,
 ): readonly string[] {
   const local = live.filter(member => member.failureDomain === failureDomain);
   const remote = live.filter(member => member.failureDomain !== failureDomain);
@@ -40,7 +40,7 @@
     local.length === 0
       ? remoteByLoad
       : [...local, ...remoteByLoad.slice(0, missingCount)];
-  return chooseByCores(selected, caller).map(({callerUrl}) =>
+  return chooseByCores(selected, callerAddress).map(({callerUrl}) =>
     addressOf(callerUrl),
   );
 }
@@ -48,20 +48,23 @@
 /** Weighted rendezvous hashing by cores. */
 function chooseByCores(
   members: readonly Member[],
-  caller: string,
+  callerAddress: string,
 ): readonly Member[] {
   if (members.length <= MAX_ENTRIES) {
     return members;
   }
   return members
-    .map(member => ({member, rank: rankOf(member, caller)}))
+    .map(member => ({member, rank: rankOf(member, callerAddress)}))
     .sort((a, b) => a.rank - b.rank)
     .slice(0, MAX_ENTRIES)
     .map(({member}) => member);
 }
 
-function rankOf({id, cores = DEFAULT_CORES}: Member, caller: string): number {
-  const fraction = (hash32(`${caller}\u0000${id}`) + 1) / HASH_RANGE;
+function rankOf(
+  {id, cores = DEFAULT_CORES}: Member,
+  callerAddress: string,
+): number {
+  const fraction = (hash32(`${callerAddress}\u0000${id}`) + 1) / HASH_RANGE;
   return -Math.log(fraction) / cores;
 }
 
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -138,9 +138,9 @@
 
   /**
    * Returns usage since the reporter's previous report. The first report of a
-   * process counts in full if all of it lies within the quota window. Otherwise
-   * it only sets the baseline, as do the first sums of a relay, which the
-   * previous relay has partly reported already.
+   * process counts in full if the process started within the quota window. Any
+   * other first report only sets the baseline: the previous relay has already
+   * reported part of a relay's first sums.
    */
   function increases(peer: string, digest: Digest): Record<string, number> {
     const {incarnation = 0, used, scope = 'own', upMs = Infinity} = digest;
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -1,4 +1,4 @@
-/** Mirrors of the platform's objects, read by few entries and sent to others. */
+/** Mirrors of the platform's objects, read by few entries, sent to all. */
 import {
   disposableStore,
   type Clock,
--- a/packages/gateway/src/requestMetrics.ts
+++ b/packages/gateway/src/requestMetrics.ts
@@ -34,7 +34,7 @@
  * metrics.record({service: 'booking', kind: 'ok', firstMs: 21, tookMs: 23});
  */
 export function createRequestMetrics(
-  load: () => Promise<Metrics>,
+  loadSdk: () => Promise<Metrics>,
   log: Logger,
 ): RequestMetrics {
   let pending: RequestObservation[] = [];
@@ -53,7 +53,7 @@
   };
 
   async function loadMetrics(): Promise<Metrics> {
-    const metrics = await load();
+    const metrics = await loadSdk();
     record = createRecorder(metrics.meter);
     pending.forEach(record);
     pending = [];
--- a/packages/gateway/src/retryRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -28,7 +28,7 @@
   /** Monotonic milliseconds of the first send; undefined before that. */
   firstSendAt: number | undefined;
   firstMs: number | undefined;
-  /** Fingerprint, once an endpoint has closed its connection on the request. */
+  /** Fingerprint, once an endpoint closed its connection during the request. */
   fingerprint: string | undefined;
   /** Whether the request is already counted in the customer's usage. */
   isCounted: boolean;
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -50,9 +50,8 @@
 
 /**
  * Time before the deadline at which a rollout is reported done, in
- * milliseconds. The old endpoints are then terminated with the requests that
- * they still run, so this is long after traffic has moved, with time to retry
- * the call.
+ * milliseconds. The old endpoints are then terminated with their requests, so
+ * this is long after traffic has moved, with time to retry the call.
  */
 const DONE_MARGIN_MS = 1_000;
 
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -23,7 +23,7 @@
 
 /** A stream while it runs at one endpoint. */
 export interface WatchedStream extends Disposable {
-  /** Whether its endpoint was ordered to stop it. */
+  /** Whether the endpoint was ordered to stop the stream. */
   isStopRequested(): boolean;
   /**
    * Returns the target after a migration in progress has ended; undefined if
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -318,7 +318,7 @@
   });
 
   it('reports an order as not run only if every endpoint declined it', async () => {
-    // Callers retry an order after this status, so it must be accurate.
+    // Callers retry an order reported as not run, so this must be accurate.
     const declined = await forwardTo(order, [declines]);
     assert.ok([429, 503].includes(declined.status), `${declined.status}`);
     assert.ok(declined.retryAfter !== undefined);
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -65,7 +65,7 @@
   const firstWindow = usage.windowAt(options.commonWallMs() - options.lateMs);
   const retainedReports =
     usage.windowAt(options.lateMs) + EXTRA_RETAINED_REPORTS;
-  const reported = new Set<number>();
+  const reportedWindows = new Set<number>();
   let isBusy = false;
 
   function dueWindow(): number | undefined {
@@ -76,7 +76,7 @@
       usage.windowAt(options.commonWallMs() - options.lateMs) - 1,
     );
     for (let window = earliestWindow; window <= latestWindow; window++) {
-      if (!reported.has(window)) {
+      if (!reportedWindows.has(window)) {
         return window;
       }
     }
@@ -123,9 +123,9 @@
     if (answer !== 'accepted') {
       return;
     }
-    reported.add(window);
+    reportedWindows.add(window);
     const expiredWindow = window - retainedReports;
-    if (reported.delete(expiredWindow)) {
+    if (reportedWindows.delete(expiredWindow)) {
       await store.remove(
         OBJECT_KIND,
         String(expiredWindow),
