--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -22,8 +22,8 @@
 
 export interface GatewayProcess {
   /**
-   * Shuts down gracefully: leaves the lookups, serves on for a while, then
-   * waits for requests in flight.
+   * Shuts down gracefully: leaves the lookups, accepts new requests for up to
+   * `LINGER_MS`, then waits for requests in flight.
    */
   stop(): Promise<void>;
   /** Applies the settings that can change at run time: the log level. */
@@ -115,8 +115,8 @@
 
 /**
  * Shuts the process down. Leaving the membership and releasing leases is not
- * awaited beyond the linger time: if the platform is down, it would use up the
- * time for responses in flight.
+ * awaited beyond the linger time: if the platform is down, waiting would use up
+ * the time for responses in flight.
  */
 async function shutDown(
   {settings, clock, log, lifecycle, inFlight}: GatewayContext,
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -4,7 +4,7 @@
 
 /**
  * Maximum entries in one response. Callers spread their requests evenly over
- * them, so a weighted subset shifts load to larger entries.
+ * them, so a subset weighted by cores shifts load to entries with more cores.
  */
 const MAX_ENTRIES = 8;
 
@@ -19,7 +19,7 @@
 
 /**
  * Returns addresses of live entries in the caller's failure domain, where
- * traffic is free, and of others only if there are too few.
+ * traffic is free, and of remote entries only if there are too few local ones.
  *
  * In large failure domains each caller gets a stable subset, weighted by cores:
  * callers close connections to entries that are no longer listed.
@@ -30,15 +30,17 @@
 export function selectEntries(
   live: readonly Member[],
   failureDomain: string,
-  caller: string,
+  callerAddress: string,
 ): readonly string[] {
   const local = live.filter(member => member.failureDomain === failureDomain);
   const remote = live.filter(member => member.failureDomain !== failureDomain);
-  const missing = Math.max(0, MIN_ENTRIES - local.length);
-  const byLoad = [...remote].sort((a, b) => a.load - b.load);
+  const missingCount = Math.max(0, MIN_ENTRIES - local.length);
+  const remoteByLoad = [...remote].sort((a, b) => a.load - b.load);
   const selected =
-    local.length === 0 ? byLoad : [...local, ...byLoad.slice(0, missing)];
-  return chooseByCores(selected, caller).map(({callerUrl}) =>
+    local.length === 0
+      ? remoteByLoad
+      : [...local, ...remoteByLoad.slice(0, missingCount)];
+  return chooseByCores(selected, callerAddress).map(({callerUrl}) =>
     addressOf(callerUrl),
   );
 }
@@ -46,20 +48,23 @@
 /** Weighted rendezvous hashing by cores. */
 function chooseByCores(
   members: readonly Member[],
-  caller: string,
+  callerAddress: string,
 ): readonly Member[] {
   if (members.length <= MAX_ENTRIES) {
     return members;
   }
   return members
-    .map(member => ({member, rank: rankOf(member, caller)}))
+    .map(member => ({member, rank: rankOf(member, callerAddress)}))
     .sort((a, b) => a.rank - b.rank)
     .slice(0, MAX_ENTRIES)
     .map(({member}) => member);
 }
 
-function rankOf({id, cores = DEFAULT_CORES}: Member, caller: string): number {
-  const fraction = (hash32(`${caller}\u0000${id}`) + 1) / HASH_RANGE;
+function rankOf(
+  {id, cores = DEFAULT_CORES}: Member,
+  callerAddress: string,
+): number {
+  const fraction = (hash32(`${callerAddress}\u0000${id}`) + 1) / HASH_RANGE;
   return -Math.log(fraction) / cores;
 }
 
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -23,7 +23,7 @@
 
 /** A stream while it runs at one endpoint. */
 export interface WatchedStream extends Disposable {
-  /** Whether its endpoint was ordered to stop it. */
+  /** Whether the endpoint was ordered to stop the stream. */
   isStopRequested(): boolean;
   /**
    * Returns the target after a migration in progress has ended; undefined if
@@ -37,7 +37,7 @@
   watch(options: {
     readonly endpoint: string;
     readonly attemptId: string;
-    /** Whether the first event has arrived; before it there is no state. */
+    /** Whether the first event has arrived; a migration needs its KV cache. */
     hasBegun(): boolean;
     choose(): Choice | undefined;
   }): WatchedStream;
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -65,17 +65,18 @@
   const firstWindow = usage.windowAt(options.commonWallMs() - options.lateMs);
   const retainedReports =
     usage.windowAt(options.lateMs) + EXTRA_RETAINED_REPORTS;
-  const reported = new Set<number>();
+  const reportedWindows = new Set<number>();
   let isBusy = false;
 
   function dueWindow(): number | undefined {
-    const latest = usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
-    const earliest = Math.max(
+    const latestWindow =
+      usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
+    const earliestWindow = Math.max(
       firstWindow,
       usage.windowAt(options.commonWallMs() - options.lateMs) - 1,
     );
-    for (let window = earliest; window <= latest; window++) {
-      if (!reported.has(window)) {
+    for (let window = earliestWindow; window <= latestWindow; window++) {
+      if (!reportedWindows.has(window)) {
         return window;
       }
     }
@@ -122,9 +123,9 @@
     if (answer !== 'accepted') {
       return;
     }
-    reported.add(window);
+    reportedWindows.add(window);
     const expiredWindow = window - retainedReports;
-    if (reported.delete(expiredWindow)) {
+    if (reportedWindows.delete(expiredWindow)) {
       await store.remove(
         OBJECT_KIND,
         String(expiredWindow),
