--- a/packages/moves/src/evidence.ts
+++ b/packages/moves/src/evidence.ts
@@ -68,7 +68,7 @@
   add(sums: readonly EvidenceSum[]): void;
   /** Removes and returns the strata with enough requests of both versions. */
   takeComparable(): Stratum[];
-  /** Drops all strata, since a stratum must not mix two shares. */
+  /** Drops all strata; called when the shares change, which would mix them. */
   clear(): void;
 }
 
@@ -85,7 +85,10 @@
  * @example
  * const window = createEvidenceWindow('v1', 'v2');
  */
-export function createEvidenceWindow(from: string, to: string): EvidenceWindow {
+export function createEvidenceWindow(
+  incumbentVersion: string,
+  candidateVersion: string,
+): EvidenceWindow {
   const strata = new Map<string, Stratum>();
   const routes = new Set<string>();
 
@@ -118,9 +121,9 @@
   return {
     add(sums) {
       for (const sum of sums) {
-        if (sum.version === to) {
+        if (sum.version === candidateVersion) {
           addStats(stratumFor(sum).candidate, sum);
-        } else if (sum.version === from) {
+        } else if (sum.version === incumbentVersion) {
           addStats(stratumFor(sum).incumbent, sum);
         }
       }
--- a/packages/moves/src/faultDetector.ts
+++ b/packages/moves/src/faultDetector.ts
@@ -40,7 +40,7 @@
   readonly windowCount: number;
 }
 
-/** Error factor and log latency excess that do not count as a fault. */
+/** Highest error factor and log latency excess that are not a fault. */
 const TOLERATED_ERROR_FACTOR = 1.15;
 const TOLERATED_LATENCY_EXCESS = 0.05;
 
@@ -113,7 +113,7 @@
   /** Adds the strata of one window; their likelihood ratios multiply. */
   function addToScope(scope: Scope, strata: readonly Stratum[]) {
     scope.windowCount += 1;
-    // Valid only while the onset weights of all windows sum to at most 1.
+    // The test is valid only while the onset weights sum to at most 1.
     if (scope.windowCount <= options.windowCount) {
       scope.errorTest.addOnset(onsetWeight);
       scope.latencyTest.addOnset(onsetWeight);
--- a/packages/moves/src/likelihoodRatios.ts
+++ b/packages/moves/src/likelihoodRatios.ts
@@ -47,8 +47,8 @@
   incumbent: RequestStats,
   factor: number,
 ): number {
-  const weighted = factor * candidate.requests;
-  return weighted / (weighted + incumbent.requests);
+  const weightedRequests = factor * candidate.requests;
+  return weightedRequests / (weightedRequests + incumbent.requests);
 }
 
 /**
@@ -132,11 +132,11 @@
   value(): number;
 }
 
-/** Prior of the log latency variance, weighted as this many requests. */
+/** Prior of the log latency variance, and the requests it counts as. */
 const PRIOR_VARIANCE = 0.36;
 const PRIOR_REQUESTS = 10;
 
-/** Keeps microseconds from counting as a fault at near-constant latency. */
+/** Lower bound: microseconds are no fault at near-constant latency. */
 const MIN_VARIANCE = 0.01;
 
 /**
--- a/packages/moves/src/moveController.ts
+++ b/packages/moves/src/moveController.ts
@@ -37,7 +37,7 @@
 /** Lower bound of a window's length; determines a move's window count. */
 const WINDOW_MS = 2000;
 
-/** Interval of writes of the evidence while the state is unchanged. */
+/** Interval at which the evidence is stored while shares are unchanged. */
 const PROOF_WRITE_INTERVAL_MS = 60_000;
 
 /** Log-odds against a version that roll it back before the decision time. */
@@ -195,7 +195,7 @@
     return logOdds.length === 0 ? -Infinity : Math.min(...logOdds);
   }
 
-  /** A good version reaches this ratio with a probability below e^-7. */
+  /** A good version is rejected with a probability below e^-7. */
   function isRejected(nonInferiorityTest: NonInferiorityTest): boolean {
     return [false, true].some(
       isOrder =>
@@ -299,7 +299,7 @@
       : state;
   }
 
-  /** Returns the state; resets a withdrawn move or one with other versions. */
+  /** Returns the state; a new one if withdrawn or if the versions changed. */
   function resumeOrReset(
     move: Move,
     state: MoveState | undefined,
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -67,7 +67,7 @@
     }
     const storedState = storedStates.get(next.move);
     const previousChangedAt = storedState?.value.changedAt ?? 0;
-    // Followers need a higher timestamp; the last holder's clock may be ahead.
+    // Followers need a higher timestamp; an earlier holder's clock may be fast.
     const value = {
       ...next,
       changedAt: Math.max(next.changedAt, previousChangedAt + 1),
--- a/packages/moves/src/nonInferiorityTest.ts
+++ b/packages/moves/src/nonInferiorityTest.ts
@@ -28,7 +28,7 @@
    * idempotent or all non-idempotent routes; minus infinity without requests.
    */
   logOdds(hypothesis: Hypothesis, isOrder: boolean): number;
-  /** Returns whether those routes had any request, of either version. */
+  /** Whether the (non-)idempotent routes had requests of either version. */
   hasTraffic(isOrder: boolean): boolean;
   /** Returns the strongest evidence against the candidate, for the operator. */
   worstRouteReason(): string;
@@ -40,10 +40,10 @@
 const GROSS_ERROR_FACTOR = 3;
 const BAD_LATENCY_EXCESS = Math.log(1.5);
 
-/** Smaller increases of the error rate are tolerated, whatever their factor. */
+/** Increase of the error rate below which no factor makes a version bad. */
 const BAD_ADDED_ERROR_RATE = 0.002;
 
-/** Routes below 1/8 of the requests are weighted in proportion. */
+/** Request share for full weight; smaller routes weigh in proportion. */
 const FULL_WEIGHT_SHARE = 1 / 8;
 
 /** Prior of the incumbent's error rate, as pseudo-counts. */
@@ -71,10 +71,10 @@
  * const test = createNonInferiorityTest(state?.proof ?? []);
  */
 export function createNonInferiorityTest(
-  stored: readonly RouteProof[],
+  storedProofs: readonly RouteProof[],
 ): NonInferiorityTest {
   const routes = new Map<string, RouteEvidence>();
-  for (const proof of stored) {
+  for (const proof of storedProofs) {
     routes.set(proof.route, createRouteEvidence(proof));
   }
 
@@ -118,13 +118,16 @@
       if (totalRequests === 0) {
         return -Infinity;
       }
-      let logBad = -Infinity;
+      let logOddsBad = -Infinity;
       for (const proof of proofs) {
         const weight = proof.requests / totalRequests / FULL_WEIGHT_SHARE;
         const logOdds = routeLogOdds(proof, hypothesis);
-        logBad = logAddExp(logBad, Math.log(Math.min(1, weight)) - logOdds);
+        logOddsBad = logAddExp(
+          logOddsBad,
+          Math.log(Math.min(1, weight)) - logOdds,
+        );
       }
-      return -logBad;
+      return -logOddsBad;
     },
     hasTraffic: isOrder => proofsOf(isOrder).some(({requests}) => requests > 0),
     worstRouteReason() {
@@ -153,7 +156,10 @@
   };
 }
 
-/** Bad means above both factor and added rate; excluding one is enough. */
+/**
+ * Returns the log-odds that the error rate is good. A bad rate exceeds both the
+ * factor and the added rate, so excluding either of the two is enough.
+ */
 function errorLogOdds(proof: RouteProof, hypothesis: Hypothesis): number {
   const byFactor =
     hypothesis === 'gross' ? proof.errorsThrice : proof.errorsTwice;
@@ -173,12 +179,12 @@
 }
 
 function addStratum(evidence: RouteEvidence, stratum: Stratum) {
-  const {proof, varianceEstimator: varianceEstimator} = evidence;
+  const {proof, varianceEstimator} = evidence;
   const {candidate, incumbent} = stratum;
   proof.requests += candidate.requests + incumbent.requests;
   proof.candidateRequests += candidate.requests;
-  const errorRatio = errorLogLikelihoodRatio(stratum, BAD_ERROR_FACTOR, 1);
-  proof.errorsTwice -= errorRatio;
+  const errorLogRatio = errorLogLikelihoodRatio(stratum, BAD_ERROR_FACTOR, 1);
+  proof.errorsTwice -= errorLogRatio;
   proof.errorsThrice -= errorLogLikelihoodRatio(stratum, GROSS_ERROR_FACTOR, 1);
   evidence.incumbentRequests += incumbent.requests;
   evidence.incumbentErrors += incumbent.errors;
@@ -190,16 +196,19 @@
     incumbentErrorRate,
     BAD_ADDED_ERROR_RATE,
   );
-  evidence.errorCusum = Math.max(0, evidence.errorCusum + errorRatio);
+  evidence.errorCusum = Math.max(0, evidence.errorCusum + errorLogRatio);
   const excess = latencyExcess(stratum, varianceEstimator.value());
   if (excess !== undefined) {
-    const latencyRatio = latencyLogLikelihoodRatio(
+    const latencyLogRatio = latencyLogLikelihoodRatio(
       excess,
       BAD_LATENCY_EXCESS,
       0,
     );
-    proof.slower -= latencyRatio;
-    evidence.latencyCusum = Math.max(0, evidence.latencyCusum + latencyRatio);
+    proof.slower -= latencyLogRatio;
+    evidence.latencyCusum = Math.max(
+      0,
+      evidence.latencyCusum + latencyLogRatio,
+    );
   }
   varianceEstimator.add(incumbent);
   proof.recentFault = Math.max(evidence.errorCusum, evidence.latencyCusum);
--- a/packages/moves/src/sequentialTest.ts
+++ b/packages/moves/src/sequentialTest.ts
@@ -33,15 +33,15 @@
  * if (test.logValue() > Math.log(1 / alpha)) { rollBack(); }
  */
 export function createSequentialTest(
-  alternatives: number,
+  alternativeCount: number,
   initialWeight: number,
 ): SequentialTest {
-  const logValues = new Float64Array(alternatives).fill(
-    Math.log(initialWeight / alternatives),
+  const logValues = new Float64Array(alternativeCount).fill(
+    Math.log(initialWeight / alternativeCount),
   );
   return {
     add(logLikelihoodRatios) {
-      for (let index = 0; index < alternatives; index++) {
+      for (let index = 0; index < alternativeCount; index++) {
         const gain = Math.min(
           logLikelihoodRatios[index] as number,
           MAX_GAIN_PER_WINDOW,
@@ -50,8 +50,8 @@
       }
     },
     addOnset(weight) {
-      const logWeight = Math.log(weight / alternatives);
-      for (let index = 0; index < alternatives; index++) {
+      const logWeight = Math.log(weight / alternativeCount);
+      for (let index = 0; index < alternativeCount; index++) {
         logValues[index] = logAddExp(logValues[index] as number, logWeight);
       }
     },
--- a/packages/moves/src/shareSchedule.ts
+++ b/packages/moves/src/shareSchedule.ts
@@ -26,7 +26,7 @@
   {share: 0.9, minProgress: 0.94, requires: 'full'},
 ];
 
-/** Delay of non-idempotent routes, which also wait for the soak of others. */
+/** Progress by which orders lag idempotent routes, whose soak they await. */
 const ORDER_DELAY_PROGRESS = 0.1;
 
 /** Smallest share that requires evidence; the soak starts with it. */
@@ -36,7 +36,10 @@
 const RESERVE_FRACTION = 0.03;
 const MIN_RESERVE_MS = 20_000;
 const MAX_RESERVE_MS = 600_000;
-/** Short moves: 3 of 12 s, for in-flight requests of the old version. */
+/**
+ * Upper bound for short moves: 3 s of a 12 s move, in which the requests in
+ * flight to the old version complete.
+ */
 const MAX_RESERVE_FRACTION = 0.25;
 
 /**
@@ -130,17 +133,19 @@
 export function orderShareFor(
   move: Move,
   progress: number,
-  idempotent: {readonly share: number; readonly hasTraffic: boolean},
+  idempotentRoutes: {readonly share: number; readonly hasTraffic: boolean},
   logOdds: RouteClassLogOdds,
 ): number {
-  if (idempotent.hasTraffic && idempotent.share < SOAK_SHARE) {
+  if (idempotentRoutes.hasTraffic && idempotentRoutes.share < SOAK_SHARE) {
     return 0;
   }
-  const delayedProgress = idempotent.hasTraffic
+  const delayedProgress = idempotentRoutes.hasTraffic
     ? progress - ORDER_DELAY_PROGRESS
     : progress;
   const share = highestAllowedShare(move, delayedProgress, progress, logOdds);
-  return idempotent.hasTraffic ? Math.min(share, idempotent.share) : share;
+  return idempotentRoutes.hasTraffic
+    ? Math.min(share, idempotentRoutes.share)
+    : share;
 }
 
 function highestAllowedShare(
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -86,7 +86,7 @@
     }
     return condition.type === 'any' || condition.version === stored?.version;
   }
-  let isWatchCut = false;
+  let isWatchDown = false;
   const store = {
     get: async (_kind: string, name: string) => objects.get(name),
     async list() {
@@ -115,7 +115,7 @@
       objects.delete(name);
     },
     watch(_kind: string, listener: WatchListener<MoveState>) {
-      if (isWatchCut) {
+      if (isWatchDown) {
         return toDisposable(() => undefined);
       }
       listeners.add(listener);
@@ -130,7 +130,7 @@
       store.put('move-state', value.move, value, {type: 'any'}),
     setDown(next: boolean) {
       isDown = next;
-      isWatchCut = next;
+      isWatchDown = next;
     },
   };
 }
--- a/packages/moves/src/test/moveCluster.test.ts
+++ b/packages/moves/src/test/moveCluster.test.ts
@@ -68,31 +68,22 @@
 
 describe('moves across several entries', () => {
   it('starts a move on all entries', async () => {
-    const {
-      clock,
-      countCandidateSessions: candidates,
-      holdDuty,
-      platform,
-    } = setUp();
+    const {clock, countCandidateSessions, holdDuty, platform} = setUp();
     holdDuty(0);
     await clock.advance(2000);
     assert.equal(platform.state(move.name)?.phase, 'proving');
-    assert.ok(candidates(1) > 0);
-    assert.equal(candidates(1), candidates(2));
+    assert.ok(countCandidateSessions(1) > 0);
+    assert.equal(countCandidateSessions(1), countCandidateSessions(2));
   });
 
   it('cuts the candidate on all entries while the platform is unavailable', async () => {
     // Guards against entries that keep sending requests to a failing candidate
     // until the platform is back. Peers alone have to spread the cut; the
     // rollback is stored later.
-    const {
-      clock,
-      countCandidateSessions: candidates,
-      cutWhilePlatformIsDown,
-      platform,
-    } = setUp();
+    const {clock, countCandidateSessions, cutWhilePlatformIsDown, platform} =
+      setUp();
     await cutWhilePlatformIsDown();
-    assert.deepEqual([0, 1, 2].map(candidates), [0, 0, 0]);
+    assert.deepEqual([0, 1, 2].map(countCandidateSessions), [0, 0, 0]);
     assert.notEqual(platform.state(move.name)?.phase, 'taken-back');
     platform.setDown(false);
     await clock.advance(3000);
@@ -104,8 +95,8 @@
     // peers during the cut must apply it on reconnect, without the platform.
     const {
       clock,
-      countCandidateSessions: candidates,
-      serveRequests: serve,
+      countCandidateSessions,
+      serveRequests,
       holdDuty,
       platform,
       bus,
@@ -114,23 +105,23 @@
     await clock.advance(5000);
     platform.setDown(true);
     bus.disconnected.add('e1');
-    await serve(2, 30, true);
-    assert.ok(candidates(1) > 0);
+    await serveRequests(2, 30, true);
+    assert.ok(countCandidateSessions(1) > 0);
     bus.disconnected.delete('e1');
     await clock.advance(2000);
-    assert.equal(candidates(1), 0);
+    assert.equal(countCandidateSessions(1), 0);
   });
 
   it('keeps the evidence when the duty changes hands', async () => {
     // A new holder without evidence could not complete the move in time.
-    const {serveRequests: serve, holdDuty, entries} = setUp();
+    const {serveRequests, holdDuty, entries} = setUp();
     const first = holdDuty(0);
-    await serve(1, 300, false);
+    await serveRequests(1, 300, false);
     first.dispose();
     const before = proofRequests(entries[2]?.controller.dump());
     assert.ok(before > 1000, `${before}`);
     holdDuty(2);
-    await serve(1, 5, false);
+    await serveRequests(1, 5, false);
     assert.ok(proofRequests(entries[2]?.controller.dump()) >= before);
   });
 
@@ -156,18 +147,13 @@
   it('treats a move as rolled back past its deadline when no state was written', async () => {
     // The platform is unavailable until after the deadline. Entries have to
     // stop using the unproven candidate without a stored state.
-    const {
-      clock,
-      countCandidateSessions: candidates,
-      holdDuty,
-      platform,
-    } = setUp();
+    const {clock, countCandidateSessions, holdDuty, platform} = setUp();
     holdDuty(0);
     await clock.advance(5000);
     platform.setDown(true);
-    assert.ok(candidates(1) > 0);
+    assert.ok(countCandidateSessions(1) > 0);
     await clock.advance(HOUR_MS);
-    assert.equal(candidates(1), 0);
+    assert.equal(countCandidateSessions(1), 0);
     platform.setDown(false);
     await clock.advance(3000);
     assert.equal(platform.state(move.name)?.phase, 'taken-back');
@@ -198,17 +184,12 @@
   it('ends a move that the operator withdraws', async () => {
     // The operator removes the record of a running move. Entries that kept the
     // share would keep sending traffic to the withdrawn version.
-    const {
-      clock,
-      countCandidateSessions: candidates,
-      holdDuty,
-      platform,
-      setMoves,
-    } = setUp();
+    const {clock, countCandidateSessions, holdDuty, platform, setMoves} =
+      setUp();
     holdDuty(0);
     await clock.advance(5000);
     await setMoves([]);
-    assert.equal(candidates(1), 0);
+    assert.equal(countCandidateSessions(1), 0);
     await clock.advance(2000);
     assert.equal(platform.state(move.name)?.phase, 'withdrawn');
   });
--- a/packages/moves/src/test/moveController.test.ts
+++ b/packages/moves/src/test/moveController.test.ts
@@ -17,19 +17,19 @@
 
 /** Runs a move until it ends, adding the given evidence at each step. */
 function runMove(
-  evidence: (state: MoveState, passedMs: number) => EvidenceSum[],
+  evidence: (state: MoveState, elapsedMs: number) => EvidenceSum[],
   record: Move = move,
 ) {
   const controller = createController();
   let state: MoveState | undefined;
   let endedMs = 0;
-  for (let passedMs = 0; passedMs <= HOUR_MS; passedMs += STEP_MS) {
-    state = controller.advance(record, state, START_MS + passedMs);
+  for (let elapsedMs = 0; elapsedMs <= HOUR_MS; elapsedMs += STEP_MS) {
+    state = controller.advance(record, state, START_MS + elapsedMs);
     if (state.phase === 'finished' || state.phase === 'taken-back') {
-      endedMs = passedMs;
+      endedMs = elapsedMs;
       break;
     }
-    controller.addEvidence(record.name, evidence(state, passedMs));
+    controller.addEvidence(record.name, evidence(state, elapsedMs));
   }
   return {state, endedMs};
 }
@@ -49,7 +49,7 @@
   readonly title: string;
   readonly candidate: Partial<typeof healthy & {rate: number}>;
   readonly incumbentErrorRate: number;
-  readonly fromMs: number;
+  readonly onsetMs: number;
   readonly outcome: 'finished' | 'taken-back';
   /** Upper bound of the time from the fault's onset to the rollback. */
   readonly withinMs?: number;
@@ -58,14 +58,14 @@
     title: 'a version that is as good as the old one',
     candidate: {},
     incumbentErrorRate: 0,
-    fromMs: 0,
+    onsetMs: 0,
     outcome: 'finished',
   },
   {
     title: 'a version that fails every request',
     candidate: {rate: 1},
     incumbentErrorRate: 0.01,
-    fromMs: 0,
+    onsetMs: 0,
     outcome: 'taken-back',
     withinMs: 60_000,
   },
@@ -73,7 +73,7 @@
     title: 'a version that starts to fail in the middle of the soak',
     candidate: {rate: 0.3},
     incumbentErrorRate: 0.01,
-    fromMs: HOUR_MS / 2,
+    onsetMs: HOUR_MS / 2,
     outcome: 'taken-back',
     withinMs: 60_000,
   },
@@ -81,42 +81,45 @@
     title: 'a version with 1.5 times the latency',
     candidate: {medianMs: 150},
     incumbentErrorRate: 0,
-    fromMs: 0,
+    onsetMs: 0,
     outcome: 'taken-back',
   },
   {
     title: 'a version with the same errors as the old one',
     candidate: {rate: 0.2},
     incumbentErrorRate: 0.2,
-    fromMs: 0,
+    onsetMs: 0,
     outcome: 'finished',
   },
   {
     title: 'a version while both versions fail from a common cause',
     candidate: {rate: 0.5},
     incumbentErrorRate: 0.5,
-    fromMs: HOUR_MS / 3,
+    onsetMs: HOUR_MS / 3,
     outcome: 'finished',
   },
 ];
 
 describe('move controller', () => {
   for (const testCase of evaluationCases) {
-    const {title, candidate, incumbentErrorRate, fromMs} = testCase;
+    const {title, candidate, incumbentErrorRate, onsetMs} = testCase;
     const {outcome, withinMs} = testCase;
     it(`ends ${outcome} for ${title}`, () => {
       // Guards against both errors: a bad version that gets all traffic, and a
       // rollback of a good version, which costs the operator another move.
-      const {state, endedMs} = runMove(({share}, passedMs) => {
-        const isOn = passedMs >= fromMs;
-        const counts = requestCounts(share, isOn ? incumbentErrorRate : 0);
-        const errors = isOn
+      const {state, endedMs} = runMove(({share}, elapsedMs) => {
+        const isAfterOnset = elapsedMs >= onsetMs;
+        const counts = requestCounts(
+          share,
+          isAfterOnset ? incumbentErrorRate : 0,
+        );
+        const errors = isAfterOnset
           ? (candidate.rate ?? 0) * counts.candidateRequests
           : 0;
         return evidenceOfWindow(
           {
             ...healthy,
-            ...(isOn ? candidate : {}),
+            ...(isAfterOnset ? candidate : {}),
             requests: counts.candidateRequests,
             errors,
           },
@@ -130,7 +133,7 @@
       assert.equal(state?.phase, outcome, state?.why);
       assert.ok(endedMs < HOUR_MS);
       if (outcome === 'taken-back') {
-        const lastedMs = endedMs - fromMs;
+        const lastedMs = endedMs - onsetMs;
         assert.ok(lastedMs <= (withinMs ?? HOUR_MS / 4), `${lastedMs}`);
       }
     });
@@ -158,20 +161,20 @@
     // A duplicated or lost order costs far more than a retried lookup, so
     // orders wait for the evidence from idempotent routes.
     const first: Partial<Record<'share' | 'orderShare', number>> = {};
-    const {state} = runMove((now, passedMs) => {
+    const {state} = runMove((currentState, elapsedMs) => {
       const orders = evidenceOfWindow(
-        {...healthy, requests: Math.round(100 * now.orderShare)},
+        {...healthy, requests: Math.round(100 * currentState.orderShare)},
         {...healthy, requests: 100},
         'order',
       ).map(sum => ({...sum, isOrder: true}));
-      if (now.share >= 0.25) {
-        first.share ??= passedMs;
+      if (currentState.share >= 0.25) {
+        first.share ??= elapsedMs;
       }
-      if (now.orderShare > 0) {
-        first.orderShare ??= passedMs;
+      if (currentState.orderShare > 0) {
+        first.orderShare ??= elapsedMs;
       }
       const {candidateRequests: requests, incumbentRequests: incumbents} =
-        requestCounts(now.share, 0);
+        requestCounts(currentState.share, 0);
       return [
         ...evidenceOfWindow(
           {...healthy, requests},
--- a/packages/moves/src/test/trafficSplit.test.ts
+++ b/packages/moves/src/test/trafficSplit.test.ts
@@ -57,10 +57,13 @@
 
   it('applies the share to idempotent and the order share to other requests', () => {
     const split = createSplit(0.1);
-    const taken = sessions.filter(
+    const candidateSessions = sessions.filter(
       session => split.versionFor(request(session)) === 'v2',
     );
-    assert.ok(taken.length > 150 && taken.length < 250, `${taken.length}`);
+    assert.ok(
+      candidateSessions.length > 150 && candidateSessions.length < 250,
+      `${candidateSessions.length}`,
+    );
     for (const session of sessions) {
       assert.equal(split.versionFor(request(session, false)), 'v1');
     }
--- a/packages/moves/src/trafficSplit.ts
+++ b/packages/moves/src/trafficSplit.ts
@@ -91,7 +91,7 @@
 
   function dropStaleCuts() {
     for (const [name, {to}] of cuts) {
-      const move = moves.find(candidate => candidate.name === name);
+      const move = moves.find(item => item.name === name);
       if (move?.to !== to) {
         cuts.delete(name);
         localEvidence.delete(name);
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Returns whether a state is newer; a rollback is final for a candidate. */
+  /** Returns whether to apply a state; a rollback is final for a candidate. */
   function isNewer(state: MoveState): boolean {
     const current = states.get(state.move);
     if (current === undefined) {
@@ -123,12 +123,12 @@
   }
 
   function localEvidenceFor(move: Move): LocalEvidence {
-    let local = localEvidence.get(move.name);
-    if (local === undefined) {
-      local = createLocalEvidence(move, clock);
-      localEvidence.set(move.name, local);
+    let evidence = localEvidence.get(move.name);
+    if (evidence === undefined) {
+      evidence = createLocalEvidence(move, clock);
+      localEvidence.set(move.name, evidence);
     }
-    return local;
+    return evidence;
   }
 
   return {
@@ -136,7 +136,7 @@
       const previousMoves = new Map(moves.map(move => [move.name, move]));
       moves = next;
       for (const name of localEvidence.keys()) {
-        const move = next.find(candidate => candidate.name === name);
+        const move = next.find(item => item.name === name);
         if (move?.to !== previousMoves.get(name)?.to) {
           localEvidence.delete(name);
         }
@@ -195,14 +195,14 @@
       }
     },
     applyCut(name, why) {
-      const move = moves.find(candidate => candidate.name === name);
+      const move = moves.find(item => item.name === name);
       if (move !== undefined && cuts.get(name)?.to !== move.to) {
         cut(move, why);
       }
     },
     takeEvidence: () =>
       [...localEvidence]
-        .map(([move, local]) => ({move, sums: local.takeSums()}))
+        .map(([move, evidence]) => ({move, sums: evidence.takeSums()}))
         .filter(({sums}) => sums.length > 0),
     onDidCut: listener => didCut.event(({move, why}) => listener(move, why)),
     setAvailableVersions(service, versions) {
