--- a/packages/fleet/src/capacityPools.ts
+++ b/packages/fleet/src/capacityPools.ts
@@ -34,7 +34,7 @@
   readonly machineClass: string;
   hostHours: number;
   reclaims: number;
-  readonly rejections: Map<Market, {count: number; untilMs: number}>;
+  readonly rejections: Map<Market, {count: number; retryAtMs: number}>;
 }
 
 /**
@@ -101,8 +101,8 @@
         INITIAL_BACKOFF_MS * 2 ** (count - 1),
       );
       // Several services use the same pool; jitter spreads their retries.
-      const untilMs = clock.now() + backoffMs * (0.75 + random.next() / 2);
-      rejections.set(market, {count, untilMs});
+      const retryAtMs = clock.now() + backoffMs * (0.75 + random.next() / 2);
+      rejections.set(market, {count, retryAtMs});
     },
     recordStart(failureDomain, machineClass, market) {
       poolFor(failureDomain, machineClass).rejections.delete(market);
@@ -113,7 +113,7 @@
         machineClass: pool.machineClass,
         reclaimRate: pool.reclaims / pool.hostHours,
         isRefused: market =>
-          (pool.rejections.get(market)?.untilMs ?? 0) > clock.now(),
+          (pool.rejections.get(market)?.retryAtMs ?? 0) > clock.now(),
       })),
   };
 }
--- a/packages/fleet/src/clientToken.ts
+++ b/packages/fleet/src/clientToken.ts
@@ -27,9 +27,9 @@
 /**
  * Decodes the owner of a host; undefined for tokens of other software.
  *
- * The cloud stores the token with the host. A new holder thus recognizes a host
- * whose start reply was lost with its predecessor, and neither leaks it nor
- * starts another one.
+ * The cloud stores the token with the host. A new holder of the duty thus finds
+ * a host whose start reply an earlier holder did not receive, and neither leaks
+ * that host nor starts another.
  *
  * @example
  * readClientToken(host.clientToken)?.service; // 'match'
--- a/packages/fleet/src/contracts.ts
+++ b/packages/fleet/src/contracts.ts
@@ -35,9 +35,9 @@
   readonly wanted: readonly WantedHosts[];
   /** Currency units per hour at present prices. */
   readonly costPerHour: number;
-  /** Replicas left after losing the failure domain with the most. */
+  /** Replicas left after losing the failure domain with the most replicas. */
   readonly replicasAfterLoss: number;
-  /** Why the plan misses the demand; undefined if it does not. */
+  /** Why the plan misses the demand; undefined if it is met. */
   readonly shortfall: string | undefined;
 }
 
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -37,8 +37,8 @@
  * Creates the repair of one term.
  *
  * Routing relies on the host list. A replica that restarts after a crash with
- * another version would serve it under the listed one's name, so a rolled-back
- * version could get traffic unnoticed. Repair is level-triggered: each round
+ * another version would get the requests for the listed version, so a
+ * rolled-back version could get traffic unnoticed. Repair is level-triggered: each round
  * compares running with listed versions, so a lost order is sent again and a
  * new holder needs no history.
  *
@@ -71,7 +71,7 @@
     },
   };
 
-  /** Sorts by fewest matching endpoints, as the weight store limits loads. */
+  /** Lowest matching fraction first, since the weight store limits loads. */
   async function findMismatches(
     endpoints: readonly ManagedEndpoint[],
   ): Promise<VersionMismatch[]> {
--- a/packages/fleet/src/fleetActions.ts
+++ b/packages/fleet/src/fleetActions.ts
@@ -104,21 +104,27 @@
 }
 
 function planStops(groups: readonly HostGroup[]): FleetAction[] {
-  const spareRunning = new Map<string, number>();
+  const spareRunningHosts = new Map<string, number>();
   for (const group of groups) {
     const running = group.hosts.filter(host => host.state === 'running').length;
-    const previousSpare = spareRunning.get(group.service) ?? 0;
-    spareRunning.set(group.service, previousSpare + running - group.wanted);
+    const previousSpare = spareRunningHosts.get(group.service) ?? 0;
+    spareRunningHosts.set(
+      group.service,
+      previousSpare + running - group.wanted,
+    );
   }
   return groups.flatMap(group => {
     const surplus = group.hosts.length - group.wanted;
-    const stopCount = Math.min(surplus, spareRunning.get(group.service) ?? 0);
+    const stopCount = Math.min(
+      surplus,
+      spareRunningHosts.get(group.service) ?? 0,
+    );
     if (stopCount <= 0) {
       return [];
     }
-    spareRunning.set(
+    spareRunningHosts.set(
       group.service,
-      (spareRunning.get(group.service) ?? 0) - stopCount,
+      (spareRunningHosts.get(group.service) ?? 0) - stopCount,
     );
     return sortByStopPreference(group.hosts)
       .slice(0, stopCount)
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -30,7 +30,7 @@
   dump(): unknown;
 }
 
-/** Start whose reply was lost; retried with its token until listed. */
+/** Start whose reply was lost; retried unless the token's host is listed. */
 interface UnconfirmedStart {
   readonly token: string;
   readonly action: Extract<FleetAction, {type: 'start'}>;
@@ -56,7 +56,7 @@
   readonly plan?: typeof planHosts;
 }): FleetDuty {
   const {cloud, clock, random, decisions, term, plan = planHosts} = options;
-  const owned = disposableStore();
+  const store = disposableStore();
   const capacityPools = createCapacityPoolTracker({clock, random});
   const demandEstimator = createReplicaDemandEstimator();
   const unconfirmedStarts: UnconfirmedStart[] = [];
@@ -65,8 +65,8 @@
   let sequence = 0;
   let isReconciling = false;
 
-  owned.add(every(clock, RECONCILE_INTERVAL_MS, () => void reconcile()));
-  owned.add(
+  store.add(every(clock, RECONCILE_INTERVAL_MS, () => void reconcile()));
+  store.add(
     cloud.watchNotices(notice => {
       const host = hosts.find(item => item.id === notice.host);
       if (host !== undefined) {
@@ -76,7 +76,7 @@
       }
     }),
   );
-  owned.add(toDisposable(() => (plans = new Map())));
+  store.add(toDisposable(() => (plans = new Map())));
 
   return {
     reconcile,
@@ -93,11 +93,11 @@
         },
       })),
     }),
-    dispose: () => owned.dispose(),
+    dispose: () => store.dispose(),
   };
 
   async function reconcile(): Promise<void> {
-    if (isReconciling || owned.isDisposed) {
+    if (isReconciling || store.isDisposed) {
       return;
     }
     isReconciling = true;
--- a/packages/fleet/src/hostPlan.ts
+++ b/packages/fleet/src/hostPlan.ts
@@ -37,7 +37,7 @@
  * The loss of the failure domain with the most replicas must leave enough for
  * the latency target. Over k domains that takes `replicas / (k - 1)` spare
  * hosts: more domains need fewer spares but include more expensive ones, so the
- * plan of every k is compared. A correlated reclaim in several domains must
+ * plans of all k are compared. A correlated reclaim in several domains must
  * leave `minReplicas`; on-demand hosts make up the difference.
  *
  * @example
@@ -164,7 +164,7 @@
   });
 }
 
-/** Converts to on-demand until a correlated reclaim leaves `minReplicas`. */
+/** Makes hosts on-demand until a correlated reclaim leaves `minReplicas`. */
 function surviveCorrelatedReclaim(
   allocations: readonly Allocation[],
   minReplicas: number,
@@ -216,7 +216,7 @@
   return sum(allocations.map(item => item.count)) - lost;
 }
 
-/** Orders plans by missing replicas, then by expected cost. */
+/** Compares plans by missing replicas, then by expected cost. */
 function comparePlans(
   a: readonly Allocation[],
   b: readonly Allocation[],
--- a/packages/fleet/src/replicaDemand.ts
+++ b/packages/fleet/src/replicaDemand.ts
@@ -52,7 +52,7 @@
   };
 }
 
-/** Returns undefined when no report has slots. */
+/** Returns the replicas for the reported load; undefined without slots. */
 function estimateReplicas(reports: readonly LoadReport[]): number | undefined {
   const totalSlots = reports.reduce((sum, report) => sum + report.slots, 0);
   if (totalSlots === 0) {
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -183,8 +183,8 @@
     assert.equal(fake.hosts.size, count);
   });
 
-  // The holder is replaced. Hosts that its predecessor started must be counted,
-  // not started again.
+  // The duty changes hands. The new holder must count the hosts that the earlier
+  // holder started, and not start them again.
   it('counts the hosts that an earlier holder started', async () => {
     const fake = createFakeCloud();
     const first = createDuty(fake, 1);
--- a/packages/fleet/src/test/hostPlan.test.ts
+++ b/packages/fleet/src/test/hostPlan.test.ts
@@ -57,10 +57,10 @@
         }),
         fc.integer({min: 0, max: 30}),
         fc.integer({min: 0, max: 10}),
-        (cheap, dear, replicas, minReplicas) => {
+        (reclaimablePrices, onDemandPrices, replicas, minReplicas) => {
           const plan = planHosts(
             {...demand, replicas, minReplicas, maxReplicas: 100},
-            offersOf(cheap, dear),
+            offersOf(reclaimablePrices, onDemandPrices),
             [],
           );
           const needed = Math.max(replicas, minReplicas);
@@ -121,13 +121,15 @@
   });
 
   it('avoids pools that reject starts and reports the shortfall', () => {
-    const onlyA: CapacityPool[] = DOMAINS.slice(1).map(failureDomain => ({
-      failureDomain,
-      machineClass: 'gpu',
-      reclaimRate: 0,
-      isRefused: () => true,
-    }));
-    const plan = planHosts(demand, prices, onlyA);
+    const rejectingPools: CapacityPool[] = DOMAINS.slice(1).map(
+      failureDomain => ({
+        failureDomain,
+        machineClass: 'gpu',
+        reclaimRate: 0,
+        isRefused: () => true,
+      }),
+    );
+    const plan = planHosts(demand, prices, rejectingPools);
     assert.equal(countHosts(plan, 'a'), 6);
     assert.match(plan.shortfall ?? '', /failure domain/);
   });
