--- a/packages/moves/src/nonInferiorityTest.ts
+++ b/packages/moves/src/nonInferiorityTest.ts
@@ -43,7 +43,7 @@
 /** Increase of the error rate below which no factor makes a version bad. */
 const BAD_ADDED_ERROR_RATE = 0.002;
 
-/** Request share for full weight; smaller routes weigh in proportion. */
+/** Routes below 1/8 of the requests weigh in proportion to their share. */
 const FULL_WEIGHT_SHARE = 1 / 8;
 
 /** Prior of the incumbent's error rate, as pseudo-counts. */
@@ -156,10 +156,7 @@
   };
 }
 
-/**
- * Returns the log-odds that the error rate is good. A bad rate exceeds both the
- * factor and the added rate, so excluding either of the two is enough.
- */
+/** A bad rate exceeds factor and added rate; excluding either is enough. */
 function errorLogOdds(proof: RouteProof, hypothesis: Hypothesis): number {
   const byFactor =
     hypothesis === 'gross' ? proof.errorsThrice : proof.errorsTwice;
--- a/packages/moves/src/shareSchedule.ts
+++ b/packages/moves/src/shareSchedule.ts
@@ -36,10 +36,7 @@
 const RESERVE_FRACTION = 0.03;
 const MIN_RESERVE_MS = 20_000;
 const MAX_RESERVE_MS = 600_000;
-/**
- * Upper bound for short moves: 3 s of a 12 s move, in which the requests in
- * flight to the old version complete.
- */
+/** For short moves: 3 of 12 s, for the old version's in-flight requests. */
 const MAX_RESERVE_FRACTION = 0.25;
 
 /**
