--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -50,7 +50,7 @@
    * the readers may be cut off from the platform while the acceptor is not.
    */
   readonly onDidAccept?: (key: string, accepted: AcceptedObject) => void;
-  /** Whether the duty is certainly held; checked right before each effect. */
+  /** Whether the duty is certainly held; checked right before each write. */
   readonly canAct: () => boolean;
   /** Returns the ids of live members that lack a record or did not respond. */
   readonly membersLacking: (
@@ -58,8 +58,8 @@
   ) => Promise<readonly string[]>;
 }
 
-const CONFIRM_INTERVAL_MS = 250;
-/** A rejected move may become valid when the deadline of another one passes. */
+const CONFIRMATION_CHECK_INTERVAL_MS = 250;
+/** A rejected move may become valid when another move's deadline passes. */
 const MOVE_RECHECK_INTERVAL_MS = 10_000;
 const RETRY_DELAY_MS = 300;
 
@@ -75,20 +75,20 @@
   options: AcceptanceControllerOptions,
 ): AcceptanceController {
   const {clock, random, store, log, decisions} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const abortController = new AbortController();
   const dirtyKeys = new Set<string>();
   let isProcessing = false;
   let isConfirming = false;
 
-  const cache = owned.add(
+  const cache = disposables.add(
     createRecordCache({
       store,
       onDidChange: key => markDirty([key]),
       onDidAccept: options.onDidAccept,
     }),
   );
-  const statuses = createStatusWriter({
+  const statusWriter = createStatusWriter({
     clock,
     store,
     canAct,
@@ -103,7 +103,7 @@
   });
 
   function canAct(): boolean {
-    return !owned.isDisposed && options.canAct();
+    return !disposables.isDisposed && options.canAct();
   }
 
   function markDirty(keys: readonly string[]): void {
@@ -165,7 +165,7 @@
         key,
         await store.get<AcceptedObject>(ACCEPTED_KIND, key, signal),
       );
-      await statuses.reload(key);
+      await statusWriter.reload(key);
     } catch {
       await waitBeforeRetry();
     }
@@ -228,7 +228,7 @@
     acceptedVersion: number | undefined,
   ): Promise<void> {
     const {sourceVersion, faults} = decision;
-    const isWritten = await statuses.write(key, {
+    const isWritten = await statusWriter.write(key, {
       state: 'refused',
       sourceVersion,
       acceptedVersion,
@@ -248,37 +248,37 @@
       await removeOrphanedStatus(key);
       return;
     }
-    if (await statuses.isInForce(key, accepted)) {
+    if (await statusWriter.isInForce(key, accepted)) {
       return;
     }
     const {sourceVersion, isRemoved} = accepted;
-    await statuses.write(key, {
+    await statusWriter.write(key, {
       state: isRemoved ? 'removed' : 'accepted',
       sourceVersion,
       acceptedVersion: sourceVersion,
       faults: [],
       waitingFor: [],
     });
-    statuses.awaitConfirmation(key, accepted);
+    statusWriter.awaitConfirmation(key, accepted);
   }
 
   /** Removes the status left by a rejected record after its removal. */
   async function removeOrphanedStatus(key: string): Promise<void> {
     if (cache.acceptanceInput(key, clock.wall()).source === undefined) {
-      await statuses.remove(key);
+      await statusWriter.remove(key);
     }
   }
 
   async function loadStatuses(): Promise<void> {
     try {
-      markDirty(await statuses.load());
+      markDirty(await statusWriter.load());
     } catch (error) {
       log.warn({err: error}, 'record statuses not listed');
     }
   }
 
   async function checkConfirmations(): Promise<void> {
-    const pending = statuses.unconfirmed();
+    const pending = statusWriter.unconfirmed();
     if (isConfirming || pending.length === 0 || !canAct()) {
       return;
     }
@@ -286,7 +286,7 @@
     try {
       const lacking = await options.membersLacking(pending);
       if (canAct()) {
-        await statuses.handleConfirmation(pending, lacking);
+        await statusWriter.handleConfirmation(pending, lacking);
       }
     } catch (error) {
       log.warn({err: error}, 'confirmations not checked; retrying');
@@ -302,19 +302,19 @@
   }
 
   void loadStatuses();
-  owned.add(every(clock, CONFIRM_INTERVAL_MS, tick));
-  owned.add(
+  disposables.add(every(clock, CONFIRMATION_CHECK_INTERVAL_MS, tick));
+  disposables.add(
     every(clock, MOVE_RECHECK_INTERVAL_MS, () => markDirty(cache.moveKeys())),
   );
   return {
     dump: () => ({
       isComplete: cache.isComplete(),
       waiting: [...dirtyKeys].map(key => recordKey(cache.parseRecordKey(key))),
-      unconfirmed: statuses.unconfirmed(),
+      unconfirmed: statusWriter.unconfirmed(),
     }),
     dispose() {
       abortController.abort();
-      owned.dispose();
+      disposables.dispose();
     },
   };
 }
--- a/packages/records/src/acceptanceDecision.ts
+++ b/packages/records/src/acceptanceDecision.ts
@@ -15,9 +15,9 @@
 export interface AcceptanceInput {
   readonly kind: RecordKind;
   readonly name: string;
-  /** Undefined if the operator has removed it. */
+  /** Undefined if the operator has removed the record. */
   readonly source: SourceRecord | undefined;
-  /** Store version at which the source was absent; only without a source. */
+  /** Store version at which `source` was absent; used only if it is absent. */
   readonly removalVersion: number;
   readonly accepted: AcceptedObject | undefined;
   /** Accepted records for the checks across records. */
--- a/packages/records/src/configuration.ts
+++ b/packages/records/src/configuration.ts
@@ -1,6 +1,6 @@
 /**
  * The configuration in force in one process. It is read from the platform on
- * entries that are readers and from peers on all; versions never decrease.
+ * readers and from peers on all entries; versions never decrease.
  */
 import {
   disposableStore,
@@ -59,7 +59,7 @@
   readonly log: Logger;
 }
 
-const ROUND_INTERVAL_MS = 1000;
+const SOURCE_UPDATE_INTERVAL_MS = 1000;
 /** Time without record messages after which an entry watches the platform. */
 const PEER_SILENCE_TIMEOUT_MS = 5000;
 
@@ -76,7 +76,7 @@
   const {clock, random, store, network, self, members, log} = options;
   const table = createRecordTable();
   const didChange = emitter<{kind: RecordKind; name: string}>();
-  const owned = disposableStore();
+  const disposables = disposableStore();
   let readyFrom: ConfigurationDump['readyFrom'] = 'nowhere';
   let watch: Disposable | undefined;
   let isPulling = false;
@@ -84,7 +84,7 @@
   let isListing = false;
   let unusable = 0;
 
-  const gossip = owned.add(
+  const gossip = disposables.add(
     createRecordGossip({
       table,
       network,
@@ -94,7 +94,7 @@
       apply: applyRecords,
     }),
   );
-  const confirmation = owned.add(
+  const confirmation = disposables.add(
     createRecordConfirmation({table, network, self, members}),
   );
 
@@ -203,7 +203,7 @@
     }
     isPulling = true;
     try {
-      while (isPullRequested && !isReady() && !owned.isDisposed) {
+      while (isPullRequested && !isReady() && !disposables.isDisposed) {
         isPullRequested = false;
         if ((await gossip.pull()) > 0) {
           markReady('peers');
@@ -214,7 +214,7 @@
     }
   }
 
-  function runRound(): void {
+  function updateSources(): void {
     updateWatch();
     if (isReady()) {
       return;
@@ -223,17 +223,17 @@
     void pullFromPeers();
   }
 
-  owned.add(
+  disposables.add(
     network.onDidChangePeer((_peer, isOpen) => {
       if (isOpen && !isReady()) {
         void pullFromPeers();
       }
     }),
   );
-  owned.add(every(clock, ROUND_INTERVAL_MS, runRound));
-  owned.add(toDisposable(() => watch?.dispose()));
-  owned.add(didChange);
-  runRound();
+  disposables.add(every(clock, SOURCE_UPDATE_INTERVAL_MS, updateSources));
+  disposables.add(toDisposable(() => watch?.dispose()));
+  disposables.add(didChange);
+  updateSources();
 
   return {
     get: (kind, name) => table.get(kind, name),
@@ -252,6 +252,6 @@
       unusable,
       versions: table.versions(),
     }),
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
--- a/packages/records/src/contracts.ts
+++ b/packages/records/src/contracts.ts
@@ -32,7 +32,7 @@
   readonly type: 'model' | 'plain';
   /** Version that serves while no move is in progress. */
   readonly version: string;
-  /** Longest prefix wins; else only GET, HEAD and OPTIONS are idempotent. */
+  /** Longest match wins; without one only GET, HEAD, OPTIONS are idempotent. */
   readonly routes: readonly Route[];
   /** Target p95 latency: first token of models, full response of plain ones. */
   readonly targetMs: number;
--- a/packages/records/src/moveClaims.ts
+++ b/packages/records/src/moveClaims.ts
@@ -56,7 +56,7 @@
 
   /**
    * Writes a tombstone in place of the accepted move: an acceptor that claimed
-   * the service for it and was then paused must not accept it any more.
+   * the service for the move and was then paused must not accept it any more.
    */
   async function writeTombstone(name: string): Promise<void> {
     const key = recordKey({kind: 'move', name});
@@ -83,15 +83,15 @@
       }
       const {service} = object.value as Move;
       const current = await store.get(MOVE_CLAIM_KIND, service, signal);
-      const holder = claimSchema.safeParse(current?.value).data?.move;
-      if (holder === name) {
+      const claimingMove = claimSchema.safeParse(current?.value).data?.move;
+      if (claimingMove === name) {
         return [];
       }
-      if (holder !== undefined) {
-        if (!hasEnded(holder)) {
-          return [conflictingMoveFault(holder)];
+      if (claimingMove !== undefined) {
+        if (!hasEnded(claimingMove)) {
+          return [conflictingMoveFault(claimingMove)];
         }
-        await writeTombstone(holder);
+        await writeTombstone(claimingMove);
       }
       const claim = {move: name};
       const condition = unchangedCondition(current);
--- a/packages/records/src/recordCache.ts
+++ b/packages/records/src/recordCache.ts
@@ -9,7 +9,7 @@
 import {recordKey} from './recordTable.js';
 
 export interface RecordCache extends Disposable {
-  /** False until every kind is listed; before, missing is not removed. */
+  /** False until every kind is listed; until then, absent records may exist. */
   isComplete(): boolean;
   acceptanceInput(key: string, wallMs: number): AcceptanceInput;
   acceptedObject(key: string): StoredObject<AcceptedObject> | undefined;
@@ -42,7 +42,7 @@
   readonly onDidAccept?: (key: string, accepted: AcceptedObject) => void;
 }): RecordCache {
   const {store, onDidChange, onDidAccept} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const sources = new Map<string, SourceRecord>();
   /** Store versions at which a record was observed to be absent. */
   const removalVersions = new Map<string, number>();
@@ -81,7 +81,7 @@
   }
 
   function watchSource(kind: RecordKind): void {
-    owned.add(
+    disposables.add(
       store.watch(kind, {
         onDidList({version, objects}) {
           for (const key of [...sources.keys()]) {
@@ -116,7 +116,7 @@
   }
 
   function watchAccepted(): void {
-    owned.add(
+    disposables.add(
       store.watch<AcceptedObject>(ACCEPTED_KIND, {
         onDidList({objects}) {
           acceptedObjects.clear();
@@ -182,7 +182,7 @@
     moveKeys: () =>
       [...sources.keys()].filter(key => parseRecordKey(key).kind === 'move'),
     parseRecordKey,
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
 
--- a/packages/records/src/recordConfirmation.ts
+++ b/packages/records/src/recordConfirmation.ts
@@ -19,7 +19,7 @@
 /** Largest fleet whose members are queried directly, not through readers. */
 const MAX_DIRECT_MEMBERS = 24;
 const MEMBER_TIMEOUT_MS = 1000;
-/** Longer than `MEMBER_TIMEOUT_MS`: the reader queries its members in turn. */
+/** Longer than `MEMBER_TIMEOUT_MS`: a reader first queries its members. */
 const DOMAIN_TIMEOUT_MS = 2500;
 
 /**
--- a/packages/records/src/recordGossip.ts
+++ b/packages/records/src/recordGossip.ts
@@ -35,7 +35,7 @@
   lastReceivedAt(): number;
 }
 
-/** Peers that each entry pushes to; 4 reach about 98 in 100 by pushes alone. */
+/** Peers per push; 4 reach about 98 in 100 entries by pushes alone. */
 const PUSH_FANOUT = 4;
 const DIGEST_FANOUT = 2;
 const DIGEST_INTERVAL_MS = 1000;
@@ -64,7 +64,7 @@
   ) => readonly RelayedRecord[];
 }): RecordGossip {
   const {table, network, clock, random} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const syncingPeers = new Set<string>();
   let lastReceivedAt = clock.now();
 
@@ -125,7 +125,7 @@
       return;
     }
     syncingPeers.add(from);
-    owned.add(
+    disposables.add(
       clock.after(SYNC_DELAY_MS, () => {
         const buckets = differingBuckets(table.digest(), remoteDigest);
         void syncBuckets(from, buckets).finally(() =>
@@ -160,7 +160,7 @@
         SYNC_TIMEOUT_MS,
       );
       const difference = differenceSchema.parse(answer);
-      if (owned.isDisposed) {
+      if (disposables.isDisposed) {
         return undefined;
       }
       lastReceivedAt = clock.now();
@@ -173,14 +173,14 @@
     }
   }
 
-  owned.add(
+  disposables.add(
     network.onDidReceive('records', (from, body) => {
       lastReceivedAt = clock.now();
       applyFromPeer(from, body.records);
     }),
   );
-  owned.add(network.onDidReceive('recordDigest', handleDigest));
-  owned.add(
+  disposables.add(network.onDidReceive('recordDigest', handleDigest));
+  disposables.add(
     network.onDidReceive('recordsWanted', (_from, body): RecordDifference => {
       const buckets =
         body.buckets === undefined ? undefined : new Set(body.buckets);
@@ -192,10 +192,10 @@
     }),
   );
   // A random initial delay desynchronizes entries that started together.
-  owned.add(
+  disposables.add(
     clock.after(DIGEST_INTERVAL_MS * random.next(), () => {
       sendDigests();
-      owned.add(every(clock, DIGEST_INTERVAL_MS, sendDigests));
+      disposables.add(every(clock, DIGEST_INTERVAL_MS, sendDigests));
     }),
   );
 
@@ -207,7 +207,7 @@
       return answers.filter(answer => answer?.isReady === true).length;
     },
     lastReceivedAt: () => lastReceivedAt,
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
 
--- a/packages/records/src/recordReaders.ts
+++ b/packages/records/src/recordReaders.ts
@@ -14,7 +14,7 @@
   readonly failureDomain: string;
 }
 
-/** Readers per failure domain; with 2, the failure of one has no effect. */
+/** With 2 readers, the failure of one of them has no effect. */
 export const READERS_PER_FAILURE_DOMAIN = 2;
 
 /**
--- a/packages/records/src/recordTable.ts
+++ b/packages/records/src/recordTable.ts
@@ -21,9 +21,9 @@
     name: string,
   ): AcceptedRecordTypes[K] | undefined;
   list<K extends RecordKind>(kind: K): readonly AcceptedRecordTypes[K][];
-  /** Returns the versions, also of removed records, of all or some buckets. */
+  /** Returns the versions in these or all buckets, also of removed records. */
   versions(buckets?: ReadonlySet<number>): readonly RecordVersion[];
-  /** Returns records whose version is higher than in `known` or not in it. */
+  /** Returns the records newer than in `known` or missing from it. */
   newerThan(
     known: readonly RecordVersion[],
     buckets?: ReadonlySet<number>,
@@ -51,7 +51,7 @@
   const records = new Map<string, RelayedRecord>();
   const bucketSums = new Array<number>(DIGEST_BUCKETS).fill(0);
 
-  /** Sums make the digest independent of order and cheap to update. */
+  /** Sums are cheap to update and independent of the order of arrival. */
   function addToBucketSum(record: RelayedRecord, sign: 1 | -1): void {
     const key = recordKey(record);
     const bucket = bucketOf(key);
--- a/packages/records/src/test/acceptance.test.ts
+++ b/packages/records/src/test/acceptance.test.ts
@@ -101,7 +101,7 @@
   wallMs: 0,
 };
 
-/** Acceptors that were paused or read a stale listing must not revert any. */
+/** A paused acceptor or a stale listing must not revert an accepted record. */
 const decisionCases: readonly [string, Partial<AcceptanceInput>, string][] = [
   ['a new record', {}, 'accept'],
   ['an accepted record', {accepted: acceptedObject(7)}, 'nothing'],
@@ -177,8 +177,8 @@
     );
     const faults = await claims.claim('move.second', acceptedMove('second'));
     assert.match(faults[0]?.expected ?? '', /first/);
-    // The first is removed before it was accepted: an acceptor that still tries
-    // to accept it finds a tombstone in its place.
+    // The first move is removed before it was accepted: an acceptor that still
+    // tries to accept it finds a tombstone in its place.
     await store.remove('move', 'first', {type: 'any'});
     await clock.advance(10);
     assert.deepEqual(
@@ -220,15 +220,15 @@
   });
 
   it('have equal digests regardless of the order of arrival', () => {
-    const [one, two] = [createRecordTable(), createRecordTable()];
+    const [first, second] = [createRecordTable(), createRecordTable()];
     const roster = {...record, name: 'roster', sourceVersion: 3};
-    one.apply({...record, sourceVersion: 2});
-    one.apply({...record, sourceVersion: 7});
-    one.apply(roster);
-    two.apply(roster);
-    two.apply({...record, sourceVersion: 2});
-    assert.notDeepEqual(one.digest(), two.digest());
-    two.apply({...record, sourceVersion: 7});
-    assert.deepEqual(one.digest(), two.digest());
+    first.apply({...record, sourceVersion: 2});
+    first.apply({...record, sourceVersion: 7});
+    first.apply(roster);
+    second.apply(roster);
+    second.apply({...record, sourceVersion: 2});
+    assert.notDeepEqual(first.digest(), second.digest());
+    second.apply({...record, sourceVersion: 7});
+    assert.deepEqual(first.digest(), second.digest());
   });
 });
--- a/packages/records/src/test/configuration.fuzz.test.ts
+++ b/packages/records/src/test/configuration.fuzz.test.ts
@@ -15,7 +15,7 @@
 } from './sampleRecords.js';
 
 const isLong = process.env['SKYLARKFIELD_FUZZ'] === 'long';
-const runs = isLong
+const runCount = isLong
   ? Number(process.env['SKYLARKFIELD_FUZZ_RUNS'] ?? 1000)
   : 25;
 const seed = isLong ? Date.now() % 1_000_000_000 : 42;
@@ -139,7 +139,7 @@
 // and peers fail and recover. A record that reverts on a single entry silently
 // undoes an operator's change for some callers.
 test(
-  `configuration: no record reverts (${runs} schedules, seed ${seed})`,
+  `configuration: no record reverts (${runCount} schedules, seed ${seed})`,
   {timeout: TEST_TIMEOUT_MS},
   async () => {
     await fc.assert(
@@ -161,7 +161,7 @@
           ENTRY_IDS.forEach(id => simulation.stop(id));
         },
       ),
-      {numRuns: runs, seed, endOnFailure: isLong},
+      {numRuns: runCount, seed, endOnFailure: isLong},
     );
   },
 );
--- a/packages/records/src/test/configuration.test.ts
+++ b/packages/records/src/test/configuration.test.ts
@@ -123,7 +123,7 @@
   // keep running unchanged, and the status must list the invalid fields.
   it('keeps the older version in force when a newer one is rejected', async () => {
     const {simulation, version} = await createSettledSimulation();
-    const refused = simulation.write('service', 'booking', {
+    const rejectedVersion = simulation.write('service', 'booking', {
       ...serviceV1,
       timeoutMs: 'soon',
       colour: 'red',
@@ -131,7 +131,7 @@
     await simulation.advance(3000);
     const status = simulation.status('service.booking');
     assert.equal(status?.state, 'refused');
-    assert.equal(status.sourceVersion, refused);
+    assert.equal(status.sourceVersion, rejectedVersion);
     assert.equal(status.acceptedVersion, version);
     assert.deepEqual(status.faults.map(fault => fault.path).sort(), [
       '',
@@ -179,8 +179,8 @@
     assert.equal(simulation.status('move.early')?.state, 'in-force');
   });
 
-  // The acceptor crashes right after writing the accepted form. Unless its
-  // successor resumes, the status would remain `accepted` forever.
+  // The acceptor crashes right after writing the accepted form. Unless the
+  // next acceptor resumes, the status would remain `accepted` forever.
   it('has its status completed by the next acceptor', async () => {
     const {simulation} = await createSettledSimulation();
     const subscription = simulation.platform.table.onDidChange(change => {
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -63,7 +63,7 @@
   const entries = new Map<string, SimulatedEntry>();
   /** Every version that operators wrote, by key and source version. */
   const written = new Map<string, Map<number, unknown>>();
-  const confirmed = new Map<string, number>();
+  const confirmedVersions = new Map<string, number>();
   const acceptedVersions = new Map<string, number>();
 
   platform.table.onDidChange(change => {
@@ -102,7 +102,7 @@
     if (status?.state !== 'in-force') {
       return;
     }
-    confirmed.set(key, status.sourceVersion);
+    confirmedVersions.set(key, status.sourceVersion);
     for (const entry of entries.values()) {
       if (clock.now() - entry.startedAt < STARTUP_GRACE_MS) {
         continue;
@@ -203,7 +203,7 @@
       startedAt: clock.now(),
       acceptance: undefined,
       highestVersions: new Map(),
-      minVersions: new Map(confirmed),
+      minVersions: new Map(confirmedVersions),
     };
     entries.set(id, entry);
     connectAll();
