--- a/packages/records/src/recordTable.ts
+++ b/packages/records/src/recordTable.ts
@@ -37,7 +37,7 @@
   digest(): RecordDigest;
 }
 
-const DIGEST_BUCKETS = 16;
+const DIGEST_BUCKET_COUNT = 16;
 const UINT32_RANGE = 0x1_0000_0000;
 
 /**
@@ -49,7 +49,7 @@
  */
 export function createRecordTable(): RecordTable {
   const records = new Map<string, RelayedRecord>();
-  const bucketSums = new Array<number>(DIGEST_BUCKETS).fill(0);
+  const bucketSums = new Array<number>(DIGEST_BUCKET_COUNT).fill(0);
 
   /** Sums are cheap to update and independent of the order of arrival. */
   function addToBucketSum(record: RelayedRecord, sign: 1 | -1): void {
@@ -132,7 +132,7 @@
 }
 
 function bucketOf(key: string): number {
-  return hash32(key) % DIGEST_BUCKETS;
+  return hash32(key) % DIGEST_BUCKET_COUNT;
 }
 
 function toVersion({kind, name, sourceVersion}: RelayedRecord): RecordVersion {
