--- a/packages/orders/src/activeOrder.ts
+++ b/packages/orders/src/activeOrder.ts
@@ -30,7 +30,7 @@
       readonly member: string | undefined;
       /** Token of the claim that is void. */
       readonly token: string;
-      /** Whether it waits in the ledger for the next owner to execute it. */
+      /** Whether the order waits in the ledger for the next owner to run it. */
       readonly isWaiting: boolean;
     };
 
@@ -72,18 +72,18 @@
   /** True once the order has completed by moving to another owner. */
   isMoved(): boolean;
   /**
-   * Monotonic milliseconds until which it may be sent: the latest deadline of
-   * all waiters. The first one's would let a caller with a short timeout end
-   * the order of one that joined it with a longer timeout.
+   * Monotonic milliseconds until which the order may be sent: the latest
+   * deadline of all waiters. Otherwise a caller with a short timeout would end
+   * the order of a caller that joined with a longer one.
    */
   deadline(): number;
   /** Applies an event; false when the current state does not allow it. */
   tryTransition(event: ActiveOrderEvent): boolean;
-  /** Completes the order; later results are ignored. */
+  /** Completes the order; has no effect if the order has ended. */
   complete(result: OrderCompletion): void;
   /**
    * Waits for completion. A waiter that stops early gets `deadline-exceeded` or
-   * `cancelled`; the last one cancels an unsent order, so that `not-run` is
+   * `cancelled`; the last waiter cancels an unsent order, so that `not-run` is
    * true.
    */
   join(deadline: number, signal: AbortSignal): Promise<OrderCompletion>;
@@ -124,7 +124,7 @@
   const interpreter = interpret(activeOrderMachine, () => undefined);
   const stopController = new AbortController();
   // An order from the ledger is executed even if no caller waits for it.
-  let waiters = origin === 'ledger' ? 1 : 0;
+  let waiterCount = origin === 'ledger' ? 1 : 0;
   let isMoved = false;
   let latestDeadline = request.deadline;
   let resolveDone: (result: OrderCompletion) => void = () => undefined;
@@ -161,8 +161,8 @@
 
   /** Returns the error of a leaving waiter; cancels the order if possible. */
   function removeWaiter(kind: 'deadline-exceeded' | 'cancelled'): ServingError {
-    waiters -= 1;
-    const mayCancel = waiters === 0 && unsentStates.has(current());
+    waiterCount -= 1;
+    const mayCancel = waiterCount === 0 && unsentStates.has(current());
     const run: RunState = mayCancel ? 'not-run' : 'may-have-run';
     const error = new ServingError(kind, abandonMessages[kind], {run});
     if (run === 'not-run') {
@@ -178,7 +178,7 @@
     if (current() === 'ended') {
       return done;
     }
-    waiters += 1;
+    waiterCount += 1;
     latestDeadline = Math.max(latestDeadline, deadline);
     return new Promise((resolve, reject) => {
       const timer = clock.after(deadline - clock.now(), () =>
@@ -202,7 +202,7 @@
       }
       void done.then(result => {
         if (stopWaiting()) {
-          waiters -= 1;
+          waiterCount -= 1;
           resolve(result);
         }
       });
--- a/packages/orders/src/contracts.ts
+++ b/packages/orders/src/contracts.ts
@@ -41,12 +41,12 @@
  *
  * `begin` is called synchronously right before the call goes to an endpoint.
  * When it returns false, the order was cancelled or handed over meanwhile: the
- * call must not be sent, and `cancelled` (not run) is thrown. It is called
- * again before another endpoint is tried, after one that certainly received
- * nothing.
+ * call must not be sent, and `cancelled` (not run) is thrown. `begin` is called
+ * again before another endpoint is tried, once the previous endpoint certainly
+ * received nothing.
  *
  * Throws `endpoint-unavailable` only when no byte of the call was sent
- * (certainly not run), `outcome-unknown` once any may have been.
+ * (certainly not run), `outcome-unknown` once any byte may have been.
  */
 export type Dispatch = (
   service: string,
--- a/packages/orders/src/forwardAnswer.ts
+++ b/packages/orders/src/forwardAnswer.ts
@@ -55,7 +55,7 @@
   }
   if (answer.released !== undefined) {
     const {member, released, isWaiting} = answer;
-    // A release that omits the field may have left the order waiting.
+    // An older software release omits the field; the order may be waiting.
     return {
       type: 'moved',
       member,
--- a/packages/orders/src/handOver.ts
+++ b/packages/orders/src/handOver.ts
@@ -5,9 +5,9 @@
 import type {Shard} from './shardContracts.js';
 import {encodeOrder, type LedgerEntry} from './shardRecord.js';
 
-/** Sum of bodies in one shard object, far below the platform's size limit. */
+/** For all bodies in a shard object; far below the platform's size limit. */
 const MAX_TOTAL_BODY_BYTES = 262_144;
-const MAX_SUCCESSORS_NOTIFIED = 3;
+const MAX_SUCCESSORS_TRIED = 3;
 const REQUEST_TIMEOUT_MS = 2_000;
 
 export interface HandOver {
@@ -35,16 +35,16 @@
   readonly maxBodyBytes: number;
   readonly activeOrders: () => readonly ActiveOrder[];
   /**
-   * The `waiting` mark may not be in the ledger, and the new owner may have the
-   * claim though the order was never sent. If the caller has disconnected,
-   * nobody routes the order there, and a retry would get `may-have-run`: the
-   * owner must be notified that its claim is void.
+   * The shard was lost during the hand-over: its new owner may have the claim
+   * without the `waiting` mark. If the caller has disconnected, nobody routes
+   * the order there, and a retry would get `may-have-run`: the owner must be
+   * notified that the claim is void.
    */
   readonly onDidVoidClaim: (order: ActiveOrder) => void;
   /** Continues with an order whose hand-over was not written. */
   readonly resume: (order: ActiveOrder) => void;
 }): HandOver {
-  /** Marks an order as waiting in the table; returns its previous entry. */
+  /** Marks an order as waiting in the table; returns its old ledger entry. */
   function markWaiting(
     shard: Shard,
     order: ActiveOrder,
@@ -116,7 +116,7 @@
         return;
       }
       const body = {shard: shard.index};
-      for (const successor of successors.slice(0, MAX_SUCCESSORS_NOTIFIED)) {
+      for (const successor of successors.slice(0, MAX_SUCCESSORS_TRIED)) {
         try {
           await options.network.request(
             successor,
--- a/packages/orders/src/ledger.ts
+++ b/packages/orders/src/ledger.ts
@@ -23,8 +23,8 @@
 } from './shardRecord.js';
 
 const OUTCOME_SEND_INTERVAL_MS = 250;
-const UNDELIVERED_TTL_MS = 120_000;
-const LINGER_MS = 100;
+const UNDELIVERED_OUTCOME_TTL_MS = 120_000;
+const EXIT_DELAY_MS = 100;
 const STARTUP_SCAN_DELAY_MS = 500;
 
 /**
@@ -152,7 +152,7 @@
     outcome: ClaimOutcome,
     hops: number,
   ): void {
-    const expiresAt = clock.now() + UNDELIVERED_TTL_MS;
+    const expiresAt = clock.now() + UNDELIVERED_OUTCOME_TTL_MS;
     undelivered.add({shard, outcome, hops, expiresAt});
   }
 
@@ -168,13 +168,13 @@
     }
   }
 
-  /** Routes an order that has no caller here on when the shard is lost. */
+  /** Reroutes an order without a caller here when its shard is lost. */
   async function rerouteIfMoved(order: ActiveOrder): Promise<void> {
     const result = await order.done;
     if (result.type === 'moved' && isAlive) {
       const released = [result.token];
       const request = {...order.request, released};
-      await router.route(order.shard, request, neverAborted());
+      await router.route(order.shard, request, neverAbortedSignal());
     }
   }
 
@@ -256,7 +256,7 @@
     if (isLeaving || !isAlive) {
       throw new ServingError('leaving', 'this entry is leaving');
     }
-    const isUnrecognisable = order.key === undefined;
+    const isUnkeyed = order.key === undefined;
     const id =
       order.key === undefined
         ? randomId(random)
@@ -274,7 +274,7 @@
       throw addKeyToMessage(result.error, order.key);
     }
     const {reply, isReplay} = result;
-    return {reply, isReplay, isUnkeyed: isUnrecognisable};
+    return {reply, isReplay, isUnkeyed};
   }
 
   async function routeOrder(request: OrderRequest, signal: AbortSignal) {
@@ -309,7 +309,7 @@
     await sender.send();
     // Orders in transit are still answered as not run; a closed connection
     // would leave their senders uncertain.
-    await sleep(clock, LINGER_MS);
+    await sleep(clock, EXIT_DELAY_MS);
   }
 
   return {
@@ -329,7 +329,7 @@
   };
 }
 
-/** Adds the key for the caller that sent it; other entries never see it. */
+/** Adds the key for its caller; other entries never see the key. */
 function addKeyToMessage(
   error: ServingError,
   key: string | undefined,
@@ -345,7 +345,7 @@
 }
 
 /** Returns a new signal: listeners would accumulate on a shared one. */
-function neverAborted(): AbortSignal {
+function neverAbortedSignal(): AbortSignal {
   return new AbortController().signal;
 }
 
--- a/packages/orders/src/ledgerSettings.ts
+++ b/packages/orders/src/ledgerSettings.ts
@@ -42,7 +42,7 @@
   readonly maxReplyBytes: number;
   /** Largest body handed over in the ledger; larger ones are forwarded. */
   readonly maxHandOverBytes: number;
-  /** Time past its deadline that a sent call may take to yield its outcome. */
+  /** Time past the order's deadline that a sent call may take to end. */
   readonly graceMs: number;
   /** Upper bound of attempts under one claim while nothing was sent. */
   readonly maxAttempts: number;
@@ -50,7 +50,6 @@
   readonly retryAfterMs: number;
 }
 
-/** Settings used where none are given. */
 export const defaultLedgerSettings: LedgerSettings = {
   shardCount: 8,
   minWriteIntervalMs: 80,
--- a/packages/orders/src/localOrders.ts
+++ b/packages/orders/src/localOrders.ts
@@ -72,8 +72,8 @@
   function addActiveOrder(order: ActiveOrder): void {
     activeOrders.set(order.request.id, order);
     void order.done.then(result => {
-      // Not deferred until the write ends: the next owner may query the claim
-      // before.
+      // Called before the write ends, as the next owner may query the claim by
+      // then.
       if (order.token !== '' && isCertainlyUnsent(result)) {
         options.onDidVoidClaim(order);
       }
@@ -92,9 +92,9 @@
     signal: AbortSignal,
   ): Promise<ExecuteResult> {
     const shard = shardFor(request.id);
-    const running = activeOrders.get(request.id);
-    if (running !== undefined) {
-      return joinActiveOrder(running, request, signal);
+    const activeOrderWithId = activeOrders.get(request.id);
+    if (activeOrderWithId !== undefined) {
+      return joinActiveOrder(activeOrderWithId, request, signal);
     }
     let ownership;
     try {
@@ -114,9 +114,9 @@
     signal: AbortSignal,
   ): Promise<ExecuteResult> {
     // The same order may have arrived again while the shard was being acquired.
-    const running = activeOrders.get(request.id);
-    if (running !== undefined) {
-      return joinActiveOrder(running, request, signal);
+    const activeOrderWithId = activeOrders.get(request.id);
+    if (activeOrderWithId !== undefined) {
+      return joinActiveOrder(activeOrderWithId, request, signal);
     }
     voidReleasedClaims(shard, request);
     const entry = shard.table.get(request.id);
@@ -155,7 +155,7 @@
     }
     return new ServingError('overloaded', 'the order ledger is full', {
       run: 'not-run',
-      retryAfterMs: Math.min(MAX_RETRY_AFTER_MS, shard.table.untilExpiry()),
+      retryAfterMs: Math.min(MAX_RETRY_AFTER_MS, shard.table.msUntilExpiry()),
     });
   }
 
@@ -191,7 +191,7 @@
     }
   }
 
-  /** An unwritten claim may lose to another one: waits until it is decided. */
+  /** Waits for the active order's claim; an unwritten claim never conflicts. */
   async function resolveKeyConflict(
     order: ActiveOrder,
     request: OrderRequest,
@@ -255,7 +255,7 @@
       }
       const leftMs = entry.order.runBefore - clock.wall();
       if (leftMs <= 0) {
-        // Its deadline has passed without a claim: a retry starts from scratch.
+        // The deadline has passed without a claim: a retry is a new order.
         shard.table.remove(entry.id);
         continue;
       }
@@ -284,7 +284,7 @@
       return false;
     }
     const entry = shard.table.get(outcome.id);
-    // Outcome of another claim of the key, or of a handed-over one.
+    // The outcome is of another claim, or the order has been handed over.
     if (entry?.token !== outcome.token || entry.state === 'waiting') {
       return true;
     }
--- a/packages/orders/src/orderIdentity.ts
+++ b/packages/orders/src/orderIdentity.ts
@@ -3,9 +3,9 @@
 import {hash32, type Random} from '@skylarkfield/base';
 import type {Order} from './contracts.js';
 
-const DIGEST_LENGTH = 22;
+const DIGEST_BASE64_LENGTH = 22;
 const HEX_RADIX = 16;
-const RANDOM_WORDS = 4;
+const RANDOM_WORD_COUNT = 4;
 const MAX_RANDOM_WORD = 0xffff_ffff;
 
 /**
@@ -36,7 +36,7 @@
  * const id = randomId(random);
  */
 export function randomId(random: Random): string {
-  const words = Array.from({length: RANDOM_WORDS}, () =>
+  const words = Array.from({length: RANDOM_WORD_COUNT}, () =>
     random.integer(0, MAX_RANDOM_WORD).toString(HEX_RADIX),
   );
   return words.join('.');
@@ -57,5 +57,5 @@
   return createHash('sha256')
     .update(JSON.stringify(parts))
     .digest('base64url')
-    .slice(0, DIGEST_LENGTH);
+    .slice(0, DIGEST_BASE64_LENGTH);
 }
--- a/packages/orders/src/orderObserver.ts
+++ b/packages/orders/src/orderObserver.ts
@@ -16,11 +16,11 @@
   onDidAnswer(service: string, outcome: OrderOutcome): void;
   /** A shard or segment is about to be written, or written again by a retry. */
   onWillWrite(): void;
-  /** A shard was taken over. */
+  /** This process has taken a shard over. */
   onDidTakeOver(): void;
 }
 
-/** Observer that ignores all events. */
+/** Observer of a ledger whose options contain none. */
 export const noopObserver: OrderObserver = {
   onDidAnswer: () => undefined,
   onWillWrite: () => undefined,
--- a/packages/orders/src/orderRouter.ts
+++ b/packages/orders/src/orderRouter.ts
@@ -1,6 +1,6 @@
 /**
- * Routes an order to the owner of its shard; `not-run` excludes a run by an
- * unresponsive owner.
+ * Routes an order to the owner of its shard. It reports `not-run` only if no
+ * unresponsive owner can still run the order.
  */
 import {
   isServingError,
@@ -25,7 +25,7 @@
   /** Sends a request to a peer; rejects once the peer can't answer any more. */
   requestWhileLive<T>(
     member: string,
-    ask: (timeoutMs: number) => Promise<T>,
+    sendRequest: (timeoutMs: number) => Promise<T>,
     deadline: number,
   ): Promise<T>;
   /** The entry that should own a shard, if any accepts new work. */
@@ -58,7 +58,7 @@
 }
 
 const MAX_HOPS = 12;
-const LIVENESS_CHECK_MS = 200;
+const LIVENESS_CHECK_INTERVAL_MS = 200;
 const ANSWER_MARGIN_RATIO = 0.2;
 const MAX_ANSWER_MARGIN_MS = 50;
 const RETRY_DELAY_MS = 50;
@@ -82,7 +82,7 @@
 
   function requestWhileLive<T>(
     peer: string,
-    ask: (timeoutMs: number) => Promise<T>,
+    sendRequest: (timeoutMs: number) => Promise<T>,
     deadline: number,
   ): Promise<T> {
     const timeoutMs = Math.max(1, deadline - clock.now());
@@ -93,10 +93,10 @@
           reject(unreachablePeerError(peer));
           return;
         }
-        timer = clock.after(LIVENESS_CHECK_MS, check);
+        timer = clock.after(LIVENESS_CHECK_INTERVAL_MS, check);
       }
       check();
-      ask(timeoutMs)
+      sendRequest(timeoutMs)
         .then(resolve, reject)
         .finally(() => timer?.dispose());
     });
@@ -200,7 +200,7 @@
       ownerHint = result.member;
       if (result.type === 'moved') {
         released.push(result.token);
-        // The next owner executes it, whatever another entry answers now.
+        // The next owner runs the order, whatever another entry answers now.
         mayRunElsewhere ||= result.isWaiting;
       }
       if (ownerHint === target || ownerHint === undefined) {
--- a/packages/orders/src/orderRunner.ts
+++ b/packages/orders/src/orderRunner.ts
@@ -17,7 +17,7 @@
   | {readonly state: 'released'};
 
 export interface OrderRunner {
-  /** Runs a claimed order until its end or hand-over; idempotent meanwhile. */
+  /** Runs a claimed order until its end or hand-over, unless it is running. */
   run(order: ActiveOrder): void;
 }
 
@@ -25,7 +25,7 @@
   readonly dispatch: Dispatch;
   readonly clock: Clock;
   readonly random: Random;
-  /** Time past its deadline that a sent call may take to yield its outcome. */
+  /** Time past the order's deadline that a sent call may take to end. */
   readonly graceMs: number;
   readonly maxAttempts: number;
   /** False once this process has stopped. */
@@ -76,8 +76,8 @@
     } catch (caught) {
       const error = toServingError(caught);
       // Cancelled before `begin`: nothing was sent, regardless of `run`.
-      const isWait = !wasSent && error.kind === 'cancelled';
-      const isUnsent = isWait || error.run === 'not-run';
+      const isCancelledBeforeSend = !wasSent && error.kind === 'cancelled';
+      const isUnsent = isCancelledBeforeSend || error.run === 'not-run';
       if (
         wasSent &&
         isUnsent &&
--- a/packages/orders/src/outcomeSender.ts
+++ b/packages/orders/src/outcomeSender.ts
@@ -81,7 +81,7 @@
   }
 
   function startRound(): Promise<void> {
-    // In parallel: a leaving process waits for the slowest owner, not the sum.
+    // In parallel: a leaving process waits only for the slowest owner.
     round = Promise.all(undelivered.shards().map(sendShard))
       .then(() => undefined)
       .finally(() => (round = undefined));
@@ -100,8 +100,8 @@
         return startRound();
       }
       // The round in progress may have passed a shard before its outcome was
-      // added. If a leaving process exited after it, a retry of an order with a
-      // known reply would get `may-have-run`.
+      // added. If a leaving process exited after that round, a retry of an
+      // order with a known reply would get `may-have-run`.
       nextRound ??= round.then(startNextRound, startNextRound);
       return nextRound;
     },
--- a/packages/orders/src/peerMessages.ts
+++ b/packages/orders/src/peerMessages.ts
@@ -34,7 +34,7 @@
 
 const MAX_OUTCOME_HOPS = 5;
 const MAX_CACHED_FORWARDS = 5_000;
-/** Time past its deadline after which a forwarded order is rejected. */
+/** A forwarded order that arrives this long after its deadline is rejected. */
 const STALE_FORWARD_MARGIN_MS = 60_000;
 
 /**
@@ -87,7 +87,7 @@
     }
     const deadline = clock.now() + leftMs;
     const request = {id, print, service, call, deadline, released};
-    const result = await options.execute(request, neverAborted());
+    const result = await options.execute(request, neverAbortedSignal());
     if (result.type === 'no-answer' || result.type === 'not-sent') {
       return errorAnswer('not-ready', 'no entry can accept the order now');
     }
@@ -140,6 +140,6 @@
 }
 
 /** Returns a new signal: listeners would accumulate on a shared one. */
-function neverAborted(): AbortSignal {
+function neverAbortedSignal(): AbortSignal {
   return new AbortController().signal;
 }
--- a/packages/orders/src/pendingOutcomes.ts
+++ b/packages/orders/src/pendingOutcomes.ts
@@ -12,7 +12,7 @@
   rollBackWrite(): void;
   /** Removes and returns all uncommitted outcomes, oldest first. */
   drain(): readonly ClaimOutcome[];
-  /** Monotonic milliseconds since when an outcome waits, if one does. */
+  /** Monotonic milliseconds since which outcomes wait, if there are any. */
   waitingSince(): number | undefined;
 }
 
--- a/packages/orders/src/shard.ts
+++ b/packages/orders/src/shard.ts
@@ -104,7 +104,7 @@
     takeOver.holdOff(owner);
     timer?.dispose();
     timer = undefined;
-    // The new owner's object may still refer to them.
+    // The new owner's object may still refer to these segments.
     expiredSegments.length = 0;
     options.onDidLose(outcomes.drain());
     logDecision(
@@ -207,9 +207,9 @@
       table.put({id, print, token: order.token, state: 'claimed', member});
     }
     const result = await write(nextRecord());
-    const claimed = batch;
+    const claimedOrders = batch;
     batch = [];
-    finishWrite(result, claimed);
+    finishWrite(result, claimedOrders);
     if (result.type === 'committed') {
       await segments.seal(table, epoch, options.sealThresholdBytes);
     }
@@ -229,28 +229,31 @@
     return result;
   }
 
-  function finishWrite(result: WriteResult, claimed: ActiveOrder[]): void {
+  function finishWrite(
+    result: WriteResult,
+    claimedOrders: ActiveOrder[],
+  ): void {
     if (result.type === 'committed') {
       version = result.version;
       sendEvent('writeResolved');
-      claimed.forEach(onDidWriteClaim);
+      claimedOrders.forEach(onDidWriteClaim);
       return;
     }
     if (result.type === 'refused') {
-      for (const order of claimed) {
+      for (const order of claimedOrders) {
         voidClaim(order);
         order.complete({type: 'error', error: result.error});
       }
       return;
     }
     lose(result.head);
-    for (const order of claimed) {
+    for (const order of claimedOrders) {
       moveToOwner(order);
     }
     // The new owner may have the claims. Nobody routes the order of a
     // disconnected caller there, and every retry would get `may-have-run`: the
-    // owner must be notified that they are void.
-    options.onDidLose(claimed.map(releasedOutcome));
+    // owner must be notified that the claims are void.
+    options.onDidLose(claimedOrders.map(releasedOutcome));
   }
 
   function onDidWriteClaim(order: ActiveOrder): void {
--- a/packages/orders/src/shardContracts.ts
+++ b/packages/orders/src/shardContracts.ts
@@ -21,8 +21,8 @@
  * `released`: the changes are written, and what they hand over may run
  * elsewhere. `lost`: another process took the shard over first, so that the
  * changes may not be in the ledger; ownership is gone as well. `refused`:
- * certainly nothing was written, the shard is still owned. `unowned`: there was
- * nothing to release.
+ * certainly nothing was written, the shard is still owned. `unowned`: the
+ * shard was not owned.
  */
 export type ReleaseResult = 'released' | 'lost' | 'refused' | 'unowned';
 
--- a/packages/orders/src/shardRecord.ts
+++ b/packages/orders/src/shardRecord.ts
@@ -46,6 +46,7 @@
 
 export interface LedgerEntry {
   readonly id: string;
+  /** Digest of the request; differs when a key is reused for another one. */
   readonly print: string;
   /** Unique per claim, so that a late outcome can't settle another claim. */
   readonly token: string;
--- a/packages/orders/src/shardSegments.ts
+++ b/packages/orders/src/shardSegments.ts
@@ -19,8 +19,8 @@
     names: readonly string[],
   ): Promise<ReadonlyMap<string, readonly LedgerEntry[]> | undefined>;
   /**
-   * Moves ended entries into a segment once unsealed ones take `minBytes`; they
-   * stay when the write may have failed.
+   * Moves ended entries into a segment once all unsealed entries take
+   * `minBytes`. They stay unsealed when the write may have failed.
    */
   seal(table: ShardTable, epoch: number, minBytes: number): Promise<void>;
   /** Removes segments that no shard object refers to any more. */
@@ -31,8 +31,8 @@
  * Creates the access to one shard's segments.
  *
  * A segment's name contains the epoch of its writer and is never reused. With
- * reused names, a deposed owner could overwrite a segment that its successor
- * already refers to, and those keys would be lost.
+ * reused names, a deposed owner could overwrite a segment that the new owner
+ * already refers to, and the keys in it would be lost.
  *
  * @example
  * await segments.seal(table, epoch, 32_768);
@@ -69,7 +69,7 @@
       await store.put(SEGMENT_KIND, name, {entries}, {type: 'absent'});
       return name;
     } catch {
-      // The entries stay; a segment written after all is never referred to.
+      // The entries stay unsealed; nothing refers to a segment written late.
       return undefined;
     }
   }
--- a/packages/orders/src/shardTable.ts
+++ b/packages/orders/src/shardTable.ts
@@ -28,7 +28,7 @@
   readonly bytes: number;
   readonly count: number;
   /** Milliseconds until the oldest entry leaves the dedupe window. */
-  untilExpiry(): number;
+  msUntilExpiry(): number;
 }
 
 interface Row {
@@ -184,7 +184,7 @@
     get count() {
       return rows.size;
     },
-    untilExpiry() {
+    msUntilExpiry() {
       const [oldest] = rows.values();
       if (oldest === undefined) {
         return 0;
--- a/packages/orders/src/shardTakeOver.ts
+++ b/packages/orders/src/shardTakeOver.ts
@@ -1,4 +1,4 @@
-/** Takes a shard over from its last owner, or yields to a reachable one. */
+/** Takes a shard over from its last owner, or yields to a reachable owner. */
 import {ServingError, type Clock} from '@skylarkfield/base';
 import type {Ownership} from './shardContracts.js';
 import {LEDGER_FORMAT, type ShardRecord} from './shardRecord.js';
--- a/packages/orders/src/shardWriter.ts
+++ b/packages/orders/src/shardWriter.ts
@@ -13,7 +13,7 @@
   | {readonly type: 'committed'; readonly version: number}
   /** Certainly without effect. */
   | {readonly type: 'refused'; readonly error: ServingError}
-  /** Another process has written since; our writes can't succeed any more. */
+  /** Another process has written since, so this process can't write again. */
   | {readonly type: 'lost'; readonly head: ShardRecord | undefined};
 
 export interface ShardWriter {
@@ -33,8 +33,8 @@
  *
  * A write whose response was lost may still be in transit, so a read that shows
  * the old version proves nothing. Instead the same write is repeated on the
- * same version: if it succeeds, the first one no longer can; if it conflicts,
- * the current object shows whose write came first.
+ * same version: if it succeeds, the first write no longer can; if it
+ * conflicts, the current object shows whose write came first.
  *
  * @example
  * const writer = createShardWriter({
@@ -136,7 +136,7 @@
 
 /**
  * Resolves a conflict; after `older-own-write` the write may be repeated on top
- * of that one.
+ * of that older write.
  */
 function resolveConflict(
   record: ShardRecord,
@@ -152,8 +152,8 @@
   if (write === record.write && owner === record.owner) {
     return {type: 'committed', version: head.version};
   }
-  const isOurs = owner === record.owner || record.owner === '';
-  return isOurs && write < record.write
+  const isOwnWrite = owner === record.owner || record.owner === '';
+  return isOwnWrite && write < record.write
     ? 'older-own-write'
     : {type: 'lost', head: head.value};
 }
--- a/packages/orders/src/test/atMostOnce.test.ts
+++ b/packages/orders/src/test/atMostOnce.test.ts
@@ -14,7 +14,7 @@
     cluster.dispose();
   });
 
-  /** Makes one entry own the shard; returns it and the other one. */
+  /** Makes an entry the owner of the shard; returns the ids of both entries. */
   async function electOwner(): Promise<{owner: string; other: string}> {
     cluster.submit('a', 'warm-up');
     await cluster.clock.advance(500);
@@ -33,7 +33,7 @@
     cluster.entries.get(observer)?.suspects.add(target);
   }
 
-  const entryFates = {
+  const ownerActions = {
     'keeps running': () => Promise.resolve(),
     async leaves(id: string) {
       void cluster.leave(id);
@@ -64,8 +64,8 @@
   });
 
   // An owner is paused between writing a claim and sending the order. Another
-  // entry takes the shard over and gets the retry. The first sends the order
-  // when it resumes, so the second must not send it.
+  // entry takes the shard over and gets the retry. The first entry sends the
+  // order when it resumes, so the second must not send it.
   it('never dispatches the claim of another entry', async () => {
     const {owner, other} = await electOwner();
     cluster.service.waitMs = 400;
@@ -273,7 +273,7 @@
       assert.ok(isOwner(other));
       cluster.entries.get(other)?.suspects.clear();
       await cluster.clock.advance(1_000);
-      await entryFates[end](owner);
+      await ownerActions[end](owner);
       const retry = cluster.submit(other, 'k1');
       await cluster.clock.advance(1_000);
       assert.equal(retry.answer?.kind, 'reply');
--- a/packages/orders/src/test/fuzzFindings.test.ts
+++ b/packages/orders/src/test/fuzzFindings.test.ts
@@ -194,8 +194,8 @@
     },
   },
   // An entry leaves with an unsent order of a disconnected caller, but another
-  // takes the shard before the hand-over is written, and nobody routes the
-  // order there. Its claim stayed there and a retry got `may-have-run`.
+  // entry takes the shard before the hand-over is written. Nobody routes the
+  // order there, its claim stayed and a retry got `may-have-run`.
   {
     name: 'a claim whose hand-over was not written does not block the retry',
     seed: 0,
--- a/packages/orders/src/test/schedule.ts
+++ b/packages/orders/src/test/schedule.ts
@@ -267,14 +267,16 @@
   const ranBefore = [...cluster.runs];
   const subjects = [...new Set(cluster.submitted.map(({subject}) => subject))];
   const retries = subjects
-    .map(subject => cluster.submitted.find(one => one.subject === subject))
-    .filter(one => one?.key !== undefined)
-    .map(one => cluster.submit('last', one?.key, one?.subject));
+    .map(subject =>
+      cluster.submitted.find(request => request.subject === subject),
+    )
+    .filter(request => request?.key !== undefined)
+    .map(request => cluster.submit('last', request?.key, request?.subject));
   await cluster.clock.advance(SETTLE_MS);
   cluster.check();
   for (const {key, subject, answer} of retries) {
     assert.ok(answer, `the retry of ${subject} was not answered`);
-    const run = ranBefore.find(one => one.subject === subject);
+    const run = ranBefore.find(item => item.subject === subject);
     if (run === undefined || answer.kind === 'key-conflict') {
       continue;
     }
