--- a/packages/moves/src/nonInferiorityTest.ts
+++ b/packages/moves/src/nonInferiorityTest.ts
@@ -158,9 +158,9 @@
 
 /** A bad rate exceeds factor and added rate; excluding either is enough. */
 function errorLogOdds(proof: RouteProof, hypothesis: Hypothesis): number {
-  const byFactor =
+  const factorLogOdds =
     hypothesis === 'gross' ? proof.errorsThrice : proof.errorsTwice;
-  return Math.max(byFactor, proof.errorsAdded);
+  return Math.max(factorLogOdds, proof.errorsAdded);
 }
 
 /** Returns the log-odds that the candidate is good on one route. */
--- a/packages/moves/src/sequentialTest.ts
+++ b/packages/moves/src/sequentialTest.ts
@@ -22,7 +22,7 @@
  * host spans one or two windows, while a fault of the version persists. The
  * test stays valid, since truncation only decreases the value.
  */
-const MAX_GAIN_PER_WINDOW = 5;
+const MAX_LOG_GAIN_PER_WINDOW = 5;
 
 /**
  * Creates a test over the given number of alternatives.
@@ -44,7 +44,7 @@
       for (let index = 0; index < alternativeCount; index++) {
         const gain = Math.min(
           logLikelihoodRatios[index] as number,
-          MAX_GAIN_PER_WINDOW,
+          MAX_LOG_GAIN_PER_WINDOW,
         );
         logValues[index] = (logValues[index] as number) + gain;
       }
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -51,15 +51,15 @@
     {version: 'v1', ...incumbent},
   ].map(({version, requests, errors, medianMs}) => {
     const count = requests - errors;
-    const mean = Math.log(medianMs);
+    const meanLogLatency = Math.log(medianMs);
     return {
       route,
       version,
       loadLevel: 'low',
       requests,
       errors,
-      logLatency: count * mean,
-      logLatencySquared: count * (mean * mean + 0.16),
+      logLatency: count * meanLogLatency,
+      logLatencySquared: count * (meanLogLatency * meanLogLatency + 0.16),
     };
   });
 }
--- a/packages/moves/src/test/moveController.test.ts
+++ b/packages/moves/src/test/moveController.test.ts
@@ -47,7 +47,7 @@
 
 const evaluationCases: readonly {
   readonly title: string;
-  readonly candidate: Partial<typeof healthy & {rate: number}>;
+  readonly candidate: Partial<typeof healthy & {errorRate: number}>;
   readonly incumbentErrorRate: number;
   readonly onsetMs: number;
   readonly outcome: 'finished' | 'taken-back';
@@ -63,7 +63,7 @@
   },
   {
     title: 'a version that fails every request',
-    candidate: {rate: 1},
+    candidate: {errorRate: 1},
     incumbentErrorRate: 0.01,
     onsetMs: 0,
     outcome: 'taken-back',
@@ -71,7 +71,7 @@
   },
   {
     title: 'a version that starts to fail in the middle of the soak',
-    candidate: {rate: 0.3},
+    candidate: {errorRate: 0.3},
     incumbentErrorRate: 0.01,
     onsetMs: HOUR_MS / 2,
     outcome: 'taken-back',
@@ -86,14 +86,14 @@
   },
   {
     title: 'a version with the same errors as the old one',
-    candidate: {rate: 0.2},
+    candidate: {errorRate: 0.2},
     incumbentErrorRate: 0.2,
     onsetMs: 0,
     outcome: 'finished',
   },
   {
     title: 'a version while both versions fail from a common cause',
-    candidate: {rate: 0.5},
+    candidate: {errorRate: 0.5},
     incumbentErrorRate: 0.5,
     onsetMs: HOUR_MS / 3,
     outcome: 'finished',
@@ -114,7 +114,7 @@
           isAfterOnset ? incumbentErrorRate : 0,
         );
         const errors = isAfterOnset
-          ? (candidate.rate ?? 0) * counts.candidateRequests
+          ? (candidate.errorRate ?? 0) * counts.candidateRequests
           : 0;
         return evidenceOfWindow(
           {
