--- a/packages/records/src/test/configuration.test.ts
+++ b/packages/records/src/test/configuration.test.ts
@@ -32,10 +32,10 @@
   it('limits the number of watches on the platform', async () => {
     const {simulation} = await createSettledSimulation();
     await simulation.advance(10_000);
-    const reading = [...simulation.entries.values()].filter(
+    const readers = [...simulation.entries.values()].filter(
       entry => entry.configuration.dump().isReading,
     );
-    assert.equal(reading.length, 5);
+    assert.equal(readers.length, 5);
   });
 
   // All entries but one lose their connection to the platform. If changes came
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -39,7 +39,7 @@
 }
 
 const NETWORK_LATENCY_MS = 2;
-const CHECK_INTERVAL_MS = 250;
+const INVARIANT_CHECK_INTERVAL_MS = 250;
 /** Time after its start in which an entry may lack a record in force. */
 const STARTUP_GRACE_MS = 5000;
 
@@ -254,9 +254,9 @@
     for (
       let remainingMs = durationMs;
       remainingMs > 0;
-      remainingMs -= CHECK_INTERVAL_MS
+      remainingMs -= INVARIANT_CHECK_INTERVAL_MS
     ) {
-      await clock.advance(Math.min(remainingMs, CHECK_INTERVAL_MS));
+      await clock.advance(Math.min(remainingMs, INVARIANT_CHECK_INTERVAL_MS));
       await settlePromises();
       checkInvariants();
     }
