--- a/packages/orders/src/orderRouter.ts
+++ b/packages/orders/src/orderRouter.ts
@@ -162,7 +162,9 @@
     let ownerHint: string | undefined;
     let mayRunElsewhere = false;
 
-    function fail(error: ServingError): OrderCompletion & {type: 'error'} {
+    function toErrorResult(
+      error: ServingError,
+    ): OrderCompletion & {type: 'error'} {
       // An unresponsive owner may still resume and run the order.
       const mayRun = mayRunElsewhere && error.run === 'not-run';
       return {type: 'error', error: mayRun ? toMayHaveRun(error) : error};
@@ -187,7 +189,7 @@
       }
       if (result.type === 'error') {
         if (target === member || !isNotAccepted(result.error)) {
-          return fail(result.error);
+          return toErrorResult(result.error);
         }
         tried.add(target);
         continue;
@@ -207,7 +209,9 @@
         await waitBeforeRetry();
       }
     }
-    return fail(noTargetError(signal, request.deadline <= clock.now()));
+    return toErrorResult(
+      noTargetError(signal, request.deadline <= clock.now()),
+    );
   }
 
   function waitBeforeRetry(): Promise<void> {
--- a/packages/orders/src/orderRunner.ts
+++ b/packages/orders/src/orderRunner.ts
@@ -103,9 +103,9 @@
     }
     onDidFinish(order, {state: 'unknown'});
     const {kind, message} = result.error;
-    const isSpecific = result.error.run === 'may-have-run';
+    const mayHaveRun = result.error.run === 'may-have-run';
     const error = new ServingError(
-      isSpecific && kind !== 'cancelled' ? kind : 'outcome-unknown',
+      mayHaveRun && kind !== 'cancelled' ? kind : 'outcome-unknown',
       message,
       {run: 'may-have-run', cause: result.error},
     );
--- a/packages/orders/src/shardTakeOver.ts
+++ b/packages/orders/src/shardTakeOver.ts
@@ -36,7 +36,7 @@
   lastKnownOwner(): string | undefined;
 }
 
-const MAX_ATTEMPTS = 5;
+const MAX_TAKE_OVER_ATTEMPTS = 5;
 
 /**
  * Creates the take-over of one shard.
@@ -89,7 +89,7 @@
 
   return {
     async run() {
-      for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      for (let attempt = 0; attempt < MAX_TAKE_OVER_ATTEMPTS; attempt++) {
         const ownership = await tryTakeOver(attempt);
         if (ownership !== undefined) {
           return ownership;
--- a/packages/orders/src/test/atMostOnce.test.ts
+++ b/packages/orders/src/test/atMostOnce.test.ts
@@ -142,10 +142,10 @@
     cluster.pause(owner);
     await cluster.clock.advance(5);
     suspect(other, owner);
-    cluster.service.refused = 1;
+    cluster.service.rejectedShare = 1;
     await cluster.clock.advance(3_000);
     assert.equal(order.answer?.run, 'may-have-run');
-    cluster.service.refused = 0;
+    cluster.service.rejectedShare = 0;
     await cluster.resume(owner);
     await cluster.clock.advance(3_000);
   });
@@ -157,12 +157,12 @@
     cluster = createCluster(3, {shardCount: 1, maxAttempts: 1});
     ['a', 'b'].forEach(cluster.start);
     const {other} = await electOwner();
-    cluster.network.duplicated = 1;
-    cluster.service.refused = 1;
+    cluster.network.duplicatedShare = 1;
+    cluster.service.rejectedShare = 1;
     const order = cluster.submit(other, 'k1');
     await cluster.clock.advance(400);
     assert.equal(order.answer?.run, 'not-run');
-    cluster.service.refused = 0;
+    cluster.service.rejectedShare = 0;
     await cluster.clock.advance(5_000);
     assert.equal(runsOf('k1'), 0);
   });
@@ -284,7 +284,7 @@
   // the same claim gives the caller a reply instead of an error.
   it('retries under the same claim when nothing was sent', async () => {
     const {owner} = await electOwner();
-    cluster.service.refused = 0.6;
+    cluster.service.rejectedShare = 0.6;
     const orders = Array.from({length: 20}, (_, order) =>
       cluster.submit(owner, `k${order}`),
     );
--- a/packages/orders/src/test/cluster.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -63,9 +63,9 @@
 
 /** Faults of the service as shares of the calls, and its delays. */
 export interface ServiceFaults {
-  refused: number;
-  lostAfter: number;
-  lostBefore: number;
+  rejectedShare: number;
+  lostAfterRunShare: number;
+  lostBeforeRunShare: number;
   waitMs: number;
   workMs: number;
 }
@@ -124,9 +124,9 @@
   const runs: ServiceRun[] = [];
   let emptyPeriod: {readonly from: number; to: number} | undefined;
   const service: ServiceFaults = {
-    refused: 0,
-    lostAfter: 0,
-    lostBefore: 0,
+    rejectedShare: 0,
+    lostAfterRunShare: 0,
+    lostBeforeRunShare: 0,
     waitMs: 10,
     workMs: 30,
   };
@@ -141,15 +141,15 @@
             run: 'not-run',
           });
         }
-        if (!random.chance(service.refused)) {
+        if (!random.chance(service.rejectedShare)) {
           break;
         }
         if (tries === MAX_ENDPOINT_ATTEMPTS) {
           throw new ServingError('endpoint-unavailable', 'refused');
         }
       }
-      const isLostBefore = random.chance(service.lostBefore);
-      const isLostAfter = random.chance(service.lostAfter);
+      const isLostBefore = random.chance(service.lostBeforeRunShare);
+      const isLostAfter = random.chance(service.lostAfterRunShare);
       const subject = new TextDecoder().decode(call.body);
       const body = `run ${runs.length} of ${subject}`;
       if (!isLostBefore) {
--- a/packages/orders/src/test/ledger.test.ts
+++ b/packages/orders/src/test/ledger.test.ts
@@ -83,11 +83,11 @@
     const claimed = cluster.submit('a', 'k1', undefined, 60_000);
     await cluster.clock.advance(100);
     cluster.platform.faults.setDown(true);
-    const refused = cluster.submit('a', 'k2');
+    const rejected = cluster.submit('a', 'k2');
     await cluster.clock.advance(3_000);
-    assert.equal(refused.answer?.kind, 'platform-unavailable');
-    assert.equal(refused.answer?.run, 'not-run');
-    assert.ok((refused.answer?.retryAfterMs ?? 0) > 0);
+    assert.equal(rejected.answer?.kind, 'platform-unavailable');
+    assert.equal(rejected.answer?.run, 'not-run');
+    assert.ok((rejected.answer?.retryAfterMs ?? 0) > 0);
     await cluster.clock.advance(10_000);
     assert.equal(claimed.answer?.kind, 'reply');
     cluster.platform.faults.setDown(false);
--- a/packages/orders/src/test/ledgerSize.test.ts
+++ b/packages/orders/src/test/ledgerSize.test.ts
@@ -77,10 +77,10 @@
     start({maxShardBytes: 2_000});
     await placeOrders(30);
     const answers = cluster.submitted.map(({answer}) => answer);
-    const refused = answers.filter(answer => answer?.kind === 'overloaded');
-    assert.ok(refused.length > 5);
-    assert.ok(refused.every(answer => answer?.run === 'not-run'));
-    assert.ok(refused.every(answer => (answer?.retryAfterMs ?? 0) > 0));
+    const rejected = answers.filter(answer => answer?.kind === 'overloaded');
+    assert.ok(rejected.length > 5);
+    assert.ok(rejected.every(answer => answer?.run === 'not-run'));
+    assert.ok(rejected.every(answer => (answer?.retryAfterMs ?? 0) > 0));
     await cluster.clock.advance(2 * WINDOW_MS);
     const later = cluster.submit('a', 'later');
     await cluster.clock.advance(500);
--- a/packages/orders/src/test/schedule.ts
+++ b/packages/orders/src/test/schedule.ts
@@ -228,10 +228,17 @@
 /** Runs the steps of a schedule; returns the cluster in its final state. */
 export async function runSchedule(schedule: Schedule): Promise<Cluster> {
   const cluster = createCluster(schedule.seed);
-  const [refused, lostAfter, lostBefore] = schedule.service;
+  const [rejectedShare, lostAfterRunShare, lostBeforeRunShare] =
+    schedule.service;
   const {waitMs} = schedule;
-  Object.assign(cluster.service, {refused, lostAfter, lostBefore, waitMs});
-  [cluster.network.lost, cluster.network.duplicated] = schedule.network;
+  Object.assign(cluster.service, {
+    rejectedShare,
+    lostAfterRunShare,
+    lostBeforeRunShare,
+    waitMs,
+  });
+  [cluster.network.lostShare, cluster.network.duplicatedShare] =
+    schedule.network;
   for (let index = 0; index < ENTRY_COUNT - 1; index++) {
     cluster.start(idOf(index));
   }
@@ -248,8 +255,13 @@
   platform.faults.setDown(false);
   platform.faults.setDelay(4);
   network.cuts.clear();
-  network.lost = 0;
-  Object.assign(service, {refused: 0, lostAfter: 0, lostBefore: 0, waitMs: 1});
+  network.lostShare = 0;
+  Object.assign(service, {
+    rejectedShare: 0,
+    lostAfterRunShare: 0,
+    lostBeforeRunShare: 0,
+    waitMs: 1,
+  });
   for (const {process, suspects, client} of entries.values()) {
     suspects.clear();
     process.lostReplyEffects.length = 0;
--- a/packages/orders/src/test/simulatedProcess.ts
+++ b/packages/orders/src/test/simulatedProcess.ts
@@ -83,7 +83,7 @@
 /** When a write whose response is lost takes effect: now, later or never. */
 export type LostReplyEffect = 'now' | 'late' | 'never';
 
-const LATE_WRITE_MS = 600;
+const LATE_WRITE_DELAY_MS = 600;
 
 /** Wraps a store: responses wait during a pause or, for writes, can be lost. */
 export function processStore(
@@ -107,7 +107,10 @@
       await write().catch(() => undefined);
     }
     if (effect === 'late') {
-      clock.after(LATE_WRITE_MS, () => void write().catch(() => undefined));
+      clock.after(
+        LATE_WRITE_DELAY_MS,
+        () => void write().catch(() => undefined),
+      );
     }
     throw new ServingError('outcome-unknown', 'the reply was lost');
   }
@@ -133,11 +136,11 @@
   /** Pairs `from>to` whose messages are lost. */
   readonly cuts: Set<string>;
   /** Share of the requests that are delivered twice, the second time late. */
-  duplicated: number;
-  lost: number;
+  duplicatedShare: number;
+  lostShare: number;
 }
 
-const MAX_DELAY_MS = 2;
+const MAX_MESSAGE_DELAY_MS = 2;
 const MAX_DUPLICATE_DELAY_MS = 3_000;
 
 /** Creates the network between simulated processes. */
@@ -150,17 +153,19 @@
   const network: SimulatedNetwork = {
     processes,
     cuts,
-    duplicated: 0,
-    lost: 0,
+    duplicatedShare: 0,
+    lostShare: 0,
     connect,
   };
 
   function transmit(from: string, to: string, action: () => void): void {
-    if (cuts.has(`${from}>${to}`) || random.chance(network.lost)) {
+    if (cuts.has(`${from}>${to}`) || random.chance(network.lostShare)) {
       return;
     }
     const target = processes.get(to);
-    clock.after(MAX_DELAY_MS * random.next(), () => target?.run(action));
+    clock.after(MAX_MESSAGE_DELAY_MS * random.next(), () =>
+      target?.run(action),
+    );
   }
 
   async function answer(
@@ -201,7 +206,7 @@
               );
             });
           deliver();
-          if (random.chance(network.duplicated)) {
+          if (random.chance(network.duplicatedShare)) {
             clock.after(MAX_DUPLICATE_DELAY_MS * random.next(), deliver);
           }
         }),
