--- a/packages/orders/src/test/atMostOnce.test.ts
+++ b/packages/orders/src/test/atMostOnce.test.ts
@@ -14,7 +14,7 @@
     cluster.dispose();
   });
 
-  /** Makes one entry own the shard; returns it and the other one. */
+  /** Makes an entry the owner of the shard; returns the ids of both entries. */
   async function electOwner(): Promise<{owner: string; other: string}> {
     cluster.submit('a', 'warm-up');
     await cluster.clock.advance(500);
@@ -33,7 +33,7 @@
     cluster.entries.get(observer)?.suspects.add(target);
   }
 
-  const entryFates = {
+  const ownerActions = {
     'keeps running': () => Promise.resolve(),
     async leaves(id: string) {
       void cluster.leave(id);
@@ -64,8 +64,8 @@
   });
 
   // An owner is paused between writing a claim and sending the order. Another
-  // entry takes the shard over and gets the retry. The first sends the order
-  // when it resumes, so the second must not send it.
+  // entry takes the shard over and gets the retry. The first entry sends the
+  // order when it resumes, so the second must not send it.
   it('never dispatches the claim of another entry', async () => {
     const {owner, other} = await electOwner();
     cluster.service.waitMs = 400;
@@ -142,10 +142,10 @@
     cluster.pause(owner);
     await cluster.clock.advance(5);
     suspect(other, owner);
-    cluster.service.refused = 1;
+    cluster.service.rejectedShare = 1;
     await cluster.clock.advance(3_000);
     assert.equal(order.answer?.run, 'may-have-run');
-    cluster.service.refused = 0;
+    cluster.service.rejectedShare = 0;
     await cluster.resume(owner);
     await cluster.clock.advance(3_000);
   });
@@ -157,12 +157,12 @@
     cluster = createCluster(3, {shardCount: 1, maxAttempts: 1});
     ['a', 'b'].forEach(cluster.start);
     const {other} = await electOwner();
-    cluster.network.duplicated = 1;
-    cluster.service.refused = 1;
+    cluster.network.duplicatedShare = 1;
+    cluster.service.rejectedShare = 1;
     const order = cluster.submit(other, 'k1');
     await cluster.clock.advance(400);
     assert.equal(order.answer?.run, 'not-run');
-    cluster.service.refused = 0;
+    cluster.service.rejectedShare = 0;
     await cluster.clock.advance(5_000);
     assert.equal(runsOf('k1'), 0);
   });
@@ -273,7 +273,7 @@
       assert.ok(isOwner(other));
       cluster.entries.get(other)?.suspects.clear();
       await cluster.clock.advance(1_000);
-      await entryFates[end](owner);
+      await ownerActions[end](owner);
       const retry = cluster.submit(other, 'k1');
       await cluster.clock.advance(1_000);
       assert.equal(retry.answer?.kind, 'reply');
@@ -284,7 +284,7 @@
   // the same claim gives the caller a reply instead of an error.
   it('retries under the same claim when nothing was sent', async () => {
     const {owner} = await electOwner();
-    cluster.service.refused = 0.6;
+    cluster.service.rejectedShare = 0.6;
     const orders = Array.from({length: 20}, (_, order) =>
       cluster.submit(owner, `k${order}`),
     );
--- a/packages/orders/src/test/schedule.ts
+++ b/packages/orders/src/test/schedule.ts
@@ -228,10 +228,17 @@
 /** Runs the steps of a schedule; returns the cluster in its final state. */
 export async function runSchedule(schedule: Schedule): Promise<Cluster> {
   const cluster = createCluster(schedule.seed);
-  const [refused, lostAfter, lostBefore] = schedule.service;
+  const [rejectedShare, lostAfterRunShare, lostBeforeRunShare] =
+    schedule.service;
   const {waitMs} = schedule;
-  Object.assign(cluster.service, {refused, lostAfter, lostBefore, waitMs});
-  [cluster.network.lost, cluster.network.duplicated] = schedule.network;
+  Object.assign(cluster.service, {
+    rejectedShare,
+    lostAfterRunShare,
+    lostBeforeRunShare,
+    waitMs,
+  });
+  [cluster.network.lostShare, cluster.network.duplicatedShare] =
+    schedule.network;
   for (let index = 0; index < ENTRY_COUNT - 1; index++) {
     cluster.start(idOf(index));
   }
@@ -248,8 +255,13 @@
   platform.faults.setDown(false);
   platform.faults.setDelay(4);
   network.cuts.clear();
-  network.lost = 0;
-  Object.assign(service, {refused: 0, lostAfter: 0, lostBefore: 0, waitMs: 1});
+  network.lostShare = 0;
+  Object.assign(service, {
+    rejectedShare: 0,
+    lostAfterRunShare: 0,
+    lostBeforeRunShare: 0,
+    waitMs: 1,
+  });
   for (const {process, suspects, client} of entries.values()) {
     suspects.clear();
     process.lostReplyEffects.length = 0;
@@ -267,14 +279,16 @@
   const ranBefore = [...cluster.runs];
   const subjects = [...new Set(cluster.submitted.map(({subject}) => subject))];
   const retries = subjects
-    .map(subject => cluster.submitted.find(one => one.subject === subject))
-    .filter(one => one?.key !== undefined)
-    .map(one => cluster.submit('last', one?.key, one?.subject));
+    .map(subject =>
+      cluster.submitted.find(request => request.subject === subject),
+    )
+    .filter(request => request?.key !== undefined)
+    .map(request => cluster.submit('last', request?.key, request?.subject));
   await cluster.clock.advance(SETTLE_MS);
   cluster.check();
   for (const {key, subject, answer} of retries) {
     assert.ok(answer, `the retry of ${subject} was not answered`);
-    const run = ranBefore.find(one => one.subject === subject);
+    const run = ranBefore.find(item => item.subject === subject);
     if (run === undefined || answer.kind === 'key-conflict') {
       continue;
     }
--- a/packages/records/src/recordTable.ts
+++ b/packages/records/src/recordTable.ts
@@ -21,9 +21,9 @@
     name: string,
   ): AcceptedRecordTypes[K] | undefined;
   list<K extends RecordKind>(kind: K): readonly AcceptedRecordTypes[K][];
-  /** Returns the versions, also of removed records, of all or some buckets. */
+  /** Returns the versions in these or all buckets, also of removed records. */
   versions(buckets?: ReadonlySet<number>): readonly RecordVersion[];
-  /** Returns records whose version is higher than in `known` or not in it. */
+  /** Returns the records newer than in `known` or missing from it. */
   newerThan(
     known: readonly RecordVersion[],
     buckets?: ReadonlySet<number>,
@@ -37,7 +37,7 @@
   digest(): RecordDigest;
 }
 
-const DIGEST_BUCKETS = 16;
+const DIGEST_BUCKET_COUNT = 16;
 const UINT32_RANGE = 0x1_0000_0000;
 
 /**
@@ -49,9 +49,9 @@
  */
 export function createRecordTable(): RecordTable {
   const records = new Map<string, RelayedRecord>();
-  const bucketSums = new Array<number>(DIGEST_BUCKETS).fill(0);
+  const bucketSums = new Array<number>(DIGEST_BUCKET_COUNT).fill(0);
 
-  /** Sums make the digest independent of order and cheap to update. */
+  /** Sums are cheap to update and independent of the order of arrival. */
   function addToBucketSum(record: RelayedRecord, sign: 1 | -1): void {
     const key = recordKey(record);
     const bucket = bucketOf(key);
@@ -132,7 +132,7 @@
 }
 
 function bucketOf(key: string): number {
-  return hash32(key) % DIGEST_BUCKETS;
+  return hash32(key) % DIGEST_BUCKET_COUNT;
 }
 
 function toVersion({kind, name, sourceVersion}: RelayedRecord): RecordVersion {
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -39,7 +39,7 @@
 }
 
 const NETWORK_LATENCY_MS = 2;
-const CHECK_INTERVAL_MS = 250;
+const INVARIANT_CHECK_INTERVAL_MS = 250;
 /** Time after its start in which an entry may lack a record in force. */
 const STARTUP_GRACE_MS = 5000;
 
@@ -63,7 +63,7 @@
   const entries = new Map<string, SimulatedEntry>();
   /** Every version that operators wrote, by key and source version. */
   const written = new Map<string, Map<number, unknown>>();
-  const confirmed = new Map<string, number>();
+  const confirmedVersions = new Map<string, number>();
   const acceptedVersions = new Map<string, number>();
 
   platform.table.onDidChange(change => {
@@ -102,7 +102,7 @@
     if (status?.state !== 'in-force') {
       return;
     }
-    confirmed.set(key, status.sourceVersion);
+    confirmedVersions.set(key, status.sourceVersion);
     for (const entry of entries.values()) {
       if (clock.now() - entry.startedAt < STARTUP_GRACE_MS) {
         continue;
@@ -203,7 +203,7 @@
       startedAt: clock.now(),
       acceptance: undefined,
       highestVersions: new Map(),
-      minVersions: new Map(confirmed),
+      minVersions: new Map(confirmedVersions),
     };
     entries.set(id, entry);
     connectAll();
@@ -254,9 +254,9 @@
     for (
       let remainingMs = durationMs;
       remainingMs > 0;
-      remainingMs -= CHECK_INTERVAL_MS
+      remainingMs -= INVARIANT_CHECK_INTERVAL_MS
     ) {
-      await clock.advance(Math.min(remainingMs, CHECK_INTERVAL_MS));
+      await clock.advance(Math.min(remainingMs, INVARIANT_CHECK_INTERVAL_MS));
       await settlePromises();
       checkInvariants();
     }
