--- a/packages/entry/src/callers/attemptRunner.ts
+++ b/packages/entry/src/callers/attemptRunner.ts
@@ -15,7 +15,7 @@
 export interface RoutedCall {
   readonly service: string;
   readonly version: string;
-  /** Fallback if no endpoint of `version` accepts; the same without a move. */
+  /** Used if no endpoint of `version` accepts; equals it without a move. */
   readonly incumbent: string;
   readonly route: string;
   readonly call: ServiceCall;
@@ -31,7 +31,7 @@
   ): Promise<ServiceResponse>;
   /**
    * Retries only while no attempt can have run. `begin` is called right before
-   * a call is sent and returns false to cancel it.
+   * a call is sent and returns false to cancel the call.
    */
   runAtMostOnce(
     call: RoutedCall,
@@ -40,14 +40,14 @@
   ): Promise<ServiceResponse>;
 }
 
-/** Checks before an attempt and after a failed one. */
+/** Checks before an attempt and after a failed attempt. */
 interface AttemptPolicy {
   readonly isIdempotent: boolean;
   begin(): boolean;
   mayRetry(error: ServingError): boolean;
 }
 
-/** Maximum attempts; after that many the fault is not that of one endpoint. */
+/** Maximum attempts of a call; 3 failures are not due to a single endpoint. */
 const MAX_ATTEMPTS = 3;
 
 /** Lowest HTTP status that counts as a failure of the service. */
@@ -85,7 +85,7 @@
 
   /**
    * Falls back to the incumbent when a call is known not to have run, and
-   * counts it as an error of the candidate. Otherwise a candidate whose
+   * counts an error of the candidate. Without the fallback, a candidate whose
    * endpoints refuse all connections would fail its share of the calls until
    * the move's deadline.
    */
@@ -257,8 +257,8 @@
   if (error.kind === 'endpoint-unavailable') {
     return 'unreachable';
   }
-  // A deadline that passed before sending is due to this entry's queue, not to
-  // the endpoint.
+  // A deadline that passed before the call was sent is due to this entry's
+  // queue, not to the endpoint.
   const isUnsent =
     error.kind === 'deadline-exceeded' && error.run === 'not-run';
   return isUnsent || error.kind === 'overloaded' ? 'overloaded' : 'failed';
--- a/packages/entry/src/callers/callerServer.ts
+++ b/packages/entry/src/callers/callerServer.ts
@@ -58,7 +58,7 @@
   (text: string, session: string | undefined) => ModelRequest
 > = {chat: parseChatRequest, completion: parseCompletionRequest};
 
-/** Delay before a caller may retry here or elsewhere, in milliseconds. */
+/** Retry delay sent while this entry is not serving, in milliseconds. */
 const NOT_SERVING_RETRY_MS = 1_000;
 
 /**
@@ -140,7 +140,7 @@
   /**
    * Counts a request as in flight until its response is sent. The handler
    * returns earlier, while the response may still be buffered for a slow
-   * reader; a stop that closed the connection then would truncate it.
+   * reader; closing the connection then would truncate the response.
    */
   function countUntilClosed(response: ServerResponse): void {
     response.once('close', () => options.inFlight.end());
--- a/packages/entry/src/callers/customerKeys.ts
+++ b/packages/entry/src/callers/customerKeys.ts
@@ -3,7 +3,7 @@
 import {ServingError} from '@skylarkfield/base';
 import type {Configuration, Customer} from '@skylarkfield/records';
 
-/** Hex digits that index hashes; whole ones are compared in constant time. */
+/** Leading hex digits of a hash by which hashes are indexed. */
 const INDEX_PREFIX_DIGITS = 4;
 
 export interface CustomerKeys {
@@ -17,8 +17,9 @@
 }
 
 /**
- * Follows the customer records in force. Only hashes are stored; a key removed
- * from a record is rejected as soon as the record is in force at this entry.
+ * Creates an index of the keys of the customer records in force. Only hashes
+ * are stored; whole hashes are compared in constant time. A key removed from a
+ * record is rejected as soon as that change is in force at this entry.
  *
  * @example
  * const keys = createCustomerKeys(configuration);
@@ -40,7 +41,9 @@
       const bucket = index.get(
         hash.toString('hex').slice(0, INDEX_PREFIX_DIGITS),
       );
-      const found = bucket?.find(entry => timingSafeEqual(entry.hash, hash));
+      const found = bucket?.find(indexed =>
+        timingSafeEqual(indexed.hash, hash),
+      );
       if (found === undefined) {
         throw new ServingError(
           'unauthenticated',
--- a/packages/entry/src/callers/deadlineSignal.ts
+++ b/packages/entry/src/callers/deadlineSignal.ts
@@ -18,13 +18,13 @@
 export function createDeadlineSignal(
   clock: Clock,
   deadline: number,
-  caller: AbortSignal,
+  callerSignal: AbortSignal,
 ): DeadlineSignal {
   const controller = new AbortController();
   let hasExpired = false;
   const onAbort = () => controller.abort();
-  caller.addEventListener('abort', onAbort, {once: true});
-  if (caller.aborted) {
+  callerSignal.addEventListener('abort', onAbort, {once: true});
+  if (callerSignal.aborted) {
     controller.abort();
   }
   const timer = clock.after(deadline - clock.now(), () => {
@@ -45,7 +45,7 @@
     },
     dispose() {
       timer.dispose();
-      caller.removeEventListener('abort', onAbort);
+      callerSignal.removeEventListener('abort', onAbort);
     },
   };
 }
--- a/packages/entry/src/callers/forwardedHeaders.ts
+++ b/packages/entry/src/callers/forwardedHeaders.ts
@@ -54,10 +54,10 @@
 export function toCallerHeaders(
   headers: Readonly<Record<string, string>>,
 ): Record<string, string> {
-  const entries = Object.entries(headers).filter(
+  const forwarded = Object.entries(headers).filter(
     ([name]) => !HOP_BY_HOP_HEADERS.has(name.toLowerCase()),
   );
-  return Object.fromEntries(entries);
+  return Object.fromEntries(forwarded);
 }
 
 function isDropped(name: string, headers: IncomingHttpHeaders): boolean {
--- a/packages/entry/src/callers/modelResponse.ts
+++ b/packages/entry/src/callers/modelResponse.ts
@@ -10,7 +10,7 @@
   /** Sends the next token; a returned promise applies backpressure. */
   deliver(token: StreamToken): void | Promise<void>;
   finish(summary: StreamSummary): void;
-  /** Ends a started response with an error; false if nothing was sent. */
+  /** Ends a started response with an error; false if none was started. */
   failIfStarted(problem: Problem): boolean;
 }
 
--- a/packages/entry/src/callers/modelServer.ts
+++ b/packages/entry/src/callers/modelServer.ts
@@ -26,7 +26,7 @@
 import type {ModelRequest} from './modelRequest.js';
 import {isVersionFault, type RequestMetrics} from './requestMetrics.js';
 import {noEndpointError} from './noEndpointError.js';
-import {requestTimeout, requestUrgency} from './requestHeaders.js';
+import {requestTimeoutMs, requestUrgency} from './requestHeaders.js';
 import {toProblem} from './problem.js';
 import {createRequestCosts} from './requestCost.js';
 
@@ -106,7 +106,7 @@
   ): RequestPlan {
     const {headers} = exchange.request;
     const deadline =
-      exchange.arrivedAt + requestTimeout(headers, service.timeoutMs);
+      exchange.arrivedAt + requestTimeoutMs(headers, service.timeoutMs);
     const tokens = tokenizePrompt(request.prompt);
     const blocks = hashPromptBlocks(tokens);
     const version = serving.split.versionFor({
--- a/packages/entry/src/callers/noEndpointError.ts
+++ b/packages/entry/src/callers/noEndpointError.ts
@@ -5,7 +5,7 @@
 const NO_ENDPOINT_RETRY_MS = 1_000;
 
 /**
- * Returns the error for a service version without an endpoint for a request.
+ * Returns the error for a request that no endpoint of a version can accept.
  *
  * @example
  * throw noEndpointError('booking', 'v2');
--- a/packages/entry/src/callers/plainServer.ts
+++ b/packages/entry/src/callers/plainServer.ts
@@ -11,13 +11,13 @@
 import {toCallerHeaders, toServiceHeaders} from './forwardedHeaders.js';
 import {
   idempotencyKey,
-  requestTimeout,
+  requestTimeoutMs,
   requestUrgency,
 } from './requestHeaders.js';
 import {matchRoute} from './routes.js';
 
 export interface PlainServer {
-  /** Forwards a call; `path` follows the service's name, with its query. */
+  /** Forwards a call; `path` is the URL after the service's name. */
   serve(
     exchange: Exchange,
     service: Service,
@@ -45,7 +45,7 @@
     async serve(exchange, service, path, body) {
       const {headers} = exchange.request;
       const deadline =
-        exchange.arrivedAt + requestTimeout(headers, service.timeoutMs);
+        exchange.arrivedAt + requestTimeoutMs(headers, service.timeoutMs);
       const call: ServiceCall = {
         method: exchange.request.method ?? 'GET',
         path,
@@ -150,7 +150,7 @@
   return typeof session === 'string' ? session : exchange.customer.name;
 }
 
-/** Returns a digest of a call; reusing a key for another call is rejected. */
+/** Returns a digest that detects an idempotency key reused for another call. */
 function fingerprintOf(service: string, call: ServiceCall): string {
   return createHash('sha256')
     .update(`${service}\n${call.method}\n${call.path}\n`)
--- a/packages/entry/src/callers/problem.ts
+++ b/packages/entry/src/callers/problem.ts
@@ -18,7 +18,7 @@
   readonly requestId: string;
   readonly retryAfterMs?: number;
   readonly faults?: readonly ValidationFault[];
-  /** Entries to use instead of one that is leaving or not ready. */
+  /** Entries to use while the responding entry is leaving or not ready. */
   readonly entries?: LookupResult;
 }
 
@@ -38,7 +38,7 @@
     type: `urn:skylarkfield:error:${error.kind}`,
     title,
     status,
-    // An internal message may have sensitive data; it is only logged.
+    // An internal message may contain sensitive data and is only logged.
     detail: error.kind === 'internal' ? title : error.message,
     kind: error.kind,
     run: error.run,
--- a/packages/entry/src/callers/requestCost.ts
+++ b/packages/entry/src/callers/requestCost.ts
@@ -2,8 +2,8 @@
  * Estimated cost of a model request, relative to the service's mean.
  *
  * Fair queuing among customers is by cost. With equal costs, a customer with
- * long prompts would get many times the compute of the others, whose requests
- * would queue behind it for as long as it sends.
+ * long prompts would get many times the compute of other customers, whose
+ * requests would queue behind the long prompts.
  */
 
 /** Expected work of a request, as known before admission. */
@@ -22,9 +22,9 @@
 
 /**
  * Work of a generated token, in computed prompt tokens. Engines process a
- * prompt in parallel but generate token by token. With a full batch it is
- * nearer to 10, but only the token limit is known, and most responses end
- * before it.
+ * prompt in parallel but generate token by token. With a full batch the ratio
+ * is nearer to 10, but only `maxTokens` is known at admission, and most
+ * responses end before that limit.
  */
 const GENERATED_TOKEN_WEIGHT = 4;
 
@@ -87,6 +87,6 @@
   cachedTokens,
   maxTokens,
 }: ExpectedWork): number {
-  const computed = Math.max(0, promptTokens - cachedTokens);
-  return Math.max(1, computed + maxTokens * GENERATED_TOKEN_WEIGHT);
+  const uncachedPromptTokens = Math.max(0, promptTokens - cachedTokens);
+  return Math.max(1, uncachedPromptTokens + maxTokens * GENERATED_TOKEN_WEIGHT);
 }
--- a/packages/entry/src/callers/requestHeaders.ts
+++ b/packages/entry/src/callers/requestHeaders.ts
@@ -2,7 +2,7 @@
 import type {IncomingHttpHeaders} from 'node:http';
 import {ServingError} from '@skylarkfield/base';
 
-/** RFC 9218: urgency of requests without one. */
+/** Urgency of a request without a `Priority` header (RFC 9218). */
 const DEFAULT_URGENCY = 3;
 const LOWEST_URGENCY = 7;
 const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
@@ -34,13 +34,13 @@
 
 /**
  * Returns the timeout of a request in milliseconds: `X-Request-Timeout-Ms`, at
- * most the service's timeout. Throws `bad-request` unless it is a positive
- * number.
+ * most the service's timeout. Throws `bad-request` unless the header is a
+ * positive number.
  *
  * @example
  * requestTimeout(request.headers, service.timeoutMs);
  */
-export function requestTimeout(
+export function requestTimeoutMs(
   headers: IncomingHttpHeaders,
   serviceTimeoutMs: number,
 ): number {
--- a/packages/entry/src/callers/requestMetrics.ts
+++ b/packages/entry/src/callers/requestMetrics.ts
@@ -15,7 +15,7 @@
 
 export interface RequestMetrics {
   begin(): void;
-  end(end: CompletedRequest): void;
+  end(completed: CompletedRequest): void;
   firstToken(service: string, latencyMs: number): void;
   recomputed(service: string, tokens: number): void;
 }
@@ -31,7 +31,7 @@
  */
 export function createRequestMetrics(
   meter: Meter,
-  isKnown: (service: string) => boolean,
+  isKnownService: (service: string) => boolean,
 ): RequestMetrics {
   const active = meter.createUpDownCounter('http.server.active_requests');
   const duration = meter.createHistogram('http.server.request.duration', {
@@ -43,24 +43,24 @@
     {unit: 's', advice: {explicitBucketBoundaries: durationBucketsSeconds()}},
   );
   const recomputed = meter.createCounter('skylarkfield.recomputed_tokens');
-  const label = (service: string) =>
-    isKnown(service) ? service : UNKNOWN_SERVICE;
+  const serviceLabel = (service: string) =>
+    isKnownService(service) ? service : UNKNOWN_SERVICE;
   return {
     begin: () => active.add(1),
-    end(end) {
+    end(completed) {
       active.add(-1);
-      duration.record(end.durationMs / 1000, {
-        service: label(end.service),
-        type: end.type,
-        result: end.result,
+      duration.record(completed.durationMs / 1000, {
+        service: serviceLabel(completed.service),
+        type: completed.type,
+        result: completed.result,
       });
     },
     firstToken(service, latencyMs) {
-      firstToken.record(latencyMs / 1000, {service: label(service)});
+      firstToken.record(latencyMs / 1000, {service: serviceLabel(service)});
     },
     recomputed(service, tokens) {
       if (tokens > 0) {
-        recomputed.add(tokens, {service: label(service)});
+        recomputed.add(tokens, {service: serviceLabel(service)});
       }
     },
   };
@@ -82,8 +82,8 @@
 
 /**
  * Returns whether an error is evidence against the version that served the
- * request. A deadline counts only if it passed after the request was sent,
- * which is how a hung version fails.
+ * request. A deadline counts only if it passed after the request was sent:
+ * requests to a hung version fail in this way.
  *
  * @example
  * isVersionFault(new ServingError('endpoint-failed', 'status 500')); // true
--- a/packages/entry/src/callers/routes.ts
+++ b/packages/entry/src/callers/routes.ts
@@ -6,7 +6,7 @@
 
 /** Route of a call. */
 export interface RouteMatch {
-  /** Label for evidence and metrics; the record bounds its cardinality. */
+  /** Label for evidence and metrics; the service record bounds their number. */
   readonly label: string;
   readonly isIdempotent: boolean;
 }
--- a/packages/entry/src/callers/versionFallback.ts
+++ b/packages/entry/src/callers/versionFallback.ts
@@ -7,14 +7,14 @@
   recordAttempt(version: string): void;
   /** Records the first token of an attempt on a version. */
   recordFirstToken(version: string): void;
-  /** Returns the version that generates the response, or was last attempted. */
+  /** Returns the version of the first token, or else of the last attempt. */
   current(): string;
 }
 
 /**
- * Tracks the version of one request. Before the first token it may fall back to
- * the incumbent; after it, only the version that started the response may
- * resume it, since a response must not mix two versions.
+ * Tracks the version of one request. Before the first token, the request may
+ * fall back to the incumbent; afterwards, only the version that started the
+ * response may resume it, since a response must not mix two versions.
  *
  * @example
  * const fallback = createVersionFallback('v2', 'v1');
@@ -25,17 +25,17 @@
   incumbent: string,
 ): VersionFallback {
   let streamingVersion: string | undefined;
-  let lastAttempted = version;
+  let lastAttemptedVersion = version;
   const choices = version === incumbent ? [version] : [version, incumbent];
   return {
     eligibleVersions: deliveredTokens =>
       deliveredTokens > 0 ? [streamingVersion ?? version] : choices,
-    recordAttempt(attempted) {
-      lastAttempted = attempted;
+    recordAttempt(attemptedVersion) {
+      lastAttemptedVersion = attemptedVersion;
     },
-    recordFirstToken(from) {
-      streamingVersion = from;
+    recordFirstToken(startedVersion) {
+      streamingVersion = startedVersion;
     },
-    current: () => streamingVersion ?? lastAttempted,
+    current: () => streamingVersion ?? lastAttemptedVersion,
   };
 }
--- a/packages/entry/src/components/endpointPolling.ts
+++ b/packages/entry/src/components/endpointPolling.ts
@@ -9,10 +9,10 @@
 import type {Router} from '@skylarkfield/routing';
 import type {ConnectedEndpoint, EndpointPool} from '../servingContext.js';
 
-/** Minimum time between two polls of one endpoint, in milliseconds. */
+/** Minimum times between two polls of one endpoint, in milliseconds. */
 const LOAD_POLL_INTERVAL_MS = 500;
 const CACHE_POLL_INTERVAL_MS = 1_000;
-/** Maximum polls of a kind a second, however many endpoints there are. */
+/** Maximum polls per second, however many endpoints there are. */
 const MAX_LOAD_POLLS_PER_SECOND = 16;
 const MAX_CACHE_POLLS_PER_SECOND = 8;
 const POLL_TIMEOUT_MS = 2_000;
@@ -28,7 +28,7 @@
 /** A round-robin poll of endpoints. */
 interface PollTask {
   readonly types: readonly ConnectedEndpoint['listed']['type'][];
-  readonly intervalMs: number;
+  readonly endpointIntervalMs: number;
   readonly maxPollsPerSecond: number;
   poll(endpoint: ConnectedEndpoint, signal: AbortSignal): Promise<void>;
 }
@@ -68,8 +68,8 @@
     signal: AbortSignal,
   ) {
     const {id} = endpoint.listed;
-    const after = lastSequences.get(id) ?? -1;
-    const events = await endpoint.engine?.cacheEvents(after, signal);
+    const lastSequence = lastSequences.get(id) ?? -1;
+    const events = await endpoint.engine?.cacheEvents(lastSequence, signal);
     if (events !== undefined) {
       lastSequences.set(id, router.applyCacheEvents(id, events));
     }
@@ -78,13 +78,13 @@
   const tasks: PollTask[] = [
     {
       types: ['model', 'plain'],
-      intervalMs: LOAD_POLL_INTERVAL_MS,
+      endpointIntervalMs: LOAD_POLL_INTERVAL_MS,
       maxPollsPerSecond: MAX_LOAD_POLLS_PER_SECOND,
       poll: pollLoad,
     },
     {
       types: ['model'],
-      intervalMs: CACHE_POLL_INTERVAL_MS,
+      endpointIntervalMs: CACHE_POLL_INTERVAL_MS,
       maxPollsPerSecond: MAX_CACHE_POLLS_PER_SECOND,
       poll: pollCacheEvents,
     },
@@ -104,7 +104,7 @@
         .filter(({type}) => task.types.includes(type));
       const intervalMs = Math.max(
         MS_PER_SECOND / task.maxPollsPerSecond,
-        task.intervalMs / Math.max(1, assigned.length),
+        task.endpointIntervalMs / Math.max(1, assigned.length),
       );
       if (!owned.isDisposed) {
         timer = clock.after(intervalMs, pollNext);
--- a/packages/entry/src/components/endpointPoolComponent.ts
+++ b/packages/entry/src/components/endpointPoolComponent.ts
@@ -23,7 +23,7 @@
 }
 
 interface OpenEndpoint extends ConnectedEndpoint, Disposable {
-  /** Monotonic milliseconds by which it is gone, if a notice gave a time. */
+  /** Monotonic time of the endpoint's removal, if a notice gave one. */
   goneAtMs: number | undefined;
   leave(): void;
 }
@@ -40,23 +40,25 @@
   router: Router,
 ): EndpointPoolComponent {
   const {clock, log} = context;
-  const open = new Map<string, OpenEndpoint>();
-  const store = disposableStore();
+  const openEndpoints = new Map<string, OpenEndpoint>();
+  const owned = disposableStore();
   const pool: EndpointPool = {
-    get: id => open.get(id),
-    list: () => [...open.values()],
+    get: id => openEndpoints.get(id),
+    list: () => [...openEndpoints.values()],
   };
-  store.add(toDisposable(() => open.forEach(endpoint => endpoint.dispose())));
-  store.add(hostList.watch(applyHostList));
-  store.add(leaving.onDidLeave(handleLeaving));
-  store.add(leaving.onDidReturn(handleReturn));
-  store.add(startPolling({clock, log, router, endpoints: pool}));
+  owned.add(
+    toDisposable(() => openEndpoints.forEach(endpoint => endpoint.dispose())),
+  );
+  owned.add(hostList.watch(applyHostList));
+  owned.add(leaving.onDidLeave(handleLeaving));
+  owned.add(leaving.onDidReturn(handleReturn));
+  owned.add(startPolling({clock, log, router, endpoints: pool}));
 
-  return {...pool, markLeaving, dispose: () => store.dispose()};
+  return {...pool, markLeaving, dispose: () => owned.dispose()};
 
-  /** Applies a notice; it has the removal time and may precede the list. */
+  /** Applies a notice, which may arrive before the updated host list. */
   function handleLeaving({endpoint, goneAt}: LeavingEndpoint): void {
-    const existing = open.get(endpoint);
+    const existing = openEndpoints.get(endpoint);
     if (existing !== undefined && goneAt > 0) {
       existing.goneAtMs = clock.now() + goneAt - clock.wall();
     }
@@ -68,14 +70,14 @@
    * and would end every stream sent to the new process at the same address.
    */
   function handleReturn(id: string): void {
-    open.get(id)?.dispose();
-    open.delete(id);
+    openEndpoints.get(id)?.dispose();
+    openEndpoints.delete(id);
     router.markReturned(id);
   }
 
   function markLeaving(id: string): void {
     router.markLeaving(id);
-    open.get(id)?.leave();
+    openEndpoints.get(id)?.leave();
   }
 
   function applyHostList(listed: readonly ListedEndpoint[]): void {
@@ -93,21 +95,21 @@
 
   function closeUnlisted(listed: readonly ListedEndpoint[]): void {
     const ids = new Set(listed.map(endpoint => endpoint.id));
-    for (const [id, endpoint] of open) {
+    for (const [id, endpoint] of openEndpoints) {
       if (!ids.has(id)) {
         endpoint.dispose();
-        open.delete(id);
+        openEndpoints.delete(id);
       }
     }
   }
 
   function ensureOpen(listed: ListedEndpoint): void {
-    const existing = open.get(listed.id);
+    const existing = openEndpoints.get(listed.id);
     if (existing !== undefined && isSameEndpoint(existing.listed, listed)) {
       return;
     }
     existing?.dispose();
-    open.set(listed.id, openEndpoint(listed));
+    openEndpoints.set(listed.id, openEndpoint(listed));
   }
 }
 
@@ -122,7 +124,8 @@
 
 function openEndpoint(listed: ListedEndpoint): OpenEndpoint {
   const leaving = new AbortController();
-  // Every stream at the endpoint adds a listener; more than 10 are no leak.
+  // Every stream at the endpoint adds a listener; more than 10, of which Node
+  // warns, are no leak.
   setMaxListeners(0, leaving.signal);
   const {url} = listed;
   const client =
--- a/packages/entry/src/components/leavingComponent.ts
+++ b/packages/entry/src/components/leavingComponent.ts
@@ -1,4 +1,4 @@
-/** Tracking of leaving endpoints, and the host list corrected by it. */
+/** Tracking of leaving endpoints, and a host list that marks them. */
 import {disposableStore, every, type Disposable} from '@skylarkfield/base';
 import {
   createLeavingEndpointTracker,
@@ -12,11 +12,11 @@
 
 export interface LeavingComponent extends Disposable {
   readonly leaving: LeavingEndpointTracker;
-  /** Marks leaving endpoints as such before the platform's list does. */
+  /** Host list that marks leaving endpoints before the platform's list does. */
   readonly hostList: HostList;
 }
 
-/** Interval of checks whether to watch notices, in milliseconds. */
+/** Interval of checks whether this entry reads notices, in milliseconds. */
 const READER_CHECK_INTERVAL_MS = 2_000;
 
 /**
--- a/packages/entry/src/components/loadReportAggregator.ts
+++ b/packages/entry/src/components/loadReportAggregator.ts
@@ -17,16 +17,16 @@
 
 /**
  * Fresh reports required to estimate a service's load: a fraction of the polled
- * endpoints, or a number that is a sufficient sample of many. The poll rate is
- * bounded, so with many endpoints some reports are always stale. Missing
- * reports count as the mean of the others.
+ * endpoints, but no more than a sufficient sample. The poll rate is bounded, so
+ * with many endpoints some reports are always stale. An endpoint without a
+ * fresh report counts as the mean of the fresh reports.
  */
 const MIN_REPORTING_FRACTION = 0.75;
 const SUFFICIENT_REPORTS = 16;
 
 interface TimedReport {
   readonly report: LoadReport;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
 interface LoadReportAggregatorOptions {
@@ -61,14 +61,14 @@
   let pool: EndpointPool | undefined;
 
   function freshReport(id: string): LoadReport | undefined {
-    const freshReports = reports.get(id);
+    const timedReport = reports.get(id);
     if (
-      freshReports === undefined ||
-      clock.now() - freshReports.at > MAX_REPORT_AGE_MS
+      timedReport === undefined ||
+      clock.now() - timedReport.receivedAt > MAX_REPORT_AGE_MS
     ) {
       return undefined;
     }
-    return freshReports.report;
+    return timedReport.report;
   }
 
   function usableEndpoints(service: string) {
@@ -85,7 +85,7 @@
 
   /**
    * Estimates the requests at all endpoints of a service, including those not
-   * polled by this entry; undefined while too few of the polled ones report.
+   * polled by this entry; undefined while too few polled endpoints report.
    */
   function estimateBusySlots(service: string): number | undefined {
     const usable = usableEndpoints(service);
@@ -101,11 +101,11 @@
     if (freshReports.length === 0 || freshReports.length < requiredCount) {
       return undefined;
     }
-    const sum = freshReports.reduce(
+    const reportedRequests = freshReports.reduce(
       (total, report) => total + report.running + report.waiting,
       0,
     );
-    return Math.round((sum * usable.length) / freshReports.length);
+    return Math.round((reportedRequests * usable.length) / freshReports.length);
   }
 
   function publishLoad(endpoints: EndpointPool): void {
@@ -128,7 +128,7 @@
     router: {
       ...router,
       reportLoad(id, report) {
-        reports.set(id, {report, at: clock.now()});
+        reports.set(id, {report, receivedAt: clock.now()});
         router.reportLoad(id, report);
       },
     },
--- a/packages/entry/src/components/orderMetrics.ts
+++ b/packages/entry/src/components/orderMetrics.ts
@@ -14,14 +14,14 @@
  */
 export function createOrderMetrics(
   meter: Meter,
-  isKnown: (service: string) => boolean,
+  isKnownService: (service: string) => boolean,
 ): OrderObserver {
   const orders = meter.createCounter('skylarkfield.orders');
   const writes = meter.createCounter('skylarkfield.ledger.writes');
   const takeOvers = meter.createCounter('skylarkfield.ledger.take_overs');
   return {
     onDidAnswer(service, outcome) {
-      const label = isKnown(service) ? service : UNKNOWN_SERVICE;
+      const label = isKnownService(service) ? service : UNKNOWN_SERVICE;
       orders.add(1, {service: label, outcome});
     },
     onWillWrite: () => writes.add(1),
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -87,7 +87,7 @@
   const admin = await openPort(settings.admin);
   const callersUrl = settings.advertised.callers ?? callers.url;
   const startupHandler = rejectUntilReady(callers.server);
-  const parts = owned.add(
+  const components = owned.add(
     await createEntryComponents(context, {
       innerKey,
       callersUrl,
@@ -95,7 +95,7 @@
     }),
   );
   startupHandler.dispose();
-  attachRoutes(parts);
+  attachRoutes(components);
   dumps.add('process', () => ({
     id: settings.id,
     life: lifecycle.state(),
@@ -111,7 +111,7 @@
   return {
     addresses: {
       callers: callersUrl,
-      inner: parts.innerUrl,
+      inner: components.innerUrl,
       admin: admin.url,
     },
     stop() {
@@ -120,10 +120,12 @@
     },
   };
 
-  async function openPort(port: EntrySettings['callers']) {
-    const server = createServer(port, settings.limits);
-    const listener = owned.add(await openListener(server, port, clock, log));
-    return {server, listener, url: addressOf(listener, port.host)};
+  async function openPort(listenerSettings: EntrySettings['callers']) {
+    const server = createServer(listenerSettings, settings.limits);
+    const listener = owned.add(
+      await openListener(server, listenerSettings, clock, log),
+    );
+    return {server, listener, url: urlOf(listener, listenerSettings.host)};
   }
 
   function attachRoutes({serving, attempts}: EntryComponents): void {
@@ -160,7 +162,7 @@
   }
 
   function readiness(): Readiness {
-    return readinessByState[lifecycle.state()](parts);
+    return readinessByState[lifecycle.state()](components);
   }
 
   /**
@@ -171,11 +173,11 @@
   async function stop(): Promise<void> {
     log.info('stopping');
     lifecycle.send('announce');
-    await parts.membership.leave();
-    await parts.duties.release();
-    await waitLinger();
+    await components.membership.leave();
+    await components.duties.release();
+    await waitForLingerPeriod();
     lifecycle.send('refuse');
-    await parts.serving.ledger.leave();
+    await components.serving.ledger.leave();
     const isIdle = await inFlight.waitUntilIdle(settings.drainMs);
     log.info({isIdle, inFlight: inFlight.count()}, 'drained');
     lifecycle.send('close');
@@ -183,7 +185,7 @@
     owned.dispose();
   }
 
-  function waitLinger(): Promise<void> {
+  function waitForLingerPeriod(): Promise<void> {
     return new Promise(resolve => {
       clock.after(settings.lingerMs, resolve);
     });
@@ -239,6 +241,6 @@
   };
 }
 
-function addressOf(listener: Listener, host: string): string {
+function urlOf(listener: Listener, host: string): string {
   return `${listener.scheme}://${host}:${listener.port}`;
 }
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -46,7 +46,7 @@
     headersTimeout: limits.headerMs,
     requestTimeout: limits.requestMs,
     // Node enforces the timeouts above only at this interval; with its default
-    // of 30 s, a slow sender could hold a connection far beyond them.
+    // of 30 s, a slow sender could far exceed these timeouts.
     connectionsCheckingInterval: Math.min(limits.headerMs, 1_000),
   };
   const server =
@@ -71,10 +71,10 @@
   log: Logger,
 ): Promise<Listener> {
   await bind(server, settings);
-  const store = disposableStore();
-  store.add(toDisposable(() => closeImmediately(server)));
+  const owned = disposableStore();
+  owned.add(toDisposable(() => closeImmediately(server)));
   if (settings.tls !== undefined) {
-    store.add(
+    owned.add(
       watchCertificates(server as https.Server, settings.tls, clock, log),
     );
   }
@@ -83,7 +83,7 @@
     port: (server.address() as AddressInfo).port,
     scheme: settings.tls === undefined ? 'http' : 'https',
     close: timeoutMs => closeGracefully(server, timeoutMs, clock),
-    dispose: () => store.dispose(),
+    dispose: () => owned.dispose(),
   };
 }
 
@@ -142,9 +142,10 @@
 }
 
 /**
- * Reloads certificates that are renewed in place: once the loaded one expires,
- * every handshake would fail. Open connections are unaffected. An unusable pair
- * (partly written, for example) is logged and the loaded one stays in use.
+ * Reloads certificates that are renewed in place: once the loaded certificate
+ * expires, every handshake would fail. Open connections are unaffected. An
+ * unusable pair (partly written, for example) is logged and the loaded pair
+ * stays in use.
  */
 function watchCertificates(
   server: https.Server,
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -48,7 +48,7 @@
 
 /** Schema of an entry's settings; unknown keys are rejected. */
 export const entrySettingsSchema = z.strictObject({
-  /** Unique among entries; a restarted process may reuse it. */
+  /** Unique among entries; a restarted process may reuse its id. */
   id: z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, {
     message: 'lower-case letters, digits and hyphens, at most 63',
   }),
--- a/packages/entry/src/test/attemptRunner.test.ts
+++ b/packages/entry/src/test/attemptRunner.test.ts
@@ -105,7 +105,7 @@
     return Buffer.from(reply.body).toString();
   }
 
-  /** Returns the errors of `v2` in the evidence to be broadcast next. */
+  /** Returns the number of errors of `v2` in the evidence broadcast next. */
   function candidateErrors(): number {
     return split
       .takeEvidence()
--- a/packages/entry/src/test/loadReportAggregator.test.ts
+++ b/packages/entry/src/test/loadReportAggregator.test.ts
@@ -12,16 +12,17 @@
  * reporting endpoints.
  */
 async function firstPublishedBusySlots(
-  listed: number,
-  assigned: number,
-  reporting: number,
+  listedCount: number,
+  polledCount: number,
+  reportingCount: number,
 ): Promise<number | undefined> {
   const clock = virtualClock();
   const published: Array<number | undefined> = [];
-  const ids = Array.from({length: listed}, (_, index) => `e${index}`);
+  const ids = Array.from({length: listedCount}, (_, index) => `e${index}`);
   const router: Partial<Router> = {
-    assignedEndpoints: () => ids.slice(0, assigned).map(id => ({id}) as never),
-    slots: () => listed * 8,
+    assignedEndpoints: () =>
+      ids.slice(0, polledCount).map(id => ({id}) as never),
+    slots: () => listedCount * 8,
     reportLoad: () => {},
   };
   const admission: Partial<AdmissionController> = {
@@ -41,7 +42,7 @@
       }) as unknown as ConnectedEndpoint,
   );
   const watch = aggregator.start({list: () => endpoints, get: () => undefined});
-  for (const id of ids.slice(0, reporting)) {
+  for (const id of ids.slice(0, reportingCount)) {
     aggregator.router.reportLoad(id, {
       sequence: 1,
       running: 3,
@@ -61,8 +62,8 @@
 
 describe('estimated busy slots', () => {
   // An entry polls only some of a large service's endpoints. If that made the
-  // load unknown, entries could not borrow idle slots from each other, and one
-  // would reject callers while endpoints are idle.
+  // load unknown, entries could not borrow idle slots from each other and would
+  // reject callers while endpoints are idle.
   const cases = [
     {name: 'a small service', listed: 4, assigned: 4, reporting: 4, busy: 16},
     {
--- a/packages/entry/src/test/modelServer.test.ts
+++ b/packages/entry/src/test/modelServer.test.ts
@@ -19,7 +19,7 @@
 ) {
   const clock = virtualClock();
   const samples: RequestSample[] = [];
-  const listed = endpoints.map(({version, behaviour}, index) => ({
+  const pool = endpoints.map(({version, behaviour}, index) => ({
     listed: {id: `e${index}`, service: 'match', version, url: 'http://e'},
     leaving: new AbortController().signal,
     engine: createEngine(version, behaviour),
@@ -28,7 +28,7 @@
     router: {
       cachedTokens: () => 0,
       choose(routingRequest: {version: string; excluded: ReadonlySet<string>}) {
-        const found = listed.find(
+        const found = pool.find(
           ({listed: {id, version}}) =>
             version === routingRequest.version &&
             !routingRequest.excluded.has(id),
@@ -45,8 +45,8 @@
       },
     },
     endpoints: {
-      get: (id: string) => listed.find(({listed}) => listed.id === id),
-      list: () => listed,
+      get: (id: string) => pool.find(({listed}) => listed.id === id),
+      list: () => pool,
     },
     streams: createStreamRunner({clock}),
     split: {
--- a/packages/entry/src/test/orderMetrics.test.ts
+++ b/packages/entry/src/test/orderMetrics.test.ts
@@ -40,10 +40,10 @@
     liveMembers: () => ['a'],
     observer: createOrderMetrics(metrics.meter, name => name !== 'made-up'),
   });
-  async function submit(key: string, service = 'booking', print = 'same') {
+  async function submit(key: string, service = 'booking', callDigest = 'same') {
     const call = {method: 'POST', path: '/', headers: {}, body: reply.body};
     const deadline = clock.now() + 1_000;
-    const order = {customer: 'c', service, key, fingerprint: print, call};
+    const order = {customer: 'c', service, key, fingerprint: callDigest, call};
     void ledger
       .submit({...order, deadline}, new AbortController().signal)
       .catch(() => undefined);
--- a/packages/entry/src/test/requestCost.test.ts
+++ b/packages/entry/src/test/requestCost.test.ts
@@ -75,12 +75,12 @@
     // request count, nearly all compute goes to the long prompts, and the other
     // customer queues behind them.
     const costs = createRequestCosts();
-    const before = await longPromptShare(() => 1);
-    const after = await longPromptShare(work =>
+    const shareWithEqualCosts = await longPromptShare(() => 1);
+    const shareWithEstimatedCosts = await longPromptShare(work =>
       costs.costOf('assistant', work),
     );
-    assert.ok(before > 0.95, `${before}`);
-    assert.ok(after < 0.8, `${after}`);
+    assert.ok(shareWithEqualCosts > 0.95, `${shareWithEqualCosts}`);
+    assert.ok(shareWithEstimatedCosts < 0.8, `${shareWithEstimatedCosts}`);
   });
 
   it('is 1 for typical requests and bounded for others', () => {
--- a/packages/entry/src/test/requestHeaders.test.ts
+++ b/packages/entry/src/test/requestHeaders.test.ts
@@ -3,7 +3,7 @@
 import {
   bearerKey,
   idempotencyKey,
-  requestTimeout,
+  requestTimeoutMs,
   requestUrgency,
 } from '../callers/requestHeaders.js';
 
@@ -26,17 +26,23 @@
   }
 
   it('limits the timeout to that of the service', () => {
-    assert.equal(requestTimeout({'x-request-timeout-ms': '900000'}, 500), 500);
-    assert.equal(requestTimeout({'x-request-timeout-ms': '200'}, 500), 200);
-    assert.equal(requestTimeout({}, 500), 500);
+    assert.equal(
+      requestTimeoutMs({'x-request-timeout-ms': '900000'}, 500),
+      500,
+    );
+    assert.equal(requestTimeoutMs({'x-request-timeout-ms': '200'}, 500), 200);
+    assert.equal(requestTimeoutMs({}, 500), 500);
   });
 
   for (const text of ['0', '-1', 'soon', '']) {
     it(`rejects the timeout ${JSON.stringify(text)}`, () => {
-      assert.throws(() => requestTimeout({'x-request-timeout-ms': text}, 500), {
-        kind: 'bad-request',
-        run: 'not-run',
-      });
+      assert.throws(
+        () => requestTimeoutMs({'x-request-timeout-ms': text}, 500),
+        {
+          kind: 'bad-request',
+          run: 'not-run',
+        },
+      );
     });
   }
 
--- a/packages/entry/src/test/requestMetrics.test.ts
+++ b/packages/entry/src/test/requestMetrics.test.ts
@@ -15,8 +15,8 @@
   ['platform-unavailable', 'not-run', false],
 ];
 
-// A hung version fails only by deadlines. If these were no evidence, its share
-// of the callers would time out until the end of the move.
+// A hung version fails only by deadlines. If deadlines were no evidence,
+// its share of the callers would time out until the end of the move.
 describe('evidence against a version', () => {
   for (const [kind, run, expected] of cases) {
     it(`${kind}, ${run}: ${expected ? 'counts' : 'does not count'}`, () => {
