--- a/packages/providers/src/callRateLimiter.ts
+++ b/packages/providers/src/callRateLimiter.ts
@@ -35,10 +35,10 @@
   readonly fail: (error: ServingError) => void;
 }
 
-/** Burst size, in seconds of the rate. */
+/** Burst size: the calls permitted in this many seconds at the rate limit. */
 const BURST_SECONDS = 2;
 /** Minimum burst size in calls, however large the fleet. */
-const MIN_BURST = 10;
+const MIN_BURST_CALLS = 10;
 
 /**
  * Creates a limiter for one of `liveEntries` processes that share a rate limit.
@@ -54,7 +54,8 @@
     readonly liveEntries: number;
   },
 ): CallRateLimiter {
-  let rate = options.platformCallsPerSecond / Math.max(1, options.liveEntries);
+  let callsPerSecond =
+    options.platformCallsPerSecond / Math.max(1, options.liveEntries);
   let tokens = burstSize();
   let refilledAt = clock.now();
   let blockedUntil = 0;
@@ -62,19 +63,23 @@
   const waiters = new Set<Waiter>();
 
   function burstSize(): number {
-    return Math.max(MIN_BURST, rate * BURST_SECONDS);
+    return Math.max(MIN_BURST_CALLS, callsPerSecond * BURST_SECONDS);
   }
 
   function refill(): void {
     const now = clock.now();
-    tokens = Math.min(burstSize(), tokens + ((now - refilledAt) * rate) / 1000);
+    tokens = Math.min(
+      burstSize(),
+      tokens + ((now - refilledAt) * callsPerSecond) / 1000,
+    );
     refilledAt = now;
   }
 
   /** Milliseconds until the next call is allowed, 0 when it is allowed now. */
   function nextTokenDelayMs(): number {
     refill();
-    const refillDelayMs = tokens >= 1 ? 0 : ((1 - tokens) * 1000) / rate;
+    const refillDelayMs =
+      tokens >= 1 ? 0 : ((1 - tokens) * 1000) / callsPerSecond;
     return Math.max(refillDelayMs, blockedUntil - clock.now());
   }
 
@@ -104,9 +109,9 @@
         tokens -= 1;
         return Promise.resolve();
       }
-      const queueMs = waitMs + (waiters.size * 1000) / rate;
-      if (clock.now() + queueMs > deadlineAt) {
-        return Promise.reject(rateLimitError(queueMs));
+      const queueWaitMs = waitMs + (waiters.size * 1000) / callsPerSecond;
+      if (clock.now() + queueWaitMs > deadlineAt) {
+        return Promise.reject(rateLimitError(queueWaitMs));
       }
       return new Promise((resolve, reject) => {
         const waiter = {deadlineAt, grant, fail: reject};
@@ -131,7 +136,7 @@
     },
     setLiveEntries(count) {
       refill();
-      rate = options.platformCallsPerSecond / Math.max(1, count);
+      callsPerSecond = options.platformCallsPerSecond / Math.max(1, count);
     },
     clearTokens() {
       refill();
@@ -140,7 +145,7 @@
     blockFor(durationMs) {
       blockedUntil = Math.max(blockedUntil, clock.now() + durationMs);
     },
-    ratePerSecond: () => rate,
+    ratePerSecond: () => callsPerSecond,
     queueLength: () => waiters.size,
     dispose() {
       timer.dispose();
--- a/packages/providers/src/contracts.ts
+++ b/packages/providers/src/contracts.ts
@@ -7,7 +7,7 @@
   readonly name: string;
   /** Set by the platform; increases with every change of any object. */
   readonly version: number;
-  /** Unique per write, so that a writer finds its own after a lost reply. */
+  /** Unique per write, so that a writer finds its write after a lost reply. */
   readonly writeId: string;
   readonly value: T;
 }
@@ -19,7 +19,7 @@
   | {readonly type: 'any'};
 
 export interface ObjectListing<T = unknown> {
-  /** Store version of the listing; a watch continues from it. */
+  /** Store version of the listing; a watch continues from this version. */
   readonly version: number;
   readonly objects: readonly StoredObject<T>[];
 }
@@ -74,7 +74,7 @@
     condition: WriteCondition,
     signal?: AbortSignal,
   ): Promise<StoredObject<T>>;
-  /** Removes an object; also resolves when it does not exist. */
+  /** Removes an object; also resolves when the object does not exist. */
   remove(
     kind: string,
     name: string,
--- a/packages/providers/src/httpCalls.ts
+++ b/packages/providers/src/httpCalls.ts
@@ -52,7 +52,7 @@
  * const response = await client.send({method: 'GET', path: '/cloud/offers', hasEffect: false});
  */
 export function createHttpClient(url: string): HttpClient {
-  // Callers set deadlines; a watch may be idle for any length of time.
+  // No timeouts: callers set deadlines, and a watch may be idle indefinitely.
   const dispatcher = new Agent({
     connect: {timeout: CONNECT_TIMEOUT_MS},
     keepAliveTimeout: KEEP_ALIVE_MS,
@@ -106,7 +106,7 @@
       signal,
     });
     status = response.statusCode;
-    retryAfterMs = parseRetryAfter(response.headers);
+    retryAfterMs = parseRetryAfterMs(response.headers);
     if (status !== 200) {
       await response.body.dump();
     } else {
@@ -144,21 +144,21 @@
  * Throws for a status outside the expected ones.
  *
  * 429 and 503 are sent before a request takes effect; other server errors may
- * be sent after it.
+ * be sent after it took effect.
  *
  * @example
  * checkStatus(response, [200, 404], true);
  */
 export function checkStatus(
   response: HttpResponse,
-  expected: readonly number[],
+  expectedStatuses: readonly number[],
   hasEffect: boolean,
 ): void {
-  if (expected.includes(response.status)) {
+  if (expectedStatuses.includes(response.status)) {
     return;
   }
   const message = `the platform responded with status ${response.status}`;
-  const retryAfterMs = parseRetryAfter(response.headers);
+  const retryAfterMs = parseRetryAfterMs(response.headers);
   switch (response.status) {
     case 412:
       throw new ServingError('version-conflict', message);
@@ -179,7 +179,7 @@
 }
 
 /** Converts a Retry-After header in seconds to milliseconds; 0 without one. */
-function parseRetryAfter(headers: HttpResponse['headers']): number {
+function parseRetryAfterMs(headers: HttpResponse['headers']): number {
   const seconds = Number(headerValue(headers, 'retry-after') ?? 0);
   return Number.isFinite(seconds) ? seconds * 1000 : 0;
 }
--- a/packages/providers/src/memoryPlatform.ts
+++ b/packages/providers/src/memoryPlatform.ts
@@ -3,7 +3,7 @@
  *
  * Several named clients share one store; each has its own faults, so that a
  * test can disconnect one simulated process while the others continue. The
- * clients are the production ones; only the transport is replaced.
+ * clients run the production code; only the transport is replaced.
  */
 import {
   seededRandom,
@@ -51,14 +51,14 @@
   /** The underlying table, to set up and inspect objects without a client. */
   readonly table: ObjectTable;
   readonly faults: ObjectFaultControls;
-  /** Creates a client; each one simulates a separate process. */
+  /** Creates a client, which simulates a separate process. */
   client(name: string, settings?: MemoryClientSettings): MemoryClient;
   load(): PlatformLoad;
 }
 
 /** Settings of a client and of the process that it simulates. */
 export interface MemoryClientSettings extends ObjectStoreSettings {
-  /** The clock of the process; replies are delayed while it is paused. */
+  /** Clock of the process; replies are delayed while this clock is paused. */
   readonly clock?: Clock;
 }
 
@@ -106,12 +106,14 @@
   const table = createObjectTable(options.historyLimit);
   const platformFaults = createFaultState();
   const openWatches = new Set<OpenWatch>();
-  const load = {reads: 0, writes: 0, watchCalls: 0};
+  const callCounts = {reads: 0, writes: 0, watchCalls: 0};
   let clientCount = 0;
 
   function endWatches(): void {
     for (const watch of [...openWatches]) {
-      if (watch.faults.some(f => f.isDown || f.isRejectingWatches)) {
+      if (
+        watch.faults.some(fault => fault.isDown || fault.isRejectingWatches)
+      ) {
         watch.end();
       }
     }
@@ -125,7 +127,7 @@
     const delayMs = () => totalDelayMs(faults);
 
     async function performRead<T>(operation: () => T): Promise<T> {
-      load.reads += 1;
+      callCounts.reads += 1;
       const waitMs = delayMs() / 2;
       await sleep(clock, waitMs);
       throwIfDown(faults);
@@ -135,12 +137,12 @@
     }
 
     async function performWrite<T>(operation: () => T): Promise<T> {
-      load.writes += 1;
+      callCounts.writes += 1;
       const waitMs = delayMs() / 2;
       await sleep(clock, waitMs);
       throwIfDown(faults);
       const result = operation();
-      const lossyFaults = faults.find(f => f.repliesToLose > 0);
+      const lossyFaults = faults.find(fault => fault.repliesToLose > 0);
       if (lossyFaults !== undefined) {
         lossyFaults.repliesToLose -= 1;
         throw new ServingError('outcome-unknown', 'the reply was lost');
@@ -174,7 +176,7 @@
     fromVersion,
     listener,
   }: WatchRequest): Disposable {
-    load.watchCalls += 1;
+    callCounts.watchCalls += 1;
     let isClosed = false;
     const subscription = table.onDidChange(change => {
       if (change.kind === kind) {
@@ -199,7 +201,7 @@
     /** Delivers in order: timers of equal delay fire in creation order. */
     function deliver(notify: () => void): void {
       const notifyUnlessStalled = () => {
-        if (!isClosed && !faults.some(f => f.isStalled)) {
+        if (!isClosed && !faults.some(fault => fault.isStalled)) {
           notify();
         }
       };
@@ -215,7 +217,7 @@
       if (isClosed) {
         return;
       }
-      if (faults.some(f => f.isDown || f.isRejectingWatches)) {
+      if (faults.some(fault => fault.isDown || fault.isRejectingWatches)) {
         end('lost');
         return;
       }
@@ -250,7 +252,7 @@
       });
       return {...client, faults: createFaultControls(clientFaults, endWatches)};
     },
-    load: () => ({...load, openWatches: openWatches.size}),
+    load: () => ({...callCounts, openWatches: openWatches.size}),
   };
 }
 
@@ -307,7 +309,7 @@
 }
 
 function throwIfDown(faults: readonly FaultState[]): void {
-  if (faults.some(f => f.isDown)) {
+  if (faults.some(fault => fault.isDown)) {
     throw new ServingError('platform-unavailable', 'the platform is down');
   }
 }
--- a/packages/providers/src/objectStore.ts
+++ b/packages/providers/src/objectStore.ts
@@ -40,7 +40,7 @@
   /** Number of calls by type. */
   readonly calls: Readonly<Record<CallType, number>>;
   readonly failures: number;
-  /** Writes whose reply was lost, and those of them without a known outcome. */
+  /** Writes whose reply was lost, and such writes with an unknown outcome. */
   readonly lostReplies: number;
   readonly unknownOutcomes: number;
 }
@@ -59,7 +59,7 @@
 const DEFAULT_LIVE_ENTRIES = 7;
 
 /**
- * Creates a client over a transport, which it owns.
+ * Creates a client; disposing it also disposes the transport.
  *
  * @example
  * const store = createObjectStore({transport, clock, random, writer: 'a1.7'});
@@ -97,7 +97,7 @@
   const stateEmitter = emitter<'up' | 'doubtful' | 'down'>();
   const watches = new Set<WatchLoop>();
   let writeCount = 0;
-  /** Highest store version seen; history after it covers any later write. */
+  /** Highest store version seen; any later write is in the history after it. */
   let seenVersion = 0;
 
   circuitBreaker.onDidChange(state => {
@@ -227,8 +227,8 @@
 
 /**
  * Creates a writer id that is unique per process start. A restarted process
- * counts its writes from 1 again and would otherwise take a write of its
- * predecessor for its own when it looks up a write.
+ * counts its writes from 1 again; with a reused writer id, its lookup of a
+ * write could find one that the previous process made.
  */
 function createWriterId(name: string, clock: Clock, random: Random): string {
   const startTime = Math.trunc(clock.wall()).toString(36);
--- a/packages/providers/src/objectTable.ts
+++ b/packages/providers/src/objectTable.ts
@@ -1,7 +1,7 @@
 /**
  * In-memory implementation of the object API without transport: versions,
  * conditions, history. The in-process fake and the HTTP stand-in both store
- * their objects in it, so that tests see the same semantics on either.
+ * their objects in this table, so that tests see the same semantics in both.
  */
 import {
   emitter,
@@ -45,7 +45,7 @@
   put(write: ObjectWrite, value: unknown): StoredObject;
   /** Throws `version-conflict`; does nothing when the object does not exist. */
   remove(write: ObjectWrite): void;
-  /** Changes of a kind after a version; undefined when they were compacted. */
+  /** Changes of a kind after a version; undefined when some were compacted. */
   changesSince(
     kind: string,
     version: number,
@@ -147,7 +147,7 @@
       `${write.kind}/${write.name} has a value that JSON cannot represent`,
     );
   }
-  // UTF-8 takes at most four bytes per character: skips the exact count.
+  // Avoids the exact count: UTF-8 takes at most four bytes per character.
   if (json.length * 4 <= MAX_VALUE_BYTES) {
     return json;
   }
--- a/packages/providers/src/objectTransport.ts
+++ b/packages/providers/src/objectTransport.ts
@@ -26,7 +26,7 @@
  * Single calls without deadlines or retries.
  *
  * Errors: `platform-unavailable` and `overloaded` only when the call is known
- * to have had no effect; `outcome-unknown` when a write may have had one.
+ * to have had no effect; `outcome-unknown` when a write may have taken effect.
  */
 export interface ObjectTransport extends Disposable {
   get(
@@ -47,7 +47,7 @@
     signal: AbortSignal,
   ): Promise<StoredObject>;
   remove(write: ObjectWrite, signal: AbortSignal): Promise<void>;
-  /** Delivers the changes after a version until it ends or is disposed. */
+  /** Delivers the changes after a version until the watch ends. */
   watch(
     kind: string,
     fromVersion: number,
--- a/packages/providers/src/reconnectingStream.ts
+++ b/packages/providers/src/reconnectingStream.ts
@@ -26,13 +26,13 @@
   readonly onDidLine: (value: unknown) => void;
 }): Disposable {
   const {client, clock, random, path} = options;
-  const disposables = disposableStore();
+  const owned = disposableStore();
   let stream: Disposable = toDisposable(() => {});
   let timer: Disposable = toDisposable(() => {});
   let attempts = 0;
 
   function open(): void {
-    if (disposables.isDisposed) {
+    if (owned.isDisposed) {
       return;
     }
     stream = client.stream(path, {
@@ -52,8 +52,8 @@
     });
   }
 
-  disposables.add(toDisposable(() => stream.dispose()));
-  disposables.add(toDisposable(() => timer.dispose()));
+  owned.add(toDisposable(() => stream.dispose()));
+  owned.add(toDisposable(() => timer.dispose()));
   open();
-  return disposables;
+  return owned;
 }
--- a/packages/providers/src/storeCalls.ts
+++ b/packages/providers/src/storeCalls.ts
@@ -21,7 +21,7 @@
   readonly rateLimiter: CallRateLimiter;
   readonly circuitBreaker: CircuitBreaker;
   /**
-   * Makes one call. It ends at `deadlineAt`, in monotonic milliseconds, or
+   * Makes one call, which ends at `deadlineAt`, in monotonic milliseconds, or
    * after `callDeadlineMs`, whichever is earlier.
    */
   call<T>(
--- a/packages/providers/src/storeErrors.ts
+++ b/packages/providers/src/storeErrors.ts
@@ -34,7 +34,7 @@
 }
 
 /**
- * Returns the error of a write that conflicts with another writer's.
+ * Returns the error of a write that conflicts with that of another writer.
  *
  * @example
  * throw conflictError(write);
--- a/packages/providers/src/storeWrites.ts
+++ b/packages/providers/src/storeWrites.ts
@@ -1,7 +1,8 @@
 /**
  * Writes that survive lost replies. A write whose reply was lost may have taken
  * effect; a plain retry would then conflict with its own effect, and the caller
- * would assume that another writer won. So its write id is looked up first.
+ * would assume that another writer won. So the write is first looked up by its
+ * id.
  */
 import {isServingError, type Clock, type Random} from '@skylarkfield/base';
 import type {ObjectWrite} from './objectTable.js';
@@ -35,7 +36,7 @@
   counts(): {
     /** Writes whose reply was lost. */
     readonly lostReplies: number;
-    /** Those of them whose outcome could not be determined. */
+    /** Writes with a lost reply whose outcome could not be determined. */
     readonly unknownOutcomes: number;
   };
 }
@@ -54,7 +55,7 @@
   readonly random: Random;
   /** Timeout of a write including lookups of its outcome, in milliseconds. */
   readonly writeDeadlineMs: number;
-  /** Highest store version seen; history after it covers any later write. */
+  /** Highest store version seen; any later write is in the history after it. */
   seenVersion(): number;
 }): StoreWrites {
   const {calls, transport, clock, random, writeDeadlineMs} = options;
--- a/packages/providers/src/test/objectStore.test.ts
+++ b/packages/providers/src/test/objectStore.test.ts
@@ -33,33 +33,33 @@
   });
 
   // When the platform recovers and every entry reopens its watches at the same
-  // moment, these calls alone can overload it again.
+  // moment, these calls alone can overload the platform again.
   it('spreads reconnects over time when the platform recovers', async () => {
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(9)});
-    const count = 50;
-    for (let index = 0; index < count; index++) {
+    const clientCount = 50;
+    for (let index = 0; index < clientCount; index++) {
       platform
-        .client(`e${index}`, {liveEntries: count})
+        .client(`e${index}`, {liveEntries: clientCount})
         .watch('thing', noopListener);
     }
     await clock.advance(1000);
-    assert.equal(platform.load().openWatches, count);
+    assert.equal(platform.load().openWatches, clientCount);
     platform.faults.setDown(true);
     await clock.advance(30_000);
     platform.faults.setDown(false);
     let maxWatchCalls = 0;
     for (let step = 0; step < 40; step++) {
-      const before = platform.load().watchCalls;
+      const callsBefore = platform.load().watchCalls;
       await clock.advance(250);
       maxWatchCalls = Math.max(
         maxWatchCalls,
-        platform.load().watchCalls - before,
+        platform.load().watchCalls - callsBefore,
       );
     }
-    assert.equal(platform.load().openWatches, count);
+    assert.equal(platform.load().openWatches, clientCount);
     assert.ok(
-      maxWatchCalls <= count / 2,
+      maxWatchCalls <= clientCount / 2,
       `${maxWatchCalls} watches within 250 ms`,
     );
   });
@@ -73,16 +73,16 @@
     });
     async function callsWithin(durationMs: number): Promise<number> {
       let calls = 0;
-      const until = clock.now() + durationMs;
+      const endAt = clock.now() + durationMs;
       async function makeCalls() {
-        while (clock.now() < until) {
-          await rateLimiter.acquire(until + 1000).catch(() => undefined);
+        while (clock.now() < endAt) {
+          await rateLimiter.acquire(endAt + 1000).catch(() => undefined);
           calls += 1;
         }
       }
       void makeCalls();
-      // A step settles a limited number of promises before its timers fire.
-      while (clock.now() < until) {
+      // Small steps: each settles a limited number of promises only.
+      while (clock.now() < endAt) {
         await clock.advance(10);
       }
       return calls;
--- a/packages/providers/src/watchLoop.ts
+++ b/packages/providers/src/watchLoop.ts
@@ -43,7 +43,7 @@
 
 const INITIAL_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 3000;
-/** Time without events after which a watch is reopened. */
+/** Milliseconds without events after which a watch is reopened. */
 const IDLE_TIMEOUT_MS = 15_000;
 
 /**
@@ -55,30 +55,30 @@
 export function startWatch(options: WatchLoopOptions): WatchLoop {
   const {kind, clock, random, transport, listener} = options;
   const stateMachine = interpret(createWatchStateMachine(), () => {});
-  const disposables = disposableStore();
+  const owned = disposableStore();
   let timer: Disposable = toDisposable(() => {});
   let watch: Disposable = toDisposable(() => {});
-  let version: number | undefined;
+  let resumeVersion: number | undefined;
   let attempts = 0;
   let isConnected = false;
 
-  function setConnected(next: boolean): void {
-    if (next === isConnected) {
+  function setConnected(isNowConnected: boolean): void {
+    if (isNowConnected === isConnected) {
       return;
     }
-    isConnected = next;
-    listener.onDidChangeState?.(next);
+    isConnected = isNowConnected;
+    listener.onDidChangeState?.(isNowConnected);
   }
 
   async function connect(): Promise<void> {
-    stateMachine.send(version === undefined ? 'list' : 'open');
+    stateMachine.send(resumeVersion === undefined ? 'list' : 'open');
     try {
-      if (version === undefined) {
+      if (resumeVersion === undefined) {
         const listing = await options.list(kind);
-        if (disposables.isDisposed) {
+        if (owned.isDisposed) {
           return;
         }
-        version = listing.version;
+        resumeVersion = listing.version;
         listener.onDidList(listing);
         stateMachine.send('open');
       }
@@ -87,8 +87,8 @@
       scheduleRetry();
       return;
     }
-    if (!disposables.isDisposed) {
-      open(version);
+    if (!owned.isDisposed) {
+      open(resumeVersion);
     }
   }
 
@@ -103,23 +103,23 @@
         resetIdleTimer();
       },
       onDidChange(change) {
-        version = change.version;
+        resumeVersion = change.version;
         resetIdleTimer();
         notifyListener(change);
       },
       onDidCatchUp(caughtUpVersion) {
-        version = Math.max(version ?? 0, caughtUpVersion);
+        resumeVersion = Math.max(resumeVersion ?? 0, caughtUpVersion);
         resetIdleTimer();
       },
       onDidEnd,
     });
-    if (disposables.isDisposed) {
+    if (owned.isDisposed) {
       watch.dispose();
     }
   }
 
   function notifyListener(change: ObjectChange): void {
-    if (disposables.isDisposed) {
+    if (owned.isDisposed) {
       return;
     }
     if (change.type === 'put') {
@@ -131,13 +131,13 @@
 
   function onDidEnd(reason: WatchEndReason, retryAfterMs = 0): void {
     if (reason === 'compacted') {
-      version = undefined;
+      resumeVersion = undefined;
     }
     scheduleRetry(retryAfterMs);
   }
 
   function scheduleRetry(minDelayMs = 0): void {
-    if (disposables.isDisposed) {
+    if (owned.isDisposed) {
       return;
     }
     setConnected(false);
@@ -162,13 +162,13 @@
     });
   }
 
-  disposables.add(toDisposable(() => timer.dispose()));
-  disposables.add(toDisposable(() => watch.dispose()));
+  owned.add(toDisposable(() => timer.dispose()));
+  owned.add(toDisposable(() => watch.dispose()));
   void connect();
   return {
     kind,
     state: () => stateMachine.machine.current as WatchState,
-    dispose: () => disposables.dispose(),
+    dispose: () => owned.dispose(),
   };
 }
 
--- a/packages/providers/src/writeOutcome.ts
+++ b/packages/providers/src/writeOutcome.ts
@@ -2,9 +2,9 @@
  * Determines the outcome of a write whose reply was lost.
  *
  * Reading the object back is not enough: another writer may have replaced it
- * since, and then neither its version nor its write id shows whether this write
- * took effect before. The changes after the version that the write started
- * from do, unless the platform has compacted them.
+ * since, and then neither the object's version nor its write id shows whether
+ * this write took effect before. This shows in the history after the version
+ * that the write started from, unless the platform has compacted it.
  */
 import {ServingError} from '@skylarkfield/base';
 import type {StoredObject} from './contracts.js';
