--- a/packages/standins/src/engine/answerText.ts
+++ b/packages/standins/src/engine/answerText.ts
@@ -21,12 +21,12 @@
  * createAnswer('match this oak', 7).tokenAt(0);
  */
 export function createAnswer(prompt: string, seed: number): Answer {
-  const key = hash32(prompt, seed);
+  const answerHash = hash32(prompt, seed);
   const range = MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS;
   return {
-    length: MIN_ANSWER_TOKENS + (key % range),
+    length: MIN_ANSWER_TOKENS + (answerHash % range),
     tokenAt(index) {
-      const word = hash32(String(index), key).toString(36);
+      const word = hash32(String(index), answerHash).toString(36);
       return index === 0 ? word : ` ${word}`;
     },
   };
--- a/packages/standins/src/engine/blockCache.ts
+++ b/packages/standins/src/engine/blockCache.ts
@@ -7,7 +7,7 @@
   readonly random: Random;
   /** Maximum number of blocks. */
   readonly capacity: number;
-  /** Milliseconds after which an event can be fetched. */
+  /** Delay until an event can be fetched, in milliseconds. */
   readonly eventDelayMs: number;
   /** Probability that an event is lost, which leaves a sequence gap. */
   readonly eventLoss: number;
@@ -21,7 +21,7 @@
   clear(): void;
   readonly size: number;
   /** Published events after a sequence number; -1 gives the full contents. */
-  eventsAfter(after: number): readonly CacheEvent[];
+  eventsAfter(afterSequence: number): readonly CacheEvent[];
 }
 
 /** Events retained for fetching; dropping older ones leaves a sequence gap. */
@@ -83,8 +83,8 @@
     },
     store(blocks) {
       const added = blocks.filter(block => !cached.has(block));
-      // From end to start: a block is useless without its predecessors, so the
-      // start of a prefix must be evicted last.
+      // From end to start: a block is useless without the blocks before it,
+      // so the start of a prefix must be evicted last.
       for (let index = blocks.length - 1; index >= 0; index--) {
         const block = blocks[index]!;
         cached.delete(block);
@@ -100,8 +100,8 @@
     get size() {
       return cached.size;
     },
-    eventsAfter(after) {
-      if (after < 0) {
+    eventsAfter(afterSequence) {
+      if (afterSequence < 0) {
         return [
           {sequence: lastSequence - 1, type: 'cleared', blocks: []},
           {sequence: lastSequence, type: 'stored', blocks: [...cached]},
@@ -109,7 +109,10 @@
       }
       const nowMs = clock.now();
       return events
-        .filter(({event, fromMs}) => event.sequence > after && fromMs <= nowMs)
+        .filter(
+          ({event, fromMs}) =>
+            event.sequence > afterSequence && fromMs <= nowMs,
+        )
         .map(({event}) => event);
     },
   };
--- a/packages/standins/src/engine/engineFaults.ts
+++ b/packages/standins/src/engine/engineFaults.ts
@@ -1,6 +1,12 @@
 /** Faults that can be injected into an engine stand-in. */
 import type {GenerationEvent} from '@skylarkfield/endpoints';
 
+/**
+ * `down`: refuses connections; `pause`: accepts requests but does no work;
+ * `fail`: rejects requests; `slow`: longer steps; `late`: delayed events;
+ * `cut`: ends the stream; `truncate`: drops all further tokens; `gap`: drops a
+ * token; `double`: repeats a token; `cross`: sends a token of another attempt.
+ */
 export type EngineFaultType =
   | 'down'
   | 'pause'
@@ -31,7 +37,7 @@
   readonly afterRequests?: number;
 }
 
-/** Engine state on which the conditions of a fault depend. */
+/** State for the conditions of a fault; `running` includes queued requests. */
 export interface FaultContext {
   readonly version: string;
   readonly running: number;
@@ -57,7 +63,7 @@
   return context.requests >= (fault.afterRequests ?? 0);
 }
 
-/** Events that replace one event under a fault. */
+/** Events that a fault sends in place of one event. */
 export interface FaultedEvents {
   readonly events: readonly GenerationEvent[];
   /** Whether the stream is cut after these events. */
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -74,7 +74,7 @@
   options: EngineStandinOptions,
 ): Promise<EngineStandin> {
   const clock = systemClock();
-  const model = createSimulatedEngine({
+  const engine = createSimulatedEngine({
     ...options,
     clock,
     random: options.random ?? processRandom(),
@@ -111,8 +111,8 @@
   }
 
   async function setFaults(faults: readonly EngineFault[]) {
-    model.setFaults(faults);
-    if (model.hasFault('down')) {
+    engine.setFaults(faults);
+    if (engine.hasFault('down')) {
       await close();
     } else if (!isListening) {
       await listen();
@@ -127,7 +127,7 @@
   ) {
     app[method](path, (request, response) => {
       // A paused engine accepts the connection and never responds.
-      if (!isControl && model.hasFault('pause')) {
+      if (!isControl && engine.hasFault('pause')) {
         return;
       }
       handler(request, response).catch(error => sendError(response, error));
@@ -140,7 +140,7 @@
       await readBody(request),
       'bad-request',
     );
-    streamAnswer(model, generation as GenerationRequest, response);
+    streamAnswer(engine, generation as GenerationRequest, response);
   });
   route('post', '/v1/cancel', async (request, response) => {
     const body = validateShape(
@@ -148,16 +148,16 @@
       await readBody(request),
       'bad-request',
     );
-    model.cancel(body.attempt);
+    engine.cancel(body.attempt);
     sendJson(response, {});
   });
   route('get', '/v1/load', async (_request, response) =>
-    sendJson(response, model.load()),
+    sendJson(response, engine.load()),
   );
   route('get', '/v1/cache-events', async (request, response) => {
     const url = new URL(request.url ?? '/', 'http://engine');
     const after = Number(url.searchParams.get('after') ?? '-1');
-    sendJson(response, model.cacheEvents(after));
+    sendJson(response, engine.cacheEvents(after));
   });
   route('post', '/v1/export', async (request, response) => {
     const body = validateShape(
@@ -165,7 +165,7 @@
       await readBody(request),
       'bad-request',
     );
-    const exported = model.exportCache(body.attempt);
+    const exported = engine.exportCache(body.attempt);
     if (exported === undefined) {
       throw new ServingError('not-found', 'there is no KV cache to export');
     }
@@ -174,7 +174,7 @@
   });
   route('get', '/v1/exports/:handle', async (request, response) => {
     const handle = (request.url ?? '').split('/').at(-1) ?? '';
-    const exported = model.getExport(decodeURIComponent(handle));
+    const exported = engine.getExport(decodeURIComponent(handle));
     if (exported === undefined) {
       throw new ServingError(
         'not-found',
@@ -191,9 +191,9 @@
     );
     const exported = await fetchExport(source);
     await new Promise(resolve =>
-      setTimeout(resolve, model.importDelayMs(exported)),
+      setTimeout(resolve, engine.importDelayMs(exported)),
     );
-    model.importCache(exported);
+    engine.importCache(exported);
     const {handle, tokens, bytes} = exported;
     sendJson(response, {handle, tokens, bytes});
   });
@@ -203,11 +203,11 @@
       await readBody(request),
       'bad-request',
     );
-    model.order(order as EndpointOrder);
+    engine.order(order as EndpointOrder);
     sendJson(response, {});
   });
   route('get', '/v1/running', async (_request, response) =>
-    sendJson(response, model.running()),
+    sendJson(response, engine.running()),
   );
   route(
     'post',
@@ -226,7 +226,7 @@
   route(
     'get',
     '/control/totals',
-    async (_request, response) => sendJson(response, model.totals()),
+    async (_request, response) => sendJson(response, engine.totals()),
     true,
   );
 
@@ -235,24 +235,24 @@
   return {
     url: `http://${options.host}:${port}`,
     port,
-    simulatedEngine: model,
+    simulatedEngine: engine,
     setFaults,
     async stop() {
-      model.dispose();
+      engine.dispose();
       await close();
     },
   };
 }
 
-/** Streams an answer as server-sent events; a disconnect cancels it. */
+/** Streams an answer as server-sent events; a disconnect cancels the work. */
 function streamAnswer(
-  model: SimulatedEngine,
+  engine: SimulatedEngine,
   generation: GenerationRequest,
   response: ServerResponse,
 ) {
   let isStarted = false;
-  response.once('close', () => model.cancel(generation.attempt));
-  model.submit(generation, {
+  response.once('close', () => engine.cancel(generation.attempt));
+  engine.submit(generation, {
     event(event) {
       if (!isStarted) {
         isStarted = true;
--- a/packages/standins/src/engine/exportedCache.ts
+++ b/packages/standins/src/engine/exportedCache.ts
@@ -8,14 +8,14 @@
   readonly blocks: readonly string[];
 }
 
-/** Entries by handle; the oldest is evicted above the capacity. */
+/** Values by handle; the oldest value is evicted above the capacity. */
 export interface BoundedMap<Value> {
   get(handle: string): Value | undefined;
   set(handle: string, value: Value): void;
 }
 
 /**
- * Creates an empty map of at most `capacity` entries.
+ * Creates an empty map of at most `capacity` values.
  *
  * @example
  * const exports = createBoundedMap<ExportedCache>(256);
--- a/packages/standins/src/engine/loadReports.ts
+++ b/packages/standins/src/engine/loadReports.ts
@@ -4,7 +4,7 @@
 import type {EngineCosts} from './engineCosts.js';
 
 export interface LoadReports {
-  /** Samples the load if due; called whenever the load may have changed. */
+  /** Called whenever the load may have changed; takes a sample if one is due. */
   update(): void;
   /** Returns the latest report that is older than the lag. */
   published(): LoadReport;
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -15,7 +15,7 @@
 export interface LocalEngineOptions {
   readonly clock: Clock;
   readonly simulatedEngine: SimulatedEngine;
-  /** Returns the simulation at a URL, to fetch exported KV caches from it. */
+  /** Returns the simulated engine at a URL, to fetch its exported KV caches. */
   resolve(url: string): SimulatedEngine | undefined;
 }
 
@@ -23,14 +23,14 @@
  * Creates an engine that calls the simulation directly.
  *
  * @example
- * const resolve = (url: string) => models.get(url);
- * const engine = createLocalEngine({clock, model, resolve});
+ * const resolve = (url: string) => simulatedEngines.get(url);
+ * const engine = createLocalEngine({clock, simulatedEngine, resolve});
  */
 export function createLocalEngine(options: LocalEngineOptions): Engine {
-  const {clock, simulatedEngine: model, resolve} = options;
+  const {clock, simulatedEngine, resolve} = options;
 
   function throwIfDown() {
-    if (model.hasFault('down')) {
+    if (simulatedEngine.hasFault('down')) {
       throw new ServingError('endpoint-unavailable', 'connection refused');
     }
   }
@@ -41,7 +41,7 @@
   ): AsyncGenerator<GenerationEvent> {
     throwIfDown();
     const queue = createEventQueue<GenerationEvent>(() =>
-      model.cancel(request.attempt),
+      simulatedEngine.cancel(request.attempt),
     );
     const onAbort = () =>
       queue.fail(new ServingError('cancelled', 'generate was cancelled'));
@@ -49,7 +49,7 @@
       throw new ServingError('cancelled', 'generate was cancelled');
     }
     signal.addEventListener('abort', onAbort, {once: true});
-    model.submit(request, {
+    simulatedEngine.submit(request, {
       event(event) {
         queue.push(event);
         if (event.type === 'end') {
@@ -69,48 +69,48 @@
     generate,
     async cancel(attempt) {
       throwIfDown();
-      model.cancel(attempt);
+      simulatedEngine.cancel(attempt);
     },
     async load(signal) {
       throwIfDown();
-      if (model.hasFault('pause')) {
+      if (simulatedEngine.hasFault('pause')) {
         await sleep(clock, PAUSED_RESPONSE_MS, signal);
       }
-      return model.load();
+      return simulatedEngine.load();
     },
     async cacheEvents(after) {
       throwIfDown();
-      return model.cacheEvents(after);
+      return simulatedEngine.cacheEvents(after);
     },
     async exportCache(attempt): Promise<CacheExport> {
       throwIfDown();
-      const exported = model.exportCache(attempt);
+      const exported = simulatedEngine.exportCache(attempt);
       if (exported === undefined) {
         throw new ServingError('not-found', 'there is no KV cache to export');
       }
       return toCacheExport(exported);
     },
-    async importCache(from, signal) {
+    async importCache(exportSource, signal) {
       throwIfDown();
-      const source = resolve(from.url);
-      const exported = source?.getExport(from.handle);
-      if (exported === undefined || source?.hasFault('down')) {
+      const sourceEngine = resolve(exportSource.url);
+      const exported = sourceEngine?.getExport(exportSource.handle);
+      if (exported === undefined || sourceEngine?.hasFault('down')) {
         throw new ServingError(
           'endpoint-failed',
           'cannot fetch the exported KV cache',
         );
       }
-      await sleep(clock, model.importDelayMs(exported), signal);
-      model.importCache(exported);
+      await sleep(clock, simulatedEngine.importDelayMs(exported), signal);
+      simulatedEngine.importCache(exported);
       return toCacheExport(exported);
     },
     async order(order) {
       throwIfDown();
-      model.order(order);
+      simulatedEngine.order(order);
     },
     async running() {
       throwIfDown();
-      return model.running();
+      return simulatedEngine.running();
     },
   };
 }
--- a/packages/standins/src/engine/sequence.ts
+++ b/packages/standins/src/engine/sequence.ts
@@ -29,7 +29,7 @@
   readonly tokens: string[];
   /** Hashes of the full blocks of the prompt and the delivered tokens. */
   readonly blocks: readonly string[];
-  /** Tokens left to prefill before the next one can be sampled. */
+  /** Tokens left to prefill before the next token can be sampled. */
   prefillLeft: number;
   cachedTokens: number;
   sentTokens: number;
--- a/packages/standins/src/engine/simulatedEngine.ts
+++ b/packages/standins/src/engine/simulatedEngine.ts
@@ -58,8 +58,8 @@
   submit(request: GenerationRequest, sink: StreamSink): void;
   cancel(attempt: string): void;
   load(): LoadReport;
-  cacheEvents(after: number): readonly CacheEvent[];
-  /** Exports an attempt's KV cache; undefined if unknown or in prefill. */
+  cacheEvents(afterSequence: number): readonly CacheEvent[];
+  /** Exports the KV cache of an attempt; undefined unless it is decoding. */
   exportCache(attempt: string): ExportedCache | undefined;
   getExport(handle: string): ExportedCache | undefined;
   /** Milliseconds that fetching an export over the network takes. */
@@ -80,8 +80,8 @@
  * Creates an idle engine.
  *
  * @example
- * const model = createSimulatedEngine({clock, random, version: 'v1'});
- * model.submit(request, {event: show, fail: report});
+ * const engine = createSimulatedEngine({clock, random, version: 'v1'});
+ * engine.submit(request, {event: show, fail: report});
  */
 export function createSimulatedEngine(
   options: SimulatedEngineOptions,
@@ -119,7 +119,7 @@
   let version = options.version;
   let role = options.role ?? 'serving';
   let adapters: string[] = [];
-  let highestFencing = 0;
+  let highestFencingToken = 0;
   let stepTimer: Disposable | undefined;
   const totals = {
     requests: 0,
@@ -159,14 +159,14 @@
     const importedTokenCount = imports.get(request.importedCache ?? '') ?? 0;
     const prefixTokens =
       cache.countCachedPrefix(sequence.blocks) * TOKENS_PER_BLOCK;
-    const total = tokens.length;
-    // The last token is always computed, since the next one is sampled from it.
+    const tokenCount = tokens.length;
+    // The last token is always computed: the next token is sampled from it.
     const reusableTokens = Math.min(
       Math.max(prefixTokens, importedTokenCount),
-      total - 1,
+      tokenCount - 1,
     );
     sequence.cachedTokens = Math.max(0, reusableTokens);
-    sequence.prefillLeft = total - sequence.cachedTokens;
+    sequence.prefillLeft = tokenCount - sequence.cachedTokens;
     totals.cachedTokens += sequence.cachedTokens;
     batch.push(sequence);
     streamOutput.emit(sequence, {
@@ -182,10 +182,10 @@
     const plan = new Map<Sequence, number>();
     let budget = costs.prefillTokensPerStep;
     for (const sequence of batch) {
-      const share = Math.min(budget, sequence.prefillLeft);
-      if (share > 0) {
-        plan.set(sequence, share);
-        budget -= share;
+      const stepTokens = Math.min(budget, sequence.prefillLeft);
+      if (stepTokens > 0) {
+        plan.set(sequence, stepTokens);
+        budget -= stepTokens;
       }
     }
     return plan;
@@ -255,14 +255,14 @@
   function finishIfComplete(sequence: Sequence) {
     const {request, answer, tokens, promptLength} = sequence;
     const generated = tokens.length - promptLength;
-    const limit = Math.min(answer.length, request.maxTokens);
-    if (generated < limit || !removeFromBatch(sequence)) {
+    const tokenLimit = Math.min(answer.length, request.maxTokens);
+    if (generated < tokenLimit || !removeFromBatch(sequence)) {
       return;
     }
     streamOutput.emit(sequence, {
       type: 'end',
       attempt: request.attempt,
-      reason: limit === answer.length ? 'stop' : 'length',
+      reason: tokenLimit === answer.length ? 'stop' : 'length',
       promptTokens: promptLength,
       cachedTokens: sequence.cachedTokens,
       generatedTokens: generated,
@@ -337,7 +337,7 @@
       sequence.sink.fail(new ServingError('cancelled', 'cancelled'));
     },
     load: () => loadReports.published(),
-    cacheEvents: after => cache.eventsAfter(after),
+    cacheEvents: afterSequence => cache.eventsAfter(afterSequence),
     exportCache(attempt) {
       const sequence = findSequence(attempt);
       if (sequence === undefined || sequence.prefillLeft > 0) {
@@ -361,7 +361,7 @@
       cache.store(exported.blocks);
     },
     order(order) {
-      if (options.checksFencing && order.fencing < highestFencing) {
+      if (options.checksFencing && order.fencing < highestFencingToken) {
         throw new ServingError(
           'fenced',
           'the order has an outdated fencing token',
@@ -370,12 +370,12 @@
       if (clock.wall() > order.expiresAt) {
         throw new ServingError('deadline-exceeded', 'the order has expired');
       }
-      highestFencing = Math.max(highestFencing, order.fencing);
+      highestFencingToken = Math.max(highestFencingToken, order.fencing);
       orderHandlers[order.type](order.target);
     },
     running: () => ({version, adapters, role}),
-    setFaults(next) {
-      faults = next;
+    setFaults(newFaults) {
+      faults = newFaults;
       scheduleStep();
     },
     hasFault,
--- a/packages/standins/src/platform/cloudModel.ts
+++ b/packages/standins/src/platform/cloudModel.ts
@@ -81,7 +81,7 @@
   let hostCount = 0;
   const timers = createTimerSet(clock);
 
-  function update(id: string, change: Partial<Host>): void {
+  function updateHost(id: string, change: Partial<Host>): void {
     const host = hosts.get(id);
     if (host !== undefined && host.state !== 'gone') {
       hosts.set(id, {...host, ...change});
@@ -90,8 +90,8 @@
 
   return {
     offers: () => offers,
-    setOffers(next) {
-      offers = next;
+    setOffers(newOffers) {
+      offers = newOffers;
     },
     hosts: () => [...hosts.values()].filter(host => host.state !== 'gone'),
     start(request) {
@@ -120,25 +120,25 @@
       hosts.set(host.id, host);
       timers.after(faults.startMs, () => {
         if (hosts.get(host.id)?.state === 'starting') {
-          update(host.id, {state: 'running'});
+          updateHost(host.id, {state: 'running'});
         }
       });
       return host;
     },
-    stop: id => update(id, {state: 'gone'}),
+    stop: id => updateHost(id, {state: 'gone'}),
     reclaim(isAffected, noticeMs) {
       const affected = [...hosts.values()].filter(
         host => host.state !== 'gone' && isAffected(host),
       );
       for (const {id} of affected) {
         if (noticeMs === 0) {
-          update(id, {state: 'gone'});
+          updateHost(id, {state: 'gone'});
           continue;
         }
         const goneAt = clock.wall() + noticeMs;
-        update(id, {state: 'leaving', goneAt});
+        updateHost(id, {state: 'leaving', goneAt});
         noticeEmitter.fire({host: id, goneAt});
-        timers.after(noticeMs, () => update(id, {state: 'gone'}));
+        timers.after(noticeMs, () => updateHost(id, {state: 'gone'}));
       }
       return affected;
     },
@@ -151,7 +151,7 @@
   };
 }
 
-/** Timers that are cancelled with the cloud: a notice may outlast its users. */
+/** Timers that are cancelled with the cloud: a notice may end later than it. */
 function createTimerSet(clock: Clock) {
   const pending = new Set<Disposable>();
   return {
--- a/packages/standins/src/platform/endpointList.ts
+++ b/packages/standins/src/platform/endpointList.ts
@@ -29,9 +29,9 @@
   let visible: readonly ListedEndpoint[] = [];
 
   function publish(): void {
-    const next = [...actual.values()];
+    const snapshot = [...actual.values()];
     const makeVisible = () => {
-      visible = next;
+      visible = snapshot;
       changeEmitter.fire(visible);
     };
     if (faults.listLagMs === 0) {
--- a/packages/standins/src/service/serviceFaults.ts
+++ b/packages/standins/src/service/serviceFaults.ts
@@ -46,7 +46,9 @@
 
 interface InjectedFault {
   readonly fault: ServiceFault;
+  /** Matching requests served before the fault started. */
   passed: number;
+  /** Requests affected so far. */
   hits: number;
 }
 
@@ -64,22 +66,22 @@
   let injected: InjectedFault[] = [];
 
   function shouldApply(
-    entry: InjectedFault,
+    injectedFault: InjectedFault,
     path: string,
     running: number,
   ): boolean {
-    const {fault} = entry;
+    const {fault} = injectedFault;
     if (fault.route !== undefined && fault.route !== path) {
       return false;
     }
-    if (entry.passed < fault.afterRequests) {
-      entry.passed += 1;
+    if (injectedFault.passed < fault.afterRequests) {
+      injectedFault.passed += 1;
       return false;
     }
     if (fault.aboveRunning !== undefined && running <= fault.aboveRunning) {
       return false;
     }
-    if (fault.count !== undefined && entry.hits >= fault.count) {
+    if (fault.count !== undefined && injectedFault.hits >= fault.count) {
       return false;
     }
     return nextRandom() < fault.share;
@@ -97,13 +99,15 @@
       injected = [];
     },
     take(path, running) {
-      const match = injected.find(entry => shouldApply(entry, path, running));
+      const match = injected.find(injectedFault =>
+        shouldApply(injectedFault, path, running),
+      );
       if (match === undefined) {
         return undefined;
       }
       match.hits += 1;
       return match.fault;
     },
-    list: () => injected.map(entry => entry.fault),
+    list: () => injected.map(injectedFault => injectedFault.fault),
   };
 }
--- a/packages/standins/src/service/serviceLoad.ts
+++ b/packages/standins/src/service/serviceLoad.ts
@@ -5,7 +5,7 @@
   /** Waits for a free slot; the returned function releases it. */
   acquireSlot(): Promise<() => void>;
   readonly running: number;
-  /** Returns the load as it was one lag ago. */
+  /** Returns the load as it was `lagMs` ago. */
   report(): LoadReport;
   setLag(lagMs: number): void;
 }
@@ -30,14 +30,14 @@
   initialLagMs: number,
   now: () => number,
 ): ServiceLoad {
-  const waiting: Array<() => void> = [];
+  const waiters: Array<() => void> = [];
   const snapshots: Snapshot[] = [{at: 0, running: 0, waiting: 0}];
   let running = 0;
   let lagMs = initialLagMs;
   let sequence = 0;
 
   function recordSnapshot(): void {
-    snapshots.push({at: now(), running, waiting: waiting.length});
+    snapshots.push({at: now(), running, waiting: waiters.length});
     if (snapshots.length > MAX_SNAPSHOTS) {
       snapshots.shift();
     }
@@ -45,7 +45,7 @@
 
   function releaseSlot(): void {
     running -= 1;
-    waiting.shift()?.();
+    waiters.shift()?.();
     recordSnapshot();
   }
 
@@ -56,7 +56,7 @@
     async acquireSlot() {
       if (running >= slots) {
         await new Promise<void>(resolve => {
-          waiting.push(resolve);
+          waiters.push(resolve);
           recordSnapshot();
         });
       }
--- a/packages/standins/src/service/serviceStandin.ts
+++ b/packages/standins/src/service/serviceStandin.ts
@@ -25,7 +25,7 @@
   readonly host?: string;
   readonly service: string;
   readonly version?: string;
-  /** Maximum number of concurrent requests; others wait. */
+  /** Maximum number of concurrent requests; further requests wait. */
   readonly slots?: number;
   /** Processing time of each request. */
   readonly workMs?: number;
@@ -37,7 +37,7 @@
 /** Numbers of executions of non-idempotent calls. */
 export interface ServiceRuns {
   readonly total: number;
-  /** Runs per idempotency key, or per `body:ID` for calls without one. */
+  /** Runs per idempotency key, or per `body:ID` for calls without a key. */
   readonly byKey: Readonly<Record<string, number>>;
 }
 
@@ -95,12 +95,12 @@
 
   /** Creates a handler that occupies a slot and applies the injected fault. */
   function createWorkHandler(
-    effect: (request: IncomingMessage, body: string) => () => unknown,
+    prepareEffect: (request: IncomingMessage, body: string) => () => unknown,
     status: number,
   ): Handler {
     return async (request, response) => {
       const body = await readBody(request);
-      const runEffect = effect(request, body);
+      const runEffect = prepareEffect(request, body);
       const fault = faults.take(requestPath(request), load.running);
       const releaseSlot = await load.acquireSlot();
       releaseOnClose(response, releaseSlot);
--- a/packages/standins/src/test/engineModel.test.ts
+++ b/packages/standins/src/test/engineModel.test.ts
@@ -23,7 +23,7 @@
 function setUp(costs = {}) {
   const clock = virtualClock();
   const random = seededRandom(1);
-  const model = createSimulatedEngine({clock, random, version: 'v1', costs});
+  const engine = createSimulatedEngine({clock, random, version: 'v1', costs});
   const events: GenerationEvent[] = [];
   const errors: string[] = [];
   const sink = {
@@ -32,24 +32,24 @@
   };
   const text = () =>
     events.map(event => (event.type === 'token' ? event.text : '')).join('');
-  return {clock, model, events, errors, sink, text};
+  return {clock, engine, events, errors, sink, text};
 }
 
 describe('simulated engine', () => {
   it('continues a resumed answer identically', async () => {
-    const {clock, model, events, sink, text} = setUp();
+    const {clock, engine, events, sink, text} = setUp();
     const expected = generateAnswerTokens(words(40), 7, 20);
-    model.submit(generation({delivered: expected.slice(0, 5)}), sink);
+    engine.submit(generation({delivered: expected.slice(0, 5)}), sink);
     await clock.advance(5000);
     assert.equal(text(), expected.slice(5).join(''));
     assert.equal(events.at(-1)?.type, 'end');
   });
 
   it('prefills only tokens that are not in its prefix cache', async () => {
-    const {clock, model, events, sink} = setUp();
-    model.submit(generation({}), sink);
+    const {clock, engine, events, sink} = setUp();
+    engine.submit(generation({}), sink);
     await clock.advance(5000);
-    model.submit(generation({attempt: 'a2', prompt: words(90)}), sink);
+    engine.submit(generation({attempt: 'a2', prompt: words(90)}), sink);
     await clock.advance(5000);
     const starts = events.filter(event => event.type === 'start');
     assert.deepEqual(
@@ -59,10 +59,10 @@
   });
 
   it('starts waiting requests in order of urgency', async () => {
-    const {clock, model, events, sink} = setUp({slots: 1});
-    model.submit(generation({attempt: 'first'}), sink);
-    model.submit(generation({attempt: 'later', urgency: 6}), sink);
-    model.submit(generation({attempt: 'urgent', urgency: 0}), sink);
+    const {clock, engine, events, sink} = setUp({slots: 1});
+    engine.submit(generation({attempt: 'first'}), sink);
+    engine.submit(generation({attempt: 'later', urgency: 6}), sink);
+    engine.submit(generation({attempt: 'urgent', urgency: 0}), sink);
     await clock.advance(60_000);
     const starts = events.filter(event => event.type === 'start');
     assert.deepEqual(
@@ -72,14 +72,14 @@
   });
 
   it('publishes load reports with a lag', async () => {
-    const {clock, model, sink} = setUp({
+    const {clock, engine, sink} = setUp({
       reportIntervalMs: 100,
       reportLagMs: 300,
     });
-    model.load();
+    engine.load();
     await clock.advance(100);
-    model.submit(generation({maxTokens: 400}), sink);
-    const attempts = () => model.load().attempts;
+    engine.submit(generation({maxTokens: 400}), sink);
+    const attempts = () => engine.load().attempts;
     assert.deepEqual(attempts(), []);
     await clock.advance(310);
     assert.deepEqual(attempts(), ['a1']);
@@ -88,15 +88,15 @@
   it('imports an exported cache and prefills only the last token', async () => {
     const source = setUp();
     const target = setUp();
-    source.model.submit(generation({maxTokens: 400}), source.sink);
+    source.engine.submit(generation({maxTokens: 400}), source.sink);
     await source.clock.advance(200);
-    const exported = source.model.exportCache('a1');
+    const exported = source.engine.exportCache('a1');
     assert.ok(exported);
-    target.model.importCache(exported);
+    target.engine.importCache(exported);
     const delivered = source.events.flatMap(event =>
       event.type === 'token' ? [event.text] : [],
     );
-    target.model.submit(
+    target.engine.submit(
       generation({attempt: 'a2', delivered, importedCache: exported.handle}),
       target.sink,
     );
@@ -110,14 +110,14 @@
     for (const checksFencing of [true, false]) {
       const clock = virtualClock();
       const random = seededRandom(1);
-      const model = createSimulatedEngine({
+      const engine = createSimulatedEngine({
         clock,
         random,
         version: 'v1',
         checksFencing,
       });
       const order = (fencing: number) =>
-        model.order({
+        engine.order({
           id: `o${fencing}`,
           type: 'set-role',
           target: `role-${fencing}`,
@@ -130,7 +130,7 @@
       } else {
         order(4);
       }
-      assert.equal(model.running().role, checksFencing ? 'role-5' : 'role-4');
+      assert.equal(engine.running().role, checksFencing ? 'role-5' : 'role-4');
     }
   });
 });
--- a/packages/standins/src/test/objectStore.test.ts
+++ b/packages/standins/src/test/objectStore.test.ts
@@ -30,7 +30,7 @@
       return;
     }
     subscription.dispose();
-    // The emitter fires inside the first write, so the second is deferred.
+    // The emitter fires inside the first write, so the overwrite is deferred.
     queueMicrotask(() => overwrite(fixture, 'theirs'));
   });
 }
@@ -172,16 +172,16 @@
         assert.equal(await store.get('thing', 'a'), undefined);
       }));
 
-    // A process crashes and a successor with the same name starts at once. With
-    // repeated write ids it would mistake the predecessor's writes for its own.
+    // A process crashes and is restarted with the same name. With repeated write
+    // ids, the new process would mistake writes of the old process for its own.
     it('never reuses a write id after a restart', () =>
       withScenario(async ({store, fixture}) => {
-        const successor = fixture.client('us', fastSettings);
+        const restarted = fixture.client('us', fastSettings);
         const one = await store.put('thing', 'b', 1, {type: 'any'});
-        const two = await successor.put('thing', 'c', 1, {type: 'any'});
+        const two = await restarted.put('thing', 'c', 1, {type: 'any'});
         const ids = [one.writeId, two.writeId].map(id => id.split('.').at(-2));
         assert.notEqual(ids[0], ids[1]);
-        successor.dispose();
+        restarted.dispose();
       }));
 
     it('rejects a value above a megabyte', () =>
@@ -243,9 +243,9 @@
         while (store.state() !== 'down') {
           await assertRejects(store.get('thing', 'a'), 'platform-unavailable');
         }
-        const before = store.dump().calls.get;
+        const callsBefore = store.dump().calls.get;
         await assertRejects(store.get('thing', 'a'), 'platform-unavailable');
-        assert.equal(store.dump().calls.get, before);
+        assert.equal(store.dump().calls.get, callsBefore);
         fixture.faults.setDown(false);
         await waitUntil(() => store.state() === 'up');
         assert.equal((await store.get('thing', 'a'))?.value, 'first');
--- a/packages/standins/src/test/platformStandin.test.ts
+++ b/packages/standins/src/test/platformStandin.test.ts
@@ -93,15 +93,15 @@
     }));
 
   // A failure domain is reclaimed with notice. Endpoints there must not stay
-  // listed as live, or requests would still be sent to hosts about to vanish.
+  // listed as live, or requests would still be sent to hosts that shut down.
   it('delivers reclaim notices and marks endpoints as leaving', () =>
-    withPlatform(async (platform, own) => {
+    withPlatform(async (platform, track) => {
       const cloud = createHttpCloud({url: platform.url, clock: testClock});
       const notices: ReclaimNotice[] = [];
       let listed: readonly ListedEndpoint[] = [];
-      own(cloud.watchNotices(notice => notices.push(notice)));
+      track(cloud.watchNotices(notice => notices.push(notice)));
       const hosts = createHttpHostList({url: platform.url, clock: testClock});
-      own(hosts.watch(endpoints => (listed = endpoints)));
+      track(hosts.watch(endpoints => (listed = endpoints)));
       const host = await cloud.start(startRequest);
       await postControl(platform, 'endpoints', {...endpoint, host: host.id});
       await waitUntil(() => listed[0]?.state === 'live');
@@ -128,8 +128,8 @@
   // Calls exceed the rate that the platform accepts. A client that does not
   // back off would crowd out the lease renewals of all processes.
   it('responds with 429 above its rate, and the client backs off', () =>
-    withPlatform(async (platform, own) => {
-      const store = own(
+    withPlatform(async (platform, track) => {
+      const store = track(
         createHttpObjectStore({
           url: platform.url,
           writer: 'us',
