--- a/packages/cli/src/commands/decisions.ts
+++ b/packages/cli/src/commands/decisions.ts
@@ -19,10 +19,10 @@
 
   async run(): Promise<void> {
     const {flags} = await this.parse(DecisionsCommand);
-    const all = (await requestJson(`${flags.admin}/decisions`, {
+    const decisions = (await requestJson(`${flags.admin}/decisions`, {
       key: flags.key,
     })) as Decision[];
-    const shown = all.filter(
+    const shown = decisions.filter(
       decision => flags.by === undefined || decision.by === flags.by,
     );
     if (flags.json) {
--- a/packages/cli/src/help.ts
+++ b/packages/cli/src/help.ts
@@ -61,9 +61,9 @@
 function withNames(
   items: Readonly<Record<string, object>>,
 ): Record<string, object> {
-  const entries = Object.entries(items).map(([name, item]) => [
+  const namedItems = Object.entries(items).map(([name, item]) => [
     name,
     {...item, name},
   ]);
-  return Object.fromEntries(entries) as Record<string, object>;
+  return Object.fromEntries(namedItems) as Record<string, object>;
 }
--- a/packages/cli/src/input.ts
+++ b/packages/cli/src/input.ts
@@ -31,7 +31,7 @@
   }
 }
 
-/** Length up to which an unrecognized error body is shown. */
+/** Maximum length of the text shown of an unrecognized error body. */
 const MAX_SHOWN_CHARACTERS = 300;
 
 /** A response of an entry's HTTP port. */
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -7,7 +7,7 @@
 import {printLine} from './output.js';
 import {VERSION} from './version.js';
 
-/** Replaces the package.json that oclif reads; a single executable has none. */
+/** Replaces the package.json that oclif reads; the executable has none. */
 const PACKAGE_JSON = {
   name: 'skylarkfield',
   version: VERSION,
@@ -22,7 +22,7 @@
   readonly rest: readonly string[];
 }
 
-/** Matches a command name of one or two words; the longer one wins. */
+/** Matches a command name of two words or, if there is none, of one word. */
 function matchCommand(args: readonly string[]): CommandMatch | undefined {
   for (const length of [2, 1]) {
     const name = args.slice(0, length).join(' ');
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -30,11 +30,11 @@
   headings: readonly string[],
   rows: readonly (readonly string[])[],
 ): void {
-  const all = [headings, ...rows];
+  const allRows = [headings, ...rows];
   const widths = headings.map((_, column) =>
-    Math.max(...all.map(row => (row[column] ?? '').length)),
+    Math.max(...allRows.map(row => (row[column] ?? '').length)),
   );
-  for (const row of all) {
+  for (const row of allRows) {
     const cells = widths.map((width, column) =>
       (row[column] ?? '').padEnd(width),
     );
--- a/packages/cli/src/recordStore.ts
+++ b/packages/cli/src/recordStore.ts
@@ -11,7 +11,7 @@
   'endpoint-class',
 ] as const;
 
-/** Flag shared by all record commands. */
+/** Flag shared by all commands that access the object API. */
 export const platformFlag = Flags.string({
   required: true,
   env: 'SKYLARKFIELD_PLATFORM',
--- a/packages/cli/src/standinFlags.ts
+++ b/packages/cli/src/standinFlags.ts
@@ -62,8 +62,8 @@
 }
 
 /**
- * Registers a stand-in and stops it on failure: an unregistered process would
- * keep listening without being listed anywhere.
+ * Registers a stand-in and stops it on failure: otherwise the process would
+ * keep listening without being in the host list.
  *
  * @example
  * await registerOrStop(standin, {platform, type: 'model', url, flags});
@@ -82,7 +82,7 @@
 
 /**
  * Adds an endpoint to the host list of the platform stand-in, as a cloud does.
- * Does nothing without a platform.
+ * Does nothing if no platform was given.
  */
 async function registerEndpoint(registration: Registration): Promise<void> {
   const {platform, flags} = registration;
--- a/packages/cli/src/version.ts
+++ b/packages/cli/src/version.ts
@@ -1,2 +1,2 @@
-/** Release version; a test checks that it equals that of the root package. */
+/** Release version; a test compares it with that of the root package.json. */
 export const VERSION = '0.1.0';
