--- a/packages/entry/src/components/peerFallbackHostList.ts
+++ b/packages/entry/src/components/peerFallbackHostList.ts
@@ -52,28 +52,30 @@
 ): Disposable {
   const {hostList, network, clock, random, log} = options;
   const owned = disposableStore();
-  let current: readonly ListedEndpoint[] | undefined;
+  let currentList: readonly ListedEndpoint[] | undefined;
   let isFromPlatform = false;
   let isRequesting = false;
 
   owned.add(
     hostList.watch(endpoints => {
       isFromPlatform = true;
-      current = endpoints;
+      currentList = endpoints;
       listener(endpoints);
     }),
   );
   owned.add(
-    network.onDidReceive('endpointsWanted', () => ({endpoints: current ?? []})),
+    network.onDidReceive('endpointsWanted', () => ({
+      endpoints: currentList ?? [],
+    })),
   );
   const requestTimer = owned.add(
     every(clock, PEER_REQUEST_INTERVAL_MS, () => void requestFromPeer()),
   );
-  owned.add(toDisposable(() => (current = undefined)));
+  owned.add(toDisposable(() => (currentList = undefined)));
   return owned;
 
   async function requestFromPeer(): Promise<void> {
-    if (current !== undefined) {
+    if (currentList !== undefined) {
       requestTimer.dispose();
       return;
     }
@@ -104,7 +106,7 @@
     if (isFromPlatform || endpoints.length === 0 || owned.isDisposed) {
       return;
     }
-    current = endpoints;
+    currentList = endpoints;
     listener(endpoints);
   }
 }
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -107,7 +107,7 @@
   }));
   log.info({callersUrl}, 'entry started');
 
-  let stopping: Promise<void> | undefined;
+  let stopPromise: Promise<void> | undefined;
   return {
     addresses: {
       callers: callersUrl,
@@ -115,8 +115,8 @@
       admin: admin.url,
     },
     stop() {
-      stopping ??= stop();
-      return stopping;
+      stopPromise ??= stop();
+      return stopPromise;
     },
   };
 
