--- a/packages/entry/src/components/endpointPoolComponent.ts
+++ b/packages/entry/src/components/endpointPoolComponent.ts
@@ -23,7 +23,7 @@
 }
 
 interface OpenEndpoint extends ConnectedEndpoint, Disposable {
-  /** Monotonic time of the endpoint's removal, if a notice gave one. */
+  /** Monotonic time by which the endpoint is gone, if a notice gave one. */
   goneAtMs: number | undefined;
   leave(): void;
 }
@@ -56,7 +56,7 @@
 
   return {...pool, markLeaving, dispose: () => owned.dispose()};
 
-  /** Applies a notice, which may arrive before the updated host list. */
+  /** Applies a notice, which has the removal time and may precede the list. */
   function handleLeaving({endpoint, goneAt}: LeavingEndpoint): void {
     const existing = openEndpoints.get(endpoint);
     if (existing !== undefined && goneAt > 0) {
--- a/packages/providers/src/test/objectStore.test.ts
+++ b/packages/providers/src/test/objectStore.test.ts
@@ -81,7 +81,8 @@
         }
       }
       void makeCalls();
-      // Small steps: each settles a limited number of promises only.
+      // Small steps, since a step settles only a limited number of promises
+      // before its timers fire.
       while (clock.now() < endAt) {
         await clock.advance(10);
       }
--- a/packages/standins/src/platform/cloudModel.ts
+++ b/packages/standins/src/platform/cloudModel.ts
@@ -151,7 +151,7 @@
   };
 }
 
-/** Timers that are cancelled with the cloud: a notice may end later than it. */
+/** Timers that are cancelled with the cloud; a notice may outlast the cloud. */
 function createTimerSet(clock: Clock) {
   const pending = new Set<Disposable>();
   return {
