--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -19,7 +19,7 @@
   noteSent(blocks: readonly string[]): void;
   /** Records how many tokens of a request the engine found cached. */
   noteCachedTokens(blocks: readonly string[], cachedTokens: number): void;
-  /** Applies events; returns the next sequence, -1 for a full resync. */
+  /** Applies events; returns the last sequence, -1 to request all content. */
   apply(events: readonly CacheEvent[]): number;
   dump(): unknown;
 }
@@ -27,9 +27,9 @@
 const DEFAULT_MAX_BLOCKS = 16_000;
 /** Lifetime of unconfirmed blocks if the engine publishes events. */
 const SENT_BLOCK_TTL_MS = 12_000;
-/** The same if the engine has never published events. */
+/** Lifetime of unconfirmed blocks if the engine never published events. */
 const SENT_BLOCK_TTL_WITHOUT_EVENTS_MS = 300_000;
-/** Assumed event lag: evictions do not apply to blocks sent since. */
+/** Assumed event lag: evictions spare blocks sent within this time. */
 const ASSUMED_EVENT_LAG_MS = 1500;
 /** Half-life of the confidence in the view after events were lost. */
 const CONFIDENCE_HALF_LIFE_MS = 120_000;
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -28,7 +28,7 @@
   readonly urgency?: number;
   /** Endpoints on which an attempt of this request has already failed. */
   readonly excluded: ReadonlySet<string>;
-  /** May crash its endpoint; sent where the fewest others would be lost. */
+  /** May crash its endpoint, so it is sent where the fewest requests run. */
   readonly isSuspected?: boolean;
 }
 
@@ -56,17 +56,17 @@
   readonly pendingTokens: number;
   /** Pending tokens indexed by urgency; absent when nothing is pending. */
   readonly pendingByUrgency?: readonly number[];
-  /** Prompt tokens of all its requests; decode steps attend to all. */
+  /** Prompt tokens of all these requests; each decode step attends to them. */
   readonly contextTokens: number;
 }
 
 /** Chooses endpoints from their reports and from the results of attempts. */
 export interface Router {
-  /** Replaces the list of endpoints with the current host list's. */
+  /** Replaces the endpoints with those of the current host list. */
   setEndpoints(endpoints: readonly Candidate[]): void;
-  /** Sends the endpoint no new requests; may precede its listing. */
+  /** Stops new requests to the endpoint, which may not be listed yet. */
   markLeaving(endpoint: string): void;
-  /** Makes a new or remaining process eligible from the next list on. */
+  /** Undoes `markLeaving` from the next list of endpoints on. */
   markReturned(endpoint: string): void;
   /** Ids of all live entries; they split the endpoints of large services. */
   setEntries(entries: readonly string[]): void;
@@ -99,7 +99,7 @@
   ): void;
   /** Records that a load poll could not reach the endpoint. */
   reportUnreachable(endpoint: string): void;
-  /** Applies cache events; returns the next sequence to poll (-1: resync). */
+  /** Applies events; returns the sequence to poll after (-1: all content). */
   applyCacheEvents(endpoint: string, events: readonly CacheEvent[]): number;
   /** Endpoints assigned to this entry: a subset when a service is large. */
   assignedEndpoints(): readonly Candidate[];
--- a/packages/routing/src/crashDetector.ts
+++ b/packages/routing/src/crashDetector.ts
@@ -17,7 +17,7 @@
 export interface CrashDetector {
   /** The connection closed while the request may have been running. */
   noteConnectionLost(lost: LostRequest): void;
-  /** The endpoint did not respond; counts as a crash if it is deregistered. */
+  /** The endpoint did not respond: a crash if the endpoint is deregistered. */
   noteUnanswered(lost: LostRequest): void;
   /** The endpoint was deregistered without announcing that it leaves. */
   noteDeregistered(endpoint: string): void;
@@ -70,12 +70,12 @@
   }
 
   function expireOld(): void {
-    const from = clock.now() - UNANSWERED_TTL_MS;
+    const oldestAt = clock.now() - UNANSWERED_TTL_MS;
     unanswered = unanswered
-      .filter(({lostAt}) => lostAt >= from)
+      .filter(({lostAt}) => lostAt >= oldestAt)
       .slice(-MAX_UNANSWERED);
     for (const [endpoint, at] of deregistered) {
-      if (at < from || deregistered.size > MAX_UNANSWERED) {
+      if (at < oldestAt || deregistered.size > MAX_UNANSWERED) {
         deregistered.delete(endpoint);
       }
     }
--- a/packages/routing/src/crashEvidence.ts
+++ b/packages/routing/src/crashEvidence.ts
@@ -169,7 +169,7 @@
 
 /**
  * Returns the part of a report from a time on. Complete responses may expire
- * too: they matter only beside crashes.
+ * too, since they only clear crashes.
  *
  * @example
  * const recent = reportSince(report, nowMs - 10_000);
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -81,17 +81,17 @@
 
 /**
  * Milliseconds of quarantine after the last crash, by the number of incidents:
- * a single one is weak evidence.
+ * a single incident is weak evidence.
  */
 const QUARANTINE_MS = [10_000, 60_000, CRASH_TTL_MS] as const;
 
 /** Milliseconds after which a trial without a result may be repeated. */
 const TRIAL_TIMEOUT_MS = 10_000;
 
-/** Milliseconds for which stored evidence is gossiped: several digests. */
+/** Milliseconds for which stored evidence is gossiped, in several digests. */
 const GOSSIP_MS = 1_500;
 
-/** Crashes from which suspicions and complete responses are shared. */
+/** Crashes of a request from which on its complete responses are shared. */
 const NOTABLE_CRASHES = 2;
 
 /** Maximum number of crashes stored by an entry, and received by gossip. */
@@ -102,10 +102,10 @@
 const MAX_DUMPED_REQUESTS = 50;
 
 /** Sources of evidence besides the stored reports of entries. */
-const OWN = 'own';
-const GOSSIP = 'gossip';
-/** Complete responses that only this entry takes into account. */
-const LOCAL = 'local';
+const OWN_SOURCE = 'own';
+const GOSSIP_SOURCE = 'gossip';
+/** Source of complete responses that this entry does not share. */
+const LOCAL_SOURCE = 'local';
 
 function storedBy(entry: string): string {
   return `stored by ${entry}`;
@@ -136,16 +136,16 @@
   const detector = createCrashDetector({
     clock,
     wallMs,
-    // Counts at once, so that this entry does not forward the request
-    // meanwhile.
+    // Counts before its confirmation, so that this entry does not forward the
+    // request meanwhile.
     onDidSuspect: crash => addToOwnReport({crashes: [crash], served: {}}),
     onDidRefute: removeOwnCrash,
     onDidConfirm: confirm,
   });
 
   function recentCrashTimesMs(request: string): readonly number[] {
-    const from = wallMs() - CRASH_TTL_MS;
-    return evidence.crashTimesMs(request).filter(at => at >= from);
+    const oldestMs = wallMs() - CRASH_TTL_MS;
+    return evidence.crashTimesMs(request).filter(at => at >= oldestMs);
   }
 
   function crashCountOf(request: string): number {
@@ -199,26 +199,28 @@
   }
 
   function addToOwnReport(report: CrashReport): void {
-    const from = wallMs() - CRASH_TTL_MS;
-    const merged = mergeCrashReports(evidence.reportOf(OWN), report);
-    const {crashes, served} = reportSince(merged, from);
-    // A complete response matters only beside crashes that others report.
+    const oldestMs = wallMs() - CRASH_TTL_MS;
+    const merged = mergeCrashReports(evidence.reportOf(OWN_SOURCE), report);
+    const {crashes, served} = reportSince(merged, oldestMs);
+    // A complete response matters only for a request with known crashes.
     const relevant = Object.entries(served).filter(([request]) =>
       evidence.hasCrashes(request),
     );
     const current = {crashes, served: Object.fromEntries(relevant)};
     const truncated = truncateReport(current, MAX_STORED_CRASHES, crashCountOf);
-    logQuarantineChanges(evidence.setReport(OWN, truncated));
+    logQuarantineChanges(evidence.setReport(OWN_SOURCE, truncated));
   }
 
-  /** Records a complete response, to be shared (`own`) or not (`local`). */
+  /** Records a response: shared for `OWN_SOURCE`, not for `LOCAL_SOURCE`. */
   function recordServed(
     request: string,
-    source: typeof OWN | typeof LOCAL,
+    source: typeof OWN_SOURCE | typeof LOCAL_SOURCE,
   ): void {
-    const {crashes, served} = evidence.reportOf(OWN);
+    const {crashes, served} = evidence.reportOf(OWN_SOURCE);
     const remaining = crashes.filter(crash => crash.request !== request);
-    logQuarantineChanges(evidence.setReport(OWN, {crashes: remaining, served}));
+    logQuarantineChanges(
+      evidence.setReport(OWN_SOURCE, {crashes: remaining, served}),
+    );
     const relevant = Object.entries(evidence.reportOf(source).served).filter(
       ([other]) => evidence.hasCrashes(other),
     );
@@ -231,11 +233,13 @@
   }
 
   function removeOwnCrash({request, endpoint}: Crash): void {
-    const {crashes, served} = evidence.reportOf(OWN);
+    const {crashes, served} = evidence.reportOf(OWN_SOURCE);
     const remaining = crashes.filter(
       crash => crash.request !== request || crash.endpoint !== endpoint,
     );
-    logQuarantineChanges(evidence.setReport(OWN, {crashes: remaining, served}));
+    logQuarantineChanges(
+      evidence.setReport(OWN_SOURCE, {crashes: remaining, served}),
+    );
   }
 
   function confirm(crash: Crash): void {
@@ -254,8 +258,8 @@
     changed.fire();
   }
 
-  function own(): CrashReport {
-    const {crashes, served} = evidence.reportOf(OWN);
+  function confirmedOwnReport(): CrashReport {
+    const {crashes, served} = evidence.reportOf(OWN_SOURCE);
     const confirmed = crashes.filter(crash => !detector.isUnconfirmed(crash));
     return {crashes: confirmed, served};
   }
@@ -277,7 +281,7 @@
       }
       trials.delete(request);
       const isNotable = crashes >= NOTABLE_CRASHES;
-      recordServed(request, isNotable ? OWN : LOCAL);
+      recordServed(request, isNotable ? OWN_SOURCE : LOCAL_SOURCE);
       if (isNotable) {
         changed.fire();
       }
@@ -285,12 +289,12 @@
     setStoredReport: (entry, report) =>
       logQuarantineChanges(evidence.setReport(storedBy(entry), report)),
     removeStoredReport(entry) {
-      const source = entry === self ? OWN : storedBy(entry);
+      const source = entry === self ? OWN_SOURCE : storedBy(entry);
       logQuarantineChanges(evidence.removeReport(source));
-      logQuarantineChanges(evidence.removeReport(GOSSIP));
+      logQuarantineChanges(evidence.removeReport(GOSSIP_SOURCE));
     },
     mergeGossip(report) {
-      const known = evidence.reportOf(GOSSIP);
+      const known = evidence.reportOf(GOSSIP_SOURCE);
       if (!hasNewEvidence(known, report)) {
         return;
       }
@@ -301,10 +305,10 @@
         MAX_GOSSIPED_CRASHES,
         crashCountOf,
       );
-      logQuarantineChanges(evidence.setReport(GOSSIP, truncated));
+      logQuarantineChanges(evidence.setReport(GOSSIP_SOURCE, truncated));
     },
     restoreOwnReport: addToOwnReport,
-    reportToStore: own,
+    reportToStore: confirmedOwnReport,
     noteStored(report) {
       storedReport = report;
     },
@@ -312,7 +316,7 @@
       if (evidence.isEmpty()) {
         return undefined;
       }
-      const current = own();
+      const current = confirmedOwnReport();
       if (hasNewEvidence(storedReport, current)) {
         return current;
       }
--- a/packages/routing/src/ejection.ts
+++ b/packages/routing/src/ejection.ts
@@ -23,18 +23,18 @@
 const MIN_SAMPLES = 8;
 const MIN_FAILURE_RATE = 0.3;
 const FAILURE_RATE_FACTOR = 3;
-/** Higher than for failures: waits vary far more than engine speed. */
+/** Above `MIN_SAMPLES`: waits make latency vary far more than engine speed. */
 const MIN_SLOW_SAMPLES = 24;
-const MIN_SLOWNESS = 5;
-const SLOWNESS_FACTOR = 4;
-/** Largest unavailable share of a pool after ejecting a failing or slow one. */
+const MIN_LATENCY_RATIO = 5;
+const LATENCY_RATIO_FACTOR = 4;
+/** Largest unavailable share of a pool after ejecting a reachable endpoint. */
 const MAX_EJECTED_SHARE = 0.34;
 /** Largest fraction of the remaining slots that an ejection may fill. */
 const MAX_UTILIZATION = 0.85;
 
 /**
  * Returns why the endpoint should be ejected, if at all. Its rates are compared
- * with the pool's median, so that a fault shared by all ejects no endpoint.
+ * with the median of the others, so that a shared fault ejects no endpoint.
  *
  * @example
  * const reason = ejectionReason(endpoint, pool);
@@ -82,19 +82,19 @@
   if (stats.samples < MIN_SLOW_SAMPLES) {
     return undefined;
   }
-  const medianSlowness = median(
+  const medianLatencyRatio = median(
     others.map(other => other.health.stats.slowness),
   );
-  const slownessLimit = Math.max(
-    MIN_SLOWNESS,
-    SLOWNESS_FACTOR * medianSlowness,
+  const latencyRatioLimit = Math.max(
+    MIN_LATENCY_RATIO,
+    LATENCY_RATIO_FACTOR * medianLatencyRatio,
   );
-  return stats.slowness > slownessLimit ? 'slow' : undefined;
+  return stats.slowness > latencyRatioLimit ? 'slow' : undefined;
 }
 
 /**
- * Returns false when ejecting would leave too few endpoints or overload them:
- * one that sometimes fails serves more requests than overloaded others would.
+ * Returns false when ejecting would leave too few endpoints or overload them.
+ * An endpoint that sometimes fails serves more requests than overloaded ones.
  */
 function mayEject(
   endpoint: MonitoredEndpoint,
--- a/packages/routing/src/endpointPool.ts
+++ b/packages/routing/src/endpointPool.ts
@@ -18,7 +18,7 @@
   setEndpoints(endpoints: readonly Candidate[]): void;
   setEntries(entries: readonly string[]): void;
   markLeaving(endpoint: string): void;
-  /** Clears the mark and old state; the next list adds the endpoint anew. */
+  /** Removes a leaving endpoint with its mark; the next list adds it anew. */
   markReturned(endpoint: string): void;
   get(endpoint: string): PooledEndpoint | undefined;
   /** Endpoints assigned to this entry for one version of a service. */
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -10,12 +10,12 @@
   /** Whether a request should be sent now to probe for recovery. */
   needsProbe(): boolean;
   noteSent(): void;
-  /** Records a result; `slowness` is the actual over the expected latency. */
-  noteOutcome(outcome: AttemptResult['outcome'], slowness: number): void;
+  /** Records a result with the ratio of actual to expected latency. */
+  noteOutcome(outcome: AttemptResult['outcome'], latencyRatio: number): void;
   /** Records that the endpoint answered a load poll. */
   noteReport(): void;
   eject(): void;
-  /** Probes because its failure domain looks lost; one success ends it. */
+  /** Probes because its failure domain looks lost; one success ends probing. */
   requireProbe(): void;
   markLeaving(): void;
   readonly stats: HealthStats;
@@ -35,8 +35,8 @@
 
 /** Weight of the newest sample in the moving averages. */
 const SMOOTHING_FACTOR = 0.1;
-/** Upper bound of a sample, so that one late response cannot dominate. */
-const MAX_SLOWNESS_SAMPLE = 20;
+/** Bounds a latency ratio, so that one late response cannot dominate. */
+const MAX_LATENCY_RATIO_SAMPLE = 20;
 const BASE_EJECTION_MS = 1500;
 const MAX_EJECTION_MS = 45_000;
 /** Consecutive successes that end probing. */
@@ -54,7 +54,7 @@
 export function createHealth(options: {
   readonly clock: Clock;
   readonly random: Random;
-  /** For plain services: their calls must not probe, so a report ends it. */
+  /** For plain services, whose calls must not probe: a report ends probing. */
   readonly recoversOnReport: boolean;
 }): Health {
   const {clock, random, recoversOnReport} = options;
@@ -91,7 +91,7 @@
       MAX_EJECTION_MS,
       BASE_EJECTION_MS * 2 ** consecutiveEjections,
     );
-    // Entries eject at the same time; jitter keeps them from probing at once.
+    // Jitter keeps entries that eject at the same time from probing at once.
     ejectedUntilMs = clock.now() + durationMs * (0.75 + random.next() / 2);
     consecutiveEjections += 1;
     stats = initialStats();
@@ -103,12 +103,12 @@
     stats = initialStats();
   }
 
-  function noteSuccess(slowness: number) {
+  function noteSuccess(latencyRatio: number) {
     successesInRow += 1;
     stats.failuresInRow = 0;
     stats.unreachableInRow = 0;
     stats.failureRate *= 1 - SMOOTHING_FACTOR;
-    const sample = Math.min(slowness, MAX_SLOWNESS_SAMPLE);
+    const sample = Math.min(latencyRatio, MAX_LATENCY_RATIO_SAMPLE);
     stats.slowness += (sample - stats.slowness) * SMOOTHING_FACTOR;
     if (successesInRow >= BACKOFF_RESET_SUCCESSES) {
       consecutiveEjections = 0;
@@ -130,7 +130,7 @@
 
   const handlers: Record<
     AttemptResult['outcome'],
-    ((slowness: number) => void) | undefined
+    ((latencyRatio: number) => void) | undefined
   > = {
     ok: noteSuccess,
     failed: () => noteFailure(false),
@@ -162,12 +162,12 @@
     noteSent() {
       probesInFlight += 1;
     },
-    noteOutcome(outcome, slowness) {
+    noteOutcome(outcome, latencyRatio) {
       probesInFlight = Math.max(0, probesInFlight - 1);
       const handler = handlers[outcome];
       if (handler !== undefined) {
         stats.samples += 1;
-        handler(slowness);
+        handler(latencyRatio);
       }
     },
     noteReport() {
--- a/packages/routing/src/loadView.ts
+++ b/packages/routing/src/loadView.ts
@@ -58,17 +58,17 @@
 const FRESH_REPORT_MS = 2500;
 const STALE_REPORT_HALF_LIFE_MS = 2500;
 const DEFAULT_SLOTS = 8;
-/** Lifetime of an entry's reported load: four of its messages. */
+/** Lifetime of an entry's reported load: four report intervals. */
 const ENTRY_LOAD_TTL_MS = 1_200;
-/** Silence of all entries after which the endpoint's reports are used. */
+/** Time without entries' reports until the endpoint's reports are used. */
 const ENTRY_REPORTS_TIMEOUT_MS = 2_500;
 
 /**
  * Creates a view of an endpoint with no load.
  *
  * A delayed report still counts requests of this entry that have ended and
- * lacks those just sent. So its figures for other entries are retained, and the
- * exact load of this entry replaces its own part. Otherwise all requests within
+ * lacks those just sent. So its count for other entries is retained, and its
+ * count for this entry is replaced by the exact load. Otherwise all requests in
  * one report interval would go to the endpoint that last looked idle.
  *
  * @example
@@ -84,7 +84,7 @@
   let otherPendingTokens = 0;
   let reportedMs = Number.NEGATIVE_INFINITY;
   let lastSequence = -1;
-  const entries = new Map<string, {load: EntryLoad; atMs: number}>();
+  const loadsByEntry = new Map<string, {load: EntryLoad; atMs: number}>();
   let lastEntryReportMs = Number.NEGATIVE_INFINITY;
 
   function recordOwnCount() {
@@ -98,11 +98,11 @@
   function ownCountAt(agoMs: number): number {
     const atMs = clock.now() - agoMs;
     let count = 0;
-    for (const entry of history) {
-      if (entry.atMs > atMs) {
+    for (const historySample of history) {
+      if (historySample.atMs > atMs) {
         break;
       }
-      count = entry.count;
+      count = historySample.count;
     }
     return count;
   }
@@ -129,7 +129,7 @@
   function sumEntryLoads(): EntryLoad {
     const oldestMs = clock.now() - ENTRY_LOAD_TTL_MS;
     return sumLoads(
-      [...entries.values()]
+      [...loadsByEntry.values()]
         .filter(({atMs}) => atMs >= oldestMs)
         .map(({load}) => load),
     );
@@ -174,10 +174,10 @@
     reportEntryLoad(entry, load) {
       lastEntryReportMs = clock.now();
       if (load === undefined) {
-        entries.delete(entry);
+        loadsByEntry.delete(entry);
         return;
       }
-      entries.set(entry, {load, atMs: clock.now()});
+      loadsByEntry.set(entry, {load, atMs: clock.now()});
     },
     ownLoad,
     estimate() {
--- a/packages/routing/src/popularity.ts
+++ b/packages/routing/src/popularity.ts
@@ -5,16 +5,16 @@
   noteRequest(blocks: readonly string[]): void;
   /**
    * Returns the number of leading blocks that are shared: their share of the
-   * traffic exceeds an even share of one of `endpoints` endpoints.
+   * traffic exceeds the even share of one endpoint.
    */
-  countSharedBlocks(blocks: readonly string[], endpoints: number): number;
+  countSharedBlocks(blocks: readonly string[], endpointCount: number): number;
 }
 
 /** Requests per window; the previous window is counted as well. */
 const WINDOW_REQUESTS = 256;
 /** Counts only one block in this many, to keep decisions cheap. */
 const BLOCK_STRIDE = 4;
-/** Requests with a prefix below which it is not considered shared. */
+/** Minimum number of requests with a prefix that counts as shared. */
 const MIN_PREFIX_REQUESTS = 4;
 /** Standard deviations subtracted from a count to exclude chance. */
 const CONFIDENCE_DEVIATIONS = 1.5;
@@ -22,12 +22,12 @@
 const SHARED_FACTOR = 1;
 
 /**
- * Creates an empty count.
+ * Creates a detector that has counted no requests.
  *
  * A system prompt starts every request: placing requests by it would send all
  * to one endpoint. Ignoring every shared prefix would scatter long histories
  * that several callers use and recompute them everywhere. The share of the
- * traffic distinguishes the two.
+ * traffic distinguishes these cases.
  *
  * @example
  * const popularity = createPrefixPopularity();
@@ -63,8 +63,8 @@
         current.set(block, (current.get(block) ?? 0) + 1);
       }
     },
-    countSharedBlocks(blocks, endpoints) {
-      const limit = SHARED_FACTOR / Math.max(1, endpoints);
+    countSharedBlocks(blocks, endpointCount) {
+      const limit = SHARED_FACTOR / Math.max(1, endpointCount);
       let low = 0;
       let high = Math.ceil(blocks.length / BLOCK_STRIDE);
       // Binary search: the longer a prefix, the smaller its share of the
--- a/packages/routing/src/rateLimits.ts
+++ b/packages/routing/src/rateLimits.ts
@@ -4,7 +4,7 @@
  *
  * Limits are small compared with the number of entries, so a limit of n
  * requests per second is split among n entries only. Rendezvous hashing chooses
- * the same ones at every entry; the others send nothing there.
+ * the same n at every entry; the other entries send the endpoint nothing.
  */
 import {
   rendezvousOrder,
@@ -28,11 +28,11 @@
   noteLimit(endpoint: string, perSecond: number | undefined): void;
   /** Merges the reports of another entry. */
   mergeReports(reports: RateLimitReports): void;
-  /** Limits set in responses to this entry, unless others have newer ones. */
+  /** Limits in responses to this entry, unless another entry has newer ones. */
   ownReports(): RateLimitReports;
   /** Ids of the entries that serve; this one has no share unless included. */
   setEntries(entries: readonly string[]): void;
-  /** Drops the limits of all other endpoints. */
+  /** Drops the limits of endpoints that are not in the set. */
   retainEndpoints(endpoints: ReadonlySet<string>): void;
   /** Whether a request may be sent to the endpoint now. */
   allowsRequest(endpoint: string): boolean;
@@ -67,7 +67,7 @@
 /** Relative change of a limit above which it is logged. */
 const MIN_LOGGED_CHANGE = 0.2;
 
-/** Milliseconds for which a removal is gossiped: several digests. */
+/** Milliseconds for which a removal is gossiped, in several digests. */
 const REMOVAL_GOSSIP_MS = 10_000;
 
 /** Requests per second that probe whether a limit of zero still holds. */
--- a/packages/routing/src/routeCosts.ts
+++ b/packages/routing/src/routeCosts.ts
@@ -4,17 +4,17 @@
 /** Weights of the cost model; see docs/DECISIONS/routing.md. */
 export interface RouteWeights {
   /**
-   * Expected time of a shareable token that seems uncached, relative to one
-   * that surely is; 1 when absent.
+   * Share of the shareable, apparently uncached tokens that are expected to be
+   * computed; 1 when absent.
    */
   readonly recomputedTokenShare?: number;
-  /** Weight of an uncached token's compute time: it delays others too. */
+  /** Weight of an uncached token's time, which delays other requests too. */
   readonly uncachedTokenWeight: number;
-  /** The same for tokens of a shared prefix: later requests reuse them. */
+  /** Weight for tokens of a shared prefix, which later requests reuse. */
   readonly uncachedSharedTokenWeight: number;
   /** Milliseconds per request at the endpoint: each slows every step. */
   readonly perRequestMs: number;
-  /** Milliseconds per prompt token there: every step attends to all. */
+  /** Milliseconds per prompt token at the endpoint: steps attend to all. */
   readonly perContextTokenMs: number;
   /** Initial estimate of the milliseconds to compute a prompt token. */
   readonly initialMsPerToken: number;
@@ -58,7 +58,7 @@
     sharedTokens: number,
     affinity: number,
   ): number;
-  /** Learns from the time to the first token, by tokens computed. */
+  /** Learns the time per token from the time to the first token. */
   observeFirstToken(tokens: number, tookMs: number): void;
   /** Learns from the total duration of a request at the endpoint. */
   observeDuration(tookMs: number): void;
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -26,7 +26,7 @@
   /** Whether an attempt is this entry's; by id prefix when absent. */
   readonly isOwn?: (attempt: string) => boolean;
   readonly weights?: Partial<RouteWeights>;
-  /** Weights that override the others for one service; read at each choice. */
+  /** Overrides of `weights` for one service; read at each choice. */
   weightsOf?(service: string): Partial<RouteWeights> | undefined;
   /** Rate limits set by endpoints; none when absent. */
   readonly rateLimits?: Pick<
@@ -37,17 +37,17 @@
   readonly blockTokens?: number;
 }
 
-/** Share of requests used as probes: short and long prompts. */
+/** Probability that a request is used as a probe, if short and if long. */
 const PROBE_SHARE = 0.3;
 const LONG_PROBE_SHARE = 0.03;
-/** Uncached prompt tokens above which a request is a costly probe. */
+/** Uncached prompt tokens above which a request counts as long. */
 const LONG_PROBE_TOKENS = 512;
-/** Lower bound of expected latency; below it slowness is not measurable. */
+/** Lower bound of expected latency; latency ratios need a longer one. */
 const MIN_EXPECTED_LATENCY_MS = 40;
 const PERCENT = 100;
-/** Milliseconds to wait when only other entries share the rate limit. */
+/** Milliseconds to wait when this entry has no share of the rate limit. */
 const NO_SHARE_RETRY_MS = 300;
-/** Urgency of a request without one, in the middle of ten. */
+/** Urgency of a request that sets none: the middle of 0 to 9. */
 const DEFAULT_URGENCY = 5;
 
 /** Preferred placement of a prompt's prefix. */
@@ -265,7 +265,7 @@
     }
   }
 
-  /** Expected tokens to compute; shareable ones mostly are cached after all. */
+  /** Tokens to compute; most shareable ones that seem uncached are cached. */
   function expectedPendingTokens(
     routingRequest: RoutingRequest,
     uncached: number,
@@ -309,9 +309,9 @@
       if (result.cachedTokens !== undefined) {
         cache.noteCachedTokens(routingRequest.blocks, result.cachedTokens);
       }
-      const slowness =
+      const latencyRatio =
         result.latencyMs / Math.max(MIN_EXPECTED_LATENCY_MS, expectedMs);
-      health.noteOutcome(result.outcome, slowness);
+      health.noteOutcome(result.outcome, latencyRatio);
       if (result.outcome === 'ok') {
         costs.observeDuration(clock.now() - startMs);
         costs.observeFirstToken(
--- a/packages/routing/src/subset.ts
+++ b/packages/routing/src/subset.ts
@@ -21,12 +21,15 @@
  * @example
  * entriesPerEndpoint(4800, 1700); // 17
  */
-export function entriesPerEndpoint(endpoints: number, entries: number): number {
-  if (endpoints <= SUBSET_SIZE) {
-    return entries;
+export function entriesPerEndpoint(
+  endpointCount: number,
+  entryCount: number,
+): number {
+  if (endpointCount <= SUBSET_SIZE) {
+    return entryCount;
   }
-  const needed = Math.ceil((SUBSET_SIZE * entries) / endpoints);
-  return Math.min(entries, Math.max(MIN_ENTRIES_PER_ENDPOINT, needed));
+  const needed = Math.ceil((SUBSET_SIZE * entryCount) / endpointCount);
+  return Math.min(entryCount, Math.max(MIN_ENTRIES_PER_ENDPOINT, needed));
 }
 
 /**
--- a/packages/routing/src/test/crashQuarantine.test.ts
+++ b/packages/routing/src/test/crashQuarantine.test.ts
@@ -10,7 +10,7 @@
 import type {CrashReport} from '../crashEvidence.js';
 
 const REQUEST = 'f00d';
-const CONFIRM_MS = 300;
+const CONFIRMATION_DELAY_MS = 300;
 
 function createEntry(self = 'a1', clock = virtualClock()) {
   const crashQuarantine = createCrashQuarantine({
@@ -78,9 +78,9 @@
   it('are not suspected if the endpoint answers a later request', () => {
     const {crashQuarantine, clock, verdict} = createEntry();
     crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
-    clock.advanceSync(CONFIRM_MS / 2);
+    clock.advanceSync(CONFIRMATION_DELAY_MS / 2);
     crashQuarantine.noteResponse('e1', clock.now());
-    clock.advanceSync(CONFIRM_MS);
+    clock.advanceSync(CONFIRMATION_DELAY_MS);
     assert.equal(verdict(), 'clear');
     assert.deepEqual(crashQuarantine.reportToStore().crashes, []);
   });
@@ -126,7 +126,7 @@
     crashQuarantine.onDidChange(() => (fired += 1));
     crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
     assert.equal(fired, 0);
-    clock.advanceSync(CONFIRM_MS);
+    clock.advanceSync(CONFIRMATION_DELAY_MS);
     assert.equal(fired, 1);
     assert.equal(crashQuarantine.reportToStore().crashes.length, 1);
   });
@@ -134,12 +134,12 @@
   it('are gossiped until they are stored, and for a while after that', () => {
     const {crashQuarantine, crash, clock} = createEntry();
     assert.equal(crashQuarantine.reportToGossip(), undefined);
-    crash(['e1'], CONFIRM_MS);
+    crash(['e1'], CONFIRMATION_DELAY_MS);
     clock.advanceSync(60_000);
     assert.equal(crashQuarantine.reportToGossip()?.crashes.length, 1);
     crashQuarantine.noteStored(crashQuarantine.reportToStore());
     assert.equal(crashQuarantine.reportToGossip(), undefined);
-    crash(['e2'], CONFIRM_MS);
+    crash(['e2'], CONFIRMATION_DELAY_MS);
     crashQuarantine.noteStored(crashQuarantine.reportToStore());
     assert.equal(crashQuarantine.reportToGossip()?.crashes.length, 1);
     clock.advanceSync(1_500);
@@ -252,7 +252,7 @@
     const {crash, crashQuarantine, verdict} = createEntry();
     crash(['e1', 'e2', 'e3'], 1_100);
     for (let index = 0; index < 1_000; index++) {
-      crash([`x${index}`], CONFIRM_MS, `generated ${index}`);
+      crash([`x${index}`], CONFIRMATION_DELAY_MS, `generated ${index}`);
     }
     assert.ok(crashQuarantine.reportToStore().crashes.length <= 100);
     assert.equal(verdict(), 'quarantined');
--- a/packages/routing/src/test/popularity.test.ts
+++ b/packages/routing/src/test/popularity.test.ts
@@ -11,8 +11,8 @@
 
   it('finds the end of the prefix that all requests share', () => {
     const popularity = createPrefixPopularity();
-    for (let request = 0; request < 100; request++) {
-      popularity.noteRequest([...system, ...blocks(`own${request}-`, 40)]);
+    for (let index = 0; index < 100; index++) {
+      popularity.noteRequest([...system, ...blocks(`own${index}-`, 40)]);
     }
     const next = [...system, ...blocks('new', 40)];
     assert.equal(popularity.countSharedBlocks(next, 8), system.length);
@@ -21,11 +21,9 @@
   it('does not count a history as shared that one endpoint can serve', () => {
     const popularity = createPrefixPopularity();
     const history = [...system, ...blocks('crew', 200)];
-    for (let request = 0; request < 100; request++) {
-      const isHistory = request % 20 === 0;
-      popularity.noteRequest(
-        isHistory ? history : [...system, `own${request}`],
-      );
+    for (let index = 0; index < 100; index++) {
+      const isHistory = index % 20 === 0;
+      popularity.noteRequest(isHistory ? history : [...system, `own${index}`]);
     }
     assert.equal(popularity.countSharedBlocks(history, 8), system.length);
   });
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -9,7 +9,7 @@
 
 const WINDOW_SECONDS = 4;
 const STEP_MS = 20;
-const DIGEST_MS = 300;
+const DIGEST_INTERVAL_MS = 300;
 const ENDPOINT = 'i-1@7';
 
 /** Creates entries that send requests to one rate-limited endpoint. */
@@ -26,10 +26,10 @@
 
   function exchangeDigests(): void {
     const digests = entries.map(entry => entry.ownReports());
-    entries.forEach((to, index) =>
+    entries.forEach((receiver, index) =>
       digests
-        .filter((_, from) => from !== index)
-        .forEach(reports => to.mergeReports(reports)),
+        .filter((_, senderIndex) => senderIndex !== index)
+        .forEach(reports => receiver.mergeReports(reports)),
     );
   }
 
@@ -47,8 +47,8 @@
     entries,
     /** Sends all allowed requests to an endpoint that sets this limit. */
     sendAllowed(seconds: number, limit: number | undefined): void {
-      for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
-        if (at % DIGEST_MS === 0) {
+      for (let atMs = 0; atMs < seconds * 1_000; atMs += STEP_MS) {
+        if (atMs % DIGEST_INTERVAL_MS === 0) {
           exchangeDigests();
         }
         sent.push(
@@ -60,8 +60,10 @@
     /** Maximum per window and total of the requests in the last seconds. */
     countSent(seconds: number): {maxInWindow: number; total: number} {
       const recent = sent.slice((-seconds * 1_000) / STEP_MS);
-      const length = (WINDOW_SECONDS * 1_000) / STEP_MS;
-      const sums = recent.map((_, at) => sum(recent.slice(at, at + length)));
+      const windowSteps = (WINDOW_SECONDS * 1_000) / STEP_MS;
+      const sums = recent.map((_, start) =>
+        sum(recent.slice(start, start + windowSteps)),
+      );
       return {maxInWindow: Math.max(...sums), total: sum(recent)};
     },
   };
@@ -85,8 +87,12 @@
           maxInWindow <= allowed,
           `${count}, ${limit}: ${maxInWindow} of ${allowed}`,
         );
-        const least = 0.8 * Math.min(limit, count / (STEP_MS / 1_000)) * 11 - 2;
-        assert.ok(total >= least, `${count}, ${limit}: ${total} of ${least}`);
+        const minTotal =
+          0.8 * Math.min(limit, count / (STEP_MS / 1_000)) * 11 - 2;
+        assert.ok(
+          total >= minTotal,
+          `${count}, ${limit}: ${total} of ${minTotal}`,
+        );
       }
     }
   });
