--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -14,7 +14,7 @@
 }
 
 export interface Confirmation {
-  /** Confirms that the replica was current; ignored if older than the last. */
+  /** Confirms that the replica was current then; ignored if before the last. */
   confirm(timestamp: Timestamp): void;
   /** Milliseconds since the last confirmation; Infinity before the first. */
   ageMs(): number;
@@ -53,7 +53,7 @@
  * Creates a confirmation of infinite age.
  *
  * The age is the larger one of both clocks: the monotonic clock stops while a
- * host is suspended, so a stale replica would look fresh by it.
+ * host is suspended, so by it alone a stale replica would look fresh.
  *
  * @example
  * const confirmation = createConfirmation(clock);
--- a/packages/traffic/src/contracts.ts
+++ b/packages/traffic/src/contracts.ts
@@ -42,7 +42,7 @@
   readonly most: number;
   /** Time from an order to the first request served, in milliseconds. */
   readonly bootMs: number;
-  /** Price relative to on-demand; undefined if none are reclaimable. */
+  /** Relative price of reclaimable endpoints; undefined if none are allowed. */
   readonly reclaimablePrice: number | undefined;
   /** Price of an on-demand endpoint by failure domain. */
   readonly prices: Readonly<Record<string, number>>;
@@ -130,7 +130,7 @@
 export interface Rollout {
   readonly service: string;
   readonly target: string;
-  /** Time from the request to its deadline, in milliseconds. */
+  /** Time from the operator's request to its deadline, in milliseconds. */
   readonly periodMs: number;
   /** State last written by the system; undefined before the first write. */
   readonly state: RolloutState | undefined;
--- a/packages/traffic/src/demandEstimator.ts
+++ b/packages/traffic/src/demandEstimator.ts
@@ -2,13 +2,13 @@
  * Number of endpoints that a service needs for bursty work.
  *
  * An endpoint takes seconds to start and is paid for from then on. Following
- * each burst would order endpoints that are ready when it is over, and release
- * those that the next one needs. So the need rises with the work at once and
- * falls only after the work has been lower for a while.
+ * each burst would order endpoints that are ready only after the burst, and
+ * release those that the next burst needs. So the need rises with the work at
+ * once and falls only after the work has been lower for a while.
  *
  * The estimated engine speed may be wrong, which shows in late requests. While
- * many are late, more endpoints are needed than are present, whatever the work
- * rate, and none is released until requests have been on time for a while.
+ * many requests are late, more endpoints are needed than are present, whatever
+ * the work rate, and none is released until requests are on time for a while.
  */
 import type {Clock} from '@skylarkfield/base';
 import type {TargetUtilization} from '@skylarkfield/capacity';
@@ -24,7 +24,7 @@
   readonly present: number;
   /** Fraction of recent requests that were late. */
   readonly latePart: number;
-  /** Whether the engine estimate is good enough to release endpoints by it. */
+  /** Whether the engine estimate is good enough to base releases on it. */
   readonly isSure: boolean;
 }
 
@@ -33,12 +33,12 @@
   update(signals: DemandSignals): EndpointNeed;
 }
 
-/** Window of the maximum need in ms, longer than the lulls between bursts. */
+/** Window of the maximum need in ms, longer than the pauses between bursts. */
 const SCALE_DOWN_WINDOW_MS = 8_000;
 
 /**
- * Fraction of the endpoints found at the start that is kept until work was
- * seen: operators size the initial fleet for the busiest hour.
+ * Fraction of the endpoints found at the start that is kept until work
+ * arrives: operators size the initial fleet for the busiest hour.
  */
 const INITIAL_FRACTION = 0.6;
 
@@ -48,7 +48,7 @@
  */
 const WARMUP_MS = 8_000;
 
-/** Lower rates, in ms of one endpoint per second, are from stray requests. */
+/** Rate above that of stray requests, in ms of one endpoint per second. */
 const MIN_WORK_RATE = 50;
 
 /** Fraction of late requests from which on there are too few endpoints. */
--- a/packages/traffic/src/engineWork.ts
+++ b/packages/traffic/src/engineWork.ts
@@ -5,7 +5,6 @@
 const PAIRS_PER_UNIT = 1e6;
 const CONTEXT_TOKENS_PER_UNIT = 1e3;
 
-/** Zero work. */
 export const ZERO_WORK: WorkRate = {
   ownTokens: 0,
   pairs: 0,
@@ -56,7 +55,7 @@
 }
 
 /**
- * Returns the work of an answer. Counted when the answer has ended: the
+ * Returns the work of an answer. Recorded when the answer has ended: the
  * declared maximum is far above the actual length. The fixed cost of a step is
  * left out: all requests of a batch share it.
  *
--- a/packages/traffic/src/fleetPlan.ts
+++ b/packages/traffic/src/fleetPlan.ts
@@ -1,13 +1,13 @@
 /**
  * Number of endpoints of a service in each failure domain and market.
  *
- * Reclaimable endpoints cost a fraction, but a whole failure domain of them is
- * reclaimed at once with seconds of notice, and then none may be available for
- * a while. So the plan has a base of on-demand endpoints and spreads
- * reclaimable ones so that the loss of any one failure domain leaves the brief
- * need until replacements have started. While none are available, on-demand
- * endpoints fill up to the brief need only: the remainder is not worth their
- * price.
+ * Reclaimable endpoints cost a fraction of on-demand ones, but a whole failure
+ * domain of them is reclaimed at once with seconds of notice, and then none may
+ * be available for a while. So the plan has a base of on-demand endpoints and
+ * spreads reclaimable ones so that the loss of any failure domain leaves enough
+ * for the brief need until replacements have started. While no reclaimable ones
+ * are available, on-demand endpoints cover the brief need only: covering the
+ * usual need is not worth their price.
  */
 import type {FleetConfig} from './contracts.js';
 
--- a/packages/traffic/src/promptKeys.ts
+++ b/packages/traffic/src/promptKeys.ts
@@ -10,7 +10,7 @@
 /**
  * Returns the keys of the shared parts in order; a prefix of the prompt is a
  * prefix of the keys. The last part is not shared with other requests, so keys
- * for it would only evict those that are reused.
+ * for that part would only evict keys that are reused.
  *
  * @example
  * const keys = promptKeys([{id: '5c1e', tokens: 512}, {id: '91bd', tokens: 70}]);
--- a/packages/traffic/src/quotaWindow.ts
+++ b/packages/traffic/src/quotaWindow.ts
@@ -17,7 +17,7 @@
   scale(factor: number): void;
 }
 
-/** Weights of usage outside this entry, 0 to 1. */
+/** Weights of the usage sources other than `own`, 0 to 1. */
 export interface UsageWeights {
   readonly others: number;
   readonly before: number;
@@ -42,7 +42,7 @@
   readonly initial: number;
 }): QuotaWindow {
   const slotMs = options.windowMs / SLOTS_PER_WINDOW;
-  // One more than the window, since the newest slot is incomplete.
+  // One more than the window has, since the newest slot is incomplete.
   const slotCount = SLOTS_PER_WINDOW + 1;
   const slots: Record<UsageSource, number[]> = {
     own: new Array<number>(slotCount).fill(0),
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -15,7 +15,7 @@
   type UsageWeights,
 } from './quotaWindow.js';
 
-/** Usage by customer; that of an entry counts from the start of its process. */
+/** Usage by customer, counted from the start of the entry's process. */
 export type UsageByCustomer = Readonly<Record<string, number>>;
 
 export interface Quotas {
@@ -52,9 +52,9 @@
   readonly window: QuotaWindow;
   /** Allowance per window under the quota last seen. */
   allowance: number;
-  /** End of the announced retries, in monotonic milliseconds. */
-  retriesAnnouncedUntil: number;
-  /** Time of the last log line about its usage, in monotonic milliseconds. */
+  /** Latest time announced for a retry, in monotonic milliseconds. */
+  latestRetryAt: number;
+  /** Time of the last log line on usage, in monotonic milliseconds. */
   loggedAt: number;
 }
 
@@ -65,7 +65,7 @@
 
 /**
  * Lower bound of the time between the last request that a process admits and
- * the first of its successor, in milliseconds.
+ * the first that it admits after a restart, in milliseconds.
  */
 const MIN_RESTART_MS = 1_000;
 
@@ -114,7 +114,7 @@
   /**
    * Creates an account without knowledge of what was granted before the start.
    * At worst the customer has just overdrawn its burst, so the bucket starts
-   * with the refill of one restart and gets no more until that is repaid.
+   * with the refill of one restart and gets no more until both are repaid.
    */
   function createAccount(quota: Quota): Account {
     const now = clock.now();
@@ -132,7 +132,7 @@
         initial: allowance - quota.burst,
       }),
       allowance,
-      retriesAnnouncedUntil: 0,
+      latestRetryAt: 0,
       loggedAt: now,
     };
   }
@@ -155,7 +155,7 @@
     account.refilledAt = Math.max(now, account.refilledAt);
     const allowance = windowAllowance(quota);
     if (allowance < account.allowance) {
-      // Else usage under a higher quota would block the customer for a window.
+      // Usage under a higher quota would block the customer for a window.
       account.window.scale(allowance / account.allowance);
     }
     account.allowance = allowance;
@@ -198,7 +198,7 @@
     }
   }
 
-  /** Subtracts the refill of lost peers' share, which they may have granted. */
+  /** Subtracts the refill of a share that lost peers may also have granted. */
   function undoRefill(refilledMs: number): void {
     for (const account of accounts.values()) {
       account.level -= (account.allowance / windowMs) * refilledMs;
@@ -212,7 +212,7 @@
       }
       const account = currentAccount(name, quota);
       logUsage(name, account);
-      // Compared with the level, large amounts would starve at the limit.
+      // If amounts had to fit into the level, large ones would starve.
       const isExhausted =
         account.level <= 0 ||
         windowUsage(account) >= account.allowance * grantedFraction;
@@ -243,12 +243,9 @@
           account.allowance * grantedFraction,
         ),
       );
-      // Staggered, since requests that return together would be rejected again.
-      const availableAt = Math.max(
-        now + availableInMs,
-        account.retriesAnnouncedUntil,
-      );
-      account.retriesAnnouncedUntil = Math.min(
+      // Staggered, since requests retried together would be rejected again.
+      const availableAt = Math.max(now + availableInMs, account.latestRetryAt);
+      account.latestRetryAt = Math.min(
         now + MAX_RETRY_AFTER_MS,
         availableAt + amount / rate,
       );
--- a/packages/traffic/src/test/fleet.test.ts
+++ b/packages/traffic/src/test/fleet.test.ts
@@ -106,7 +106,7 @@
 function signalsOf(
   workRate: number,
   present: number,
-  other: Partial<DemandSignals> = {},
+  overrides: Partial<DemandSignals> = {},
 ): DemandSignals {
   return {
     workRate,
@@ -114,12 +114,12 @@
     use: UTILIZATION,
     latePart: 0,
     isSure: true,
-    ...other,
+    ...overrides,
   };
 }
 
-function usualNeed(demand: DemandEstimator, now: DemandSignals): number {
-  return demand.update(now).usual;
+function usualNeed(demand: DemandEstimator, signals: DemandSignals): number {
+  return demand.update(signals).usual;
 }
 
 describe('fleet demand', () => {
@@ -157,10 +157,10 @@
     const demand = createDemandEstimator(clock);
     demand.update(signalsOf(100, 1));
     clock.advanceSync(20_000);
-    const high = usualNeed(demand, signalsOf(3_000, 1));
-    assert.equal(high, endpointsNeeded(3_000, UTILIZATION.usual));
+    const highNeed = usualNeed(demand, signalsOf(3_000, 1));
+    assert.equal(highNeed, endpointsNeeded(3_000, UTILIZATION.usual));
     clock.advanceSync(4_000);
-    assert.equal(usualNeed(demand, signalsOf(400, 8)), high);
+    assert.equal(usualNeed(demand, signalsOf(400, 8)), highNeed);
     clock.advanceSync(5_000);
     assert.equal(
       usualNeed(demand, signalsOf(400, 8)),
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -7,14 +7,14 @@
 const PER_SECOND = 1_000;
 const BURST = 1_000;
 const STEP_MS = 10;
-const EXCHANGE_INTERVAL_MS = 300;
+const USAGE_EXCHANGE_INTERVAL_MS = 300;
 const WINDOW_SECONDS = 8;
 const SLICES_PER_SECOND = 10;
 
 /** Sustained throughput of a quota relative to its rate. */
 const SUSTAINED_FACTOR = 1 + BURST / PER_SECOND / WINDOW_SECONDS;
 
-/** Factor by which a window may exceed the quota: reports are delayed. */
+/** Factor by which a window may exceed the quota: usage reports are late. */
 const MAX_OVERSHOOT = 1.1;
 
 const customer: CustomerConfig = {
@@ -25,7 +25,7 @@
 };
 
 /** Consumes an amount at every entry and step; returns the total granted. */
-function takeRepeatedly(
+function consumeRepeatedly(
   clock: ReturnType<typeof virtualClock>,
   entries: readonly Quotas[],
   options: {
@@ -35,13 +35,13 @@
   },
 ): number {
   let granted = 0;
-  for (let at = 0; at < options.spanMs; at += STEP_MS) {
+  for (let atMs = 0; atMs < options.spanMs; atMs += STEP_MS) {
     for (const entry of entries) {
       if (entry.tryConsume(customer, options.amount)) {
         granted += options.amount;
       }
     }
-    if (options.exchangesUsage && at % EXCHANGE_INTERVAL_MS === 0) {
+    if (options.exchangesUsage && atMs % USAGE_EXCHANGE_INTERVAL_MS === 0) {
       exchangeUsage(entries);
     }
     clock.advanceSync(STEP_MS);
@@ -66,16 +66,18 @@
     const spanMs = 1_000 / SLICES_PER_SECOND;
     const {amount} = options;
     perSlice.push(
-      takeRepeatedly(clock, entries, {spanMs, amount, exchangesUsage: true}),
+      consumeRepeatedly(clock, entries, {spanMs, amount, exchangesUsage: true}),
     );
   }
-  const length = WINDOW_SECONDS * SLICES_PER_SECOND;
-  const sums = perSlice.map((_, at) => sum(perSlice.slice(at, at + length)));
+  const windowSlices = WINDOW_SECONDS * SLICES_PER_SECOND;
+  const sums = perSlice.map((_, start) =>
+    sum(perSlice.slice(start, start + windowSlices)),
+  );
   return {granted: sum(perSlice), peak: Math.max(...sums)};
 }
 
 /** Time after its start in which an entry and its peers are not connected. */
-const JOIN_MS = 600;
+const JOIN_DELAY_MS = 600;
 
 /** Entries under a flood of many times the quota, which may restart. */
 function floodedFleet(count: number) {
@@ -83,7 +85,7 @@
   const spanMs = 1_000 / SLICES_PER_SECOND;
   const perSlice: number[] = [];
   const processes = Array.from({length: count}, (_, index) =>
-    startProcess(`entry ${index}`, -JOIN_MS),
+    startProcess(`entry ${index}`, -JOIN_DELAY_MS),
   );
 
   function startProcess(name: string, startedAt = clock.now()) {
@@ -93,25 +95,26 @@
     return {name, startedAt, quotas, lastReports};
   }
 
-  function joined(): typeof processes {
+  function joinedProcesses(): typeof processes {
     return processes.filter(
-      ({startedAt}) => clock.now() - startedAt >= JOIN_MS,
+      ({startedAt}) => clock.now() - startedAt >= JOIN_DELAY_MS,
     );
   }
 
   function exchangeDigests(): void {
-    const members = joined();
+    const members = joinedProcesses();
     for (const {quotas, name} of processes) {
       const isJoined = members.some(process => process.name === name);
       quotas.setReportingPeers(1, isJoined ? members.length : 1);
     }
-    for (const from of members) {
-      const used = {...from.quotas.ownUsage()};
-      const isNew = clock.now() - from.startedAt < WINDOW_SECONDS * 1_000;
-      for (const to of members.filter(other => other !== from)) {
-        const before = to.lastReports.get(from.name) ?? (isNew ? {} : used);
-        to.quotas.addPeerUsage(increaseOf(before, used));
-        to.lastReports.set(from.name, used);
+    for (const sender of members) {
+      const used = {...sender.quotas.ownUsage()};
+      const isNew = clock.now() - sender.startedAt < WINDOW_SECONDS * 1_000;
+      for (const receiver of members.filter(other => other !== sender)) {
+        const before =
+          receiver.lastReports.get(sender.name) ?? (isNew ? {} : used);
+        receiver.quotas.addPeerUsage(increaseOf(before, used));
+        receiver.lastReports.set(sender.name, used);
       }
     }
   }
@@ -126,7 +129,7 @@
           exchangeDigests();
         }
         const options = {spanMs, amount, exchangesUsage: false};
-        perSlice.push(takeRepeatedly(clock, entries(), options));
+        perSlice.push(consumeRepeatedly(clock, entries(), options));
       }
     },
     idle(seconds: number): void {
@@ -140,9 +143,11 @@
       }
     },
     peakWindow(): number {
-      const length = WINDOW_SECONDS * SLICES_PER_SECOND;
+      const windowSlices = WINDOW_SECONDS * SLICES_PER_SECOND;
       return Math.max(
-        ...perSlice.map((_, at) => sum(perSlice.slice(at, at + length))),
+        ...perSlice.map((_, start) =>
+          sum(perSlice.slice(start, start + windowSlices)),
+        ),
       );
     },
   };
@@ -156,12 +161,12 @@
 const lastReported = new WeakMap<Quotas, UsageByCustomer>();
 
 function exchangeUsage(entries: readonly Quotas[]): void {
-  for (const from of entries) {
-    const used = {...from.ownUsage()};
-    const increase = increaseOf(lastReported.get(from), used);
-    lastReported.set(from, used);
+  for (const sender of entries) {
+    const used = {...sender.ownUsage()};
+    const increase = increaseOf(lastReported.get(sender), used);
+    lastReported.set(sender, used);
     entries
-      .filter(other => other !== from)
+      .filter(other => other !== sender)
       .forEach(other => other.addPeerUsage(increase));
   }
 }
@@ -210,10 +215,10 @@
     const clock = virtualClock();
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
     let rejected = 0;
-    for (let at = 0; at < 80_000; at += 100) {
+    for (let atMs = 0; atMs < 80_000; atMs += 100) {
       const isGranted = quotas.tryConsume(customer, 108);
       // By then, usage assumed from before the start has left the window.
-      rejected += !isGranted && at > 9_000 ? 1 : 0;
+      rejected += !isGranted && atMs > 9_000 ? 1 : 0;
       clock.advanceSync(100);
     }
     assert.equal(rejected, 0);
@@ -224,12 +229,12 @@
     const clock = virtualClock();
     const entries = Array.from({length: 4}, () => createQuotas(clock));
     entries.forEach(entry => entry.setReportingPeers(0, 4));
-    takeRepeatedly(clock, entries, {
+    consumeRepeatedly(clock, entries, {
       spanMs: 10_000,
       amount: 50,
       exchangesUsage: false,
     });
-    const granted = takeRepeatedly(clock, entries, {
+    const granted = consumeRepeatedly(clock, entries, {
       spanMs: WINDOW_SECONDS * 1_000,
       amount: 50,
       exchangesUsage: false,
@@ -300,7 +305,7 @@
   it('keeps granting after the quota is lowered', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock);
-    takeRepeatedly(clock, [quotas], {
+    consumeRepeatedly(clock, [quotas], {
       spanMs: 20_000,
       amount: 50,
       exchangesUsage: false,
@@ -310,7 +315,7 @@
       quota: {...customer.quota!, perSecond: 250, burst: 250},
     };
     let granted = 0;
-    for (let at = 0; at < 8_000; at += STEP_MS) {
+    for (let atMs = 0; atMs < 8_000; atMs += STEP_MS) {
       granted += quotas.tryConsume(lowered, 50) ? 50 : 0;
       clock.advanceSync(STEP_MS);
     }
@@ -327,7 +332,7 @@
     const random = seededRandom(7);
     const served = {small: 0, large: 0};
     const amounts = {small: 10, large: 300};
-    for (let at = 0; at < 600_000; at += STEP_MS) {
+    for (let atMs = 0; atMs < 600_000; atMs += STEP_MS) {
       const size = random.chance(0.5) ? 'small' : 'large';
       served[size] += quotas.tryConsume(customer, amounts[size]) ? 1 : 0;
       clock.advanceSync(STEP_MS);
@@ -341,9 +346,9 @@
     const clock = virtualClock();
     const quotas = createQuotas(clock);
     while (quotas.tryConsume(customer, 100));
-    const waits = [1, 2, 3].map(() => quotas.retryAfterMs(customer, 500));
+    const waitsMs = [1, 2, 3].map(() => quotas.retryAfterMs(customer, 500));
     assert.deepEqual(
-      waits.map(wait => Math.round(wait - waits[0]!)),
+      waitsMs.map(waitMs => Math.round(waitMs - waitsMs[0]!)),
       [0, 500, 1_000].map(ms => Math.round(ms / SUSTAINED_FACTOR)),
     );
   });
--- a/packages/traffic/src/test/traffic.test.ts
+++ b/packages/traffic/src/test/traffic.test.ts
@@ -74,8 +74,8 @@
     const chosen = Array.from({length: 2_000}, (_, index) =>
       chooseService(services, `request-${index}`),
     );
-    const part = chosen.filter(service => service === 'b').length / 2_000;
-    assert.ok(part > 0.07 && part < 0.13, `${part}`);
+    const fraction = chosen.filter(service => service === 'b').length / 2_000;
+    assert.ok(fraction > 0.07 && fraction < 0.13, `${fraction}`);
     assert.equal(chooseService(services, 'request-1'), chosen[1]);
     assert.equal(chooseService([], 'x'), undefined);
   });
@@ -87,10 +87,10 @@
       {id: 'a', tokens: 512},
       {id: 'b', tokens: 70},
     ];
-    const one = promptKeys([...shared, {id: 'c', tokens: 9_000}]);
-    const two = promptKeys([...shared, {id: 'd', tokens: 40}]);
-    assert.deepEqual(one, two);
-    assert.equal(one.length, 9);
+    const first = promptKeys([...shared, {id: 'c', tokens: 9_000}]);
+    const second = promptKeys([...shared, {id: 'd', tokens: 40}]);
+    assert.deepEqual(first, second);
+    assert.equal(first.length, 9);
     assert.deepEqual(promptKeys([]), []);
   });
 });
@@ -110,7 +110,7 @@
 
   it('includes the time for which a host was suspended', () => {
     // The monotonic clock stops while a host is suspended, here for ten
-    // seconds. A key revoked meanwhile would still be accepted.
+    // seconds. By it alone, a key revoked meanwhile would still be accepted.
     const clock = virtualClock();
     const confirmation = createConfirmation(clock);
     confirmation.confirm(timestampOf(clock));
@@ -151,8 +151,8 @@
   });
 
   it('sums up its failure domain, and ignores lower sums of a restarted relay', () => {
-    // A relay crashes and its successor lacks the counts of some entries so
-    // far. The report would lose counts that the first relay had already sent.
+    // A relay restarts and lacks the counts of some entries at first. Its lower
+    // sums must not replace the sums that it sent before the restart.
     const relay = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     relay.recordRequest('chain', 12_000);
     relay.mergeCounts('b.1', {2: {chain: 3}}, true);
--- a/packages/traffic/src/usageWindows.ts
+++ b/packages/traffic/src/usageWindows.ts
@@ -2,8 +2,8 @@
  * Counts started requests by customer and wall-clock window.
  *
  * Every entry counts its own requests and sends its counts of the last windows
- * to its peers, so that the reporter of a window and its successor have them
- * all.
+ * to its peers, so that the entry that reports a window has all counts, and so
+ * has an entry that takes over from it.
  */
 
 /** Requests by customer. */
@@ -34,8 +34,8 @@
 }
 
 /**
- * Minimum number of windows retained, the newest included: a report may be
- * delayed that long by a platform outage.
+ * Minimum number of windows retained, the newest included: a platform outage
+ * may delay a report by that many windows.
  */
 const MIN_KEPT_WINDOWS = 8;
 /** Windows retained beyond those still reportable, for clock skew. */
@@ -52,7 +52,7 @@
   readonly windowMs: number;
   /** Identifies this process and its incarnation. */
   readonly self: string;
-  /** Time after its end that a window may be reported, in milliseconds. */
+  /** Time after a window's end in which it may be reported, in milliseconds. */
   readonly lateMs?: number;
 }): UsageWindows {
   const {windowMs, self, lateMs = 0} = options;
@@ -79,13 +79,13 @@
     }
   }
 
-  function isOlderThan(newest: number): (window: string) => boolean {
+  function isExpiredAt(newest: number): (window: string) => boolean {
     return window => Number(window) <= newest - keptWindows;
   }
 
   function dropOldSources(newest: number): void {
     for (const [source, counts] of bySource) {
-      if (source !== self && Object.keys(counts).every(isOlderThan(newest))) {
+      if (source !== self && Object.keys(counts).every(isExpiredAt(newest))) {
         bySource.delete(source);
         domainSources.delete(source);
       }
@@ -134,21 +134,21 @@
   };
 }
 
-function addCounts(to: Record<string, number>, from: CustomerCounts): void {
-  for (const [customer, count] of Object.entries(from)) {
-    to[customer] = (to[customer] ?? 0) + count;
+function addCounts(sum: Record<string, number>, counts: CustomerCounts): void {
+  for (const [customer, count] of Object.entries(counts)) {
+    sum[customer] = (sum[customer] ?? 0) + count;
   }
 }
 
 /**
- * Merges counts by their maximum. Counts only grow: a lower one is from a relay
+ * Merges counts by maximum. Counts only grow: a lower count is from a relay
  * that has restarted and not yet received all reports of its group.
  */
 function mergeMaxCounts(
-  to: Record<string, number>,
-  from: CustomerCounts,
+  maxCounts: Record<string, number>,
+  counts: CustomerCounts,
 ): void {
-  for (const [customer, count] of Object.entries(from)) {
-    to[customer] = Math.max(to[customer] ?? 0, count);
+  for (const [customer, count] of Object.entries(counts)) {
+    maxCounts[customer] = Math.max(maxCounts[customer] ?? 0, count);
   }
 }
--- a/packages/traffic/src/workMeter.ts
+++ b/packages/traffic/src/workMeter.ts
@@ -10,9 +10,9 @@
 }
 
 /**
- * Half-life of the exponential decay. Requests arrive in bursts, and a replica
- * takes seconds to start: following each burst would order replicas that are
- * ready when it is over.
+ * Half-life of the exponential decay. Requests arrive in bursts, and endpoints
+ * take seconds to start: following each burst would order endpoints that are
+ * ready only after the burst.
  */
 const HALF_LIFE_MS = 4_000;
 const SECOND_MS = 1_000;
@@ -23,7 +23,7 @@
 }
 
 /**
- * Creates a meter at zero. It counts tokens, not their time: the estimate of
+ * Creates a meter at zero. It counts tokens, not engine time: the estimate of
  * engine speed may change after the work has arrived.
  *
  * @example
