--- a/packages/capacity/src/contracts.ts
+++ b/packages/capacity/src/contracts.ts
@@ -62,9 +62,9 @@
 export interface EngineEstimate {
   /** Milliseconds per prompt token, without attention to earlier tokens. */
   readonly promptTokenMs: number;
-  /** Milliseconds per million pairs of a prompt token with one before it. */
+  /** Milliseconds per million pairs of a prompt token and an earlier token. */
   readonly pairsMs: number;
-  /** Milliseconds per shared token expected to be uncached; most are cached. */
+  /** Milliseconds per shared token that seems uncached; most prove cached. */
   readonly rereadTokenMs: number;
   /** Mean number of a prompt's tokens that no cache holds. */
   readonly usualOwnTokens: number;
@@ -82,11 +82,11 @@
   readonly usualAnswerTokens: number;
   /** Tokens per second that long answers of the most demanding route need. */
   readonly neededPace: number;
-  /** Prompts behind the estimate, with exponentially decayed weights. */
+  /** Exponentially decayed number of sampled prompts. */
   readonly prompts: number;
   /** Relative standard error of `usualPromptMs`. */
   readonly errorPart: number;
-  /** Whether the estimate is good enough to release endpoints by it. */
+  /** Whether the estimate is good enough to base releases on it. */
   readonly isSure: boolean;
 }
 
@@ -94,11 +94,11 @@
 export interface WorkRate {
   /** Prompt tokens that belong to one request alone. */
   readonly ownTokens: number;
-  /** Millions of pairs of such a token with one before it. */
+  /** Millions of pairs of such a token and an earlier token. */
   readonly pairs: number;
   /** Tokens of shared parts that are expected to be uncached. */
   readonly rereadTokens: number;
   readonly answerTokens: number;
-  /** Sum of each answer's tokens times its prompt's thousands of tokens. */
+  /** Sum over answers of answer tokens times thousands of prompt tokens. */
   readonly answerContext: number;
 }
--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -8,9 +8,9 @@
 import {fitSlopes, type Prior, type RegressionStats} from './regression.js';
 
 /** Number of answer features, and index of the step time after them. */
-const ANSWER_FEATURES = 2;
+const ANSWER_FEATURE_COUNT = 2;
 
-/** Minimum prompts and maximum relative error to release endpoints. */
+/** Minimum prompts and maximum relative error of a confident estimate. */
 const MIN_CONFIDENT_PROMPTS = 60;
 const MAX_CONFIDENT_ERROR = 0.3;
 
@@ -26,12 +26,12 @@
 /** Prior deviation of attention time, as a fraction of a prompt's time. */
 const PRIOR_PAIRS_FRACTION = 0.2;
 
-/** Mean uncached tokens of a prompt until one was sampled. */
+/** Mean uncached tokens of a prompt before the first sample. */
 const PRIOR_PROMPT_TOKENS = 1_000;
 /** Latency target of a service whose routes set none, in milliseconds. */
 const DEFAULT_TARGET_MS = 1_000;
 
-/** Prior step time per thousand context tokens, in times of a prompt token. */
+/** Prior step time per thousand context tokens, relative to a prompt token. */
 const PRIOR_CONTEXT_FRACTION = 0.5;
 
 /** Standard deviations above a route's mean token rate that are planned for. */
@@ -88,7 +88,7 @@
     usualOwnTokens: meanOwnTokens,
     usualTokenMs: usualPromptMs / Math.max(1, meanOwnTokens),
     usualPromptMs,
-    stepMs: meanOf(answers, ANSWER_FEATURES, 0),
+    stepMs: meanOf(answers, ANSWER_FEATURE_COUNT, 0),
     requestStepMs,
     contextStepMs,
     usualAnswerTokens: meanAnswerTokens(Object.values(paces)),
--- a/packages/capacity/src/engineModel.ts
+++ b/packages/capacity/src/engineModel.ts
@@ -33,8 +33,8 @@
 
 /**
  * Minimum weight of a prompt sample. A queued prompt weighs less than one that
- * is processed at once, as its wait is explained only in part; under overload,
- * when all are queued, they must still count.
+ * is processed at once, as the features explain only part of its wait; under
+ * overload, when all prompts are queued, the samples must still count.
  */
 const MIN_SAMPLE_WEIGHT = 0.1;
 
@@ -44,9 +44,9 @@
   const pairs = (ownTokens * promptTokens) / PAIRS_PER_UNIT;
   return [ownTokens, pairs, rereadTokens, pendingTokens];
 }
-const PROMPT_FEATURES = 4;
-/** Running requests and context tokens; the outcome is the step time. */
-const ANSWER_FEATURES = 2;
+const PROMPT_FEATURE_COUNT = 4;
+/** Features of a step time: running requests and context tokens. */
+const ANSWER_FEATURE_COUNT = 2;
 
 interface ServiceState {
   readonly prompts: Regression;
@@ -75,8 +75,14 @@
     }
     const common = {clock, halfLifeMs: SAMPLE_HALF_LIFE_MS};
     const state = {
-      prompts: createRegression({...common, features: PROMPT_FEATURES}),
-      answers: createRegression({...common, features: ANSWER_FEATURES}),
+      prompts: createRegression({
+        ...common,
+        featureCount: PROMPT_FEATURE_COUNT,
+      }),
+      answers: createRegression({
+        ...common,
+        featureCount: ANSWER_FEATURE_COUNT,
+      }),
       paces: new Map(),
     };
     services.set(service, state);
--- a/packages/capacity/src/regression.ts
+++ b/packages/capacity/src/regression.ts
@@ -73,16 +73,16 @@
  * half-life in milliseconds.
  *
  * @example
- * const regression = createRegression({clock, features: 2, halfLifeMs: 20_000});
- * regression.add('chat', [1_200, 40], 85);
+ * const model = createRegression({clock, featureCount: 2, halfLifeMs: 20_000});
+ * model.add('chat', [1_200, 40], 85);
  */
 export function createRegression(options: {
   readonly clock: Clock;
-  readonly features: number;
+  readonly featureCount: number;
   readonly halfLifeMs: number;
 }): Regression {
-  const {clock, features, halfLifeMs} = options;
-  const width = features + 1;
+  const {clock, featureCount, halfLifeMs} = options;
+  const width = featureCount + 1;
   const groups = new Map<string, Group>();
 
   function groupOf(name: string): Group {
@@ -135,12 +135,13 @@
         group.totals[index]! += row[index]!;
         group.means[index]! += (weight * delta) / group.weight;
       });
-      let at = 0;
+      let productIndex = 0;
       for (let i = 0; i < width; i++) {
         const deltaAfter = row[i]! - group.means[i]!;
         for (let j = i; j < width; j++) {
-          group.products[at]! += weight * deltaAfter * deltasBefore[j]!;
-          at += 1;
+          group.products[productIndex]! +=
+            weight * deltaAfter * deltasBefore[j]!;
+          productIndex += 1;
         }
       }
     },
@@ -231,7 +232,7 @@
   let free = slopes.map((_, index) => index);
   while (free.length > 0) {
     const solution = fitFree(prior, product, noise, free);
-    free.forEach((index, place) => (slopes[index] = solution[place]!));
+    free.forEach((index, position) => (slopes[index] = solution[position]!));
     const negative = free.filter(index => slopes[index]! < 0);
     if (negative.length === 0) {
       break;
@@ -253,7 +254,7 @@
 
 type Product = (i: number, j: number) => number;
 
-/** Keeps the precision of a prior with zero deviation finite. */
+/** Keeps the noise positive and the precision of zero deviations finite. */
 const EPSILON = 1e-12;
 
 /** Returns the posterior precision matrix, in units of one sample's noise. */
--- a/packages/capacity/src/targetUtilization.ts
+++ b/packages/capacity/src/targetUtilization.ts
@@ -15,12 +15,12 @@
  */
 const USUAL_FRACTION = 0.65;
 
-/** The same after a loss: nearer to the limit, until an endpoint starts. */
+/** Fraction that is planned for after a loss, until replacements start. */
 const BRIEF_FRACTION = 0.75;
 
 /**
- * Bounds of the utilization limit. Below, more endpoints don't help to meet the
- * targets; above, every burst causes a queue.
+ * Bounds of the utilization limit. Below the lower bound, more endpoints don't
+ * help to meet the targets; above the upper one, every burst causes a queue.
  */
 const MIN_UTILIZATION = 0.3;
 const MAX_UTILIZATION = 0.85;
@@ -39,7 +39,7 @@
 /**
  * Returns the fraction of an endpoint's time that may be spent on prompts.
  *
- * It has two bounds. A prompt queues behind others, and its first event must
+ * Two limits apply. A prompt queues behind others, and its first event must
  * arrive within the target. And prompts stall all running answers, of which
  * long ones must still finish before their callers time out.
  *
@@ -58,7 +58,7 @@
   return {usual: limit * USUAL_FRACTION, brief: limit * BRIEF_FRACTION};
 }
 
-/** Inverts a queue's mean wait, u / (1 - u) mean prompts at utilization u. */
+/** Inverts the mean wait at utilization u: u / (1 - u) mean prompt times. */
 function maxUtilizationForTargets(
   {usualPromptMs}: EngineEstimate,
   latencyTargets: readonly LatencyTargets[],
@@ -75,7 +75,7 @@
   return meanWaitRatio <= 0 ? 0 : meanWaitRatio / (1 + meanWaitRatio);
 }
 
-/** At utilization u by prompts a step takes stepMs / (1 - u). */
+/** A step takes stepMs / (1 - u) while prompts take a fraction u of time. */
 function maxUtilizationForTokenRate({
   stepMs,
   neededPace,
--- a/packages/capacity/src/test/engineModel.test.ts
+++ b/packages/capacity/src/test/engineModel.test.ts
@@ -55,8 +55,8 @@
 
 /** Kinds of requests, served in turn. */
 const KINDS = [
-  {route: 'long', own: 2_900, shared: 6_300, answer: 50, levelMs: 20},
-  {route: 'short', own: 550, shared: 170, answer: 280, levelMs: 250},
+  {route: 'long', own: 2_900, shared: 6_300, answer: 50, baseWaitMs: 20},
+  {route: 'short', own: 550, shared: 170, answer: 280, baseWaitMs: 250},
 ];
 
 /** Mean square of `ownTokens` over its squared mean in `addSamples`. */
@@ -84,7 +84,7 @@
       rereadTokens: 0,
       pendingTokens,
       tookMs:
-        kind.levelMs +
+        kind.baseWaitMs +
         profile.waitMs * exponential() +
         ownTokens * profile.tokenMs +
         pairs * profile.pairsMs +
