--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -13,7 +13,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly decisions: DecisionLog;
-  /** Limit algorithm, `aimd` by default; benchmarks compare the others. */
+  /** Limit policy, `aimd` by default; benchmarks compare the other policies. */
   readonly limitPolicy?: LimitPolicy;
 }
 
@@ -26,7 +26,7 @@
  *
  * @example
  * const admission = createAdmissionController({clock, random, decisions});
- * admission.setService('booking', service);
+ * admission.setService('booking', config);
  * const permit = await admission.admit(request, signal);
  */
 export function createAdmissionController(
@@ -48,15 +48,15 @@
       return bulkhead.admit(request, signal);
     },
     tryRetry: service => bulkheads.get(service)?.tryAcquireRetry() ?? false,
-    setService(name, service) {
-      if (service === undefined) {
+    setService(name, config) {
+      if (config === undefined) {
         bulkheads.get(name)?.close();
         bulkheads.delete(name);
         return;
       }
       const existing = bulkheads.get(name);
       if (existing !== undefined) {
-        existing.configure(service);
+        existing.configure(config);
         return;
       }
       const bulkhead = createBulkhead({
@@ -64,7 +64,7 @@
         random: options.random,
         decisions: options.decisions,
         limitPolicy: options.limitPolicy ?? 'aimd',
-        service,
+        config,
         entryCount,
         weightOf: customer => weights.get(customer) ?? DEFAULT_WEIGHT,
       });
--- a/packages/admission/src/bulkhead.ts
+++ b/packages/admission/src/bulkhead.ts
@@ -25,7 +25,7 @@
 export interface Bulkhead {
   admit(request: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
   tryAcquireRetry(): boolean;
-  configure(service: ServiceAdmissionConfig): void;
+  configure(config: ServiceAdmissionConfig): void;
   setEntryCount(count: number): void;
   setReportedSlots(slots: number, outstanding: number | undefined): void;
   /** Returns the requests in flight relative to the limit, 0 to 1. */
@@ -36,7 +36,7 @@
 }
 
 export interface BulkheadOptions {
-  readonly service: ServiceAdmissionConfig;
+  readonly config: ServiceAdmissionConfig;
   readonly clock: Clock;
   readonly random: Random;
   readonly decisions: DecisionLog;
@@ -64,7 +64,7 @@
 const MIN_RETRY_AFTER_MS = 100;
 const MAX_RETRY_AFTER_MS = 30_000;
 
-/** Jitter of Retry-After, so that rejected requests do not retry together. */
+/** Largest jitter of Retry-After, a fraction: spreads the retries. */
 const RETRY_AFTER_JITTER = 0.5;
 
 /**
@@ -94,14 +94,14 @@
  */
 export function createBulkhead(options: BulkheadOptions): Bulkhead {
   const {clock, random, decisions} = options;
-  let service = options.service;
+  let config = options.config;
   const queue = createFairQueue<QueuedRequest>(options.weightOf);
-  const share = createCapacityShare(service.concurrency);
+  const share = createCapacityShare(config.concurrency);
   const retryBudget = createRetryBudget();
   const waitEstimator = createWaitEstimator(clock);
   const limit = createConcurrencyLimit(options.limitPolicy, {
-    ceiling: service.concurrency,
-    targetMs: service.targetMs,
+    ceiling: config.concurrency,
+    targetMs: config.targetMs,
   });
   const machine = createBulkheadMachine(recordStateChange);
   let inFlight = 0;
@@ -116,7 +116,7 @@
       return;
     }
     lastDecisionAt = clock.now();
-    decisions.note('admission', service.name, entered, stateReasons[entered], {
+    decisions.note('admission', config.name, entered, stateReasons[entered], {
       limit: currentLimit(),
       inFlight,
       waiting: queue.size,
@@ -132,7 +132,7 @@
     return Math.max(1, Math.floor(ownLimit * share.ordinaryFraction()));
   }
 
-  /** Less urgent requests may be queued while the overdraft admits this one. */
+  /** The overdraft may admit a request while less urgent ones are queued. */
   function isMoreUrgentThanQueue(request: AdmissionRequest): boolean {
     return request.urgency < (queue.headUrgency() ?? Infinity);
   }
@@ -164,7 +164,7 @@
   function overloadedRejection(request: AdmissionRequest): ServingError {
     refusals += 1;
     machine.send('refuse');
-    const message = `the concurrency limit of ${service.name} is reached and its queue is full`;
+    const message = `the concurrency limit of ${config.name} is reached and its queue is full`;
     return new ServingError('overloaded', message, {
       run: 'not-run',
       retryAfterMs: retryAfterMs(request),
@@ -174,7 +174,7 @@
   function deadlineRejection(request: AdmissionRequest): ServingError {
     refusals += 1;
     machine.send('refuse');
-    const message = `${service.name} cannot respond before the deadline`;
+    const message = `${config.name} cannot respond before the deadline`;
     return new ServingError('deadline-exceeded', message, {
       run: 'not-run',
       retryAfterMs: retryAfterMs(request),
@@ -229,7 +229,7 @@
       waitEstimator.recordLatency(result.latencyMs);
     }
     // Fast failures and cancellations give no evidence of spare capacity.
-    const isSlow = result.latencyMs > service.targetMs;
+    const isSlow = result.latencyMs > config.targetMs;
     if (result.outcome === 'ok' || result.outcome === 'overloaded' || isSlow) {
       limit.observe({
         latencyMs: result.latencyMs,
@@ -317,7 +317,7 @@
         throw cancelledError();
       }
       if (machine.state() === 'closed') {
-        throw serviceRemovedError(service.name);
+        throw serviceRemovedError(config.name);
       }
       waitEstimator.recordArrival(request.urgency, request.cost);
       if (isDeadlineUnreachable(request, expectedWaitMs(request))) {
@@ -329,7 +329,7 @@
       ) {
         return grantPermit(request, clock.now());
       }
-      if (queue.size >= service.queue) {
+      if (queue.size >= config.queue) {
         const evicted = queue.evictFor(request);
         if (evicted === undefined) {
           throw overloadedRejection(request);
@@ -340,11 +340,11 @@
     },
     tryAcquireRetry: () => retryBudget.tryWithdraw(),
     configure(next) {
-      service = next;
+      config = next;
       share.setConcurrency(next.concurrency);
       limit.setCeiling(share.current());
       limit.setTarget(next.targetMs);
-      while (queue.size > service.queue) {
+      while (queue.size > config.queue) {
         rejectEvicted(queue.evict());
       }
       admitQueued();
@@ -364,11 +364,11 @@
     close() {
       machine.send('close');
       for (const queued of queue.items()) {
-        rejectQueued(queued, serviceRemovedError(service.name));
+        rejectQueued(queued, serviceRemovedError(config.name));
       }
     },
     dump: () => ({
-      service: service.name,
+      service: config.name,
       state: machine.state(),
       limit: limit.current(),
       share: share.current(),
@@ -376,7 +376,7 @@
       ordinaryFraction: share.ordinaryFraction(),
       inFlight,
       waiting: queue.size,
-      queueLimit: service.queue,
+      queueLimit: config.queue,
       customers: queue.flowCount(),
       refusals,
       retriesLeft: retryBudget.balance(),
--- a/packages/admission/src/capacityShare.ts
+++ b/packages/admission/src/capacityShare.ts
@@ -18,7 +18,7 @@
    * entry, the other entries throttle less urgent ones.
    */
   overdraft(): number;
-  /** Returns the fraction of the limit for others; falls on overload. */
+  /** Returns the limit fraction of the other requests; falls on overload. */
   ordinaryFraction(): number;
   setConcurrency(concurrency: number): void;
   setEntryCount(count: number): void;
@@ -55,13 +55,13 @@
   let concurrency = initialConcurrency;
   let entryCount = 1;
   let slots: number | undefined;
-  let borrowed = 0;
+  let borrowedSlots = 0;
   let ordinaryFraction = 1;
   let isLoadReported = false;
 
-  function adjustOrdinaryFraction(idle: number) {
+  function adjustOrdinaryFraction(idleSlots: number) {
     ordinaryFraction =
-      idle < -totalConcurrency() * TOLERATED_EXCESS_FRACTION
+      idleSlots < -totalConcurrency() * TOLERATED_EXCESS_FRACTION
         ? Math.max(
             MIN_ORDINARY_FRACTION,
             ordinaryFraction * ORDINARY_DECREASE_FACTOR,
@@ -79,7 +79,7 @@
     current() {
       const maxConcurrency = Math.min(
         totalConcurrency(),
-        equalShare() + borrowed,
+        equalShare() + borrowedSlots,
       );
       return Math.max(1, Math.floor(maxConcurrency));
     },
@@ -99,20 +99,20 @@
       slots = reportedSlots > 0 ? reportedSlots : undefined;
       isLoadReported = outstanding !== undefined;
       if (outstanding === undefined) {
-        borrowed = 0;
+        borrowedSlots = 0;
         ordinaryFraction = 1;
         return;
       }
-      const idle = totalConcurrency() - outstanding;
-      adjustOrdinaryFraction(idle);
-      if (idle <= 0 || !isLimitReached) {
-        borrowed *= 1 - RETURN_FRACTION;
+      const idleSlots = totalConcurrency() - outstanding;
+      adjustOrdinaryFraction(idleSlots);
+      if (idleSlots <= 0 || !isLimitReached) {
+        borrowedSlots *= 1 - RETURN_FRACTION;
         return;
       }
       // All entries may borrow this much at once without exceeding the idle
       // slots.
-      borrowed = Math.min(
-        borrowed + idle / entryCount,
+      borrowedSlots = Math.min(
+        borrowedSlots + idleSlots / entryCount,
         totalConcurrency() - equalShare(),
       );
     },
--- a/packages/admission/src/contracts.ts
+++ b/packages/admission/src/contracts.ts
@@ -5,13 +5,13 @@
 export type ServiceAdmissionConfig = Partial<Service> &
   Pick<Service, 'name' | 'concurrency' | 'queue' | 'targetMs'>;
 
-/** Attributes of a request that admission control decides by. */
+/** Attributes of a request that admission decisions depend on. */
 export interface AdmissionRequest {
   readonly service: string;
   readonly customer: string;
   /** RFC 9218 urgency, 0 (most urgent) to 7, after the customer's cap. */
   readonly urgency: number;
-  /** Monotonic time in ms to complete (plain) or begin (model) the response. */
+  /** Monotonic ms by which the response must end (plain) or begin (model). */
   readonly deadline: number;
   /** Expected work relative to a typical request; 1 if unknown. */
   readonly cost: number;
@@ -42,8 +42,8 @@
   /** Takes one retry from the service's budget; false if it is exhausted. */
   tryRetry(service: string): boolean;
   /** Adds, reconfigures or removes (undefined) a service's bulkhead. */
-  setService(name: string, service: ServiceAdmissionConfig | undefined): void;
-  /** Sets or resets (undefined) a customer's weight within an urgency. */
+  setService(name: string, config: ServiceAdmissionConfig | undefined): void;
+  /** Sets or resets (undefined) a customer's weight among equal urgencies. */
   setCustomerWeight(customer: string, weight: number | undefined): void;
   /** Sets the number of live entries that share each service's capacity. */
   setEntryCount(count: number): void;
--- a/packages/admission/src/fairQueue.ts
+++ b/packages/admission/src/fairQueue.ts
@@ -222,9 +222,9 @@
     costAheadAtSameUrgency(incoming) {
       const level = levelOf(incoming.urgency);
       const ownWeight = weightOf(incoming.customer);
-      const ownLevel = level.flows.get(incoming.customer)?.queuedCost ?? 0;
-      const normalizedCost = (ownLevel + incoming.cost) / ownWeight;
-      let cost = ownLevel;
+      const ownCost = level.flows.get(incoming.customer)?.queuedCost ?? 0;
+      const normalizedCost = (ownCost + incoming.cost) / ownWeight;
+      let cost = ownCost;
       for (const flow of level.flows.values()) {
         if (flow.customer !== incoming.customer) {
           cost += Math.min(
--- a/packages/admission/src/retryBudget.ts
+++ b/packages/admission/src/retryBudget.ts
@@ -16,7 +16,7 @@
 /** Tokens added by each admitted request; one retry costs one token. */
 const RETRIES_PER_REQUEST = 0.1;
 
-/** Maximum saved tokens, so that a quiet hour does not allow a retry storm. */
+/** Maximum saved tokens, so that idle hours do not allow a retry storm. */
 const MAX_TOKENS = 10;
 
 /** Initial tokens, so that the first failures of a service may be retried. */
--- a/packages/admission/src/test/admission.fuzz.test.ts
+++ b/packages/admission/src/test/admission.fuzz.test.ts
@@ -298,8 +298,8 @@
     // flow for each of them would grow until the process runs out of memory.
     const queue = createFairQueue(() => 1);
     queue.enqueue({customer: 'steady', urgency: 3, cost: 1});
-    for (let customer = 0; customer < 10_000; customer++) {
-      queue.enqueue({customer: `c${customer}`, urgency: 3, cost: 1});
+    for (let index = 0; index < 10_000; index++) {
+      queue.enqueue({customer: `c${index}`, urgency: 3, cost: 1});
       queue.enqueue({customer: 'steady', urgency: 3, cost: 1});
       queue.dequeue();
       queue.dequeue();
--- a/packages/admission/src/test/admission.test.ts
+++ b/packages/admission/src/test/admission.test.ts
@@ -90,12 +90,12 @@
     await warmUp(8, 100);
     void admit();
     const waiting = Array.from({length: 10}, () => admit({deadline: Infinity}));
-    const before = clock.now();
-    await assert.rejects(admit({deadline: before + 500}), {
+    const startMs = clock.now();
+    await assert.rejects(admit({deadline: startMs + 500}), {
       kind: 'deadline-exceeded',
       run: 'not-run',
     });
-    assert.equal(clock.now(), before);
+    assert.equal(clock.now(), startMs);
     assert.equal(waiting.length, 10);
   });
 
@@ -105,14 +105,14 @@
     const {clock, admit, warmUp} = setUp({queue: 20});
     await warmUp(8, 100);
     void admit();
-    let endedAt = 0;
+    let endMs = 0;
     const expired = admit({deadline: clock.now() + 400}).catch(() => {
-      endedAt = clock.now();
+      endMs = clock.now();
     });
-    const start = clock.now();
+    const startMs = clock.now();
     await clock.advance(1000);
     await expired;
-    assert.equal(endedAt - start, 300);
+    assert.equal(endMs - startMs, 300);
   });
 
   it('delays deadline checks by at least 1 ms', async () => {
@@ -135,17 +135,17 @@
 
   it('admits urgent requests above the share and throttles the others', async () => {
     // A customer's urgent requests arrive at one entry. With equal shares they
-    // would be rejected there while other entries run less urgent ones.
+    // would be rejected there while other entries run less urgent requests.
     const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
     admission.setReportedSlots('booking', 16, 16);
     let admitted = 0;
-    for (let request = 0; request < 12; request++) {
+    for (let index = 0; index < 12; index++) {
       void admit({urgency: 1}).then(() => (admitted += 1));
     }
     await settlePromises();
     assert.equal(admitted, 8);
-    for (let report = 0; report < 10; report++) {
+    for (let index = 0; index < 10; index++) {
       admission.setReportedSlots('booking', 16, 20);
     }
     const {services} = admission.dump() as {
@@ -169,10 +169,10 @@
     await warmUp(8, 100);
     void admit({deadline: Infinity});
     void admit({deadline: Infinity});
-    const early = await retryAfter(admit({deadline: Infinity}));
+    const earlyMs = await retryAfterMsOf(admit({deadline: Infinity}));
     await clock.advance(10_000);
-    const later = await retryAfter(admit({deadline: Infinity}));
-    assert.ok(later > 10 * early, `${early} then ${later}`);
+    const laterMs = await retryAfterMsOf(admit({deadline: Infinity}));
+    assert.ok(laterMs > 10 * earlyMs, `${earlyMs} then ${laterMs}`);
   });
 
   it('removes a queued request that its caller cancels', async () => {
@@ -216,7 +216,7 @@
     // failing service would double.
     const {admit, admission} = setUp();
     let retries = 0;
-    for (let request = 0; request < 1000; request++) {
+    for (let index = 0; index < 1000; index++) {
       (await admit()).release({outcome: 'failed', latencyMs: 1});
       retries += admission.tryRetry('booking') ? 1 : 0;
     }
@@ -226,16 +226,16 @@
   it('divides concurrency among entries and borrows idle slots', async () => {
     // Three of four entries are idle since customers connect to one. With equal
     // shares alone three quarters of the service would be idle while requests
-    // at the fourth entry are rejected.
+    // at the busy entry are rejected.
     const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
     let admitted = 0;
-    for (let request = 0; request < 30; request++) {
+    for (let index = 0; index < 30; index++) {
       void admit({deadline: Infinity}).then(() => (admitted += 1));
     }
     await settlePromises();
     assert.equal(admitted, 4);
-    for (let report = 0; report < 30; report++) {
+    for (let index = 0; index < 30; index++) {
       admission.setReportedSlots('booking', 16, admitted);
       await settlePromises();
     }
@@ -248,8 +248,8 @@
     // would inflate it many times, and requests with seconds left would be
     // rejected although the service can respond in time.
     const {admit, clock} = setUp({concurrency: 1, queue: 50});
-    for (let done = 0; done < 60; done++) {
-      const cost = done % 2 === 0 ? 1 / 16 : 4;
+    for (let index = 0; index < 60; index++) {
+      const cost = index % 2 === 0 ? 1 / 16 : 4;
       const permit = await admit({deadline: Infinity, cost});
       await clock.advance(100);
       permit.release({outcome: 'ok', latencyMs: 100});
@@ -269,17 +269,17 @@
     // would overload the service.
     const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
-    for (let request = 0; request < 30; request++) {
+    for (let index = 0; index < 30; index++) {
       void admit({deadline: Infinity});
     }
-    for (let report = 0; report < 20; report++) {
+    for (let index = 0; index < 20; index++) {
       admission.setReportedSlots('booking', 16, 4);
     }
     const {services: borrowed} = admission.dump() as {
       services: {share: number}[];
     };
     assert.equal(borrowed[0]?.share, 16);
-    for (let report = 0; report < 20; report++) {
+    for (let index = 0; index < 20; index++) {
       admission.setReportedSlots('booking', 16, 28);
     }
     const {services} = admission.dump() as {services: {share: number}[]};
@@ -292,8 +292,8 @@
   return services[0]?.inFlight;
 }
 
-async function retryAfter(admission: Promise<unknown>): Promise<number> {
-  const error = await admission.then(
+async function retryAfterMsOf(permit: Promise<unknown>): Promise<number> {
+  const error = await permit.then(
     () => undefined,
     (reason: unknown) => reason,
   );
--- a/packages/admission/src/test/fixtures.ts
+++ b/packages/admission/src/test/fixtures.ts
@@ -51,7 +51,7 @@
   }
   /** Admits and releases requests one by one, each with the given latency. */
   async function warmUp(count: number, latencyMs: number) {
-    for (let done = 0; done < count; done++) {
+    for (let index = 0; index < count; index++) {
       const permit = await admit({deadline: Infinity});
       await clock.advance(latencyMs);
       permit.release({outcome: 'ok', latencyMs});
--- a/packages/admission/src/waitEstimate.ts
+++ b/packages/admission/src/waitEstimate.ts
@@ -47,13 +47,13 @@
  * Creates the wait estimator of one service.
  *
  * @example
- * const retryAfterMs = waitEstimator.retryAfterMs(queue.costOfMoreUrgent(urgency), limit, urgency);
+ * const waitMs = waitEstimator.waitMs(queue.costOfMoreUrgent(urgency), limit, urgency);
  */
 export function createWaitEstimator(clock: Clock): WaitEstimator {
   const arrivals = new Float64Array(URGENCY_COUNT);
   const latencies: number[] = [];
   let decayedAt = clock.now();
-  let averages: {ms: number; cost: number} | undefined;
+  let averages: {holdMs: number; cost: number} | undefined;
   let running = 0;
   let admittedAtSum = 0;
   let latencySampleCount = 0;
@@ -72,8 +72,8 @@
   function arrivalRateOfMoreUrgent(urgency: number): number {
     decayArrivals();
     let sum = 0;
-    for (let other = 0; other < urgency; other++) {
-      sum += arrivals[other] as number;
+    for (let level = 0; level < urgency; level++) {
+      sum += arrivals[level] as number;
     }
     return (sum * Math.LN2) / ARRIVAL_HALF_LIFE_MS;
   }
@@ -86,7 +86,7 @@
   function meanHoldPerCostMs(): number {
     return averages === undefined
       ? 0
-      : averages.ms / Math.max(averages.cost, MIN_COST);
+      : averages.holdMs / Math.max(averages.cost, MIN_COST);
   }
 
   /**
@@ -111,9 +111,9 @@
     recordRelease(admittedAt, cost) {
       running -= 1;
       admittedAtSum -= admittedAt;
-      const ms = clock.now() - admittedAt;
-      averages ??= {ms, cost};
-      averages.ms += (ms - averages.ms) * HOLD_TIME_WEIGHT;
+      const holdMs = clock.now() - admittedAt;
+      averages ??= {holdMs, cost};
+      averages.holdMs += (holdMs - averages.holdMs) * HOLD_TIME_WEIGHT;
       averages.cost += (cost - averages.cost) * HOLD_TIME_WEIGHT;
     },
     recordLatency(latencyMs) {
