--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -159,15 +159,17 @@
       expireOldest();
     },
     noteCachedTokens(blocks, cachedTokens) {
-      const found = Math.ceil(cachedTokens / blockTokens);
-      const missing = blocks.slice(found).filter(block => confirmed.has(block));
-      mismatches = missing.length > 0 ? mismatches + 1 : 0;
+      const foundBlockCount = Math.ceil(cachedTokens / blockTokens);
+      const missingBlocks = blocks
+        .slice(foundBlockCount)
+        .filter(block => confirmed.has(block));
+      mismatches = missingBlocks.length > 0 ? mismatches + 1 : 0;
       // The engine is computing the missing blocks and will soon have them.
-      for (const block of missing) {
+      for (const block of missingBlocks) {
         confirmed.delete(block);
         sent.set(block, clock.now());
       }
-      blocks.slice(0, found).forEach(confirm);
+      blocks.slice(0, foundBlockCount).forEach(confirm);
       expireOldest();
     },
     apply(events) {
--- a/packages/routing/src/crashEvidence.ts
+++ b/packages/routing/src/crashEvidence.ts
@@ -49,17 +49,17 @@
 
   function indexCrashes(source: string, {crashes}: CrashReport): void {
     for (const {request} of crashes) {
-      const known = sourcesByRequest.get(request) ?? new Set<string>();
-      sourcesByRequest.set(request, known.add(source));
+      const sources = sourcesByRequest.get(request) ?? new Set<string>();
+      sourcesByRequest.set(request, sources.add(source));
     }
   }
 
   function dropReport(source: string): Set<string> {
     const {crashes, served} = reportOf(source);
     for (const {request} of crashes) {
-      const known = sourcesByRequest.get(request);
-      known?.delete(source);
-      if (known?.size === 0) {
+      const sources = sourcesByRequest.get(request);
+      sources?.delete(source);
+      if (sources?.size === 0) {
         sourcesByRequest.delete(request);
       }
     }
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -145,7 +145,7 @@
 
   function recentCrashTimesMs(request: string): readonly number[] {
     const oldestMs = wallMs() - CRASH_TTL_MS;
-    return evidence.crashTimesMs(request).filter(at => at >= oldestMs);
+    return evidence.crashTimesMs(request).filter(atMs => atMs >= oldestMs);
   }
 
   function crashCountOf(request: string): number {
@@ -160,15 +160,15 @@
   }
 
   function computeVerdict(request: string): QuarantineVerdict {
-    const times = recentCrashTimesMs(request);
-    const crashes = times.length;
+    const timesMs = recentCrashTimesMs(request);
+    const crashes = timesMs.length;
     if (crashes === 0) {
       return {type: 'clear'};
     }
     if (crashes < QUARANTINE_CRASHES) {
       return {type: 'suspected', crashes};
     }
-    const remainingMs = times.at(-1)! + quarantineMs(times) - wallMs();
+    const remainingMs = timesMs.at(-1)! + quarantineMs(timesMs) - wallMs();
     if (remainingMs > 0) {
       return {type: 'quarantined', crashes, retryAfterMs: remainingMs};
     }
@@ -180,12 +180,15 @@
 
   function logQuarantineChanges(requests: ReadonlySet<string>): void {
     for (const request of requests) {
-      const times = recentCrashTimesMs(request);
-      const isOverThreshold = times.length >= QUARANTINE_CRASHES;
+      const timesMs = recentCrashTimesMs(request);
+      const isOverThreshold = timesMs.length >= QUARANTINE_CRASHES;
       if (isOverThreshold === quarantined.has(request)) {
         continue;
       }
-      const figures = {crashes: times.length, occasions: countIncidents(times)};
+      const figures = {
+        crashes: timesMs.length,
+        occasions: countIncidents(timesMs),
+      };
       if (isOverThreshold) {
         quarantined.add(request);
         const why = 'endpoints crashed under it';
--- a/packages/routing/src/popularity.ts
+++ b/packages/routing/src/popularity.ts
@@ -64,14 +64,14 @@
       }
     },
     countSharedBlocks(blocks, endpointCount) {
-      const limit = SHARED_FACTOR / Math.max(1, endpointCount);
+      const shareLimit = SHARED_FACTOR / Math.max(1, endpointCount);
       let low = 0;
       let high = Math.ceil(blocks.length / BLOCK_STRIDE);
       // Binary search: the longer a prefix, the smaller its share of the
       // traffic.
       while (low < high) {
         const middle = (low + high) >> 1;
-        if (trafficShare(blocks[middle * BLOCK_STRIDE]!) > limit) {
+        if (trafficShare(blocks[middle * BLOCK_STRIDE]!) > shareLimit) {
           low = middle + 1;
         } else {
           high = middle;
--- a/packages/routing/src/routeCosts.ts
+++ b/packages/routing/src/routeCosts.ts
@@ -83,10 +83,10 @@
   function waitMs(load: LoadEstimate): number {
     const weights = getWeights();
     const msPerToken = currentMsPerToken();
-    const queued = Math.max(0, load.requests + 1 - load.slots);
+    const queuedRequests = Math.max(0, load.requests + 1 - load.slots);
     return (
       load.pendingTokens * msPerToken +
-      (queued * durationMs) / load.slots +
+      (queuedRequests * durationMs) / load.slots +
       load.requests * weights.perRequestMs +
       load.contextTokens * weights.perContextTokenMs
     );
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -193,12 +193,12 @@
       return {sharedTokens: 0, affinities: new Map()};
     }
     const popularity = popularityOf(routingRequest.service);
-    const shared = popularity.countSharedBlocks(blocks, candidates.length);
+    const sharedCount = popularity.countSharedBlocks(blocks, candidates.length);
     const affinities = affinitiesFor(
-      blocks[shared] ?? blocks.at(-1)!,
+      blocks[sharedCount] ?? blocks.at(-1)!,
       candidates.map(({candidate}) => candidate.id),
     );
-    return {sharedTokens: shared * blockTokens, affinities};
+    return {sharedTokens: sharedCount * blockTokens, affinities};
   }
 
   function pickBest(
@@ -268,12 +268,12 @@
   /** Tokens to compute; most shareable ones that seem uncached are cached. */
   function expectedPendingTokens(
     routingRequest: RoutingRequest,
-    uncached: number,
+    uncachedTokens: number,
   ): number {
-    const {service, ownTokens = uncached} = routingRequest;
-    const own = Math.min(uncached, ownTokens);
+    const {service, ownTokens = uncachedTokens} = routingRequest;
+    const ownUncached = Math.min(uncachedTokens, ownTokens);
     const recomputedShare = weightsFor(service).recomputedTokenShare ?? 1;
-    return own + (uncached - own) * recomputedShare;
+    return ownUncached + (uncachedTokens - ownUncached) * recomputedShare;
   }
 
   function startAttempt(
@@ -283,12 +283,15 @@
     const {endpoint, cachedTokens} = scored;
     const {candidate, cache, health, load} = endpoint;
     const costs = costsOf(routingRequest.service);
-    const uncached = Math.max(0, routingRequest.promptTokens - cachedTokens);
-    const before = load.estimate();
-    const expectedMs = costs.expectedFirstTokenMs(before, uncached);
+    const uncachedTokens = Math.max(
+      0,
+      routingRequest.promptTokens - cachedTokens,
+    );
+    const loadBefore = load.estimate();
+    const expectedMs = costs.expectedFirstTokenMs(loadBefore, uncachedTokens);
     const urgency = routingRequest.urgency ?? DEFAULT_URGENCY;
-    const own = load.add(
-      expectedPendingTokens(routingRequest, uncached),
+    const ownRequest = load.add(
+      expectedPendingTokens(routingRequest, uncachedTokens),
       routingRequest.promptTokens,
       urgency,
     );
@@ -305,7 +308,7 @@
         return;
       }
       isFinished = true;
-      load.remove(own);
+      load.remove(ownRequest);
       if (result.cachedTokens !== undefined) {
         cache.noteCachedTokens(routingRequest.blocks, result.cachedTokens);
       }
@@ -315,7 +318,7 @@
       if (result.outcome === 'ok') {
         costs.observeDuration(clock.now() - startMs);
         costs.observeFirstToken(
-          before.pendingTokens + uncached,
+          loadBefore.pendingTokens + uncachedTokens,
           result.latencyMs,
         );
       }
@@ -325,14 +328,17 @@
     return {
       endpoint: candidate.id,
       cachedTokens,
-      loadBefore: before,
-      tokensAhead: tokensAhead(before, urgency),
-      started(found) {
-        own.pendingTokens = Math.max(0, routingRequest.promptTokens - found);
-        cache.noteCachedTokens(routingRequest.blocks, found);
+      loadBefore,
+      tokensAhead: tokensAhead(loadBefore, urgency),
+      started(foundTokens) {
+        ownRequest.pendingTokens = Math.max(
+          0,
+          routingRequest.promptTokens - foundTokens,
+        );
+        cache.noteCachedTokens(routingRequest.blocks, foundTokens);
       },
       streaming() {
-        own.pendingTokens = 0;
+        ownRequest.pendingTokens = 0;
       },
       finish,
     };
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -150,8 +150,9 @@
   function currentAccount(name: string, quota: Quota): Account {
     const account = accounts.get(name) ?? openAccount(name, quota);
     const now = clock.now();
-    const refill = Math.max(0, now - account.refilledAt) * refillPerMs(quota);
-    account.level = Math.min(quota.burst, account.level + refill);
+    const refilledTokens =
+      Math.max(0, now - account.refilledAt) * refillPerMs(quota);
+    account.level = Math.min(quota.burst, account.level + refilledTokens);
     account.refilledAt = Math.max(now, account.refilledAt);
     const allowance = windowAllowance(quota);
     if (allowance < account.allowance) {
@@ -233,10 +234,10 @@
       }
       const account = currentAccount(name, quota);
       const now = clock.now();
-      const rate = refillPerMs(quota);
+      const ratePerMs = refillPerMs(quota);
       const {level, refilledAt} = account;
       const availableInMs = Math.max(
-        level > 0 ? 0 : refilledAt - now - level / rate,
+        level > 0 ? 0 : refilledAt - now - level / ratePerMs,
         account.window.msUntilBelow(
           now,
           weights,
@@ -247,7 +248,7 @@
       const availableAt = Math.max(now + availableInMs, account.latestRetryAt);
       account.latestRetryAt = Math.min(
         now + MAX_RETRY_AFTER_MS,
-        availableAt + amount / rate,
+        availableAt + amount / ratePerMs,
       );
       return Math.max(0, availableAt - now);
     },
