--- a/packages/admission/src/bulkhead.ts
+++ b/packages/admission/src/bulkhead.ts
@@ -64,7 +64,7 @@
 const MIN_RETRY_AFTER_MS = 100;
 const MAX_RETRY_AFTER_MS = 30_000;
 
-/** Largest jitter of Retry-After, a fraction: spreads the retries. */
+/** Largest relative jitter of Retry-After, to spread retries over time. */
 const RETRY_AFTER_JITTER = 0.5;
 
 /**
--- a/packages/admission/src/capacityShare.ts
+++ b/packages/admission/src/capacityShare.ts
@@ -18,7 +18,7 @@
    * entry, the other entries throttle less urgent ones.
    */
   overdraft(): number;
-  /** Returns the limit fraction of the other requests; falls on overload. */
+  /** Returns the limit's fraction for other requests; falls on overload. */
   ordinaryFraction(): number;
   setConcurrency(concurrency: number): void;
   setEntryCount(count: number): void;
--- a/packages/admission/src/concurrencyLimit.ts
+++ b/packages/admission/src/concurrencyLimit.ts
@@ -74,7 +74,7 @@
 /** Multiplier of the limit after a round with too many slow requests. */
 const AIMD_DECREASE_FACTOR = 0.85;
 
-/** Slow requests above this fraction lower the limit; a p95 allows 1 in 20. */
+/** A greater slow fraction lowers the limit; a p95 target allows 1 in 20. */
 const AIMD_MAX_SLOW_FRACTION = 0.15;
 
 /** Minimum number of requests in a round; fewer give no reliable fraction. */
@@ -125,12 +125,12 @@
 const GRADIENT_LONG_TERM_WEIGHT = 1 / 600;
 const GRADIENT_SHORT_TERM_WEIGHT = 1 / 20;
 
-/** Highest ratio of short- to long-term average that keeps the limit. */
+/** Highest short- to long-term ratio that does not lower the limit. */
 const GRADIENT_TOLERANCE = 1.5;
 const GRADIENT_SMOOTHING = 0.2;
 const MIN_GRADIENT = 0.5;
 
-/** Scales the limit by a latency ratio; adds the root of the limit to probe. */
+/** Scales the limit by latency ratio; adds the limit's square root to probe. */
 function createGradientLimit(options: LimitOptions): ConcurrencyLimit {
   let ceiling = options.ceiling;
   let limit = ceiling;
--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -29,7 +29,7 @@
 const SENT_BLOCK_TTL_MS = 12_000;
 /** Lifetime of unconfirmed blocks if the engine never published events. */
 const SENT_BLOCK_TTL_WITHOUT_EVENTS_MS = 300_000;
-/** Assumed event lag: evictions spare blocks sent within this time. */
+/** Assumed event lag: evictions ignore blocks sent within this time. */
 const ASSUMED_EVENT_LAG_MS = 1500;
 /** Half-life of the confidence in the view after events were lost. */
 const CONFIDENCE_HALF_LIFE_MS = 120_000;
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -91,7 +91,7 @@
 /** Milliseconds for which stored evidence is gossiped, in several digests. */
 const GOSSIP_MS = 1_500;
 
-/** Crashes of a request from which on its complete responses are shared. */
+/** Crashes for a suspicion to be logged and a complete response shared. */
 const NOTABLE_CRASHES = 2;
 
 /** Maximum number of crashes stored by an entry, and received by gossip. */
@@ -214,7 +214,7 @@
     logQuarantineChanges(evidence.setReport(OWN_SOURCE, truncated));
   }
 
-  /** Records a response: shared for `OWN_SOURCE`, not for `LOCAL_SOURCE`. */
+  /** Records a complete response: `LOCAL_SOURCE` is not shared. */
   function recordServed(
     request: string,
     source: typeof OWN_SOURCE | typeof LOCAL_SOURCE,
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -42,7 +42,7 @@
 const LONG_PROBE_SHARE = 0.03;
 /** Uncached prompt tokens above which a request counts as long. */
 const LONG_PROBE_TOKENS = 512;
-/** Lower bound of expected latency; latency ratios need a longer one. */
+/** Lower bound of expected latency: ratios to shorter ones are unreliable. */
 const MIN_EXPECTED_LATENCY_MS = 40;
 const PERCENT = 100;
 /** Milliseconds to wait when this entry has no share of the rate limit. */
--- a/packages/traffic/src/contracts.ts
+++ b/packages/traffic/src/contracts.ts
@@ -42,7 +42,7 @@
   readonly most: number;
   /** Time from an order to the first request served, in milliseconds. */
   readonly bootMs: number;
-  /** Relative price of reclaimable endpoints; undefined if none are allowed. */
+  /** Reclaimable price relative to on-demand; undefined if not offered. */
   readonly reclaimablePrice: number | undefined;
   /** Price of an on-demand endpoint by failure domain. */
   readonly prices: Readonly<Record<string, number>>;
--- a/packages/traffic/src/demandEstimator.ts
+++ b/packages/traffic/src/demandEstimator.ts
@@ -48,7 +48,7 @@
  */
 const WARMUP_MS = 8_000;
 
-/** Rate above that of stray requests, in ms of one endpoint per second. */
+/** Stray requests stay below this rate, in ms of one endpoint per second. */
 const MIN_WORK_RATE = 50;
 
 /** Fraction of late requests from which on there are too few endpoints. */
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -15,7 +15,7 @@
   type UsageWeights,
 } from './quotaWindow.js';
 
-/** Usage by customer, counted from the start of the entry's process. */
+/** Usage by customer; totals count from the start of the entry's process. */
 export type UsageByCustomer = Readonly<Record<string, number>>;
 
 export interface Quotas {
@@ -156,7 +156,7 @@
     account.refilledAt = Math.max(now, account.refilledAt);
     const allowance = windowAllowance(quota);
     if (allowance < account.allowance) {
-      // Usage under a higher quota would block the customer for a window.
+      // Unscaled usage of a higher quota would block the customer for a window.
       account.window.scale(allowance / account.allowance);
     }
     account.allowance = allowance;
