--- a/packages/routing/src/crashEvidence.ts
+++ b/packages/routing/src/crashEvidence.ts
@@ -49,17 +49,17 @@
 
   function indexCrashes(source: string, {crashes}: CrashReport): void {
     for (const {request} of crashes) {
-      const known = sourcesByRequest.get(request) ?? new Set<string>();
-      sourcesByRequest.set(request, known.add(source));
+      const sources = sourcesByRequest.get(request) ?? new Set<string>();
+      sourcesByRequest.set(request, sources.add(source));
     }
   }
 
   function dropReport(source: string): Set<string> {
     const {crashes, served} = reportOf(source);
     for (const {request} of crashes) {
-      const known = sourcesByRequest.get(request);
-      known?.delete(source);
-      if (known?.size === 0) {
+      const sources = sourcesByRequest.get(request);
+      sources?.delete(source);
+      if (sources?.size === 0) {
         sourcesByRequest.delete(request);
       }
     }
@@ -169,7 +169,7 @@
 
 /**
  * Returns the part of a report from a time on. Complete responses may expire
- * too: they matter only beside crashes.
+ * too, since they only clear crashes.
  *
  * @example
  * const recent = reportSince(report, nowMs - 10_000);
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -26,7 +26,7 @@
   /** Whether an attempt is this entry's; by id prefix when absent. */
   readonly isOwn?: (attempt: string) => boolean;
   readonly weights?: Partial<RouteWeights>;
-  /** Weights that override the others for one service; read at each choice. */
+  /** Overrides of `weights` for one service; read at each choice. */
   weightsOf?(service: string): Partial<RouteWeights> | undefined;
   /** Rate limits set by endpoints; none when absent. */
   readonly rateLimits?: Pick<
@@ -37,17 +37,17 @@
   readonly blockTokens?: number;
 }
 
-/** Share of requests used as probes: short and long prompts. */
+/** Probability that a request is used as a probe, if short and if long. */
 const PROBE_SHARE = 0.3;
 const LONG_PROBE_SHARE = 0.03;
-/** Uncached prompt tokens above which a request is a costly probe. */
+/** Uncached prompt tokens above which a request counts as long. */
 const LONG_PROBE_TOKENS = 512;
-/** Lower bound of expected latency; below it slowness is not measurable. */
+/** Lower bound of expected latency: ratios to shorter ones are unreliable. */
 const MIN_EXPECTED_LATENCY_MS = 40;
 const PERCENT = 100;
-/** Milliseconds to wait when only other entries share the rate limit. */
+/** Milliseconds to wait when this entry has no share of the rate limit. */
 const NO_SHARE_RETRY_MS = 300;
-/** Urgency of a request without one, in the middle of ten. */
+/** Urgency of a request that sets none: the middle of 0 to 9. */
 const DEFAULT_URGENCY = 5;
 
 /** Preferred placement of a prompt's prefix. */
@@ -193,12 +193,12 @@
       return {sharedTokens: 0, affinities: new Map()};
     }
     const popularity = popularityOf(routingRequest.service);
-    const shared = popularity.countSharedBlocks(blocks, candidates.length);
+    const sharedCount = popularity.countSharedBlocks(blocks, candidates.length);
     const affinities = affinitiesFor(
-      blocks[shared] ?? blocks.at(-1)!,
+      blocks[sharedCount] ?? blocks.at(-1)!,
       candidates.map(({candidate}) => candidate.id),
     );
-    return {sharedTokens: shared * blockTokens, affinities};
+    return {sharedTokens: sharedCount * blockTokens, affinities};
   }
 
   function pickBest(
@@ -265,15 +265,15 @@
     }
   }
 
-  /** Expected tokens to compute; shareable ones mostly are cached after all. */
+  /** Tokens to compute; most shareable ones that seem uncached are cached. */
   function expectedPendingTokens(
     routingRequest: RoutingRequest,
-    uncached: number,
+    uncachedTokens: number,
   ): number {
-    const {service, ownTokens = uncached} = routingRequest;
-    const own = Math.min(uncached, ownTokens);
+    const {service, ownTokens = uncachedTokens} = routingRequest;
+    const ownUncached = Math.min(uncachedTokens, ownTokens);
     const recomputedShare = weightsFor(service).recomputedTokenShare ?? 1;
-    return own + (uncached - own) * recomputedShare;
+    return ownUncached + (uncachedTokens - ownUncached) * recomputedShare;
   }
 
   function startAttempt(
@@ -283,12 +283,15 @@
     const {endpoint, cachedTokens} = scored;
     const {candidate, cache, health, load} = endpoint;
     const costs = costsOf(routingRequest.service);
-    const uncached = Math.max(0, routingRequest.promptTokens - cachedTokens);
-    const before = load.estimate();
-    const expectedMs = costs.expectedFirstTokenMs(before, uncached);
+    const uncachedTokens = Math.max(
+      0,
+      routingRequest.promptTokens - cachedTokens,
+    );
+    const loadBefore = load.estimate();
+    const expectedMs = costs.expectedFirstTokenMs(loadBefore, uncachedTokens);
     const urgency = routingRequest.urgency ?? DEFAULT_URGENCY;
-    const own = load.add(
-      expectedPendingTokens(routingRequest, uncached),
+    const ownRequest = load.add(
+      expectedPendingTokens(routingRequest, uncachedTokens),
       routingRequest.promptTokens,
       urgency,
     );
@@ -305,17 +308,17 @@
         return;
       }
       isFinished = true;
-      load.remove(own);
+      load.remove(ownRequest);
       if (result.cachedTokens !== undefined) {
         cache.noteCachedTokens(routingRequest.blocks, result.cachedTokens);
       }
-      const slowness =
+      const latencyRatio =
         result.latencyMs / Math.max(MIN_EXPECTED_LATENCY_MS, expectedMs);
-      health.noteOutcome(result.outcome, slowness);
+      health.noteOutcome(result.outcome, latencyRatio);
       if (result.outcome === 'ok') {
         costs.observeDuration(clock.now() - startMs);
         costs.observeFirstToken(
-          before.pendingTokens + uncached,
+          loadBefore.pendingTokens + uncachedTokens,
           result.latencyMs,
         );
       }
@@ -325,14 +328,17 @@
     return {
       endpoint: candidate.id,
       cachedTokens,
-      loadBefore: before,
-      tokensAhead: tokensAhead(before, urgency),
-      started(found) {
-        own.pendingTokens = Math.max(0, routingRequest.promptTokens - found);
-        cache.noteCachedTokens(routingRequest.blocks, found);
+      loadBefore,
+      tokensAhead: tokensAhead(loadBefore, urgency),
+      started(foundTokens) {
+        ownRequest.pendingTokens = Math.max(
+          0,
+          routingRequest.promptTokens - foundTokens,
+        );
+        cache.noteCachedTokens(routingRequest.blocks, foundTokens);
       },
       streaming() {
-        own.pendingTokens = 0;
+        ownRequest.pendingTokens = 0;
       },
       finish,
     };
