--- a/packages/members/src/endpointDeparture.ts
+++ b/packages/members/src/endpointDeparture.ts
@@ -3,9 +3,9 @@
  *
  * The host list lags, so `live` alone may predate the departure, and requests
  * sent there would be cut off. A return therefore requires a list that shows
- * the endpoint leaving or absent, followed by one that shows it live. As lists
- * may arrive out of order, when another source lags more, it also requires a
- * new URL or that the deadline of the old process has passed. A new process on
+ * the endpoint leaving or absent, followed by a list that shows it live. As an
+ * older list may arrive after a newer one, a return also requires a new URL or
+ * that the deadline of the old process has passed. A new process on
  * a host that itself leaves is not a return.
  */
 import type {ListedEndpoint} from '@skylarkfield/providers';
@@ -22,7 +22,7 @@
 export interface DepartureHost {
   /** The host itself leaves, with all its endpoints. */
   readonly isWhole: boolean;
-  /** Monotonic milliseconds by which it is gone; undefined if not reported. */
+  /** Monotonic milliseconds by which the host is gone; undefined if unknown. */
   readonly goneBy: number | undefined;
 }
 
@@ -50,7 +50,7 @@
   listed: ListedEndpoint | undefined,
   isListed: boolean,
 ): void {
-  // If it was never listed, the list may predate it and absence proves nothing.
+  // Absence of an endpoint never listed proves nothing: the list may be older.
   const wasListed = departure.url !== undefined;
   departure.isConfirmed ||= listed?.state === 'leaving';
   departure.isConfirmed ||= !isListed && wasListed;
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -60,7 +60,7 @@
   const {table, network, clock, random, decisions, timing} = options;
   const suspicions = new Map<string, Suspicion>();
   const closedAt = new Map<string, number>();
-  /** When each member became a neighbour; before, no heartbeats are due. */
+  /** When each neighbour became one; no heartbeats are due before that. */
   let neighbourSince = new Map<string, number>();
   let probes = 0;
   let falseSuspicions = 0;
@@ -76,15 +76,15 @@
     try {
       const from = options.localUpdate();
       const body = {from, ...(knownUpdate && {believed: knownUpdate})};
-      const proof = (await network.request(
+      const response = (await network.request(
         id,
         'memberProbe',
         body,
         timing.probeTimeoutMs,
       )) as MemberProbeResponse;
-      options.applyUpdate(proof.news);
-      if (proof.believed !== undefined) {
-        options.applyUpdate(proof.believed);
+      options.applyUpdate(response.news);
+      if (response.believed !== undefined) {
+        options.applyUpdate(response.believed);
       }
     } catch {
       return false;
@@ -93,14 +93,14 @@
     return true;
   }
 
-  function recordAlive(id: string, at: number, isDirect: boolean) {
+  function recordAlive(id: string, seenAt: number, isDirect: boolean) {
     const known = table.get(id);
     if (known === undefined) {
       return;
     }
-    known.lastSeenAt = Math.max(known.lastSeenAt, at);
+    known.lastSeenAt = Math.max(known.lastSeenAt, seenAt);
     if (isDirect) {
-      known.lastSeenDirectlyAt = Math.max(known.lastSeenDirectlyAt, at);
+      known.lastSeenDirectlyAt = Math.max(known.lastSeenDirectlyAt, seenAt);
     }
     if (known.machine.state() === 'suspect') {
       falseSuspicions += 1;
@@ -120,7 +120,7 @@
     }
     const {heardAgoMs} = response as LastSeenResponse;
     const lastSeenAt = clock.now() - heardAgoMs;
-    // A sign of life from before its connection closed can precede a crash.
+    // A message from before the connection closed can precede a crash.
     const isFresh =
       heardAgoMs >= 0 &&
       heardAgoMs < timing.silenceTimeoutMs &&
@@ -146,9 +146,9 @@
     const candidates = liveMembersExcept(known.update.id);
     const requests: Promise<unknown>[] = [probe(known.update.id)];
     for (
-      let round = 0;
-      round < PEERS_PER_ROUND && candidates.length > 0;
-      round++
+      let queries = 0;
+      queries < PEERS_PER_ROUND && candidates.length > 0;
+      queries++
     ) {
       const [peer] = candidates.splice(
         random.integer(0, candidates.length - 1),
@@ -164,9 +164,9 @@
   /** Decides whether a suspect is gone. */
   function evaluate(known: KnownMember, suspicion: Suspicion) {
     const {id} = known.update;
-    const isOpen = suspicions.get(id) === suspicion;
-    const age = clock.now() - suspicion.since;
-    if (!isOpen || age < timing.suspicionTimeoutMs) {
+    const isPending = suspicions.get(id) === suspicion;
+    const ageMs = clock.now() - suspicion.since;
+    if (!isPending || ageMs < timing.suspicionTimeoutMs) {
       return;
     }
     const others = liveMembersExcept(id).length;
@@ -183,7 +183,7 @@
     options.onDidConfirmGone(known);
   }
 
-  function silenceTimeout(known: KnownMember): number {
+  function silenceTimeoutMs(known: KnownMember): number {
     const closed = closedAt.get(known.update.id);
     const isClosed = closed !== undefined && closed >= known.lastSeenAt;
     return isClosed ? timing.closedSilenceTimeoutMs : timing.silenceTimeoutMs;
@@ -217,9 +217,9 @@
       }
       return;
     }
-    const since = Math.max(known.lastSeenAt, neighbourSince.get(id) ?? 0);
-    const silentMs = clock.now() - since;
-    if (silentMs > silenceTimeout(known)) {
+    const silentSince = Math.max(known.lastSeenAt, neighbourSince.get(id) ?? 0);
+    const silentMs = clock.now() - silentSince;
+    if (silentMs > silenceTimeoutMs(known)) {
       markSuspect(known, silentMs);
     }
   }
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -50,7 +50,7 @@
   isLeaving(endpoint: string, host?: string): boolean;
   /** Fires once per endpoint and host, regardless of the number of reports. */
   onDidLeave(listener: (leaving: LeavingEndpoint) => void): Disposable;
-  /** Fires when a leaving endpoint returns, on any host, or did not leave. */
+  /** Fires when a leaving endpoint returns on any host, or has not left. */
   onDidReturn(listener: (endpoint: string) => void): Disposable;
   /** Records a report of another source, such as the endpoint itself. */
   reportLeaving(
@@ -66,16 +66,16 @@
   dump(): unknown;
 }
 
-/** Hosts tracked at most; exceeds a failure domain of the largest fleet. */
+/** Maximum tracked hosts; exceeds a failure domain of the largest fleet. */
 const MAX_HOSTS = 4_000;
-/** Endpoints tracked for each host at most. */
+/** Maximum tracked endpoints of each host. */
 const MAX_ENDPOINTS_PER_HOST = 256;
 const EXPIRY_INTERVAL_MS = 30_000;
 /** Maximum age of reports that are resent to a newly connected peer. */
 const RESEND_WINDOW_MS = 120_000;
 
 /**
- * Creates a tracker that follows all three sources until disposed.
+ * Creates a tracker that follows notices, list and peers until disposed.
  *
  * @example
  * const tracker = createLeavingEndpointTracker({cloud, hostList, network, ...rest});
@@ -178,7 +178,7 @@
     return {endpoints: [...known.endpoints.keys()], host, goneAt, isWhole};
   }
 
-  /** Called for each new report, so that reports reach all entries. */
+  /** Forwards a new report; as every entry does so, it reaches all entries. */
   function broadcastHost(host: string, except?: string) {
     const known = hosts.get(host);
     if (known === undefined) {
@@ -285,7 +285,7 @@
     }
   }
 
-  /** Drops hosts that no list can still show, or that did not leave. */
+  /** Drops hosts after `forgetAt`; those still listed were not reclaimed. */
   function expireHosts() {
     const now = clock.now();
     for (const known of [...hosts.values()]) {
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -8,10 +8,11 @@
 export interface LeavingHost {
   readonly host: string;
   goneAt: number;
-  /** Monotonic milliseconds by which it is gone; undefined if not reported. */
+  /** Monotonic milliseconds by which the host is gone; undefined if unknown. */
   goneBy: number | undefined;
   /** Monotonic milliseconds of the first report. */
   readonly since: number;
+  /** Monotonic milliseconds at which this state is dropped. */
   forgetAt: number;
   readonly source: LeavingSource;
   /** The host itself leaves with all its endpoints, including unlisted ones. */
@@ -23,8 +24,9 @@
 
 /** Maximum lag of the host list, in milliseconds. */
 const MAX_LIST_LAG_MS = 15 * 60_000;
-/** Upper bound applied to the time of a reclaim notice, in milliseconds. */
+/** Maximum time from a reclaim notice to its deadline, in milliseconds. */
 const MAX_NOTICE_MS = 60 * 60_000;
+
 /**
  * Creates the state of a host without a deadline.
  *
--- a/packages/members/src/localMember.ts
+++ b/packages/members/src/localMember.ts
@@ -7,7 +7,7 @@
 /** Identity and addresses of this entry, fixed at start. */
 export interface LocalMemberInfo {
   readonly id: string;
-  /** Exceeds that of any earlier process of this id, like wall-clock time. */
+  /** Greater than in any earlier process of this id, such as its start time. */
   readonly incarnation: number;
   readonly callerUrl: string;
   readonly innerUrl: string;
--- a/packages/members/src/memberMachine.ts
+++ b/packages/members/src/memberMachine.ts
@@ -4,8 +4,8 @@
 
 /**
  * `heard`: a message arrived. `suspected`: no heartbeat within the timeout.
- * `left`: it announced that it leaves. `lost`: a suspicion was confirmed, or it
- * announced its end. `returned`: a newer update of its own or a new process.
+ * `left`: the member announced that it leaves. `lost`: a suspicion was
+ * confirmed, or the member announced its end. `returned`: a newer update came from it or from a new process.
  */
 export type MemberEvent = 'heard' | 'suspected' | 'left' | 'lost' | 'returned';
 
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -33,12 +33,12 @@
   all(): Iterable<KnownMember>;
   /** Members that are not gone. */
   present(): readonly KnownMember[];
-  /** Applies an update if newer than the stored one; returns whether it was. */
+  /** Applies an update if newer than the stored one; returns if it was newer. */
   apply(update: MemberUpdate): boolean;
   /** Sends an event to a member's machine; returns whether it changed state. */
   send(known: KnownMember, event: MemberEvent): boolean;
   remove(id: string): void;
-  /** Hash of each bucket over members not gone, including the local one. */
+  /** Hash of each bucket over members not gone and the local member. */
   bucketHashesWith(localUpdate: MemberUpdate): readonly number[];
   /** Hash over all buckets, including the local member. */
   digestWith(localUpdate: MemberUpdate): number;
@@ -47,11 +47,14 @@
     peerHashes: readonly number[],
     localUpdate: MemberUpdate,
   ): MemberUpdate[];
-  /** Number of membership changes so far; lets users cache derived values. */
+  /** Number of membership changes so far; lets callers cache values. */
   revision(): number;
 }
 
-/** With 1,700 members, reconciling one difference costs about 50 updates. */
+/**
+ * Number of buckets in which member tables are compared. A bucket that differs
+ * is sent whole: about 50 updates with 1,700 members.
+ */
 export const BUCKET_COUNT = 32;
 
 /** Precedence of states between updates of equal incarnation and sequence. */
@@ -138,8 +141,8 @@
     known.hasLeft =
       update.state === 'leaving' ||
       (known.hasLeft && update.state === 'gone' && !isNewProcess);
-    const changed = send(known, EVENT_BY_STATE[update.state]);
-    if (!changed && isNewProcess) {
+    const hasChanged = send(known, EVENT_BY_STATE[update.state]);
+    if (!hasChanged && isNewProcess) {
       revision += 1;
       onDidChange(known);
     }
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -149,7 +149,7 @@
     decisions,
   });
 
-  /** Answers a probe; includes the sender's state if it is leaving or gone. */
+  /** Answers a probe; lets a sender held as leaving or gone refute that. */
   function answerProbe(body: Messages['memberProbe']): MemberProbeResponse {
     if (body.believed !== undefined) {
       applyUpdate(body.believed);
--- a/packages/members/src/pauseDetector.ts
+++ b/packages/members/src/pauseDetector.ts
@@ -33,15 +33,15 @@
   let staleSince: number | undefined;
   let pauses = 0;
 
-  /** Also read between ticks, for code that runs first after a pause. */
-  function gap(): number {
+  /** Also used between ticks: other code may run first after a pause. */
+  function msSinceTick(): number {
     return clock.now() - lastTickAt;
   }
 
   return {
-    isCurrent: () => staleSince === undefined && gap() <= thresholdMs,
+    isCurrent: () => staleSince === undefined && msSinceTick() <= thresholdMs,
     tick() {
-      const gapMs = gap();
+      const gapMs = msSinceTick();
       lastTickAt = clock.now();
       if (gapMs <= thresholdMs) {
         return 0;
--- a/packages/members/src/reconciler.ts
+++ b/packages/members/src/reconciler.ts
@@ -1,6 +1,7 @@
 /**
  * Anti-entropy for updates that gossip missed: entries compare a digest with
- * every heartbeat, and fetch the differing buckets when it differs for long.
+ * every heartbeat, and fetch the differing buckets when the digests differ for
+ * `reconcileDelayMs`.
  */
 import {toServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {
@@ -37,7 +38,7 @@
   applyUpdate(update: MemberUpdate): void;
 }): Reconciler {
   const {table, network, clock, log, timing} = options;
-  /** By peer: agreement with one lacking the same member proves nothing. */
+  /** Per peer, as two peers that lack the same member have equal digests. */
   const differsSince = new Map<string, number>();
   let fetches = 0;
 
@@ -56,7 +57,7 @@
     }
   }
 
-  /** Former neighbours send no heartbeats that would remove their item. */
+  /** Drops former neighbours, whose heartbeats would have dropped them. */
   function dropStalePeers(now: number) {
     for (const [peer, since] of differsSince) {
       if (now - since > 2 * timing.reconcileDelayMs) {
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -94,7 +94,7 @@
  * lack it for a quarter of an hour; if an outdated list readmitted it, calls
  * would go to a process that is gone.
  */
-const returns: ReadonlyArray<{
+const returnCases: ReadonlyArray<{
   readonly name: string;
   /** Time until the host is gone; 0 without a reclaim notice. */
   readonly noticeMs: number;
@@ -195,7 +195,7 @@
     assert.deepEqual(a.seen, ['e1 by notice', 'e1 returns']);
   });
 
-  for (const {name, noticeMs, steps, isBack} of returns) {
+  for (const {name, noticeMs, steps, isBack} of returnCases) {
     it(name, async () => {
       const {clock, a} = createChain();
       a.list(listedEndpoint('e1', 'h1'));
@@ -257,13 +257,13 @@
     await clock.advance(10);
     assert.deepEqual(c.seen, []);
     assert.deepEqual(b.seen, ['e1 by peer']);
-    const again = net.start('c').network;
+    const restartedNetwork = net.start('c').network;
     const received: string[] = [];
-    again.onDidReceive('endpointLeaving', (_, {endpoints}) => {
+    restartedNetwork.onDidReceive('endpointLeaving', (_, {endpoints}) => {
       received.push(...endpoints);
     });
     const url = `${MEMORY_URL_PREFIX}b`;
-    again.setPeers([{id: 'b', incarnation: 1, url}]);
+    restartedNetwork.setPeers([{id: 'b', incarnation: 1, url}]);
     await clock.advance(10);
     assert.deepEqual(received, ['e1']);
   });
--- a/packages/members/src/test/membership.fuzz.test.ts
+++ b/packages/members/src/test/membership.fuzz.test.ts
@@ -136,7 +136,11 @@
   const wasLong = cluster.clock.now() - since > DETECTABLE_PAUSE_MS;
   cluster.net.resume(id);
   if (wasLong && hasPeers) {
-    assert.equal(cluster.running.get(id)!.isCurrent(), false, `${id} woke`);
+    assert.equal(
+      cluster.running.get(id)!.isCurrent(),
+      false,
+      `${id} is current`,
+    );
   }
 }
 
--- a/packages/members/src/test/membership.test.ts
+++ b/packages/members/src/test/membership.test.ts
@@ -85,8 +85,8 @@
     await cluster.clock.advance(SETTLE_MS);
     assertAllList(cluster, ids);
     const seen = cluster.running.get('m0')!.members();
-    const again = seen.find(member => member.id === 'm3');
-    assert.equal(again?.incarnation, 8);
+    const restarted = seen.find(member => member.id === 'm3');
+    assert.equal(restarted?.incarnation, 8);
   });
 
   for (const id of ['m1', 'm3']) {
@@ -114,23 +114,23 @@
     });
   }
 
-  // Guards against new processes that each count only themselves.
+  // Without the list, each of several new entries would count only itself.
   it('counts listed entries before receiving their updates', async () => {
     const cluster = createCluster();
     const ids = cluster.startMany(9);
     await cluster.clock.advance(10_000);
     ids.forEach(id => cluster.crash(id));
     await cluster.clock.advance(1_000);
-    const again = cluster.start('m0');
-    assert.equal(again.entryCount(), undefined);
+    const restarted = cluster.start('m0');
+    assert.equal(restarted.entryCount(), undefined);
     await cluster.clock.advance(200);
-    assert.equal(again.live().length, 1);
-    assert.equal(again.entryCount(), 9);
+    assert.equal(restarted.live().length, 1);
+    assert.equal(restarted.entryCount(), 9);
     await cluster.clock.advance(10_000);
-    assert.equal(again.entryCount(), 1);
+    assert.equal(restarted.entryCount(), 1);
   });
 
-  // Guards against partition sides that count only themselves within seconds.
+  // Otherwise each side of a partition would soon count only itself.
   it('keeps counting entries behind a partition for a grace period', async () => {
     const {cluster, ids} = await settledCluster(9);
     const [side, others] = [ids.slice(0, 4), ids.slice(4)];
--- a/packages/members/src/timing.ts
+++ b/packages/members/src/timing.ts
@@ -21,7 +21,7 @@
   readonly tombstoneTtlMs: number;
   /** Time that a digest must differ before the members are reconciled. */
   readonly reconcileDelayMs: number;
-  /** Interval of sweeps for dead member objects, and their minimum age. */
+  /** Interval of sweeps for objects of members gone for at least this time. */
   readonly sweepIntervalMs: number;
   /** Interval of checks of this entry's own object. */
   readonly ownObjectCheckIntervalMs: number;
--- a/packages/members/src/updateValidation.ts
+++ b/packages/members/src/updateValidation.ts
@@ -16,10 +16,10 @@
 
 /**
  * Throws `protocol-violation` for a malformed member update. Without the check
- * a faulty release would spread it to the member table of every entry.
+ * a faulty release would spread such updates to the table of every entry.
  *
  * @example
- * validateUpdate(proof.news);
+ * validateUpdate(response.news);
  */
 export function validateUpdate(update: MemberUpdate): void {
   const fields: Partial<Record<keyof MemberUpdate, unknown>> = update ?? {};
