--- a/packages/members/src/endpointDeparture.ts
+++ b/packages/members/src/endpointDeparture.ts
@@ -5,8 +5,8 @@
  * sent there would be cut off. A return therefore requires a list that shows
  * the endpoint leaving or absent, followed by a list that shows it live. As an
  * older list may arrive after a newer one, a return also requires a new URL or
- * that the deadline of the old process has passed. A new process on
- * a host that itself leaves is not a return.
+ * that the deadline of the old process has passed. A new process on a host that
+ * itself leaves is not a return.
  */
 import type {ListedEndpoint} from '@skylarkfield/providers';
 
--- a/packages/members/src/memberMachine.ts
+++ b/packages/members/src/memberMachine.ts
@@ -5,7 +5,8 @@
 /**
  * `heard`: a message arrived. `suspected`: no heartbeat within the timeout.
  * `left`: the member announced that it leaves. `lost`: a suspicion was
- * confirmed, or the member announced its end. `returned`: a newer update came from it or from a new process.
+ * confirmed, or the member announced its end. `returned`: a newer update
+ * arrived, from the member itself or from a new process of its id.
  */
 export type MemberEvent = 'heard' | 'suspected' | 'left' | 'lost' | 'returned';
 
