--- a/packages/duties/src/contracts.ts
+++ b/packages/duties/src/contracts.ts
@@ -1,7 +1,10 @@
 /** Control-plane tasks with one active holder, elected through leases. */
 import type {Disposable} from '@skylarkfield/base';
 
-/** `acceptance`: checks records. `fleet`: hosts, orders. `moves`: rollouts. */
+/**
+ * `acceptance` validates records, `fleet` scales hosts and repairs endpoints,
+ * and `moves` rolls out versions.
+ */
 export type DutyName = 'acceptance' | 'moves' | 'fleet' | `shard:${number}`;
 
 /** Period during which this process holds a duty's lease. */
--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -35,8 +35,8 @@
   /** Ids of the live members, including this one. */
   readonly members: () => readonly string[];
   /**
-   * Whether this process may keep holding a duty; it hands the duty over if
-   * not. Defaults to always.
+   * Whether this process may keep holding a duty; if not, it hands the duty
+   * over. Defaults to always.
    */
   readonly mayHold?: () => boolean;
   readonly log?: Logger;
--- a/packages/duties/src/leaseElection.ts
+++ b/packages/duties/src/leaseElection.ts
@@ -110,9 +110,9 @@
   }
 
   function extendValidity(sentAt: number, sentAtWall: number): void {
-    const spanMs = timing.durationMs - timing.marginMs;
-    validUntil = sentAt + spanMs;
-    validUntilWall = sentAtWall + spanMs;
+    const validityMs = timing.durationMs - timing.marginMs;
+    validUntil = sentAt + validityMs;
+    validUntilWall = sentAtWall + validityMs;
     expiryTimer.dispose();
     expiryTimer = clock.after(validUntil - clock.now(), () =>
       loseLease('the lease expired before it was renewed'),
@@ -134,10 +134,10 @@
     if (isResigned) {
       return;
     }
-    const spanMs =
+    const intervalMs =
       heldLease === undefined ? timing.pollMs : timing.renewEveryMs;
     roundTimer.dispose();
-    roundTimer = clock.after(spanMs * (0.75 + random.next() / 2), () => {
+    roundTimer = clock.after(intervalMs * (0.75 + random.next() / 2), () => {
       void runRound();
     });
   }
@@ -148,7 +148,7 @@
       return;
     }
     service.send('compete');
-    // Most polls find the lease held; a free one is read again as `latest`.
+    // Most polls find the lease held; a free lease is reread as `latest`.
     if ((await readIsFree('recent')) && (await readIsFree('latest'))) {
       await acquire();
     }
@@ -164,13 +164,13 @@
     service.send('acquire');
     const previous = readLease(leaseObject);
     try {
-      const fencing = (previous?.fencing ?? (await fencingFloor())) + 1;
+      const fencing = (previous?.fencing ?? (await maxPastFencing())) + 1;
       await writeLease({fencing, sequence: 0, isReleased: false});
       if (isResigned) {
         await releaseLease(fencing);
         return;
       }
-      beginTenure(fencing, previous);
+      beginTerm(fencing, previous);
     } catch (error) {
       service.send('fail');
       throw error;
@@ -183,12 +183,12 @@
    * holder's orders as stale if tokens restarted at 1. Store versions rise at
    * least as fast as fencing tokens.
    */
-  async function fencingFloor(): Promise<number> {
+  async function maxPastFencing(): Promise<number> {
     const {version} = await store.list(LEASE_KIND);
     return version;
   }
 
-  /** Writes the lease if unchanged; its validity starts before the call. */
+  /** Writes the lease if unchanged; it is valid from the start of the call. */
   async function writeLease(
     change: Pick<Lease, 'fencing' | 'sequence' | 'isReleased'>,
   ): Promise<void> {
@@ -206,7 +206,7 @@
     }
   }
 
-  function beginTenure(fencing: number, previous: Lease | undefined): void {
+  function beginTerm(fencing: number, previous: Lease | undefined): void {
     const controller = new AbortController();
     const term: DutyTerm = {
       duty,
@@ -242,7 +242,7 @@
    */
   async function handOver({fencing}: HeldLease): Promise<void> {
     acquireNotBefore = clock.now() + timing.durationMs + timing.marginMs;
-    endTenure();
+    endTerm();
     service.send('lose');
     options.decisions?.note(
       'duties',
@@ -289,12 +289,12 @@
       return;
     }
     const {fencing} = heldLease;
-    endTenure();
+    endTerm();
     service.send('lose');
     options.decisions?.note('duties', duty, 'lose', why, {fencing});
   }
 
-  function endTenure(): void {
+  function endTerm(): void {
     const endedLease = heldLease;
     heldLease = undefined;
     validUntil = 0;
@@ -324,7 +324,7 @@
       isResigned = true;
       roundTimer.dispose();
       const held = heldLease;
-      endTenure();
+      endTerm();
       if (held !== undefined) {
         service.send('release');
         await releaseLease(held.fencing);
--- a/packages/duties/src/test/duties.fuzz.test.ts
+++ b/packages/duties/src/test/duties.fuzz.test.ts
@@ -13,28 +13,35 @@
 
 type Simulation = ReturnType<typeof createDutySimulation>;
 
-/** Steps of a schedule; each takes a process id and a magnitude from 0 to 1. */
+/** Steps of a schedule; each takes a process id and a magnitude, 0 to 1. */
 const faultHandlers = {
-  advance: (simulation, _id, size) => simulation.advance(50 + size * 15_000),
+  advance: (simulation, _id, magnitude) =>
+    simulation.advance(50 + magnitude * 15_000),
   pause: (simulation, id) => simulation.processes.get(id)?.clock.pause(),
   resume: (simulation, id) => simulation.processes.get(id)?.clock.resume(),
   crash: (simulation, id) => simulation.crash(id),
   restart: (simulation, id) => simulation.restart(id),
   leave: (simulation, id) => simulation.leave(id),
-  loseReplies: (simulation, id, size) =>
-    simulation.processes.get(id)?.store.faults.loseReplies(Math.ceil(size * 3)),
+  loseReplies: (simulation, id, magnitude) =>
+    simulation.processes
+      .get(id)
+      ?.store.faults.loseReplies(Math.ceil(magnitude * 3)),
   cut: (simulation, id) =>
     simulation.processes.get(id)?.store.faults.setDown(true),
   heal: (simulation, id) =>
     simulation.processes.get(id)?.store.faults.setDown(false),
   platformDown: simulation => simulation.platform.faults.setDown(true),
   platformUp: simulation => simulation.platform.faults.setDown(false),
-  slow: (simulation, _id, size) =>
-    simulation.platform.faults.setDelay(4 + size * 5000),
+  slow: (simulation, _id, magnitude) =>
+    simulation.platform.faults.setDelay(4 + magnitude * 5000),
   fast: simulation => simulation.platform.faults.setDelay(4),
 } satisfies Record<
   string,
-  (simulation: Simulation, id: string, size: number) => Promise<void> | void
+  (
+    simulation: Simulation,
+    id: string,
+    magnitude: number,
+  ) => Promise<void> | void
 >;
 
 const command = fc.record({
@@ -49,7 +56,7 @@
   ),
   id: fc.constantFrom('a', 'b', 'c', 'd'),
   // Whole percents, since most random doubles are close to 0.
-  size: fc.integer({min: 0, max: 100}).map(percent => percent / 100),
+  magnitude: fc.integer({min: 0, max: 100}).map(percent => percent / 100),
 });
 
 // Holders are paused past their lease, replies are lost and the platform fails.
@@ -66,8 +73,8 @@
         fc.array(command, {minLength: 5, maxLength: 40, size: 'max'}),
         async (simulationSeed, schedule) => {
           const simulation = createDutySimulation(simulationSeed);
-          for (const {what, id, size} of schedule) {
-            await faultHandlers[what](simulation, id, size);
+          for (const {what, id, magnitude} of schedule) {
+            await faultHandlers[what](simulation, id, magnitude);
           }
           await simulation.heal();
           assert.equal(
--- a/packages/duties/src/test/dutySimulation.ts
+++ b/packages/duties/src/test/dutySimulation.ts
@@ -19,7 +19,7 @@
 }
 
 const PROCESS_IDS = ['a', 'b', 'c', 'd'];
-/** Maximum simulated clock drift; real hosts drift far less. */
+/** Maximum clock drift, as a fraction; real hosts drift far less. */
 const MAX_CLOCK_DRIFT = 0.01;
 /** Nonzero, so that replies need a timer and wait while a process is paused. */
 const NETWORK_LATENCY_MS = 4;
@@ -44,8 +44,8 @@
 
   function start(id: string): void {
     incarnationCount += 1;
-    const drift = 1 + MAX_CLOCK_DRIFT * (2 * random.next() - 1);
-    const processClock = pausableClock(clock, drift);
+    const clockRate = 1 + MAX_CLOCK_DRIFT * (2 * random.next() - 1);
+    const processClock = pausableClock(clock, clockRate);
     const store = platform.client(id, {clock: processClock});
     const dutyElections = createDutyElections({
       clock: processClock,
@@ -101,9 +101,9 @@
     holders,
     termCount: () => termCount,
     processIds: PROCESS_IDS,
-    async advance(spanMs: number) {
+    async advance(durationMs: number) {
       for (
-        let remainingMs = spanMs;
+        let remainingMs = durationMs;
         remainingMs > 0;
         remainingMs -= CHECK_INTERVAL_MS
       ) {
