--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -25,7 +25,7 @@
 /** WebSocket close code for a protocol violation. */
 const POLICY_VIOLATION = 1008;
 const NORMAL_CLOSURE = 1000;
-/** Upper bound of the reason in a close frame, in bytes. */
+/** Maximum length of the reason in a close frame, in bytes. */
 const MAX_REASON_BYTES = 120;
 
 /**
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -33,7 +33,7 @@
   readonly id: string;
   /** Increases with each start of the process, but not after a pause. */
   readonly incarnation: number;
-  /** `ws://` or `wss://` URL of its inner port. */
+  /** `ws://` or `wss://` URL of the peer's inner port. */
   readonly url: string;
 }
 
@@ -53,7 +53,7 @@
   setPeers(peers: readonly PeerAddress[]): void;
   /**
    * Sets the peers to connect to only on demand. With many entries, `setPeers`
-   * gets the few neighbours and this gets all entries.
+   * gets the few neighbours and `setAddressBook` gets all entries.
    */
   setAddressBook(peers: readonly PeerAddress[]): void;
   /**
--- a/packages/protocol/src/dispatcher.ts
+++ b/packages/protocol/src/dispatcher.ts
@@ -23,8 +23,8 @@
 import type {NetworkTraffic} from './contracts.js';
 
 /**
- * Identity of the path of a request: a connection, or the peer's id in networks
- * that never have two connections to one peer.
+ * Identifies the connection that carries a request: the connection itself, or
+ * the peer's id in networks that never have two connections to one peer.
  */
 export type Channel = object | string;
 
@@ -64,7 +64,7 @@
   ): Promise<unknown>;
   /** Fails the pending requests of a channel that closed. */
   failRequests(channel: Channel): void;
-  /** Counts invalid input that the dispatcher itself did not see. */
+  /** Counts invalid input that was rejected outside the dispatcher. */
   countRejected(): void;
   traffic(): NetworkTraffic;
 }
@@ -99,7 +99,7 @@
     return bytes;
   }
 
-  /** Runs all handlers of the type; returns the first defined result. */
+  /** Runs the handlers of the type until one returns a result. */
   async function runHandlers(from: string, frame: Frame): Promise<unknown> {
     let result: unknown;
     for (const handler of [...(handlers.get(frame.type) ?? [])]) {
@@ -108,7 +108,7 @@
     return result;
   }
 
-  function respond(from: string, frame: Frame, reply: (b: Buffer) => void) {
+  function respond(from: string, frame: Frame, reply: (bytes: Buffer) => void) {
     runHandlers(from, frame).then(
       body =>
         reply(encode({type: RESPONSE_FRAME, requestId: frame.requestId, body})),
@@ -147,7 +147,11 @@
     );
   }
 
-  function dispatch(from: string, frame: Frame, reply: (b: Buffer) => void) {
+  function dispatch(
+    from: string,
+    frame: Frame,
+    reply: (bytes: Buffer) => void,
+  ) {
     if (frame.type === RESPONSE_FRAME || frame.type === ERROR_FRAME) {
       settleRequest(from, frame);
       return;
--- a/packages/protocol/src/memoryNetwork.ts
+++ b/packages/protocol/src/memoryNetwork.ts
@@ -26,11 +26,11 @@
 }
 
 export interface MemoryNetwork {
-  /** Starts a process; first crashes a running one of the same id. */
+  /** Starts a process; first crashes a running process of the same id. */
   start(id: string): MemoryPeer;
   /** Ends a process without a shutdown, like SIGKILL. */
   crash(id: string): void;
-  /** Defers its timers and received messages, like SIGSTOP. */
+  /** Defers timers and received messages of a process, like SIGSTOP. */
   pause(id: string): void;
   resume(id: string): void;
   /** Drops messages in one direction; the opposite direction stays open. */
@@ -95,9 +95,9 @@
     return {
       now: () => clock.now(),
       wall: () => clock.wall(),
-      after: (delay, callback) => {
+      after: (timeoutMs, callback) => {
         let isCancelled = false;
-        const timer = clock.after(delay, () =>
+        const timer = clock.after(timeoutMs, () =>
           runOrDefer(process, () => {
             if (!isCancelled) {
               callback();
@@ -232,7 +232,7 @@
       onDidReceive: (type, handler) =>
         dispatcher.addHandler(
           type,
-          handler as (f: string, b: unknown) => unknown,
+          handler as (from: string, body: unknown) => unknown,
         ),
       onDidChangePeer: listener =>
         process.peerChanged.event(({peer, isOpen}) => listener(peer, isOpen)),
--- a/packages/protocol/src/messages/gatewayMessages.ts
+++ b/packages/protocol/src/messages/gatewayMessages.ts
@@ -17,7 +17,7 @@
   readonly changedAt: number;
   /** Age when sent of the last check that the copy is current; -1 for never. */
   readonly confirmedAgoMs: number;
-  /** Whether the sender reads this kind from the platform, successfully. */
+  /** Whether the sender successfully reads this kind from the platform. */
   readonly isReader: boolean;
 }
 
@@ -43,7 +43,7 @@
   /** Sent several times a second to all peers, or to and from relays. */
   digest: {
     /**
-     * Coverage of `used`, `usage`, `loads` and `work`: the sender (the
+     * Entries that `used`, `usage`, `loads` and `work` cover: the sender (the
      * default), its failure domain, or all entries except the receiver.
      */
     readonly scope?: 'own' | 'domain' | 'rest';
@@ -53,7 +53,7 @@
     readonly incarnation?: number;
     /** Milliseconds since the sender started. */
     readonly upMs?: number;
-    /** Number of entries that those fields cover; 1 if absent. */
+    /** Number of entries in the scope; 1 if absent. */
     readonly entries?: number;
     /** Monotonic milliseconds of the sender when sent. */
     readonly stamp: number;
@@ -66,7 +66,7 @@
       Record<Exclude<MirrorKind, 'crashes'>, SyncStatus> &
         Partial<Record<'crashes', SyncStatus>>
     >;
-    /** Recent crashes by running request, and which of these were served. */
+    /** Recent crashes, and when a request was last `served`, by fingerprint. */
     readonly crashes?: {
       readonly crashes: readonly {
         readonly request: string;
@@ -92,7 +92,7 @@
     /** Outcomes of requests, by service. */
     readonly outcomes: Readonly<Record<string, OutcomeCounts>>;
   };
-  /** Changes of one kind between two revisions, sent when they are read. */
+  /** Changes of one kind between two revisions, sent by their reader. */
   mirrorChanges: {
     readonly kind: MirrorKind;
     readonly from: number;
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -13,7 +13,7 @@
   readonly region: string;
   /** Requests in flight when this was created, for load balancing. */
   readonly load: number;
-  /** Processor cores that it may use; absent if not set in its settings. */
+  /** Processor cores it may use; absent if not set in its settings. */
   readonly cores?: number;
 }
 
@@ -40,13 +40,16 @@
   leaving: {readonly news: MemberUpdate};
   /**
    * Probes a member for its current state; carries the state that the sender
-   * has recorded for it, so that it can refute it. Response:
-   * `MemberProbeResponse`.
+   * has recorded for the member, so that the member can refute that state.
+   * Response: `MemberProbeResponse`.
    */
   memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
   /** Requests when a member was last active. Response: `LastSeenResponse`. */
   memberWord: {readonly id: string; readonly incarnation: number};
-  /** Requests the members of differing buckets. Response: `MembersResponse`. */
+  /**
+   * Requests the members of buckets whose hash at the receiver differs from the
+   * given one. Response: `MembersResponse`.
+   */
   membersWanted: {readonly buckets: readonly number[]};
 }
 
--- a/packages/protocol/src/messages/moveMessages.ts
+++ b/packages/protocol/src/messages/moveMessages.ts
@@ -36,7 +36,7 @@
   readonly confidence: number;
   /** Wall-clock milliseconds of the last change of phase or share. */
   readonly changedAt: number;
-  /** Versions of this state, to detect that an operator changed the move. */
+  /** Versions of the move, to detect that an operator has changed them. */
   readonly from?: string;
   readonly to?: string;
   /** Wall-clock milliseconds at which the candidate first received traffic. */
@@ -51,7 +51,7 @@
   readonly isOrder: boolean;
   readonly requests: number;
   readonly candidateRequests: number;
-  /** Log-likelihood ratios of a good version to 2 and 3 times the errors. */
+  /** Log-likelihood ratios of an unchanged error rate to 2 and 3 times it. */
   readonly errorsTwice: number;
   readonly errorsThrice: number;
   /** The same for a relevant added error rate, on routes that rarely fail. */
--- a/packages/protocol/src/messages/orderMessages.ts
+++ b/packages/protocol/src/messages/orderMessages.ts
@@ -63,6 +63,7 @@
   orderForward: {
     /** Digest of customer and idempotency key; a random id without a key. */
     readonly id: string;
+    /** Digest of the service and the fingerprint of the call. */
     readonly print: string;
     /** Unique id of each forwarding, to deduplicate deliveries. */
     readonly attempt: string;
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -5,7 +5,6 @@
 
 export type LinkState = 'idle' | 'dialing' | 'open' | 'waiting';
 
-/** State transitions of a link. */
 const linkMachine = createMachine('idle', {
   idle: state(transition('dial', 'dialing'), transition('opened', 'open')),
   dialing: state(transition('opened', 'open'), transition('failed', 'waiting')),
@@ -25,7 +24,7 @@
   /** Whether to stay connected; otherwise dials only on demand. */
   isWanted: boolean;
   state(): LinkState;
-  /** Dials now unless a connection is open or being opened. */
+  /** Dials immediately unless a connection is open or being opened. */
   dial(): void;
   /** Called when a connection, dialed by either side, is open. */
   handleOpened(): void;
--- a/packages/protocol/src/peerLinks.ts
+++ b/packages/protocol/src/peerLinks.ts
@@ -5,7 +5,7 @@
 import {createPeerLink, type PeerLink} from './peerLink.js';
 
 /**
- * Head start, in milliseconds, of the peer with the smaller id, so that two
+ * Delay, in milliseconds, before the peer with the larger id dials, so that two
  * peers that discover each other at the same time do not both dial.
  */
 const SECOND_DIALER_DELAY_MS = 300;
@@ -18,7 +18,7 @@
   /** Address of a peer from its link or the address book. */
   addressOf(id: string): PeerAddress | undefined;
   /** Address of a peer from the address book alone. */
-  addressBookEntry(id: string): PeerAddress | undefined;
+  addressFromBook(id: string): PeerAddress | undefined;
   /** Sets the peers to stay connected to. */
   setWantedPeers(peers: readonly PeerAddress[]): void;
   /** Sets the peers to dial only on demand. */
@@ -92,7 +92,7 @@
     get: id => links.get(id),
     getOrCreate,
     addressOf: id => links.get(id)?.address ?? addressBook.get(id),
-    addressBookEntry: id => addressBook.get(id),
+    addressFromBook: id => addressBook.get(id),
     setWantedPeers(peers) {
       const wanted = new Map(peers.map(peer => [peer.id, peer]));
       wanted.delete(selfId);
--- a/packages/protocol/src/peerNetwork.ts
+++ b/packages/protocol/src/peerNetwork.ts
@@ -100,8 +100,8 @@
     connections.set(peer.id, connection);
     previous?.dispose();
     if (previous !== undefined && previous.incarnation !== peer.incarnation) {
-      // The previous process is gone and its end may never close: its pending
-      // requests would wait for their whole timeout.
+      // The previous process is gone and may never close its socket: pending
+      // requests to it would wait for their whole timeout.
       dispatcher.failRequests(previous);
     }
     links.get(peer.id)?.handleOpened();
@@ -122,8 +122,8 @@
 
   function handleClose(connection: Connection) {
     const {peer} = connection;
-    // Also for a replaced connection: its requests would wait for their whole
-    // timeout. Until it closes it may still deliver responses in transit.
+    // A replaced connection may deliver responses until it closes; afterwards
+    // its requests would wait for their whole timeout.
     dispatcher.failRequests(connection);
     if (connections.get(peer) !== connection) {
       return;
@@ -197,7 +197,7 @@
     if (connection !== undefined) {
       return connection.send(bytes);
     }
-    const address = links.addressBookEntry(to);
+    const address = links.addressFromBook(to);
     if (address !== undefined) {
       links.getOrCreate(address).dial();
     }
@@ -272,7 +272,7 @@
     onDidReceive: (type, handler) =>
       dispatcher.addHandler(
         type,
-        handler as (f: string, b: unknown) => unknown,
+        handler as (from: string, body: unknown) => unknown,
       ),
     onDidChangePeer: listener =>
       peerChanged.event(({peer, isOpen}) => listener(peer, isOpen)),
--- a/packages/protocol/src/test/compatibility.test.ts
+++ b/packages/protocol/src/test/compatibility.test.ts
@@ -92,20 +92,20 @@
 
   for (const {name, protocolVersion, isAccepted} of VERSIONS) {
     it(`${isAccepted ? 'accepts' : 'rejects'} a dialing peer of ${name} version`, async () => {
-      const before = a.network.traffic().rejected;
+      const rejectedBefore = a.network.traffic().rejected;
       const other = dial(a.address.url, encodeHello(protocolVersion));
       if (isAccepted) {
         await until(
           () => a.network.connectedPeers().includes('x'),
           'connected',
         );
-        assert.equal(a.network.traffic().rejected, before);
+        assert.equal(a.network.traffic().rejected, rejectedBefore);
         await leave(other);
         return;
       }
       await until(() => other.socket.readyState === WebSocket.CLOSED, 'closed');
       assert.deepEqual(other.received, []);
-      assert.equal(a.network.traffic().rejected, before + 1);
+      assert.equal(a.network.traffic().rejected, rejectedBefore + 1);
       assert.deepEqual(a.network.connectedPeers(), []);
     });
 
@@ -135,13 +135,13 @@
 
   it('counts and ignores messages of unknown types', async () => {
     const other = await join(encodeHello(PROTOCOL_VERSION + 1));
-    const before = a.network.traffic().rejected;
+    const rejectedBefore = a.network.traffic().rejected;
     other.send({type: 'unknownMessage', requestId: 0, body: {a: 1}});
     other.send({type: 'unknownRequest', requestId: 7, body: {a: 1}});
     await until(() => other.received.length === 2, 'the response arrives');
-    assert.equal(a.network.traffic().rejected, before + 2);
-    const {type, requestId: ask, body} = other.received[1]!;
-    assert.deepEqual({type, ask}, {type: ERROR_FRAME, ask: 7});
+    assert.equal(a.network.traffic().rejected, rejectedBefore + 2);
+    const {type, requestId: receivedId, body} = other.received[1]!;
+    assert.deepEqual({type, receivedId}, {type: ERROR_FRAME, receivedId: 7});
     const {kind, run} = body as {kind: string; run: string};
     assert.deepEqual({kind, run}, {kind: 'protocol-violation', run: 'not-run'});
     assert.ok(a.network.connectedPeers().includes('x'));
@@ -153,11 +153,11 @@
       encodeHello(PROTOCOL_VERSION, {unknownField: true}),
     );
     const seen: object[] = [];
-    const handling = a.network.onDidReceive('memberWord', (_, body) => {
+    const subscription = a.network.onDidReceive('memberWord', (_, body) => {
       seen.push(body);
       return {heardAgoMs: 5};
     });
-    const before = a.network.traffic().rejected;
+    const rejectedBefore = a.network.traffic().rejected;
     const body = {id: 'b', incarnation: 1, unknownField: [1, {nested: true}]};
     other.send({type: 'memberWord', requestId: 3, body});
     await until(() => other.received.length === 2, 'the response arrives');
@@ -167,19 +167,19 @@
       body: {heardAgoMs: 5},
     });
     assert.deepEqual(seen, [body]);
-    assert.equal(a.network.traffic().rejected, before);
+    assert.equal(a.network.traffic().rejected, rejectedBefore);
     assert.ok(a.network.connectedPeers().includes('x'));
-    handling.dispose();
+    subscription.dispose();
     await leave(other);
   });
 
   it('accepts a response with an unknown field', async () => {
     const other = await join(encodeHello(PROTOCOL_VERSION));
     other.socket.on('message', (data: RawData) => {
-      const {requestId: ask} = decodeFrame(data as Buffer);
+      const {requestId: receivedId} = decodeFrame(data as Buffer);
       other.send({
         type: RESPONSE_FRAME,
-        requestId: ask,
+        requestId: receivedId,
         body: {heardAgoMs: 5, unknownField: 1},
       });
     });
@@ -200,9 +200,9 @@
     // the sender would retry a call that its peer has already run.
     const other = await join(encodeHello(PROTOCOL_VERSION + 1));
     other.socket.on('message', (data: RawData) => {
-      const {requestId: ask} = decodeFrame(data as Buffer);
+      const {requestId: receivedId} = decodeFrame(data as Buffer);
       const body = {kind: 'unknown-kind', message: 'new', run: 'not-run'};
-      other.send({type: ERROR_FRAME, requestId: ask, body});
+      other.send({type: ERROR_FRAME, requestId: receivedId, body});
     });
     const requestBody = {id: 'b', incarnation: 1};
     await assert.rejects(
--- a/packages/protocol/src/test/hostileInput.test.ts
+++ b/packages/protocol/src/test/hostileInput.test.ts
@@ -34,7 +34,7 @@
   readonly frames: readonly (Buffer | string)[];
 }
 
-/** Each must be counted and disconnected; a valid peer stays connected. */
+/** Each client must be counted and disconnected; a peer stays connected. */
 const CASES: readonly HostileCase[] = [
   {name: 'a wrong key', key: 'guessed', frames: []},
   {name: 'an empty key', key: '', frames: []},
@@ -92,7 +92,9 @@
     const socket = new WebSocket(new URL(hostile.path ?? '/peers', url), {
       headers: {authorization: `Bearer ${hostile.key ?? KEY}`},
     });
-    socket.on('open', () => hostile.frames.forEach(f => socket.send(f)));
+    socket.on('open', () =>
+      hostile.frames.forEach(frame => socket.send(frame)),
+    );
     socket.on('error', () => {});
     socket.on('close', () => resolve());
   });
@@ -121,9 +123,12 @@
 
   for (const hostile of CASES) {
     it(`disconnects on ${hostile.name} and keeps serving its peer`, async () => {
-      const before = a.network.traffic().rejected;
+      const rejectedBefore = a.network.traffic().rejected;
       await attack(a.address.url, hostile);
-      await until(() => a.network.traffic().rejected > before, 'counted');
+      await until(
+        () => a.network.traffic().rejected > rejectedBefore,
+        'counted',
+      );
       await until(
         () => !a.network.connectedPeers().includes('x'),
         'disconnected',
--- a/packages/protocol/src/test/innerTls.test.ts
+++ b/packages/protocol/src/test/innerTls.test.ts
@@ -13,7 +13,7 @@
 const FIXTURES = fileURLToPath(
   new URL('../../src/test/fixtures/', import.meta.url),
 );
-const CHECK_MS = 20;
+const CHECK_INTERVAL_MS = 20;
 
 describe('TLS of the inner port', () => {
   const cleanups: (() => void)[] = [];
@@ -45,7 +45,7 @@
       },
       clock: systemClock(),
       log: Object.assign(silentLogger(), {warn: () => (warnings += 1)}),
-      checkIntervalMs: CHECK_MS,
+      checkIntervalMs: CHECK_INTERVAL_MS,
     });
     cleanups.push(() => watched.dispose());
     return watched;
@@ -73,8 +73,8 @@
 
   it('uses renewed certificates and keeps connections open', async () => {
     // Certificates are renewed every few weeks. Without a reload, all entries
-    // lose each other when the old ones expire; with a restart or a reset, each
-    // renewal would interrupt requests in flight.
+    // lose each other when the old certificates expire; with a restart or a
+    // reset, each renewal would interrupt requests in flight.
     const folder = createTlsFolder('first');
     const a = await startTlsPeer('a', folder);
     const b = await startTlsPeer('b', createTlsFolder('first'));
@@ -87,9 +87,9 @@
       () => a.network.connectedPeers().includes('b'),
       'a is connected to b',
     );
-    const closed: string[] = [];
+    const connectionChanges: string[] = [];
     a.network.onDidChangePeer((peer, isOpen) => {
-      closed.push(`${peer} ${isOpen}`);
+      connectionChanges.push(`${peer} ${isOpen}`);
     });
     assert.equal(await servedCommonName(a.address.url), 'first');
     copyKeyPair(folder, 'renewed');
@@ -98,7 +98,7 @@
       name = await servedCommonName(a.address.url);
     }
     assert.equal(name, 'renewed');
-    assert.deepEqual(closed, []);
+    assert.deepEqual(connectionChanges, []);
     const c = await startTlsPeer('c', createTlsFolder('first'));
     assert.equal(await c.network.dial(a.address.url), 'a');
   });
@@ -110,7 +110,7 @@
     const a = await startTlsPeer('a', folder);
     const key = join(FIXTURES, 'renewed-key.pem');
     copyFileSync(key, join(folder, 'key.pem'));
-    await until(() => warnings > 0, 'the new pair was loaded');
+    await until(() => warnings > 0, 'the mismatched pair was rejected');
     assert.equal(await servedCommonName(a.address.url), 'first');
     const b = await startTlsPeer('b', createTlsFolder('first'));
     assert.equal(await b.network.dial(a.address.url), 'a');
--- a/packages/protocol/src/test/peerNetwork.test.ts
+++ b/packages/protocol/src/test/peerNetwork.test.ts
@@ -8,16 +8,16 @@
 const TIMEOUT_MS = 2_000;
 
 describe('peer network', () => {
-  const open: ListeningNetwork[] = [];
+  const openNetworks: ListeningNetwork[] = [];
 
   afterEach(() => {
-    open.splice(0).forEach(network => network.dispose());
+    openNetworks.splice(0).forEach(network => network.dispose());
   });
 
   async function startPair() {
     const a = await startPeer('a');
     const b = await startPeer('b');
-    open.push(a.network, b.network);
+    openNetworks.push(a.network, b.network);
     a.network.setPeers([b.address]);
     b.network.setPeers([a.address]);
     await until(
@@ -71,8 +71,11 @@
     // A component of the peer was closed, for example during a shutdown. An
     // empty response would be taken for a valid result of that component.
     const {a, b} = await startPair();
-    const handler = b.network.onDidReceive('recordsWanted', () => 'records');
-    handler.dispose();
+    const subscription = b.network.onDidReceive(
+      'recordsWanted',
+      () => 'records',
+    );
+    subscription.dispose();
     const response = a.network.request(
       'b',
       'recordsWanted',
@@ -113,14 +116,14 @@
     b.network.dispose();
     await assert.rejects(response, {kind: 'interrupted', run: 'may-have-run'});
     const replacement = await startPeer('b', {port});
-    open.push(replacement.network);
+    openNetworks.push(replacement.network);
     await until(() => a.network.connectedPeers().includes('b'), 'reconnected');
   });
 
   it('connects to a peer of the address book on demand', async () => {
     const a = await startPeer('a');
     const b = await startPeer('b');
-    open.push(a.network, b.network);
+    openNetworks.push(a.network, b.network);
     b.network.onDidReceive('recordsWanted', () => 'here');
     a.network.setAddressBook([b.address]);
     assert.deepEqual(a.network.connectedPeers(), []);
@@ -136,7 +139,7 @@
   it('fails a request immediately as not-run if nothing listens', async () => {
     const a = await startPeer('a');
     const b = await startPeer('b');
-    open.push(a.network);
+    openNetworks.push(a.network);
     b.network.dispose();
     a.network.setAddressBook([b.address]);
     const response = a.network.request(
@@ -153,7 +156,7 @@
     // messages for the old one.
     const a = await startPeer('a');
     const b = await startPeer('b');
-    open.push(a.network, b.network);
+    openNetworks.push(a.network, b.network);
     a.network.setAddressBook([{...b.address, id: 'c'}]);
     const response = a.network.request(
       'c',
@@ -168,7 +171,7 @@
   it('returns the id of the peer at a seed address', async () => {
     const a = await startPeer('a');
     const b = await startPeer('b');
-    open.push(a.network, b.network);
+    openNetworks.push(a.network, b.network);
     assert.equal(await a.network.dial(b.address.url), 'b');
   });
 });
--- a/packages/protocol/src/test/replacedConnection.test.ts
+++ b/packages/protocol/src/test/replacedConnection.test.ts
@@ -56,13 +56,13 @@
   /** Sends x a request and waits until it arrives on its newest connection. */
   async function requestOver(connection: RawConnection) {
     const outcome: {value?: unknown} = {};
-    const before = connection.received.length;
+    const receivedBefore = connection.received.length;
     a.network.request('x', 'memberWord', REQUEST_BODY, LONG_TIMEOUT_MS).then(
       response => (outcome.value = response),
       error => (outcome.value = error),
     );
     await until(
-      () => connection.received.length > before,
+      () => connection.received.length > receivedBefore,
       'the request arrives',
     );
     return outcome;
@@ -100,9 +100,11 @@
     const outcome = await requestOver(old);
     old.socket.pause();
     await connect(1);
-    const {requestId: ask} = old.received.at(-1)!;
+    const {requestId: receivedId} = old.received.at(-1)!;
     const body = {heardAgoMs: 5};
-    old.socket.send(encodeFrame({type: RESPONSE_FRAME, requestId: ask, body}));
+    old.socket.send(
+      encodeFrame({type: RESPONSE_FRAME, requestId: receivedId, body}),
+    );
     await until(() => outcome.value !== undefined, 'the response arrives');
     assert.deepEqual(outcome.value, body);
   });
@@ -117,10 +119,10 @@
     const closed = new Promise(resolve => old.socket.once('close', resolve));
     old.socket.resume();
     await closed;
-    const {requestId: ask} = newer.received.at(-1)!;
+    const {requestId: receivedId} = newer.received.at(-1)!;
     const body = {heardAgoMs: 5};
     newer.socket.send(
-      encodeFrame({type: RESPONSE_FRAME, requestId: ask, body}),
+      encodeFrame({type: RESPONSE_FRAME, requestId: receivedId, body}),
     );
     await until(() => outcome.value !== undefined, 'the response arrives');
     assert.deepEqual(outcome.value, body);
