--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -23,8 +23,8 @@
  * Returns the clock of the running process.
  *
  * Timers do not keep the process alive: a serving process has open sockets, and
- * one with only timers left is finished. Timers of 200 ms or more are coalesced
- * and fire up to 50 ms late.
+ * a process with only timers left is finished. Timers of 200 ms or more are
+ * coalesced and fire up to 50 ms late.
  *
  * @example
  * const clock = systemClock();
--- a/packages/base/src/errors.ts
+++ b/packages/base/src/errors.ts
@@ -42,7 +42,7 @@
   readonly status: number;
   /** Short, stable `title` of the RFC 9457 problem. */
   readonly title: string;
-  /** Run state unless the error itself has another one. */
+  /** Run state of an error that does not specify its own. */
   readonly run: RunState;
   /** Whether a retry of the same request can succeed. */
   readonly retryable: boolean;
--- a/packages/base/src/hashing.ts
+++ b/packages/base/src/hashing.ts
@@ -37,5 +37,5 @@
   return nodes
     .map(node => ({node, score: hash32(`${key}\u0000${node}`)}))
     .sort((a, b) => b.score - a.score || (a.node < b.node ? -1 : 1))
-    .map(entry => entry.node);
+    .map(scored => scored.node);
 }
--- a/packages/base/src/processLifecycle.ts
+++ b/packages/base/src/processLifecycle.ts
@@ -20,7 +20,7 @@
 
 export interface ProcessLifecycle {
   state(): LifecycleState;
-  /** Applies an event; ignored without a transition from this state. */
+  /** Applies an event; ignores events without a transition. */
   send(event: LifecycleEvent): void;
 }
 
--- a/packages/base/src/test/timerWheel.test.ts
+++ b/packages/base/src/test/timerWheel.test.ts
@@ -21,23 +21,23 @@
 describe('timer wheel', () => {
   it('never calls back early, and less than a slot late', async () => {
     const {clock, wheel} = setUp();
-    const late: number[] = [];
-    for (const due of [1, 49, 50, 51, 299, 1_000]) {
-      wheel.at(due, () => late.push(clock.now() - due));
+    const delaysMs: number[] = [];
+    for (const dueMs of [1, 49, 50, 51, 299, 1_000]) {
+      wheel.at(dueMs, () => delaysMs.push(clock.now() - dueMs));
     }
     await clock.advance(2_000);
-    assert.equal(late.length, 6);
+    assert.equal(delaysMs.length, 6);
     assert.ok(
-      late.every(ms => ms >= 0 && ms < 50),
-      late.join(' '),
+      delaysMs.every(ms => ms >= 0 && ms < 50),
+      delaysMs.join(' '),
     );
   });
 
   it('wakes up once for all timers of a slot', async () => {
     const {clock, wheel, wakeCount} = setUp();
     let fired = 0;
-    for (let due = 101; due <= 150; due++) {
-      wheel.at(due, () => (fired += 1));
+    for (let dueMs = 101; dueMs <= 150; dueMs++) {
+      wheel.at(dueMs, () => (fired += 1));
     }
     await clock.advance(1_000);
     assert.equal(fired, 50);
--- a/packages/base/src/virtualClock.ts
+++ b/packages/base/src/virtualClock.ts
@@ -3,7 +3,7 @@
 import {toDisposable} from './disposables.js';
 
 export interface VirtualClock extends Clock {
-  /** Runs the timers of the span in order; settles promises in between. */
+  /** Runs the timers due in the span in order; settles promises in between. */
   advance(spanMs: number): Promise<void>;
   /** Like `advance`, but without settling promises, for synchronous replays. */
   advanceSync(spanMs: number): void;
