--- a/packages/duties/src/contracts.ts
+++ b/packages/duties/src/contracts.ts
@@ -1,10 +1,7 @@
 /** Control-plane tasks with one active holder, elected through leases. */
 import type {Disposable} from '@skylarkfield/base';
 
-/**
- * `acceptance` validates records, `fleet` scales hosts and repairs endpoints,
- * and `moves` rolls out versions.
- */
+/** `acceptance` validates records, `fleet` scales hosts, `moves` rolls out. */
 export type DutyName = 'acceptance' | 'moves' | 'fleet' | `shard:${number}`;
 
 /** Period during which this process holds a duty's lease. */
--- a/packages/members/src/memberMachine.ts
+++ b/packages/members/src/memberMachine.ts
@@ -4,9 +4,8 @@
 
 /**
  * `heard`: a message arrived. `suspected`: no heartbeat within the timeout.
- * `left`: the member announced that it leaves. `lost`: a suspicion was
- * confirmed, or the member announced its end. `returned`: a newer update
- * arrived, from the member itself or from a new process of its id.
+ * `left`: the member announced that it leaves. `lost`: it announced its end, or
+ * a suspicion was confirmed. `returned`: newer update of it or a new process.
  */
 export type MemberEvent = 'heard' | 'suspected' | 'left' | 'lost' | 'returned';
 
--- a/packages/members/src/reconciler.ts
+++ b/packages/members/src/reconciler.ts
@@ -1,7 +1,6 @@
 /**
  * Anti-entropy for updates that gossip missed: entries compare a digest with
- * every heartbeat, and fetch the differing buckets when the digests differ for
- * `reconcileDelayMs`.
+ * every heartbeat, and fetch differing buckets after `reconcileDelayMs`.
  */
 import {toServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {
