--- a/packages/streams/src/attempt.ts
+++ b/packages/streams/src/attempt.ts
@@ -85,7 +85,7 @@
     }),
   );
 
-  /** Estimated milliseconds to the end; undefined while not streaming. */
+  /** Estimated time until the answer ends; undefined while not streaming. */
   function remainingMs(): number | undefined {
     const meanGapMs = stallDetector.meanTokenGapMs();
     const isStreaming = stateMachine.current === 'streaming' && meanGapMs > 0;
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Applies the verdict on an event; returns the end event, if it is one. */
+  /** Applies the verdict on an event; returns the event if it is the end. */
   async function handleVerdict(
     verdict: EventVerdict,
   ): Promise<EndEvent | undefined> {
--- a/packages/streams/src/attemptMeter.ts
+++ b/packages/streams/src/attemptMeter.ts
@@ -5,7 +5,7 @@
 
 /** Meter of one attempt; adds recomputed tokens to the request's progress. */
 export interface AttemptMeter {
-  /** True once the engine has reported its start. */
+  /** True once the engine has reported that prompt processing started. */
   readonly hasStarted: boolean;
   /** True once a token of this attempt was received. */
   readonly hasFirstToken: boolean;
@@ -37,10 +37,10 @@
  */
 export function createAttemptMeter(options: AttemptMeterOptions): AttemptMeter {
   const {clock, costs, progress, resumedTokens} = options;
-  const startMs = clock.now();
-  let prefillStartMs = startMs;
+  const startedAtMs = clock.now();
+  let prefillStartedAtMs = startedAtMs;
   let uncachedTokens = 0;
-  let firstTokenMs: number | undefined;
+  let firstTokenAtMs: number | undefined;
   let hasStarted = false;
 
   return {
@@ -48,15 +48,15 @@
       return hasStarted;
     },
     get hasFirstToken() {
-      return firstTokenMs !== undefined;
+      return firstTokenAtMs !== undefined;
     },
-    latencyMs: () => (firstTokenMs ?? clock.now()) - startMs,
+    latencyMs: () => (firstTokenAtMs ?? clock.now()) - startedAtMs,
     recordStart({promptTokens, cachedTokens}) {
       if (hasStarted) {
         return;
       }
       hasStarted = true;
-      prefillStartMs = clock.now();
+      prefillStartedAtMs = clock.now();
       uncachedTokens = Math.max(0, promptTokens + resumedTokens - cachedTokens);
       if (progress.hasStartedPrefill) {
         progress.recomputedTokens += uncachedTokens;
@@ -64,9 +64,9 @@
       progress.hasStartedPrefill = true;
     },
     recordFirstToken() {
-      firstTokenMs = clock.now();
+      firstTokenAtMs = clock.now();
       progress.hasStartedPrefill = true;
-      costs.recordPrefill(uncachedTokens, firstTokenMs - prefillStartMs);
+      costs.recordPrefill(uncachedTokens, firstTokenAtMs - prefillStartedAtMs);
     },
   };
 }
--- a/packages/streams/src/leavingMigration.ts
+++ b/packages/streams/src/leavingMigration.ts
@@ -18,10 +18,10 @@
   pickEndpoint(): EndpointPick;
 }
 
-/** Time reserved for a migration: lower bound, and fraction of the notice. */
+/** Time reserved for a migration: minimum, and fraction of the notice time. */
 const MIN_MIGRATION_MS = 1000;
 const MIGRATION_NOTICE_FRACTION = 0.4;
-/** Streams expected to end in this fraction of the remaining time stay. */
+/** Streams expected to end in this fraction of the time left do not move. */
 const FINISH_TIME_FRACTION = 0.7;
 /** Assumed notice period when the time of departure is unknown. */
 const DEFAULT_NOTICE_MS = 2000;
--- a/packages/streams/src/migrationCosts.ts
+++ b/packages/streams/src/migrationCosts.ts
@@ -7,7 +7,7 @@
 const NETWORK_MS_PER_ENGINE_MS = 4;
 
 export interface MigrationCosts {
-  /** Records the duration of a prefill of so many uncached tokens. */
+  /** Records the duration of a prefill of `tokens` uncached tokens. */
   recordPrefill(tokens: number, durationMs: number): void;
   /** Records the duration of a KV cache import. */
   recordImport(bytes: number, durationMs: number): void;
--- a/packages/streams/src/progress.ts
+++ b/packages/streams/src/progress.ts
@@ -8,7 +8,7 @@
   readonly delivered: string[];
   /** Endpoints that this request must not use. */
   readonly excluded: Set<string>;
-  /** Endpoints that have used their one retry after an interrupted stream. */
+  /** Endpoints at which an interrupted stream has already resumed once. */
   readonly resumedEndpoints: Set<string>;
   attempts: number;
   recomputedTokens: number;
--- a/packages/streams/src/stallDetector.ts
+++ b/packages/streams/src/stallDetector.ts
@@ -2,7 +2,7 @@
 import {toDisposable, type Clock, type Disposable} from '@skylarkfield/base';
 
 export interface StallLimits {
-  /** Lower bound in milliseconds of the time without tokens before a probe. */
+  /** Minimum time in milliseconds without tokens before a probe. */
   readonly minProbeDelayMs: number;
   /** Time without tokens before a probe, in multiples of the mean gap. */
   readonly probeDelayFactor: number;
@@ -37,7 +37,7 @@
   armForFirstToken(stallTimeoutMs: number): void;
   /** Stops the timeout while the caller applies backpressure. */
   disarm(): void;
-  /** Mean milliseconds between two tokens; 0 before the second. */
+  /** Mean milliseconds between two tokens; 0 before the second token. */
   meanTokenGapMs(): number;
 }
 
@@ -45,9 +45,9 @@
  * Creates the stall detector of one attempt. `probe` resolves to whether the
  * engine responds; `onStall` is called at most once.
  *
- * A busy engine sends no tokens for a while either, so a timeout first triggers
- * a probe: abandoning slow engines would move their work to others that are as
- * busy and overload the whole pool with repeated work.
+ * Like a hung engine, a busy engine sends no tokens for a while, so a timeout
+ * first triggers a probe: abandoning slow engines would move their work to
+ * engines that are as busy, and overload the whole pool with repeated work.
  *
  * @example
  * const detector = createStallDetector({clock, limits, probe, onStall});
@@ -61,7 +61,7 @@
 }): StallDetector {
   const {clock, limits} = options;
   let timer: Disposable = toDisposable(() => {});
-  let lastTokenMs: number | undefined;
+  let lastTokenAtMs: number | undefined;
   let meanGapMs = 0;
   /** Incremented with each restart or stop, to invalidate pending probes. */
   let epoch = 0;
@@ -84,7 +84,7 @@
     );
   }
 
-  /** Probes repeatedly until a token arrives: the engine may die meanwhile. */
+  /** Probes until a token arrives, as the engine may crash in the meantime. */
   async function probeEngine(probeDelayMs: number, remainingMs: number) {
     const probeEpoch = epoch;
     const isAlive = await options.probe();
@@ -111,12 +111,12 @@
   return {
     recordToken() {
       const nowMs = clock.now();
-      if (lastTokenMs !== undefined) {
-        const gap = nowMs - lastTokenMs;
+      if (lastTokenAtMs !== undefined) {
+        const gapMs = nowMs - lastTokenAtMs;
         meanGapMs +=
-          (gap - meanGapMs) * (meanGapMs === 0 ? 1 : GAP_EWMA_WEIGHT);
+          (gapMs - meanGapMs) * (meanGapMs === 0 ? 1 : GAP_EWMA_WEIGHT);
       }
-      lastTokenMs = nowMs;
+      lastTokenAtMs = nowMs;
     },
     arm() {
       const probeDelayMs = tokenProbeDelayMs();
@@ -127,7 +127,7 @@
     disarm() {
       stop();
       // The time the caller takes to read must not count as a token gap.
-      lastTokenMs = undefined;
+      lastTokenAtMs = undefined;
     },
     meanTokenGapMs: () => meanGapMs,
     dispose: stop,
--- a/packages/streams/src/streamRunner.ts
+++ b/packages/streams/src/streamRunner.ts
@@ -31,7 +31,7 @@
 type Hooks = Parameters<StreamRunner['run']>[1];
 
 const DEFAULT_MAX_ATTEMPTS = 10;
-/** Delay before endpoints that failed for this request are used again. */
+/** Delay before endpoints excluded after a failure are used again. */
 const EXCLUDED_RETRY_DELAY_MS = 150;
 
 /** Errors that every endpoint would return for the request. */
@@ -133,8 +133,8 @@
     const hasProgress =
       progress.delivered.length > progress.deliveredAtAttemptStart;
     // Only attempts that cost an engine work and delivered no token consume the
-    // retry budget, since these cause retry storms. The others delivered tokens
-    // or never reached an engine.
+    // retry budget, since these cause retry storms. Other failed attempts
+    // delivered tokens or never reached an engine.
     const isWasted = !hasProgress && error.kind !== 'endpoint-unavailable';
     if (isWasted && !hooks.mayRetry()) {
       throw error;
--- a/packages/streams/src/test/fakeEngine.ts
+++ b/packages/streams/src/test/fakeEngine.ts
@@ -51,7 +51,7 @@
   isHung: boolean;
 }
 
-/** Errors before any of the request was run. */
+/** Errors of requests that the engine rejects without running them. */
 const refusals: Partial<Record<PlannedFault, () => ServingError>> = {
   refused: () => new ServingError('endpoint-unavailable', 'refused'),
   overloaded: () => new ServingError('overloaded', 'full'),
--- a/packages/streams/src/test/streamRig.ts
+++ b/packages/streams/src/test/streamRig.ts
@@ -43,15 +43,15 @@
     if (index < 0) {
       throw new ServingError('endpoint-unavailable', 'no endpoint is left');
     }
-    const record = {endpoint: `e${index}`, outcomes: [] as string[]};
-    picks.push(record);
+    const pick = {endpoint: `e${index}`, outcomes: [] as string[]};
+    picks.push(pick);
     return {
-      endpoint: record.endpoint,
+      endpoint: pick.endpoint,
       url: `fake://${index}`,
       engine: engines[index]!,
       leaving: leaving[index]!.signal,
       goneAt: () => options.goneAt,
-      finish: ({outcome}) => void record.outcomes.push(outcome),
+      finish: ({outcome}) => void pick.outcomes.push(outcome),
     };
   }
 
--- a/packages/streams/src/test/streamRunner.fuzz.test.ts
+++ b/packages/streams/src/test/streamRunner.fuzz.test.ts
@@ -75,12 +75,8 @@
       0,
     );
   }
-  for (const record of rig.picks) {
-    assert.equal(
-      record.outcomes.length,
-      1,
-      'each pick is finished exactly once',
-    );
+  for (const pick of rig.picks) {
+    assert.equal(pick.outcomes.length, 1, 'each pick is finished exactly once');
   }
   assert.deepEqual((rig.runner.dump() as {open: unknown[]}).open, []);
 }
--- a/packages/streams/src/test/streamRunner.test.ts
+++ b/packages/streams/src/test/streamRunner.test.ts
@@ -30,7 +30,7 @@
       await rig.clock.advance(DEADLINE_MS);
       assert.deepEqual(rig.tokens, expectedAnswer());
       assert.deepEqual(
-        rig.picks.flatMap(record => record.outcomes),
+        rig.picks.flatMap(pick => pick.outcomes),
         outcomes,
       );
       assert.equal(rig.result.summary?.attempts, outcomes.length);
@@ -47,7 +47,7 @@
     rig.start();
     await rig.clock.advance(DEADLINE_MS);
     assert.deepEqual(
-      rig.picks.map(record => record.endpoint),
+      rig.picks.map(pick => pick.endpoint),
       ['e0', 'e0', 'e1'],
     );
     assert.deepEqual(rig.tokens, expectedAnswer());
@@ -96,7 +96,7 @@
     rig.caller.abort();
     await rig.clock.advance(1000);
     assert.deepEqual(
-      rig.picks.map(record => record.outcomes),
+      rig.picks.map(pick => pick.outcomes),
       [['cancelled'], ['cancelled']],
     );
   });
@@ -170,11 +170,11 @@
   // The caller pauses reading and the engine hangs afterwards. If the pause
   // counted as a token gap, the hang would go undetected for seconds.
   it('does not count a pause of the reader as a token gap', async () => {
-    let held = 0;
+    let deliveredCount = 0;
     const rig = createRig({
       deliver() {
-        held += 1;
-        return held === 3 ? sleep(rig.clock, 6000) : undefined;
+        deliveredCount += 1;
+        return deliveredCount === 3 ? sleep(rig.clock, 6000) : undefined;
       },
     });
     rig.start();
