--- a/packages/endpoints/src/contracts.ts
+++ b/packages/endpoints/src/contracts.ts
@@ -140,7 +140,7 @@
  * Client of a plain service.
  *
  * Errors: `endpoint-unavailable` only when no byte of the call left this
- * process (not run); `outcome-unknown` once any byte may have; `cancelled`.
+ * process (not run); `outcome-unknown` if any may have left; `cancelled`.
  */
 export interface PlainService {
   call(call: ServiceCall, signal: AbortSignal): Promise<ServiceResponse>;
--- a/packages/endpoints/src/httpEngine.ts
+++ b/packages/endpoints/src/httpEngine.ts
@@ -1,4 +1,4 @@
-/** HTTP client of a model engine: server-sent events for answers, else JSON. */
+/** HTTP client of a model engine; answers are streams of server-sent events. */
 import {
   ServingError,
   validateShape,
@@ -19,7 +19,7 @@
 } from './engineSchemas.js';
 import {toRequestError} from './requestErrors.js';
 
-/** Upper bound of the size of one server-sent event, in characters. */
+/** Maximum size of one server-sent event, in characters. */
 const MAX_EVENT_CHARACTERS = 64 * 1024;
 
 export interface HttpEngineOptions {
--- a/packages/endpoints/src/plainService.ts
+++ b/packages/endpoints/src/plainService.ts
@@ -13,12 +13,12 @@
 export interface HttpPlainServiceOptions {
   /** Base URL of the service, like `http://10.0.0.7:8000`. */
   readonly url: string;
-  /** Upper bound of the connections; further calls are queued unsent. */
+  /** Maximum number of connections; further calls are queued unsent. */
   readonly maxConnections?: number;
   readonly connectTimeoutMs?: number;
   /** Time without data from the endpoint after which a call fails. */
   readonly idleTimeoutMs?: number;
-  /** Upper bound of the size of a response body. */
+  /** Maximum size of a response body, in bytes. */
   readonly maxResponseBytes?: number;
   /** Path of the load report. */
   readonly loadPath?: string;
@@ -41,7 +41,7 @@
  *
  * A call counts as sent once undici assigns it a connection, just before the
  * first byte is written. If the endpoint closes a pooled connection at that
- * moment, the call fails with `outcome-unknown`, since it may have been read.
+ * moment, it may have read the call, which fails with `outcome-unknown`.
  *
  * @example
  * const booking = createHttpPlainService({url: 'http://10.0.0.7:8000'});
@@ -126,7 +126,7 @@
     call,
     load,
     dispose() {
-      // This fails calls in flight; draining has to be done before.
+      // Fails calls in flight; the owner has to drain them before.
       pool.destroy().catch(() => undefined);
     },
   };
@@ -189,8 +189,8 @@
         }
         if (isSent) {
           // undici restarts a call on another connection when it considers
-          // the first one idle. The first may have delivered the call, so a
-          // restart could run it twice.
+          // the first connection idle. That connection may have delivered the
+          // call, so a restart could run it twice.
           newController.abort(new Error('the connection was lost'));
           return;
         }
--- a/packages/endpoints/src/plainServiceHeaders.ts
+++ b/packages/endpoints/src/plainServiceHeaders.ts
@@ -1,6 +1,6 @@
 /** Selection of the headers that are forwarded to and from a plain service. */
 
-/** Hop-by-hop headers (RFC 9110, section 7.6.1), and those the client sets. */
+/** Hop-by-hop headers (RFC 9110, 7.6.1), and those the HTTP client sets. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
--- a/packages/endpoints/src/requestErrors.ts
+++ b/packages/endpoints/src/requestErrors.ts
@@ -1,7 +1,7 @@
 /** Conversion of HTTP client errors, with the run state that they imply. */
 import {ServingError, isServingError} from '@skylarkfield/base';
 
-/** Codes of errors without an established connection: no byte was sent. */
+/** Codes of errors in establishing a connection: no byte was sent. */
 const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
--- a/packages/endpoints/src/test/httpEngine.test.ts
+++ b/packages/endpoints/src/test/httpEngine.test.ts
@@ -78,7 +78,7 @@
   });
 
   // An engine of another release, or a faulty one, sends unknown or invalid
-  // events. Accepting them could deliver garbage to a caller.
+  // events. Accepting them could deliver wrong text to a caller.
   const malformed: [string, unknown][] = [
     ['an unknown type', {type: 'note', attempt: 'a1'}],
     ['a type named like an object method', {type: 'toString', attempt: 'a1'}],
@@ -104,13 +104,13 @@
     });
   }
 
-  const refusals: [number, string, string][] = [
+  const errorResponses: [number, string, string][] = [
     [429, '{"kind":"overloaded","title":"full"}', 'overloaded'],
     [409, '{"kind":"fenced","title":"old"}', 'fenced'],
     [500, 'oops', 'endpoint-failed'],
     [400, '{"kind":"unauthenticated","title":"x"}', 'endpoint-failed'],
   ];
-  for (const [status, body, kind] of refusals) {
+  for (const [status, body, kind] of errorResponses) {
     it(`converts status ${status} with ${body} to ${kind}`, async () => {
       await withServer(
         response => response.writeHead(status).end(body),
--- a/packages/endpoints/src/test/plainService.test.ts
+++ b/packages/endpoints/src/test/plainService.test.ts
@@ -65,14 +65,14 @@
 describe('plain service client', () => {
   it('forwards a call without hop-by-hop headers', async test => {
     const seen: Array<Record<string, unknown>> = [];
-    const answer: RequestListener = (request, response) => {
+    const handleRequest: RequestListener = (request, response) => {
       seen.push(request.headers);
       response.setHeader('keep-alive', 'timeout=5');
       response.setHeader('x-kept', 'yes');
       response.statusCode = 201;
       request.pipe(response);
     };
-    const url = await listen(test, createHttpServer(answer));
+    const url = await listen(test, createHttpServer(handleRequest));
     const response = await createClient(test, {url}).call(booking, neverAborts);
     assert.equal(response.status, 201);
     assert.equal(new TextDecoder().decode(response.body), '{"id":1}');
@@ -182,13 +182,13 @@
   // `not-run`. The booking must not be sent when the connection becomes free.
   it('does not send a call that was cancelled while queued for a connection', async test => {
     const seen: string[] = [];
-    const answer: RequestListener = (request, response) => {
+    const handleRequest: RequestListener = (request, response) => {
       seen.push(request.url ?? '');
       if (request.url !== '/first') {
         response.end();
       }
     };
-    const url = await listen(test, createHttpServer(answer));
+    const url = await listen(test, createHttpServer(handleRequest));
     const service = createClient(test, {url, maxConnections: 1});
     const [first, second] = [new AbortController(), new AbortController()];
     const running = rejectionOf(
