--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -105,14 +105,16 @@
     host = listedById.get(endpoint)?.host,
   ): boolean {
     if (host !== undefined) {
-      const known = hosts.get(host);
+      const leavingHost = hosts.get(host);
       return (
-        known !== undefined &&
-        (known.endpoints.has(endpoint) ||
-          (known.isWhole && !known.back.has(endpoint)))
+        leavingHost !== undefined &&
+        (leavingHost.endpoints.has(endpoint) ||
+          (leavingHost.isWhole && !leavingHost.back.has(endpoint)))
       );
     }
-    return [...hosts.values()].some(known => known.endpoints.has(endpoint));
+    return [...hosts.values()].some(leavingHost =>
+      leavingHost.endpoints.has(endpoint),
+    );
   }
 
   function getOrAddHost(
@@ -120,10 +122,10 @@
     goneAt: number,
     source: LeavingSource,
   ): LeavingHost {
-    const known = hosts.get(host);
-    if (known !== undefined) {
-      extendDeadline(known, goneAt, clock);
-      return known;
+    const leavingHost = hosts.get(host);
+    if (leavingHost !== undefined) {
+      extendDeadline(leavingHost, goneAt, clock);
+      return leavingHost;
     }
     const added = createLeavingHost(host, source, clock);
     extendDeadline(added, goneAt, clock);
@@ -151,15 +153,18 @@
     const candidates = endpoints.filter(
       endpoint => !isRepeatedNotice(hosts.get(host), goneAt, endpoint),
     );
-    const known = getOrAddHost(host, goneAt, source);
+    const leavingHost = getOrAddHost(host, goneAt, source);
     const added = candidates
-      .filter(endpoint => !known.endpoints.has(endpoint))
-      .slice(0, MAX_ENDPOINTS_PER_HOST - known.endpoints.size);
-    const hasChanges = added.length > 0 || (isWhole && !known.isWhole);
-    known.isWhole ||= isWhole;
+      .filter(endpoint => !leavingHost.endpoints.has(endpoint))
+      .slice(0, MAX_ENDPOINTS_PER_HOST - leavingHost.endpoints.size);
+    const hasChanges = added.length > 0 || (isWhole && !leavingHost.isWhole);
+    leavingHost.isWhole ||= isWhole;
     for (const endpoint of added) {
-      known.endpoints.set(endpoint, createDeparture(listedOn(host, endpoint)));
-      known.back.delete(endpoint);
+      leavingHost.endpoints.set(
+        endpoint,
+        createDeparture(listedOn(host, endpoint)),
+      );
+      leavingHost.back.delete(endpoint);
       decisions.note('members', endpoint, 'give no new work', 'leaving', {
         host,
         source,
@@ -173,19 +178,24 @@
     return hasChanges;
   }
 
-  function toMessage(known: LeavingHost): Messages['endpointLeaving'] {
-    const {host, goneAt, isWhole} = known;
-    return {endpoints: [...known.endpoints.keys()], host, goneAt, isWhole};
+  function toMessage(leavingHost: LeavingHost): Messages['endpointLeaving'] {
+    const {host, goneAt, isWhole} = leavingHost;
+    return {
+      endpoints: [...leavingHost.endpoints.keys()],
+      host,
+      goneAt,
+      isWhole,
+    };
   }
 
   /** Forwards a new report; as every entry does so, it reaches all entries. */
   function broadcastHost(host: string, except?: string) {
-    const known = hosts.get(host);
-    if (known === undefined) {
+    const leavingHost = hosts.get(host);
+    if (leavingHost === undefined) {
       return;
     }
     const receivers = network.connectedPeers().filter(peer => peer !== except);
-    network.broadcast('endpointLeaving', toMessage(known), receivers);
+    network.broadcast('endpointLeaving', toMessage(leavingHost), receivers);
   }
 
   function endpointsOn(host: string): string[] {
@@ -251,16 +261,16 @@
 
   /** Updates all departures from the list and readmits returned endpoints. */
   function updateDepartures() {
-    for (const known of hosts.values()) {
-      for (const [endpoint, departure] of known.endpoints) {
-        const item = listedOn(known.host, endpoint);
+    for (const leavingHost of hosts.values()) {
+      for (const [endpoint, departure] of leavingHost.endpoints) {
+        const item = listedOn(leavingHost.host, endpoint);
         if (
           item !== undefined &&
-          hasReturned(departure, known, item, clock.now())
+          hasReturned(departure, leavingHost, item, clock.now())
         ) {
-          known.endpoints.delete(endpoint);
-          known.back.add(endpoint);
-          readmit(endpoint, known.host, 'listed again after it left');
+          leavingHost.endpoints.delete(endpoint);
+          leavingHost.back.add(endpoint);
+          readmit(endpoint, leavingHost.host, 'listed again after it left');
         } else {
           updateDeparture(departure, item, listedById.has(endpoint));
         }
@@ -277,7 +287,8 @@
     for (const [endpoint, {host}] of listedById) {
       const hasMoved = previous.get(endpoint)?.host !== host;
       const wasLeaving = [...hosts.values()].some(
-        known => known.host !== host && known.endpoints.has(endpoint),
+        leavingHost =>
+          leavingHost.host !== host && leavingHost.endpoints.has(endpoint),
       );
       if (hasMoved && wasLeaving && !isLeaving(endpoint, host)) {
         didReturn.fire(endpoint);
@@ -288,14 +299,14 @@
   /** Drops hosts after `forgetAt`; those still listed were not reclaimed. */
   function expireHosts() {
     const now = clock.now();
-    for (const known of [...hosts.values()]) {
-      if (now < known.forgetAt) {
+    for (const leavingHost of [...hosts.values()]) {
+      if (now < leavingHost.forgetAt) {
         continue;
       }
-      hosts.delete(known.host);
-      for (const endpoint of known.endpoints.keys()) {
-        if (listedOn(known.host, endpoint) !== undefined) {
-          readmit(endpoint, known.host, 'still listed');
+      hosts.delete(leavingHost.host);
+      for (const endpoint of leavingHost.endpoints.keys()) {
+        if (listedOn(leavingHost.host, endpoint) !== undefined) {
+          readmit(endpoint, leavingHost.host, 'still listed');
           scheduleCorrectedList();
         }
       }
@@ -305,9 +316,9 @@
   /** Resends recent reports to a peer that may have missed the broadcast. */
   function resendRecent(peer: string) {
     const now = clock.now();
-    for (const known of hosts.values()) {
-      if (now - known.since <= RESEND_WINDOW_MS) {
-        network.send(peer, 'endpointLeaving', toMessage(known));
+    for (const leavingHost of hosts.values()) {
+      if (now - leavingHost.since <= RESEND_WINDOW_MS) {
+        network.send(peer, 'endpointLeaving', toMessage(leavingHost));
       }
     }
   }
@@ -354,11 +365,11 @@
     setReader,
     dump: () => ({
       isReader: noticeSubscription !== undefined,
-      hosts: [...hosts.values()].map(known => ({
-        ...known,
-        endpoints: [...known.endpoints.keys()],
-        back: [...known.back],
-        ageMs: Math.round(clock.now() - known.since),
+      hosts: [...hosts.values()].map(leavingHost => ({
+        ...leavingHost,
+        endpoints: [...leavingHost.endpoints.keys()],
+        back: [...leavingHost.back],
+        ageMs: Math.round(clock.now() - leavingHost.since),
       })),
     }),
     dispose() {
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -31,7 +31,7 @@
  * Creates the state of a host without a deadline.
  *
  * @example
- * const known = createLeavingHost('h1', 'notice', clock);
+ * const leavingHost = createLeavingHost('h1', 'notice', clock);
  */
 export function createLeavingHost(
   host: string,
@@ -53,24 +53,24 @@
 }
 
 /**
- * Applies a deadline that is later than the known one, like that of a second
- * notice.
+ * Applies a deadline that is later than the known deadline, like that of a
+ * second notice.
  *
  * @example
- * extendDeadline(known, notice.goneAt, clock);
+ * extendDeadline(leavingHost, notice.goneAt, clock);
  */
 export function extendDeadline(
-  known: LeavingHost,
+  leavingHost: LeavingHost,
   goneAt: number,
   clock: Clock,
 ) {
-  if (goneAt <= known.goneAt) {
+  if (goneAt <= leavingHost.goneAt) {
     return;
   }
   const noticeMs = Math.max(0, goneAt - clock.wall());
-  known.goneAt = goneAt;
-  known.goneBy = clock.now() + Math.min(MAX_NOTICE_MS, noticeMs);
-  known.forgetAt = known.goneBy + MAX_LIST_LAG_MS;
+  leavingHost.goneAt = goneAt;
+  leavingHost.goneBy = clock.now() + Math.min(MAX_NOTICE_MS, noticeMs);
+  leavingHost.forgetAt = leavingHost.goneBy + MAX_LIST_LAG_MS;
 }
 
 /**
@@ -78,15 +78,15 @@
  * does not apply to an endpoint that has returned since.
  *
  * @example
- * const added = endpoints.filter(id => !isRepeatedNotice(known, goneAt, id));
+ * const isNew = !isRepeatedNotice(leavingHost, notice.goneAt, endpoint);
  */
 export function isRepeatedNotice(
-  known: LeavingHost | undefined,
+  leavingHost: LeavingHost | undefined,
   goneAt: number,
   endpoint: string,
 ): boolean {
-  if (known === undefined || goneAt <= 0 || goneAt > known.goneAt) {
+  if (leavingHost === undefined || goneAt <= 0 || goneAt > leavingHost.goneAt) {
     return false;
   }
-  return known.back.has(endpoint);
+  return leavingHost.back.has(endpoint);
 }
