--- a/packages/protocol/src/messages/moveMessages.ts
+++ b/packages/protocol/src/messages/moveMessages.ts
@@ -73,7 +73,7 @@
   moveCut: {
     readonly move: string;
     readonly why: string;
-    /** The candidate in question; the record may name another one by now. */
+    /** Version of the candidate; the record may name another version by now. */
     readonly to?: string;
   };
   /** Durable states known to the sender; a receiver keeps the newer of each. */
--- a/packages/protocol/src/messages/orderMessages.ts
+++ b/packages/protocol/src/messages/orderMessages.ts
@@ -73,7 +73,7 @@
     readonly leftMs: number;
     /** Sender's wall-clock milliseconds, to drop messages read far too late. */
     readonly sentAtWall: number;
-    /** Void claims for this id: never sent, and never will be. */
+    /** Tokens of void claims of this id, whose call is never sent. */
     readonly released: readonly string[];
   };
   /**
