--- a/packages/protocol/src/messages/gatewayMessages.ts
+++ b/packages/protocol/src/messages/gatewayMessages.ts
@@ -40,7 +40,7 @@
 }
 
 export interface GatewayMessages {
-  /** Sent several times a second: to all peers, or in large fleets by relays. */
+  /** Sent several times a second to all peers; via relays in large fleets. */
   digest: {
     /**
      * Entries that `used`, `usage`, `loads` and `work` cover: the sender (the
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -46,10 +46,7 @@
   memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
   /** Requests when a member was last active. Response: `LastSeenResponse`. */
   memberWord: {readonly id: string; readonly incarnation: number};
-  /**
-   * Requests the members of buckets whose hash at the receiver differs from the
-   * given one. Response: `MembersResponse`.
-   */
+  /** Requests the members of differing buckets. Response: `MembersResponse`. */
   membersWanted: {readonly buckets: readonly number[]};
 }
 
