--- a/packages/members/src/heartbeats.ts
+++ b/packages/members/src/heartbeats.ts
@@ -64,7 +64,7 @@
         known.update.incarnation === body.incarnation &&
         known.update.sequence >= body.sequence;
       if (!isKnown) {
-        // The response carries the sender's addresses and refutes a stale state.
+        // The response has the sender's addresses and refutes a stale state.
         void failureDetector.probe(from);
         return;
       }
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -33,7 +33,7 @@
   all(): Iterable<KnownMember>;
   /** Members that are not gone. */
   present(): readonly KnownMember[];
-  /** Applies an update if newer than the stored one; returns if it was newer. */
+  /** Applies an update if newer than the stored one; returns if it was. */
   apply(update: MemberUpdate): boolean;
   /** Sends an event to a member's machine; returns whether it changed state. */
   send(known: KnownMember, event: MemberEvent): boolean;
