--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -13,7 +13,7 @@
   readonly region: string;
   /** Requests in flight when this was created, for load balancing. */
   readonly load: number;
-  /** Processor cores that it may use; absent if not set in its settings. */
+  /** Processor cores it may use; absent if not set in its settings. */
   readonly cores?: number;
 }
 
@@ -40,8 +40,8 @@
   leaving: {readonly news: MemberUpdate};
   /**
    * Probes a member for its current state; carries the state that the sender
-   * has recorded for it, so that it can refute it. Response:
-   * `MemberProbeResponse`.
+   * has recorded for the member, so that the member can refute that state.
+   * Response: `MemberProbeResponse`.
    */
   memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
   /** Requests when a member was last active. Response: `LastSeenResponse`. */
--- a/packages/protocol/src/messages/orderMessages.ts
+++ b/packages/protocol/src/messages/orderMessages.ts
@@ -63,6 +63,7 @@
   orderForward: {
     /** Digest of customer and idempotency key; a random id without a key. */
     readonly id: string;
+    /** Digest of the service and the fingerprint of the call. */
     readonly print: string;
     /** Unique id of each forwarding, to deduplicate deliveries. */
     readonly attempt: string;
@@ -72,7 +73,7 @@
     readonly leftMs: number;
     /** Sender's wall-clock milliseconds, to drop messages read far too late. */
     readonly sentAtWall: number;
-    /** Void claims for this id: never sent, and never will be. */
+    /** Tokens of void claims of this id, whose call is never sent. */
     readonly released: readonly string[];
   };
   /**
