--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -105,7 +105,7 @@
     contextStepMs: profile.contextStepMs,
     usualPromptMs: usualPromptMs(profile),
   };
-  const aims = kindsFor(profile).map(({goalMs, deadlineMs}) => ({
+  const latencyTargets = kindsFor(profile).map(({goalMs, deadlineMs}) => ({
     goalMs,
     timeoutMs: deadlineMs,
   }));
@@ -115,7 +115,7 @@
     learned: endpointsNeeded(signals.workRate, signals.use.usual),
     true: endpointsNeeded(
       workMs(work, trueEstimate),
-      targetUtilization(trueEstimate, aims).usual,
+      targetUtilization(trueEstimate, latencyTargets).usual,
     ),
     fixed: endpointsNeeded(fixedMs, FIXED_ESTIMATE.use),
   };
@@ -141,7 +141,7 @@
   return {inTime: inTime / Math.max(1, outcomes.length)};
 }
 
-/** Returns the second after which the ratio stays near one, or -1. */
+/** Returns the second from which the ratio stays near one; -1 if none. */
 function secondsUntilConverged(ratios: readonly number[]): number {
   const lastOutside = ratios.findLastIndex(
     ratio => Math.abs(ratio - 1) > RATIO_TOLERANCE,
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -96,8 +96,8 @@
 
   function serve(kind: RequestKind, entry: ReplayEntry): void {
     const arrivedMs = clock.now();
-    const size = MIN_SIZE_FACTOR + random.next();
-    const demand = createDemand(kind, size);
+    const sizeFactor = MIN_SIZE_FACTOR + random.next();
+    const demand = createDemand(kind, sizeFactor);
     const recordOutcome = (result: ReplayOutcome['result']) =>
       outcomes.push({
         kind: kind.name,
@@ -134,13 +134,13 @@
       finish() {},
     });
     const engine = engines.get(choice.endpoint)!;
-    let firstMs: number | undefined;
+    let firstEventMs: number | undefined;
     const request: EngineRequest = {
       ...demand,
       urgency: kind.urgency,
       onDidEvent() {
-        if (firstMs === undefined) {
-          firstMs = clock.now() - arrivedMs;
+        if (firstEventMs === undefined) {
+          firstEventMs = clock.now() - arrivedMs;
           observation.noteBegin();
           choice.streaming();
         }
@@ -153,9 +153,9 @@
           SERVICE,
           answerWork(demand.model, demand.answerTokens),
         );
-        choice.finish({outcome: 'ok', latencyMs: firstMs ?? 0});
+        choice.finish({outcome: 'ok', latencyMs: firstEventMs ?? 0});
         recordOutcome(
-          (firstMs ?? Infinity) <= kind.goalMs ? 'in-time' : 'late',
+          (firstEventMs ?? Infinity) <= kind.goalMs ? 'in-time' : 'late',
         );
       },
     };
@@ -167,15 +167,16 @@
     engine.submit(request);
   }
 
-  const digests = every(clock, DIGEST_INTERVAL_MS, exchangeDigests);
+  const digestTimer = every(clock, DIGEST_INTERVAL_MS, exchangeDigests);
   const fullLoadPerMs = fullLoadRate(options, kinds);
-  const rateNow = () => fullLoadPerMs * options.loadAt(clock.now() / SECOND_MS);
-  scheduleArrivals(clock, random, rateNow, arrive);
+  const arrivalsPerMs = () =>
+    fullLoadPerMs * options.loadAt(clock.now() / SECOND_MS);
+  scheduleArrivals(clock, random, arrivalsPerMs, arrive);
   for (let second = 1; second <= options.seconds; second++) {
     clock.advanceSync(SECOND_MS);
     options.onDidElapseSecond?.(second, entries[0]!);
   }
-  digests.dispose();
+  digestTimer.dispose();
   return outcomes;
 }
 
@@ -201,18 +202,18 @@
 function scheduleArrivals(
   clock: Clock,
   random: Random,
-  rateNow: () => number,
+  arrivalsPerMs: () => number,
   arrive: () => void,
 ): void {
-  const gapMs = -Math.log(1 - random.next()) / rateNow();
+  const gapMs = -Math.log(1 - random.next()) / arrivalsPerMs();
   clock.after(gapMs, () => {
     arrive();
-    scheduleArrivals(clock, random, rateNow, arrive);
+    scheduleArrivals(clock, random, arrivalsPerMs, arrive);
   });
 }
 
-function createDemand(kind: RequestKind, size: number) {
-  const ownTokens = Math.round(kind.ownTokens * size);
+function createDemand(kind: RequestKind, sizeFactor: number) {
+  const ownTokens = Math.round(kind.ownTokens * sizeFactor);
   const promptTokens = ownTokens + kind.sharedTokens;
   const model: ModelDemand = {
     model: 'm',
@@ -220,7 +221,7 @@
     mostOutputTokens: kind.answerTokens * 4,
     parts: [{id: 'own', tokens: ownTokens}],
   };
-  const answerTokens = Math.max(1, Math.round(kind.answerTokens * size));
+  const answerTokens = Math.max(1, Math.round(kind.answerTokens * sizeFactor));
   return {ownTokens, promptTokens, answerTokens, model};
 }
 
--- a/packages/bench/src/engines/replayEngine.ts
+++ b/packages/bench/src/engines/replayEngine.ts
@@ -8,7 +8,7 @@
   readonly promptTokens: number;
   readonly answerTokens: number;
   readonly urgency: number;
-  /** Called for each answer event; the first one ends the prefill. */
+  /** Called for each answer event; the first event ends the prefill. */
   onDidEvent(): void;
   onDidEnd(): void;
 }
@@ -22,8 +22,8 @@
 
 interface Sequence {
   readonly request: EngineRequest;
-  promptLeft: number;
-  generated: number;
+  promptTokensLeft: number;
+  generatedTokens: number;
   spentMs: number;
 }
 
@@ -72,18 +72,25 @@
       return;
     }
     isBusy = true;
-    const prefilling = running.find(({promptLeft}) => promptLeft > 0);
-    const tokens = Math.min(prefilling?.promptLeft ?? 0, profile.chunkTokens);
+    const prefilling = running.find(
+      ({promptTokensLeft}) => promptTokensLeft > 0,
+    );
+    const tokens = Math.min(
+      prefilling?.promptTokensLeft ?? 0,
+      profile.chunkTokens,
+    );
     const prefillMs =
       prefilling === undefined ? 0 : chunkPrefillMs(prefilling, tokens);
     clock.after(decodeStepMs() + prefillMs, () => {
-      const decoding = running.filter(({promptLeft}) => promptLeft === 0);
+      const decoding = running.filter(
+        ({promptTokensLeft}) => promptTokensLeft === 0,
+      );
       if (prefilling !== undefined) {
-        prefilling.promptLeft -= tokens;
+        prefilling.promptTokensLeft -= tokens;
         prefilling.spentMs += prefillMs;
       }
       decoding.forEach(decode);
-      if (prefilling?.promptLeft === 0) {
+      if (prefilling?.promptTokensLeft === 0) {
         decode(prefilling);
       }
       step();
@@ -92,11 +99,11 @@
 
   function decode(sequence: Sequence): void {
     const {request} = sequence;
-    if (sequence.generated % profile.tokensPerEvent === 0) {
+    if (sequence.generatedTokens % profile.tokensPerEvent === 0) {
       request.onDidEvent();
     }
-    sequence.generated += 1;
-    if (sequence.generated >= request.answerTokens) {
+    sequence.generatedTokens += 1;
+    if (sequence.generatedTokens >= request.answerTokens) {
       running = running.filter(other => other !== sequence);
       request.onDidEnd();
     }
@@ -106,8 +113,8 @@
     submit(request) {
       insert(waiting, {
         request,
-        promptLeft: request.ownTokens,
-        generated: 0,
+        promptTokensLeft: request.ownTokens,
+        generatedTokens: 0,
         spentMs: 0,
       });
       if (!isBusy) {
@@ -126,11 +133,11 @@
   };
 }
 
-/** Inserts a sequence behind those of the same or higher urgency. */
+/** Inserts a sequence behind all that are at least as urgent. */
 function insert(sequences: Sequence[], sequence: Sequence): void {
   const {urgency} = sequence.request;
-  const before = sequences.findLastIndex(
+  const lastAhead = sequences.findLastIndex(
     other => other.request.urgency <= urgency,
   );
-  sequences.splice(before + 1, 0, sequence);
+  sequences.splice(lastAhead + 1, 0, sequence);
 }
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -66,7 +66,7 @@
     reporterTimeoutMs: REPORTER_TIMEOUT_MS,
     quotaWindowMs: QUOTA_WINDOW_MS,
   });
-  const aims = kinds.map(({goalMs, deadlineMs}) => ({
+  const targets = kinds.map(({goalMs, deadlineMs}) => ({
     goalMs,
     timeoutMs: deadlineMs,
   }));
@@ -76,7 +76,7 @@
     log,
     restored: () => ({}),
     isModel: () => true,
-    latencyTargets: () => aims,
+    latencyTargets: () => targets,
   });
   const router = createRouter({
     clock,
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -36,7 +36,7 @@
 type Planner = typeof planHosts;
 export type FleetPolicy = 'planned' | 'on-demand' | 'cheapest';
 
-/** Planning functions; the baselines run the same duty with another one. */
+/** Planning functions; the baselines run the same duty with their own. */
 const planners: Readonly<Record<FleetPolicy, Planner>> = {
   planned: planHosts,
   'on-demand': (demand, offers, supplies) =>
--- a/packages/bench/src/fleet/replayCloud.ts
+++ b/packages/bench/src/fleet/replayCloud.ts
@@ -37,8 +37,8 @@
 }
 
 /**
- * Creates a cloud on the given clock. Waves and prices depend only on the
- * random numbers, so that every policy gets the same ones.
+ * Creates a cloud on the given clock. Waves and prices depend only on `random`,
+ * so that every policy gets the same waves and prices.
  *
  * @example
  * const replay = createReplayCloud(clock, seededRandom(1000));
--- a/packages/bench/src/isolation.ts
+++ b/packages/bench/src/isolation.ts
@@ -59,15 +59,15 @@
         gate,
         trouble,
       );
-      for (const [index, other] of disturbedFigures.entries()) {
+      for (const [index, disturbed] of disturbedFigures.entries()) {
         const baseline = baselineFigures[index] as ServiceFigures;
         rows.push({
           gate,
           trouble,
-          service: other.service,
-          p95Ms: other.p95Ms,
-          p95Ratio: other.p95Ms / baseline.p95Ms,
-          success: other.success,
+          service: disturbed.service,
+          p95Ms: disturbed.p95Ms,
+          p95Ratio: disturbed.p95Ms / baseline.p95Ms,
+          success: disturbed.success,
           successUndisturbed: baseline.success,
         });
       }
@@ -95,7 +95,7 @@
   });
 }
 
-/** Returns the figures of the undisturbed services during the disturbance. */
+/** Returns the figures of the other two services during the disturbance. */
 async function runCase(
   seed: number,
   seconds: number,
--- a/packages/bench/src/moves.ts
+++ b/packages/bench/src/moves.ts
@@ -22,7 +22,7 @@
 } from './replay/versions.js';
 import {quantile} from './replay/admissionReplay.js';
 
-/** Versions for each of the four traffic mixes. */
+/** Number of versions drawn for each of the four traffic mixes. */
 const DEFAULT_VERSIONS = 130;
 
 /** Approximate versions evaluated per second, to convert `--seconds`. */
@@ -97,9 +97,9 @@
 
 /** Cycles through the kinds by weight, so that every run has all of them. */
 function pickKind(index: number) {
-  const all = kinds.flatMap(({kind, part}) => Array(part).fill(kind));
+  const weightedKinds = kinds.flatMap(({kind, part}) => Array(part).fill(kind));
   // The weights sum to 100; a step coprime to 100 visits every item.
-  return all[(index * 37) % all.length];
+  return weightedKinds[(index * 37) % weightedKinds.length];
 }
 
 function summarize(judge: JudgeName, verdicts: readonly Verdict[]) {
--- a/packages/bench/src/orderLedgers.ts
+++ b/packages/bench/src/orderLedgers.ts
@@ -17,7 +17,7 @@
     timeoutMs: number,
     body?: Uint8Array,
   ): Promise<SubmitResult>;
-  /** Makes one entry leave; it accepts no new orders afterwards. */
+  /** Makes one entry leave; the entry accepts no new orders afterwards. */
   leave(entry: number): Promise<void>;
   ledgers(): readonly Ledger[];
   traffic(): NetworkTraffic;
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -129,7 +129,7 @@
   }
 }
 
-/** Measures one object per order, written before the call and with the reply. */
+/** Measures one object per order, stored before the call and with the reply. */
 async function measureBaseline(
   clock: Clock,
   random: Random,
@@ -171,7 +171,7 @@
   return platform;
 }
 
-/** Sends orders until every shard has an owner. */
+/** Sends orders with many keys, so that every shard gets an owner. */
 async function warmUp(submit: Submit): Promise<void> {
   const keys = Array.from({length: 100}, (_, index) => `warm-up ${index}`);
   await Promise.all(keys.map((key, index) => submit(key, index)));
--- a/packages/bench/src/overload.ts
+++ b/packages/bench/src/overload.ts
@@ -30,7 +30,7 @@
   'gradient',
 ];
 
-/** At 5 times the capacity the most urgent class alone needs half of it. */
+/** At 5 times the capacity, urgency 1 alone needs half of the capacity. */
 const URGENCIES = [
   {urgency: 1, part: 0.1},
   {urgency: 3, part: 0.5},
@@ -71,7 +71,10 @@
 
 type Row = Awaited<ReturnType<typeof runCase>>;
 
-/** Summarizes the targets: the most urgent class and goodput at 5 times. */
+/**
+ * Summarizes the targets at 5 times the capacity: requests of the most urgent
+ * class in time, and goodput.
+ */
 function summarize(rows: readonly Row[]) {
   return GATES.map(gate => {
     const own = rows.filter(row => row.gate === gate && !row.isOverstated);
@@ -93,7 +96,7 @@
   load: number,
   isOverstated: boolean,
 ) {
-  const world = await runAdmissionReplay({
+  const result = await runAdmissionReplay({
     seed,
     seconds,
     gate,
@@ -116,7 +119,7 @@
       },
     ],
   });
-  return {gate, load, isOverstated, ...describeResult(world, seconds)};
+  return {gate, load, isOverstated, ...describeResult(result, seconds)};
 }
 
 function describeResult(
--- a/packages/bench/src/processes/childProcess.ts
+++ b/packages/bench/src/processes/childProcess.ts
@@ -7,10 +7,13 @@
 const READY_TIMEOUT_MS = 30_000;
 /** Time limit for a graceful stop before the process is killed. */
 const STOP_TIMEOUT_MS = 45_000;
-/** Last lines of standard error that are kept for error messages. */
+/** Number of last lines of standard error kept for error messages. */
 const MAX_LOG_LINES = 200;
 
-/** Path of a built binary to run instead of the compiled command line. */
+/**
+ * Environment variable with the path of a built binary to run instead of the
+ * compiled command line.
+ */
 const BINARY_VARIABLE = 'SKYLARKFIELD_BINARY';
 const COMMAND_LINE = fileURLToPath(
   new URL('../../../cli/out/main.js', import.meta.url),
@@ -23,7 +26,7 @@
   readonly name: string;
   readonly pid: number;
   readonly ready: ReadyLine;
-  /** Last lines of its log. */
+  /** Last lines of its standard error. */
   logLines(): readonly string[];
   /** Sends SIGSTOP: the process is suspended and keeps its sockets. */
   pause(): void;
@@ -38,7 +41,7 @@
 
 /**
  * Starts `skylarkfield ARGUMENTS` and waits until it listens.
- * Throws an error with the end of its log when it does not.
+ * Throws an error with the last lines of its standard error if it does not.
  *
  * @example
  * const platform = await startProcess('platform', ['standin', 'platform']);
--- a/packages/bench/src/reclaim/fleet.ts
+++ b/packages/bench/src/reclaim/fleet.ts
@@ -21,7 +21,7 @@
   readonly candidate: Candidate;
   readonly url: string;
   readonly engine: Engine;
-  readonly model: SimulatedEngine;
+  readonly simulatedEngine: SimulatedEngine;
   readonly leaving: AbortController;
   /** Monotonic time at which the endpoint is gone, in milliseconds. */
   goneAt: number | undefined;
@@ -41,14 +41,14 @@
   clock: VirtualClock,
   seed: number,
 ): FleetEndpoint[] {
-  const models = new Map<string, SimulatedEngine>();
+  const enginesByUrl = new Map<string, SimulatedEngine>();
   return Array.from({length: REPLICAS}, (_, index) => {
     const url = `model://r${index}`;
     const random = seededRandom(seed * 31 + index);
     const leaving = new AbortController();
     setMaxListeners(0, leaving.signal);
     const model = createSimulatedEngine({clock, random, version: 'v1'});
-    models.set(url, model);
+    enginesByUrl.set(url, model);
     return {
       candidate: {
         id: `r${index}`,
@@ -62,9 +62,9 @@
       engine: createLocalEngine({
         clock,
         simulatedEngine: model,
-        resolve: source => models.get(source),
+        resolve: source => enginesByUrl.get(source),
       }),
-      model,
+      simulatedEngine: model,
       leaving,
       goneAt: undefined,
     };
@@ -87,7 +87,9 @@
     ({candidate}) => candidate.failureDomain === RECLAIMED_DOMAIN,
   );
   if (reclaim.type === 'silence') {
-    reclaimed.forEach(({model}) => model.setFaults([{type: 'pause'}]));
+    reclaimed.forEach(({simulatedEngine}) =>
+      simulatedEngine.setFaults([{type: 'pause'}]),
+    );
     return;
   }
   const noticeMs = reclaim.type === 'notice' ? reclaim.noticeMs : 0;
@@ -99,9 +101,9 @@
     }
   }
   clock.after(noticeMs, () => {
-    for (const {model} of reclaimed) {
-      model.setFaults([{type: 'down'}]);
-      model.dispose();
+    for (const {simulatedEngine} of reclaimed) {
+      simulatedEngine.setFaults([{type: 'down'}]);
+      simulatedEngine.dispose();
     }
   });
 }
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -41,7 +41,7 @@
   /** Answers that differ from the expected text; must be 0. */
   readonly wrong: number;
   readonly recomputedTokens: number;
-  /** Longest time without a new token, over the affected streams. */
+  /** Quantiles of the longest time without a new token per affected stream. */
   readonly pauseP50Ms: number;
   readonly pauseP95Ms: number;
   readonly pauseMaxMs: number;
@@ -50,7 +50,7 @@
 interface StreamState {
   readonly request: StreamRequest;
   readonly tokens: string[];
-  lastMs: number;
+  lastTokenMs: number;
   longestPauseMs: number;
   isAffected: boolean;
   isDone: boolean;
@@ -152,7 +152,7 @@
           ? new AbortController().signal
           : endpoint.leaving.signal,
       goneAt: () => endpoint.goneAt,
-      onStart: found => choice.started(found),
+      onStart: cachedTokens => choice.started(cachedTokens),
       onFirstToken: () => choice.streaming(),
       finish: result => choice.finish(result),
     };
@@ -192,18 +192,18 @@
     }
     const nowMs = clock.now();
     if (index > 0) {
-      const pauseMs = nowMs - stream.lastMs;
+      const pauseMs = nowMs - stream.lastTokenMs;
       stream.longestPauseMs = Math.max(stream.longestPauseMs, pauseMs);
     }
-    stream.lastMs = nowMs;
+    stream.lastTokenMs = nowMs;
     stream.tokens.push(text);
   }
 
   async function runStream(stream: StreamState) {
     const entry = entries[streams.length % ENTRIES]!;
     entry.requests += 1;
-    const attempts = policy === 'plain' ? MAX_PLAIN_ATTEMPTS : 1;
-    for (let attempt = 1; attempt <= attempts; attempt++) {
+    const maxAttempts = policy === 'plain' ? MAX_PLAIN_ATTEMPTS : 1;
+    for (let attempt = 1; attempt <= maxAttempts; attempt++) {
       const request = {
         ...stream.request,
         id: `${stream.request.id}.${attempt}`,
@@ -250,7 +250,7 @@
         deadline: clock.now() + TIMEOUT_MS,
       },
       tokens: [],
-      lastMs: clock.now(),
+      lastTokenMs: clock.now(),
       longestPauseMs: 0,
       isAffected: false,
       isDone: false,
--- a/packages/bench/src/replay/admissionReplay.ts
+++ b/packages/bench/src/replay/admissionReplay.ts
@@ -33,7 +33,7 @@
   readonly services: ReadonlyMap<string, ReplayService>;
 }
 
-/** Number of entries in a fleet of either user. */
+/** Number of entries in the fleet of each modelled user. */
 const ENTRY_COUNT = 7;
 
 /** Interval of load reports, and their delay until they reach the entries. */
--- a/packages/bench/src/replay/canary.ts
+++ b/packages/bench/src/replay/canary.ts
@@ -10,10 +10,10 @@
 }
 
 const STEPS = [
-  {from: 0, share: 0.05},
-  {from: 0.25, share: 0.25},
-  {from: 0.5, share: 0.5},
-  {from: 0.75, share: 1},
+  {fromProgress: 0, share: 0.05},
+  {fromProgress: 0.25, share: 0.25},
+  {fromProgress: 0.5, share: 0.5},
+  {fromProgress: 0.75, share: 1},
 ];
 
 /** Interval between threshold checks, as a fraction of the move. */
@@ -40,10 +40,11 @@
       return;
     }
     totals = {v1: emptyTotals(), v2: emptyTotals()};
-    const added = v2.errors / v2.requests - v1.errors / v1.requests;
-    const factor = Math.exp(meanLog(v2) - meanLog(v1));
+    const addedErrorRate = v2.errors / v2.requests - v1.errors / v1.requests;
+    const latencyFactor = Math.exp(meanLog(v2) - meanLog(v1));
     hasRolledBack ||=
-      added > MAX_ADDED_ERROR_RATE || factor > MAX_LATENCY_FACTOR;
+      addedErrorRate > MAX_ADDED_ERROR_RATE ||
+      latencyFactor > MAX_LATENCY_FACTOR;
   }
 
   return {
@@ -52,7 +53,7 @@
         lastCheckAt = progress;
         checkThresholds();
       }
-      const step = STEPS.findLast(({from}) => progress >= from);
+      const step = STEPS.findLast(({fromProgress}) => progress >= fromProgress);
       const share = hasRolledBack ? 0 : (step?.share ?? 0);
       return {share, orderShare: share};
     },
--- a/packages/bench/src/replay/gates.ts
+++ b/packages/bench/src/replay/gates.ts
@@ -16,7 +16,10 @@
 
 /** Admission gate of one entry. */
 export interface Gate {
-  admit(ask: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
+  admit(
+    admissionRequest: AdmissionRequest,
+    signal: AbortSignal,
+  ): Promise<Permit>;
   reportSlots(service: string, slots: number, busy: number): void;
 }
 
@@ -32,7 +35,7 @@
 /**
  * `shared-fifo`: one pool and one queue for all services.
  * `service-fifo`: one pool and one FIFO queue per service.
- * Others: the admission package with that limit policy.
+ * Others: the admission package with the limit policy of that name.
  */
 export const gateFactories: Readonly<
   Record<GateType, (options: GateOptions) => Gate>
@@ -44,7 +47,10 @@
       Math.max(1, Math.floor(total / options.entryCount)),
       queue,
     );
-    return {admit: (_ask, signal) => pool(signal), reportSlots() {}};
+    return {
+      admit: (_admissionRequest, signal) => pool(signal),
+      reportSlots() {},
+    };
   },
   'service-fifo': options => {
     const pools = new Map(
@@ -57,7 +63,8 @@
       ]),
     );
     return {
-      admit: (ask, signal) => (pools.get(ask.service) as FifoPool)(signal),
+      admit: (admissionRequest, signal) =>
+        (pools.get(admissionRequest.service) as FifoPool)(signal),
       reportSlots() {},
     };
   },
@@ -80,7 +87,8 @@
     admission.setService(service.name, service);
   }
   return {
-    admit: (ask, signal) => admission.admit(ask, signal),
+    admit: (admissionRequest, signal) =>
+      admission.admit(admissionRequest, signal),
     reportSlots: (service, slots, busy) =>
       admission.setReportedSlots(service, slots, busy),
   };
--- a/packages/bench/src/replay/moveTraffic.ts
+++ b/packages/bench/src/replay/moveTraffic.ts
@@ -17,7 +17,10 @@
 /** Latency factor from no load to full load, for both versions. */
 const FULL_LOAD_LATENCY_FACTOR = 1.6;
 
-/** Error rate and latency factor of both versions during a shared fault. */
+/**
+ * Error rate and latency factor of both versions during a shared fault, and its
+ * start and end as fractions of the move.
+ */
 const SHARED_FAULT_ERROR_RATE = 0.3;
 const SHARED_FAULT_LATENCY_FACTOR = 3;
 const SHARED_FAULT_START = 0.3;
@@ -31,7 +34,7 @@
 
 export interface Tick {
   readonly sums: readonly EvidenceSum[];
-  /** Requests to the candidate while and where its fault is active. */
+  /** Requests to the candidate on routes on which its fault is active. */
   readonly badRequests: number;
 }
 
@@ -79,9 +82,9 @@
       );
       const errors = binomial(requests, health.errorRate, random);
       const successes = requests - errors;
-      const shifted = health.medianMs + LATENCY_OFFSET_MS;
-      const mean = Math.log(shifted);
-      const sigma = (LATENCY_SIGMA * health.medianMs) / shifted;
+      const shiftedMs = health.medianMs + LATENCY_OFFSET_MS;
+      const mean = Math.log(shiftedMs);
+      const sigma = (LATENCY_SIGMA * health.medianMs) / shiftedMs;
       const noise = sigma * Math.sqrt(successes) * normal(random);
       const logLatency = successes * mean + noise;
       const squaredDeviations =
@@ -153,7 +156,10 @@
   return radius * Math.cos(2 * Math.PI * random.next());
 }
 
-/** Largest mean sampled exactly; above it, the normal approximation is used. */
+/**
+ * Largest mean, or degrees of freedom, sampled exactly; above it, the normal
+ * approximation is used.
+ */
 const MAX_EXACT_MEAN = 30;
 
 function poisson(mean: number, random: Random): number {
--- a/packages/bench/src/replay/replayClock.ts
+++ b/packages/bench/src/replay/replayClock.ts
@@ -12,7 +12,7 @@
   callback: (() => void) | undefined;
 }
 
-/** Microtask rounds after each timer: more than any await chain in a replay. */
+/** Microtask rounds after each timer; no await chain in a replay is longer. */
 const MICROTASK_ROUNDS = 8;
 
 /**
--- a/packages/bench/src/replay/versions.ts
+++ b/packages/bench/src/replay/versions.ts
@@ -131,12 +131,12 @@
   const isFailing = kind.startsWith('failing');
   const isSlow = kind.startsWith('slow');
   const isHanging = kind === 'hanging';
-  const worst = Math.max(...ERROR_FACTORS);
+  const worstErrorFactor = Math.max(...ERROR_FACTORS);
   return {
     kind,
     isBad: !kind.startsWith('good'),
     errorFactor: isHanging
-      ? worst
+      ? worstErrorFactor
       : isFailing
         ? pick(ERROR_FACTORS, random)
         : 1,
--- a/packages/bench/src/routing/replay.ts
+++ b/packages/bench/src/routing/replay.ts
@@ -95,7 +95,7 @@
   let openRequests = 0;
   let attempts = 0;
 
-  /** Returns the tokens of a prompt that no replica has computed before. */
+  /** Counts the tokens of a prompt that no replica has computed before. */
   function countUnseenTokens(
     blocks: readonly string[],
     tokens: number,
--- a/packages/bench/src/routing/workloads.ts
+++ b/packages/bench/src/routing/workloads.ts
@@ -113,11 +113,11 @@
   session(customer, random) {
     const crews = Math.round(20 + 80 * (CUSTOMER_SHARES[customer] ?? 0));
     const crew = `crew${customer}-${drawZipfRank(random, crews)}`;
-    // The length depends on the name only, so that the history is the same.
-    const lengths = seededRandom(hash32(crew));
+    // A crew's history must have the same length in all of its sessions.
+    const crewRandom = seededRandom(hash32(crew));
     const prompt = [
       distinctWords('system', 192),
-      distinctWords(crew, lengths.integer(1800, 5200)),
+      distinctWords(crew, crewRandom.integer(1800, 5200)),
     ].join(' ');
     const turns = drawTurns(random, drawId(random), {
       turns: [2, 6],
--- a/packages/bench/src/shedding.ts
+++ b/packages/bench/src/shedding.ts
@@ -14,7 +14,10 @@
 const OVERLOAD_START_SECOND = 12;
 const ENGINES = 4;
 const ENTRIES = 4;
-/** Faster engines have so many open requests that a run takes minutes. */
+/**
+ * Minimum milliseconds per prompt token of the measured profiles. Faster
+ * engines have so many open requests that a run takes minutes.
+ */
 const MIN_TOKEN_MS = 1 / 40;
 
 /**
--- a/packages/bench/src/slopes.ts
+++ b/packages/bench/src/slopes.ts
@@ -27,7 +27,7 @@
  */
 export async function measureSlopes(options: MeasureOptions): Promise<object> {
   const {seed, seconds = 0} = options;
-  const sizes =
+  const entryCounts =
     seconds >= LARGE_COUNT_MIN_SECONDS
       ? [...ENTRY_COUNTS, LARGE_ENTRY_COUNT]
       : ENTRY_COUNTS;
@@ -35,8 +35,8 @@
   const sockets = await measureSockets();
   const loadPolls = await measureLoadPolls();
   const members = [];
-  for (const size of sizes) {
-    members.push(await measureMembers(seed, size));
+  for (const entries of entryCounts) {
+    members.push(await measureMembers(seed, entries));
   }
   return {
     idleEntry,
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -5,8 +5,9 @@
 export interface MemberSlope {
   readonly entries: number;
   readonly neighbours: number;
-  /** Per entry and second, sent and received, without membership changes. */
+  /** Sent and received per entry and second, without membership changes. */
   readonly messages: number;
+  /** Counted as `messages`. */
   readonly bytes: number;
   /** Microseconds per second and entry, including the simulation. */
   readonly cpuMicros: number;
@@ -86,22 +87,22 @@
   cluster.start(id);
   await clock.advance(CHANGE_WINDOW_MS);
   const bytes = (2 * (net.totalTraffic().bytesSent - before)) / members.size;
-  const steady = (steadyBytes * 2 * CHANGE_WINDOW_MS) / 1000;
-  return {...detection, bytesPerChange: Math.max(0, bytes - steady)};
+  const expectedBytes = (steadyBytes * 2 * CHANGE_WINDOW_MS) / 1000;
+  return {...detection, bytesPerChange: Math.max(0, bytes - expectedBytes)};
 }
 
-/** Runs until no entry lists the given ids, or until the limit. */
+/** Runs until no entry lists the given ids, or for `limitMs`. */
 export async function measureDetectionTimes(
   cluster: MemberCluster,
   lostIds: ReadonlySet<string>,
   limitMs = CHANGE_WINDOW_MS,
 ) {
-  const all = cluster.members.size;
+  const entryCount = cluster.members.size;
   let firstNoticeMs = -1;
   for (let ms = STEP_MS; ms <= limitMs; ms += STEP_MS) {
     await cluster.clock.advance(STEP_MS);
     const listing = cluster.countListing(lostIds);
-    if (firstNoticeMs < 0 && listing < all) {
+    if (firstNoticeMs < 0 && listing < entryCount) {
       firstNoticeMs = ms;
     }
     if (listing === 0) {
@@ -124,7 +125,7 @@
   const heapBefore = collectedHeapBytes();
   const cluster = createMemberCluster(seed, entries);
   await waitForConvergence(cluster);
-  const heap = (collectedHeapBytes() - heapBefore) / entries;
+  const heapBytesPerEntry = (collectedHeapBytes() - heapBefore) / entries;
   const steady = await measureSteadyState(cluster);
   const change = await measureChange(cluster, steady.bytes);
   return {
@@ -133,7 +134,7 @@
     messages: round(steady.messages),
     bytes: round(steady.bytes),
     cpuMicros: round(steady.cpuMicros),
-    heapBytes: Math.round(heap),
+    heapBytes: Math.round(heapBytesPerEntry),
     bytesPerChange: Math.round(change.bytesPerChange),
     firstNoticeMs: change.firstNoticeMs,
     lastNoticeMs: change.lastNoticeMs,
@@ -141,8 +142,8 @@
 }
 
 /**
- * Crashes a failure domain; measures the time until no entry lists any of it
- * and the bytes of the busiest second per entry until then.
+ * Crashes a failure domain; measures the time until no entry lists a member of
+ * the domain, and the bytes per entry in the busiest second until then.
  *
  * @example
  * const loss = await measureDomainLoss(1, 100);
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -104,8 +104,8 @@
 
 /**
  * Measures the heap of a shard's state at an owner that has just taken it over.
- * The heap of the first owner is no measure, since the in-process platform
- * keeps every written version.
+ * The heap of the first owner is not used: the in-process platform in it keeps
+ * every written version.
  */
 async function measureTakeoverHeap(
   clock: VirtualClock,
@@ -179,7 +179,7 @@
       const client = memory.client(name);
       return {
         ...client,
-        // Sharing entries with the platform would hide heap of the ledger.
+        // Objects shared with the platform would not count as ledger heap.
         async get<T>(kind: string, object: string, signal?: AbortSignal) {
           const stored = await client.get<T>(kind, object, signal);
           const text = JSON.stringify(stored);
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -205,8 +205,8 @@
     after.load.watchCalls -
     before.load.watchCalls;
   const {openWatches} = after.load;
-  const perEntry = (span: number) =>
-    roundToHundredths(span / seconds / entries.length);
+  const perEntry = (difference: number) =>
+    roundToHundredths(difference / seconds / entries.length);
   return {
     openWatches,
     platformCallsPerSecond: roundToHundredths(calls / seconds + openWatches),
--- a/packages/bench/src/test/engines.test.ts
+++ b/packages/bench/src/test/engines.test.ts
@@ -7,7 +7,10 @@
 const dense = ENGINE_PROFILES.find(({name}) => name === 'dense')!;
 const OVERLOAD_START_SECOND = 10;
 const SEEDS = [1, 2, 3, 7, 8, 9];
-/** Refusals change the request sequence; smaller differences are noise. */
+/**
+ * Tolerated difference between fractions of requests: refusals change the
+ * request sequence, and smaller differences are noise.
+ */
 const TOLERANCE = 0.02;
 
 /** Returns request results during overload, over several seeds. */
--- a/packages/bench/src/test/hostileCallers.test.ts
+++ b/packages/bench/src/test/hostileCallers.test.ts
@@ -118,7 +118,7 @@
   },
 ];
 
-/** Raw inputs and responses; an empty one means a closed connection. */
+/** Raw inputs and responses; an empty response is a closed connection. */
 const rawInputs: readonly [string, string, RegExp][] = [
   [
     'bytes that are not HTTP',
@@ -254,7 +254,7 @@
   });
 
   // An operator removes a leaked key from the customer's record; the key
-  // remains usable until that is in force everywhere.
+  // remains usable until the change is in force everywhere.
   it('refuses a key soon after its removal from the record', async () => {
     await fleet.store.put(
       'customer',
--- a/packages/bench/src/test/ordersUnderFaults.test.ts
+++ b/packages/bench/src/test/ordersUnderFaults.test.ts
@@ -116,7 +116,7 @@
     const replies = new Map(retried.map(({key, body}) => [key, body]));
     for (const {key, run, body} of outcomes) {
       if (run === 'ran') {
-        const retry = retried.find(one => one.key === key);
+        const retry = retried.find(outcome => outcome.key === key);
         assert.ok(retry?.run !== 'ran' || replies.get(key) === body, key);
       }
     }
@@ -125,7 +125,7 @@
   });
 
   // An entry is suspended beyond the failure detection time and then resumes.
-  // The orders that it had claimed could run twice, by it or by a successor.
+  // The orders that it had claimed could run twice, there and at a new owner.
   it('runs each order at most once when an entry is paused and resumes', async () => {
     const [victim] = running();
     const placing = sendOrdersAround('pause', () => victim?.pause());
