--- a/packages/bench/src/overload.ts
+++ b/packages/bench/src/overload.ts
@@ -71,10 +71,7 @@
 
 type Row = Awaited<ReturnType<typeof runCase>>;
 
-/**
- * Summarizes the targets at 5 times the capacity: requests of the most urgent
- * class in time, and goodput.
- */
+/** Summarizes targets at 5 times the capacity: urgency 1, and all goodput. */
 function summarize(rows: readonly Row[]) {
   return GATES.map(gate => {
     const own = rows.filter(row => row.gate === gate && !row.isOverstated);
--- a/packages/bench/src/processes/childProcess.ts
+++ b/packages/bench/src/processes/childProcess.ts
@@ -10,10 +10,7 @@
 /** Number of last lines of standard error kept for error messages. */
 const MAX_LOG_LINES = 200;
 
-/**
- * Environment variable with the path of a built binary to run instead of the
- * compiled command line.
- */
+/** Environment variable: binary to run instead of the compiled command line. */
 const BINARY_VARIABLE = 'SKYLARKFIELD_BINARY';
 const COMMAND_LINE = fileURLToPath(
   new URL('../../../cli/out/main.js', import.meta.url),
--- a/packages/bench/src/replay/moveTraffic.ts
+++ b/packages/bench/src/replay/moveTraffic.ts
@@ -17,10 +17,7 @@
 /** Latency factor from no load to full load, for both versions. */
 const FULL_LOAD_LATENCY_FACTOR = 1.6;
 
-/**
- * Error rate and latency factor of both versions during a shared fault, and its
- * start and end as fractions of the move.
- */
+/** Fault shared by both versions; start and end are fractions of the move. */
 const SHARED_FAULT_ERROR_RATE = 0.3;
 const SHARED_FAULT_LATENCY_FACTOR = 3;
 const SHARED_FAULT_START = 0.3;
@@ -156,10 +153,7 @@
   return radius * Math.cos(2 * Math.PI * random.next());
 }
 
-/**
- * Largest mean, or degrees of freedom, sampled exactly; above it, the normal
- * approximation is used.
- */
+/** Largest mean or degrees of freedom sampled without normal approximation. */
 const MAX_EXACT_MEAN = 30;
 
 function poisson(mean: number, random: Random): number {
--- a/packages/bench/src/test/engines.test.ts
+++ b/packages/bench/src/test/engines.test.ts
@@ -7,10 +7,7 @@
 const dense = ENGINE_PROFILES.find(({name}) => name === 'dense')!;
 const OVERLOAD_START_SECOND = 10;
 const SEEDS = [1, 2, 3, 7, 8, 9];
-/**
- * Tolerated difference between fractions of requests: refusals change the
- * request sequence, and smaller differences are noise.
- */
+/** Noise of the fractions: refusals change the sequence of the requests. */
 const TOLERANCE = 0.02;
 
 /** Returns request results during overload, over several seeds. */
