--- a/eslint.config.js
+++ b/eslint.config.js
@@ -44,23 +44,69 @@
   '/^(PathPrefix|ApiKeys|KvTokens|CurrentRev|MorePages)$/',
 ];
 
+/**
+ * Figurative words of earlier releases; docs/GLOSSARY.md has the terms that
+ * replace them. Fields on the wire, like `news` and `paces`, keep their names.
+ */
+const REPLACED_WORDS = [
+  'journey',
+  'standing',
+  'clump',
+  'belief',
+  'patience',
+  'pace',
+  'favour',
+];
+
+/** Restricts replaced words in identifiers: alone, at the start or inside. */
+function replacedWordSelector() {
+  const words = REPLACED_WORDS.filter(word => word !== 'pace');
+  const capitalized = words.map(word => word[0].toUpperCase() + word.slice(1));
+  const name = `/^(${words.join('|')})(?![a-z])|(${capitalized.join('|')})|^pace$/`;
+  return {
+    selector: `Identifier[name=${name}]`,
+    message: 'Use the term of docs/GLOSSARY.md instead of this word.',
+  };
+}
+
 /** Restricts the platform's wire names to its adapter in platform/. */
-function platformNameRule() {
+function platformNameSelectors() {
   const message =
     "Names of the platform's wire format are allowed only in platform/.";
-  const selectors = PLATFORM_NAME_PATTERNS.flatMap(pattern => [
-    `Literal[value=${pattern}]`,
-    `Property > Identifier.key[name=${pattern}]`,
+  return PLATFORM_NAME_PATTERNS.flatMap(pattern => [
+    {selector: `Literal[value=${pattern}]`, message},
+    {selector: `Property > Identifier.key[name=${pattern}]`, message},
   ]);
-  return {
-    files: ['packages/**/*.ts'],
-    rules: {
-      'no-restricted-syntax': [
-        'error',
-        ...selectors.map(selector => ({selector, message})),
-      ],
+}
+
+/** Restrictions on names: replaced words everywhere, wire names in packages/. */
+function nameRules() {
+  const replacedWord = replacedWordSelector();
+  return [
+    {
+      files: ['platform/**/*.ts'],
+      rules: {'no-restricted-syntax': ['error', replacedWord]},
     },
-  };
+    {
+      files: ['packages/**/*.ts'],
+      rules: {
+        'no-restricted-syntax': [
+          'error',
+          replacedWord,
+          ...platformNameSelectors(),
+        ],
+      },
+    },
+    {
+      files: ['packages/**/*.ts', 'platform/**/*.ts'],
+      rules: {
+        'no-warning-comments': [
+          'error',
+          {terms: REPLACED_WORDS, location: 'anywhere'},
+        ],
+      },
+    },
+  ];
 }
 
 export default defineConfig([
@@ -128,5 +174,5 @@
     },
   },
   ...layerRules(),
-  platformNameRule(),
+  ...nameRules(),
 ]);
