--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -47,7 +47,8 @@
       }
       return bulkhead.admit(request, signal);
     },
-    tryRetry: service => bulkheads.get(service)?.tryAcquireRetry() ?? false,
+    tryAcquireRetry: service =>
+      bulkheads.get(service)?.tryAcquireRetry() ?? false,
     setService(name, config) {
       if (config === undefined) {
         bulkheads.get(name)?.close();
--- a/packages/admission/src/contracts.ts
+++ b/packages/admission/src/contracts.ts
@@ -40,7 +40,7 @@
    */
   admit(request: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
   /** Takes one retry from the service's budget; false if it is exhausted. */
-  tryRetry(service: string): boolean;
+  tryAcquireRetry(service: string): boolean;
   /** Adds, reconfigures or removes (undefined) a service's bulkhead. */
   setService(name: string, config: ServiceAdmissionConfig | undefined): void;
   /** Sets or resets (undefined) a customer's weight among equal urgencies. */
--- a/packages/admission/src/test/admission.test.ts
+++ b/packages/admission/src/test/admission.test.ts
@@ -218,7 +218,7 @@
     let retries = 0;
     for (let index = 0; index < 1000; index++) {
       (await admit()).release({outcome: 'failed', latencyMs: 1});
-      retries += admission.tryRetry('booking') ? 1 : 0;
+      retries += admission.tryAcquireRetry('booking') ? 1 : 0;
     }
     assert.ok(retries >= 95 && retries <= 110, `${retries}`);
   });
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -141,14 +141,14 @@
       onDidEvent() {
         if (firstEventMs === undefined) {
           firstEventMs = clock.now() - arrivedMs;
-          observation.noteBegin();
-          choice.streaming();
+          observation.recordBegin();
+          choice.recordFirstToken();
         }
         sink.write({bytes: Buffer.alloc(0), id: undefined});
       },
       onDidEnd() {
         timer.dispose();
-        observation.noteEnd();
+        observation.recordEnd();
         entry.engines.work.record(
           SERVICE,
           answerWork(demand.model, demand.answerTokens),
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -187,7 +187,7 @@
 ): Promise<RateResult> {
   const addedLatenciesMs: number[] = [];
   const pending: Array<Promise<void>> = [];
-  const before = platform.load();
+  const before = platform.callCounts();
   const start = clock.now();
   let refused = 0;
   let dueAt = start;
@@ -207,7 +207,7 @@
   }
   await Promise.all(pending);
   const elapsedSeconds = (clock.now() - start) / 1_000;
-  const after = platform.load();
+  const after = platform.callCounts();
   addedLatenciesMs.sort((a, b) => a - b);
   return {
     ordersPerSecond: rate,
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -152,8 +152,8 @@
           ? new AbortController().signal
           : endpoint.leaving.signal,
       goneAt: () => endpoint.goneAt,
-      onStart: cachedTokens => choice.started(cachedTokens),
-      onFirstToken: () => choice.streaming(),
+      onStart: cachedTokens => choice.recordStart(cachedTokens),
+      onFirstToken: () => choice.recordFirstToken(),
       finish: result => choice.finish(result),
     };
   }
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -46,8 +46,8 @@
     cachedTokens: 0,
     loadBefore: {requests: 0, pendingTokens: 0, contextTokens: 0},
     tokensAhead: 0,
-    started() {},
-    streaming() {},
+    recordStart() {},
+    recordFirstToken() {},
     finish,
   };
 }
--- a/packages/bench/src/routing/replay.ts
+++ b/packages/bench/src/routing/replay.ts
@@ -149,7 +149,7 @@
     engines.get(choice.endpoint)!.submit(generation, {
       event(event) {
         if (event.type === 'start') {
-          choice.started(event.cachedTokens);
+          choice.recordStart(event.cachedTokens);
           if (isPastWarmUp) {
             sums.prefilledTokens += tokens.length - event.cachedTokens;
           }
@@ -157,7 +157,7 @@
         if (event.type === 'token') {
           if (texts.length === 0) {
             latencyMs = clock.now() - startMs;
-            choice.streaming();
+            choice.recordFirstToken();
             if (isPastWarmUp) {
               firstTokenMs.push(latencyMs);
             }
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -71,7 +71,7 @@
     DEDUPE_WINDOW_SECONDS,
   );
   const before = {
-    writes: memory.load().writes,
+    writes: memory.callCounts().writes,
     bytes: written.bytes,
     traffic: fleet.traffic(),
     cpu: process.cpuUsage(),
@@ -94,7 +94,7 @@
     // Bytes sent by both entries equal those sent and received by the owner.
     messages: perSecond(traffic.messagesSent - before.traffic.messagesSent),
     bytes: perSecond(traffic.bytesSent - before.traffic.bytesSent),
-    platformWrites: perSecond(memory.load().writes - before.writes),
+    platformWrites: perSecond(memory.callCounts().writes - before.writes),
     platformBytes: perSecond(written.bytes - before.bytes),
     cpuMicros: perSecond(cpu.user + cpu.system),
   };
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -158,7 +158,7 @@
       onDidRemove: () => {},
     });
   });
-  await waitUntil(clock, () => platform.load().openWatches === count);
+  await waitUntil(clock, () => platform.callCounts().openWatches === count);
   const delaysMs: number[] = [];
   let missed = 0;
   for (let round = 0; round < rounds; round++) {
@@ -173,7 +173,7 @@
     missed += isInForceEverywhere ? 0 : 1;
     delaysMs.push(clock.now() - start);
   }
-  const {openWatches} = platform.load();
+  const {openWatches} = platform.callCounts();
   stores.forEach(store => store.dispose());
   return {
     entries: count,
@@ -192,11 +192,11 @@
 
 async function measureIdle(clock: Clock, fleet: SpreadFleet) {
   const {platform, net, entries} = fleet;
-  const before = {load: platform.load(), total: net.totalTraffic()};
+  const before = {load: platform.callCounts(), total: net.totalTraffic()};
   const start = clock.now();
   await sleep(clock, IDLE_SECONDS * 1000);
   const seconds = (clock.now() - start) / 1000;
-  const after = {load: platform.load(), total: net.totalTraffic()};
+  const after = {load: platform.callCounts(), total: net.totalTraffic()};
   const calls =
     after.load.reads -
     before.load.reads +
--- a/packages/duties/src/lease.ts
+++ b/packages/duties/src/lease.ts
@@ -43,9 +43,11 @@
  * Parses a lease object; returns undefined if it is not a valid lease.
  *
  * @example
- * const lease = readLease(await store.get('lease', 'acceptance'));
+ * const lease = parseLease(await store.get('lease', 'acceptance'));
  */
-export function readLease(object: StoredObject | undefined): Lease | undefined {
+export function parseLease(
+  object: StoredObject | undefined,
+): Lease | undefined {
   const value = object?.value as Partial<Lease> | undefined;
   if (
     typeof value?.holder !== 'string' ||
--- a/packages/duties/src/leaseElection.ts
+++ b/packages/duties/src/leaseElection.ts
@@ -21,7 +21,7 @@
 import {
   LEASE_KIND,
   leaseCondition,
-  readLease,
+  parseLease,
   type Lease,
   type LeaseTiming,
 } from './lease.js';
@@ -162,7 +162,7 @@
 
   async function acquire(): Promise<void> {
     service.send('acquire');
-    const previous = readLease(leaseObject);
+    const previous = parseLease(leaseObject);
     try {
       const fencing = (previous?.fencing ?? (await maxPastFencing())) + 1;
       await writeLease({fencing, sequence: 0, isReleased: false});
@@ -255,7 +255,7 @@
   }
 
   async function renew({fencing}: HeldLease): Promise<void> {
-    const lease = readLease(leaseObject);
+    const lease = parseLease(leaseObject);
     try {
       await writeLease({
         fencing,
@@ -276,7 +276,7 @@
   /** Reads the lease after a renewal with an unknown outcome. */
   async function confirmRenewal(fencing: number): Promise<void> {
     const stored = await store.get(LEASE_KIND, duty);
-    const lease = readLease(stored);
+    const lease = parseLease(stored);
     if (lease?.holder !== self || lease.fencing !== fencing) {
       loseLease('another process holds the lease');
       return;
@@ -333,7 +333,7 @@
     },
     dump: () => ({
       state: currentState(),
-      fencing: heldLease?.fencing ?? readLease(leaseObject)?.fencing ?? 0,
+      fencing: heldLease?.fencing ?? parseLease(leaseObject)?.fencing ?? 0,
       validForMs: Math.max(0, validUntil - clock.now()),
     }),
   };
--- a/packages/duties/src/leaseObserver.ts
+++ b/packages/duties/src/leaseObserver.ts
@@ -7,7 +7,7 @@
  */
 import type {StoredObject} from '@skylarkfield/providers';
 import type {Clock} from '@skylarkfield/base';
-import {readLease, type LeaseTiming} from './lease.js';
+import {parseLease, type LeaseTiming} from './lease.js';
 
 export interface LeaseObserver {
   /** Records a read of the lease; call it when the result arrives. */
@@ -48,7 +48,7 @@
       if (!hasRead) {
         return false;
       }
-      const lease = readLease(lastRead);
+      const lease = parseLease(lastRead);
       if (lease === undefined || lease.isReleased || lease.holder === self) {
         return true;
       }
--- a/packages/entry/src/callers/attemptRunner.ts
+++ b/packages/entry/src/callers/attemptRunner.ts
@@ -73,7 +73,7 @@
       runWithFallback(call, signal, {
         isIdempotent: true,
         begin: () => true,
-        mayRetry: () => serving.admission.tryRetry(call.service),
+        mayRetry: () => serving.admission.tryAcquireRetry(call.service),
       }),
     runAtMostOnce: (call, signal, begin) =>
       runWithFallback(call, signal, {
--- a/packages/entry/src/callers/modelServer.ts
+++ b/packages/entry/src/callers/modelServer.ts
@@ -80,7 +80,7 @@
           {
             pickEndpoint: (excluded, delivered) =>
               pickEndpoint(plan, request, excluded, delivered),
-            mayRetry: () => serving.admission.tryRetry(service.name),
+            mayRetry: () => serving.admission.tryAcquireRetry(service.name),
             deliver(token) {
               progress.recordToken();
               return modelResponse.deliver(token);
@@ -254,10 +254,10 @@
       cachedTokens: choice.cachedTokens,
       leaving: endpoint.leaving,
       goneAt: () => endpoint.goneAt?.(),
-      onStart: cachedTokens => choice.started(cachedTokens),
+      onStart: cachedTokens => choice.recordStart(cachedTokens),
       onFirstToken() {
         plan.fallback.recordFirstToken(version);
-        choice.streaming();
+        choice.recordFirstToken();
       },
       finish: result => choice.finish(result),
     };
--- a/packages/entry/src/components/dutiesComponent.ts
+++ b/packages/entry/src/components/dutiesComponent.ts
@@ -26,8 +26,8 @@
   const {clock, random, log, decisions, dumps} = context;
   const {platform, members, records} = options;
   const {membership} = members;
-  const owned = disposableStore();
-  const duties = owned.add(
+  const disposables = disposableStore();
+  const duties = disposables.add(
     createDutyElections({
       clock,
       random,
@@ -39,7 +39,7 @@
     }),
   );
   dumps.add('duties', () => duties.dump());
-  owned.add(
+  disposables.add(
     duties.compete('acceptance', term => {
       const acceptance = createAcceptanceController({
         clock,
@@ -62,5 +62,5 @@
       };
     }),
   );
-  return {...duties, dispose: () => owned.dispose()};
+  return {...duties, dispose: () => disposables.dispose()};
 }
--- a/packages/entry/src/components/endpointPolling.ts
+++ b/packages/entry/src/components/endpointPolling.ts
@@ -39,11 +39,11 @@
  * requests.
  *
  * @example
- * owned.add(startPolling({clock, log, router, endpoints}));
+ * disposables.add(startPolling({clock, log, router, endpoints}));
  */
 export function startPolling(options: PollingOptions): Disposable {
   const {clock, log, router, endpoints} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   /** Sequence number of the last cache event of each endpoint. */
   const lastSequences = new Map<string, number>();
 
@@ -90,13 +90,13 @@
     },
   ];
   tasks.forEach(start);
-  return owned;
+  return disposables;
 
   function start(task: PollTask): void {
     const inFlight = new Set<string>();
     let position = 0;
     let timer = clock.after(0, pollNext);
-    owned.add({dispose: () => timer.dispose()});
+    disposables.add({dispose: () => timer.dispose()});
 
     function pollNext(): void {
       const assigned = router
@@ -106,7 +106,7 @@
         MS_PER_SECOND / task.maxPollsPerSecond,
         task.endpointIntervalMs / Math.max(1, assigned.length),
       );
-      if (!owned.isDisposed) {
+      if (!disposables.isDisposed) {
         timer = clock.after(intervalMs, pollNext);
       }
       position += 1;
--- a/packages/entry/src/components/endpointPoolComponent.ts
+++ b/packages/entry/src/components/endpointPoolComponent.ts
@@ -41,20 +41,20 @@
 ): EndpointPoolComponent {
   const {clock, log} = context;
   const openEndpoints = new Map<string, OpenEndpoint>();
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const pool: EndpointPool = {
     get: id => openEndpoints.get(id),
     list: () => [...openEndpoints.values()],
   };
-  owned.add(
+  disposables.add(
     toDisposable(() => openEndpoints.forEach(endpoint => endpoint.dispose())),
   );
-  owned.add(hostList.watch(applyHostList));
-  owned.add(leaving.onDidLeave(handleLeaving));
-  owned.add(leaving.onDidReturn(handleReturn));
-  owned.add(startPolling({clock, log, router, endpoints: pool}));
+  disposables.add(hostList.watch(applyHostList));
+  disposables.add(leaving.onDidLeave(handleLeaving));
+  disposables.add(leaving.onDidReturn(handleReturn));
+  disposables.add(startPolling({clock, log, router, endpoints: pool}));
 
-  return {...pool, markLeaving, dispose: () => owned.dispose()};
+  return {...pool, markLeaving, dispose: () => disposables.dispose()};
 
   /** Applies a notice, which has the removal time and may precede the list. */
   function handleLeaving({endpoint, goneAt}: LeavingEndpoint): void {
@@ -72,7 +72,7 @@
   function handleReturn(id: string): void {
     openEndpoints.get(id)?.dispose();
     openEndpoints.delete(id);
-    router.markReturned(id);
+    router.unmarkLeaving(id);
   }
 
   function markLeaving(id: string): void {
--- a/packages/entry/src/components/fleetComponent.ts
+++ b/packages/entry/src/components/fleetComponent.ts
@@ -29,7 +29,7 @@
  * Takes part in the lease election of the fleet duty.
  *
  * @example
- * owned.add(createFleetComponent(context, options));
+ * disposables.add(createFleetComponent(context, options));
  */
 export function createFleetComponent(
   context: EntryContext,
@@ -38,8 +38,8 @@
   const {clock, random, decisions, dumps} = context;
   const {platform, configuration, endpoints} = options;
   return options.duties.compete('fleet', term => {
-    const owned = disposableStore();
-    const duty = owned.add(
+    const disposables = disposableStore();
+    const duty = disposables.add(
       createFleetDuty({
         cloud: platform.cloud,
         clock,
@@ -62,9 +62,9 @@
       }),
     });
     let isRepairing = false;
-    owned.add(every(clock, REPAIR_INTERVAL_MS, () => void repairOnce()));
-    owned.add(dumps.add('fleet', () => duty.dump()));
-    return owned;
+    disposables.add(every(clock, REPAIR_INTERVAL_MS, () => void repairOnce()));
+    disposables.add(dumps.add('fleet', () => duty.dump()));
+    return disposables;
 
     async function repairOnce(): Promise<void> {
       if (isRepairing) {
--- a/packages/entry/src/components/leavingComponent.ts
+++ b/packages/entry/src/components/leavingComponent.ts
@@ -32,8 +32,8 @@
 ): LeavingComponent {
   const {clock, decisions, dumps} = context;
   const {membership, network} = members;
-  const owned = disposableStore();
-  const leaving = owned.add(
+  const disposables = disposableStore();
+  const leaving = disposables.add(
     createLeavingEndpointTracker({
       cloud: platform.cloud,
       hostList: platform.hostList,
@@ -42,17 +42,17 @@
       decisions,
     }),
   );
-  owned.add(
+  disposables.add(
     every(clock, READER_CHECK_INTERVAL_MS, () =>
       leaving.setReader(
         isReader(membership.live(), membership.self, 'notices'),
       ),
     ),
   );
-  owned.add(dumps.add('leaving', () => leaving.dump()));
+  disposables.add(dumps.add('leaving', () => leaving.dump()));
   return {
     leaving,
     hostList: leaving.hostList,
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
--- a/packages/entry/src/components/loadReportAggregator.ts
+++ b/packages/entry/src/components/loadReportAggregator.ts
@@ -51,7 +51,7 @@
  * const loadReports = createLoadReportAggregator(router, options);
  * const {router: reporting} = loadReports;
  * const endpoints = createEndpointPoolComponent(context, leaving, reporting);
- * owned.add(loadReports.start(endpoints));
+ * disposables.add(loadReports.start(endpoints));
  */
 export function createLoadReportAggregator(
   router: Router,
--- a/packages/entry/src/components/membersComponent.ts
+++ b/packages/entry/src/components/membersComponent.ts
@@ -47,25 +47,25 @@
   options: MembersComponentOptions,
 ): Promise<MembersComponent> {
   const {settings, clock, random, log, decisions, dumps} = context;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   // Distinguishes a restart from a pause; wall time increases across restarts.
   const incarnation = clock.wall();
   const tls = await watchInnerTls(context);
-  const network = owned.add(
+  const network = disposables.add(
     createPeerNetwork({
       self: {id: settings.id, incarnation},
       clock,
       random,
       log,
       key: options.innerKey,
-      ...(tls === undefined ? {} : {tls: owned.add(tls)}),
+      ...(tls === undefined ? {} : {tls: disposables.add(tls)}),
     }),
   );
   const {port} = await network.listen(settings.inner);
   const scheme = tls === undefined ? 'ws' : 'wss';
   const innerUrl =
     settings.advertised.inner ?? `${scheme}://${settings.inner.host}:${port}`;
-  const membership = owned.add(
+  const membership = disposables.add(
     createMembership({
       self: {
         id: settings.id,
@@ -92,7 +92,7 @@
     membership,
     innerUrl,
     lookup: query => rankEntries(membership.members(), query, random),
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
 
--- a/packages/entry/src/components/movesComponent.ts
+++ b/packages/entry/src/components/movesComponent.ts
@@ -46,7 +46,7 @@
  * Follows moves and takes part in the lease election of the move duty.
  *
  * @example
- * owned.add(startMovesComponent(context, options));
+ * disposables.add(startMovesComponent(context, options));
  */
 export function startMovesComponent(
   context: EntryContext,
@@ -54,10 +54,10 @@
 ): Disposable {
   const {clock, log, decisions, dumps} = context;
   const {split, configuration, network, objects, endpoints, duties} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const controller = createMoveController({clock, decisions});
-  owned.add(dumps.add('moveJudge', () => controller.dump()));
-  owned.add(
+  disposables.add(dumps.add('moveJudge', () => controller.dump()));
+  disposables.add(
     createMoveFollower({
       clock,
       objects,
@@ -67,8 +67,10 @@
       controller,
     }),
   );
-  owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailableVersions));
-  owned.add(
+  disposables.add(
+    every(clock, AVAILABILITY_INTERVAL_MS, updateAvailableVersions),
+  );
+  disposables.add(
     duties.compete('moves', term =>
       createMoveDuty({
         clock,
@@ -82,7 +84,7 @@
       }),
     ),
   );
-  return owned;
+  return disposables;
 
   function updateAvailableVersions(): void {
     for (const {service} of configuration.list('move')) {
--- a/packages/entry/src/components/peerFallbackHostList.ts
+++ b/packages/entry/src/components/peerFallbackHostList.ts
@@ -51,28 +51,28 @@
   listener: (endpoints: readonly ListedEndpoint[]) => void,
 ): Disposable {
   const {hostList, network, clock, random, log} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   let currentList: readonly ListedEndpoint[] | undefined;
   let isFromPlatform = false;
   let isRequesting = false;
 
-  owned.add(
+  disposables.add(
     hostList.watch(endpoints => {
       isFromPlatform = true;
       currentList = endpoints;
       listener(endpoints);
     }),
   );
-  owned.add(
+  disposables.add(
     network.onDidReceive('endpointsWanted', () => ({
       endpoints: currentList ?? [],
     })),
   );
-  const requestTimer = owned.add(
+  const requestTimer = disposables.add(
     every(clock, PEER_REQUEST_INTERVAL_MS, () => void requestFromPeer()),
   );
-  owned.add(toDisposable(() => (currentList = undefined)));
-  return owned;
+  disposables.add(toDisposable(() => (currentList = undefined)));
+  return disposables;
 
   async function requestFromPeer(): Promise<void> {
     if (currentList !== undefined) {
@@ -103,7 +103,7 @@
   }
 
   function applyPeerList(endpoints: readonly ListedEndpoint[]): void {
-    if (isFromPlatform || endpoints.length === 0 || owned.isDisposed) {
+    if (isFromPlatform || endpoints.length === 0 || disposables.isDisposed) {
       return;
     }
     currentList = endpoints;
--- a/packages/entry/src/components/recordsComponent.ts
+++ b/packages/entry/src/components/recordsComponent.ts
@@ -25,8 +25,8 @@
 ): RecordsComponent {
   const {clock, random, log, dumps} = context;
   const {membership, network} = members;
-  const owned = disposableStore();
-  const configuration = owned.add(
+  const disposables = disposableStore();
+  const configuration = disposables.add(
     createConfiguration({
       clock,
       random,
@@ -39,8 +39,8 @@
   );
   dumps.add('configuration', () => configuration.dump());
   updatePlatformShare();
-  owned.add(membership.onDidChange(updatePlatformShare));
-  return {configuration, dispose: () => owned.dispose()};
+  disposables.add(membership.onDidChange(updatePlatformShare));
+  return {configuration, dispose: () => disposables.dispose()};
 
   /** Splits the platform's rate limit evenly among the live entries. */
   function updatePlatformShare(): void {
--- a/packages/entry/src/entryComponents.ts
+++ b/packages/entry/src/entryComponents.ts
@@ -58,11 +58,11 @@
   context: EntryContext,
   options: EntryComponentsOptions,
 ): Promise<EntryComponents> {
-  const owned = disposableStore();
+  const disposables = disposableStore();
   try {
-    return await buildComponents(context, options, owned);
+    return await buildComponents(context, options, disposables);
   } catch (error) {
-    owned.dispose();
+    disposables.dispose();
     throw error;
   }
 }
@@ -70,16 +70,18 @@
 async function buildComponents(
   context: EntryContext,
   options: EntryComponentsOptions,
-  owned: DisposableStore,
+  disposables: DisposableStore,
 ): Promise<EntryComponents> {
   const {settings, clock, dumps} = context;
   const platform = createPlatformComponent(context);
-  owned.add(platform.store);
-  const members = owned.add(
+  disposables.add(platform.store);
+  const members = disposables.add(
     await createMembersComponent(context, platform, options),
   );
   const {membership, network} = members;
-  const records = owned.add(createRecordsComponent(context, platform, members));
+  const records = disposables.add(
+    createRecordsComponent(context, platform, members),
+  );
   const {configuration} = records;
 
   const router = createRoutingComponent(context, membership);
@@ -88,7 +90,7 @@
     hostList: platform.hostList,
     network,
   });
-  const leaving = owned.add(
+  const leaving = disposables.add(
     createLeavingComponent(
       context,
       {...platform, hostList: fallbackHostList},
@@ -105,10 +107,10 @@
     admission,
     configuration,
   });
-  const endpoints = owned.add(
+  const endpoints = disposables.add(
     createEndpointPoolComponent(context, leaving, loadReports.router),
   );
-  owned.add(loadReports.start(endpoints));
+  disposables.add(loadReports.start(endpoints));
 
   const split = createTrafficSplitComponent(context);
   const streams = createStreamRunner({clock, entryId: settings.id});
@@ -117,7 +119,7 @@
     {router, endpoints, split, admission},
     clock,
   );
-  const ledger = owned.add(
+  const ledger = disposables.add(
     createOrdersComponent(context, {
       platform,
       members,
@@ -127,10 +129,10 @@
     }),
   );
 
-  const duties = owned.add(
+  const duties = disposables.add(
     createDutiesComponent(context, {platform, members, records}),
   );
-  owned.add(
+  disposables.add(
     startMovesComponent(context, {
       split,
       configuration,
@@ -140,7 +142,7 @@
       duties,
     }),
   );
-  owned.add(
+  disposables.add(
     createFleetComponent(context, {
       duties,
       platform,
@@ -164,6 +166,6 @@
     membership,
     duties,
     innerUrl: members.innerUrl,
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -61,21 +61,21 @@
 export async function startEntry(
   settings: EntrySettings,
 ): Promise<EntryProcess> {
-  const owned = disposableStore();
+  const disposables = disposableStore();
   try {
-    return await start(settings, owned);
+    return await start(settings, disposables);
   } catch (error) {
-    owned.dispose();
+    disposables.dispose();
     throw error;
   }
 }
 
 async function start(
   settings: EntrySettings,
-  owned: DisposableStore,
+  disposables: DisposableStore,
 ): Promise<EntryProcess> {
   const metrics = await createMetrics('skylarkfield');
-  owned.add(toDisposable(() => void metrics.shutDown()));
+  disposables.add(toDisposable(() => void metrics.shutDown()));
   const context = createContext(settings, metrics.meter);
   const {clock, log, decisions, dumps} = context;
   const adminKey = resolveSecret(settings.keys.admin, 'keys.admin');
@@ -87,7 +87,7 @@
   const admin = await openPort(settings.admin);
   const callersUrl = settings.advertised.callers ?? callers.url;
   const startupHandler = rejectUntilReady(callers.server);
-  const components = owned.add(
+  const components = disposables.add(
     await createEntryComponents(context, {
       innerKey,
       callersUrl,
@@ -122,7 +122,7 @@
 
   async function openPort(listenerSettings: EntrySettings['callers']) {
     const server = createServer(listenerSettings, settings.limits);
-    const listener = owned.add(
+    const listener = disposables.add(
       await openListener(server, listenerSettings, clock, log),
     );
     return {server, listener, url: urlOf(listener, listenerSettings.host)};
@@ -182,7 +182,7 @@
     log.info({isIdle, inFlight: inFlight.count()}, 'drained');
     lifecycle.send('close');
     await callers.listener.close(CLOSE_TIMEOUT_MS);
-    owned.dispose();
+    disposables.dispose();
   }
 
   function waitForLingerPeriod(): Promise<void> {
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -71,10 +71,10 @@
   log: Logger,
 ): Promise<Listener> {
   await bind(server, settings);
-  const owned = disposableStore();
-  owned.add(toDisposable(() => closeImmediately(server)));
+  const disposables = disposableStore();
+  disposables.add(toDisposable(() => closeImmediately(server)));
   if (settings.tls !== undefined) {
-    owned.add(
+    disposables.add(
       watchCertificates(server as https.Server, settings.tls, clock, log),
     );
   }
@@ -83,7 +83,7 @@
     port: (server.address() as AddressInfo).port,
     scheme: settings.tls === undefined ? 'http' : 'https',
     close: timeoutMs => closeGracefully(server, timeoutMs, clock),
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
 
--- a/packages/entry/src/test/attemptRunner.test.ts
+++ b/packages/entry/src/test/attemptRunner.test.ts
@@ -69,7 +69,7 @@
       list: () => [...endpoints.values()],
     },
     split,
-    admission: {tryRetry: () => true, loadFraction: () => 0.1},
+    admission: {tryAcquireRetry: () => true, loadFraction: () => 0.1},
   };
   const attempts = createAttemptRunner(serving as never, clock);
   const cuts: string[] = [];
@@ -123,8 +123,8 @@
     cachedTokens: 0,
     loadBefore: {requests: 0, pendingTokens: 0, contextTokens: 0},
     tokensAhead: 0,
-    started() {},
-    streaming() {},
+    recordStart() {},
+    recordFirstToken() {},
     finish() {},
   };
 }
--- a/packages/entry/src/test/modelServer.test.ts
+++ b/packages/entry/src/test/modelServer.test.ts
@@ -56,7 +56,7 @@
     },
     admission: {
       admit: () => Promise.resolve({waitedMs: 0, release() {}}),
-      tryRetry: () => true,
+      tryAcquireRetry: () => true,
       loadFraction: () => 0.1,
     },
   };
--- a/packages/entry/src/test/orderMetrics.test.ts
+++ b/packages/entry/src/test/orderMetrics.test.ts
@@ -67,7 +67,7 @@
     await submit('k1', 'booking', 'other');
     await submit('k2', 'lossy');
     await submit('k3', 'made-up');
-    const {writes} = platform.load();
+    const {writes} = platform.callCounts();
     const before = valuesOf(await metrics.render());
     assert.equal(before('skylarkfield_ledger_writes_total'), writes);
     platform.faults.setDown(true);
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -143,31 +143,31 @@
         },
         term.signal,
       );
-      noteDecision(
+      recordDecision(
         mismatch,
         'order version',
         'running version differs from the listed one',
       );
       return true;
     } catch (error) {
-      noteFailure(mismatch, error);
+      recordFailure(mismatch, error);
       return false;
     }
   }
 
-  function noteFailure(mismatch: VersionMismatch, error: unknown): void {
+  function recordFailure(mismatch: VersionMismatch, error: unknown): void {
     if (isServingError(error, 'overloaded')) {
-      noteDecision(
+      recordDecision(
         mismatch,
         'wait with a load',
         'the weight store is at its rate limit',
       );
       return;
     }
-    noteDecision(mismatch, 'order failed', toServingError(error).message);
+    recordDecision(mismatch, 'order failed', toServingError(error).message);
   }
 
-  function noteDecision(
+  function recordDecision(
     mismatch: VersionMismatch,
     what: string,
     why: string,
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -115,7 +115,7 @@
       });
     }
 
-    function noteActivity(): void {
+    function recordActivity(): void {
       lastActivityAt = clock.now();
     }
 
@@ -147,7 +147,7 @@
     }
 
     function onDidRespond(status: number, headers: ResponseHeaders): void {
-      noteActivity();
+      recordActivity();
       head = format.readResponse(headers, status);
       statusAndHeaders = {status, headers};
       if (head.attemptId !== options.attemptId) {
@@ -179,7 +179,7 @@
         exchange.pause();
         idleTimer?.dispose();
         sink.whenDrained(() => {
-          noteActivity();
+          recordActivity();
           idleTimer =
             idleTimeoutMs === undefined
               ? undefined
@@ -190,7 +190,7 @@
     }
 
     function onDidReceive(chunk: Buffer): void {
-      noteActivity();
+      recordActivity();
       if (!isStream) {
         chunks.push(chunk);
         return;
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -38,7 +38,7 @@
   readonly urgency: number | undefined;
   readonly lastEventId: string | undefined;
   /** KV cache from which the endpoint resumes the request. */
-  readonly memory: KvCacheRef | undefined;
+  readonly kvCache: KvCacheRef | undefined;
 }
 
 /** Reference to the KV cache of a request that was migrated between engines. */
@@ -51,9 +51,9 @@
 /** Result of migrating a request. */
 export type MigrationResult =
   /** The request was stopped and its KV cache copied to the target. */
-  | {readonly type: 'moved'; readonly memory: KvCacheRef}
+  | {readonly type: 'moved'; readonly kvCache: KvCacheRef}
   /** The request was stopped, and its KV cache is only at the source. */
-  | {readonly type: 'stopped'; readonly memory: KvCacheRef}
+  | {readonly type: 'stopped'; readonly kvCache: KvCacheRef}
   /** The request still runs at its source, or has already ended. */
   | {readonly type: 'refused'}
   /** The call failed, so the state of the request is unknown. */
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -58,13 +58,13 @@
 ): Promise<Coordination> {
   const {settings, platform, incarnation, clock, random, log, decisions} =
     context;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const self = {id: settings.id, incarnation};
-  const network = owned.add(
+  const network = disposables.add(
     createPeerNetwork({self, clock, random, log, key: settings.innerKey}),
   );
   await network.listen(settings.inner);
-  const store = owned.add(
+  const store = disposables.add(
     createObjectStore({
       transport: platform.objects,
       clock,
@@ -74,7 +74,7 @@
       platformCallsPerSecond: settings.platform.callsPerSecond,
     }),
   );
-  const membership = owned.add(
+  const membership = disposables.add(
     createMembership({
       self: {
         ...self,
@@ -95,7 +95,7 @@
     }),
   );
   let cachedPlan: RelayPlan | undefined;
-  owned.add(membership.onDidChange(() => (cachedPlan = undefined)));
+  disposables.add(membership.onDidChange(() => (cachedPlan = undefined)));
 
   function plan(): RelayPlan {
     cachedPlan ??= planRelays(
@@ -105,7 +105,7 @@
     return cachedPlan;
   }
 
-  const dutyElections = owned.add(
+  const dutyElections = disposables.add(
     createDutyElections({
       clock,
       random,
@@ -130,7 +130,7 @@
     membership,
     dutyElections,
     plan,
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
 
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -18,7 +18,7 @@
   isSuspected(call: FingerprintedCall): boolean;
   isQuarantined(call: FingerprintedCall): boolean;
   /** Records an attempt's end, unless its endpoint was ordered to stop it. */
-  noteAttemptEnd(
+  recordAttemptEnd(
     call: FingerprintedCall,
     endpoint: string,
     end: AttemptEnd,
@@ -62,7 +62,7 @@
     );
   }
 
-  function noteLoss(
+  function recordLoss(
     call: FingerprintedCall,
     endpoint: string,
     loss: 'closed' | 'silent',
@@ -73,9 +73,9 @@
     }
     const lostRequest = {request: call.fingerprint(), endpoint};
     if (loss === 'closed' && state === 'ready') {
-      crashQuarantine.noteConnectionLost(lostRequest);
+      crashQuarantine.recordConnectionLost(lostRequest);
     } else {
-      crashQuarantine.noteUnanswered(lostRequest);
+      crashQuarantine.recordUnanswered(lostRequest);
     }
   }
 
@@ -94,13 +94,13 @@
     isSuspected: call => verdictFor(call, crashQuarantine).type !== 'clear',
     isQuarantined: call =>
       verdictFor(call, crashQuarantine).type === 'quarantined',
-    noteAttemptEnd(call, endpoint, end) {
+    recordAttemptEnd(call, endpoint, end) {
       if (end.type === 'failed' && end.loss !== undefined) {
-        noteLoss(call, endpoint, end.loss);
+        recordLoss(call, endpoint, end.loss);
         return;
       }
       if (isSuccess(end) && !crashQuarantine.isEmpty()) {
-        crashQuarantine.noteServed(call.fingerprint());
+        crashQuarantine.recordCompleted(call.fingerprint());
       }
     },
   };
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -65,7 +65,7 @@
  * Starts to persist this entry's observations and to apply those of the others.
  *
  * @example
- * const persistence = owned.add(startCrashPersistence({mirror: view.crashes,
+ * const persistence = disposables.add(startCrashPersistence({mirror: view.crashes,
  *   crashQuarantine, store, self, ...rest}));
  */
 export function startCrashPersistence(options: {
@@ -83,7 +83,7 @@
   isReader(): boolean;
 }): Disposable {
   const {mirror, crashQuarantine, store, self, clock, random, log} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const appliedRevisions = new Map<string, number>();
   let isRestored = false;
   let isDirty = false;
@@ -146,7 +146,7 @@
     try {
       const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
       await store.put(OBJECT_KIND, self, report, {type: 'any'}, signal);
-      crashQuarantine.noteStored(report);
+      crashQuarantine.recordStored(report);
       log.info({crashes: report.crashes.length, failures}, 'crashes persisted');
       return true;
     } catch (error) {
@@ -185,7 +185,7 @@
     isDirty = true;
     void flush();
   });
-  owned.add(every(clock, CLEANUP_INTERVAL_MS, removeExpired));
-  owned.add({dispose: () => (isDisposed = true)});
-  return owned;
+  disposables.add(every(clock, CLEANUP_INTERVAL_MS, removeExpired));
+  disposables.add({dispose: () => (isDisposed = true)});
+  return disposables;
 }
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -76,7 +76,7 @@
   ): void;
 }): Digests {
   const {network, clock, self} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const contacts = new Map<string, PeerContact>();
   /** Wall-clock milliseconds of each stamp sent. */
   const wallAtStamp = new Map<number, number>();
@@ -175,8 +175,8 @@
     );
   }
 
-  owned.add(network.onDidReceive('digest', receive));
-  owned.add(every(clock, DIGEST_INTERVAL_MS, send));
+  disposables.add(network.onDidReceive('digest', receive));
+  disposables.add(every(clock, DIGEST_INTERVAL_MS, send));
   return {
     commonWallMs() {
       const offsets = [
@@ -186,6 +186,6 @@
       offsets.sort((a, b) => a - b);
       return clock.wall() + offsets[Math.floor((offsets.length - 1) / 2)]!;
     },
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -98,11 +98,13 @@
       const usable = present.filter(({state}) => state === 'ready');
       router.setEndpoints(usable.map(toCandidate));
       upstreams.retainOnly(new Set(present.map(({address}) => address)));
-      noteChanges(before);
+      recordChanges(before);
     },
   };
 
-  function noteChanges(before: ReadonlyMap<string, RegisteredEndpoint>): void {
+  function recordChanges(
+    before: ReadonlyMap<string, RegisteredEndpoint>,
+  ): void {
     for (const [key, endpoint] of byKey) {
       if (before.get(key)?.state !== endpoint.state) {
         const {service, state, failureDomain, version, isReclaimable} =
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -18,8 +18,8 @@
 export interface AttemptObserver {
   /** Returns a sink that also records the events. */
   wrap(sink: EventSink): EventSink;
-  noteBegin(): void;
-  noteEnd(): void;
+  recordBegin(): void;
+  recordEnd(): void;
 }
 
 /** Expected queueing delay of a request. */
@@ -47,8 +47,8 @@
 
 const NO_OBSERVER: AttemptObserver = {
   wrap: sink => sink,
-  noteBegin() {},
-  noteEnd() {},
+  recordBegin() {},
+  recordEnd() {},
 };
 
 /** Minimum events of a response for measuring its steps. */
@@ -113,11 +113,11 @@
         wrap: sink => ({
           ...sink,
           write(frame) {
-            steps.noteEvent();
+            steps.recordEvent();
             return sink.write(frame);
           },
         }),
-        noteBegin() {
+        recordBegin() {
           if (!isFresh) {
             return;
           }
@@ -131,7 +131,7 @@
             tookMs: clock.now() - sentAt,
           });
         },
-        noteEnd() {
+        recordEnd() {
           const eventCount = steps.eventCount();
           const eventMs = steps.eventIntervalMs();
           if (eventCount < MIN_EVENTS || eventMs === undefined) {
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -101,7 +101,7 @@
    * Draining reclaimable endpoints indicate that their failure domain is being
    * reclaimed.
    */
-  function noteReclaims(service: string): void {
+  function recordReclaims(service: string): void {
     for (const endpoint of directory.forService(service)) {
       if (endpoint.isReclaimable && endpoint.state === 'draining') {
         markScarce(service, endpoint.failureDomain);
@@ -272,7 +272,7 @@
     if (fleet === undefined || directory.forService(name).length === 0) {
       return;
     }
-    noteReclaims(name);
+    recordReclaims(name);
     await probeScarceDomains(name, fleet);
     const signals = options.demandSignals(name);
     const needed = updateNeed(name, signals);
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -80,7 +80,7 @@
 /** The endpoint of an attempt, and the KV cache it resumes from. */
 interface AttemptTarget {
   readonly choice: Choice;
-  readonly memory?: Continuation['memory'];
+  readonly kvCache?: Continuation['kvCache'];
 }
 
 /**
@@ -91,7 +91,7 @@
  */
 export function createForwarding(options: {
   readonly router: Router;
-  readonly rateLimits: Pick<RateLimits, 'noteLimit'>;
+  readonly rateLimits: Pick<RateLimits, 'recordLimit'>;
   readonly crashQuarantine: CrashQuarantine;
   readonly directory: EndpointDirectory;
   readonly admission: AdmissionController;
@@ -140,7 +140,7 @@
     call: ForwardedCall,
     reply: CallerReply,
     progress: Progress,
-    {choice, memory}: AttemptTarget,
+    {choice, kvCache}: AttemptTarget,
   ): Promise<AttemptEnd> {
     const endpoint = directory.get(choice.endpoint);
     if (endpoint === undefined) {
@@ -162,7 +162,7 @@
     const isStream = call.route.kind === 'streaming';
     let beganAt: number | undefined;
     const lastEventId = reply.lastEventId() ?? call.head.lastEventId;
-    const isFresh = memory === undefined && lastEventId === undefined;
+    const isFresh = kvCache === undefined && lastEventId === undefined;
     const observer = engineObserver.observe(call, choice, isFresh);
     const watchedStream = migrator.watch({
       endpoint: choice.endpoint,
@@ -185,7 +185,7 @@
           urgency: call.urgency,
           lastEventId:
             lastEventId === undefined ? undefined : String(lastEventId),
-          memory,
+          kvCache,
         }),
         body: call.body,
       },
@@ -198,15 +198,15 @@
       idleTimeoutMs: rules.idleTimeoutMs(call, progress),
       isStopRequested: watchedStream.isStopRequested,
       onDidRespond({limitPerSecond}) {
-        options.rateLimits.noteLimit(choice.endpoint, limitPerSecond);
-        options.crashQuarantine.noteResponse(choice.endpoint, sentAt);
+        options.rateLimits.recordLimit(choice.endpoint, limitPerSecond);
+        options.crashQuarantine.recordResponse(choice.endpoint, sentAt);
       },
       onDidBegin(head) {
         beganAt = clock.now();
-        observer.noteBegin();
+        observer.recordBegin();
         progress.firstMs ??= beganAt - progress.startedAt;
-        choice.streaming();
-        noteLoad(choice.endpoint, head);
+        choice.recordFirstToken();
+        recordLoad(choice.endpoint, head);
         countRun(isStream ? clock.wall() : sentWallMs);
       },
     });
@@ -216,14 +216,14 @@
     // A migrated stream ended because its endpoint was ordered to stop it.
     const outcome = progress.continuation ? 'ok' : outcomeOf(end);
     choice.finish({outcome, latencyMs});
-    observer.noteEnd();
+    observer.recordEnd();
     if (end.type === 'failed' && end.loss === 'closed') {
       progress.fingerprint = call.fingerprint();
     }
     if (!watchedStream.isStopRequested()) {
-      crashGuard.noteAttemptEnd(call, choice.endpoint, end);
+      crashGuard.recordAttemptEnd(call, choice.endpoint, end);
     }
-    if (mayHaveRun(end) && memory === undefined) {
+    if (mayHaveRun(end) && kvCache === undefined) {
       progress.runs += 1;
       if (!isStream) {
         countRun(sentWallMs);
@@ -244,7 +244,7 @@
   }
 
   let loadReportCount = 0;
-  function noteLoad(endpoint: string, {load}: ResponseHead): void {
+  function recordLoad(endpoint: string, {load}: ResponseHead): void {
     if (load === undefined) {
       return;
     }
@@ -327,9 +327,9 @@
   function rejectIfTooLate(
     call: ForwardedCall,
     progress: Progress,
-    {choice, memory}: AttemptTarget,
+    {choice, kvCache}: AttemptTarget,
   ): ServingError | undefined {
-    if (progress.runs > 0 || memory !== undefined) {
+    if (progress.runs > 0 || kvCache !== undefined) {
       return undefined;
     }
     const wait = engineObserver.expectedWait(
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -20,7 +20,7 @@
  * closing the open ports, which would otherwise still accept callers.
  *
  * @example
- * const ports = owned.add(await openPorts(context, coordination, traffic));
+ * const ports = disposables.add(await openPorts(context, coordination, traffic));
  */
 export async function openPorts(
   context: GatewayContext,
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -54,20 +54,22 @@
   platform: Platform,
   log = createLogger(settings.log.level, {entry: settings.id}),
 ): Promise<GatewayProcess> {
-  const owned = disposableStore();
+  const disposables = disposableStore();
   try {
     const context = createContext(settings, platform, log);
-    const coordination = owned.add(await createCoordination(context));
-    const traffic = owned.add(createTrafficPipeline(context, coordination));
-    owned.add(competeForClusterDuty(context, coordination, traffic));
-    owned.add(await openPorts(context, coordination, traffic));
+    const coordination = disposables.add(await createCoordination(context));
+    const traffic = disposables.add(
+      createTrafficPipeline(context, coordination),
+    );
+    disposables.add(competeForClusterDuty(context, coordination, traffic));
+    disposables.add(await openPorts(context, coordination, traffic));
     log.info({incarnation: context.incarnation}, 'started');
 
     let stopping: Promise<void> | undefined;
     return {
       stop() {
         stopping ??= shutDown(context, coordination).then(async () => {
-          owned.dispose();
+          disposables.dispose();
           await context.metrics.shutDown();
         });
         return stopping;
@@ -78,7 +80,7 @@
       },
     };
   } catch (error) {
-    owned.dispose();
+    disposables.dispose();
     throw error;
   }
 }
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -41,7 +41,7 @@
   readonly crashes: Mirror<CrashReport>;
   syncStatuses(): SyncStatuses;
   /** Applies the statuses in a peer's digest, sent after `timestamp`. */
-  noteSyncStatuses(
+  recordSyncStatuses(
     peer: string,
     syncStatuses: SyncStatuses,
     timestamp: Timestamp | undefined,
@@ -86,7 +86,7 @@
   readonly log: Logger;
 }): PlatformView {
   const {platform, network, self, clock, random, log} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const mirrors = {
     policy: createMirror<TrafficPolicy>({kind: 'policy', clock, log}),
     endpoints: createMirror<RegisteredEndpoint>({
@@ -147,7 +147,7 @@
       shouldRead: () => shouldRead(mirror.kind),
       onDidStep: step => broadcastStep({kind: mirror.kind, ...step}, self),
     });
-    readers.set(mirror.kind, owned.add(reader));
+    readers.set(mirror.kind, disposables.add(reader));
   }
 
   async function fetchCopy(kind: MirrorKind, peer: string): Promise<void> {
@@ -173,7 +173,7 @@
     }
   }
 
-  function noteSyncStatus(
+  function recordSyncStatus(
     kind: MirrorKind,
     peer: string,
     syncStatus: SyncStatus,
@@ -204,7 +204,7 @@
     );
   }
 
-  owned.add(
+  disposables.add(
     network.onDidReceive('mirrorChanges', (from, step) => {
       const mirror = mirrors[step.kind];
       const previousRevision = mirror.revision();
@@ -219,7 +219,7 @@
       }
     }),
   );
-  owned.add(
+  disposables.add(
     network.onDidReceive('mirrorWanted', (_, {kind}) => mirrors[kind].copy()),
   );
   startReader(mirrors.policy, platform.policy);
@@ -235,12 +235,12 @@
       rollouts: mirrors.rollouts.syncStatus(isReading('rollouts')),
       crashes: mirrors.crashes.syncStatus(isReading('crashes')),
     }),
-    noteSyncStatuses(peer, syncStatuses, timestamp) {
+    recordSyncStatuses(peer, syncStatuses, timestamp) {
       peerStatuses.set(peer, {receivedAt: clock.now(), syncStatuses});
       for (const kind of kinds) {
         const syncStatus = syncStatuses[kind];
         if (syncStatus !== undefined) {
-          noteSyncStatus(kind, peer, syncStatus, timestamp);
+          recordSyncStatus(kind, peer, syncStatus, timestamp);
         }
       }
     },
@@ -255,7 +255,7 @@
           },
         ]),
       ),
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 
   function isReading(kind: MirrorKind): boolean {
--- a/packages/gateway/src/retryRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -98,7 +98,7 @@
  *   progress)); }
  */
 export function createRetryRules(options: {
-  readonly admission: Pick<AdmissionController, 'tryRetry'>;
+  readonly admission: Pick<AdmissionController, 'tryAcquireRetry'>;
   readonly clock: Clock;
 }): RetryRules {
   const {admission, clock} = options;
@@ -109,7 +109,7 @@
       progress.runs < call.route.attempts &&
       progress.endpoints.length < MAX_SENDS &&
       !call.signal.aborted &&
-      admission.tryRetry(call.service)
+      admission.tryAcquireRetry(call.service)
     );
   }
 
@@ -120,7 +120,7 @@
     return (
       progress.endpoints.length < MAX_SENDS &&
       !call.signal.aborted &&
-      admission.tryRetry(call.service)
+      admission.tryAcquireRetry(call.service)
     );
   }
 
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -78,7 +78,7 @@
   const {clock, decisions, log, dumps} = context;
   const moves = createRolloutMoves(options.rollouts, clock);
   const split = createTrafficSplit({clock, decisions});
-  const owned = disposableStore();
+  const disposables = disposableStore();
   let activeRollouts: Disposable | undefined;
 
   function update(): void {
@@ -93,7 +93,7 @@
     }
   }
 
-  owned.add(moves.onDidChange(update));
+  disposables.add(moves.onDidChange(update));
   update();
   dumps.add('rollouts', () => split.dump());
   return {
@@ -116,7 +116,7 @@
     isOpen: moves.isOpen,
     dispose() {
       activeRollouts?.dispose();
-      owned.dispose();
+      disposables.dispose();
     },
   };
 }
@@ -129,7 +129,7 @@
 ): Disposable {
   const {clock, log, decisions} = context;
   const {directory, store, dutyElections} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const controller = createMoveController({clock, decisions});
   const inFlightUpdates = new Set<string>();
 
@@ -144,7 +144,7 @@
   }
 
   function onDidAdvance(states: readonly MoveState[]): void {
-    moves.noteStates(states);
+    moves.recordStates(states);
     for (const update of moves.pendingUpdates(states)) {
       if (!inFlightUpdates.has(update.name)) {
         void writeState(update);
@@ -178,7 +178,7 @@
     }
   }
 
-  owned.add(
+  disposables.add(
     createMoveFollower({
       clock,
       objects: store,
@@ -188,8 +188,8 @@
       controller,
     }),
   );
-  owned.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
-  owned.add(
+  disposables.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
+  disposables.add(
     dutyElections.compete('moves', term =>
       createMoveDuty({
         clock,
@@ -205,7 +205,7 @@
     ),
   );
   updateAvailability();
-  return owned;
+  return disposables;
 }
 
 /**
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -31,7 +31,7 @@
   /** Whether a rollout of the service is in progress. */
   isOpen(service: string): boolean;
   /** Applies durable states; the earliest known start of a move counts. */
-  noteStates(states: readonly MoveState[]): void;
+  recordStates(states: readonly MoveState[]): void;
   /** Returns the rollout states to publish, derived from the durable states. */
   pendingUpdates(states: readonly MoveState[]): readonly RolloutStateUpdate[];
   /** Fires when a rollout was created, changed or settled. */
@@ -104,7 +104,7 @@
     };
   }
 
-  function noteStarts(): void {
+  function recordStarts(): void {
     for (const {name, rollout} of openRollouts()) {
       const id = moveName(name, rollout.target);
       startTimes.set(id, startTimes.get(id) ?? clock.wall());
@@ -122,8 +122,8 @@
     return newState === 'done' && isEarly ? 'running' : newState;
   }
 
-  mirror.onDidChange(noteStarts);
-  noteStarts();
+  mirror.onDidChange(recordStarts);
+  recordStarts();
   return {
     records: {
       // The gateway has no records other than rollouts.
@@ -135,7 +135,7 @@
     hasOpen: () => openRollouts().length > 0,
     isOpen: service =>
       openRollouts().some(({rollout}) => rollout.service === service),
-    noteStates(states) {
+    recordStates(states) {
       for (const {move, startedAt = Infinity} of states) {
         const known = startTimes.get(move) ?? Infinity;
         if (startedAt < known) {
--- a/packages/gateway/src/stepMeter.ts
+++ b/packages/gateway/src/stepMeter.ts
@@ -2,7 +2,7 @@
 import type {Clock} from '@skylarkfield/base';
 
 export interface StepMeter {
-  noteEvent(): void;
+  recordEvent(): void;
   eventCount(): number;
   /** Returns milliseconds between events; undefined before the second. */
   eventIntervalMs(): number | undefined;
@@ -21,7 +21,7 @@
  * Creates a meter for one stream.
  *
  * @example
- * steps.noteEvent();
+ * steps.recordEvent();
  * const stepMs = steps.eventIntervalMs();
  */
 export function createStepMeter(clock: Clock): StepMeter {
@@ -31,7 +31,7 @@
   let lastAt: number | undefined;
 
   return {
-    noteEvent() {
+    recordEvent() {
       const now = clock.now();
       eventCount += 1;
       if (lastAt === undefined) {
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -18,7 +18,7 @@
 /** Target of a migrated stream. */
 export interface Continuation {
   readonly choice: Choice;
-  readonly memory: KvCacheRef;
+  readonly kvCache: KvCacheRef;
 }
 
 /** A stream while it runs at one endpoint. */
@@ -109,7 +109,7 @@
       'stream migration finished',
     );
     if (answer.type === 'moved') {
-      return {choice, memory: answer.memory};
+      return {choice, kvCache: answer.kvCache};
     }
     choice.finish({outcome: 'cancelled', latencyMs: 0});
     return undefined;
--- a/packages/gateway/src/test/crashGuard.test.ts
+++ b/packages/gateway/src/test/crashGuard.test.ts
@@ -50,7 +50,7 @@
       loss: ConnectionLoss = 'closed',
     ) {
       for (const endpoint of endpoints) {
-        guard.noteAttemptEnd(CALL, endpoint, connectionLost(loss));
+        guard.recordAttemptEnd(CALL, endpoint, connectionLost(loss));
         clock.advanceSync(2_000);
       }
     },
@@ -73,14 +73,14 @@
   it('clears a request after a complete response', () => {
     const {guard, loseConnections} = createGuard(READY);
     loseConnections(['e1', 'e2', 'e3']);
-    guard.noteAttemptEnd(CALL, 'e4', SUCCESS);
+    guard.recordAttemptEnd(CALL, 'e4', SUCCESS);
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'clear');
   });
 
   it('does not clear a request after a server error', () => {
     const {guard, loseConnections} = createGuard(READY);
     loseConnections(['e1', 'e2', 'e3']);
-    guard.noteAttemptEnd(CALL, 'e4', {...SUCCESS, status: 500});
+    guard.recordAttemptEnd(CALL, 'e4', {...SUCCESS, status: 500});
     assert.ok(guard.isQuarantined(CALL));
   });
 
@@ -94,7 +94,7 @@
 
   it('suspects a request whose endpoint was removed before the connection closed', () => {
     const {guard, crashQuarantine, loseConnections} = createGuard({});
-    crashQuarantine.noteDeregistered('e1');
+    crashQuarantine.recordDeregistered('e1');
     loseConnections(['e1']);
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'suspected');
   });
@@ -109,7 +109,7 @@
   it('permits one send in a trial', () => {
     const {guard, crashQuarantine, clock} = createGuard(READY);
     for (const endpoint of ['e1', 'e2', 'e3']) {
-      crashQuarantine.noteConnectionLost({request: 'f00d', endpoint});
+      crashQuarantine.recordConnectionLost({request: 'f00d', endpoint});
     }
     clock.advanceSync(10_000);
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'trial');
--- a/packages/gateway/src/test/crashPersistence.test.ts
+++ b/packages/gateway/src/test/crashPersistence.test.ts
@@ -50,7 +50,7 @@
     },
     async crash(...endpoints: string[]) {
       for (const endpoint of endpoints) {
-        crashQuarantine.noteConnectionLost({request: REQUEST, endpoint});
+        crashQuarantine.recordConnectionLost({request: REQUEST, endpoint});
         await clock.advance(2_000);
       }
     },
@@ -130,7 +130,7 @@
     const entry = start('a1', counting);
     await entry.refresh();
     for (let index = 0; index < 40; index++) {
-      entry.crashQuarantine.noteConnectionLost({
+      entry.crashQuarantine.recordConnectionLost({
         request: `r${index}`,
         endpoint: 'e1',
       });
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -81,8 +81,8 @@
         isStopRequested: () => isMigrated,
         async continuation() {
           const choice = isMigrated ? choose() : undefined;
-          const memory = {source: '10.0.0.1:1', handle: 'h'};
-          return choice && {choice, memory};
+          const kvCache = {source: '10.0.0.1:1', handle: 'h'};
+          return choice && {choice, kvCache};
         },
         dispose: () => {},
       };
@@ -165,7 +165,7 @@
   const upstreams = createUpstreams();
   const forwarding = createForwarding({
     router,
-    rateLimits: {noteLimit: () => {}},
+    rateLimits: {recordLimit: () => {}},
     crashQuarantine: createCrashQuarantine({
       clock,
       self: 'x',
--- a/packages/gateway/src/test/rolloutMoves.test.ts
+++ b/packages/gateway/src/test/rolloutMoves.test.ts
@@ -106,7 +106,7 @@
     const {clock, moves, setRollout} = setUp();
     setRollout();
     const startedAt = clock.wall() - 5_000;
-    moves.noteStates([stateOf('proving', startedAt)]);
+    moves.recordStates([stateOf('proving', startedAt)]);
     assert.equal(
       moves.records.list('move')[0]?.deadline,
       startedAt + PERIOD_MS,
--- a/packages/gateway/src/test/stepMeter.test.ts
+++ b/packages/gateway/src/test/stepMeter.test.ts
@@ -11,7 +11,7 @@
     const clock = virtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 20; index++) {
-      steps.noteEvent();
+      steps.recordEvent();
       clock.advanceSync(index % 2 === 0 ? 15 : 70);
     }
     assert.equal(steps.eventIntervalMs(), 15);
@@ -24,8 +24,8 @@
     const clock = virtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 5; index++) {
-      steps.noteEvent();
-      steps.noteEvent();
+      steps.recordEvent();
+      steps.recordEvent();
       clock.advanceSync(30);
     }
     assert.ok(steps.eventIntervalMs()! >= 10, `${steps.eventIntervalMs()}`);
@@ -33,7 +33,7 @@
 
   it('returns undefined before the second event', () => {
     const steps = createStepMeter(virtualClock());
-    steps.noteEvent();
+    steps.recordEvent();
     assert.equal(steps.eventIntervalMs(), undefined);
   });
 });
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -84,8 +84,8 @@
   const {settings, platform, clock, random, log, decisions, lifecycle} =
     context;
   const {network, membership} = coordination;
-  const owned = disposableStore();
-  const view = owned.add(
+  const disposables = disposableStore();
+  const view = disposables.add(
     createPlatformView({
       platform,
       crashReports: crashReportSource(platform),
@@ -116,7 +116,7 @@
     reporterTimeoutMs: PEER_TIMEOUT_MS,
     quotaWindowMs,
   });
-  const engineStore = owned.add(
+  const engineStore = disposables.add(
     createEngineCapacityStore({store: coordination.store, clock, log}),
   );
   const engineEstimates = createEngineEstimates({
@@ -130,7 +130,7 @@
   const {work} = engineEstimates;
   const tokensPerEvent = (service: string): number =>
     findService(service)?.engine?.tokensPerEvent ?? 1;
-  const upstreams = owned.add(createUpstreams());
+  const upstreams = disposables.add(createUpstreams());
   const rateLimits = createRateLimits({clock, self: settings.id, decisions});
   const router = createRouter({
     clock,
@@ -156,8 +156,8 @@
     decisions,
     wallMs: () => digests.commonWallMs(),
   });
-  directory.onDidVanish(crashQuarantine.noteDeregistered);
-  owned.add(
+  directory.onDidVanish(crashQuarantine.recordDeregistered);
+  disposables.add(
     startCrashPersistence({
       mirror: view.crashes,
       crashQuarantine,
@@ -206,7 +206,7 @@
     domain: usage.domainCounts,
     rest: () => ({}),
   };
-  const digests = owned.add(
+  const digests = disposables.add(
     startDigests({
       network,
       clock,
@@ -240,8 +240,8 @@
         if (digest.crashes !== undefined) {
           crashQuarantine.mergeGossip(digest.crashes);
         }
-        view.noteSyncStatuses(peer, digest.mirrors, timestamp);
-        noteUsage(peer, digest);
+        view.recordSyncStatuses(peer, digest.mirrors, timestamp);
+        recordUsage(peer, digest);
         const accepted = reports.accept(peer, digest);
         if (accepted !== undefined) {
           quotas.addPeerUsage(accepted.increase);
@@ -251,7 +251,7 @@
     }),
   );
 
-  function noteUsage(peer: string, digest: Messages['digest']): void {
+  function recordUsage(peer: string, digest: Messages['digest']): void {
     const {scope = 'own', incarnation, failureDomain, usage: counts} = digest;
     const isOwn = scope === 'own';
     const origin = isOwn ? `${peer}.${incarnation}` : `all of ${failureDomain}`;
@@ -265,7 +265,7 @@
     crashQuarantine.setEntries(ids);
   }
 
-  owned.add(membership.onDidChange(updateEntries));
+  disposables.add(membership.onDidChange(updateEntries));
   updateEntries();
 
   function refreshEndpoints(): void {
@@ -276,7 +276,7 @@
     admissionConfigurator.update();
   }
 
-  const rollouts = owned.add(
+  const rollouts = disposables.add(
     createRolloutController(context, {
       rollouts: view.rollouts,
       directory,
@@ -383,6 +383,6 @@
     rollouts,
     engineEstimates,
     engineStore,
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -92,7 +92,7 @@
   const hosts = new Map<string, LeavingHost>();
   const didLeave = emitter<LeavingEndpoint>();
   const didReturn = emitter<string>();
-  const owned = disposableStore();
+  const disposables = disposableStore();
   /** Items of the last host list by endpoint id. */
   let listedById = new Map<string, ListedEndpoint>();
   let latestList: readonly ListedEndpoint[] | undefined;
@@ -212,7 +212,7 @@
 
   function fireCorrectedList() {
     isCorrectionDue = false;
-    if (latestList !== undefined && !owned.isDisposed) {
+    if (latestList !== undefined && !disposables.isDisposed) {
       didCorrectList.fire(markLeaving(latestList));
     }
   }
@@ -333,16 +333,16 @@
       : undefined;
   }
 
-  owned.add(network.onDidReceive('endpointLeaving', handlePeerMessage));
-  owned.add(
+  disposables.add(network.onDidReceive('endpointLeaving', handlePeerMessage));
+  disposables.add(
     network.onDidChangePeer((peer, isOpen) => {
       if (isOpen) {
         resendRecent(peer);
       }
     }),
   );
-  owned.add(options.hostList.watch(handleHostList));
-  owned.add(every(clock, EXPIRY_INTERVAL_MS, expireHosts));
+  disposables.add(options.hostList.watch(handleHostList));
+  disposables.add(every(clock, EXPIRY_INTERVAL_MS, expireHosts));
   setReader(true);
 
   return {
@@ -374,7 +374,7 @@
     }),
     dispose() {
       setReader(false);
-      owned.dispose();
+      disposables.dispose();
     },
   };
 }
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -59,7 +59,7 @@
 }): Membership {
   const {network, clock, random, log, decisions} = options;
   const timing = {...DEFAULT_TIMING, ...options.timing};
-  const owned = disposableStore();
+  const disposables = disposableStore();
   const didChange = emitter<Member>();
   const gossip = createGossipQueue();
   const pauseDetector = createPauseDetector(clock, timing.pauseThresholdMs);
@@ -103,7 +103,7 @@
     localUpdate: localMember.currentUpdate,
     contact: (id, value) => reconnector.contactMember(id, value),
   });
-  owned.add(objects);
+  disposables.add(objects);
   const peerDirectory = createPeerDirectory({
     table,
     network,
@@ -224,22 +224,22 @@
     return {};
   }
 
-  owned.add(network.onDidReceive('heartbeat', heartbeats.receive));
-  owned.add(network.onDidReceive('leaving', relayLeaving));
-  owned.add(
+  disposables.add(network.onDidReceive('heartbeat', heartbeats.receive));
+  disposables.add(network.onDidReceive('leaving', relayLeaving));
+  disposables.add(
     network.onDidReceive('memberProbe', (_, body) => answerProbe(body)),
   );
-  owned.add(
+  disposables.add(
     network.onDidReceive('memberWord', (_, {id, incarnation}) =>
       failureDetector.lastSeen(id, incarnation),
     ),
   );
-  owned.add(
+  disposables.add(
     network.onDidReceive('membersWanted', (_, {buckets}) => ({
       news: table.differingUpdates(buckets, localMember.currentUpdate()),
     })),
   );
-  owned.add(
+  disposables.add(
     network.onDidChangePeer((peer, isOpen) => {
       failureDetector.connectionChanged(peer, isOpen);
       if (isOpen) {
@@ -248,10 +248,10 @@
     }),
   );
   // Random phase: entries started together must not send heartbeats in sync.
-  owned.add(
+  disposables.add(
     clock.after(random.next() * timing.heartbeatIntervalMs, () => {
       tick();
-      owned.add(every(clock, timing.heartbeatIntervalMs, tick));
+      disposables.add(every(clock, timing.heartbeatIntervalMs, tick));
     }),
   );
   const startedAt = clock.now();
@@ -320,7 +320,7 @@
           sequence: localMember.baseUpdate().sequence + 1,
         },
       });
-      owned.dispose();
+      disposables.dispose();
     },
   };
 }
--- a/packages/members/src/test/cluster.ts
+++ b/packages/members/src/test/cluster.ts
@@ -55,7 +55,7 @@
       return objects.map(object => object.name).sort();
     },
     platformCalls(): number {
-      const {reads, writes} = platform.load();
+      const {reads, writes} = platform.callCounts();
       return reads + writes;
     },
     start,
--- a/packages/orders/src/test/ledger.test.ts
+++ b/packages/orders/src/test/ledger.test.ts
@@ -51,13 +51,13 @@
   it('commits many claims in one write', async () => {
     cluster.submit('a', 'warm-up');
     await cluster.clock.advance(500);
-    const before = cluster.platform.load().writes;
+    const before = cluster.platform.callCounts().writes;
     for (let order = 0; order < 100; order++) {
       cluster.submit('a', `k${order}`);
     }
     await cluster.clock.advance(1_000);
     assert.equal(cluster.runs.length, 101);
-    assert.ok(cluster.platform.load().writes - before <= 8);
+    assert.ok(cluster.platform.callCounts().writes - before <= 8);
   });
 
   // An entry crashes after claiming an order that may have been sent: a retry
--- a/packages/providers/src/memoryPlatform.ts
+++ b/packages/providers/src/memoryPlatform.ts
@@ -39,7 +39,7 @@
 }
 
 /** Number of calls by all clients. */
-export interface PlatformLoad {
+export interface PlatformCallCounts {
   readonly reads: number;
   readonly writes: number;
   readonly watchCalls: number;
@@ -53,7 +53,7 @@
   readonly faults: ObjectFaultControls;
   /** Creates a client, which simulates a separate process. */
   client(name: string, settings?: MemoryClientSettings): MemoryClient;
-  load(): PlatformLoad;
+  callCounts(): PlatformCallCounts;
 }
 
 /** Settings of a client and of the process that it simulates. */
@@ -252,7 +252,7 @@
       });
       return {...client, faults: createFaultControls(clientFaults, endWatches)};
     },
-    load: () => ({...callCounts, openWatches: openWatches.size}),
+    callCounts: () => ({...callCounts, openWatches: openWatches.size}),
   };
 }
 
--- a/packages/providers/src/reconnectingStream.ts
+++ b/packages/providers/src/reconnectingStream.ts
@@ -26,13 +26,13 @@
   readonly onDidLine: (value: unknown) => void;
 }): Disposable {
   const {client, clock, random, path} = options;
-  const owned = disposableStore();
+  const disposables = disposableStore();
   let stream: Disposable = toDisposable(() => {});
   let timer: Disposable = toDisposable(() => {});
   let attempts = 0;
 
   function open(): void {
-    if (owned.isDisposed) {
+    if (disposables.isDisposed) {
       return;
     }
     stream = client.stream(path, {
@@ -52,8 +52,8 @@
     });
   }
 
-  owned.add(toDisposable(() => stream.dispose()));
-  owned.add(toDisposable(() => timer.dispose()));
+  disposables.add(toDisposable(() => stream.dispose()));
+  disposables.add(toDisposable(() => timer.dispose()));
   open();
-  return owned;
+  return disposables;
 }
--- a/packages/providers/src/test/objectStore.test.ts
+++ b/packages/providers/src/test/objectStore.test.ts
@@ -44,20 +44,20 @@
         .watch('thing', noopListener);
     }
     await clock.advance(1000);
-    assert.equal(platform.load().openWatches, clientCount);
+    assert.equal(platform.callCounts().openWatches, clientCount);
     platform.faults.setDown(true);
     await clock.advance(30_000);
     platform.faults.setDown(false);
     let maxWatchCalls = 0;
     for (let step = 0; step < 40; step++) {
-      const callsBefore = platform.load().watchCalls;
+      const callsBefore = platform.callCounts().watchCalls;
       await clock.advance(250);
       maxWatchCalls = Math.max(
         maxWatchCalls,
-        platform.load().watchCalls - callsBefore,
+        platform.callCounts().watchCalls - callsBefore,
       );
     }
-    assert.equal(platform.load().openWatches, clientCount);
+    assert.equal(platform.callCounts().openWatches, clientCount);
     assert.ok(
       maxWatchCalls <= clientCount / 2,
       `${maxWatchCalls} watches within 250 ms`,
--- a/packages/providers/src/watchLoop.ts
+++ b/packages/providers/src/watchLoop.ts
@@ -55,7 +55,7 @@
 export function startWatch(options: WatchLoopOptions): WatchLoop {
   const {kind, clock, random, transport, listener} = options;
   const stateMachine = interpret(createWatchStateMachine(), () => {});
-  const owned = disposableStore();
+  const disposables = disposableStore();
   let timer: Disposable = toDisposable(() => {});
   let watch: Disposable = toDisposable(() => {});
   let resumeVersion: number | undefined;
@@ -75,7 +75,7 @@
     try {
       if (resumeVersion === undefined) {
         const listing = await options.list(kind);
-        if (owned.isDisposed) {
+        if (disposables.isDisposed) {
           return;
         }
         resumeVersion = listing.version;
@@ -87,7 +87,7 @@
       scheduleRetry();
       return;
     }
-    if (!owned.isDisposed) {
+    if (!disposables.isDisposed) {
       open(resumeVersion);
     }
   }
@@ -113,13 +113,13 @@
       },
       onDidEnd,
     });
-    if (owned.isDisposed) {
+    if (disposables.isDisposed) {
       watch.dispose();
     }
   }
 
   function notifyListener(change: ObjectChange): void {
-    if (owned.isDisposed) {
+    if (disposables.isDisposed) {
       return;
     }
     if (change.type === 'put') {
@@ -137,7 +137,7 @@
   }
 
   function scheduleRetry(minDelayMs = 0): void {
-    if (owned.isDisposed) {
+    if (disposables.isDisposed) {
       return;
     }
     setConnected(false);
@@ -162,13 +162,13 @@
     });
   }
 
-  owned.add(toDisposable(() => timer.dispose()));
-  owned.add(toDisposable(() => watch.dispose()));
+  disposables.add(toDisposable(() => timer.dispose()));
+  disposables.add(toDisposable(() => watch.dispose()));
   void connect();
   return {
     kind,
     state: () => stateMachine.machine.current as WatchState,
-    dispose: () => owned.dispose(),
+    dispose: () => disposables.dispose(),
   };
 }
 
--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -16,9 +16,9 @@
   /** Whether the block is expected to be cached. */
   has(block: string): boolean;
   /** Records that a request with these blocks was sent to the engine. */
-  noteSent(blocks: readonly string[]): void;
+  recordSent(blocks: readonly string[]): void;
   /** Records how many tokens of a request the engine found cached. */
-  noteCachedTokens(blocks: readonly string[], cachedTokens: number): void;
+  recordCachedTokens(blocks: readonly string[], cachedTokens: number): void;
   /** Applies events; returns the last sequence, -1 to request all content. */
   apply(events: readonly CacheEvent[]): number;
   dump(): unknown;
@@ -149,7 +149,7 @@
     expectedCachedTokens: blocks =>
       countCachedPrefix(blocks) * blockTokens * confidence(),
     has,
-    noteSent(blocks) {
+    recordSent(blocks) {
       for (const block of blocks) {
         if (!confirmed.has(block)) {
           sent.delete(block);
@@ -158,7 +158,7 @@
       }
       expireOldest();
     },
-    noteCachedTokens(blocks, cachedTokens) {
+    recordCachedTokens(blocks, cachedTokens) {
       const foundBlockCount = Math.ceil(cachedTokens / blockTokens);
       const missingBlocks = blocks
         .slice(foundBlockCount)
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -42,9 +42,9 @@
   /** Pending prompt tokens that are computed before those of this attempt. */
   readonly tokensAhead: number;
   /** The engine started and reported cached tokens; at most once. */
-  started(cachedTokens: number): void;
+  recordStart(cachedTokens: number): void;
   /** The first token arrived: the prompt is computed; at most once. */
-  streaming(): void;
+  recordFirstToken(): void;
   /** Reports the result of the attempt; exactly once. */
   finish(result: AttemptResult): void;
 }
@@ -67,7 +67,7 @@
   /** Stops new requests to the endpoint, which may not be listed yet. */
   markLeaving(endpoint: string): void;
   /** Undoes `markLeaving` from the next list of endpoints on. */
-  markReturned(endpoint: string): void;
+  unmarkLeaving(endpoint: string): void;
   /** Ids of all live entries; they split the endpoints of large services. */
   setEntries(entries: readonly string[]): void;
   /** Chooses an endpoint; undefined when none can take the request. */
--- a/packages/routing/src/crashDetector.ts
+++ b/packages/routing/src/crashDetector.ts
@@ -16,13 +16,13 @@
 
 export interface CrashDetector {
   /** The connection closed while the request may have been running. */
-  noteConnectionLost(lost: LostRequest): void;
+  recordConnectionLost(lost: LostRequest): void;
   /** The endpoint did not respond: a crash if the endpoint is deregistered. */
-  noteUnanswered(lost: LostRequest): void;
+  recordUnanswered(lost: LostRequest): void;
   /** The endpoint was deregistered without announcing that it leaves. */
-  noteDeregistered(endpoint: string): void;
+  recordDeregistered(endpoint: string): void;
   /** The endpoint responded to a request sent at this monotonic millisecond. */
-  noteResponse(endpoint: string, sentAt: number): void;
+  recordResponse(endpoint: string, sentAt: number): void;
   /** Whether the crash can still be refuted. */
   isUnconfirmed(crash: LostRequest): boolean;
   dump(): unknown;
@@ -47,7 +47,7 @@
  * Creates the crash detector of one entry.
  *
  * @example
- * detector.noteConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
+ * detector.recordConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
  */
 export function createCrashDetector(options: {
   readonly clock: Clock;
@@ -82,7 +82,7 @@
   }
 
   return {
-    noteConnectionLost(lost) {
+    recordConnectionLost(lost) {
       const possibleCrash = possibleCrashOf(lost);
       unconfirmedCrashes.add(possibleCrash);
       options.onDidSuspect(possibleCrash.crash);
@@ -92,7 +92,7 @@
         }
       });
     },
-    noteUnanswered(lost) {
+    recordUnanswered(lost) {
       expireOld();
       const possibleCrash = possibleCrashOf(lost);
       if (deregistered.has(lost.endpoint)) {
@@ -101,14 +101,14 @@
       }
       unanswered.push(possibleCrash);
     },
-    noteDeregistered(endpoint) {
+    recordDeregistered(endpoint) {
       expireOld();
       deregistered.set(endpoint, clock.now());
       const lost = unanswered.filter(({crash}) => crash.endpoint === endpoint);
       unanswered = unanswered.filter(({crash}) => crash.endpoint !== endpoint);
       lost.forEach(({crash}) => options.onDidConfirm(crash));
     },
-    noteResponse(endpoint, sentAt) {
+    recordResponse(endpoint, sentAt) {
       deregistered.delete(endpoint);
       if (unconfirmedCrashes.size === 0 && unanswered.length === 0) {
         return;
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -46,7 +46,7 @@
   /** Records that this entry sends the request after its quarantine. */
   beginTrial(request: string): void;
   /** Records a complete response to the request. */
-  noteServed(request: string): void;
+  recordCompleted(request: string): void;
   /** Replaces another entry's stored report. */
   setStoredReport(entry: string, report: CrashReport): void;
   /** Removes the deleted report of an entry, which may be this one. */
@@ -58,7 +58,7 @@
   /** Report of this entry to be stored: confirmed crashes only. */
   reportToStore(): CrashReport;
   /** Records that a report of this entry was stored, where others read it. */
-  noteStored(report: CrashReport): void;
+  recordStored(report: CrashReport): void;
   /** New or not yet stored evidence to gossip; undefined for none. */
   reportToGossip(): CrashReport | undefined;
   /** Ids of the serving entries; one of them retries after a quarantine. */
@@ -115,7 +115,7 @@
  * Creates the crash quarantine of one entry.
  *
  * @example
- * crashQuarantine.noteConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
+ * crashQuarantine.recordConnectionLost({request: fingerprint, endpoint: 'i-1@7'});
  * if (crashQuarantine.verdictFor(fingerprint).type === 'quarantined') { return reject(); }
  */
 export function createCrashQuarantine(options: {
@@ -277,7 +277,7 @@
       const why = 'its quarantine is over';
       decisions.note('routing', request, 'try once', why, figures);
     },
-    noteServed(request) {
+    recordCompleted(request) {
       const crashes = crashCountOf(request);
       if (crashes === 0) {
         return;
@@ -312,7 +312,7 @@
     },
     restoreOwnReport: addToOwnReport,
     reportToStore: confirmedOwnReport,
-    noteStored(report) {
+    recordStored(report) {
       storedReport = report;
     },
     reportToGossip() {
--- a/packages/routing/src/endpointPool.ts
+++ b/packages/routing/src/endpointPool.ts
@@ -19,7 +19,7 @@
   setEntries(entries: readonly string[]): void;
   markLeaving(endpoint: string): void;
   /** Removes a leaving endpoint with its mark; the next list adds it anew. */
-  markReturned(endpoint: string): void;
+  unmarkLeaving(endpoint: string): void;
   get(endpoint: string): PooledEndpoint | undefined;
   /** Endpoints assigned to this entry for one version of a service. */
   endpointsOf(service: string, version: string): readonly PooledEndpoint[];
@@ -159,7 +159,7 @@
       leavingMarks.set(endpoint, {lastListedMs: clock.now(), host});
       existing?.health.markLeaving();
     },
-    markReturned(endpoint) {
+    unmarkLeaving(endpoint) {
       if (leavingMarks.delete(endpoint)) {
         endpointsById.delete(endpoint);
       }
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -9,11 +9,11 @@
   allowsRequest(): boolean;
   /** Whether a request should be sent now to probe for recovery. */
   needsProbe(): boolean;
-  noteSent(): void;
+  recordSent(): void;
   /** Records a result with the ratio of actual to expected latency. */
-  noteOutcome(outcome: AttemptResult['outcome'], latencyRatio: number): void;
+  recordOutcome(outcome: AttemptResult['outcome'], latencyRatio: number): void;
   /** Records that the endpoint answered a load poll. */
-  noteReport(): void;
+  recordReport(): void;
   eject(): void;
   /** Probes because its failure domain looks lost; one success ends probing. */
   requireProbe(): void;
@@ -49,7 +49,7 @@
  *
  * @example
  * const health = createHealth({clock, random, recoversOnReport: false});
- * health.noteOutcome('failed', 1);
+ * health.recordOutcome('failed', 1);
  */
 export function createHealth(options: {
   readonly clock: Clock;
@@ -103,7 +103,7 @@
     stats = initialStats();
   }
 
-  function noteSuccess(latencyRatio: number) {
+  function recordSuccess(latencyRatio: number) {
     successesInRow += 1;
     stats.failuresInRow = 0;
     stats.unreachableInRow = 0;
@@ -118,7 +118,7 @@
     }
   }
 
-  function noteFailure(isUnreachable: boolean) {
+  function recordFailure(isUnreachable: boolean) {
     successesInRow = 0;
     stats.failuresInRow += 1;
     stats.unreachableInRow = isUnreachable ? stats.unreachableInRow + 1 : 0;
@@ -132,9 +132,9 @@
     AttemptResult['outcome'],
     ((latencyRatio: number) => void) | undefined
   > = {
-    ok: noteSuccess,
-    failed: () => noteFailure(false),
-    unreachable: () => noteFailure(true),
+    ok: recordSuccess,
+    failed: () => recordFailure(false),
+    unreachable: () => recordFailure(true),
     overloaded: undefined,
     cancelled: undefined,
   };
@@ -159,10 +159,10 @@
         !recoversOnReport
       );
     },
-    noteSent() {
+    recordSent() {
       probesInFlight += 1;
     },
-    noteOutcome(outcome, latencyRatio) {
+    recordOutcome(outcome, latencyRatio) {
       probesInFlight = Math.max(0, probesInFlight - 1);
       const handler = handlers[outcome];
       if (handler !== undefined) {
@@ -170,7 +170,7 @@
         handler(latencyRatio);
       }
     },
-    noteReport() {
+    recordReport() {
       endExpiredEjection();
       if (recoversOnReport && machine.current === 'probing') {
         recover();
--- a/packages/routing/src/popularity.ts
+++ b/packages/routing/src/popularity.ts
@@ -2,7 +2,7 @@
 
 export interface PrefixPopularity {
   /** Counts a request's prefixes. */
-  noteRequest(blocks: readonly string[]): void;
+  recordRequest(blocks: readonly string[]): void;
   /**
    * Returns the number of leading blocks that are shared: their share of the
    * traffic exceeds the even share of one endpoint.
@@ -31,7 +31,7 @@
  *
  * @example
  * const popularity = createPrefixPopularity();
- * popularity.noteRequest(routingRequest.blocks);
+ * popularity.recordRequest(routingRequest.blocks);
  */
 export function createPrefixPopularity(): PrefixPopularity {
   let current = new Map<string, number>();
@@ -50,7 +50,7 @@
   }
 
   return {
-    noteRequest(blocks) {
+    recordRequest(blocks) {
       if (currentTotal >= WINDOW_REQUESTS) {
         previous = current;
         previousTotal = currentTotal;
--- a/packages/routing/src/rateLimits.ts
+++ b/packages/routing/src/rateLimits.ts
@@ -25,7 +25,7 @@
 
 export interface RateLimits {
   /** Records the limit in a response; undefined when it sets none. */
-  noteLimit(endpoint: string, perSecond: number | undefined): void;
+  recordLimit(endpoint: string, perSecond: number | undefined): void;
   /** Merges the reports of another entry. */
   mergeReports(reports: RateLimitReports): void;
   /** Limits in responses to this entry, unless another entry has newer ones. */
@@ -77,7 +77,7 @@
  * Creates the rate limits of one entry.
  *
  * @example
- * rateLimits.noteLimit('i-1', 2.9);
+ * rateLimits.recordLimit('i-1', 2.9);
  * if (rateLimits.allowsRequest('i-1')) { rateLimits.consume('i-1'); }
  */
 export function createRateLimits(options: {
@@ -165,7 +165,7 @@
   }
 
   return {
-    noteLimit(endpoint, perSecond) {
+    recordLimit(endpoint, perSecond) {
       if (perSecond === undefined && !hasLimit(endpoint)) {
         return;
       }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -297,9 +297,9 @@
     );
     const startMs = clock.now();
     let isFinished = false;
-    cache.noteSent(routingRequest.blocks);
-    popularityOf(routingRequest.service).noteRequest(routingRequest.blocks);
-    health.noteSent();
+    cache.recordSent(routingRequest.blocks);
+    popularityOf(routingRequest.service).recordRequest(routingRequest.blocks);
+    health.recordSent();
     rateLimits?.consume(candidate.id);
     totals.choices += 1;
 
@@ -310,11 +310,11 @@
       isFinished = true;
       load.remove(ownRequest);
       if (result.cachedTokens !== undefined) {
-        cache.noteCachedTokens(routingRequest.blocks, result.cachedTokens);
+        cache.recordCachedTokens(routingRequest.blocks, result.cachedTokens);
       }
       const latencyRatio =
         result.latencyMs / Math.max(MIN_EXPECTED_LATENCY_MS, expectedMs);
-      health.noteOutcome(result.outcome, latencyRatio);
+      health.recordOutcome(result.outcome, latencyRatio);
       if (result.outcome === 'ok') {
         costs.observeDuration(clock.now() - startMs);
         costs.observeFirstToken(
@@ -330,14 +330,14 @@
       cachedTokens,
       loadBefore,
       tokensAhead: tokensAhead(loadBefore, urgency),
-      started(foundTokens) {
+      recordStart(foundTokens) {
         ownRequest.pendingTokens = Math.max(
           0,
           routingRequest.promptTokens - foundTokens,
         );
-        cache.noteCachedTokens(routingRequest.blocks, foundTokens);
+        cache.recordCachedTokens(routingRequest.blocks, foundTokens);
       },
-      streaming() {
+      recordFirstToken() {
         ownRequest.pendingTokens = 0;
       },
       finish,
@@ -353,7 +353,7 @@
       }
       pools.markLeaving(endpoint);
     },
-    markReturned: endpoint => pools.markReturned(endpoint),
+    unmarkLeaving: endpoint => pools.unmarkLeaving(endpoint),
     choose(routingRequest) {
       const all = usableEndpoints(routingRequest);
       const candidates = routingRequest.isSuspected ? leastLoaded(all) : all;
@@ -392,7 +392,7 @@
     reportLoad(endpoint, report) {
       const known = pools.get(endpoint);
       known?.load.report(report);
-      known?.health.noteReport();
+      known?.health.recordReport();
     },
     ownLoads: () =>
       Object.fromEntries(
@@ -409,7 +409,7 @@
     reportUnreachable(endpoint) {
       const known = pools.get(endpoint);
       if (known?.health.state === 'live') {
-        known.health.noteOutcome('unreachable', 1);
+        known.health.recordOutcome('unreachable', 1);
         updateHealth(known);
       }
     },
--- a/packages/routing/src/test/crashQuarantine.test.ts
+++ b/packages/routing/src/test/crashQuarantine.test.ts
@@ -26,7 +26,7 @@
     /** Crashes endpoints one after the other while they run a request. */
     crash(endpoints: readonly string[], gapMs = 2_000, request = REQUEST) {
       for (const endpoint of endpoints) {
-        crashQuarantine.noteConnectionLost({request, endpoint});
+        crashQuarantine.recordConnectionLost({request, endpoint});
         clock.advanceSync(gapMs);
       }
     },
@@ -41,7 +41,7 @@
     assert.equal(verdict(), 'suspected');
     crash(['e2']);
     assert.equal(verdict(), 'suspected');
-    crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e3'});
+    crashQuarantine.recordConnectionLost({request: REQUEST, endpoint: 'e3'});
     assert.equal(verdict(), 'quarantined');
     assert.equal(verdict('another'), 'clear');
   });
@@ -66,7 +66,7 @@
       one.crashQuarantine.reportToStore(),
     );
     assert.equal(other.verdict(), 'quarantined');
-    one.crashQuarantine.noteServed(REQUEST);
+    one.crashQuarantine.recordCompleted(REQUEST);
     assert.equal(one.verdict(), 'clear');
     other.crashQuarantine.setStoredReport(
       'a1',
@@ -77,9 +77,9 @@
 
   it('are not suspected if the endpoint answers a later request', () => {
     const {crashQuarantine, clock, verdict} = createEntry();
-    crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
+    crashQuarantine.recordConnectionLost({request: REQUEST, endpoint: 'e1'});
     clock.advanceSync(CONFIRMATION_DELAY_MS / 2);
-    crashQuarantine.noteResponse('e1', clock.now());
+    crashQuarantine.recordResponse('e1', clock.now());
     clock.advanceSync(CONFIRMATION_DELAY_MS);
     assert.equal(verdict(), 'clear');
     assert.deepEqual(crashQuarantine.reportToStore().crashes, []);
@@ -89,34 +89,34 @@
     const {crashQuarantine, clock, verdict} = createEntry();
     const sentAt = clock.now();
     clock.advanceSync(10);
-    crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
-    crashQuarantine.noteResponse('e1', sentAt);
+    crashQuarantine.recordConnectionLost({request: REQUEST, endpoint: 'e1'});
+    crashQuarantine.recordResponse('e1', sentAt);
     assert.equal(verdict(), 'suspected');
   });
 
   // A slow endpoint must not be taken for a crashed one.
   it('are suspected once an unresponsive endpoint is deregistered', () => {
     const {crashQuarantine, clock, verdict} = createEntry();
-    crashQuarantine.noteUnanswered({request: REQUEST, endpoint: 'e1'});
+    crashQuarantine.recordUnanswered({request: REQUEST, endpoint: 'e1'});
     clock.advanceSync(3_000);
     assert.equal(verdict(), 'clear');
-    crashQuarantine.noteDeregistered('e1');
+    crashQuarantine.recordDeregistered('e1');
     assert.equal(verdict(), 'suspected');
   });
 
   it('are suspected if a deregistered endpoint does not respond', () => {
     const {crashQuarantine, verdict} = createEntry();
-    crashQuarantine.noteDeregistered('e1');
-    crashQuarantine.noteUnanswered({request: REQUEST, endpoint: 'e1'});
+    crashQuarantine.recordDeregistered('e1');
+    crashQuarantine.recordUnanswered({request: REQUEST, endpoint: 'e1'});
     assert.equal(verdict(), 'suspected');
   });
 
   // Registrations can lapse while the platform's store is down.
   it('are not suspected if a deregistered endpoint answered since', () => {
     const {crashQuarantine, clock, verdict} = createEntry();
-    crashQuarantine.noteDeregistered('e1');
-    crashQuarantine.noteResponse('e1', clock.now());
-    crashQuarantine.noteUnanswered({request: REQUEST, endpoint: 'e1'});
+    crashQuarantine.recordDeregistered('e1');
+    crashQuarantine.recordResponse('e1', clock.now());
+    crashQuarantine.recordUnanswered({request: REQUEST, endpoint: 'e1'});
     assert.equal(verdict(), 'clear');
   });
 
@@ -124,7 +124,7 @@
     const {crashQuarantine, clock} = createEntry();
     let fired = 0;
     crashQuarantine.onDidChange(() => (fired += 1));
-    crashQuarantine.noteConnectionLost({request: REQUEST, endpoint: 'e1'});
+    crashQuarantine.recordConnectionLost({request: REQUEST, endpoint: 'e1'});
     assert.equal(fired, 0);
     clock.advanceSync(CONFIRMATION_DELAY_MS);
     assert.equal(fired, 1);
@@ -137,10 +137,10 @@
     crash(['e1'], CONFIRMATION_DELAY_MS);
     clock.advanceSync(60_000);
     assert.equal(crashQuarantine.reportToGossip()?.crashes.length, 1);
-    crashQuarantine.noteStored(crashQuarantine.reportToStore());
+    crashQuarantine.recordStored(crashQuarantine.reportToStore());
     assert.equal(crashQuarantine.reportToGossip(), undefined);
     crash(['e2'], CONFIRMATION_DELAY_MS);
-    crashQuarantine.noteStored(crashQuarantine.reportToStore());
+    crashQuarantine.recordStored(crashQuarantine.reportToStore());
     assert.equal(crashQuarantine.reportToGossip()?.crashes.length, 1);
     clock.advanceSync(1_500);
     assert.equal(crashQuarantine.reportToGossip(), undefined);
@@ -149,8 +149,8 @@
   it('are cleared locally if only one crash is known', () => {
     const {crashQuarantine, crash, verdict} = createEntry();
     crash(['e1']);
-    crashQuarantine.noteStored(crashQuarantine.reportToStore());
-    crashQuarantine.noteServed(REQUEST);
+    crashQuarantine.recordStored(crashQuarantine.reportToStore());
+    crashQuarantine.recordCompleted(REQUEST);
     assert.equal(verdict(), 'clear');
     assert.equal(crashQuarantine.reportToGossip(), undefined);
   });
@@ -158,7 +158,7 @@
   it('are suspected again for a crash after the complete response', () => {
     const {crashQuarantine, crash, clock, verdict} = createEntry();
     crash(['e1', 'e2', 'e3']);
-    crashQuarantine.noteServed(REQUEST);
+    crashQuarantine.recordCompleted(REQUEST);
     clock.advanceSync(1);
     crash(['e4']);
     assert.equal(verdict(), 'suspected');
@@ -241,7 +241,7 @@
     crash(['e1', 'e2', 'e3'], 0);
     clock.advanceSync(10_000);
     crashQuarantine.beginTrial(REQUEST);
-    crashQuarantine.noteServed(REQUEST);
+    crashQuarantine.recordCompleted(REQUEST);
     assert.equal(verdict(), 'clear');
   });
 });
--- a/packages/routing/src/test/popularity.test.ts
+++ b/packages/routing/src/test/popularity.test.ts
@@ -12,7 +12,7 @@
   it('finds the end of the prefix that all requests share', () => {
     const popularity = createPrefixPopularity();
     for (let index = 0; index < 100; index++) {
-      popularity.noteRequest([...system, ...blocks(`own${index}-`, 40)]);
+      popularity.recordRequest([...system, ...blocks(`own${index}-`, 40)]);
     }
     const next = [...system, ...blocks('new', 40)];
     assert.equal(popularity.countSharedBlocks(next, 8), system.length);
@@ -23,15 +23,17 @@
     const history = [...system, ...blocks('crew', 200)];
     for (let index = 0; index < 100; index++) {
       const isHistory = index % 20 === 0;
-      popularity.noteRequest(isHistory ? history : [...system, `own${index}`]);
+      popularity.recordRequest(
+        isHistory ? history : [...system, `own${index}`],
+      );
     }
     assert.equal(popularity.countSharedBlocks(history, 8), system.length);
   });
 
   it('does not count a prefix as shared after a few requests', () => {
     const popularity = createPrefixPopularity();
-    popularity.noteRequest(system);
-    popularity.noteRequest(system);
+    popularity.recordRequest(system);
+    popularity.recordRequest(system);
     assert.equal(popularity.countSharedBlocks(system, 8), 0);
   });
 });
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -38,7 +38,7 @@
       return 0;
     }
     entry.consume(ENDPOINT);
-    entry.noteLimit(ENDPOINT, limit);
+    entry.recordLimit(ENDPOINT, limit);
     return 1;
   }
 
@@ -127,9 +127,9 @@
   it('follow the newest response at any entry', () => {
     const {clock, entries} = createFleet(2);
     const [first, second] = entries as [RateLimits, RateLimits];
-    first.noteLimit(ENDPOINT, 1);
+    first.recordLimit(ENDPOINT, 1);
     clock.advanceSync(100);
-    second.noteLimit(ENDPOINT, 5);
+    second.recordLimit(ENDPOINT, 5);
     clock.advanceSync(100);
     second.mergeReports(first.ownReports());
     first.mergeReports(second.ownReports());
@@ -155,10 +155,10 @@
       RateLimits,
       RateLimits,
     ];
-    first.noteLimit(ENDPOINT, 1);
+    first.recordLimit(ENDPOINT, 1);
     second.mergeReports(first.ownReports());
     clock.advanceSync(100);
-    second.noteLimit(ENDPOINT, undefined);
+    second.recordLimit(ENDPOINT, undefined);
     first.mergeReports(second.ownReports());
     clock.advanceSync(20_000);
     late.mergeReports(first.ownReports());
@@ -168,7 +168,7 @@
 
   it('do not exist for endpoints that set none', () => {
     const {entries} = createFleet(1);
-    entries[0]!.noteLimit(ENDPOINT, undefined);
+    entries[0]!.recordLimit(ENDPOINT, undefined);
     assert.deepEqual(entries[0]!.ownReports(), {});
     assert.ok(entries[0]!.allowsRequest(ENDPOINT));
   });
--- a/packages/routing/src/test/router.test.ts
+++ b/packages/routing/src/test/router.test.ts
@@ -76,7 +76,7 @@
       assert.ok(choice);
       counts.set(choice.endpoint, (counts.get(choice.endpoint) ?? 0) + 1);
       // Leaves the requests in flight, as under load.
-      choice.streaming();
+      choice.recordFirstToken();
     }
     const most = Math.max(...counts.values());
     assert.ok(counts.size === 4 && most < 30, JSON.stringify([...counts]));
--- a/packages/streams/src/attempt.ts
+++ b/packages/streams/src/attempt.ts
@@ -61,8 +61,8 @@
   const stateMachine = createAttemptStateMachine();
   beginAttempt(progress, pick, stateMachine);
   const generation = createGeneration(options);
-  const owned = disposableStore();
-  const abortController = owned.add(
+  const disposables = disposableStore();
+  const abortController = disposables.add(
     createAttemptAbortController(clock, options.signal),
   );
   const meter = createAttemptMeter({
@@ -72,7 +72,7 @@
     resumedTokens: generation.delivered.length,
   });
 
-  const stallDetector = owned.add(
+  const stallDetector = disposables.add(
     createStallDetector({
       clock,
       limits,
@@ -213,7 +213,7 @@
     request.deadline,
     'the answer was not complete before its deadline',
   );
-  owned.add(
+  disposables.add(
     migrateWhenLeaving({
       clock,
       costs,
@@ -234,7 +234,7 @@
   } catch (caught) {
     return handleFailure(toServingError(caught));
   } finally {
-    owned.dispose();
+    disposables.dispose();
   }
 }
 
--- a/packages/streams/src/attemptAbortController.ts
+++ b/packages/streams/src/attemptAbortController.ts
@@ -37,7 +37,7 @@
   callerSignal: AbortSignal,
 ): AttemptAbortController {
   const controller = new AbortController();
-  const owned = disposableStore();
+  const disposables = disposableStore();
   let reason: AbortReason | undefined;
 
   function abort(newReason: AbortReason) {
@@ -57,7 +57,7 @@
     onAbort();
   }
   callerSignal.addEventListener('abort', onAbort, {once: true});
-  owned.add({
+  disposables.add({
     dispose: () => callerSignal.removeEventListener('abort', onAbort),
   });
 
@@ -68,7 +68,7 @@
     },
     abort,
     abortAt: (deadlineMs, message) =>
-      owned.add(
+      disposables.add(
         clock.after(deadlineMs - clock.now(), () =>
           failRequest(new ServingError('deadline-exceeded', message)),
         ),
@@ -79,7 +79,7 @@
         type: 'lost',
         error: new ServingError('cancelled', 'the attempt has ended'),
       });
-      owned.dispose();
+      disposables.dispose();
     },
   };
 }
--- a/packages/streams/src/leavingMigration.ts
+++ b/packages/streams/src/leavingMigration.ts
@@ -33,7 +33,7 @@
  * migration starts as late as is safe, since many answers end without one.
  *
  * @example
- * owned.add(migrateWhenLeaving({clock, costs, pick, ...hooks}));
+ * disposables.add(migrateWhenLeaving({clock, costs, pick, ...hooks}));
  */
 export function migrateWhenLeaving(
   options: LeavingMigrationOptions,
