--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -83,7 +83,7 @@
   /** Undoes `markLeaving` when `setEndpoints` is next called. */
   unmarkLeaving(endpoint: string): void;
   /**
-   * Sets the ids of the live entries, which share the endpoints of a service.
+   * Sets the ids of the live entries, which split large services' endpoints.
    */
   setEntries(entries: readonly string[]): void;
   /** Chooses an endpoint; undefined when no endpoint can accept the request. */
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -50,7 +50,7 @@
   recordCompleted(request: string): void;
   /** Replaces another entry's stored report. */
   setStoredReport(entry: string, report: CrashReport): void;
-  /** Removes an entry's report that was deleted in the store. */
+  /** Removes the deleted stored report of this or another entry. */
   removeStoredReport(entry: string): void;
   /** Merges a report gossiped by another entry, which may not be stored yet. */
   mergeGossip(report: CrashReport): void;
@@ -91,7 +91,7 @@
 /** Milliseconds after which a trial without a result may be repeated. */
 const TRIAL_TIMEOUT_MS = 10_000;
 
-/** Milliseconds for which evidence that is already stored is gossiped. */
+/** Time for which stored evidence is still gossiped, over several digests. */
 const GOSSIP_MS = 1_500;
 
 /**
--- a/packages/routing/src/rateLimits.ts
+++ b/packages/routing/src/rateLimits.ts
@@ -81,7 +81,7 @@
 /** Relative change of a limit above which the change is logged. */
 const MIN_LOGGED_CHANGE = 0.2;
 
-/** Milliseconds for which the removal of a limit is gossiped. */
+/** Time for which the removal of a limit is gossiped, over several digests. */
 const REMOVAL_GOSSIP_MS = 10_000;
 
 /**
--- a/packages/routing/src/routeCosts.ts
+++ b/packages/routing/src/routeCosts.ts
@@ -31,7 +31,9 @@
   readonly affinityMs: number;
   /** Additional affinity bonus, as a share of the cost of unshared tokens. */
   readonly affinityShare: number;
-  /** Penalty in milliseconds for an endpoint in another failure domain. */
+  /**
+   * Penalty in ms for another failure domain, which is one network hop away.
+   */
   readonly crossDomainMs: number;
   /**
    * Maximum random penalty in milliseconds, so that entries choose differently.
--- a/packages/routing/src/test/requestFingerprint.test.ts
+++ b/packages/routing/src/test/requestFingerprint.test.ts
@@ -20,16 +20,16 @@
 
   const changes: Readonly<Record<string, Partial<RequestContent>>> = {
     customer: {customer: 'shop'},
-    'missing customer': {customer: undefined},
+    'presence of a customer': {customer: undefined},
     authority: {authority: 'other.example'},
     method: {method: 'PUT'},
     path: {path: '/lookup/8?full=1'},
     query: {path: '/lookup/7'},
     body: {body: Buffer.from('parcel 8')},
-    'missing body': {body: undefined},
+    'presence of a body': {body: undefined},
   };
   for (const [name, change] of Object.entries(changes)) {
-    it(`differs for another request with different ${name}`, () => {
+    it(`differs between requests that differ in ${name}`, () => {
       const changedFingerprint = requestFingerprint({...CONTENT, ...change});
       assert.notEqual(changedFingerprint, requestFingerprint(CONTENT));
     });
--- a/packages/routing/src/test/router.test.ts
+++ b/packages/routing/src/test/router.test.ts
@@ -7,7 +7,7 @@
 const candidates = ['a', 'b', 'c', 'd'].map(id => candidate(id, id));
 
 describe('router', () => {
-  it('spreads requests evenly over endpoints without load reports', () => {
+  it('spreads requests over all endpoints by its own requests in flight', () => {
     const {router} = createRig(candidates);
     const chosen = Array.from(
       {length: 8},
