--- a/packages/capacity/src/capacityStats.ts
+++ b/packages/capacity/src/capacityStats.ts
@@ -6,16 +6,16 @@
  * Adds up the statistics of several entries.
  *
  * @example
- * const total = addCapacityStats([model.stats(), ...peers]);
+ * const total = addCapacityStats([model.stats(), ...peerStats]);
  */
 export function addCapacityStats(
-  parts: readonly CapacityStats[],
+  entryStats: readonly CapacityStats[],
 ): CapacityStats {
-  const names = new Set(parts.flatMap(part => Object.keys(part)));
+  const services = new Set(entryStats.flatMap(stats => Object.keys(stats)));
   return Object.fromEntries(
-    [...names].map(name => [
-      name,
-      addServiceStats(parts.flatMap(part => part[name] ?? [])),
+    [...services].map(service => [
+      service,
+      addServiceStats(entryStats.flatMap(stats => stats[service] ?? [])),
     ]),
   );
 }
@@ -31,8 +31,8 @@
   factor: number,
 ): CapacityStats {
   return Object.fromEntries(
-    Object.entries(stats).map(([name, {prompts, answers, paces}]) => [
-      name,
+    Object.entries(stats).map(([service, {prompts, answers, paces}]) => [
+      service,
       {
         prompts: scaleStats(prompts, factor),
         answers: scaleStats(answers, factor),
@@ -48,10 +48,10 @@
 }
 
 /**
- * Adds two statistics of one route's answers.
+ * Adds two token rate statistics of one route.
  *
  * @example
- * const total = addTokenRateStats(own, peers);
+ * const total = addTokenRateStats(ownStats, peerStats);
  */
 export function addTokenRateStats(
   a: TokenRateStats,
@@ -66,7 +66,7 @@
 }
 
 /**
- * Scales the weight of the statistics of one route's answers by a factor.
+ * Scales the weight of a route's token rate statistics by a factor.
  *
  * @example
  * const decayed = scaleTokenRateStats(stats, 0.5);
@@ -83,20 +83,20 @@
   };
 }
 
-function addServiceStats(parts: readonly ServiceStats[]): ServiceStats {
+function addServiceStats(entryStats: readonly ServiceStats[]): ServiceStats {
   const paces: Record<string, TokenRateStats> = {};
-  for (const [route, stats] of parts.flatMap(part =>
-    Object.entries(part.paces),
+  for (const [route, stats] of entryStats.flatMap(serviceStats =>
+    Object.entries(serviceStats.paces),
   )) {
-    const known = paces[route];
-    paces[route] = known ? addTokenRateStats(known, stats) : stats;
+    const existing = paces[route];
+    paces[route] = existing ? addTokenRateStats(existing, stats) : stats;
   }
   return {
     prompts: addStats(
-      parts.map(({prompts}) => prompts).filter(({count}) => count > 0),
+      entryStats.map(({prompts}) => prompts).filter(({count}) => count > 0),
     ),
     answers: addStats(
-      parts.map(({answers}) => answers).filter(({count}) => count > 0),
+      entryStats.map(({answers}) => answers).filter(({count}) => count > 0),
     ),
     paces,
   };
--- a/packages/capacity/src/contracts.ts
+++ b/packages/capacity/src/contracts.ts
@@ -1,14 +1,16 @@
-/** Samples, statistics and estimates of engine performance. */
+/** Types of samples, statistics and estimates of engine performance. */
 import type {RegressionStats} from './regression.js';
 
-/** Measured processing of one prompt, up to the first event of its answer. */
+/** Measured time of one prompt, up to the first event of its answer. */
 export interface PromptSample {
   readonly service: string;
   readonly route: string;
-  /** Tokens that belong to this request alone, so that no cache holds them. */
+  /**
+   * Prompt tokens that only this request has, so that none of them is cached.
+   */
   readonly ownTokens: number;
   readonly promptTokens: number;
-  /** Tokens of shared parts that are expected to be uncached. */
+  /** Tokens of shared prompt parts that are expected to be uncached. */
   readonly rereadTokens: number;
   /** Prompt tokens queued at the endpoint ahead of this prompt. */
   readonly pendingTokens: number;
@@ -20,24 +22,29 @@
 export interface AnswerSample {
   readonly service: string;
   readonly route: string;
+  /** Tokens of the answer. */
   readonly tokens: number;
-  /** Decode step time while no prompt was processed, in milliseconds. */
+  /**
+   * Duration of a decode step while no prompt was processed, in milliseconds.
+   */
   readonly stepMs: number;
   /** Requests running at the endpoint, this one included. */
   readonly requests: number;
   /** Tokens of the prompts of all running requests. */
   readonly contextTokens: number;
-  /** Time within which the whole answer is useful, in milliseconds. */
+  /** Time within which the whole answer must arrive, in milliseconds. */
   readonly allowedMs: number;
 }
 
-/** Statistics of the tokens per second that answers of a route need. */
+/** Exponentially decayed statistics of the token rate that answers need. */
 export interface TokenRateStats {
+  /** Number of answers. */
   readonly count: number;
   /** Sum of the answers' tokens. */
   readonly tokens: number;
-  /** Sum of the needed tokens per second, and of their squares. */
+  /** Sum of the tokens per second that the answers need. */
   readonly total: number;
+  /** Sum of the squares of the tokens per second that the answers need. */
   readonly squares: number;
 }
 
@@ -45,9 +52,11 @@
 export interface ServiceStats {
   readonly prompts: RegressionStats;
   readonly answers: RegressionStats;
+  /** Statistics of the needed token rate, by route. */
   readonly paces: Readonly<Record<string, TokenRateStats>>;
 }
 
+/** Statistics of engines, by service. */
 export type CapacityStats = Readonly<Record<string, ServiceStats>>;
 
 /** Latency targets of a route. */
@@ -64,39 +73,41 @@
   readonly promptTokenMs: number;
   /** Milliseconds per million pairs of a prompt token and an earlier token. */
   readonly pairsMs: number;
-  /** Milliseconds per shared token that seems uncached; most prove cached. */
+  /** Milliseconds per shared token that seems uncached; most are cached. */
   readonly rereadTokenMs: number;
-  /** Mean number of a prompt's tokens that no cache holds. */
+  /** Mean number of a prompt's tokens that cannot be cached. */
   readonly usualOwnTokens: number;
-  /** Total milliseconds per uncached token of the mean prompt. */
+  /** Milliseconds of the mean prompt divided by `usualOwnTokens`. */
   readonly usualTokenMs: number;
   /** Milliseconds to process the mean prompt. */
   readonly usualPromptMs: number;
-  /** Mean decode step while no prompt is processed, in milliseconds. */
+  /** Mean duration of a decode step while no prompt is processed, in ms. */
   readonly stepMs: number;
-  /** Milliseconds that a running request adds to a step. */
+  /** Milliseconds that a running request adds to a decode step. */
   readonly requestStepMs: number;
-  /** Milliseconds that a thousand context tokens add to a step. */
+  /** Milliseconds that a thousand context tokens add to a decode step. */
   readonly contextStepMs: number;
   /** Mean number of an answer's tokens. */
   readonly usualAnswerTokens: number;
-  /** Tokens per second that long answers of the most demanding route need. */
+  /** Highest tokens per second that the long answers of any route need. */
   readonly neededPace: number;
   /** Exponentially decayed number of sampled prompts. */
   readonly prompts: number;
   /** Relative standard error of `usualPromptMs`. */
   readonly errorPart: number;
-  /** Whether the estimate is good enough to base releases on it. */
+  /**
+   * Whether the estimate is precise enough to release endpoints based on it.
+   */
   readonly isSure: boolean;
 }
 
-/** Work that arrives for one service, per second. */
+/** Amount of work for one service, or its arrival rate per second. */
 export interface WorkRate {
-  /** Prompt tokens that belong to one request alone. */
+  /** Prompt tokens that only one request has. */
   readonly ownTokens: number;
-  /** Millions of pairs of such a token and an earlier token. */
+  /** Millions of pairs of one of the `ownTokens` and a token of its prompt. */
   readonly pairs: number;
-  /** Tokens of shared parts that are expected to be uncached. */
+  /** Tokens of shared prompt parts that are expected to be uncached. */
   readonly rereadTokens: number;
   readonly answerTokens: number;
   /** Sum over answers of answer tokens times thousands of prompt tokens. */
--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -7,34 +7,34 @@
 } from './contracts.js';
 import {fitSlopes, type Prior, type RegressionStats} from './regression.js';
 
-/** Number of answer features, and index of the step time after them. */
+/** Number of answer features, and the index of the step time in totals. */
 const ANSWER_FEATURE_COUNT = 2;
 
-/** Minimum prompts and maximum relative error of a confident estimate. */
+/** Minimum sampled prompts and maximum relative error if `isSure` is set. */
 const MIN_CONFIDENT_PROMPTS = 60;
 const MAX_CONFIDENT_ERROR = 0.3;
 
-/** Prior time of a prompt as a fraction of the target, assumed feasible. */
+/** Prior time of a prompt, as a fraction of the lowest latency target. */
 const PRIOR_TARGET_FRACTION = 0.1;
 
 /**
- * Lower bound of a prompt's time as a fraction of the prior. Where queueing
- * masks the work, the fit may be zero, and every prompt would seem free.
+ * Lower bound of a prompt's time as a fraction of the prior. When prompts queue
+ * for long, the fitted time may be zero, and every prompt would seem free.
  */
 const MIN_PRIOR_FRACTION = 0.01;
 
-/** Prior deviation of attention time, as a fraction of a prompt's time. */
+/** Prior standard deviation of attention time, as a fraction of prompt time. */
 const PRIOR_PAIRS_FRACTION = 0.2;
 
-/** Mean uncached tokens of a prompt before the first sample. */
+/** Mean `ownTokens` of a prompt before the first sample. */
 const PRIOR_PROMPT_TOKENS = 1_000;
 /** Latency target of a service whose routes set none, in milliseconds. */
 const DEFAULT_TARGET_MS = 1_000;
 
-/** Prior step time per thousand context tokens, relative to a prompt token. */
+/** Prior step time per thousand context tokens, in prompt token times. */
 const PRIOR_CONTEXT_FRACTION = 0.5;
 
-/** Standard deviations above a route's mean token rate that are planned for. */
+/** Standard deviations above a route's mean token rate to plan for. */
 const HIGH_RATE_DEVIATIONS = 1.5;
 
 /** Minimum fraction of all answers for a route's token rate to count. */
@@ -45,7 +45,8 @@
 
 /**
  * Estimates engine performance from statistics. Without samples the estimate
- * follows from the routes' targets, which operators set to what engines can do.
+ * follows from the routes' latency targets, assuming that engines can meet
+ * them.
  *
  * @example
  * const {usualPromptMs} = estimateEngine(stats.chat, [{goalMs: 800, timeoutMs: 10_000}]);
@@ -55,8 +56,8 @@
   latencyTargets: readonly LatencyTargets[],
 ): EngineEstimate {
   const {
-    prompts = emptyStats(),
-    answers = emptyStats(),
+    prompts = createEmptyStats(),
+    answers = createEmptyStats(),
     paces = {},
   } = stats ?? {};
   const meanOwnTokens = meanOf(prompts, 0, PRIOR_PROMPT_TOKENS);
@@ -78,7 +79,7 @@
     promptTokenMs * meanOwnTokens + pairsMs * meanPairs,
     priorTokenMs * meanOwnTokens * MIN_PRIOR_FRACTION,
   );
-  const errorMs = promptFit.errorAt([meanOwnTokens, meanPairs, 0, 0]);
+  const errorMs = promptFit.standardErrorAt([meanOwnTokens, meanPairs, 0, 0]);
   const stepFit = fitSlopes(answers, stepPrior(priorTokenMs));
   const [requestStepMs = 0, contextStepMs = 0] = stepFit.slopes;
   return {
@@ -102,9 +103,9 @@
 }
 
 /**
- * Returns a prior with the same time for every token, and half of it for
- * pending tokens: on average half of these are processed before the prompt
- * arrives.
+ * Returns a prior with the same time for every token, except pending tokens
+ * with half the time: on average, half of the pending tokens are processed
+ * before the prompt arrives.
  */
 function promptPrior(tokenMs: number, pairsPerToken: number): Prior {
   const pairsMs =
@@ -120,7 +121,7 @@
   return {slopes: [0, contextMs], standardDeviations: [tokenMs, contextMs]};
 }
 
-function emptyStats(): RegressionStats {
+function createEmptyStats(): RegressionStats {
   return {count: 0, weight: 0, totals: [], products: []};
 }
 
@@ -136,7 +137,7 @@
   return count > 0 ? total / count : 0;
 }
 
-function highTokenRate(stats: TokenRateStats): number {
+function plannedTokenRate(stats: TokenRateStats): number {
   const mean = meanTokenRate(stats);
   const variance = Math.max(0, stats.squares / stats.count - mean * mean);
   return mean + HIGH_RATE_DEVIATIONS * Math.sqrt(variance);
@@ -144,11 +145,11 @@
 
 function neededTokenRate(rates: readonly TokenRateStats[]): number {
   const totalCount = rates.reduce((sum, {count}) => sum + count, 0);
-  const significant = rates.filter(
+  const significantRates = rates.filter(
     ({count}) =>
       count >= Math.max(MIN_ROUTE_ANSWERS, totalCount * MIN_ROUTE_FRACTION),
   );
-  return Math.max(0, ...significant.map(highTokenRate));
+  return Math.max(0, ...significantRates.map(plannedTokenRate));
 }
 
 function meanAnswerTokens(rates: readonly TokenRateStats[]): number {
--- a/packages/capacity/src/engineModel.ts
+++ b/packages/capacity/src/engineModel.ts
@@ -2,9 +2,9 @@
  * Collects statistics of engine performance from the requests that engines
  * serve.
  *
- * Engines differ by a factor of ten between customers, and their speed is not
- * configured. If it is overestimated, too few endpoints run and requests miss
- * their deadlines; if it is underestimated, idle endpoints cost money.
+ * The speed of engines differs by a factor of ten between customers and is not
+ * configured. With an overestimate too few endpoints run and requests miss
+ * their deadlines; with an underestimate idle endpoints cost money.
  */
 import type {Clock} from '@skylarkfield/base';
 import {addTokenRateStats, scaleTokenRateStats} from './capacityStats.js';
@@ -24,7 +24,7 @@
   stats(): CapacityStats;
 }
 
-/** Half-life of samples, in milliseconds: endpoints and versions change. */
+/** Half-life of samples in milliseconds, as endpoints and versions change. */
 export const SAMPLE_HALF_LIFE_MS = 20_000;
 
 const PAIRS_PER_UNIT = 1e6;
@@ -38,24 +38,29 @@
  */
 const MIN_SAMPLE_WEIGHT = 0.1;
 
-/** Returns the regression features of a prompt's processing time, in order. */
+/**
+ * Returns the regression features that determine a prompt's processing time.
+ */
 function promptFeatures(sample: PromptSample): number[] {
   const {ownTokens, promptTokens, rereadTokens, pendingTokens} = sample;
   const pairs = (ownTokens * promptTokens) / PAIRS_PER_UNIT;
   return [ownTokens, pairs, rereadTokens, pendingTokens];
 }
 const PROMPT_FEATURE_COUNT = 4;
-/** Features of a step time: running requests and context tokens. */
+/** Features of a decode step's duration: running requests, context tokens. */
 const ANSWER_FEATURE_COUNT = 2;
 
-interface ServiceState {
+/** Regressions and token rates of one service. */
+interface ServiceModel {
   readonly prompts: Regression;
   readonly answers: Regression;
+  /** Needed token rate of answers, by route. */
   readonly paces: Map<string, DecayingTokenRate>;
 }
 
+/** Token rate statistics that decay from `updatedAtMs` (monotonic) on. */
 interface DecayingTokenRate {
-  readonly at: number;
+  readonly updatedAtMs: number;
   readonly stats: TokenRateStats;
 }
 
@@ -63,78 +68,84 @@
  * Creates the model of one entry, without samples.
  *
  * @example
- * model.recordPrompt({service: 'chat', route: 'r1', ownTokens: 900, ...rest, tookMs: 62});
+ * const model = createEngineModel(clock);
+ * model.recordPrompt(promptSample);
  */
 export function createEngineModel(clock: Clock): EngineModel {
-  const services = new Map<string, ServiceState>();
+  const modelsByService = new Map<string, ServiceModel>();
 
-  function serviceState(service: string): ServiceState {
-    const known = services.get(service);
-    if (known !== undefined) {
-      return known;
+  function getOrCreateModel(service: string): ServiceModel {
+    const existing = modelsByService.get(service);
+    if (existing !== undefined) {
+      return existing;
     }
-    const common = {clock, halfLifeMs: SAMPLE_HALF_LIFE_MS};
-    const state = {
+    const commonOptions = {clock, halfLifeMs: SAMPLE_HALF_LIFE_MS};
+    const serviceModel = {
       prompts: createRegression({
-        ...common,
+        ...commonOptions,
         featureCount: PROMPT_FEATURE_COUNT,
       }),
       answers: createRegression({
-        ...common,
+        ...commonOptions,
         featureCount: ANSWER_FEATURE_COUNT,
       }),
       paces: new Map(),
     };
-    services.set(service, state);
-    return state;
+    modelsByService.set(service, serviceModel);
+    return serviceModel;
   }
 
-  function recordTokenRate({paces}: ServiceState, sample: AnswerSample): void {
+  function recordTokenRate({paces}: ServiceModel, sample: AnswerSample): void {
     const {route, tokens, allowedMs} = sample;
     const tokensPerSecond = (tokens * SECOND_MS) / Math.max(1, allowedMs);
     const now = clock.now();
-    const last = paces.get(route);
-    const own = {
+    const previousRate = paces.get(route);
+    const sampleStats = {
       count: 1,
       tokens,
       total: tokensPerSecond,
       squares: tokensPerSecond * tokensPerSecond,
     };
-    const stats = last ? addTokenRateStats(decayed(last), own) : own;
-    paces.set(route, {at: now, stats});
+    const stats = previousRate
+      ? addTokenRateStats(decayTokenRate(previousRate), sampleStats)
+      : sampleStats;
+    paces.set(route, {updatedAtMs: now, stats});
   }
 
-  function decayed({at, stats}: DecayingTokenRate): TokenRateStats {
+  function decayTokenRate({
+    updatedAtMs,
+    stats,
+  }: DecayingTokenRate): TokenRateStats {
     return scaleTokenRateStats(
       stats,
-      2 ** ((at - clock.now()) / SAMPLE_HALF_LIFE_MS),
+      2 ** ((updatedAtMs - clock.now()) / SAMPLE_HALF_LIFE_MS),
     );
   }
 
   return {
     recordPrompt(sample) {
-      const {prompts} = serviceState(sample.service);
+      const {prompts} = getOrCreateModel(sample.service);
       const {ownTokens, pendingTokens, route, tookMs} = sample;
       const ownFraction = ownTokens / Math.max(1, ownTokens + pendingTokens);
       const weight = Math.max(MIN_SAMPLE_WEIGHT, ownFraction ** 2);
-      prompts.add(route, promptFeatures(sample), tookMs, weight);
+      prompts.addSample(route, promptFeatures(sample), tookMs, weight);
     },
     recordAnswer(sample) {
-      const state = serviceState(sample.service);
+      const serviceModel = getOrCreateModel(sample.service);
       const {route, requests, contextTokens, stepMs} = sample;
       const features = [requests, contextTokens / CONTEXT_TOKENS_PER_UNIT];
-      state.answers.add(route, features, stepMs);
-      recordTokenRate(state, sample);
+      serviceModel.answers.addSample(route, features, stepMs);
+      recordTokenRate(serviceModel, sample);
     },
     stats: () =>
       Object.fromEntries(
-        [...services].map(([name, {prompts, answers, paces}]) => [
+        [...modelsByService].map(([name, {prompts, answers, paces}]) => [
           name,
           {
             prompts: prompts.stats(),
             answers: answers.stats(),
             paces: Object.fromEntries(
-              [...paces].map(([route, rate]) => [route, decayed(rate)]),
+              [...paces].map(([route, rate]) => [route, decayTokenRate(rate)]),
             ),
           },
         ]),
--- a/packages/capacity/src/regression.ts
+++ b/packages/capacity/src/regression.ts
@@ -2,10 +2,10 @@
  * Incremental linear regression whose sufficient statistics can be added up
  * over entries.
  *
- * Samples belong to groups, each with its own intercept, and only variation
- * within a group determines the slopes: requests of one route may wait longer
- * than those of another for reasons that no feature captures, which would bias
- * the slopes.
+ * Samples belong to groups, each with a separate intercept, and only variation
+ * within a group determines the slopes. The requests of one route may wait
+ * longer than the requests of another for reasons that no feature captures;
+ * with a common intercept that difference would bias the slopes.
  */
 import type {Clock} from '@skylarkfield/base';
 import {Matrix, solve} from 'ml-matrix';
@@ -16,18 +16,19 @@
   readonly count: number;
   /** Exponentially decayed sum of the samples' weights. */
   readonly weight: number;
-  /** Unweighted sums of the features and, last, of the outcome. */
+  /** Unweighted, decayed sums of the features and, last, of the outcome. */
   readonly totals: readonly number[];
   /**
-   * Weighted products of deviations from the group means: the upper triangle by
-   * rows, the outcome last.
+   * Weighted sums of the products of two deviations from the group means: the
+   * upper triangle of the matrix by rows, with the outcome last.
    */
   readonly products: readonly number[];
 }
 
+/** Regression of an outcome on features. */
 export interface Regression {
   /** Adds a sample; `weight` is below 1 for a less informative one. */
-  add(
+  addSample(
     group: string,
     features: readonly number[],
     outcome: number,
@@ -36,17 +37,17 @@
   stats(): RegressionStats;
 }
 
-/** Prior distribution of the slopes. */
+/** Independent normal prior distributions of the slopes. */
 export interface Prior {
   readonly slopes: readonly number[];
   readonly standardDeviations: readonly number[];
 }
 
-/** Fitted slopes and their errors. */
+/** Fitted slopes and the error of predictions. */
 export interface RegressionFit {
   readonly slopes: readonly number[];
   /** Returns the standard error of the outcome predicted for these features. */
-  errorAt(features: readonly number[]): number;
+  standardErrorAt(features: readonly number[]): number;
 }
 
 /**
@@ -55,26 +56,28 @@
  */
 const MAX_OUTCOME_DEVIATIONS = 3;
 
-/** Minimum samples of a group for its standard deviation to clamp outcomes. */
+/** Minimum samples of a group before its outcomes are clamped. */
 const MIN_SAMPLES_TO_CLAMP = 8;
 
+/** Decaying statistics of one group; see `RegressionStats`. */
 interface Group {
   count: number;
   weight: number;
-  at: number;
+  /** Time of the last decay, in monotonic milliseconds. */
+  updatedAtMs: number;
   readonly totals: Float64Array;
-  /** Means weighted by the samples' weights. */
+  /** Means of the features and, last, of the outcome, by sample weight. */
   readonly means: Float64Array;
   readonly products: Float64Array;
 }
 
 /**
- * Creates a regression without samples. Samples decay exponentially with the
- * half-life in milliseconds.
+ * Creates a regression without samples. Samples decay exponentially with a
+ * half-life of `halfLifeMs`.
  *
  * @example
- * const model = createRegression({clock, featureCount: 2, halfLifeMs: 20_000});
- * model.add('chat', [1_200, 40], 85);
+ * const regression = createRegression({clock, featureCount: 2, halfLifeMs: 20_000});
+ * regression.addSample('chat', [1_200, 40], 85);
  */
 export function createRegression(options: {
   readonly clock: Clock;
@@ -85,15 +88,15 @@
   const width = featureCount + 1;
   const groups = new Map<string, Group>();
 
-  function groupOf(name: string): Group {
-    const known = groups.get(name);
-    if (known !== undefined) {
-      return known;
+  function getOrCreateGroup(name: string): Group {
+    const existing = groups.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const group = {
       count: 0,
       weight: 0,
-      at: clock.now(),
+      updatedAtMs: clock.now(),
       totals: new Float64Array(width),
       means: new Float64Array(width),
       products: new Float64Array((width * (width + 1)) / 2),
@@ -103,8 +106,8 @@
   }
 
   function decay(group: Group): void {
-    const factor = 2 ** ((group.at - clock.now()) / halfLifeMs);
-    group.at = clock.now();
+    const factor = 2 ** ((group.updatedAtMs - clock.now()) / halfLifeMs);
+    group.updatedAtMs = clock.now();
     group.count *= factor;
     group.weight *= factor;
     scaleInPlace(group.totals, factor);
@@ -122,10 +125,10 @@
   }
 
   return {
-    add(name, values, outcome, weight = 1) {
-      const group = groupOf(name);
+    addSample(groupName, features, outcome, weight = 1) {
+      const group = getOrCreateGroup(groupName);
       decay(group);
-      const row = [...values, clampOutcome(group, outcome)];
+      const row = [...features, clampOutcome(group, outcome)];
       const deltasBefore = row.map(
         (value, index) => value - group.means[index]!,
       );
@@ -146,10 +149,10 @@
       }
     },
     stats() {
-      const all = [...groups.values()];
-      all.forEach(decay);
+      const allGroups = [...groups.values()];
+      allGroups.forEach(decay);
       return addStats(
-        all.map(({count, weight, totals, products}) => ({
+        allGroups.map(({count, weight, totals, products}) => ({
           count,
           weight,
           totals: [...totals],
@@ -165,27 +168,29 @@
 }
 
 /**
- * Adds up statistics of groups or entries. Statistics of another size than the
- * first, which an older version may send, are left out.
+ * Adds up statistics of groups or entries. Statistics with another number of
+ * features than the first, which an older version may send, are left out.
  *
  * @example
- * const total = addStats([own.stats(), ...peers]);
+ * const total = addStats([regression.stats(), ...peerStats]);
  */
-export function addStats(parts: readonly RegressionStats[]): RegressionStats {
-  const [first, ...rest] = parts;
+export function addStats(
+  statsList: readonly RegressionStats[],
+): RegressionStats {
+  const [first, ...others] = statsList;
   if (first === undefined) {
     return {count: 0, weight: 0, totals: [], products: []};
   }
-  const compatible = rest.filter(
+  const compatibleStats = others.filter(
     ({products}) => products.length === first.products.length,
   );
-  return compatible.reduce(
-    (sum, part) => ({
-      count: sum.count + part.count,
-      weight: sum.weight + part.weight,
-      totals: sum.totals.map((value, index) => value + part.totals[index]!),
+  return compatibleStats.reduce(
+    (sum, stats) => ({
+      count: sum.count + stats.count,
+      weight: sum.weight + stats.weight,
+      totals: sum.totals.map((value, index) => value + stats.totals[index]!),
       products: sum.products.map(
-        (value, index) => value + part.products[index]!,
+        (value, index) => value + stats.products[index]!,
       ),
     }),
     first,
@@ -211,9 +216,9 @@
 }
 
 /**
- * Fits non-negative slopes by Bayesian linear regression with an active set: no
- * feature makes an engine faster. With few or noisy samples the prior
- * dominates.
+ * Fits slopes by Bayesian linear regression. Slopes are non-negative (by an
+ * active-set method), since no feature makes an engine faster. With few or
+ * noisy samples the prior dominates.
  *
  * @example
  * const prior = {slopes: [0.02], standardDeviations: [0.02]};
@@ -222,78 +227,104 @@
 export function fitSlopes(stats: RegressionStats, prior: Prior): RegressionFit {
   const width = prior.slopes.length;
   const hasSamples = stats.count > 1 && stats.totals.length === width + 1;
-  const product = hasSamples
-    ? productLookup(stats.products, width + 1)
+  const crossProduct = hasSamples
+    ? createCrossProduct(stats.products, width + 1)
     : () => 0;
-  const noise = hasSamples
-    ? Math.max(product(width, width) / stats.weight, EPSILON)
+  const noiseVariance = hasSamples
+    ? Math.max(crossProduct(width, width) / stats.weight, EPSILON)
     : 1;
   const slopes = [...prior.slopes];
-  let free = slopes.map((_, index) => index);
-  while (free.length > 0) {
-    const solution = fitFree(prior, product, noise, free);
-    free.forEach((index, position) => (slopes[index] = solution[position]!));
-    const negative = free.filter(index => slopes[index]! < 0);
-    if (negative.length === 0) {
+  let freeIndices = slopes.map((_, index) => index);
+  while (freeIndices.length > 0) {
+    const solution = fitFreeSlopes(
+      prior,
+      crossProduct,
+      noiseVariance,
+      freeIndices,
+    );
+    freeIndices.forEach(
+      (index, position) => (slopes[index] = solution[position]!),
+    );
+    const negativeIndices = freeIndices.filter(index => slopes[index]! < 0);
+    if (negativeIndices.length === 0) {
       break;
     }
-    negative.forEach(index => (slopes[index] = 0));
-    free = free.filter(index => !negative.includes(index));
+    negativeIndices.forEach(index => (slopes[index] = 0));
+    freeIndices = freeIndices.filter(index => !negativeIndices.includes(index));
   }
   return {
     slopes,
-    errorAt(features) {
-      const all = features.map((_, index) => index);
-      const posterior = precisionMatrix(prior, product, noise, all);
+    standardErrorAt(features) {
+      const allIndices = features.map((_, index) => index);
+      const posterior = createPrecisionMatrix(
+        prior,
+        crossProduct,
+        noiseVariance,
+        allIndices,
+      );
       const direction = Matrix.columnVector([...features]);
       const variance = direction.transpose().mmul(solve(posterior, direction));
-      return Math.sqrt(noise * Math.max(0, variance.get(0, 0)));
+      return Math.sqrt(noiseVariance * Math.max(0, variance.get(0, 0)));
     },
   };
 }
 
-type Product = (i: number, j: number) => number;
+/** Returns the sum of products of the deviations of two columns. */
+type CrossProduct = (i: number, j: number) => number;
 
-/** Keeps the noise positive and the precision of zero deviations finite. */
+/**
+ * Keeps the noise variance positive, and the precision of a zero prior finite.
+ */
 const EPSILON = 1e-12;
 
-/** Returns the posterior precision matrix, in units of one sample's noise. */
-function precisionMatrix(
+/**
+ * Returns the posterior precision matrix of the free slopes, multiplied by the
+ * noise variance of a sample.
+ */
+function createPrecisionMatrix(
   {standardDeviations}: Prior,
-  product: Product,
-  noise: number,
-  free: readonly number[],
+  crossProduct: CrossProduct,
+  noiseVariance: number,
+  freeIndices: readonly number[],
 ): Matrix {
-  const matrix = Matrix.zeros(free.length, free.length);
-  free.forEach((i, row) => {
-    free.forEach((j, column) => {
+  const matrix = Matrix.zeros(freeIndices.length, freeIndices.length);
+  freeIndices.forEach((i, row) => {
+    freeIndices.forEach((j, column) => {
       const priorPrecision =
-        i === j ? noise / (standardDeviations[i]! ** 2 + EPSILON) : 0;
-      matrix.set(row, column, product(i, j) + priorPrecision);
+        i === j ? noiseVariance / (standardDeviations[i]! ** 2 + EPSILON) : 0;
+      matrix.set(row, column, crossProduct(i, j) + priorPrecision);
     });
   });
   return matrix;
 }
 
-/** Solves for the free slopes; the others are fixed at zero. */
-function fitFree(
+/** Solves for the free slopes, with all other slopes fixed at zero. */
+function fitFreeSlopes(
   prior: Prior,
-  product: Product,
-  noise: number,
-  free: readonly number[],
+  crossProduct: CrossProduct,
+  noiseVariance: number,
+  freeIndices: readonly number[],
 ): number[] {
   const {slopes, standardDeviations} = prior;
-  const outcome = slopes.length;
-  const rhs = free.map(
+  const outcomeIndex = slopes.length;
+  const rhs = freeIndices.map(
     i =>
-      product(i, outcome) +
-      (noise * slopes[i]!) / (standardDeviations[i]! ** 2 + EPSILON),
+      crossProduct(i, outcomeIndex) +
+      (noiseVariance * slopes[i]!) / (standardDeviations[i]! ** 2 + EPSILON),
+  );
+  const lhs = createPrecisionMatrix(
+    prior,
+    crossProduct,
+    noiseVariance,
+    freeIndices,
   );
-  const lhs = precisionMatrix(prior, product, noise, free);
   return solve(lhs, Matrix.columnVector(rhs)).to1DArray();
 }
 
-function productLookup(products: readonly number[], width: number): Product {
+function createCrossProduct(
+  products: readonly number[],
+  width: number,
+): CrossProduct {
   return (i, j) => {
     const row = Math.min(i, j);
     const column = Math.max(i, j);
--- a/packages/capacity/src/test/engineModel.test.ts
+++ b/packages/capacity/src/test/engineModel.test.ts
@@ -17,7 +17,7 @@
   readonly pairsMs: number;
   readonly stepMs: number;
   readonly contextStepMs: number;
-  /** Mean wait that no feature explains, in milliseconds. */
+  /** Mean wait that depends on no feature, in milliseconds. */
   readonly waitMs: number;
 }
 
@@ -53,27 +53,41 @@
   {goalMs: 600, timeoutMs: 15_000},
 ];
 
-/** Kinds of requests, served in turn. */
-const KINDS = [
-  {route: 'long', own: 2_900, shared: 6_300, answer: 50, baseWaitMs: 20},
-  {route: 'short', own: 550, shared: 170, answer: 280, baseWaitMs: 250},
+/** Kinds of requests, sampled in turn. */
+const REQUEST_KINDS = [
+  {
+    route: 'long',
+    meanOwnTokens: 2_900,
+    sharedTokens: 6_300,
+    meanAnswerTokens: 50,
+    baseWaitMs: 20,
+  },
+  {
+    route: 'short',
+    meanOwnTokens: 550,
+    sharedTokens: 170,
+    meanAnswerTokens: 280,
+    baseWaitMs: 250,
+  },
 ];
 
 /** Mean square of `ownTokens` over its squared mean in `addSamples`. */
 const SQUARED_MEAN_RATIO = 1.163;
 
-/** Adds samples of a simulated engine with exponentially distributed waits. */
+/**
+ * Records samples of a simulated engine with exponentially distributed waits.
+ */
 function addSamples(
   model: EngineModel,
   profile: Profile,
   count: number,
   random: Random,
 ): void {
-  const exponential = () => -Math.log(1 - random.next());
+  const nextExponential = () => -Math.log(1 - random.next());
   for (let index = 0; index < count; index++) {
-    const kind = KINDS[index % KINDS.length]!;
-    const ownTokens = kind.own * (0.3 + 1.4 * random.next());
-    const promptTokens = kind.shared + ownTokens;
+    const kind = REQUEST_KINDS[index % REQUEST_KINDS.length]!;
+    const ownTokens = kind.meanOwnTokens * (0.3 + 1.4 * random.next());
+    const promptTokens = kind.sharedTokens + ownTokens;
     const pendingTokens = random.next() * 4_000;
     const pairs = (ownTokens * promptTokens) / 1e6;
     model.recordPrompt({
@@ -85,7 +99,7 @@
       pendingTokens,
       tookMs:
         kind.baseWaitMs +
-        profile.waitMs * exponential() +
+        profile.waitMs * nextExponential() +
         ownTokens * profile.tokenMs +
         pairs * profile.pairsMs +
         pendingTokens * profile.tokenMs * 0.5,
@@ -94,7 +108,7 @@
     model.recordAnswer({
       service: 'chat',
       route: kind.route,
-      tokens: kind.answer * exponential(),
+      tokens: kind.meanAnswerTokens * nextExponential(),
       stepMs: profile.stepMs + (contextTokens * profile.contextStepMs) / 1e3,
       requests: 10,
       contextTokens,
@@ -104,12 +118,12 @@
 }
 
 function meanPromptMs({tokenMs, pairsMs}: Profile): number {
-  const works = KINDS.map(
-    ({own, shared}) =>
+  const timesMs = REQUEST_KINDS.map(
+    ({meanOwnTokens: own, sharedTokens: shared}) =>
       own * tokenMs +
       (own * (shared + own * SQUARED_MEAN_RATIO) * pairsMs) / 1e6,
   );
-  return works.reduce((sum, work) => sum + work, 0) / works.length;
+  return timesMs.reduce((sum, timeMs) => sum + timeMs, 0) / timesMs.length;
 }
 
 function assertWithin(
@@ -126,10 +140,9 @@
 describe('engine model', () => {
   for (const profile of PROFILES) {
     it(`estimates the speed of ${profile.name}`, () => {
-      // Engine speed is not configured. Requests of one route wait longer than
-      // those of the other, and all have waits that no feature explains. A
-      // model that attributed these to the prompts would order far too many
-      // endpoints.
+      // Requests of one route wait longer than requests of the other, and all
+      // have waits that depend on no feature. If the model attributed the waits
+      // to the prompts, far too many endpoints would be requested.
       const model = createEngineModel(virtualClock());
       addSamples(model, profile, 600, seededRandom(1_000));
       const estimate = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
@@ -139,8 +152,8 @@
     });
   }
 
-  it('is confident with the statistics of all entries before a single one is', () => {
-    // Nine entries have a few requests each, too few for a confident estimate.
+  it('is sure with the samples of nine entries when each entry has too few samples', () => {
+    // Each of nine entries has 30 requests, too few for a sure estimate.
     const [, profile] = PROFILES;
     const random = seededRandom(5);
     const entryStats = Array.from({length: 9}, () => {
@@ -148,19 +161,22 @@
       addSamples(model, profile!, 30, random);
       return model.stats();
     });
-    const alone = estimateEngine(entryStats[0]!['chat'], LATENCY_TARGETS);
-    const together = estimateEngine(
+    const singleEstimate = estimateEngine(
+      entryStats[0]!['chat'],
+      LATENCY_TARGETS,
+    );
+    const mergedEstimate = estimateEngine(
       addCapacityStats(entryStats)['chat'],
       LATENCY_TARGETS,
     );
-    assert.equal(alone.isSure, false);
-    assert.equal(together.isSure, true);
-    assertWithin(together.usualPromptMs, meanPromptMs(profile!), 0.2);
+    assert.equal(singleEstimate.isSure, false);
+    assert.equal(mergedEstimate.isSure, true);
+    assertWithin(mergedEstimate.usualPromptMs, meanPromptMs(profile!), 0.2);
   });
 
   it('follows engines that become slower', () => {
     // A new version processes prompts at a third of the speed. Samples of the
-    // old version must not hide it for long.
+    // old version must not hide the slowdown for longer than a minute.
     const clock = virtualClock();
     const model = createEngineModel(clock);
     addSamples(model, PROFILES[0]!, 300, seededRandom(1));
@@ -170,7 +186,7 @@
     assertWithin(estimate.usualPromptMs, meanPromptMs(PROFILES[1]!), 0.3);
   });
 
-  it('is robust against hung requests', () => {
+  it('estimates the speed within 30 % although some requests hang', () => {
     // One request in fifty hangs for seconds at a failing endpoint.
     const [, profile] = PROFILES;
     const model = createEngineModel(virtualClock());
@@ -193,9 +209,10 @@
   });
 
   it('never estimates zero time for a prompt', () => {
-    // Long answers occupy all slots, so every prompt waits for seconds, long
-    // ones no longer than short ones. With an estimate of zero work, routing
-    // would choose one endpoint every time, and the others would be released.
+    // Long answers occupy all slots, so every prompt waits for seconds, and
+    // long prompts wait no longer than short ones. With an estimate of zero,
+    // routing would always choose one endpoint, and all others would be
+    // released.
     const model = createEngineModel(virtualClock());
     const random = seededRandom(6);
     for (let index = 0; index < 400; index++) {
@@ -216,25 +233,25 @@
   });
 
   it('decays the token rate of a removed route', () => {
-    // An operator removes the route with the longest answers. If its rate
-    // stayed in the plan, the service would keep endpoints that are not needed.
+    // An operator removes the route with the longest answers. If its token rate
+    // did not decay, the service would keep endpoints that are not needed.
     const clock = virtualClock();
     const model = createEngineModel(clock);
     const answer = {service: 'chat', stepMs: 5, requests: 1, contextTokens: 9};
     for (let index = 0; index < 20; index++) {
-      const long = {route: 'gone', tokens: 900, allowedMs: 9_000};
-      model.recordAnswer({...answer, ...long});
+      const removedRouteAnswer = {route: 'gone', tokens: 900, allowedMs: 9_000};
+      model.recordAnswer({...answer, ...removedRouteAnswer});
     }
     clock.advanceSync(180_000);
     for (let index = 0; index < 20; index++) {
-      const short = {route: 'kept', tokens: 90, allowedMs: 9_000};
-      model.recordAnswer({...answer, ...short});
+      const keptRouteAnswer = {route: 'kept', tokens: 90, allowedMs: 9_000};
+      model.recordAnswer({...answer, ...keptRouteAnswer});
     }
     const {neededPace} = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
     assert.ok(neededPace < 20, `${neededPace}`);
   });
 
-  it('assumes feasible targets without samples', () => {
+  it('estimates a prompt time within the latency targets without samples', () => {
     const estimate = estimateEngine(undefined, LATENCY_TARGETS);
     assert.equal(estimate.isSure, false);
     assert.ok(estimate.usualPromptMs > 0);
@@ -243,7 +260,7 @@
 });
 
 describe('target utilization', () => {
-  function utilizationOf(
+  function estimateUtilization(
     profile: Profile,
     latencyTargets: readonly LatencyTargets[],
   ): number {
@@ -255,22 +272,25 @@
     ).usual;
   }
 
-  it('is lower for targets close to the time of a prompt', () => {
-    const wide = utilizationOf(PROFILES[1]!, LATENCY_TARGETS);
-    const tight = utilizationOf(PROFILES[1]!, [
+  it('is lower for a latency target close to the time of a prompt', () => {
+    const withWideTargets = estimateUtilization(PROFILES[1]!, LATENCY_TARGETS);
+    const withTightTarget = estimateUtilization(PROFILES[1]!, [
       {goalMs: 250, timeoutMs: 10_000},
     ]);
-    assert.ok(tight < wide, `${tight} is not below ${wide}`);
+    assert.ok(
+      withTightTarget < withWideTargets,
+      `${withTightTarget} is not below ${withWideTargets}`,
+    );
   });
 
-  it('leaves enough time for long answers', () => {
-    // Processing a prompt stalls all running answers. With slow decode steps
-    // less time may go to prompts, or long answers exceed their callers'
-    // timeouts.
+  it('is lower for an engine with slow decode steps', () => {
+    // Processing a prompt stalls all running answers. With slow decode steps,
+    // long answers exceed their callers' timeouts unless prompts take less
+    // time.
     const [, slow, verySlow] = PROFILES;
     assert.ok(
-      utilizationOf(verySlow!, LATENCY_TARGETS) <
-        utilizationOf(slow!, LATENCY_TARGETS),
+      estimateUtilization(verySlow!, LATENCY_TARGETS) <
+        estimateUtilization(slow!, LATENCY_TARGETS),
     );
   });
 });
