--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -1,9 +1,10 @@
 /**
- * Tracks when a replica of the platform's data was last confirmed up to date.
+ * Tracks when an entry's replica of the platform's data was last confirmed to
+ * be up to date.
  *
  * A revoked customer key must stop working everywhere within seconds, also at
- * an entry that is cut off from updates. So an entry without a recent
- * confirmation rejects requests with a key.
+ * an entry that receives no updates. So an entry without a recent confirmation
+ * rejects requests with a key.
  */
 import type {Clock} from '@skylarkfield/base';
 
@@ -13,16 +14,23 @@
   readonly wallMs: number;
 }
 
+/** Last confirmation that a replica was up to date. */
 export interface Confirmation {
-  /** Confirms that the replica was current then; ignored if before the last. */
+  /**
+   * Records that the replica was up to date at this time; ignored if a later
+   * time was already recorded.
+   */
   confirm(timestamp: Timestamp): void;
-  /** Milliseconds since the last confirmation; Infinity before the first. */
+  /**
+   * Returns the ms since the last confirmed time; Infinity if there is none.
+   */
   ageMs(): number;
 }
 
 /**
- * Returns the present time for `confirm`. Take it before sending the request:
- * the response may reflect any moment after that.
+ * Returns the current time, to be passed to `confirm`. Call this function
+ * before sending the request for the data: the response may reflect any later
+ * moment.
  *
  * @example
  * const requestedAt = timestampOf(clock);
@@ -52,28 +60,32 @@
 /**
  * Creates a confirmation of infinite age.
  *
- * The age is the larger one of both clocks: the monotonic clock stops while a
- * host is suspended, so by it alone a stale replica would look fresh.
+ * The age is measured on the monotonic and on the wall clock, and the larger
+ * value counts. The monotonic clock stops while a host is suspended, so by this
+ * clock alone a stale replica would look fresh.
  *
  * @example
  * const confirmation = createConfirmation(clock);
  * if (confirmation.ageMs() > 4_500) { reject(); }
  */
 export function createConfirmation(clock: Clock): Confirmation {
-  let last: Timestamp | undefined;
+  let lastConfirmed: Timestamp | undefined;
   return {
     confirm(timestamp) {
-      if (last === undefined || timestamp.monotonicMs > last.monotonicMs) {
-        last = timestamp;
+      if (
+        lastConfirmed === undefined ||
+        timestamp.monotonicMs > lastConfirmed.monotonicMs
+      ) {
+        lastConfirmed = timestamp;
       }
     },
     ageMs() {
-      if (last === undefined) {
+      if (lastConfirmed === undefined) {
         return Infinity;
       }
       return Math.max(
-        clock.now() - last.monotonicMs,
-        clock.wall() - last.wallMs,
+        clock.now() - lastConfirmed.monotonicMs,
+        clock.wall() - lastConfirmed.wallMs,
       );
     },
   };
--- a/packages/traffic/src/contracts.ts
+++ b/packages/traffic/src/contracts.ts
@@ -1,4 +1,4 @@
-/** Traffic configuration, registered endpoints and rollouts as domain types. */
+/** Types of the traffic configuration, registered endpoints and rollouts. */
 
 /** Whether requests may be retried, and whether responses are streamed. */
 export type RouteKind = 'idempotent' | 'at-most-once' | 'streaming';
@@ -10,22 +10,22 @@
   readonly weight: number;
 }
 
-/** Services and limits of requests to one authority and path prefix. */
+/** Route of requests to one authority and path prefix. */
 export interface Route {
   readonly name: string;
-  /** Value of the `Host` header. */
+  /** Value of the `Host` header, in any case and with or without a port. */
   readonly authority: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   /** Upper bound of the time that a caller waits, in milliseconds. */
   readonly timeoutMs: number;
-  /** Target time to the response or a stream's first event, in milliseconds. */
+  /** Target time to the response or the first event of a stream, in ms. */
   readonly goalMs: number;
   /** 0 is the highest. */
   readonly priority: number;
   readonly services: readonly WeightedService[];
-  /** Maximum number of endpoints that may run one request. */
+  /** Maximum number of endpoints on which one request may run. */
   readonly attempts: number;
   /** Whether requests need no key. */
   readonly isPublic: boolean;
@@ -35,14 +35,18 @@
   readonly longestPauseMs: number;
 }
 
-/** Bounds and prices of the endpoints that may be ordered for a service. */
+/** Bounds and prices of the endpoints that may be requested for a service. */
 export interface FleetConfig {
-  /** Bounds of the endpoints in each failure domain, both markets together. */
+  /** Minimum endpoints in each failure domain, over both markets. */
   readonly least: number;
+  /** Maximum endpoints in each failure domain, over both markets. */
   readonly most: number;
-  /** Time from an order to the first request served, in milliseconds. */
+  /** Time from requesting an endpoint to its first served request, in ms. */
   readonly bootMs: number;
-  /** Reclaimable price relative to on-demand; undefined if not offered. */
+  /**
+   * Price of a reclaimable endpoint as a fraction of the on-demand price;
+   * undefined if the service has no reclaimable endpoints.
+   */
   readonly reclaimablePrice: number | undefined;
   /** Price of an on-demand endpoint by failure domain. */
   readonly prices: Readonly<Record<string, number>>;
@@ -52,7 +56,7 @@
 export interface EngineConfig {
   /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Capacity of the engine's memory, in tokens. */
+  /** Capacity of the engine's KV cache, in tokens. */
   readonly memoryTokens: number;
   /** Answer tokens in one event of a stream. */
   readonly tokensPerEvent: number;
@@ -61,7 +65,7 @@
 /** Configuration of a service. */
 export interface ServiceConfig {
   readonly name: string;
-  /** Maximum connections to one endpoint, over all callers. */
+  /** Maximum number of connections to one endpoint, from all callers. */
   readonly mostConnections: number;
   /** Undefined for a plain service. */
   readonly engine: EngineConfig | undefined;
@@ -69,12 +73,14 @@
   readonly fleet: FleetConfig | undefined;
 }
 
-/** Rate limit of a customer over all entries. */
+/** Rate limit of a customer, for all entries together. */
 export interface Quota {
   readonly unit: 'requests' | 'tokens';
+  /** Units per second that are granted permanently. */
   readonly perSecond: number;
+  /** Units that are granted at once after a pause. */
   readonly burst: number;
-  /** Cost of a request that declares no token counts. */
+  /** Cost in tokens of a request that declares no token counts. */
   readonly plainTokens: number;
 }
 
@@ -84,15 +90,17 @@
   readonly keys: readonly string[];
   /** Overrides the route's priority unless undefined. */
   readonly priority: number | undefined;
-  /** Undefined for no limit. */
+  /** Undefined if the customer has no rate limit. */
   readonly quota: Quota | undefined;
 }
 
-/** Limits on requests and connections of callers. */
+/** Limits on the requests and connections of callers. */
 export interface CallerLimits {
+  /** Maximum size of a request's header, in bytes. */
   readonly headerBytes: number;
+  /** Maximum size of a request's body, in bytes. */
   readonly bodyBytes: number;
-  /** Timeout for a request's head, in milliseconds. */
+  /** Timeout for receiving a request's header, in milliseconds. */
   readonly headerMs: number;
   /** Timeout of idle connections, in milliseconds. */
   readonly idleMs: number;
@@ -108,10 +116,13 @@
   readonly limits: CallerLimits;
 }
 
-/** One process of a service, as registered by itself. */
+/** An endpoint as it registered itself with the platform. */
 export interface RegisteredEndpoint {
   readonly id: string;
-  /** Wall-clock start in milliseconds; distinguishes restarts under one id. */
+  /**
+   * Start of the process in wall-clock milliseconds; distinguishes processes
+   * that use the same id one after the other.
+   */
   readonly bornAt: number;
   readonly service: string;
   /** `IP:port`. */
@@ -120,7 +131,7 @@
   readonly version: string;
   readonly slots: number;
   readonly state: 'ready' | 'draining';
-  /** Can be reclaimed at short notice. */
+  /** Whether the platform can reclaim the endpoint's host at short notice. */
   readonly isReclaimable: boolean;
 }
 
@@ -129,12 +140,13 @@
 /** An operator's request to move a service's traffic to another version. */
 export interface Rollout {
   readonly service: string;
+  /** Version that the traffic moves to. */
   readonly target: string;
   /** Time from the operator's request to its deadline, in milliseconds. */
   readonly periodMs: number;
   /** State last written by the system; undefined before the first write. */
   readonly state: RolloutState | undefined;
-  /** Target to which the state applies. */
+  /** Value of `target` when the state was written. */
   readonly stateTarget: string | undefined;
 }
 
@@ -149,6 +161,8 @@
   readonly model: string;
   readonly promptTokens: number;
   readonly mostOutputTokens: number;
-  /** In order; the last is not shared with other requests. */
+  /**
+   * Parts from the start of the prompt; only this request has the last part.
+   */
   readonly parts: readonly PromptPart[];
 }
--- a/packages/traffic/src/customerTable.ts
+++ b/packages/traffic/src/customerTable.ts
@@ -1,8 +1,9 @@
 /** Looks up customers by their keys. */
 import type {CustomerConfig} from './contracts.js';
 
+/** Customers by key. */
 export interface CustomerTable {
-  /** Whether requests need a key. */
+  /** Whether requests need a key, that is, whether there are any customers. */
   readonly requiresKey: boolean;
   findByKey(key: string): CustomerConfig | undefined;
 }
@@ -18,14 +19,14 @@
 export function createCustomerTable(
   customers: readonly CustomerConfig[],
 ): CustomerTable {
-  const byKey = new Map<string, CustomerConfig>();
+  const customersByKey = new Map<string, CustomerConfig>();
   for (const customer of customers) {
     for (const key of customer.keys) {
-      byKey.set(key, customer);
+      customersByKey.set(key, customer);
     }
   }
   return {
     requiresKey: customers.length > 0,
-    findByKey: key => byKey.get(key),
+    findByKey: key => customersByKey.get(key),
   };
 }
--- a/packages/traffic/src/engineWork.ts
+++ b/packages/traffic/src/engineWork.ts
@@ -1,4 +1,4 @@
-/** Amounts of work that requests cause, and the engine time that they take. */
+/** Computes the work that requests cause, and the engine time of that work. */
 import type {EngineEstimate, WorkRate} from '@skylarkfield/capacity';
 import type {EngineConfig, ModelDemand} from './contracts.js';
 
@@ -14,8 +14,8 @@
 };
 
 /**
- * Returns the tokens that no cache holds: those of the prompt's last part,
- * which is not shared with other requests.
+ * Returns the number of prompt tokens that cannot be cached: the tokens of the
+ * last part, which other requests do not have.
  *
  * @example
  * const tokens = ownTokens(demand);
@@ -26,9 +26,9 @@
 }
 
 /**
- * Returns whether an engine's memory can hold the prompt. The declared size is
- * untrusted: counted as work, one absurd value would order endpoints without
- * bound and distort the learned estimates.
+ * Returns whether the prompt fits into an engine's KV cache. The declared size
+ * is untrusted: if counted as work, one absurd value would cause any number of
+ * endpoints to be requested and distort the learned estimates.
  *
  * @example
  * if (fitsMemory(demand, service.engine)) { work.record(name, promptWork(demand)); }
@@ -42,22 +42,22 @@
 
 /**
  * Returns the work of a prompt whose shared parts are cached. Every token
- * attends to those before it, so the work grows faster than the number of
+ * attends to all earlier tokens, so the work grows faster than the number of
  * tokens.
  *
  * @example
  * work.record('chat', promptWork(demand));
  */
 export function promptWork(demand: ModelDemand): WorkRate {
-  const own = ownTokens(demand);
-  const pairs = (own * demand.promptTokens) / PAIRS_PER_UNIT;
-  return {...ZERO_WORK, ownTokens: own, pairs};
+  const ownTokenCount = ownTokens(demand);
+  const pairs = (ownTokenCount * demand.promptTokens) / PAIRS_PER_UNIT;
+  return {...ZERO_WORK, ownTokens: ownTokenCount, pairs};
 }
 
 /**
- * Returns the work of an answer. Recorded when the answer has ended: the
- * declared maximum is far above the actual length. The fixed cost of a step is
- * left out: all requests of a batch share it.
+ * Returns the work of an answer. The work is recorded when the answer has
+ * ended, since the declared maximum is far above the actual length. The fixed
+ * cost of a decode step is left out, since all requests of a batch share it.
  *
  * @example
  * work.record('chat', answerWork(demand, 48 * 8));
@@ -72,8 +72,7 @@
 }
 
 /**
- * Returns the milliseconds of one engine that the work takes, by the current
- * estimate of its speed.
+ * Returns the estimated milliseconds that one engine takes for the work.
  *
  * @example
  * const busyMs = workMs(work.rates().chat, estimate);
@@ -92,7 +91,7 @@
  * Adds two amounts of work.
  *
  * @example
- * const total = addWork(own, peers);
+ * const total = addWork(ownWork, peerWork);
  */
 export function addWork(a: WorkRate, b: WorkRate): WorkRate {
   return {
--- a/packages/traffic/src/fleetPlan.ts
+++ b/packages/traffic/src/fleetPlan.ts
@@ -1,13 +1,14 @@
 /**
- * Number of endpoints of a service in each failure domain and market.
+ * Plans the number of a service's endpoints in each failure domain and market.
  *
- * Reclaimable endpoints cost a fraction of on-demand ones, but a whole failure
- * domain of them is reclaimed at once with seconds of notice, and then none may
- * be available for a while. So the plan has a base of on-demand endpoints and
- * spreads reclaimable ones so that the loss of any failure domain leaves enough
- * for the brief need until replacements have started. While no reclaimable ones
- * are available, on-demand endpoints cover the brief need only: covering the
- * usual need is not worth their price.
+ * Reclaimable endpoints cost a fraction of on-demand endpoints. But all
+ * reclaimable endpoints of a failure domain are reclaimed at once with seconds
+ * of notice, and the domain may then offer none for a while. So the plan has a
+ * base of on-demand endpoints and spreads reclaimable endpoints so that the
+ * loss of any failure domain leaves enough for the brief need until
+ * replacements have started. If reclaimable endpoints are not available,
+ * on-demand endpoints cover the brief need only: covering the usual need is not
+ * worth their price.
  */
 import type {FleetConfig} from './contracts.js';
 
@@ -18,20 +19,24 @@
   readonly reclaimable: number;
 }
 
+/** Planned endpoints of one service, by failure domain. */
 export type FleetPlan = Readonly<Record<string, DomainFleet>>;
 
-/** Endpoints that a service needs. */
+/** Number of endpoints that a service needs. */
 export interface EndpointNeed {
-  /** In normal operation. */
+  /** Endpoints needed in normal operation. */
   readonly usual: number;
-  /** For the seconds after a failure domain is lost. */
+  /** Endpoints needed in the seconds after a failure domain is lost. */
   readonly brief: number;
 }
 
 export interface FleetPlanInput {
   readonly config: FleetConfig;
   readonly needed: EndpointNeed;
-  /** Reclaimable endpoints present where no more are available, by domain. */
+  /**
+   * Present reclaimable endpoints, by failure domain, of the domains in which
+   * no more of them are available.
+   */
   readonly scarce: ReadonlyMap<string, number>;
 }
 
@@ -41,8 +46,8 @@
 const SECOND_MS = 1_000;
 
 /**
- * Returns the endpoints needed for a work rate, in milliseconds of one endpoint
- * per second, at a target utilization.
+ * Returns the number of endpoints needed at a target utilization, 0 to 1. The
+ * work rate is in milliseconds of one endpoint's time per second.
  *
  * @example
  * const count = endpointsNeeded(2_600, 0.34); // 8
@@ -55,7 +60,7 @@
 }
 
 /**
- * Plans a service's endpoints.
+ * Plans the endpoints of a service.
  *
  * @example
  * const plan = planFleet({config, needed: {usual: 4, brief: 3}, scarce: new Map()});
@@ -64,7 +69,7 @@
   const domains = Object.keys(config.prices).sort(
     (a, b) => config.prices[a]! - config.prices[b]!,
   );
-  const counts = new Map(
+  const fleetsByDomain = new Map(
     domains.map(domain => [
       domain,
       {onDemand: 0, reclaimable: scarce.get(domain) ?? 0},
@@ -74,7 +79,7 @@
     config.reclaimablePrice !== undefined && !scarce.has(domain);
 
   function domainTotal(domain: string): number {
-    const {onDemand, reclaimable} = counts.get(domain)!;
+    const {onDemand, reclaimable} = fleetsByDomain.get(domain)!;
     return onDemand + reclaimable;
   }
 
@@ -84,17 +89,20 @@
       if (domain === undefined) {
         return;
       }
-      counts.get(domain)!.onDemand += 1;
+      fleetsByDomain.get(domain)!.onDemand += 1;
     }
   }
 
   function fleetTotal(): number {
-    return domains.reduce((all, domain) => all + domainTotal(domain), 0);
+    return domains.reduce((total, domain) => total + domainTotal(domain), 0);
   }
 
-  /** Endpoints left when one failure domain loses its reclaimable ones. */
-  function remainingAfterLoss(): number {
-    const reclaimableCounts = [...counts.values()].map(
+  /**
+   * Returns the number of endpoints that remain after the failure domain with
+   * the most reclaimable endpoints loses them.
+   */
+  function minTotalAfterLoss(): number {
+    const reclaimableCounts = [...fleetsByDomain.values()].map(
       ({reclaimable}) => reclaimable,
     );
     return fleetTotal() - Math.max(0, ...reclaimableCounts);
@@ -102,12 +110,12 @@
 
   addOnDemand(Math.max(1, Math.round(needed.usual * ON_DEMAND_FRACTION)));
   for (const domain of domains) {
-    const missing = config.least - domainTotal(domain);
-    if (missing > 0 && canAddReclaimable(domain)) {
-      counts.get(domain)!.reclaimable += missing;
+    const missingCount = config.least - domainTotal(domain);
+    if (missingCount > 0 && canAddReclaimable(domain)) {
+      fleetsByDomain.get(domain)!.reclaimable += missingCount;
     }
   }
-  while (remainingAfterLoss() < needed.brief || fleetTotal() < needed.usual) {
+  while (minTotalAfterLoss() < needed.brief || fleetTotal() < needed.usual) {
     const domain = domains
       .filter(
         name => canAddReclaimable(name) && domainTotal(name) < config.most,
@@ -116,8 +124,8 @@
     if (domain === undefined) {
       break;
     }
-    counts.get(domain)!.reclaimable += 1;
+    fleetsByDomain.get(domain)!.reclaimable += 1;
   }
   addOnDemand(needed.brief - fleetTotal());
-  return Object.fromEntries(counts);
+  return Object.fromEntries(fleetsByDomain);
 }
--- a/packages/traffic/src/quotaWindow.ts
+++ b/packages/traffic/src/quotaWindow.ts
@@ -1,63 +1,69 @@
 /** Sliding window over one customer's usage, at this entry and at its peers. */
 
-/** Number of slots that a window is divided into. */
+/** Number of time slots that a window is divided into. */
 const SLOTS_PER_WINDOW = 32;
 
+/** Usage of one customer within a window; times are monotonic milliseconds. */
 export interface QuotaWindow {
-  /** Records usage; negative amounts are refunds. */
-  add(now: number, source: UsageSource, amount: number): void;
-  /** Weighted usage within the window. */
-  used(now: number, weights: UsageWeights): number;
+  /** Records usage; a negative amount is a refund. */
+  recordUsage(nowMs: number, source: UsageSource, amount: number): void;
+  /** Returns the usage within the window, weighted by source. */
+  weightedUsage(nowMs: number, weights: UsageWeights): number;
   /**
-   * Milliseconds until usage without new requests is below a limit, at most the
-   * window.
+   * Returns the milliseconds until the weighted usage is below the limit if no
+   * more usage is recorded; at most the length of the window.
    */
-  msUntilBelow(now: number, weights: UsageWeights, limit: number): number;
-  /** Scales all recorded usage. */
-  scale(factor: number): void;
+  msUntilBelow(nowMs: number, weights: UsageWeights, limit: number): number;
+  /** Multiplies all recorded usage by a factor. */
+  scaleUsage(factor: number): void;
 }
 
-/** Weights of the usage sources other than `own`, 0 to 1. */
+/** Weights of usage by source, 0 to 1; the weight of `own` is 1. */
 export interface UsageWeights {
   readonly others: number;
   readonly before: number;
 }
 
-/** `before` is the usage assumed from before the process started. */
+/**
+ * `own`: usage at this entry. `others`: usage reported by peers. `before`:
+ * usage assumed for the time before this process started.
+ */
 export type UsageSource = 'own' | 'others' | 'before';
 
 const SOURCES = ['own', 'others', 'before'] as const;
 
 /**
- * Creates a window that ends at `now`, in monotonic milliseconds, with an
- * initial usage spread evenly over it.
+ * Creates a window that ends at `nowMs`, with the initial usage spread evenly
+ * over the window.
  *
  * @example
- * const window = createQuotaWindow({windowMs: 8_000, now: clock.now(), initial: 700});
- * window.add(clock.now(), 'own', 1_540);
+ * const window = createQuotaWindow({
+ *   windowMs: 8_000, nowMs: clock.now(), initialUsage: 700,
+ * });
+ * window.recordUsage(clock.now(), 'own', 1_540);
  */
 export function createQuotaWindow(options: {
   readonly windowMs: number;
-  readonly now: number;
-  readonly initial: number;
+  readonly nowMs: number;
+  readonly initialUsage: number;
 }): QuotaWindow {
   const slotMs = options.windowMs / SLOTS_PER_WINDOW;
-  // One more than the window has, since the newest slot is incomplete.
+  // One slot more than the window has, since the newest slot is incomplete.
   const slotCount = SLOTS_PER_WINDOW + 1;
   const slots: Record<UsageSource, number[]> = {
     own: new Array<number>(slotCount).fill(0),
     others: new Array<number>(slotCount).fill(0),
-    before: new Array<number>(slotCount).fill(options.initial / slotCount),
+    before: new Array<number>(slotCount).fill(options.initialUsage / slotCount),
   };
   const totals: Record<UsageSource, number> = {
     own: 0,
     others: 0,
-    before: options.initial,
+    before: options.initialUsage,
   };
-  let newestSlot = Math.floor(options.now / slotMs);
+  let newestSlot = Math.floor(options.nowMs / slotMs);
 
-  function advance(now: number): void {
-    const currentSlot = Math.floor(now / slotMs);
+  function advance(nowMs: number): void {
+    const currentSlot = Math.floor(nowMs / slotMs);
     newestSlot = Math.max(newestSlot, currentSlot - slotCount);
     while (newestSlot < currentSlot) {
       newestSlot += 1;
@@ -86,29 +92,29 @@
   }
 
   return {
-    add(now, source, amount) {
-      advance(now);
+    recordUsage(nowMs, source, amount) {
+      advance(nowMs);
       const index = newestSlot % slotCount;
       slots[source][index] = slots[source][index]! + amount;
       totals[source] += amount;
     },
-    used(now, weights) {
-      advance(now);
+    weightedUsage(nowMs, weights) {
+      advance(nowMs);
       return weightedSum(totals, weights);
     },
-    msUntilBelow(now, weights, limit) {
-      advance(now);
-      let remaining = weightedSum(totals, weights);
+    msUntilBelow(nowMs, weights, limit) {
+      advance(nowMs);
+      let remainingUsage = weightedSum(totals, weights);
       for (let step = 1; step <= slotCount; step++) {
-        if (remaining < limit) {
-          return step === 1 ? 0 : (newestSlot + step - 1) * slotMs - now;
+        if (remainingUsage < limit) {
+          return step === 1 ? 0 : (newestSlot + step - 1) * slotMs - nowMs;
         }
         const index = (newestSlot + step) % slotCount;
-        remaining -= weightedSum(slotAt(index), weights);
+        remainingUsage -= weightedSum(slotAt(index), weights);
       }
       return options.windowMs;
     },
-    scale(factor) {
+    scaleUsage(factor) {
       for (const source of SOURCES) {
         slots[source] = slots[source].map(amount => amount * factor);
         totals[source] *= factor;
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -1,11 +1,12 @@
 /**
- * Distributed rate limits per customer, enforced without a call per request.
+ * Distributed rate limits per customer, enforced without a remote call per
+ * request.
  *
- * A quota allows rate times window plus burst in any window. Entries exchange
- * their cumulative usage, and each enforces the fleet-wide quota on its own and
- * the reported usage. An entry that has reports from only some peers grants a
- * proportional fraction, so that both sides of a partition together stay within
- * the quota.
+ * In any window, a quota allows rate times window plus burst. Entries exchange
+ * their cumulative usage, and each entry enforces the quota on the sum of its
+ * own and the reported usage. An entry that has reports from only some peers
+ * grants a proportional fraction, so that both sides of a partition together
+ * stay within the quota.
  */
 import type {Clock, Logger} from '@skylarkfield/base';
 import type {CustomerConfig, Quota} from './contracts.js';
@@ -15,27 +16,28 @@
   type UsageWeights,
 } from './quotaWindow.js';
 
-/** Usage by customer; totals count from the start of the entry's process. */
+/** Usage by customer, in the unit of the customer's quota. */
 export type UsageByCustomer = Readonly<Record<string, number>>;
 
+/** Quotas of all customers at one entry. */
 export interface Quotas {
-  /** Charges the customer's quota; false when it is exhausted. */
+  /** Charges the customer's quota; returns false if the quota is exhausted. */
   tryConsume(customer: CustomerConfig, amount: number): boolean;
-  /** Refunds a request that has not run. */
+  /** Refunds the amount charged for a request that has not run. */
   refund(customer: CustomerConfig, amount: number): void;
   /**
-   * Returns the Retry-After of a rejected request in milliseconds, staggered
-   * behind the retries already announced.
+   * Returns the milliseconds after which a rejected request should be retried,
+   * staggered behind the retries of requests rejected earlier.
    */
   retryAfterMs(customer: CustomerConfig, amount: number): number;
-  /** Returns the usage at this entry, to report to peers. */
+  /** Returns the usage at this entry since its start, to report to peers. */
   ownUsage(): UsageByCustomer;
-  /** Adds the usage of peers since their last report. */
+  /** Adds the increase of usage at peers since their last report. */
   addPeerUsage(increase: UsageByCustomer): void;
   /**
    * Sets the fraction of peers with a recent report, 0 to 1, and the number of
-   * entries. `silentMs` is the time without a report after which a peer no
-   * longer counts as reporting.
+   * entries including this one. `silentMs` is the time without a report after
+   * which a peer no longer counts as reporting.
    */
   setReportingPeers(
     reportingFraction: number,
@@ -45,17 +47,19 @@
   dump(): unknown;
 }
 
+/** Token bucket and usage window of one customer. */
 interface Account {
-  /** Tokens left; negative after an overshoot, until the refill repays it. */
+  /** Tokens in the bucket; negative after an overshoot, until refilled. */
   level: number;
-  refilledAt: number;
+  /** Time up to which the bucket is refilled, in monotonic milliseconds. */
+  refilledAtMs: number;
   readonly window: QuotaWindow;
-  /** Allowance per window under the quota last seen. */
+  /** Usage allowed per window under the quota at the last access. */
   allowance: number;
-  /** Latest time announced for a retry, in monotonic milliseconds. */
-  latestRetryAt: number;
-  /** Time of the last log line on usage, in monotonic milliseconds. */
-  loggedAt: number;
+  /** Latest time at which a caller was told to retry, in monotonic ms. */
+  latestRetryAtMs: number;
+  /** Time of the last log line about usage, in monotonic milliseconds. */
+  loggedAtMs: number;
 }
 
 const SECOND_MS = 1_000;
@@ -64,12 +68,12 @@
 const DEFAULT_WINDOW_MS = 8_000;
 
 /**
- * Lower bound of the time between the last request that a process admits and
- * the first that it admits after a restart, in milliseconds.
+ * Minimum time between the last request that a process admits and the first
+ * request that the restarted process admits, in milliseconds.
  */
 const MIN_RESTART_MS = 1_000;
 
-/** Upper bound of Retry-After, in milliseconds. */
+/** Upper bound of the time after which to retry, in milliseconds. */
 const MAX_RETRY_AFTER_MS = 8_000;
 
 /** Fraction of the allowance above which usage is logged. */
@@ -94,13 +98,13 @@
 ): Quotas {
   const accounts = new Map<string, Account>();
   const ownUsage: Record<string, number> = {};
-  /** Fraction of the quota that this entry may grant. */
+  /** Fraction of each quota that this entry may grant, 0 to 1. */
   let grantedFraction = 1;
-  let weights: UsageWeights = {others: 1, before: 1};
-  let loggedFraction = grantedFraction;
+  let usageWeights: UsageWeights = {others: 1, before: 1};
+  let lastLoggedFraction = grantedFraction;
   /** Number of peers with a recent report. */
-  let reportingPeers = 0;
-  const startedAt = clock.now();
+  let reportingPeerCount = 0;
+  const startedAtMs = clock.now();
 
   function windowAllowance({perSecond, burst}: Quota): number {
     return (perSecond * windowMs) / SECOND_MS + burst;
@@ -112,28 +116,30 @@
   }
 
   /**
-   * Creates an account without knowledge of what was granted before the start.
-   * At worst the customer has just overdrawn its burst, so the bucket starts
-   * with the refill of one restart and gets no more until both are repaid.
+   * Creates an account. The usage before the start of this process is unknown;
+   * at worst the customer had just used its whole burst. So the bucket starts
+   * with the refill of `MIN_RESTART_MS`. Its next refill starts after the time
+   * in which the burst and this initial level would be refilled.
    */
   function createAccount(quota: Quota): Account {
-    const now = clock.now();
+    const nowMs = clock.now();
     const allowance = windowAllowance(quota);
-    const refillRate = allowance / windowMs;
-    const level = Math.min(quota.burst, refillRate * MIN_RESTART_MS);
-    const repaidAt = startedAt + (quota.burst + level) / refillRate;
+    const fullRefillPerMs = allowance / windowMs;
+    const level = Math.min(quota.burst, fullRefillPerMs * MIN_RESTART_MS);
+    const repaidAtMs = startedAtMs + (quota.burst + level) / fullRefillPerMs;
     return {
       level,
-      refilledAt: Math.max(now, repaidAt),
-      // Earlier usage is unknown, so all but the burst counts as used.
+      refilledAtMs: Math.max(nowMs, repaidAtMs),
+      // Earlier usage is unknown, so all of the allowance but the burst counts
+      // as used.
       window: createQuotaWindow({
         windowMs,
-        now,
-        initial: allowance - quota.burst,
+        nowMs,
+        initialUsage: allowance - quota.burst,
       }),
       allowance,
-      latestRetryAt: 0,
-      loggedAt: now,
+      latestRetryAtMs: 0,
+      loggedAtMs: nowMs,
     };
   }
 
@@ -142,29 +148,30 @@
     accounts.set(name, account);
     log?.info(
       {customer: name, part: grantedFraction, ...accountState(account)},
-      'quota account opened',
+      'opened quota account for customer',
     );
     return account;
   }
 
-  function currentAccount(name: string, quota: Quota): Account {
+  function refillAccount(name: string, quota: Quota): Account {
     const account = accounts.get(name) ?? openAccount(name, quota);
-    const now = clock.now();
+    const nowMs = clock.now();
     const refilledTokens =
-      Math.max(0, now - account.refilledAt) * refillPerMs(quota);
+      Math.max(0, nowMs - account.refilledAtMs) * refillPerMs(quota);
     account.level = Math.min(quota.burst, account.level + refilledTokens);
-    account.refilledAt = Math.max(now, account.refilledAt);
+    account.refilledAtMs = Math.max(nowMs, account.refilledAtMs);
     const allowance = windowAllowance(quota);
     if (allowance < account.allowance) {
-      // Unscaled usage of a higher quota would block the customer for a window.
-      account.window.scale(allowance / account.allowance);
+      // Usage allowed under a higher quota would block the customer for a
+      // window unless scaled to the lower quota.
+      account.window.scaleUsage(allowance / account.allowance);
     }
     account.allowance = allowance;
     return account;
   }
 
   function windowUsage({window}: Account): number {
-    return window.used(clock.now(), weights);
+    return window.weightedUsage(clock.now(), usageWeights);
   }
 
   function accountState(account: Account) {
@@ -176,17 +183,18 @@
   }
 
   function recordUsage(name: string, account: Account, amount: number): void {
-    account.window.add(clock.now(), 'own', amount);
+    account.window.recordUsage(clock.now(), 'own', amount);
     account.level -= amount;
     ownUsage[name] = (ownUsage[name] ?? 0) + amount;
   }
 
-  function logUsage(name: string, account: Account): void {
-    const now = clock.now();
-    const isDue = now - account.loggedAt >= LOG_INTERVAL_MS;
-    const limit = account.allowance * grantedFraction * MIN_LOGGED_FRACTION;
-    if (log !== undefined && isDue && windowUsage(account) > limit) {
-      account.loggedAt = now;
+  function logUsageIfDue(name: string, account: Account): void {
+    const nowMs = clock.now();
+    const isDue = nowMs - account.loggedAtMs >= LOG_INTERVAL_MS;
+    const minLoggedUsage =
+      account.allowance * grantedFraction * MIN_LOGGED_FRACTION;
+    if (log !== undefined && isDue && windowUsage(account) > minLoggedUsage) {
+      account.loggedAtMs = nowMs;
       log.info(
         {
           customer: name,
@@ -194,12 +202,12 @@
           own: ownUsage[name],
           ...accountState(account),
         },
-        'quota in use',
+        'usage exceeds half of the quota granted at this entry',
       );
     }
   }
 
-  /** Subtracts the refill of a share that lost peers may also have granted. */
+  /** Subtracts refilled tokens that lost peers may also have granted. */
   function undoRefill(refilledMs: number): void {
     for (const account of accounts.values()) {
       account.level -= (account.allowance / windowMs) * refilledMs;
@@ -211,9 +219,10 @@
       if (quota === undefined) {
         return true;
       }
-      const account = currentAccount(name, quota);
-      logUsage(name, account);
-      // If amounts had to fit into the level, large ones would starve.
+      const account = refillAccount(name, quota);
+      logUsageIfDue(name, account);
+      // Requires only a positive level. If the amount had to fit into the
+      // level, large requests would starve.
       const isExhausted =
         account.level <= 0 ||
         windowUsage(account) >= account.allowance * grantedFraction;
@@ -225,32 +234,35 @@
     },
     refund({name, quota}, amount) {
       if (quota !== undefined) {
-        recordUsage(name, currentAccount(name, quota), -amount);
+        recordUsage(name, refillAccount(name, quota), -amount);
       }
     },
     retryAfterMs({name, quota}, amount) {
       if (quota === undefined) {
         return 0;
       }
-      const account = currentAccount(name, quota);
-      const now = clock.now();
-      const ratePerMs = refillPerMs(quota);
-      const {level, refilledAt} = account;
+      const account = refillAccount(name, quota);
+      const nowMs = clock.now();
+      const tokensPerMs = refillPerMs(quota);
+      const {level, refilledAtMs} = account;
       const availableInMs = Math.max(
-        level > 0 ? 0 : refilledAt - now - level / ratePerMs,
+        level > 0 ? 0 : refilledAtMs - nowMs - level / tokensPerMs,
         account.window.msUntilBelow(
-          now,
-          weights,
+          nowMs,
+          usageWeights,
           account.allowance * grantedFraction,
         ),
       );
-      // Staggered, since requests retried together would be rejected again.
-      const availableAt = Math.max(now + availableInMs, account.latestRetryAt);
-      account.latestRetryAt = Math.min(
-        now + MAX_RETRY_AFTER_MS,
-        availableAt + amount / ratePerMs,
+      // Staggered, since requests retried at the same time would be rejected.
+      const retryAtMs = Math.max(
+        nowMs + availableInMs,
+        account.latestRetryAtMs,
       );
-      return Math.max(0, availableAt - now);
+      account.latestRetryAtMs = Math.min(
+        nowMs + MAX_RETRY_AFTER_MS,
+        retryAtMs + amount / tokensPerMs,
+      );
+      return Math.max(0, retryAtMs - nowMs);
     },
     ownUsage: () => ownUsage,
     addPeerUsage(increase) {
@@ -258,30 +270,30 @@
         const account = accounts.get(name);
         if (account !== undefined) {
           account.level -= amount;
-          account.window.add(clock.now(), 'others', amount);
+          account.window.recordUsage(clock.now(), 'others', amount);
         }
       }
     },
     setReportingPeers(reportingFraction, entryCount, silentMs = 0) {
       const peerCount = Math.max(0, entryCount - 1);
-      const lostPeers = Math.max(
+      const lostPeerCount = Math.max(
         0,
-        reportingPeers - peerCount * reportingFraction,
+        reportingPeerCount - peerCount * reportingFraction,
       );
-      reportingPeers = peerCount * reportingFraction;
-      undoRefill((lostPeers / Math.max(1, entryCount)) * silentMs);
+      reportingPeerCount = peerCount * reportingFraction;
+      undoRefill((lostPeerCount / Math.max(1, entryCount)) * silentMs);
       grantedFraction =
         (1 + peerCount * reportingFraction) / Math.max(1, entryCount);
-      weights = {others: reportingFraction, before: grantedFraction};
-      if (Math.abs(grantedFraction - loggedFraction) >= MIN_LOGGED_CHANGE) {
-        loggedFraction = grantedFraction;
+      usageWeights = {others: reportingFraction, before: grantedFraction};
+      if (Math.abs(grantedFraction - lastLoggedFraction) >= MIN_LOGGED_CHANGE) {
+        lastLoggedFraction = grantedFraction;
         log?.info(
           {
             part: grantedFraction,
             heardFraction: reportingFraction,
             entryCount,
           },
-          'granted quota fraction changed',
+          'changed the fraction of quotas that this entry grants',
         );
       }
     },
--- a/packages/traffic/src/repeatability.ts
+++ b/packages/traffic/src/repeatability.ts
@@ -1,9 +1,10 @@
-/** Whether requests may run more than once. */
+/** Decides whether requests may run more than once. */
 import type {Route} from './contracts.js';
 
 /**
- * Returns whether requests of a route may run at another endpoint although they
- * may already have run: idempotent ones and resumable streams.
+ * Returns whether requests of a route may be sent to another endpoint although
+ * they may already have run. This applies to idempotent requests and to
+ * resumable streams.
  *
  * @example
  * if (isRepeatable(call.route)) { retry(); }
--- a/packages/traffic/src/rolloutStates.ts
+++ b/packages/traffic/src/rolloutStates.ts
@@ -1,9 +1,9 @@
-/** State of a rollout that was written for its present target. */
+/** State of a rollout toward its current target. */
 import type {Rollout, RolloutState} from './contracts.js';
 
 /**
- * Returns the state written for the rollout's present target; undefined if
- * there is none, as the state of an earlier target does not apply.
+ * Returns the state written for the rollout's current target; undefined if no
+ * state was written, or only for an earlier target.
  *
  * @example
  * if (currentRolloutState(rollout) === 'done') { useTarget(); }
--- a/packages/traffic/src/routeTable.ts
+++ b/packages/traffic/src/routeTable.ts
@@ -1,8 +1,9 @@
 /** Matches requests to routes. */
 import type {Route, TrafficPolicy} from './contracts.js';
 
+/** Routes by authority and path prefix. */
 export interface RouteTable {
-  /** Returns the route with the longest matching path prefix, if any. */
+  /** Returns the route with the longest matching path prefix, or undefined. */
   match(authority: string, path: string): Route | undefined;
 }
 
@@ -14,19 +15,21 @@
  * const route = table.match('shop.example', '/orders/7?full=1');
  */
 export function createRouteTable(routes: TrafficPolicy['routes']): RouteTable {
-  const byAuthority = new Map<string, Route[]>();
+  const routesByAuthority = new Map<string, Route[]>();
   for (const route of routes) {
     const authority = normalizeAuthority(route.authority);
-    const authorityRoutes = byAuthority.get(authority) ?? [];
+    const authorityRoutes = routesByAuthority.get(authority) ?? [];
     authorityRoutes.push(route);
-    byAuthority.set(authority, authorityRoutes);
+    routesByAuthority.set(authority, authorityRoutes);
   }
-  for (const authorityRoutes of byAuthority.values()) {
+  for (const authorityRoutes of routesByAuthority.values()) {
     authorityRoutes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
   }
   return {
     match(authority, path) {
-      const authorityRoutes = byAuthority.get(normalizeAuthority(authority));
+      const authorityRoutes = routesByAuthority.get(
+        normalizeAuthority(authority),
+      );
       const pathname = stripQuery(path);
       return authorityRoutes?.find(route =>
         pathname.startsWith(route.pathPrefix),
--- a/packages/traffic/src/test/fleet.test.ts
+++ b/packages/traffic/src/test/fleet.test.ts
@@ -20,33 +20,40 @@
   prices: {a: 1, b: 0.8, c: 1.25, d: 0.9},
 };
 
-function count(plan: FleetPlan, market: 'onDemand' | 'reclaimable'): number {
+function countEndpoints(
+  plan: FleetPlan,
+  market: 'onDemand' | 'reclaimable',
+): number {
   return Object.values(plan).reduce((sum, fleet) => sum + fleet[market], 0);
 }
 
 describe('fleet plan', () => {
-  for (const needed of [1, 2, 4, 6, 8]) {
-    it(`survives the loss of any failure domain's reclaimable endpoints when ${needed} are needed`, () => {
+  for (const neededCount of [1, 2, 4, 6, 8]) {
+    it(`survives the loss of any failure domain's reclaimable endpoints when ${neededCount} are needed`, () => {
       // All reclaimable endpoints of a failure domain are reclaimed at once. If
-      // those that are left could not carry the work, requests would wait for
-      // as long as a new endpoint takes to start.
+      // too few endpoints remained, requests would wait until a new endpoint
+      // has started.
       const plan = planFleet({
         config,
-        needed: {usual: needed, brief: needed},
+        needed: {usual: neededCount, brief: neededCount},
         scarce: new Map(),
       });
-      const all = count(plan, 'onDemand') + count(plan, 'reclaimable');
+      const totalCount =
+        countEndpoints(plan, 'onDemand') + countEndpoints(plan, 'reclaimable');
       for (const {reclaimable} of Object.values(plan)) {
-        assert.ok(all - reclaimable >= needed, JSON.stringify(plan));
+        assert.ok(
+          totalCount - reclaimable >= neededCount,
+          JSON.stringify(plan),
+        );
       }
     });
   }
 
-  it('respects the bounds of every failure domain', () => {
-    for (const needed of [1, 5, 40]) {
+  it('stays within the configured bounds of every failure domain', () => {
+    for (const neededCount of [1, 5, 40]) {
       const plan = planFleet({
         config,
-        needed: {usual: needed, brief: needed},
+        needed: {usual: neededCount, brief: neededCount},
         scarce: new Map(),
       });
       for (const {onDemand, reclaimable} of Object.values(plan)) {
@@ -62,12 +69,12 @@
       needed: {usual: 4, brief: 4},
       scarce: new Map(),
     });
-    assert.equal(plan['b']?.onDemand, count(plan, 'onDemand'));
+    assert.equal(plan['b']?.onDemand, countEndpoints(plan, 'onDemand'));
   });
 
-  it('fills up with on-demand endpoints while no reclaimable ones are available', () => {
-    // Two failure domains were reclaimed, and no more are available for a
-    // while.
+  it('adds on-demand endpoints if no more reclaimable ones are available', () => {
+    // The endpoints of two failure domains were reclaimed, and no domain offers
+    // more reclaimable endpoints.
     const scarce = new Map([
       ['a', 1],
       ['b', 0],
@@ -75,35 +82,39 @@
       ['d', 1],
     ]);
     const plan = planFleet({config, needed: {usual: 5, brief: 5}, scarce});
-    assert.equal(count(plan, 'reclaimable'), 2);
-    assert.equal(count(plan, 'onDemand'), 3);
+    assert.equal(countEndpoints(plan, 'reclaimable'), 2);
+    assert.equal(countEndpoints(plan, 'onDemand'), 3);
   });
 
   it('covers the usual need, and the brief need after a loss', () => {
     // Lost endpoints are replaced within seconds. Covering the usual need after
-    // a loss would cost a third more for endpoints that are rarely used.
+    // a loss would cost a third more, for endpoints that are rarely needed.
     const needed = {usual: 8, brief: 5};
     const plan = planFleet({config, needed, scarce: new Map()});
-    const all = count(plan, 'onDemand') + count(plan, 'reclaimable');
-    assert.ok(all >= needed.usual && all <= needed.usual + 1, `${all}`);
+    const totalCount =
+      countEndpoints(plan, 'onDemand') + countEndpoints(plan, 'reclaimable');
+    assert.ok(
+      totalCount >= needed.usual && totalCount <= needed.usual + 1,
+      `${totalCount}`,
+    );
     for (const {reclaimable} of Object.values(plan)) {
-      assert.ok(all - reclaimable >= needed.brief, JSON.stringify(plan));
+      assert.ok(totalCount - reclaimable >= needed.brief, JSON.stringify(plan));
     }
   });
 
-  it('orders no reclaimable endpoints when none are offered', () => {
+  it('plans no reclaimable endpoints if the service has no price for them', () => {
     const plan = planFleet({
       config: {...config, reclaimablePrice: undefined},
       needed: {usual: 3, brief: 3},
       scarce: new Map(),
     });
-    assert.equal(count(plan, 'reclaimable'), 0);
-    assert.ok(count(plan, 'onDemand') >= 3);
+    assert.equal(countEndpoints(plan, 'reclaimable'), 0);
+    assert.ok(countEndpoints(plan, 'onDemand') >= 3);
   });
 });
 
-/** Signals of a service whose requests are on time. */
-function signalsOf(
+/** Creates the signals of a service whose requests are on time. */
+function createSignals(
   workRate: number,
   present: number,
   overrides: Partial<DemandSignals> = {},
@@ -118,110 +129,126 @@
   };
 }
 
-function usualNeed(demand: DemandEstimator, signals: DemandSignals): number {
-  return demand.update(signals).usual;
+function updateUsualNeed(
+  estimator: DemandEstimator,
+  signals: DemandSignals,
+): number {
+  return estimator.update(signals).usual;
 }
 
 describe('fleet demand', () => {
-  it('keeps a fraction of the initial endpoints until work was seen for a while', () => {
-    // The system starts before its callers. If idle endpoints were released at
-    // once, none would be left for the first callers.
+  it('keeps a fraction of the initial endpoints until some seconds after the first work', () => {
+    // The endpoints start before the callers. If idle endpoints were released
+    // at once, too few would be left for the first callers.
     const clock = virtualClock();
-    const demand = createDemandEstimator(clock);
-    demand.update(signalsOf(0, 3));
-    assert.equal(usualNeed(demand, signalsOf(0, 10)), 6);
+    const estimator = createDemandEstimator(clock);
+    estimator.update(createSignals(0, 3));
+    assert.equal(updateUsualNeed(estimator, createSignals(0, 10)), 6);
     clock.advanceSync(60_000);
-    assert.equal(usualNeed(demand, signalsOf(0, 5)), 6);
-    assert.equal(usualNeed(demand, signalsOf(400, 5)), 6);
+    assert.equal(updateUsualNeed(estimator, createSignals(0, 5)), 6);
+    assert.equal(updateUsualNeed(estimator, createSignals(400, 5)), 6);
     clock.advanceSync(20_000);
     assert.equal(
-      usualNeed(demand, signalsOf(400, 5)),
+      updateUsualNeed(estimator, createSignals(400, 5)),
       endpointsNeeded(400, UTILIZATION.usual),
     );
   });
 
   it('keeps a fraction of the initial endpoints while the estimate is uncertain', () => {
-    // Little traffic gives few samples. Endpoints released by an uncertain
+    // Low traffic gives few samples. Endpoints released because of an uncertain
     // estimate would be missing when the busy hour starts.
     const clock = virtualClock();
-    const demand = createDemandEstimator(clock);
-    demand.update(signalsOf(0, 10));
-    demand.update(signalsOf(400, 10, {isSure: false}));
+    const estimator = createDemandEstimator(clock);
+    estimator.update(createSignals(0, 10));
+    estimator.update(createSignals(400, 10, {isSure: false}));
     clock.advanceSync(60_000);
-    assert.equal(usualNeed(demand, signalsOf(400, 10, {isSure: false})), 6);
-    assert.equal(usualNeed(demand, signalsOf(400, 10)), 2);
+    assert.equal(
+      updateUsualNeed(estimator, createSignals(400, 10, {isSure: false})),
+      6,
+    );
+    assert.equal(updateUsualNeed(estimator, createSignals(400, 10)), 2);
   });
 
-  it('rises at once and falls only after a while', () => {
+  it('rises at once and falls only after eight seconds of less work', () => {
     const clock = virtualClock();
-    const demand = createDemandEstimator(clock);
-    demand.update(signalsOf(100, 1));
+    const estimator = createDemandEstimator(clock);
+    estimator.update(createSignals(100, 1));
     clock.advanceSync(20_000);
-    const highNeed = usualNeed(demand, signalsOf(3_000, 1));
+    const highNeed = updateUsualNeed(estimator, createSignals(3_000, 1));
     assert.equal(highNeed, endpointsNeeded(3_000, UTILIZATION.usual));
     clock.advanceSync(4_000);
-    assert.equal(usualNeed(demand, signalsOf(400, 8)), highNeed);
+    assert.equal(updateUsualNeed(estimator, createSignals(400, 8)), highNeed);
     clock.advanceSync(5_000);
     assert.equal(
-      usualNeed(demand, signalsOf(400, 8)),
+      updateUsualNeed(estimator, createSignals(400, 8)),
       endpointsNeeded(400, UTILIZATION.usual),
     );
   });
 
-  it('neither orders by an uncertain estimate nor remembers it', () => {
-    // The first prompts are processed with empty caches, and a model of a few
-    // requests estimated three times the actual work.
+  it('does not exceed the initial endpoints while the estimate is uncertain', () => {
+    // The first prompts are processed with empty caches, and from a few
+    // requests three times the actual work was estimated. This need must not
+    // outlast the uncertain estimate.
     const clock = virtualClock();
-    const demand = createDemandEstimator(clock);
-    demand.update(signalsOf(0, 10));
-    const uncertain = signalsOf(8_000, 10, {isSure: false});
-    assert.equal(usualNeed(demand, uncertain), 10);
+    const estimator = createDemandEstimator(clock);
+    estimator.update(createSignals(0, 10));
+    const uncertainSignals = createSignals(8_000, 10, {isSure: false});
+    assert.equal(updateUsualNeed(estimator, uncertainSignals), 10);
     clock.advanceSync(1_000);
-    assert.equal(usualNeed(demand, signalsOf(400, 10)), 6);
+    assert.equal(updateUsualNeed(estimator, createSignals(400, 10)), 6);
   });
 
-  it('needs more than are present while requests are late, whatever the work rate', () => {
-    // A new version processes prompts at half the estimated speed. The work
-    // looks as small as before while requests time out.
+  it('exceeds the present endpoints while requests are late, whatever the work rate', () => {
+    // A new version processes prompts at half the estimated speed. The
+    // estimated work does not rise although requests time out.
     const clock = virtualClock();
-    const demand = createDemandEstimator(clock);
-    demand.update(signalsOf(1_200, 4));
+    const estimator = createDemandEstimator(clock);
+    estimator.update(createSignals(1_200, 4));
     clock.advanceSync(20_000);
-    assert.equal(usualNeed(demand, signalsOf(1_200, 4)), 4);
-    assert.equal(usualNeed(demand, signalsOf(1_200, 4, {latePart: 0.5})), 5);
+    assert.equal(updateUsualNeed(estimator, createSignals(1_200, 4)), 4);
+    assert.equal(
+      updateUsualNeed(estimator, createSignals(1_200, 4, {latePart: 0.5})),
+      5,
+    );
     clock.advanceSync(4_000);
-    assert.equal(usualNeed(demand, signalsOf(1_200, 5)), 5);
+    assert.equal(updateUsualNeed(estimator, createSignals(1_200, 5)), 5);
   });
 
-  it('is bounded when requests are late for another reason', () => {
-    // Every endpoint fails for a while. More endpoints would fail as well.
+  it('is at most twice the need due to work when all requests are late', () => {
+    // All endpoints fail for some time; more endpoints would fail as well.
     const clock = virtualClock();
-    const demand = createDemandEstimator(clock);
-    demand.update(signalsOf(1_200, 4));
+    const estimator = createDemandEstimator(clock);
+    estimator.update(createSignals(1_200, 4));
     clock.advanceSync(20_000);
-    const late = {latePart: 1};
-    assert.equal(usualNeed(demand, signalsOf(1_200, 30, late)), 8);
+    const lateOverrides = {latePart: 1};
+    assert.equal(
+      updateUsualNeed(estimator, createSignals(1_200, 30, lateOverrides)),
+      8,
+    );
   });
 });
 
 describe('work of a request', () => {
   const engine = {slots: 48, memoryTokens: 300_000, tokensPerEvent: 4};
 
-  function demandOf(promptTokens: number, ownPart: number): ModelDemand {
-    const parts = [{id: 'own', tokens: ownPart}];
+  function createDemand(
+    promptTokens: number,
+    lastPartTokens: number,
+  ): ModelDemand {
+    const parts = [{id: 'own', tokens: lastPartTokens}];
     return {model: 'm', promptTokens, mostOutputTokens: 100, parts};
   }
 
-  it('rejects sizes that no engine can hold', () => {
-    // A caller declares an absurd number of prompt tokens. If it were counted,
-    // every available endpoint would be ordered.
-    assert.equal(fitsMemory(demandOf(1e200, 10), engine), false);
-    assert.equal(fitsMemory(demandOf(12_000, 4_000), engine), true);
-    assert.equal(fitsMemory(demandOf(12_000, 4_000), undefined), false);
+  it('is not counted for a prompt larger than the KV cache', () => {
+    // A caller declares an absurd number of prompt tokens. If these were
+    // counted, all available endpoints would be requested.
+    assert.equal(fitsMemory(createDemand(1e200, 10), engine), false);
+    assert.equal(fitsMemory(createDemand(12_000, 4_000), engine), true);
+    assert.equal(fitsMemory(createDemand(12_000, 4_000), undefined), false);
   });
 
-  it('counts no part as longer than its prompt', () => {
-    const {ownTokens, pairs} = promptWork(demandOf(2_000, 1e200));
+  it('counts at most the prompt tokens if a part is declared longer', () => {
+    const {ownTokens, pairs} = promptWork(createDemand(2_000, 1e200));
     assert.equal(ownTokens, 2_000);
     assert.equal(pairs, 4);
   });
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -14,7 +14,7 @@
 /** Sustained throughput of a quota relative to its rate. */
 const SUSTAINED_FACTOR = 1 + BURST / PER_SECOND / WINDOW_SECONDS;
 
-/** Factor by which a window may exceed the quota: usage reports are late. */
+/** Factor by which usage may exceed the quota, as usage reports are delayed. */
 const MAX_OVERSHOOT = 1.1;
 
 const customer: CustomerConfig = {
@@ -24,7 +24,9 @@
   quota: {unit: 'tokens', perSecond: PER_SECOND, burst: BURST, plainTokens: 1},
 };
 
-/** Consumes an amount at every entry and step; returns the total granted. */
+/**
+ * Consumes an amount at every entry and step; returns the total granted amount.
+ */
 function consumeRepeatedly(
   clock: ReturnType<typeof virtualClock>,
   entries: readonly Quotas[],
@@ -49,7 +51,7 @@
   return granted;
 }
 
-/** Runs connected entries; returns the total and the peak window granted. */
+/** Returns the amounts granted by connected entries: total and peak window. */
 function runConnected(
   count: number,
   options: {readonly seconds: number; readonly amount: number},
@@ -60,37 +62,37 @@
   );
   entries.forEach(entry => entry.setReportingPeers(1, count));
   exchangeUsage(entries);
-  const perSlice: number[] = [];
-  const slices = options.seconds * SLICES_PER_SECOND;
-  for (let slice = 0; slice < slices; slice++) {
+  const grantedPerSlice: number[] = [];
+  const sliceCount = options.seconds * SLICES_PER_SECOND;
+  for (let slice = 0; slice < sliceCount; slice++) {
     const spanMs = 1_000 / SLICES_PER_SECOND;
     const {amount} = options;
-    perSlice.push(
+    grantedPerSlice.push(
       consumeRepeatedly(clock, entries, {spanMs, amount, exchangesUsage: true}),
     );
   }
   const windowSlices = WINDOW_SECONDS * SLICES_PER_SECOND;
-  const sums = perSlice.map((_, start) =>
-    sum(perSlice.slice(start, start + windowSlices)),
+  const windowTotals = grantedPerSlice.map((_, start) =>
+    sum(grantedPerSlice.slice(start, start + windowSlices)),
   );
-  return {granted: sum(perSlice), peak: Math.max(...sums)};
+  return {granted: sum(grantedPerSlice), peak: Math.max(...windowTotals)};
 }
 
-/** Time after its start in which an entry and its peers are not connected. */
+/** Time after its start until an entry is connected to its peers. */
 const JOIN_DELAY_MS = 600;
 
-/** Entries under a flood of many times the quota, which may restart. */
-function floodedFleet(count: number) {
+/** Creates entries that can be flooded with requests and restarted. */
+function createFleet(count: number) {
   const clock = virtualClock();
   const spanMs = 1_000 / SLICES_PER_SECOND;
-  const perSlice: number[] = [];
+  const grantedPerSlice: number[] = [];
   const processes = Array.from({length: count}, (_, index) =>
     startProcess(`entry ${index}`, -JOIN_DELAY_MS),
   );
 
   function startProcess(name: string, startedAt = clock.now()) {
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
-    /** Usage last reported by peers. */
+    /** Usage last reported by each peer. */
     const lastReports = new Map<string, UsageByCustomer>();
     return {name, startedAt, quotas, lastReports};
   }
@@ -102,25 +104,25 @@
   }
 
   function exchangeDigests(): void {
-    const members = joinedProcesses();
+    const joined = joinedProcesses();
     for (const {quotas, name} of processes) {
-      const isJoined = members.some(process => process.name === name);
-      quotas.setReportingPeers(1, isJoined ? members.length : 1);
+      const isJoined = joined.some(process => process.name === name);
+      quotas.setReportingPeers(1, isJoined ? joined.length : 1);
     }
-    for (const sender of members) {
-      const used = {...sender.quotas.ownUsage()};
+    for (const sender of joined) {
+      const usage = {...sender.quotas.ownUsage()};
       const isNew = clock.now() - sender.startedAt < WINDOW_SECONDS * 1_000;
-      for (const receiver of members.filter(other => other !== sender)) {
-        const before =
-          receiver.lastReports.get(sender.name) ?? (isNew ? {} : used);
-        receiver.quotas.addPeerUsage(increaseOf(before, used));
-        receiver.lastReports.set(sender.name, used);
+      for (const receiver of joined.filter(process => process !== sender)) {
+        const reportedUsage =
+          receiver.lastReports.get(sender.name) ?? (isNew ? {} : usage);
+        receiver.quotas.addPeerUsage(usageIncrease(reportedUsage, usage));
+        receiver.lastReports.set(sender.name, usage);
       }
     }
   }
 
   return {
-    /** Requests five times the quota's rate over all entries. */
+    /** Requests five times the quota's rate, spread over all entries. */
     flood(seconds: number): void {
       const amount = (5 * PER_SECOND * STEP_MS) / 1_000 / count;
       const entries = () => processes.map(({quotas}) => quotas);
@@ -129,12 +131,14 @@
           exchangeDigests();
         }
         const options = {spanMs, amount, exchangesUsage: false};
-        perSlice.push(consumeRepeatedly(clock, entries(), options));
+        grantedPerSlice.push(consumeRepeatedly(clock, entries(), options));
       }
     },
     idle(seconds: number): void {
       clock.advanceSync(seconds * 1_000);
-      perSlice.push(...new Array<number>(seconds * SLICES_PER_SECOND).fill(0));
+      grantedPerSlice.push(
+        ...new Array<number>(seconds * SLICES_PER_SECOND).fill(0),
+      );
     },
     restart(indices: readonly number[]): void {
       for (const index of indices) {
@@ -145,8 +149,8 @@
     peakWindow(): number {
       const windowSlices = WINDOW_SECONDS * SLICES_PER_SECOND;
       return Math.max(
-        ...perSlice.map((_, start) =>
-          sum(perSlice.slice(start, start + windowSlices)),
+        ...grantedPerSlice.map((_, start) =>
+          sum(grantedPerSlice.slice(start, start + windowSlices)),
         ),
       );
     },
@@ -158,74 +162,75 @@
 }
 
 /** Usage last reported by each entry. */
-const lastReported = new WeakMap<Quotas, UsageByCustomer>();
+const lastReportedUsage = new WeakMap<Quotas, UsageByCustomer>();
 
 function exchangeUsage(entries: readonly Quotas[]): void {
   for (const sender of entries) {
-    const used = {...sender.ownUsage()};
-    const increase = increaseOf(lastReported.get(sender), used);
-    lastReported.set(sender, used);
+    const usage = {...sender.ownUsage()};
+    const increase = usageIncrease(lastReportedUsage.get(sender), usage);
+    lastReportedUsage.set(sender, usage);
     entries
-      .filter(other => other !== sender)
-      .forEach(other => other.addPeerUsage(increase));
+      .filter(entry => entry !== sender)
+      .forEach(receiver => receiver.addPeerUsage(increase));
   }
 }
 
-function increaseOf(
-  before: UsageByCustomer | undefined,
-  used: UsageByCustomer,
+function usageIncrease(
+  previousUsage: UsageByCustomer | undefined,
+  usage: UsageByCustomer,
 ): UsageByCustomer {
   return Object.fromEntries(
-    Object.entries(used).map(([name, amount]) => [
+    Object.entries(usage).map(([name, amount]) => [
       name,
-      amount - (before?.[name] ?? 0),
+      amount - (previousUsage?.[name] ?? 0),
     ]),
   );
 }
 
 describe('quotas', () => {
   // Guards against entries that each grant the whole quota.
-  it('grants the quota in every window when all entries are saturated', () => {
+  it('grants about the quota in every window when all entries are saturated', () => {
     for (const count of [1, 7, 60]) {
       // All together request two and a half times the quota.
       const amount = (2.5 * PER_SECOND * STEP_MS) / 1_000 / count;
       const {granted, peak} = runConnected(count, {seconds: 40, amount});
-      const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
+      const allowance = PER_SECOND * WINDOW_SECONDS + BURST;
       assert.ok(
-        peak <= allowed * MAX_OVERSHOOT,
-        `${count}: ${peak} of ${allowed}`,
+        peak <= allowance * MAX_OVERSHOOT,
+        `${count}: ${peak} of ${allowance}`,
       );
       const sustained = PER_SECOND * SUSTAINED_FACTOR * 40;
       assert.ok(granted >= 0.9 * sustained, `${count}: ${granted}`);
     }
   });
 
-  // Guards against one quota per entry when a customer floods all of them.
+  // Guards against one quota per entry when a customer floods all entries.
   it('bounds the grants under a flood of many times the quota', () => {
     const seconds = 20;
     const {granted} = runConnected(7, {seconds, amount: 30});
-    const allowed = PER_SECOND * SUSTAINED_FACTOR * seconds + BURST;
-    assert.ok(granted > 0.8 * allowed, `${granted} of ${allowed}`);
+    const allowance = PER_SECOND * SUSTAINED_FACTOR * seconds + BURST;
+    assert.ok(granted > 0.8 * allowance, `${granted} of ${allowance}`);
     // Seven entries that use 30 every 10 ms use 6,300 between two exchanges.
-    assert.ok(granted < allowed + 6_300, `${granted} of ${allowed}`);
+    assert.ok(granted < allowance + 6_300, `${granted} of ${allowance}`);
   });
 
-  // Guards against a customer held to its rate that never regains its burst.
-  it('rejects nothing of a customer that stays within rate and burst in every window', () => {
+  // Guards against a burst that is not refilled while a customer uses its rate.
+  it('rejects no request of a customer that stays within rate and burst in every window', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
-    let rejected = 0;
+    let rejectedCount = 0;
     for (let atMs = 0; atMs < 80_000; atMs += 100) {
       const isGranted = quotas.tryConsume(customer, 108);
-      // By then, usage assumed from before the start has left the window.
-      rejected += !isGranted && atMs > 9_000 ? 1 : 0;
+      // After 9 seconds, the usage assumed before the start has left the
+      // window.
+      rejectedCount += !isGranted && atMs > 9_000 ? 1 : 0;
       clock.advanceSync(100);
     }
-    assert.equal(rejected, 0);
+    assert.equal(rejectedCount, 0);
   });
 
   // Guards against both sides of a partition granting the whole quota.
-  it('grants only its fraction without reports from peers', () => {
+  it('grants only a proportional fraction at entries without reports from peers', () => {
     const clock = virtualClock();
     const entries = Array.from({length: 4}, () => createQuotas(clock));
     entries.forEach(entry => entry.setReportingPeers(0, 4));
@@ -239,27 +244,27 @@
       amount: 50,
       exchangesUsage: false,
     });
-    const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
-    assert.ok(granted <= allowed + 4 * 50, `${granted}`);
-    assert.ok(granted >= allowed * 0.9, `${granted}`);
+    const allowance = PER_SECOND * WINDOW_SECONDS + BURST;
+    assert.ok(granted <= allowance + 4 * 50, `${granted}`);
+    assert.ok(granted >= allowance * 0.9, `${granted}`);
   });
 
   // Guards against new processes assuming that recent usage was spread evenly.
-  it('keeps the quota in a window in which all entries restart', () => {
-    const fleet = floodedFleet(9);
+  it('stays within the quota in a window in which all entries restart', () => {
+    const fleet = createFleet(9);
     fleet.idle(9);
     fleet.flood(4);
     fleet.idle(1);
     fleet.restart([0, 1, 2, 3, 4, 5, 6, 7, 8]);
     fleet.flood(4);
-    const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
+    const allowance = PER_SECOND * WINDOW_SECONDS + BURST;
     const peak = fleet.peakWindow();
-    assert.ok(peak <= allowed * MAX_OVERSHOOT, `${peak} of ${allowed}`);
+    assert.ok(peak <= allowance * MAX_OVERSHOOT, `${peak} of ${allowance}`);
   });
 
   // Guards against a full burst granted by each restarted entry.
-  it('keeps the quota during a rolling restart', () => {
-    const fleet = floodedFleet(9);
+  it('stays within the quota during a rolling restart', () => {
+    const fleet = createFleet(9);
     fleet.idle(9);
     fleet.flood(4);
     for (const index of [0, 1, 2, 3, 4]) {
@@ -267,26 +272,27 @@
       fleet.flood(1);
     }
     fleet.flood(4);
-    const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
+    const allowance = PER_SECOND * WINDOW_SECONDS + BURST;
     const peak = fleet.peakWindow();
-    assert.ok(peak <= allowed * MAX_OVERSHOOT, `${peak} of ${allowed}`);
+    assert.ok(peak <= allowance * MAX_OVERSHOOT, `${peak} of ${allowance}`);
   });
 
   // Guards against a burst and an empty window at each start in a crash loop.
-  it('keeps the quota while a process restarts repeatedly', () => {
-    const fleet = floodedFleet(1);
+  it('stays within the quota while a process restarts repeatedly', () => {
+    const fleet = createFleet(1);
     fleet.idle(9);
     fleet.flood(2);
-    for (let restarts = 0; restarts < 10; restarts++) {
+    for (let restartIndex = 0; restartIndex < 10; restartIndex++) {
       fleet.restart([0]);
       fleet.flood(1);
     }
-    const allowed = PER_SECOND * WINDOW_SECONDS + BURST;
+    const allowance = PER_SECOND * WINDOW_SECONDS + BURST;
     const peak = fleet.peakWindow();
-    assert.ok(peak <= allowed * MAX_OVERSHOOT, `${peak} of ${allowed}`);
+    assert.ok(peak <= allowance * MAX_OVERSHOOT, `${peak} of ${allowance}`);
   });
 
-  // Guards against rejections after all entries restart, before they connect.
+  // Guards against rejecting all requests after all entries restart, until the
+  // entries are connected.
   it('grants a fraction of the burst before the first report from a peer', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
@@ -301,7 +307,8 @@
     assert.ok(granted <= BURST / 7 + 50, `${granted}`);
   });
 
-  // Guards against an outage of a customer whose quota an operator lowers.
+  // Guards against rejecting all requests of a customer after an operator
+  // lowers its quota.
   it('keeps granting after the quota is lowered', () => {
     const clock = virtualClock();
     const quotas = createQuotas(clock);
@@ -310,37 +317,40 @@
       amount: 50,
       exchangesUsage: false,
     });
-    const lowered: CustomerConfig = {
+    const loweredCustomer: CustomerConfig = {
       ...customer,
       quota: {...customer.quota!, perSecond: 250, burst: 250},
     };
     let granted = 0;
     for (let atMs = 0; atMs < 8_000; atMs += STEP_MS) {
-      granted += quotas.tryConsume(lowered, 50) ? 50 : 0;
+      granted += quotas.tryConsume(loweredCustomer, 50) ? 50 : 0;
       clock.advanceSync(STEP_MS);
     }
-    const allowed = 250 * WINDOW_SECONDS + 250;
-    assert.ok(granted <= allowed * MAX_OVERSHOOT + 50, `${granted}`);
-    assert.ok(granted >= allowed * 0.8, `${granted}`);
+    const allowance = 250 * WINDOW_SECONDS + 250;
+    assert.ok(granted <= allowance * MAX_OVERSHOOT + 50, `${granted}`);
+    assert.ok(granted >= allowance * 0.8, `${granted}`);
   });
 
-  it('serves large requests as often as small ones at the limit', () => {
+  it('grants large requests at least half as often as small ones at the limit', () => {
     // At the limit the bucket is nearly empty all the time. If a request had to
     // fit into the remaining level, callers with long prompts would starve.
     const clock = virtualClock();
     const quotas = createQuotas(clock);
     const random = seededRandom(7);
-    const served = {small: 0, large: 0};
+    const grantedCounts = {small: 0, large: 0};
     const amounts = {small: 10, large: 300};
     for (let atMs = 0; atMs < 600_000; atMs += STEP_MS) {
       const size = random.chance(0.5) ? 'small' : 'large';
-      served[size] += quotas.tryConsume(customer, amounts[size]) ? 1 : 0;
+      grantedCounts[size] += quotas.tryConsume(customer, amounts[size]) ? 1 : 0;
       clock.advanceSync(STEP_MS);
     }
-    assert.ok(served.large > served.small / 2, JSON.stringify(served));
+    assert.ok(
+      grantedCounts.large > grantedCounts.small / 2,
+      JSON.stringify(grantedCounts),
+    );
   });
 
-  it('staggers the retries of rejected requests', () => {
+  it('staggers the retry times of requests rejected at the same moment', () => {
     // Many requests are rejected at the same moment. With the same Retry-After,
     // all but one would be rejected again.
     const clock = virtualClock();
--- a/packages/traffic/src/test/traffic.test.ts
+++ b/packages/traffic/src/test/traffic.test.ts
@@ -13,7 +13,11 @@
 import {createUsageWindows} from '../usageWindows.js';
 import {chooseService} from '../weightedChoice.js';
 
-function route(name: string, authority: string, pathPrefix: string): Route {
+function createRoute(
+  name: string,
+  authority: string,
+  pathPrefix: string,
+): Route {
   return {
     name,
     authority,
@@ -32,9 +36,9 @@
 
 describe('route table', () => {
   const table = createRouteTable([
-    route('short', 'shop.example', '/a/'),
-    route('long', 'shop.example', '/a/b/'),
-    route('other', 'other.example', '/a/'),
+    createRoute('short', 'shop.example', '/a/'),
+    createRoute('long', 'shop.example', '/a/b/'),
+    createRoute('other', 'other.example', '/a/'),
   ]);
   const cases: readonly [string, string, string | undefined][] = [
     ['shop.example', '/a/x', 'short'],
@@ -54,7 +58,7 @@
 });
 
 describe('customer table', () => {
-  it('finds the customer of a key, and none for an unknown key', () => {
+  it('finds the customer of a key, and undefined for an unknown key', () => {
     const table = createCustomerTable([
       {name: 'a', keys: ['k1', 'k2'], priority: 1, quota: undefined},
     ]);
@@ -66,37 +70,38 @@
 });
 
 describe('weighted choice of a service', () => {
-  it('follows the weights and is stable for a key', () => {
+  it('follows the weights and always returns the same service for a key', () => {
     const services = [
       {service: 'a', weight: 90},
       {service: 'b', weight: 10},
     ];
-    const chosen = Array.from({length: 2_000}, (_, index) =>
+    const chosenServices = Array.from({length: 2_000}, (_, index) =>
       chooseService(services, `request-${index}`),
     );
-    const fraction = chosen.filter(service => service === 'b').length / 2_000;
+    const fraction =
+      chosenServices.filter(service => service === 'b').length / 2_000;
     assert.ok(fraction > 0.07 && fraction < 0.13, `${fraction}`);
-    assert.equal(chooseService(services, 'request-1'), chosen[1]);
+    assert.equal(chooseService(services, 'request-1'), chosenServices[1]);
     assert.equal(chooseService([], 'x'), undefined);
   });
 });
 
 describe('prompt keys', () => {
-  it('are the same for the same shared parts, without keys for the last part', () => {
-    const shared = [
+  it('depend on the shared parts only, not on the last part', () => {
+    const sharedParts = [
       {id: 'a', tokens: 512},
       {id: 'b', tokens: 70},
     ];
-    const first = promptKeys([...shared, {id: 'c', tokens: 9_000}]);
-    const second = promptKeys([...shared, {id: 'd', tokens: 40}]);
-    assert.deepEqual(first, second);
-    assert.equal(first.length, 9);
+    const firstKeys = promptKeys([...sharedParts, {id: 'c', tokens: 9_000}]);
+    const secondKeys = promptKeys([...sharedParts, {id: 'd', tokens: 40}]);
+    assert.deepEqual(firstKeys, secondKeys);
+    assert.equal(firstKeys.length, 9);
     assert.deepEqual(promptKeys([]), []);
   });
 });
 
 describe('confirmation', () => {
-  it('has the age of the request, not of the response', () => {
+  it('measures its age from the request, not from the response', () => {
     const clock = virtualClock();
     const confirmation = createConfirmation(clock);
     assert.equal(confirmation.ageMs(), Infinity);
@@ -108,9 +113,10 @@
     assert.equal(confirmation.ageMs(), 800);
   });
 
-  it('includes the time for which a host was suspended', () => {
+  it('includes the time for which the host was suspended in its age', () => {
     // The monotonic clock stops while a host is suspended, here for ten
-    // seconds. By it alone, a key revoked meanwhile would still be accepted.
+    // seconds. By that clock alone, a key revoked in these seconds would be
+    // accepted.
     const clock = virtualClock();
     const confirmation = createConfirmation(clock);
     confirmation.confirm(timestampOf(clock));
@@ -118,7 +124,7 @@
     assert.equal(confirmation.ageMs(), 10_000);
   });
 
-  it('does not get a lower age when the wall clock is set back', () => {
+  it('does not become younger when the wall clock is set back', () => {
     const clock = virtualClock();
     const confirmation = createConfirmation(clock);
     confirmation.confirm(timestampOf(clock));
@@ -131,7 +137,7 @@
 describe('usage windows', () => {
   const WINDOW_MS = 5_000;
 
-  it('adds the counts of all processes, each once', () => {
+  it('adds up the counts of all processes, each process once', () => {
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     usage.recordRequest('chain', 12_000);
     usage.recordRequest('chain', 14_999);
@@ -141,18 +147,18 @@
     assert.deepEqual(usage.totalCounts(3), {});
   });
 
-  it('keeps the counts of a process from before its restart', () => {
+  it('keeps the counts of a restarted process from before the restart', () => {
     // An entry crashes in the middle of a window and restarts with zero counts.
-    // The report must include the requests that it served before.
+    // The report must include the requests that started before the crash.
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     usage.mergeCounts('b.1', {2: {chain: 40}});
     usage.mergeCounts('b.2', {2: {chain: 2}});
     assert.deepEqual(usage.totalCounts(2), {chain: 42});
   });
 
-  it('sums up its failure domain, and ignores lower sums of a restarted relay', () => {
-    // A relay restarts and lacks the counts of some entries at first. Its lower
-    // sums must not replace the sums that it sent before the restart.
+  it('sums up the counts of a failure domain, and ignores lower sums of a restarted relay', () => {
+    // A restarted relay at first lacks the counts of some entries. Its lower
+    // sums must not replace the sums sent before the restart.
     const relay = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     relay.recordRequest('chain', 12_000);
     relay.mergeCounts('b.1', {2: {chain: 3}}, true);
@@ -165,7 +171,7 @@
     assert.deepEqual(reporter.totalCounts(2), {chain: 4, shop: 2});
   });
 
-  it('drops old windows', () => {
+  it('drops a window that is twenty windows old', () => {
     const usage = createUsageWindows({windowMs: WINDOW_MS, self: 'a.1'});
     usage.recordRequest('chain', 0);
     usage.recordRequest('chain', WINDOW_MS * 20);
--- a/packages/traffic/src/weightedChoice.ts
+++ b/packages/traffic/src/weightedChoice.ts
@@ -3,8 +3,9 @@
 import type {WeightedService} from './contracts.js';
 
 /**
- * Chooses a service by weight and the hash of a key. The choice is the same at
- * every entry, so that a resent request reaches the same service.
+ * Chooses a service by weight and by the hash of a key, such as the request id.
+ * Every entry chooses the same service for a key, so that a resent request
+ * reaches the same service.
  *
  * @example
  * const service = chooseService(route.services, requestId);
@@ -16,11 +17,11 @@
   if (services.length <= 1) {
     return services[0]?.service;
   }
-  const total = services.reduce((sum, {weight}) => sum + weight, 0);
-  let remaining = hashFraction(key) * total;
+  const totalWeight = services.reduce((sum, {weight}) => sum + weight, 0);
+  let remainingWeight = hashFraction(key) * totalWeight;
   for (const {service, weight} of services) {
-    remaining -= weight;
-    if (remaining < 0) {
+    remainingWeight -= weight;
+    if (remainingWeight < 0) {
       return service;
     }
   }
--- a/packages/traffic/src/workMeter.ts
+++ b/packages/traffic/src/workMeter.ts
@@ -1,9 +1,11 @@
-/** Smoothed rate of arriving work. */
+/** Measures the smoothed rate of arriving work by service. */
 import type {Clock} from '@skylarkfield/base';
 import type {WorkRate} from '@skylarkfield/capacity';
 import {addWork, ZERO_WORK, scaleWork} from './engineWork.js';
 
+/** Smoothed rate of arriving work by service. */
 export interface WorkMeter {
+  /** Records an amount of work that has arrived. */
   record(service: string, work: WorkRate): void;
   /** Returns the work per second by service. */
   rates(): Readonly<Record<string, WorkRate>>;
@@ -11,20 +13,21 @@
 
 /**
  * Half-life of the exponential decay. Requests arrive in bursts, and endpoints
- * take seconds to start: following each burst would order endpoints that are
- * ready only after the burst.
+ * take seconds to start: endpoints requested for one burst would be ready only
+ * after the burst.
  */
 const HALF_LIFE_MS = 4_000;
 const SECOND_MS = 1_000;
 
+/** Sum of work that decays from `updatedAtMs` (monotonic) on. */
 interface DecayingSum {
   work: WorkRate;
-  at: number;
+  updatedAtMs: number;
 }
 
 /**
- * Creates a meter at zero. It counts tokens, not engine time: the estimate of
- * engine speed may change after the work has arrived.
+ * Creates a meter at zero. The meter counts tokens, not engine time, because
+ * the estimate of engine speed may change after the work has arrived.
  *
  * @example
  * meter.record('chat', promptWork(demand));
@@ -33,15 +36,18 @@
 export function createWorkMeter(clock: Clock): WorkMeter {
   const sums = new Map<string, DecayingSum>();
 
-  function decayed({work, at}: DecayingSum): WorkRate {
-    return scaleWork(work, 2 ** ((at - clock.now()) / HALF_LIFE_MS));
+  function decayWork({work, updatedAtMs}: DecayingSum): WorkRate {
+    return scaleWork(work, 2 ** ((updatedAtMs - clock.now()) / HALF_LIFE_MS));
   }
 
   return {
     record(service, work) {
-      const sum = sums.get(service) ?? {work: ZERO_WORK, at: clock.now()};
-      sum.work = addWork(decayed(sum), work);
-      sum.at = clock.now();
+      const sum = sums.get(service) ?? {
+        work: ZERO_WORK,
+        updatedAtMs: clock.now(),
+      };
+      sum.work = addWork(decayWork(sum), work);
+      sum.updatedAtMs = clock.now();
       sums.set(service, sum);
     },
     rates() {
@@ -49,7 +55,7 @@
       return Object.fromEntries(
         [...sums].map(([service, sum]) => [
           service,
-          scaleWork(decayed(sum), perSecond),
+          scaleWork(decayWork(sum), perSecond),
         ]),
       );
     },
