--- a/packages/routing/src/endpointPool.ts
+++ b/packages/routing/src/endpointPool.ts
@@ -27,7 +27,8 @@
   /** Returns all endpoints assigned to this entry. */
   all(): readonly PooledEndpoint[];
   /**
-   * Returns the number of endpoints of a service, including unassigned ones.
+   * Returns the number of listed endpoints of a service that are not leaving,
+   * including endpoints that are not assigned to this entry.
    */
   countListed(service: string): number;
   leavingIds(): readonly string[];
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -140,13 +140,14 @@
   }
 
   /**
-   * Returns the endpoints that the request may be sent to. Ejected and probed
-   * endpoints are included only if no other endpoint is available.
+   * Returns the endpoints that the request may be sent to. Endpoints that are
+   * too unhealthy for requests are included only if no healthy endpoint is
+   * left.
    */
   function selectUsableEndpoints(
     routingRequest: RoutingRequest,
   ): readonly PooledEndpoint[] {
-    const permitted = pools
+    const permittedEndpoints = pools
       .endpointsOf(routingRequest.service, routingRequest.version)
       .filter(
         ({candidate, health}) =>
@@ -154,12 +155,14 @@
           !routingRequest.excluded.has(candidate.id) &&
           rateLimits?.allowsRequest(candidate.id) !== false,
       );
-    const available = permitted.filter(({health}) => health.allowsRequest());
-    if (available.length > 0 || permitted.length === 0) {
-      return available;
+    const availableEndpoints = permittedEndpoints.filter(({health}) =>
+      health.allowsRequest(),
+    );
+    if (availableEndpoints.length > 0 || permittedEndpoints.length === 0) {
+      return availableEndpoints;
     }
     totals.forced += 1;
-    return permitted;
+    return permittedEndpoints;
   }
 
   function scoreEndpoint(
