--- a/packages/members/src/contracts.ts
+++ b/packages/members/src/contracts.ts
@@ -1,26 +1,33 @@
 /** Contracts of the entry membership and of the entry lookup. */
 import type {Disposable} from '@skylarkfield/base';
 
-/** `suspect`: missed its heartbeats. `leaving`: accepts no new work. */
+/**
+ * `suspect`: heartbeats of the member are missing. `leaving`: the member
+ * accepts no new work. `gone`: the member stopped or was declared dead.
+ */
 export type MemberState = 'live' | 'suspect' | 'leaving' | 'gone';
 
 /** One entry process. */
 export interface Member {
   readonly id: string;
+  /** Greater in each later process of this id. */
   readonly incarnation: number;
   readonly state: MemberState;
   /** URL that callers connect to, like `http://10.0.0.4:8080`. */
   readonly callerUrl: string;
+  /** URL that other entries connect to. */
   readonly innerUrl: string;
   readonly failureDomain: string;
   readonly region: string;
-  /** Requests in flight on that entry, as last reported. */
+  /** Requests in flight on the entry, as last reported. */
   readonly load: number;
   /** Processor cores available to the entry; undefined when not configured. */
   readonly cores?: number;
 }
 
-/** View of the cluster from this entry, and its own departure. */
+/**
+ * Cluster membership as seen by this entry, and the departure of this entry.
+ */
 export interface Membership extends Disposable {
   readonly self: Member;
   /** All known members that are not gone, including this entry. */
@@ -29,9 +36,9 @@
   live(): readonly Member[];
   /**
    * Number of entries that may accept work: live members, suspects and recently
-   * lost members, which may be alive behind a network partition; for some
-   * seconds after the start at least the number that the platform listed.
-   * Undefined until the platform or a peer has reported other members.
+   * lost members, which may be alive behind a network partition; in the first
+   * seconds after the start, at least the number of members that the platform
+   * listed. Undefined until the platform or a peer has reported other members.
    */
   entryCount(): number | undefined;
   onDidChange(listener: (member: Member) => void): Disposable;
@@ -48,7 +55,7 @@
 
 /** Result of an entry lookup. */
 export interface LookupResult {
-  /** Best first. */
+  /** Entries ranked for the caller, best first. */
   readonly entries: readonly {
     readonly id: string;
     readonly url: string;
@@ -61,7 +68,10 @@
 /** Properties of the requests for which a caller looks up an entry. */
 export interface LookupQuery {
   readonly customer?: string;
-  /** Session or prompt prefix; routes long histories to a warm cache. */
+  /**
+   * Session or prompt prefix; requests with an equal value are routed to the
+   * same entry, whose cache is warm.
+   */
   readonly affinity?: string;
   readonly failureDomain?: string;
 }
--- a/packages/members/src/endpointDeparture.ts
+++ b/packages/members/src/endpointDeparture.ts
@@ -1,79 +1,91 @@
 /**
  * Detection of an endpoint that left and returned on the same host.
  *
- * The host list lags, so `live` alone may predate the departure, and requests
- * sent there would be cut off. A return therefore requires a list that shows
- * the endpoint leaving or absent, followed by a list that shows it live. As an
- * older list may arrive after a newer one, a return also requires a new URL or
- * that the deadline of the old process has passed. A new process on a host that
- * itself leaves is not a return.
+ * The host list lags: an endpoint listed as `live` may have left since, and
+ * requests sent to it would be cut off. A return therefore requires a list that
+ * shows the endpoint as leaving or does not contain it, followed by a list that
+ * shows it as live. As an older list may arrive after a newer one, a return
+ * also requires a new URL or that the deadline of the old process has passed. A
+ * new process on a host that leaves as a whole is not a return.
  */
 import type {ListedEndpoint} from '@skylarkfield/providers';
 
 /** Observations of the host list since an endpoint was reported leaving. */
 export interface Departure {
-  /** Listed URL of the process that leaves; undefined until listed. */
+  /** Listed URL of the leaving process; undefined until a list contains it. */
   url: string | undefined;
-  /** The list has shown the endpoint as leaving, or no longer contains it. */
+  /**
+   * Whether a list has shown the endpoint as leaving or no longer contained it.
+   */
   isConfirmed: boolean;
 }
 
 /** State of the host that the endpoint leaves. */
 export interface DepartureHost {
-  /** The host itself leaves, with all its endpoints. */
+  /** Whether the whole host leaves, with all its endpoints. */
   readonly isWhole: boolean;
-  /** Monotonic milliseconds by which the host is gone; undefined if unknown. */
+  /**
+   * Monotonic milliseconds by which the host is gone; undefined if no report
+   * contained a deadline.
+   */
   readonly goneBy: number | undefined;
 }
 
 /**
- * Creates the state of a departure. `listed` is undefined if the list has not
- * shown the endpoint on that host yet.
+ * Creates the state of a departure. `listedEndpoint` is undefined if no list
+ * has shown the endpoint on its host yet.
  *
  * @example
- * departures.set(endpoint, createDeparture(listed.get(endpoint)));
+ * departures.set(endpoint, createDeparture(listedEndpoint));
  */
-export function createDeparture(listed: ListedEndpoint | undefined): Departure {
-  return {url: listed?.url, isConfirmed: listed?.state === 'leaving'};
+export function createDeparture(
+  listedEndpoint: ListedEndpoint | undefined,
+): Departure {
+  return {
+    url: listedEndpoint?.url,
+    isConfirmed: listedEndpoint?.state === 'leaving',
+  };
 }
 
 /**
- * Updates a departure from a new list: the endpoint's item on that host, and
- * whether the list contains the endpoint on any host. An endpoint that moved is
- * not absent, as an older list may follow and show it on its former host.
+ * Updates a departure from a new host list. `listedEndpoint` is the endpoint as
+ * listed on the host that it leaves; `isListed` is whether the list contains
+ * the endpoint on any host. An endpoint on another host does not count as
+ * absent, as an older list may follow and show it on its former host.
  *
  * @example
- * updateDeparture(departure, onHost.get(endpoint), byId.has(endpoint));
+ * updateDeparture(departure, listedEndpoint, isListed);
  */
 export function updateDeparture(
   departure: Departure,
-  listed: ListedEndpoint | undefined,
+  listedEndpoint: ListedEndpoint | undefined,
   isListed: boolean,
 ): void {
-  // Absence of an endpoint never listed proves nothing: the list may be older.
+  // The absence of an endpoint that was never listed proves nothing, as the
+  // list may predate the endpoint.
   const wasListed = departure.url !== undefined;
-  departure.isConfirmed ||= listed?.state === 'leaving';
+  departure.isConfirmed ||= listedEndpoint?.state === 'leaving';
   departure.isConfirmed ||= !isListed && wasListed;
-  departure.url ??= listed?.url;
+  departure.url ??= listedEndpoint?.url;
 }
 
 /**
- * Returns whether the listed process is a new one that may receive work.
+ * Returns whether the listed endpoint is a new process that may receive work.
  *
  * @example
- * if (hasReturned(departure, host, item, clock.now())) { readmit(item.id); }
+ * if (hasReturned(departure, host, listedEndpoint, now)) { readmit(endpoint); }
  */
 export function hasReturned(
   departure: Departure,
   host: DepartureHost,
-  listed: ListedEndpoint,
+  listedEndpoint: ListedEndpoint,
   now: number,
 ): boolean {
-  if (listed.state !== 'live' || !departure.isConfirmed) {
+  if (listedEndpoint.state !== 'live' || !departure.isConfirmed) {
     return false;
   }
   if (host.goneBy !== undefined && now > host.goneBy) {
     return true;
   }
-  return !host.isWhole && listed.url !== departure.url;
+  return !host.isWhole && listedEndpoint.url !== departure.url;
 }
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -1,7 +1,8 @@
 /**
- * Failure detector for neighbours. Missing heartbeats make a member suspect; it
- * becomes gone only when another member has received nothing either, so that
- * one broken link between two entries removes neither.
+ * Failure detector for neighbours. A neighbour whose heartbeats are missing
+ * becomes suspect. It is declared gone only when another member has received no
+ * message from it either, so that one broken link between two entries removes
+ * neither entry.
  */
 import type {Clock, DecisionLog, Random} from '@skylarkfield/base';
 import type {
@@ -15,26 +16,33 @@
 
 /** Suspects silent neighbours and confirms whether they are gone. */
 export interface FailureDetector {
-  /** Checks the neighbours; must be called with every heartbeat. */
+  /** Checks the neighbours for silence; must be called with every heartbeat. */
   check(neighbours: readonly string[]): void;
-  /** Requests a member's current update; resolves with whether it answered. */
+  /**
+   * Requests a member's current update; resolves to whether the member
+   * answered.
+   */
   probe(id: string): Promise<boolean>;
-  /** Returns when a message from a member last arrived directly. */
+  /**
+   * Returns the time since the last message received directly from a member, or
+   * -1 if none was received from this or a later incarnation.
+   */
   lastSeen(id: string, incarnation: number): LastSeenResponse;
   recordHeartbeat(id: string): void;
   /** Records that a neighbour's connection opened or closed. */
-  connectionChanged(id: string, isOpen: boolean): void;
+  recordConnectionChange(id: string, isOpen: boolean): void;
   dump(): unknown;
 }
 
 interface Suspicion {
-  readonly since: number;
-  /** Members that received nothing from the suspect either. */
+  /** Monotonic milliseconds at which the member became suspect. */
+  readonly suspectedAt: number;
+  /** Ids of members that have received no recent message from the suspect. */
   readonly silentTo: Set<string>;
   isInvestigating: boolean;
 }
 
-/** Members queried about a suspect in one round. */
+/** Maximum number of members queried about a suspect in one round. */
 const PEERS_PER_ROUND = 3;
 
 /**
@@ -52,24 +60,28 @@
   readonly decisions: DecisionLog;
   readonly timing: MemberTiming;
   localUpdate(): MemberUpdate;
-  /** Applies the updates in a probe response. */
+  /** Applies an update from a probe response. */
   applyUpdate(update: MemberUpdate): void;
-  /** Called when a suspect was confirmed gone. */
-  onDidConfirmGone(known: KnownMember): void;
+  /** Called when a suspect has been confirmed gone. */
+  onDidConfirmGone(knownMember: KnownMember): void;
 }): FailureDetector {
   const {table, network, clock, random, decisions, timing} = options;
   const suspicions = new Map<string, Suspicion>();
-  const closedAt = new Map<string, number>();
-  /** When each neighbour became one; no heartbeats are due before that. */
+  /** Monotonic milliseconds at which each member's connection last closed. */
+  const connectionClosedAt = new Map<string, number>();
+  /**
+   * Monotonic milliseconds at which each member became a neighbour; no
+   * heartbeats from it are expected before.
+   */
   let neighbourSince = new Map<string, number>();
   let probes = 0;
   let falseSuspicions = 0;
 
   async function probe(id: string): Promise<boolean> {
-    const known = table.get(id);
-    const knownUpdate = known && {
-      ...known.update,
-      state: known.machine.state(),
+    const knownMember = table.get(id);
+    const knownUpdate = knownMember && {
+      ...knownMember.update,
+      state: knownMember.machine.state(),
     };
     const startedAt = clock.now();
     probes += 1;
@@ -94,23 +106,32 @@
   }
 
   function recordAlive(id: string, seenAt: number, isDirect: boolean) {
-    const known = table.get(id);
-    if (known === undefined) {
+    const knownMember = table.get(id);
+    if (knownMember === undefined) {
       return;
     }
-    known.lastSeenAt = Math.max(known.lastSeenAt, seenAt);
+    knownMember.lastSeenAt = Math.max(knownMember.lastSeenAt, seenAt);
     if (isDirect) {
-      known.lastSeenDirectlyAt = Math.max(known.lastSeenDirectlyAt, seenAt);
+      knownMember.lastSeenDirectlyAt = Math.max(
+        knownMember.lastSeenDirectlyAt,
+        seenAt,
+      );
     }
-    if (known.machine.state() === 'suspect') {
+    if (knownMember.machine.state() === 'suspect') {
       falseSuspicions += 1;
       suspicions.delete(id);
-      table.send(known, known.hasLeft ? 'left' : 'heard');
+      table.sendEvent(
+        knownMember,
+        knownMember.hasLeft ? 'announcedLeaving' : 'seen',
+      );
     }
   }
 
-  async function queryPeer(peer: string, known: KnownMember): Promise<void> {
-    const {id, incarnation} = known.update;
+  async function queryPeer(
+    peer: string,
+    knownMember: KnownMember,
+  ): Promise<void> {
+    const {id, incarnation} = knownMember.update;
     const body = {id, incarnation};
     const response = await network
       .request(peer, 'memberWord', body, timing.probeTimeoutMs)
@@ -120,11 +141,12 @@
     }
     const {heardAgoMs} = response as LastSeenResponse;
     const lastSeenAt = clock.now() - heardAgoMs;
-    // A message from before the connection closed can precede a crash.
+    // A message received before the connection closed proves nothing, as the
+    // member may have crashed since.
     const isFresh =
       heardAgoMs >= 0 &&
       heardAgoMs < timing.silenceTimeoutMs &&
-      lastSeenAt > (closedAt.get(id) ?? -Infinity);
+      lastSeenAt > (connectionClosedAt.get(id) ?? -Infinity);
     if (isFresh) {
       recordAlive(id, lastSeenAt, false);
       return;
@@ -132,19 +154,22 @@
     suspicions.get(id)?.silentTo.add(peer);
   }
 
-  /** Live members other than the given one; suspects' answers do not count. */
-  function liveMembersExcept(id: string): string[] {
+  /**
+   * Returns the ids of all live members except the given one. Suspects are
+   * excluded because their answers do not count.
+   */
+  function liveMemberIdsExcept(id: string): string[] {
     return [...table.all()]
       .filter(
-        other => other.machine.state() === 'live' && other.update.id !== id,
+        member => member.machine.state() === 'live' && member.update.id !== id,
       )
-      .map(other => other.update.id);
+      .map(member => member.update.id);
   }
 
-  async function investigate(known: KnownMember, suspicion: Suspicion) {
+  async function investigate(knownMember: KnownMember, suspicion: Suspicion) {
     suspicion.isInvestigating = true;
-    const candidates = liveMembersExcept(known.update.id);
-    const requests: Promise<unknown>[] = [probe(known.update.id)];
+    const candidates = liveMemberIdsExcept(knownMember.update.id);
+    const requests: Promise<unknown>[] = [probe(knownMember.update.id)];
     for (
       let queries = 0;
       queries < PEERS_PER_ROUND && candidates.length > 0;
@@ -154,45 +179,54 @@
         random.integer(0, candidates.length - 1),
         1,
       );
-      requests.push(queryPeer(peer!, known));
+      requests.push(queryPeer(peer!, knownMember));
     }
     await Promise.all(requests);
     suspicion.isInvestigating = false;
-    evaluate(known, suspicion);
+    declareGoneIfConfirmed(knownMember, suspicion);
   }
 
-  /** Decides whether a suspect is gone. */
-  function evaluate(known: KnownMember, suspicion: Suspicion) {
-    const {id} = known.update;
-    const isPending = suspicions.get(id) === suspicion;
-    const ageMs = clock.now() - suspicion.since;
-    if (!isPending || ageMs < timing.suspicionTimeoutMs) {
+  /**
+   * Declares a suspect gone if it has been suspect for `suspicionTimeoutMs` and
+   * another member confirmed the silence.
+   */
+  function declareGoneIfConfirmed(
+    knownMember: KnownMember,
+    suspicion: Suspicion,
+  ) {
+    const {id} = knownMember.update;
+    const isCurrentSuspicion = suspicions.get(id) === suspicion;
+    const ageMs = clock.now() - suspicion.suspectedAt;
+    if (!isCurrentSuspicion || ageMs < timing.suspicionTimeoutMs) {
       return;
     }
-    const others = liveMembersExcept(id).length;
-    // Without other live members the silence alone has to suffice.
-    if (suspicion.silentTo.size === 0 && others > 0) {
+    const otherLiveCount = liveMemberIdsExcept(id).length;
+    // Without other live members, the silence is the only available evidence.
+    if (suspicion.silentTo.size === 0 && otherLiveCount > 0) {
       return;
     }
     suspicions.delete(id);
     decisions.note('members', id, 'count as gone', 'no heartbeat, confirmed', {
-      silentMs: Math.round(clock.now() - known.lastSeenAt),
+      silentMs: Math.round(clock.now() - knownMember.lastSeenAt),
       confirmedBy: suspicion.silentTo.size,
-      others,
+      others: otherLiveCount,
     });
-    options.onDidConfirmGone(known);
+    options.onDidConfirmGone(knownMember);
   }
 
-  function silenceTimeoutMs(known: KnownMember): number {
-    const closed = closedAt.get(known.update.id);
-    const isClosed = closed !== undefined && closed >= known.lastSeenAt;
-    return isClosed ? timing.closedSilenceTimeoutMs : timing.silenceTimeoutMs;
+  function silenceTimeoutMs(knownMember: KnownMember): number {
+    const lastClosedAt = connectionClosedAt.get(knownMember.update.id);
+    const hasClosedSinceLastSeen =
+      lastClosedAt !== undefined && lastClosedAt >= knownMember.lastSeenAt;
+    return hasClosedSinceLastSeen
+      ? timing.closedSilenceTimeoutMs
+      : timing.silenceTimeoutMs;
   }
 
-  function markSuspect(known: KnownMember, silentMs: number) {
-    const {id} = known.update;
+  function markSuspect(knownMember: KnownMember, silentMs: number) {
+    const {id} = knownMember.update;
     const suspicion = {
-      since: clock.now(),
+      suspectedAt: clock.now(),
       silentTo: new Set<string>(),
       isInvestigating: false,
     };
@@ -200,27 +234,30 @@
     decisions.note('members', id, 'suspect', 'no heartbeat', {
       silentMs: Math.round(silentMs),
     });
-    table.send(known, 'suspected');
-    void investigate(known, suspicion);
+    table.sendEvent(knownMember, 'suspected');
+    void investigate(knownMember, suspicion);
   }
 
   function checkMember(id: string) {
-    const known = table.get(id);
-    if (known === undefined || known.machine.state() === 'gone') {
+    const knownMember = table.get(id);
+    if (knownMember === undefined || knownMember.machine.state() === 'gone') {
       suspicions.delete(id);
       return;
     }
     const suspicion = suspicions.get(id);
     if (suspicion !== undefined) {
       if (!suspicion.isInvestigating) {
-        void investigate(known, suspicion);
+        void investigate(knownMember, suspicion);
       }
       return;
     }
-    const silentSince = Math.max(known.lastSeenAt, neighbourSince.get(id) ?? 0);
+    const silentSince = Math.max(
+      knownMember.lastSeenAt,
+      neighbourSince.get(id) ?? 0,
+    );
     const silentMs = clock.now() - silentSince;
-    if (silentMs > silenceTimeoutMs(known)) {
-      markSuspect(known, silentMs);
+    if (silentMs > silenceTimeoutMs(knownMember)) {
+      markSuspect(knownMember, silentMs);
     }
   }
 
@@ -231,35 +268,38 @@
         neighbours.map(id => [id, neighbourSince.get(id) ?? now]),
       );
       new Set([...neighbours, ...suspicions.keys()]).forEach(checkMember);
-      for (const [id, at] of closedAt) {
-        if (now - at > timing.silenceTimeoutMs) {
-          closedAt.delete(id);
+      for (const [id, lastClosedAt] of connectionClosedAt) {
+        if (now - lastClosedAt > timing.silenceTimeoutMs) {
+          connectionClosedAt.delete(id);
         }
       }
     },
     probe,
     recordHeartbeat: id => recordAlive(id, clock.now(), true),
     lastSeen(id, incarnation) {
-      const known = table.get(id);
-      if (known === undefined || known.update.incarnation < incarnation) {
+      const knownMember = table.get(id);
+      if (
+        knownMember === undefined ||
+        knownMember.update.incarnation < incarnation
+      ) {
         return {heardAgoMs: -1};
       }
-      const agoMs = clock.now() - known.lastSeenDirectlyAt;
-      return {heardAgoMs: Number.isFinite(agoMs) ? agoMs : -1};
+      const lastSeenAgoMs = clock.now() - knownMember.lastSeenDirectlyAt;
+      return {heardAgoMs: Number.isFinite(lastSeenAgoMs) ? lastSeenAgoMs : -1};
     },
-    connectionChanged(id, isOpen) {
+    recordConnectionChange(id, isOpen) {
       if (isOpen) {
-        closedAt.delete(id);
+        connectionClosedAt.delete(id);
         return;
       }
-      closedAt.set(id, clock.now());
+      connectionClosedAt.set(id, clock.now());
     },
     dump: () => ({
       probes,
       falseSuspicions,
-      suspicions: [...suspicions].map(([id, {since, silentTo}]) => ({
+      suspicions: [...suspicions].map(([id, {suspectedAt, silentTo}]) => ({
         id,
-        ageMs: clock.now() - since,
+        ageMs: clock.now() - suspectedAt,
         silentTo: [...silentTo],
       })),
     }),
--- a/packages/members/src/gossip.ts
+++ b/packages/members/src/gossip.ts
@@ -9,7 +9,7 @@
 
 /** Queue of the updates that this entry still has to gossip. */
 export interface GossipQueue {
-  /** Queues an update; replaces a queued one of the same member. */
+  /** Queues an update; replaces a queued update of the same member. */
   add(update: MemberUpdate): void;
   /** Dequeues the updates for the next heartbeat, up to the size limit. */
   dequeueBatch(): GossipBatch;
@@ -17,9 +17,9 @@
 }
 
 /**
- * Maximum size of the updates in one heartbeat, in bytes as estimated below.
- * With six neighbours it keeps an entry's traffic, sent and received, under
- * 7 KB a second, even while a failure domain is being lost.
+ * Maximum estimated size of the updates in one heartbeat, in bytes. With six
+ * neighbours this limit keeps an entry's traffic, sent and received, under 7 KB
+ * a second, even during the loss of a failure domain.
  */
 const MAX_GOSSIP_BYTES = 500;
 /** Approximate encoded size of a full update, in bytes. */
@@ -66,6 +66,7 @@
   };
 }
 
+/** Returns the update as a state change, or undefined if it needs addresses. */
 function toChange(update: MemberUpdate): MemberChange | undefined {
   const {id, incarnation, sequence, state} = update;
   if (state === 'leaving' || state === 'gone') {
--- a/packages/members/src/heartbeats.ts
+++ b/packages/members/src/heartbeats.ts
@@ -57,20 +57,21 @@
     receive(from, body) {
       body.news.forEach(updateHandler.applyUpdate);
       body.changes?.forEach(updateHandler.applyChange);
-      const known = table.get(from);
-      const isKnown =
-        known !== undefined &&
-        known.machine.state() !== 'gone' &&
-        known.update.incarnation === body.incarnation &&
-        known.update.sequence >= body.sequence;
-      if (!isKnown) {
-        // The response has the sender's addresses and refutes a stale state.
+      const knownMember = table.get(from);
+      const isUpToDate =
+        knownMember !== undefined &&
+        knownMember.machine.state() !== 'gone' &&
+        knownMember.update.incarnation === body.incarnation &&
+        knownMember.update.sequence >= body.sequence;
+      if (!isUpToDate) {
+        // The probe response contains the sender's addresses and refutes an
+        // outdated state of the sender.
         void failureDetector.probe(from);
         return;
       }
-      known.load = body.load;
+      knownMember.load = body.load;
       failureDetector.recordHeartbeat(from);
-      reconciler.compare(from, body.digest);
+      reconciler.compareDigest(from, body.digest);
     },
   };
 }
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -1,8 +1,9 @@
 /**
- * Tracking of leaving endpoints from reclaim notices, the host list and peers,
- * whichever reports first. The list lags, so a leaving endpoint is tracked per
- * host: an outdated list cannot readmit it, while the same endpoint on another
- * host, or one that verifiably returned, counts as new.
+ * Tracks leaving endpoints reported by reclaim notices, the host list or peers,
+ * whichever reports first. The host list lags, so a leaving endpoint is tracked
+ * per host: an outdated list cannot readmit the endpoint, but an endpoint with
+ * the same id on another host, or an endpoint that verifiably returned,
+ * receives work again.
  */
 import {
   disposableStore,
@@ -37,45 +38,61 @@
 export interface LeavingEndpoint {
   readonly endpoint: string;
   readonly host: string;
-  /** Wall-clock milliseconds by which the host is gone; 0 when not known. */
+  /**
+   * Wall-clock milliseconds by which the host is gone; 0 if the report
+   * contained no deadline.
+   */
   readonly goneAt: number;
   readonly source: LeavingSource;
 }
 
 export interface LeavingEndpointTracker extends Disposable {
   /**
-   * Whether the endpoint must receive no new work. The host distinguishes two
-   * processes of one id; by default it is the listed one.
+   * Returns whether the endpoint must receive no new work. `host` distinguishes
+   * two processes with one endpoint id and defaults to the listed host.
    */
   isLeaving(endpoint: string, host?: string): boolean;
   /** Fires once per endpoint and host, regardless of the number of reports. */
   onDidLeave(listener: (leaving: LeavingEndpoint) => void): Disposable;
-  /** Fires when a leaving endpoint returns on any host, or has not left. */
+  /**
+   * Fires when a leaving endpoint returns on any host, or turns out not to have
+   * left its host.
+   */
   onDidReturn(listener: (endpoint: string) => void): Disposable;
-  /** Records a report of another source, such as the endpoint itself. */
+  /**
+   * Records a report from another source, such as the endpoint itself. `goneAt`
+   * is in wall-clock milliseconds; 0 means that no deadline is known.
+   */
   reportLeaving(
     host: string,
     endpoints: readonly string[],
     goneAt: number,
     source: LeavingSource,
   ): void;
-  /** Host list with all leaving endpoints marked, even if listed as live. */
+  /**
+   * Host list in which all leaving endpoints have the state `leaving`, even if
+   * the cloud lists them as live.
+   */
   readonly hostList: HostList;
   /** Sets whether this entry watches reclaim notices or relies on its peers. */
   setReader(isReader: boolean): void;
   dump(): unknown;
 }
 
-/** Maximum tracked hosts; exceeds a failure domain of the largest fleet. */
+/**
+ * Maximum number of tracked hosts; a failure domain of the largest fleet has
+ * fewer hosts.
+ */
 const MAX_HOSTS = 4_000;
-/** Maximum tracked endpoints of each host. */
+/** Maximum number of tracked endpoints of each host. */
 const MAX_ENDPOINTS_PER_HOST = 256;
 const EXPIRY_INTERVAL_MS = 30_000;
 /** Maximum age of reports that are resent to a newly connected peer. */
 const RESEND_WINDOW_MS = 120_000;
 
 /**
- * Creates a tracker that follows notices, list and peers until disposed.
+ * Creates a tracker that processes reclaim notices, host lists and peer
+ * messages until disposed.
  *
  * @example
  * const tracker = createLeavingEndpointTracker({cloud, hostList, network, ...rest});
@@ -89,12 +106,12 @@
   readonly decisions: DecisionLog;
 }): LeavingEndpointTracker {
   const {cloud, network, clock, decisions} = options;
-  const hosts = new Map<string, LeavingHost>();
+  const leavingHosts = new Map<string, LeavingHost>();
   const didLeave = emitter<LeavingEndpoint>();
   const didReturn = emitter<string>();
   const disposables = disposableStore();
-  /** Items of the last host list by endpoint id. */
-  let listedById = new Map<string, ListedEndpoint>();
+  /** Endpoints of the latest host list, by id. */
+  let listedEndpointsById = new Map<string, ListedEndpoint>();
   let latestList: readonly ListedEndpoint[] | undefined;
   const didCorrectList = emitter<readonly ListedEndpoint[]>();
   let isCorrectionDue = false;
@@ -102,17 +119,17 @@
 
   function isLeaving(
     endpoint: string,
-    host = listedById.get(endpoint)?.host,
+    host = listedEndpointsById.get(endpoint)?.host,
   ): boolean {
     if (host !== undefined) {
-      const leavingHost = hosts.get(host);
+      const leavingHost = leavingHosts.get(host);
       return (
         leavingHost !== undefined &&
         (leavingHost.endpoints.has(endpoint) ||
           (leavingHost.isWhole && !leavingHost.back.has(endpoint)))
       );
     }
-    return [...hosts.values()].some(leavingHost =>
+    return [...leavingHosts.values()].some(leavingHost =>
       leavingHost.endpoints.has(endpoint),
     );
   }
@@ -122,27 +139,30 @@
     goneAt: number,
     source: LeavingSource,
   ): LeavingHost {
-    const leavingHost = hosts.get(host);
+    const leavingHost = leavingHosts.get(host);
     if (leavingHost !== undefined) {
       extendDeadline(leavingHost, goneAt, clock);
       return leavingHost;
     }
-    const added = createLeavingHost(host, source, clock);
-    extendDeadline(added, goneAt, clock);
-    hosts.set(host, added);
-    if (hosts.size > MAX_HOSTS) {
-      const [oldest] = hosts.keys();
-      hosts.delete(oldest!);
+    const newHost = createLeavingHost(host, source, clock);
+    extendDeadline(newHost, goneAt, clock);
+    leavingHosts.set(host, newHost);
+    if (leavingHosts.size > MAX_HOSTS) {
+      const [oldest] = leavingHosts.keys();
+      leavingHosts.delete(oldest!);
     }
-    return added;
+    return newHost;
   }
 
-  function listedOn(host: string, endpoint: string) {
-    const item = listedById.get(endpoint);
+  function findListedEndpoint(host: string, endpoint: string) {
+    const item = listedEndpointsById.get(endpoint);
     return item?.host === host ? item : undefined;
   }
 
-  /** Adds new endpoints and fires `onDidLeave`; returns whether any changed. */
+  /**
+   * Records that endpoints leave a host and fires `onDidLeave` for each new
+   * one; returns whether the state of the host has changed.
+   */
   function recordLeaving(
     host: string,
     endpoints: readonly string[],
@@ -151,18 +171,19 @@
     source: LeavingSource,
   ): boolean {
     const candidates = endpoints.filter(
-      endpoint => !isRepeatedNotice(hosts.get(host), goneAt, endpoint),
+      endpoint => !isRepeatedNotice(leavingHosts.get(host), goneAt, endpoint),
     );
     const leavingHost = getOrAddHost(host, goneAt, source);
-    const added = candidates
+    const addedEndpoints = candidates
       .filter(endpoint => !leavingHost.endpoints.has(endpoint))
       .slice(0, MAX_ENDPOINTS_PER_HOST - leavingHost.endpoints.size);
-    const hasChanges = added.length > 0 || (isWhole && !leavingHost.isWhole);
+    const hasChanges =
+      addedEndpoints.length > 0 || (isWhole && !leavingHost.isWhole);
     leavingHost.isWhole ||= isWhole;
-    for (const endpoint of added) {
+    for (const endpoint of addedEndpoints) {
       leavingHost.endpoints.set(
         endpoint,
-        createDeparture(listedOn(host, endpoint)),
+        createDeparture(findListedEndpoint(host, endpoint)),
       );
       leavingHost.back.delete(endpoint);
       decisions.note('members', endpoint, 'give no new work', 'leaving', {
@@ -178,7 +199,9 @@
     return hasChanges;
   }
 
-  function toMessage(leavingHost: LeavingHost): Messages['endpointLeaving'] {
+  function toLeavingMessage(
+    leavingHost: LeavingHost,
+  ): Messages['endpointLeaving'] {
     const {host, goneAt, isWhole} = leavingHost;
     return {
       endpoints: [...leavingHost.endpoints.keys()],
@@ -188,18 +211,27 @@
     };
   }
 
-  /** Forwards a new report; as every entry does so, it reaches all entries. */
-  function broadcastHost(host: string, except?: string) {
-    const leavingHost = hosts.get(host);
+  /**
+   * Sends the state of a leaving host to the connected peers. As every entry
+   * forwards new reports, each report reaches all entries.
+   */
+  function broadcastHost(host: string, exceptPeer?: string) {
+    const leavingHost = leavingHosts.get(host);
     if (leavingHost === undefined) {
       return;
     }
-    const receivers = network.connectedPeers().filter(peer => peer !== except);
-    network.broadcast('endpointLeaving', toMessage(leavingHost), receivers);
+    const receivers = network
+      .connectedPeers()
+      .filter(peer => peer !== exceptPeer);
+    network.broadcast(
+      'endpointLeaving',
+      toLeavingMessage(leavingHost),
+      receivers,
+    );
   }
 
-  function endpointsOn(host: string): string[] {
-    return [...listedById.values()]
+  function listedEndpointIdsOn(host: string): string[] {
+    return [...listedEndpointsById.values()]
       .filter(item => item.host === host)
       .map(({id}) => id);
   }
@@ -217,7 +249,7 @@
     }
   }
 
-  /** Coalesces all changes of one message or notice into one list. */
+  /** Schedules one corrected list for all changes of one message or notice. */
   function scheduleCorrectedList() {
     if (isCorrectionDue) {
       return;
@@ -227,22 +259,34 @@
   }
 
   function handleNotice({host, goneAt}: ReclaimNotice) {
-    if (recordLeaving(host, endpointsOn(host), true, goneAt, 'notice')) {
+    if (
+      recordLeaving(host, listedEndpointIdsOn(host), true, goneAt, 'notice')
+    ) {
       broadcastHost(host);
     }
   }
 
   function handlePeerMessage(from: string, body: Messages['endpointLeaving']) {
     const {host, goneAt, endpoints, isWhole = false} = body;
-    const all = isWhole ? [...endpoints, ...endpointsOn(host)] : endpoints;
-    if (recordLeaving(host, [...new Set(all)], isWhole, goneAt, 'peer')) {
+    const leavingEndpoints = isWhole
+      ? [...endpoints, ...listedEndpointIdsOn(host)]
+      : endpoints;
+    if (
+      recordLeaving(
+        host,
+        [...new Set(leavingEndpoints)],
+        isWhole,
+        goneAt,
+        'peer',
+      )
+    ) {
       broadcastHost(host, from);
     }
   }
 
   function handleHostList(endpoints: readonly ListedEndpoint[]) {
-    const previous = listedById;
-    listedById = new Map(endpoints.map(item => [item.id, item]));
+    const previousEndpointsById = listedEndpointsById;
+    listedEndpointsById = new Map(endpoints.map(item => [item.id, item]));
     updateDepartures();
     const changedHosts = new Set<string>();
     for (const {id, host, state} of endpoints) {
@@ -254,16 +298,19 @@
       }
     }
     changedHosts.forEach(host => broadcastHost(host));
-    fireMovedEndpoints(previous);
+    fireReturnsOnOtherHosts(previousEndpointsById);
     latestList = endpoints;
     fireCorrectedList();
   }
 
-  /** Updates all departures from the list and readmits returned endpoints. */
+  /**
+   * Updates all departures from the latest host list and readmits returned
+   * endpoints.
+   */
   function updateDepartures() {
-    for (const leavingHost of hosts.values()) {
+    for (const leavingHost of leavingHosts.values()) {
       for (const [endpoint, departure] of leavingHost.endpoints) {
-        const item = listedOn(leavingHost.host, endpoint);
+        const item = findListedEndpoint(leavingHost.host, endpoint);
         if (
           item !== undefined &&
           hasReturned(departure, leavingHost, item, clock.now())
@@ -272,7 +319,7 @@
           leavingHost.back.add(endpoint);
           readmit(endpoint, leavingHost.host, 'listed again after it left');
         } else {
-          updateDeparture(departure, item, listedById.has(endpoint));
+          updateDeparture(departure, item, listedEndpointsById.has(endpoint));
         }
       }
     }
@@ -283,10 +330,12 @@
     didReturn.fire(endpoint);
   }
 
-  function fireMovedEndpoints(previous: ReadonlyMap<string, ListedEndpoint>) {
-    for (const [endpoint, {host}] of listedById) {
-      const hasMoved = previous.get(endpoint)?.host !== host;
-      const wasLeaving = [...hosts.values()].some(
+  function fireReturnsOnOtherHosts(
+    previousEndpointsById: ReadonlyMap<string, ListedEndpoint>,
+  ) {
+    for (const [endpoint, {host}] of listedEndpointsById) {
+      const hasMoved = previousEndpointsById.get(endpoint)?.host !== host;
+      const wasLeaving = [...leavingHosts.values()].some(
         leavingHost =>
           leavingHost.host !== host && leavingHost.endpoints.has(endpoint),
       );
@@ -296,16 +345,19 @@
     }
   }
 
-  /** Drops hosts after `forgetAt`; those still listed were not reclaimed. */
+  /**
+   * Drops hosts after `forgetAt`. Endpoints that are still listed on a dropped
+   * host are readmitted, since the host was not reclaimed.
+   */
   function expireHosts() {
     const now = clock.now();
-    for (const leavingHost of [...hosts.values()]) {
+    for (const leavingHost of [...leavingHosts.values()]) {
       if (now < leavingHost.forgetAt) {
         continue;
       }
-      hosts.delete(leavingHost.host);
+      leavingHosts.delete(leavingHost.host);
       for (const endpoint of leavingHost.endpoints.keys()) {
-        if (listedOn(leavingHost.host, endpoint) !== undefined) {
+        if (findListedEndpoint(leavingHost.host, endpoint) !== undefined) {
           readmit(endpoint, leavingHost.host, 'still listed');
           scheduleCorrectedList();
         }
@@ -314,11 +366,11 @@
   }
 
   /** Resends recent reports to a peer that may have missed the broadcast. */
-  function resendRecent(peer: string) {
+  function resendRecentReports(peer: string) {
     const now = clock.now();
-    for (const leavingHost of hosts.values()) {
+    for (const leavingHost of leavingHosts.values()) {
       if (now - leavingHost.since <= RESEND_WINDOW_MS) {
-        network.send(peer, 'endpointLeaving', toMessage(leavingHost));
+        network.send(peer, 'endpointLeaving', toLeavingMessage(leavingHost));
       }
     }
   }
@@ -337,7 +389,7 @@
   disposables.add(
     network.onDidChangePeer((peer, isOpen) => {
       if (isOpen) {
-        resendRecent(peer);
+        resendRecentReports(peer);
       }
     }),
   );
@@ -365,7 +417,7 @@
     setReader,
     dump: () => ({
       isReader: noticeSubscription !== undefined,
-      hosts: [...hosts.values()].map(leavingHost => ({
+      hosts: [...leavingHosts.values()].map(leavingHost => ({
         ...leavingHost,
         endpoints: [...leavingHost.endpoints.keys()],
         back: [...leavingHost.back],
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -1,24 +1,29 @@
-/** State held for a host that endpoints are leaving. */
+/** State kept for a host that endpoints are leaving. */
 import type {Clock} from '@skylarkfield/base';
 import type {Departure} from './endpointDeparture.js';
 
-/** Source of the first report. */
+/** Source of a report that an endpoint leaves. */
 export type LeavingSource = 'notice' | 'list' | 'peer' | 'fault';
 
 export interface LeavingHost {
   readonly host: string;
+  /** Like `goneBy`, but in wall-clock milliseconds; 0 if undefined. */
   goneAt: number;
-  /** Monotonic milliseconds by which the host is gone; undefined if unknown. */
+  /**
+   * Monotonic milliseconds by which the host is gone; undefined if no report
+   * contained a deadline.
+   */
   goneBy: number | undefined;
-  /** Monotonic milliseconds of the first report. */
+  /** Monotonic milliseconds of the first report about the host. */
   readonly since: number;
   /** Monotonic milliseconds at which this state is dropped. */
   forgetAt: number;
+  /** Source of the first report about the host. */
   readonly source: LeavingSource;
-  /** The host itself leaves with all its endpoints, including unlisted ones. */
+  /** Whether the whole host leaves, with all its endpoints, listed or not. */
   isWhole: boolean;
   readonly endpoints: Map<string, Departure>;
-  /** Endpoints that have returned. */
+  /** Ids of the endpoints that have returned on this host. */
   readonly back: Set<string>;
 }
 
@@ -28,7 +33,7 @@
 const MAX_NOTICE_MS = 60 * 60_000;
 
 /**
- * Creates the state of a host without a deadline.
+ * Creates the state of a leaving host whose deadline is not known yet.
  *
  * @example
  * const leavingHost = createLeavingHost('h1', 'notice', clock);
@@ -53,8 +58,8 @@
 }
 
 /**
- * Applies a deadline that is later than the known deadline, like that of a
- * second notice.
+ * Sets the deadline, in wall-clock milliseconds, if it is later than the
+ * current one, as after a second notice.
  *
  * @example
  * extendDeadline(leavingHost, notice.goneAt, clock);
@@ -74,8 +79,9 @@
 }
 
 /**
- * Returns whether a notice is a repetition, as after a network partition, that
- * does not apply to an endpoint that has returned since.
+ * Returns whether a notice repeats an earlier one, as after a network
+ * partition, although the endpoint has returned since. Such a notice does not
+ * apply to the endpoint.
  *
  * @example
  * const isNew = !isRepeatedNotice(leavingHost, notice.goneAt, endpoint);
--- a/packages/members/src/localMember.ts
+++ b/packages/members/src/localMember.ts
@@ -1,4 +1,7 @@
-/** This entry's own member update, and refutation of false updates about it. */
+/**
+ * This entry's own member update, and refutation of false updates about this
+ * entry.
+ */
 import type {DecisionLog} from '@skylarkfield/base';
 import type {MemberUpdate} from '@skylarkfield/protocol';
 import type {Member} from './contracts.js';
@@ -7,7 +10,10 @@
 /** Identity and addresses of this entry, fixed at start. */
 export interface LocalMemberInfo {
   readonly id: string;
-  /** Greater than in any earlier process of this id, such as its start time. */
+  /**
+   * Number greater than that of any earlier process of this id, such as the
+   * start time of the process.
+   */
   readonly incarnation: number;
   readonly callerUrl: string;
   readonly innerUrl: string;
@@ -24,9 +30,15 @@
   /** Update with the current load, as sent to peers. */
   currentUpdate(): MemberUpdate;
   member(): Member;
-  /** Raises the sequence to refute a false update; returns whether it did. */
+  /**
+   * Refutes an update about this entry by raising the sequence if the update is
+   * false; returns whether it was.
+   */
   refute(update: MemberUpdate): boolean;
-  /** Enters the state `leaving`; returns false if already entered. */
+  /**
+   * Enters the state `leaving`; returns false if this entry was already
+   * leaving.
+   */
   leave(): boolean;
 }
 
@@ -44,40 +56,42 @@
   load(): number;
 }): LocalMember {
   const {decisions, load} = options;
-  let base: MemberUpdate = {
+  let baseUpdate: MemberUpdate = {
     ...options.self,
     sequence: 0,
     state: 'live',
     load: 0,
   };
 
-  function isFalseReport(update: MemberUpdate): boolean {
-    if (update.incarnation !== base.incarnation) {
-      return update.incarnation > base.incarnation;
+  function isFalseUpdate(update: MemberUpdate): boolean {
+    if (update.incarnation !== baseUpdate.incarnation) {
+      return update.incarnation > baseUpdate.incarnation;
     }
     const isLeavingOrGone =
       update.state === 'leaving' || update.state === 'gone';
     return (
-      update.sequence >= base.sequence &&
+      update.sequence >= baseUpdate.sequence &&
       isLeavingOrGone &&
-      update.state !== base.state
+      update.state !== baseUpdate.state
     );
   }
 
   return {
-    baseUpdate: () => base,
-    currentUpdate: () => ({...base, load: load()}),
-    member: () => buildMember(base, base.state, load()),
+    baseUpdate: () => baseUpdate,
+    currentUpdate: () => ({...baseUpdate, load: load()}),
+    member: () => buildMember(baseUpdate, baseUpdate.state, load()),
     refute(update) {
-      if (!isFalseReport(update)) {
+      if (!isFalseUpdate(update)) {
         return false;
       }
-      const isLater = update.incarnation > base.incarnation;
-      const incarnation = isLater ? update.incarnation + 1 : base.incarnation;
-      base = {...base, incarnation, sequence: update.sequence + 1};
+      const isFromLaterProcess = update.incarnation > baseUpdate.incarnation;
+      const incarnation = isFromLaterProcess
+        ? update.incarnation + 1
+        : baseUpdate.incarnation;
+      baseUpdate = {...baseUpdate, incarnation, sequence: update.sequence + 1};
       decisions.note(
         'members',
-        base.id,
+        baseUpdate.id,
         'refute',
         `reported as ${update.state}`,
         {
@@ -88,10 +102,14 @@
       return true;
     },
     leave() {
-      if (base.state === 'leaving') {
+      if (baseUpdate.state === 'leaving') {
         return false;
       }
-      base = {...base, state: 'leaving', sequence: base.sequence + 1};
+      baseUpdate = {
+        ...baseUpdate,
+        state: 'leaving',
+        sequence: baseUpdate.sequence + 1,
+      };
       return true;
     },
   };
--- a/packages/members/src/lookup.ts
+++ b/packages/members/src/lookup.ts
@@ -2,21 +2,28 @@
 import {hashFraction, rendezvousOrder, type Random} from '@skylarkfield/base';
 import type {LookupResult, LookupQuery, Member} from './contracts.js';
 
-/** Maximum entries in a result; enough for failover if several fail at once. */
+/**
+ * Maximum number of entries in a result; enough for failover when several
+ * entries fail at once.
+ */
 const MAX_ENTRIES = 8;
 /** Time to live of a result, in milliseconds. */
 const TTL_MS = 5_000;
-/** Time to live while there is at most one live entry, in milliseconds. */
+/** Time to live of a result with at most one live entry, in milliseconds. */
 const SINGLE_ENTRY_TTL_MS = 1_000;
-/** Multiple of the mean load above which affinity skips an entry. */
+/** Multiple of the mean load above which an entry is ranked after others. */
 const LOAD_BOUND_FACTOR = 1.25;
-/** Difference in requests in flight at which loads still count as equal. */
+/**
+ * Requests in flight added to the load bound, so that small loads count as
+ * equal.
+ */
 const LOAD_TOLERANCE = 4;
 
 /**
  * Ranks the entries that accept new work, best first. With an affinity key,
  * every entry returns the same first choice for a customer and session unless
- * it is loaded beyond the bound; without one, callers are spread.
+ * that entry is loaded beyond the load bound; without an affinity key, callers
+ * are spread over the entries.
  *
  * @example
  * const query = {customer: 'namu', affinity: 's1'};
@@ -27,26 +34,26 @@
   query: LookupQuery,
   random?: Random,
 ): LookupResult {
-  const live = members.filter(member => member.state === 'live');
+  const liveMembers = members.filter(member => member.state === 'live');
   const costs = new Map(
-    live.map(member => [member.id, overloadCost(member, live)]),
+    liveMembers.map(member => [member.id, overloadCost(member, liveMembers)]),
   );
-  const preferredIds = preferenceOrder(live, query, random);
+  const preferredIds = sortByPreference(liveMembers, query, random);
   const positions = new Map(preferredIds.map((id, index) => [id, index]));
   const hasAffinity = query.affinity !== undefined;
 
   function rank(member: Member): readonly number[] {
-    const cost = costs.get(member.id) ?? 0;
-    const distance = member.failureDomain === query.failureDomain ? 0 : 1;
+    const loadCost = costs.get(member.id) ?? 0;
+    const domainDistance = member.failureDomain === query.failureDomain ? 0 : 1;
     const position = positions.get(member.id) ?? 0;
-    // With affinity, load only matters beyond the bound, and the failure domain
-    // never outweighs a warm cache.
+    // With affinity, load only matters beyond the load bound, and the failure
+    // domain never outweighs a warm cache.
     return hasAffinity
-      ? [Math.min(cost, 1), position]
-      : [cost, distance, position];
+      ? [Math.min(loadCost, 1), position]
+      : [loadCost, domainDistance, position];
   }
 
-  const entries = live
+  const entries = liveMembers
     .map(member => ({member, rank: rank(member)}))
     .sort((a, b) => compareRanks(a.rank, b.rank))
     .slice(0, MAX_ENTRIES)
@@ -55,30 +62,35 @@
       url: member.callerUrl,
       failureDomain: member.failureDomain,
     }));
-  return {entries, ttlMs: live.length > 1 ? TTL_MS : SINGLE_ENTRY_TTL_MS};
+  return {
+    entries,
+    ttlMs: liveMembers.length > 1 ? TTL_MS : SINGLE_ENTRY_TTL_MS,
+  };
 }
 
 /**
- * Returns 0 for a load up to the bound, plus 1 for each further mean load above
- * it. Coarse steps keep slightly outdated loads from sending all callers to one
- * entry.
+ * Returns 0 for a load up to the load bound, and for a higher load the excess
+ * as a multiple of the mean load, rounded up. Coarse steps keep slightly
+ * outdated loads from sending all callers to one entry.
  */
-function overloadCost(member: Member, live: readonly Member[]): number {
-  const total = live.reduce((sum, other) => sum + other.load, 0);
-  const mean = total / live.length;
-  const bound = mean * LOAD_BOUND_FACTOR + LOAD_TOLERANCE;
-  if (member.load <= bound) {
+function overloadCost(member: Member, liveMembers: readonly Member[]): number {
+  const totalLoad = liveMembers.reduce((sum, other) => sum + other.load, 0);
+  const meanLoad = totalLoad / liveMembers.length;
+  const loadBound = meanLoad * LOAD_BOUND_FACTOR + LOAD_TOLERANCE;
+  if (member.load <= loadBound) {
     return 0;
   }
-  return Math.ceil((member.load - bound) / Math.max(mean, LOAD_TOLERANCE));
+  return Math.ceil(
+    (member.load - loadBound) / Math.max(meanLoad, LOAD_TOLERANCE),
+  );
 }
 
-function preferenceOrder(
-  live: readonly Member[],
+function sortByPreference(
+  liveMembers: readonly Member[],
   query: LookupQuery,
   random: Random | undefined,
 ): string[] {
-  const ids = live.map(member => member.id);
+  const ids = liveMembers.map(member => member.id);
   const {customer = '', affinity} = query;
   if (affinity !== undefined) {
     return rendezvousOrder(`${customer}\u0000${affinity}`, ids);
@@ -87,8 +99,8 @@
     return rendezvousOrder(customer, ids);
   }
   const salt = String(random.next());
-  const score = new Map(ids.map(id => [id, hashFraction(id + salt)]));
-  return ids.sort((a, b) => score.get(a)! - score.get(b)!);
+  const scores = new Map(ids.map(id => [id, hashFraction(id + salt)]));
+  return ids.sort((a, b) => scores.get(a)! - scores.get(b)!);
 }
 
 function compareRanks(a: readonly number[], b: readonly number[]): number {
--- a/packages/members/src/memberMachine.ts
+++ b/packages/members/src/memberMachine.ts
@@ -3,26 +3,39 @@
 import type {MemberState} from './contracts.js';
 
 /**
- * `heard`: a message arrived. `suspected`: no heartbeat within the timeout.
- * `left`: the member announced that it leaves. `lost`: it announced its end, or
- * a suspicion was confirmed. `returned`: newer update of it or a new process.
+ * `seen`: a message from the member arrived. `suspected`: no heartbeat arrived
+ * within the silence timeout. `announcedLeaving`: the member announced that it
+ * leaves. `declaredGone`: the member announced its end, or another entry or
+ * this one confirmed that it is gone. `returned`: a newer update declares the
+ * member live, or a new process has started under its id.
  */
-export type MemberEvent = 'heard' | 'suspected' | 'left' | 'lost' | 'returned';
+export type MemberEvent =
+  | 'seen'
+  | 'suspected'
+  | 'announcedLeaving'
+  | 'declaredGone'
+  | 'returned';
 
 const memberMachine = createMachine('live', {
   live: state(
     transition('suspected', 'suspect'),
-    transition('left', 'leaving'),
-    transition('lost', 'gone'),
+    transition('announcedLeaving', 'leaving'),
+    transition('declaredGone', 'gone'),
   ),
   suspect: state(
-    transition('heard', 'live'),
+    transition('seen', 'live'),
     transition('returned', 'live'),
-    transition('left', 'leaving'),
-    transition('lost', 'gone'),
+    transition('announcedLeaving', 'leaving'),
+    transition('declaredGone', 'gone'),
+  ),
+  leaving: state(
+    transition('returned', 'live'),
+    transition('declaredGone', 'gone'),
+  ),
+  gone: state(
+    transition('returned', 'live'),
+    transition('announcedLeaving', 'leaving'),
   ),
-  leaving: state(transition('returned', 'live'), transition('lost', 'gone')),
-  gone: state(transition('returned', 'live'), transition('left', 'leaving')),
 });
 
 /** State of one member as seen by this entry. */
@@ -39,9 +52,9 @@
  * machine.send('suspected');
  */
 export function createMemberMachine(): MemberMachine {
-  const service = interpret(memberMachine, () => {});
+  const interpreter = interpret(memberMachine, () => {});
   return {
-    state: () => service.machine.current as MemberState,
-    send: event => service.send(event),
+    state: () => interpreter.machine.current as MemberState,
+    send: event => interpreter.send(event),
   };
 }
--- a/packages/members/src/memberObjects.ts
+++ b/packages/members/src/memberObjects.ts
@@ -1,7 +1,7 @@
 /**
- * Member objects in the platform's object store. New processes discover the
- * cluster through them, and so do partitions that have lost contact. Liveness
- * never depends on them.
+ * Member objects in the platform's object store. Through these objects new
+ * processes discover the cluster, and the sides of a network partition find
+ * each other again. Whether a member is live never depends on its object.
  */
 import {
   rendezvousOrder,
@@ -28,27 +28,42 @@
 
 /** Maintains this entry's object and discovers members by their objects. */
 export interface MemberObjects extends Disposable {
-  /** Writes this entry's object and lists the others; retries on failure. */
+  /**
+   * Writes this entry's object and contacts listed members; retries on failure.
+   */
   join(): void;
-  /** Schedules a check of this entry's object after a refutation. */
-  checkOwnObject(): void;
-  /** Members listed on joining, including this entry; undefined before. */
+  /**
+   * Schedules a check that this entry's object exists. Needed after a refuted
+   * update, as another entry may have removed the object.
+   */
+  scheduleOwnObjectCheck(): void;
+  /**
+   * Number of members listed by the platform on joining, including this entry;
+   * undefined before this entry has joined.
+   */
   listedCount(): number | undefined;
   /** Removes this entry's object. */
   leave(signal: AbortSignal): Promise<void>;
-  /** Reads from the platform; resolves with whether it responded. */
+  /** Reads from the platform; resolves to whether the platform responded. */
   isPlatformReachable(): Promise<boolean>;
   dump(): unknown;
 }
 
-const KIND = 'member';
-/** Objects removed in one sweep; further ones wait for the next sweep. */
+const MEMBER_KIND = 'member';
+/**
+ * Maximum number of objects removed in one sweep; further dead members' objects
+ * are removed in the next sweep.
+ */
 const MAX_REMOVALS_PER_SWEEP = 30;
-/** Members that a new process contacts to fetch the member list. */
-const JOIN_CONTACTS = 3;
-const MIN_RETRY_MS = 500;
-const MAX_RETRY_MS = 30_000;
-/** Sweeps with a failed contact until an unknown member's object is removed. */
+/** Number of answers after which a new process contacts no more members. */
+const MAX_JOIN_CONTACTS = 3;
+/** Range of the exponential delay between join attempts, in milliseconds. */
+const MIN_JOIN_RETRY_MS = 500;
+const MAX_JOIN_RETRY_MS = 30_000;
+/**
+ * Number of sweeps that fail to contact an unknown member after which its
+ * object is removed.
+ */
 const MAX_UNREACHABLE_SWEEPS = 3;
 
 /**
@@ -67,18 +82,22 @@
   readonly decisions: DecisionLog;
   readonly timing: MemberTiming;
   localUpdate(): MemberUpdate;
-  /** Contacts a member known only by its object; returns whether it replied. */
+  /**
+   * Contacts a member that is known only by its object; resolves to whether the
+   * member replied.
+   */
   contact(id: string, value: MemberObject): Promise<boolean>;
 }): MemberObjects {
   const {store, table, clock, random, log, decisions, timing} = options;
-  const unreachable = new Map<string, number>();
+  /** Number of sweeps that failed to contact an unknown member, by its id. */
+  const failedSweepsById = new Map<string, number>();
   const abortController = new AbortController();
   const timers = new Set<Disposable>();
-  let retryMs = MIN_RETRY_MS;
+  let joinRetryMs = MIN_JOIN_RETRY_MS;
   let isJoined = false;
   let listedCount: number | undefined;
   let isStopped = false;
-  let swept = 0;
+  let removedCount = 0;
 
   function schedule(delayMs: number, action: () => Promise<void>) {
     const timer = clock.after(delayMs * (0.75 + random.next() / 2), () => {
@@ -102,7 +121,7 @@
   async function writeOwnObject(): Promise<void> {
     const {id} = options.localUpdate();
     await store.put(
-      KIND,
+      MEMBER_KIND,
       id,
       ownObjectValue(),
       {type: 'any'},
@@ -111,13 +130,14 @@
   }
 
   /**
-   * Writes before listing: of two entries that start at once, at least one
-   * finds the other in the list or through contacted members and seeds.
+   * Writes this entry's object before listing all objects: of two entries that
+   * start at the same time, at least one finds the other in the list or through
+   * contacted members and seeds.
    */
   async function tryJoin(): Promise<void> {
     await writeOwnObject();
     const {objects} = await store.list<MemberObject>(
-      KIND,
+      MEMBER_KIND,
       abortController.signal,
       'recent',
     );
@@ -125,21 +145,22 @@
     listedCount = objects.length;
     const {id} = options.localUpdate();
     void contactMembers(objects.filter(object => object.name !== id));
-    schedule(timing.sweepIntervalMs, sweep);
-    schedule(timing.ownObjectCheckIntervalMs, checkOwnObjectPeriodically);
+    schedule(timing.sweepIntervalMs, sweepObjects);
+    schedule(timing.ownObjectCheckIntervalMs, restoreOwnObjectPeriodically);
   }
 
   /**
-   * Each member that answers returns all others, so a few contacts suffice; the
-   * sweep tries members that remain unknown. Contacting all would cost one
-   * connection and one listing for every member at every start.
+   * Each member that answers returns all members that it knows, so a few
+   * contacts suffice; sweeps contact members that remain unknown. Contacting
+   * all members would cost one connection and one listing for every member at
+   * every start of an entry.
    */
   async function contactMembers(
     objects: readonly StoredObject<MemberObject>[],
   ): Promise<void> {
     const candidates = [...objects];
     let answeredCount = 0;
-    while (candidates.length > 0 && answeredCount < JOIN_CONTACTS) {
+    while (candidates.length > 0 && answeredCount < MAX_JOIN_CONTACTS) {
       const index = random.integer(0, candidates.length - 1);
       const [object] = candidates.splice(index, 1);
       if (await options.contact(object!.name, object!.value)) {
@@ -151,76 +172,83 @@
   function join() {
     tryJoin().catch(error => {
       log.info({reason: String(error)}, 'platform join failed; retrying');
-      schedule(retryMs, async () => join());
-      retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
+      schedule(joinRetryMs, async () => join());
+      joinRetryMs = Math.min(MAX_JOIN_RETRY_MS, joinRetryMs * 2);
     });
   }
 
-  async function checkOwnObject(): Promise<void> {
+  async function restoreOwnObject(): Promise<void> {
     const {id, incarnation} = options.localUpdate();
-    const found = await store.get<MemberObject>(
-      KIND,
+    const storedObject = await store.get<MemberObject>(
+      MEMBER_KIND,
       id,
       abortController.signal,
     );
-    if (found === undefined || found.value.incarnation !== incarnation) {
+    if (
+      storedObject === undefined ||
+      storedObject.value.incarnation !== incarnation
+    ) {
       await writeOwnObject();
     }
   }
 
-  async function checkOwnObjectPeriodically(): Promise<void> {
-    schedule(timing.ownObjectCheckIntervalMs, checkOwnObjectPeriodically);
-    await checkOwnObject();
+  async function restoreOwnObjectPeriodically(): Promise<void> {
+    schedule(timing.ownObjectCheckIntervalMs, restoreOwnObjectPeriodically);
+    await restoreOwnObject();
   }
 
-  /** Only one member sweeps, so platform calls do not grow with the cluster. */
+  /**
+   * Returns whether this entry removes the objects of dead members. Only one
+   * live member does, so that platform calls do not grow with the cluster.
+   */
   function isSweeper(): boolean {
     const {id} = options.localUpdate();
     const live = [...table.all()]
-      .filter(known => known.machine.state() === 'live')
-      .map(known => known.update.id);
+      .filter(knownMember => knownMember.machine.state() === 'live')
+      .map(knownMember => knownMember.update.id);
     return rendezvousOrder('member-sweeper', [...live, id])[0] === id;
   }
 
-  function isDead(known: KnownMember, value: MemberObject): boolean {
+  function isDead(knownMember: KnownMember, value: MemberObject): boolean {
     return (
-      known.machine.state() === 'gone' &&
-      value.incarnation <= known.update.incarnation &&
-      clock.now() - known.changedAt >= timing.sweepIntervalMs
+      knownMember.machine.state() === 'gone' &&
+      value.incarnation <= knownMember.update.incarnation &&
+      clock.now() - knownMember.changedAt >= timing.sweepIntervalMs
     );
   }
 
+  /** Contacts an unknown member; returns whether enough sweeps have failed. */
   async function isUnreachable(
     object: StoredObject<MemberObject>,
   ): Promise<boolean> {
     if (await options.contact(object.name, object.value)) {
-      unreachable.delete(object.name);
+      failedSweepsById.delete(object.name);
       return false;
     }
-    const sweeps = (unreachable.get(object.name) ?? 0) + 1;
-    unreachable.set(object.name, sweeps);
+    const sweeps = (failedSweepsById.get(object.name) ?? 0) + 1;
+    failedSweepsById.set(object.name, sweeps);
     return sweeps >= MAX_UNREACHABLE_SWEEPS;
   }
 
   async function shouldRemove(
     object: StoredObject<MemberObject>,
   ): Promise<boolean> {
-    const known = table.get(object.name);
-    if (known !== undefined) {
-      return isDead(known, object.value);
+    const knownMember = table.get(object.name);
+    if (knownMember !== undefined) {
+      return isDead(knownMember, object.value);
     }
     return isUnreachable(object);
   }
 
-  async function sweep(): Promise<void> {
-    schedule(timing.sweepIntervalMs, sweep);
+  async function sweepObjects(): Promise<void> {
+    schedule(timing.sweepIntervalMs, sweepObjects);
     if (!isSweeper()) {
-      unreachable.clear();
+      failedSweepsById.clear();
       return;
     }
     const {id} = options.localUpdate();
     const {objects} = await store.list<MemberObject>(
-      KIND,
+      MEMBER_KIND,
       abortController.signal,
     );
     let removals = 0;
@@ -230,47 +258,56 @@
       }
       if (await shouldRemove(object)) {
         removals += 1;
-        await removeDead(object);
+        await removeDeadObject(object);
       }
     }
   }
 
-  async function removeDead(object: StoredObject<MemberObject>) {
+  async function removeDeadObject(object: StoredObject<MemberObject>) {
     const {name, version} = object;
-    // The version condition protects a process just restarted under this id.
+    // The version condition protects the object of a process that has just
+    // restarted under this id.
     await store.remove(
-      KIND,
+      MEMBER_KIND,
       name,
       {type: 'version', version},
       abortController.signal,
     );
-    swept += 1;
-    unreachable.delete(name);
+    removedCount += 1;
+    failedSweepsById.delete(name);
     decisions.note('members', name, 'remove its object', 'gone or unreachable');
   }
 
   return {
     join,
-    checkOwnObject() {
+    scheduleOwnObjectCheck() {
       if (isJoined) {
-        schedule(timing.heartbeatIntervalMs, checkOwnObject);
+        schedule(timing.heartbeatIntervalMs, restoreOwnObject);
       }
     },
     listedCount: () => listedCount,
     async leave(signal) {
       isStopped = true;
       const {id} = options.localUpdate();
-      await store.remove(KIND, id, {type: 'any'}, signal);
+      await store.remove(MEMBER_KIND, id, {type: 'any'}, signal);
     },
     async isPlatformReachable() {
       try {
-        await store.get(KIND, options.localUpdate().id, abortController.signal);
+        await store.get(
+          MEMBER_KIND,
+          options.localUpdate().id,
+          abortController.signal,
+        );
         return true;
       } catch {
         return false;
       }
     },
-    dump: () => ({isJoined, swept, unreachable: [...unreachable.keys()]}),
+    dump: () => ({
+      isJoined,
+      swept: removedCount,
+      unreachable: [...failedSweepsById.keys()],
+    }),
     dispose() {
       // Prevents a failed join attempt from scheduling a retry after disposal.
       isStopped = true;
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -9,20 +9,30 @@
 } from './memberMachine.js';
 import {buildMember} from './memberView.js';
 
-/** State that this entry holds about another member. */
+/** State of another member as seen by this entry. */
 export interface KnownMember {
   /** Most recent update of the member. */
   update: MemberUpdate;
   readonly machine: MemberMachine;
-  /** Monotonic milliseconds of the last sign of life, direct or via a peer. */
+  /**
+   * Monotonic milliseconds of the last evidence that the member is alive,
+   * received from the member itself or from a peer.
+   */
   lastSeenAt: number;
-  /** Like `lastSeenAt`, but direct only; reported to peers on request. */
+  /**
+   * Monotonic milliseconds of the last message from the member itself; reported
+   * to peers on request.
+   */
   lastSeenDirectlyAt: number;
   /** Monotonic milliseconds of the last state change. */
   changedAt: number;
-  /** It announced its departure, so no reconnection is attempted. */
+  /**
+   * Whether the member announced that it leaves; no reconnection is attempted.
+   */
   hasLeft: boolean;
+  /** Requests in flight on the member, as last reported. */
   load: number;
+  /** Index of the bucket that contains the member. */
   readonly bucket: number;
 }
 
@@ -32,17 +42,29 @@
   /** All members, including tombstones of those that are gone. */
   all(): Iterable<KnownMember>;
   /** Members that are not gone. */
-  present(): readonly KnownMember[];
-  /** Applies an update if newer than the stored one; returns if it was. */
+  presentMembers(): readonly KnownMember[];
+  /**
+   * Applies an update if it is newer than the stored one; returns whether it
+   * was.
+   */
   apply(update: MemberUpdate): boolean;
-  /** Sends an event to a member's machine; returns whether it changed state. */
-  send(known: KnownMember, event: MemberEvent): boolean;
+  /**
+   * Sends an event to a member's state machine; returns whether the state
+   * changed.
+   */
+  sendEvent(knownMember: KnownMember, event: MemberEvent): boolean;
   remove(id: string): void;
-  /** Hash of each bucket over members not gone and the local member. */
+  /**
+   * Returns the hash of each bucket, over the local member and all members that
+   * are not gone.
+   */
   bucketHashesWith(localUpdate: MemberUpdate): readonly number[];
-  /** Hash over all buckets, including the local member. */
+  /** Returns one hash over all buckets, including the local member. */
   digestWith(localUpdate: MemberUpdate): number;
-  /** Updates of all buckets whose hash differs from the peer's. */
+  /**
+   * Returns the updates in all buckets whose hash differs from the peer's hash
+   * of that bucket.
+   */
   differingUpdates(
     peerHashes: readonly number[],
     localUpdate: MemberUpdate,
@@ -53,7 +75,7 @@
 
 /**
  * Number of buckets in which member tables are compared. A bucket that differs
- * is sent whole: about 50 updates with 1,700 members.
+ * is sent in full: about 50 updates with 1,700 members.
  */
 export const BUCKET_COUNT = 32;
 
@@ -63,8 +85,8 @@
 const EVENT_BY_STATE = {
   live: 'returned',
   suspect: 'returned',
-  leaving: 'left',
-  gone: 'lost',
+  leaving: 'announcedLeaving',
+  gone: 'declaredGone',
 } as const;
 
 /**
@@ -75,42 +97,45 @@
  */
 export function createMemberTable(options: {
   readonly clock: Clock;
-  onDidChange(known: KnownMember): void;
+  onDidChange(knownMember: KnownMember): void;
 }): MemberTable {
   const {clock, onDidChange} = options;
   const members = new Map<string, KnownMember>();
   const bucketHashes = new Array<number>(BUCKET_COUNT).fill(0);
   let revision = 0;
   /** Cached digest, valid until the buckets or the local update change. */
-  let digest:
+  let cachedDigest:
     | {readonly localUpdate: MemberUpdate; readonly hash: number}
     | undefined;
 
-  /** Adds a member's hash to its bucket or removes it; XOR does both. */
-  function toggleHash(known: KnownMember) {
-    if (known.update.state === 'gone') {
+  /**
+   * Adds a member's hash to its bucket hash, or removes it when called again,
+   * as XOR is its own inverse.
+   */
+  function toggleHash(knownMember: KnownMember) {
+    if (knownMember.update.state === 'gone') {
       return;
     }
-    bucketHashes[known.bucket] =
-      (bucketHashes[known.bucket]! ^ hashOf(known.update)) >>> 0;
-    digest = undefined;
+    bucketHashes[knownMember.bucket] =
+      (bucketHashes[knownMember.bucket]! ^ hashOf(knownMember.update)) >>> 0;
+    cachedDigest = undefined;
   }
 
-  function send(known: KnownMember, event: MemberEvent): boolean {
-    const before = known.machine.state();
-    known.machine.send(event);
-    if (known.machine.state() === before) {
+  function sendEvent(knownMember: KnownMember, event: MemberEvent): boolean {
+    const stateBefore = knownMember.machine.state();
+    knownMember.machine.send(event);
+    if (knownMember.machine.state() === stateBefore) {
       return false;
     }
-    known.changedAt = clock.now();
+    knownMember.changedAt = clock.now();
     revision += 1;
-    onDidChange(known);
+    onDidChange(knownMember);
     return true;
   }
 
-  function add(update: MemberUpdate): KnownMember {
+  function addMember(update: MemberUpdate): KnownMember {
     const now = clock.now();
-    const known: KnownMember = {
+    const knownMember: KnownMember = {
       update,
       machine: createMemberMachine(),
       lastSeenAt: now,
@@ -120,31 +145,31 @@
       load: update.load,
       bucket: bucketOf(update.id),
     };
-    members.set(update.id, known);
-    toggleHash(known);
+    members.set(update.id, knownMember);
+    toggleHash(knownMember);
     revision += 1;
     if (update.state === 'live' || update.state === 'suspect') {
-      onDidChange(known);
+      onDidChange(knownMember);
     } else {
-      send(known, EVENT_BY_STATE[update.state]);
+      sendEvent(knownMember, EVENT_BY_STATE[update.state]);
     }
-    return known;
+    return knownMember;
   }
 
-  function replace(known: KnownMember, update: MemberUpdate) {
-    const isNewProcess = update.incarnation > known.update.incarnation;
-    toggleHash(known);
-    known.update = update;
-    toggleHash(known);
-    known.lastSeenAt = clock.now();
-    known.load = update.load;
-    known.hasLeft =
+  function replaceUpdate(knownMember: KnownMember, update: MemberUpdate) {
+    const isNewProcess = update.incarnation > knownMember.update.incarnation;
+    toggleHash(knownMember);
+    knownMember.update = update;
+    toggleHash(knownMember);
+    knownMember.lastSeenAt = clock.now();
+    knownMember.load = update.load;
+    knownMember.hasLeft =
       update.state === 'leaving' ||
-      (known.hasLeft && update.state === 'gone' && !isNewProcess);
-    const hasChanged = send(known, EVENT_BY_STATE[update.state]);
+      (knownMember.hasLeft && update.state === 'gone' && !isNewProcess);
+    const hasChanged = sendEvent(knownMember, EVENT_BY_STATE[update.state]);
     if (!hasChanged && isNewProcess) {
       revision += 1;
-      onDidChange(known);
+      onDidChange(knownMember);
     }
   }
 
@@ -158,52 +183,56 @@
   return {
     get: id => members.get(id),
     all: () => members.values(),
-    present: () =>
-      [...members.values()].filter(known => known.machine.state() !== 'gone'),
+    presentMembers: () =>
+      [...members.values()].filter(
+        knownMember => knownMember.machine.state() !== 'gone',
+      ),
     apply(update) {
-      const known = members.get(update.id);
-      if (known === undefined) {
-        add(update);
+      const knownMember = members.get(update.id);
+      if (knownMember === undefined) {
+        addMember(update);
         return true;
       }
-      if (!isNewer(update, known.update)) {
+      if (!isNewer(update, knownMember.update)) {
         return false;
       }
-      replace(known, update);
+      replaceUpdate(knownMember, update);
       return true;
     },
-    send,
+    sendEvent,
     remove(id) {
-      const known = members.get(id);
-      if (known === undefined) {
+      const knownMember = members.get(id);
+      if (knownMember === undefined) {
         return;
       }
-      toggleHash(known);
+      toggleHash(knownMember);
       members.delete(id);
       revision += 1;
     },
     bucketHashesWith,
     digestWith(localUpdate) {
-      if (digest?.localUpdate !== localUpdate) {
+      if (cachedDigest?.localUpdate !== localUpdate) {
         const hash = bucketHashesWith(localUpdate).reduce(
-          (sum, bucket) => hash32(`${sum} ${bucket}`),
+          (combinedHash, bucketHash) => hash32(`${combinedHash} ${bucketHash}`),
           0,
         );
-        digest = {localUpdate, hash};
+        cachedDigest = {localUpdate, hash};
       }
-      return digest.hash;
+      return cachedDigest.hash;
     },
     differingUpdates(peerHashes, localUpdate) {
       const localHashes = bucketHashesWith(localUpdate);
       const isDifferent = (bucket: number) =>
         peerHashes[bucket] !== localHashes[bucket];
       const updates = [...members.values()]
-        .filter(known => isDifferent(known.bucket))
-        // A peer whose bucket is empty needs no tombstones for it.
+        .filter(knownMember => isDifferent(knownMember.bucket))
+        // A peer without members in a bucket needs no tombstones of the bucket.
         .filter(
-          known => known.update.state !== 'gone' || peerHashes[known.bucket],
+          knownMember =>
+            knownMember.update.state !== 'gone' ||
+            peerHashes[knownMember.bucket],
         )
-        .map(known => known.update);
+        .map(knownMember => knownMember.update);
       return isDifferent(bucketOf(localUpdate.id))
         ? [localUpdate, ...updates]
         : updates;
@@ -213,21 +242,24 @@
 }
 
 /**
- * Returns whether an update supersedes the known one. Only the member itself
+ * Returns whether an update supersedes the stored one. Only the member itself
  * raises its sequence, so a live process can always refute a false state and no
- * other member can revive one that left.
+ * other member can revive a member that left.
  *
  * @example
- * if (!isNewer(update, known.update)) { return false; }
+ * if (!isNewer(update, storedUpdate)) { return false; }
  */
-export function isNewer(update: MemberUpdate, known: MemberUpdate): boolean {
-  if (update.incarnation !== known.incarnation) {
-    return update.incarnation > known.incarnation;
+export function isNewer(
+  update: MemberUpdate,
+  storedUpdate: MemberUpdate,
+): boolean {
+  if (update.incarnation !== storedUpdate.incarnation) {
+    return update.incarnation > storedUpdate.incarnation;
   }
-  if (update.sequence !== known.sequence) {
-    return update.sequence > known.sequence;
+  if (update.sequence !== storedUpdate.sequence) {
+    return update.sequence > storedUpdate.sequence;
   }
-  return STATE_RANK[update.state] > STATE_RANK[known.state];
+  return STATE_RANK[update.state] > STATE_RANK[storedUpdate.state];
 }
 
 function bucketOf(id: string): number {
@@ -247,6 +279,10 @@
  * @example
  * const members = [...table.all()].map(toMember);
  */
-export function toMember(known: KnownMember): Member {
-  return buildMember(known.update, known.machine.state(), known.load);
+export function toMember(knownMember: KnownMember): Member {
+  return buildMember(
+    knownMember.update,
+    knownMember.machine.state(),
+    knownMember.load,
+  );
 }
--- a/packages/members/src/memberView.ts
+++ b/packages/members/src/memberView.ts
@@ -7,7 +7,7 @@
  * entry.
  *
  * @example
- * const member = buildMember(known.update, known.machine.state(), known.load);
+ * const member = buildMember(update, machine.state(), load);
  */
 export function buildMember(
   update: MemberUpdate,
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -65,7 +65,7 @@
   const pauseDetector = createPauseDetector(clock, timing.pauseThresholdMs);
   const table = createMemberTable({
     clock,
-    onDidChange: known => didChange.fire(toMember(known)),
+    onDidChange: knownMember => didChange.fire(toMember(knownMember)),
   });
   const localMember = createLocalMember({
     self: options.self,
@@ -76,7 +76,7 @@
     localMember,
     table,
     gossip,
-    onDidRefute: () => objects.checkOwnObject(),
+    onDidRefute: () => memberObjects.scheduleOwnObjectCheck(),
   });
   const {applyUpdate} = updateHandler;
   const failureDetector = createFailureDetector({
@@ -88,11 +88,11 @@
     timing,
     localUpdate: localMember.currentUpdate,
     applyUpdate,
-    onDidConfirmGone(known) {
-      applyUpdate({...known.update, state: 'gone'});
+    onDidConfirmGone(knownMember) {
+      applyUpdate({...knownMember.update, state: 'gone'});
     },
   });
-  const objects = createMemberObjects({
+  const memberObjects = createMemberObjects({
     store: options.store,
     table,
     clock,
@@ -103,7 +103,7 @@
     localUpdate: localMember.currentUpdate,
     contact: (id, value) => reconnector.contactMember(id, value),
   });
-  disposables.add(objects);
+  disposables.add(memberObjects);
   const peerDirectory = createPeerDirectory({
     table,
     network,
@@ -143,24 +143,27 @@
     pauseDetector,
     table,
     failureDetector,
-    objects,
+    memberObjects,
     network,
     clock,
     decisions,
   });
 
-  /** Answers a probe; lets a sender held as leaving or gone refute that. */
+  /**
+   * Answers a probe. If this entry considers the sender leaving or gone, the
+   * response contains this state, so that the sender can refute it.
+   */
   function answerProbe(body: Messages['memberProbe']): MemberProbeResponse {
     if (body.believed !== undefined) {
       applyUpdate(body.believed);
     }
     applyUpdate(body.from);
     const sender = table.get(body.from.id);
-    const isLeavingOrGone =
+    const isSenderLeavingOrGone =
       sender !== undefined && sender.update.state !== 'live';
     return {
       news: localMember.currentUpdate(),
-      ...(isLeavingOrGone && {believed: sender.update}),
+      ...(isSenderLeavingOrGone && {believed: sender.update}),
     };
   }
 
@@ -173,8 +176,11 @@
     pruneTombstones(table, clock.now(), timing.tombstoneTtlMs);
   }
 
-  /** Sends an update to peers and returns those that did not acknowledge it. */
-  async function notifyLeaving(
+  /**
+   * Announces to peers that this entry leaves; returns the ids of the peers
+   * that did not acknowledge the announcement.
+   */
+  async function announceLeaving(
     update: MemberUpdate,
     receivers: readonly string[],
   ) {
@@ -201,12 +207,12 @@
     );
     const update = localMember.currentUpdate();
     gossip.add(update);
-    const unacknowledged = await notifyLeaving(
+    const unacknowledged = await announceLeaving(
       update,
       peerDirectory.neighbours(),
     );
-    await notifyLeaving(update, unacknowledged);
-    await objects
+    await announceLeaving(update, unacknowledged);
+    await memberObjects
       .leave(AbortSignal.timeout(LEAVE_STORE_TIMEOUT_MS))
       .catch(error =>
         log.info({reason: String(error)}, 'failed to remove own member object'),
@@ -215,7 +221,8 @@
 
   function relayLeaving(from: string, body: Messages['leaving']) {
     if (applyUpdate(body.news)) {
-      // Sent before the next heartbeat so that callers are routed away at once.
+      // Relayed without waiting for the next heartbeat, so that callers are
+      // routed away from the leaving entry at once.
       const receivers = peerDirectory
         .neighbours()
         .filter(id => id !== from && id !== body.news.id);
@@ -241,7 +248,7 @@
   );
   disposables.add(
     network.onDidChangePeer((peer, isOpen) => {
-      failureDetector.connectionChanged(peer, isOpen);
+      failureDetector.recordConnectionChange(peer, isOpen);
       if (isOpen) {
         void failureDetector.probe(peer);
       }
@@ -257,42 +264,49 @@
   const startedAt = clock.now();
 
   function live(): Member[] {
-    return [localMember.member(), ...table.present().map(toMember)].filter(
-      member => member.state === 'live',
-    );
+    return [
+      localMember.member(),
+      ...table.presentMembers().map(toMember),
+    ].filter(member => member.state === 'live');
   }
 
-  /** Number of suspects and recently lost members, which may still serve. */
-  function possiblyLiveCount(): number {
+  /** Counts suspects and recently lost members, which may still accept work. */
+  function countPossiblyLive(): number {
     const suspects = table
-      .present()
+      .presentMembers()
       .filter(({machine}) => machine.state() === 'suspect');
-    const lost = peerDirectory
-      .lost()
+    const recentlyLost = peerDirectory
+      .lostMembers()
       .filter(({changedAt}) => clock.now() - changedAt < timing.lostGraceMs);
-    return suspects.length + lost.length;
+    return suspects.length + recentlyLost.length;
   }
 
-  /** The platform's list includes dead members and counts only at the start. */
+  /**
+   * The platform's list may include dead members, so its size is considered
+   * only in the first `reconnectIntervalMs` after the start.
+   */
   function entryCount(): number | undefined {
-    const count = live().length + possiblyLiveCount();
-    const listed = objects.listedCount();
-    if (listed === undefined) {
+    const count = live().length + countPossiblyLive();
+    const listedCount = memberObjects.listedCount();
+    if (listedCount === undefined) {
       return count > 1 ? count : undefined;
     }
     const isStarting = clock.now() - startedAt < timing.reconnectIntervalMs;
-    return isStarting ? Math.max(count, listed) : count;
+    return isStarting ? Math.max(count, listedCount) : count;
   }
 
   gossip.add(localMember.currentUpdate());
-  objects.join();
+  memberObjects.join();
   reconnector.contactSeeds();
 
   return {
     get self() {
       return localMember.member();
     },
-    members: () => [localMember.member(), ...table.present().map(toMember)],
+    members: () => [
+      localMember.member(),
+      ...table.presentMembers().map(toMember),
+    ],
     live,
     entryCount,
     onDidChange: didChange.event,
@@ -300,16 +314,16 @@
     isCurrent: () => pauseDetector.isCurrent(),
     dump: () => ({
       self: localMember.member(),
-      members: [...table.all()].map(known => ({
-        ...toMember(known),
-        sequence: known.update.sequence,
-        heardAgoMs: Math.round(clock.now() - known.lastSeenAt),
+      members: [...table.all()].map(knownMember => ({
+        ...toMember(knownMember),
+        sequence: knownMember.update.sequence,
+        heardAgoMs: Math.round(clock.now() - knownMember.lastSeenAt),
       })),
       neighbours: peerDirectory.neighbours(),
       gossip: gossip.size(),
-      reconciliations: reconciler.count(),
+      reconciliations: reconciler.fetchCount(),
       silence: failureDetector.dump(),
-      objects: objects.dump(),
+      objects: memberObjects.dump(),
       pauses: pauseDetector.dump(),
     }),
     dispose() {
--- a/packages/members/src/pauseDetector.ts
+++ b/packages/members/src/pauseDetector.ts
@@ -1,13 +1,15 @@
 /**
- * Detects pauses of this process. Its state may be stale afterwards: leases may
- * have expired and peers may have declared it gone. A heartbeat that waited in
- * a socket buffer during the pause proves nothing, so only the response to a
- * request sent after the pause makes the process current again.
+ * Detects pauses of this process. After a pause the state of the process may be
+ * stale: leases may have expired and peers may have declared it gone. A
+ * heartbeat that waited in a socket buffer during the pause proves nothing, so
+ * only the response to a request sent after the pause makes the process current
+ * again.
  */
 import type {Clock} from '@skylarkfield/base';
 
 /** Tracks whether this process may act on its state. */
 export interface PauseDetector {
+  /** Returns false after a pause until a response has been recorded. */
   isCurrent(): boolean;
   /**
    * Must be called on every timer tick. Returns the duration of a pause that
@@ -15,7 +17,7 @@
    */
   tick(): number;
   /** Records a response to a request sent at the given monotonic time. */
-  confirm(requestedAt: number): void;
+  recordResponse(requestedAt: number): void;
   dump(): unknown;
 }
 
@@ -30,10 +32,14 @@
   thresholdMs: number,
 ): PauseDetector {
   let lastTickAt = clock.now();
+  /** Monotonic milliseconds at which the last pause was detected. */
   let staleSince: number | undefined;
   let pauses = 0;
 
-  /** Also used between ticks: other code may run first after a pause. */
+  /**
+   * Returns the time since the last tick. Also called between ticks, as other
+   * code may run before the next tick after a pause.
+   */
   function msSinceTick(): number {
     return clock.now() - lastTickAt;
   }
@@ -50,7 +56,7 @@
       staleSince = lastTickAt;
       return gapMs;
     },
-    confirm(requestedAt) {
+    recordResponse(requestedAt) {
       if (staleSince !== undefined && requestedAt >= staleSince) {
         staleSince = undefined;
       }
--- a/packages/members/src/pauseRecovery.ts
+++ b/packages/members/src/pauseRecovery.ts
@@ -1,7 +1,7 @@
 /**
- * Recovery after a pause of this process. Peers appear silent because their
- * heartbeats were not read; without recovery, live members would be declared
- * gone and callers routed away from them.
+ * Recovery after a pause of this process. After a pause, peers appear silent
+ * because their heartbeats were not read. Without recovery, live members would
+ * be declared gone and callers routed away from them.
  */
 import type {Clock, DecisionLog} from '@skylarkfield/base';
 import type {PeerNetwork} from '@skylarkfield/protocol';
@@ -15,7 +15,9 @@
 
 /** Detects pauses of this process and recovers from them. */
 export interface PauseRecovery {
-  /** Checks for a pause that just ended; must run first on every timer tick. */
+  /**
+   * Checks whether a pause has just ended; must run first on every timer tick.
+   */
   check(): void;
 }
 
@@ -31,33 +33,36 @@
   readonly pauseDetector: PauseDetector;
   readonly table: MemberTable;
   readonly failureDetector: FailureDetector;
-  readonly objects: MemberObjects;
+  readonly memberObjects: MemberObjects;
   readonly network: PeerNetwork;
   readonly clock: Clock;
   readonly decisions: DecisionLog;
 }): PauseRecovery {
-  const {id, pauseDetector, table, failureDetector, objects} = options;
+  const {id, pauseDetector, table, failureDetector, memberObjects} = options;
   const {network, clock, decisions} = options;
 
-  /** Restarts the silence timeout of all members, as the pause was local. */
-  function resetSilence(pauseMs: number) {
+  /**
+   * Restarts the silence timeouts of all members, since the pause of this
+   * process caused the silence.
+   */
+  function restartSilenceTimeouts(pauseMs: number) {
     const now = clock.now();
     decisions.note('members', id, 'hold back', 'process was paused', {
       pauseMs: Math.round(pauseMs),
     });
-    for (const known of table.all()) {
-      known.lastSeenAt = now;
+    for (const knownMember of table.all()) {
+      knownMember.lastSeenAt = now;
     }
   }
 
-  async function confirmCurrent(): Promise<void> {
+  async function confirmStateIsCurrent(): Promise<void> {
     const requestedAt = clock.now();
-    // Without other members no process can have acted during the pause.
-    if (table.present().length === 0) {
-      pauseDetector.confirm(requestedAt);
+    // Without other members, no process can have taken over work in the pause.
+    if (table.presentMembers().length === 0) {
+      pauseDetector.recordResponse(requestedAt);
       return;
     }
-    const platformAnswer = objects.isPlatformReachable();
+    const platformAnswer = memberObjects.isPlatformReachable();
     const peers = network.connectedPeers().slice(0, MAX_PROBES);
     const answers = [
       ...peers.map(peer => failureDetector.probe(peer)),
@@ -66,7 +71,7 @@
     for (const answer of answers) {
       void answer.then(isAnswered => {
         if (isAnswered) {
-          pauseDetector.confirm(requestedAt);
+          pauseDetector.recordResponse(requestedAt);
         }
       });
     }
@@ -77,10 +82,10 @@
     check() {
       const pauseMs = pauseDetector.tick();
       if (pauseMs > 0) {
-        resetSilence(pauseMs);
+        restartSilenceTimeouts(pauseMs);
       }
       if (!pauseDetector.isCurrent()) {
-        void confirmCurrent();
+        void confirmStateIsCurrent();
       }
     },
   };
--- a/packages/members/src/peerDirectory.ts
+++ b/packages/members/src/peerDirectory.ts
@@ -1,18 +1,28 @@
-/** Peers that the network connects to: neighbours always, others on demand. */
+/**
+ * Peer addresses for the network, which stays connected to neighbours and
+ * connects to other members on demand.
+ */
 import type {MemberUpdate, PeerNetwork} from '@skylarkfield/protocol';
 import type {KnownMember, MemberTable} from './memberTable.js';
 import {neighboursOf} from './neighbours.js';
 
-/** Neighbours and addresses, derived from the known members. */
+/** Neighbours and peer addresses, derived from the member table. */
 export interface PeerDirectory {
+  /** Ids of the members that this entry exchanges heartbeats with. */
   neighbours(): readonly string[];
-  /** Updates the network's peers and addresses if members have changed. */
+  /**
+   * Updates the network's peers and addresses if the member table has changed.
+   */
   refresh(): void;
   /** Adds the address of a peer that is not in the member table yet. */
   addContact(id: string, url: string): void;
+  /** Removes an address added by `addContact`. */
   removeContact(id: string): void;
-  /** Members gone without an announcement, possibly only partitioned. */
-  lost(): readonly KnownMember[];
+  /**
+   * Members that are gone without having announced that they leave; they may be
+   * alive behind a network partition.
+   */
+  lostMembers(): readonly KnownMember[];
 }
 
 /**
@@ -28,23 +38,25 @@
   localUpdate(): MemberUpdate;
 }): PeerDirectory {
   const {table, network} = options;
-  const contacts = new Map<string, string>();
+  /** Inner URLs of peers added by `addContact`, by member id. */
+  const contactUrls = new Map<string, string>();
   let neighbours: readonly string[] = [];
-  let seenRevision = -1;
+  let lastRevision = -1;
 
-  function lost(): KnownMember[] {
+  function lostMembers(): KnownMember[] {
     return [...table.all()].filter(
-      known => known.machine.state() === 'gone' && !known.hasLeft,
+      knownMember =>
+        knownMember.machine.state() === 'gone' && !knownMember.hasLeft,
     );
   }
 
   function updateNetwork() {
-    const addresses = table.present().map(addressOf);
+    const addresses = table.presentMembers().map(addressOf);
     const neighbourIds = new Set(neighbours);
     network.setAddressBook([
       ...addresses,
-      ...lost().map(addressOf),
-      ...[...contacts].map(([id, url]) => ({id, incarnation: 0, url})),
+      ...lostMembers().map(addressOf),
+      ...[...contactUrls].map(([id, url]) => ({id, incarnation: 0, url})),
     ]);
     network.setPeers(addresses.filter(({id}) => neighbourIds.has(id)));
   }
@@ -52,25 +64,27 @@
   return {
     neighbours: () => neighbours,
     refresh() {
-      if (table.revision() === seenRevision) {
+      if (table.revision() === lastRevision) {
         return;
       }
-      seenRevision = table.revision();
+      lastRevision = table.revision();
       const localUpdate = options.localUpdate();
-      const members = table.present().map(known => known.update);
+      const members = table
+        .presentMembers()
+        .map(knownMember => knownMember.update);
       neighbours = neighboursOf(localUpdate.id, [localUpdate, ...members]);
       updateNetwork();
     },
     addContact(id, url) {
-      contacts.set(id, url);
+      contactUrls.set(id, url);
       updateNetwork();
     },
-    removeContact: id => contacts.delete(id),
-    lost,
+    removeContact: id => contactUrls.delete(id),
+    lostMembers,
   };
 }
 
-function addressOf(known: KnownMember) {
-  const {id, incarnation, innerUrl} = known.update;
+function addressOf(knownMember: KnownMember) {
+  const {id, incarnation, innerUrl} = knownMember.update;
   return {id, incarnation, url: innerUrl};
 }
--- a/packages/members/src/readers.ts
+++ b/packages/members/src/readers.ts
@@ -17,14 +17,14 @@
  * tracker.setReader(isReader(membership.live(), membership.self, 'notices'));
  */
 export function isReader(
-  live: readonly Member[],
+  liveMembers: readonly Member[],
   self: Pick<Member, 'id' | 'failureDomain'>,
   topic: string,
 ): boolean {
-  const peers = live
+  const domainMemberIds = liveMembers
     .filter(member => member.failureDomain === self.failureDomain)
     .map(member => member.id);
-  return rendezvousOrder(topic, peers)
+  return rendezvousOrder(topic, domainMemberIds)
     .slice(0, READERS_PER_DOMAIN)
     .includes(self.id);
 }
--- a/packages/members/src/reconciler.ts
+++ b/packages/members/src/reconciler.ts
@@ -1,6 +1,7 @@
 /**
- * Anti-entropy for updates that gossip missed: entries compare a digest with
- * every heartbeat, and fetch differing buckets after `reconcileDelayMs`.
+ * Anti-entropy for updates that were lost in gossip: entries compare the
+ * digests of their member tables with every heartbeat, and fetch differing
+ * buckets if the digests still differ after `reconcileDelayMs`.
  */
 import {toServingError, type Clock, type Logger} from '@skylarkfield/base';
 import type {
@@ -13,19 +14,22 @@
 
 /** Compares the member tables of two entries and fetches the difference. */
 export interface Reconciler {
-  /** Compares a peer's digest with the local one. */
-  compare(peer: string, digest: number | undefined): void;
-  /** Fetches the peer's updates of all buckets that differ. */
-  fetch(peer: string): Promise<void>;
+  /**
+   * Compares a peer's digest with the local digest, and fetches the peer's
+   * updates if they have differed for `reconcileDelayMs`.
+   */
+  compareDigest(peer: string, digest: number | undefined): void;
+  /** Fetches the peer's updates in all buckets whose hashes differ. */
+  fetchUpdates(peer: string): Promise<void>;
   /** Number of fetches so far. */
-  count(): number;
+  fetchCount(): number;
 }
 
 /**
  * Creates the reconciler of one entry.
  *
  * @example
- * reconciler.compare(from, heartbeat.digest);
+ * reconciler.compareDigest(from, heartbeat.digest);
  */
 export function createReconciler(options: {
   readonly table: MemberTable;
@@ -37,11 +41,14 @@
   applyUpdate(update: MemberUpdate): void;
 }): Reconciler {
   const {table, network, clock, log, timing} = options;
-  /** Per peer, as two peers that lack the same member have equal digests. */
-  const differsSince = new Map<string, number>();
+  /**
+   * Monotonic milliseconds since when a peer's digest has differed, by peer and
+   * not by digest, as two peers that lack the same member have equal digests.
+   */
+  const digestDiffersSince = new Map<string, number>();
   let fetches = 0;
 
-  async function fetch(peer: string): Promise<void> {
+  async function fetchUpdates(peer: string): Promise<void> {
     fetches += 1;
     const buckets = table.bucketHashesWith(options.localUpdate());
     const response = await network
@@ -52,41 +59,48 @@
         options.applyUpdate,
       );
     } catch (error) {
-      log.warn({peer, err: toServingError(error)}, 'invalid member list');
+      log.warn(
+        {peer, err: toServingError(error)},
+        'failed to apply the member updates of a peer',
+      );
     }
   }
 
-  /** Drops former neighbours, whose heartbeats would have dropped them. */
+  /**
+   * Drops peers that are no longer neighbours. A current neighbour's heartbeats
+   * would have removed the peer from the map or caused a fetch by now.
+   */
   function dropStalePeers(now: number) {
-    for (const [peer, since] of differsSince) {
+    for (const [peer, since] of digestDiffersSince) {
       if (now - since > 2 * timing.reconcileDelayMs) {
-        differsSince.delete(peer);
+        digestDiffersSince.delete(peer);
       }
     }
   }
 
   return {
-    compare(peer, digest) {
+    compareDigest(peer, digest) {
       const isSame = digest === table.digestWith(options.localUpdate());
       if (digest === undefined || isSame) {
-        differsSince.delete(peer);
+        digestDiffersSince.delete(peer);
         return;
       }
       const now = clock.now();
-      const since = differsSince.get(peer);
+      const since = digestDiffersSince.get(peer);
       if (since === undefined) {
         dropStalePeers(now);
-        differsSince.set(peer, now);
+        digestDiffersSince.set(peer, now);
         return;
       }
       if (now - since < timing.reconcileDelayMs) {
         return;
       }
-      // One fetch at a time: while an update propagates, all peers differ.
-      differsSince.clear();
-      void fetch(peer);
+      // Fetches from one peer only: while an update propagates, the digests of
+      // all peers differ.
+      digestDiffersSince.clear();
+      void fetchUpdates(peer);
     },
-    fetch,
-    count: () => fetches,
+    fetchUpdates,
+    fetchCount: () => fetches,
   };
 }
--- a/packages/members/src/reconnector.ts
+++ b/packages/members/src/reconnector.ts
@@ -1,7 +1,8 @@
 /**
- * Reconnects members after a network partition. Each side considers the other
- * gone; without these attempts they would never communicate again, and callers
- * would keep being routed to one side only.
+ * Reconnects members after a network partition. Each side considers the members
+ * of the other side gone. Without reconnection attempts the two sides would
+ * never communicate again, and callers would keep being routed to one side
+ * only.
  */
 import type {Clock, Logger, Random} from '@skylarkfield/base';
 import type {PeerNetwork} from '@skylarkfield/protocol';
@@ -12,11 +13,17 @@
 
 /** Contacts members that are gone or not known yet. */
 export interface Reconnector {
-  /** Contacts a member known only by its object; returns whether it replied. */
-  contactMember(id: string, value: MemberObject): Promise<boolean>;
-  /** Contacts all seeds. */
+  /**
+   * Contacts a member that is known only by its object; resolves to whether the
+   * member replied.
+   */
+  contactMember(id: string, memberObject: MemberObject): Promise<boolean>;
+  /** Contacts all seeds and fetches their member updates. */
   contactSeeds(): void;
-  /** Contacts one lost member when due; must be called with every heartbeat. */
+  /**
+   * Contacts a lost member, and a seed if this entry has no neighbours, every
+   * `reconnectIntervalMs`; must be called with every heartbeat.
+   */
   check(): void;
 }
 
@@ -37,7 +44,7 @@
   readonly log: Logger;
   /** Inner URLs of peers to join through when the platform is unavailable. */
   readonly seeds: readonly string[];
-  /** Interval of attempts, in milliseconds. */
+  /** Interval of attempts to contact a lost member, in milliseconds. */
   readonly reconnectIntervalMs: number;
 }): Reconnector {
   const {peerDirectory, failureDetector, reconciler, network} = options;
@@ -48,7 +55,7 @@
     try {
       const id = await network.dial(url);
       if (await failureDetector.probe(id)) {
-        await reconciler.fetch(id);
+        await reconciler.fetchUpdates(id);
       }
     } catch (error) {
       log.debug({url, reason: String(error)}, 'failed to contact seed');
@@ -56,12 +63,12 @@
   }
 
   return {
-    async contactMember(id, value) {
-      peerDirectory.addContact(id, value.innerUrl);
+    async contactMember(id, memberObject) {
+      peerDirectory.addContact(id, memberObject.innerUrl);
       const isReachable = await failureDetector.probe(id);
       peerDirectory.removeContact(id);
       if (isReachable) {
-        await reconciler.fetch(id);
+        await reconciler.fetchUpdates(id);
       }
       return isReachable;
     },
@@ -77,10 +84,11 @@
       }
       lastAttemptAt = now;
       const isAlone = peerDirectory.neighbours().length === 0;
-      // One at a time: many lost members must not cause a burst of attempts.
-      const lost = random.pick(peerDirectory.lost());
-      if (lost !== undefined) {
-        void failureDetector.probe(lost.update.id);
+      // Only one lost member is contacted, so that the loss of many members
+      // does not cause a burst of attempts.
+      const lostMember = random.pick(peerDirectory.lostMembers());
+      if (lostMember !== undefined) {
+        void failureDetector.probe(lostMember.update.id);
       }
       const seed = random.pick(seeds);
       if (isAlone && seed !== undefined) {
--- a/packages/members/src/test/cluster.ts
+++ b/packages/members/src/test/cluster.ts
@@ -34,7 +34,8 @@
       store: platform.client(id),
       network: peer.network,
       clock: peer.clock,
-      // Hashed, as similar small seeds produce nearly the same first numbers.
+      // The seed is hashed, as similar small seeds produce nearly the same
+      // first numbers.
       random: seededRandom(hash32(`${seed}/${incarnation}`)),
       log: silentLogger(),
       decisions: decisionLog(clock, silentLogger()),
@@ -78,14 +79,14 @@
       membership.dispose();
       net.crash(id);
     },
-    isolate(id: string, others: Iterable<string>) {
-      for (const other of others) {
+    isolate(id: string, otherIds: Iterable<string>) {
+      for (const other of otherIds) {
         net.partition(id, other);
         net.partition(other, id);
       }
     },
     /** Ids of the members that an entry considers live. */
-    liveAt(id: string): string[] {
+    liveIdsSeenBy(id: string): string[] {
       const live = running.get(id)!.live();
       return live.map(member => member.id).sort();
     },
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -45,7 +45,7 @@
   }));
   networks[1]!.setPeers(peers);
   const entries = networks.map(network => {
-    const seen: string[] = [];
+    const events: string[] = [];
     let onNotice: (notice: ReclaimNotice) => void = () => {};
     let onList: (endpoints: readonly ListedEndpoint[]) => void = () => {};
     const tracker = createLeavingEndpointTracker({
@@ -66,15 +66,15 @@
       decisions: decisionLog(clock, silentLogger()),
     });
     tracker.onDidLeave(({endpoint, source}) =>
-      seen.push(`${endpoint} by ${source}`),
+      events.push(`${endpoint} by ${source}`),
     );
-    tracker.onDidReturn(endpoint => seen.push(`${endpoint} returns`));
+    tracker.onDidReturn(endpoint => events.push(`${endpoint} returns`));
     return {
       tracker,
-      seen,
-      notice: (host: string, goneAt = clock.wall() + 30_000) =>
+      events,
+      sendNotice: (host: string, goneAt = clock.wall() + 30_000) =>
         onNotice({host, goneAt}),
-      list: (...endpoints: ListedEndpoint[]) => onList(endpoints),
+      publishList: (...endpoints: ListedEndpoint[]) => onList(endpoints),
     };
   });
   const [a, b, c] = entries;
@@ -82,6 +82,7 @@
 }
 
 interface ListStep {
+  /** Milliseconds from the previous list to this list. */
   readonly afterMs?: number;
   /** Undefined if the endpoint is absent from the list. */
   readonly state?: 'live' | 'leaving';
@@ -91,63 +92,63 @@
 /**
  * An endpoint restarts on its host under the same id, as after an update. If it
  * stayed excluded for the maximum list lag, a service with few endpoints would
- * lack it for a quarter of an hour; if an outdated list readmitted it, calls
- * would go to a process that is gone.
+ * lack the endpoint for a quarter of an hour; if an outdated list readmitted
+ * it, calls would go to a process that is gone.
  */
 const returnCases: ReadonlyArray<{
   readonly name: string;
-  /** Time until the host is gone; 0 without a reclaim notice. */
+  /** Milliseconds until the host is gone; 0 without a reclaim notice. */
   readonly noticeMs: number;
   readonly steps: readonly ListStep[];
-  readonly isBack: boolean;
+  readonly isReadmitted: boolean;
 }> = [
   {
     name: 'readmits an endpoint listed as leaving, then live at a new URL',
     noticeMs: 0,
     steps: [{state: 'leaving'}, {state: 'live', url: 'http://h1:2'}],
-    isBack: true,
+    isReadmitted: true,
   },
   {
     name: 'readmits an endpoint that was unlisted, then live after the deadline',
     noticeMs: 30_000,
     steps: [{}, {afterMs: MINUTE_MS, state: 'live'}],
-    isBack: true,
+    isReadmitted: true,
   },
   {
     name: 'excludes an endpoint that the list keeps showing as live',
     noticeMs: 30_000,
     steps: [{state: 'live'}, {afterMs: 5 * MINUTE_MS, state: 'live'}],
-    isBack: false,
+    isReadmitted: false,
   },
   {
     name: 'excludes an endpoint live again at the old URL without a deadline',
     noticeMs: 0,
     steps: [{state: 'leaving'}, {state: 'live'}],
-    isBack: false,
+    isReadmitted: false,
   },
   {
     name: 'excludes a new process on a host that is about to be reclaimed',
     noticeMs: 30_000,
     steps: [{state: 'leaving'}, {state: 'live', url: 'http://h1:2'}],
-    isBack: false,
+    isReadmitted: false,
   },
 ];
 
 describe('leaving endpoints', () => {
   it('propagates a notice to every entry once', async () => {
-    // Only one entry receives the reclaim notice of a host. Any entry that kept
-    // sending work there would lose it half a minute later.
+    // Only one entry receives the reclaim notice of a host. An entry that kept
+    // sending work to that host would lose the work half a minute later.
     const {clock, a, b, c} = createChain();
-    a.list(listedEndpoint('e1', 'h1'), listedEndpoint('e2', 'h2'));
-    a.notice('h1');
+    a.publishList(listedEndpoint('e1', 'h1'), listedEndpoint('e2', 'h2'));
+    a.sendNotice('h1');
     await clock.advance(10);
-    assert.deepEqual(a.seen, ['e1 by notice']);
-    assert.deepEqual(b.seen, ['e1 by peer']);
-    assert.deepEqual(c.seen, ['e1 by peer']);
-    b.list(listedEndpoint('e1', 'h1', 'leaving'));
-    c.notice('h1');
+    assert.deepEqual(a.events, ['e1 by notice']);
+    assert.deepEqual(b.events, ['e1 by peer']);
+    assert.deepEqual(c.events, ['e1 by peer']);
+    b.publishList(listedEndpoint('e1', 'h1', 'leaving'));
+    c.sendNotice('h1');
     await clock.advance(10);
-    assert.deepEqual(b.seen, ['e1 by peer']);
+    assert.deepEqual(b.events, ['e1 by peer']);
     assert.equal(c.tracker.isLeaving('e1'), true);
     assert.equal(c.tracker.isLeaving('e2'), false);
   });
@@ -155,108 +156,109 @@
   it('marks an endpoint that is listed only after the notice', async () => {
     // The list lags: it shows no endpoint on the host of the notice yet.
     const {clock, a, c} = createChain();
-    a.notice('h1');
+    a.sendNotice('h1');
     await clock.advance(10);
     assert.equal(c.tracker.isLeaving('e1', 'h1'), true);
-    c.list(listedEndpoint('e1', 'h1'));
-    assert.deepEqual(c.seen, ['e1 by list']);
+    c.publishList(listedEndpoint('e1', 'h1'));
+    assert.deepEqual(c.events, ['e1 by list']);
   });
 
   it('publishes the host list with leaving endpoints marked', async () => {
-    // Endpoint selection reads this list; it must not show an endpoint known to
-    // leave as live, even when another outdated list arrives.
+    // Endpoint selection reads this list; it must not show a leaving endpoint
+    // as live, even when another outdated list arrives.
     const {clock, a} = createChain();
     const states: string[] = [];
     a.tracker.hostList.watch(list => {
       states.push(list.map(({id, state}) => `${id} ${state}`).join());
     });
-    a.list(listedEndpoint('e1', 'h1'), listedEndpoint('e2', 'h2'));
-    a.notice('h1');
+    a.publishList(listedEndpoint('e1', 'h1'), listedEndpoint('e2', 'h2'));
+    a.sendNotice('h1');
     await clock.advance(10);
-    a.list(listedEndpoint('e1', 'h1'), listedEndpoint('e2', 'h2'));
-    const marked = 'e1 leaving,e2 live';
-    assert.deepEqual(states, ['e1 live,e2 live', marked, marked]);
+    a.publishList(listedEndpoint('e1', 'h1'), listedEndpoint('e2', 'h2'));
+    const markedList = 'e1 leaving,e2 live';
+    assert.deepEqual(states, ['e1 live,e2 live', markedList, markedList]);
   });
 
   it('readmits an endpoint on a new host, not from an outdated list', async () => {
     // The list still shows the endpoint as live minutes after the notice; later
     // its replacement starts under the same id on another host.
     const {clock, a} = createChain();
-    a.list(listedEndpoint('e1', 'h1'));
-    a.notice('h1');
+    a.publishList(listedEndpoint('e1', 'h1'));
+    a.sendNotice('h1');
     await clock.advance(10 * MINUTE_MS);
-    a.list(listedEndpoint('e1', 'h1'));
+    a.publishList(listedEndpoint('e1', 'h1'));
     assert.equal(a.tracker.isLeaving('e1'), true);
-    a.list(listedEndpoint('e1', 'h9'));
+    a.publishList(listedEndpoint('e1', 'h9'));
     assert.equal(a.tracker.isLeaving('e1'), false);
     assert.equal(a.tracker.isLeaving('e1', 'h1'), true);
-    a.list(listedEndpoint('e1', 'h1'));
+    a.publishList(listedEndpoint('e1', 'h1'));
     assert.equal(a.tracker.isLeaving('e1'), true);
-    assert.deepEqual(a.seen, ['e1 by notice', 'e1 returns']);
+    assert.deepEqual(a.events, ['e1 by notice', 'e1 returns']);
   });
 
-  for (const {name, noticeMs, steps, isBack} of returnCases) {
+  for (const {name, noticeMs, steps, isReadmitted} of returnCases) {
     it(name, async () => {
       const {clock, a} = createChain();
-      a.list(listedEndpoint('e1', 'h1'));
+      a.publishList(listedEndpoint('e1', 'h1'));
       const goneAt = clock.wall() + noticeMs;
       if (noticeMs > 0) {
-        a.notice('h1', goneAt);
+        a.sendNotice('h1', goneAt);
       }
       for (const {afterMs = 1_000, state, url} of steps) {
         await clock.advance(afterMs);
         const item = listedEndpoint('e1', 'h1', state ?? 'live');
-        a.list(
+        a.publishList(
           listedEndpoint('e2', 'h2'),
           ...(state === undefined ? [] : [{...item, url: url ?? item.url}]),
         );
       }
-      assert.equal(a.tracker.isLeaving('e1'), !isBack);
-      assert.equal(a.seen.includes('e1 returns'), isBack);
-      // The same notice, repeated after a partition, must not change that.
+      assert.equal(a.tracker.isLeaving('e1'), !isReadmitted);
+      assert.equal(a.events.includes('e1 returns'), isReadmitted);
+      // The same notice, repeated after a partition, must not change the
+      // result.
       if (noticeMs > 0) {
-        a.notice('h1', goneAt);
+        a.sendNotice('h1', goneAt);
         await clock.advance(10);
-        assert.equal(a.tracker.isLeaving('e1'), !isBack);
+        assert.equal(a.tracker.isLeaving('e1'), !isReadmitted);
       }
     });
   }
 
   it('excludes a returned endpoint again on a second notice', async () => {
     const {clock, a, b} = createChain();
-    a.list(listedEndpoint('e1', 'h1'));
-    a.notice('h1');
+    a.publishList(listedEndpoint('e1', 'h1'));
+    a.sendNotice('h1');
     await clock.advance(MINUTE_MS);
-    a.list();
-    a.list(listedEndpoint('e1', 'h1'));
+    a.publishList();
+    a.publishList(listedEndpoint('e1', 'h1'));
     assert.equal(a.tracker.isLeaving('e1'), false);
-    a.notice('h1');
+    a.sendNotice('h1');
     await clock.advance(10);
     assert.equal(a.tracker.isLeaving('e1'), true);
-    a.list(listedEndpoint('e1', 'h1'));
+    a.publishList(listedEndpoint('e1', 'h1'));
     assert.equal(a.tracker.isLeaving('e1'), true);
     assert.equal(b.tracker.isLeaving('e1'), true);
   });
 
-  it('readmits endpoints when the host was not reclaimed', async () => {
-    // A notice that the cloud did not carry out must not idle a host for good.
+  it('readmits endpoints if their host has not been reclaimed after the deadline', async () => {
+    // If the cloud does not carry out a notice, the host must not stay idle.
     const {clock, a} = createChain();
-    a.list(listedEndpoint('e1', 'h1'));
-    a.notice('h1');
+    a.publishList(listedEndpoint('e1', 'h1'));
+    a.sendNotice('h1');
     await clock.advance(17 * MINUTE_MS);
     assert.equal(a.tracker.isLeaving('e1'), false);
-    assert.deepEqual(a.seen, ['e1 by notice', 'e1 returns']);
+    assert.deepEqual(a.events, ['e1 by notice', 'e1 returns']);
   });
 
-  it('resends to a peer that was disconnected during the broadcast', async () => {
+  it('resends a report to a peer that was disconnected during the broadcast', async () => {
     // A switch is down for a moment when the notice arrives.
     const {clock, net, a, b, c} = createChain();
     net.crash('c');
-    a.notice('h1');
+    a.sendNotice('h1');
     a.tracker.reportLeaving('h1', ['e1'], 0, 'fault');
     await clock.advance(10);
-    assert.deepEqual(c.seen, []);
-    assert.deepEqual(b.seen, ['e1 by peer']);
+    assert.deepEqual(c.events, []);
+    assert.deepEqual(b.events, ['e1 by peer']);
     const restartedNetwork = net.start('c').network;
     const received: string[] = [];
     restartedNetwork.onDidReceive('endpointLeaving', (_, {endpoints}) => {
@@ -268,7 +270,7 @@
     assert.deepEqual(received, ['e1']);
   });
 
-  it('bounds the number of tracked hosts', async () => {
+  it('tracks at most 4,000 leaving hosts', async () => {
     const {a} = createChain();
     for (let host = 0; host < 5_000; host++) {
       a.tracker.reportLeaving(`h${host}`, [`e${host}`], 0, 'fault');
--- a/packages/members/src/test/membership.fuzz.test.ts
+++ b/packages/members/src/test/membership.fuzz.test.ts
@@ -59,7 +59,7 @@
   },
 );
 
-/** Expected state, tracked independently of the members' views. */
+/** Expected state of the entries, tracked independently of their own views. */
 interface Oracle {
   readonly running: Set<string>;
   readonly pausedSince: Map<string, number>;
@@ -123,19 +123,22 @@
   wait: (cluster, _, {ms}) => cluster.clock.advance(ms),
 } satisfies Handlers as Handlers;
 
-/** Pauses longer than this must be detected before any other code runs. */
+/**
+ * Pause, in milliseconds, above which an entry must not be current as soon as
+ * it resumes.
+ */
 const DETECTABLE_PAUSE_MS = 4_000;
 
 function resume(cluster: Cluster, {pausedSince}: Oracle, id: string) {
-  const since = pausedSince.get(id);
-  if (since === undefined) {
+  const pausedAt = pausedSince.get(id);
+  if (pausedAt === undefined) {
     return;
   }
   pausedSince.delete(id);
   const hasPeers = cluster.running.get(id)!.members().length > 1;
-  const wasLong = cluster.clock.now() - since > DETECTABLE_PAUSE_MS;
+  const wasDetectable = cluster.clock.now() - pausedAt > DETECTABLE_PAUSE_MS;
   cluster.net.resume(id);
-  if (wasLong && hasPeers) {
+  if (wasDetectable && hasPeers) {
     assert.equal(
       cluster.running.get(id)!.isCurrent(),
       false,
@@ -144,7 +147,7 @@
   }
 }
 
-async function recover(cluster: Cluster, oracle: Oracle) {
+async function repairAndSettle(cluster: Cluster, oracle: Oracle) {
   [...oracle.pausedSince.keys()].forEach(id => resume(cluster, oracle, id));
   cluster.net.healAll();
   cluster.net.setLoss(0);
@@ -152,33 +155,33 @@
   await cluster.clock.advance(SETTLE_MS);
 }
 
-async function check(actions: readonly Action[]) {
+async function checkConvergence(actions: readonly Action[]) {
   const cluster = createCluster(7);
   const oracle: Oracle = {running: new Set(), pausedSince: new Map()};
   for (const id of IDS.slice(0, 4)) {
     await handlers.start(cluster, oracle, {type: 'start', id});
   }
   await cluster.clock.advance(5_000);
-  for (const next of actions) {
-    const run: Handler = handlers[next.type] as Handler;
-    await run(cluster, oracle, next);
+  for (const nextAction of actions) {
+    const run: Handler = handlers[nextAction.type] as Handler;
+    await run(cluster, oracle, nextAction);
   }
-  await recover(cluster, oracle);
+  await repairAndSettle(cluster, oracle);
   const expected = [...oracle.running].sort();
   for (const id of expected) {
-    assert.deepEqual(cluster.liveAt(id), expected, `seen by ${id}`);
+    assert.deepEqual(cluster.liveIdsSeenBy(id), expected, `seen by ${id}`);
     assert.equal(cluster.running.get(id)!.isCurrent(), true, `${id} current`);
   }
 }
 
 describe('membership under random faults', () => {
   it('converges to exactly the running entries after recovery', async () => {
-    // Crashes, pauses, partitions and platform outages overlap in any order. An
-    // entry that stays unlisted idles a host; one that stays listed after its
-    // end costs every caller a timeout.
+    // Crashes, pauses, partitions and platform outages overlap in any order. A
+    // running entry that stays unlisted leaves its host idle; a stopped entry
+    // that stays listed costs every caller a timeout.
     console.log(`membership fuzz: seed ${SEED}, ${RUNS} runs`);
     await fc.assert(
-      fc.asyncProperty(fc.array(action, {maxLength: 25}), check),
+      fc.asyncProperty(fc.array(action, {maxLength: 25}), checkConvergence),
       {seed: SEED, numRuns: RUNS},
     );
   });
--- a/packages/members/src/test/membership.test.ts
+++ b/packages/members/src/test/membership.test.ts
@@ -8,11 +8,15 @@
 /** Asserts that every running entry lists exactly the expected ids. */
 function assertAllList(cluster: Cluster, expected: readonly string[]) {
   for (const id of cluster.running.keys()) {
-    assert.deepEqual(cluster.liveAt(id), [...expected].sort(), `seen by ${id}`);
+    assert.deepEqual(
+      cluster.liveIdsSeenBy(id),
+      [...expected].sort(),
+      `seen by ${id}`,
+    );
   }
 }
 
-async function settledCluster(count: number) {
+async function createSettledCluster(count: number) {
   const cluster = createCluster();
   const ids = cluster.startMany(count);
   await cluster.clock.advance(SETTLE_MS);
@@ -23,14 +27,14 @@
 describe('membership', () => {
   for (const count of [1, 2, 7, 40]) {
     it(`lists all of ${count} entries started at once`, async () => {
-      await settledCluster(count);
+      await createSettledCluster(count);
     });
   }
 
   it('declares a crashed entry gone after confirmation by a peer', async () => {
-    // An entry's host is lost without notice. While its peers list it, callers
-    // are sent to an address that does not respond.
-    const {cluster, ids} = await settledCluster(7);
+    // An entry's host is lost without notice. While peers still list the entry,
+    // callers are sent to an address that does not respond.
+    const {cluster, ids} = await createSettledCluster(7);
     cluster.crash('m3');
     await cluster.clock.advance(DETECTION_MS);
     assertAllList(
@@ -42,15 +46,15 @@
   it('keeps an entry that is unreachable from a single peer', async () => {
     // Only the link from m1 to m2 is broken. Without confirmation by another
     // member, m2 would route its callers away from a healthy entry.
-    const {cluster, ids} = await settledCluster(7);
+    const {cluster, ids} = await createSettledCluster(7);
     cluster.net.partition('m1', 'm2');
     for (let second = 0; second < 60; second++) {
       await cluster.clock.advance(1_000);
-      const gone = cluster.running
+      const isGone = cluster.running
         .get('m2')!
         .members()
         .every(member => member.id !== 'm1');
-      assert.equal(gone, false);
+      assert.equal(isGone, false);
     }
     cluster.net.healAll();
     await cluster.clock.advance(SETTLE_MS);
@@ -58,20 +62,23 @@
   });
 
   it('stops listing a leaving entry before leave() resolves', async () => {
-    // In a planned stop, an entry that still lists the leaving one sends it
-    // callers that it has to reject.
-    const {cluster, ids} = await settledCluster(7);
+    // In a planned stop, an entry that still lists the leaving entry sends
+    // callers to it, which the leaving entry has to reject.
+    const {cluster, ids} = await createSettledCluster(7);
     const remaining = ids.filter(id => id !== 'm3');
-    let resolved = false;
+    let isResolved = false;
     const leaving = cluster.running
       .get('m3')!
       .leave()
-      .then(() => (resolved = true));
-    for (let ms = 0; !resolved && ms < 1_000; ms++) {
+      .then(() => (isResolved = true));
+    for (let ms = 0; !isResolved && ms < 1_000; ms++) {
       await cluster.clock.advance(1);
     }
     await leaving;
-    assert.ok(cluster.clock.now() < SETTLE_MS + 100, 'acknowledged at once');
+    assert.ok(
+      cluster.clock.now() < SETTLE_MS + 100,
+      'peers acknowledged at once',
+    );
     assertAllList(cluster, remaining);
     assert.ok(!cluster.objectNames().includes('m3'));
   });
@@ -79,13 +86,13 @@
   it('recognizes a restarted entry as a new process', async () => {
     // The process crashes and restarts under the same id within a second; its
     // peers must not mistake the new process for the silent old one.
-    const {cluster, ids} = await settledCluster(7);
+    const {cluster, ids} = await createSettledCluster(7);
     cluster.crash('m3');
     cluster.start('m3');
     await cluster.clock.advance(SETTLE_MS);
     assertAllList(cluster, ids);
-    const seen = cluster.running.get('m0')!.members();
-    const restarted = seen.find(member => member.id === 'm3');
+    const listedMembers = cluster.running.get('m0')!.members();
+    const restarted = listedMembers.find(member => member.id === 'm3');
     assert.equal(restarted?.incarnation, 8);
   });
 
@@ -93,11 +100,14 @@
     it(`is not current after a pause until a peer has answered: ${id}`, async () => {
       // The process is suspended for a minute while others take over its work.
       // Acting before a peer has responded would run that work twice.
-      const {cluster, ids} = await settledCluster(7);
+      const {cluster, ids} = await createSettledCluster(7);
       const paused = cluster.running.get(id)!;
       cluster.net.pause(id);
       await cluster.clock.advance(60_000);
-      assert.ok(!cluster.liveAt('m0').includes(id), 'gone for its peers');
+      assert.ok(
+        !cluster.liveIdsSeenBy('m0').includes(id),
+        'gone for its peers',
+      );
       assert.equal(paused.isCurrent(), false);
       const suspects: string[] = [];
       paused.onDidChange(member => {
@@ -114,7 +124,8 @@
     });
   }
 
-  // Without the list, each of several new entries would count only itself.
+  // Without the platform's list, each of several new entries would count only
+  // itself.
   it('counts listed entries before receiving their updates', async () => {
     const cluster = createCluster();
     const ids = cluster.startMany(9);
@@ -130,11 +141,12 @@
     assert.equal(restarted.entryCount(), 1);
   });
 
-  // Otherwise each side of a partition would soon count only itself.
+  // Without the grace period, each side of a partition would soon count only
+  // its own entries.
   it('keeps counting entries behind a partition for a grace period', async () => {
-    const {cluster, ids} = await settledCluster(9);
-    const [side, others] = [ids.slice(0, 4), ids.slice(4)];
-    side.forEach(id => cluster.isolate(id, others));
+    const {cluster, ids} = await createSettledCluster(9);
+    const [leftIds, rightIds] = [ids.slice(0, 4), ids.slice(4)];
+    leftIds.forEach(id => cluster.isolate(id, rightIds));
     await cluster.clock.advance(12_000);
     assert.equal(cluster.running.get('m0')!.live().length, 4);
     assert.equal(cluster.running.get('m0')!.entryCount(), 9);
@@ -144,24 +156,25 @@
   });
 
   it('merges both sides after a long partition', async () => {
-    // Each of two partitioned regions declares the other gone and removes its
-    // objects. When the partition heals, both must list all entries again.
-    const {cluster, ids} = await settledCluster(7);
-    const left = ids.slice(0, 3);
-    const right = ids.slice(3);
-    left.forEach(id => cluster.isolate(id, right));
+    // Each of two partitioned regions declares the entries of the other region
+    // gone and removes their objects. When the partition heals, both must list
+    // all entries again.
+    const {cluster, ids} = await createSettledCluster(7);
+    const leftIds = ids.slice(0, 3);
+    const rightIds = ids.slice(3);
+    leftIds.forEach(id => cluster.isolate(id, rightIds));
     await cluster.clock.advance(200_000);
-    assert.deepEqual(cluster.liveAt('m0'), left);
-    assert.deepEqual(cluster.liveAt('m6'), right);
+    assert.deepEqual(cluster.liveIdsSeenBy('m0'), leftIds);
+    assert.deepEqual(cluster.liveIdsSeenBy('m6'), rightIds);
     cluster.net.healAll();
     await cluster.clock.advance(60_000);
     assertAllList(cluster, ids);
   });
 
-  it('recovers updates lost by gossip by comparing digests', async () => {
-    // An update is sent to each neighbour only once. If it is lost, an entry
-    // would keep listing a crashed member or never list a new one.
-    const {cluster, ids} = await settledCluster(40);
+  it('recovers updates that gossip lost by comparing digests', async () => {
+    // An update is sent to each neighbour only once. If the update is lost, an
+    // entry would keep listing a crashed member or never list a new one.
+    const {cluster, ids} = await createSettledCluster(40);
     cluster.net.setLoss(0.7);
     cluster.crash('m3');
     cluster.start('m40');
@@ -175,25 +188,30 @@
   });
 
   it('rejects malformed member updates', async () => {
-    // A faulty release sends updates without addresses. Gossiped, they would
-    // reach every entry, and lookup results would lack URLs.
-    const {cluster, ids} = await settledCluster(3);
+    // A faulty release sends updates without addresses. If gossiped, these
+    // updates would reach every entry, and lookup results would lack URLs.
+    const {cluster, ids} = await createSettledCluster(3);
     const {network} = cluster.net.start('odd');
     network.setPeers([{id: 'm0', incarnation: 1, url: 'memory://m0'}]);
-    const from = {id: 'odd', state: 'live'} as never;
-    network.onDidReceive('memberProbe', () => ({news: from}));
+    const malformedUpdate = {id: 'odd', state: 'live'} as never;
+    network.onDidReceive('memberProbe', () => ({news: malformedUpdate}));
     network.onDidReceive('membersWanted', () => ({news: 5}));
-    const probe = network.request('m0', 'memberProbe', {from}, 1_000);
-    const refused = assert.rejects(probe, {kind: 'protocol-violation'});
+    const probe = network.request(
+      'm0',
+      'memberProbe',
+      {from: malformedUpdate},
+      1_000,
+    );
+    const probeRejection = assert.rejects(probe, {kind: 'protocol-violation'});
     await cluster.clock.advance(SETTLE_MS);
-    await refused;
+    await probeRejection;
     assertAllList(cluster, ids);
   });
 
   it('joins through a seed while the platform is down', async () => {
     // A host is replaced during an hour-long platform outage: the new process
     // cannot read the member list and would otherwise serve no caller.
-    const {cluster, ids} = await settledCluster(7);
+    const {cluster, ids} = await createSettledCluster(7);
     cluster.platform.faults.setDown(true);
     cluster.start('m7', ['m0']);
     cluster.crash('m1');
@@ -205,16 +223,17 @@
     assert.ok(cluster.objectNames().includes('m7'));
   });
 
-  it('removes the objects of crashed entries with few calls', async () => {
+  it('removes the objects of crashed entries with few platform calls', async () => {
     // Without removal each new process would contact ever more dead addresses;
-    // if every entry removed them, the platform would receive a burst of calls.
-    const {cluster, ids} = await settledCluster(12);
-    const dead = ids.slice(0, 4);
-    dead.forEach(id => cluster.crash(id));
-    const before = cluster.platformCalls();
+    // if every entry removed the objects, the platform would receive a burst of
+    // calls.
+    const {cluster, ids} = await createSettledCluster(12);
+    const crashedIds = ids.slice(0, 4);
+    crashedIds.forEach(id => cluster.crash(id));
+    const callsBefore = cluster.platformCalls();
     await cluster.clock.advance(240_000);
     assert.deepEqual(cluster.objectNames(), ids.slice(4).sort());
-    const calls = cluster.platformCalls() - before;
+    const calls = cluster.platformCalls() - callsBefore;
     assert.ok(calls <= 12, `${calls} calls`);
   });
 });
--- a/packages/members/src/timing.ts
+++ b/packages/members/src/timing.ts
@@ -1,29 +1,48 @@
-/** Intervals and timeouts of the membership, all in milliseconds. */
+/** Intervals and timeouts of cluster membership, all in milliseconds. */
 
 export interface MemberTiming {
   /** Interval of heartbeats to each neighbour. */
   readonly heartbeatIntervalMs: number;
   /** Time without a heartbeat after which a neighbour becomes suspect. */
   readonly silenceTimeoutMs: number;
-  /** The same after its connection has closed, as on a crash. */
+  /**
+   * Time without a heartbeat after which a neighbour becomes suspect if its
+   * connection has closed, as on a crash.
+   */
   readonly closedSilenceTimeoutMs: number;
-  /** Minimum time from suspect to gone; also needs confirmation by a member. */
+  /**
+   * Minimum time from suspect to gone; another member must confirm the silence.
+   */
   readonly suspicionTimeoutMs: number;
   /** Timeout of a probe or any other membership request. */
   readonly probeTimeoutMs: number;
-  /** Gap between two runs of the local timer that counts as a process pause. */
+  /** Time between two heartbeat ticks above which the process was paused. */
   readonly pauseThresholdMs: number;
-  /** Interval of attempts to reach a lost member, gone without having left. */
+  /**
+   * Interval of attempts to reach a lost member, one that is gone without
+   * having announced that it leaves.
+   */
   readonly reconnectIntervalMs: number;
-  /** Time that a lost member, possibly partitioned, remains in `entryCount`. */
+  /**
+   * Time for which `entryCount` includes a lost member, which may be alive
+   * behind a network partition.
+   */
   readonly lostGraceMs: number;
-  /** Lifetime of a tombstone, which guards against outdated updates. */
+  /**
+   * Time for which the tombstone of a gone member is kept to reject outdated
+   * updates.
+   */
   readonly tombstoneTtlMs: number;
-  /** Time that a digest must differ before the members are reconciled. */
+  /**
+   * Time for which a peer's digest must differ before its updates are fetched.
+   */
   readonly reconcileDelayMs: number;
-  /** Interval of sweeps for objects of members gone for at least this time. */
+  /**
+   * Interval of sweeps that remove the objects of dead members; also the time
+   * for which a member must be gone before its object is removed.
+   */
   readonly sweepIntervalMs: number;
-  /** Interval of checks of this entry's own object. */
+  /** Interval of checks that the object of this entry still exists. */
   readonly ownObjectCheckIntervalMs: number;
 }
 
--- a/packages/members/src/tombstones.ts
+++ b/packages/members/src/tombstones.ts
@@ -5,8 +5,8 @@
 const MAX_TOMBSTONES = 4_096;
 
 /**
- * Removes tombstones older than `ttlMs` milliseconds, and the oldest ones above
- * `MAX_TOMBSTONES`.
+ * Removes tombstones older than `ttlMs` milliseconds, and the oldest tombstones
+ * in excess of `MAX_TOMBSTONES`.
  *
  * @example
  * pruneTombstones(table, clock.now(), timing.tombstoneTtlMs);
@@ -16,14 +16,14 @@
   now: number,
   ttlMs: number,
 ): void {
-  const gone = [...table.all()]
-    .filter(known => known.machine.state() === 'gone')
+  const tombstones = [...table.all()]
+    .filter(knownMember => knownMember.machine.state() === 'gone')
     .sort((a, b) => a.changedAt - b.changedAt);
-  const surplus = gone.length - MAX_TOMBSTONES;
-  gone.forEach((known, index) => {
-    const isExpired = now - known.changedAt > ttlMs;
-    if (isExpired || index < surplus) {
-      table.remove(known.update.id);
+  const surplusCount = tombstones.length - MAX_TOMBSTONES;
+  tombstones.forEach((knownMember, index) => {
+    const isExpired = now - knownMember.changedAt > ttlMs;
+    if (isExpired || index < surplusCount) {
+      table.remove(knownMember.update.id);
     }
   });
 }
--- a/packages/members/src/updateHandler.ts
+++ b/packages/members/src/updateHandler.ts
@@ -5,11 +5,16 @@
 import {validateUpdate} from './updateValidation.js';
 import type {LocalMember} from './localMember.js';
 
-/** Applies member updates of any message type. */
+/** Applies member updates and state changes received from peers. */
 export interface UpdateHandler {
-  /** Returns whether the update was new. Throws `ServingError` if malformed. */
+  /**
+   * Applies an update if it is newer than the stored one; returns whether it
+   * was. Throws `ServingError` if the update is malformed.
+   */
   applyUpdate(update: MemberUpdate): boolean;
-  /** Applies a state change without addresses; ignored for unknown members. */
+  /**
+   * Applies a state change, which has no addresses; ignores unknown members.
+   */
   applyChange(change: MemberChange): void;
 }
 
@@ -24,7 +29,7 @@
   readonly localMember: LocalMember;
   readonly table: MemberTable;
   readonly gossip: GossipQueue;
-  /** Called after refuting an update that contradicts this process's state. */
+  /** Called after this process refuted an update that contradicts its state. */
   onDidRefute(): void;
 }): UpdateHandler {
   const {localMember, table, gossip} = options;
@@ -42,13 +47,14 @@
       refute(update);
       return false;
     }
-    // Suspicion is local to each entry; gossiped, it would outlive its cause.
-    const shared: MemberUpdate =
+    // Suspicion is local to each entry. If gossiped, it would persist at other
+    // entries after the suspect has answered.
+    const sharedUpdate: MemberUpdate =
       update.state === 'suspect' ? {...update, state: 'live'} : update;
-    if (!table.apply(shared)) {
+    if (!table.apply(sharedUpdate)) {
       return false;
     }
-    gossip.add(shared);
+    gossip.add(sharedUpdate);
     return true;
   }
 
@@ -56,12 +62,13 @@
     applyUpdate,
     applyChange(change) {
       const isLocal = change.id === localMember.baseUpdate().id;
-      const known = isLocal
+      const knownUpdate = isLocal
         ? localMember.baseUpdate()
         : table.get(change.id)?.update;
-      // Without a known member the change lacks the addresses to store.
-      if (known !== undefined) {
-        applyUpdate({...known, ...change});
+      // A change has no addresses, so an unknown member cannot be added from
+      // it.
+      if (knownUpdate !== undefined) {
+        applyUpdate({...knownUpdate, ...change});
       }
     },
   };
--- a/packages/members/src/updateValidation.ts
+++ b/packages/members/src/updateValidation.ts
@@ -16,7 +16,8 @@
 
 /**
  * Throws `protocol-violation` for a malformed member update. Without the check
- * a faulty release would spread such updates to the table of every entry.
+ * a faulty release would spread malformed updates to the member table of every
+ * entry.
  *
  * @example
  * validateUpdate(response.news);
@@ -24,7 +25,7 @@
 export function validateUpdate(update: MemberUpdate): void {
   const fields: Partial<Record<keyof MemberUpdate, unknown>> = update ?? {};
   const isValid =
-    TEXT_FIELDS.every(field => isText(fields[field])) &&
+    TEXT_FIELDS.every(field => isBoundedText(fields[field])) &&
     NUMBER_FIELDS.every(field => Number.isFinite(fields[field])) &&
     STATES.includes(fields.state) &&
     (fields.cores === undefined || isPositive(fields.cores));
@@ -37,6 +38,6 @@
   return typeof value === 'number' && Number.isFinite(value) && value > 0;
 }
 
-function isText(value: unknown): boolean {
+function isBoundedText(value: unknown): boolean {
   return typeof value === 'string' && value.length <= MAX_TEXT_LENGTH;
 }
