--- a/packages/admission/src/bulkhead.ts
+++ b/packages/admission/src/bulkhead.ts
@@ -1,6 +1,7 @@
 /**
  * Concurrency limit, queue and retry budget of one service, so that a service
- * that hangs, slows down, fails or is overloaded does not affect the others.
+ * that hangs, slows down, fails or is overloaded does not affect other
+ * services.
  */
 import {
   ServingError,
@@ -30,7 +31,7 @@
   setReportedSlots(slots: number, outstanding: number | undefined): void;
   /** Returns the requests in flight relative to the limit, 0 to 1. */
   loadFraction(): number;
-  /** Rejects every queued request as `not-run`. */
+  /** Rejects all queued and all later requests as `not-run`. */
   close(): void;
   dump(): unknown;
 }
@@ -51,6 +52,7 @@
   readonly customer: string;
   readonly urgency: number;
   readonly cost: number;
+  /** Monotonic milliseconds at which the request was queued. */
   readonly requestedAt: number;
   resolve(permit: Permit): void;
   reject(error: ServingError): void;
@@ -61,6 +63,7 @@
 /** RFC 9218 urgency of a request without one; lower values are more urgent. */
 const DEFAULT_URGENCY = 3;
 
+/** Range of Retry-After, in milliseconds. */
 const MIN_RETRY_AFTER_MS = 100;
 const MAX_RETRY_AFTER_MS = 30_000;
 
@@ -68,13 +71,13 @@
 const RETRY_AFTER_JITTER = 0.5;
 
 /**
- * Minimum delay of a deadline check. The remaining time is a difference of
- * floating-point numbers: a remainder too small to advance the clock would
- * rerun the check at the same instant forever and hang the process.
+ * Minimum delay of a deadline check, in milliseconds. The remaining time is a
+ * difference of floating-point numbers: a remainder too small to advance the
+ * clock would rerun the check at the same instant forever and hang the process.
  */
 const MIN_RECHECK_MS = 1;
 
-/** Minimum interval between logged state changes. */
+/** Minimum interval between logged state changes, in milliseconds. */
 const DECISION_INTERVAL_MS = 5000;
 
 /** Reason for entering each state, for the decision log. */
@@ -96,10 +99,10 @@
   const {clock, random, decisions} = options;
   let config = options.config;
   const queue = createFairQueue<QueuedRequest>(options.weightOf);
-  const share = createCapacityShare(config.concurrency);
+  const capacityShare = createCapacityShare(config.concurrency);
   const retryBudget = createRetryBudget();
   const waitEstimator = createWaitEstimator(clock);
-  const limit = createConcurrencyLimit(options.limitPolicy, {
+  const adaptiveLimit = createConcurrencyLimit(options.limitPolicy, {
     ceiling: config.concurrency,
     targetMs: config.targetMs,
   });
@@ -107,36 +110,52 @@
   let inFlight = 0;
   let refusals = 0;
   let lastDecisionAt = -Infinity;
-  share.setEntryCount(options.entryCount);
-  limit.setCeiling(share.current());
+  capacityShare.setEntryCount(options.entryCount);
+  adaptiveLimit.setCeiling(capacityShare.current());
 
-  function recordStateChange(entered: BulkheadState) {
+  function recordStateChange(enteredState: BulkheadState) {
     const isRateLimited = clock.now() - lastDecisionAt < DECISION_INTERVAL_MS;
-    if (entered === 'queueing' || (entered !== 'closed' && isRateLimited)) {
+    if (
+      enteredState === 'queueing' ||
+      (enteredState !== 'closed' && isRateLimited)
+    ) {
       return;
     }
     lastDecisionAt = clock.now();
-    decisions.note('admission', config.name, entered, stateReasons[entered], {
-      limit: currentLimit(),
-      inFlight,
-      waiting: queue.size,
-      refusals,
-    });
+    decisions.note(
+      'admission',
+      config.name,
+      enteredState,
+      stateReasons[enteredState],
+      {
+        limit: currentLimit(),
+        inFlight,
+        waiting: queue.size,
+        refusals,
+      },
+    );
   }
 
   function currentLimit(urgency = DEFAULT_URGENCY): number {
-    const ownLimit = Math.floor(limit.current());
+    const baseLimit = Math.floor(adaptiveLimit.current());
     if (urgency < DEFAULT_URGENCY) {
-      return Math.max(1, ownLimit + share.overdraft());
+      return Math.max(1, baseLimit + capacityShare.overdraft());
     }
-    return Math.max(1, Math.floor(ownLimit * share.ordinaryFraction()));
+    return Math.max(
+      1,
+      Math.floor(baseLimit * capacityShare.ordinaryFraction()),
+    );
   }
 
-  /** The overdraft may admit a request while less urgent ones are queued. */
+  /**
+   * Returns whether a request is more urgent than all queued requests; the
+   * overdraft may then admit it at once.
+   */
   function isMoreUrgentThanQueue(request: AdmissionRequest): boolean {
     return request.urgency < (queue.headUrgency() ?? Infinity);
   }
 
+  /** Returns 0 if the request can be admitted at once. */
   function expectedWaitMs(request: AdmissionRequest): number {
     if (
       inFlight < currentLimit(request.urgency) &&
@@ -148,7 +167,7 @@
       queue.costOfMoreUrgent(request.urgency) +
       queue.costAheadAtSameUrgency(request) +
       request.cost / 2;
-    return waitEstimator.waitMs(
+    return waitEstimator.estimateWaitMs(
       costAhead,
       currentLimit(request.urgency),
       request.urgency,
@@ -161,9 +180,10 @@
     return Math.ceil(Math.min(waitMs * jitter, MAX_RETRY_AFTER_MS));
   }
 
-  function overloadedRejection(request: AdmissionRequest): ServingError {
+  /** Records a rejection for overload and returns its error. */
+  function recordOverloadRejection(request: AdmissionRequest): ServingError {
     refusals += 1;
-    machine.send('refuse');
+    machine.send('rejected');
     const message = `the concurrency limit of ${config.name} is reached and its queue is full`;
     return new ServingError('overloaded', message, {
       run: 'not-run',
@@ -171,9 +191,10 @@
     });
   }
 
-  function deadlineRejection(request: AdmissionRequest): ServingError {
+  /** Records a rejection for an unreachable deadline and returns its error. */
+  function recordDeadlineRejection(request: AdmissionRequest): ServingError {
     refusals += 1;
-    machine.send('refuse');
+    machine.send('rejected');
     const message = `${config.name} cannot respond before the deadline`;
     return new ServingError('deadline-exceeded', message, {
       run: 'not-run',
@@ -182,10 +203,11 @@
   }
 
   /**
-   * Ignores the estimate while nothing is in flight and the deadline has not
-   * passed. Otherwise requests to a service that was slow once would be
-   * rejected forever, since only admitted requests can show that it is fast
-   * again.
+   * Returns whether the service cannot respond before the deadline. While no
+   * request is in flight, the estimate is ignored until the deadline has
+   * passed. If it were used, requests to a service that was slow once would be
+   * rejected forever, since only admitted requests can show that the service is
+   * fast again.
    */
   function isDeadlineUnreachable(
     request: AdmissionRequest,
@@ -231,7 +253,7 @@
     // Fast failures and cancellations give no evidence of spare capacity.
     const isSlow = result.latencyMs > config.targetMs;
     if (result.outcome === 'ok' || result.outcome === 'overloaded' || isSlow) {
-      limit.observe({
+      adaptiveLimit.recordSample({
         latencyMs: result.latencyMs,
         isOverload: result.outcome === 'overloaded',
         isLimitReached,
@@ -241,46 +263,56 @@
 
   function admitQueued() {
     while (inFlight < currentLimit(queue.headUrgency())) {
-      const queued = queue.dequeue();
-      if (queued === undefined) {
-        machine.send('clear');
+      const queuedRequest = queue.dequeue();
+      if (queuedRequest === undefined) {
+        machine.send('emptied');
         return;
       }
-      queued.detach();
-      if (isDeadlineUnreachable(queued.request, 0)) {
-        queued.reject(deadlineRejection(queued.request));
+      queuedRequest.detach();
+      if (isDeadlineUnreachable(queuedRequest.request, 0)) {
+        queuedRequest.reject(recordDeadlineRejection(queuedRequest.request));
       } else {
-        queued.resolve(grantPermit(queued.request, queued.requestedAt));
+        queuedRequest.resolve(
+          grantPermit(queuedRequest.request, queuedRequest.requestedAt),
+        );
       }
     }
   }
 
-  function rejectQueued(queued: QueuedRequest, error: ServingError) {
-    queue.remove(queued);
-    queued.detach();
-    queued.reject(error);
+  function rejectQueued(queuedRequest: QueuedRequest, error: ServingError) {
+    queue.remove(queuedRequest);
+    queuedRequest.detach();
+    queuedRequest.reject(error);
   }
 
-  function rejectEvicted(queued: QueuedRequest | undefined) {
-    queued?.detach();
-    queued?.reject(overloadedRejection(queued.request));
+  function rejectEvicted(evictedRequest: QueuedRequest | undefined) {
+    evictedRequest?.detach();
+    evictedRequest?.reject(recordOverloadRejection(evictedRequest.request));
   }
 
-  /** Rejects the request as soon as its deadline can no longer be met. */
-  function startDeadlineTimer(queued: QueuedRequest): Disposable {
-    let timer = arm();
-    function arm(): Disposable {
+  /**
+   * Starts a timer that rejects the request as soon as its deadline can no
+   * longer be met.
+   */
+  function startDeadlineTimer(queuedRequest: QueuedRequest): Disposable {
+    let timer = scheduleCheck();
+    function scheduleCheck(): Disposable {
       const remainingMs =
-        queued.request.deadline - clock.now() - waitEstimator.serviceMs();
+        queuedRequest.request.deadline -
+        clock.now() -
+        waitEstimator.serviceMs();
       return clock.after(Math.max(MIN_RECHECK_MS, remainingMs), checkDeadline);
     }
     function checkDeadline() {
-      const remainingMs = queued.request.deadline - clock.now();
+      const remainingMs = queuedRequest.request.deadline - clock.now();
       if (remainingMs > waitEstimator.serviceMs()) {
-        timer = arm();
+        timer = scheduleCheck();
         return;
       }
-      rejectQueued(queued, deadlineRejection(queued.request));
+      rejectQueued(
+        queuedRequest,
+        recordDeadlineRejection(queuedRequest.request),
+      );
     }
     return {dispose: () => timer.dispose()};
   }
@@ -290,7 +322,7 @@
     signal: AbortSignal,
   ): Promise<Permit> {
     return new Promise((resolve, reject) => {
-      const queued: QueuedRequest = {
+      const queuedRequest: QueuedRequest = {
         request,
         customer: request.customer,
         urgency: request.urgency,
@@ -303,11 +335,11 @@
           signal.removeEventListener('abort', onAbort);
         },
       };
-      const timer = startDeadlineTimer(queued);
-      const onAbort = () => rejectQueued(queued, cancelledError());
+      const timer = startDeadlineTimer(queuedRequest);
+      const onAbort = () => rejectQueued(queuedRequest, cancelledError());
       signal.addEventListener('abort', onAbort, {once: true});
-      queue.enqueue(queued);
-      machine.send('wait');
+      queue.enqueue(queuedRequest);
+      machine.send('queued');
     });
   }
 
@@ -321,7 +353,7 @@
       }
       waitEstimator.recordArrival(request.urgency, request.cost);
       if (isDeadlineUnreachable(request, expectedWaitMs(request))) {
-        throw deadlineRejection(request);
+        throw recordDeadlineRejection(request);
       }
       if (
         inFlight < currentLimit(request.urgency) &&
@@ -330,50 +362,50 @@
         return grantPermit(request, clock.now());
       }
       if (queue.size >= config.queue) {
-        const evicted = queue.evictFor(request);
-        if (evicted === undefined) {
-          throw overloadedRejection(request);
+        const evictedRequest = queue.evictForIncoming(request);
+        if (evictedRequest === undefined) {
+          throw recordOverloadRejection(request);
         }
-        rejectEvicted(evicted);
+        rejectEvicted(evictedRequest);
       }
       return enqueue(request, signal);
     },
     tryAcquireRetry: () => retryBudget.tryWithdraw(),
-    configure(next) {
-      config = next;
-      share.setConcurrency(next.concurrency);
-      limit.setCeiling(share.current());
-      limit.setTarget(next.targetMs);
+    configure(newConfig) {
+      config = newConfig;
+      capacityShare.setConcurrency(newConfig.concurrency);
+      adaptiveLimit.setCeiling(capacityShare.current());
+      adaptiveLimit.setTarget(newConfig.targetMs);
       while (queue.size > config.queue) {
-        rejectEvicted(queue.evict());
+        rejectEvicted(queue.evictLowestPriority());
       }
       admitQueued();
     },
     setEntryCount(count) {
-      share.setEntryCount(count);
-      limit.setCeiling(share.current());
+      capacityShare.setEntryCount(count);
+      adaptiveLimit.setCeiling(capacityShare.current());
       admitQueued();
     },
     setReportedSlots(slots, outstanding) {
       const isLimitReached = inFlight >= currentLimit();
-      share.report(slots, outstanding, isLimitReached);
-      limit.setCeiling(share.current());
+      capacityShare.recordReport(slots, outstanding, isLimitReached);
+      adaptiveLimit.setCeiling(capacityShare.current());
       admitQueued();
     },
     loadFraction: () => Math.min(1, inFlight / currentLimit()),
     close() {
       machine.send('close');
-      for (const queued of queue.items()) {
-        rejectQueued(queued, serviceRemovedError(config.name));
+      for (const queuedRequest of queue.items()) {
+        rejectQueued(queuedRequest, serviceRemovedError(config.name));
       }
     },
     dump: () => ({
       service: config.name,
       state: machine.state(),
-      limit: limit.current(),
-      share: share.current(),
-      overdraft: share.overdraft(),
-      ordinaryFraction: share.ordinaryFraction(),
+      limit: adaptiveLimit.current(),
+      share: capacityShare.current(),
+      overdraft: capacityShare.overdraft(),
+      ordinaryFraction: capacityShare.ordinaryFraction(),
       inFlight,
       waiting: queue.size,
       queueLimit: config.queue,
--- a/packages/admission/src/bulkheadMachine.ts
+++ b/packages/admission/src/bulkheadMachine.ts
@@ -1,13 +1,16 @@
-/** State machine of a bulkhead, shown in dumps and the decision log. */
+/**
+ * State machine of a bulkhead; the state appears in dumps and the decision log.
+ */
 import {createMachine, interpret, state, transition} from 'robot3';
 
 /**
- * `flowing`: admits at once. `queueing`: queues. `refusing`: rejected requests
- * since the queue was last empty. `closed`: the service was removed.
+ * `flowing`: requests are admitted at once. `queueing`: requests are queued.
+ * `refusing`: requests have been rejected since the queue was last empty.
+ * `closed`: the service was removed.
  */
 export type BulkheadState = 'flowing' | 'queueing' | 'refusing' | 'closed';
 
-export type BulkheadEvent = 'wait' | 'refuse' | 'clear' | 'close';
+export type BulkheadEvent = 'queued' | 'rejected' | 'emptied' | 'close';
 
 export interface BulkheadMachine {
   state(): BulkheadState;
@@ -19,38 +22,38 @@
  *
  * @example
  * const machine = createBulkheadMachine(state => states.push(state));
- * machine.send('wait');
+ * machine.send('queued');
  */
 export function createBulkheadMachine(
   onEnter: (state: BulkheadState) => void,
 ): BulkheadMachine {
   const machine = createMachine('flowing', {
     flowing: state(
-      transition('wait', 'queueing'),
-      transition('refuse', 'refusing'),
+      transition('queued', 'queueing'),
+      transition('rejected', 'refusing'),
       transition('close', 'closed'),
     ),
     queueing: state(
-      transition('clear', 'flowing'),
-      transition('refuse', 'refusing'),
+      transition('emptied', 'flowing'),
+      transition('rejected', 'refusing'),
       transition('close', 'closed'),
     ),
     refusing: state(
-      transition('clear', 'flowing'),
+      transition('emptied', 'flowing'),
       transition('close', 'closed'),
     ),
     closed: state(),
   });
   let lastState: BulkheadState = 'flowing';
-  const service = interpret(machine, () => {
-    const entered = service.machine.current as BulkheadState;
-    if (entered !== lastState) {
-      lastState = entered;
-      onEnter(entered);
+  const interpreter = interpret(machine, () => {
+    const enteredState = interpreter.machine.current as BulkheadState;
+    if (enteredState !== lastState) {
+      lastState = enteredState;
+      onEnter(enteredState);
     }
   });
   return {
-    state: () => service.machine.current as BulkheadState,
-    send: event => service.send(event),
+    state: () => interpreter.machine.current as BulkheadState,
+    send: event => interpreter.send(event),
   };
 }
--- a/packages/admission/src/capacityShare.ts
+++ b/packages/admission/src/capacityShare.ts
@@ -6,31 +6,42 @@
  * so load is uneven, and with equal shares alone one entry would reject
  * requests while capacity is idle at another. If the endpoints report their
  * load, an entry at its limit borrows its part of the idle slots with each
- * report, and returns them when the reports show no idle slots.
+ * report. It returns borrowed slots when it is below its limit or a report
+ * shows no idle slots.
  */
 
 export interface CapacityShare {
   /** Returns the concurrency that this entry may use, at least 1. */
   current(): number;
   /**
-   * Returns the extra slots for requests more urgent than the default. Urgency
-   * has to hold across entries: if a customer's urgent requests arrive at one
-   * entry, the other entries throttle less urgent ones.
+   * Returns the number of extra slots for requests more urgent than the default
+   * urgency. Urgency has to take effect across entries: if a customer's urgent
+   * requests arrive at one entry, the other entries throttle less urgent
+   * requests.
    */
   overdraft(): number;
-  /** Returns the limit's fraction for other requests; falls on overload. */
+  /**
+   * Returns the fraction of the limit for requests of default or lower urgency;
+   * it decreases while the service is overloaded.
+   */
   ordinaryFraction(): number;
   setConcurrency(concurrency: number): void;
   setEntryCount(count: number): void;
-  /** Applies reported slots and, if known, outstanding requests. */
-  report(
+  /**
+   * Applies a report of the total slots and the outstanding requests of the
+   * service; `outstanding` is undefined if endpoints do not report it.
+   */
+  recordReport(
     slots: number,
     outstanding: number | undefined,
     isLimitReached: boolean,
   ): void;
 }
 
-/** Fraction of borrowed slots returned with each report that adds none. */
+/**
+ * Fraction of the borrowed slots returned with each report after which no
+ * further slots are borrowed.
+ */
 const RETURN_FRACTION = 0.5;
 
 /** Overdraft relative to the equal share. */
@@ -39,7 +50,10 @@
 /** Tolerated overload relative to the total concurrency, as reports lag. */
 const TOLERATED_EXCESS_FRACTION = 0.1;
 
-/** Change of the ordinary fraction with each report, and its lower bound. */
+/**
+ * Change of the ordinary fraction with each report, and lower bound of the
+ * ordinary fraction.
+ */
 const ORDINARY_DECREASE_FACTOR = 0.85;
 const ORDINARY_INCREASE_STEP = 0.04;
 const MIN_ORDINARY_FRACTION = 0.25;
@@ -83,19 +97,20 @@
       );
       return Math.max(1, Math.floor(maxConcurrency));
     },
-    // Without load reports no other entry would lower its ordinary fraction.
+    // No overdraft without load reports, as other entries would not lower their
+    // ordinary fractions.
     overdraft: () =>
       isLoadReported && entryCount > 1
         ? Math.ceil(equalShare() * OVERDRAFT_FRACTION)
         : 0,
     ordinaryFraction: () => ordinaryFraction,
-    setConcurrency(next) {
-      concurrency = Math.max(1, next);
+    setConcurrency(newConcurrency) {
+      concurrency = Math.max(1, newConcurrency);
     },
     setEntryCount(count) {
       entryCount = Math.max(1, count);
     },
-    report(reportedSlots, outstanding, isLimitReached) {
+    recordReport(reportedSlots, outstanding, isLimitReached) {
       slots = reportedSlots > 0 ? reportedSlots : undefined;
       isLoadReported = outstanding !== undefined;
       if (outstanding === undefined) {
@@ -109,8 +124,8 @@
         borrowedSlots *= 1 - RETURN_FRACTION;
         return;
       }
-      // All entries may borrow this much at once without exceeding the idle
-      // slots.
+      // If every entry borrows its part at the same time, the sum does not
+      // exceed the idle slots.
       borrowedSlots = Math.min(
         borrowedSlots + idleSlots / entryCount,
         totalConcurrency() - equalShare(),
--- a/packages/admission/src/concurrencyLimit.ts
+++ b/packages/admission/src/concurrencyLimit.ts
@@ -3,23 +3,26 @@
  *
  * A service may sustain less load than its record allows: replicas are lost,
  * slow or cold. Excess requests then queue inside the service in FIFO order,
- * where urgency has no effect. A limit that follows the latency keeps the queue
- * at the entry.
+ * where urgency has no effect. A limit that follows the latency keeps excess
+ * requests in the queue of the entry.
  */
 
-/** Load sample of one finished request. */
+/** Latency and load sample of one finished request. */
 export interface LimitSample {
   readonly latencyMs: number;
-  /** Whether the service was overloaded. */
+  /** Whether the request failed because the service was overloaded. */
   readonly isOverload: boolean;
-  /** Whether the limit was reached; only then may the sample raise it. */
+  /**
+   * Whether the limit was reached when the request finished; only then may the
+   * sample raise the limit.
+   */
   readonly isLimitReached: boolean;
 }
 
 export interface ConcurrencyLimit {
   /** Returns the current limit, at least 1; not necessarily an integer. */
   current(): number;
-  observe(sample: LimitSample): void;
+  recordSample(sample: LimitSample): void;
   /** Sets the upper bound of the limit. */
   setCeiling(ceiling: number): void;
   setTarget(targetMs: number): void;
@@ -65,8 +68,8 @@
   let ceiling = options.ceiling;
   return {
     current: () => clampLimit(ceiling, ceiling),
-    observe() {},
-    setCeiling: next => (ceiling = next),
+    recordSample() {},
+    setCeiling: newCeiling => (ceiling = newCeiling),
     setTarget() {},
   };
 }
@@ -74,7 +77,10 @@
 /** Multiplier of the limit after a round with too many slow requests. */
 const AIMD_DECREASE_FACTOR = 0.85;
 
-/** A greater slow fraction lowers the limit; a p95 target allows 1 in 20. */
+/**
+ * Fraction of slow requests in a round above which the limit is lowered; a
+ * target for the 95th percentile allows 1 in 20.
+ */
 const AIMD_MAX_SLOW_FRACTION = 0.15;
 
 /** Minimum number of requests in a round; fewer give no reliable fraction. */
@@ -82,8 +88,9 @@
 
 /**
  * Additive increase, multiplicative decrease. A round has as many requests as
- * the limit; after it the limit falls if too many requests missed the target,
- * or else rises by one if most of them ended while the limit was reached.
+ * the limit, but at least `AIMD_MIN_ROUND_SIZE`. After a round, the limit is
+ * lowered if too many requests were slow; if not, it is raised by one if most
+ * requests finished while the limit was reached.
  */
 function createAimdLimit(options: LimitOptions): ConcurrencyLimit {
   let {ceiling, targetMs} = options;
@@ -103,7 +110,7 @@
   }
   return {
     current: () => clampLimit(limit, ceiling),
-    observe(sample) {
+    recordSample(sample) {
       sampleCount += 1;
       limitReachedCount += sample.isLimitReached ? 1 : 0;
       const isSlow = sample.isOverload || sample.latencyMs > targetMs;
@@ -112,12 +119,12 @@
         endRound();
       }
     },
-    setCeiling(next) {
-      // A limit that was not below the old ceiling moves to the new one.
-      limit = limit >= ceiling ? next : Math.min(limit, next);
-      ceiling = next;
+    setCeiling(newCeiling) {
+      // A limit at the old ceiling moves to the new ceiling.
+      limit = limit >= ceiling ? newCeiling : Math.min(limit, newCeiling);
+      ceiling = newCeiling;
     },
-    setTarget: next => (targetMs = next),
+    setTarget: newTargetMs => (targetMs = newTargetMs),
   };
 }
 
@@ -125,29 +132,42 @@
 const GRADIENT_LONG_TERM_WEIGHT = 1 / 600;
 const GRADIENT_SHORT_TERM_WEIGHT = 1 / 20;
 
-/** Highest short- to long-term ratio that does not lower the limit. */
+/**
+ * Highest ratio of short-term to long-term latency that does not lower the
+ * limit.
+ */
 const GRADIENT_TOLERANCE = 1.5;
+/** Fraction of the computed change applied over as many samples as the limit. */
 const GRADIENT_SMOOTHING = 0.2;
+/** Lower bound of the gradient, also used for samples with an overload. */
 const MIN_GRADIENT = 0.5;
 
-/** Scales the limit by latency ratio; adds the limit's square root to probe. */
+/**
+ * Scales the limit by the ratio of long-term to short-term latency, and adds
+ * the square root of the limit to probe for spare capacity.
+ */
 function createGradientLimit(options: LimitOptions): ConcurrencyLimit {
   let ceiling = options.ceiling;
   let limit = ceiling;
-  let longTermMs: number | undefined;
-  let shortTermMs = 0;
+  let longTermLatencyMs: number | undefined;
+  let shortTermLatencyMs = 0;
   return {
     current: () => clampLimit(limit, ceiling),
-    observe({latencyMs, isOverload, isLimitReached}) {
-      longTermMs = longTermMs === undefined ? latencyMs : longTermMs;
-      shortTermMs = shortTermMs === 0 ? latencyMs : shortTermMs;
-      longTermMs += (latencyMs - longTermMs) * GRADIENT_LONG_TERM_WEIGHT;
-      shortTermMs += (latencyMs - shortTermMs) * GRADIENT_SHORT_TERM_WEIGHT;
+    recordSample({latencyMs, isOverload, isLimitReached}) {
+      longTermLatencyMs =
+        longTermLatencyMs === undefined ? latencyMs : longTermLatencyMs;
+      shortTermLatencyMs =
+        shortTermLatencyMs === 0 ? latencyMs : shortTermLatencyMs;
+      longTermLatencyMs +=
+        (latencyMs - longTermLatencyMs) * GRADIENT_LONG_TERM_WEIGHT;
+      shortTermLatencyMs +=
+        (latencyMs - shortTermLatencyMs) * GRADIENT_SHORT_TERM_WEIGHT;
       if (!isLimitReached && !isOverload) {
         return;
       }
       const ratio =
-        (GRADIENT_TOLERANCE * longTermMs) / Math.max(shortTermMs, 1e-6);
+        (GRADIENT_TOLERANCE * longTermLatencyMs) /
+        Math.max(shortTermLatencyMs, 1e-6);
       const gradient = isOverload
         ? MIN_GRADIENT
         : Math.max(MIN_GRADIENT, Math.min(1, ratio));
@@ -155,9 +175,9 @@
       const step = (targetLimit - limit) * (GRADIENT_SMOOTHING / limit);
       limit = clampLimit(limit + step, ceiling);
     },
-    setCeiling(next) {
-      limit = limit >= ceiling ? next : Math.min(limit, next);
-      ceiling = next;
+    setCeiling(newCeiling) {
+      limit = limit >= ceiling ? newCeiling : Math.min(limit, newCeiling);
+      ceiling = newCeiling;
     },
     setTarget() {},
   };
--- a/packages/admission/src/contracts.ts
+++ b/packages/admission/src/contracts.ts
@@ -26,6 +26,7 @@
 
 /** Permit of an admitted request, to be released exactly once. */
 export interface Permit {
+  /** Milliseconds that the request was queued before its admission. */
   readonly waitedMs: number;
   release(result: RequestResult): void;
 }
@@ -33,24 +34,31 @@
 /** Admission controller of this entry for all services. */
 export interface AdmissionController {
   /**
-   * Admits a request, queueing it while no slot is free.
-   * Throws `overloaded` (with `retryAfterMs` from the drain rate),
-   * `deadline-exceeded` as soon as the deadline cannot be met, `cancelled` or
-   * `unknown-service`; each of them `not-run`.
+   * Admits a request, queueing it while no slot is free. Throws `overloaded`
+   * (with `retryAfterMs` from the drain rate), `deadline-exceeded` as soon as
+   * the deadline cannot be met, `cancelled` or `unknown-service`; each error
+   * states that the request was `not-run`.
    */
   admit(request: AdmissionRequest, signal: AbortSignal): Promise<Permit>;
-  /** Takes one retry from the service's budget; false if it is exhausted. */
+  /**
+   * Withdraws one retry from the service's retry budget; returns false if the
+   * budget is exhausted.
+   */
   tryAcquireRetry(service: string): boolean;
   /** Adds, reconfigures or removes (undefined) a service's bulkhead. */
   setService(name: string, config: ServiceAdmissionConfig | undefined): void;
-  /** Sets or resets (undefined) a customer's weight among equal urgencies. */
+  /**
+   * Sets or resets (undefined) the weight of a customer among requests of equal
+   * urgency.
+   */
   setCustomerWeight(customer: string, weight: number | undefined): void;
   /** Sets the number of live entries that share each service's capacity. */
   setEntryCount(count: number): void;
   /**
-   * Sets the total concurrency that the service's endpoints report and the
-   * number of requests (of all entries) that they run or queue.
-   * Without `outstanding` each entry keeps to an equal share.
+   * Sets the total concurrency that the service's endpoints report, and as
+   * `outstanding` the number of requests from all entries that the endpoints
+   * run or queue. Without `outstanding` each entry is limited to an equal
+   * share.
    */
   setReportedSlots(service: string, slots: number, outstanding?: number): void;
   /** Returns this entry's requests in flight relative to its limit, 0 to 1. */
--- a/packages/admission/src/fairQueue.ts
+++ b/packages/admission/src/fairQueue.ts
@@ -3,11 +3,12 @@
  * fair queueing by cost among the customers of an urgency.
  *
  * Each customer's next request has a start tag, the customer's served cost
- * divided by its weight. The smallest tag is served first, so over any interval
- * the service of two backlogged customers differs by at most one request each.
+ * divided by its weight. The request with the smallest tag is served first, so
+ * that over any interval the weighted served costs of two backlogged customers
+ * differ by at most one request of each.
  */
 
-/** Attributes of an item that the queue orders by. */
+/** Attributes of an item that determine its position in the queue. */
 export interface QueueItem {
   readonly customer: string;
   readonly urgency: number;
@@ -25,22 +26,28 @@
   remove(item: T): boolean;
   /**
    * Removes and returns the item with the lowest priority if the incoming item
-   * has a higher one: an item that is less urgent, or one of a customer with
-   * more weighted cost queued at the same urgency.
+   * has a higher priority. An item has a lower priority if it is less urgent,
+   * or if it is equally urgent and its customer has more weighted cost queued.
    */
-  evictFor(incoming: QueueItem): T | undefined;
+  evictForIncoming(incoming: QueueItem): T | undefined;
   /** Removes and returns the item with the lowest priority. */
-  evict(): T | undefined;
-  /** Returns the cost queued at more urgent levels than the given one. */
+  evictLowestPriority(): T | undefined;
+  /**
+   * Returns the total cost of the queued items that are more urgent than
+   * `urgency`.
+   */
   costOfMoreUrgent(urgency: number): number;
-  /** Returns the cost at the same urgency that is served before `incoming`. */
+  /**
+   * Returns the total cost of the queued items of the same urgency that are
+   * served before `incoming`.
+   */
   costAheadAtSameUrgency(incoming: QueueItem): number;
-  /** Returns the number of flows in memory over all urgencies. */
+  /** Returns the number of flows in memory, summed over all urgencies. */
   flowCount(): number;
   items(): readonly T[];
 }
 
-/** Items of one customer at one urgency. */
+/** Queued items of one customer at one urgency. */
 interface Flow<T> {
   readonly customer: string;
   readonly items: T[];
@@ -51,6 +58,7 @@
 
 interface UrgencyLevel<T> {
   readonly flows: Map<string, Flow<T>>;
+  /** Start tag of the last served item. */
   virtualTime: number;
   queuedCost: number;
   size: number;
@@ -85,6 +93,7 @@
     return flow.queuedCost / weightOf(flow.customer);
   }
 
+  /** Returns the flow of the level with the most weighted cost queued. */
   function largestFlow(level: UrgencyLevel<T>): Flow<T> | undefined {
     let largest: Flow<T> | undefined;
     for (const flow of level.flows.values()) {
@@ -104,7 +113,7 @@
   function removeAt(level: UrgencyLevel<T>, flow: Flow<T>, index: number): T {
     const [item] = flow.items.splice(index, 1);
     if (item === undefined) {
-      throw new RangeError('the flow has no such item');
+      throw new RangeError('item index is out of range of the flow');
     }
     flow.queuedCost = flow.items.length === 0 ? 0 : flow.queuedCost - item.cost;
     level.size -= 1;
@@ -113,27 +122,28 @@
     return item;
   }
 
+  /** Removes the newest item of the flow with the most weighted cost queued. */
   function evictNewest(level: UrgencyLevel<T>): T | undefined {
     const flow = largestFlow(level);
     return flow && removeAt(level, flow, flow.items.length - 1);
   }
 
   function dequeueFrom(level: UrgencyLevel<T>): T | undefined {
-    let next: Flow<T> | undefined;
-    let nextTag = Infinity;
+    let nextFlow: Flow<T> | undefined;
+    let nextStartTag = Infinity;
     for (const flow of level.flows.values()) {
-      const tag = Math.max(flow.finishTag, level.virtualTime);
-      if (flow.items.length > 0 && tag < nextTag) {
-        next = flow;
-        nextTag = tag;
+      const startTag = Math.max(flow.finishTag, level.virtualTime);
+      if (flow.items.length > 0 && startTag < nextStartTag) {
+        nextFlow = flow;
+        nextStartTag = startTag;
       }
     }
-    if (next === undefined) {
+    if (nextFlow === undefined) {
       return undefined;
     }
-    const item = removeAt(level, next, 0);
-    level.virtualTime = nextTag;
-    next.finishTag = nextTag + item.cost / weightOf(next.customer);
+    const item = removeAt(level, nextFlow, 0);
+    level.virtualTime = nextStartTag;
+    nextFlow.finishTag = nextStartTag + item.cost / weightOf(nextFlow.customer);
     pruneIdleFlows(level);
     return item;
   }
@@ -183,29 +193,30 @@
       pruneIdleFlows(level);
       return true;
     },
-    evictFor(incoming) {
-      const ownLevel = levelOf(incoming.urgency);
+    evictForIncoming(incoming) {
+      const incomingLevel = levelOf(incoming.urgency);
       for (let index = URGENCY_COUNT - 1; index >= 0; index--) {
         const level = levels[index] as UrgencyLevel<T>;
-        if (level === ownLevel) {
+        if (level === incomingLevel) {
           break;
         }
         if (level.size > 0) {
           return evictNewest(level);
         }
       }
-      const largest = largestFlow(ownLevel);
-      const ownCost = ownLevel.flows.get(incoming.customer)?.queuedCost ?? 0;
-      const weightedOwnCost =
-        (ownCost + incoming.cost) / weightOf(incoming.customer);
+      const largest = largestFlow(incomingLevel);
+      const customerCost =
+        incomingLevel.flows.get(incoming.customer)?.queuedCost ?? 0;
+      const weightedCustomerCost =
+        (customerCost + incoming.cost) / weightOf(incoming.customer);
       if (largest === undefined || largest.customer === incoming.customer) {
         return undefined;
       }
-      return weightedQueuedCost(largest) > weightedOwnCost
-        ? evictNewest(ownLevel)
+      return weightedQueuedCost(largest) > weightedCustomerCost
+        ? evictNewest(incomingLevel)
         : undefined;
     },
-    evict() {
+    evictLowestPriority() {
       const level = levels.findLast(candidate => candidate.size > 0);
       return level && evictNewest(level);
     },
@@ -221,15 +232,16 @@
     },
     costAheadAtSameUrgency(incoming) {
       const level = levelOf(incoming.urgency);
-      const ownWeight = weightOf(incoming.customer);
-      const ownCost = level.flows.get(incoming.customer)?.queuedCost ?? 0;
-      const normalizedCost = (ownCost + incoming.cost) / ownWeight;
-      let cost = ownCost;
+      const customerWeight = weightOf(incoming.customer);
+      const customerCost = level.flows.get(incoming.customer)?.queuedCost ?? 0;
+      const weightedCustomerCost =
+        (customerCost + incoming.cost) / customerWeight;
+      let cost = customerCost;
       for (const flow of level.flows.values()) {
         if (flow.customer !== incoming.customer) {
           cost += Math.min(
             flow.queuedCost,
-            normalizedCost * weightOf(flow.customer),
+            weightedCustomerCost * weightOf(flow.customer),
           );
         }
       }
@@ -248,8 +260,9 @@
 }
 
 /**
- * Drops flows without items whose finish tag has passed. Without this the map
- * would grow with every customer ever seen.
+ * Drops flows that have no items and whose finish tag the virtual time of the
+ * level has passed. If such flows were kept, the map would grow with every new
+ * customer.
  */
 function pruneIdleFlows<T>(level: UrgencyLevel<T>) {
   if (level.size === 0) {
--- a/packages/admission/src/retryBudget.ts
+++ b/packages/admission/src/retryBudget.ts
@@ -1,14 +1,17 @@
 /**
  * Token bucket that limits retries to a fraction of the admitted requests.
  *
- * When a service fails, every failed request may be retried; without a bound
- * the retries multiply the load when the service can sustain the least.
+ * When a service fails, every failed request may be retried; without a limit
+ * the retries multiply the load at the time when the service can sustain the
+ * least.
  */
 
 export interface RetryBudget {
   /** Adds the tokens of one admitted request. */
   deposit(): void;
-  /** Takes the token of one retry; returns false if none is left. */
+  /**
+   * Withdraws the token of one retry; returns false if less than one is left.
+   */
   tryWithdraw(): boolean;
   balance(): number;
 }
@@ -16,7 +19,10 @@
 /** Tokens added by each admitted request; one retry costs one token. */
 const RETRIES_PER_REQUEST = 0.1;
 
-/** Maximum saved tokens, so that idle hours do not allow a retry storm. */
+/**
+ * Maximum number of saved tokens, so that hours without failures do not allow a
+ * retry storm.
+ */
 const MAX_TOKENS = 10;
 
 /** Initial tokens, so that the first failures of a service may be retried. */
--- a/packages/admission/src/test/admission.fuzz.test.ts
+++ b/packages/admission/src/test/admission.fuzz.test.ts
@@ -4,7 +4,7 @@
 import {isServingError, settlePromises} from '@skylarkfield/base';
 import type {AdmissionRequest, Permit} from '../index.js';
 import {createFairQueue} from '../fairQueue.js';
-import {booking, setUp} from './fixtures.js';
+import {bookingService, setUp} from './fixtures.js';
 
 const isLong = process.env.SKYLARKFIELD_FUZZ === 'long';
 const seed = isLong ? Date.now() % 1_000_000_000 : 42;
@@ -20,9 +20,9 @@
   readonly urgency: number;
   readonly abortController: AbortController;
   state: 'waiting' | 'admitted' | 'released' | 'refused';
-  endCount: number;
+  completionCount: number;
   permit?: Permit;
-  /** Number of requests admitted before this one. */
+  /** Number of requests admitted before this request. */
   admissionIndex?: number;
 }
 
@@ -50,14 +50,14 @@
   return (admission.dump() as {services: Dump[]}).services[0] as Dump;
 }
 
-function track(oracle: Oracle, overrides: Partial<AdmissionRequest>) {
+function admitTracked(oracle: Oracle, overrides: Partial<AdmissionRequest>) {
   const {setup} = oracle;
   const abortController = new AbortController();
   const request: TrackedRequest = {
     urgency: overrides.urgency ?? 3,
     abortController,
     state: 'waiting',
-    endCount: 0,
+    completionCount: 0,
   };
   oracle.requests.push(request);
   setup.admit(overrides, abortController.signal).then(
@@ -66,20 +66,23 @@
       request.permit = permit;
       request.admissionIndex = oracle.admittedCount;
       oracle.admittedCount += 1;
-      request.endCount += 1;
+      request.completionCount += 1;
     },
     (error: unknown) => {
       assert.ok(isServingError(error));
       assert.equal(error.run, 'not-run');
       request.state = 'refused';
-      request.endCount += 1;
+      request.completionCount += 1;
     },
   );
 }
 
 const DEFAULT_URGENCY = 3;
 
-/** Returns the limit of an urgency; only the more urgent use the overdraft. */
+/**
+ * Returns the limit for an urgency; only requests more urgent than the default
+ * may use the overdraft.
+ */
 function limitForUrgency(
   {limit, overdraft, ordinaryFraction}: Dump,
   urgency: number,
@@ -93,7 +96,7 @@
 }
 
 /** Settles promises and compares the admission controller with the oracle. */
-async function check(
+async function checkInvariants(
   oracle: Oracle,
   admittedBefore: ReadonlySet<TrackedRequest>,
 ) {
@@ -122,28 +125,28 @@
       .map(request => request.urgency),
   );
   for (const request of oracle.requests) {
-    assert.ok(request.endCount <= 1);
+    assert.ok(request.completionCount <= 1);
     assert.ok(
       !isNewlyAdmitted(request) || request.urgency <= mostUrgentWaiting,
-      'urgency order',
+      'admitted while a more urgent request is waiting',
     );
   }
 }
 
 type Step = (oracle: Oracle) => void | Promise<void>;
 
-function step(
+function createStep(
   name: string,
   run: Step,
 ): fc.AsyncCommand<object, Oracle, boolean> {
   return {
     check: () => true,
     async run(_model, oracle) {
-      const before = new Set(
+      const admittedBefore = new Set(
         oracle.requests.filter(request => request.state === 'admitted'),
       );
       await run(oracle);
-      await check(oracle, before);
+      await checkInvariants(oracle, admittedBefore);
     },
     toString: () => name,
   };
@@ -169,8 +172,8 @@
       leftMs: fc.constantFrom(0, 5, 50, 500, 5000, Infinity),
     })
     .map(overrides =>
-      step(`admit ${JSON.stringify(overrides)}`, oracle =>
-        track(oracle, {
+      createStep(`admit ${JSON.stringify(overrides)}`, oracle =>
+        admitTracked(oracle, {
           ...overrides,
           deadline: oracle.setup.clock.now() + overrides.leftMs,
         }),
@@ -179,7 +182,7 @@
   fc
     .tuple(fc.nat(20), fc.constantFrom(...outcomes), fc.nat(300))
     .map(([index, outcome, latencyMs]) =>
-      step(`release ${index} ${outcome} ${latencyMs}`, oracle => {
+      createStep(`release ${index} ${outcome} ${latencyMs}`, oracle => {
         const request = pickRequest(oracle, 'admitted', index);
         if (request !== undefined) {
           request.state = 'released';
@@ -189,51 +192,59 @@
       }),
     ),
   fc.nat(20).map(index =>
-    step(`abort ${index}`, oracle => {
+    createStep(`abort ${index}`, oracle => {
       pickRequest(oracle, 'waiting', index)?.abortController.abort();
     }),
   ),
   fc
     .constantFrom(1, 20, 400, 3000)
     .map(spanMs =>
-      step(`advance ${spanMs}`, oracle => oracle.setup.clock.advance(spanMs)),
+      createStep(`advance ${spanMs}`, oracle =>
+        oracle.setup.clock.advance(spanMs),
+      ),
     ),
   fc
     .tuple(fc.integer({min: 1, max: 6}), fc.nat(6))
     .map(([concurrency, queue]) =>
-      step(`configure ${concurrency} ${queue}`, ({setup}) =>
-        setup.admission.setService('booking', {...booking, concurrency, queue}),
+      createStep(`configure ${concurrency} ${queue}`, ({setup}) =>
+        setup.admission.setService('booking', {
+          ...bookingService,
+          concurrency,
+          queue,
+        }),
       ),
     ),
   fc
     .integer({min: 1, max: 4})
-    .map(entries =>
-      step(`entries ${entries}`, ({setup}) =>
-        setup.admission.setEntryCount(entries),
+    .map(entryCount =>
+      createStep(`entries ${entryCount}`, ({setup}) =>
+        setup.admission.setEntryCount(entryCount),
       ),
     ),
   fc
     .tuple(fc.nat(6), fc.option(fc.nat(8), {nil: undefined}))
-    .map(([slots, busy]) =>
-      step(`slots ${slots} busy ${busy}`, ({setup}) =>
-        setup.admission.setReportedSlots('booking', slots, busy),
+    .map(([slots, outstanding]) =>
+      createStep(`slots ${slots} outstanding ${outstanding}`, ({setup}) =>
+        setup.admission.setReportedSlots('booking', slots, outstanding),
       ),
     ),
 ];
 
 describe('admission fuzz', () => {
-  it('keeps the limit and the urgency order and ends each request once', async () => {
+  it('keeps the limit and the urgency order, and completes each request once', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.commands(commands, {maxCommands: 60, size: 'max'}),
-        async run => {
+        async commandRun => {
           const setup = setUp({concurrency: 3, queue: 4});
           const oracle: Oracle = {setup, requests: [], admittedCount: 0};
-          await fc.asyncModelRun(() => ({model: {}, real: oracle}), run);
+          await fc.asyncModelRun(() => ({model: {}, real: oracle}), commandRun);
           setup.admission.setService('booking', undefined);
           await settlePromises();
           assert.equal(countRequests(oracle, 'waiting'), 0);
-          assert.ok(oracle.requests.every(request => request.endCount === 1));
+          assert.ok(
+            oracle.requests.every(request => request.completionCount === 1),
+          );
         },
       ),
       parameters,
@@ -252,7 +263,7 @@
       fc.property(
         fc.array(customer, {minLength: 2, maxLength: 6}),
         fc.integer({min: 1, max: 60}),
-        (customers, servings) => {
+        (customers, dequeueCount) => {
           const weightOf = (name: string) =>
             customers[Number(name)]?.weight ?? 1;
           const queue = createFairQueue(weightOf);
@@ -261,30 +272,33 @@
               queue.enqueue({customer: String(index), urgency: 3, cost});
             }
           }
-          const served = customers.map(() => 0);
-          const taken = customers.map(() => 0);
-          for (let turn = 0; turn < servings; turn++) {
+          const servedCosts = customers.map(() => 0);
+          const servedCounts = customers.map(() => 0);
+          for (let turn = 0; turn < dequeueCount; turn++) {
             const item = queue.dequeue();
             const index = Number(item?.customer);
-            served[index] = (served[index] ?? 0) + (item?.cost ?? 0);
-            taken[index] = (taken[index] ?? 0) + 1;
-            const isAllWaiting = customers.every(
-              ({costs}, other) => (taken[other] ?? 0) < costs.length,
+            servedCosts[index] = (servedCosts[index] ?? 0) + (item?.cost ?? 0);
+            servedCounts[index] = (servedCounts[index] ?? 0) + 1;
+            const areAllBacklogged = customers.every(
+              ({costs}, other) => (servedCounts[other] ?? 0) < costs.length,
             );
-            if (!isAllWaiting) {
+            if (!areAllBacklogged) {
               return;
             }
           }
-          const shares = served.map(
+          const weightedCosts = servedCosts.map(
             (cost, index) => cost / weightOf(String(index)),
           );
-          const largest = customers.map(
+          const largestWeightedCosts = customers.map(
             ({costs, weight}) => Math.max(...costs) / weight,
           );
-          for (const [a, shareA] of shares.entries()) {
-            for (const [b, shareB] of shares.entries()) {
-              const bound = (largest[a] ?? 0) + (largest[b] ?? 0) + 1e-9;
-              assert.ok(Math.abs(shareA - shareB) <= bound);
+          for (const [a, weightedCostA] of weightedCosts.entries()) {
+            for (const [b, weightedCostB] of weightedCosts.entries()) {
+              const bound =
+                (largestWeightedCosts[a] ?? 0) +
+                (largestWeightedCosts[b] ?? 0) +
+                1e-9;
+              assert.ok(Math.abs(weightedCostA - weightedCostB) <= bound);
             }
           }
         },
@@ -293,7 +307,7 @@
     );
   });
 
-  it('bounds the number of flows in memory', () => {
+  it('drops idle flows, so that their number in memory is bounded', () => {
     // Over months requests come from ever more customers. A queue that kept a
     // flow for each of them would grow until the process runs out of memory.
     const queue = createFairQueue(() => 1);
--- a/packages/admission/src/test/admission.test.ts
+++ b/packages/admission/src/test/admission.test.ts
@@ -2,84 +2,93 @@
 import {describe, it} from 'node:test';
 import {isServingError, settlePromises} from '@skylarkfield/base';
 import type {AdmissionController, AdmissionRequest} from '../index.js';
-import {booking, ok, setUp} from './fixtures.js';
+import {bookingService, okResult, setUp} from './fixtures.js';
 
 describe('admission', () => {
   it('admits a queued request when a permit is released', async () => {
     const {admit} = setUp();
     const first = await admit();
     const second = admit();
-    first.release(ok);
+    first.release(okResult);
     assert.equal((await second).waitedMs, 0);
   });
 
   it('ignores repeated releases of a permit', async () => {
-    // Two error paths of one request both release its permit. Counted twice,
-    // the service would get more concurrent requests than its limit.
+    // Two error paths of one request both release its permit. If both releases
+    // counted, the service would get more concurrent requests than its limit.
     const {admit, admission} = setUp({queue: 2});
     const first = await admit();
     const second = admit();
     const third = admit();
-    first.release(ok);
-    first.release(ok);
+    first.release(okResult);
+    first.release(okResult);
     const permit = await second;
     assert.equal(inFlightOf(admission), 1);
-    permit.release(ok);
+    permit.release(okResult);
     await third;
   });
 
   const fullQueueCases: readonly {
     readonly title: string;
-    readonly held: Partial<AdmissionRequest>;
-    readonly queued: Partial<AdmissionRequest>;
-    readonly incoming: Partial<AdmissionRequest>;
+    readonly runningRequest: Partial<AdmissionRequest>;
+    readonly queuedRequest: Partial<AdmissionRequest>;
+    readonly incomingRequest: Partial<AdmissionRequest>;
     readonly rejected: 'queued' | 'incoming';
   }[] = [
     {
       title: 'a less urgent queued request',
-      held: {},
-      queued: {urgency: 5},
-      incoming: {urgency: 1},
+      runningRequest: {},
+      queuedRequest: {urgency: 5},
+      incomingRequest: {urgency: 1},
       rejected: 'queued',
     },
     {
       title: 'an equally urgent incoming request of the same customer',
-      held: {},
-      queued: {urgency: 3},
-      incoming: {urgency: 3},
+      runningRequest: {},
+      queuedRequest: {urgency: 3},
+      incomingRequest: {urgency: 3},
       rejected: 'incoming',
     },
     {
       title: 'a less urgent incoming request',
-      held: {},
-      queued: {urgency: 2},
-      incoming: {urgency: 3, customer: 'other'},
+      runningRequest: {},
+      queuedRequest: {urgency: 2},
+      incomingRequest: {urgency: 3, customer: 'other'},
       rejected: 'incoming',
     },
     {
       title: 'the costly request of a customer above its fair share',
-      held: {},
-      queued: {cost: 8},
-      incoming: {customer: 'small'},
+      runningRequest: {},
+      queuedRequest: {cost: 8},
+      incomingRequest: {customer: 'small'},
       rejected: 'queued',
     },
   ];
-  for (const {title, held, queued, incoming, rejected} of fullQueueCases) {
+  for (const {
+    title,
+    runningRequest,
+    queuedRequest,
+    incomingRequest,
+    rejected,
+  } of fullQueueCases) {
     it(`rejects ${title} when the queue is full`, async () => {
-      // The queue is full. Without eviction of the lowest priority the most
-      // urgent request would be rejected.
+      // Without eviction of the queued request with the lowest priority, the
+      // most urgent request would be rejected.
       const {admit} = setUp();
-      const permit = await admit(held);
-      const waiting = {queued: admit(queued), incoming: admit(incoming)};
+      const permit = await admit(runningRequest);
+      const pendingPermits = {
+        queued: admit(queuedRequest),
+        incoming: admit(incomingRequest),
+      };
       const admitted = rejected === 'queued' ? 'incoming' : 'queued';
-      await assert.rejects(waiting[rejected], error => {
+      await assert.rejects(pendingPermits[rejected], error => {
         assert.ok(isServingError(error, 'overloaded'));
         assert.equal(error.run, 'not-run');
         assert.ok((error.retryAfterMs ?? 0) > 0);
         return true;
       });
-      permit.release(ok);
-      await waiting[admitted];
+      permit.release(okResult);
+      await pendingPermits[admitted];
     });
   }
 
@@ -89,30 +98,33 @@
     const {clock, admit, warmUp} = setUp({queue: 20});
     await warmUp(8, 100);
     void admit();
-    const waiting = Array.from({length: 10}, () => admit({deadline: Infinity}));
+    const pendingPermits = Array.from({length: 10}, () =>
+      admit({deadline: Infinity}),
+    );
     const startMs = clock.now();
     await assert.rejects(admit({deadline: startMs + 500}), {
       kind: 'deadline-exceeded',
       run: 'not-run',
     });
     assert.equal(clock.now(), startMs);
-    assert.equal(waiting.length, 10);
+    assert.equal(pendingPermits.length, 10);
   });
 
   it('rejects a queued request as soon as its deadline cannot be met', async () => {
     // The only permit is never released. Responses take 100 ms, so the request
-    // has to be rejected 100 ms before its deadline, not when it passes.
+    // has to be rejected 100 ms before its deadline, not when the deadline
+    // passes.
     const {clock, admit, warmUp} = setUp({queue: 20});
     await warmUp(8, 100);
     void admit();
-    let endMs = 0;
-    const expired = admit({deadline: clock.now() + 400}).catch(() => {
-      endMs = clock.now();
+    let rejectedAtMs = 0;
+    const rejectedRequest = admit({deadline: clock.now() + 400}).catch(() => {
+      rejectedAtMs = clock.now();
     });
     const startMs = clock.now();
     await clock.advance(1000);
-    await expired;
-    assert.equal(endMs - startMs, 300);
+    await rejectedRequest;
+    assert.equal(rejectedAtMs - startMs, 300);
   });
 
   it('delays deadline checks by at least 1 ms', async () => {
@@ -133,18 +145,18 @@
     assert.ok(delays.length > 0 && delays.every(delayMs => delayMs >= 1));
   });
 
-  it('admits urgent requests above the share and throttles the others', async () => {
-    // A customer's urgent requests arrive at one entry. With equal shares they
-    // would be rejected there while other entries run less urgent requests.
+  it('admits urgent requests above the equal share and throttles less urgent ones', async () => {
+    // A customer's urgent requests arrive at one entry. With equal shares the
+    // requests would be rejected while other entries run less urgent requests.
     const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
     admission.setReportedSlots('booking', 16, 16);
-    let admitted = 0;
+    let admittedCount = 0;
     for (let index = 0; index < 12; index++) {
-      void admit({urgency: 1}).then(() => (admitted += 1));
+      void admit({urgency: 1}).then(() => (admittedCount += 1));
     }
     await settlePromises();
-    assert.equal(admitted, 8);
+    assert.equal(admittedCount, 8);
     for (let index = 0; index < 10; index++) {
       admission.setReportedSlots('booking', 16, 20);
     }
@@ -162,7 +174,7 @@
     await admit({deadline: clock.now() + 1000});
   });
 
-  it('grows Retry-After when a service hangs', async () => {
+  it('increases Retry-After while a service hangs', async () => {
     // A service hangs and its permits are never released. With a short
     // Retry-After callers would retry and be rejected many times.
     const {clock, admit, warmUp} = setUp({queue: 1});
@@ -175,78 +187,81 @@
     assert.ok(laterMs > 10 * earlyMs, `${earlyMs} then ${laterMs}`);
   });
 
-  it('removes a queued request that its caller cancels', async () => {
-    // The caller closes its connection while the request is queued. Left in the
-    // queue it would occupy a slot and be run without a caller.
+  it('removes a queued request when its caller cancels it', async () => {
+    // The caller closes its connection while the request is queued. If left in
+    // the queue, the request would occupy a slot and be run without a caller.
     const {admit, admission} = setUp();
     await admit();
-    const stop = new AbortController();
-    const waiting = admit({}, stop.signal);
-    stop.abort();
-    await assert.rejects(waiting, {kind: 'cancelled', run: 'not-run'});
+    const abortController = new AbortController();
+    const pendingPermit = admit({}, abortController.signal);
+    abortController.abort();
+    await assert.rejects(pendingPermit, {kind: 'cancelled', run: 'not-run'});
     const {services} = admission.dump() as {services: {waiting: number}[]};
     assert.equal(services[0]?.waiting, 0);
   });
 
   it('rejects queued requests of a removed service', async () => {
-    // An operator removes a service while requests for it are queued. Otherwise
-    // they would stay queued until their deadlines.
+    // An operator removes a service while requests for it are queued. If not
+    // rejected, these requests would stay queued until their deadlines.
     const {admit, admission} = setUp();
-    const held = await admit();
-    const waiting = admit();
+    const runningPermit = await admit();
+    const pendingPermit = admit();
     admission.setService('booking', undefined);
-    await assert.rejects(waiting, {kind: 'unknown-service', run: 'not-run'});
-    held.release(ok);
+    await assert.rejects(pendingPermit, {
+      kind: 'unknown-service',
+      run: 'not-run',
+    });
+    runningPermit.release(okResult);
     await assert.rejects(admit(), {kind: 'unknown-service'});
   });
 
-  it('isolates a service from a hung one', async () => {
+  it('isolates a service from another service that hangs', async () => {
     // All permits of one service are held by requests that never end. Requests
     // to the other service must not be queued.
     const {admit, admission} = setUp();
-    admission.setService('roster', {...booking, name: 'roster'});
+    admission.setService('roster', {...bookingService, name: 'roster'});
     await admit();
     void admit().catch(() => undefined);
     const permit = await admit({service: 'roster'});
     assert.equal(permit.waitedMs, 0);
   });
 
-  it('limits retries to about a tenth of the requests', async () => {
+  it('limits retries to about a tenth of the admitted requests', async () => {
     // Every request fails and is retried. Without a budget the load on the
     // failing service would double.
     const {admit, admission} = setUp();
-    let retries = 0;
+    let retryCount = 0;
     for (let index = 0; index < 1000; index++) {
       (await admit()).release({outcome: 'failed', latencyMs: 1});
-      retries += admission.tryAcquireRetry('booking') ? 1 : 0;
+      retryCount += admission.tryAcquireRetry('booking') ? 1 : 0;
     }
-    assert.ok(retries >= 95 && retries <= 110, `${retries}`);
+    assert.ok(retryCount >= 95 && retryCount <= 110, `${retryCount}`);
   });
 
-  it('divides concurrency among entries and borrows idle slots', async () => {
+  it('divides concurrency equally among entries and borrows idle slots', async () => {
     // Three of four entries are idle since customers connect to one. With equal
     // shares alone three quarters of the service would be idle while requests
     // at the busy entry are rejected.
     const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
-    let admitted = 0;
+    let admittedCount = 0;
     for (let index = 0; index < 30; index++) {
-      void admit({deadline: Infinity}).then(() => (admitted += 1));
+      void admit({deadline: Infinity}).then(() => (admittedCount += 1));
     }
     await settlePromises();
-    assert.equal(admitted, 4);
+    assert.equal(admittedCount, 4);
     for (let index = 0; index < 30; index++) {
-      admission.setReportedSlots('booking', 16, admitted);
+      admission.setReportedSlots('booking', 16, admittedCount);
       await settlePromises();
     }
-    assert.ok(admitted >= 14 && admitted <= 16, `${admitted}`);
+    assert.ok(admittedCount >= 14 && admittedCount <= 16, `${admittedCount}`);
   });
 
   it('does not overestimate the wait after requests of small cost', async () => {
     // Requests of very different cost hold their permits for the same time. If
-    // the hold time per unit of cost were an average of ratios, the small ones
-    // would inflate it many times, and requests with seconds left would be
-    // rejected although the service can respond in time.
+    // the hold time per unit of cost were an average of ratios, the requests of
+    // small cost would inflate it many times, and requests with seconds left
+    // would be rejected although the service can respond in time.
     const {admit, clock} = setUp({concurrency: 1, queue: 50});
     for (let index = 0; index < 60; index++) {
       const cost = index % 2 === 0 ? 1 / 16 : 4;
@@ -257,11 +272,11 @@
     await admit({deadline: Infinity});
     const second = admit({deadline: clock.now() + 1_000});
     const third = admit({deadline: clock.now() + 1_000, cost: 4});
-    let refusals = 0;
-    second.catch(() => (refusals += 1));
-    third.catch(() => (refusals += 1));
+    let rejectionCount = 0;
+    second.catch(() => (rejectionCount += 1));
+    third.catch(() => (rejectionCount += 1));
     await settlePromises();
-    assert.equal(refusals, 0);
+    assert.equal(rejectionCount, 0);
   });
 
   it('returns borrowed slots when the other entries become busy', async () => {
--- a/packages/admission/src/test/fixtures.ts
+++ b/packages/admission/src/test/fixtures.ts
@@ -12,7 +12,7 @@
   type Permit,
 } from '../index.js';
 
-export const booking: Service = {
+export const bookingService: Service = {
   name: 'booking',
   type: 'plain',
   version: 'v1',
@@ -24,7 +24,7 @@
   fleet: {minReplicas: 1, maxReplicas: 1, machineClass: 'small', weights: ''},
 };
 
-export const ok = {outcome: 'ok', latencyMs: 10} as const;
+export const okResult = {outcome: 'ok', latencyMs: 10} as const;
 
 /** Creates an admission controller on a virtual clock with one service. */
 export function setUp(overrides: Partial<Service> = {}) {
@@ -35,7 +35,7 @@
     random: seededRandom(1),
     decisions,
   });
-  admission.setService('booking', {...booking, ...overrides});
+  admission.setService('booking', {...bookingService, ...overrides});
   function admit(
     overrides: Partial<AdmissionRequest> = {},
     signal: AbortSignal = new AbortController().signal,
