--- a/packages/duties/src/contracts.ts
+++ b/packages/duties/src/contracts.ts
@@ -1,7 +1,11 @@
-/** Control-plane tasks with one active holder, elected through leases. */
+/**
+ * Control-plane tasks (duties) with one active holder each, elected by leases.
+ */
 import type {Disposable} from '@skylarkfield/base';
 
-/** `acceptance` validates records, `fleet` scales hosts, `moves` rolls out. */
+/**
+ * `acceptance` validates records, `fleet` scales hosts, `moves` runs rollouts.
+ */
 export type DutyName = 'acceptance' | 'moves' | 'fleet' | `shard:${number}`;
 
 /** Period during which this process holds a duty's lease. */
@@ -11,7 +15,10 @@
   readonly fencing: number;
   /** Monotonic time of the acquisition in milliseconds. */
   readonly acquiredAt: number;
-  /** Whether the lease is held, with a margin; check before any side effect. */
+  /**
+   * Returns whether the lease is held and does not expire within the safety
+   * margin; must be checked before any side effect.
+   */
   isValid(): boolean;
   /** Aborted when the term ends. */
   readonly signal: AbortSignal;
@@ -19,11 +26,14 @@
 
 export interface DutyElections extends Disposable {
   /**
-   * Competes for a duty until disposed. Calls `start` for each term and
-   * disposes its result at the end.
+   * Competes for a duty until disposed. Calls `start` at the start of each term
+   * and disposes its result at the end of the term.
    */
   compete(duty: DutyName, start: (term: DutyTerm) => Disposable): Disposable;
-  /** Returns this process's current term of a duty, if any. */
+  /**
+   * Returns the current term, or undefined if this process does not hold the
+   * duty.
+   */
   currentTerm(duty: DutyName): DutyTerm | undefined;
   /** Releases all leases, for a planned shutdown. */
   release(): Promise<void>;
--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -13,15 +13,18 @@
 import type {DutyElections, DutyName, DutyTerm} from './contracts.js';
 import {defaultLeaseTiming, type LeaseTiming} from './lease.js';
 
-/** Candidates for one duty; more would only add reads of the lease. */
+/**
+ * Number of candidates for each duty; more candidates would only add reads of
+ * the lease.
+ */
 const CANDIDATES_PER_DUTY = 3;
 
 /**
  * Creates the lease elections of a process.
  *
  * Rendezvous hashing selects a few candidates for each duty, so that lease
- * calls do not grow with the fleet and duties spread over it. Mutual exclusion
- * does not depend on this selection.
+ * calls do not grow with the fleet and duties are spread over it. Mutual
+ * exclusion does not depend on this selection.
  *
  * @example
  * const dutyElections = createDutyElections({clock, random, store, self: {id: 'a1', incarnation: 7}, members});
@@ -32,11 +35,11 @@
   readonly random: Random;
   readonly store: ObjectStore;
   readonly self: {readonly id: string; readonly incarnation: number};
-  /** Ids of the live members, including this one. */
+  /** Returns the ids of the live members, including this process. */
   readonly members: () => readonly string[];
   /**
-   * Whether this process may keep holding a duty; if not, it hands the duty
-   * over. Defaults to always.
+   * Returns whether this process may keep holding duties; if false, it hands
+   * them over. By default it may always.
    */
   readonly mayHold?: () => boolean;
   readonly log?: Logger;
--- a/packages/duties/src/lease.ts
+++ b/packages/duties/src/lease.ts
@@ -1,7 +1,7 @@
 /** Lease of one duty, stored as an object in the object store. */
 import type {StoredObject, WriteCondition} from '@skylarkfield/providers';
 
-/** Object kind of leases; a lease has the name of its duty. */
+/** Object kind of leases; the object name is the name of the duty. */
 export const LEASE_KIND = 'lease';
 
 /** Value of a lease object. */
@@ -10,7 +10,7 @@
   readonly holder: string;
   /** Fencing token; increases with each change of holder, never decreases. */
   readonly fencing: number;
-  /** Time in milliseconds for which a renewal is valid. */
+  /** Time for which the lease is valid after each renewal, in milliseconds. */
   readonly durationMs: number;
   /** Increases with each renewal, so that the object's version changes. */
   readonly sequence: number;
@@ -25,9 +25,10 @@
   /** Interval at which a candidate reads the lease, in milliseconds. */
   readonly pollMs: number;
   /**
-   * Safety margin: the holder stops this much before the expiry and a successor
-   * waits this much longer. Monotonic clocks of two hosts drift apart, and time
-   * passes between a holder's validity check and its side effect.
+   * Safety margin, in milliseconds, by which the holder stops before the expiry
+   * and a successor waits after the expiry. Monotonic clocks of two hosts drift
+   * apart, and time passes between a holder's validity check and its side
+   * effect.
    */
   readonly marginMs: number;
 }
@@ -67,7 +68,8 @@
 }
 
 /**
- * Returns the condition that the lease object is unchanged since its read.
+ * Returns the write condition that the lease object is unchanged since the
+ * given read.
  *
  * @example
  * await store.put(LEASE_KIND, duty, lease, leaseCondition(object));
--- a/packages/duties/src/leaseElection.ts
+++ b/packages/duties/src/leaseElection.ts
@@ -27,7 +27,10 @@
 } from './lease.js';
 import {createLeaseObserver} from './leaseObserver.js';
 
-/** `standby`: not a candidate. `watching`: another process holds the lease. */
+/**
+ * `standby`: this process is no candidate. `watching`: a candidate that waits
+ * until the lease is free. `held`: this process holds the lease.
+ */
 export type LeaseElectionState =
   | 'standby'
   | 'watching'
@@ -46,6 +49,7 @@
   dump(): {
     readonly state: LeaseElectionState;
     readonly fencing: number;
+    /** Milliseconds until the lease expires; 0 if it is not held. */
     readonly validForMs: number;
   };
 }
@@ -64,14 +68,16 @@
   readonly isCandidate: () => boolean;
   /** Whether this process may keep holding the duty. */
   readonly mayHold: () => boolean;
+  /** Starts the work of the duty; the result is disposed when the term ends. */
   readonly start: (term: DutyTerm) => Disposable;
 }
 
+/** Lease that this process holds, and its term. */
 interface HeldLease {
   readonly fencing: number;
   readonly term: DutyTerm;
   readonly work: Disposable;
-  readonly controller: AbortController;
+  readonly abortController: AbortController;
 }
 
 /**
@@ -84,35 +90,41 @@
   options: LeaseElectionOptions,
 ): LeaseElection {
   const {duty, clock, random, store, self, timing, log} = options;
-  const service = interpret(createElectionMachine(), () => {});
-  const observer = createLeaseObserver(clock, timing, self);
+  const interpreter = interpret(createElectionMachine(), () => {});
+  const leaseObserver = createLeaseObserver(clock, timing, self);
   let leaseObject: StoredObject | undefined;
   let heldLease: HeldLease | undefined;
-  /** Monotonic and wall-clock milliseconds until which the lease is held. */
+  /** Monotonic and wall-clock milliseconds until which the lease is valid. */
   let validUntil = 0;
-  let validUntilWall = 0;
+  let validUntilWallClock = 0;
   let roundTimer: Disposable = toDisposable(() => {});
   let expiryTimer: Disposable = toDisposable(() => {});
   let isResigned = false;
-  /** Monotonic time before which a handed-over duty is not reacquired. */
+  /**
+   * Monotonic milliseconds before which a handed-over duty is not reacquired.
+   */
   let acquireNotBefore = -Infinity;
 
   function currentState(): LeaseElectionState {
-    return service.machine.current as LeaseElectionState;
+    return interpreter.machine.current as LeaseElectionState;
   }
 
   /**
-   * Checks the wall clock too: the monotonic clock of a suspended host may
-   * stop, so that on resume a lease that expired long ago would look valid.
+   * Returns whether the lease has not expired. Checks the wall clock too: the
+   * monotonic clock of a suspended host may stop, so that on resume a lease
+   * that expired long ago would look valid.
    */
   function isValid(): boolean {
-    return clock.now() < validUntil && clock.wall() < validUntilWall;
+    return clock.now() < validUntil && clock.wall() < validUntilWallClock;
   }
 
-  function extendValidity(sentAt: number, sentAtWall: number): void {
+  function extendValidity(
+    writeStartedAt: number,
+    writeStartedAtWallClock: number,
+  ): void {
     const validityMs = timing.durationMs - timing.marginMs;
-    validUntil = sentAt + validityMs;
-    validUntilWall = sentAtWall + validityMs;
+    validUntil = writeStartedAt + validityMs;
+    validUntilWallClock = writeStartedAtWallClock + validityMs;
     expiryTimer.dispose();
     expiryTimer = clock.after(validUntil - clock.now(), () =>
       loseLease('the lease expired before it was renewed'),
@@ -144,27 +156,31 @@
 
   async function tryAcquire(): Promise<void> {
     if (!options.isCandidate() || clock.now() < acquireNotBefore) {
-      service.send('stepBack');
+      interpreter.send('stepBack');
       return;
     }
-    service.send('compete');
-    // Most polls find the lease held; a free lease is reread as `latest`.
-    if ((await readIsFree('recent')) && (await readIsFree('latest'))) {
+    interpreter.send('compete');
+    // Most polls find the lease held, so a `recent` read comes first. A lease
+    // that appears free is read again as `latest`.
+    if (
+      (await readAndCheckIsFree('recent')) &&
+      (await readAndCheckIsFree('latest'))
+    ) {
       await acquire();
     }
   }
 
-  async function readIsFree(freshness: Freshness): Promise<boolean> {
+  async function readAndCheckIsFree(freshness: Freshness): Promise<boolean> {
     leaseObject = await store.get(LEASE_KIND, duty, undefined, freshness);
-    observer.recordRead(leaseObject);
-    return !isResigned && observer.isFree();
+    leaseObserver.recordRead(leaseObject);
+    return !isResigned && leaseObserver.isFree();
   }
 
   async function acquire(): Promise<void> {
-    service.send('acquire');
+    interpreter.send('acquire');
     const previous = parseLease(leaseObject);
     try {
-      const fencing = (previous?.fencing ?? (await maxPastFencing())) + 1;
+      const fencing = (previous?.fencing ?? (await readMaxPastFencing())) + 1;
       await writeLease({fencing, sequence: 0, isReleased: false});
       if (isResigned) {
         await releaseLease(fencing);
@@ -172,78 +188,83 @@
       }
       beginTerm(fencing, previous);
     } catch (error) {
-      service.send('fail');
+      interpreter.send('fail');
       throw error;
     }
   }
 
   /**
-   * Returns an upper bound of all earlier fencing tokens, for a missing lease
-   * object. It may have been removed, and endpoints would reject the new
-   * holder's orders as stale if tokens restarted at 1. Store versions rise at
-   * least as fast as fencing tokens.
+   * Returns an upper bound of all earlier fencing tokens; needed if the lease
+   * object is missing. The object may have been removed, and endpoints would
+   * reject the new holder's orders as stale if tokens restarted at 1. Store
+   * versions rise at least as fast as fencing tokens.
    */
-  async function maxPastFencing(): Promise<number> {
+  async function readMaxPastFencing(): Promise<number> {
     const {version} = await store.list(LEASE_KIND);
     return version;
   }
 
-  /** Writes the lease if unchanged; it is valid from the start of the call. */
+  /**
+   * Writes the lease if the stored object is unchanged since the last read. The
+   * lease is valid from the start of the write.
+   */
   async function writeLease(
-    change: Pick<Lease, 'fencing' | 'sequence' | 'isReleased'>,
+    leaseFields: Pick<Lease, 'fencing' | 'sequence' | 'isReleased'>,
   ): Promise<void> {
-    const sentAt = clock.now();
-    const sentAtWall = clock.wall();
+    const writeStartedAt = clock.now();
+    const writeStartedAtWallClock = clock.wall();
     const lease: Lease = {
-      ...change,
+      ...leaseFields,
       holder: self,
       durationMs: timing.durationMs,
     };
     const condition = leaseCondition(leaseObject);
     leaseObject = await store.put(LEASE_KIND, duty, lease, condition);
-    if (!change.isReleased) {
-      extendValidity(sentAt, sentAtWall);
+    if (!leaseFields.isReleased) {
+      extendValidity(writeStartedAt, writeStartedAtWallClock);
     }
   }
 
   function beginTerm(fencing: number, previous: Lease | undefined): void {
-    const controller = new AbortController();
+    const abortController = new AbortController();
     const term: DutyTerm = {
       duty,
       fencing,
       acquiredAt: clock.now(),
       isValid: () => heldLease?.fencing === fencing && isValid(),
-      signal: controller.signal,
+      signal: abortController.signal,
     };
     if (!isValid()) {
-      // The reply arrived after the lease had expired.
-      service.send('fail');
+      // The reply to the write arrived after the lease had expired.
+      interpreter.send('fail');
       return;
     }
-    service.send('acquired');
-    const why =
+    interpreter.send('acquired');
+    const reason =
       previous === undefined
         ? 'no process held the lease'
         : describeVacancy(previous);
-    options.decisions?.note('duties', duty, 'take', why, {fencing});
-    // Set before `start` runs, which may check whether the term is valid.
-    heldLease = {fencing, term, controller, work: toDisposable(() => {})};
+    options.decisions?.note('duties', duty, 'take', reason, {fencing});
+    // Set before the call of `start`, which may check whether the term is
+    // valid.
+    heldLease = {fencing, term, abortController, work: toDisposable(() => {})};
     heldLease = {...heldLease, work: options.start(term)};
   }
 
-  async function renewOrHandOver(held: HeldLease): Promise<void> {
-    await (options.mayHold() ? renew(held) : handOver(held));
+  async function renewOrHandOver(currentLease: HeldLease): Promise<void> {
+    await (options.mayHold() ? renew(currentLease) : handOver(currentLease));
   }
 
   /**
    * Releases the duty while this process keeps running, and does not reacquire
-   * it for one lease duration. Otherwise platforms that do not check fencing
-   * tokens could get orders from two holders alternately.
+   * it for one lease duration. If it reacquired the duty at once, platforms
+   * that do not check fencing tokens could get orders from two holders
+   * alternately.
    */
   async function handOver({fencing}: HeldLease): Promise<void> {
     acquireNotBefore = clock.now() + timing.durationMs + timing.marginMs;
     endTerm();
-    service.send('lose');
+    interpreter.send('lose');
     options.decisions?.note(
       'duties',
       duty,
@@ -273,7 +294,10 @@
     }
   }
 
-  /** Reads the lease after a renewal with an unknown outcome. */
+  /**
+   * Reads the lease after a renewal with an unknown outcome; ends the term if
+   * another process holds the lease.
+   */
   async function confirmRenewal(fencing: number): Promise<void> {
     const stored = await store.get(LEASE_KIND, duty);
     const lease = parseLease(stored);
@@ -284,14 +308,14 @@
     leaseObject = stored;
   }
 
-  function loseLease(why: string): void {
+  function loseLease(reason: string): void {
     if (heldLease === undefined) {
       return;
     }
     const {fencing} = heldLease;
     endTerm();
-    service.send('lose');
-    options.decisions?.note('duties', duty, 'lose', why, {fencing});
+    interpreter.send('lose');
+    options.decisions?.note('duties', duty, 'lose', reason, {fencing});
   }
 
   function endTerm(): void {
@@ -299,7 +323,7 @@
     heldLease = undefined;
     validUntil = 0;
     expiryTimer.dispose();
-    endedLease?.controller.abort();
+    endedLease?.abortController.abort();
     endedLease?.work.dispose();
   }
 
@@ -307,7 +331,7 @@
     try {
       await writeLease({fencing, sequence: 0, isReleased: true});
     } catch (error) {
-      // The lease expires anyway; the successor only waits longer.
+      // The lease expires without a release; the successor only waits longer.
       log.info(
         {err: error, duty},
         'failed to release the lease; it expires by itself',
@@ -323,13 +347,13 @@
     async resign() {
       isResigned = true;
       roundTimer.dispose();
-      const held = heldLease;
+      const resignedLease = heldLease;
       endTerm();
-      if (held !== undefined) {
-        service.send('release');
-        await releaseLease(held.fencing);
+      if (resignedLease !== undefined) {
+        interpreter.send('release');
+        await releaseLease(resignedLease.fencing);
       }
-      service.send('end');
+      interpreter.send('end');
     },
     dump: () => ({
       state: currentState(),
--- a/packages/duties/src/leaseObserver.ts
+++ b/packages/duties/src/leaseObserver.ts
@@ -1,9 +1,9 @@
 /**
  * Detects when the lease of another process has certainly expired.
  *
- * Clocks of different hosts are not compared. A candidate measures on its own
- * monotonic clock from its first read of a lease version, which is later than
- * the start of the holder's own measurement.
+ * Clocks of different hosts are not compared. A candidate measures the lease
+ * duration on its own monotonic clock from its first read of a lease version.
+ * This read is later than the write from which the holder measures.
  */
 import type {StoredObject} from '@skylarkfield/providers';
 import type {Clock} from '@skylarkfield/base';
@@ -12,7 +12,7 @@
 export interface LeaseObserver {
   /** Records a read of the lease; call it when the result arrives. */
   recordRead(object: StoredObject | undefined): void;
-  /** Whether the lease as last read may be acquired. */
+  /** Returns whether the lease, as last read, may be acquired. */
   isFree(): boolean;
 }
 
@@ -28,31 +28,34 @@
   timing: LeaseTiming,
   self: string,
 ): LeaseObserver {
-  let lastRead: StoredObject | undefined;
-  let versionSeenAt = 0;
+  let lastReadObject: StoredObject | undefined;
+  /** Monotonic milliseconds of the first read of the last read version. */
+  let versionFirstReadAt = 0;
   let hasRead = false;
 
   return {
     recordRead(object) {
       // Reads may be stale and arrive out of order.
-      if ((object?.version ?? Infinity) < (lastRead?.version ?? 0)) {
+      if ((object?.version ?? Infinity) < (lastReadObject?.version ?? 0)) {
         return;
       }
-      if (!hasRead || object?.version !== lastRead?.version) {
-        versionSeenAt = clock.now();
+      if (!hasRead || object?.version !== lastReadObject?.version) {
+        versionFirstReadAt = clock.now();
       }
       hasRead = true;
-      lastRead = object;
+      lastReadObject = object;
     },
     isFree() {
       if (!hasRead) {
         return false;
       }
-      const lease = parseLease(lastRead);
+      const lease = parseLease(lastReadObject);
       if (lease === undefined || lease.isReleased || lease.holder === self) {
         return true;
       }
-      return clock.now() - versionSeenAt >= lease.durationMs + timing.marginMs;
+      return (
+        clock.now() - versionFirstReadAt >= lease.durationMs + timing.marginMs
+      );
     },
   };
 }
--- a/packages/duties/src/orderGate.ts
+++ b/packages/duties/src/orderGate.ts
@@ -1,10 +1,10 @@
 /**
  * Delays orders to endpoints that do not check fencing tokens.
  *
- * Such an endpoint would execute a delayed order of the previous holder and
- * undo an order of the new one. Each order has a deadline after which its
- * sender abandons it, so a new holder waits until the deadlines of all orders
- * of the previous holder have passed.
+ * An endpoint without token checks would execute a delayed order of the
+ * previous holder and thereby undo an order of the new holder. Each order has a
+ * deadline after which its sender abandons it, so a new holder waits until the
+ * deadlines of all orders of the previous holder have passed.
  */
 import type {Clock} from '@skylarkfield/base';
 import type {DutyTerm} from './contracts.js';
@@ -12,9 +12,12 @@
 
 /** Decides when a new holder may send orders to an endpoint. */
 export interface OrderGate {
-  /** Whether an order may be sent to the endpoint now. */
+  /** Returns whether an order may be sent to the endpoint now. */
   isOpen(endpoint: {readonly checksFencing: boolean}): boolean;
-  /** Milliseconds until endpoints without token checks may be sent orders. */
+  /**
+   * Returns the milliseconds until orders may be sent to endpoints that do not
+   * check fencing tokens.
+   */
   opensInMs(): number;
 }
 
--- a/packages/duties/src/test/duties.fuzz.test.ts
+++ b/packages/duties/src/test/duties.fuzz.test.ts
@@ -13,8 +13,10 @@
 
 type Simulation = ReturnType<typeof createDutySimulation>;
 
-/** Steps of a schedule; each takes a process id and a magnitude, 0 to 1. */
-const faultHandlers = {
+/**
+ * Steps of a schedule; each receives a process id and a magnitude from 0 to 1.
+ */
+const stepHandlers = {
   advance: (simulation, _id, magnitude) =>
     simulation.advance(50 + magnitude * 15_000),
   pause: (simulation, id) => simulation.processes.get(id)?.clock.pause(),
@@ -45,12 +47,12 @@
 >;
 
 const command = fc.record({
-  what: fc.oneof(
+  fault: fc.oneof(
     {weight: 12, arbitrary: fc.constant('advance' as const)},
     {
       weight: 12,
       arbitrary: fc.constantFrom(
-        ...(Object.keys(faultHandlers) as (keyof typeof faultHandlers)[]),
+        ...(Object.keys(stepHandlers) as (keyof typeof stepHandlers)[]),
       ),
     },
   ),
@@ -59,34 +61,34 @@
   magnitude: fc.integer({min: 0, max: 100}).map(percent => percent / 100),
 });
 
-// Holders are paused past their lease, replies are lost and the platform fails.
-// Two valid holders of a duty would order hosts twice and send conflicting
-// orders to endpoints.
+// Holders are paused until after their leases have expired, replies are lost
+// and the platform fails. Two valid holders of a duty would order hosts twice
+// and send conflicting orders to endpoints.
 test(
-  `duties: never two valid holders (${runs} schedules, seed ${seed})`,
+  `duties: a duty never has two valid holders (${runs} schedules, seed ${seed})`,
   {timeout: TIMEOUT_MS},
   async () => {
-    let terms = 0;
+    let termCount = 0;
     await fc.assert(
       fc.asyncProperty(
         fc.integer(),
         fc.array(command, {minLength: 5, maxLength: 40, size: 'max'}),
         async (simulationSeed, schedule) => {
           const simulation = createDutySimulation(simulationSeed);
-          for (const {what, id, magnitude} of schedule) {
-            await faultHandlers[what](simulation, id, magnitude);
+          for (const {fault, id, magnitude} of schedule) {
+            await stepHandlers[fault](simulation, id, magnitude);
           }
           await simulation.heal();
           assert.equal(
-            simulation.holders().length,
+            simulation.findValidHolders().length,
             1,
-            'no single holder after the faults ended',
+            'number of valid holders after the faults have ended',
           );
-          terms += simulation.termCount();
+          termCount += simulation.termCount();
         },
       ),
       {numRuns: runs, seed, endOnFailure: isLong},
     );
-    console.log(`${runs} schedules with ${terms} terms`);
+    console.log(`${runs} schedules with ${termCount} terms`);
   },
 );
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -17,7 +17,9 @@
 import {defaultLeaseTiming} from '../lease.js';
 import {createOrderGate} from '../orderGate.js';
 
-/** Creates one platform for two processes, started with `start`. */
+/**
+ * Creates one platform for two processes, `a` and `b`, which `start` starts.
+ */
 function createTwoProcesses() {
   const commonClock = virtualClock();
   const platform = createMemoryPlatform({clock: commonClock});
@@ -30,7 +32,7 @@
     const clock = pausableClock(commonClock);
     const store = wrapStore(platform.client(id, {clock}));
     const terms: DutyTerm[] = [];
-    let running = 0;
+    let runningCount = 0;
     const dutyElections = createDutyElections({
       clock,
       random: seededRandom(5),
@@ -41,15 +43,23 @@
     });
     dutyElections.compete('fleet', term => {
       terms.push(term);
-      running += 1;
-      return toDisposable(() => (running -= 1));
+      runningCount += 1;
+      return toDisposable(() => (runningCount -= 1));
     });
-    return {clock, store, dutyElections, terms, running: () => running};
+    return {
+      clock,
+      store,
+      dutyElections,
+      terms,
+      runningCount: () => runningCount,
+    };
   }
   return {commonClock, platform, start};
 }
 
-/** Makes all `recent` reads of an object return the result of the first one. */
+/**
+ * Makes all `recent` reads of an object return the result of the first read.
+ */
 function withStaleReads(client: MemoryClient): MemoryClient {
   const firstReads = new Map<string, StoredObject | undefined>();
   return {
@@ -73,23 +83,23 @@
   };
 }
 
-describe('duties', () => {
+describe('a duty', () => {
   it('is acquired by one process, which keeps it', async () => {
     const {commonClock, start} = createTwoProcesses();
     const [a, b] = [start('a'), start('b')];
     await commonClock.advance(60_000);
     assert.equal(a.terms.length + b.terms.length, 1);
-    assert.equal(a.running() + b.running(), 1);
+    assert.equal(a.runningCount() + b.runningCount(), 1);
   });
 
-  // A candidate with stale reads must not take a renewed lease for expired.
+  // A candidate with stale reads must not consider a renewed lease expired.
   it('is not taken from a live holder by a candidate with stale reads', async () => {
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3_000);
     const b = start('b', () => true, withStaleReads);
     await commonClock.advance(60_000);
-    assert.equal(a.running(), 1);
+    assert.equal(a.runningCount(), 1);
     assert.equal(b.terms.length, 0);
     a.clock.kill();
     await commonClock.advance(30_000);
@@ -100,22 +110,22 @@
   // its reports would cover its own part alone. If it reacquired the duty at
   // once, platforms that do not check fencing tokens would get orders from two
   // holders alternately.
-  it('is handed over by an ineligible holder and not reacquired within a lease', async () => {
+  it('is handed over by an ineligible holder and not reacquired within a lease duration', async () => {
     const {commonClock, start} = createTwoProcesses();
-    const allowed = {a: true, b: true};
-    const a = start('a', () => allowed.a);
+    const canHold = {a: true, b: true};
+    const a = start('a', () => canHold.a);
     await commonClock.advance(3_000);
-    assert.equal(a.running(), 1);
-    const b = start('b', () => allowed.b);
-    allowed.a = false;
+    assert.equal(a.runningCount(), 1);
+    const b = start('b', () => canHold.b);
+    canHold.a = false;
     await commonClock.advance(6_000);
-    assert.equal(a.running(), 0);
-    assert.equal(b.running(), 1);
+    assert.equal(a.runningCount(), 0);
+    assert.equal(b.runningCount(), 1);
     const handedOverAt = b.terms[0]!.acquiredAt;
-    allowed.a = true;
-    allowed.b = false;
+    canHold.a = true;
+    canHold.b = false;
     await commonClock.advance(20_000);
-    assert.equal(a.running(), 1);
+    assert.equal(a.runningCount(), 1);
     const reacquiredAt = a.terms[1]!.acquiredAt;
     const {durationMs} = defaultLeaseTiming;
     assert.ok(
@@ -127,7 +137,7 @@
   // The holder is paused for longer than its lease, as by SIGSTOP, and resumes
   // in the middle of its work. Its next side effect would undo the new holder's
   // work.
-  it('is invalid as soon as a holder resumes from a pause past its lease', async () => {
+  it('is no longer held when its holder resumes after the lease has expired', async () => {
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
@@ -144,13 +154,13 @@
     assert.equal(previous.isValid(), false);
     assert.equal(previous.signal.aborted, true);
     await commonClock.advance(100);
-    assert.equal(a.running(), 0);
+    assert.equal(a.runningCount(), 0);
   });
 
   // The reply to the acquiring write is lost, and the new holder can confirm it
-  // by a read only seconds later. Measured from then, its lease would overlap
-  // the term of its successor.
-  it('measures a lease from the start of the write, not from its confirmation', async () => {
+  // by a read only seconds later. If measured from the confirmation, the lease
+  // would overlap the term of the successor.
+  it('is held for a lease duration from the start of the write, not from its confirmation', async () => {
     const {commonClock, platform, start} = createTwoProcesses();
     const a = start('a');
     a.store.faults.loseReplies(1);
@@ -175,7 +185,7 @@
 
   // The monotonic clock of a suspended host stops, so that by this clock alone
   // the lease would still look valid.
-  it('is not valid after the lease expired by the wall clock', async () => {
+  it('is not held after its lease has expired by the wall clock', async () => {
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
@@ -184,18 +194,19 @@
     assert.equal(a.terms[0]?.isValid(), false);
   });
 
-  // The platform is down for longer than the lease. A holder that continued
-  // would overlap with its successor as soon as the platform recovers.
+  // The platform is down for longer than the lease. If the holder continued,
+  // its term would overlap the successor's term as soon as the platform
+  // recovers.
   it('ends when it cannot be renewed in time, and is reacquired later', async () => {
     const {commonClock, platform, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
     platform.faults.setDown(true);
     await commonClock.advance(10_000);
-    assert.equal(a.running(), 0);
+    assert.equal(a.runningCount(), 0);
     platform.faults.setDown(false);
     await commonClock.advance(20_000);
-    assert.equal(a.running(), 1);
+    assert.equal(a.runningCount(), 1);
     assert.equal(a.terms.length, 2);
   });
 
@@ -205,17 +216,17 @@
     await commonClock.advance(3000);
     const b = start('b');
     await commonClock.advance(3000);
-    const released = a.dutyElections.release();
-    assert.equal(a.running(), 0);
+    const release = a.dutyElections.release();
+    assert.equal(a.runningCount(), 0);
     await commonClock.advance(100);
-    await released;
+    await release;
     await commonClock.advance(3000);
-    assert.equal(b.running(), 1);
+    assert.equal(b.runningCount(), 1);
   });
 
   // The lease object is removed. Endpoints that store the last fencing token
   // would reject all orders of a holder whose tokens restart at 1.
-  it('never reuses a fencing token after the lease was removed', async () => {
+  it('never reuses a fencing token after its lease object was removed', async () => {
     const {commonClock, platform, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
@@ -235,9 +246,9 @@
   });
 
   // An endpoint that does not check fencing tokens would execute a delayed
-  // order of the previous holder, sent just before a pause, and undo the new
-  // holder's.
-  it("delays a new holder's orders until those of the previous one have expired", async () => {
+  // order of the previous holder, sent just before a pause, and undo an order
+  // of the new holder.
+  it("delays a new holder's orders until the previous holder's orders have expired", async () => {
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
--- a/packages/duties/src/test/dutySimulation.ts
+++ b/packages/duties/src/test/dutySimulation.ts
@@ -21,7 +21,10 @@
 const PROCESS_IDS = ['a', 'b', 'c', 'd'];
 /** Maximum clock drift, as a fraction; real hosts drift far less. */
 const MAX_CLOCK_DRIFT = 0.01;
-/** Nonzero, so that replies need a timer and wait while a process is paused. */
+/**
+ * Nonzero, so that a timer delivers each reply and a paused process receives
+ * its replies only after the pause.
+ */
 const NETWORK_LATENCY_MS = 4;
 const CHECK_INTERVAL_MS = 250;
 
@@ -54,8 +57,8 @@
       self: {id, incarnation: incarnationCount},
       members: () => [...processes.keys()],
     });
-    const simulated = {id, clock: processClock, store, dutyElections};
-    processes.set(id, simulated);
+    const simulatedProcess = {id, clock: processClock, store, dutyElections};
+    processes.set(id, simulatedProcess);
     dutyElections.compete('fleet', term => beginTerm(term));
   }
 
@@ -70,17 +73,20 @@
     return toDisposable(() => {});
   }
 
-  /** Returns all processes, even paused, with a term valid by their clock. */
-  function holders(): readonly string[] {
+  /**
+   * Returns the ids of all processes, including paused ones, whose term is
+   * valid by their own clock.
+   */
+  function findValidHolders(): readonly string[] {
     return [...processes.values()]
-      .filter(simulated =>
-        simulated.dutyElections.currentTerm('fleet')?.isValid(),
+      .filter(simulatedProcess =>
+        simulatedProcess.dutyElections.currentTerm('fleet')?.isValid(),
       )
-      .map(simulated => simulated.id);
+      .map(simulatedProcess => simulatedProcess.id);
   }
 
   function checkSingleHolder(): void {
-    const validHolders = holders();
+    const validHolders = findValidHolders();
     assert.ok(
       validHolders.length <= 1,
       `held by ${validHolders.join(' and ')} at the same time`,
@@ -88,17 +94,17 @@
   }
 
   function crash(id: string): void {
-    const simulated = processes.get(id);
+    const simulatedProcess = processes.get(id);
     processes.delete(id);
-    simulated?.clock.kill();
-    simulated?.store.faults.setDown(true);
+    simulatedProcess?.clock.kill();
+    simulatedProcess?.store.faults.setDown(true);
   }
 
   PROCESS_IDS.forEach(start);
   return {
     platform,
     processes,
-    holders,
+    findValidHolders,
     termCount: () => termCount,
     processIds: PROCESS_IDS,
     async advance(durationMs: number) {
@@ -114,31 +120,31 @@
     crash,
     /** Shuts a process down gracefully: it releases the duty. */
     leave(id: string) {
-      const simulated = processes.get(id);
-      if (simulated === undefined) {
+      const simulatedProcess = processes.get(id);
+      if (simulatedProcess === undefined) {
         return;
       }
       processes.delete(id);
-      void simulated.dutyElections.release();
+      void simulatedProcess.dutyElections.release();
     },
     restart(id: string) {
       crash(id);
       start(id);
     },
-    /** Ends all faults and waits until leases had time to change hands. */
+    /** Ends all faults and waits long enough for leases to change holders. */
     async heal() {
       platform.faults.setDown(false);
       platform.faults.setDelay(NETWORK_LATENCY_MS);
       platform.faults.loseReplies(0);
       for (const id of PROCESS_IDS) {
-        const simulated = processes.get(id);
-        if (simulated === undefined) {
+        const simulatedProcess = processes.get(id);
+        if (simulatedProcess === undefined) {
           start(id);
           continue;
         }
-        simulated.store.faults.setDown(false);
-        simulated.store.faults.loseReplies(0);
-        simulated.clock.resume();
+        simulatedProcess.store.faults.setDown(false);
+        simulatedProcess.store.faults.loseReplies(0);
+        simulatedProcess.clock.resume();
       }
       await this.advance(40_000);
     },
