--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -24,8 +24,8 @@
    */
   probe(id: string): Promise<boolean>;
   /**
-   * Returns the time since the last message received directly from a member, or
-   * -1 if none was received from this or a later incarnation.
+   * Returns the milliseconds since the last message received directly from a
+   * member, or -1 if none was received from the given or a later incarnation.
    */
   lastSeen(id: string, incarnation: number): LastSeenResponse;
   recordHeartbeat(id: string): void;
@@ -156,7 +156,7 @@
 
   /**
    * Returns the ids of all live members except the given one. Suspects are
-   * excluded because their answers do not count.
+   * excluded because their answers do not count as confirmation.
    */
   function liveMemberIdsExcept(id: string): string[] {
     return [...table.all()]
@@ -171,9 +171,9 @@
     const candidates = liveMemberIdsExcept(knownMember.update.id);
     const requests: Promise<unknown>[] = [probe(knownMember.update.id)];
     for (
-      let queries = 0;
-      queries < PEERS_PER_ROUND && candidates.length > 0;
-      queries++
+      let queryCount = 0;
+      queryCount < PEERS_PER_ROUND && candidates.length > 0;
+      queryCount++
     ) {
       const [peer] = candidates.splice(
         random.integer(0, candidates.length - 1),
@@ -188,7 +188,7 @@
 
   /**
    * Declares a suspect gone if it has been suspect for `suspicionTimeoutMs` and
-   * another member confirmed the silence.
+   * another member, if one is live, confirmed the silence.
    */
   function declareGoneIfConfirmed(
     knownMember: KnownMember,
--- a/packages/members/src/heartbeats.ts
+++ b/packages/members/src/heartbeats.ts
@@ -7,7 +7,7 @@
 import type {Reconciler} from './reconciler.js';
 import type {FailureDetector} from './failureDetector.js';
 
-/** Sends the heartbeats of one entry and processes received ones. */
+/** Sends the heartbeats of one entry and processes received heartbeats. */
 export interface Heartbeats {
   send(neighbours: readonly string[]): void;
   receive(from: string, body: Messages['heartbeat']): void;
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -87,7 +87,10 @@
 /** Maximum number of tracked endpoints of each host. */
 const MAX_ENDPOINTS_PER_HOST = 256;
 const EXPIRY_INTERVAL_MS = 30_000;
-/** Maximum age of reports that are resent to a newly connected peer. */
+/**
+ * Maximum age of reports that are resent to a newly connected peer, in
+ * milliseconds.
+ */
 const RESEND_WINDOW_MS = 120_000;
 
 /**
@@ -155,13 +158,13 @@
   }
 
   function findListedEndpoint(host: string, endpoint: string) {
-    const item = listedEndpointsById.get(endpoint);
-    return item?.host === host ? item : undefined;
+    const listedEndpoint = listedEndpointsById.get(endpoint);
+    return listedEndpoint?.host === host ? listedEndpoint : undefined;
   }
 
   /**
-   * Records that endpoints leave a host and fires `onDidLeave` for each new
-   * one; returns whether the state of the host has changed.
+   * Records that endpoints leave a host and fires `onDidLeave` for each newly
+   * leaving endpoint; returns whether the state of the host has changed.
    */
   function recordLeaving(
     host: string,
@@ -232,13 +235,15 @@
 
   function listedEndpointIdsOn(host: string): string[] {
     return [...listedEndpointsById.values()]
-      .filter(item => item.host === host)
+      .filter(listedEndpoint => listedEndpoint.host === host)
       .map(({id}) => id);
   }
 
   function markLeaving(list: readonly ListedEndpoint[]): ListedEndpoint[] {
-    return list.map(item =>
-      isLeaving(item.id, item.host) ? {...item, state: 'leaving'} : item,
+    return list.map(listedEndpoint =>
+      isLeaving(listedEndpoint.id, listedEndpoint.host)
+        ? {...listedEndpoint, state: 'leaving'}
+        : listedEndpoint,
     );
   }
 
@@ -286,7 +291,9 @@
 
   function handleHostList(endpoints: readonly ListedEndpoint[]) {
     const previousEndpointsById = listedEndpointsById;
-    listedEndpointsById = new Map(endpoints.map(item => [item.id, item]));
+    listedEndpointsById = new Map(
+      endpoints.map(listedEndpoint => [listedEndpoint.id, listedEndpoint]),
+    );
     updateDepartures();
     const changedHosts = new Set<string>();
     for (const {id, host, state} of endpoints) {
@@ -310,16 +317,20 @@
   function updateDepartures() {
     for (const leavingHost of leavingHosts.values()) {
       for (const [endpoint, departure] of leavingHost.endpoints) {
-        const item = findListedEndpoint(leavingHost.host, endpoint);
+        const listedEndpoint = findListedEndpoint(leavingHost.host, endpoint);
         if (
-          item !== undefined &&
-          hasReturned(departure, leavingHost, item, clock.now())
+          listedEndpoint !== undefined &&
+          hasReturned(departure, leavingHost, listedEndpoint, clock.now())
         ) {
           leavingHost.endpoints.delete(endpoint);
           leavingHost.back.add(endpoint);
           readmit(endpoint, leavingHost.host, 'listed again after it left');
         } else {
-          updateDeparture(departure, item, listedEndpointsById.has(endpoint));
+          updateDeparture(
+            departure,
+            listedEndpoint,
+            listedEndpointsById.has(endpoint),
+          );
         }
       }
     }
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -16,7 +16,7 @@
   goneBy: number | undefined;
   /** Monotonic milliseconds of the first report about the host. */
   readonly since: number;
-  /** Monotonic milliseconds at which this state is dropped. */
+  /** Monotonic milliseconds at which the state of the host is dropped. */
   forgetAt: number;
   /** Source of the first report about the host. */
   readonly source: LeavingSource;
@@ -58,8 +58,8 @@
 }
 
 /**
- * Sets the deadline, in wall-clock milliseconds, if it is later than the
- * current one, as after a second notice.
+ * Sets the deadline to `goneAt`, in wall-clock milliseconds, if it is later
+ * than the current deadline, as after a second notice.
  *
  * @example
  * extendDeadline(leavingHost, notice.goneAt, clock);
--- a/packages/members/src/localMember.ts
+++ b/packages/members/src/localMember.ts
@@ -32,7 +32,7 @@
   member(): Member;
   /**
    * Refutes an update about this entry by raising the sequence if the update is
-   * false; returns whether it was.
+   * false; returns whether the update was refuted.
    */
   refute(update: MemberUpdate): boolean;
   /**
--- a/packages/members/src/lookup.ts
+++ b/packages/members/src/lookup.ts
@@ -11,7 +11,10 @@
 const TTL_MS = 5_000;
 /** Time to live of a result with at most one live entry, in milliseconds. */
 const SINGLE_ENTRY_TTL_MS = 1_000;
-/** Multiple of the mean load above which an entry is ranked after others. */
+/**
+ * Multiple of the mean load above which an entry is ranked after less loaded
+ * entries.
+ */
 const LOAD_BOUND_FACTOR = 1.25;
 /**
  * Requests in flight added to the load bound, so that small loads count as
--- a/packages/members/src/memberMachine.ts
+++ b/packages/members/src/memberMachine.ts
@@ -5,8 +5,8 @@
 /**
  * `seen`: a message from the member arrived. `suspected`: no heartbeat arrived
  * within the silence timeout. `announcedLeaving`: the member announced that it
- * leaves. `declaredGone`: the member announced its end, or another entry or
- * this one confirmed that it is gone. `returned`: a newer update declares the
+ * leaves. `declaredGone`: the member announced that it stops, or an entry
+ * confirmed that the member is gone. `returned`: a newer update declares the
  * member live, or a new process has started under its id.
  */
 export type MemberEvent =
--- a/packages/members/src/memberObjects.ts
+++ b/packages/members/src/memberObjects.ts
@@ -51,8 +51,8 @@
 
 const MEMBER_KIND = 'member';
 /**
- * Maximum number of objects removed in one sweep; further dead members' objects
- * are removed in the next sweep.
+ * Maximum number of objects removed in one sweep; further objects of dead
+ * members are left for the next sweep.
  */
 const MAX_REMOVALS_PER_SWEEP = 30;
 /** Number of answers after which a new process contacts no more members. */
@@ -150,10 +150,11 @@
   }
 
   /**
-   * Each member that answers returns all members that it knows, so a few
-   * contacts suffice; sweeps contact members that remain unknown. Contacting
-   * all members would cost one connection and one listing for every member at
-   * every start of an entry.
+   * Contacts random members until `MAX_JOIN_CONTACTS` have answered. Each
+   * member that answers returns all members that it knows, so a few contacts
+   * suffice; sweeps contact members that remain unknown. Contacting all members
+   * would cost one connection and one listing for every member at every start
+   * of an entry.
    */
   async function contactMembers(
     objects: readonly StoredObject<MemberObject>[],
@@ -217,7 +218,10 @@
     );
   }
 
-  /** Contacts an unknown member; returns whether enough sweeps have failed. */
+  /**
+   * Contacts an unknown member; returns whether the attempts of
+   * `MAX_UNREACHABLE_SWEEPS` sweeps have failed.
+   */
   async function isUnreachable(
     object: StoredObject<MemberObject>,
   ): Promise<boolean> {
@@ -225,9 +229,9 @@
       failedSweepsById.delete(object.name);
       return false;
     }
-    const sweeps = (failedSweepsById.get(object.name) ?? 0) + 1;
-    failedSweepsById.set(object.name, sweeps);
-    return sweeps >= MAX_UNREACHABLE_SWEEPS;
+    const failedSweeps = (failedSweepsById.get(object.name) ?? 0) + 1;
+    failedSweepsById.set(object.name, failedSweeps);
+    return failedSweeps >= MAX_UNREACHABLE_SWEEPS;
   }
 
   async function shouldRemove(
@@ -251,13 +255,13 @@
       MEMBER_KIND,
       abortController.signal,
     );
-    let removals = 0;
+    let removalCount = 0;
     for (const object of objects) {
-      if (object.name === id || removals >= MAX_REMOVALS_PER_SWEEP) {
+      if (object.name === id || removalCount >= MAX_REMOVALS_PER_SWEEP) {
         continue;
       }
       if (await shouldRemove(object)) {
-        removals += 1;
+        removalCount += 1;
         await removeDeadObject(object);
       }
     }
--- a/packages/members/src/memberTable.ts
+++ b/packages/members/src/memberTable.ts
@@ -44,8 +44,8 @@
   /** Members that are not gone. */
   presentMembers(): readonly KnownMember[];
   /**
-   * Applies an update if it is newer than the stored one; returns whether it
-   * was.
+   * Applies an update if it is newer than the stored update; returns whether it
+   * was applied.
    */
   apply(update: MemberUpdate): boolean;
   /**
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -207,11 +207,11 @@
     );
     const update = localMember.currentUpdate();
     gossip.add(update);
-    const unacknowledged = await announceLeaving(
+    const unacknowledgedIds = await announceLeaving(
       update,
       peerDirectory.neighbours(),
     );
-    await announceLeaving(update, unacknowledged);
+    await announceLeaving(update, unacknowledgedIds);
     await memberObjects
       .leave(AbortSignal.timeout(LEAVE_STORE_TIMEOUT_MS))
       .catch(error =>
@@ -275,10 +275,10 @@
     const suspects = table
       .presentMembers()
       .filter(({machine}) => machine.state() === 'suspect');
-    const recentlyLost = peerDirectory
+    const recentlyLostMembers = peerDirectory
       .lostMembers()
       .filter(({changedAt}) => clock.now() - changedAt < timing.lostGraceMs);
-    return suspects.length + recentlyLost.length;
+    return suspects.length + recentlyLostMembers.length;
   }
 
   /**
--- a/packages/members/src/neighbours.ts
+++ b/packages/members/src/neighbours.ts
@@ -1,9 +1,9 @@
 /**
  * Selection of heartbeat neighbours. Small clusters form a full mesh; in larger
  * clusters each entry has a few neighbours on rings of hashed ids, so that the
- * traffic of an entry does not grow with the cluster. The relation is
- * symmetric: an entry expects heartbeats from exactly the members that it sends
- * heartbeats to, and a one-sided neighbour would become suspect.
+ * traffic of an entry does not grow with the cluster. Being neighbours is a
+ * symmetric relation: an entry expects heartbeats from exactly the members that
+ * it sends heartbeats to, and a one-sided neighbour would become suspect.
  */
 import {hash32} from '@skylarkfield/base';
 
@@ -26,8 +26,8 @@
 /**
  * Returns the ids of the members that `self` exchanges heartbeats with. On each
  * ring, the successor of a member is the next member of another failure domain,
- * so that the members of a lost failure domain have neighbours elsewhere that
- * detect the loss.
+ * so that the members of a lost failure domain have neighbours in other failure
+ * domains, which detect the loss.
  *
  * @example
  * const ids = neighboursOf('a1', members);
--- a/packages/members/src/pauseRecovery.ts
+++ b/packages/members/src/pauseRecovery.ts
@@ -55,9 +55,10 @@
     }
   }
 
+  /** Probes peers and the platform; any response makes this process current. */
   async function confirmStateIsCurrent(): Promise<void> {
     const requestedAt = clock.now();
-    // Without other members, no process can have taken over work in the pause.
+    // Without other members, no other process can have taken over work.
     if (table.presentMembers().length === 0) {
       pauseDetector.recordResponse(requestedAt);
       return;
--- a/packages/members/src/reconciler.ts
+++ b/packages/members/src/reconciler.ts
@@ -16,7 +16,7 @@
 export interface Reconciler {
   /**
    * Compares a peer's digest with the local digest, and fetches the peer's
-   * updates if they have differed for `reconcileDelayMs`.
+   * updates if the digests have differed for `reconcileDelayMs`.
    */
   compareDigest(peer: string, digest: number | undefined): void;
   /** Fetches the peer's updates in all buckets whose hashes differ. */
@@ -42,14 +42,15 @@
 }): Reconciler {
   const {table, network, clock, log, timing} = options;
   /**
-   * Monotonic milliseconds since when a peer's digest has differed, by peer and
-   * not by digest, as two peers that lack the same member have equal digests.
+   * Monotonic milliseconds at which the digest of each peer began to differ.
+   * Keyed by peer, not by digest, as two peers that lack the same member have
+   * equal digests.
    */
   const digestDiffersSince = new Map<string, number>();
-  let fetches = 0;
+  let fetchCount = 0;
 
   async function fetchUpdates(peer: string): Promise<void> {
-    fetches += 1;
+    fetchCount += 1;
     const buckets = table.bucketHashesWith(options.localUpdate());
     const response = await network
       .request(peer, 'membersWanted', {buckets}, timing.probeTimeoutMs)
@@ -67,8 +68,9 @@
   }
 
   /**
-   * Drops peers that are no longer neighbours. A current neighbour's heartbeats
-   * would have removed the peer from the map or caused a fetch by now.
+   * Drops peers that are no longer neighbours. For a current neighbour, a
+   * heartbeat would have removed the peer from the map or caused a fetch within
+   * this time.
    */
   function dropStalePeers(now: number) {
     for (const [peer, since] of digestDiffersSince) {
@@ -101,6 +103,6 @@
       void fetchUpdates(peer);
     },
     fetchUpdates,
-    fetchCount: () => fetches,
+    fetchCount: () => fetchCount,
   };
 }
--- a/packages/members/src/test/cluster.ts
+++ b/packages/members/src/test/cluster.ts
@@ -16,7 +16,7 @@
   const random = seededRandom(seed);
   const net = createMemoryNetwork({clock, random});
   const platform = createMemoryPlatform({clock, random});
-  const running = new Map<string, Membership>();
+  const memberships = new Map<string, Membership>();
   let incarnation = 0;
 
   function start(id: string, seeds: readonly string[] = []): Membership {
@@ -41,7 +41,7 @@
       decisions: decisionLog(clock, silentLogger()),
       seeds: seeds.map(seedId => MEMORY_URL_PREFIX + seedId),
     });
-    running.set(id, membership);
+    memberships.set(id, membership);
     return membership;
   }
 
@@ -49,7 +49,7 @@
     clock,
     net,
     platform,
-    running,
+    memberships,
     /** Ids of the member objects stored on the platform. */
     objectNames(): string[] {
       const {objects} = platform.table.list('member');
@@ -67,12 +67,12 @@
     },
     crash(id: string) {
       net.crash(id);
-      running.delete(id);
+      memberships.delete(id);
     },
     /** Performs a planned stop: leaves, then disposes. */
     async stop(id: string) {
-      const membership = running.get(id)!;
-      running.delete(id);
+      const membership = memberships.get(id)!;
+      memberships.delete(id);
       const leaving = membership.leave();
       await clock.advance(3_000);
       await leaving;
@@ -87,7 +87,7 @@
     },
     /** Ids of the members that an entry considers live. */
     liveIdsSeenBy(id: string): string[] {
-      const live = running.get(id)!.live();
+      const live = memberships.get(id)!.live();
       return live.map(member => member.id).sort();
     },
   };
--- a/packages/members/src/test/lookup.test.ts
+++ b/packages/members/src/test/lookup.test.ts
@@ -24,23 +24,26 @@
 describe('lookup', () => {
   for (const state of ['leaving', 'suspect', 'gone'] as const) {
     it(`excludes a ${state} entry`, () => {
-      const all = [...createMembers(3), createMember(3, {state})];
-      const {entries} = rankEntries(all, {});
+      const members = [...createMembers(3), createMember(3, {state})];
+      const {entries} = rankEntries(members, {});
       assert.ok(!entries.some(entry => entry.id === 'm3'));
       assert.equal(entries.length, 3);
     });
   }
 
   it('maps each session to a stable entry and remaps few when an entry leaves', () => {
-    const all = createMembers(7);
+    const members = createMembers(7);
     let movedCount = 0;
     for (let session = 0; session < 700; session++) {
       const query = {customer: 'namu', affinity: `s${session}`};
-      const [first] = rankEntries(all, query).entries;
-      const remaining = all.filter(other => other.id !== 'm3');
-      const [firstAfterRemoval] = rankEntries(remaining, query).entries;
-      if (first!.id !== firstAfterRemoval!.id) {
-        assert.equal(first!.id, 'm3');
+      const [firstEntry] = rankEntries(members, query).entries;
+      const remainingMembers = members.filter(other => other.id !== 'm3');
+      const [firstEntryAfterRemoval] = rankEntries(
+        remainingMembers,
+        query,
+      ).entries;
+      if (firstEntry!.id !== firstEntryAfterRemoval!.id) {
+        assert.equal(firstEntry!.id, 'm3');
         movedCount += 1;
       }
     }
@@ -52,14 +55,14 @@
 
   it('ranks an entry loaded beyond the load bound last despite affinity', () => {
     const query = {customer: 'namu', affinity: 's1'};
-    const [first] = rankEntries(createMembers(7), query).entries;
+    const [firstEntry] = rankEntries(createMembers(7), query).entries;
     const loadedMembers = createMembers(7).map(other =>
-      other.id === first!.id ? {...other, load: 100} : other,
+      other.id === firstEntry!.id ? {...other, load: 100} : other,
     );
     const {entries} = rankEntries(loadedMembers, query);
-    assert.notEqual(entries[0]!.id, first!.id);
+    assert.notEqual(entries[0]!.id, firstEntry!.id);
     const ids = entries.map(entry => entry.id);
-    assert.equal(ids.at(-1), first!.id, 'the overloaded entry is last');
+    assert.equal(ids.at(-1), firstEntry!.id, 'the overloaded entry is last');
   });
 
   it("prefers the caller's failure domain only at equal load", () => {
@@ -75,8 +78,8 @@
     const random = seededRandom(5);
     const counts = new Map<string, number>();
     for (let call = 0; call < 7_000; call++) {
-      const [first] = rankEntries(createMembers(7), {}, random).entries;
-      counts.set(first!.id, (counts.get(first!.id) ?? 0) + 1);
+      const [firstEntry] = rankEntries(createMembers(7), {}, random).entries;
+      counts.set(firstEntry!.id, (counts.get(firstEntry!.id) ?? 0) + 1);
     }
     for (const [id, count] of counts) {
       assert.ok(count > 800 && count < 1_200, `${id}: ${count}`);
--- a/packages/members/src/test/membership.fuzz.test.ts
+++ b/packages/members/src/test/membership.fuzz.test.ts
@@ -61,8 +61,8 @@
 
 /** Expected state of the entries, tracked independently of their own views. */
 interface Oracle {
-  readonly running: Set<string>;
-  readonly pausedSince: Map<string, number>;
+  readonly runningIds: Set<string>;
+  readonly pausedAtById: Map<string, number>;
 }
 
 type Handler = (
@@ -80,28 +80,28 @@
 };
 
 const handlers = {
-  start(cluster, {running, pausedSince}, {id}) {
-    pausedSince.delete(id);
-    running.add(id);
+  start(cluster, {runningIds, pausedAtById}, {id}) {
+    pausedAtById.delete(id);
+    runningIds.add(id);
     cluster.start(id, IDS);
   },
-  crash(cluster, {running, pausedSince}, {id}) {
-    running.delete(id);
-    pausedSince.delete(id);
+  crash(cluster, {runningIds, pausedAtById}, {id}) {
+    runningIds.delete(id);
+    pausedAtById.delete(id);
     cluster.crash(id);
   },
-  pause(cluster, {running, pausedSince}, {id}) {
-    if (running.has(id) && !pausedSince.has(id)) {
-      pausedSince.set(id, cluster.clock.now());
+  pause(cluster, {runningIds, pausedAtById}, {id}) {
+    if (runningIds.has(id) && !pausedAtById.has(id)) {
+      pausedAtById.set(id, cluster.clock.now());
       cluster.net.pause(id);
     }
   },
   resume(cluster, oracle, {id}) {
     resume(cluster, oracle, id);
   },
-  async stop(cluster, {running, pausedSince}, {id}) {
-    if (running.has(id) && !pausedSince.has(id)) {
-      running.delete(id);
+  async stop(cluster, {runningIds, pausedAtById}, {id}) {
+    if (runningIds.has(id) && !pausedAtById.has(id)) {
+      runningIds.delete(id);
       await cluster.stop(id);
     }
   },
@@ -129,18 +129,18 @@
  */
 const DETECTABLE_PAUSE_MS = 4_000;
 
-function resume(cluster: Cluster, {pausedSince}: Oracle, id: string) {
-  const pausedAt = pausedSince.get(id);
+function resume(cluster: Cluster, {pausedAtById}: Oracle, id: string) {
+  const pausedAt = pausedAtById.get(id);
   if (pausedAt === undefined) {
     return;
   }
-  pausedSince.delete(id);
-  const hasPeers = cluster.running.get(id)!.members().length > 1;
+  pausedAtById.delete(id);
+  const hasPeers = cluster.memberships.get(id)!.members().length > 1;
   const wasDetectable = cluster.clock.now() - pausedAt > DETECTABLE_PAUSE_MS;
   cluster.net.resume(id);
   if (wasDetectable && hasPeers) {
     assert.equal(
-      cluster.running.get(id)!.isCurrent(),
+      cluster.memberships.get(id)!.isCurrent(),
       false,
       `${id} is current`,
     );
@@ -148,7 +148,7 @@
 }
 
 async function repairAndSettle(cluster: Cluster, oracle: Oracle) {
-  [...oracle.pausedSince.keys()].forEach(id => resume(cluster, oracle, id));
+  [...oracle.pausedAtById.keys()].forEach(id => resume(cluster, oracle, id));
   cluster.net.healAll();
   cluster.net.setLoss(0);
   cluster.platform.faults.setDown(false);
@@ -157,7 +157,7 @@
 
 async function checkConvergence(actions: readonly Action[]) {
   const cluster = createCluster(7);
-  const oracle: Oracle = {running: new Set(), pausedSince: new Map()};
+  const oracle: Oracle = {runningIds: new Set(), pausedAtById: new Map()};
   for (const id of IDS.slice(0, 4)) {
     await handlers.start(cluster, oracle, {type: 'start', id});
   }
@@ -167,10 +167,14 @@
     await run(cluster, oracle, nextAction);
   }
   await repairAndSettle(cluster, oracle);
-  const expected = [...oracle.running].sort();
-  for (const id of expected) {
-    assert.deepEqual(cluster.liveIdsSeenBy(id), expected, `seen by ${id}`);
-    assert.equal(cluster.running.get(id)!.isCurrent(), true, `${id} current`);
+  const expectedIds = [...oracle.runningIds].sort();
+  for (const id of expectedIds) {
+    assert.deepEqual(cluster.liveIdsSeenBy(id), expectedIds, `seen by ${id}`);
+    assert.equal(
+      cluster.memberships.get(id)!.isCurrent(),
+      true,
+      `${id} current`,
+    );
   }
 }
 
--- a/packages/members/src/test/membership.test.ts
+++ b/packages/members/src/test/membership.test.ts
@@ -7,7 +7,7 @@
 
 /** Asserts that every running entry lists exactly the expected ids. */
 function assertAllList(cluster: Cluster, expected: readonly string[]) {
-  for (const id of cluster.running.keys()) {
+  for (const id of cluster.memberships.keys()) {
     assert.deepEqual(
       cluster.liveIdsSeenBy(id),
       [...expected].sort(),
@@ -50,7 +50,7 @@
     cluster.net.partition('m1', 'm2');
     for (let second = 0; second < 60; second++) {
       await cluster.clock.advance(1_000);
-      const isGone = cluster.running
+      const isGone = cluster.memberships
         .get('m2')!
         .members()
         .every(member => member.id !== 'm1');
@@ -65,9 +65,9 @@
     // In a planned stop, an entry that still lists the leaving entry sends
     // callers to it, which the leaving entry has to reject.
     const {cluster, ids} = await createSettledCluster(7);
-    const remaining = ids.filter(id => id !== 'm3');
+    const remainingIds = ids.filter(id => id !== 'm3');
     let isResolved = false;
-    const leaving = cluster.running
+    const leaving = cluster.memberships
       .get('m3')!
       .leave()
       .then(() => (isResolved = true));
@@ -79,7 +79,7 @@
       cluster.clock.now() < SETTLE_MS + 100,
       'peers acknowledged at once',
     );
-    assertAllList(cluster, remaining);
+    assertAllList(cluster, remainingIds);
     assert.ok(!cluster.objectNames().includes('m3'));
   });
 
@@ -91,9 +91,9 @@
     cluster.start('m3');
     await cluster.clock.advance(SETTLE_MS);
     assertAllList(cluster, ids);
-    const listedMembers = cluster.running.get('m0')!.members();
-    const restarted = listedMembers.find(member => member.id === 'm3');
-    assert.equal(restarted?.incarnation, 8);
+    const listedMembers = cluster.memberships.get('m0')!.members();
+    const restartedMember = listedMembers.find(member => member.id === 'm3');
+    assert.equal(restartedMember?.incarnation, 8);
   });
 
   for (const id of ['m1', 'm3']) {
@@ -101,25 +101,29 @@
       // The process is suspended for a minute while others take over its work.
       // Acting before a peer has responded would run that work twice.
       const {cluster, ids} = await createSettledCluster(7);
-      const paused = cluster.running.get(id)!;
+      const pausedMembership = cluster.memberships.get(id)!;
       cluster.net.pause(id);
       await cluster.clock.advance(60_000);
       assert.ok(
         !cluster.liveIdsSeenBy('m0').includes(id),
         'gone for its peers',
       );
-      assert.equal(paused.isCurrent(), false);
+      assert.equal(pausedMembership.isCurrent(), false);
       const suspects: string[] = [];
-      paused.onDidChange(member => {
+      pausedMembership.onDidChange(member => {
         if (member.state === 'suspect') {
           suspects.push(member.id);
         }
       });
       cluster.net.resume(id);
-      assert.equal(paused.isCurrent(), false, 'queued messages do not count');
+      assert.equal(
+        pausedMembership.isCurrent(),
+        false,
+        'queued messages do not count',
+      );
       await cluster.clock.advance(SETTLE_MS);
       assert.deepEqual(suspects, [], 'no suspicion caused by its own pause');
-      assert.equal(paused.isCurrent(), true);
+      assert.equal(pausedMembership.isCurrent(), true);
       assertAllList(cluster, ids);
     });
   }
@@ -132,13 +136,13 @@
     await cluster.clock.advance(10_000);
     ids.forEach(id => cluster.crash(id));
     await cluster.clock.advance(1_000);
-    const restarted = cluster.start('m0');
-    assert.equal(restarted.entryCount(), undefined);
+    const restartedMembership = cluster.start('m0');
+    assert.equal(restartedMembership.entryCount(), undefined);
     await cluster.clock.advance(200);
-    assert.equal(restarted.live().length, 1);
-    assert.equal(restarted.entryCount(), 9);
+    assert.equal(restartedMembership.live().length, 1);
+    assert.equal(restartedMembership.entryCount(), 9);
     await cluster.clock.advance(10_000);
-    assert.equal(restarted.entryCount(), 1);
+    assert.equal(restartedMembership.entryCount(), 1);
   });
 
   // Without the grace period, each side of a partition would soon count only
@@ -148,11 +152,11 @@
     const [leftIds, rightIds] = [ids.slice(0, 4), ids.slice(4)];
     leftIds.forEach(id => cluster.isolate(id, rightIds));
     await cluster.clock.advance(12_000);
-    assert.equal(cluster.running.get('m0')!.live().length, 4);
-    assert.equal(cluster.running.get('m0')!.entryCount(), 9);
-    assert.equal(cluster.running.get('m8')!.entryCount(), 9);
+    assert.equal(cluster.memberships.get('m0')!.live().length, 4);
+    assert.equal(cluster.memberships.get('m0')!.entryCount(), 9);
+    assert.equal(cluster.memberships.get('m8')!.entryCount(), 9);
     await cluster.clock.advance(20_000);
-    assert.equal(cluster.running.get('m0')!.entryCount(), 4);
+    assert.equal(cluster.memberships.get('m0')!.entryCount(), 4);
   });
 
   it('merges both sides after a long partition', async () => {
@@ -216,8 +220,8 @@
     cluster.start('m7', ['m0']);
     cluster.crash('m1');
     await cluster.clock.advance(DETECTION_MS);
-    const expected = [...ids, 'm7'].filter(id => id !== 'm1');
-    assertAllList(cluster, expected);
+    const expectedIds = [...ids, 'm7'].filter(id => id !== 'm1');
+    assertAllList(cluster, expectedIds);
     cluster.platform.faults.setDown(false);
     await cluster.clock.advance(60_000);
     assert.ok(cluster.objectNames().includes('m7'));
--- a/packages/members/src/updateHandler.ts
+++ b/packages/members/src/updateHandler.ts
@@ -8,8 +8,8 @@
 /** Applies member updates and state changes received from peers. */
 export interface UpdateHandler {
   /**
-   * Applies an update if it is newer than the stored one; returns whether it
-   * was. Throws `ServingError` if the update is malformed.
+   * Applies an update if it is newer than the stored update; returns whether it
+   * was applied. Throws `ServingError` if the update is malformed.
    */
   applyUpdate(update: MemberUpdate): boolean;
   /**
