--- a/packages/admission/src/bulkhead.ts
+++ b/packages/admission/src/bulkhead.ts
@@ -60,7 +60,9 @@
   detach(): void;
 }
 
-/** RFC 9218 urgency of a request without one; lower values are more urgent. */
+/**
+ * RFC 9218 urgency of a request that states none; lower values are more urgent.
+ */
 const DEFAULT_URGENCY = 3;
 
 /** Range of Retry-After, in milliseconds. */
@@ -108,7 +110,7 @@
   });
   const machine = createBulkheadMachine(recordStateChange);
   let inFlight = 0;
-  let refusals = 0;
+  let rejectionCount = 0;
   let lastDecisionAt = -Infinity;
   capacityShare.setEntryCount(options.entryCount);
   adaptiveLimit.setCeiling(capacityShare.current());
@@ -131,7 +133,7 @@
         limit: currentLimit(),
         inFlight,
         waiting: queue.size,
-        refusals,
+        refusals: rejectionCount,
       },
     );
   }
@@ -148,8 +150,8 @@
   }
 
   /**
-   * Returns whether a request is more urgent than all queued requests; the
-   * overdraft may then admit it at once.
+   * Returns whether a request is more urgent than all queued requests; only
+   * then may the request be admitted at once, possibly by the overdraft.
    */
   function isMoreUrgentThanQueue(request: AdmissionRequest): boolean {
     return request.urgency < (queue.headUrgency() ?? Infinity);
@@ -182,7 +184,7 @@
 
   /** Records a rejection for overload and returns its error. */
   function recordOverloadRejection(request: AdmissionRequest): ServingError {
-    refusals += 1;
+    rejectionCount += 1;
     machine.send('rejected');
     const message = `the concurrency limit of ${config.name} is reached and its queue is full`;
     return new ServingError('overloaded', message, {
@@ -193,7 +195,7 @@
 
   /** Records a rejection for an unreachable deadline and returns its error. */
   function recordDeadlineRejection(request: AdmissionRequest): ServingError {
-    refusals += 1;
+    rejectionCount += 1;
     machine.send('rejected');
     const message = `${config.name} cannot respond before the deadline`;
     return new ServingError('deadline-exceeded', message, {
@@ -204,10 +206,10 @@
 
   /**
    * Returns whether the service cannot respond before the deadline. While no
-   * request is in flight, the estimate is ignored until the deadline has
-   * passed. If it were used, requests to a service that was slow once would be
-   * rejected forever, since only admitted requests can show that the service is
-   * fast again.
+   * request is in flight, the wait estimate is ignored until the deadline has
+   * passed. If the estimate always applied, requests to a service that was slow
+   * once would be rejected forever, since only admitted requests can show that
+   * the service is fast again.
    */
   function isDeadlineUnreachable(
     request: AdmissionRequest,
@@ -410,7 +412,7 @@
       waiting: queue.size,
       queueLimit: config.queue,
       customers: queue.flowCount(),
-      refusals,
+      refusals: rejectionCount,
       retriesLeft: retryBudget.balance(),
       serviceMs: waitEstimator.serviceMs(),
     }),
--- a/packages/admission/src/capacityShare.ts
+++ b/packages/admission/src/capacityShare.ts
@@ -5,7 +5,7 @@
  * Each entry may always use an equal share. Customers connect to few entries,
  * so load is uneven, and with equal shares alone one entry would reject
  * requests while capacity is idle at another. If the endpoints report their
- * load, an entry at its limit borrows its part of the idle slots with each
+ * load, an entry at its limit borrows an equal part of the idle slots with each
  * report. It returns borrowed slots when it is below its limit or a report
  * shows no idle slots.
  */
@@ -39,8 +39,8 @@
 }
 
 /**
- * Fraction of the borrowed slots returned with each report after which no
- * further slots are borrowed.
+ * Fraction of the borrowed slots that is returned when a report lets the entry
+ * borrow no further slots.
  */
 const RETURN_FRACTION = 0.5;
 
--- a/packages/admission/src/concurrencyLimit.ts
+++ b/packages/admission/src/concurrencyLimit.ts
@@ -83,7 +83,10 @@
  */
 const AIMD_MAX_SLOW_FRACTION = 0.15;
 
-/** Minimum number of requests in a round; fewer give no reliable fraction. */
+/**
+ * Minimum number of requests in a round; fewer requests give no reliable
+ * fraction of slow requests.
+ */
 const AIMD_MIN_ROUND_SIZE = 12;
 
 /**
@@ -139,7 +142,9 @@
 const GRADIENT_TOLERANCE = 1.5;
 /** Fraction of the computed change applied over as many samples as the limit. */
 const GRADIENT_SMOOTHING = 0.2;
-/** Lower bound of the gradient, also used for samples with an overload. */
+/**
+ * Lower bound of the gradient, also the gradient of a sample with an overload.
+ */
 const MIN_GRADIENT = 0.5;
 
 /**
--- a/packages/admission/src/fairQueue.ts
+++ b/packages/admission/src/fairQueue.ts
@@ -5,7 +5,7 @@
  * Each customer's next request has a start tag, the customer's served cost
  * divided by its weight. The request with the smallest tag is served first, so
  * that over any interval the weighted served costs of two backlogged customers
- * differ by at most one request of each.
+ * differ by at most the weighted cost of one request of each customer.
  */
 
 /** Attributes of an item that determine its position in the queue. */
@@ -18,7 +18,9 @@
 export interface FairQueue<T extends QueueItem> {
   readonly size: number;
   enqueue(item: T): void;
-  /** Returns the urgency of the next item. */
+  /**
+   * Returns the urgency of the next item, or undefined if the queue is empty.
+   */
   headUrgency(): number | undefined;
   /** Removes and returns the next item by urgency and fairness. */
   dequeue(): T | undefined;
@@ -164,7 +166,7 @@
         };
         level.flows.set(item.customer, flow);
       }
-      // An idle customer accumulates no credit.
+      // A customer gains no priority from the time without queued items.
       if (flow.items.length === 0) {
         flow.finishTag = Math.max(flow.finishTag, level.virtualTime);
       }
--- a/packages/admission/src/retryBudget.ts
+++ b/packages/admission/src/retryBudget.ts
@@ -10,7 +10,8 @@
   /** Adds the tokens of one admitted request. */
   deposit(): void;
   /**
-   * Withdraws the token of one retry; returns false if less than one is left.
+   * Withdraws the token of one retry; returns false if less than one token is
+   * left.
    */
   tryWithdraw(): boolean;
   balance(): number;
--- a/packages/admission/src/test/admission.fuzz.test.ts
+++ b/packages/admission/src/test/admission.fuzz.test.ts
@@ -109,11 +109,11 @@
   assert.equal(dump.inFlight, inFlight);
   assert.equal(dump.waiting, countRequests(oracle, 'waiting'));
   assert.ok(dump.waiting <= dump.queueLimit);
-  const admitted = oracle.requests
+  const newlyAdmitted = oracle.requests
     .filter(isNewlyAdmitted)
     .sort((a, b) => (a.admissionIndex ?? 0) - (b.admissionIndex ?? 0));
-  for (const [index, {urgency}] of admitted.entries()) {
-    const inFlightBefore = inFlight - admitted.length + index;
+  for (const [index, {urgency}] of newlyAdmitted.entries()) {
+    const inFlightBefore = inFlight - newlyAdmitted.length + index;
     assert.ok(
       inFlightBefore < limitForUrgency(dump, urgency),
       `${inFlightBefore} in flight`,
--- a/packages/admission/src/test/admission.test.ts
+++ b/packages/admission/src/test/admission.test.ts
@@ -7,25 +7,25 @@
 describe('admission', () => {
   it('admits a queued request when a permit is released', async () => {
     const {admit} = setUp();
-    const first = await admit();
-    const second = admit();
-    first.release(okResult);
-    assert.equal((await second).waitedMs, 0);
+    const firstPermit = await admit();
+    const secondPermit = admit();
+    firstPermit.release(okResult);
+    assert.equal((await secondPermit).waitedMs, 0);
   });
 
   it('ignores repeated releases of a permit', async () => {
     // Two error paths of one request both release its permit. If both releases
     // counted, the service would get more concurrent requests than its limit.
     const {admit, admission} = setUp({queue: 2});
-    const first = await admit();
-    const second = admit();
-    const third = admit();
-    first.release(okResult);
-    first.release(okResult);
-    const permit = await second;
+    const firstPermit = await admit();
+    const secondPermit = admit();
+    const thirdPermit = admit();
+    firstPermit.release(okResult);
+    firstPermit.release(okResult);
+    const permit = await secondPermit;
     assert.equal(inFlightOf(admission), 1);
     permit.release(okResult);
-    await third;
+    await thirdPermit;
   });
 
   const fullQueueCases: readonly {
@@ -270,11 +270,11 @@
       permit.release({outcome: 'ok', latencyMs: 100});
     }
     await admit({deadline: Infinity});
-    const second = admit({deadline: clock.now() + 1_000});
-    const third = admit({deadline: clock.now() + 1_000, cost: 4});
+    const secondPermit = admit({deadline: clock.now() + 1_000});
+    const thirdPermit = admit({deadline: clock.now() + 1_000, cost: 4});
     let rejectionCount = 0;
-    second.catch(() => (rejectionCount += 1));
-    third.catch(() => (rejectionCount += 1));
+    secondPermit.catch(() => (rejectionCount += 1));
+    thirdPermit.catch(() => (rejectionCount += 1));
     await settlePromises();
     assert.equal(rejectionCount, 0);
   });
