--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -39,7 +39,7 @@
   readonly members: () => readonly string[];
   /**
    * Returns whether this process may keep holding duties; if false, it hands
-   * them over. By default it may always.
+   * them over. By default always true.
    */
   readonly mayHold?: () => boolean;
   readonly log?: Logger;
--- a/packages/duties/src/leaseElection.ts
+++ b/packages/duties/src/leaseElection.ts
@@ -178,15 +178,16 @@
 
   async function acquire(): Promise<void> {
     interpreter.send('acquire');
-    const previous = parseLease(leaseObject);
+    const previousLease = parseLease(leaseObject);
     try {
-      const fencing = (previous?.fencing ?? (await readMaxPastFencing())) + 1;
+      const fencing =
+        (previousLease?.fencing ?? (await readMaxPastFencing())) + 1;
       await writeLease({fencing, sequence: 0, isReleased: false});
       if (isResigned) {
         await releaseLease(fencing);
         return;
       }
-      beginTerm(fencing, previous);
+      beginTerm(fencing, previousLease);
     } catch (error) {
       interpreter.send('fail');
       throw error;
@@ -225,7 +226,7 @@
     }
   }
 
-  function beginTerm(fencing: number, previous: Lease | undefined): void {
+  function beginTerm(fencing: number, previousLease: Lease | undefined): void {
     const abortController = new AbortController();
     const term: DutyTerm = {
       duty,
@@ -241,12 +242,11 @@
     }
     interpreter.send('acquired');
     const reason =
-      previous === undefined
+      previousLease === undefined
         ? 'no process held the lease'
-        : describeVacancy(previous);
+        : describeVacancy(previousLease);
     options.decisions?.note('duties', duty, 'take', reason, {fencing});
-    // Set before the call of `start`, which may check whether the term is
-    // valid.
+    // Set before `start` is called, as it may check whether the term is valid.
     heldLease = {fencing, term, abortController, work: toDisposable(() => {})};
     heldLease = {...heldLease, work: options.start(term)};
   }
@@ -257,9 +257,9 @@
 
   /**
    * Releases the duty while this process keeps running, and does not reacquire
-   * it for one lease duration. If it reacquired the duty at once, platforms
-   * that do not check fencing tokens could get orders from two holders
-   * alternately.
+   * it for one lease duration. If the process reacquired the duty at once,
+   * platforms that do not check fencing tokens could get orders from two
+   * holders alternately.
    */
   async function handOver({fencing}: HeldLease): Promise<void> {
     acquireNotBefore = clock.now() + timing.durationMs + timing.marginMs;
@@ -299,13 +299,13 @@
    * another process holds the lease.
    */
   async function confirmRenewal(fencing: number): Promise<void> {
-    const stored = await store.get(LEASE_KIND, duty);
-    const lease = parseLease(stored);
+    const storedObject = await store.get(LEASE_KIND, duty);
+    const lease = parseLease(storedObject);
     if (lease?.holder !== self || lease.fencing !== fencing) {
       loseLease('another process holds the lease');
       return;
     }
-    leaseObject = stored;
+    leaseObject = storedObject;
   }
 
   function loseLease(reason: string): void {
@@ -363,10 +363,10 @@
   };
 }
 
-function describeVacancy(previous: Lease): string {
-  return previous.isReleased
-    ? `${previous.holder} released the lease`
-    : `the lease of ${previous.holder} expired`;
+function describeVacancy(previousLease: Lease): string {
+  return previousLease.isReleased
+    ? `${previousLease.holder} released the lease`
+    : `the lease of ${previousLease.holder} expired`;
 }
 
 function createElectionMachine() {
--- a/packages/duties/src/leaseObserver.ts
+++ b/packages/duties/src/leaseObserver.ts
@@ -10,7 +10,7 @@
 import {parseLease, type LeaseTiming} from './lease.js';
 
 export interface LeaseObserver {
-  /** Records a read of the lease; call it when the result arrives. */
+  /** Records a read of the lease; must be called when the result arrives. */
   recordRead(object: StoredObject | undefined): void;
   /** Returns whether the lease, as last read, may be acquired. */
   isFree(): boolean;
@@ -29,7 +29,9 @@
   self: string,
 ): LeaseObserver {
   let lastReadObject: StoredObject | undefined;
-  /** Monotonic milliseconds of the first read of the last read version. */
+  /**
+   * Monotonic milliseconds at which the latest lease version was first read.
+   */
   let versionFirstReadAt = 0;
   let hasRead = false;
 
--- a/packages/duties/src/orderGate.ts
+++ b/packages/duties/src/orderGate.ts
@@ -24,7 +24,8 @@
 /**
  * Creates the order gate of a term.
  *
- * @param options.orderDeadlineMs Maximum deadline of orders in milliseconds.
+ * @param options.orderDeadlineMs Maximum time from sending an order
+ *   to its deadline, in milliseconds.
  * @example
  * const gate = createOrderGate({clock, term, orderDeadlineMs: 5000});
  * if (gate.isOpen(endpoint)) { await model.order(order, term.fencing); }
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -141,18 +141,18 @@
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
-    const [previous] = a.terms;
-    assert.ok(previous !== undefined && previous.isValid());
+    const [previousTerm] = a.terms;
+    assert.ok(previousTerm !== undefined && previousTerm.isValid());
     const b = start('b');
     a.clock.pause();
     await commonClock.advance(20_000);
-    const [current] = b.terms;
-    assert.ok(current !== undefined && current.isValid());
-    assert.ok(current.fencing > previous.fencing);
-    assert.equal(previous.isValid(), false);
+    const [currentTerm] = b.terms;
+    assert.ok(currentTerm !== undefined && currentTerm.isValid());
+    assert.ok(currentTerm.fencing > previousTerm.fencing);
+    assert.equal(previousTerm.isValid(), false);
     a.clock.resume();
-    assert.equal(previous.isValid(), false);
-    assert.equal(previous.signal.aborted, true);
+    assert.equal(previousTerm.isValid(), false);
+    assert.equal(previousTerm.signal.aborted, true);
     await commonClock.advance(100);
     assert.equal(a.runningCount(), 0);
   });
@@ -240,9 +240,9 @@
     });
     const b = start('b');
     await commonClock.advance(3000);
-    const [previous, current] = [a.terms[0], b.terms[0]];
-    assert.ok(previous !== undefined && current !== undefined);
-    assert.ok(current.fencing > previous.fencing);
+    const [previousTerm, currentTerm] = [a.terms[0], b.terms[0]];
+    assert.ok(previousTerm !== undefined && currentTerm !== undefined);
+    assert.ok(currentTerm.fencing > previousTerm.fencing);
   });
 
   // An endpoint that does not check fencing tokens would execute a delayed
