--- a/packages/members/src/test/membership.fuzz.test.ts
+++ b/packages/members/src/test/membership.fuzz.test.ts
@@ -59,10 +59,10 @@
   },
 );
 
-/** Expected state, tracked independently of the members' views. */
+/** Expected state of the entries, tracked independently of their own views. */
 interface Oracle {
-  readonly running: Set<string>;
-  readonly pausedSince: Map<string, number>;
+  readonly runningIds: Set<string>;
+  readonly pausedAtById: Map<string, number>;
 }
 
 type Handler = (
@@ -80,28 +80,28 @@
 };
 
 const handlers = {
-  start(cluster, {running, pausedSince}, {id}) {
-    pausedSince.delete(id);
-    running.add(id);
+  start(cluster, {runningIds, pausedAtById}, {id}) {
+    pausedAtById.delete(id);
+    runningIds.add(id);
     cluster.start(id, IDS);
   },
-  crash(cluster, {running, pausedSince}, {id}) {
-    running.delete(id);
-    pausedSince.delete(id);
+  crash(cluster, {runningIds, pausedAtById}, {id}) {
+    runningIds.delete(id);
+    pausedAtById.delete(id);
     cluster.crash(id);
   },
-  pause(cluster, {running, pausedSince}, {id}) {
-    if (running.has(id) && !pausedSince.has(id)) {
-      pausedSince.set(id, cluster.clock.now());
+  pause(cluster, {runningIds, pausedAtById}, {id}) {
+    if (runningIds.has(id) && !pausedAtById.has(id)) {
+      pausedAtById.set(id, cluster.clock.now());
       cluster.net.pause(id);
     }
   },
   resume(cluster, oracle, {id}) {
     resume(cluster, oracle, id);
   },
-  async stop(cluster, {running, pausedSince}, {id}) {
-    if (running.has(id) && !pausedSince.has(id)) {
-      running.delete(id);
+  async stop(cluster, {runningIds, pausedAtById}, {id}) {
+    if (runningIds.has(id) && !pausedAtById.has(id)) {
+      runningIds.delete(id);
       await cluster.stop(id);
     }
   },
@@ -123,62 +123,69 @@
   wait: (cluster, _, {ms}) => cluster.clock.advance(ms),
 } satisfies Handlers as Handlers;
 
-/** Pauses longer than this must be detected before any other code runs. */
+/**
+ * Pause, in milliseconds, above which an entry must not be current as soon as
+ * it resumes.
+ */
 const DETECTABLE_PAUSE_MS = 4_000;
 
-function resume(cluster: Cluster, {pausedSince}: Oracle, id: string) {
-  const since = pausedSince.get(id);
-  if (since === undefined) {
+function resume(cluster: Cluster, {pausedAtById}: Oracle, id: string) {
+  const pausedAt = pausedAtById.get(id);
+  if (pausedAt === undefined) {
     return;
   }
-  pausedSince.delete(id);
-  const hasPeers = cluster.running.get(id)!.members().length > 1;
-  const wasLong = cluster.clock.now() - since > DETECTABLE_PAUSE_MS;
+  pausedAtById.delete(id);
+  const hasPeers = cluster.memberships.get(id)!.members().length > 1;
+  const wasDetectable = cluster.clock.now() - pausedAt > DETECTABLE_PAUSE_MS;
   cluster.net.resume(id);
-  if (wasLong && hasPeers) {
+  if (wasDetectable && hasPeers) {
     assert.equal(
-      cluster.running.get(id)!.isCurrent(),
+      cluster.memberships.get(id)!.isCurrent(),
       false,
       `${id} is current`,
     );
   }
 }
 
-async function recover(cluster: Cluster, oracle: Oracle) {
-  [...oracle.pausedSince.keys()].forEach(id => resume(cluster, oracle, id));
+async function repairAndSettle(cluster: Cluster, oracle: Oracle) {
+  [...oracle.pausedAtById.keys()].forEach(id => resume(cluster, oracle, id));
   cluster.net.healAll();
   cluster.net.setLoss(0);
   cluster.platform.faults.setDown(false);
   await cluster.clock.advance(SETTLE_MS);
 }
 
-async function check(actions: readonly Action[]) {
+async function checkConvergence(actions: readonly Action[]) {
   const cluster = createCluster(7);
-  const oracle: Oracle = {running: new Set(), pausedSince: new Map()};
+  const oracle: Oracle = {runningIds: new Set(), pausedAtById: new Map()};
   for (const id of IDS.slice(0, 4)) {
     await handlers.start(cluster, oracle, {type: 'start', id});
   }
   await cluster.clock.advance(5_000);
-  for (const next of actions) {
-    const run: Handler = handlers[next.type] as Handler;
-    await run(cluster, oracle, next);
+  for (const nextAction of actions) {
+    const run: Handler = handlers[nextAction.type] as Handler;
+    await run(cluster, oracle, nextAction);
   }
-  await recover(cluster, oracle);
-  const expected = [...oracle.running].sort();
-  for (const id of expected) {
-    assert.deepEqual(cluster.liveAt(id), expected, `seen by ${id}`);
-    assert.equal(cluster.running.get(id)!.isCurrent(), true, `${id} current`);
+  await repairAndSettle(cluster, oracle);
+  const expectedIds = [...oracle.runningIds].sort();
+  for (const id of expectedIds) {
+    assert.deepEqual(cluster.liveIdsSeenBy(id), expectedIds, `seen by ${id}`);
+    assert.equal(
+      cluster.memberships.get(id)!.isCurrent(),
+      true,
+      `${id} current`,
+    );
   }
 }
 
 describe('membership under random faults', () => {
   it('converges to exactly the running entries after recovery', async () => {
-    // Crashes, pauses, partitions and platform outages overlap in any order. An
-    // entry that stays unlisted idles a host; one that stays listed after its
-    // end costs every caller a timeout.
+    // Crashes, pauses, partitions and platform outages overlap in any order. A
+    // running entry that stays unlisted leaves its host idle; a stopped entry
+    // that stays listed costs every caller a timeout.
     console.log(`membership fuzz: seed ${SEED}, ${RUNS} runs`);
     await fc.assert(
-      fc.asyncProperty(fc.array(action, {maxLength: 25}), check),
+      fc.asyncProperty(fc.array(action, {maxLength: 25}), checkConvergence),
       {seed: SEED, numRuns: RUNS},
     );
   });
