--- a/packages/gateway/src/activePolicy.ts
+++ b/packages/gateway/src/activePolicy.ts
@@ -1,4 +1,6 @@
-/** The traffic policy that this entry applies, indexed by key and route. */
+/**
+ * The traffic policy that this entry applies, indexed by API key and by route.
+ */
 import {ServingError, type Clock, type Logger} from '@skylarkfield/base';
 import {
   createCustomerTable,
@@ -16,24 +18,24 @@
   /** False until the first policy has arrived. */
   isKnown(): boolean;
   version(): number;
-  /** Milliseconds since the policy was last confirmed up to date. */
+  /** Milliseconds since the policy was last confirmed to be up to date. */
   ageMs(): number;
   limits(): CallerLimits;
   services(): readonly ServiceConfig[];
-  /** All routes that may send requests to a service. */
+  /** Returns all routes that may send requests to a service. */
   routesTo(service: string): readonly Route[];
   routeOf(authority: string, path: string): Route | undefined;
   /**
-   * Returns the customer that holds the request's key; undefined on a public
-   * route. Throws `unauthenticated`, or `not-ready` if the policy is too old to
-   * trust the key.
+   * Returns the customer that the request's API key belongs to; undefined on a
+   * public route. Throws `unauthenticated` for an unknown key, or `not-ready`
+   * if the policy is too old to trust the key.
    */
   customerOf(route: Route, head: CallHead): CustomerConfig | undefined;
   /** Fires after a new policy has become active. */
   onDidChange(listener: () => void): void;
 }
 
-/** Limits before the first policy has arrived. */
+/** Limits that apply until the first policy has arrived. */
 const INITIAL_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
@@ -41,15 +43,15 @@
   idleMs: 15_000,
 };
 
-/** Retry-After while the policy is too old, in milliseconds. */
+/** Retry-After while the policy is too old to trust keys, in milliseconds. */
 const STALE_POLICY_RETRY_MS = 300;
 
 /**
- * Creates the active policy over the mirrored documents.
+ * Creates the active policy from the mirrored policy documents.
  *
- * The document with the highest version applies, and a process never returns to
- * a lower version: callers would see routes or keys reappear that an operator
- * has removed.
+ * The document with the highest version applies. A process never returns to a
+ * lower version: callers would see routes or keys reappear that an operator has
+ * removed.
  *
  * @example
  * const policy = createActivePolicy({mirror, clock, log, maxPolicyAgeMs:
@@ -59,36 +61,42 @@
   readonly mirror: Mirror<TrafficPolicy>;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Maximum age of the policy at which keys are accepted, in milliseconds. */
+  /** Age of the policy above which keys are rejected, in milliseconds. */
   readonly maxPolicyAgeMs: number;
 }): ActivePolicy {
   const {mirror, log, maxPolicyAgeMs} = options;
   const listeners: (() => void)[] = [];
-  let current: TrafficPolicy | undefined;
+  let currentPolicy: TrafficPolicy | undefined;
   let routes = createRouteTable([]);
   let customers = createCustomerTable([]);
 
-  function update(): void {
+  function activateLatest(): void {
     for (const {value} of mirror.items()) {
-      if (current === undefined || value.version > current.version) {
+      if (
+        currentPolicy === undefined ||
+        value.version > currentPolicy.version
+      ) {
         activate(value);
       }
     }
   }
 
-  function activate(next: TrafficPolicy): void {
-    const previousVersion = current?.version;
-    current = next;
-    routes = createRouteTable(next.routes);
-    customers = createCustomerTable(next.customers);
+  function activate(newPolicy: TrafficPolicy): void {
+    const previousVersion = currentPolicy?.version;
+    currentPolicy = newPolicy;
+    routes = createRouteTable(newPolicy.routes);
+    customers = createCustomerTable(newPolicy.customers);
     log.info(
       {
         former: previousVersion,
-        version: next.version,
-        routes: next.routes.length,
-        customers: next.customers.length,
+        version: newPolicy.version,
+        routes: newPolicy.routes.length,
+        customers: newPolicy.customers.length,
         quotas: Object.fromEntries(
-          next.customers.map(({name, quota}) => [name, quota?.perSecond ?? 0]),
+          newPolicy.customers.map(({name, quota}) => [
+            name,
+            quota?.perSecond ?? 0,
+          ]),
         ),
         revision: mirror.revision(),
       },
@@ -97,16 +105,16 @@
     listeners.forEach(listener => listener());
   }
 
-  mirror.onDidChange(update);
-  update();
+  mirror.onDidChange(activateLatest);
+  activateLatest();
   return {
-    isKnown: () => current !== undefined,
-    version: () => current?.version ?? 0,
+    isKnown: () => currentPolicy !== undefined,
+    version: () => currentPolicy?.version ?? 0,
     ageMs: () => mirror.ageMs(),
-    limits: () => current?.limits ?? INITIAL_LIMITS,
-    services: () => current?.services ?? [],
+    limits: () => currentPolicy?.limits ?? INITIAL_LIMITS,
+    services: () => currentPolicy?.services ?? [],
     routesTo: name =>
-      (current?.routes ?? []).filter(({services}) =>
+      (currentPolicy?.routes ?? []).filter(({services}) =>
         services.some(({service}) => service === name),
       ),
     routeOf: (authority, path) => routes.match(authority, path),
--- a/packages/gateway/src/admissionConfigurator.ts
+++ b/packages/gateway/src/admissionConfigurator.ts
@@ -5,28 +5,35 @@
 import type {ActivePolicy} from './activePolicy.js';
 
 /**
- * Admitted requests per endpoint slot. Endpoints queue a few themselves, by
- * urgency, since only they see the requests of all entries.
+ * Maximum admitted requests per endpoint slot. Endpoints queue the excess
+ * requests by urgency, since only an endpoint sees the requests of all entries.
  */
 const REQUESTS_PER_SLOT = 2;
 
-/** Queued requests per entry and slot of the service; more would time out. */
+/**
+ * Maximum requests that an entry queues per endpoint slot of the service; more
+ * requests would time out in the queue.
+ */
 const QUEUE_PER_SLOT = 4;
 
-/** Target latency of adaptive limits, in milliseconds; unused by fixed ones. */
+/**
+ * Target latency of adaptive concurrency limits, in milliseconds; the gateway's
+ * limits are fixed and do not use it.
+ */
 const TARGET_LATENCY_MS = 1_000;
 
 export interface AdmissionConfigurator {
   /**
-   * Recomputes the limits. Called on each change of the endpoints: an entry
-   * that has just started would otherwise keep a limit of one slot and reject
-   * requests while endpoints are idle.
+   * Recomputes the limits; to be called on each change of the endpoints. An
+   * entry that has just started would otherwise keep a limit of one slot and
+   * reject requests while endpoints are idle.
    */
   update(): void;
 }
 
 /**
- * Creates the configurator; it follows policy changes on its own.
+ * Creates the configurator, which also updates the limits on each policy
+ * change.
  *
  * @example
  * const configurator = createAdmissionConfigurator({admission, directory,
@@ -38,24 +45,25 @@
   readonly policy: ActivePolicy;
 }): AdmissionConfigurator {
   const {admission, directory, policy} = options;
-  let configured = new Set<string>();
+  let configuredServices = new Set<string>();
 
+  /** Returns the total slots of the service's ready endpoints. */
   function slotsOf({name}: ServiceConfig): number {
-    const ready = directory
-      .forService(name)
+    const readyEndpoints = directory
+      .endpointsOf(name)
       .filter(({state}) => state === 'ready');
-    return ready.reduce((sum, {slots}) => sum + slots, 0);
+    return readyEndpoints.reduce((sum, {slots}) => sum + slots, 0);
   }
 
   function update(): void {
     const services = policy.services();
-    const names = new Set(services.map(({name}) => name));
-    for (const name of configured) {
-      if (!names.has(name)) {
+    const serviceNames = new Set(services.map(({name}) => name));
+    for (const name of configuredServices) {
+      if (!serviceNames.has(name)) {
         admission.setService(name, undefined);
       }
     }
-    configured = names;
+    configuredServices = serviceNames;
     for (const service of services) {
       const slots = Math.max(1, slotsOf(service));
       admission.setService(service.name, {
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -5,42 +5,51 @@
 import type {UpstreamRequest, Upstreams} from './upstream.js';
 
 /** Result of an attempt. */
-export type AttemptEnd =
-  /** A complete response of any status. */
+export type AttemptResult =
+  /** The endpoint sent a complete response, of any status. */
   | {
       readonly type: 'answered';
       readonly status: number;
       readonly headers: ResponseHeaders;
       readonly body: Buffer;
     }
-  /** A stream that was delivered to its end. */
+  /** A stream was delivered to its end. */
   | {readonly type: 'streamed'}
   /** The endpoint guarantees that the request has not run and will not run. */
   | {readonly type: 'declined'; readonly status: number}
-  /** No complete response; the error states if the request may have run. */
+  /**
+   * No complete response; the error states whether the request may have run.
+   */
   | {
       readonly type: 'failed';
       readonly error: ServingError;
-      /** Undefined unless the endpoint closed the connection or timed out. */
+      /**
+       * How the connection was lost; undefined unless the endpoint closed the
+       * connection or sent no data before the attempt was aborted.
+       */
       readonly loss?: ConnectionLoss;
     };
 
 /**
- * How the endpoint of a possibly running request was lost. `closed`: the
- * connection ended. `silent`: no data arrived before the attempt was aborted.
+ * How an attempt lost its endpoint while the request may have been running.
+ * `closed`: the connection ended. `silent`: no data arrived before the attempt
+ * was aborted.
  */
 export type ConnectionLoss = 'closed' | 'silent';
 
 /** Receives the events of a stream over all attempts of one request. */
 export interface EventSink {
-  /** Passes on the status and headers of the first attempt only. */
+  /** Passes on status and headers; ignored after the first attempt. */
   begin(status: number, headers: ResponseHeaders): void;
-  /** Passes on an event; false applies backpressure to the endpoint. */
+  /**
+   * Passes on an event. Returns false if the caller reads too slowly; the
+   * attempt then pauses reading from the endpoint.
+   */
   write(frame: EventFrame): boolean;
-  /** Calls back once when the caller can take more data. */
+  /** Calls back once, when the caller can take more data. */
   whenDrained(callback: () => void): void;
-  /** Passes on the bytes after the last event of a complete stream. */
-  finish(rest: Buffer): void;
+  /** Ends a complete stream after the bytes that follow the last event. */
+  finish(remainder: Buffer): void;
 }
 
 export interface AttemptOptions {
@@ -50,23 +59,28 @@
   readonly upstreams: Upstreams;
   readonly format: CallFormat;
   readonly clock: Clock;
-  /** Aborted when the response is no longer needed. */
+  /** Aborted when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
-  /** Receives the events of a stream; undefined if the route has no streams. */
+  /**
+   * Receives the events of a stream; undefined if the route is not streaming.
+   */
   readonly sink: EventSink | undefined;
   /**
-   * Time without data after which the attempt is aborted, in milliseconds;
-   * undefined to rely on the signal alone.
+   * Time without received data after which the attempt is aborted, in
+   * milliseconds; undefined if only the signal aborts the attempt.
    */
   readonly idleTimeoutMs: number | undefined;
   /**
-   * Whether the endpoint was ordered to stop the request, so that a closed
+   * Whether the endpoint was requested to stop the request, so that a closed
    * connection does not mean that the response is complete.
    */
   isStopRequested(): boolean;
   /** Called with the response head of this attempt, whatever its status. */
   onDidRespond(head: ResponseHead): void;
-  /** Called when the response has begun; for a stream, with its first event. */
+  /**
+   * Called once, when the response has begun: with the head of a plain
+   * response, or with the first event of a stream.
+   */
   onDidBegin(head: ResponseHead): void;
 }
 
@@ -82,10 +96,10 @@
  * would leak another caller's data.
  *
  * @example
- * const end = await runAttempt({address: '10.0.0.7:8000', request, attemptId,
+ * const result = await runAttempt({address: '10.0.0.7:8000', request, attemptId,
  *   ...rest});
  */
-export function runAttempt(options: AttemptOptions): Promise<AttemptEnd> {
+export function runAttempt(options: AttemptOptions): Promise<AttemptResult> {
   return new Promise(resolve => {
     const {clock, format, signal, sink, idleTimeoutMs} = options;
     const chunks: Buffer[] = [];
@@ -102,16 +116,20 @@
       idleTimeoutMs === undefined ? undefined : startIdleTimer(idleTimeoutMs);
 
     /**
-     * Aborts when idle. Rechecking on expiry is cheaper than a timer per event.
+     * Aborts the attempt when no data has arrived for `timeoutMs`. Rechecking
+     * on expiry is cheaper than restarting the timer for each event.
      */
-    function startIdleTimer(limitMs: number): Disposable {
-      const remainingMs = limitMs - (clock.now() - lastActivityAt);
+    function startIdleTimer(timeoutMs: number): Disposable {
+      const remainingMs = timeoutMs - (clock.now() - lastActivityAt);
       return clock.after(remainingMs, () => {
-        if (clock.now() - lastActivityAt < limitMs) {
-          idleTimer = startIdleTimer(limitMs);
+        if (clock.now() - lastActivityAt < timeoutMs) {
+          idleTimer = startIdleTimer(timeoutMs);
           return;
         }
-        abort(interrupted(`no data received for ${limitMs} ms`), 'silent');
+        abort(
+          interruptedError(`no data received for ${timeoutMs} ms`),
+          'silent',
+        );
       });
     }
 
@@ -119,14 +137,14 @@
       lastActivityAt = clock.now();
     }
 
-    function settle(end: AttemptEnd): void {
+    function settle(result: AttemptResult): void {
       if (isSettled) {
         return;
       }
       isSettled = true;
       idleTimer?.dispose();
       signal.removeEventListener('abort', onAbort);
-      resolve(end);
+      resolve(result);
     }
 
     function abort(error: ServingError, loss?: ConnectionLoss): void {
@@ -138,7 +156,7 @@
       abort(abortReason(signal), 'silent');
     }
 
-    function begin(): void {
+    function reportBegin(): void {
       if (hasBegun || head === undefined) {
         return;
       }
@@ -151,11 +169,13 @@
       head = format.readResponse(headers, status);
       statusAndHeaders = {status, headers};
       if (head.attemptId !== options.attemptId) {
-        abort(protocolViolation('the response has the id of another attempt'));
+        abort(
+          protocolViolationError('the response has the id of another attempt'),
+        );
         return;
       }
       if (headers['content-encoding'] !== undefined) {
-        abort(protocolViolation('the response has a content encoding'));
+        abort(protocolViolationError('the response has a content encoding'));
         return;
       }
       options.onDidRespond(head);
@@ -163,7 +183,7 @@
         status >= FIRST_SUCCESS_STATUS && status < FIRST_REDIRECT_STATUS;
       isStream = sink !== undefined && isSuccess;
       if (!isStream && !head.isNotRun) {
-        begin();
+        reportBegin();
       }
     }
 
@@ -172,7 +192,7 @@
         return;
       }
       if (!hasBegun) {
-        begin();
+        reportBegin();
         sink.begin(statusAndHeaders.status, statusAndHeaders.headers);
       }
       if (!sink.write(frame)) {
@@ -200,11 +220,11 @@
 
     function onDidEnd(isDelimited: boolean): void {
       if (!isDelimited && options.isStopRequested()) {
-        abort(interrupted('the request was stopped'));
+        abort(interruptedError('the request was stopped'));
         return;
       }
       if (statusAndHeaders === undefined || head === undefined) {
-        abort(interrupted('the response has no head'), 'closed');
+        abort(interruptedError('the response has no head'), 'closed');
         return;
       }
       if (head.isNotRun) {
@@ -213,7 +233,7 @@
       }
       if (isStream && sink !== undefined) {
         if (!hasBegun) {
-          begin();
+          reportBegin();
           sink.begin(statusAndHeaders.status, statusAndHeaders.headers);
         }
         sink.finish(framer.remainder());
@@ -228,7 +248,7 @@
     }
 
     if (signal.aborted) {
-      settle({type: 'failed', error: cancelledBeforeSend()});
+      settle({type: 'failed', error: cancelledBeforeSendError()});
       return;
     }
     signal.addEventListener('abort', onAbort, {once: true});
@@ -236,19 +256,22 @@
       onDidRespond,
       onDidReceive,
       onDidEnd,
-      onDidFail: error => settle(connectionLost(error)),
+      onDidFail: error => settle(resultOfLostConnection(error)),
     });
   });
 }
 
-/** A loss before the request was sent is no evidence against the request. */
-function connectionLost(error: ServingError): AttemptEnd {
+/**
+ * Returns the result of an attempt whose connection failed. If the request was
+ * not sent, the loss is not reported, since the request cannot have caused it.
+ */
+function resultOfLostConnection(error: ServingError): AttemptResult {
   return error.run === 'not-run'
     ? {type: 'failed', error}
     : {type: 'failed', error, loss: 'closed'};
 }
 
-/** Returns the signal's own error, or `cancelled` if the caller is gone. */
+/** Returns the error that aborted the signal; `cancelled` by default. */
 function abortReason(signal: AbortSignal): ServingError {
   if (signal.reason instanceof ServingError) {
     return signal.reason;
@@ -258,17 +281,17 @@
   });
 }
 
-function interrupted(message: string): ServingError {
+function interruptedError(message: string): ServingError {
   return new ServingError('interrupted', message, {run: 'may-have-run'});
 }
 
-function protocolViolation(message: string): ServingError {
+function protocolViolationError(message: string): ServingError {
   return new ServingError('protocol-violation', message, {
     run: 'may-have-run',
   });
 }
 
-function cancelledBeforeSend(): ServingError {
+function cancelledBeforeSendError(): ServingError {
   return new ServingError('cancelled', 'cancelled before it was sent', {
     run: 'not-run',
   });
--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -1,12 +1,17 @@
-/** Classifies the end of an attempt for the router, retries and the caller. */
+/**
+ * Classifies the result of an attempt for the router, retries and the caller.
+ */
 import {ServingError} from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
-import type {AttemptEnd} from './attempt.js';
+import type {AttemptResult} from './attempt.js';
 
 /** Outcome of an attempt as reported to the router. */
 export type AttemptOutcome = Parameters<Choice['finish']>[0]['outcome'];
 
-/** Minimum Retry-After, in milliseconds; the load data is older than that. */
+/**
+ * Minimum Retry-After, in milliseconds: load reports of endpoints may be that
+ * old, so an earlier retry would find the same reported load.
+ */
 const MIN_RETRY_MS = 300;
 
 /** Lowest status of the server error class. */
@@ -26,54 +31,54 @@
  * Whether the endpoint may have run the request.
  *
  * @example
- * runs += mayHaveRun(end) ? 1 : 0;
+ * runs += mayHaveRun(result) ? 1 : 0;
  */
-export function mayHaveRun(end: AttemptEnd): boolean {
-  if (end.type === 'declined') {
+export function mayHaveRun(result: AttemptResult): boolean {
+  if (result.type === 'declined') {
     return false;
   }
-  return end.type !== 'failed' || end.error.run === 'may-have-run';
+  return result.type !== 'failed' || result.error.run === 'may-have-run';
 }
 
 /**
- * Returns a short description for the log.
+ * Returns a short description of the result for the log.
  *
  * @example
- * log.info({end: describeEnd(end)}, 'retrying at another endpoint');
+ * log.info({end: describeResult(result)}, 'retrying at another endpoint');
  */
-export function describeEnd(end: AttemptEnd): string {
-  if (end.type === 'failed') {
-    return `${end.error.kind}: ${end.error.message}`;
+export function describeResult(result: AttemptResult): string {
+  if (result.type === 'failed') {
+    return `${result.error.kind}: ${result.error.message}`;
   }
-  return end.type;
+  return result.type;
 }
 
 /**
- * Returns the outcome to report to the router.
+ * Returns the attempt's outcome to report to the router.
  *
  * @example
- * choice.finish({outcome: outcomeOf(end), latencyMs});
+ * choice.finish({outcome: outcomeOf(result), latencyMs});
  */
-export function outcomeOf(end: AttemptEnd): AttemptOutcome {
-  if (end.type === 'streamed') {
+export function outcomeOf(result: AttemptResult): AttemptOutcome {
+  if (result.type === 'streamed') {
     return 'ok';
   }
-  if (end.type === 'answered') {
-    return isServerError(end.status) ? 'failed' : 'ok';
+  if (result.type === 'answered') {
+    return isServerError(result.status) ? 'failed' : 'ok';
   }
-  if (end.type === 'declined') {
+  if (result.type === 'declined') {
     return 'overloaded';
   }
-  if (end.error.kind === 'cancelled') {
+  if (result.error.kind === 'cancelled') {
     return 'cancelled';
   }
-  return end.error.run === 'not-run' ? 'unreachable' : 'failed';
+  return result.error.run === 'not-run' ? 'unreachable' : 'failed';
 }
 
 /**
- * Returns the error with the run state of all attempts: a later rejection does
- * not undo an earlier run. `runs` counts the endpoints that may have run the
- * request.
+ * Returns the error, marked as `may-have-run` if any attempt may have run: a
+ * later rejection does not undo an earlier run. `runs` is the number of
+ * endpoints that may have run the request.
  *
  * @example
  * reply.sendError(withRunState(error, progress.runs));
@@ -89,25 +94,32 @@
 }
 
 /**
- * Returns the error for a service of which no endpoint can be tried.
+ * Returns the error for a request to a service without an endpoint that can be
+ * tried.
  *
  * @example
- * throw unavailable('chat', 'none is left to try');
+ * throw unavailableError('chat', 'none is left to try');
  */
-export function unavailable(service: string, why: string): ServingError {
+export function unavailableError(
+  service: string,
+  reason: string,
+): ServingError {
   return new ServingError(
     'endpoint-unavailable',
-    `no endpoint of ${service} is available: ${why}`,
+    `no endpoint of ${service} is available: ${reason}`,
   );
 }
 
 /**
- * Returns the error if all endpoints that were tried declined the request.
+ * Returns the error for a request that all tried endpoints declined.
  *
  * @example
- * throw withRunState(allDeclined('chat', 3), 0);
+ * throw withRunState(allDeclinedError('chat', 3), 0);
  */
-export function allDeclined(service: string, triedCount: number): ServingError {
+export function allDeclinedError(
+  service: string,
+  triedCount: number,
+): ServingError {
   return new ServingError(
     'overloaded',
     `${triedCount} endpoints of ${service} declined the request`,
@@ -116,13 +128,14 @@
 }
 
 /**
- * Returns the error if the prompts queued at every endpoint would delay the
- * first event for more than `longestMs`. Retry-After is the excess.
+ * Returns the error for a request whose first event would be delayed by more
+ * than `longestMs` by the prompts queued at every endpoint. Retry-After is the
+ * excess of the expected wait, `ms`, over `longestMs`.
  *
  * @example
- * throw waitTooLong('chat', {ms: 2_400, longestMs: 900});
+ * throw waitTooLongError('chat', {ms: 2_400, longestMs: 900});
  */
-export function waitTooLong(
+export function waitTooLongError(
   service: string,
   {ms, longestMs}: {readonly ms: number; readonly longestMs: number},
 ): ServingError {
@@ -134,13 +147,13 @@
 }
 
 /**
- * Returns the error for a request that is no longer sent to any endpoint, since
- * endpoints crashed while running it.
+ * Returns the error for a quarantined request, which is no longer sent to any
+ * endpoint since endpoints crashed while running it.
  *
  * @example
- * throw quarantined({crashes: 3, retryAfterMs: 60_000});
+ * throw quarantinedError({crashes: 3, retryAfterMs: 60_000});
  */
-export function quarantined({
+export function quarantinedError({
   crashes,
   retryAfterMs,
 }: {
@@ -155,12 +168,16 @@
 }
 
 /**
- * Returns the error if the remaining endpoints' rate limits are exhausted.
+ * Returns the error for a request to endpoints that have all exhausted their
+ * rate limits; `waitMs` is the time until an endpoint accepts requests again.
  *
  * @example
- * throw rateLimited('chat', 350);
+ * throw rateLimitedError('chat', 350);
  */
-export function rateLimited(service: string, waitMs: number): ServingError {
+export function rateLimitedError(
+  service: string,
+  waitMs: number,
+): ServingError {
   return new ServingError(
     'overloaded',
     `the endpoints of ${service} are at their rate limits for ${Math.round(waitMs)} ms`,
--- a/packages/gateway/src/callerBody.ts
+++ b/packages/gateway/src/callerBody.ts
@@ -3,9 +3,10 @@
 import {ServingError} from '@skylarkfield/base';
 
 /**
- * Reads the whole body; undefined if the request has none. The body is buffered
- * so that it can be sent again to another endpoint. Throws `too-large`, or
- * `cancelled` if the caller disconnects before its end.
+ * Reads the whole body; undefined if the request has no body. The body is
+ * buffered so that it can be sent again to another endpoint. Throws
+ * `too-large`, or `cancelled` if the caller disconnects before the end of the
+ * body.
  *
  * @example
  * const body = await readBody(request, 4_194_304, signal);
@@ -15,20 +16,20 @@
   maxBytes: number,
   signal: AbortSignal,
 ): Promise<Buffer | undefined> {
-  const declared = Number(request.headers['content-length'] ?? 0);
+  const declaredBytes = Number(request.headers['content-length'] ?? 0);
   const isChunked = request.headers['transfer-encoding'] !== undefined;
-  if (declared === 0 && !isChunked) {
+  if (declaredBytes === 0 && !isChunked) {
     return Promise.resolve(undefined);
   }
-  if (declared > maxBytes) {
+  if (declaredBytes > maxBytes) {
     return Promise.reject(tooLarge(maxBytes));
   }
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
-    let bytes = 0;
+    let receivedBytes = 0;
     request.on('data', (chunk: Buffer) => {
-      bytes += chunk.length;
-      if (bytes > maxBytes) {
+      receivedBytes += chunk.length;
+      if (receivedBytes > maxBytes) {
         reject(tooLarge(maxBytes));
         return;
       }
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -1,4 +1,4 @@
-/** Handles a caller's request from its headers to its response. */
+/** Handles a caller's request from its headers to the end of its response. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {
   ServingError,
@@ -19,7 +19,7 @@
   type Quotas,
   type Route,
 } from '@skylarkfield/traffic';
-import {quarantined} from './attemptOutcome.js';
+import {quarantinedError} from './attemptOutcome.js';
 import {readBody} from './callerBody.js';
 import {checkConnected} from './callerPresence.js';
 import {createCallerReply, type CallerReply} from './callerReply.js';
@@ -39,9 +39,12 @@
 
 /** Serving state of the process. */
 export interface ServingState {
-  /** Whether requests are accepted at all. */
+  /** Whether the process accepts requests. */
   isServing(): boolean;
-  /** Whether connections close after their next response, before a stop. */
+  /**
+   * Whether the process is about to stop, so that each connection is closed
+   * after its next response.
+   */
   isClosing(): boolean;
 }
 
@@ -57,22 +60,31 @@
   readonly admission: AdmissionController;
   readonly forwarding: Forwarding;
   readonly format: CallFormat;
-  readonly state: ServingState;
+  readonly servingState: ServingState;
   readonly inFlight: InFlightCounter;
-  /** Uncached prompt tokens of a typical request to a model service. */
+  /**
+   * Returns the uncached prompt tokens of a typical request to a model service.
+   */
   usualOwnTokens(service: string): number;
   /** Counts model requests whose first event is late. */
   readonly outcomes: OutcomeMeter;
   readonly metrics: RequestMetrics;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Selects a request's version group; the same at every entry for one key. */
-  chooseGroup(service: string, key: string, mayRepeat: boolean): VersionGroup;
-  /** Called before a request is queued, to record its work. */
+  /**
+   * Selects a request's version group. All entries select the same group for
+   * the same key.
+   */
+  chooseGroup(
+    service: string,
+    key: string,
+    isRepeatable: boolean,
+  ): VersionGroup;
+  /** Called when a request is about to be queued, to record its work. */
   onDidAccept(service: string, head: CallHead): void;
-  /** Called when a response has ended, complete or not. */
+  /** Called when a response has ended, whether complete or not. */
   onDidAnswer(service: string, head: CallHead, eventCount: number): void;
-  /** Called when a version group has served or failed a request. */
+  /** Called when forwarding has ended, with or without an error. */
   onDidConclude(
     call: Pick<ForwardedCall, 'service' | 'version' | 'route'>,
     result: ForwardingResult,
@@ -88,23 +100,29 @@
   readonly customer: CustomerConfig | undefined;
   /** 0 is the highest priority. */
   readonly priority: number;
+  /** Deadline of the response, in monotonic milliseconds. */
   readonly deadlineAt: number;
 }
 
 /**
- * Urgency levels per priority step. Endpoints have ten levels and priorities
- * are small numbers, so steps of two leave room between priorities.
+ * Urgency levels of endpoints per priority step. Endpoints have ten levels and
+ * priorities are small numbers, so a step of two leaves a level free between
+ * priorities.
  */
 const URGENCY_PER_PRIORITY = 2;
+/** Lowest of the ten urgency levels of endpoints. */
 const LOWEST_URGENCY = 9;
 
-/** Admission has eight urgency levels. */
+/** Lowest of the eight urgency levels of admission. */
 const LOWEST_ADMISSION_URGENCY = 7;
 
-/** Minimum cost as a fraction of a typical request; each occupies a slot. */
+/**
+ * Minimum admission cost of a request, as a fraction of the cost of a typical
+ * request: even the smallest request occupies a slot.
+ */
 const MIN_COST = 0.1;
 
-/** Abort reason of a request's signal at its deadline. */
+/** Reason with which a request's signal is aborted at its deadline. */
 const DEADLINE_EXCEEDED = new ServingError(
   'deadline-exceeded',
   'no complete response before the deadline',
@@ -112,16 +130,19 @@
 );
 
 /**
- * Retry-After while this entry is stopping, in milliseconds: another entry can
- * serve the request at once.
+ * Retry-After of a rejection while this entry is stopping, in milliseconds:
+ * another entry can serve the request at once.
  */
 const LEAVING_RETRY_MS = 50;
 
-/** Retry-After until the policy and the peers are known, in milliseconds. */
+/**
+ * Retry-After of a rejection before this entry has received the policy and the
+ * number of entries, in milliseconds.
+ */
 const NOT_READY_RETRY_MS = 400;
 
 /**
- * Creates the handler.
+ * Creates the handler of callers' requests.
  *
  * @example
  * const server = http.createServer((request, response) => void
@@ -133,19 +154,20 @@
   const {policy, quotas, admission, forwarding, format, clock} = options;
   const requestLog = createRequestLog(options);
 
-  function accept(
+  /** Validates and routes a request; throws the error to respond with. */
+  function acceptRequest(
     request: IncomingMessage,
     arrivedAt: number,
   ): AcceptedRequest {
     const head = format.readCall(request.headers);
     const {attemptId} = head;
-    if (!options.state.isServing()) {
+    if (!options.servingState.isServing()) {
       throw new ServingError('leaving', 'this entry is stopping', {
         retryAfterMs: LEAVING_RETRY_MS,
       });
     }
     if (!policy.isKnown()) {
-      throw notReady('the traffic policy has not been loaded yet');
+      throw notReadyError('the traffic policy has not been loaded yet');
     }
     if (attemptId === undefined) {
       throw new ServingError('bad-request', 'the request has no attempt id');
@@ -178,17 +200,21 @@
   function rejectQuarantined(fingerprint: () => string): void {
     const verdict = verdictFor({fingerprint}, options.crashQuarantine);
     if (verdict.type === 'quarantined') {
-      throw quarantined(verdict);
+      throw quarantinedError(verdict);
     }
   }
 
+  /**
+   * Consumes the customer's quota for a request, and returns a function that
+   * refunds it. Throws `overloaded` if the quota is exhausted.
+   */
   function consumeQuota({customer, head}: AcceptedRequest): () => void {
     const amount = quotaAmount(customer, head);
     if (customer === undefined || amount === 0) {
       return () => {};
     }
-    if (!options.visibility.isKnown()) {
-      throw notReady('the number of entries is not known yet');
+    if (!options.visibility.isEntryCountKnown()) {
+      throw notReadyError('the number of entries is not known yet');
     }
     if (!quotas.tryConsume(customer, amount)) {
       throw new ServingError(
@@ -204,8 +230,8 @@
   }
 
   /**
-   * Returns the cost for fair queueing, which goes by work: a long prompt costs
-   * as much as several typical ones.
+   * Returns the admission cost of a request in proportion to its work: a long
+   * prompt costs as much as several typical prompts.
    */
   function admissionCost(service: string, {demand}: CallHead): number {
     if (demand === undefined) {
@@ -216,10 +242,10 @@
   }
 
   function admit(
-    accepted: AcceptedRequest,
+    acceptedRequest: AcceptedRequest,
     signal: AbortSignal,
   ): Promise<Permit> {
-    const {service, customer, priority, deadlineAt, head} = accepted;
+    const {service, customer, priority, deadlineAt, head} = acceptedRequest;
     options.onDidAccept(service, head);
     return admission.admit(
       {
@@ -236,18 +262,18 @@
   async function serve(
     request: IncomingMessage,
     reply: CallerReply,
-    accepted: AcceptedRequest,
+    acceptedRequest: AcceptedRequest,
     callerSignal: AbortSignal,
   ): Promise<ForwardingResult> {
     const {head, attemptId, route, service, customer, priority, deadlineAt} =
-      accepted;
+      acceptedRequest;
     const body = await readBody(
       request,
       policy.limits().bodyBytes,
       callerSignal,
     );
     await checkConnected(callerSignal);
-    const fingerprint = lazy(() =>
+    const fingerprint = memoize(() =>
       requestFingerprint({
         customer: customer?.name,
         authority: head.authority,
@@ -257,20 +283,20 @@
       }),
     );
     rejectQuarantined(fingerprint);
-    const refundQuota = consumeQuota(accepted);
-    const outcome = watchOutcome(accepted, reply, options);
+    const refundQuota = consumeQuota(acceptedRequest);
+    const watchedOutcome = watchOutcome(acceptedRequest, reply, options);
     let permit: Permit;
     try {
-      permit = await admit(accepted, callerSignal);
+      permit = await admit(acceptedRequest, callerSignal);
     } catch (error) {
-      outcome.end(toServingError(error));
+      watchedOutcome.recordEnd(toServingError(error));
       refundQuota();
       throw error;
     }
     const admittedAt = clock.now();
-    const deadline = new AbortController();
+    const deadlineController = new AbortController();
     const timer = clock.after(deadlineAt - admittedAt, () =>
-      deadline.abort(DEADLINE_EXCEEDED),
+      deadlineController.abort(DEADLINE_EXCEEDED),
     );
     const version = options.chooseGroup(
       service,
@@ -297,11 +323,11 @@
           fingerprint,
           promptKeys: promptKeys(head.demand?.parts ?? []),
           deadlineAt,
-          signal: AbortSignal.any([callerSignal, deadline.signal]),
+          signal: AbortSignal.any([callerSignal, deadlineController.signal]),
         },
         reply,
       );
-      outcome.end(result.error);
+      watchedOutcome.recordEnd(result.error);
       options.onDidAnswer(service, head, reply.eventCount());
       options.onDidConclude({service, version, route}, result);
       if (result.error?.run === 'not-run') {
@@ -309,7 +335,7 @@
       }
       permit.release({
         outcome: permitOutcome(result, callerSignal),
-        latencyMs: result.firstMs ?? clock.now() - admittedAt,
+        latencyMs: result.firstByteMs ?? clock.now() - admittedAt,
       });
       return result;
     } finally {
@@ -321,45 +347,55 @@
   return {
     async handle(request, response) {
       const arrivedAt = clock.now();
-      const disconnected = new AbortController();
+      const disconnectController = new AbortController();
       response.once('close', () => {
         if (!response.writableFinished) {
-          disconnected.abort();
+          disconnectController.abort();
         }
       });
       const reply = createCallerReply({
         response,
         format,
-        isClosing: options.state.isClosing,
+        isClosing: options.servingState.isClosing,
       });
       options.inFlight.begin();
-      let accepted: AcceptedRequest | undefined;
+      let acceptedRequest: AcceptedRequest | undefined;
       let result: ForwardingResult;
       try {
-        accepted = accept(request, arrivedAt);
-        result = await serve(request, reply, accepted, disconnected.signal);
+        acceptedRequest = acceptRequest(request, arrivedAt);
+        result = await serve(
+          request,
+          reply,
+          acceptedRequest,
+          disconnectController.signal,
+        );
       } catch (caught) {
         const error = toServingError(caught);
         const status = reply.sendError(error);
-        result = {status, error, firstMs: undefined, endpoints: []};
-        // Node reads the remainder of an unread body only after `resume`.
+        result = {status, error, firstByteMs: undefined, endpoints: []};
+        // Node discards the rest of an unread body only after `resume`.
         request.resume();
       } finally {
         options.inFlight.end();
       }
       requestLog.record({
-        accepted,
+        acceptedRequest,
         attemptId:
-          accepted?.attemptId ?? format.readCall(request.headers).attemptId,
+          acceptedRequest?.attemptId ??
+          format.readCall(request.headers).attemptId,
         result,
-        hasDisconnected: disconnected.signal.aborted,
+        hasDisconnected: disconnectController.signal.aborted,
         arrivedAt,
-        events: reply.eventCount(),
+        eventCount: reply.eventCount(),
       });
     },
   };
 }
 
+/**
+ * Returns the amount that a request uses of its customer's quota, in the
+ * quota's unit; 0 without a quota.
+ */
 function quotaAmount(
   customer: CustomerConfig | undefined,
   {demand}: CallHead,
@@ -385,14 +421,14 @@
   return error.kind === 'overloaded' ? 'overloaded' : 'failed';
 }
 
-function notReady(message: string): ServingError {
+function notReadyError(message: string): ServingError {
   return new ServingError('not-ready', message, {
     retryAfterMs: NOT_READY_RETRY_MS,
   });
 }
 
 /** Defers a computation to its first use and caches the result. */
-function lazy<T>(compute: () => T): () => T {
+function memoize<T>(compute: () => T): () => T {
   let cached: {readonly value: T} | undefined;
   return () => {
     cached ??= {value: compute()};
--- a/packages/gateway/src/callerPresence.ts
+++ b/packages/gateway/src/callerPresence.ts
@@ -2,16 +2,17 @@
 import {ServingError} from '@skylarkfield/base';
 
 /**
- * Throws `cancelled`, as not run, if the caller has disconnected. An overloaded
- * process reads a request and the end of its connection in two turns of the
- * event loop, and would serve an absent caller in between.
+ * Throws `cancelled` with run state `not-run` if the caller has disconnected.
+ * An overloaded process reads a request and the end of its connection in two
+ * different turns of the event loop, and would run the request of a
+ * disconnected caller if it did not wait for the second turn.
  *
  * @example
  * await checkConnected(callerSignal);
  */
 export async function checkConnected(callerSignal: AbortSignal): Promise<void> {
-  await nextTurn();
-  await nextTurn();
+  await waitForNextTurn();
+  await waitForNextTurn();
   if (callerSignal.aborted) {
     throw new ServingError('cancelled', 'the caller disconnected', {
       run: 'not-run',
@@ -19,6 +20,6 @@
   }
 }
 
-function nextTurn(): Promise<void> {
+function waitForNextTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -9,12 +9,16 @@
 export interface CallerReply {
   /** Whether the response headers have been sent. */
   hasBegun(): boolean;
-  /** Id of the last event passed on. */
+  /** Id of the last event passed on; undefined before any such event. */
   lastEventId(): number | undefined;
-  /** Number of events passed on so far. */
+  /** Number of events passed on to the caller so far. */
   eventCount(): number;
   readonly sink: EventSink;
-  sendWhole(status: number, headers: ResponseHeaders, body: Buffer): void;
+  /** Sends a complete response of an endpoint. */
+  sendResponse(status: number, headers: ResponseHeaders, body: Buffer): void;
+  /**
+   * Sends the error, or aborts a response that has begun; returns the status.
+   */
   sendError(error: ServingError): number;
   /** Aborts an incomplete response so that it does not appear complete. */
   abort(): void;
@@ -22,13 +26,13 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Statuses that leave open whether the request ran. */
+/** Statuses that do not state whether the request has run. */
 const BAD_GATEWAY_STATUS = 502;
 const GATEWAY_TIMEOUT_STATUS = 504;
-/** Guarantees that the request has not run and will not run. */
+/** Status that guarantees that the request has not run and will not run. */
 const UNAVAILABLE_STATUS = 503;
 
-/** Retry-After of a rejection without a better estimate, in milliseconds. */
+/** Retry-After of an error that specifies no retry delay, in milliseconds. */
 const DEFAULT_RETRY_MS = 300;
 
 /**
@@ -45,7 +49,7 @@
   isClosing(): boolean;
 }): CallerReply {
   const {response, format} = options;
-  let lastId: number | undefined;
+  let lastEventId: number | undefined;
   let eventCount = 0;
 
   function writeHead(
@@ -60,7 +64,7 @@
 
   return {
     hasBegun: () => response.headersSent,
-    lastEventId: () => lastId,
+    lastEventId: () => lastEventId,
     eventCount: () => eventCount,
     sink: {
       begin(status, headers) {
@@ -71,20 +75,20 @@
       write({bytes, id}: EventFrame) {
         if (id !== undefined) {
           // A resumed stream may repeat events that the caller already has.
-          if (lastId !== undefined && id <= lastId) {
+          if (lastEventId !== undefined && id <= lastEventId) {
             return true;
           }
-          lastId = id;
+          lastEventId = id;
         }
         eventCount += 1;
         return response.write(bytes);
       },
       whenDrained: callback => response.once('drain', callback),
-      finish(rest) {
-        response.end(rest.length > 0 ? rest : undefined);
+      finish(remainder) {
+        response.end(remainder.length > 0 ? remainder : undefined);
       },
     },
-    sendWhole(status, headers, body) {
+    sendResponse(status, headers, body) {
       const replyHeaders = format.callerHeaders(headers);
       replyHeaders['content-length'] = String(body.length);
       writeHead(status, replyHeaders);
@@ -121,9 +125,9 @@
 }
 
 /**
- * Returns the status of an error. Callers retry non-idempotent requests only on
- * a status that guarantees that the request has not run, so a request that may
- * have run gets 502 or 504.
+ * Returns the HTTP status for an error. Callers retry non-idempotent requests
+ * only on a status that guarantees that the request has not run, so a request
+ * that may have run gets 502 or 504.
  */
 function statusOf(error: ServingError): number {
   const {status} = errorResponses[error.kind];
--- a/packages/gateway/src/clusterDuty.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -1,4 +1,4 @@
-/** Work that one entry does for all entries while it holds the duty. */
+/** Tasks of the cluster duty, which one entry performs for all entries. */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {DutyTerm} from '@skylarkfield/duties';
 import type {Coordination} from './coordination.js';
@@ -9,7 +9,8 @@
 
 /**
  * Competes for the duty to report usage and scale endpoints. One lease covers
- * both, since the renewals of a lease are billed even without work.
+ * both tasks, since renewals of a lease are billed even if its holder has
+ * nothing to do.
  *
  * @example
  * const duty = competeForClusterDuty(context, coordination, traffic);
@@ -21,43 +22,44 @@
 ): Disposable {
   const {settings, platform, clock, log} = context;
 
-  function start(term: DutyTerm): Disposable {
-    const tasks = disposableStore();
-    const common = {
+  function startTasks(term: DutyTerm): Disposable {
+    const disposables = disposableStore();
+    const commonOptions = {
       term,
       holder: settings.id,
       orders: platform.orders,
       clock,
       log,
     };
-    tasks.add(
+    disposables.add(
       startUsageDuty({
-        ...common,
+        ...commonOptions,
         store: coordination.store,
         usage: traffic.usage,
         lateMs: settings.usageLateSeconds * MS_PER_SECOND,
         commonWallMs: traffic.digests.commonWallMs,
       }),
     );
-    tasks.add(
+    disposables.add(
       startFleetDuty({
-        ...common,
+        ...commonOptions,
         directory: traffic.directory,
-        // During a rollout the platform sets the counts of both versions.
+        // During a rollout, the platform itself sets the number of endpoints of
+        // both versions.
         services: () =>
           traffic.policy
             .services()
-            .filter(({name}) => !traffic.rollouts.isOpen(name)),
+            .filter(({name}) => !traffic.rollouts.isRollingOut(name)),
         demandSignals: traffic.engineEstimates.demandSignals,
       }),
     );
-    tasks.add(
+    disposables.add(
       traffic.engineStore.startPersisting(
         traffic.engineEstimates.fleetCapacity,
       ),
     );
-    return tasks;
+    return disposables;
   }
 
-  return coordination.dutyElections.compete('fleet', start);
+  return coordination.dutyElections.compete('fleet', startTasks);
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -15,7 +15,11 @@
 export interface GatewayContext {
   readonly settings: GatewaySettings;
   readonly platform: Platform;
-  /** Wall-clock milliseconds of the start; unchanged by a process pause. */
+  /**
+   * Wall-clock milliseconds at which the process started. Distinguishes
+   * processes that use the same id one after another; does not change when a
+   * process is paused.
+   */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly random: Random;
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -1,6 +1,7 @@
 /**
  * Interfaces that the gateway requires of its platform. The platform's adapter
- * implements them; the platform's own names and formats stay there.
+ * implements them, so the platform's names and formats do not occur in the
+ * gateway.
  */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Freshness, ObjectTransport} from '@skylarkfield/providers';
@@ -15,36 +16,42 @@
 
 /** Metadata of a caller's request, read from its headers. */
 export interface CallHead {
-  /** Unique for each attempt of a caller; undefined if the caller sent none. */
+  /** Id of the caller's attempt; undefined if the caller sent no id. */
   readonly attemptId: string | undefined;
+  /** Host that the request is addressed to. */
   readonly authority: string;
+  /** API key of the caller; undefined if the caller sent no key. */
   readonly key: string | undefined;
   /** Timeout of the caller, in milliseconds; undefined if not specified. */
   readonly timeoutMs: number | undefined;
-  /** Undefined for a request to a plain service. */
+  /** Requested model and tokens; undefined for a plain service. */
   readonly demand: ModelDemand | undefined;
-  /** Id of the last event that the caller received from an earlier response. */
+  /**
+   * Id of the last event that the caller received from an earlier response;
+   * undefined if the caller does not resume a stream.
+   */
   readonly lastEventId: string | undefined;
 }
 
-/** Fields that the gateway adds to a request when it forwards it. */
+/** Values that the gateway adds to the headers of a forwarded request. */
 export interface UpstreamFields {
-  /** Time left for the response, in milliseconds. */
+  /** Time until the deadline of the response, in milliseconds. */
   readonly timeoutMs: number;
-  /** Id of the process that must respond; any other rejects the request. */
+  /** Id of the process that must respond; all others reject the request. */
   readonly endpointId: string;
   readonly customer: string | undefined;
   /** 0 (most urgent) to 9; undefined if the service ignores urgency. */
   readonly urgency: number | undefined;
   readonly lastEventId: string | undefined;
-  /** KV cache from which the endpoint resumes the request. */
+  /** KV cache from which the endpoint resumes the request, if migrated. */
   readonly kvCache: KvCacheRef | undefined;
 }
 
 /** Reference to the KV cache of a request that was migrated between engines. */
 export interface KvCacheRef {
-  /** `IP:port` of the engine that ran the request before. */
+  /** `IP:port` of the engine that ran the request before the migration. */
   readonly source: string;
+  /** Id of the KV cache at the source engine. */
   readonly handle: string;
 }
 
@@ -52,11 +59,13 @@
 export type MigrationResult =
   /** The request was stopped and its KV cache copied to the target. */
   | {readonly type: 'moved'; readonly kvCache: KvCacheRef}
-  /** The request was stopped, and its KV cache is only at the source. */
+  /**
+   * The request was stopped, but its KV cache was not copied from the source.
+   */
   | {readonly type: 'stopped'; readonly kvCache: KvCacheRef}
   /** The request still runs at its source, or has already ended. */
   | {readonly type: 'refused'}
-  /** The call failed, so the state of the request is unknown. */
+  /** The call failed, so it is unknown whether the request still runs. */
   | {readonly type: 'unknown'};
 
 /** Migration of running requests between model engines. */
@@ -83,26 +92,25 @@
   /** The endpoint guarantees that the request has not run and will not run. */
   readonly isNotRun: boolean;
   readonly load: SelfReportedLoad | undefined;
-  /**
-   * Requests per second that the endpoint accepts from all entries together;
-   * undefined if unlimited.
-   */
+  /** Requests per second accepted from all entries; undefined if unlimited. */
   readonly limitPerSecond: number | undefined;
 }
 
-/** Response headers in the form that undici passes them. */
+/** Response headers in the form in which undici passes them. */
 export type ResponseHeaders = Readonly<
   Record<string, string | string[] | undefined>
 >;
 
 /** Codec for the headers exchanged with callers and endpoints. */
 export interface CallFormat {
+  /** Reads the metadata of a caller's request. */
   readCall(headers: IncomingHttpHeaders): CallHead;
   /** Returns headers for the endpoint as alternating names and values. */
   upstreamHeaders(
     rawHeaders: readonly string[],
     fields: UpstreamFields,
   ): string[];
+  /** Reads the metadata of an endpoint's response. */
   readResponse(headers: ResponseHeaders, status: number): ResponseHead;
   /** Returns the headers of an endpoint's response for the caller. */
   callerHeaders(headers: ResponseHeaders): Record<string, string | string[]>;
@@ -110,11 +118,11 @@
 
 /** Codec for service discovery by callers and for readiness checks. */
 export interface LookupFormat {
-  /** Returns the failure domain of a lookup; undefined for other paths. */
+  /** Returns the failure domain of a lookup; undefined for other URLs. */
   parseLookup(url: string): {readonly failureDomain: string} | undefined;
-  /** Returns a response body; addresses are `IP:port`. */
+  /** Returns the response body of a lookup; addresses are `IP:port`. */
   writeAnswer(addresses: readonly string[], ttlMs: number): string;
-  /** Whether the path is that of the readiness check. */
+  /** Whether the URL is that of the readiness check. */
   isReadiness(url: string): boolean;
 }
 
@@ -125,7 +133,7 @@
   readonly value: T;
 }
 
-/** All objects of one kind at one store revision. */
+/** All objects of one kind as of one store revision. */
 export interface SourceListing<T> {
   readonly revision: number;
   readonly items: readonly SourceItem<T>[];
@@ -137,23 +145,23 @@
   readonly item: SourceItem<T> | undefined;
 }
 
-/** The changes from one store revision to another. */
+/** The changes between two store revisions; `revision` is the later one. */
 export interface SourceChanges<T> {
   readonly revision: number;
   readonly changes: readonly SourceChange<T>[];
 }
 
 /**
- * Decoded objects of one kind, written by other systems. Objects that cannot be
- * decoded are omitted and logged.
+ * Reads and decodes the objects of one kind, which other systems write. Objects
+ * that cannot be decoded are omitted and logged.
  *
  * Errors: `platform-unavailable`, `overloaded`, `cancelled`.
  */
 export interface ObjectSource<T> {
   list(signal: AbortSignal, freshness: Freshness): Promise<SourceListing<T>>;
   /**
-   * Returns the changes after a revision, long-polling up to `waitMs` for the
-   * first. Undefined if the store has compacted them.
+   * Returns the changes after a store revision, waiting up to `waitMs` for the
+   * first change. Undefined if the store has compacted these changes away.
    */
   changes(
     afterRevision: number,
@@ -162,13 +170,19 @@
   ): Promise<SourceChanges<T> | undefined>;
 }
 
-/** The duty's holder and its fencing token, sent with each order. */
+/**
+ * Entry that holds the duty, and the fencing token of its term; sent with each
+ * call so that the platform rejects calls from earlier terms.
+ */
 export interface FencingCredentials {
   readonly holder: string;
   readonly fencing: number;
 }
 
-/** Target number of a service's endpoints in a market of a failure domain. */
+/**
+ * Target number of a service's endpoints in one failure domain, for either
+ * reclaimable or on-demand endpoints.
+ */
 export interface EndpointOrder {
   readonly service: string;
   readonly failureDomain: string;
@@ -176,15 +190,15 @@
   readonly isReclaimable: boolean;
 }
 
-/** Result of an order. */
+/** Result of an endpoint order or a usage report. */
 export type EndpointOrderResult =
   | 'accepted'
   /** No capacity is available at present. */
   | 'unavailable'
-  /** Failed for another reason; may be retried later. */
+  /** The call failed for another reason and may be retried later. */
   | 'failed';
 
-/** Platform calls that only the holder of the duty makes. */
+/** Platform calls that are made only by the entry that holds the duty. */
 export interface PlatformOrders {
   reportUsage(
     credentials: FencingCredentials,
@@ -199,7 +213,7 @@
   ): Promise<EndpointOrderResult>;
 }
 
-/** The platform as used by the gateway. */
+/** All functions of the platform that the gateway uses. */
 export interface Platform {
   readonly calls: CallFormat;
   readonly lookups: LookupFormat;
@@ -208,7 +222,10 @@
   readonly rollouts: ObjectSource<Rollout>;
   /** Objects that the gateway writes: members, leases, usage, crashes. */
   readonly objects: ObjectTransport;
-  /** Returns one kind of `objects` as a source; `read` throws if invalid. */
+  /**
+   * Returns the objects of one kind in `objects` as a source; `read` decodes a
+   * value and throws if the value is invalid.
+   */
   systemObjects<T>(kind: string, read: (value: unknown) => T): ObjectSource<T>;
   readonly orders: PlatformOrders;
   readonly requestMigrator: RequestMigrator;
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -26,15 +26,16 @@
   readonly store: ObjectStore;
   readonly membership: Membership;
   readonly dutyElections: DutyElections;
-  /** Receivers of this entry's digests, and candidates for duties. */
+  /** Returns the receivers of digests and the candidates for duties. */
   plan(): RelayPlan;
 }
 
 /**
- * A successor takes over within about four seconds of the holder's failure. A
- * new endpoint takes as long to start, so a reclaim together with the holder's
- * failure delays callers no longer than either alone. Each renewal and each
- * poll of a candidate is a store call, three per second in total.
+ * Timing of duty leases. A successor takes over within about four seconds of
+ * the holder's failure. A new endpoint takes as long to start, so if endpoints
+ * are reclaimed while the holder fails, callers wait no longer than for either
+ * fault alone. Each lease renewal and each poll by a candidate is a store call;
+ * they add up to three calls per second.
  */
 const LEASE_TIMING: LeaseTiming = {
   durationMs: 3_000,
@@ -43,12 +44,12 @@
   marginMs: 400,
 };
 
-/** Timeout of a store call, in milliseconds; a call normally takes a few. */
+/** Timeout of a store call, in milliseconds; normal calls take a few ms. */
 const STORE_CALL_TIMEOUT_MS = 1_000;
 
 /**
- * Opens the inner port and joins the other entries. Throws `bad-settings` if
- * the port cannot be opened.
+ * Opens the port for other entries and joins them. Throws `bad-settings` if the
+ * port cannot be opened.
  *
  * @example
  * const coordination = await createCoordination(context);
@@ -112,8 +113,9 @@
       store,
       self,
       members: () => plan().coordinators,
-      // Behind a relay an entry lacks the fleet-wide counts. The entry may have
-      // acquired a duty before it discovered enough peers for relays.
+      // An entry behind a relay lacks the counts of the whole fleet. It may
+      // have acquired a duty before it discovered enough peers for relays to be
+      // used.
       mayHold: () => plan().ownRelays.length === 0,
       log,
       decisions,
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -1,50 +1,54 @@
-/** Stops resending requests that crash endpoints, and collects the evidence. */
+/** Stops resending requests that crash endpoints, and records evidence. */
 import type {CrashQuarantine, QuarantineVerdict} from '@skylarkfield/routing';
-import type {AttemptEnd} from './attempt.js';
+import type {AttemptResult} from './attempt.js';
 import {isServerError} from './attemptOutcome.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 import type {Progress} from './retryRules.js';
 
-interface FingerprintedCall {
+interface CallWithFingerprint {
   fingerprint(): string;
 }
 
 export interface CrashGuard {
-  /** Returns the verdict on a send; starts a trial if the verdict allows it. */
+  /**
+   * Returns the verdict on sending the call; starts a trial if the verdict is
+   * `trial`. A migrated stream is always `clear`.
+   */
   checkSend(
-    call: FingerprintedCall,
+    call: CallWithFingerprint,
     progress: Pick<Progress, 'continuation'>,
   ): QuarantineVerdict;
-  isSuspected(call: FingerprintedCall): boolean;
-  isQuarantined(call: FingerprintedCall): boolean;
-  /** Records an attempt's end, unless its endpoint was ordered to stop it. */
-  recordAttemptEnd(
-    call: FingerprintedCall,
+  /** Whether the verdict on the call is any other than `clear`. */
+  isSuspected(call: CallWithFingerprint): boolean;
+  isQuarantined(call: CallWithFingerprint): boolean;
+  /** Records an attempt's result, unless the attempt was stopped on request. */
+  recordAttemptResult(
+    call: CallWithFingerprint,
     endpoint: string,
-    end: AttemptEnd,
+    result: AttemptResult,
   ): void;
 }
 
-const CLEAR: QuarantineVerdict = {type: 'clear'};
+const CLEAR_VERDICT: QuarantineVerdict = {type: 'clear'};
 
 /**
- * Returns the verdict on a call. Fingerprints cost processor time, so none is
- * computed while no request is suspected.
+ * Returns the verdict on a call. Fingerprints cost processor time, so no
+ * fingerprint is computed while no request is suspected.
  *
  * @example
  * if (verdictFor(call, crashQuarantine).type === 'quarantined') { reject(); }
  */
 export function verdictFor(
-  call: FingerprintedCall,
+  call: CallWithFingerprint,
   crashQuarantine: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>,
 ): QuarantineVerdict {
   return crashQuarantine.isEmpty()
-    ? CLEAR
+    ? CLEAR_VERDICT
     : crashQuarantine.verdictFor(call.fingerprint());
 }
 
 /**
- * Creates the guard of one entry's forwarding.
+ * Creates the crash guard of one entry's forwarding.
  *
  * @example
  * const verdict = crashGuard.checkSend(call, progress);
@@ -55,15 +59,15 @@
 }): CrashGuard {
   const {crashQuarantine, directory} = options;
 
-  function isSuccess(end: AttemptEnd): boolean {
+  function isSuccess(result: AttemptResult): boolean {
     return (
-      end.type === 'streamed' ||
-      (end.type === 'answered' && !isServerError(end.status))
+      result.type === 'streamed' ||
+      (result.type === 'answered' && !isServerError(result.status))
     );
   }
 
   function recordLoss(
-    call: FingerprintedCall,
+    call: CallWithFingerprint,
     endpoint: string,
     loss: 'closed' | 'silent',
   ): void {
@@ -81,9 +85,9 @@
 
   return {
     checkSend(call, {continuation}) {
-      // A stream that is being migrated has not failed so far.
+      // A stream that is being migrated has not failed.
       if (continuation !== undefined) {
-        return CLEAR;
+        return CLEAR_VERDICT;
       }
       const verdict = verdictFor(call, crashQuarantine);
       if (verdict.type === 'trial') {
@@ -94,12 +98,12 @@
     isSuspected: call => verdictFor(call, crashQuarantine).type !== 'clear',
     isQuarantined: call =>
       verdictFor(call, crashQuarantine).type === 'quarantined',
-    recordAttemptEnd(call, endpoint, end) {
-      if (end.type === 'failed' && end.loss !== undefined) {
-        recordLoss(call, endpoint, end.loss);
+    recordAttemptResult(call, endpoint, result) {
+      if (result.type === 'failed' && result.loss !== undefined) {
+        recordLoss(call, endpoint, result.loss);
         return;
       }
-      if (isSuccess(end) && !crashQuarantine.isEmpty()) {
+      if (isSuccess(result) && !crashQuarantine.isEmpty()) {
         crashQuarantine.recordCompleted(call.fingerprint());
       }
     },
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -1,9 +1,9 @@
 /**
  * Persists the requests that crash endpoints in the platform's store.
  *
- * Entries restart, are partitioned and fail together, yet each needs the
- * observations of all others within seconds. Each entry writes its own
- * observations to one object and mirrors those of the others.
+ * Entries restart, are partitioned and fail together, yet each entry needs the
+ * crash observations of all others within seconds. Each entry writes its own
+ * observations to one object and mirrors the objects of the other entries.
  */
 import {
   disposableStore,
@@ -27,13 +27,18 @@
 /** Kind of the objects, each named after the entry that writes it. */
 const OBJECT_KIND = 'endpoint-crashes';
 
-/** Timeout of one call, in milliseconds. */
+/** Timeout of one write, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_000;
 
-/** Delay before a write, in milliseconds, to batch one crash's requests. */
+/**
+ * Delay before a write, in milliseconds, to batch the requests of one crash.
+ */
 const WRITE_BATCH_MS = 50;
 
-/** Maximum delay of a write retry, in milliseconds; the minimum is half. */
+/**
+ * Maximum delay before a write is retried, in milliseconds; the minimum delay
+ * is half of it.
+ */
 const WRITE_RETRY_MS = 500;
 
 /** Interval at which expired objects are removed, in milliseconds. */
@@ -47,7 +52,7 @@
 });
 
 /**
- * Returns the persisted reports as a source to mirror.
+ * Returns the persisted crash reports as a source for a mirror.
  *
  * @example
  * const view = createPlatformView({crashReports: crashReportSource(platform),
@@ -62,7 +67,8 @@
 }
 
 /**
- * Starts to persist this entry's observations and to apply those of the others.
+ * Starts to persist this entry's crash observations and to apply those that the
+ * other entries have persisted.
  *
  * @example
  * const persistence = disposables.add(startCrashPersistence({mirror: view.crashes,
@@ -77,8 +83,8 @@
   readonly random: Random;
   readonly log: Logger;
   /**
-   * Whether this entry reads the objects from the store for all entries, and so
-   * removes expired ones.
+   * Whether this entry reads the objects from the store for all entries; if so,
+   * it also removes expired objects.
    */
   isReader(): boolean;
 }): Disposable {
@@ -91,8 +97,8 @@
   let isDisposed = false;
 
   function applyItems(): void {
-    const items = mirror.items();
-    for (const {name, revision, value} of items) {
+    const reportItems = mirror.items();
+    for (const {name, revision, value} of reportItems) {
       if (appliedRevisions.get(name) !== revision) {
         appliedRevisions.set(name, revision);
         applyReport(name, value);
@@ -122,24 +128,25 @@
       return;
     }
     isWriting = true;
-    await pause(WRITE_BATCH_MS);
+    await delay(WRITE_BATCH_MS);
     let failures = 0;
     while (isDirty && !isDisposed) {
-      // Writing before the previous process's object is restored would
-      // overwrite it.
-      const isDone = isRestored && (await writeOnce(failures));
-      if (!isDone) {
+      // Writing before the object of the previous process under this id has
+      // been restored would overwrite the object.
+      const isWritten = isRestored && (await writeOnce(failures));
+      if (!isWritten) {
         failures += 1;
-        await pause(WRITE_RETRY_MS * (0.5 + random.next() / 2));
+        await delay(WRITE_RETRY_MS * (0.5 + random.next() / 2));
       }
     }
     isWriting = false;
   }
 
-  function pause(delayMs: number): Promise<void> {
+  function delay(delayMs: number): Promise<void> {
     return new Promise(resolve => clock.after(delayMs, resolve));
   }
 
+  /** Returns whether the write succeeded. */
   async function writeOnce(failures: number): Promise<boolean> {
     isDirty = false;
     const report = crashQuarantine.reportToStore();
@@ -163,9 +170,9 @@
     if (!options.isReader()) {
       return;
     }
-    const oldestMs = clock.wall() - CRASH_TTL_MS;
+    const oldestValidMs = clock.wall() - CRASH_TTL_MS;
     for (const {name, revision, value} of mirror.items()) {
-      if (value.crashes.some(({atMs}) => atMs >= oldestMs)) {
+      if (value.crashes.some(({atMs}) => atMs >= oldestValidMs)) {
         continue;
       }
       store
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -1,4 +1,7 @@
-/** Periodic reports between entries: usage, load and mirrors' sync status. */
+/**
+ * Exchange of digests: periodic reports between entries with usage, load and
+ * the sync status of mirrors.
+ */
 import {
   disposableStore,
   every,
@@ -11,7 +14,7 @@
 
 type Digest = Messages['digest'];
 
-/** A digest without its timestamps and sender. */
+/** A digest without its sender, scope and timestamps. */
 export type DigestContent = Omit<
   Digest,
   | 'stamp'
@@ -24,7 +27,10 @@
 >;
 
 export interface Digests extends Disposable {
-  /** Wall clock corrected to the peers' median, in milliseconds. */
+  /**
+   * Wall clock corrected by the median offset of the peers' clocks, in
+   * milliseconds.
+   */
   commonWallMs(): number;
 }
 
@@ -37,13 +43,19 @@
 /** Time without digests until a peer counts as unreachable, in milliseconds. */
 export const PEER_TIMEOUT_MS = 1_200;
 
-/** Ticks between digests to a standby relay, whose data must be fresh. */
+/**
+ * Ticks per digest to a standby relay. The data of the standby relay must be
+ * fresh when it takes over.
+ */
 const STANDBY_INTERVAL_TICKS = 3;
 
+/** Times of the last digest from a peer. */
 interface PeerContact {
+  /** Monotonic milliseconds at which the digest was received. */
   readonly receivedAt: number;
+  /** Monotonic milliseconds of the peer at which the digest was sent. */
   readonly stamp: number;
-  /** Peer's wall clock minus the local one, in milliseconds. */
+  /** Peer's wall clock minus the local wall clock, in milliseconds. */
   readonly wallOffsetMs: number;
 }
 
@@ -51,8 +63,8 @@
  * Starts to exchange digests with the targets of the relay plan.
  *
  * @example
- * const digests = startDigests({network, clock, self, plan, content,
- *   onDidReceive});
+ * const digests = startDigests({network, clock, self, plan,
+ *   takeSnapshot, onDidReceive});
  */
 export function startDigests(options: {
   readonly network: PeerNetwork;
@@ -64,11 +76,15 @@
   /** Current relay plan; it changes with the membership. */
   plan(): RelayPlan;
   /**
-   * Takes a snapshot of the local state once per tick, and returns a function
-   * for the digest of a scope. Only that of `rest` depends on the receiver.
+   * Called once per tick. Takes a snapshot of the local state, and returns a
+   * function that creates the digest content for a scope. Only the content for
+   * the scope `rest` depends on the receiver.
+   */
+  takeSnapshot(): (scope: DigestScope, receiver: string) => DigestContent;
+  /**
+   * Called for each received digest. `timestamp` is a time before the digest
+   * was sent; undefined if the digest echoes no known stamp.
    */
-  content(): (scope: DigestScope, receiver: string) => DigestContent;
-  /** Called for each digest; it was sent after `timestamp`, if known. */
   onDidReceive(
     peer: string,
     digest: Digest,
@@ -78,49 +94,59 @@
   const {network, clock, self} = options;
   const disposables = disposableStore();
   const contacts = new Map<string, PeerContact>();
-  /** Wall-clock milliseconds of each stamp sent. */
-  const wallAtStamp = new Map<number, number>();
+  /** Wall-clock milliseconds of each recently sent stamp. */
+  const wallMsByStamp = new Map<number, number>();
   const startedAt = clock.now();
-  let ticks = 0;
+  let tickCount = 0;
 
-  /** Whether a target is a standby relay while an earlier relay is alive. */
+  /**
+   * Whether the peer is a standby relay of this entry and any relay before it
+   * in the order of relays is alive.
+   */
   function isStandby(peer: string, ownRelays: readonly string[]): boolean {
     const position = ownRelays.indexOf(peer);
     return position > 0 && ownRelays.slice(0, position).some(isAlive);
   }
 
-  function send(): void {
-    ticks += 1;
+  function sendDigests(): void {
+    tickCount += 1;
     const stamp = clock.now();
     const wallMs = clock.wall();
-    wallAtStamp.set(stamp, wallMs);
+    wallMsByStamp.set(stamp, wallMs);
     dropOldStamps(stamp);
     const {targets, activeRelay, ownRelays} = options.plan();
-    const content = options.content();
+    const contentOf = options.takeSnapshot();
     const contentByScope = new Map<DigestScope, DigestContent>();
 
-    function contentFor(scope: DigestScope, receiver: string): DigestContent {
+    function cachedContentFor(
+      scope: DigestScope,
+      receiver: string,
+    ): DigestContent {
       if (scope === 'rest') {
-        return content(scope, receiver);
+        return contentOf(scope, receiver);
       }
-      const known = contentByScope.get(scope) ?? content(scope, receiver);
-      contentByScope.set(scope, known);
-      return known;
+      const content = contentByScope.get(scope) ?? contentOf(scope, receiver);
+      contentByScope.set(scope, content);
+      return content;
     }
 
     const isActiveRelayAlive =
       activeRelay !== undefined && isAlive(activeRelay);
     for (const [peer, scope] of targets) {
-      // A second active relay would double the traffic.
+      // While the active relay is alive, its standby sends no aggregates: they
+      // would double the traffic.
       if (isActiveRelayAlive && scope !== 'own') {
         continue;
       }
-      if (ticks % STANDBY_INTERVAL_TICKS !== 0 && isStandby(peer, ownRelays)) {
+      if (
+        tickCount % STANDBY_INTERVAL_TICKS !== 0 &&
+        isStandby(peer, ownRelays)
+      ) {
         continue;
       }
       const echo = contacts.get(peer)?.stamp;
       network.send(peer, 'digest', {
-        ...contentFor(scope, peer),
+        ...cachedContentFor(scope, peer),
         ...self,
         upMs: stamp - startedAt,
         scope,
@@ -132,41 +158,43 @@
   }
 
   function isAlive(peer: string): boolean {
-    const last = contacts.get(peer);
+    const contact = contacts.get(peer);
     return (
-      last !== undefined && clock.now() - last.receivedAt < PEER_TIMEOUT_MS
+      contact !== undefined &&
+      clock.now() - contact.receivedAt < PEER_TIMEOUT_MS
     );
   }
 
   function dropOldStamps(now: number): void {
-    for (const stamp of wallAtStamp.keys()) {
+    for (const stamp of wallMsByStamp.keys()) {
       if (now - stamp < PEER_TIMEOUT_MS * 4) {
         return;
       }
-      wallAtStamp.delete(stamp);
+      wallMsByStamp.delete(stamp);
     }
   }
 
   /**
-   * Returns the local stamp that the sender echoed, a lower bound of the send
-   * time: a digest may have been delayed for seconds and must not appear newer
-   * than it is.
+   * Returns the local stamp that the sender echoed, which is a lower bound of
+   * the time at which the digest was sent: a digest may have been delayed for
+   * seconds and must not appear newer than it is. Undefined if the digest
+   * echoes no stamp, or a stamp that is no longer stored.
    */
-  function sentAfter({echo}: Digest): Timestamp | undefined {
-    const wallMs = echo === undefined ? undefined : wallAtStamp.get(echo);
+  function echoedTimestamp({echo}: Digest): Timestamp | undefined {
+    const wallMs = echo === undefined ? undefined : wallMsByStamp.get(echo);
     if (echo === undefined || wallMs === undefined) {
       return undefined;
     }
     return {monotonicMs: echo, wallMs};
   }
 
-  function receive(peer: string, digest: Digest): void {
+  function receiveDigest(peer: string, digest: Digest): void {
     contacts.set(peer, {
       receivedAt: clock.now(),
       stamp: digest.stamp,
       wallOffsetMs: digest.wallMs - clock.wall(),
     });
-    options.onDidReceive(peer, digest, sentAfter(digest));
+    options.onDidReceive(peer, digest, echoedTimestamp(digest));
   }
 
   function liveContacts(): [string, PeerContact][] {
@@ -175,8 +203,8 @@
     );
   }
 
-  disposables.add(network.onDidReceive('digest', receive));
-  disposables.add(every(clock, DIGEST_INTERVAL_MS, send));
+  disposables.add(network.onDidReceive('digest', receiveDigest));
+  disposables.add(every(clock, DIGEST_INTERVAL_MS, sendDigests));
   return {
     commonWallMs() {
       const offsets = [
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -1,4 +1,4 @@
-/** The registered endpoints, kept in sync with the mirrored registrations. */
+/** The registered endpoints, updated from the mirrored registrations. */
 import {emitter, type Event, type Logger} from '@skylarkfield/base';
 import type {Candidate, Router} from '@skylarkfield/routing';
 import {
@@ -13,22 +13,27 @@
 export type VersionGroup = 'incumbent' | 'candidate';
 
 export interface EndpointDirectory {
-  /** Looks up an endpoint by its key in the router. */
+  /** Returns an endpoint by its router key. */
   get(key: string): RegisteredEndpoint | undefined;
-  /** All registered endpoints of a service, draining ones included. */
-  forService(service: string): readonly RegisteredEndpoint[];
-  /** Endpoints that accept new requests. */
-  ready(service: string, group: VersionGroup): readonly RegisteredEndpoint[];
-  /** Applies the current registrations to the router and the upstreams. */
+  /** Returns all endpoints of a service, including draining endpoints. */
+  endpointsOf(service: string): readonly RegisteredEndpoint[];
+  /** Returns the endpoints of a version group that accept new requests. */
+  readyEndpoints(
+    service: string,
+    group: VersionGroup,
+  ): readonly RegisteredEndpoint[];
+  /**
+   * Applies the current registrations to the router and the connection pools.
+   */
   refresh(): void;
-  /** Fires with the key of an endpoint that starts to drain or is removed. */
+  /** Fires with the router key when an endpoint drains or is removed. */
   readonly onDidLeave: Event<string>;
-  /** Fires with the key of an endpoint that is removed without draining. */
+  /** Fires with the router key of an endpoint removed without draining. */
   readonly onDidVanish: Event<string>;
 }
 
 /**
- * Creates the directory over the mirrored registrations.
+ * Creates the directory of the mirrored registrations.
  *
  * @example
  * const directory = createEndpointDirectory({endpoints, rollouts, router,
@@ -45,13 +50,14 @@
   isModel(service: string): boolean;
 }): EndpointDirectory {
   const {endpoints, rollouts, router, upstreams, log} = options;
-  const leaving = emitter<string>();
-  const vanished = emitter<string>();
-  let byKey = new Map<string, RegisteredEndpoint>();
+  const leaveEmitter = emitter<string>();
+  const vanishEmitter = emitter<string>();
+  let endpointsByKey = new Map<string, RegisteredEndpoint>();
 
   /**
-   * Versions that receive requests only through a rollout. Includes rolled back
-   * ones, whose endpoints remain for some seconds.
+   * Returns the versions of a service that receive requests only through a
+   * rollout. These include rolled-back versions, whose endpoints remain for
+   * some seconds.
    */
   function rolloutTargets(service: string): string[] {
     return rollouts
@@ -79,34 +85,42 @@
   }
 
   return {
-    get: key => byKey.get(key),
-    forService: service =>
-      [...byKey.values()].filter(endpoint => endpoint.service === service),
-    ready: (service, group) =>
-      [...byKey.values()].filter(
+    get: key => endpointsByKey.get(key),
+    endpointsOf: service =>
+      [...endpointsByKey.values()].filter(
+        endpoint => endpoint.service === service,
+      ),
+    readyEndpoints: (service, group) =>
+      [...endpointsByKey.values()].filter(
         endpoint =>
           endpoint.service === service &&
           endpoint.state === 'ready' &&
           groupOf(endpoint) === group,
       ),
-    onDidLeave: leaving.event,
-    onDidVanish: vanished.event,
+    onDidLeave: leaveEmitter.event,
+    onDidVanish: vanishEmitter.event,
     refresh() {
-      const present = endpoints.items().map(({value}) => value);
-      const before = byKey;
-      byKey = new Map(present.map(endpoint => [keyOf(endpoint), endpoint]));
-      const usable = present.filter(({state}) => state === 'ready');
-      router.setEndpoints(usable.map(toCandidate));
-      upstreams.retainOnly(new Set(present.map(({address}) => address)));
-      recordChanges(before);
+      const registeredEndpoints = endpoints.items().map(({value}) => value);
+      const previousByKey = endpointsByKey;
+      endpointsByKey = new Map(
+        registeredEndpoints.map(endpoint => [keyOf(endpoint), endpoint]),
+      );
+      const readyEndpoints = registeredEndpoints.filter(
+        ({state}) => state === 'ready',
+      );
+      router.setEndpoints(readyEndpoints.map(toCandidate));
+      upstreams.retainOnly(
+        new Set(registeredEndpoints.map(({address}) => address)),
+      );
+      reportChanges(previousByKey);
     },
   };
 
-  function recordChanges(
-    before: ReadonlyMap<string, RegisteredEndpoint>,
+  function reportChanges(
+    previousByKey: ReadonlyMap<string, RegisteredEndpoint>,
   ): void {
-    for (const [key, endpoint] of byKey) {
-      if (before.get(key)?.state !== endpoint.state) {
+    for (const [key, endpoint] of endpointsByKey) {
+      if (previousByKey.get(key)?.state !== endpoint.state) {
         const {service, state, failureDomain, version, isReclaimable} =
           endpoint;
         log.info(
@@ -121,16 +135,16 @@
           'endpoint state changed',
         );
         if (state === 'draining') {
-          leaving.fire(key);
+          leaveEmitter.fire(key);
         }
       }
     }
-    for (const [key, {state}] of before) {
-      if (!byKey.has(key)) {
+    for (const [key, {state}] of previousByKey) {
+      if (!endpointsByKey.has(key)) {
         log.info({endpoint: key}, 'endpoint no longer registered');
-        leaving.fire(key);
+        leaveEmitter.fire(key);
         if (state === 'ready') {
-          vanished.fire(key);
+          vanishEmitter.fire(key);
         }
       }
     }
@@ -138,8 +152,9 @@
 }
 
 /**
- * Returns a key with the start time: a process that restarts under its old id
- * has an empty cache, and the router must not expect the earlier cache.
+ * Returns the router key of an endpoint. It contains the start time: a process
+ * that restarts under its old id has an empty cache, and the router must not
+ * expect the cache of the earlier process.
  */
 function keyOf({id, bornAt}: RegisteredEndpoint): string {
   return `${id}@${bornAt}`;
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -2,8 +2,8 @@
  * Persists the measured capacity of engines in the platform's store.
  *
  * If all entries lose power at once, no peer has the measurements. Callers
- * return at once, and until enough of them are served, scaling and routing
- * would use prior estimates only.
+ * return as soon as power does, and until enough of their requests have been
+ * served, scaling and routing would use prior estimates only.
  */
 import {
   every,
@@ -20,27 +20,30 @@
 import type {ObjectStore} from '@skylarkfield/providers';
 import * as z from 'zod';
 
-/** Kind and name of the object. */
+/** Kind and name of the stored object. */
 const OBJECT_KIND = 'engine-capacity';
 const OBJECT_NAME = 'learned';
 
 /**
- * Interval at which the duty's holder writes, in milliseconds: measurements
- * change slowly, and each call is billed.
+ * Interval at which the holder of the cluster duty writes the measurements, in
+ * milliseconds: they change slowly, and each call is billed.
  */
 const WRITE_INTERVAL_MS = 10_000;
 
 /**
- * Delay before a failed read is retried, in milliseconds, and the maximum
- * number of reads: peers soon have better data.
+ * Delay before a failed read is retried, in milliseconds, and maximum number of
+ * reads. After a few seconds, peers have better data than the store.
  */
 const READ_RETRY_MS = 1_500;
 const MAX_READS = 4;
 
-/** Timeout of one call, in milliseconds. */
+/** Timeout of one write, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_000;
 
-/** Weight of restored measurements, which may be outdated. */
+/**
+ * Weight of restored measurements relative to current measurements, since
+ * restored ones may be outdated.
+ */
 const RESTORED_WEIGHT = 0.5;
 
 const regressionSchema = z.object({
@@ -68,14 +71,17 @@
 );
 
 export interface EngineCapacityStore extends Disposable {
-  /** Returns the restored measurements, decayed by age; initially empty. */
-  restored(): CapacityStats;
+  /**
+   * Returns the restored measurements, decayed by their time since the restore;
+   * empty until they have been read.
+   */
+  restoredStats(): CapacityStats;
   /** Writes the measurements periodically until disposed. */
   startPersisting(stats: () => CapacityStats): Disposable;
 }
 
 /**
- * Creates the store and starts to read.
+ * Creates the store, and starts to read the persisted measurements.
  *
  * @example
  * const engineStore = createEngineCapacityStore({store, clock, log});
@@ -86,12 +92,12 @@
   readonly log: Logger;
 }): EngineCapacityStore {
   const {store, clock, log} = options;
-  let stored: {at: number; stats: CapacityStats} | undefined;
-  let readings = 0;
+  let restoredCapacity: {restoredAt: number; stats: CapacityStats} | undefined;
+  let readCount = 0;
   let isDisposed = false;
 
   async function read(): Promise<void> {
-    readings += 1;
+    readCount += 1;
     try {
       const object = await store.get<unknown>(
         OBJECT_KIND,
@@ -106,17 +112,20 @@
         capacitySchema.parse(object.value),
         RESTORED_WEIGHT,
       );
-      stored = {at: clock.now(), stats};
+      restoredCapacity = {restoredAt: clock.now(), stats};
       log.info({services: Object.keys(stats)}, 'engine capacity restored');
     } catch (error) {
       const {kind, message} = toServingError(error);
-      log.warn({kind, message, readings}, 'restoring engine capacity failed');
+      log.warn(
+        {kind, message, readings: readCount},
+        'restoring engine capacity failed',
+      );
       scheduleRetry();
     }
   }
 
   function scheduleRetry(): void {
-    if (readings < MAX_READS) {
+    if (readCount < MAX_READS) {
       clock.after(READ_RETRY_MS, () => {
         if (!isDisposed) {
           void read();
@@ -145,13 +154,13 @@
 
   void read();
   return {
-    restored() {
-      if (stored === undefined) {
+    restoredStats() {
+      if (restoredCapacity === undefined) {
         return {};
       }
-      const ageMs = clock.now() - stored.at;
+      const ageMs = clock.now() - restoredCapacity.restoredAt;
       return scaleCapacityStats(
-        stored.stats,
+        restoredCapacity.stats,
         2 ** (-ageMs / SAMPLE_HALF_LIFE_MS),
       );
     },
--- a/packages/gateway/src/engineEstimates.ts
+++ b/packages/gateway/src/engineEstimates.ts
@@ -26,40 +26,58 @@
 import type {PeerReports} from './peerReports.js';
 
 export interface EngineEstimates {
+  /** Measurements of engine speed by this entry. */
   readonly model: EngineModel;
+  /** Counts of requests and late requests of this entry. */
   readonly outcomes: OutcomeMeter;
+  /** Work rate of the requests that this entry accepts. */
   readonly work: WorkMeter;
   estimateFor(service: string): EngineEstimate;
-  /** Returns the work rate of a service over all entries. */
+  /** Returns the work rate of a service, summed over all entries. */
   workRate(service: string): WorkRate;
-  /** Returns the demand for a service, and the fraction served late. */
+  /**
+   * Returns the demand for a service over all entries, and the fraction of its
+   * requests served late.
+   */
   demandSignals(service: string): Omit<DemandSignals, 'present'>;
   /** Returns the routing weights; undefined for a plain service. */
   routeWeights(service: string): Partial<RouteWeights> | undefined;
-  /** Returns this entry's observations; undefined if published recently. */
+  /**
+   * Returns this entry's measurements to publish; undefined if they were
+   * published within the publishing interval.
+   */
   unpublishedCapacity(): CapacityStats | undefined;
-  /** Returns the observations of all entries. */
+  /** Returns the measurements of all entries combined. */
   fleetCapacity(): CapacityStats;
   dump(): unknown;
 }
 
-/** Interval at which the estimates are recomputed, in milliseconds. */
+/** Age at which an estimate is recomputed, in milliseconds. */
 const REFRESH_INTERVAL_MS = 1_000;
 
-/** Interval of publishing observations, in milliseconds: they change slowly. */
+/** Interval of publishing measurements, in milliseconds: they change slowly. */
 const PUBLISH_INTERVAL_MS = 1_000;
 
-/** Minimum relative change of the typical prompt's time that is logged. */
-const LOGGED_CHANGE = 0.25;
+/**
+ * Minimum relative change of the processing time of a typical prompt at which
+ * the estimate is logged again.
+ */
+const MIN_LOGGED_CHANGE = 0.25;
 
-/** Affinity of a prefix, as a multiple of the typical prompt's time. */
-const AFFINITY_PROMPTS = 1.5;
+/**
+ * Routing bonus for the endpoint preferred by prefix affinity, as a multiple of
+ * the processing time of a typical prompt.
+ */
+const AFFINITY_MULTIPLE = 1.5;
 
-/** Cost factor of recomputing a prefix, which delays concurrent responses. */
-const REREAD_WEIGHT = 4;
+/**
+ * Factor on the routing cost of uncached tokens: recomputing a prefix also
+ * delays the engine's concurrent responses.
+ */
+const RECOMPUTE_WEIGHT = 4;
 
 interface CachedEstimate {
-  readonly at: number;
+  readonly computedAt: number;
   readonly estimate: EngineEstimate;
   readonly weights: Partial<RouteWeights>;
 }
@@ -69,13 +87,13 @@
  *
  * @example
  * const engineEstimates = createEngineEstimates({clock, reports, log,
- *   restored: store.restored, isModel, latencyTargets});
+ *   restored: store.restoredStats, isModel, latencyTargets});
  */
 export function createEngineEstimates(options: {
   readonly clock: Clock;
   readonly reports: PeerReports;
   readonly log: Logger;
-  /** Observations from before all entries were lost, decayed by age. */
+  /** Returns measurements from before all entries were lost, decayed by age. */
   restored(): CapacityStats;
   isModel(service: string): boolean;
   latencyTargets(service: string): readonly LatencyTargets[];
@@ -85,7 +103,7 @@
   const outcomes = createOutcomeMeter(clock);
   const work = createWorkMeter(clock);
   const cache = new Map<string, CachedEstimate>();
-  const logged = new Map<string, EngineEstimate>();
+  const loggedEstimates = new Map<string, EngineEstimate>();
   let publishedAt = -Infinity;
 
   function fleetCapacity(): CapacityStats {
@@ -93,44 +111,52 @@
   }
 
   function computeEstimate(service: string): CachedEstimate {
-    const all = addCapacityStats([fleetCapacity(), options.restored()]);
+    const allStats = addCapacityStats([fleetCapacity(), options.restored()]);
     const estimate = estimateEngine(
-      all[service],
+      allStats[service],
       options.latencyTargets(service),
     );
     return {
-      at: clock.now(),
+      computedAt: clock.now(),
       estimate,
       weights: routeWeightsFor(estimate),
     };
   }
 
   function cachedEstimate(service: string): CachedEstimate {
-    const last = cache.get(service);
-    if (last !== undefined && clock.now() - last.at < REFRESH_INTERVAL_MS) {
-      return last;
+    const cachedResult = cache.get(service);
+    if (
+      cachedResult !== undefined &&
+      clock.now() - cachedResult.computedAt < REFRESH_INTERVAL_MS
+    ) {
+      return cachedResult;
     }
-    const fresh = computeEstimate(service);
-    cache.set(service, fresh);
-    logChange(service, fresh.estimate);
-    return fresh;
+    const newResult = computeEstimate(service);
+    cache.set(service, newResult);
+    logChange(service, newResult.estimate);
+    return newResult;
   }
 
-  /** Logs an estimate that is new or differs enough from the last logged. */
+  /**
+   * Logs an estimate that is new or differs enough from the last logged
+   * estimate.
+   */
   function logChange(service: string, estimate: EngineEstimate): void {
-    const last = logged.get(service);
-    const ratio = last ? estimate.usualPromptMs / last.usualPromptMs : Infinity;
-    const isSimilar = Math.abs(ratio - 1) < LOGGED_CHANGE;
-    if (isSimilar && estimate.isSure === last?.isSure) {
+    const lastLogged = loggedEstimates.get(service);
+    const ratio = lastLogged
+      ? estimate.usualPromptMs / lastLogged.usualPromptMs
+      : Infinity;
+    const isSimilar = Math.abs(ratio - 1) < MIN_LOGGED_CHANGE;
+    if (isSimilar && estimate.isSure === lastLogged?.isSure) {
       return;
     }
-    logged.set(service, estimate);
+    loggedEstimates.set(service, estimate);
     log.info({service, ...estimate}, 'engine estimate updated');
   }
 
   function workRate(service: string): WorkRate {
-    const own = work.rates()[service] ?? ZERO_WORK;
-    return addWork(own, reports.workOf(service));
+    const ownRate = work.rates()[service] ?? ZERO_WORK;
+    return addWork(ownRate, reports.workOf(service));
   }
 
   function lateFraction(service: string): number {
@@ -182,9 +208,9 @@
   return {
     knownMsPerToken: usualTokenMs,
     recomputedTokenShare: Math.min(1, estimate.rereadTokenMs / usualTokenMs),
-    uncachedTokenWeight: REREAD_WEIGHT,
+    uncachedTokenWeight: RECOMPUTE_WEIGHT,
     perRequestMs: estimate.requestStepMs * usualAnswerTokens,
     perContextTokenMs: (estimate.contextStepMs * usualAnswerTokens) / 1_000,
-    affinityMs: usualPromptMs * AFFINITY_PROMPTS,
+    affinityMs: usualPromptMs * AFFINITY_MULTIPLE,
   };
 }
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -1,4 +1,4 @@
-/** Observes the speed of engines, per attempt. */
+/** Measures the speed of engines from the attempts of model requests. */
 import type {EngineEstimate, EngineModel} from '@skylarkfield/capacity';
 import type {Clock} from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
@@ -16,28 +16,37 @@
 
 /** Observes one attempt of a model request. */
 export interface AttemptObserver {
-  /** Returns a sink that also records the events. */
+  /** Returns a sink that also measures the intervals of the events. */
   wrap(sink: EventSink): EventSink;
+  /** Records that the first event has arrived. */
   recordBegin(): void;
+  /** Records that the attempt has ended. */
   recordEnd(): void;
 }
 
 /** Expected queueing delay of a request. */
 export interface ExpectedWait {
+  /** Expected delay, in milliseconds. */
   readonly ms: number;
-  /** Maximum delay at which the response is still useful. */
+  /** Maximum delay at which the response is still useful, in milliseconds. */
   readonly longestMs: number;
   readonly isTooLong: boolean;
 }
 
 export interface EngineObserver {
-  /** Returns the delay at an endpoint; `leftMs` is the time to the deadline. */
+  /**
+   * Returns the queueing delay to expect at the chosen endpoint; `leftMs` is
+   * the time until the call's deadline, in milliseconds.
+   */
   expectedWait(
     call: ObservedCall,
     choice: Choice,
     leftMs: number,
   ): ExpectedWait;
-  /** `isFresh` is false for a resumed request: little prompt is processed. */
+  /**
+   * Starts to observe an attempt. `isFresh` is false for a resumed request, of
+   * which the endpoint processes only little prompt.
+   */
   observe(
     call: ObservedCall,
     choice: Choice,
@@ -51,15 +60,19 @@
   recordEnd() {},
 };
 
-/** Minimum events of a response for measuring its steps. */
+/**
+ * Minimum number of events of a response from which step times are measured.
+ */
 const MIN_EVENTS = 3;
 
-/** Used when no delay can be estimated. */
+/**
+ * Wait of plain requests, and of all requests before the estimate is reliable.
+ */
 const NO_WAIT: ExpectedWait = {ms: 0, longestMs: Infinity, isTooLong: false};
 
 /**
- * Maximum fraction of a request's remaining time spent queueing, since the
- * response takes time as well.
+ * Maximum queueing delay as a fraction of the time until a request's deadline,
+ * since the response takes time as well.
  */
 const MAX_WAIT_FRACTION = 0.6;
 
@@ -77,14 +90,17 @@
   fits(service: string, demand: ModelDemand): boolean;
   /** Tokens per event of the service's streams. */
   tokensPerEvent(service: string): number;
-  /** Called with the shared prompt tokens that are likely computed again. */
+  /**
+   * Called with the number of shared prompt tokens that are probably computed
+   * again, since the endpoint has not cached them.
+   */
   onDidReread(service: string, tokens: number): void;
 }): EngineObserver {
   const {model, clock} = options;
   return {
     expectedWait({head, service}, {tokensAhead}, leftMs) {
       const estimate = options.estimateFor(service);
-      // An unreliable estimate could reject callers wrongly.
+      // An unreliable estimate could cause callers to be rejected wrongly.
       if (head.demand === undefined || !estimate.isSure) {
         return NO_WAIT;
       }
--- a/packages/gateway/src/eventFramer.ts
+++ b/packages/gateway/src/eventFramer.ts
@@ -3,18 +3,20 @@
  *
  * An endpoint may fail in the middle of an event. If the partial event were
  * passed on, the caller would read it and the first event of the resumed stream
- * as one, so only complete events are passed on.
+ * as a single event, so only complete events are passed on.
  */
 
-/** One event with its raw bytes, the terminating empty line included. */
+/** One event with its raw bytes, including the terminating empty line. */
 export interface EventFrame {
   readonly bytes: Buffer;
-  /** Undefined for an event without an id, such as a comment. */
+  /**
+   * Id of the event; undefined for an event without an id, such as a comment.
+   */
   readonly id: number | undefined;
 }
 
 export interface EventFramer {
-  /** Returns the events that the chunk completes. */
+  /** Appends a chunk and returns the events that it completes. */
   push(chunk: Buffer): EventFrame[];
   /** Returns the bytes of the incomplete last event. */
   remainder(): Buffer;
@@ -30,43 +32,44 @@
  * for (const frame of framer.push(chunk)) { response.write(frame.bytes); }
  */
 export function createEventFramer(): EventFramer {
-  let pending: Buffer = Buffer.alloc(0);
+  let buffered: Buffer = Buffer.alloc(0);
   return {
     push(chunk) {
-      pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
+      buffered =
+        buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
       const frames: EventFrame[] = [];
-      let end = endOfEvent(pending);
-      while (end > 0) {
-        const bytes = pending.subarray(0, end);
-        frames.push({bytes, id: eventId(bytes)});
-        pending = pending.subarray(end);
-        end = endOfEvent(pending);
+      let eventEnd = findEventEnd(buffered);
+      while (eventEnd > 0) {
+        const bytes = buffered.subarray(0, eventEnd);
+        frames.push({bytes, id: parseEventId(bytes)});
+        buffered = buffered.subarray(eventEnd);
+        eventEnd = findEventEnd(buffered);
       }
       return frames;
     },
-    remainder: () => pending,
+    remainder: () => buffered,
   };
 }
 
-/** Returns the position after the first empty line; 0 if there is none yet. */
-function endOfEvent(bytes: Buffer): number {
-  let at = bytes.indexOf(LINE_FEED);
-  while (at >= 0) {
-    let next = at + 1;
-    if (bytes[next] === CARRIAGE_RETURN) {
-      next += 1;
+/** Returns the position after the first empty line; 0 if there is none. */
+function findEventEnd(bytes: Buffer): number {
+  let lineFeedIndex = bytes.indexOf(LINE_FEED);
+  while (lineFeedIndex >= 0) {
+    let nextIndex = lineFeedIndex + 1;
+    if (bytes[nextIndex] === CARRIAGE_RETURN) {
+      nextIndex += 1;
     }
-    if (bytes[next] === LINE_FEED) {
-      return next + 1;
+    if (bytes[nextIndex] === LINE_FEED) {
+      return nextIndex + 1;
     }
-    at = bytes.indexOf(LINE_FEED, at + 1);
+    lineFeedIndex = bytes.indexOf(LINE_FEED, lineFeedIndex + 1);
   }
   return 0;
 }
 
 const ID_LINE = /^id: ?(\d+)\s*$/m;
 
-function eventId(bytes: Buffer): number | undefined {
-  const found = ID_LINE.exec(bytes.toString('latin1'));
-  return found === null ? undefined : Number(found[1]);
+function parseEventId(bytes: Buffer): number | undefined {
+  const match = ID_LINE.exec(bytes.toString('latin1'));
+  return match === null ? undefined : Number(match[1]);
 }
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -25,26 +25,28 @@
 } from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
-/** Planning interval, in milliseconds. */
+/** Interval of planning the endpoints of all services, in milliseconds. */
 const PLAN_INTERVAL_MS = 500;
 
 /** Time after which an unfulfilled order is issued again, in milliseconds. */
 const ORDER_TIMEOUT_MS = 6_000;
 
-/** Interval of probing for reclaimable capacity, in milliseconds. */
+/** Interval of probing a scarce failure domain again, in milliseconds. */
 const SCARCE_RETRY_INTERVAL_MS = 3_000;
 
 /**
- * Time after taking the duty without scaling down, in milliseconds: at a
- * system's start, its endpoints register over some seconds.
+ * Time after the start of a term during which no endpoints are removed, in
+ * milliseconds: when the whole system starts, its endpoints register over some
+ * seconds.
  */
 const SCALE_DOWN_DELAY_MS = 5_000;
 
-/** Timeout of one call, in milliseconds. */
+/** Timeout of one endpoint order, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_500;
 
-type Market = keyof DomainFleet;
+type MarketName = keyof DomainFleet;
 
+/** The last order in one market of a failure domain. */
 interface IssuedOrder {
   readonly count: number;
   readonly issuedAt: number;
@@ -56,14 +58,17 @@
   readonly orders: PlatformOrders;
   readonly directory: EndpointDirectory;
   services(): readonly ServiceConfig[];
-  /** Demand for a service over all entries, and the fraction served late. */
+  /**
+   * Returns the demand for a service over all entries, and the fraction of its
+   * requests served late.
+   */
   demandSignals(service: string): Omit<DemandSignals, 'present'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
 
 /**
- * Starts to issue orders for the duration of the term.
+ * Plans and orders endpoints until disposed, while the term is valid.
  *
  * @example
  * dutyElections.compete('fleet', term => startFleetDuty({term, ...rest}));
@@ -71,19 +76,22 @@
 export function startFleetDuty(options: FleetDutyOptions): Disposable {
   const {term, orders, directory, clock, log} = options;
   const issuedOrders = new Map<string, IssuedOrder>();
-  /** Next probe time by `service/domain` without reclaimable capacity. */
+  /**
+   * Time of the next probe for each `service/domain` without reclaimable
+   * capacity, in monotonic milliseconds.
+   */
   const scarceRetryAt = new Map<string, number>();
   const estimators = new Map<string, DemandEstimator>();
   const startedAt = clock.now();
-  let isBusy = false;
+  let isScaling = false;
 
-  function readyInMarket(
+  function countReadyInMarket(
     service: string,
     domain: string,
-    market: Market,
+    market: MarketName,
   ): number {
     return directory
-      .forService(service)
+      .endpointsOf(service)
       .filter(
         endpoint =>
           endpoint.state === 'ready' &&
@@ -92,17 +100,17 @@
       ).length;
   }
 
-  function readyCount(service: string): number {
-    return directory.forService(service).filter(({state}) => state === 'ready')
+  function countReady(service: string): number {
+    return directory.endpointsOf(service).filter(({state}) => state === 'ready')
       .length;
   }
 
   /**
-   * Draining reclaimable endpoints indicate that their failure domain is being
-   * reclaimed.
+   * Marks failure domains with draining reclaimable endpoints as scarce: such
+   * endpoints indicate that capacity is being reclaimed there.
    */
   function recordReclaims(service: string): void {
-    for (const endpoint of directory.forService(service)) {
+    for (const endpoint of directory.endpointsOf(service)) {
       if (endpoint.isReclaimable && endpoint.state === 'draining') {
         markScarce(service, endpoint.failureDomain);
       }
@@ -110,15 +118,18 @@
   }
 
   function markScarce(service: string, domain: string): void {
-    const at = clock.now() + SCARCE_RETRY_INTERVAL_MS;
-    scarceRetryAt.set(`${service}/${domain}`, at);
+    const retryAt = clock.now() + SCARCE_RETRY_INTERVAL_MS;
+    scarceRetryAt.set(`${service}/${domain}`, retryAt);
   }
 
   function scarceDomains(service: string, domains: readonly string[]) {
     return new Map(
       domains
         .filter(domain => scarceRetryAt.has(`${service}/${domain}`))
-        .map(domain => [domain, readyInMarket(service, domain, 'reclaimable')]),
+        .map(domain => [
+          domain,
+          countReadyInMarket(service, domain, 'reclaimable'),
+        ]),
     );
   }
 
@@ -128,35 +139,36 @@
   ): EndpointNeed {
     const estimator = estimators.get(service) ?? createDemandEstimator(clock);
     estimators.set(service, estimator);
-    return estimator.update({...signals, present: readyCount(service)});
+    return estimator.update({...signals, present: countReady(service)});
   }
 
   /**
-   * Number of endpoints that may be removed: those ready beyond the need, since
-   * a replacement takes seconds to start.
+   * Returns the number of endpoints that may be removed. Only ready endpoints
+   * beyond the needed number are removed, since a replacement takes seconds to
+   * start.
    */
-  function surplusLimit(service: string, needed: number): number {
+  function maxRemovalsOf(service: string, neededCount: number): number {
     if (clock.now() - startedAt < SCALE_DOWN_DELAY_MS) {
       return 0;
     }
-    return Math.max(0, readyCount(service) - needed);
+    return Math.max(0, countReady(service) - neededCount);
   }
 
-  /** Returns the next count to order in a market, towards the planned one. */
+  /** Returns the next count to order in a market, towards the planned count. */
   function nextCount(
     plannedCount: number,
-    currentCount: number,
+    readyCount: number,
     otherMarketCount: number,
     maxEndpoints: number,
-    surplus: number,
+    maxRemovals: number,
   ): number {
-    if (currentCount > plannedCount) {
-      return Math.max(plannedCount, currentCount - surplus);
+    if (readyCount > plannedCount) {
+      return Math.max(plannedCount, readyCount - maxRemovals);
     }
-    // The limit covers both markets; the platform truncates an order beyond it
-    // without an error.
+    // The maximum covers both markets together; the platform reduces an order
+    // beyond the maximum without an error.
     return Math.max(
-      currentCount,
+      readyCount,
       Math.min(plannedCount, maxEndpoints - otherMarketCount),
     );
   }
@@ -169,34 +181,39 @@
     );
   }
 
+  /** Returns the orders to issue now for a service to approach the plan. */
   function ordersFor(
     service: string,
     plan: FleetPlan,
     maxEndpoints: number,
-    needed: number,
+    neededCount: number,
   ) {
     const newOrders: EndpointOrder[] = [];
-    let surplus = surplusLimit(service, needed);
+    let removalsLeft = maxRemovalsOf(service, neededCount);
     for (const [failureDomain, fleet] of Object.entries(plan)) {
       for (const market of ['reclaimable', 'onDemand'] as const) {
-        const other = market === 'onDemand' ? 'reclaimable' : 'onDemand';
+        const otherMarket = market === 'onDemand' ? 'reclaimable' : 'onDemand';
         const key = `${service}/${failureDomain}/${market}`;
-        const currentCount = readyInMarket(service, failureDomain, market);
-        const otherMarketCount = readyInMarket(service, failureDomain, other);
+        const readyCount = countReadyInMarket(service, failureDomain, market);
+        const otherMarketCount = countReadyInMarket(
+          service,
+          failureDomain,
+          otherMarket,
+        );
         const count = nextCount(
           fleet[market],
-          currentCount,
+          readyCount,
           otherMarketCount,
           maxEndpoints,
-          surplus,
+          removalsLeft,
         );
         const lastOrder = issuedOrders.get(key);
         const isSettled =
-          currentCount === count && (lastOrder?.count ?? count) === count;
+          readyCount === count && (lastOrder?.count ?? count) === count;
         if (isSettled || isPending(key, count)) {
           continue;
         }
-        surplus -= Math.max(0, currentCount - count);
+        removalsLeft -= Math.max(0, readyCount - count);
         newOrders.push({
           service,
           failureDomain,
@@ -211,7 +228,7 @@
   async function issueOrder(
     order: EndpointOrder,
   ): Promise<EndpointOrderResult> {
-    const market: Market = order.isReclaimable ? 'reclaimable' : 'onDemand';
+    const market: MarketName = order.isReclaimable ? 'reclaimable' : 'onDemand';
     const key = `${order.service}/${order.failureDomain}/${market}`;
     if (!term.isValid()) {
       return 'failed';
@@ -233,33 +250,38 @@
   }
 
   /**
-   * Periodically orders one more endpoint in scarce failure domains. If the
-   * plan used them again after a fixed time, it would remove on-demand
-   * endpoints for reclaimable ones that are not available.
+   * Orders one more reclaimable endpoint in each scarce failure domain whose
+   * probe is due. If the plan used such a domain again after a fixed time
+   * instead, it would replace on-demand endpoints by reclaimable endpoints that
+   * are not available.
    */
   async function probeScarceDomains(
     service: string,
     {most}: FleetConfig,
   ): Promise<void> {
     for (const [key, retryAt] of scarceRetryAt) {
-      const [name, failureDomain = ''] = key.split('/');
-      const currentCount = readyInMarket(service, failureDomain, 'reclaimable');
-      const otherMarketCount = readyInMarket(
+      const [serviceOfKey, failureDomain = ''] = key.split('/');
+      const readyCount = countReadyInMarket(
+        service,
+        failureDomain,
+        'reclaimable',
+      );
+      const otherMarketCount = countReadyInMarket(
         service,
         failureDomain,
         'onDemand',
       );
-      if (name !== service || retryAt > clock.now()) {
+      if (serviceOfKey !== service || retryAt > clock.now()) {
         continue;
       }
-      if (currentCount + otherMarketCount >= most) {
+      if (readyCount + otherMarketCount >= most) {
         markScarce(service, failureDomain);
         continue;
       }
       const order = {
         service,
         failureDomain,
-        count: currentCount + 1,
+        count: readyCount + 1,
         isReclaimable: true,
       };
       if ((await issueOrder(order)) === 'accepted') {
@@ -268,8 +290,8 @@
     }
   }
 
-  async function planService({name, fleet}: ServiceConfig): Promise<void> {
-    if (fleet === undefined || directory.forService(name).length === 0) {
+  async function scaleService({name, fleet}: ServiceConfig): Promise<void> {
+    if (fleet === undefined || directory.endpointsOf(name).length === 0) {
       return;
     }
     recordReclaims(name);
@@ -290,22 +312,22 @@
     }
   }
 
-  async function planAll(): Promise<void> {
-    if (isBusy || !term.isValid()) {
+  async function scaleAllServices(): Promise<void> {
+    if (isScaling || !term.isValid()) {
       return;
     }
-    isBusy = true;
+    isScaling = true;
     try {
       for (const service of options.services()) {
-        await planService(service);
+        await scaleService(service);
       }
     } catch (error) {
       const {kind, message} = toServingError(error);
       log.warn({kind, message}, 'ordering endpoints failed');
     } finally {
-      isBusy = false;
+      isScaling = false;
     }
   }
 
-  return every(clock, PLAN_INTERVAL_MS, () => void planAll());
+  return every(clock, PLAN_INTERVAL_MS, () => void scaleAllServices());
 }
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -8,17 +8,17 @@
   Router,
 } from '@skylarkfield/routing';
 import {ownTokens, type Route} from '@skylarkfield/traffic';
-import {runAttempt, type AttemptEnd} from './attempt.js';
+import {runAttempt, type AttemptResult} from './attempt.js';
 import {
-  describeEnd,
+  describeResult,
   isServerError,
-  rateLimited,
+  rateLimitedError,
   mayHaveRun,
-  waitTooLong,
-  allDeclined,
+  waitTooLongError,
+  allDeclinedError,
   outcomeOf,
-  quarantined,
-  unavailable,
+  quarantinedError,
+  unavailableError,
   withRunState,
 } from './attemptOutcome.js';
 import type {CallerReply} from './callerReply.js';
@@ -43,11 +43,14 @@
   readonly path: string;
   readonly rawHeaders: readonly string[];
   readonly body: Buffer | undefined;
-  /** Identical for all attempts of the caller; computed on first use. */
+  /**
+   * Returns the crash fingerprint, identical for all attempts that the caller
+   * makes; computed on first use.
+   */
   fingerprint(): string;
   /** Keys of the prompt's shared parts; empty for a plain service. */
   readonly promptKeys: readonly string[];
-  /** Monotonic milliseconds. */
+  /** Deadline of the response, in monotonic milliseconds. */
   readonly deadlineAt: number;
   /** Aborted when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
@@ -60,14 +63,14 @@
    * Milliseconds from the start of forwarding to the first byte or event;
    * undefined if none arrived.
    */
-  readonly firstMs: number | undefined;
-  /** Endpoints that the call was sent to, in order. */
+  readonly firstByteMs: number | undefined;
+  /** Ids of the endpoints that the call was sent to, in order. */
   readonly endpoints: readonly string[];
-  /** Monotonic milliseconds of the first send; undefined if there was none. */
+  /** Monotonic milliseconds of the first send; undefined if never sent. */
   readonly firstSendAt?: number;
   /** Prompt tokens queued at the first endpoint before the call was sent. */
   readonly tokensAhead?: number;
-  /** Set if an endpoint closed its connection during the request. */
+  /** Crash fingerprint; set if an endpoint closed its connection. */
   readonly fingerprint?: string;
   /** Undefined if an endpoint's complete response was passed on. */
   readonly error: ServingError | undefined;
@@ -77,7 +80,7 @@
   forward(call: ForwardedCall, reply: CallerReply): Promise<ForwardingResult>;
 }
 
-/** The endpoint of an attempt, and the KV cache it resumes from. */
+/** The endpoint of an attempt, and the KV cache that it resumes from. */
 interface AttemptTarget {
   readonly choice: Choice;
   readonly kvCache?: Continuation['kvCache'];
@@ -101,7 +104,7 @@
   readonly format: CallFormat;
   readonly clock: Clock;
   readonly log: Logger;
-  /** Called with the wall-clock time at which a request started to run. */
+  /** Called once per call, with the wall-clock time at which the call ran. */
   onDidRun(customer: string | undefined, wallMs: number): void;
 }): Forwarding {
   const {
@@ -117,8 +120,14 @@
   const crashGuard = createCrashGuard(options);
   const rules = createRetryRules({admission: options.admission, clock});
 
-  /** Chooses an endpoint of the call's version group, else an incumbent. */
-  function choose(call: ForwardedCall, excluded: ReadonlySet<string>) {
+  /**
+   * Chooses an endpoint of the call's version group or, if none is available,
+   * an endpoint of the incumbent group.
+   */
+  function chooseEndpoint(
+    call: ForwardedCall,
+    excludedEndpoints: ReadonlySet<string>,
+  ) {
     const {demand} = call.head;
     const routingRequest = {
       service: call.service,
@@ -127,7 +136,7 @@
       promptTokens: demand?.promptTokens ?? 0,
       ...(demand && {ownTokens: ownTokens(demand)}),
       ...(call.urgency !== undefined && {urgency: call.urgency}),
-      excluded,
+      excluded: excludedEndpoints,
       isSuspected: crashGuard.isSuspected(call),
     };
     return (
@@ -136,25 +145,26 @@
     );
   }
 
-  async function attempt(
+  /** Runs one attempt at the target and records its outcome. */
+  async function tryTarget(
     call: ForwardedCall,
     reply: CallerReply,
     progress: Progress,
     {choice, kvCache}: AttemptTarget,
-  ): Promise<AttemptEnd> {
+  ): Promise<AttemptResult> {
     const endpoint = directory.get(choice.endpoint);
     if (endpoint === undefined) {
       choice.finish({outcome: 'unreachable', latencyMs: 0});
       return {
         type: 'failed',
-        error: unavailable(
+        error: unavailableError(
           call.service,
           'the chosen endpoint was just removed',
         ),
       };
     }
     progress.endpoints.push(endpoint.id);
-    progress.excluded.add(choice.endpoint);
+    progress.excludedEndpoints.add(choice.endpoint);
     progress.tokensAhead ??= choice.tokensAhead;
     const sentAt = clock.now();
     progress.firstSendAt ??= sentAt;
@@ -168,12 +178,12 @@
       endpoint: choice.endpoint,
       attemptId: call.attemptId,
       hasBegun: () => isStream && beganAt !== undefined,
-      choose: () =>
+      chooseEndpoint: () =>
         crashGuard.isQuarantined(call)
           ? undefined
-          : choose(call, progress.excluded),
+          : chooseEndpoint(call, progress.excludedEndpoints),
     });
-    const end = await runAttempt({
+    const result = await runAttempt({
       address: endpoint.address,
       request: {
         method: call.method,
@@ -204,7 +214,7 @@
       onDidBegin(head) {
         beganAt = clock.now();
         observer.recordBegin();
-        progress.firstMs ??= beganAt - progress.startedAt;
+        progress.firstByteMs ??= beganAt - progress.startedAt;
         choice.recordFirstToken();
         recordLoad(choice.endpoint, head);
         countRun(isStream ? clock.wall() : sentWallMs);
@@ -213,27 +223,28 @@
     watchedStream.dispose();
     progress.continuation = await watchedStream.continuation();
     const latencyMs = (beganAt ?? clock.now()) - sentAt;
-    // A migrated stream ended because its endpoint was ordered to stop it.
-    const outcome = progress.continuation ? 'ok' : outcomeOf(end);
+    // The endpoint stopped a migrated stream on request, so the end of the
+    // stream is not a failure of the endpoint.
+    const outcome = progress.continuation ? 'ok' : outcomeOf(result);
     choice.finish({outcome, latencyMs});
     observer.recordEnd();
-    if (end.type === 'failed' && end.loss === 'closed') {
+    if (result.type === 'failed' && result.loss === 'closed') {
       progress.fingerprint = call.fingerprint();
     }
     if (!watchedStream.isStopRequested()) {
-      crashGuard.recordAttemptEnd(call, choice.endpoint, end);
+      crashGuard.recordAttemptResult(call, choice.endpoint, result);
     }
-    if (mayHaveRun(end) && kvCache === undefined) {
+    if (mayHaveRun(result) && kvCache === undefined) {
       progress.runs += 1;
       if (!isStream) {
         countRun(sentWallMs);
       }
     }
-    return end;
+    return result;
 
     /**
-     * Counts a call once over all attempts. A stream counts as run at its first
-     * event, any other call at its send.
+     * Counts a call once over all its attempts. A stream counts as run at its
+     * first event, any other call at its first send that may have run.
      */
     function countRun(wallMs: number): void {
       if (!progress.isCounted) {
@@ -257,18 +268,21 @@
     });
   }
 
-  /** Returns the final result of the call, or undefined to retry. */
+  /**
+   * Responds to the caller and returns the final result of the call; returns
+   * undefined if the call is to be retried.
+   */
   function conclude(
     call: ForwardedCall,
     reply: CallerReply,
     progress: Progress,
-    end: AttemptEnd,
+    result: AttemptResult,
   ): {status: number; error?: ServingError} | undefined {
-    if (end.type === 'streamed') {
+    if (result.type === 'streamed') {
       return {status: 200};
     }
-    if (end.type === 'answered') {
-      const isFault = isServerError(end.status);
+    if (result.type === 'answered') {
+      const isFault = isServerError(result.status);
       if (isFault && !reply.hasBegun() && rules.mayRerun(call, progress)) {
         return undefined;
       }
@@ -278,27 +292,31 @@
           new ServingError('interrupted', 'the stream could not be resumed'),
         );
       }
-      reply.sendWhole(end.status, end.headers, end.body);
-      return {status: end.status};
+      reply.sendResponse(result.status, result.headers, result.body);
+      return {status: result.status};
     }
-    if (end.type === 'declined') {
+    if (result.type === 'declined') {
       if (rules.mayResend(call, progress)) {
         return undefined;
       }
       const {endpoints, runs} = progress;
-      const error = allDeclined(call.service, endpoints.length);
+      const error = allDeclinedError(call.service, endpoints.length);
       return respondWithError(reply, withRunState(error, runs));
     }
-    const hasRun = end.error.run === 'may-have-run';
+    const hasRun = result.error.run === 'may-have-run';
     const mayRetry = hasRun
       ? rules.mayRerun(call, progress)
       : rules.mayResend(call, progress);
     return mayRetry
       ? undefined
-      : respondWithError(reply, withRunState(end.error, progress.runs));
+      : respondWithError(reply, withRunState(result.error, progress.runs));
   }
 
-  function nextTarget(
+  /**
+   * Returns the migration target of the stream, or else a newly chosen
+   * endpoint; undefined if there is no endpoint to choose.
+   */
+  function chooseTarget(
     call: ForwardedCall,
     progress: Progress,
   ): AttemptTarget | undefined {
@@ -307,22 +325,23 @@
     if (continuation !== undefined) {
       return continuation;
     }
-    const choice = choose(call, progress.excluded);
+    const choice = chooseEndpoint(call, progress.excludedEndpoints);
     return choice && {choice};
   }
 
-  /** Returns the reason why no endpoint can be tried. */
+  /** Returns the error for a call that no endpoint can be chosen for. */
   function noEndpointError(service: string): ServingError {
     const waitMs = router.rateLimitWaitMs(service);
     return waitMs === undefined
-      ? unavailable(service, 'none is left to try')
-      : rateLimited(service, waitMs);
+      ? unavailableError(service, 'none is left to try')
+      : rateLimitedError(service, waitMs);
   }
 
   /**
-   * Rejects a request that has not run yet and cannot be answered before its
-   * deadline even at the best endpoint: the caller gets Retry-After early, and
-   * no capacity is wasted on it.
+   * Rejects a request that has not run yet and that even the best endpoint
+   * cannot answer before the deadline: the caller gets Retry-After early, and
+   * no capacity is wasted on the request. Returns the error to respond with;
+   * undefined to send the request.
    */
   function rejectIfTooLate(
     call: ForwardedCall,
@@ -352,20 +371,23 @@
       },
       'rejected because of the expected wait',
     );
-    return waitTooLong(call.service, wait);
+    return waitTooLongError(call.service, wait);
   }
 
-  /** Whether the request continues at its migration target. */
-  function isMigrated(
+  /**
+   * Whether the stream continues at its migration target. Releases the target
+   * if the stream has ended or its caller is gone.
+   */
+  function confirmMigration(
     {signal}: ForwardedCall,
     progress: Progress,
-    end: AttemptEnd,
+    result: AttemptResult,
   ): boolean {
     const {continuation} = progress;
     if (continuation === undefined) {
       return false;
     }
-    if (end.type === 'failed' && !signal.aborted) {
+    if (result.type === 'failed' && !signal.aborted) {
       return true;
     }
     continuation.choice.finish({outcome: 'cancelled', latencyMs: 0});
@@ -373,6 +395,7 @@
     return false;
   }
 
+  /** Sends the error, or aborts a response that has already begun. */
   function respondWithError(reply: CallerReply, error: ServingError) {
     if (reply.hasBegun()) {
       reply.abort();
@@ -387,10 +410,10 @@
       for (;;) {
         const verdict = crashGuard.checkSend(call, progress);
         if (verdict.type === 'quarantined') {
-          const error = withRunState(quarantined(verdict), progress.runs);
+          const error = withRunState(quarantinedError(verdict), progress.runs);
           return toResult(respondWithError(reply, error), progress);
         }
-        const target = nextTarget(call, progress);
+        const target = chooseTarget(call, progress);
         if (target === undefined) {
           const error = noEndpointError(call.service);
           const rejection = withRunState(error, progress.runs);
@@ -400,11 +423,11 @@
         if (rejection !== undefined) {
           return toResult(respondWithError(reply, rejection), progress);
         }
-        const end = await attempt(call, reply, progress, target);
-        if (isMigrated(call, progress, end)) {
+        const result = await tryTarget(call, reply, progress, target);
+        if (confirmMigration(call, progress, result)) {
           continue;
         }
-        const conclusion = conclude(call, reply, progress, end);
+        const conclusion = conclude(call, reply, progress, result);
         if (conclusion !== undefined) {
           return toResult(conclusion, progress);
         }
@@ -412,7 +435,7 @@
           {
             request: call.attemptId,
             endpoint: target.choice.endpoint,
-            end: describeEnd(end),
+            end: describeResult(result),
             runs: progress.runs,
             sends: progress.endpoints.length,
             fingerprint: progress.fingerprint,
@@ -426,12 +449,12 @@
 
 function toResult(
   {status, error}: {status: number; error?: ServingError},
-  {firstMs, endpoints, tokensAhead, firstSendAt, fingerprint}: Progress,
+  {firstByteMs, endpoints, tokensAhead, firstSendAt, fingerprint}: Progress,
 ): ForwardingResult {
   return {
     status,
     error,
-    firstMs,
+    firstByteMs,
     endpoints,
     ...(tokensAhead !== undefined && {tokensAhead}),
     ...(firstSendAt !== undefined && {firstSendAt}),
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -8,7 +8,10 @@
 import {createStatusHandler} from './statusPages.js';
 import type {TrafficPipeline} from './trafficPipeline.js';
 
-/** Maximum TTL of lookups, in milliseconds, to drop failed entries soon. */
+/**
+ * Maximum time for which callers may cache a lookup, in milliseconds, so that
+ * they soon stop using failed entries.
+ */
 const MAX_LOOKUP_TTL_MS = 2_000;
 
 const READY_STATUS = 200;
@@ -17,7 +20,8 @@
 
 /**
  * Opens all ports. Throws `bad-settings` if a port cannot be opened, after
- * closing the open ports, which would otherwise still accept callers.
+ * closing the ports opened before, which would otherwise continue to accept
+ * callers.
  *
  * @example
  * const ports = disposables.add(await openPorts(context, coordination, traffic));
@@ -69,22 +73,24 @@
     response.end(lookups.writeAnswer(addresses, ttlMs));
   }
 
-  const ports = disposableStore();
+  const disposables = disposableStore();
   try {
-    ports.add(await openPort(settings.lookup, answerLookup));
-    ports.add(await openPort(settings.readiness, answerReadiness));
-    ports.add(await openPort(settings.status, createStatusHandler(context)));
-    const callers = await openPort(
+    disposables.add(await openPort(settings.lookup, answerLookup));
+    disposables.add(await openPort(settings.readiness, answerReadiness));
+    disposables.add(
+      await openPort(settings.status, createStatusHandler(context)),
+    );
+    const callerPort = await openPort(
       settings.callers,
       (request, response) => void handler.handle(request, response),
       'limited',
     );
-    ports.add(callers);
-    policy.onDidChange(() => callers.setLimits(policy.limits()));
-    callers.setLimits(policy.limits());
-    return ports;
+    disposables.add(callerPort);
+    policy.onDidChange(() => callerPort.setLimits(policy.limits()));
+    callerPort.setLimits(policy.limits());
+    return disposables;
   } catch (error) {
-    ports.dispose();
+    disposables.dispose();
     throw error;
   }
 }
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -22,8 +22,8 @@
 
 export interface GatewayProcess {
   /**
-   * Shuts down gracefully: leaves the lookups, accepts new requests for up to
-   * `LINGER_MS`, then waits for requests in flight.
+   * Shuts down gracefully: removes the entry from lookups, accepts new requests
+   * for up to `LINGER_MS`, then waits for requests in flight.
    */
   stop(): Promise<void>;
   /** Applies the settings that can change at run time: the log level. */
@@ -32,17 +32,21 @@
 
 /**
  * Time for which a stopping process still accepts new requests, in
- * milliseconds: callers cache lookups for 2 s. Later requests are rejected,
- * since a long response could not end within the grace period.
+ * milliseconds: callers cache lookups for 2 s. Requests after that time are
+ * rejected, since a long response could not be completed within the grace
+ * period.
  */
 const LINGER_MS = 2_700;
 
-/** Grace time reserved for the process's own shutdown, in milliseconds. */
+/**
+ * Part of the grace period that is reserved for closing the process after its
+ * last request, in milliseconds.
+ */
 const SHUTDOWN_MARGIN_MS = 700;
 
 /**
  * Starts a gateway. Throws `bad-settings` if a port cannot be opened, after
- * releasing everything opened before.
+ * releasing all resources acquired before.
  *
  * @example
  * const gateway = await startGateway(settings,
@@ -65,18 +69,18 @@
     disposables.add(await openPorts(context, coordination, traffic));
     log.info({incarnation: context.incarnation}, 'started');
 
-    let stopping: Promise<void> | undefined;
+    let stopResult: Promise<void> | undefined;
     return {
       stop() {
-        stopping ??= shutDown(context, coordination).then(async () => {
+        stopResult ??= shutDown(context, coordination).then(async () => {
           disposables.dispose();
           await context.metrics.shutDown();
         });
-        return stopping;
+        return stopResult;
       },
-      reload(next) {
-        log.level = next.log.level;
-        log.info({level: next.log.level}, 'settings reloaded');
+      reload(newSettings) {
+        log.level = newSettings.log.level;
+        log.info({level: newSettings.log.level}, 'settings reloaded');
       },
     };
   } catch (error) {
@@ -118,7 +122,7 @@
 /**
  * Shuts the process down. Leaving the membership and releasing leases is not
  * awaited beyond the linger time: if the platform is down, waiting would use up
- * the time for responses in flight.
+ * the time that is left for responses in flight.
  */
 async function shutDown(
   {settings, clock, log, lifecycle, inFlight}: GatewayContext,
@@ -131,7 +135,7 @@
   },
 ): Promise<void> {
   const graceMs = settings.graceSeconds * MS_PER_SECOND;
-  const endAt = clock.now() + graceMs - SHUTDOWN_MARGIN_MS;
+  const closeAt = clock.now() + graceMs - SHUTDOWN_MARGIN_MS;
   log.info({inFlight: inFlight.count(), graceMs}, 'stopping');
   lifecycle.send('announce');
   const departure = Promise.allSettled([
@@ -139,9 +143,9 @@
     dutyElections.release(),
   ]);
   void departure.then(outcomes => {
-    const failed = outcomes.filter(({status}) => status === 'rejected');
+    const failedOutcomes = outcomes.filter(({status}) => status === 'rejected');
     log.info(
-      {failed: failed.length},
+      {failed: failedOutcomes.length},
       'departure from membership and leases finished',
     );
   });
@@ -149,7 +153,9 @@
     clock.after(Math.min(LINGER_MS, graceMs / 2), resolve);
   });
   lifecycle.send('refuse');
-  const isIdle = await inFlight.waitUntilIdle(Math.max(0, endAt - clock.now()));
+  const isIdle = await inFlight.waitUntilIdle(
+    Math.max(0, closeAt - clock.now()),
+  );
   lifecycle.send('close');
   log.info({isIdle, inFlight: inFlight.count()}, 'stopped');
 }
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -18,8 +18,8 @@
 }
 
 /**
- * Interval of Node's checks for request timeouts, in milliseconds: `limited` on
- * the port with caller limits, `free` elsewhere.
+ * Interval at which Node checks connections for timeouts, in milliseconds:
+ * `limited` for the port with caller limits, `free` for all other ports.
  */
 const TIMEOUT_CHECK_INTERVAL_MS = {limited: 1_000, free: 30_000};
 
@@ -27,8 +27,8 @@
 const BACKLOG = 1_024;
 
 /**
- * Maximum header size, in bytes; fixed per server, so policies can only lower
- * it.
+ * Maximum size of request headers, in bytes. Node fixes the size when a server
+ * is created, so policies cannot raise it.
  */
 const MAX_HEADER_BYTES = 16_384;
 
@@ -46,7 +46,7 @@
   const server = http.createServer({
     maxHeaderSize: MAX_HEADER_BYTES,
     connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS[limitMode],
-    // Only the headers have a timeout; bodies may take long.
+    // Only reading the headers has a timeout; bodies may take long.
     requestTimeout: 0,
   });
   const app = polka({server, onNoMatch: handler});
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -1,14 +1,15 @@
-/** Selects the entries that a caller may connect to. */
+/** Selects the entries that are listed in the response to a caller's lookup. */
 import {hash32} from '@skylarkfield/base';
 import type {Member} from '@skylarkfield/members';
 
 /**
- * Maximum entries in one response. Callers spread their requests evenly over
- * them, so a subset weighted by cores shifts load to entries with more cores.
+ * Maximum number of entries in one response. Callers distribute their requests
+ * evenly over the listed entries, so entries with more cores are listed for
+ * more callers.
  */
 const MAX_ENTRIES = 8;
 
-/** Minimum entries in one response, as alternatives to a failed one. */
+/** Minimum entries in one response, as alternatives to a failed entry. */
 const MIN_ENTRIES = 2;
 
 /** Assumed cores of an entry that does not report them. */
@@ -18,35 +19,45 @@
 const HASH_RANGE = 2 ** 32 + 1;
 
 /**
- * Returns addresses of live entries in the caller's failure domain, where
- * traffic is free, and of remote entries only if there are too few local ones.
+ * Returns the addresses of live entries in the caller's failure domain, where
+ * traffic is free, and adds remote entries only if there are fewer local
+ * entries than the minimum.
  *
- * In large failure domains each caller gets a stable subset, weighted by cores:
- * callers close connections to entries that are no longer listed.
+ * In large failure domains each caller gets a subset of the entries, chosen by
+ * rendezvous hashing weighted by cores. The subset is stable because callers
+ * close their connections to entries that are no longer listed.
  *
  * @example
  * const addresses = selectEntries(membership.live(), 'zone-a', '10.9.0.4');
  */
 export function selectEntries(
-  live: readonly Member[],
+  liveMembers: readonly Member[],
   failureDomain: string,
   callerAddress: string,
 ): readonly string[] {
-  const local = live.filter(member => member.failureDomain === failureDomain);
-  const remote = live.filter(member => member.failureDomain !== failureDomain);
-  const missingCount = Math.max(0, MIN_ENTRIES - local.length);
-  const remoteByLoad = [...remote].sort((a, b) => a.load - b.load);
-  const selected =
-    local.length === 0
-      ? remoteByLoad
-      : [...local, ...remoteByLoad.slice(0, missingCount)];
-  return chooseByCores(selected, callerAddress).map(({callerUrl}) =>
+  const localMembers = liveMembers.filter(
+    member => member.failureDomain === failureDomain,
+  );
+  const remoteMembers = liveMembers.filter(
+    member => member.failureDomain !== failureDomain,
+  );
+  const missingCount = Math.max(0, MIN_ENTRIES - localMembers.length);
+  const remoteMembersByLoad = [...remoteMembers].sort(
+    (a, b) => a.load - b.load,
+  );
+  const selectedMembers =
+    localMembers.length === 0
+      ? remoteMembersByLoad
+      : [...localMembers, ...remoteMembersByLoad.slice(0, missingCount)];
+  return limitByCores(selectedMembers, callerAddress).map(({callerUrl}) =>
     addressOf(callerUrl),
   );
 }
 
-/** Weighted rendezvous hashing by cores. */
-function chooseByCores(
+/**
+ * Limits the members to the maximum, by rendezvous hashing weighted by cores.
+ */
+function limitByCores(
   members: readonly Member[],
   callerAddress: string,
 ): readonly Member[] {
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -1,6 +1,6 @@
 /**
- * Local replica of one kind of objects in the platform's store, updated by this
- * entry's own reads or by steps and copies from peers.
+ * Local replica of all objects of one kind in the platform's store. It is
+ * updated by reads of this entry, or by steps and copies from peers.
  */
 import {emitter, type Clock, type Event, type Logger} from '@skylarkfield/base';
 import type {
@@ -12,7 +12,9 @@
 import {createConfirmation, type Timestamp} from '@skylarkfield/traffic';
 import type {SourceChanges, SourceItem, SourceListing} from './contracts.js';
 
-/** Changes that take a replica from store revision `from` to `to`. */
+/**
+ * Changes that update a replica from store revision `from` to revision `to`.
+ */
 export interface MirrorStep {
   readonly from: number;
   readonly to: number;
@@ -26,28 +28,40 @@
   get(name: string): T | undefined;
   items(): readonly SourceItem<T>[];
   revision(): number;
-  /** Milliseconds since the replica was last confirmed; initially Infinity. */
+  /** Milliseconds since the last confirmation; initially Infinity. */
   ageMs(): number;
   /** Fires after the content has changed. */
   readonly onDidChange: Event<void>;
-  /** Applies a listing, without `requestedAt` if the listing may be stale. */
+  /**
+   * Applies a listing from the store; `requestedAt` is undefined if the listing
+   * may be stale, and the replica is then not confirmed.
+   */
   applyListing(
     listing: SourceListing<T>,
     requestedAt: Timestamp | undefined,
   ): void;
-  /** Applies changes from the store; returns the step to broadcast, if any. */
+  /**
+   * Applies changes from the store; returns the step to broadcast to peers, or
+   * undefined if there are no changes.
+   */
   applyChanges(
     changes: SourceChanges<T>,
     requestedAt: Timestamp,
   ): MirrorStep | undefined;
-  /** Applies a step from a peer; false on a gap, which requires a copy. */
+  /**
+   * Applies a step from a peer. Returns false if earlier changes are missing; a
+   * copy has to be fetched then.
+   */
   applyStep(step: MirrorStep): boolean;
+  /** Replaces the content by a peer's copy, unless the copy is older. */
   applyCopy(snapshot: MirrorSnapshot): void;
   /**
-   * Confirms the replica by the status of a peer that was up to date at the
-   * timestamp; false if this replica lacks changes that the peer has.
+   * Confirms the replica by the sync status of a peer that was up to date at
+   * the timestamp. Returns false if the replica lacks changes that the peer
+   * has.
    */
-  confirmBy(syncStatus: SyncStatus, timestamp: Timestamp): boolean;
+  confirmByPeer(syncStatus: SyncStatus, timestamp: Timestamp): boolean;
+  /** Returns a copy of the content for a peer. */
   copy(): MirrorSnapshot;
   /** Returns the status for peers; `isReader` if this entry reads the store. */
   syncStatus(isReader: boolean): SyncStatus;
@@ -67,14 +81,17 @@
   readonly log: Logger;
 }): Mirror<T> {
   const {kind, clock, log} = options;
-  const changed = emitter<void>();
+  const changeEmitter = emitter<void>();
   const confirmation = createConfirmation(clock);
   const items = new Map<string, SourceItem<T>>();
   /** Store revision of the replica; undefined before the first listing. */
   let revision: number | undefined;
+  /**
+   * Latest store revision at which the content changed, as far as it is known.
+   */
   let changedAt = 0;
 
-  function put(name: string, itemRevision: number, value: T): boolean {
+  function putItem(name: string, itemRevision: number, value: T): boolean {
     const existing = items.get(name);
     if (existing !== undefined && existing.revision >= itemRevision) {
       return false;
@@ -83,13 +100,13 @@
     return true;
   }
 
-  function apply({
+  function applyChange({
     name,
     revision: changeRevision,
     value,
   }: MirrorChange): boolean {
     if (value !== undefined) {
-      return put(name, changeRevision, value as T);
+      return putItem(name, changeRevision, value as T);
     }
     const existing = items.get(name);
     // The object may have been recreated after this removal.
@@ -99,13 +116,13 @@
     return items.delete(name);
   }
 
-  function applyAll(
+  function applyAllChanges(
     changes: readonly MirrorChange[],
     toRevision: number,
   ): void {
     let isDifferent = false;
     for (const change of changes) {
-      isDifferent = apply(change) || isDifferent;
+      isDifferent = applyChange(change) || isDifferent;
     }
     changedAt = Math.max(changedAt, toRevision);
     if (isDifferent) {
@@ -113,12 +130,12 @@
         {mirror: kind, to: toRevision, changed: changes.map(({name}) => name)},
         'mirror changed',
       );
-      changed.fire();
+      changeEmitter.fire();
     }
   }
 
   /** Replaces the content unless the new content is older. */
-  function replace(
+  function replaceItems(
     toRevision: number,
     changeRevision: number,
     newItems: readonly MirrorChange[],
@@ -133,7 +150,7 @@
     revision = toRevision;
     let isDifferent = isFirst || removed.length > 0;
     for (const change of newItems) {
-      isDifferent = apply(change) || isDifferent;
+      isDifferent = applyChange(change) || isDifferent;
     }
     changedAt = Math.max(changedAt, changeRevision);
     if (isDifferent) {
@@ -141,7 +158,7 @@
         {mirror: kind, to: toRevision, objects: items.size},
         'mirror replaced',
       );
-      changed.fire();
+      changeEmitter.fire();
     }
   }
 
@@ -152,9 +169,9 @@
     items: () => [...items.values()],
     revision: () => revision ?? 0,
     ageMs: () => (revision === undefined ? Infinity : confirmation.ageMs()),
-    onDidChange: changed.event,
+    onDidChange: changeEmitter.event,
     applyListing(listing, requestedAt) {
-      replace(listing.revision, listing.revision, listing.items);
+      replaceItems(listing.revision, listing.revision, listing.items);
       if (requestedAt !== undefined) {
         confirmation.confirm(requestedAt);
       }
@@ -162,7 +179,8 @@
     applyChanges(sourceChanges, requestedAt) {
       const fromRevision = revision ?? 0;
       if (sourceChanges.revision < fromRevision) {
-        // A peer's step has overtaken this response.
+        // A step from a peer with a later revision was applied before this
+        // response arrived.
         return undefined;
       }
       const changes = sourceChanges.changes.map(({name, item}) =>
@@ -175,7 +193,7 @@
       if (changes.length === 0) {
         return undefined;
       }
-      applyAll(changes, sourceChanges.revision);
+      applyAllChanges(changes, sourceChanges.revision);
       return {from: fromRevision, to: sourceChanges.revision, changes};
     },
     applyStep({from: fromRevision, to: toRevision, changes}) {
@@ -184,13 +202,13 @@
       }
       if (toRevision > revision) {
         revision = toRevision;
-        applyAll(changes, toRevision);
+        applyAllChanges(changes, toRevision);
       }
       return true;
     },
     applyCopy: snapshot =>
-      replace(snapshot.revision, snapshot.changedAt, snapshot.items),
-    confirmBy(syncStatus, timestamp) {
+      replaceItems(snapshot.revision, snapshot.changedAt, snapshot.items),
+    confirmByPeer(syncStatus, timestamp) {
       if (revision === undefined || revision < syncStatus.changedAt) {
         return false;
       }
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -1,10 +1,10 @@
 /**
- * Reads one kind of objects from the platform on behalf of all entries.
+ * Reads the objects of one kind from the platform on behalf of all entries.
  *
- * Calls are billed and rate-limited for the whole fleet, so one entry reads and
- * broadcasts the changes. Entries take over in a fixed order when no
- * earlier entry reports successful reads: the reading entry may be down, or the
- * platform may reject only its calls.
+ * Calls are billed and rate-limited for the whole fleet, so only one entry
+ * reads and broadcasts the changes. The other entries take over in a fixed
+ * order when no entry before them reports successful reads: the reading entry
+ * may be down, or the platform may reject only its calls.
  */
 import {
   toServingError,
@@ -22,10 +22,10 @@
 export interface ReadTiming {
   /** Long-poll timeout of one call. */
   readonly waitMs: number;
-  /** Time beyond the long poll after which a call counts as failed. */
+  /** Time beyond the long-poll timeout after which a call counts as failed. */
   readonly graceMs: number;
   /**
-   * Freshness of the first listing; later changes come from the next read or
+   * Freshness of the first listing; later changes come from subsequent reads or
    * from peers.
    */
   readonly firstListing: Freshness;
@@ -38,15 +38,16 @@
 }
 
 /**
- * Backoff after a failed call, in milliseconds; short enough to notice the
- * platform's recovery within a second.
+ * First and maximum backoff after a failed call, in milliseconds; short enough
+ * to notice the platform's recovery within a second.
  */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 500;
 
 /**
- * Pause after the first listing, in milliseconds. Until it has discovered its
- * peers, a new process would read in addition to the current readers.
+ * Pause after the first listing, in milliseconds. Without the pause, a new
+ * process that has not discovered its peers yet would read in addition to the
+ * current reader.
  */
 const SETTLE_MS = 1_000;
 
@@ -67,13 +68,13 @@
   readonly random: Random;
   readonly log: Logger;
   readonly timing: ReadTiming;
-  /** Whether no earlier entry in the takeover order reads. */
+  /** Whether no entry before this one in the takeover order reads. */
   shouldRead(): boolean;
-  /** Called with changes to broadcast. */
+  /** Called with changes to broadcast to peers. */
   onDidStep(step: MirrorStep): void;
 }): MirrorReader {
   const {mirror, source, clock, random, log, timing} = options;
-  const stop = new AbortController();
+  const stopController = new AbortController();
   let succeededAt = -Infinity;
   let failures = 0;
   let calls = 0;
@@ -87,11 +88,13 @@
     timeoutMs: number,
     call: (signal: AbortSignal) => Promise<R>,
   ): Promise<R> {
-    const timeout = new AbortController();
-    const timer = clock.after(timeoutMs, () => timeout.abort());
+    const timeoutController = new AbortController();
+    const timer = clock.after(timeoutMs, () => timeoutController.abort());
     calls += 1;
     try {
-      return await call(AbortSignal.any([timeout.signal, stop.signal]));
+      return await call(
+        AbortSignal.any([timeoutController.signal, stopController.signal]),
+      );
     } finally {
       timer.dispose();
     }
@@ -99,7 +102,8 @@
 
   async function readList(): Promise<void> {
     const requestedAt = timestampOf(clock);
-    // A stale listing could predate the compaction, and its changes are gone.
+    // A stale listing could predate the compaction, and the changes after the
+    // listing are no longer available.
     const freshness = isCompacted ? 'latest' : timing.firstListing;
     const listing = await callWithTimeout(timing.graceMs, signal =>
       source.list(signal, freshness),
@@ -127,7 +131,8 @@
     }
   }
 
-  async function readOnce(): Promise<number> {
+  /** Reads once and returns the pause before the next read, in milliseconds. */
+  async function tryRead(): Promise<number> {
     try {
       await (mirror.isKnown() && !isCompacted ? readChanges() : readList());
       if (failures > 0) {
@@ -138,7 +143,7 @@
       return 0;
     } catch (error) {
       failures += 1;
-      if (failures === 1 && !stop.signal.aborted) {
+      if (failures === 1 && !stopController.signal.aborted) {
         const {kind, message} = toServingError(error);
         log.warn({mirror: mirror.kind, kind, message}, 'platform read failed');
       }
@@ -147,12 +152,12 @@
     }
   }
 
-  async function loop(): Promise<void> {
-    while (!stop.signal.aborted) {
+  async function runReadLoop(): Promise<void> {
+    while (!stopController.signal.aborted) {
       const wasKnown = mirror.isKnown();
       const wasCompacted = isCompacted;
       let pauseMs = options.shouldRead()
-        ? await readOnce()
+        ? await tryRead()
         : READ_CHECK_INTERVAL_MS;
       if (!wasKnown && mirror.isKnown()) {
         pauseMs = SETTLE_MS * (0.75 + random.next() / 2);
@@ -165,7 +170,7 @@
     }
   }
 
-  void loop();
+  void runReadLoop();
   return {
     isReading,
     dump: () => ({
@@ -174,6 +179,6 @@
       isReading: isReading(),
       ageMs: mirror.ageMs(),
     }),
-    dispose: () => stop.abort(),
+    dispose: () => stopController.abort(),
   };
 }
--- a/packages/gateway/src/outcomeWatch.ts
+++ b/packages/gateway/src/outcomeWatch.ts
@@ -5,30 +5,30 @@
 import type {CallerReply} from './callerReply.js';
 import type {CallHead} from './contracts.js';
 
-/** A request being watched. */
-export interface WatchedOutcome {
-  /** Called at the end of the request, with its error if it failed. */
-  end(error: ServingError | undefined): void;
+/** Observation of one request until its end. */
+export interface OutcomeWatch {
+  /** Records the end of the request, with its error if the request failed. */
+  recordEnd(error: ServingError | undefined): void;
 }
 
-/** Errors that indicate too few endpoints. */
+/** Errors which indicate that a service has too few endpoints. */
 const SHORTAGE_ERRORS: ReadonlySet<ErrorKind> = new Set([
   'overloaded',
   'deadline-exceeded',
 ]);
 
-/** Used for plain services and routes without a target. */
-const UNWATCHED: WatchedOutcome = {end() {}};
+/** Observes nothing: for plain services and routes without a target. */
+const NO_WATCH: OutcomeWatch = {recordEnd() {}};
 
 /**
- * Records whether the first event arrives within the route's target as soon
- * as that is known: under overload the events themselves arrive far too late to
- * be a signal.
+ * Records whether the first event of a request arrives within the latency
+ * target of its route. The outcome is recorded as soon as the target time has
+ * passed: under overload, first events arrive too late to be a signal.
  *
  * @example
  * const outcome = watchOutcome({head, route, service}, reply, {clock,
  *   outcomes});
- * outcome.end(result.error);
+ * outcome.recordEnd(result.error);
  */
 export function watchOutcome(
   call: {
@@ -38,10 +38,10 @@
   },
   reply: Pick<CallerReply, 'hasBegun'>,
   {clock, outcomes}: {readonly clock: Clock; readonly outcomes: OutcomeMeter},
-): WatchedOutcome {
+): OutcomeWatch {
   const {head, route, service} = call;
   if (head.demand === undefined || route.goalMs <= 0) {
-    return UNWATCHED;
+    return NO_WATCH;
   }
   let isRecorded = false;
   function recordOnce(isLate: boolean): void {
@@ -52,7 +52,7 @@
   }
   const timer = clock.after(route.goalMs, () => recordOnce(!reply.hasBegun()));
   return {
-    end(error) {
+    recordEnd(error) {
       timer.dispose();
       if (error === undefined || SHORTAGE_ERRORS.has(error.kind)) {
         recordOnce(error !== undefined);
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -1,10 +1,11 @@
 /**
- * Latest usage and load reports of peers, and aggregates for entries that do
- * not receive those reports.
+ * Latest usage and load reports of peers, and aggregates of them for entries
+ * that do not receive the reports themselves.
  *
- * Each origin has one reporter at a time: an entry for itself, a relay for its
- * failure domain or for all other entries. Reports of two relays for one origin
- * would count it twice.
+ * An origin is the set of entries that a report covers. Each origin has one
+ * reporter at a time: an entry reports for itself, a relay for its failure
+ * domain or for all other entries. If two relays reported for one origin, its
+ * usage would be counted twice.
  */
 import type {Clock} from '@skylarkfield/base';
 import {
@@ -29,47 +30,53 @@
 
 /** Usage and load of one or more entries. */
 export interface AggregateReport {
-  /** Number of entries covered. */
+  /** Number of entries that the report covers. */
   readonly entries: number;
+  /** Accumulated quota usage by customer. */
   readonly used: Amounts;
+  /** Load that the entries have placed on each endpoint. */
   readonly loads: Readonly<Record<string, EndpointLoad>>;
-  /** Rate limits announced by endpoints. */
+  /** Rate limits that endpoints have announced. */
   readonly limits: RateLimitReports;
-  /** Crashes of endpoints to propagate now; undefined if there are none. */
+  /** Endpoint crashes to propagate now; undefined if there are none. */
   readonly crashes?: CrashReport | undefined;
+  /** Work rate of each service. */
   readonly work: Readonly<Record<string, WorkRate>>;
-  /** Measurements of engines; undefined if not published this time. */
+  /**
+   * Measurements of engines by service; undefined if not part of this report.
+   */
   readonly capacity?: CapacityStats;
+  /** Counts of all requests and of late requests, by service. */
   readonly outcomes: Readonly<Record<string, OutcomeCounts>>;
 }
 
-/** An accepted digest. */
+/** Result of accepting a digest. */
 export interface AcceptedReport {
-  /** The entries that the digest covers. */
+  /** Name of the set of entries that the digest covers. */
   readonly origin: string;
-  /** Quota usage of the origin since its previous report. */
+  /** Quota usage of the origin by customer, since the previous report. */
   readonly increase: Amounts;
 }
 
 export interface PeerReports {
-  /** Applies a digest; undefined if the origin has another active reporter. */
+  /** Applies a digest; undefined if its origin has another active reporter. */
   accept(peer: string, digest: Digest): AcceptedReport | undefined;
   /**
-   * Returns this entry's report combined with those of the origins that a
-   * receiver of the scope has no other reports from.
+   * Returns this entry's report combined with the reports of all origins from
+   * which the receiver gets no other reports.
    */
   aggregateFor(
     scope: DigestScope,
     receiver: string,
-    own: AggregateReport,
+    ownReport: AggregateReport,
   ): AggregateReport;
-  /** Number of other entries covered by reports that are not overdue. */
+  /** Returns the number of other entries whose reports are not overdue. */
   visiblePeers(): number;
-  /** Returns the work rate of a service reported by the peers. */
+  /** Returns the work rate of a service, summed over the reports of peers. */
   workOf(service: string): WorkRate;
   /** Returns the engine measurements of each origin. */
   capacity(): readonly CapacityStats[];
-  /** Returns the counts of late requests of each origin. */
+  /** Returns the counts of all and of late requests, for each origin. */
   outcomes(): readonly Readonly<Record<string, OutcomeCounts>>[];
   dump(): unknown;
 }
@@ -78,25 +85,28 @@
   reporter: string;
   receivedAt: number;
   digest: Digest;
-  /** Latest value, since not every digest contains it. */
+  /** Latest engine measurements; not every digest contains them. */
   capacity: CapacityStats;
-  /** Sum of the increases; never falls when a reporter restarts or changes. */
+  /** Sum of the increases; does not fall if a reporter restarts or changes. */
   readonly used: Record<string, number>;
 }
 
 /**
- * Age at which an entry's report is overdue, in milliseconds: two digests are
- * missed. The entry may be partitioned, and both sides would grant from the
- * same quota. Aggregates of relays take more hops and get the whole peer
- * timeout.
+ * Age at which an entry's report of itself is overdue, in milliseconds: two
+ * digests are missing. The entry may be separated by a partition, and both
+ * sides of the partition would grant from the same quota. Aggregates of relays
+ * take more hops and are overdue only after the whole peer timeout.
  */
 export const OVERDUE_MS = 700;
 
-/** Origin of a relay's reports to the entries of its own failure domain. */
+/**
+ * Origin of the reports that a relay sends to the entries of its own failure
+ * domain: all other entries.
+ */
 const REST_ORIGIN = 'the rest';
 
 /**
- * Creates the reports of one entry.
+ * Creates the peer reports of one entry.
  *
  * @example
  * const accepted = reports.accept('a2', digest);
@@ -105,22 +115,25 @@
 export function createPeerReports(options: {
   readonly clock: Clock;
   readonly failureDomain: string;
-  /** Time until a silent reporter may be replaced, in milliseconds. */
+  /**
+   * Time without reports after which a reporter may be replaced, in
+   * milliseconds.
+   */
   readonly reporterTimeoutMs: number;
-  /** Window of the quotas, in milliseconds. */
+  /** Length of the quota window, in milliseconds. */
   readonly quotaWindowMs: number;
 }): PeerReports {
   const {clock, failureDomain, reporterTimeoutMs, quotaWindowMs} = options;
   const origins = new Map<string, OriginState>();
-  const lastUsed = new Map<string, {incarnation: number; used: Amounts}>();
+  const previousUsage = new Map<string, {incarnation: number; used: Amounts}>();
 
   function originOf(peer: string, digest: Digest): string {
-    const names: Readonly<Record<DigestScope, string>> = {
+    const originByScope: Readonly<Record<DigestScope, string>> = {
       own: peer,
       domain: `failure domain ${digest.failureDomain ?? ''}`,
       rest: REST_ORIGIN,
     };
-    return names[digest.scope ?? 'own'];
+    return originByScope[digest.scope ?? 'own'];
   }
 
   function isFresh({receivedAt}: OriginState): boolean {
@@ -137,19 +150,23 @@
   }
 
   /**
-   * Returns usage since the reporter's previous report. The first report of a
-   * process counts in full if the process started within the quota window. Any
-   * other first report only sets the baseline: the previous relay has already
-   * reported part of a relay's first sums.
+   * Returns the usage since the reporter's previous report. The first report of
+   * a process counts in full if the process started within the quota window.
+   * Any other first report only sets the baseline for the next report: the
+   * previous relay has already reported part of the sums in a relay's first
+   * report.
    */
-  function increases(peer: string, digest: Digest): Record<string, number> {
+  function recordUsageIncrease(
+    peer: string,
+    digest: Digest,
+  ): Record<string, number> {
     const {incarnation = 0, used, scope = 'own', upMs = Infinity} = digest;
     const key = `${peer} ${scope}`;
-    const previous = lastUsed.get(key);
-    lastUsed.set(key, {incarnation, used});
+    const previous = previousUsage.get(key);
+    previousUsage.set(key, {incarnation, used});
     if (previous === undefined || previous.incarnation !== incarnation) {
-      const isWhole = scope === 'own' && upMs < quotaWindowMs;
-      return isWhole ? {...used} : {};
+      const isCountedInFull = scope === 'own' && upMs < quotaWindowMs;
+      return isCountedInFull ? {...used} : {};
     }
     return Object.fromEntries(
       Object.entries(used).map(([customer, amount]) => [
@@ -168,7 +185,7 @@
   }
 
   function originsFor(scope: DigestScope, receiver: string): OriginState[] {
-    const selected: Readonly<
+    const originsByScope: Readonly<
       Record<DigestScope, () => [string, OriginState][]>
     > = {
       own: () => [],
@@ -179,7 +196,7 @@
       rest: () =>
         [...origins].filter(([originName]) => originName !== REST_ORIGIN),
     };
-    return selected[scope]()
+    return originsByScope[scope]()
       .filter(([originName]) => originName !== receiver)
       .map(([, origin]) => origin);
   }
@@ -187,7 +204,7 @@
   return {
     accept(peer, digest) {
       const originName = originOf(peer, digest);
-      const increase = increases(peer, digest);
+      const increase = recordUsageIncrease(peer, digest);
       const origin = origins.get(originName);
       if (origin !== undefined && origin.reporter !== peer && isFresh(origin)) {
         return undefined;
@@ -204,30 +221,30 @@
       });
       return {origin: originName, increase};
     },
-    aggregateFor(scope, receiver, own) {
-      const selected = originsFor(scope, receiver);
-      const used = {...own.used};
-      const loads: Record<string, EndpointLoad> = {...own.loads};
-      const work = {...own.work};
-      const outcomes = {...own.outcomes};
-      let {entries, limits, crashes} = own;
-      for (const origin of selected) {
+    aggregateFor(scope, receiver, ownReport) {
+      const selectedOrigins = originsFor(scope, receiver);
+      const used = {...ownReport.used};
+      const loads: Record<string, EndpointLoad> = {...ownReport.loads};
+      const work = {...ownReport.work};
+      const outcomes = {...ownReport.outcomes};
+      let {entries, limits, crashes} = ownReport;
+      for (const origin of selectedOrigins) {
         addAmounts(used, origin.used);
         if (isFresh(origin)) {
           addLoadsTo(loads, origin.digest.loads);
           addWorkRates(work, origin.digest.work);
           addOutcomes(outcomes, origin.digest.outcomes);
-          const sinceMs = clock.now() - origin.receivedAt;
+          const reportAgeMs = clock.now() - origin.receivedAt;
           limits = mergeRateLimitReports(
             limits,
             origin.digest.limits ?? {},
-            sinceMs,
+            reportAgeMs,
           );
           crashes = addCrashes(crashes, origin.digest.crashes);
           entries += origin.digest.entries ?? 1;
         }
       }
-      const sum = {
+      const aggregate = {
         entries,
         used,
         loads,
@@ -236,15 +253,15 @@
         outcomes,
         ...(crashes && {crashes}),
       };
-      if (own.capacity === undefined) {
-        return sum;
+      if (ownReport.capacity === undefined) {
+        return aggregate;
       }
-      const freshCapacities = selected
+      const freshCapacities = selectedOrigins
         .filter(isFresh)
         .map(({capacity}) => capacity);
       return {
-        ...sum,
-        capacity: addCapacityStats([own.capacity, ...freshCapacities]),
+        ...aggregate,
+        capacity: addCapacityStats([ownReport.capacity, ...freshCapacities]),
       };
     },
     visiblePeers: () =>
--- a/packages/gateway/src/peerVisibility.ts
+++ b/packages/gateway/src/peerVisibility.ts
@@ -1,30 +1,32 @@
 /**
- * Fraction of the peers that an entry receives reports from, which bounds the
- * part of customers' quotas that it may grant on its own.
+ * Fraction of the peers from which an entry receives reports. It bounds the
+ * part of customers' quotas that the entry may grant on its own.
  */
 import type {Clock} from '@skylarkfield/base';
 
 export interface PeerVisibility {
-  /** Recomputes the fraction. */
+  /** Recomputes the fraction of visible peers. */
   refresh(): void;
   /**
-   * False shortly after the start, until the number of entries is known. Called
-   * for each request; refreshes an outdated fraction.
+   * Whether the number of entries is known, which it is not shortly after the
+   * start. Called for each request; also refreshes an outdated fraction.
    */
-  isKnown(): boolean;
+  isEntryCountKnown(): boolean;
 }
 
 /**
  * Time after the start at which an entry that has found no peers counts as the
- * only one, in milliseconds.
+ * only entry, in milliseconds.
  */
 const JOIN_TIMEOUT_MS = 900;
 
-/** Age at which a request refreshes the fraction, in milliseconds. */
+/**
+ * Age at which the fraction is refreshed by the next request, in milliseconds.
+ */
 const REFRESH_INTERVAL_MS = 100;
 
 /**
- * Creates the visibility of an entry that has just started.
+ * Creates the peer visibility of an entry that has just started.
  *
  * @example
  * const visibility = createPeerVisibility({clock, membership, reports,
@@ -36,13 +38,13 @@
   readonly reports: {visiblePeers(): number};
   /**
    * Called with the fraction of peers that report, 0 to 1, and the number of
-   * entries.
+   * entries, including this one.
    */
   onDidRefresh(visibleFraction: number, entryCount: number): void;
 }): PeerVisibility {
   const {clock, membership, reports} = options;
   const startedAt = clock.now();
-  let isKnown = false;
+  let isCountKnown = false;
   let refreshedAt = -Infinity;
 
   function refresh(): void {
@@ -56,14 +58,14 @@
 
   return {
     refresh,
-    isKnown() {
-      isKnown ||=
+    isEntryCountKnown() {
+      isCountKnown ||=
         membership.entryCount() !== undefined ||
         clock.now() - startedAt >= JOIN_TIMEOUT_MS;
-      if (isKnown && clock.now() - refreshedAt >= REFRESH_INTERVAL_MS) {
+      if (isCountKnown && clock.now() - refreshedAt >= REFRESH_INTERVAL_MS) {
         refresh();
       }
-      return isKnown;
+      return isCountKnown;
     },
   };
 }
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -1,4 +1,7 @@
-/** Mirrors of the platform's objects, read by few entries, sent to all. */
+/**
+ * Mirrors of the platform's objects, which a few entries read from the platform
+ * and send to all other entries.
+ */
 import {
   disposableStore,
   type Clock,
@@ -30,14 +33,14 @@
 } from './mirrorReader.js';
 import type {RelayPlan} from './relayPlan.js';
 
-/** Sync status of every mirror, as carried by digests. */
+/** Sync status of each mirror, in the form that digests carry. */
 export type SyncStatuses = Messages['digest']['mirrors'];
 
 export interface PlatformView extends Disposable {
   readonly policy: Mirror<TrafficPolicy>;
   readonly endpoints: Mirror<RegisteredEndpoint>;
   readonly rollouts: Mirror<Rollout>;
-  /** Crashes of endpoints that each entry has persisted. */
+  /** Reports of endpoint crashes that each entry has persisted. */
   readonly crashes: Mirror<CrashReport>;
   syncStatuses(): SyncStatuses;
   /** Applies the statuses in a peer's digest, sent after `timestamp`. */
@@ -50,10 +53,11 @@
 }
 
 /**
- * The policy is read most often, and its first listing must be the latest: the
- * age of its copy decides whether a key is accepted. Changes of the other kinds
- * arrive as they happen; their wait only bounds how long a dead connection goes
- * undetected. Crashes have to reach all entries within three seconds.
+ * Timing of the reads of each kind. The policy is read most often, and its
+ * first listing must be the latest, since the age of the mirrored policy
+ * decides whether a key is accepted. Changes of the other kinds are received as
+ * they happen; the long-poll timeout only bounds how long a dead connection
+ * goes undetected. Crashes have to reach all entries within three seconds.
  */
 const READ_TIMINGS: Readonly<Record<MirrorKind, ReadTiming>> = {
   policy: {waitMs: 1_000, graceMs: 700, firstListing: 'latest'},
@@ -62,10 +66,13 @@
   crashes: {waitMs: 2_400, graceMs: 600, firstListing: 'recent'},
 };
 
-/** Timeout of fetching a peer's whole copy, in milliseconds. */
+/** Timeout of fetching a copy of a mirror from a peer, in milliseconds. */
 const COPY_TIMEOUT_MS = 1_000;
 
-/** Validity of a peer's status, in milliseconds: three missed digests. */
+/**
+ * Time for which a peer's sync status is valid, in milliseconds; it expires
+ * after three missed digests.
+ */
 const STATUS_TTL_MS = 1_000;
 
 /**
@@ -103,7 +110,7 @@
     string,
     {receivedAt: number; syncStatuses: SyncStatuses}
   >();
-  const fetching = new Set<MirrorKind>();
+  const fetchingKinds = new Set<MirrorKind>();
 
   function isReadBy(peer: string, kind: MirrorKind): boolean {
     return (
@@ -113,8 +120,9 @@
   }
 
   /**
-   * Whether no coordinator before this entry reads successfully. An entry
-   * behind relays reads only while none of these relays sends digests.
+   * Whether this entry should read a kind itself: no coordinator with higher
+   * precedence reads it successfully. An entry behind relays reads only while
+   * none of its relays sends digests.
    */
   function shouldRead(kind: MirrorKind): boolean {
     const {coordinators, ownRelays} = options.plan();
@@ -128,8 +136,11 @@
   }
 
   function hasFreshStatus(peer: string): boolean {
-    const last = peerStatuses.get(peer);
-    return last !== undefined && clock.now() - last.receivedAt < STATUS_TTL_MS;
+    const peerStatus = peerStatuses.get(peer);
+    return (
+      peerStatus !== undefined &&
+      clock.now() - peerStatus.receivedAt < STATUS_TTL_MS
+    );
   }
 
   function isRelay(): boolean {
@@ -151,25 +162,25 @@
   }
 
   async function fetchCopy(kind: MirrorKind, peer: string): Promise<void> {
-    if (fetching.has(kind)) {
+    if (fetchingKinds.has(kind)) {
       return;
     }
-    fetching.add(kind);
+    fetchingKinds.add(kind);
     try {
-      const answer = await network.request(
+      const snapshot = await network.request(
         peer,
         'mirrorWanted',
         {kind},
         COPY_TIMEOUT_MS,
       );
-      mirrors[kind].applyCopy(answer as MirrorSnapshot);
+      mirrors[kind].applyCopy(snapshot as MirrorSnapshot);
     } catch (error) {
       log.info(
         {mirror: kind, peer, reason: String(error)},
         'fetching the mirror copy failed',
       );
     } finally {
-      fetching.delete(kind);
+      fetchingKinds.delete(kind);
     }
   }
 
@@ -189,7 +200,7 @@
     if (timestamp === undefined || syncStatus.confirmedAgoMs < 0) {
       return;
     }
-    mirror.confirmBy(
+    mirror.confirmByPeer(
       syncStatus,
       earlierTimestamp(timestamp, syncStatus.confirmedAgoMs),
     );
@@ -212,8 +223,8 @@
         void fetchCopy(step.kind, from);
         return;
       }
-      // In a full mesh the sender has reached all entries; behind a relay, only
-      // the relay forwards.
+      // In a full mesh, the sender has sent the step to all entries. Behind a
+      // relay, only the relay forwards the step.
       if (mirror.revision() > previousRevision && isRelay()) {
         broadcastStep(step, from);
       }
--- a/packages/gateway/src/relayPlan.ts
+++ b/packages/gateway/src/relayPlan.ts
@@ -1,22 +1,23 @@
 /**
- * Topology of the digests: a full mesh in small fleets, relays in large ones.
+ * Topology of the digest exchange: a full mesh in small fleets, relays in large
+ * fleets.
  *
- * The cost of a full mesh grows with the square of the entries. Above
- * `MAX_FULL_MESH_ENTRIES`, an entry reports to the two relays of its failure
- * domain; relays aggregate and exchange sums.
+ * The cost of a full mesh grows with the square of the number of entries. Above
+ * `MAX_FULL_MESH_ENTRIES`, an entry sends its digests to the two relays of its
+ * failure domain; relays aggregate the digests and exchange the sums.
  */
 import {rendezvousOrder} from '@skylarkfield/base';
 
 /** Part of the fleet that a digest covers. */
 export type DigestScope =
-  /** The sender. */
+  /** The sender alone. */
   | 'own'
-  /** The sender's failure domain. */
+  /** All entries of the sender's failure domain. */
   | 'domain'
   /** All entries except the receiver. */
   | 'rest';
 
-/** An entry, as an input of the plan. */
+/** The properties of an entry that the relay plan depends on. */
 export interface RelayNode {
   readonly id: string;
   readonly failureDomain: string;
@@ -27,28 +28,39 @@
 }
 
 export interface RelayPlan {
-  /** Receivers of this entry's digests, with the scope of each. */
+  /**
+   * Receivers of this entry's digests, with the scope of the digests for each.
+   */
   readonly targets: ReadonlyMap<string, DigestScope>;
-  /** Active relay while this entry is its standby; undefined otherwise. */
+  /**
+   * Active relay of this entry's failure domain; undefined unless this entry is
+   * the standby relay.
+   */
   readonly activeRelay: string | undefined;
   /** Entries that may read the platform and hold leases, by precedence. */
   readonly coordinators: readonly string[];
-  /** Relays of this entry, active one first; empty in a mesh or for relays. */
+  /**
+   * Relays of this entry, active relay first; empty in a mesh and for relays.
+   */
   readonly ownRelays: readonly string[];
 }
 
 /** Largest fleet that uses a full mesh. */
 export const MAX_FULL_MESH_ENTRIES = 24;
 
-/** One active and one standby relay. */
+/** One active and one standby relay for each failure domain. */
 const RELAYS_PER_DOMAIN = 2;
 
-/** Two hash keys, so that the two orders start with different entries. */
+/**
+ * Hash keys for ranking relays and coordinators. They differ so that the two
+ * rankings start with different entries.
+ */
 const RELAY_KEY = 'relay';
 const COORDINATOR_KEY = 'platform-reader';
 
 /**
- * Returns the plan of one entry. All entries' plans from the same nodes match.
+ * Returns the relay plan of one entry. Plans that the entries compute from the
+ * same nodes agree.
  *
  * @example
  * const {targets} = planRelays({id: 'a1', failureDomain: 'a', isLive: true,
@@ -58,19 +70,19 @@
   self: RelayNode,
   nodes: readonly RelayNode[],
 ): RelayPlan {
-  const others = nodes.filter(({id}) => id !== self.id);
-  const live = nodes.filter(({isLive}) => isLive);
+  const otherNodes = nodes.filter(({id}) => id !== self.id);
+  const liveNodes = nodes.filter(({isLive}) => isLive);
   if (nodes.length <= MAX_FULL_MESH_ENTRIES) {
     return {
-      targets: new Map(others.map(({id}) => [id, 'own'])),
+      targets: new Map(otherNodes.map(({id}) => [id, 'own'])),
       activeRelay: undefined,
-      coordinators: rendezvousOrder(COORDINATOR_KEY, idsOf(live)),
+      coordinators: rendezvousOrder(COORDINATOR_KEY, idsOf(liveNodes)),
       ownRelays: [],
     };
   }
-  const relays = relaysByDomain(live);
-  const ownRelays = relays.get(self.failureDomain) ?? [];
-  const coordinators = activeFirst([...relays.values()]);
+  const relayIdsByDomain = relaysByDomain(liveNodes);
+  const ownRelays = relayIdsByDomain.get(self.failureDomain) ?? [];
+  const coordinators = rankCoordinators([...relayIdsByDomain.values()]);
   if (!ownRelays.includes(self.id)) {
     return {
       targets: new Map(ownRelays.map(id => [id, 'own'])),
@@ -80,10 +92,10 @@
     };
   }
   const targets = new Map<string, DigestScope>();
-  for (const {id, failureDomain} of others) {
+  for (const {id, failureDomain} of otherNodes) {
     if (failureDomain === self.failureDomain) {
       targets.set(id, ownRelays.includes(id) ? 'own' : 'rest');
-    } else if (relays.get(failureDomain)?.includes(id)) {
+    } else if (relayIdsByDomain.get(failureDomain)?.includes(id)) {
       targets.set(id, 'domain');
     }
   }
@@ -95,22 +107,24 @@
   };
 }
 
-function relaysByDomain(live: readonly RelayNode[]): Map<string, string[]> {
-  const domains = new Set(live.map(({failureDomain}) => failureDomain));
+function relaysByDomain(
+  liveNodes: readonly RelayNode[],
+): Map<string, string[]> {
+  const domains = new Set(liveNodes.map(({failureDomain}) => failureDomain));
   return new Map(
     [...domains].map(domain => {
-      const members = live.filter(node => node.failureDomain === domain);
-      const order = groupByCores(members).flatMap(group =>
+      const members = liveNodes.filter(node => node.failureDomain === domain);
+      const rankedIds = groupByCores(members).flatMap(group =>
         rendezvousOrder(`${RELAY_KEY}/${domain}`, idsOf(group)),
       );
-      return [domain, order.slice(0, RELAYS_PER_DOMAIN)];
+      return [domain, rankedIds.slice(0, RELAYS_PER_DOMAIN)];
     }),
   );
 }
 
 /**
- * Groups of nodes with equal cores, largest first, since a relay carries its
- * whole failure domain.
+ * Groups nodes with equal cores, most cores first: a relay processes the
+ * digests of its whole failure domain.
  */
 function groupByCores(nodes: readonly RelayNode[]): RelayNode[][] {
   const coreCounts = new Set(nodes.map(({cores}) => cores));
@@ -120,14 +134,16 @@
 }
 
 /**
- * Orders active relays before standbys, which send no digests to other failure
- * domains.
+ * Ranks coordinators: active relays before standby relays, which send no
+ * digests to other failure domains.
  */
-function activeFirst(relays: readonly (readonly string[])[]): string[] {
+function rankCoordinators(
+  relayIdsByDomain: readonly (readonly string[])[],
+): string[] {
   return Array.from({length: RELAYS_PER_DOMAIN}, (_, relayIndex) =>
     rendezvousOrder(
       COORDINATOR_KEY,
-      relays.flatMap(ids => ids.slice(relayIndex, relayIndex + 1)),
+      relayIdsByDomain.flatMap(ids => ids.slice(relayIndex, relayIndex + 1)),
     ),
   ).flat();
 }
--- a/packages/gateway/src/requestLog.ts
+++ b/packages/gateway/src/requestLog.ts
@@ -1,4 +1,4 @@
-/** Log line and metrics of a completed request. */
+/** Writes the log line and the metrics of a completed request. */
 import type {Clock, Logger} from '@skylarkfield/base';
 import type {CustomerConfig, Route} from '@skylarkfield/traffic';
 import type {CallHead} from './contracts.js';
@@ -8,8 +8,8 @@
 
 /** A request that has ended. */
 export interface EndedRequest {
-  /** The request after routing; undefined if it was rejected earlier. */
-  readonly accepted:
+  /** The request after routing; undefined if it was rejected before. */
+  readonly acceptedRequest:
     | {
         readonly head: CallHead;
         readonly route: Route;
@@ -21,10 +21,10 @@
   readonly result: ForwardingResult;
   /** Whether the caller disconnected before its response was complete. */
   readonly hasDisconnected: boolean;
-  /** Monotonic milliseconds. */
+  /** Monotonic milliseconds at which the request's headers arrived. */
   readonly arrivedAt: number;
-  /** Number of events passed on. */
-  readonly events: number;
+  /** Number of events passed on to the caller. */
+  readonly eventCount: number;
 }
 
 export interface RequestLog {
@@ -35,7 +35,7 @@
  * Creates the log of one entry's requests.
  *
  * @example
- * requestLog.record({accepted, attemptId, result, hasDisconnected: false,
+ * requestLog.record({acceptedRequest, attemptId, result, hasDisconnected: false,
  *   arrivedAt, events: 0});
  */
 export function createRequestLog(options: {
@@ -46,21 +46,28 @@
 }): RequestLog {
   const {policy, metrics, clock, log} = options;
   return {
-    record({accepted, attemptId, result, hasDisconnected, arrivedAt, events}) {
-      const {status, error, firstMs, firstSendAt, fingerprint} = result;
+    record({
+      acceptedRequest,
+      attemptId,
+      result,
+      hasDisconnected,
+      arrivedAt,
+      eventCount,
+    }) {
+      const {status, error, firstByteMs, firstSendAt, fingerprint} = result;
       const tookMs = clock.now() - arrivedAt;
       metrics.record({
-        service: accepted?.service,
+        service: acceptedRequest?.service,
         kind: error?.kind ?? 'ok',
-        firstMs,
+        firstByteMs,
         tookMs,
       });
       log.info(
         {
           request: attemptId,
-          route: accepted?.route.name,
-          service: accepted?.service,
-          customer: accepted?.customer?.name,
+          route: acceptedRequest?.route.name,
+          service: acceptedRequest?.service,
+          customer: acceptedRequest?.customer?.name,
           policy: policy.version(),
           policyAgeMs: Math.round(policy.ageMs()),
           endpoints: result.endpoints,
@@ -74,8 +81,8 @@
           ...(firstSendAt !== undefined && {
             queuedMs: Math.round(firstSendAt - arrivedAt),
           }),
-          ...(firstMs !== undefined && {firstMs: Math.round(firstMs)}),
-          ...demandFields(accepted?.head, result, events),
+          ...(firstByteMs !== undefined && {firstMs: Math.round(firstByteMs)}),
+          ...demandFields(acceptedRequest?.head, result, eventCount),
           tookMs: Math.round(tookMs),
         },
         'request',
@@ -87,13 +94,13 @@
 function demandFields(
   head: CallHead | undefined,
   {tokensAhead}: ForwardingResult,
-  events: number,
+  eventCount: number,
 ) {
   return (
     head?.demand && {
       promptTokens: head.demand.promptTokens,
       mostOutputTokens: head.demand.mostOutputTokens,
-      events,
+      events: eventCount,
       ...(tokensAhead !== undefined && {tokensAhead: Math.round(tokensAhead)}),
     }
   );
--- a/packages/gateway/src/requestMetrics.ts
+++ b/packages/gateway/src/requestMetrics.ts
@@ -5,8 +5,14 @@
 export interface RequestObservation {
   readonly service: string | undefined;
   readonly kind: ErrorKind | 'ok';
-  /** Milliseconds to the first byte or event; undefined if none arrived. */
-  readonly firstMs: number | undefined;
+  /**
+   * Milliseconds from the start of forwarding to the first byte or event;
+   * undefined if none arrived.
+   */
+  readonly firstByteMs: number | undefined;
+  /**
+   * Milliseconds from the arrival of the request to the end of its response.
+   */
   readonly tookMs: number;
 }
 
@@ -20,13 +26,14 @@
 /** Histogram bounds in milliseconds, from fast responses to long timeouts. */
 const BOUNDARIES_MS = [10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000];
 
-/** Observations buffered before the metrics SDK is loaded. */
-const MAX_PENDING = 4_096;
+/** Number of buffered observations at which the metrics SDK is loaded. */
+const MAX_BUFFERED = 4_096;
 
 /**
- * Creates the metrics. The SDK is loaded when they are first rendered or
- * the buffer is full, so that a restarted process serves callers first. The
- * policy bounds the number of services, the only label with external names.
+ * Creates the metrics. The SDK is loaded when the metrics are first rendered or
+ * the buffer is full, so that a restarted process serves callers before it
+ * spends time on loading the SDK. The only label with names from outside is the
+ * service; the policy bounds the number of services.
  *
  * @example
  * const metrics = createRequestMetrics(() => createMetrics('skylarkfield'),
@@ -37,42 +44,42 @@
   loadSdk: () => Promise<Metrics>,
   log: Logger,
 ): RequestMetrics {
-  let pending: RequestObservation[] = [];
-  let loading: Promise<Metrics> | undefined;
-  let record = (observation: RequestObservation): void => {
-    pending.push(observation);
-    if (pending.length >= MAX_PENDING) {
-      loadOnce().catch(error => {
+  let bufferedObservations: RequestObservation[] = [];
+  let metricsPromise: Promise<Metrics> | undefined;
+  let recordObservation = (observation: RequestObservation): void => {
+    bufferedObservations.push(observation);
+    if (bufferedObservations.length >= MAX_BUFFERED) {
+      loadMetricsOnce().catch(error => {
         log.warn(
-          {reason: String(error), dropped: pending.length},
+          {reason: String(error), dropped: bufferedObservations.length},
           'loading the metrics SDK failed',
         );
-        pending = [];
+        bufferedObservations = [];
       });
     }
   };
 
   async function loadMetrics(): Promise<Metrics> {
     const metrics = await loadSdk();
-    record = createRecorder(metrics.meter);
-    pending.forEach(record);
-    pending = [];
+    recordObservation = createRecorder(metrics.meter);
+    bufferedObservations.forEach(recordObservation);
+    bufferedObservations = [];
     return metrics;
   }
 
-  function loadOnce(): Promise<Metrics> {
-    loading ??= loadMetrics();
-    return loading;
+  function loadMetricsOnce(): Promise<Metrics> {
+    metricsPromise ??= loadMetrics();
+    return metricsPromise;
   }
 
   return {
-    record: observation => record(observation),
+    record: observation => recordObservation(observation),
     async render() {
-      const metrics = await loadOnce();
+      const metrics = await loadMetricsOnce();
       return metrics.render();
     },
     async shutDown() {
-      const metrics = await loading;
+      const metrics = await metricsPromise;
       await metrics?.shutDown();
     },
   };
@@ -85,7 +92,7 @@
     description: 'Requests by service and outcome',
   });
   const advice = {explicitBucketBoundaries: BOUNDARIES_MS};
-  const first = meter.createHistogram('skylarkfield.gateway.first', {
+  const timeToFirstByte = meter.createHistogram('skylarkfield.gateway.first', {
     unit: 'ms',
     advice,
     description: 'Time from the first send to the first byte or event',
@@ -95,11 +102,11 @@
     advice,
     description: 'Time from arrival to the end of the answer',
   });
-  return ({service = '', kind, firstMs, tookMs}) => {
+  return ({service = '', kind, firstByteMs, tookMs}) => {
     requests.add(1, {service, kind});
     duration.record(tookMs, {service});
-    if (firstMs !== undefined) {
-      first.record(firstMs, {service});
+    if (firstByteMs !== undefined) {
+      timeToFirstByte.record(firstByteMs, {service});
     }
   };
 }
--- a/packages/gateway/src/retryRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -11,26 +11,30 @@
     'kind' | 'attempts' | 'goalMs' | 'longestPauseMs' | 'isResumable'
   >;
   readonly service: string;
-  /** Monotonic milliseconds. */
+  /** Deadline of the response, in monotonic milliseconds. */
   readonly deadlineAt: number;
   readonly signal: AbortSignal;
 }
 
-/** State of one request over its attempts. */
+/** Progress of one request over all its attempts. */
 export interface Progress {
+  /** Ids of the endpoints that the request was sent to, in order. */
   readonly endpoints: string[];
-  readonly excluded: Set<string>;
+  /** Router keys of the endpoints that must not be chosen again. */
+  readonly excludedEndpoints: Set<string>;
   /** Prompt tokens queued at the first endpoint before the first send. */
   tokensAhead: number | undefined;
   /** Number of endpoints that may have run the request. */
   runs: number;
+  /** Monotonic milliseconds of the start of forwarding. */
   startedAt: number;
-  /** Monotonic milliseconds of the first send; undefined before that. */
+  /** Monotonic milliseconds of the first send; undefined before that send. */
   firstSendAt: number | undefined;
-  firstMs: number | undefined;
-  /** Fingerprint, once an endpoint closed its connection during the request. */
+  /** Milliseconds from `startedAt` to the first byte or event of a response. */
+  firstByteMs: number | undefined;
+  /** Crash fingerprint, set once an endpoint has closed its connection. */
   fingerprint: string | undefined;
-  /** Whether the request is already counted in the customer's usage. */
+  /** Whether the request has been counted in the customer's usage. */
   isCounted: boolean;
   /** Target of the request's migration off a draining endpoint. */
   continuation: Continuation | undefined;
@@ -38,39 +42,46 @@
 
 /** Retry and timeout decisions of one entry. */
 export interface RetryRules {
-  /** Whether a request that may have run may run at another endpoint. */
+  /**
+   * Whether a request that may already have run may be run again at another
+   * endpoint. Consumes one retry of the service's retry budget if so.
+   */
   mayRerun(call: RetryableCall, progress: Progress): boolean;
   /**
-   * Whether a request that has certainly not run at this endpoint may be sent
-   * to another. A migrated stream that its new endpoint declines has still run
-   * at its first endpoint.
+   * Whether a request that was certainly not run by its last endpoint may be
+   * sent to another endpoint. A migrated stream that is declined by its new
+   * endpoint has still run at its first endpoint. Consumes one retry of the
+   * service's retry budget if so.
    */
   mayResend(call: RetryableCall, progress: Progress): boolean;
-  /** Returns the idle timeout of the next attempt, in milliseconds, if any. */
+  /**
+   * Returns the idle timeout of the next attempt, in milliseconds; undefined if
+   * the attempt may use all the time until the deadline.
+   */
   idleTimeoutMs(call: RetryableCall, progress: Progress): number | undefined;
 }
 
 /**
- * Maximum sends of a request to endpoints that decline it or cannot be reached;
- * more failures mean that the service has no capacity.
+ * Maximum sends of a request, counting endpoints that decline the request or
+ * cannot be reached; three such failures mean that the service has no capacity.
  */
 const MAX_SENDS = 3;
 
 /**
- * Fraction of its remaining time that an idempotent request waits for one
- * endpoint while a retry is left.
+ * Idle timeout of an idempotent request while a retry is left, as a fraction of
+ * the time until the request's deadline.
  */
 const IDLE_TIMEOUT_FRACTION = 0.4;
 
 /**
  * Idle timeout of a resumable stream, as a multiple of its route's latency
- * target or longest pause, whichever is longer. By then the response is late;
- * callers disconnect after eight such pauses.
+ * target or longest pause, whichever is longer. After that time the response is
+ * late anyway; callers disconnect after eight such pauses.
  */
 const RESUME_PAUSE_MULTIPLE = 3;
 
 /**
- * Returns the state of a request before its first attempt.
+ * Returns the progress of a request before its first attempt.
  *
  * @example
  * const progress = createProgress(clock.now());
@@ -78,12 +89,12 @@
 export function createProgress(now: number): Progress {
   return {
     endpoints: [],
-    excluded: new Set(),
+    excludedEndpoints: new Set(),
     tokensAhead: undefined,
     runs: 0,
     startedAt: now,
     firstSendAt: undefined,
-    firstMs: undefined,
+    firstByteMs: undefined,
     fingerprint: undefined,
     isCounted: false,
     continuation: undefined,
@@ -91,10 +102,10 @@
 }
 
 /**
- * Creates the rules of one entry.
+ * Creates the retry rules of one entry.
  *
  * @example
- * if (rules.mayResend(call, progress)) { return attempt(nextTarget(call,
+ * if (rules.mayResend(call, progress)) { return tryTarget(chooseTarget(call,
  *   progress)); }
  */
 export function createRetryRules(options: {
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -1,4 +1,4 @@
-/** Splits traffic between versions during rollouts and publishes the state. */
+/** Splits traffic between versions during rollouts; publishes their state. */
 import {
   disposableStore,
   every,
@@ -27,18 +27,28 @@
 export interface RolloutSample {
   readonly service: string;
   readonly group: VersionGroup;
+  /** Name of the request's route. */
   readonly route: string;
   readonly isError: boolean;
+  /** Milliseconds from the start of forwarding to the first byte or event. */
   readonly latencyMs: number;
   readonly isRepeatable: boolean;
 }
 
 export interface RolloutController extends Disposable {
-  /** Returns a request's version group; the same at every entry for one key. */
-  groupFor(service: string, key: string, isRepeatable: boolean): VersionGroup;
+  /**
+   * Returns the version group that serves a request. All entries return the
+   * same group for the same request key, which is the caller's attempt id.
+   */
+  groupFor(
+    service: string,
+    requestKey: string,
+    isRepeatable: boolean,
+  ): VersionGroup;
+  /** Records a sample as evidence about its version group. */
   observe(sample: RolloutSample): void;
   /** Whether a rollout of the service is in progress. */
-  isOpen(service: string): boolean;
+  isRollingOut(service: string): boolean;
 }
 
 export interface RolloutOptions {
@@ -49,23 +59,24 @@
   readonly dutyElections: Pick<DutyElections, 'compete'>;
   plan(): RelayPlan;
   /** Ids of all other entries. */
-  others(): readonly string[];
+  otherEntryIds(): readonly string[];
 }
 
 /**
- * Interval of updating which groups have endpoints, in milliseconds; endpoints
- * of a new version take seconds to start.
+ * Interval at which it is checked which version groups have ready endpoints, in
+ * milliseconds; endpoints of a new version take seconds to start.
  */
 const AVAILABILITY_INTERVAL_MS = 500;
 
 /** Timeout of publishing a rollout state, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_500;
 
-const GROUPS: readonly VersionGroup[] = ['incumbent', 'candidate'];
+const VERSION_GROUPS: readonly VersionGroup[] = ['incumbent', 'candidate'];
 
 /**
- * Creates the controller of one entry. Without an open rollout it neither reads
- * the store nor renews a lease, since each of these calls is billed.
+ * Creates the rollout controller of one entry. While no rollout is in progress,
+ * the controller neither reads the store nor renews a lease, since each of
+ * these calls is billed.
  *
  * @example
  * const rollouts = createRolloutController(context, options);
@@ -81,11 +92,11 @@
   const disposables = disposableStore();
   let activeRollouts: Disposable | undefined;
 
-  function update(): void {
-    if (moves.hasOpen() && activeRollouts === undefined) {
+  function startOrStopRollouts(): void {
+    if (moves.hasOpenRollouts() && activeRollouts === undefined) {
       activeRollouts = startRollouts(context, options, moves, split);
       log.info({}, 'rollout in progress');
-    } else if (!moves.hasOpen() && activeRollouts !== undefined) {
+    } else if (!moves.hasOpenRollouts() && activeRollouts !== undefined) {
       activeRollouts.dispose();
       activeRollouts = undefined;
       split.setMoves([]);
@@ -93,15 +104,15 @@
     }
   }
 
-  disposables.add(moves.onDidChange(update));
-  update();
+  disposables.add(moves.onDidChange(startOrStopRollouts));
+  startOrStopRollouts();
   dumps.add('rollouts', () => split.dump());
   return {
-    groupFor: (service, key, isRepeatable) =>
+    groupFor: (service, requestKey, isRepeatable) =>
       split.versionFor({
         service,
         incumbent: 'incumbent',
-        session: key,
+        session: requestKey,
         isIdempotent: isRepeatable,
       }) as VersionGroup,
     observe: ({group, isRepeatable, ...sample}) =>
@@ -109,11 +120,11 @@
         ...sample,
         version: group,
         isIdempotent: isRepeatable,
-        // An entry does not know a service's total load; failures under load
-        // appear in the samples of its routes.
+        // An entry does not know the total load of a service; failures that
+        // occur under load appear in the samples of the service's routes.
         loadFraction: 0,
       }),
-    isOpen: moves.isOpen,
+    isRollingOut: moves.isRollingOut,
     dispose() {
       activeRollouts?.dispose();
       disposables.dispose();
@@ -134,7 +145,9 @@
   const inFlightUpdates = new Set<string>();
 
   function availableGroups(service: string): VersionGroup[] {
-    return GROUPS.filter(group => directory.ready(service, group).length > 0);
+    return VERSION_GROUPS.filter(
+      group => directory.readyEndpoints(service, group).length > 0,
+    );
   }
 
   function updateAvailability(): void {
@@ -152,7 +165,10 @@
     }
   }
 
-  /** Failed writes are retried at the next check: the mirror is unchanged. */
+  /**
+   * Publishes a rollout state. A failed write is retried at the next evaluation
+   * of the move, since the mirrored rollout still has the old state.
+   */
   async function writeState({
     name,
     target,
@@ -182,7 +198,7 @@
     createMoveFollower({
       clock,
       objects: store,
-      network: evidenceNetwork(options),
+      network: createEvidenceNetwork(options),
       configuration: moves.records,
       split,
       controller,
@@ -209,10 +225,11 @@
 }
 
 /**
- * Sends evidence only to the entries that may evaluate moves, so that its cost
- * does not grow with the square of the entries; `moveCut` goes to all entries.
+ * Returns a network that sends evidence only to the entries that may evaluate
+ * moves, so that the cost of evidence does not grow with the square of the
+ * number of entries. Other messages, such as `moveCut`, go to all entries.
  */
-function evidenceNetwork(options: RolloutOptions) {
+function createEvidenceNetwork(options: RolloutOptions) {
   const {network} = options;
   return {
     onDidReceive: network.onDidReceive,
@@ -222,12 +239,14 @@
       network.broadcast(
         type,
         body,
-        type === 'moveEvidence' ? moveEvaluators(options) : options.others(),
+        type === 'moveEvidence'
+          ? moveEvaluators(options)
+          : options.otherEntryIds(),
       )) as PeerNetwork['broadcast'],
   };
 }
 
-function moveEvaluators({plan, others}: RolloutOptions): string[] {
-  const present = new Set(others());
-  return plan().coordinators.filter(id => present.has(id));
+function moveEvaluators({plan, otherEntryIds}: RolloutOptions): string[] {
+  const otherIds = new Set(otherEntryIds());
+  return plan().coordinators.filter(id => otherIds.has(id));
 }
