--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -10,7 +10,7 @@
 import type {VersionGroup} from './endpointDirectory.js';
 import type {Mirror} from './mirror.js';
 
-/** The part of the records API that the move components use. */
+/** The part of the configuration API that the move components use. */
 export type MoveRecords = Pick<
   Configuration,
   'list' | 'isReady' | 'onDidChange'
@@ -25,53 +25,56 @@
 }
 
 export interface RolloutMoves {
+  /** Open rollouts in the form of move records. */
   readonly records: MoveRecords;
   /** Whether any rollout is in progress. */
-  hasOpen(): boolean;
+  hasOpenRollouts(): boolean;
   /** Whether a rollout of the service is in progress. */
-  isOpen(service: string): boolean;
-  /** Applies durable states; the earliest known start of a move counts. */
+  isRollingOut(service: string): boolean;
+  /** Applies persisted states; the earliest known start of a move counts. */
   recordStates(states: readonly MoveState[]): void;
-  /** Returns the rollout states to publish, derived from the durable states. */
+  /** Returns the rollout states that are not published yet. */
   pendingUpdates(states: readonly MoveState[]): readonly RolloutStateUpdate[];
-  /** Fires when a rollout was created, changed or settled. */
+  /** Fires when the mirrored rollouts have changed. */
   readonly onDidChange: Event<void>;
 }
 
-/** Version groups between which traffic moves. */
+/** Version groups between which a rollout moves traffic. */
 const FROM_GROUP: VersionGroup = 'incumbent';
 const TO_GROUP: VersionGroup = 'candidate';
 
 /**
- * Maximum fraction of requests for an unproven version; operators allow a tenth
- * plus a few requests.
+ * Maximum fraction of requests that are sent to a version before it has been
+ * proven; operators allow a tenth plus a few requests.
  */
 const MAX_UNPROVEN_SHARE = 0.08;
 
 /**
  * Time before the deadline at which a rollout is reported done, in
- * milliseconds. The old endpoints are then terminated with their requests, so
- * this is long after traffic has moved, with time to retry the call.
+ * milliseconds. Once a rollout is done, the old endpoints are terminated with
+ * their requests, so this is long after all traffic has moved, yet leaves time
+ * to retry the call.
  */
 const DONE_MARGIN_MS = 1_000;
 
-/** Terminal states of a rollout. */
+/** States after which a rollout is no longer in progress. */
 const SETTLED_STATES: ReadonlySet<RolloutState | undefined> = new Set([
   'done',
   'rolled-back',
 ]);
 
-const rolloutStates: Readonly<Record<MoveState['phase'], RolloutState>> = {
-  waiting: 'running',
-  proving: 'running',
-  soaking: 'running',
-  finished: 'done',
-  'taken-back': 'rolled-back',
-  withdrawn: 'rolled-back',
-};
+const rolloutStateByPhase: Readonly<Record<MoveState['phase'], RolloutState>> =
+  {
+    waiting: 'running',
+    proving: 'running',
+    soaking: 'running',
+    finished: 'done',
+    'taken-back': 'rolled-back',
+    withdrawn: 'rolled-back',
+  };
 
 /**
- * Creates the moves over the mirrored rollouts.
+ * Creates the moves that represent the mirrored rollouts.
  *
  * @example
  * const moves = createRolloutMoves(view.rollouts, clock);
@@ -81,43 +84,50 @@
   mirror: Mirror<Rollout>,
   clock: Clock,
 ): RolloutMoves {
-  const changed = emitter<void>();
-  /** Earliest known start of each rollout, in wall-clock milliseconds. */
-  const startTimes = new Map<string, number>();
+  const changeEmitter = emitter<void>();
+  /** Earliest known start of each move, in wall-clock milliseconds. */
+  const startWallMsByMove = new Map<string, number>();
 
   function openRollouts(): {name: string; rollout: Rollout}[] {
     return mirror
       .items()
       .map(({name, value}) => ({name, rollout: value}))
-      .filter(({rollout}) => isUnsettled(rollout));
+      .filter(({rollout}) => isOpen(rollout));
   }
 
   function toMove(name: string, {service, target, periodMs}: Rollout): Move {
-    const id = moveName(name, target);
+    const moveId = moveIdOf(name, target);
     return {
-      name: id,
+      name: moveId,
       service,
       from: FROM_GROUP,
       to: TO_GROUP,
-      deadline: (startTimes.get(id) ?? clock.wall()) + periodMs,
+      deadline: (startWallMsByMove.get(moveId) ?? clock.wall()) + periodMs,
       maxUnprovenShare: MAX_UNPROVEN_SHARE,
     };
   }
 
   function recordStarts(): void {
     for (const {name, rollout} of openRollouts()) {
-      const id = moveName(name, rollout.target);
-      startTimes.set(id, startTimes.get(id) ?? clock.wall());
+      const moveId = moveIdOf(name, rollout.target);
+      startWallMsByMove.set(
+        moveId,
+        startWallMsByMove.get(moveId) ?? clock.wall(),
+      );
     }
-    changed.fire();
+    changeEmitter.fire();
   }
 
-  function moves(): Move[] {
+  function openMoves(): Move[] {
     return openRollouts().map(({name, rollout}) => toMove(name, rollout));
   }
 
+  /**
+   * Returns the rollout state to report for a move: a finished move remains
+   * `running` until shortly before its deadline.
+   */
   function stateToReport(rollout: Rollout, state: MoveState, move: Move) {
-    const newState = rolloutStates[state.phase];
+    const newState = rolloutStateByPhase[state.phase];
     const isEarly = clock.wall() < move.deadline - DONE_MARGIN_MS;
     return newState === 'done' && isEarly ? 'running' : newState;
   }
@@ -126,20 +136,20 @@
   recordStarts();
   return {
     records: {
-      // The gateway has no records other than rollouts.
-      list: kind => (kind === 'move' ? (moves() as never[]) : []),
+      // The gateway has no records of other kinds.
+      list: kind => (kind === 'move' ? (openMoves() as never[]) : []),
       isReady: () => mirror.isKnown(),
       onDidChange: listener =>
-        changed.event(() => listener('move', 'rollouts')),
+        changeEmitter.event(() => listener('move', 'rollouts')),
     },
-    hasOpen: () => openRollouts().length > 0,
-    isOpen: service =>
+    hasOpenRollouts: () => openRollouts().length > 0,
+    isRollingOut: service =>
       openRollouts().some(({rollout}) => rollout.service === service),
     recordStates(states) {
       for (const {move, startedAt = Infinity} of states) {
-        const known = startTimes.get(move) ?? Infinity;
-        if (startedAt < known) {
-          startTimes.set(move, startedAt);
+        const earliestStart = startWallMsByMove.get(move) ?? Infinity;
+        if (startedAt < earliestStart) {
+          startWallMsByMove.set(move, startedAt);
         }
       }
     },
@@ -147,7 +157,7 @@
       return openRollouts().flatMap(({name, rollout}) => {
         const move = toMove(name, rollout);
         const state = states.find(
-          ({move: nameInState}) => nameInState === move.name,
+          ({move: moveInState}) => moveInState === move.name,
         );
         if (state === undefined) {
           return [];
@@ -158,16 +168,18 @@
         return isWritten ? [] : [{name, target, state: newState}];
       });
     },
-    onDidChange: changed.event,
+    onDidChange: changeEmitter.event,
   };
 }
 
-/** Includes the target, since each target is a move with its own evidence. */
-function moveName(name: string, target: string): string {
+/**
+ * Returns the id of a move. It includes the target version, since each target
+ * is a separate move with its own evidence.
+ */
+function moveIdOf(name: string, target: string): string {
   return `${name}.${target}`;
 }
 
-/** Whether a rollout is still in progress. */
-function isUnsettled(rollout: Rollout): boolean {
+function isOpen(rollout: Rollout): boolean {
   return !SETTLED_STATES.has(currentRolloutState(rollout));
 }
--- a/packages/gateway/src/rolloutSample.ts
+++ b/packages/gateway/src/rolloutSample.ts
@@ -1,11 +1,14 @@
-/** Evidence about a version from the result of a request. */
+/** Converts the result of a request into evidence about its version. */
 import type {ErrorKind} from '@skylarkfield/base';
 import {isRepeatable} from '@skylarkfield/traffic';
 import {isServerError} from './attemptOutcome.js';
 import type {ForwardedCall, ForwardingResult} from './forwarding.js';
 import type {RolloutSample} from './rolloutController.js';
 
-/** Errors unrelated to the version: a disconnect, no capacity, quarantine. */
+/**
+ * Errors that are no evidence about the version: the caller disconnected, no
+ * endpoint had capacity, or the request was quarantined.
+ */
 const NEUTRAL_ERRORS: ReadonlySet<ErrorKind> = new Set([
   'cancelled',
   'overloaded',
@@ -14,8 +17,9 @@
 ]);
 
 /**
- * Returns the evidence from one request; undefined if there is none. A request
- * that needed a second endpoint counts as an error of the first.
+ * Returns the evidence from one request; undefined if the request is no
+ * evidence about the version. A request that needed a second endpoint counts as
+ * an error, since its first endpoint failed or declined it.
  *
  * @example
  * const sample = sampleOf(call, result);
@@ -26,7 +30,7 @@
     version,
     route,
   }: Pick<ForwardedCall, 'service' | 'version' | 'route'>,
-  {error, status, endpoints, firstMs}: ForwardingResult,
+  {error, status, endpoints, firstByteMs}: ForwardingResult,
 ): RolloutSample | undefined {
   if (error !== undefined && NEUTRAL_ERRORS.has(error.kind)) {
     return undefined;
@@ -38,7 +42,7 @@
     group: version,
     route: route.name,
     isError,
-    latencyMs: firstMs ?? 0,
+    latencyMs: firstByteMs ?? 0,
     isRepeatable: isRepeatable(route),
   };
 }
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -3,8 +3,8 @@
 import {validateShape, parseJson, ServingError} from '@skylarkfield/base';
 import * as z from 'zod';
 
-/** An address as `IP:port`; port 0 selects any free port. */
-const address = z
+/** An address in the form `IP:port`; port 0 selects any free port. */
+const addressSchema = z
   .string()
   .regex(/^[\d.]+:\d{1,5}$/, {message: 'an address like 10.0.0.4:8080'})
   .transform(text => {
@@ -12,59 +12,69 @@
     return {host, port: Number(port)};
   });
 
-const milliseconds = z.number().int().min(1).max(3_600_000);
-const seconds = z.number().min(0.001).max(3_600);
+const millisecondsSchema = z.number().int().min(1).max(3_600_000);
+const secondsSchema = z.number().min(0.001).max(3_600);
 
 /** Schema of the settings; unknown keys are rejected. */
 export const gatewaySettingsSchema = z.strictObject({
-  /** Unique among entries; may be reused after a restart. */
+  /** Unique among running entries; may be reused after a restart. */
   id: z.string().min(1).max(63),
   failureDomain: z.string().min(1),
   region: z.string().min(1),
   /** Listen address for callers' requests. */
-  callers: address,
+  callers: addressSchema,
   /** Listen address for the platform's readiness checks. */
-  readiness: address,
-  /** Listen address for callers' lookups of entries. */
-  lookup: address,
-  /** Listen address for other entries. */
-  inner: address,
+  readiness: addressSchema,
+  /** Listen address for callers that look up entries. */
+  lookup: addressSchema,
+  /** Listen address for connections from other entries. */
+  inner: addressSchema,
   /** Listen address for metrics and state dumps. */
-  status: address,
-  /** Available processor capacity; entries without it count as one core. */
+  status: addressSchema,
+  /** Processor capacity; an entry without this setting counts as one core. */
   processor: z
     .strictObject({
       /** Number of cores; may be a fraction. */
       share: z.number().positive().max(1_024),
-      /** Speed of a core relative to the standard one. */
+      /** Speed of a core relative to the standard core. */
       speed: z.number().positive().max(1_024).default(1),
     })
     .transform(({share, speed}) => ({cores: share * speed}))
     .optional(),
-  /** `IP:port` of other entries' inner ports; some may be outdated. */
+  /**
+   * `IP:port` of the inner ports of other entries, to find the fleet after a
+   * start; some may be outdated.
+   */
   seeds: z.array(z.string()).default([]),
   platform: z.strictObject({
     /** `IP:port` of the store. */
     store: z.string().min(1),
     /** `IP:port` of the API for orders and usage reports. */
     orders: z.string().min(1),
-    /** Calls per second allowed for all entries together. */
+    /** Calls per second that the platform allows for all entries together. */
     callsPerSecond: z.number().min(1).max(1_000_000),
   }),
   /** Shared secret with which entries authenticate each other. */
   innerKey: z.string().min(8),
-  /** Time from the stop request until the process is killed. */
-  graceSeconds: seconds,
-  /** Maximum time for which callers cache a lookup's response. */
-  lookupSeconds: seconds,
-  /** Maximum time for which a revoked key is still accepted. */
-  keyRevocationMs: milliseconds,
-  /** Length of the window of customers' quotas. */
-  quotaWindowSeconds: seconds.default(8),
-  /** Length of a usage report's window. */
-  usageWindowSeconds: seconds,
-  /** Time after a window's end during which it may be reported. */
-  usageLateSeconds: seconds,
+  /** Time from the stop request until the process is killed, in seconds. */
+  graceSeconds: secondsSchema,
+  /**
+   * Maximum time for which callers cache the response to a lookup, in seconds.
+   */
+  lookupSeconds: secondsSchema,
+  /**
+   * Maximum time for which a revoked key is still accepted, in milliseconds.
+   */
+  keyRevocationMs: millisecondsSchema,
+  /** Length of the quota window of customers, in seconds. */
+  quotaWindowSeconds: secondsSchema.default(8),
+  /** Length of the window of a usage report, in seconds. */
+  usageWindowSeconds: secondsSchema,
+  /**
+   * Time after a usage window's end during which the window may be reported, in
+   * seconds.
+   */
+  usageLateSeconds: secondsSchema,
   log: z
     .strictObject({
       level: z
@@ -78,8 +88,8 @@
 export type Address = GatewaySettings['callers'];
 
 /**
- * Checks settings and fills in defaults. Throws `bad-settings` listing every
- * fault.
+ * Validates settings and fills in defaults. Throws `bad-settings` with a list
+ * of all faults.
  *
  * @example
  * const settings = checkGatewaySettings(JSON.parse(text));
@@ -94,7 +104,7 @@
 }
 
 /**
- * Reads and checks a settings file. Throws `bad-settings`.
+ * Reads and validates a settings file. Throws `bad-settings`.
  *
  * @example
  * const settings = readGatewaySettings('gateway-a1.json');
--- a/packages/gateway/src/statusPages.ts
+++ b/packages/gateway/src/statusPages.ts
@@ -1,9 +1,11 @@
-/** Metrics, state dump and decision log for operators. */
+/**
+ * Pages of the status port: metrics, state dump and decision log for operators.
+ */
 import type {DecisionLog, Dumps} from '@skylarkfield/base';
 import type {RequestHandler} from './listeners.js';
 import type {RequestMetrics} from './requestMetrics.js';
 
-interface StatusParts {
+interface StatusSources {
   readonly metrics: RequestMetrics;
   readonly dumps: Dumps;
   readonly decisions: DecisionLog;
@@ -11,23 +13,23 @@
 
 interface Page {
   readonly type: string;
-  text(): string | Promise<string>;
+  render(): string | Promise<string>;
 }
 
 /**
  * Creates the handler of the status port.
  *
  * @example
- * const port = await openPort(settings.status, createStatusHandler(parts));
+ * const port = await openPort(settings.status, createStatusHandler(sources));
  */
-export function createStatusHandler(parts: StatusParts): RequestHandler {
+export function createStatusHandler(sources: StatusSources): RequestHandler {
   const pages: Readonly<Record<string, Page>> = {
     '/metrics': {
       type: 'text/plain; version=0.0.4',
-      text: () => parts.metrics.render(),
+      render: () => sources.metrics.render(),
     },
-    '/dump': json(() => parts.dumps.collect()),
-    '/decisions': json(() => parts.decisions.list()),
+    '/dump': createJsonPage(() => sources.dumps.collect()),
+    '/decisions': createJsonPage(() => sources.decisions.list()),
   };
   return (request, response) => {
     const page = pages[request.url ?? ''];
@@ -36,7 +38,7 @@
       response.end();
       return;
     }
-    Promise.resolve(page.text()).then(
+    Promise.resolve(page.render()).then(
       text => {
         response.setHeader('content-type', page.type);
         response.end(text);
@@ -49,9 +51,9 @@
   };
 }
 
-function json(value: () => unknown): Page {
+function createJsonPage(getValue: () => unknown): Page {
   return {
     type: 'application/json',
-    text: () => JSON.stringify(value(), null, 2),
+    render: () => JSON.stringify(getValue(), null, 2),
   };
 }
--- a/packages/gateway/src/stepMeter.ts
+++ b/packages/gateway/src/stepMeter.ts
@@ -2,18 +2,20 @@
 import type {Clock} from '@skylarkfield/base';
 
 export interface StepMeter {
+  /** Records that an event has arrived now. */
   recordEvent(): void;
   eventCount(): number;
-  /** Returns milliseconds between events; undefined before the second. */
+  /** Returns milliseconds between events; undefined before the second event. */
   eventIntervalMs(): number | undefined;
 }
 
-/** Interval below which events count as read together, in milliseconds. */
+/** Interval below which two events count as read together, in milliseconds. */
 const COALESCED_MS = 0.5;
 
 /**
- * Quantile of the gaps that is taken as the step time. It is low since gaps are
- * longer while the engine processes a prompt, most of the time under load.
+ * Quantile of the intervals between events that is taken as the step time. It
+ * is low because intervals are longer while the engine processes a prompt,
+ * which under load it does most of the time.
  */
 const STEP_QUANTILE = 0.25;
 
@@ -28,23 +30,23 @@
   const gaps: number[] = [];
   let eventCount = 0;
   let coalescedCount = 0;
-  let lastAt: number | undefined;
+  let lastReadAt: number | undefined;
 
   return {
     recordEvent() {
       const now = clock.now();
       eventCount += 1;
-      if (lastAt === undefined) {
-        lastAt = now;
+      if (lastReadAt === undefined) {
+        lastReadAt = now;
         return;
       }
       coalescedCount += 1;
-      if (now - lastAt < COALESCED_MS) {
+      if (now - lastReadAt < COALESCED_MS) {
         return;
       }
-      gaps.push((now - lastAt) / coalescedCount);
+      gaps.push((now - lastReadAt) / coalescedCount);
       coalescedCount = 0;
-      lastAt = now;
+      lastReadAt = now;
     },
     eventCount: () => eventCount,
     eventIntervalMs() {
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -1,9 +1,10 @@
 /**
  * Migrates running streams off a draining endpoint.
  *
- * A reclaimed endpoint terminates two to three seconds after its notice. Short
- * responses end in that time; a long one would be cut off, and its caller would
- * have to retry and wait for the whole prompt to be processed again.
+ * A reclaimed endpoint terminates two to three seconds after its reclaim
+ * notice. Short responses end in that time; a long response would be cut off,
+ * and its caller would have to retry and wait until the whole prompt has been
+ * processed again.
  */
 import {
   toServingError,
@@ -23,35 +24,36 @@
 
 /** A stream while it runs at one endpoint. */
 export interface WatchedStream extends Disposable {
-  /** Whether the endpoint was ordered to stop the stream. */
+  /** Whether the endpoint was requested to stop the stream. */
   isStopRequested(): boolean;
-  /**
-   * Returns the target after a migration in progress has ended; undefined if
-   * the stream was not migrated.
-   */
+  /** Waits for a migration in progress; undefined if there was none. */
   continuation(): Promise<Continuation | undefined>;
 }
 
 export interface StreamMigrator {
-  /** Watches a stream until disposed; `choose` selects another endpoint. */
+  /**
+   * Watches a stream until disposed, and migrates the stream if its endpoint
+   * starts to drain. `chooseEndpoint` selects another endpoint.
+   */
   watch(options: {
     readonly endpoint: string;
     readonly attemptId: string;
-    /** Whether the first event has arrived; a migration needs its KV cache. */
+    /** Whether the first event has arrived, so that there is a KV cache. */
     hasBegun(): boolean;
-    choose(): Choice | undefined;
+    chooseEndpoint(): Choice | undefined;
   }): WatchedStream;
 }
 
 /**
- * Time from the notice to the migration, in milliseconds: most responses end
- * within it, and it leaves half of a two-second notice for the copy.
+ * Time from the reclaim notice to the migration, in milliseconds: most
+ * responses end within that time, and half of a two-second notice is left for
+ * copying the KV cache.
  */
 const MIGRATION_DELAY_MS = 800;
 
 /**
- * Timeout of the copy, in milliseconds: it queues behind those of all other
- * streams on the endpoint.
+ * Timeout of copying the KV cache, in milliseconds: the copy waits for the
+ * copies of all other streams on the endpoint.
  */
 const MIGRATION_TIMEOUT_MS = 1_000;
 
@@ -59,8 +61,9 @@
  * Creates the migrator of one entry.
  *
  * @example
- * const watched = migrator.watch({endpoint, attemptId, hasBegun, choose});
- * const next = await watched.continuation();
+ * const watched = migrator.watch({endpoint, attemptId, hasBegun,
+ *   chooseEndpoint});
+ * const target = await watched.continuation();
  */
 export function createStreamMigrator(options: {
   readonly directory: EndpointDirectory;
@@ -73,17 +76,17 @@
   async function migrate(
     endpoint: string,
     attemptId: string,
-    choose: () => Choice | undefined,
+    chooseEndpoint: () => Choice | undefined,
   ): Promise<Continuation | undefined> {
     const source = directory.get(endpoint);
-    const choice = choose();
+    const choice = chooseEndpoint();
     const target = choice && directory.get(choice.endpoint);
     if (source === undefined || choice === undefined || target === undefined) {
       choice?.finish({outcome: 'cancelled', latencyMs: 0});
       return undefined;
     }
     const startedAt = clock.now();
-    const answer = await requestMigrator
+    const result = await requestMigrator
       .migrate(
         source.address,
         attemptId,
@@ -103,20 +106,20 @@
         request: attemptId,
         from: endpoint,
         to: choice.endpoint,
-        answer: answer.type,
+        answer: result.type,
         tookMs: Math.round(clock.now() - startedAt),
       },
       'stream migration finished',
     );
-    if (answer.type === 'moved') {
-      return {choice, kvCache: answer.kvCache};
+    if (result.type === 'moved') {
+      return {choice, kvCache: result.kvCache};
     }
     choice.finish({outcome: 'cancelled', latencyMs: 0});
     return undefined;
   }
 
   return {
-    watch({endpoint, attemptId, hasBegun, choose}) {
+    watch({endpoint, attemptId, hasBegun, chooseEndpoint}) {
       let migration: Promise<Continuation | undefined> | undefined;
       let timer: Disposable | undefined;
       const subscription = directory.onDidLeave(leavingEndpoint => {
@@ -125,7 +128,7 @@
         }
         timer = clock.after(MIGRATION_DELAY_MS, () => {
           if (hasBegun()) {
-            migration = migrate(endpoint, attemptId, choose);
+            migration = migrate(endpoint, attemptId, chooseEndpoint);
           }
         });
       });
--- a/packages/gateway/src/test/crashGuard.test.ts
+++ b/packages/gateway/src/test/crashGuard.test.ts
@@ -8,24 +8,24 @@
 } from '@skylarkfield/base';
 import {createCrashQuarantine} from '@skylarkfield/routing';
 import type {RegisteredEndpoint} from '@skylarkfield/traffic';
-import type {AttemptEnd, ConnectionLoss} from '../attempt.js';
+import type {AttemptResult, ConnectionLoss} from '../attempt.js';
 import {createCrashGuard} from '../crashGuard.js';
 
 const CALL = {fingerprint: () => 'f00d'};
 const FIRST_ATTEMPT = {continuation: undefined};
-const SUCCESS: AttemptEnd = {
+const SUCCESS: AttemptResult = {
   type: 'answered',
   status: 200,
   headers: {},
   body: Buffer.from(''),
 };
 
-function connectionLost(loss: ConnectionLoss): AttemptEnd {
+function createLossResult(loss: ConnectionLoss): AttemptResult {
   const error = new ServingError('interrupted', 'other side closed');
   return {type: 'failed', error, loss};
 }
 
-/** Creates a guard over endpoints with these states in the directory. */
+/** Creates a crash guard and a directory with endpoints in the given states. */
 function createGuard(states: Readonly<Record<string, 'ready' | 'draining'>>) {
   const clock = virtualClock();
   const crashQuarantine = createCrashQuarantine({
@@ -50,7 +50,7 @@
       loss: ConnectionLoss = 'closed',
     ) {
       for (const endpoint of endpoints) {
-        guard.recordAttemptEnd(CALL, endpoint, connectionLost(loss));
+        guard.recordAttemptResult(CALL, endpoint, createLossResult(loss));
         clock.advanceSync(2_000);
       }
     },
@@ -70,21 +70,22 @@
     assert.ok(guard.isQuarantined(CALL));
   });
 
-  it('clears a request after a complete response', () => {
+  it('clears a quarantined request after a complete response', () => {
     const {guard, loseConnections} = createGuard(READY);
     loseConnections(['e1', 'e2', 'e3']);
-    guard.recordAttemptEnd(CALL, 'e4', SUCCESS);
+    guard.recordAttemptResult(CALL, 'e4', SUCCESS);
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'clear');
   });
 
-  it('does not clear a request after a server error', () => {
+  it('keeps a request quarantined after a server error', () => {
     const {guard, loseConnections} = createGuard(READY);
     loseConnections(['e1', 'e2', 'e3']);
-    guard.recordAttemptEnd(CALL, 'e4', {...SUCCESS, status: 500});
+    guard.recordAttemptResult(CALL, 'e4', {...SUCCESS, status: 500});
     assert.ok(guard.isQuarantined(CALL));
   });
 
-  // Guards against taking the planned termination of an endpoint for a crash.
+  // Guards against mistaking the planned termination of an endpoint for a
+  // crash.
   it('ignores connections lost by draining endpoints', () => {
     const {guard, loseConnections} = createGuard({e1: 'draining'});
     loseConnections(['e1']);
@@ -92,7 +93,7 @@
     assert.equal(guard.checkSend(CALL, FIRST_ATTEMPT).type, 'clear');
   });
 
-  it('suspects a request whose endpoint was removed before the connection closed', () => {
+  it('suspects a request whose endpoint was deregistered before the connection closed', () => {
     const {guard, crashQuarantine, loseConnections} = createGuard({});
     crashQuarantine.recordDeregistered('e1');
     loseConnections(['e1']);
@@ -106,7 +107,7 @@
     assert.equal(guard.checkSend(CALL, {continuation}).type, 'clear');
   });
 
-  it('permits one send in a trial', () => {
+  it('permits a single send in a trial', () => {
     const {guard, crashQuarantine, clock} = createGuard(READY);
     for (const endpoint of ['e1', 'e2', 'e3']) {
       crashQuarantine.recordConnectionLost({request: 'f00d', endpoint});
--- a/packages/gateway/src/test/crashPersistence.test.ts
+++ b/packages/gateway/src/test/crashPersistence.test.ts
@@ -17,7 +17,9 @@
 const REQUEST = 'f00d';
 const CRASH_CONFIRM_MS = 300;
 
-/** Creates an entry whose mirror reads the store only on `refresh`. */
+/**
+ * Creates an entry whose mirror is updated from the store only by `refresh`.
+ */
 function startEntry(self: string, store: ObjectStore, clock: VirtualClock) {
   const log = silentLogger();
   const crashQuarantine = createCrashQuarantine({
@@ -48,7 +50,7 @@
       }));
       mirror.applyListing({revision: version, items}, undefined);
     },
-    async crash(...endpoints: string[]) {
+    async loseConnections(...endpoints: string[]) {
       for (const endpoint of endpoints) {
         crashQuarantine.recordConnectionLost({request: REQUEST, endpoint});
         await clock.advance(2_000);
@@ -66,68 +68,77 @@
 }
 
 describe('crash persistence', () => {
-  // Guards against verdicts that are lost together with the entries that
-  // reached them.
-  it('restores verdicts after all entries were replaced', async () => {
+  // Guards against losing verdicts together with the entries that reached them.
+  it('restores a verdict after all entries were replaced', async () => {
     const {start} = createFleet();
-    const before = start('a1');
-    await before.refresh();
-    await before.crash('e1', 'e2', 'e3');
-    before.persistence.dispose();
-    const after = start('b1');
-    await after.refresh();
-    assert.equal(after.crashQuarantine.verdictFor(REQUEST).type, 'quarantined');
+    const firstEntry = start('a1');
+    await firstEntry.refresh();
+    await firstEntry.loseConnections('e1', 'e2', 'e3');
+    firstEntry.persistence.dispose();
+    const replacementEntry = start('b1');
+    await replacementEntry.refresh();
+    assert.equal(
+      replacementEntry.crashQuarantine.verdictFor(REQUEST).type,
+      'quarantined',
+    );
   });
 
-  // Guards against a restarted entry that overwrites its persisted report.
+  // Guards against a restarted entry that overwrites its persisted report
+  // before reading it.
   it('merges new crashes into the report from before a restart', async () => {
     const {start, store} = createFleet();
-    const before = start('a1');
-    await before.refresh();
-    await before.crash('e1', 'e2');
-    before.persistence.dispose();
-    const after = start('a1');
-    await after.crash('e3');
-    const untouched = await store.get<CrashReport>(KIND, 'a1');
-    assert.equal(untouched?.value.crashes.length, 2);
-    await after.refresh();
-    await after.crash();
+    const firstProcess = start('a1');
+    await firstProcess.refresh();
+    await firstProcess.loseConnections('e1', 'e2');
+    firstProcess.persistence.dispose();
+    const restartedProcess = start('a1');
+    await restartedProcess.loseConnections('e3');
+    const storedReport = await store.get<CrashReport>(KIND, 'a1');
+    assert.equal(storedReport?.value.crashes.length, 2);
+    await restartedProcess.refresh();
+    await restartedProcess.loseConnections();
     await new Promise(resolve => setImmediate(resolve));
-    assert.equal(after.crashQuarantine.verdictFor(REQUEST).type, 'quarantined');
-    assert.equal(after.crashQuarantine.reportToStore().crashes.length, 3);
+    assert.equal(
+      restartedProcess.crashQuarantine.verdictFor(REQUEST).type,
+      'quarantined',
+    );
+    assert.equal(
+      restartedProcess.crashQuarantine.reportToStore().crashes.length,
+      3,
+    );
   });
 
-  it('retries failed writes', async () => {
+  it('retries a failed write until the store is available', async () => {
     const {clock, store, start} = createFleet();
     let isDown = true;
-    const flaky: ObjectStore = {
+    const flakyStore: ObjectStore = {
       ...store,
       put: (...call) =>
         isDown
           ? Promise.reject(new ServingError('platform-unavailable', 'down'))
           : store.put(...call),
     };
-    const entry = start('a1', flaky);
+    const entry = start('a1', flakyStore);
     await entry.refresh();
-    await entry.crash('e1');
+    await entry.loseConnections('e1');
     assert.equal(await store.get(KIND, 'a1'), undefined);
     isDown = false;
     await clock.advance(1_000);
-    const kept = await store.get<CrashReport>(KIND, 'a1');
-    assert.equal(kept?.value.crashes.length, 1);
+    const storedReport = await store.get<CrashReport>(KIND, 'a1');
+    assert.equal(storedReport?.value.crashes.length, 1);
   });
 
   it('batches the requests of one crash into one write', async () => {
     const {clock, store, start} = createFleet();
-    let writes = 0;
-    const counting: ObjectStore = {
+    let writeCount = 0;
+    const countingStore: ObjectStore = {
       ...store,
       put: (...call) => {
-        writes += 1;
+        writeCount += 1;
         return store.put(...call);
       },
     };
-    const entry = start('a1', counting);
+    const entry = start('a1', countingStore);
     await entry.refresh();
     for (let index = 0; index < 40; index++) {
       entry.crashQuarantine.recordConnectionLost({
@@ -136,27 +147,27 @@
       });
     }
     await clock.advance(CRASH_CONFIRM_MS + 2_000);
-    assert.equal(writes, 1);
-    const kept = await store.get<CrashReport>(KIND, 'a1');
-    assert.equal(kept?.value.crashes.length, 40);
+    assert.equal(writeCount, 1);
+    const storedReport = await store.get<CrashReport>(KIND, 'a1');
+    assert.equal(storedReport?.value.crashes.length, 40);
   });
 
-  it('lifts verdicts whose objects an operator removes', async () => {
+  it('clears a verdict after an operator has removed the persisted report', async () => {
     const {start, store} = createFleet();
     const entry = start('a1');
     await entry.refresh();
-    await entry.crash('e1', 'e2', 'e3');
+    await entry.loseConnections('e1', 'e2', 'e3');
     await entry.refresh();
     await store.remove(KIND, 'a1', {type: 'any'});
     await entry.refresh();
     assert.equal(entry.crashQuarantine.verdictFor(REQUEST).type, 'clear');
   });
 
-  it('removes objects whose crashes have all expired', async () => {
+  it('removes a persisted report after all its crashes have expired', async () => {
     const {clock, start, store} = createFleet();
     const removedEntry = start('a1');
     await removedEntry.refresh();
-    await removedEntry.crash('e1');
+    await removedEntry.loseConnections('e1');
     removedEntry.persistence.dispose();
     const reader = start('b1');
     await reader.refresh();
--- a/packages/gateway/src/test/digests.test.ts
+++ b/packages/gateway/src/test/digests.test.ts
@@ -24,14 +24,14 @@
   entries: 1,
 };
 
-/** Creates an entry behind two relays, and counts its digests to each. */
-function setUp() {
+/** Counts the digests that an entry behind two relays sends to each. */
+function startTestDigests() {
   const clock = virtualClock();
-  const sent: Record<string, number> = {first: 0, second: 0};
+  const sentCounts: Record<string, number> = {first: 0, second: 0};
   let receive: (peer: string, digest: Digest) => void = () => {};
   const network = {
     send(to: string) {
-      sent[to] = (sent[to] ?? 0) + 1;
+      sentCounts[to] = (sentCounts[to] ?? 0) + 1;
       return true;
     },
     onDidReceive(_: string, handler: typeof receive) {
@@ -53,14 +53,14 @@
     clock,
     self: {failureDomain: 'a', incarnation: 1},
     plan: () => plan,
-    content: () => () => CONTENT,
+    takeSnapshot: () => () => CONTENT,
     onDidReceive: () => {},
   });
   return {
-    sent,
-    async run(ticks: number, isFirstAlive: boolean) {
-      sent['first'] = 0;
-      sent['second'] = 0;
+    sentCounts,
+    async runTicks(ticks: number, isFirstAlive: boolean) {
+      sentCounts['first'] = 0;
+      sentCounts['second'] = 0;
       for (let tick = 0; tick < ticks; tick++) {
         if (isFirstAlive) {
           receive('first', {...CONTENT, stamp: tick, wallMs: clock.wall()});
@@ -72,19 +72,19 @@
 }
 
 describe('digests', () => {
-  it('go to the standby relay at a third of the rate', async () => {
-    const {sent, run} = setUp();
-    await run(12, true);
-    assert.deepEqual(sent, {first: 12, second: 4});
+  it('go to the standby relay at a third of the rate while the active relay is alive', async () => {
+    const {sentCounts, runTicks} = startTestDigests();
+    await runTicks(12, true);
+    assert.deepEqual(sentCounts, {first: 12, second: 4});
   });
 
-  // Guards against a standby relay that takes over with stale data of its
-  // entries.
-  it('go to the second relay at the full rate once the first is unreachable', async () => {
-    const {sent, run} = setUp();
-    await run(6, true);
-    await run(4, false);
-    await run(6, false);
-    assert.deepEqual(sent, {first: 6, second: 6});
+  // Guards against a standby relay that takes over with stale data of the
+  // entries that report to it.
+  it('go to the standby relay at the full rate after the active relay became unreachable', async () => {
+    const {sentCounts, runTicks} = startTestDigests();
+    await runTicks(6, true);
+    await runTicks(4, false);
+    await runTicks(6, false);
+    assert.deepEqual(sentCounts, {first: 6, second: 6});
   });
 });
--- a/packages/gateway/src/test/engineCapacityStore.test.ts
+++ b/packages/gateway/src/test/engineCapacityStore.test.ts
@@ -10,13 +10,14 @@
 import {createEngineCapacityStore} from '../engineCapacityStore.js';
 
 const LATENCY_TARGETS = [{goalMs: 800, timeoutMs: 10_000}];
+/** Milliseconds per prompt token of the measured engine. */
 const TOKEN_MS = 0.04;
 
 function createStore(): ObjectStore {
   return createMemoryPlatform({clock: virtualClock()}).client('e1');
 }
 
-function measuredCapacity(): CapacityStats {
+function createMeasuredCapacity(): CapacityStats {
   const random = seededRandom(7);
   const model = createEngineModel(virtualClock());
   for (let index = 0; index < 400; index++) {
@@ -34,53 +35,56 @@
   return model.stats();
 }
 
-async function settle(): Promise<void> {
+async function waitForStoreCalls(): Promise<void> {
   await new Promise(resolve => setImmediate(resolve));
 }
 
 describe('engine capacity store', () => {
   it('restores the capacity after all entries lost power', async () => {
-    // After a power loss the callers of a system return at once. With prior
-    // estimates it would remove endpoints that it needs immediately.
+    // When power returns, the callers return at once. With prior estimates
+    // only, the system would remove endpoints that it needs immediately.
     const store = createStore();
     const clock = virtualClock();
     const log = silentLogger();
-    const before = createEngineCapacityStore({store, clock, log});
-    const persisting = before.startPersisting(measuredCapacity);
+    const storeBeforeLoss = createEngineCapacityStore({store, clock, log});
+    const persistence = storeBeforeLoss.startPersisting(createMeasuredCapacity);
     clock.advanceSync(10_000);
-    await settle();
-    persisting.dispose();
-    before.dispose();
+    await waitForStoreCalls();
+    persistence.dispose();
+    storeBeforeLoss.dispose();
 
-    const after = createEngineCapacityStore({store, clock, log});
-    await settle();
-    const estimate = estimateEngine(after.restored()['chat'], LATENCY_TARGETS);
+    const storeAfterLoss = createEngineCapacityStore({store, clock, log});
+    await waitForStoreCalls();
+    const estimate = estimateEngine(
+      storeAfterLoss.restoredStats()['chat'],
+      LATENCY_TARGETS,
+    );
     assert.ok(Math.abs(estimate.usualTokenMs - TOKEN_MS) < TOKEN_MS * 0.2);
     assert.ok(estimate.isSure);
   });
 
-  it('decays restored measurements', async () => {
-    // Engines may have been replaced during the outage, so current measurements
-    // must soon outweigh restored ones.
+  it('decays the weight of restored measurements over time', async () => {
+    // Engines may have been replaced during the power loss, so current
+    // measurements must soon outweigh restored measurements.
     const store = createStore();
     const clock = virtualClock();
     const log = silentLogger();
-    await store.put('engine-capacity', 'learned', measuredCapacity(), {
+    await store.put('engine-capacity', 'learned', createMeasuredCapacity(), {
       type: 'any',
     });
     const capacityStore = createEngineCapacityStore({store, clock, log});
-    await settle();
+    await waitForStoreCalls();
     clock.advanceSync(120_000);
     const estimate = estimateEngine(
-      capacityStore.restored()['chat'],
+      capacityStore.restoredStats()['chat'],
       LATENCY_TARGETS,
     );
     assert.ok(estimate.prompts < 10, `${estimate.prompts}`);
   });
 
-  it('starts empty if the object is invalid', async () => {
-    // Another program may have written an object of this name; an entry that
-    // failed on it would serve no requests.
+  it('starts without measurements if the stored object is invalid', async () => {
+    // Another program may have written an object of this name. An entry that
+    // fails because of the object would serve no requests.
     const store = createStore();
     await store.put('engine-capacity', 'learned', {chat: 7}, {type: 'any'});
     const capacityStore = createEngineCapacityStore({
@@ -88,7 +92,7 @@
       clock: virtualClock(),
       log: silentLogger(),
     });
-    await settle();
-    assert.deepEqual(capacityStore.restored(), {});
+    await waitForStoreCalls();
+    assert.deepEqual(capacityStore.restoredStats(), {});
   });
 });
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -7,7 +7,7 @@
   type EngineEstimate,
 } from '@skylarkfield/capacity';
 import type {Choice} from '@skylarkfield/routing';
-import {waitTooLong} from '../attemptOutcome.js';
+import {waitTooLongError} from '../attemptOutcome.js';
 import {createEngineObserver} from '../engineObserver.js';
 
 const reliableEstimate: EngineEstimate = {
@@ -23,7 +23,7 @@
   parts: [],
 };
 
-function waitOf(options: {
+function estimateWait(options: {
   readonly estimate?: EngineEstimate;
   readonly isModel?: boolean;
   readonly tokensAhead: number;
@@ -51,33 +51,33 @@
 
 describe('expected wait', () => {
   it('is too long if queued prompts use up the time until the deadline', () => {
-    // After a reclaim the remaining endpoints have 100,000 prompt tokens
+    // After a reclaim, the remaining endpoints have 100,000 prompt tokens
     // queued, which take 3 s. A caller with a timeout of 4 s would receive only
     // the start of a response.
-    const wait = waitOf({tokensAhead: 100_000, leftMs: 4_000});
+    const wait = estimateWait({tokensAhead: 100_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, true);
-    const rejection = waitTooLong('chat', wait);
+    const rejection = waitTooLongError('chat', wait);
     assert.equal(rejection.run, 'not-run');
     assert.equal(rejection.retryAfterMs, 600);
   });
 
-  it('is accepted while the response can still meet the deadline', () => {
-    // A late response is better than none: the target is missed, but the caller
-    // is still waiting.
-    const wait = waitOf({tokensAhead: 60_000, leftMs: 4_000});
+  it('is not too long while the response can still meet the deadline', () => {
+    // A late response is better than none: the response misses the latency
+    // target, but the caller is still waiting for it.
+    const wait = estimateWait({tokensAhead: 60_000, leftMs: 4_000});
     assert.equal(wait.isTooLong, false);
   });
 
-  it('rejects no request before the estimate is reliable', () => {
-    // A system that has just started only has priors for its engines, which
-    // must not reject callers while endpoints are idle.
+  it('is never too long before the engine estimate is reliable', () => {
+    // A system that has just started has only prior estimates of its engines,
+    // by which no caller may be rejected while endpoints are idle.
     const estimate = {...reliableEstimate, isSure: false};
-    const wait = waitOf({estimate, tokensAhead: 1_000_000, leftMs: 100});
+    const wait = estimateWait({estimate, tokensAhead: 1_000_000, leftMs: 100});
     assert.equal(wait.isTooLong, false);
   });
 
   it('is not estimated for a plain service', () => {
-    const wait = waitOf({isModel: false, tokensAhead: 1e6, leftMs: 100});
+    const wait = estimateWait({isModel: false, tokensAhead: 1e6, leftMs: 100});
     assert.equal(wait.isTooLong, false);
   });
 });
--- a/packages/gateway/src/test/eventFramer.test.ts
+++ b/packages/gateway/src/test/eventFramer.test.ts
@@ -8,13 +8,13 @@
 describe('event framer', () => {
   for (const size of [1, 2, 7, 1_000]) {
     it(`splits a stream received in chunks of ${size} bytes into complete events`, () => {
-      // An endpoint may fail in the middle of an event. The partial event must
-      // not precede the first event of the resumed stream.
+      // An endpoint may fail in the middle of an event. The caller must not
+      // receive the partial event before the first event of the resumed stream.
       const framer = createEventFramer();
       const bytes = Buffer.from(STREAM);
       const frames = [];
-      for (let at = 0; at < bytes.length; at += size) {
-        frames.push(...framer.push(bytes.subarray(at, at + size)));
+      for (let offset = 0; offset < bytes.length; offset += size) {
+        frames.push(...framer.push(bytes.subarray(offset, offset + size)));
       }
       assert.deepEqual(
         frames.map(({id}) => id),
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -20,12 +20,12 @@
 import type {StreamMigrator} from '../streamMigration.js';
 import {createUpstreams} from '../upstream.js';
 import {
-  answers,
-  declines,
-  inTurn,
-  resets,
+  respondWith,
+  declineRequest,
+  runInTurn,
+  resetConnection,
   startTestEndpoint,
-  streams,
+  streamEvents,
   type Behaviour,
 } from './testEndpoint.js';
 
@@ -47,7 +47,7 @@
   callerHeaders: () => ({}),
 };
 
-const plain: Route = {
+const idempotentRoute: Route = {
   name: 'route',
   authority: 'a',
   pathPrefix: '/',
@@ -61,8 +61,8 @@
   isResumable: false,
   longestPauseMs: 0,
 };
-/** Migrates no stream. */
-const noMigration: StreamMigrator = {
+/** A migrator that migrates no stream. */
+const noMigrator: StreamMigrator = {
   watch: () => ({
     isStopRequested: () => false,
     continuation: async () => undefined,
@@ -70,11 +70,11 @@
   }),
 };
 
-/** Migrates the first attempt's stream to another endpoint. */
-function migratesOnce(): StreamMigrator {
+/** Creates a migrator that migrates the stream of the first attempt. */
+function createOneTimeMigrator(): StreamMigrator {
   let isFirst = true;
   return {
-    watch({choose}) {
+    watch({chooseEndpoint: choose}) {
       const isMigrated = isFirst;
       isFirst = false;
       return {
@@ -90,39 +90,47 @@
   };
 }
 
-const order: Route = {...plain, kind: 'at-most-once', attempts: 1};
-const stream: Route = {...plain, kind: 'streaming', attempts: 1};
-const resumable: Route = {...stream, isResumable: true, attempts: 2};
+const orderRoute: Route = {
+  ...idempotentRoute,
+  kind: 'at-most-once',
+  attempts: 1,
+};
+const streamRoute: Route = {...idempotentRoute, kind: 'streaming', attempts: 1};
+const resumableRoute: Route = {...streamRoute, isResumable: true, attempts: 2};
 
-interface Outcome {
+interface ForwardingOutcome {
   readonly status: number;
   readonly body: string;
   readonly retryAfter: string | undefined;
   /** Whether the caller received an incomplete response. */
   readonly isBroken: boolean;
-  /** Number of requests that reached endpoints. */
-  readonly arrivals: number;
+  /** Number of requests that endpoints received. */
+  readonly receivedCount: number;
+  /** Last-event ids that endpoints received, one for each request. */
   readonly lastEventIds: readonly (string | undefined)[];
   readonly result: ForwardingResult;
 }
 
-const ENDPOINTS = 3;
+const ENDPOINT_COUNT = 3;
 
-/** Forwards one request to endpoints that run the behaviours in turn. */
+/**
+ * Forwards one request to endpoints that share the behaviours: each request to
+ * an endpoint gets the next behaviour of the list.
+ */
 async function forwardTo(
   route: Route,
   behaviours: readonly Behaviour[],
-  streamMigrator: StreamMigrator = noMigration,
-): Promise<Outcome> {
+  streamMigrator: StreamMigrator = noMigrator,
+): Promise<ForwardingOutcome> {
   const clock = systemClock();
   const log = silentLogger();
   const random = seededRandom(1);
   const decisions = decisionLog(clock, log);
-  const behaviour = inTurn(behaviours);
+  const behaviour = runInTurn(behaviours);
   const endpoints = await Promise.all(
-    Array.from({length: ENDPOINTS}, () => startTestEndpoint(behaviour)),
+    Array.from({length: ENDPOINT_COUNT}, () => startTestEndpoint(behaviour)),
   );
-  const registered = new Map<string, RegisteredEndpoint>(
+  const registeredEndpoints = new Map<string, RegisteredEndpoint>(
     endpoints.map(({address}, index) => [
       `e${index}`,
       {
@@ -146,7 +154,7 @@
     self: 'x',
   });
   router.setEndpoints(
-    [...registered.values()].map(({id, address}) => ({
+    [...registeredEndpoints.values()].map(({id, address}) => ({
       id,
       service: 's',
       version: 'incumbent',
@@ -172,7 +180,7 @@
       decisions,
       wallMs: () => clock.wall(),
     }),
-    directory: {get: id => registered.get(id)} as EndpointDirectory,
+    directory: {get: id => registeredEndpoints.get(id)} as EndpointDirectory,
     admission,
     upstreams,
     migrator: streamMigrator,
@@ -191,8 +199,8 @@
   });
   let result: ForwardingResult | undefined;
   const server = http.createServer((request, response) => {
-    const disconnected = new AbortController();
-    response.once('close', () => disconnected.abort());
+    const disconnectController = new AbortController();
+    response.once('close', () => disconnectController.abort());
     const reply = createCallerReply({
       response,
       format,
@@ -222,11 +230,11 @@
           fingerprint: () => 'f1',
           promptKeys: [],
           deadlineAt: clock.now() + 5_000,
-          signal: disconnected.signal,
+          signal: disconnectController.signal,
         },
         reply,
       )
-      .then(ended => (result = ended));
+      .then(forwardingResult => (result = forwardingResult));
   });
   await new Promise<void>(resolve => {
     server.listen(0, '127.0.0.1', resolve);
@@ -239,42 +247,44 @@
   upstreams.dispose();
   server.close();
   endpoints.forEach(endpoint => endpoint.close());
-  const arrivals = endpoints.flatMap(endpoint => endpoint.arrivals);
+  const receivedRequests = endpoints.flatMap(
+    endpoint => endpoint.receivedRequests,
+  );
   return {
     ...callerResponse,
-    arrivals: arrivals.length,
-    lastEventIds: arrivals.map(({lastEventId}) => lastEventId),
+    receivedCount: receivedRequests.length,
+    lastEventIds: receivedRequests.map(({lastEventId}) => lastEventId),
     result,
   };
 }
 
 function sendRequest(port: number) {
-  return new Promise<Omit<Outcome, 'arrivals' | 'result' | 'lastEventIds'>>(
-    resolve => {
-      const request = http.get(
-        {port, host: '127.0.0.1', agent: false},
-        response => {
-          let body = '';
-          const end = (isBroken: boolean) =>
-            resolve({
-              status: response.statusCode ?? 0,
-              body,
-              retryAfter: response.headers['retry-after'],
-              isBroken,
-            });
-          response.on('data', chunk => (body += chunk));
-          response.on('end', () => end(false));
-          response.on('error', () => end(true));
-        },
-      );
-      request.on('error', () =>
-        resolve({status: 0, body: '', retryAfter: undefined, isBroken: true}),
-      );
-    },
-  );
+  return new Promise<
+    Omit<ForwardingOutcome, 'receivedCount' | 'result' | 'lastEventIds'>
+  >(resolve => {
+    const request = http.get(
+      {port, host: '127.0.0.1', agent: false},
+      response => {
+        let body = '';
+        const resolveWith = (isBroken: boolean) =>
+          resolve({
+            status: response.statusCode ?? 0,
+            body,
+            retryAfter: response.headers['retry-after'],
+            isBroken,
+          });
+        response.on('data', chunk => (body += chunk));
+        response.on('end', () => resolveWith(false));
+        response.on('error', () => resolveWith(true));
+      },
+    );
+    request.on('error', () =>
+      resolve({status: 0, body: '', retryAfter: undefined, isBroken: true}),
+    );
+  });
 }
 
-function events(first: number, last: number): string {
+function eventText(first: number, last: number): string {
   return Array.from(
     {length: last - first + 1},
     (_, index) => `id: ${first + index}\ndata: ${first + index}\n\n`,
@@ -283,106 +293,132 @@
 
 describe('forwarding', () => {
   it('does not retry an order that may have run', async () => {
-    // The endpoint has read the order when its connection is reset. A retry
+    // The endpoint resets the connection after it has read the order. A retry
     // would execute the order twice.
-    const outcome = await forwardTo(order, [resets, answers('done')]);
+    const outcome = await forwardTo(orderRoute, [
+      resetConnection,
+      respondWith('done'),
+    ]);
     assert.equal(outcome.status, 502);
     assert.equal(outcome.retryAfter, undefined);
-    assert.equal(outcome.arrivals, 1);
+    assert.equal(outcome.receivedCount, 1);
   });
 
   it('limits the runs of a request to the attempts of its route', async () => {
-    const outcome = await forwardTo(plain, [resets, resets, answers('late')]);
-    assert.equal(outcome.arrivals, 2);
+    const outcome = await forwardTo(idempotentRoute, [
+      resetConnection,
+      resetConnection,
+      respondWith('late'),
+    ]);
+    assert.equal(outcome.receivedCount, 2);
     assert.equal(outcome.status, 502);
   });
 
-  it('records the time of the first send even if that attempt fails', async () => {
-    const before = systemClock().now();
-    const {result} = await forwardTo(plain, [resets, answers('ok')]);
-    const at = result.firstSendAt ?? NaN;
-    assert.ok(at >= before && at <= systemClock().now());
-    assert.ok((result.firstMs ?? NaN) >= 0);
+  it('returns the time of the first send if the first attempt fails', async () => {
+    const startedAt = systemClock().now();
+    const {result} = await forwardTo(idempotentRoute, [
+      resetConnection,
+      respondWith('ok'),
+    ]);
+    const firstSendAt = result.firstSendAt ?? NaN;
+    assert.ok(firstSendAt >= startedAt && firstSendAt <= systemClock().now());
+    assert.ok((result.firstByteMs ?? NaN) >= 0);
   });
 
-  it('returns the response of the second endpoint if the first one fails', async () => {
-    const outcome = await forwardTo(plain, [resets, answers('ok')]);
+  it('returns the response of the second endpoint if the first endpoint fails', async () => {
+    const outcome = await forwardTo(idempotentRoute, [
+      resetConnection,
+      respondWith('ok'),
+    ]);
     assert.equal(outcome.status, 200);
     assert.equal(outcome.body, 'ok');
   });
 
   it('sends a declined order to another endpoint', async () => {
-    const outcome = await forwardTo(order, [declines, answers('done')]);
+    const outcome = await forwardTo(orderRoute, [
+      declineRequest,
+      respondWith('done'),
+    ]);
     assert.equal(outcome.status, 200);
     assert.equal(outcome.body, 'done');
   });
 
   it('reports an order as not run only if every endpoint declined it', async () => {
-    // Callers retry an order reported as not run, so this must be accurate.
-    const declined = await forwardTo(order, [declines]);
-    assert.ok([429, 503].includes(declined.status), `${declined.status}`);
-    assert.ok(declined.retryAfter !== undefined);
-    const reset = await forwardTo(order, [declines, resets]);
-    assert.equal(reset.status, 502);
+    // Callers retry an order that is reported as not run, so a wrong report
+    // would execute the order twice.
+    const declinedOutcome = await forwardTo(orderRoute, [declineRequest]);
+    assert.ok(
+      [429, 503].includes(declinedOutcome.status),
+      `${declinedOutcome.status}`,
+    );
+    assert.ok(declinedOutcome.retryAfter !== undefined);
+    const resetOutcome = await forwardTo(orderRoute, [
+      declineRequest,
+      resetConnection,
+    ]);
+    assert.equal(resetOutcome.status, 502);
   });
 
   it('drops a response with the id of another request', async () => {
-    // An endpoint repeats its response to an earlier request on a connection
-    // that now carries another caller's request. The response contains the
-    // first caller's data.
-    const outcome = await forwardTo(order, [answers('secret', 200, 'other')]);
+    // An endpoint sends its response to an earlier request again, on a
+    // connection that now carries the request of another caller. The response
+    // contains data of the first caller.
+    const outcome = await forwardTo(orderRoute, [
+      respondWith('secret', 200, 'other'),
+    ]);
     assert.equal(outcome.status, 502);
     assert.ok(!outcome.body.includes('secret'));
   });
 
   it("passes on an endpoint's own error unchanged", async () => {
-    const outcome = await forwardTo(order, [answers('no', 500)]);
+    const outcome = await forwardTo(orderRoute, [respondWith('no', 500)]);
     assert.equal(outcome.status, 500);
     assert.equal(outcome.body, 'no');
-    assert.equal(outcome.arrivals, 1);
+    assert.equal(outcome.receivedCount, 1);
   });
 
-  it('resumes a stream after the last delivered event', async () => {
-    // The endpoint is reclaimed in the middle of an event, and the next one
-    // repeats events. The caller must receive each event once.
-    const outcome = await forwardTo(resumable, [
-      streams(1, 3, 'cut'),
-      streams(2, 6, 'whole'),
+  it('resumes an interrupted stream after the last delivered event', async () => {
+    // The endpoint is reclaimed while it sends an event, and the next endpoint
+    // repeats events that the caller already has. The caller must receive each
+    // event once.
+    const outcome = await forwardTo(resumableRoute, [
+      streamEvents(1, 3, 'cut'),
+      streamEvents(2, 6, 'whole'),
     ]);
     assert.deepEqual([...outcome.lastEventIds].sort(), ['3', undefined]);
-    assert.equal(outcome.body, events(1, 6));
+    assert.equal(outcome.body, eventText(1, 6));
     assert.equal(outcome.isBroken, false);
   });
 
   it('does not end an interrupted stream as if it were complete', async () => {
-    const outcome = await forwardTo(stream, [streams(1, 3, 'cut')]);
-    assert.equal(outcome.body, events(1, 3));
+    const outcome = await forwardTo(streamRoute, [streamEvents(1, 3, 'cut')]);
+    assert.equal(outcome.body, eventText(1, 3));
     assert.ok(outcome.isBroken);
-    assert.equal(outcome.arrivals, 1);
+    assert.equal(outcome.receivedCount, 1);
   });
 
   it('continues a migrated stream at its new endpoint', async () => {
     const outcome = await forwardTo(
-      stream,
-      [streams(1, 3, 'cut'), streams(4, 6, 'whole')],
-      migratesOnce(),
+      streamRoute,
+      [streamEvents(1, 3, 'cut'), streamEvents(4, 6, 'whole')],
+      createOneTimeMigrator(),
     );
-    assert.equal(outcome.body, events(1, 6));
+    assert.equal(outcome.body, eventText(1, 6));
     assert.equal(outcome.isBroken, false);
   });
 
   it('aborts a migrated stream if its new endpoint declines it', async () => {
     // The endpoint with the copied KV cache crashes before the stream resumes,
-    // and another process responds at its address. A third endpoint would run
-    // the request from its start, and the caller would receive two responses
-    // joined.
+    // and another process answers at its address and declines. A third endpoint
+    // would run the request from its start, and the caller would receive two
+    // joined responses.
     const outcome = await forwardTo(
-      stream,
-      [streams(1, 3, 'cut'), declines, streams(1, 6, 'whole')],
-      migratesOnce(),
+      streamRoute,
+      [streamEvents(1, 3, 'cut'), declineRequest, streamEvents(1, 6, 'whole')],
+      createOneTimeMigrator(),
     );
-    assert.equal(outcome.body, events(1, 3));
+    assert.equal(outcome.body, eventText(1, 3));
     assert.ok(outcome.isBroken);
-    assert.equal(outcome.arrivals, 2);
+    assert.equal(outcome.receivedCount, 2);
   });
 });
--- a/packages/gateway/src/test/lookup.test.ts
+++ b/packages/gateway/src/test/lookup.test.ts
@@ -3,7 +3,7 @@
 import type {Member} from '@skylarkfield/members';
 import {selectEntries} from '../lookup.js';
 
-function member(
+function createMember(
   id: number,
   failureDomain: string,
   cores?: number,
@@ -22,33 +22,43 @@
   };
 }
 
-function domain(name: string, strong: number, weak: number): Member[] {
-  return Array.from({length: strong + weak}, (_, index) =>
-    member(index + 1, name, index < strong ? 1.35 : 0.324),
+function createDomain(
+  name: string,
+  fastCount: number,
+  slowCount: number,
+): Member[] {
+  return Array.from({length: fastCount + slowCount}, (_, index) =>
+    createMember(index + 1, name, index < fastCount ? 1.35 : 0.324),
   );
 }
 
-const CALLERS = Array.from(
+const CALLER_ADDRESSES = Array.from(
   {length: 400},
   (_, index) => `10.9.${index >> 8}.${index & 255}`,
 );
 
-/** Returns each entry's fraction of the requests. */
+/**
+ * Returns the fraction of all requests that each entry receives, by address.
+ */
 function requestShares(members: readonly Member[]): Map<string, number> {
-  const share = new Map<string, number>();
-  for (const caller of CALLERS) {
+  const shares = new Map<string, number>();
+  for (const caller of CALLER_ADDRESSES) {
     const addresses = selectEntries(members, 'a', caller);
     for (const address of addresses) {
-      const part = 1 / addresses.length / CALLERS.length;
-      share.set(address, (share.get(address) ?? 0) + part);
+      const part = 1 / addresses.length / CALLER_ADDRESSES.length;
+      shares.set(address, (shares.get(address) ?? 0) + part);
     }
   }
-  return share;
+  return shares;
 }
 
 describe('lookup', () => {
-  it('returns local entries, and remote ones only if there are too few', () => {
-    const members = [member(1, 'a'), member(1, 'b', 1, 5), member(2, 'b', 1)];
+  it('returns remote entries only if there are too few local entries', () => {
+    const members = [
+      createMember(1, 'a'),
+      createMember(1, 'b', 1, 5),
+      createMember(2, 'b', 1),
+    ];
     assert.deepEqual(selectEntries(members, 'a', 'x'), [
       '10.0.97.1:8080',
       '10.0.98.2:8080',
@@ -60,14 +70,14 @@
     ]);
   });
 
-  // Guards against slow hosts that get as many callers as fast ones.
+  // Guards against slow hosts that get as many callers as fast hosts.
   it('distributes requests in proportion to cores', () => {
-    const members = domain('a', 3, 27);
-    const share = requestShares(members);
-    const cores = members.reduce((sum, each) => sum + each.cores!, 0);
-    for (const {callerUrl, cores: own} of members) {
-      const expectedShare = own! / cores;
-      const actualShare = share.get(new URL(callerUrl).host) ?? 0;
+    const members = createDomain('a', 3, 27);
+    const shares = requestShares(members);
+    const totalCores = members.reduce((sum, member) => sum + member.cores!, 0);
+    for (const {callerUrl, cores: memberCores} of members) {
+      const expectedShare = memberCores! / totalCores;
+      const actualShare = shares.get(new URL(callerUrl).host) ?? 0;
       assert.ok(
         actualShare > expectedShare * 0.6 && actualShare < expectedShare * 1.4,
         `${callerUrl} gets ${actualShare} of ${expectedShare}`,
@@ -75,21 +85,25 @@
     }
   });
 
-  // Guards against callers that close their connections at each new response.
+  // Guards against responses that change each time and make callers close their
+  // connections.
   it('returns a stable subset for a caller', () => {
-    const members = domain('a', 3, 27);
-    const first = selectEntries(members, 'a', '10.9.0.1');
-    assert.deepEqual(selectEntries(members, 'a', '10.9.0.1'), first);
-    const fewer = members.filter(
-      ({callerUrl}) => new URL(callerUrl).host !== first[0],
+    const members = createDomain('a', 3, 27);
+    const firstAddresses = selectEntries(members, 'a', '10.9.0.1');
+    assert.deepEqual(selectEntries(members, 'a', '10.9.0.1'), firstAddresses);
+    const remainingMembers = members.filter(
+      ({callerUrl}) => new URL(callerUrl).host !== firstAddresses[0],
+    );
+    const newAddresses = selectEntries(remainingMembers, 'a', '10.9.0.1');
+    assert.equal(
+      newAddresses.filter(address => firstAddresses.includes(address)).length,
+      7,
     );
-    const next = selectEntries(fewer, 'a', '10.9.0.1');
-    assert.equal(next.filter(address => first.includes(address)).length, 7);
   });
 
   it('treats entries without reported cores as equal', () => {
     const members = Array.from({length: 20}, (_, index) =>
-      member(index + 1, 'a'),
+      createMember(index + 1, 'a'),
     );
     const shares = [...requestShares(members).values()];
     assert.equal(shares.length, 20);
--- a/packages/gateway/src/test/mirror.test.ts
+++ b/packages/gateway/src/test/mirror.test.ts
@@ -11,17 +11,17 @@
   return {clock, createReplica};
 }
 
-function item(name: string, revision: number, value = name) {
+function createItem(name: string, revision: number, value = name) {
   return {name, revision, value};
 }
 
 describe('mirror', () => {
-  it('returns steps that replicate its changes to another mirror', () => {
+  it('returns a step that applies its changes to another mirror', () => {
     const {clock, createReplica} = setUp();
     const reader = createReplica();
     const replica = createReplica();
     reader.applyListing(
-      {revision: 5, items: [item('a', 2), item('b', 5)]},
+      {revision: 5, items: [createItem('a', 2), createItem('b', 5)]},
       timestampOf(clock),
     );
     replica.applyCopy(reader.copy());
@@ -30,7 +30,7 @@
         revision: 9,
         changes: [
           {name: 'a', item: undefined},
-          {name: 'c', item: item('c', 8)},
+          {name: 'c', item: createItem('c', 8)},
         ],
       },
       timestampOf(clock),
@@ -41,9 +41,10 @@
     assert.equal(replica.get('c'), 'c');
   });
 
-  it('rejects a step after a gap', () => {
-    // A message between two entries was lost. Applying the next one would keep
-    // an endpoint in use that the lost message reported as draining.
+  it('rejects a step if an earlier step is missing', () => {
+    // A message between two entries was lost. If the following step were
+    // applied, an endpoint that the lost message reported as draining would
+    // remain in use.
     const {clock, createReplica} = setUp();
     const mirror = createReplica();
     mirror.applyListing({revision: 5, items: []}, timestampOf(clock));
@@ -51,11 +52,12 @@
     assert.equal(mirror.revision(), 5);
   });
 
-  // Guards against accepting a revoked key because of a stale listing.
+  // Guards against accepting a revoked key because the mirror was confirmed by
+  // a stale listing.
   it('does not confirm itself by a listing that may be stale', () => {
     const {clock, createReplica} = setUp();
     const mirror = createReplica();
-    mirror.applyListing({revision: 5, items: [item('a', 2)]}, undefined);
+    mirror.applyListing({revision: 5, items: [createItem('a', 2)]}, undefined);
     assert.ok(mirror.isKnown());
     assert.equal(mirror.get('a'), 'a');
     assert.equal(mirror.ageMs(), Infinity);
@@ -63,26 +65,30 @@
     assert.equal(mirror.ageMs(), 0);
   });
 
-  it('ignores older objects and older copies', () => {
+  it('ignores objects and copies that are older than its own', () => {
     const {clock, createReplica} = setUp();
     const mirror = createReplica();
     mirror.applyListing(
-      {revision: 9, items: [item('a', 9, 'new')]},
+      {revision: 9, items: [createItem('a', 9, 'new')]},
       timestampOf(clock),
     );
-    mirror.applyStep({from: 3, to: 10, changes: [item('a', 4, 'old')]});
-    mirror.applyCopy({revision: 6, changedAt: 6, items: [item('a', 6, 'old')]});
+    mirror.applyStep({from: 3, to: 10, changes: [createItem('a', 4, 'old')]});
+    mirror.applyCopy({
+      revision: 6,
+      changedAt: 6,
+      items: [createItem('a', 6, 'old')],
+    });
     mirror.applyStep({from: 3, to: 11, changes: [{name: 'a', revision: 8}]});
     assert.equal(mirror.get('a'), 'new');
   });
 
   it('removes objects that a newer listing lacks', () => {
-    // The store was compacted while an endpoint left, so only its absence from
-    // the listing shows that it is gone.
+    // The store was compacted while an endpoint was removed, so only the
+    // absence of the endpoint from the listing shows its removal.
     const {clock, createReplica} = setUp();
     const mirror = createReplica();
     mirror.applyListing(
-      {revision: 5, items: [item('a', 2)]},
+      {revision: 5, items: [createItem('a', 2)]},
       timestampOf(clock),
     );
     mirror.applyListing({revision: 8, items: []}, timestampOf(clock));
@@ -97,11 +103,11 @@
     const syncStatus = {confirmedAgoMs: 100, isReader: true};
     const now = timestampOf(clock);
     assert.ok(
-      !mirror.confirmBy({...syncStatus, revision: 9, changedAt: 7}, now),
+      !mirror.confirmByPeer({...syncStatus, revision: 9, changedAt: 7}, now),
     );
     assert.equal(mirror.ageMs(), 4_000);
     assert.ok(
-      mirror.confirmBy({...syncStatus, revision: 9, changedAt: 4}, now),
+      mirror.confirmByPeer({...syncStatus, revision: 9, changedAt: 4}, now),
     );
     assert.equal(mirror.ageMs(), 0);
   });
--- a/packages/gateway/src/test/mirrorReader.test.ts
+++ b/packages/gateway/src/test/mirrorReader.test.ts
@@ -47,14 +47,14 @@
     mirror,
     calls,
     reader,
-    setShouldRead: (next: boolean) => (shouldRead = next),
+    setShouldRead: (value: boolean) => (shouldRead = value),
     compact: () => (isCompacted = true),
   };
 }
 
 describe('mirror reader', () => {
-  // Guards against a burst of calls when all entries start at once.
-  it('makes a single call at its start if another entry reads', async () => {
+  // Guards against a burst of platform calls when all entries start at once.
+  it('stops after the first listing if another entry reads', async () => {
     const {clock, calls, setShouldRead} = setUp();
     await clock.advance(500);
     setShouldRead(false);
@@ -62,7 +62,7 @@
     assert.deepEqual(calls, ['list recent']);
   });
 
-  it('reads changes after the pause, and confirms the mirror only by them', async () => {
+  it('confirms the mirror by reading changes, not by a recent listing', async () => {
     const {clock, calls, mirror} = setUp();
     await clock.advance(700);
     assert.equal(mirror.ageMs(), Infinity);
@@ -71,15 +71,15 @@
     assert.ok(mirror.ageMs() <= TIMING.waitMs * 2);
   });
 
-  // Guards against repeatedly reading a stale listing from before the
-  // compaction.
+  // Guards against reading a stale listing from before the compaction again and
+  // again.
   it('requests the latest listing after a compaction', async () => {
     const {clock, calls, compact} = setUp();
     await clock.advance(1_300);
     compact();
     await clock.advance(3_000);
-    const relistIndex = calls.indexOf('list latest');
-    assert.ok(relistIndex > 0);
-    assert.equal(calls[relistIndex - 1], 'changes');
+    const latestListingIndex = calls.indexOf('list latest');
+    assert.ok(latestListingIndex > 0);
+    assert.equal(calls[latestListingIndex - 1], 'changes');
   });
 });
--- a/packages/gateway/src/test/peerVisibility.test.ts
+++ b/packages/gateway/src/test/peerVisibility.test.ts
@@ -3,44 +3,45 @@
 import {virtualClock} from '@skylarkfield/base';
 import {createPeerVisibility} from '../peerVisibility.js';
 
-/** Creates an entry that has just started. */
+/** Creates the peer visibility of an entry that has just started. */
 function setUp() {
   const clock = virtualClock();
   const peers: {entryCount: number | undefined; visible: number} = {
     entryCount: undefined,
     visible: 0,
   };
-  let reported: readonly [number, number] | undefined;
+  let lastRefresh: readonly [number, number] | undefined;
   const visibility = createPeerVisibility({
     clock,
     membership: {entryCount: () => peers.entryCount},
     reports: {visiblePeers: () => peers.visible},
     onDidRefresh: (visibleFraction, entryCount) => {
-      reported = [visibleFraction, entryCount];
+      lastRefresh = [visibleFraction, entryCount];
     },
   });
-  return {clock, peers, visibility, reported: () => reported};
+  return {clock, peers, visibility, lastRefresh: () => lastRefresh};
 }
 
 describe('peer visibility', () => {
-  // Guards against a new process that considers itself the whole fleet.
-  it('counts listed entries before any of them reports', () => {
-    const {peers, visibility, reported} = setUp();
-    assert.ok(!visibility.isKnown());
+  // Guards against a new process that considers itself the only entry of the
+  // fleet.
+  it('counts the entries of the membership before any entry reports', () => {
+    const {peers, visibility, lastRefresh} = setUp();
+    assert.ok(!visibility.isEntryCountKnown());
     peers.entryCount = 9;
-    assert.ok(visibility.isKnown());
-    assert.deepEqual(reported(), [0, 9]);
+    assert.ok(visibility.isEntryCountKnown());
+    assert.deepEqual(lastRefresh(), [0, 9]);
     peers.visible = 4;
     visibility.refresh();
-    assert.deepEqual(reported(), [0.5, 9]);
+    assert.deepEqual(lastRefresh(), [0.5, 9]);
   });
 
   it('counts an entry without peers as the only one after the join timeout', () => {
-    const {clock, visibility, reported} = setUp();
+    const {clock, visibility, lastRefresh} = setUp();
     clock.advanceSync(899);
-    assert.ok(!visibility.isKnown());
+    assert.ok(!visibility.isEntryCountKnown());
     clock.advanceSync(1);
-    assert.ok(visibility.isKnown());
-    assert.deepEqual(reported(), [1, 1]);
+    assert.ok(visibility.isEntryCountKnown());
+    assert.deepEqual(lastRefresh(), [1, 1]);
   });
 });
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -9,9 +9,9 @@
 import {createPeerVisibility} from '../peerVisibility.js';
 import {createPeerReports, OVERDUE_MS} from '../peerReports.js';
 
-const ENTRIES = 9;
+const ENTRY_COUNT = 9;
 const WINDOW_MS = 8_000;
-const DIGEST_MS = 300;
+const DIGEST_INTERVAL_MS = 300;
 const STEP_MS = 10;
 const QUOTA_PER_SECOND = 1_000;
 const BURST = 1_000;
@@ -38,12 +38,14 @@
   isReader: false,
 };
 
-/** Creates entries that exchange digests unless a partition separates them. */
+/**
+ * Creates entries that exchange digests, and can be separated by a partition.
+ */
 function createFleet() {
   const clock = virtualClock();
-  const granted: number[] = [];
+  const grantedByStep: number[] = [];
   let isPartitioned = false;
-  const entries = Array.from({length: ENTRIES}, (_, index) => {
+  const entries = Array.from({length: ENTRY_COUNT}, (_, index) => {
     const quotas = createQuotas(clock, WINDOW_MS);
     const reports = createPeerReports({
       clock,
@@ -53,7 +55,7 @@
     });
     const visibility = createPeerVisibility({
       clock,
-      membership: {entryCount: () => ENTRIES},
+      membership: {entryCount: () => ENTRY_COUNT},
       reports,
       onDidRefresh: (visibleFraction, count) =>
         quotas.setReportingPeers(visibleFraction, count, OVERDUE_MS),
@@ -84,8 +86,8 @@
         const isReached =
           !isPartitioned || sender.index % 2 === receiver.index % 2;
         if (receiver !== sender && isReached) {
-          const accepted = receiver.reports.accept(sender.id, digest);
-          receiver.quotas.addPeerUsage(accepted?.increase ?? {});
+          const acceptedReport = receiver.reports.accept(sender.id, digest);
+          receiver.quotas.addPeerUsage(acceptedReport?.increase ?? {});
         }
       }
     }
@@ -95,27 +97,35 @@
     setPartitioned(value: boolean): void {
       isPartitioned = value;
     },
-    /** Each entry tries to consume its part of three times the quota. */
+    /**
+     * Lets the entries consume three times the quota in total, in equal parts.
+     */
     sendLoad(seconds: number): void {
-      const amount = (3 * QUOTA_PER_SECOND * STEP_MS) / 1_000 / ENTRIES;
-      for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
-        if (at % DIGEST_MS === 0) {
+      const amount = (3 * QUOTA_PER_SECOND * STEP_MS) / 1_000 / ENTRY_COUNT;
+      for (
+        let elapsedMs = 0;
+        elapsedMs < seconds * 1_000;
+        elapsedMs += STEP_MS
+      ) {
+        if (elapsedMs % DIGEST_INTERVAL_MS === 0) {
           exchangeDigests();
         }
-        const passed = entries.filter(
+        const admittedBy = entries.filter(
           ({visibility, quotas}) =>
-            visibility.isKnown() && quotas.tryConsume(customer, amount),
+            visibility.isEntryCountKnown() &&
+            quotas.tryConsume(customer, amount),
         );
-        granted.push(passed.length * amount);
+        grantedByStep.push(admittedBy.length * amount);
         clock.advanceSync(STEP_MS);
       }
     },
-    maxInWindow(): number {
-      const length = WINDOW_MS / STEP_MS;
+    /** Returns the maximum usage granted in any window. */
+    maxGrantedInWindow(): number {
+      const stepCount = WINDOW_MS / STEP_MS;
       let sum = 0;
       let max = 0;
-      granted.forEach((amount, at) => {
-        sum += amount - (granted[at - length] ?? 0);
+      grantedByStep.forEach((amount, stepIndex) => {
+        sum += amount - (grantedByStep[stepIndex - stepCount] ?? 0);
         max = Math.max(max, sum);
       });
       return max;
@@ -125,19 +135,19 @@
 
 describe('quotas under a partition', () => {
   // Guards against both sides of a partition granting the whole quota until
-  // they notice it.
-  it('enforces the quota while half of the entries are partitioned', () => {
+  // they detect the partition.
+  it('enforces the quota while a partition separates two halves of the entries', () => {
     const fleet = createFleet();
     fleet.sendLoad(18);
     fleet.setPartitioned(true);
     fleet.sendLoad(6);
     fleet.setPartitioned(false);
     fleet.sendLoad(12);
-    const allowed = (QUOTA_PER_SECOND * WINDOW_MS) / 1_000 + BURST;
-    const maxGranted = fleet.maxInWindow();
+    const allowedTokens = (QUOTA_PER_SECOND * WINDOW_MS) / 1_000 + BURST;
+    const maxGranted = fleet.maxGrantedInWindow();
     assert.ok(
-      maxGranted <= allowed * ALLOWED_OVERSHOOT_FACTOR,
-      `${maxGranted} of ${allowed}`,
+      maxGranted <= allowedTokens * ALLOWED_OVERSHOOT_FACTOR,
+      `${maxGranted} of ${allowedTokens}`,
     );
   });
 });
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -17,10 +17,10 @@
 
 const PEER_TIMEOUT_MS = 1_200;
 const QUOTA_WINDOW_MS = 8_000;
-const DIGEST_MS = 300;
+const DIGEST_INTERVAL_MS = 300;
 const DOMAINS = ['a', 'b', 'c', 'd'];
 
-function fleetOf(count: number): RelayNode[] {
+function createNodes(count: number): RelayNode[] {
   return Array.from({length: count}, (_, index) => ({
     id: `entry-${index}`,
     failureDomain: DOMAINS[index % DOMAINS.length]!,
@@ -36,7 +36,7 @@
   isReader: false,
 };
 
-/** Creates entries that exchange digests by the plan. */
+/** Creates entries that exchange digests by their relay plans. */
 function createFleet(nodes: readonly RelayNode[]) {
   const clock = virtualClock();
   const entries = new Map(
@@ -52,17 +52,17 @@
           reporterTimeoutMs: PEER_TIMEOUT_MS,
           quotaWindowMs: QUOTA_WINDOW_MS,
         }),
-        /** Milliseconds since its process started. */
+        /** Milliseconds since the entry's process started. */
         upMs: 3_600_000,
-        /** Quota usage of others, as passed to an entry's quotas. */
+        /** Quota usage by origin, as passed to the quotas of the entry. */
         usedByOthers: new Map<string, number>(),
-        /** Fingerprints of crash reports received from others. */
+        /** Fingerprints of the crashes reported by other entries. */
         receivedCrashes: new Set<string>(),
       },
     ]),
   );
-  const failed = new Set<string>();
-  /** Crash reports to propagate, by entry. */
+  const failedIds = new Set<string>();
+  /** Crash reports to propagate, by entry id. */
   const crashReports = new Map<string, CrashReport>();
   let sentCount = 0;
 
@@ -102,23 +102,23 @@
     };
   }
 
-  function round(): void {
+  function runRound(): void {
     for (const entry of entries.values()) {
-      if (failed.has(entry.node.id)) {
+      if (failedIds.has(entry.node.id)) {
         continue;
       }
       const plan = planRelays(entry.node, nodes);
       const isActiveRelayAlive =
-        plan.activeRelay !== undefined && !failed.has(plan.activeRelay);
+        plan.activeRelay !== undefined && !failedIds.has(plan.activeRelay);
       for (const [to, scope] of plan.targets) {
-        if (failed.has(to) || (isActiveRelayAlive && scope !== 'own')) {
+        if (failedIds.has(to) || (isActiveRelayAlive && scope !== 'own')) {
           continue;
         }
         sentCount += 1;
         deliver(entry, to, digestOf(entry, scope, to));
       }
     }
-    clock.advanceSync(DIGEST_MS);
+    clock.advanceSync(DIGEST_INTERVAL_MS);
   }
 
   function deliver(from: Entry, to: string, digest: Digest): void {
@@ -126,31 +126,34 @@
     for (const {request} of digest.crashes?.crashes ?? []) {
       receiver.receivedCrashes.add(request);
     }
-    const accepted = receiver.reports.accept(from.node.id, digest);
-    if (accepted !== undefined) {
-      const used = receiver.usedByOthers.get(accepted.origin) ?? 0;
+    const acceptedReport = receiver.reports.accept(from.node.id, digest);
+    if (acceptedReport !== undefined) {
+      const used = receiver.usedByOthers.get(acceptedReport.origin) ?? 0;
       receiver.usedByOthers.set(
-        accepted.origin,
-        used + (accepted.increase['chain'] ?? 0),
+        acceptedReport.origin,
+        used + (acceptedReport.increase['chain'] ?? 0),
       );
     }
   }
 
   return {
     entries,
-    failed,
+    failed: failedIds,
     crashReports,
     digestFrom: (from: string, to: string) =>
       digestOf(entries.get(from)!, 'own', to),
-    rounds(count: number) {
+    runRounds(count: number) {
       for (let index = 0; index < count; index++) {
-        round();
+        runRound();
       }
     },
-    sentIn(rounds: number): number {
-      const before = sentCount;
-      this.rounds(rounds);
-      return (sentCount - before) / rounds;
+    /**
+     * Runs rounds and returns the average number of digests sent in a round.
+     */
+    digestsPerRound(roundCount: number): number {
+      const previousCount = sentCount;
+      this.runRounds(roundCount);
+      return (sentCount - previousCount) / roundCount;
     },
   };
 }
@@ -163,8 +166,8 @@
   return [...usedByOthers.values()].reduce((sum, amount) => sum + amount, 0);
 }
 
-function reportedRequests(reports: PeerReports, id: string): number {
-  const nothing = {
+function aggregatedRequests(reports: PeerReports, id: string): number {
+  const emptyReport = {
     entries: 0,
     used: {},
     loads: {},
@@ -172,52 +175,52 @@
     work: {},
     outcomes: {},
   };
-  const sum = reports.aggregateFor('rest', id, nothing);
+  const sum = reports.aggregateFor('rest', id, emptyReport);
   return sum.loads['shared']?.requests ?? 0;
 }
 
-function plans(nodes: readonly RelayNode[]): Map<string, RelayPlan> {
+function plansById(nodes: readonly RelayNode[]): Map<string, RelayPlan> {
   return new Map(nodes.map(node => [node.id, planRelays(node, nodes)]));
 }
 
 describe('relays', () => {
-  it('uses a full mesh up to a maximum size', () => {
-    const nodes = fleetOf(MAX_FULL_MESH_ENTRIES);
-    for (const plan of plans(nodes).values()) {
+  it('uses a full mesh up to the maximum number of entries', () => {
+    const nodes = createNodes(MAX_FULL_MESH_ENTRIES);
+    for (const plan of plansById(nodes).values()) {
       assert.equal(plan.targets.size, MAX_FULL_MESH_ENTRIES - 1);
       assert.equal(plan.coordinators.length, MAX_FULL_MESH_ENTRIES);
       assert.deepEqual(plan.ownRelays, []);
     }
   });
 
-  it('sends digests in proportion to the entries, not to their square', () => {
-    const perEntry = [77, 300].map(
-      count => createFleet(fleetOf(count)).sentIn(4) / count,
+  it('sends less than four digests per entry and round in large fleets', () => {
+    const digestsPerEntry = [77, 300].map(
+      count => createFleet(createNodes(count)).digestsPerRound(4) / count,
     );
-    for (const digests of perEntry) {
+    for (const digests of digestsPerEntry) {
       assert.ok(digests < 4, `${digests} digests an entry and round`);
     }
   });
 
-  // Guards against entries behind other relays that still send a crashing
-  // request.
-  it('propagates crashes to every entry', () => {
-    const fleet = createFleet(fleetOf(77));
-    const [first, ...others] = fleet.entries.keys();
+  // Guards against a crashing request that is still sent by entries behind
+  // other relays.
+  it('propagates a crash report to every entry', () => {
+    const fleet = createFleet(createNodes(77));
+    const [firstId, ...otherIds] = fleet.entries.keys();
     const crash = {request: 'f00d', endpoint: 'i-1@7', atMs: 0};
-    fleet.crashReports.set(first!, {crashes: [crash], served: {}});
-    fleet.rounds(5);
-    for (const id of others) {
+    fleet.crashReports.set(firstId!, {crashes: [crash], served: {}});
+    fleet.runRounds(5);
+    for (const id of otherIds) {
       assert.ok(fleet.entries.get(id)!.receivedCrashes.has('f00d'), id);
     }
   });
 
   it('propagates the load, work and usage of all entries', () => {
-    const nodes = fleetOf(77);
+    const nodes = createNodes(77);
     const fleet = createFleet(nodes);
-    fleet.rounds(5);
+    fleet.runRounds(5);
     fleet.entries.forEach(entry => (entry.used += 10));
-    fleet.rounds(5);
+    fleet.runRounds(5);
     for (const [id, entry] of fleet.entries) {
       const {coordinators, ownRelays} = planRelays(entry.node, nodes);
       assert.equal(entry.reports.visiblePeers(), 76, id);
@@ -225,39 +228,39 @@
       assert.equal(usedByOthersTotal(entry), 76 * 10, id);
       if (ownRelays.length === 0) {
         assert.ok(coordinators.includes(id));
-        assert.equal(reportedRequests(entry.reports, id), 76, id);
+        assert.equal(aggregatedRequests(entry.reports, id), 76, id);
       }
     }
   });
 
   it('fails over to the standby relay without counting usage twice', () => {
     // The active relay is killed while a customer uses its quota at all
-    // entries. If the standby's sums counted as new usage, the customer would
-    // be rejected for seconds; without a relay, it would have the whole quota
-    // at each entry.
-    const nodes = fleetOf(40);
+    // entries. If the sums of the standby relay counted as new usage, the
+    // customer would be rejected for seconds; without a relay, the customer
+    // would get the whole quota at each entry.
+    const nodes = createNodes(40);
     const fleet = createFleet(nodes);
-    fleet.rounds(5);
-    const leaf = nodes.find(
+    fleet.runRounds(5);
+    const nonRelay = nodes.find(
       node => planRelays(node, nodes).ownRelays.length > 0,
     )!;
-    const [first = ''] = planRelays(leaf, nodes).ownRelays;
+    const [activeRelay = ''] = planRelays(nonRelay, nodes).ownRelays;
     fleet.entries.forEach(entry => (entry.used += 10));
-    fleet.rounds(5);
-    fleet.failed.add(first);
-    fleet.rounds(8);
+    fleet.runRounds(5);
+    fleet.failed.add(activeRelay);
+    fleet.runRounds(8);
     fleet.entries.forEach(entry => (entry.used += 1));
-    fleet.rounds(5);
-    const received = usedByOthersTotal(fleet.entries.get(leaf.id)!);
+    fleet.runRounds(5);
+    const received = usedByOthersTotal(fleet.entries.get(nonRelay.id)!);
     assert.equal(received, 39 * 10 + 38);
-    assert.equal(fleet.entries.get(leaf.id)!.reports.visiblePeers(), 38);
+    assert.equal(fleet.entries.get(nonRelay.id)!.reports.visiblePeers(), 38);
   });
 
   it('charges a customer for its usage at other entries', () => {
     // The customer's requests are spread over entries. If a stored report
-    // changed after it was passed on, the next one would show no increase, and
-    // each entry would grant the whole quota.
-    const nodes = fleetOf(2);
+    // changed after its increase was returned, the next report would show no
+    // increase, and each entry would grant the whole quota.
+    const nodes = createNodes(2);
     const fleet = createFleet(nodes);
     const quotas = createQuotas(virtualClock());
     const {reports} = fleet.entries.get('entry-0')!;
@@ -274,65 +277,67 @@
         ...fleet.digestFrom('entry-1', 'entry-0'),
         used: {chain: used},
       };
-      const accepted = reports.accept('entry-1', digest)!;
-      quotas.addPeerUsage(accepted.increase);
+      const acceptedReport = reports.accept('entry-1', digest)!;
+      quotas.addPeerUsage(acceptedReport.increase);
     }
     assert.ok(!quotas.tryConsume(customer, 1));
   });
 
-  it('treats a restarted entry as a new one', () => {
-    // A process is killed and restarts with counters at zero. Taken as
-    // decreases, these would refund its customers' quota.
-    const nodes = fleetOf(3);
+  it('counts the usage of a restarted entry from zero', () => {
+    // A process is killed and restarts with usage counters at zero. If the
+    // lower counters were treated as negative usage, the quota of its customers
+    // would be refunded.
+    const nodes = createNodes(3);
     const fleet = createFleet(nodes);
-    fleet.rounds(2);
-    const restarted = fleet.entries.get('entry-1')!;
-    restarted.used = 500;
-    fleet.rounds(2);
-    restarted.used = 0;
-    restarted.incarnation = 2;
-    fleet.rounds(2);
-    restarted.used = 7;
-    fleet.rounds(2);
+    fleet.runRounds(2);
+    const restartedEntry = fleet.entries.get('entry-1')!;
+    restartedEntry.used = 500;
+    fleet.runRounds(2);
+    restartedEntry.used = 0;
+    restartedEntry.incarnation = 2;
+    fleet.runRounds(2);
+    restartedEntry.used = 7;
+    fleet.runRounds(2);
     assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 507);
   });
 
   // Guards against ignoring the usage of a new process before its first report,
-  // and against counting hours of usage of an old one.
+  // and against counting the usage of a process that has run for hours.
   it('counts usage before the first report of an entry that has just started', () => {
-    const nodes = fleetOf(3);
+    const nodes = createNodes(3);
     const fleet = createFleet(nodes);
-    const [longRunning, justStarted] = ['entry-1', 'entry-2'].map(
+    const [longRunningEntry, justStartedEntry] = ['entry-1', 'entry-2'].map(
       id => fleet.entries.get(id)!,
     );
-    longRunning!.used = 1_000_000;
+    longRunningEntry!.used = 1_000_000;
     fleet.failed.add('entry-2');
-    fleet.rounds(2);
+    fleet.runRounds(2);
     assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 0);
-    justStarted!.used = 500;
-    justStarted!.upMs = 600;
+    justStartedEntry!.used = 500;
+    justStartedEntry!.upMs = 600;
     fleet.failed.delete('entry-2');
-    fleet.rounds(1);
-    justStarted!.used = 507;
-    fleet.rounds(2);
+    fleet.runRounds(1);
+    justStartedEntry!.used = 507;
+    fleet.runRounds(2);
     assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 507);
   });
 
   it('does not use draining entries as relays', () => {
-    const nodes = fleetOf(40).map(node => ({
+    const nodes = createNodes(40).map(node => ({
       ...node,
       isLive: node.failureDomain !== 'a' || node.id === 'entry-0',
     }));
-    const leaving = nodes.find(node => !node.isLive)!;
-    const {targets, ownRelays, coordinators} = planRelays(leaving, nodes);
+    const drainingNode = nodes.find(node => !node.isLive)!;
+    const {targets, ownRelays, coordinators} = planRelays(drainingNode, nodes);
     assert.deepEqual(ownRelays, ['entry-0']);
     assert.deepEqual([...targets], [['entry-0', 'own']]);
-    assert.ok(!coordinators.includes(leaving.id));
+    assert.ok(!coordinators.includes(drainingNode.id));
   });
 
-  // Guards against a relay on a host that is busy with its own callers.
+  // Guards against selecting a relay on a host that is busy with requests of
+  // its own callers.
   it('selects the entries with the most cores as relays', () => {
-    const nodes = fleetOf(120).map((node, index) => ({
+    const nodes = createNodes(120).map((node, index) => ({
       ...node,
       cores: index < 12 ? 1.35 : 0.324,
     }));
--- a/packages/gateway/src/test/requestMetrics.test.ts
+++ b/packages/gateway/src/test/requestMetrics.test.ts
@@ -3,43 +3,43 @@
 import {createMetrics, silentLogger} from '@skylarkfield/base';
 import {createRequestMetrics} from '../requestMetrics.js';
 
-function observed(tookMs: number) {
-  return {service: 'booking', kind: 'ok', firstMs: tookMs, tookMs} as const;
+function createObservation(tookMs: number) {
+  return {service: 'booking', kind: 'ok', firstByteMs: tookMs, tookMs} as const;
 }
 
-test('observations from before the first read are rendered', async () => {
-  let loads = 0;
+test('observations recorded before the SDK is loaded are rendered', async () => {
+  let loadCount = 0;
   const metrics = createRequestMetrics(() => {
-    loads += 1;
+    loadCount += 1;
     return createMetrics('test');
   }, silentLogger());
-  metrics.record(observed(7));
-  metrics.record(observed(30));
-  assert.equal(loads, 0);
+  metrics.record(createObservation(7));
+  metrics.record(createObservation(30));
+  assert.equal(loadCount, 0);
   const page = await metrics.render();
-  metrics.record(observed(30));
-  const later = await metrics.render();
+  metrics.record(createObservation(30));
+  const laterPage = await metrics.render();
   assert.match(page, /gateway_requests_total\{[^}]*\} 2\b/);
   assert.match(page, /gateway_duration_bucket\{[^}]*le="10"[^}]*\} 1\b/);
-  assert.match(later, /gateway_requests_total\{[^}]*\} 3\b/);
-  assert.equal(loads, 1);
+  assert.match(laterPage, /gateway_requests_total\{[^}]*\} 3\b/);
+  assert.equal(loadCount, 1);
   await metrics.shutDown();
 });
 
-// Guards against observations that accumulate in a process whose metrics are
-// never read.
+// Guards against buffering observations without limit in a process whose
+// metrics are never rendered.
 test('the SDK is loaded when the buffer is full', async () => {
-  let loads = 0;
+  let loadCount = 0;
   const metrics = createRequestMetrics(() => {
-    loads += 1;
+    loadCount += 1;
     return createMetrics('test');
   }, silentLogger());
   for (let count = 0; count < 4_095; count++) {
-    metrics.record(observed(1));
+    metrics.record(createObservation(1));
   }
-  assert.equal(loads, 0);
-  metrics.record(observed(1));
-  assert.equal(loads, 1);
+  assert.equal(loadCount, 0);
+  metrics.record(createObservation(1));
+  assert.equal(loadCount, 1);
   assert.match(
     await metrics.render(),
     /gateway_requests_total\{[^}]*\} 4096\b/,
@@ -47,11 +47,11 @@
   await metrics.shutDown();
 });
 
-test('a process whose metrics were never read stops without loading the SDK', async () => {
+test('shutting down does not load the SDK if the metrics were never rendered', async () => {
   const metrics = createRequestMetrics(
     () => Promise.reject(new Error('loaded')),
     silentLogger(),
   );
-  metrics.record(observed(1));
+  metrics.record(createObservation(1));
   await metrics.shutDown();
 });
--- a/packages/gateway/src/test/rolloutMoves.test.ts
+++ b/packages/gateway/src/test/rolloutMoves.test.ts
@@ -17,7 +17,7 @@
   });
   const moves = createRolloutMoves(mirror, clock);
   let revision = 0;
-  function setRollout(change: Partial<Rollout> = {}) {
+  function setRollout(overrides: Partial<Rollout> = {}) {
     revision += 1;
     const value = {
       service: 'chat',
@@ -25,7 +25,7 @@
       periodMs: PERIOD_MS,
       state: undefined,
       stateTarget: undefined,
-      ...change,
+      ...overrides,
     };
     mirror.applyListing(
       {revision, items: [{name: 'chat', revision, value}]},
@@ -35,7 +35,10 @@
   return {clock, moves, setRollout};
 }
 
-function stateOf(phase: MoveState['phase'], startedAt?: number): MoveState {
+function createMoveState(
+  phase: MoveState['phase'],
+  startedAt?: number,
+): MoveState {
   return {
     move: 'chat.v2',
     phase,
@@ -49,50 +52,50 @@
 }
 
 describe('rollout moves', () => {
-  it('has a move for a rollout until it is settled', () => {
+  it('lists a move for a rollout until the rollout is done', () => {
     const {moves, setRollout} = setUp();
-    assert.equal(moves.hasOpen(), false);
+    assert.equal(moves.hasOpenRollouts(), false);
     setRollout();
     assert.deepEqual(
       moves.records.list('move').map(({name, from, to}) => [name, from, to]),
       [['chat.v2', 'incumbent', 'candidate']],
     );
-    assert.ok(moves.isOpen('chat'));
+    assert.ok(moves.isRollingOut('chat'));
     setRollout({state: 'done', stateTarget: 'v2'});
-    assert.equal(moves.hasOpen(), false);
+    assert.equal(moves.hasOpenRollouts(), false);
   });
 
-  it('opens a new move for another target under the same name', () => {
+  it('opens a new move if a rolled-back rollout gets another target', () => {
     const {moves, setRollout} = setUp();
     setRollout({state: 'rolled-back', stateTarget: 'v2'});
-    assert.equal(moves.hasOpen(), false);
+    assert.equal(moves.hasOpenRollouts(), false);
     setRollout({target: 'v3', state: 'rolled-back', stateTarget: 'v2'});
     assert.equal(moves.records.list('move')[0]?.name, 'chat.v3');
   });
 
-  it('reports done only shortly before the deadline', () => {
-    // The old endpoints are terminated the moment a rollout is reported done.
-    // Reported as soon as traffic has moved, it would cut off the responses
-    // still running there.
+  it('reports a finished move as done only shortly before the deadline', () => {
+    // The old endpoints are terminated as soon as a rollout is reported done. A
+    // report right after traffic has moved would cut off the responses that are
+    // still running at these endpoints.
     const {clock, moves, setRollout} = setUp();
     setRollout();
-    const finished = [stateOf('finished')];
+    const finishedStates = [createMoveState('finished')];
     clock.advanceSync(PERIOD_MS / 2);
     assert.deepEqual(
-      moves.pendingUpdates(finished).map(({state}) => state),
+      moves.pendingUpdates(finishedStates).map(({state}) => state),
       ['running'],
     );
     clock.advanceSync(PERIOD_MS / 2 - 500);
     assert.deepEqual(
-      moves.pendingUpdates(finished).map(({state}) => state),
+      moves.pendingUpdates(finishedStates).map(({state}) => state),
       ['done'],
     );
   });
 
-  it('reports a rollback at once, and only once', () => {
+  it('reports a rollback immediately and only once', () => {
     const {moves, setRollout} = setUp();
     setRollout();
-    const states = [stateOf('taken-back')];
+    const states = [createMoveState('taken-back')];
     assert.deepEqual(moves.pendingUpdates(states), [
       {name: 'chat', target: 'v2', state: 'rolled-back'},
     ]);
@@ -101,12 +104,13 @@
   });
 
   it('measures the deadline from the start that an earlier process recorded', () => {
-    // The process that evaluated a rollout fails, and its successor starts in
-    // the middle. Measured from its own start, the deadline would be missed.
+    // The process that evaluates a rollout fails, and its successor starts in
+    // the middle of the rollout. A deadline measured from the start of the
+    // successor would be too late.
     const {clock, moves, setRollout} = setUp();
     setRollout();
     const startedAt = clock.wall() - 5_000;
-    moves.recordStates([stateOf('proving', startedAt)]);
+    moves.recordStates([createMoveState('proving', startedAt)]);
     assert.equal(
       moves.records.list('move')[0]?.deadline,
       startedAt + PERIOD_MS,
--- a/packages/gateway/src/test/stepMeter.test.ts
+++ b/packages/gateway/src/test/stepMeter.test.ts
@@ -5,9 +5,10 @@
 
 describe('step meter', () => {
   it('measures decode steps, excluding the prompts processed between them', () => {
-    // While the engine processes other requests' long prompts, a gap of 15 ms
-    // becomes one of 70 ms. Measured as steps, the long gaps would make the
-    // engine seem so slow that twice the endpoints were ordered.
+    // While the engine processes long prompts of other requests, an interval of
+    // 15 ms between events grows to 70 ms. If the long intervals counted as
+    // decode steps, the engine would seem so slow that twice as many endpoints
+    // as needed would be ordered.
     const clock = virtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 20; index++) {
@@ -18,9 +19,9 @@
     assert.equal(steps.eventCount(), 20);
   });
 
-  it('divides a gap among events that arrived together', () => {
-    // A busy entry reads two events in one turn. A zero gap between them would
-    // make the engine seem infinitely fast.
+  it('divides the interval among events that were read together', () => {
+    // A busy entry reads two events in one turn of the event loop. An interval
+    // of zero between these events would make the engine seem infinitely fast.
     const clock = virtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 5; index++) {
--- a/packages/gateway/src/test/testEndpoint.ts
+++ b/packages/gateway/src/test/testEndpoint.ts
@@ -1,34 +1,34 @@
-/** An endpoint over a plain socket that simulates failures for tests. */
+/** An endpoint on a plain TCP socket that simulates failures for tests. */
 import {createServer, type AddressInfo, type Socket} from 'node:net';
 
-/** A received request. */
-export interface Arrival {
+/** The headers of a received request that tests check. */
+export interface ReceivedRequest {
   readonly attemptId: string;
   readonly lastEventId: string | undefined;
 }
 
 export interface TestEndpoint {
   readonly address: string;
-  readonly arrivals: readonly Arrival[];
+  readonly receivedRequests: readonly ReceivedRequest[];
   close(): void;
 }
 
-/** Handles one request. */
-export type Behaviour = (socket: Socket, arrival: Arrival) => void;
+/** Responds to one request, or fails. */
+export type Behaviour = (socket: Socket, request: ReceivedRequest) => void;
 
 /**
- * Returns a behaviour that runs the given ones in turn, and the last one from
- * then on, over all endpoints that share it.
+ * Returns a behaviour that runs the given behaviours in turn, one per request,
+ * and repeats the last behaviour after that. Endpoints may share the result.
  *
  * @example
- * const shared = inTurn([resets, answers('ok')]);
+ * const behaviour = runInTurn([resetConnection, respondWith('ok')]);
  */
-export function inTurn(behaviours: readonly Behaviour[]): Behaviour {
-  let count = 0;
-  return (socket, arrival) => {
-    const index = Math.min(count, behaviours.length - 1);
-    count += 1;
-    behaviours[index]!(socket, arrival);
+export function runInTurn(behaviours: readonly Behaviour[]): Behaviour {
+  let requestCount = 0;
+  return (socket, request) => {
+    const index = Math.min(requestCount, behaviours.length - 1);
+    requestCount += 1;
+    behaviours[index]!(socket, request);
   };
 }
 
@@ -36,12 +36,12 @@
  * Starts an endpoint with the same behaviour for all requests.
  *
  * @example
- * const endpoint = await startTestEndpoint(answers('hello'));
+ * const endpoint = await startTestEndpoint(respondWith('hello'));
  */
 export async function startTestEndpoint(
   behaviour: Behaviour,
 ): Promise<TestEndpoint> {
-  const arrivals: Arrival[] = [];
+  const receivedRequests: ReceivedRequest[] = [];
   const sockets = new Set<Socket>();
   const server = createServer(socket => {
     sockets.add(socket);
@@ -49,12 +49,12 @@
     socket.on('close', () => sockets.delete(socket));
     socket.on('data', bytes => {
       const text = bytes.toString('latin1');
-      const arrival = {
-        attemptId: header(text, 'attempt') ?? '',
-        lastEventId: header(text, 'last-event'),
+      const request = {
+        attemptId: readHeader(text, 'attempt') ?? '',
+        lastEventId: readHeader(text, 'last-event'),
       };
-      arrivals.push(arrival);
-      behaviour(socket, arrival);
+      receivedRequests.push(request);
+      behaviour(socket, request);
     });
   });
   await new Promise<void>(resolve => {
@@ -63,7 +63,7 @@
   const {port} = server.address() as AddressInfo;
   return {
     address: `127.0.0.1:${port}`,
-    arrivals,
+    receivedRequests,
     close() {
       server.close();
       sockets.forEach(socket => socket.destroy());
@@ -71,32 +71,39 @@
   };
 }
 
-function header(text: string, name: string): string | undefined {
+function readHeader(text: string, name: string): string | undefined {
   return new RegExp(`^${name}: (.*)\r$`, 'im').exec(text)?.[1];
 }
 
-/** Sends a response with a content length. */
-export function answers(body: string, status = 200, id?: string): Behaviour {
+/** Sends a complete response; the attempt id defaults to the request's. */
+export function respondWith(
+  body: string,
+  status = 200,
+  attemptIdInResponse?: string,
+): Behaviour {
   return (socket, {attemptId}) =>
     socket.write(
-      `HTTP/1.1 ${status} X\r\nattempt: ${id ?? attemptId}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
+      `HTTP/1.1 ${status} X\r\nattempt: ${attemptIdInResponse ?? attemptId}\r\nContent-Length: ${body.length}\r\n\r\n${body}`,
     );
 }
 
-/** Sends a response that guarantees that the request was not run. */
-export const declines: Behaviour = (socket, {attemptId}) =>
+/** Responds that the request was not run and will not be run. */
+export const declineRequest: Behaviour = (socket, {attemptId}) =>
   socket.write(
     `HTTP/1.1 503 X\r\nattempt: ${attemptId}\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n`,
   );
 
-/** Resets the connection without a response. */
-export const resets: Behaviour = socket => socket.resetAndDestroy();
+/** Resets the connection without sending a response. */
+export const resetConnection: Behaviour = socket => socket.resetAndDestroy();
 
-/** Streams the events of these ids; `end` is how the stream ends. */
-export function streams(
+/**
+ * Streams the events from `first` to `last`, then ends the response, or closes
+ * the connection in the middle of another event.
+ */
+export function streamEvents(
   first: number,
   last: number,
-  end: 'whole' | 'cut',
+  ending: 'whole' | 'cut',
 ): Behaviour {
   return (socket, {attemptId}) => {
     socket.write(
@@ -106,12 +113,12 @@
       const event = `id: ${id}\ndata: ${id}\n\n`;
       socket.write(`${event.length.toString(16)}\r\n${event}\r\n`);
     }
-    const half = 'id: 99\nda';
+    const partialEvent = 'id: 99\nda';
     socket.write(
-      end === 'whole'
+      ending === 'whole'
         ? '0\r\n\r\n'
-        : `${half.length.toString(16)}\r\n${half}\r\n`,
-      () => end === 'cut' && socket.end(),
+        : `${partialEvent.length.toString(16)}\r\n${partialEvent}\r\n`,
+      () => ending === 'cut' && socket.end(),
     );
   };
 }
--- a/packages/gateway/src/test/upstream.test.ts
+++ b/packages/gateway/src/test/upstream.test.ts
@@ -3,14 +3,17 @@
 import {describe, it} from 'node:test';
 import {createUpstreams} from '../upstream.js';
 
-/** How the endpoint ends the connection after its response. */
+/**
+ * What the endpoint does with the connection after it has sent its response.
+ */
 type Ending = 'open' | 'close' | 'reset';
 
-interface Answer {
+/** A response of an endpoint and its expected result. */
+interface ResponseCase {
   readonly name: string;
   readonly bytes: string;
   readonly ending: Ending;
-  /** Expected result: a complete or a broken response. */
+  /** Whether the response is to be reported as complete or as broken. */
   readonly expected: 'whole' | 'broken';
 }
 
@@ -18,7 +21,7 @@
 const CLOSE = 'Connection: close\r\n';
 const CHUNKED = 'Transfer-Encoding: chunked\r\n';
 
-const answers: readonly Answer[] = [
+const responseCases: readonly ResponseCase[] = [
   {
     name: 'with its full content length',
     bytes: `${HEAD}Content-Length: 5\r\n\r\nhello`,
@@ -26,19 +29,19 @@
     expected: 'whole',
   },
   {
-    name: 'shorter than its content length, then closed',
+    name: 'that is closed before its full content length',
     bytes: `${HEAD}Content-Length: 9\r\n\r\nhello`,
     ending: 'close',
     expected: 'broken',
   },
   {
-    name: 'without a length, closed in order',
+    name: 'without a length that is closed in order',
     bytes: `${HEAD}${CLOSE}\r\nhello`,
     ending: 'close',
     expected: 'whole',
   },
   {
-    name: 'without a length, reset',
+    name: 'without a length that is reset',
     bytes: `${HEAD}${CLOSE}\r\nhello`,
     ending: 'reset',
     expected: 'broken',
@@ -50,13 +53,13 @@
     expected: 'whole',
   },
   {
-    name: 'closed before its last chunk',
+    name: 'that is closed before its last chunk',
     bytes: `${HEAD}${CLOSE}${CHUNKED}\r\n5\r\nhello\r\n`,
     ending: 'close',
     expected: 'broken',
   },
   {
-    name: 'reset before its last chunk',
+    name: 'that is reset before its last chunk',
     bytes: `${HEAD}${CLOSE}${CHUNKED}\r\n5\r\nhello\r\n`,
     ending: 'reset',
     expected: 'broken',
@@ -68,29 +71,29 @@
     expected: 'broken',
   },
   {
-    name: 'that is empty, then closed',
+    name: 'that is closed without any byte',
     bytes: '',
     ending: 'close',
     expected: 'broken',
   },
 ];
 
-const endings: Readonly<Record<Ending, (socket: Socket) => void>> = {
+const endConnection: Readonly<Record<Ending, (socket: Socket) => void>> = {
   open: () => {},
   close: socket => socket.end(),
   reset: socket => socket.resetAndDestroy(),
 };
 
-/** Serves one connection, and ends it after the bytes have been sent. */
-async function serveOnce({bytes, ending}: Answer) {
+/** Serves one response, then ends the connection as specified. */
+async function serveOnce({bytes, ending}: ResponseCase) {
   const server = createServer(socket => {
     socket.on('error', () => {});
     socket.once('data', () => {
       if (bytes === '') {
-        endings[ending](socket);
+        endConnection[ending](socket);
         return;
       }
-      socket.write(bytes, () => endings[ending](socket));
+      socket.write(bytes, () => endConnection[ending](socket));
     });
   });
   await new Promise<void>(resolve => {
@@ -101,14 +104,14 @@
 }
 
 describe('upstream responses', () => {
-  for (const answer of answers) {
-    it(`reports a response ${answer.name} as ${answer.expected}`, async () => {
+  for (const responseCase of responseCases) {
+    it(`reports a response ${responseCase.name} as ${responseCase.expected}`, async () => {
       // Endpoints crash, are reclaimed or send invalid responses. A truncated
       // response must not be reported as complete.
-      const endpoint = await serveOnce(answer);
+      const endpoint = await serveOnce(responseCase);
       const upstreams = createUpstreams();
       const chunks: Buffer[] = [];
-      const end = await new Promise<string>(resolve => {
+      const result = await new Promise<string>(resolve => {
         upstreams.send(
           endpoint.address,
           {method: 'GET', path: '/', headers: [], body: undefined},
@@ -123,15 +126,15 @@
       });
       upstreams.dispose();
       endpoint.close();
-      assert.equal(end, answer.expected);
-      if (answer.expected === 'whole') {
+      assert.equal(result, responseCase.expected);
+      if (responseCase.expected === 'whole') {
         assert.equal(Buffer.concat(chunks).toString(), 'hello');
       }
     });
   }
 
   it('reports a request as not run if the connection is refused', async () => {
-    const endpoint = await serveOnce(answers[0]!);
+    const endpoint = await serveOnce(responseCases[0]!);
     endpoint.close();
     const upstreams = createUpstreams();
     const error = await new Promise<{run: string}>(resolve => {
--- a/packages/gateway/src/test/usageDuty.test.ts
+++ b/packages/gateway/src/test/usageDuty.test.ts
@@ -20,7 +20,7 @@
   readonly fencing: number;
 }
 
-function createRecorder(answers: EndpointOrderResult[]) {
+function createOrderRecorder(answers: EndpointOrderResult[]) {
   const reports: Report[] = [];
   const orders: PlatformOrders = {
     async reportUsage({fencing}, window, counts) {
@@ -32,7 +32,7 @@
   return {reports, orders};
 }
 
-function termOf(fencing: number): DutyTerm & {end(): void} {
+function createTerm(fencing: number): DutyTerm & {end(): void} {
   const controller = new AbortController();
   return {
     duty: 'fleet',
@@ -60,7 +60,7 @@
   for (let count = 0; count < options.ownCount; count++) {
     usage.recordRequest('chain', clock.wall());
   }
-  const term = termOf(options.fencing);
+  const term = createTerm(options.fencing);
   const duty = startUsageDuty({
     term,
     holder: `e${options.fencing}`,
@@ -76,13 +76,13 @@
 }
 
 function assertOneReportPerWindow(reports: readonly Report[]): void {
-  const byWindow = new Map<number, Set<string>>();
+  const countsByWindow = new Map<number, Set<string>>();
   for (const {window, counts} of reports) {
-    const variants = byWindow.get(window) ?? new Set();
+    const variants = countsByWindow.get(window) ?? new Set();
     variants.add(JSON.stringify(counts));
-    byWindow.set(window, variants);
+    countsByWindow.set(window, variants);
   }
-  for (const [window, variants] of byWindow) {
+  for (const [window, variants] of countsByWindow) {
     assert.equal(
       variants.size,
       1,
@@ -92,20 +92,26 @@
 }
 
 describe('usage duty', () => {
-  it('reports the counts that a predecessor persisted', async () => {
-    // The holder fails after its report has reached the platform but before it
-    // gets the response. Its successor has other counts; a second, different
-    // report would bill the customer twice.
+  it('reports the counts that its predecessor persisted', async () => {
+    // The holder of the duty fails after its report has reached the platform
+    // but before it gets the response. Its successor has other counts; a
+    // second, different report would bill the customer twice.
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = createRecorder(['failed', 'accepted']);
+    const {reports, orders} = createOrderRecorder(['failed', 'accepted']);
     const store = platform.client('e1');
-    const first = startHolder({clock, store, orders, fencing: 1, ownCount: 7});
+    const firstHolder = startHolder({
+      clock,
+      store,
+      orders,
+      fencing: 1,
+      ownCount: 7,
+    });
     await clock.advance(WINDOW_MS + 2_000);
-    first.term.end();
-    first.duty.dispose();
-    const before = reports.length;
-    assert.ok(before >= 1);
+    firstHolder.term.end();
+    firstHolder.duty.dispose();
+    const reportCount = reports.length;
+    assert.ok(reportCount >= 1);
     startHolder({
       clock,
       store: platform.client('e2'),
@@ -117,14 +123,14 @@
     assertOneReportPerWindow(reports);
   });
 
-  it('does not report a window again if its last counts arrive late', async () => {
-    // Windows are short compared to the time in which they may be reported, and
-    // a partitioned entry delivers its counts long after the window was
-    // reported. If the report were no longer stored, the window would be
-    // reported again with other counts, billing the customer twice.
+  it('does not report a window again if counts arrive after the report', async () => {
+    // Windows are short compared to the time during which they may be reported,
+    // and a partitioned entry delivers its counts long after the window was
+    // reported. If the persisted counts were already removed, the window would
+    // be reported again with other counts, and the customer billed twice.
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = createRecorder([]);
+    const {reports, orders} = createOrderRecorder([]);
     const startedAt = clock.wall();
     const {usage} = startHolder({
       clock,
@@ -144,7 +150,7 @@
   it('sends nothing after its term has ended', async () => {
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = createRecorder([]);
+    const {reports, orders} = createOrderRecorder([]);
     const {term} = startHolder({
       clock,
       store: platform.client('e1'),
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -66,13 +66,15 @@
 }
 
 /**
- * Margin by which keys expire early, in milliseconds: a request may wait that
- * long before it runs.
+ * Margin by which keys are rejected before the revocation limit, in
+ * milliseconds: a request may wait that long between the check of its key and
+ * its run.
  */
 const KEY_MARGIN_MS = 500;
 
 /**
- * Creates the request path and starts to mirror the platform.
+ * Creates the request path, and starts to mirror the platform's objects and to
+ * exchange digests.
  *
  * @example
  * const traffic = createTrafficPipeline(context, coordination);
@@ -107,7 +109,7 @@
     policy.services().find(service => service.name === name);
   const isModel = (service: string): boolean =>
     findService(service)?.engine !== undefined;
-  const fits = (service: string, demand: ModelDemand): boolean =>
+  const fitsEngineMemory = (service: string, demand: ModelDemand): boolean =>
     fitsMemory(demand, findService(service)?.engine);
   const quotaWindowMs = settings.quotaWindowSeconds * MS_PER_SECOND;
   const reports = createPeerReports({
@@ -123,7 +125,7 @@
     clock,
     reports,
     log,
-    restored: engineStore.restored,
+    restored: engineStore.restoredStats,
     isModel,
     latencyTargets: policy.routesTo,
   });
@@ -198,10 +200,11 @@
     },
   });
   /**
-   * Usage counts by digest scope. Only the holder of the cluster duty needs the
-   * counts of other entries, and the holder is never behind a relay.
+   * Usage counts to send, by digest scope. Only the holder of the cluster duty
+   * needs the counts of other entries, and an entry behind a relay never holds
+   * that duty.
    */
-  const usageFor: Readonly<Record<DigestScope, () => WindowCounts>> = {
+  const usageByScope: Readonly<Record<DigestScope, () => WindowCounts>> = {
     own: usage.ownCounts,
     domain: usage.domainCounts,
     rest: () => ({}),
@@ -215,11 +218,11 @@
         incarnation: context.incarnation,
       },
       plan: coordination.plan,
-      content() {
+      takeSnapshot() {
         visibility.refresh();
         admission.setEntryCount(membership.live().length);
         const mirrors = view.syncStatuses();
-        const own = {
+        const ownReport = {
           entries: 1,
           used: quotas.ownUsage(),
           loads: router.ownLoads(),
@@ -231,8 +234,8 @@
         };
         return (scope, receiver) => ({
           mirrors,
-          usage: usageFor[scope](),
-          ...reports.aggregateFor(scope, receiver, own),
+          usage: usageByScope[scope](),
+          ...reports.aggregateFor(scope, receiver, ownReport),
         });
       },
       onDidReceive(peer, digest, timestamp) {
@@ -242,10 +245,10 @@
         }
         view.recordSyncStatuses(peer, digest.mirrors, timestamp);
         recordUsage(peer, digest);
-        const accepted = reports.accept(peer, digest);
-        if (accepted !== undefined) {
-          quotas.addPeerUsage(accepted.increase);
-          router.reportEntryLoads(accepted.origin, digest.loads);
+        const acceptedReport = reports.accept(peer, digest);
+        if (acceptedReport !== undefined) {
+          quotas.addPeerUsage(acceptedReport.increase);
+          router.reportEntryLoads(acceptedReport.origin, digest.loads);
         }
       },
     }),
@@ -253,10 +256,12 @@
 
   function recordUsage(peer: string, digest: Messages['digest']): void {
     const {scope = 'own', incarnation, failureDomain, usage: counts} = digest;
-    const isOwn = scope === 'own';
-    const origin = isOwn ? `${peer}.${incarnation}` : `all of ${failureDomain}`;
-    const isLocal = isOwn && failureDomain === settings.failureDomain;
-    usage.mergeCounts(origin, counts, isLocal);
+    const isOwnScope = scope === 'own';
+    const origin = isOwnScope
+      ? `${peer}.${incarnation}`
+      : `all of ${failureDomain}`;
+    const isLocalEntry = isOwnScope && failureDomain === settings.failureDomain;
+    usage.mergeCounts(origin, counts, isLocalEntry);
   }
 
   function updateEntries(): void {
@@ -284,7 +289,7 @@
       store: coordination.store,
       dutyElections: coordination.dutyElections,
       plan: coordination.plan,
-      others: () =>
+      otherEntryIds: () =>
         membership
           .members()
           .map(({id}) => id)
@@ -310,7 +315,7 @@
       clock,
       estimateFor: engineEstimates.estimateFor,
       tokensPerEvent,
-      fits,
+      fits: fitsEngineMemory,
       onDidReread: (service, rereadTokens) =>
         work.record(service, {...ZERO_WORK, rereadTokens}),
     }),
@@ -334,7 +339,7 @@
     admission,
     forwarding,
     format: platform.calls,
-    state: {
+    servingState: {
       isServing: () =>
         lifecycle.state() === 'serving' || lifecycle.state() === 'lingering',
       isClosing: () => lifecycle.state() !== 'serving',
@@ -354,14 +359,14 @@
       }
     },
     onDidAccept(service: string, {demand}: CallHead) {
-      if (demand !== undefined && fits(service, demand)) {
+      if (demand !== undefined && fitsEngineMemory(service, demand)) {
         work.record(service, promptWork(demand));
       }
     },
     onDidAnswer(service: string, {demand}: CallHead, eventCount: number) {
-      if (demand !== undefined && fits(service, demand)) {
-        const tokens = eventCount * tokensPerEvent(service);
-        work.record(service, answerWork(demand, tokens));
+      if (demand !== undefined && fitsEngineMemory(service, demand)) {
+        const outputTokens = eventCount * tokensPerEvent(service);
+        work.record(service, answerWork(demand, outputTokens));
       }
     },
   });
--- a/packages/gateway/src/upstream.ts
+++ b/packages/gateway/src/upstream.ts
@@ -8,7 +8,7 @@
 export interface UpstreamRequest {
   readonly method: string;
   readonly path: string;
-  /** Alternating names and values. */
+  /** Alternating header names and values. */
   readonly headers: string[];
   readonly body: Buffer | undefined;
 }
@@ -17,18 +17,21 @@
 export interface UpstreamListener {
   onDidRespond(status: number, headers: ResponseHeaders): void;
   onDidReceive(chunk: Buffer): void;
-  /** `isDelimited` is false if only a closed connection marks the end. */
+  /**
+   * Called at the end of a complete response. `isDelimited` is false if only
+   * the close of the connection marks the end.
+   */
   onDidEnd(isDelimited: boolean): void;
   /**
-   * `endpoint-unavailable` if no byte was sent (not run), else `interrupted`
-   * (may have run).
+   * Called with `endpoint-unavailable` if no byte of the request was sent (not
+   * run), else with `interrupted` (may have run).
    */
   onDidFail(error: ServingError): void;
 }
 
 /** A request in flight. */
 export interface UpstreamExchange {
-  /** Closes the connection; the listener is not called again. */
+  /** Closes the connection; the listener is not called again after that. */
   abort(): void;
   pause(): void;
   resume(): void;
@@ -41,42 +44,45 @@
     request: UpstreamRequest,
     listener: UpstreamListener,
   ): UpstreamExchange;
-  /** Closes the pools of all other addresses. */
+  /** Closes the pools of all addresses that are not in the set. */
   retainOnly(addresses: ReadonlySet<string>): void;
   dump(): unknown;
 }
 
 /**
- * Connect timeout, in milliseconds: a thousand times the round trip between
- * failure domains.
+ * Timeout of opening a connection, in milliseconds: a thousand times the round
+ * trip between failure domains.
  */
 const CONNECT_TIMEOUT_MS = 1_000;
 
 /**
- * Time after which an idle connection is closed unless the endpoint announces
- * its own timeout, in milliseconds.
+ * Time after which an idle connection is closed, in milliseconds; applies
+ * unless the endpoint announces its own timeout.
  */
 const IDLE_TIMEOUT_MS = 4_000;
 
 /**
- * Time before the endpoint's own timeout at which an idle connection is closed,
- * in milliseconds, so that no request is sent while the endpoint closes it.
+ * Time before the endpoint's announced timeout at which an idle connection is
+ * closed, in milliseconds, so that no request is sent while the endpoint closes
+ * the connection.
  */
 const IDLE_MARGIN_MS = 1_000;
 
 /**
- * Maximum connections of this entry to one endpoint; well below the endpoint's
- * limit divided by the entries that share it.
+ * Maximum number of connections from this entry to one endpoint; well below the
+ * endpoint's limit divided by the number of entries that share the endpoint.
  */
 const MAX_CONNECTIONS = 48;
 
 /**
- * How a connection is ending in the current event loop turn.
+ * How a connection ends in the current turn of the event loop: not at all,
+ * closed in order, or by a reset or an error.
  *
- * If a response closes its connection, undici takes any end of the connection
- * for the end of the response, even a reset or a close in the middle of a
- * chunk, and a truncated response would be passed on as complete. The socket
- * listeners of `createConnector` run before undici's own, in the same turn.
+ * If a response announces that its connection will be closed, undici treats any
+ * end of the connection as the end of the response, even a reset or a close in
+ * the middle of a chunk, and a truncated response would be passed on as
+ * complete. The socket listeners of `createConnector` run before undici's own
+ * listeners, in the same turn.
  */
 type ConnectionEnd = 'none' | 'closed' | 'failed';
 
@@ -93,40 +99,45 @@
     queueMicrotask(() => (endState.current = 'none'));
   }
   return (options, callback) =>
-    connect(options, (...outcome) => {
-      const [, socket] = outcome;
+    connect(options, (...connectResult) => {
+      const [, socket] = connectResult;
       socket?.on('end', () => setEnd(isReset(socket) ? 'failed' : 'closed'));
       socket?.on('error', () => setEnd('failed'));
-      callback(...outcome);
+      callback(...connectResult);
     });
 }
 
 /**
  * Whether a connection that appears closed in order was reset: if a reset
- * arrives together with data, libuv reports an end without reading on. The
- * remote address is then no longer available; this relies on nothing having
- * read it before, since Node caches it.
+ * arrives together with data, libuv reports an end of data and does not read
+ * the error. The remote address is not available after a reset. Node caches the
+ * address, so this check requires that no code has read the address before.
  */
 function isReset(socket: Socket): boolean {
   return socket.remoteAddress === undefined;
 }
 
-/** How the end of a response is marked. */
+/**
+ * How the end of a response is marked: by its length, by its last chunk or by
+ * the close of its connection.
+ */
 type Framing = 'length' | 'chunks' | 'close';
 
 /**
- * Whether a response that undici reports as complete is really complete, given
- * how its connection is ending.
+ * For each framing, whether a response that undici reports as complete is
+ * really complete, given how its connection ends.
  */
-const isComplete: Readonly<Record<Framing, (end: ConnectionEnd) => boolean>> = {
-  // undici checks the length itself.
+const isCompleteByFraming: Readonly<
+  Record<Framing, (end: ConnectionEnd) => boolean>
+> = {
+  // undici itself compares the length with the received bytes.
   length: () => true,
   chunks: end => end === 'none',
   close: end => end === 'closed',
 };
 
 /**
- * Creates the pools; connections are opened on demand.
+ * Creates empty connection pools; connections are opened on demand.
  *
  * @example
  * const exchange = upstreams.send('10.0.0.7:8000', request, listener);
@@ -135,7 +146,7 @@
   const pools = new Map<string, Pool>();
   const endState: ConnectionEndState = {current: 'none'};
 
-  function poolOf(address: string): Pool {
+  function getOrCreatePool(address: string): Pool {
     const existing = pools.get(address);
     if (existing !== undefined) {
       return existing;
@@ -155,12 +166,12 @@
 
   return {
     send: (address, request, listener) =>
-      dispatch(poolOf(address), endState, request, listener),
+      dispatch(getOrCreatePool(address), endState, request, listener),
     retainOnly(addresses) {
       for (const [address, pool] of pools) {
         if (!addresses.has(address)) {
           pools.delete(address);
-          // The pool closes after its requests in flight have ended.
+          // The pool is closed after its requests in flight have ended.
           pool.close().catch(() => pool.destroy());
         }
       }
@@ -217,11 +228,11 @@
       body: request.body ?? null,
     },
     {
-      // From here on, bytes may have left this process.
-      onRequestStart(started) {
-        controller = started;
+      // After this call, bytes of the request may have been sent.
+      onRequestStart(startedController) {
+        controller = startedController;
         if (isSettled) {
-          started.abort(new Error('aborted'));
+          startedController.abort(new Error('aborted'));
         }
       },
       onResponseStart(_, status, headers) {
@@ -236,7 +247,7 @@
         }
       },
       onResponseEnd() {
-        if (!isComplete[framing](endState.current)) {
+        if (!isCompleteByFraming[framing](endState.current)) {
           fail(new Error('the connection ended in the middle of the response'));
           return;
         }
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -1,10 +1,11 @@
 /**
- * Reports each usage window with one set of counts, even after a failover.
+ * Reports customers' usage to the platform, with the same counts in every
+ * report of one window, even after a failover.
  *
- * Two different reports of one window would bill customers twice. Counts are
- * therefore written to the store before they are sent, and a successor that
- * cannot tell whether its predecessor's report arrived sends the same counts
- * again.
+ * If two reports of one window differed, customers would be billed twice.
+ * Counts are therefore written to the store before they are sent, and a
+ * successor that does not know whether its predecessor's report arrived sends
+ * the same counts again.
  */
 import {
   every,
@@ -19,25 +20,26 @@
 import type {CustomerCounts, UsageWindows} from '@skylarkfield/traffic';
 import type {PlatformOrders} from './contracts.js';
 
-/** Kind of the objects that hold the reported counts, named by window. */
+/** Kind of the objects with the reported counts, named by window. */
 const OBJECT_KIND = 'usage-report';
 
-/** Interval at which the holder checks for a due window, in milliseconds. */
+/** Interval of checking for a window to report, in milliseconds. */
 const CHECK_INTERVAL_MS = 500;
 
 /**
- * Delay after a window's end for the last counts of other entries to arrive, in
- * milliseconds: three digests and a margin.
+ * Delay of a report after the end of its window, in milliseconds: the last
+ * counts of other entries arrive within three digests and a margin.
  */
 const REPORT_DELAY_MS = 1_500;
 
 /**
- * Windows retained in the store beyond those that a successor may still report:
- * one for the current window, and two for clock skew.
+ * Number of windows whose counts remain stored in addition to those that a
+ * successor may still report: one for the current window, and two for clock
+ * skew.
  */
 const EXTRA_RETAINED_REPORTS = 3;
 
-/** Timeout of one call, in milliseconds. */
+/** Timeout of one call to the store or the platform, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_500;
 
 export interface UsageDutyOptions {
@@ -46,16 +48,19 @@
   readonly store: ObjectStore;
   readonly orders: PlatformOrders;
   readonly usage: UsageWindows;
-  /** Time after a window's end in which it may be reported, in milliseconds. */
+  /**
+   * Time after a window's end during which the window may be reported, in
+   * milliseconds.
+   */
   readonly lateMs: number;
   readonly clock: Clock;
-  /** Wall clock that the entries agree on, in milliseconds. */
+  /** Returns the wall clock that the entries agree on, in milliseconds. */
   commonWallMs(): number;
   readonly log: Logger;
 }
 
 /**
- * Starts to report for the duration of the term.
+ * Reports usage until disposed, while the term is valid.
  *
  * @example
  * dutyElections.compete('usage', term => startUsageDuty({term, ...rest}));
@@ -66,8 +71,9 @@
   const retainedReports =
     usage.windowAt(options.lateMs) + EXTRA_RETAINED_REPORTS;
   const reportedWindows = new Set<number>();
-  let isBusy = false;
+  let isReporting = false;
 
+  /** Returns the earliest window that is complete and not reported yet. */
   function dueWindow(): number | undefined {
     const latestWindow =
       usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
@@ -83,8 +89,11 @@
     return undefined;
   }
 
-  /** Returns the counts to report: a predecessor's, else the local ones. */
-  async function persistedCounts(window: number): Promise<CustomerCounts> {
+  /**
+   * Persists the local counts of a window and returns the counts to report:
+   * those that a predecessor has already persisted, or else the local counts.
+   */
+  async function persistCounts(window: number): Promise<CustomerCounts> {
     const counts = usage.totalCounts(window);
     try {
       await store.put(
@@ -99,16 +108,16 @@
       if (!isServingError(error, 'version-conflict')) {
         throw error;
       }
-      const found = await store.get<CustomerCounts>(
+      const existing = await store.get<CustomerCounts>(
         OBJECT_KIND,
         String(window),
       );
-      return found?.value ?? counts;
+      return existing?.value ?? counts;
     }
   }
 
   async function report(window: number): Promise<void> {
-    const counts = await persistedCounts(window);
+    const counts = await persistCounts(window);
     if (!term.isValid()) {
       return;
     }
@@ -135,21 +144,21 @@
     }
   }
 
-  async function check(): Promise<void> {
+  async function reportDueWindow(): Promise<void> {
     const window = dueWindow();
-    if (isBusy || window === undefined || !term.isValid()) {
+    if (isReporting || window === undefined || !term.isValid()) {
       return;
     }
-    isBusy = true;
+    isReporting = true;
     try {
       await report(window);
     } catch (error) {
       const {kind, message} = toServingError(error);
       log.warn({window, kind, message}, 'usage report failed; retrying');
     } finally {
-      isBusy = false;
+      isReporting = false;
     }
   }
 
-  return every(clock, CHECK_INTERVAL_MS, () => void check());
+  return every(clock, CHECK_INTERVAL_MS, () => void reportDueWindow());
 }
