--- a/packages/moves/src/evidence.ts
+++ b/packages/moves/src/evidence.ts
@@ -6,11 +6,13 @@
 
 export type LoadLevel = EvidenceSum['loadLevel'];
 
-/** Sums over the requests of one version. */
+/** Sums over requests of one version; latencies of successful ones only. */
 export interface RequestStats {
   requests: number;
   errors: number;
+  /** Sum of the natural logarithms of the latencies. */
   logLatency: number;
+  /** Sum of the squares of these logarithms. */
   logLatencySquared: number;
 }
 
@@ -23,6 +25,7 @@
   readonly incumbent: RequestStats;
 }
 
+/** Load fractions from which the load level is middle or high. */
 const MIDDLE_LOAD_FRACTION = 0.5;
 const HIGH_LOAD_FRACTION = 0.8;
 
@@ -43,44 +46,54 @@
  * Creates statistics of zero requests.
  *
  * @example
- * const total = emptyStats();
+ * const total = createEmptyStats();
  * addStats(total, stats);
  */
-export function emptyStats(): RequestStats {
+export function createEmptyStats(): RequestStats {
   return {requests: 0, errors: 0, logLatency: 0, logLatencySquared: 0};
 }
 
 /**
- * Adds `from` to `to` in place.
+ * Adds `addend` to `total` in place.
  *
  * @example
  * addStats(total, stats);
  */
-export function addStats(to: RequestStats, from: Readonly<RequestStats>) {
-  to.requests += from.requests;
-  to.errors += from.errors;
-  to.logLatency += from.logLatency;
-  to.logLatencySquared += from.logLatencySquared;
+export function addStats(total: RequestStats, addend: Readonly<RequestStats>) {
+  total.requests += addend.requests;
+  total.errors += addend.errors;
+  total.logLatency += addend.logLatency;
+  total.logLatencySquared += addend.logLatencySquared;
 }
 
-/** Accumulates evidence into strata until both versions can be compared. */
+/**
+ * Accumulates evidence into strata until a stratum has enough requests to
+ * compare both versions.
+ */
 export interface EvidenceWindow {
   add(sums: readonly EvidenceSum[]): void;
   /** Removes and returns the strata with enough requests of both versions. */
-  takeComparable(): Stratum[];
-  /** Drops all strata; called when the shares change, which would mix them. */
+  takeComparableStrata(): Stratum[];
+  /**
+   * Drops all strata. Called when the traffic shares change, since requests
+   * from before and after the change are not comparable.
+   */
   clear(): void;
 }
 
 /** Lower bound of incumbent requests in a comparable stratum. */
 const MIN_INCUMBENT_REQUESTS = 4;
 
-/** Bounds memory; further routes are summed under `OTHER_ROUTES`. */
+/**
+ * Upper bound of routes with a separate stratum, to limit memory; further
+ * routes are summed under `OTHER_ROUTES`.
+ */
 const MAX_ROUTES = 24;
 const OTHER_ROUTES = 'other routes';
 
 /**
- * Creates an empty window for a move between two versions.
+ * Creates an empty window for a move from the incumbent to the candidate
+ * version.
  *
  * @example
  * const window = createEvidenceWindow('v1', 'v2');
@@ -90,18 +103,18 @@
   candidateVersion: string,
 ): EvidenceWindow {
   const strata = new Map<string, Stratum>();
-  const routes = new Set<string>();
+  const routeNames = new Set<string>();
 
-  function boundedRouteName(route: string): string {
-    if (routes.has(route) || routes.size < MAX_ROUTES) {
-      routes.add(route);
+  function registerRoute(route: string): string {
+    if (routeNames.has(route) || routeNames.size < MAX_ROUTES) {
+      routeNames.add(route);
       return route;
     }
     return OTHER_ROUTES;
   }
 
-  function stratumFor(sum: EvidenceSum): Stratum {
-    const route = boundedRouteName(sum.route);
+  function getOrCreateStratum(sum: EvidenceSum): Stratum {
+    const route = registerRoute(sum.route);
     const isOrder = sum.isOrder ?? false;
     const id = `${route}\u0000${sum.loadLevel}\u0000${isOrder}`;
     let stratum = strata.get(id);
@@ -110,8 +123,8 @@
         route,
         loadLevel: sum.loadLevel,
         isOrder,
-        candidate: emptyStats(),
-        incumbent: emptyStats(),
+        candidate: createEmptyStats(),
+        incumbent: createEmptyStats(),
       };
       strata.set(id, stratum);
     }
@@ -122,22 +135,22 @@
     add(sums) {
       for (const sum of sums) {
         if (sum.version === candidateVersion) {
-          addStats(stratumFor(sum).candidate, sum);
+          addStats(getOrCreateStratum(sum).candidate, sum);
         } else if (sum.version === incumbentVersion) {
-          addStats(stratumFor(sum).incumbent, sum);
+          addStats(getOrCreateStratum(sum).incumbent, sum);
         }
       }
     },
-    takeComparable() {
-      const comparable = [...strata].filter(
+    takeComparableStrata() {
+      const comparableStrata = [...strata].filter(
         ([, {candidate, incumbent}]) =>
           candidate.requests > 0 &&
           incumbent.requests >= MIN_INCUMBENT_REQUESTS,
       );
-      for (const [id] of comparable) {
+      for (const [id] of comparableStrata) {
         strata.delete(id);
       }
-      return comparable.map(([, stratum]) => stratum);
+      return comparableStrata.map(([, stratum]) => stratum);
     },
     clear: () => strata.clear(),
   };
--- a/packages/moves/src/faultDetector.ts
+++ b/packages/moves/src/faultDetector.ts
@@ -2,9 +2,9 @@
  * Detects faults of a candidate on any route and at any load level.
  *
  * Each scope (the service, each route, each route at each load level) has one
- * sequential test for errors and one for latency. Averaging their values with
- * weights that sum to at most 1 gives a valid test again, so the false alarm
- * probability stays below alpha for any number of routes.
+ * sequential test for errors and one for latency. The average of the test
+ * values, with weights that sum to at most 1, is a valid test again, so the
+ * false alarm probability stays below alpha for any number of routes.
  */
 import {
   createVarianceEstimator,
@@ -20,31 +20,39 @@
   type SequentialTest,
 } from './sequentialTest.js';
 
-/** Fault that the detector found. */
 export interface DetectedFault {
   readonly why: string;
   readonly logValue: number;
 }
 
 export interface FaultDetector {
-  /** Adds one window; returns a fault once the threshold is reached. */
+  /**
+   * Adds the strata of one window; returns a fault once the combined test value
+   * reaches the threshold.
+   */
   add(strata: readonly Stratum[]): DetectedFault | undefined;
   /** Returns the logarithm of the combined test value, for the state dump. */
   logValue(): number;
 }
 
 export interface FaultDetectorOptions {
-  /** Upper bound of the false alarm probability over the whole move. */
+  /** Upper bound of the probability of a false alarm during the whole move. */
   readonly alpha: number;
-  /** Windows until the deadline; the onset prior is spread over them. */
+  /**
+   * Number of windows until the deadline; the prior weight of later fault
+   * onsets is spread over them.
+   */
   readonly windowCount: number;
 }
 
-/** Highest error factor and log latency excess that are not a fault. */
+/**
+ * Highest ratio of error rates and highest log latency excess that do not count
+ * as a fault.
+ */
 const TOLERATED_ERROR_FACTOR = 1.15;
 const TOLERATED_LATENCY_EXCESS = 0.05;
 
-/** Alternative hypotheses: error factors and log latency excesses. */
+/** Alternative hypotheses: ratios of error rates and log latency excesses. */
 const ERROR_FACTORS = [2, 4, 16, 100];
 const LATENCY_EXCESSES = [0.25, 0.5, 1, 2];
 
@@ -67,7 +75,7 @@
  *
  * @example
  * const detector = createFaultDetector({alpha: 0.002, windowCount: 3600});
- * const fault = detector.add(window.takeComparable());
+ * const fault = detector.add(window.takeComparableStrata());
  */
 export function createFaultDetector(
   options: FaultDetectorOptions,
@@ -82,7 +90,7 @@
   const onsetWeight = (1 - INITIAL_WEIGHT) / Math.max(1, options.windowCount);
   const logThreshold = Math.log(1 / options.alpha);
 
-  function scopeFor(type: ScopeType, name: string): Scope {
+  function getOrCreateScope(type: ScopeType, name: string): Scope {
     const id = `${type}\u0000${name}`;
     let scope = scopes.get(id);
     if (scope === undefined) {
@@ -101,7 +109,7 @@
     return scope;
   }
 
-  function varianceEstimatorFor(route: string): VarianceEstimator {
+  function getOrCreateVarianceEstimator(route: string): VarianceEstimator {
     let estimator = varianceEstimators.get(route);
     if (estimator === undefined) {
       estimator = createVarianceEstimator();
@@ -110,7 +118,10 @@
     return estimator;
   }
 
-  /** Adds the strata of one window; their likelihood ratios multiply. */
+  /**
+   * Adds the strata of one window to the tests of a scope. The likelihood
+   * ratios of the strata are multiplied.
+   */
   function addToScope(scope: Scope, strata: readonly Stratum[]) {
     scope.windowCount += 1;
     // The test is valid only while the onset weights sum to at most 1.
@@ -128,7 +139,7 @@
     const excesses = strata.flatMap(stratum => {
       const excess = latencyExcess(
         stratum,
-        varianceEstimatorFor(stratum.route).value(),
+        getOrCreateVarianceEstimator(stratum.route).value(),
       );
       return excess === undefined ? [] : [excess];
     });
@@ -154,17 +165,17 @@
     return value;
   }
 
-  function strongestReason(): string {
+  function describeStrongestEvidence(): string {
     let strongest = {why: '', value: -Infinity};
     for (const scope of scopes.values()) {
-      for (const [kind, test] of [
+      for (const [symptom, test] of [
         ['more errors', scope.errorTest],
         ['higher latency', scope.latencyTest],
       ] as const) {
         const value = scope.logWeight + test.logValue();
         if (value > strongest.value) {
           strongest = {
-            why: `${kind} than the incumbent on ${scope.name}`,
+            why: `${symptom} than the incumbent on ${scope.name}`,
             value,
           };
         }
@@ -178,28 +189,31 @@
       if (strata.length === 0) {
         return undefined;
       }
-      addToScope(scopeFor('service', 'all routes'), strata);
+      addToScope(getOrCreateScope('service', 'all routes'), strata);
       for (const route of new Set(strata.map(stratum => stratum.route))) {
-        const ownStrata = strata.filter(stratum => stratum.route === route);
-        addToScope(scopeFor('route', route), ownStrata);
+        const routeStrata = strata.filter(stratum => stratum.route === route);
+        addToScope(getOrCreateScope('route', route), routeStrata);
       }
       for (const stratum of strata) {
         const name = `${stratum.route} under ${stratum.loadLevel} load`;
-        addToScope(scopeFor('level', name), [stratum]);
+        addToScope(getOrCreateScope('level', name), [stratum]);
       }
       for (const stratum of strata) {
-        varianceEstimatorFor(stratum.route).add(stratum.incumbent);
+        getOrCreateVarianceEstimator(stratum.route).add(stratum.incumbent);
       }
       const logValue = combinedLogValue();
       return logValue >= logThreshold
-        ? {why: strongestReason(), logValue}
+        ? {why: describeStrongestEvidence(), logValue}
         : undefined;
     },
     logValue: combinedLogValue,
   };
 }
 
-/** Weights of an unknown number of scopes; each type sums to at most 1/3. */
+/**
+ * Returns the prior weight of a scope. The number of scopes is not known in
+ * advance, so the weights form a series; each scope type sums to at most 1/3.
+ */
 function scopeWeight(type: ScopeType, index: number): number {
   if (type === 'service') {
     return 1 / SCOPE_TYPE_COUNT;
--- a/packages/moves/src/likelihoodRatios.ts
+++ b/packages/moves/src/likelihoodRatios.ts
@@ -8,13 +8,14 @@
  * candidate.
  *
  * Latency is compared by the difference of the mean log latencies in the same
- * window; a slowdown of both versions cancels out too.
+ * window, so a slowdown of both versions cancels out too.
  */
 import type {Stratum, RequestStats} from './evidence.js';
 
 /**
- * Returns the log-likelihood ratio of a candidate error rate of
- * `alternativeFactor` times the incumbent's against one of `nullFactor` times.
+ * Returns the log-likelihood ratio of two hypotheses about the candidate's
+ * error rate: `alternativeFactor` times the incumbent's rate, against
+ * `nullFactor` times the incumbent's rate.
  *
  * @example
  * // Twice the incumbent's error rate against the same error rate.
@@ -41,7 +42,10 @@
   );
 }
 
-/** Candidate's share of all errors at `factor` times the incumbent's rate. */
+/**
+ * Returns the candidate's expected share of all errors if its error rate is
+ * `factor` times the incumbent's.
+ */
 function expectedCandidateErrorShare(
   candidate: RequestStats,
   incumbent: RequestStats,
@@ -52,8 +56,8 @@
 }
 
 /**
- * Returns the log-likelihood ratio of the error rate `baseRate + addedRate`
- * against `baseRate`.
+ * Returns the log-likelihood ratio of two hypotheses about the candidate's
+ * error rate: `baseRate + addedRate`, against `baseRate`.
  *
  * @example
  * // 0.2 percentage points above a base rate of 0.1 %.
@@ -73,14 +77,18 @@
   );
 }
 
-/** Mean log latency of the candidate minus that of the incumbent. */
+/** Estimate of how much higher the candidate's log latency is. */
 export interface LatencyExcess {
+  /** Mean log latency of the candidate minus the incumbent's. */
   readonly difference: number;
   /** Reciprocal of the variance of `difference`. */
   readonly precision: number;
 }
 
-/** Corrects for correlated latencies of neighbouring requests. */
+/**
+ * Factor on the variance of a mean, since latencies of neighbouring requests
+ * are correlated.
+ */
 const VARIANCE_INFLATION_FACTOR = 1.5;
 
 /**
@@ -110,8 +118,8 @@
 }
 
 /**
- * Returns the log-likelihood ratio of a true excess of `alternativeExcess`
- * against `nullExcess`, both in log latency.
+ * Returns the log-likelihood ratio of two hypotheses about the candidate's true
+ * excess of log latency: `alternativeExcess`, against `nullExcess`.
  *
  * @example
  * // 1.5 times the incumbent's latency against the same latency.
@@ -122,21 +130,34 @@
   alternativeExcess: number,
   nullExcess: number,
 ): number {
-  const step = alternativeExcess - nullExcess;
-  return precision * step * (difference - nullExcess - step / 2);
+  const excessDifference = alternativeExcess - nullExcess;
+  return (
+    precision *
+    excessDifference *
+    (difference - nullExcess - excessDifference / 2)
+  );
 }
 
-/** Estimates a route's log latency variance within incumbent windows. */
+/**
+ * Estimates the variance of a route's log latency from the incumbent's
+ * requests. Only differences within a window count.
+ */
 export interface VarianceEstimator {
   add(stats: RequestStats): void;
   value(): number;
 }
 
-/** Prior of the log latency variance, and the requests it counts as. */
+/**
+ * Prior of the log latency variance, and the number of requests that the prior
+ * weighs as much as.
+ */
 const PRIOR_VARIANCE = 0.36;
 const PRIOR_REQUESTS = 10;
 
-/** Lower bound: microseconds are no fault at near-constant latency. */
+/**
+ * Lower bound of the variance. At near-constant latency, a difference of
+ * microseconds would count as a fault without this bound.
+ */
 const MIN_VARIANCE = 0.01;
 
 /**
@@ -151,14 +172,14 @@
   let degreesOfFreedom = PRIOR_REQUESTS;
   return {
     add({requests, errors, logLatency, logLatencySquared}) {
-      const count = requests - errors;
-      if (count < 2) {
+      const successCount = requests - errors;
+      if (successCount < 2) {
         return;
       }
       const squaresWithinWindow =
-        logLatencySquared - (logLatency * logLatency) / count;
+        logLatencySquared - (logLatency * logLatency) / successCount;
       sumOfSquares += Math.max(0, squaresWithinWindow);
-      degreesOfFreedom += count - 1;
+      degreesOfFreedom += successCount - 1;
     },
     value: () => Math.max(MIN_VARIANCE, sumOfSquares / degreesOfFreedom),
   };
--- a/packages/moves/src/localEvidence.ts
+++ b/packages/moves/src/localEvidence.ts
@@ -1,6 +1,6 @@
 /**
- * Evidence of one entry about one move: sums to broadcast, and local fault
- * detection.
+ * Evidence that one entry collects about one move: sums to broadcast to peers,
+ * and fault detection on this entry.
  */
 import type {Clock} from '@skylarkfield/base';
 import type {EvidenceSum} from '@skylarkfield/protocol';
@@ -10,26 +10,34 @@
 import {createFaultDetector} from './faultDetector.js';
 
 export interface LocalEvidence {
-  /** Adds a request; returns a reason to cut the candidate on a fault. */
+  /**
+   * Adds a request; returns the reason to cut the candidate if the evidence now
+   * shows a fault, and undefined if not.
+   */
   observe(sample: RequestSample): string | undefined;
-  /** Returns and clears the sums since the last call. */
+  /** Returns the sums collected since the last call and clears them. */
   takeSums(): readonly EvidenceSum[];
-  /** Drops the pending window after a change of the shares. */
+  /** Drops the current window; called after a change of the traffic shares. */
   clearWindow(): void;
 }
 
 /**
- * Probability that one entry cuts a good version. Each entry tests its own part
- * of the traffic, so the probabilities of all entries add up.
+ * Probability that one entry cuts a good version during a move. Each entry
+ * tests only its part of the traffic, so the probabilities of all entries add
+ * up.
  */
 const FALSE_ALARM_PROBABILITY = 0.0003;
+/** Minimum length of an evidence window. */
 const WINDOW_MS = 1000;
 
-/** Upper bound of pending sums; requests beyond it are only tested locally. */
+/**
+ * Upper bound of sums to broadcast. Requests that would need a further sum are
+ * only used for fault detection on this entry.
+ */
 const MAX_PENDING_SUMS = 256;
 
 /**
- * Added to each latency before its logarithm is taken. A candidate with a small
+ * Added to each latency before the logarithm is taken. A candidate with a small
  * share gets few requests, so most of them open a new connection. On a route of
  * 2 ms the handshake alone raised latency by half, and good versions were
  * rolled back.
@@ -39,7 +47,7 @@
 type PendingSum = {-readonly [K in keyof EvidenceSum]: EvidenceSum[K]};
 
 /**
- * Creates the local evidence of a move.
+ * Creates the evidence that this entry collects about a move.
  *
  * @example
  * const why = evidence.observe(sample);
@@ -51,47 +59,50 @@
     windowCount,
   });
   const window = createEvidenceWindow(move.from, move.to);
-  let pending = new Map<string, PendingSum>();
-  let windowEndedAt = clock.now();
+  let pendingSums = new Map<string, PendingSum>();
+  let windowStartedAt = clock.now();
 
   function addPending(sum: EvidenceSum) {
     const {route, version, loadLevel, isOrder} = sum;
     const id = [route, version, loadLevel, isOrder].join('\u0000');
-    const existing = pending.get(id);
-    if (existing === undefined) {
-      if (pending.size < MAX_PENDING_SUMS) {
-        pending.set(id, {...sum});
+    const existingSum = pendingSums.get(id);
+    if (existingSum === undefined) {
+      if (pendingSums.size < MAX_PENDING_SUMS) {
+        pendingSums.set(id, {...sum});
       }
       return;
     }
-    existing.requests += sum.requests;
-    existing.errors += sum.errors;
-    existing.logLatency += sum.logLatency;
-    existing.logLatencySquared += sum.logLatencySquared;
+    existingSum.requests += sum.requests;
+    existingSum.errors += sum.errors;
+    existingSum.logLatency += sum.logLatency;
+    existingSum.logLatencySquared += sum.logLatencySquared;
   }
 
   return {
     observe(sample) {
-      const sum = evidenceOf(sample);
+      const sum = toEvidenceSum(sample);
       addPending(sum);
       window.add([sum]);
-      if (clock.now() - windowEndedAt < WINDOW_MS) {
+      if (clock.now() - windowStartedAt < WINDOW_MS) {
         return undefined;
       }
-      windowEndedAt = clock.now();
-      return detector.add(window.takeComparable())?.why;
+      windowStartedAt = clock.now();
+      return detector.add(window.takeComparableStrata())?.why;
     },
     takeSums() {
-      const sums = [...pending.values()];
-      pending = new Map();
+      const sums = [...pendingSums.values()];
+      pendingSums = new Map();
       return sums;
     },
     clearWindow: () => window.clear(),
   };
 }
 
-/** Omits the latency of failed requests, which measures the failure only. */
-function evidenceOf(sample: RequestSample): EvidenceSum {
+/**
+ * Converts a request to evidence. The latency of a failed request is omitted
+ * because it measures only how fast the request failed.
+ */
+function toEvidenceSum(sample: RequestSample): EvidenceSum {
   const logLatency = sample.isError
     ? 0
     : Math.log(LATENCY_OFFSET_MS + Math.max(0, sample.latencyMs));
--- a/packages/moves/src/moveController.ts
+++ b/packages/moves/src/moveController.ts
@@ -34,13 +34,13 @@
 /** Probability that the fault detector ever rolls back a good version. */
 const FALSE_ALARM_PROBABILITY = 0.002;
 
-/** Lower bound of a window's length; determines a move's window count. */
+/** Minimum length of a window; determines the window count of a move. */
 const WINDOW_MS = 2000;
 
-/** Interval at which the evidence is stored while shares are unchanged. */
+/** Interval at which the evidence is stored while the shares are unchanged. */
 const PROOF_WRITE_INTERVAL_MS = 60_000;
 
-/** Log-odds against a version that roll it back before the decision time. */
+/** Log-odds of a bad version from which a move is rolled back early. */
 const REJECTION_LOG_ODDS = 7;
 
 /** Evidence of one move and the state of its tests. */
@@ -51,9 +51,9 @@
   readonly window: EvidenceWindow;
   readonly detector: FaultDetector;
   readonly nonInferiorityTest: NonInferiorityTest;
-  finding: DetectedFault | undefined;
-  windowEndedAt: number;
-  /** Shares in effect while the pending window was collected. */
+  detectedFault: DetectedFault | undefined;
+  windowStartedAt: number;
+  /** Traffic shares in effect in the current window, as text. */
   windowShares: string;
 }
 
@@ -74,12 +74,12 @@
   return `${share}/${orderShare}`;
 }
 
-/** Fields of a state to change, with the reason. */
+/** Fields of a state to change, with the reason for the change. */
 type StateChange = Partial<Omit<MoveState, 'move'>> & {readonly why: string};
 
 /**
- * Creates the controller of all moves. It runs on every entry, so a new holder
- * of the duty already has the evidence.
+ * Creates the controller of all moves. The controller runs on every entry, so a
+ * new holder of the duty already has the evidence.
  *
  * @example
  * const controller = createMoveController({clock, decisions});
@@ -93,18 +93,21 @@
   const lastStates = new Map<string, MoveState>();
   const lastNotes = new Map<string, string>();
 
-  function analysisFor(
+  function getOrCreateAnalysis(
     move: Move,
     state: MoveState,
     wallMs: number,
   ): MoveAnalysis {
-    const existing = analyses.get(move.name);
-    if (existing !== undefined && isAnalysisOf(existing, move, state)) {
-      return existing;
+    const existingAnalysis = analyses.get(move.name);
+    if (
+      existingAnalysis !== undefined &&
+      isAnalysisOf(existingAnalysis, move, state)
+    ) {
+      return existingAnalysis;
     }
     const startedAt = state.startedAt ?? wallMs;
     const windowCount = Math.ceil((move.deadline - startedAt) / WINDOW_MS);
-    const created: MoveAnalysis = {
+    const newAnalysis: MoveAnalysis = {
       from: move.from,
       to: move.to,
       startedAt,
@@ -114,25 +117,29 @@
         windowCount,
       }),
       nonInferiorityTest: createNonInferiorityTest(state.proof ?? []),
-      finding: undefined,
-      windowEndedAt: wallMs,
+      detectedFault: undefined,
+      windowStartedAt: wallMs,
       windowShares: sharesKey(state),
     };
-    analyses.set(move.name, created);
-    return created;
+    analyses.set(move.name, newAnalysis);
+    return newAnalysis;
   }
 
-  function endWindow(analysis: MoveAnalysis, state: MoveState, wallMs: number) {
+  function endWindowWhenDue(
+    analysis: MoveAnalysis,
+    state: MoveState,
+    wallMs: number,
+  ) {
     if (analysis.windowShares !== sharesKey(state)) {
       analysis.windowShares = sharesKey(state);
       analysis.window.clear();
     }
-    if (wallMs - analysis.windowEndedAt < WINDOW_MS) {
+    if (wallMs - analysis.windowStartedAt < WINDOW_MS) {
       return;
     }
-    analysis.windowEndedAt = wallMs;
-    const strata = analysis.window.takeComparable();
-    analysis.finding ??= analysis.detector.add(strata);
+    analysis.windowStartedAt = wallMs;
+    const strata = analysis.window.takeComparableStrata();
+    analysis.detectedFault ??= analysis.detector.add(strata);
     analysis.nonInferiorityTest.add(strata);
   }
 
@@ -141,19 +148,20 @@
     wallMs: number,
     changes: StateChange,
   ): MoveState {
-    const next = {...state, ...changes, changedAt: wallMs};
-    const note = `${next.phase} ${next.share} ${next.orderShare} ${next.why}`;
-    // Logged once, though retried while the platform is unavailable.
-    if (lastNotes.get(state.move) === note) {
-      return next;
+    const nextState = {...state, ...changes, changedAt: wallMs};
+    const decisionText = `${nextState.phase} ${nextState.share} ${nextState.orderShare} ${nextState.why}`;
+    // The change is logged once, although it is retried while the platform is
+    // unavailable.
+    if (lastNotes.get(state.move) === decisionText) {
+      return nextState;
     }
-    lastNotes.set(state.move, note);
-    decisions.note('moves', state.move, next.phase, next.why, {
-      share: next.share,
-      orderShare: next.orderShare,
-      confidence: next.confidence,
+    lastNotes.set(state.move, decisionText);
+    decisions.note('moves', state.move, nextState.phase, nextState.why, {
+      share: nextState.share,
+      orderShare: nextState.orderShare,
+      confidence: nextState.confidence,
     });
-    return next;
+    return nextState;
   }
 
   function applyEvent(
@@ -187,7 +195,10 @@
     };
   }
 
-  /** Returns the lower log-odds of the route classes that have traffic. */
+  /**
+   * Returns the lowest log-odds among the idempotent and the non-idempotent
+   * routes, if they have traffic; minus infinity without traffic.
+   */
   function overallLogOdds(nonInferiorityTest: NonInferiorityTest): number {
     const logOdds = [false, true]
       .filter(isOrder => nonInferiorityTest.hasTraffic(isOrder))
@@ -195,7 +206,10 @@
     return logOdds.length === 0 ? -Infinity : Math.min(...logOdds);
   }
 
-  /** A good version is rejected with a probability below e^-7. */
+  /**
+   * Returns whether the evidence against the candidate suffices for a rollback.
+   * A good version is rejected with a probability below e^-7.
+   */
   function isRejected(nonInferiorityTest: NonInferiorityTest): boolean {
     return [false, true].some(
       isOrder =>
@@ -205,21 +219,21 @@
   }
 
   function evaluate(move: Move, state: MoveState, wallMs: number): MoveState {
-    const analysis = analysisFor(move, state, wallMs);
-    endWindow(analysis, state, wallMs);
-    if (analysis.finding !== undefined) {
-      return rollBack(state, analysis.finding.why, wallMs);
+    const analysis = getOrCreateAnalysis(move, state, wallMs);
+    endWindowWhenDue(analysis, state, wallMs);
+    if (analysis.detectedFault !== undefined) {
+      return rollBack(state, analysis.detectedFault.why, wallMs);
     }
     if (isRejected(analysis.nonInferiorityTest)) {
       return rollBack(
         state,
-        analysis.nonInferiorityTest.worstRouteReason(),
+        analysis.nonInferiorityTest.describeWorstRoute(),
         wallMs,
       );
     }
     const progress = progressOf(move, analysis.startedAt, wallMs);
     const logOdds = overallLogOdds(analysis.nonInferiorityTest);
-    const confidence = round(1 / (1 + Math.exp(-logOdds)));
+    const confidence = roundToThousandths(1 / (1 + Math.exp(-logOdds)));
     if (progress >= 1) {
       return conclude(state, logOdds, confidence, wallMs);
     }
@@ -273,7 +287,7 @@
     );
     const isSoaking = Math.max(share, orderShare) >= SOAK_SHARE;
     if (share === state.share && orderShare === state.orderShare) {
-      return withProofWhenDue(state, nonInferiorityTest, wallMs);
+      return addProofWhenDue(state, nonInferiorityTest, wallMs);
     }
     const why = isSoaking
       ? 'no gross fault found; soaking while the old version stays available'
@@ -283,23 +297,27 @@
       share,
       orderShare,
       why,
-      proof: nonInferiorityTest.routes(),
+      proof: nonInferiorityTest.proofs(),
     });
   }
 
-  function withProofWhenDue(
+  function addProofWhenDue(
     state: MoveState,
     nonInferiorityTest: NonInferiorityTest,
     wallMs: number,
   ): MoveState {
-    const last = lastStates.get(state.move);
-    const isDue = wallMs - (last?.changedAt ?? 0) >= PROOF_WRITE_INTERVAL_MS;
-    return isDue
-      ? {...state, proof: nonInferiorityTest.routes(), changedAt: wallMs}
+    const lastState = lastStates.get(state.move);
+    const isProofDue =
+      wallMs - (lastState?.changedAt ?? 0) >= PROOF_WRITE_INTERVAL_MS;
+    return isProofDue
+      ? {...state, proof: nonInferiorityTest.proofs(), changedAt: wallMs}
       : state;
   }
 
-  /** Returns the state; a new one if withdrawn or if the versions changed. */
+  /**
+   * Returns the state; a new state if the move was withdrawn or its record now
+   * names other versions.
+   */
   function resumeOrReset(
     move: Move,
     state: MoveState | undefined,
@@ -329,10 +347,10 @@
 
   function advance(
     move: Move,
-    stored: MoveState | undefined,
+    storedState: MoveState | undefined,
     wallMs: number,
   ): MoveState {
-    const state = resumeOrReset(move, stored, wallMs);
+    const state = resumeOrReset(move, storedState, wallMs);
     const cutReason = cutReasons.get(move.name);
     if (
       cutReason !== undefined &&
@@ -377,29 +395,31 @@
       if (isFinal(state.phase) || state.startedAt === undefined) {
         return;
       }
-      endWindow(analysisFor(move, state, wallMs), state, wallMs);
+      endWindowWhenDue(getOrCreateAnalysis(move, state, wallMs), state, wallMs);
     },
     retainMoves(names) {
-      const retained = new Set(names);
+      const retainedNames = new Set(names);
       for (const map of [analyses, cutReasons, lastStates, lastNotes]) {
         for (const name of map.keys()) {
-          if (!retained.has(name)) {
+          if (!retainedNames.has(name)) {
             map.delete(name);
           }
         }
       }
     },
     dump: () =>
-      [...analyses].map(([name, {detector, nonInferiorityTest, finding}]) => ({
-        move: name,
-        phase: lastStates.get(name)?.phase,
-        faultEvidence: detector.logValue(),
-        finding: finding?.why,
-        proof: nonInferiorityTest.routes(),
-      })),
+      [...analyses].map(
+        ([name, {detector, nonInferiorityTest, detectedFault}]) => ({
+          move: name,
+          phase: lastStates.get(name)?.phase,
+          faultEvidence: detector.logValue(),
+          finding: detectedFault?.why,
+          proof: nonInferiorityTest.proofs(),
+        }),
+      ),
   };
 }
 
-function round(value: number): number {
+function roundToThousandths(value: number): number {
   return Math.round(value * 1000) / 1000;
 }
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -1,4 +1,4 @@
-/** Duty `moves`: its holder advances every move and writes its state. */
+/** Duty `moves`: its holder advances every move and stores its state. */
 import {
   disposableStore,
   every,
@@ -12,7 +12,7 @@
 import type {ObjectStore, StoredObject} from '@skylarkfield/providers';
 import type {Configuration, Move} from '@skylarkfield/records';
 import type {MoveController, MoveState} from './contracts.js';
-import {activeMove, isStateOf, withStates} from './moveSelection.js';
+import {selectActiveMove, isStateOf, pairWithStates} from './moveSelection.js';
 import {MOVE_STATE_KIND} from './moveFollower.js';
 import {isFinal, nextPhase} from './moveMachine.js';
 
@@ -23,28 +23,35 @@
   readonly configuration: Pick<Configuration, 'list' | 'isReady'>;
   readonly controller: MoveController;
   readonly term: DutyTerm;
-  /** Returns whether any endpoint runs the version, so a move may start. */
+  /**
+   * Returns whether any endpoint runs the version. A move to a version without
+   * endpoints does not start.
+   */
   hasEndpoints?(service: string, version: string): boolean;
-  /** Called with all stored states after each round. */
+  /** Called with the stored states of all moves after each round. */
   onDidAdvance?(states: readonly MoveState[]): void;
 }
 
 const ADVANCE_INTERVAL_MS = 1000;
 
-/** Retention of removed moves' states, for operators to read the outcome. */
+/**
+ * Time for which the final state of a removed move is kept, so that operators
+ * can read the outcome.
+ */
 const ENDED_STATE_RETENTION_MS = 7 * 24 * 3_600_000;
 
 /**
- * Starts the duty for one term; the result is disposed at the term's end.
+ * Starts the duty for one term; the caller disposes the result at the term's
+ * end.
  *
  * @example
  * dutyElections.compete('moves', term => createMoveDuty({...parts, term}));
  */
 export function createMoveDuty(options: MoveDutyOptions): Disposable {
   const {clock, log, objects, configuration, controller, term} = options;
-  const store = disposableStore();
+  const disposables = disposableStore();
   const storedStates = new Map<string, StoredObject<MoveState>>();
-  let isLoaded = false;
+  let areStatesLoaded = false;
   let isAdvancing = false;
 
   async function loadStates() {
@@ -53,13 +60,13 @@
     for (const object of listing.objects) {
       storedStates.set(object.name, object);
     }
-    isLoaded = true;
+    areStatesLoaded = true;
   }
 
   /**
-   * Writes only if the stored state is still the one that was read. Otherwise a
-   * holder that was paused beyond its lease could undo a decision of its
-   * successor, such as a rollback.
+   * Writes a state only if the stored state is unchanged since it was read.
+   * With unconditional writes, a holder that was paused beyond its lease could
+   * undo a decision of its successor, such as a rollback.
    */
   async function writeState(next: MoveState) {
     if (!term.isValid()) {
@@ -67,7 +74,8 @@
     }
     const storedState = storedStates.get(next.move);
     const previousChangedAt = storedState?.value.changedAt ?? 0;
-    // Followers need a higher timestamp; an earlier holder's clock may be fast.
+    // Followers ignore states without a higher timestamp, and the clock of an
+    // earlier holder may have been ahead of this one.
     const value = {
       ...next,
       changedAt: Math.max(next.changedAt, previousChangedAt + 1),
@@ -84,9 +92,10 @@
       );
       storedStates.set(next.move, written);
     } catch (error) {
-      // On a conflict or an unknown outcome, the stored states are read again.
+      // After a conflict or an unknown outcome, the stored states are read
+      // again.
       if (!isServingError(error, 'platform-unavailable')) {
-        isLoaded = false;
+        areStatesLoaded = false;
       }
       throw error;
     }
@@ -97,13 +106,13 @@
   }
 
   async function advanceService(moves: readonly Move[]) {
-    const movesWithState = withStates(moves, stateOf);
-    const active = activeMove(movesWithState);
+    const movesWithState = pairWithStates(moves, stateOf);
+    const activeMove = selectActiveMove(movesWithState);
     for (const {move, state} of movesWithState) {
-      if (move === active?.move || state?.phase === 'finished') {
+      if (move === activeMove?.move || state?.phase === 'finished') {
         await advanceMove(move, waitReason(move, state));
       } else if (state === undefined || state.phase === 'waiting') {
-        const name = active?.move.name ?? '';
+        const name = activeMove?.move.name ?? '';
         await advanceMove(
           move,
           `waiting for the move ${name} of the same service`,
@@ -131,16 +140,17 @@
     const next =
       waitingFor === undefined
         ? controller.advance(move, state, wallMs)
-        : waitingState(move, state, waitingFor, wallMs);
+        : createWaitingState(move, state, waitingFor, wallMs);
     if (next !== state) {
       await writeState(next);
     }
   }
 
-  async function endWithdrawnMoves(names: ReadonlySet<string>) {
+  /** Ends moves without a record and deletes their states after retention. */
+  async function endWithdrawnMoves(currentMoveNames: ReadonlySet<string>) {
     for (const object of [...storedStates.values()]) {
       const state = object.value;
-      if (names.has(state.move)) {
+      if (currentMoveNames.has(state.move)) {
         continue;
       }
       if (!isFinal(state.phase)) {
@@ -170,7 +180,7 @@
     if (!configuration.isReady() || !term.isValid()) {
       return;
     }
-    if (!isLoaded) {
+    if (!areStatesLoaded) {
       await loadStates();
     }
     const moves = configuration.list('move');
@@ -183,7 +193,7 @@
     options.onDidAdvance?.([...storedStates.values()].map(({value}) => value));
   }
 
-  function startAdvance() {
+  function startRound() {
     if (isAdvancing) {
       return;
     }
@@ -196,13 +206,16 @@
       .finally(() => (isAdvancing = false));
   }
 
-  store.add(every(clock, ADVANCE_INTERVAL_MS, startAdvance));
-  startAdvance();
-  return store;
+  disposables.add(every(clock, ADVANCE_INTERVAL_MS, startRound));
+  startRound();
+  return disposables;
 }
 
-/** Returns the state of a waiting move; the same object if unchanged. */
-function waitingState(
+/**
+ * Returns the state of a waiting move, rolled back at its deadline; `state`
+ * itself if unchanged.
+ */
+function createWaitingState(
   move: Move,
   state: MoveState | undefined,
   why: string,
--- a/packages/moves/src/moveFollower.ts
+++ b/packages/moves/src/moveFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps an entry's moves in sync: applies their stored states and exchanges
- * evidence and cuts with its peers.
+ * Keeps the moves of one entry in sync: applies the stored states of moves and
+ * exchanges evidence and cuts with peers.
  */
 import {
   disposableStore,
@@ -17,7 +17,7 @@
 /** Kind of the objects that hold the states of moves. */
 export const MOVE_STATE_KIND = 'move-state';
 
-/** Interval of broadcasts of evidence and pending cuts. */
+/** Interval at which evidence and pending cuts are broadcast. */
 const BROADCAST_INTERVAL_MS = 1000;
 
 export interface MoveFollowerOptions {
@@ -29,51 +29,56 @@
   >;
   readonly configuration: Pick<Configuration, 'list' | 'onDidChange'>;
   readonly split: TrafficSplit;
-  /** Runs on every entry, so a new holder of the duty has the evidence. */
+  /**
+   * Collects evidence on every entry, so that a new holder of the duty has the
+   * evidence of the earlier holder.
+   */
   readonly controller: MoveController;
 }
 
-/** Cut that is not in the stored state yet. */
+/** Cut of a candidate that is not in the stored state of the move yet. */
 interface PendingCut {
   readonly to: string;
   readonly why: string;
 }
 
 /**
- * Starts following moves until disposed.
+ * Starts to follow all moves; disposing the result stops following them.
  *
  * @example
- * store.add(createMoveFollower({clock, objects, network, configuration, split, controller}));
+ * disposables.add(createMoveFollower({clock, objects, network, configuration, split, controller}));
  */
 export function createMoveFollower(options: MoveFollowerOptions): Disposable {
   const {clock, objects, network, configuration, split, controller} = options;
-  const store = disposableStore();
-  const states = new Map<string, MoveState>();
+  const disposables = disposableStore();
+  const latestStates = new Map<string, MoveState>();
   const pendingCuts = new Map<string, PendingCut>();
-  let sequence = 0;
+  let nextEvidenceSequence = 0;
 
   function updateMoves() {
     split.setMoves(configuration.list('move'));
   }
 
-  function applyStates(next: readonly MoveState[]) {
-    const newer = next.filter(
-      ({move, changedAt}) => changedAt > (states.get(move)?.changedAt ?? 0),
+  function applyStates(receivedStates: readonly MoveState[]) {
+    const newerStates = receivedStates.filter(
+      ({move, changedAt}) =>
+        changedAt > (latestStates.get(move)?.changedAt ?? 0),
     );
-    for (const state of newer) {
-      states.set(state.move, state);
+    for (const state of newerStates) {
+      latestStates.set(state.move, state);
     }
-    split.setStates(newer);
+    split.setStates(newerStates);
   }
 
   /**
-   * Sends all states to a new peer. An entry that starts while the platform is
-   * unavailable gets only the records from its peers and would send all
-   * requests of a finished move to the old version, which may have no endpoint.
+   * Sends the states of all moves to a newly connected peer. An entry that
+   * starts while the platform is unavailable gets only the records from its
+   * peers. Without the states, that entry would send all requests of a finished
+   * move to the old version, which may have no endpoint.
    */
   function sendStates(peer: string) {
-    if (states.size > 0) {
-      network.send(peer, 'moveStates', {states: [...states.values()]});
+    if (latestStates.size > 0) {
+      network.send(peer, 'moveStates', {states: [...latestStates.values()]});
     }
   }
 
@@ -81,27 +86,37 @@
     return configuration.list('move').find(move => move.name === name);
   }
 
-  /** Applies a cut unless the move's record names another candidate by now. */
-  function applyCut(name: string, why: string, to: string | undefined) {
-    const move = findMove(name);
-    if (move === undefined || (to ?? move.to) !== move.to) {
+  /**
+   * Applies a cut unless the move's record names another candidate by now.
+   * Without `candidateVersion`, the cut is for the candidate in the record.
+   */
+  function applyCut(
+    moveName: string,
+    why: string,
+    candidateVersion: string | undefined,
+  ) {
+    const move = findMove(moveName);
+    if (move === undefined || (candidateVersion ?? move.to) !== move.to) {
       return;
     }
-    pendingCuts.set(name, {to: move.to, why});
-    split.applyCut(name, why);
-    controller.reportCut(name, why);
+    pendingCuts.set(moveName, {to: move.to, why});
+    split.applyCut(moveName, why);
+    controller.reportCut(moveName, why);
   }
 
-  /** Drops cuts that are stored or whose move has changed or was removed. */
+  /**
+   * Drops cuts whose rollback is stored, whose move names another candidate or
+   * whose move was removed.
+   */
   function dropObsoleteCuts() {
     for (const [name, {to}] of pendingCuts) {
       const move = findMove(name);
-      const state = states.get(name);
-      const isDurable =
+      const state = latestStates.get(name);
+      const isRollbackStored =
         move !== undefined &&
         isStateOf(state, move) &&
         state.phase === 'taken-back';
-      if (move?.to !== to || isDurable) {
+      if (move?.to !== to || isRollbackStored) {
         pendingCuts.delete(name);
       }
     }
@@ -109,7 +124,7 @@
 
   function trackMoves() {
     for (const move of configuration.list('move')) {
-      const state = states.get(move.name);
+      const state = latestStates.get(move.name);
       if (isStateOf(state, move)) {
         controller.track(move, state, clock.wall());
       }
@@ -120,55 +135,59 @@
     trackMoves();
     for (const {move, sums} of split.takeEvidence()) {
       controller.addEvidence(move, sums);
-      network.broadcast('moveEvidence', {move, sequence: sequence++, sums});
+      network.broadcast('moveEvidence', {
+        move,
+        sequence: nextEvidenceSequence++,
+        sums,
+      });
     }
     dropObsoleteCuts();
-    // Repeated until stored: a peer that was disconnected or started later
-    // missed the first broadcast and would keep sending requests to a bad
-    // version.
+    // The broadcast is repeated until the rollback is stored: a peer that was
+    // disconnected or started later missed the first broadcast and would keep
+    // sending requests to a bad version.
     for (const [move, pendingCut] of pendingCuts) {
       network.broadcast('moveCut', {move, ...pendingCut});
     }
   }
 
-  store.add(
+  disposables.add(
     configuration.onDidChange(kind => {
       if (kind === 'move') {
         updateMoves();
       }
     }),
   );
-  store.add(
+  disposables.add(
     objects.watch<MoveState>(MOVE_STATE_KIND, {
       onDidList: listing =>
         applyStates(listing.objects.map(({value}) => value)),
       onDidPut: ({value}) => applyStates([value]),
-      onDidRemove: name => states.delete(name),
+      onDidRemove: name => latestStates.delete(name),
     }),
   );
-  store.add(
+  disposables.add(
     network.onDidChangePeer((peer, isOpen) => {
       if (isOpen) {
         sendStates(peer);
       }
     }),
   );
-  store.add(
+  disposables.add(
     network.onDidReceive('moveStates', (_from, body) =>
       applyStates(body.states),
     ),
   );
-  store.add(
+  disposables.add(
     network.onDidReceive('moveEvidence', (_from, {move, sums}) =>
       controller.addEvidence(move, sums),
     ),
   );
-  store.add(
+  disposables.add(
     network.onDidReceive('moveCut', (_from, {move, why, to}) =>
       applyCut(move, why, to),
     ),
   );
-  store.add(
+  disposables.add(
     split.onDidCut((move, why) => {
       applyCut(move, why, undefined);
       const pendingCut = pendingCuts.get(move);
@@ -177,7 +196,7 @@
       }
     }),
   );
-  store.add(every(clock, BROADCAST_INTERVAL_MS, broadcastEvidence));
+  disposables.add(every(clock, BROADCAST_INTERVAL_MS, broadcastEvidence));
   updateMoves();
-  return store;
+  return disposables;
 }
--- a/packages/moves/src/moveMachine.ts
+++ b/packages/moves/src/moveMachine.ts
@@ -32,26 +32,28 @@
   // The old version stays available until the deadline, so a fault detected
   // shortly before the move finished can still roll it back.
   finished: state(transition('rollBack', 'taken-back')),
-  // Final: a rolled-back version never gets traffic by the same move again.
+  // `taken-back` is final: a rolled-back version never gets traffic by the same
+  // move again.
   'taken-back': state(),
   withdrawn: state(transition('start', 'proving')),
 };
 
 /**
- * Returns the phase after an event; the same phase when it has no transition
- * for the event.
+ * Returns the phase after an event; `phase` itself if it has no transition for
+ * the event.
  *
  * @example
  * nextPhase('proving', 'rollBack'); // 'taken-back'
  */
 export function nextPhase(phase: MovePhase, event: MoveEvent): MovePhase {
-  const service = interpret(createMachine(phase, phases), () => undefined);
-  service.send(event as never);
-  return service.machine.current as MovePhase;
+  const interpreter = interpret(createMachine(phase, phases), () => undefined);
+  interpreter.send(event as never);
+  return interpreter.machine.current as MovePhase;
 }
 
 /**
- * Returns whether a phase is final unless a cut or the operator changes it.
+ * Returns whether a phase is final. Only a cut or the operator can still change
+ * a final phase.
  *
  * @example
  * isFinal('taken-back'); // true
--- a/packages/moves/src/moveSelection.ts
+++ b/packages/moves/src/moveSelection.ts
@@ -1,22 +1,25 @@
-/** Selects the active move of a service and its serving version. */
+/** Selects the active move and the serving version of a service. */
 import type {Move} from '@skylarkfield/records';
 import type {MoveState} from './contracts.js';
 import {isFinal} from './moveMachine.js';
 
-/** Move with its state; undefined when there is none for the same versions. */
+/**
+ * Move with its state; the state is undefined if none is known for the versions
+ * in the move's record.
+ */
 export interface MoveWithState {
   readonly move: Move;
   readonly state: MoveState | undefined;
 }
 
 /**
- * Pairs moves with their states. States of other versions are dropped, since
- * they belong to an earlier version of the move's record.
+ * Pairs moves with their states. A state of other versions than in the move's
+ * record is dropped, since it belongs to an earlier version of the record.
  *
  * @example
- * const movesWithState = withStates(moves, name => states.get(name));
+ * const movesWithState = pairWithStates(moves, name => states.get(name));
  */
-export function withStates(
+export function pairWithStates(
   moves: readonly Move[],
   stateOf: (name: string) => MoveState | undefined,
 ): MoveWithState[] {
@@ -56,27 +59,27 @@
 ): string {
   let version = initialVersion;
   // Moves may form a cycle (v1 to v2 and back), so hops are bounded.
-  for (let hops = 0; hops < moves.length; hops++) {
-    const next = moves.find(
+  for (let hopCount = 0; hopCount < moves.length; hopCount++) {
+    const nextMove = moves.find(
       ({move, state}) => state?.phase === 'finished' && move.from === version,
     );
-    if (next === undefined) {
+    if (nextMove === undefined) {
       break;
     }
-    version = next.move.to;
+    version = nextMove.move.to;
   }
   return version;
 }
 
 /**
- * Returns the only move of a service that may get traffic: the one that started
- * first, otherwise the first by name. Concurrent moves would distort each
- * other's evidence.
+ * Returns the only move of a service that may get traffic: the move that
+ * started first or, if none has started, the first by name. Concurrent moves
+ * would distort each other's evidence.
  *
  * @example
- * const {move, state} = activeMove(movesWithState) ?? {};
+ * const {move, state} = selectActiveMove(movesWithState) ?? {};
  */
-export function activeMove(
+export function selectActiveMove(
   moves: readonly MoveWithState[],
 ): MoveWithState | undefined {
   return moves
--- a/packages/moves/src/nonInferiorityTest.ts
+++ b/packages/moves/src/nonInferiorityTest.ts
@@ -1,7 +1,7 @@
 /**
- * Test that a candidate is not inferior: accumulates, per route, the evidence
- * against the candidate being bad. The absence of a detected fault alone does
- * not pass it.
+ * Test that a candidate is not inferior to the incumbent: accumulates, per
+ * route, the evidence that the candidate is not bad. The absence of a detected
+ * fault alone does not pass the test.
  */
 import {
   addedErrorLogLikelihoodRatio,
@@ -16,8 +16,9 @@
 import {logAddExp} from './sequentialTest.js';
 
 /**
- * Hypothesis tested against: a gross fault, any fault present from the start
- * (`steady`), or any fault including one of later onset (`full`).
+ * Hypothesis that the evidence is to exclude: a gross fault, any fault present
+ * from the start (`steady`), or any fault including a fault of later onset
+ * (`full`).
  */
 export type Hypothesis = 'gross' | 'steady' | 'full';
 
@@ -28,29 +29,44 @@
    * idempotent or all non-idempotent routes; minus infinity without requests.
    */
   logOdds(hypothesis: Hypothesis, isOrder: boolean): number;
-  /** Whether the (non-)idempotent routes had requests of either version. */
+  /**
+   * Returns whether the idempotent or, if `isOrder`, the non-idempotent routes
+   * had requests of either version.
+   */
   hasTraffic(isOrder: boolean): boolean;
-  /** Returns the strongest evidence against the candidate, for the operator. */
-  worstRouteReason(): string;
-  routes(): readonly RouteProof[];
+  /** Describes the strongest evidence against the candidate, for operators. */
+  describeWorstRoute(): string;
+  proofs(): readonly RouteProof[];
 }
 
-/** Error factors and log latency excess from which a version is bad. */
+/**
+ * Thresholds of a bad version: ratio of its error rate to the incumbent's, and
+ * excess of its mean log latency over the incumbent's.
+ */
 const BAD_ERROR_FACTOR = 2;
 const GROSS_ERROR_FACTOR = 3;
 const BAD_LATENCY_EXCESS = Math.log(1.5);
 
-/** Increase of the error rate below which no factor makes a version bad. */
+/**
+ * Increase of the error rate over the incumbent's up to which a version is not
+ * bad, however large the ratio of the rates.
+ */
 const BAD_ADDED_ERROR_RATE = 0.002;
 
-/** Routes below 1/8 of the requests weigh in proportion to their share. */
+/**
+ * Share of the requests from which a route has full weight; the weight of a
+ * route below 1/8 is proportional to its share.
+ */
 const FULL_WEIGHT_SHARE = 1 / 8;
 
-/** Prior of the incumbent's error rate, as pseudo-counts. */
-const RATE_PRIOR_REQUESTS = 50;
-const RATE_PRIOR_ERRORS = 0.5;
+/** Prior of the incumbent's error rate: pseudo-counts of requests, errors. */
+const ERROR_RATE_PRIOR_REQUESTS = 50;
+const ERROR_RATE_PRIOR_ERRORS = 0.5;
 
-/** Prior log-odds against a late onset; offsets the maximum over onsets. */
+/**
+ * Prior log-odds against a fault of late onset; compensates for taking the
+ * maximum over all onset times.
+ */
 const LATE_FAULT_LOG_ODDS = 7;
 
 type Mutable<T> = {-readonly [K in keyof T]: T[K]};
@@ -60,6 +76,7 @@
   readonly varianceEstimator: VarianceEstimator;
   incumbentRequests: number;
   incumbentErrors: number;
+  /** Cumulative log-likelihood ratios (CUSUM), reset to 0 when negative. */
   errorCusum: number;
   latencyCusum: number;
 }
@@ -73,13 +90,13 @@
 export function createNonInferiorityTest(
   storedProofs: readonly RouteProof[],
 ): NonInferiorityTest {
-  const routes = new Map<string, RouteEvidence>();
+  const routeEvidence = new Map<string, RouteEvidence>();
   for (const proof of storedProofs) {
-    routes.set(proof.route, createRouteEvidence(proof));
+    routeEvidence.set(proof.route, createRouteEvidence(proof));
   }
 
-  function evidenceFor({route, isOrder}: Stratum): RouteEvidence {
-    let evidence = routes.get(route);
+  function getOrCreateRouteEvidence({route, isOrder}: Stratum): RouteEvidence {
+    let evidence = routeEvidence.get(route);
     if (evidence === undefined) {
       evidence = createRouteEvidence({
         route,
@@ -92,13 +109,13 @@
         slower: 0,
         recentFault: 0,
       });
-      routes.set(route, evidence);
+      routeEvidence.set(route, evidence);
     }
     return evidence;
   }
 
-  function proofsOf(isOrder: boolean): RouteProof[] {
-    return [...routes.values()]
+  function filterProofs(isOrder: boolean): RouteProof[] {
+    return [...routeEvidence.values()]
       .map(({proof}) => proof)
       .filter(proof => proof.isOrder === isOrder);
   }
@@ -106,11 +123,11 @@
   return {
     add(strata) {
       for (const stratum of strata) {
-        addStratum(evidenceFor(stratum), stratum);
+        addStratum(getOrCreateRouteEvidence(stratum), stratum);
       }
     },
     logOdds(hypothesis, isOrder) {
-      const proofs = proofsOf(isOrder);
+      const proofs = filterProofs(isOrder);
       const totalRequests = proofs.reduce(
         (sum, {requests}) => sum + requests,
         0,
@@ -129,9 +146,10 @@
       }
       return -logOddsBad;
     },
-    hasTraffic: isOrder => proofsOf(isOrder).some(({requests}) => requests > 0),
-    worstRouteReason() {
-      const [proof] = [...routes.values()]
+    hasTraffic: isOrder =>
+      filterProofs(isOrder).some(({requests}) => requests > 0),
+    describeWorstRoute() {
+      const [proof] = [...routeEvidence.values()]
         .map(evidence => evidence.proof)
         .sort((a, b) => routeLogOdds(a, 'steady') - routeLogOdds(b, 'steady'));
       if (proof === undefined) {
@@ -141,7 +159,7 @@
       const symptom = isSlow ? 'higher latency' : 'more errors';
       return `${symptom} than the incumbent on ${proof.route}`;
     },
-    routes: () => [...routes.values()].map(({proof}) => ({...proof})),
+    proofs: () => [...routeEvidence.values()].map(({proof}) => ({...proof})),
   };
 }
 
@@ -156,7 +174,10 @@
   };
 }
 
-/** A bad rate exceeds factor and added rate; excluding either is enough. */
+/**
+ * Returns the log-odds that the error rate is good. A bad rate exceeds both the
+ * factor and the added rate, so it is enough to exclude either of them.
+ */
 function errorLogOdds(proof: RouteProof, hypothesis: Hypothesis): number {
   const factorLogOdds =
     hypothesis === 'gross' ? proof.errorsThrice : proof.errorsTwice;
@@ -186,8 +207,8 @@
   evidence.incumbentRequests += incumbent.requests;
   evidence.incumbentErrors += incumbent.errors;
   const incumbentErrorRate =
-    (evidence.incumbentErrors + RATE_PRIOR_ERRORS) /
-    (evidence.incumbentRequests + RATE_PRIOR_REQUESTS);
+    (evidence.incumbentErrors + ERROR_RATE_PRIOR_ERRORS) /
+    (evidence.incumbentRequests + ERROR_RATE_PRIOR_REQUESTS);
   proof.errorsAdded -= addedErrorLogLikelihoodRatio(
     stratum,
     incumbentErrorRate,
--- a/packages/moves/src/sequentialTest.ts
+++ b/packages/moves/src/sequentialTest.ts
@@ -1,31 +1,36 @@
 /**
- * Any-time-valid sequential test: a mixture of likelihood ratios over
- * alternatives and over onset times of a fault.
+ * Any-time-valid sequential test: its value is a mixture of likelihood ratios
+ * over alternatives and over onset times of a fault.
  *
- * For a candidate within the tolerance, the expected value never exceeds 1. By
- * Ville's inequality the probability that it ever reaches 1/alpha is at most
- * alpha, however often it is evaluated. A fixed-size test evaluated repeatedly
- * would raise false alarms on most long moves.
+ * For a candidate within the tolerance, the expected test value never exceeds
+ * 1. By Ville's inequality the probability that the value ever reaches 1/alpha
+ * is at most alpha, however often the test is evaluated. A fixed-size test
+ * evaluated repeatedly would raise false alarms on most long moves.
  */
 
 export interface SequentialTest {
   /** Adds the log-likelihood ratios of one window, one per alternative. */
   add(logLikelihoodRatios: readonly number[]): void;
-  /** Adds the weight of a fault starting now; called once per window. */
+  /**
+   * Adds the prior weight of faults that start in this window; called once per
+   * window.
+   */
   addOnset(weight: number): void;
   /** Returns the natural logarithm of the test value. */
   logValue(): number;
 }
 
 /**
- * Upper bound of the log gain per window. A burst of errors after the loss of a
- * host spans one or two windows, while a fault of the version persists. The
- * test stays valid, since truncation only decreases the value.
+ * Upper bound of the increase of an alternative's log value per window. A burst
+ * of errors after the loss of a host spans one or two windows, while a fault of
+ * the version persists. The test stays valid, since truncation only decreases
+ * the value.
  */
 const MAX_LOG_GAIN_PER_WINDOW = 5;
 
 /**
- * Creates a test over the given number of alternatives.
+ * Creates a test over the given number of alternatives. `initialWeight` is the
+ * prior weight of faults that exist from the start.
  *
  * @example
  * const test = createSequentialTest(4, 0.4);
@@ -59,7 +64,7 @@
   };
 }
 
-/** Log difference at which double precision loses the smaller addend. */
+/** Gap of two logarithms at which the smaller addend is lost in a double. */
 const NEGLIGIBLE_LOG_GAP = 40;
 
 /**
@@ -71,7 +76,8 @@
 export function logAddExp(a: number, b: number): number {
   const high = Math.max(a, b);
   const gap = high - Math.min(a, b);
-  // Negated to be true also for minus infinity, whose gap is infinite or NaN.
+  // The condition is negated so that it also holds if an argument is minus
+  // infinity: the gap is then infinite or NaN.
   if (!(gap < NEGLIGIBLE_LOG_GAP)) {
     return high;
   }
--- a/packages/moves/src/shareSchedule.ts
+++ b/packages/moves/src/shareSchedule.ts
@@ -1,19 +1,22 @@
 /**
- * Schedule of a candidate's traffic share: steps that depend on the elapsed
- * fraction of the move's time and on the evidence, first for idempotent routes,
- * then for non-idempotent ones (orders).
+ * Schedule of a candidate's traffic share. The steps depend on the elapsed
+ * fraction of the move's time and on the evidence. Idempotent routes take a
+ * step first, non-idempotent routes (orders) follow.
  */
 import type {Move} from '@skylarkfield/records';
 
-/** Faults to exclude before a step: none, gross ones or all. */
-type Requirement = 'nothing' | 'gross' | 'full';
+/** Faults to be excluded before a step: none, gross ones or all faults. */
+type EvidenceRequirement = 'nothing' | 'gross' | 'full';
 
 interface Step {
-  /** Share of traffic; bounded by `maxUnprovenShare` if nothing is required. */
+  /**
+   * Candidate's share of the traffic. A step that requires no evidence is also
+   * bounded by the move's `maxUnprovenShare`.
+   */
   readonly share: number;
   /** Lower bound of the elapsed fraction of the move's time. */
   readonly minProgress: number;
-  readonly requires: Requirement;
+  readonly requires: EvidenceRequirement;
 }
 
 const STEPS: readonly Step[] = [
@@ -26,49 +29,67 @@
   {share: 0.9, minProgress: 0.94, requires: 'full'},
 ];
 
-/** Progress by which orders lag idempotent routes, whose soak they await. */
-const ORDER_DELAY_PROGRESS = 0.1;
+/**
+ * Fraction of the move's time by which orders trail idempotent routes, so that
+ * idempotent routes are exposed to the new version first.
+ */
+const ORDER_DELAY_FRACTION = 0.1;
 
-/** Smallest share that requires evidence; the soak starts with it. */
+/**
+ * Smallest share that requires evidence; a candidate with this share or a
+ * larger one is soaking.
+ */
 export const SOAK_SHARE = 0.25;
 
-/** Time reserved for a rollback: fraction of the move's time, and bounds. */
-const RESERVE_FRACTION = 0.03;
-const MIN_RESERVE_MS = 20_000;
-const MAX_RESERVE_MS = 600_000;
-/** For short moves: 3 of 12 s, for the old version's in-flight requests. */
-const MAX_RESERVE_FRACTION = 0.25;
+/**
+ * Time reserved for a rollback before the deadline: fraction of the move's
+ * duration, with lower and upper bounds.
+ */
+const ROLLBACK_RESERVE_FRACTION = 0.03;
+const MIN_ROLLBACK_RESERVE_MS = 20_000;
+const MAX_ROLLBACK_RESERVE_MS = 600_000;
+/**
+ * Upper bound for short moves, as a fraction of the duration: a move of 12 s
+ * reserves 3 s for in-flight requests of the old version.
+ */
+const MAX_ROLLBACK_RESERVE_FRACTION = 0.25;
 
 /**
- * Log-odds required at the start and at the end. The final value is negative
- * because versions without gross faults are good far more often than not, so
- * weak evidence against one still leaves it likely good.
+ * Log-odds of a good candidate that are required at the start and at the end of
+ * a move. The final value is negative because versions without gross faults are
+ * good far more often than not: despite weak evidence against a version, the
+ * version is still likely good.
  */
 const INITIAL_REQUIRED_LOG_ODDS = 3;
 const FINAL_REQUIRED_LOG_ODDS = -0.5;
 
-/** Progress range in which the required log-odds fall linearly. */
+/** Range of progress in which the required log-odds fall linearly. */
 const RELAX_FROM_PROGRESS = 0.15;
 const RELAX_UNTIL_PROGRESS = 0.6;
 
 /**
- * Returns the wall-clock time at which a move has to be decided.
+ * Returns the wall-clock time, in milliseconds, at which a move has to be
+ * finished or rolled back.
  *
  * @example
  * const isDue = clock.wall() >= decisionTime(move, state.startedAt);
  */
 export function decisionTime(move: Move, startedAt: number): number {
   const durationMs = move.deadline - startedAt;
-  const reserveMs = Math.max(MIN_RESERVE_MS, durationMs * RESERVE_FRACTION);
+  const reserveMs = Math.max(
+    MIN_ROLLBACK_RESERVE_MS,
+    durationMs * ROLLBACK_RESERVE_FRACTION,
+  );
   const maxReserveMs = Math.min(
-    MAX_RESERVE_MS,
-    durationMs * MAX_RESERVE_FRACTION,
+    MAX_ROLLBACK_RESERVE_MS,
+    durationMs * MAX_ROLLBACK_RESERVE_FRACTION,
   );
   return move.deadline - Math.min(reserveMs, maxReserveMs);
 }
 
 /**
- * Returns the elapsed fraction of the move's time, 1 when it has to be decided.
+ * Returns the fraction of the time from the start to the decision time that has
+ * elapsed; 1 or more once the move has to be decided.
  *
  * @example
  * const progress = progressOf(move, state.startedAt, clock.wall());
@@ -83,9 +104,9 @@
 }
 
 /**
- * Returns the log-odds required at the given progress. They fall over time,
- * since a service with little traffic yields less evidence; the confidence is
- * reported in the move's state.
+ * Returns the log-odds required at the given progress. The requirement falls
+ * over time, since a service with little traffic yields less evidence; the
+ * confidence is reported in the move's state.
  *
  * @example
  * requiredLogOdds(0); // 3
@@ -101,7 +122,10 @@
   );
 }
 
-/** Log-odds of a good candidate on (non-)idempotent routes, by fault type. */
+/**
+ * Log-odds that the candidate is good on idempotent or on non-idempotent
+ * routes, by the faults that the evidence is to exclude.
+ */
 export interface RouteClassLogOdds {
   readonly gross: number;
   readonly full: number;
@@ -137,7 +161,7 @@
     return 0;
   }
   const delayedProgress = idempotentRoutes.hasTraffic
-    ? progress - ORDER_DELAY_PROGRESS
+    ? progress - ORDER_DELAY_FRACTION
     : progress;
   const share = highestAllowedShare(move, delayedProgress, progress, logOdds);
   return idempotentRoutes.hasTraffic
@@ -145,6 +169,10 @@
     : share;
 }
 
+/**
+ * Returns the share of the last step that is allowed. Steps up to the soak
+ * share depend on `delayedProgress`, larger steps on `progress`.
+ */
 function highestAllowedShare(
   move: Move,
   delayedProgress: number,
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -1,6 +1,6 @@
 /**
- * Test doubles for moves: a record, an in-memory object store and a bus of
- * peers.
+ * Test doubles for moves: a move record, an in-memory object store and a peer
+ * network.
  */
 import {
   decisionLog,
@@ -64,22 +64,22 @@
   });
 }
 
-type Stored = StoredObject<MoveState>;
+type StoredMoveState = StoredObject<MoveState>;
 
-/** In-memory object store of all entries, can be made unavailable. */
+/** In-memory object store of all entries; can be made unavailable. */
 export function createFakeStore() {
-  const objects = new Map<string, Stored>();
+  const objects = new Map<string, StoredMoveState>();
   const listeners = new Set<WatchListener<MoveState>>();
   let version = 0;
   let isDown = false;
-  function failWhenDown() {
+  function throwWhenDown() {
     if (isDown) {
       throw new ServingError('platform-unavailable', 'down');
     }
   }
   function isConditionMet(
     condition: WriteCondition,
-    stored: Stored | undefined,
+    stored: StoredMoveState | undefined,
   ) {
     if (condition.type === 'absent') {
       return stored === undefined;
@@ -90,7 +90,7 @@
   const store = {
     get: async (_kind: string, name: string) => objects.get(name),
     async list() {
-      failWhenDown();
+      throwWhenDown();
       return {version, objects: [...objects.values()]};
     },
     async put(
@@ -99,7 +99,7 @@
       value: MoveState,
       condition: WriteCondition,
     ) {
-      failWhenDown();
+      throwWhenDown();
       if (!isConditionMet(condition, objects.get(name))) {
         throw new ServingError('version-conflict', 'changed');
       }
@@ -111,7 +111,7 @@
       return stored;
     },
     async remove(_kind: string, name: string) {
-      failWhenDown();
+      throwWhenDown();
       objects.delete(name);
     },
     watch(_kind: string, listener: WatchListener<MoveState>) {
@@ -125,30 +125,37 @@
   };
   return {
     store: store as unknown as ObjectStore,
-    state: (name: string) => objects.get(name)?.value,
-    write: (value: MoveState) =>
+    readState: (name: string) => objects.get(name)?.value,
+    writeState: (value: MoveState) =>
       store.put('move-state', value.move, value, {type: 'any'}),
-    setDown(next: boolean) {
-      isDown = next;
-      isWatchDown = next;
+    setDown(isNowDown: boolean) {
+      isDown = isNowDown;
+      isWatchDown = isNowDown;
     },
   };
 }
 
 type Handler = (from: string, body: unknown) => unknown;
 
-/** Connected peers; those in `disconnected` neither send nor get broadcasts. */
+/**
+ * Connects all peers; peers in `disconnectedPeers` neither send nor receive
+ * broadcasts.
+ */
 export function createFakePeerBus() {
   const handlers = new Map<string, Map<string, Handler>>();
-  const peerOpened = emitter<string>();
-  const disconnected = new Set<string>();
+  const peerOpenEmitter = emitter<string>();
+  const disconnectedPeers = new Set<string>();
   function networkOf(id: string): PeerNetwork {
     const ownHandlers = new Map<string, Handler>();
     handlers.set(id, ownHandlers);
     const network = {
       broadcast(type: keyof Messages, body: unknown) {
         for (const [peer, peerHandlers] of handlers) {
-          if (peer !== id && !disconnected.has(id) && !disconnected.has(peer)) {
+          if (
+            peer !== id &&
+            !disconnectedPeers.has(id) &&
+            !disconnectedPeers.has(peer)
+          ) {
             peerHandlers.get(type)?.(id, body);
           }
         }
@@ -159,7 +166,7 @@
         return true;
       },
       onDidChangePeer: (listener: (peer: string, isOpen: boolean) => void) =>
-        peerOpened.event(peer => listener(peer, true)),
+        peerOpenEmitter.event(peer => listener(peer, true)),
       onDidReceive(type: keyof Messages, handler: Handler) {
         ownHandlers.set(type, handler);
         return toDisposable(() => ownHandlers.delete(type));
@@ -169,21 +176,24 @@
   }
   return {
     networkOf,
-    disconnected,
-    open: (peer: string) => peerOpened.fire(peer),
+    disconnectedPeers: disconnectedPeers,
+    firePeerOpened: (peer: string) => peerOpenEmitter.fire(peer),
   };
 }
 
-/** Entries with followers and a duty that any of them can hold. */
+/**
+ * Starts entries, each with a follower and a controller. `startDuty` runs the
+ * duty on one of them.
+ */
 export function createCluster(clock: VirtualClock, count: number) {
   const bus = createFakePeerBus();
   const platform = createFakeStore();
-  const changed = emitter<{kind: RecordKind; name: string}>();
+  const changeEmitter = emitter<{kind: RecordKind; name: string}>();
   let moves: readonly Move[] = [move];
   const configuration = {
     list: () => moves as never,
     onDidChange: (listener: (kind: RecordKind, name: string) => void) =>
-      changed.event(({kind, name}) => listener(kind, name)),
+      changeEmitter.event(({kind, name}) => listener(kind, name)),
     isReady: () => true,
   };
   function startEntry(index: number) {
@@ -203,7 +213,7 @@
     return {split, controller};
   }
   const entries = Array.from({length: count}, (_, index) => startEntry(index));
-  function holdDuty(index: number) {
+  function startDuty(index: number) {
     const abortController = new AbortController();
     const term: DutyTerm = {
       duty: 'moves',
@@ -225,10 +235,10 @@
       moveDuty.dispose();
     });
   }
-  async function setMoves(next: readonly Move[]) {
-    moves = next;
-    changed.fire({kind: 'move', name: ''});
+  async function setMoves(nextMoves: readonly Move[]) {
+    moves = nextMoves;
+    changeEmitter.fire({kind: 'move', name: ''});
     await settlePromises();
   }
-  return {entries, startEntry, platform, bus, holdDuty, setMoves};
+  return {entries, startEntry, platform, bus, holdDuty: startDuty, setMoves};
 }
--- a/packages/moves/src/test/moveCluster.test.ts
+++ b/packages/moves/src/test/moveCluster.test.ts
@@ -8,7 +8,7 @@
 function setUp(entryCount = 3) {
   const clock = virtualClock(START_MS);
   const testCluster = createCluster(clock, entryCount);
-  /** Returns how many of the sessions an entry assigns to the candidate. */
+  /** Returns the number of sessions that an entry assigns to the candidate. */
   function countCandidateSessions(index: number): number {
     const split = testCluster.entries[index]?.split;
     let candidateCount = 0;
@@ -23,7 +23,7 @@
     }
     return candidateCount;
   }
-  /** Serves requests at one entry, with the versions that its split selects. */
+  /** Sends requests through one entry, to the versions its split selects. */
   async function serveRequests(
     index: number,
     seconds: number,
@@ -67,32 +67,32 @@
 }
 
 describe('moves across several entries', () => {
-  it('starts a move on all entries', async () => {
+  it('sends sessions to the same versions on all entries once a move starts', async () => {
     const {clock, countCandidateSessions, holdDuty, platform} = setUp();
     holdDuty(0);
     await clock.advance(2000);
-    assert.equal(platform.state(move.name)?.phase, 'proving');
+    assert.equal(platform.readState(move.name)?.phase, 'proving');
     assert.ok(countCandidateSessions(1) > 0);
     assert.equal(countCandidateSessions(1), countCandidateSessions(2));
   });
 
   it('cuts the candidate on all entries while the platform is unavailable', async () => {
-    // Guards against entries that keep sending requests to a failing candidate
-    // until the platform is back. Peers alone have to spread the cut; the
-    // rollback is stored later.
+    // Entries must not keep sending requests to a failing candidate until the
+    // platform is back. Peers alone have to spread the cut; the rollback is
+    // stored later.
     const {clock, countCandidateSessions, cutWhilePlatformIsDown, platform} =
       setUp();
     await cutWhilePlatformIsDown();
     assert.deepEqual([0, 1, 2].map(countCandidateSessions), [0, 0, 0]);
-    assert.notEqual(platform.state(move.name)?.phase, 'taken-back');
+    assert.notEqual(platform.readState(move.name)?.phase, 'taken-back');
     platform.setDown(false);
     await clock.advance(3000);
-    assert.equal(platform.state(move.name)?.phase, 'taken-back');
+    assert.equal(platform.readState(move.name)?.phase, 'taken-back');
   });
 
-  it('repeats a cut for an entry that was disconnected', async () => {
-    // Guards against a lost broadcast: an entry that was disconnected from its
-    // peers during the cut must apply it on reconnect, without the platform.
+  it('repeats a cut for an entry that was disconnected from its peers', async () => {
+    // An entry that was disconnected from its peers during the cut missed the
+    // broadcast. It must apply the cut on reconnect, without the platform.
     const {
       clock,
       countCandidateSessions,
@@ -104,49 +104,52 @@
     holdDuty(0);
     await clock.advance(5000);
     platform.setDown(true);
-    bus.disconnected.add('e1');
+    bus.disconnectedPeers.add('e1');
     await serveRequests(2, 30, true);
     assert.ok(countCandidateSessions(1) > 0);
-    bus.disconnected.delete('e1');
+    bus.disconnectedPeers.delete('e1');
     await clock.advance(2000);
     assert.equal(countCandidateSessions(1), 0);
   });
 
-  it('keeps the evidence when the duty changes hands', async () => {
-    // A new holder without evidence could not complete the move in time.
+  it('keeps the evidence when another entry takes over the duty', async () => {
+    // A new holder of the duty without evidence could not complete the move in
+    // time.
     const {serveRequests, holdDuty, entries} = setUp();
-    const first = holdDuty(0);
+    const firstDuty = holdDuty(0);
     await serveRequests(1, 300, false);
-    first.dispose();
-    const before = proofRequests(entries[2]?.controller.dump());
-    assert.ok(before > 1000, `${before}`);
+    firstDuty.dispose();
+    const requestsBefore = countProofRequests(entries[2]?.controller.dump());
+    assert.ok(requestsBefore > 1000, `${requestsBefore}`);
     holdDuty(2);
     await serveRequests(1, 5, false);
-    assert.ok(proofRequests(entries[2]?.controller.dump()) >= before);
+    assert.ok(
+      countProofRequests(entries[2]?.controller.dump()) >= requestsBefore,
+    );
   });
 
-  it('ignores writes of a holder that was paused beyond its term', async () => {
+  it('rejects state writes of a holder that was paused beyond its term', async () => {
     // A paused holder loses its lease and its successor rolls the move back.
     // The old holder resumes with its old state and must not undo the rollback.
     const {clock, holdDuty, platform, entries} = setUp();
     holdDuty(0);
     await clock.advance(3000);
-    const state = platform.state(move.name);
+    const state = platform.readState(move.name);
     assert.ok(state);
-    await platform.write({
+    await platform.writeState({
       ...state,
       phase: 'taken-back',
       share: 0,
       changedAt: state.changedAt + 1,
     });
     await clock.advance(600_000);
-    assert.equal(platform.state(move.name)?.phase, 'taken-back');
+    assert.equal(platform.readState(move.name)?.phase, 'taken-back');
     entries[1]?.split.setStates([{...state, changedAt: state.changedAt + 99}]);
   });
 
-  it('treats a move as rolled back past its deadline when no state was written', async () => {
+  it('rolls back a move at its deadline while the platform is unavailable', async () => {
     // The platform is unavailable until after the deadline. Entries have to
-    // stop using the unproven candidate without a stored state.
+    // stop using the unproven candidate, although no rollback is stored.
     const {clock, countCandidateSessions, holdDuty, platform} = setUp();
     holdDuty(0);
     await clock.advance(5000);
@@ -156,32 +159,35 @@
     assert.equal(countCandidateSessions(1), 0);
     platform.setDown(false);
     await clock.advance(3000);
-    assert.equal(platform.state(move.name)?.phase, 'taken-back');
+    assert.equal(platform.readState(move.name)?.phase, 'taken-back');
   });
 
-  it('sends a finished move to a new entry while the platform is unavailable', async () => {
-    // An entry is replaced while the platform is unavailable. Without its
-    // peers' states it would send all requests to the old version, which may
-    // have no endpoints left.
+  it('sends the state of a finished move to a new entry while the platform is unavailable', async () => {
+    // An entry is replaced while the platform is unavailable. Without the
+    // states that its peers have, the entry would send all requests to the old
+    // version, which may have no endpoints left.
     const {holdDuty, platform, startEntry, bus, clock} = setUp();
     holdDuty(0);
     await clock.advance(3000);
-    const state = platform.state(move.name);
+    const state = platform.readState(move.name);
     assert.ok(state);
-    await platform.write({
+    await platform.writeState({
       ...state,
       phase: 'finished',
       share: 1,
       changedAt: state.changedAt + 1,
     });
     platform.setDown(true);
-    const late = startEntry(3);
-    bus.open('e3');
+    const newEntry = startEntry(3);
+    bus.firePeerOpened('e3');
     const request = {service: 'booking', session: 's', isIdempotent: true};
-    assert.equal(late.split.versionFor({...request, incumbent: 'v1'}), 'v2');
+    assert.equal(
+      newEntry.split.versionFor({...request, incumbent: 'v1'}),
+      'v2',
+    );
   });
 
-  it('ends a move that the operator withdraws', async () => {
+  it('stops traffic to the candidate when the operator withdraws the move', async () => {
     // The operator removes the record of a running move. Entries that kept the
     // share would keep sending traffic to the withdrawn version.
     const {clock, countCandidateSessions, holdDuty, platform, setMoves} =
@@ -191,36 +197,37 @@
     await setMoves([]);
     assert.equal(countCandidateSessions(1), 0);
     await clock.advance(2000);
-    assert.equal(platform.state(move.name)?.phase, 'withdrawn');
+    assert.equal(platform.readState(move.name)?.phase, 'withdrawn');
   });
 
-  it('keeps the second of two moves of a service waiting', async () => {
+  it('keeps a second move of a service waiting during the first', async () => {
     // Two concurrent moves of a service would distort each other's evidence.
     const {clock, holdDuty, platform, setMoves} = setUp();
     await setMoves([move, {...move, name: 'booking-3', to: 'v3'}]);
     holdDuty(0);
     await clock.advance(5000);
-    assert.equal(platform.state('booking-2')?.phase, 'proving');
-    assert.equal(platform.state('booking-3')?.phase, 'waiting');
+    assert.equal(platform.readState('booking-2')?.phase, 'proving');
+    assert.equal(platform.readState('booking-3')?.phase, 'waiting');
     await clock.advance(2 * HOUR_MS);
-    assert.equal(platform.state('booking-3')?.phase, 'taken-back');
+    assert.equal(platform.readState('booking-3')?.phase, 'taken-back');
   });
 
-  it('does not apply a cut of an earlier candidate to a new one', async () => {
-    // A cut is repeated until it is stored. Meanwhile the operator puts a fixed
-    // version into the same record, which the old cut must not affect.
+  it('does not apply the cut of an earlier candidate to a new candidate', async () => {
+    // A cut is repeated until the rollback is stored. Meanwhile the operator
+    // puts a fixed version into the same record; the old cut must not affect
+    // it.
     const {clock, cutWhilePlatformIsDown, platform, setMoves} = setUp();
     await cutWhilePlatformIsDown();
     await setMoves([{...move, to: 'v3'}]);
     platform.setDown(false);
     await clock.advance(10_000);
-    const state = platform.state(move.name);
+    const state = platform.readState(move.name);
     assert.equal(state?.to, 'v3');
     assert.equal(state?.phase, 'proving', state?.why);
   });
 });
 
-function proofRequests(dump: unknown): number {
+function countProofRequests(dump: unknown): number {
   const [first] = dump as {proof: {requests: number}[]}[];
   return first?.proof[0]?.requests ?? 0;
 }
--- a/packages/moves/src/test/moveController.test.ts
+++ b/packages/moves/src/test/moveController.test.ts
@@ -6,7 +6,7 @@
 import {createMoveController, type MoveState} from '../index.js';
 import {HOUR_MS, move, START_MS, evidenceOfWindow} from './fakes.js';
 
-const healthy = {errors: 0, medianMs: 100};
+const HEALTHY_STATS = {errors: 0, medianMs: 100};
 const STEP_MS = 5000;
 
 function createController() {
@@ -15,7 +15,10 @@
   return createMoveController({clock, decisions});
 }
 
-/** Runs a move until it ends, adding the given evidence at each step. */
+/**
+ * Runs a move until it is finished or rolled back, adding the given evidence at
+ * each step.
+ */
 function runMove(
   evidence: (state: MoveState, elapsedMs: number) => EvidenceSum[],
   record: Move = move,
@@ -34,7 +37,10 @@
   return {state, endedMs};
 }
 
-/** Splits 100 requests by share; the incumbent fails at the given rate. */
+/**
+ * Splits 100 requests between both versions; the incumbent fails at the given
+ * error rate.
+ */
 function requestCounts(share: number, errorRate: number) {
   const candidateRequests = Math.max(1, Math.round(100 * share));
   const incumbentRequests = Math.max(4, 100 - candidateRequests);
@@ -47,7 +53,7 @@
 
 const evaluationCases: readonly {
   readonly title: string;
-  readonly candidate: Partial<typeof healthy & {errorRate: number}>;
+  readonly candidate: Partial<typeof HEALTHY_STATS & {errorRate: number}>;
   readonly incumbentErrorRate: number;
   readonly onsetMs: number;
   readonly outcome: 'finished' | 'taken-back';
@@ -85,7 +91,7 @@
     outcome: 'taken-back',
   },
   {
-    title: 'a version with the same errors as the old one',
+    title: 'a version with the same error rate as the old one',
     candidate: {errorRate: 0.2},
     incumbentErrorRate: 0.2,
     onsetMs: 0,
@@ -104,9 +110,9 @@
   for (const testCase of evaluationCases) {
     const {title, candidate, incumbentErrorRate, onsetMs} = testCase;
     const {outcome, withinMs} = testCase;
-    it(`ends ${outcome} for ${title}`, () => {
-      // Guards against both errors: a bad version that gets all traffic, and a
-      // rollback of a good version, which costs the operator another move.
+    it(`ends with phase ${outcome} for ${title}`, () => {
+      // Guards against two errors: all traffic goes to a bad version, or a good
+      // version is rolled back, which costs the operator another move.
       const {state, endedMs} = runMove(({share}, elapsedMs) => {
         const isAfterOnset = elapsedMs >= onsetMs;
         const counts = requestCounts(
@@ -118,13 +124,13 @@
           : 0;
         return evidenceOfWindow(
           {
-            ...healthy,
+            ...HEALTHY_STATS,
             ...(isAfterOnset ? candidate : {}),
             requests: counts.candidateRequests,
             errors,
           },
           {
-            ...healthy,
+            ...HEALTHY_STATS,
             requests: counts.incumbentRequests,
             errors: counts.incumbentErrors,
           },
@@ -133,21 +139,24 @@
       assert.equal(state?.phase, outcome, state?.why);
       assert.ok(endedMs < HOUR_MS);
       if (outcome === 'taken-back') {
-        const lastedMs = endedMs - onsetMs;
-        assert.ok(lastedMs <= (withinMs ?? HOUR_MS / 4), `${lastedMs}`);
+        const rollbackDelayMs = endedMs - onsetMs;
+        assert.ok(
+          rollbackDelayMs <= (withinMs ?? HOUR_MS / 4),
+          `${rollbackDelayMs}`,
+        );
       }
     });
   }
 
   it('rolls back a candidate without evidence before the deadline', () => {
-    // Finishing the move would send all requests to an untested version.
+    // If the move finished, all requests would go to an untested version.
     const {state, endedMs} = runMove(() => []);
     assert.equal(state?.phase, 'taken-back');
     assert.ok(endedMs < HOUR_MS - 20_000);
   });
 
   it('limits the share of an unproven candidate to the maximum in the record', () => {
-    // A larger first step than 2 % would exceed the operator's limit.
+    // A first step above 2 % would exceed the limit that the operator has set.
     const record = {...move, maxUnprovenShare: 0.02};
     const shares: number[] = [];
     runMove(state => {
@@ -157,71 +166,80 @@
     assert.equal(Math.max(...shares), 0.02);
   });
 
-  it('moves non-idempotent routes after idempotent ones', () => {
+  it('moves non-idempotent routes only after idempotent routes are soaking', () => {
     // A duplicated or lost order costs far more than a retried lookup, so
     // orders wait for the evidence from idempotent routes.
-    const first: Partial<Record<'share' | 'orderShare', number>> = {};
+    const firstElapsedMs: Partial<Record<'share' | 'orderShare', number>> = {};
     const {state} = runMove((currentState, elapsedMs) => {
       const orders = evidenceOfWindow(
-        {...healthy, requests: Math.round(100 * currentState.orderShare)},
-        {...healthy, requests: 100},
+        {...HEALTHY_STATS, requests: Math.round(100 * currentState.orderShare)},
+        {...HEALTHY_STATS, requests: 100},
         'order',
       ).map(sum => ({...sum, isOrder: true}));
       if (currentState.share >= 0.25) {
-        first.share ??= elapsedMs;
+        firstElapsedMs.share ??= elapsedMs;
       }
       if (currentState.orderShare > 0) {
-        first.orderShare ??= elapsedMs;
+        firstElapsedMs.orderShare ??= elapsedMs;
       }
-      const {candidateRequests: requests, incumbentRequests: incumbents} =
-        requestCounts(currentState.share, 0);
+      const {
+        candidateRequests: requests,
+        incumbentRequests: incumbentRequests,
+      } = requestCounts(currentState.share, 0);
       return [
         ...evidenceOfWindow(
-          {...healthy, requests},
-          {...healthy, requests: incumbents},
+          {...HEALTHY_STATS, requests},
+          {...HEALTHY_STATS, requests: incumbentRequests},
         ),
         ...orders,
       ];
     });
     assert.equal(state?.phase, 'finished', state?.why);
-    assert.ok((first.orderShare ?? 0) >= (first.share ?? Infinity));
+    assert.ok(
+      (firstElapsedMs.orderShare ?? 0) >= (firstElapsedMs.share ?? Infinity),
+    );
   });
 
   const cutCases: readonly {
     readonly title: string;
     readonly phase: MoveState['phase'];
-    readonly atMs: number;
-    readonly expected: MoveState['phase'];
+    readonly elapsedMs: number;
+    readonly expectedPhase: MoveState['phase'];
   }[] = [
     {
       title: 'a running move',
       phase: 'soaking',
-      atMs: 0,
-      expected: 'taken-back',
+      elapsedMs: 0,
+      expectedPhase: 'taken-back',
     },
     {
       title: 'a finished move before its deadline',
       phase: 'finished',
-      atMs: HOUR_MS - 1,
-      expected: 'taken-back',
+      elapsedMs: HOUR_MS - 1,
+      expectedPhase: 'taken-back',
     },
     {
       title: 'a finished move after its deadline',
       phase: 'finished',
-      atMs: HOUR_MS,
-      expected: 'finished',
+      elapsedMs: HOUR_MS,
+      expectedPhase: 'finished',
     },
   ];
-  for (const {title, phase, atMs, expected} of cutCases) {
-    it(`sets ${title} to ${expected} when an entry has cut it`, () => {
+  for (const {
+    title,
+    phase,
+    elapsedMs: elapsedMs,
+    expectedPhase: expectedPhase,
+  } of cutCases) {
+    it(`sets ${title} to ${expectedPhase} when an entry has cut the candidate`, () => {
       // An entry has cut a failing candidate. If the move continued, the other
-      // entries would keep sending requests to it.
+      // entries would keep sending requests to the candidate.
       const controller = createController();
       controller.reportCut(move.name, 'errors');
-      const state = stateOf(phase);
+      const state = createState(phase);
       assert.equal(
-        controller.advance(move, state, START_MS + atMs).phase,
-        expected,
+        controller.advance(move, state, START_MS + elapsedMs).phase,
+        expectedPhase,
       );
     });
   }
@@ -229,27 +247,30 @@
   it('never restarts a rolled-back move for the same version', () => {
     // The operator extends the deadline of a rolled-back move. Restarting it
     // would send requests to the bad version again.
-    const later = {...move, deadline: move.deadline + HOUR_MS};
-    const state = stateOf('taken-back');
-    assert.equal(createController().advance(later, state, START_MS), state);
+    const extendedMove = {...move, deadline: move.deadline + HOUR_MS};
+    const state = createState('taken-back');
+    assert.equal(
+      createController().advance(extendedMove, state, START_MS),
+      state,
+    );
   });
 
-  it('restarts when the operator names another candidate', () => {
+  it('restarts a rolled-back move when its record names another candidate', () => {
     // The operator puts a fixed version into the same record. The cut and the
     // evidence of the old candidate must not affect the new one.
     const controller = createController();
     controller.reportCut(move.name, 'errors');
-    const next = controller.advance(
+    const nextState = controller.advance(
       {...move, to: 'v3'},
-      stateOf('taken-back'),
+      createState('taken-back'),
       START_MS,
     );
-    assert.equal(next.phase, 'proving');
-    assert.equal(next.to, 'v3');
+    assert.equal(nextState.phase, 'proving');
+    assert.equal(nextState.to, 'v3');
   });
 });
 
-function stateOf(phase: MoveState['phase']): MoveState {
+function createState(phase: MoveState['phase']): MoveState {
   return {
     move: move.name,
     phase,
--- a/packages/moves/src/test/trafficSplit.test.ts
+++ b/packages/moves/src/test/trafficSplit.test.ts
@@ -38,7 +38,7 @@
   return {split, clock};
 }
 
-function request(session: string, isIdempotent = true) {
+function createRequest(session: string, isIdempotent = true) {
   return {service: 'booking', incumbent: 'v1', session, isIdempotent};
 }
 
@@ -49,32 +49,33 @@
     const [a, b] = [createSplit(0.3), createSplit(0.3)];
     for (const session of sessions) {
       assert.equal(
-        a.versionFor(request(session)),
-        b.versionFor(request(session)),
+        a.versionFor(createRequest(session)),
+        b.versionFor(createRequest(session)),
       );
     }
   });
 
-  it('applies the share to idempotent and the order share to other requests', () => {
+  it('applies the share to idempotent and the order share to non-idempotent requests', () => {
     const split = createSplit(0.1);
     const candidateSessions = sessions.filter(
-      session => split.versionFor(request(session)) === 'v2',
+      session => split.versionFor(createRequest(session)) === 'v2',
     );
     assert.ok(
       candidateSessions.length > 150 && candidateSessions.length < 250,
       `${candidateSessions.length}`,
     );
     for (const session of sessions) {
-      assert.equal(split.versionFor(request(session, false)), 'v1');
+      assert.equal(split.versionFor(createRequest(session, false)), 'v1');
     }
   });
 
   it('does not cut a candidate for the latency of new connections', () => {
     // With a small share most candidate requests open a new connection, which
-    // adds 1 ms on a route of 2 ms. A good version would be rolled back for it.
+    // adds 1 ms on a route of 2 ms. The candidate is good and must not be
+    // rolled back for this latency.
     const {split, clock} = createSplitWithClock(0.1);
     for (let count = 0; count < 20_000; count++) {
-      const version = split.versionFor(request(`s${count}`));
+      const version = split.versionFor(createRequest(`s${count}`));
       split.observe({
         service: 'booking',
         version,
@@ -85,7 +86,7 @@
       });
       clock.advanceSync(10);
     }
-    const versions = sessions.map(id => split.versionFor(request(id)));
+    const versions = sessions.map(id => split.versionFor(createRequest(id)));
     assert.ok(versions.includes('v2'));
   });
 
@@ -94,19 +95,20 @@
     // from before the rollback. Applying it would send requests to the bad
     // version.
     const split = createSplit(0.5);
-    const later = {...createState(0.5), changedAt: 2};
+    const laterState = {...createState(0.5), changedAt: 2};
     split.setStates([{...createState(0), phase: 'taken-back', changedAt: 1}]);
-    split.setStates([later]);
-    const versions = sessions.map(id => split.versionFor(request(id)));
+    split.setStates([laterState]);
+    const versions = sessions.map(id => split.versionFor(createRequest(id)));
     assert.ok(!versions.includes('v2'));
   });
 
-  it('sends no requests to a cut candidate, whatever its state', () => {
-    // Another entry has cut the candidate but the state is not stored yet.
-    // Requests would fail until it is, which may take a whole platform outage.
+  it('sends no requests to a cut candidate even if the stored share is above 0', () => {
+    // Another entry has cut the candidate but the rollback is not stored yet.
+    // Until it is stored, which may take a whole platform outage, requests to
+    // the candidate would fail.
     const split = createSplit(1);
     split.applyCut(move.name, 'errors');
     split.setStates([createState(1)]);
-    assert.equal(split.versionFor(request('a')), 'v1');
+    assert.equal(split.versionFor(createRequest('a')), 'v1');
   });
 });
--- a/packages/moves/src/trafficSplit.ts
+++ b/packages/moves/src/trafficSplit.ts
@@ -12,9 +12,9 @@
 import type {MoveState, TrafficSplit} from './contracts.js';
 import {createLocalEvidence, type LocalEvidence} from './localEvidence.js';
 import {
-  activeMove,
+  selectActiveMove,
   versionAfterMoves,
-  withStates,
+  pairWithStates,
   type MoveWithState,
 } from './moveSelection.js';
 
@@ -23,7 +23,7 @@
   readonly decisions: DecisionLog;
 }
 
-/** Cut of a candidate, valid only for that version. */
+/** Cut of a candidate; void once the move's record names another candidate. */
 interface Cut {
   readonly to: string;
   readonly why: string;
@@ -43,7 +43,7 @@
   const cuts = new Map<string, Cut>();
   const localEvidence = new Map<string, LocalEvidence>();
   const availableVersions = new Map<string, ReadonlySet<string>>();
-  const didCut = emitter<{move: string; why: string}>();
+  const cutEmitter = emitter<{move: string; why: string}>();
   let moves: readonly Move[] = [];
   let sessionlessCount = 0;
   let movesByService = new Map<string, readonly MoveWithState[]>();
@@ -51,16 +51,16 @@
   function groupMovesByService() {
     movesByService = new Map();
     for (const service of new Set(moves.map(move => move.service))) {
-      const ownMoves = moves.filter(move => move.service === service);
+      const serviceMoves = moves.filter(move => move.service === service);
       movesByService.set(
         service,
-        withStates(ownMoves, name => states.get(name)),
+        pairWithStates(serviceMoves, name => states.get(name)),
       );
     }
   }
 
   function activeMoveOf(service: string): MoveWithState | undefined {
-    return activeMove(movesByService.get(service) ?? []);
+    return selectActiveMove(movesByService.get(service) ?? []);
   }
 
   function isCut(move: Move): boolean {
@@ -71,9 +71,9 @@
   /** Returns whether this entry may send traffic to the candidate now. */
   function mayUseCandidate(
     {move, state}: MoveWithState,
-    serving: string,
+    servingVersion: string,
   ): boolean {
-    if (state === undefined || move.from !== serving) {
+    if (state === undefined || move.from !== servingVersion) {
       return false;
     }
     // An unfinished move past its deadline counts as rolled back, even while
@@ -84,7 +84,7 @@
     return availableVersions.get(move.service)?.has(move.to) ?? true;
   }
 
-  function cut(move: Move, why: string) {
+  function cutCandidate(move: Move, why: string) {
     cuts.set(move.name, {to: move.to, why});
     decisions.note('moves', move.name, 'cut share to 0', why);
   }
@@ -99,30 +99,35 @@
     }
   }
 
-  /** Returns whether to apply a state; a rollback is final for a candidate. */
-  function isNewer(state: MoveState): boolean {
-    const current = states.get(state.move);
-    if (current === undefined) {
+  /**
+   * Returns whether to replace the current state by a received one; a rollback
+   * is final for its candidate.
+   */
+  function shouldApplyState(state: MoveState): boolean {
+    const currentState = states.get(state.move);
+    if (currentState === undefined) {
       return true;
     }
-    if (current.phase === 'taken-back' && current.to === state.to) {
+    if (currentState.phase === 'taken-back' && currentState.to === state.to) {
       return false;
     }
-    return state.changedAt > current.changedAt;
+    return state.changedAt > currentState.changedAt;
   }
 
   /** Returns the version of requests that do not go to the candidate. */
-  function servingVersion(
-    ownMoves: readonly MoveWithState[],
+  function resolveServingVersion(
+    serviceMoves: readonly MoveWithState[],
     incumbent: string,
   ): string {
-    // A finished move may still be rolled back until its deadline.
+    // A cut rolls back a finished move too, until the move's deadline.
     const uncutMoves =
-      cuts.size === 0 ? ownMoves : ownMoves.filter(({move}) => !isCut(move));
+      cuts.size === 0
+        ? serviceMoves
+        : serviceMoves.filter(({move}) => !isCut(move));
     return versionAfterMoves(incumbent, uncutMoves);
   }
 
-  function localEvidenceFor(move: Move): LocalEvidence {
+  function getOrCreateLocalEvidence(move: Move): LocalEvidence {
     let evidence = localEvidence.get(move.name);
     if (evidence === undefined) {
       evidence = createLocalEvidence(move, clock);
@@ -132,11 +137,11 @@
   }
 
   return {
-    setMoves(next) {
+    setMoves(nextMoves) {
       const previousMoves = new Map(moves.map(move => [move.name, move]));
-      moves = next;
+      moves = nextMoves;
       for (const name of localEvidence.keys()) {
-        const move = next.find(item => item.name === name);
+        const move = nextMoves.find(item => item.name === name);
         if (move?.to !== previousMoves.get(name)?.to) {
           localEvidence.delete(name);
         }
@@ -144,15 +149,15 @@
       dropStaleCuts();
       groupMovesByService();
     },
-    setStates(next) {
-      for (const state of next) {
-        if (!isNewer(state)) {
+    setStates(receivedStates) {
+      for (const state of receivedStates) {
+        if (!shouldApplyState(state)) {
           continue;
         }
-        const current = states.get(state.move);
+        const currentState = states.get(state.move);
         const hasSameShares =
-          current?.share === state.share &&
-          current.orderShare === state.orderShare;
+          currentState?.share === state.share &&
+          currentState.orderShare === state.orderShare;
         if (!hasSameShares) {
           localEvidence.get(state.move)?.clearWindow();
         }
@@ -161,50 +166,55 @@
       groupMovesByService();
     },
     versionFor({service, incumbent, session, isIdempotent}) {
-      const ownMoves = movesByService.get(service);
-      if (ownMoves === undefined) {
+      const serviceMoves = movesByService.get(service);
+      if (serviceMoves === undefined) {
         return incumbent;
       }
-      const serving = servingVersion(ownMoves, incumbent);
-      const active = activeMove(ownMoves);
-      if (active === undefined || !mayUseCandidate(active, serving)) {
-        return serving;
+      const servingVersion = resolveServingVersion(serviceMoves, incumbent);
+      const activeMove = selectActiveMove(serviceMoves);
+      if (
+        activeMove === undefined ||
+        !mayUseCandidate(activeMove, servingVersion)
+      ) {
+        return servingVersion;
       }
-      const {move, state} = active;
+      const {move, state} = activeMove;
       const share = (isIdempotent ? state?.share : state?.orderShare) ?? 0;
-      // An empty session would send all requests to the same version.
+      // Requests without a session are counted to vary their hash key. With an
+      // empty key they would all go to the same version.
       const hashKey = session === '' ? `#${sessionlessCount++}` : session;
       const isCandidate = hashFraction(`${move.name}/${hashKey}`) < share;
-      return isCandidate ? move.to : serving;
+      return isCandidate ? move.to : servingVersion;
     },
     incumbentFor: (service, incumbent) =>
-      servingVersion(movesByService.get(service) ?? [], incumbent),
+      resolveServingVersion(movesByService.get(service) ?? [], incumbent),
     observe(sample) {
-      const active = activeMoveOf(sample.service);
-      if (active === undefined || cuts.has(active.move.name)) {
+      const activeMove = activeMoveOf(sample.service);
+      if (activeMove === undefined || cuts.has(activeMove.move.name)) {
         return;
       }
-      const {move} = active;
+      const {move} = activeMove;
       if (sample.version !== move.from && sample.version !== move.to) {
         return;
       }
-      const why = localEvidenceFor(move).observe(sample);
+      const why = getOrCreateLocalEvidence(move).observe(sample);
       if (why !== undefined) {
-        cut(move, why);
-        didCut.fire({move: move.name, why});
+        cutCandidate(move, why);
+        cutEmitter.fire({move: move.name, why});
       }
     },
-    applyCut(name, why) {
-      const move = moves.find(item => item.name === name);
-      if (move !== undefined && cuts.get(name)?.to !== move.to) {
-        cut(move, why);
+    applyCut(moveName, why) {
+      const move = moves.find(item => item.name === moveName);
+      if (move !== undefined && cuts.get(moveName)?.to !== move.to) {
+        cutCandidate(move, why);
       }
     },
     takeEvidence: () =>
       [...localEvidence]
         .map(([move, evidence]) => ({move, sums: evidence.takeSums()}))
         .filter(({sums}) => sums.length > 0),
-    onDidCut: listener => didCut.event(({move, why}) => listener(move, why)),
+    onDidCut: listener =>
+      cutEmitter.event(({move, why}) => listener(move, why)),
     setAvailableVersions(service, versions) {
       availableVersions.set(service, new Set(versions));
     },
