--- a/packages/fleet/src/capacityPools.ts
+++ b/packages/fleet/src/capacityPools.ts
@@ -5,7 +5,7 @@
 const HOUR_MS = 3_600_000;
 /** Half-life of observed reclaims and host hours, in milliseconds. */
 const OBSERVATION_HALF_LIFE_MS = 6 * HOUR_MS;
-/** Prior of the reclaims per host and hour. */
+/** Prior of the reclaims per reclaimable host and hour. */
 const PRIOR_RECLAIMS_PER_HOST_HOUR = 0.02;
 /** Weight of the prior in host hours. */
 const PRIOR_HOST_HOURS = 20;
@@ -13,7 +13,7 @@
 const MAX_BACKOFF_MS = 300_000;
 
 export interface CapacityPoolTracker {
-  /** Adds the present hosts' running time; called every round. */
+  /** Adds the running time of hosts since the last call; called every round. */
   observe(hosts: readonly Host[]): void;
   recordReclaim(failureDomain: string, machineClass: string): void;
   recordRejection(
@@ -41,7 +41,7 @@
  * Creates the tracker of all capacity pools.
  *
  * Rejected starts put a pool's market into exponential backoff: immediate
- * retries would use up calls while hosts could be started elsewhere.
+ * retries would use up calls to the cloud while other pools could start hosts.
  *
  * @example
  * const tracker = createCapacityPoolTracker({clock, random});
@@ -53,9 +53,12 @@
 }): CapacityPoolTracker {
   const {clock, random} = options;
   const pools = new Map<string, PoolStats>();
-  let observedAt = clock.now();
+  let lastObservedAt = clock.now();
 
-  function poolFor(failureDomain: string, machineClass: string): PoolStats {
+  function getOrCreatePool(
+    failureDomain: string,
+    machineClass: string,
+  ): PoolStats {
     const key = `${failureDomain}/${machineClass}`;
     const pool = pools.get(key) ?? {
       failureDomain,
@@ -68,7 +71,7 @@
     return pool;
   }
 
-  function decay(elapsedMs: number): void {
+  function decayObservations(elapsedMs: number): void {
     const decayFactor = 0.5 ** (elapsedMs / OBSERVATION_HALF_LIFE_MS);
     for (const pool of pools.values()) {
       const priorHours = PRIOR_HOST_HOURS * (1 - decayFactor);
@@ -80,21 +83,21 @@
 
   return {
     observe(hosts) {
-      const elapsedMs = clock.now() - observedAt;
-      observedAt = clock.now();
-      decay(elapsedMs);
+      const elapsedMs = clock.now() - lastObservedAt;
+      lastObservedAt = clock.now();
+      decayObservations(elapsedMs);
       for (const host of hosts) {
         if (host.market === 'reclaimable' && host.state === 'running') {
-          poolFor(host.failureDomain, host.machineClass).hostHours +=
+          getOrCreatePool(host.failureDomain, host.machineClass).hostHours +=
             elapsedMs / HOUR_MS;
         }
       }
     },
     recordReclaim(failureDomain, machineClass) {
-      poolFor(failureDomain, machineClass).reclaims += 1;
+      getOrCreatePool(failureDomain, machineClass).reclaims += 1;
     },
     recordRejection(failureDomain, machineClass, market) {
-      const {rejections} = poolFor(failureDomain, machineClass);
+      const {rejections} = getOrCreatePool(failureDomain, machineClass);
       const count = (rejections.get(market)?.count ?? 0) + 1;
       const backoffMs = Math.min(
         MAX_BACKOFF_MS,
@@ -105,7 +108,7 @@
       rejections.set(market, {count, retryAtMs});
     },
     recordStart(failureDomain, machineClass, market) {
-      poolFor(failureDomain, machineClass).rejections.delete(market);
+      getOrCreatePool(failureDomain, machineClass).rejections.delete(market);
     },
     list: () =>
       [...pools.values()].map(pool => ({
--- a/packages/fleet/src/clientToken.ts
+++ b/packages/fleet/src/clientToken.ts
@@ -10,8 +10,9 @@
 }
 
 /**
- * Creates the token of a start. Fencing token and sequence number make it
- * unique across holders; a retry after a lost reply reuses it.
+ * Creates the client token of a host start. Fencing token and sequence number
+ * make the client token unique across holders of the duty; a retry after a lost
+ * reply reuses the client token.
  *
  * @example
  * makeClientToken('match', 7, 3); // 'skylarkfield/match/7/3'
@@ -25,18 +26,19 @@
 }
 
 /**
- * Decodes the owner of a host; undefined for tokens of other software.
+ * Decodes the owner of a host from its client token; undefined for tokens of
+ * other software.
  *
  * The cloud stores the token with the host. A new holder of the duty thus finds
- * a host whose start reply an earlier holder did not receive, and neither leaks
- * that host nor starts another.
+ * a host whose start reply an earlier holder did not receive. The new holder
+ * neither leaks that host nor starts another one in its place.
  *
  * @example
  * readClientToken(host.clientToken)?.service; // 'match'
  */
 export function readClientToken(token: string): HostOwner | undefined {
-  const [prefix, service, ...rest] = token.split('/');
-  if (prefix !== TOKEN_PREFIX || !service || rest.length !== 2) {
+  const [prefix, service, ...numberParts] = token.split('/');
+  if (prefix !== TOKEN_PREFIX || !service || numberParts.length !== 2) {
     return undefined;
   }
   return {service};
--- a/packages/fleet/src/contracts.ts
+++ b/packages/fleet/src/contracts.ts
@@ -15,13 +15,16 @@
 export interface CapacityPool {
   readonly failureDomain: string;
   readonly machineClass: string;
-  /** Exponentially weighted reclaims per reclaimable host and hour. */
+  /**
+   * Reclaims per reclaimable host and hour; the weight of older observations
+   * decays exponentially.
+   */
   readonly reclaimRate: number;
-  /** Whether starts in a market are in backoff after rejections. */
+  /** Returns whether starts in a market are in backoff after rejections. */
   readonly isRefused: (market: Market) => boolean;
 }
 
-/** Wanted hosts of a service in one failure domain and market. */
+/** Number of wanted hosts of a service in one failure domain and market. */
 export interface WantedHosts {
   readonly service: string;
   readonly failureDomain: string;
@@ -37,7 +40,7 @@
   readonly costPerHour: number;
   /** Replicas left after losing the failure domain with the most replicas. */
   readonly replicasAfterLoss: number;
-  /** Why the plan misses the demand; undefined if it is met. */
+  /** Why the plan misses the demand; undefined if the demand is met. */
   readonly shortfall: string | undefined;
 }
 
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -9,17 +9,20 @@
 import type {Engine} from '@skylarkfield/endpoints';
 import type {ListedEndpoint, WeightStore} from '@skylarkfield/providers';
 
-/** Endpoint with its client. */
+/** Endpoint in the host list, with the client of its engine. */
 export interface ManagedEndpoint {
   readonly listed: ListedEndpoint;
   readonly engine: Engine;
 }
 
-/** Time after which an order expires, in milliseconds. */
+/** Time after which an order to an endpoint expires, in milliseconds. */
 export const ORDER_DEADLINE_MS = 10_000;
 
 export interface EndpointRepair {
-  /** Checks all endpoints; resolves with the number of accepted orders. */
+  /**
+   * Orders endpoints to load their listed version if they run another one;
+   * resolves with the number of orders that endpoints accepted.
+   */
   repairAll(
     endpoints: readonly ManagedEndpoint[],
     weightsOf: (service: string) => string,
@@ -34,13 +37,13 @@
 }
 
 /**
- * Creates the repair of one term.
+ * Creates the endpoint repair of one term of the duty.
  *
  * Routing relies on the host list. A replica that restarts after a crash with
  * another version would get the requests for the listed version, so a
- * rolled-back version could get traffic unnoticed. Repair is level-triggered: each round
- * compares running with listed versions, so a lost order is sent again and a
- * new holder needs no history.
+ * rolled-back version could get traffic unnoticed. Repair is level-triggered:
+ * each round compares running with listed versions, so a lost order is sent
+ * again and a new holder of the duty needs no record of earlier orders.
  *
  * @example
  * const repair = createEndpointRepair({clock, decisions, weights, term, gate});
@@ -59,19 +62,25 @@
   return {
     async repairAll(endpoints, weightsOf) {
       const mismatches = await findMismatches(endpoints);
-      let acceptedOrders = 0;
+      let acceptedOrderCount = 0;
       for (const mismatch of mismatches) {
         if (!term.isValid()) {
-          return acceptedOrders;
+          return acceptedOrderCount;
         }
         const {service} = mismatch.endpoint.listed;
-        acceptedOrders += Number(await repair(mismatch, weightsOf(service)));
+        acceptedOrderCount += Number(
+          await repair(mismatch, weightsOf(service)),
+        );
       }
-      return acceptedOrders;
+      return acceptedOrderCount;
     },
   };
 
-  /** Lowest matching fraction first, since the weight store limits loads. */
+  /**
+   * Returns the endpoints that do not run their listed version. Services with
+   * the lowest matching fraction come first, since the weight store limits the
+   * rate of loads.
+   */
   async function findMismatches(
     endpoints: readonly ManagedEndpoint[],
   ): Promise<VersionMismatch[]> {
@@ -79,21 +88,21 @@
       ({listed}) => listed.state === 'live',
     );
     const runningVersions = await Promise.all(
-      liveEndpoints.map(readRunningVersion),
+      liveEndpoints.map(queryRunningVersion),
     );
-    const matchingFraction = (service: string) => {
-      const indexed = liveEndpoints.map((endpoint, index) => ({
+    const computeMatchingFraction = (service: string) => {
+      const indexedEndpoints = liveEndpoints.map((endpoint, index) => ({
         endpoint,
         index,
       }));
-      const ofService = indexed.filter(
+      const serviceEndpoints = indexedEndpoints.filter(
         item => item.endpoint.listed.service === service,
       );
-      const matching = ofService.filter(
+      const matchingEndpoints = serviceEndpoints.filter(
         ({endpoint, index}) =>
           runningVersions[index] === endpoint.listed.version,
       );
-      return matching.length / ofService.length;
+      return matchingEndpoints.length / serviceEndpoints.length;
     };
     return liveEndpoints
       .flatMap((endpoint, index) => {
@@ -101,7 +110,7 @@
         if (version === undefined || version === endpoint.listed.version) {
           return [];
         }
-        const fraction = matchingFraction(endpoint.listed.service);
+        const fraction = computeMatchingFraction(endpoint.listed.service);
         return [
           {endpoint, runningVersion: version, matchingFraction: fraction},
         ];
@@ -109,7 +118,7 @@
       .sort((a, b) => a.matchingFraction - b.matchingFraction);
   }
 
-  async function readRunningVersion(
+  async function queryRunningVersion(
     endpoint: ManagedEndpoint,
   ): Promise<string | undefined> {
     try {
@@ -146,7 +155,7 @@
       recordDecision(
         mismatch,
         'order version',
-        'running version differs from the listed one',
+        'running version differs from the listed version',
       );
       return true;
     } catch (error) {
--- a/packages/fleet/src/fleetActions.ts
+++ b/packages/fleet/src/fleetActions.ts
@@ -1,8 +1,11 @@
-/** Computes the starts and stops from the present to the wanted hosts. */
+/** Computes the host starts and stops from the present to the wanted hosts. */
 import {readClientToken} from './clientToken.js';
 import type {FleetAction, Host, WantedHosts} from './contracts.js';
 
-/** Spreads the replacement of many reclaimed hosts over a few rounds. */
+/**
+ * Upper bound of host starts per round; spreads the replacement of many
+ * reclaimed hosts over a few rounds.
+ */
 const MAX_STARTS_PER_ROUND = 20;
 
 /** Wanted and present hosts of a service in one pool and market. */
@@ -16,11 +19,11 @@
 }
 
 /**
- * Returns the starts, then the stops. Services that lack the largest fraction
- * of their hosts come first. Surplus hosts are stopped only while enough others
- * of the service run, so a plan that relocates a service never removes its
- * capacity first. Hosts of removed services are stopped, hosts with foreign
- * client tokens are ignored.
+ * Returns the starts, followed by the stops. Starts of services that lack the
+ * largest fraction of their hosts come first. Surplus hosts are stopped only
+ * while enough other hosts of the service run, so a plan that relocates a
+ * service never removes the capacity of the service first. Hosts of removed
+ * services are stopped; hosts with client tokens of other software are ignored.
  *
  * @example
  * for (const action of planFleetActions(plan.wanted, await cloud.hosts())) { … }
@@ -38,7 +41,9 @@
   hosts: readonly Host[],
 ): HostGroup[] {
   const groups = new Map<string, HostGroup>();
-  function groupFor(key: Omit<HostGroup, 'wanted' | 'hosts'>): HostGroup {
+  function getOrCreateGroup(
+    key: Omit<HostGroup, 'wanted' | 'hosts'>,
+  ): HostGroup {
     const name = [
       key.service,
       key.failureDomain,
@@ -50,7 +55,7 @@
     return group;
   }
   for (const {count, ...key} of wanted) {
-    groupFor(key).wanted += count;
+    getOrCreateGroup(key).wanted += count;
   }
   for (const host of hosts) {
     const owner = readClientToken(host.clientToken);
@@ -58,7 +63,7 @@
       continue;
     }
     const {failureDomain, machineClass, market} = host;
-    groupFor({
+    getOrCreateGroup({
       service: owner.service,
       failureDomain,
       machineClass,
@@ -68,32 +73,41 @@
   return [...groups.values()];
 }
 
-/** Leaving hosts do not count as capacity, as they serve for seconds only. */
+/**
+ * Returns whether a host is leaving or gone. A leaving host does not count as
+ * capacity, as it serves requests for a few seconds only.
+ */
 function isBeingLost(host: Host): boolean {
   return host.state === 'leaving' || host.state === 'gone';
 }
 
 function planStarts(groups: readonly HostGroup[]): FleetAction[] {
-  const hostCounts = new Map<string, {wanted: number; missing: number}>();
+  const hostCounts = new Map<
+    string,
+    {wantedHosts: number; missingHosts: number}
+  >();
   for (const group of groups) {
-    const counts = hostCounts.get(group.service) ?? {wanted: 0, missing: 0};
-    counts.wanted += group.wanted;
-    counts.missing += Math.max(0, group.wanted - group.hosts.length);
+    const counts = hostCounts.get(group.service) ?? {
+      wantedHosts: 0,
+      missingHosts: 0,
+    };
+    counts.wantedHosts += group.wanted;
+    counts.missingHosts += Math.max(0, group.wanted - group.hosts.length);
     hostCounts.set(group.service, counts);
   }
   const missingFraction = (group: HostGroup) => {
-    const {wanted, missing} = hostCounts.get(group.service)!;
-    return wanted === 0 ? 0 : missing / wanted;
+    const {wantedHosts, missingHosts} = hostCounts.get(group.service)!;
+    return wantedHosts === 0 ? 0 : missingHosts / wantedHosts;
   };
   return [...groups]
     .sort((a, b) => missingFraction(b) - missingFraction(a))
-    .flatMap(group => startsForGroup(group))
+    .flatMap(group => planGroupStarts(group))
     .slice(0, MAX_STARTS_PER_ROUND);
 }
 
-function startsForGroup(group: HostGroup): FleetAction[] {
-  const missing = Math.max(0, group.wanted - group.hosts.length);
-  return Array.from({length: missing}, () => ({
+function planGroupStarts(group: HostGroup): FleetAction[] {
+  const missingCount = Math.max(0, group.wanted - group.hosts.length);
+  return Array.from({length: missingCount}, () => ({
     type: 'start',
     service: group.service,
     failureDomain: group.failureDomain,
@@ -106,11 +120,13 @@
 function planStops(groups: readonly HostGroup[]): FleetAction[] {
   const spareRunningHosts = new Map<string, number>();
   for (const group of groups) {
-    const running = group.hosts.filter(host => host.state === 'running').length;
+    const runningCount = group.hosts.filter(
+      host => host.state === 'running',
+    ).length;
     const previousSpare = spareRunningHosts.get(group.service) ?? 0;
     spareRunningHosts.set(
       group.service,
-      previousSpare + running - group.wanted,
+      previousSpare + runningCount - group.wanted,
     );
   }
   return groups.flatMap(group => {
@@ -136,7 +152,10 @@
   });
 }
 
-/** Sorts hosts that do not run yet first, as they serve no requests. */
+/**
+ * Sorts hosts in the order in which to stop them. Hosts that do not run yet
+ * come first, as they serve no requests.
+ */
 function sortByStopPreference(hosts: readonly Host[]): Host[] {
   return [...hosts].sort(
     (a, b) =>
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -1,4 +1,4 @@
-/** Fleet duty: its holder starts and stops hosts according to the plan. */
+/** Fleet duty: its holder starts and stops hosts according to host plans. */
 import {
   disposableStore,
   every,
@@ -25,20 +25,23 @@
 const RECONCILE_INTERVAL_MS = 5_000;
 
 export interface FleetDuty extends Disposable {
-  /** Runs one round now, in addition to the periodic ones. */
+  /** Runs one planning round now, in addition to the periodic rounds. */
   reconcile(): Promise<void>;
   dump(): unknown;
 }
 
-/** Start whose reply was lost; retried unless the token's host is listed. */
+/**
+ * Host start whose reply was lost; retried with the same token unless the cloud
+ * lists a host with this token.
+ */
 interface UnconfirmedStart {
   readonly token: string;
   readonly action: Extract<FleetAction, {type: 'start'}>;
 }
 
 /**
- * Starts the duty for a term. Services without a machine class are ignored,
- * as their hosts are managed elsewhere.
+ * Starts the duty for a term. Services without a machine class are ignored, as
+ * other software manages their hosts.
  *
  * @example
  * dutyElections.compete('fleet', term => createFleetDuty({...parts, term}));
@@ -50,33 +53,34 @@
   readonly decisions: DecisionLog;
   readonly term: DutyTerm;
   services(): readonly Service[];
-  /** Latest load reports of a service's endpoints. */
+  /** Returns the latest load reports of a service's endpoints. */
   reports(service: string): readonly LoadReport[];
   /** Replaces the planner, for comparison in benchmarks. */
   readonly plan?: typeof planHosts;
 }): FleetDuty {
   const {cloud, clock, random, decisions, term, plan = planHosts} = options;
-  const store = disposableStore();
+  const disposables = disposableStore();
   const capacityPools = createCapacityPoolTracker({clock, random});
   const demandEstimator = createReplicaDemandEstimator();
   const unconfirmedStarts: UnconfirmedStart[] = [];
   let hosts: readonly Host[] = [];
   let plans: ReadonlyMap<string, HostPlan> = new Map();
-  let sequence = 0;
+  let startSequence = 0;
   let isReconciling = false;
 
-  store.add(every(clock, RECONCILE_INTERVAL_MS, () => void reconcile()));
-  store.add(
+  disposables.add(every(clock, RECONCILE_INTERVAL_MS, () => void reconcile()));
+  disposables.add(
     cloud.watchNotices(notice => {
       const host = hosts.find(item => item.id === notice.host);
       if (host !== undefined) {
         capacityPools.recordReclaim(host.failureDomain, host.machineClass);
-        // Replacements take minutes to start, so the notice's seconds matter.
+        // Replacements take minutes to start, so the seconds from the notice
+        // until the host is gone matter.
         void reconcile();
       }
     }),
   );
-  store.add(toDisposable(() => (plans = new Map())));
+  disposables.add(toDisposable(() => (plans = new Map())));
 
   return {
     reconcile,
@@ -93,11 +97,11 @@
         },
       })),
     }),
-    dispose: () => store.dispose(),
+    dispose: () => disposables.dispose(),
   };
 
   async function reconcile(): Promise<void> {
-    if (isReconciling || store.isDisposed) {
+    if (isReconciling || disposables.isDisposed) {
       return;
     }
     isReconciling = true;
@@ -126,7 +130,7 @@
         const demand = demandEstimator.update(
           service,
           options.reports(service.name),
-          runningHostsWithoutSpares(service.name),
+          countRunningHostsWithoutSpares(service.name),
         );
         return [service.name, plan(demand, offers, capacityPools.list())];
       }),
@@ -142,24 +146,25 @@
   }
 
   /**
-   * Counts a service's running hosts outside its largest failure domain, which
-   * is the demand of an earlier plan without its spare hosts.
+   * Counts the running hosts of a service outside the failure domain with the
+   * most of them. This is the demand of an earlier plan without its spare
+   * hosts.
    */
-  function runningHostsWithoutSpares(service: string): number {
-    const perDomain = new Map<string, number>();
+  function countRunningHostsWithoutSpares(service: string): number {
+    const hostsPerDomain = new Map<string, number>();
     for (const host of hosts) {
       const owner = readClientToken(host.clientToken)?.service;
       if (owner === service && host.state === 'running') {
-        const previousCount = perDomain.get(host.failureDomain) ?? 0;
-        perDomain.set(host.failureDomain, previousCount + 1);
+        const previousCount = hostsPerDomain.get(host.failureDomain) ?? 0;
+        hostsPerDomain.set(host.failureDomain, previousCount + 1);
       }
     }
-    const counts = [...perDomain.values()];
+    const counts = [...hostsPerDomain.values()];
     const total = counts.reduce((sum, count) => sum + count, 0);
     return total - Math.max(0, ...counts);
   }
 
-  /** Retries starts without a reply unless their hosts are listed. */
+  /** Retries starts without a reply unless the cloud lists their hosts. */
   async function retryUnconfirmedStarts(): Promise<void> {
     const tokens = new Set(hosts.map(host => host.clientToken));
     for (const unconfirmed of unconfirmedStarts.splice(0)) {
@@ -171,13 +176,13 @@
 
   async function execute(action: FleetAction): Promise<void> {
     if (action.type === 'start') {
-      if (isRefused(action)) {
+      if (isInBackoff(action)) {
         return;
       }
-      sequence += 1;
+      startSequence += 1;
       await startHost(
         action,
-        makeClientToken(action.service, term.fencing, sequence),
+        makeClientToken(action.service, term.fencing, startSequence),
       );
       return;
     }
@@ -185,8 +190,8 @@
     await cloud.stop(action.host, term.signal);
   }
 
-  /** Whether a start is in backoff, also after a rejection this round. */
-  function isRefused(action: UnconfirmedStart['action']): boolean {
+  /** Returns whether a start is in backoff; rejections in this round count. */
+  function isInBackoff(action: UnconfirmedStart['action']): boolean {
     return capacityPools
       .list()
       .some(
@@ -224,7 +229,7 @@
         'fleet',
         subject,
         'look elsewhere',
-        'the cloud rejected the start',
+        'the cloud rejected the start of a host',
       );
     }
   }
--- a/packages/fleet/src/hostPlan.ts
+++ b/packages/fleet/src/hostPlan.ts
@@ -1,4 +1,7 @@
-/** Plans a service's hosts at minimum cost while tolerating a domain's loss. */
+/**
+ * Plans the hosts of a service at minimum cost such that the service tolerates
+ * the loss of a failure domain.
+ */
 import type {
   Demand,
   HostPlan,
@@ -8,14 +11,17 @@
   WantedHosts,
 } from './contracts.js';
 
-/** Time to replace a replica (rejections, start, loading weights), in hours. */
+/** Hours to replace a replica: rejections, start and loading weights. */
 const REPLACEMENT_HOURS = 0.1;
-/** Cost of a missing replica, in multiples of its price: answers are late. */
+/**
+ * Cost of a missing replica, in multiples of its price; answers are late until
+ * the replica is replaced.
+ */
 const MISSING_REPLICA_COST_FACTOR = 5;
-/** Failure domains that may lose all reclaimable hosts at the same time. */
+/** Failure domains that may lose all reclaimable hosts at once. */
 const CORRELATED_RECLAIM_DOMAINS = 2;
 
-/** Failure domain with the market selected for it. */
+/** Failure domain, with the market in which its hosts are started. */
 interface Placement {
   readonly failureDomain: string;
   readonly machineClass: string;
@@ -34,11 +40,11 @@
 /**
  * Plans the hosts of one service.
  *
- * The loss of the failure domain with the most replicas must leave enough for
- * the latency target. Over k domains that takes `replicas / (k - 1)` spare
- * hosts: more domains need fewer spares but include more expensive ones, so the
- * plans of all k are compared. A correlated reclaim in several domains must
- * leave `minReplicas`; on-demand hosts make up the difference.
+ * The loss of the failure domain with the most replicas must leave enough
+ * replicas for the latency target. This takes `replicas / (k - 1)` spare hosts
+ * over k domains: more domains need fewer spares but include more expensive
+ * domains, so the plans for all k are compared. A correlated reclaim in several
+ * domains must leave `minReplicas`; on-demand hosts make up the difference.
  *
  * @example
  * const plan = planHosts(demand, offers, pools);
@@ -64,9 +70,7 @@
     ),
   );
   const best = candidates
-    .map(allocations =>
-      surviveCorrelatedReclaim(allocations, demand.minReplicas),
-    )
+    .map(allocations => convertToOnDemand(allocations, demand.minReplicas))
     .map(allocations => ({
       allocations,
       wanted: toWantedHosts(demand.service, allocations),
@@ -75,7 +79,10 @@
   return toHostPlan(best!.allocations, best!.wanted, replicas);
 }
 
-/** Returns each failure domain with its market of lowest expected price. */
+/**
+ * Returns each failure domain with its market of the lowest expected price; the
+ * cheapest domain comes first.
+ */
 function usablePlacements(
   machineClass: string,
   offers: readonly Offer[],
@@ -134,7 +141,7 @@
   )[0];
 }
 
-/** Returns the price plus the expected cost of missing replicas. */
+/** Returns the price of a host plus the expected cost of missing replicas. */
 function expectedPricePerHour(placement: Placement): number {
   const missingReplicaCost =
     placement.reclaimRate * REPLACEMENT_HOURS * MISSING_REPLICA_COST_FACTOR;
@@ -145,33 +152,39 @@
   return a.failureDomain < b.failureDomain ? -1 : 1;
 }
 
-/** Allocates hosts so that all but the largest placement hold the replicas. */
+/**
+ * Allocates hosts evenly, so that all placements but the largest together have
+ * enough hosts for the replicas.
+ */
 function allocateEvenly(
   placements: readonly Placement[],
   replicas: number,
   maxReplicas: number,
 ): Allocation[] {
-  const otherPlacements = Math.max(1, placements.length - 1);
-  const perPlacement = Math.ceil(replicas / otherPlacements);
-  let remaining =
+  const otherPlacementCount = Math.max(1, placements.length - 1);
+  const hostsPerPlacement = Math.ceil(replicas / otherPlacementCount);
+  let remainingHosts =
     placements.length === 1
       ? replicas
-      : Math.min(replicas + perPlacement, maxReplicas);
+      : Math.min(replicas + hostsPerPlacement, maxReplicas);
   return placements.map(placement => {
-    const count = Math.min(perPlacement, remaining);
-    remaining -= count;
+    const count = Math.min(hostsPerPlacement, remainingHosts);
+    remainingHosts -= count;
     return {placement, count};
   });
 }
 
-/** Makes hosts on-demand until a correlated reclaim leaves `minReplicas`. */
-function surviveCorrelatedReclaim(
+/**
+ * Converts reclaimable to on-demand hosts, the lowest surcharge first, until a
+ * correlated reclaim leaves `minReplicas`.
+ */
+function convertToOnDemand(
   allocations: readonly Allocation[],
   minReplicas: number,
 ): Allocation[] {
   const result = [...allocations];
-  let missing = minReplicas - replicasAfterCorrelatedReclaim(result);
-  const convertible = result
+  let missingReplicas = minReplicas - replicasAfterCorrelatedReclaim(result);
+  const convertibleAllocations = result
     .map((item, index) => ({...item, index}))
     .filter(
       ({placement}) =>
@@ -181,12 +194,12 @@
     .sort(
       (a, b) => onDemandPremium(a.placement) - onDemandPremium(b.placement),
     );
-  for (const {placement, index, count} of convertible) {
-    if (missing <= 0) {
+  for (const {placement, index, count} of convertibleAllocations) {
+    if (missingReplicas <= 0) {
       break;
     }
-    const converted = Math.min(count, missing);
-    result[index] = {placement, count: count - converted};
+    const convertedCount = Math.min(count, missingReplicas);
+    result[index] = {placement, count: count - convertedCount};
     result.push({
       placement: {
         ...placement,
@@ -194,9 +207,9 @@
         pricePerHour: placement.onDemandPricePerHour as number,
         reclaimRate: 0,
       },
-      count: converted,
+      count: convertedCount,
     });
-    missing = minReplicas - replicasAfterCorrelatedReclaim(result);
+    missingReplicas = minReplicas - replicasAfterCorrelatedReclaim(result);
   }
   return result;
 }
@@ -208,15 +221,20 @@
 function replicasAfterCorrelatedReclaim(
   allocations: readonly Allocation[],
 ): number {
-  const reclaimable = allocations
+  const reclaimableCounts = allocations
     .filter(item => item.placement.market === 'reclaimable')
     .map(item => item.count)
     .sort((a, b) => b - a);
-  const lost = sum(reclaimable.slice(0, CORRELATED_RECLAIM_DOMAINS));
-  return sum(allocations.map(item => item.count)) - lost;
+  const lostReplicas = sum(
+    reclaimableCounts.slice(0, CORRELATED_RECLAIM_DOMAINS),
+  );
+  return sum(allocations.map(item => item.count)) - lostReplicas;
 }
 
-/** Compares plans by missing replicas, then by expected cost. */
+/**
+ * Compares allocations by missing replicas after the loss of a failure domain,
+ * then by expected cost.
+ */
 function comparePlans(
   a: readonly Allocation[],
   b: readonly Allocation[],
@@ -238,14 +256,14 @@
   );
 }
 
-/** Returns the replicas left after losing the largest failure domain. */
+/** Returns the replicas left after the loss of the largest failure domain. */
 function replicasAfterDomainLoss(allocations: readonly Allocation[]): number {
-  const perDomain = new Map<string, number>();
+  const hostsPerDomain = new Map<string, number>();
   for (const {placement, count} of allocations) {
-    const previousCount = perDomain.get(placement.failureDomain) ?? 0;
-    perDomain.set(placement.failureDomain, previousCount + count);
+    const previousCount = hostsPerDomain.get(placement.failureDomain) ?? 0;
+    hostsPerDomain.set(placement.failureDomain, previousCount + count);
   }
-  const counts = [...perDomain.values()];
+  const counts = [...hostsPerDomain.values()];
   return sum(counts) - Math.max(0, ...counts);
 }
 
@@ -289,7 +307,9 @@
     costPerHour: 0,
     replicasAfterLoss: 0,
     shortfall:
-      replicas === 0 ? undefined : 'no failure domain offers the class',
+      replicas === 0
+        ? undefined
+        : 'no failure domain offers the class of machines',
   };
 }
 
--- a/packages/fleet/src/replicaDemand.ts
+++ b/packages/fleet/src/replicaDemand.ts
@@ -3,15 +3,18 @@
 import type {Service} from '@skylarkfield/records';
 import type {Demand} from './contracts.js';
 
-/** Target fraction of slots in use; queueing time grows fast beyond it. */
+/** Target fraction of slots in use; queueing time grows fast above 0.7. */
 const TARGET_UTILIZATION = 0.7;
-/** Rounds of smoothing when demand falls, so a short lull stops no hosts. */
+/**
+ * Number of rounds over which a fall of the demand is smoothed, so that a short
+ * lull stops no hosts.
+ */
 const SCALE_DOWN_ROUNDS = 30;
 
 export interface ReplicaDemandEstimator {
   /**
-   * Returns the demand from the latest reports of the service's endpoints and
-   * its number of hosts without spares.
+   * Returns the demand of a service, from the latest reports of its endpoints
+   * and the number of its hosts without spares.
    */
   update(
     service: Service,
@@ -21,30 +24,33 @@
 }
 
 /**
- * Creates the estimator. It follows a rise at once and a fall slowly, since
- * starting a replica again takes minutes and a load of weights. A new holder of
- * the duty starts from the present hosts and keeps that estimate until reports
- * arrive; otherwise it would stop hosts for lack of data.
+ * Creates the estimator. The estimate follows a rise of the load at once and a
+ * fall slowly, since starting a replica again takes minutes and a load of
+ * weights. A new holder of the duty starts from the number of present hosts and
+ * keeps this estimate until reports arrive, so that missing reports stop no
+ * hosts.
  *
  * @example
  * const demand = createReplicaDemandEstimator().update(service, reports, 4);
  */
 export function createReplicaDemandEstimator(): ReplicaDemandEstimator {
-  const smoothedDemand = new Map<string, number>();
+  const smoothedReplicas = new Map<string, number>();
   return {
     update(service, reports, hostsWithoutSpares) {
-      const previous = smoothedDemand.get(service.name) ?? hostsWithoutSpares;
-      const needed = estimateReplicas(reports) ?? previous;
-      const next =
-        needed >= previous
-          ? needed
-          : previous + (needed - previous) / SCALE_DOWN_ROUNDS;
-      smoothedDemand.set(service.name, next);
+      const previousReplicas =
+        smoothedReplicas.get(service.name) ?? hostsWithoutSpares;
+      const neededReplicas = estimateReplicas(reports) ?? previousReplicas;
+      const nextReplicas =
+        neededReplicas >= previousReplicas
+          ? neededReplicas
+          : previousReplicas +
+            (neededReplicas - previousReplicas) / SCALE_DOWN_ROUNDS;
+      smoothedReplicas.set(service.name, nextReplicas);
       const {machineClass, minReplicas, maxReplicas} = service.fleet;
       return {
         service: service.name,
         machineClass,
-        replicas: Math.ceil(next),
+        replicas: Math.ceil(nextReplicas),
         minReplicas,
         maxReplicas,
       };
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -27,7 +27,10 @@
 
 type StartFault = 'refuse' | 'lose-reply' | 'lose-call';
 
-/** Cloud of four failure domains with faults to inject into the next starts. */
+/**
+ * Creates a cloud of four failure domains; `startFaults` are injected into the
+ * next starts.
+ */
 function createFakeCloud() {
   const hosts = new Map<string, Host>();
   const startFaults: StartFault[] = [];
@@ -46,10 +49,10 @@
       if (fault === 'refuse') {
         throw new ServingError('overloaded', 'no capacity');
       }
-      const present = [...hosts.values()].find(
+      const existingHost = [...hosts.values()].find(
         host => host.clientToken === request.clientToken,
       );
-      const host = present ?? {
+      const host = existingHost ?? {
         ...request,
         id: `h${hosts.size}`,
         state: 'running' as const,
@@ -82,15 +85,18 @@
   };
 }
 
-function createDuty(fake: ReturnType<typeof createFakeCloud>, fencing = 1) {
+function createDuty(
+  fakeCloud: ReturnType<typeof createFakeCloud>,
+  fencing = 1,
+) {
   const clock = virtualClock();
-  const state = {
+  const inputs = {
     isValid: true,
     services: [service] as readonly Service[],
     reports: [] as readonly LoadReport[],
   };
   const duty = createFleetDuty({
-    cloud: fake.cloud,
+    cloud: fakeCloud.cloud,
     clock,
     random: seededRandom(5),
     decisions: decisionLog(clock, silentLogger()),
@@ -98,16 +104,16 @@
       duty: 'fleet',
       fencing,
       acquiredAt: 0,
-      isValid: () => state.isValid,
+      isValid: () => inputs.isValid,
       signal: new AbortController().signal,
     },
-    services: () => state.services,
-    reports: () => state.reports,
+    services: () => inputs.services,
+    reports: () => inputs.reports,
   });
-  return {clock, duty, state};
+  return {clock, duty, inputs};
 }
 
-function report(running: number, slots: number): LoadReport {
+function createReport(running: number, slots: number): LoadReport {
   return {
     sequence: 1,
     running,
@@ -118,18 +124,18 @@
   };
 }
 
-const liveHosts = (fake: ReturnType<typeof createFakeCloud>) =>
-  [...fake.hosts.values()].filter(host => host.state === 'running');
+const listRunningHosts = (fakeCloud: ReturnType<typeof createFakeCloud>) =>
+  [...fakeCloud.hosts.values()].filter(host => host.state === 'running');
 
 describe('fleet duty', () => {
-  it('starts the planned hosts and no more', async () => {
-    const fake = createFakeCloud();
-    const {clock} = createDuty(fake);
+  it('starts the planned hosts and no more in later rounds', async () => {
+    const fakeCloud = createFakeCloud();
+    const {clock} = createDuty(fakeCloud);
     await clock.advance(6_000);
-    const count = fake.hosts.size;
+    const count = fakeCloud.hosts.size;
     assert.equal(count, 4);
     await clock.advance(60_000);
-    assert.equal(fake.hosts.size, count);
+    assert.equal(fakeCloud.hosts.size, count);
   });
 
   const lostStarts: readonly [StartFault, string][] = [
@@ -139,78 +145,81 @@
   for (const [fault, title] of lostStarts) {
     // The reply to a start is lost. A retry under a new token would start two
     // hosts; no retry would leave the service one host short.
-    it(`ends with one host after a start without a reply that ${title}`, async () => {
-      const fake = createFakeCloud();
-      fake.startFaults.push(fault);
-      const {clock} = createDuty(fake);
+    it(`starts each host once if the reply to a start that ${title} is lost`, async () => {
+      const fakeCloud = createFakeCloud();
+      fakeCloud.startFaults.push(fault);
+      const {clock} = createDuty(fakeCloud);
       await clock.advance(30_000);
-      assert.equal(fake.hosts.size, 4);
+      assert.equal(fakeCloud.hosts.size, 4);
     });
   }
 
-  // A failure domain rejects a start. Retrying only there would leave the
-  // service without replicas that other domains could provide.
+  // A failure domain rejects a start. Retries in this domain only would leave
+  // the service without replicas that other domains could provide.
   it('uses another failure domain when a start is rejected', async () => {
-    const fake = createFakeCloud();
-    fake.startFaults.push('refuse');
-    const {clock} = createDuty(fake);
+    const fakeCloud = createFakeCloud();
+    fakeCloud.startFaults.push('refuse');
+    const {clock} = createDuty(fakeCloud);
     await clock.advance(12_000);
-    assert.ok(liveHosts(fake).length >= 4);
+    assert.ok(listRunningHosts(fakeCloud).length >= 4);
   });
 
-  it('replaces a host on its reclaim notice, before it is gone', async () => {
-    const fake = createFakeCloud();
-    const {clock} = createDuty(fake);
+  it('replaces a host on its reclaim notice, before the host is gone', async () => {
+    const fakeCloud = createFakeCloud();
+    const {clock} = createDuty(fakeCloud);
     await clock.advance(6_000);
-    const first = liveHosts(fake)[0]!;
-    fake.reclaim(first.id);
+    const first = listRunningHosts(fakeCloud)[0]!;
+    fakeCloud.reclaim(first.id);
     await clock.advance(1_000);
-    assert.equal(liveHosts(fake).length, 4);
+    assert.equal(listRunningHosts(fakeCloud).length, 4);
   });
 
-  // A new holder has no load reports yet. Treating that as zero load would stop
-  // busy hosts, and answers would be late until they are replaced.
-  it('stops no hosts while it has no load reports', async () => {
-    const fake = createFakeCloud();
-    const busy = createDuty(fake, 1);
-    busy.state.reports = [report(30, 8), report(30, 8)];
+  // A new holder of the duty has no load reports yet. Treating the missing
+  // reports as zero load would stop busy hosts, and answers would be late until
+  // these hosts are replaced.
+  it('stops no hosts while no load reports have arrived', async () => {
+    const fakeCloud = createFakeCloud();
+    const busy = createDuty(fakeCloud, 1);
+    busy.inputs.reports = [createReport(30, 8), createReport(30, 8)];
     await busy.clock.advance(30_000);
-    const count = fake.hosts.size;
+    const count = fakeCloud.hosts.size;
     assert.ok(count > 6, `${count} hosts`);
     busy.duty.dispose();
-    const next = createDuty(fake, 2);
-    await next.clock.advance(60_000);
-    assert.equal(fake.hosts.size, count);
+    const nextDuty = createDuty(fakeCloud, 2);
+    await nextDuty.clock.advance(60_000);
+    assert.equal(fakeCloud.hosts.size, count);
   });
 
-  // The duty changes hands. The new holder must count the hosts that the earlier
-  // holder started, and not start them again.
-  it('counts the hosts that an earlier holder started', async () => {
-    const fake = createFakeCloud();
-    const first = createDuty(fake, 1);
+  // Another entry takes over the duty. The new holder must count the hosts that
+  // the earlier holder started, and not start them again.
+  it('counts the hosts that an earlier holder of the duty started', async () => {
+    const fakeCloud = createFakeCloud();
+    const first = createDuty(fakeCloud, 1);
     await first.clock.advance(6_000);
     first.duty.dispose();
-    const second = createDuty(fake, 2);
+    const second = createDuty(fakeCloud, 2);
     await second.clock.advance(30_000);
-    assert.equal(fake.hosts.size, 4);
+    assert.equal(fakeCloud.hosts.size, 4);
   });
 
-  it('stops the hosts of a service whose record is gone', async () => {
-    const fake = createFakeCloud();
-    const {clock, state} = createDuty(fake);
+  it('stops the hosts of a service whose record was removed', async () => {
+    const fakeCloud = createFakeCloud();
+    const {clock, inputs} = createDuty(fakeCloud);
     await clock.advance(6_000);
     const other = {...service, name: 'other'};
-    state.services = [other];
+    inputs.services = [other];
     await clock.advance(12_000);
-    const owners = liveHosts(fake).map(host => host.clientToken.split('/')[1]);
+    const owners = listRunningHosts(fakeCloud).map(
+      host => host.clientToken.split('/')[1],
+    );
     assert.deepEqual(new Set(owners), new Set(['other']));
   });
 
   it('starts no hosts while its term is not valid', async () => {
-    const fake = createFakeCloud();
-    const {clock, state} = createDuty(fake);
-    state.isValid = false;
+    const fakeCloud = createFakeCloud();
+    const {clock, inputs} = createDuty(fakeCloud);
+    inputs.isValid = false;
     await clock.advance(60_000);
-    assert.equal(fake.hosts.size, 0);
+    assert.equal(fakeCloud.hosts.size, 0);
   });
 });
--- a/packages/fleet/src/test/hostPlan.test.ts
+++ b/packages/fleet/src/test/hostPlan.test.ts
@@ -6,7 +6,7 @@
 
 const DOMAINS = ['a', 'b', 'c', 'd'];
 
-function offersOf(
+function createOffers(
   reclaimable: readonly number[],
   onDemand: readonly number[],
 ): Offer[] {
@@ -33,7 +33,7 @@
   minReplicas: 2,
   maxReplicas: 40,
 };
-const prices = offersOf([1, 1.1, 1.2, 1.3], [3, 3, 3, 3]);
+const offers = createOffers([1, 1.1, 1.2, 1.3], [3, 3, 3, 3]);
 
 function countHosts(
   plan: ReturnType<typeof planHosts>,
@@ -45,8 +45,9 @@
 }
 
 describe('host plan', () => {
-  // All hosts of a failure domain are lost at once. If it held most replicas,
-  // answers would be late until replacements have loaded their weights.
+  // All hosts of a failure domain are lost at once. If the domain had most of
+  // the replicas, answers would be late until replacements have loaded their
+  // weights.
   it('keeps enough replicas after the loss of any failure domain', () => {
     fc.assert(
       fc.property(
@@ -60,7 +61,7 @@
         (reclaimablePrices, onDemandPrices, replicas, minReplicas) => {
           const plan = planHosts(
             {...demand, replicas, minReplicas, maxReplicas: 100},
-            offersOf(reclaimablePrices, onDemandPrices),
+            createOffers(reclaimablePrices, onDemandPrices),
             [],
           );
           const needed = Math.max(replicas, minReplicas);
@@ -78,37 +79,40 @@
     );
   });
 
-  it('uses more failure domains when that saves enough spare hosts', () => {
+  it('uses an expensive failure domain only if that saves enough spare hosts', () => {
     const equalPrices = planHosts(
       demand,
-      offersOf([1, 1, 1, 1], [9, 9, 9, 9]),
+      createOffers([1, 1, 1, 1], [9, 9, 9, 9]),
       [],
     );
     const oneExpensive = planHosts(
       demand,
-      offersOf([1, 1, 1, 8], [9, 9, 9, 9]),
+      createOffers([1, 1, 1, 8], [9, 9, 9, 9]),
       [],
     );
     assert.equal(countHosts(equalPrices, 'd'), 2);
     assert.equal(countHosts(oneExpensive, 'd'), 0);
   });
 
-  it('uses on-demand hosts where reclaims make cheap ones more expensive', () => {
-    const oftenReclaimed: CapacityPool[] = DOMAINS.map(failureDomain => ({
-      failureDomain,
-      machineClass: 'gpu',
-      reclaimRate: 6,
-      isRefused: () => false,
-    }));
-    const plan = planHosts(demand, prices, oftenReclaimed);
+  it('uses on-demand hosts where reclaims make reclaimable hosts more expensive', () => {
+    const frequentlyReclaimedPools: CapacityPool[] = DOMAINS.map(
+      failureDomain => ({
+        failureDomain,
+        machineClass: 'gpu',
+        reclaimRate: 6,
+        isRefused: () => false,
+      }),
+    );
+    const plan = planHosts(demand, offers, frequentlyReclaimedPools);
     assert.ok(plan.wanted.every(hosts => hosts.market === 'on-demand'));
   });
 
   // A correlated reclaim takes the reclaimable hosts of two failure domains;
-  // the others have to keep the service available until replacements start.
+  // the remaining hosts have to keep the service available until replacements
+  // start.
   it('leaves the minimum of replicas after a reclaim in two failure domains', () => {
-    const plan = planHosts({...demand, minReplicas: 6}, prices, []);
-    const reclaimable = DOMAINS.map(domain =>
+    const plan = planHosts({...demand, minReplicas: 6}, offers, []);
+    const reclaimableCounts = DOMAINS.map(domain =>
       plan.wanted
         .filter(
           hosts =>
@@ -117,10 +121,10 @@
         .reduce((sum, hosts) => sum + hosts.count, 0),
     ).sort((a, b) => b - a);
     const total = plan.wanted.reduce((sum, hosts) => sum + hosts.count, 0);
-    assert.ok(total - reclaimable[0]! - reclaimable[1]! >= 6);
+    assert.ok(total - reclaimableCounts[0]! - reclaimableCounts[1]! >= 6);
   });
 
-  it('avoids pools that reject starts and reports the shortfall', () => {
+  it('avoids pools that reject starts and reports the missing fault tolerance', () => {
     const rejectingPools: CapacityPool[] = DOMAINS.slice(1).map(
       failureDomain => ({
         failureDomain,
@@ -129,13 +133,13 @@
         isRefused: () => true,
       }),
     );
-    const plan = planHosts(demand, prices, rejectingPools);
+    const plan = planHosts(demand, offers, rejectingPools);
     assert.equal(countHosts(plan, 'a'), 6);
     assert.match(plan.shortfall ?? '', /failure domain/);
   });
 
   it('reports when no failure domain offers the machine class', () => {
-    const plan = planHosts({...demand, machineClass: 'tpu'}, prices, []);
+    const plan = planHosts({...demand, machineClass: 'tpu'}, offers, []);
     assert.match(plan.shortfall ?? '', /offers the class/);
   });
 });
