--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -4,7 +4,7 @@
  *
  * Correctness does not depend on a single acceptor. Each write is conditional
  * on the version that was read, and a source version never decreases, so
- * acceptors that race or resume after a pause cannot revert what was accepted.
+ * acceptors that race or resume after a pause cannot revert an accepted change.
  */
 import {
   disposableStore,
@@ -46,25 +46,36 @@
   readonly log: Logger;
   readonly decisions?: DecisionLog;
   /**
-   * Receives every accepted object, to be applied here and relayed to peers:
-   * the readers may be cut off from the platform while the acceptor is not.
+   * Called with every accepted object, to apply it in this process and relay it
+   * to peers: the readers may be cut off from the platform while the acceptor
+   * is not.
    */
   readonly onDidAccept?: (key: string, accepted: AcceptedObject) => void;
-  /** Whether the duty is certainly held; checked right before each write. */
+  /**
+   * Returns whether this process certainly has the duty; called right before
+   * each write.
+   */
   readonly canAct: () => boolean;
-  /** Returns the ids of live members that lack a record or did not respond. */
+  /**
+   * Returns the ids of live members that lack any of the records or did not
+   * respond.
+   */
   readonly membersLacking: (
     records: readonly RecordVersion[],
   ) => Promise<readonly string[]>;
 }
 
 const CONFIRMATION_CHECK_INTERVAL_MS = 250;
-/** A rejected move may become valid when another move's deadline passes. */
+/**
+ * Interval at which moves are decided on again: a rejected move may become
+ * valid when the deadline of another move passes.
+ */
 const MOVE_RECHECK_INTERVAL_MS = 10_000;
 const RETRY_DELAY_MS = 300;
 
 /**
- * Starts to accept records; disposed when the duty is lost.
+ * Starts to accept records; the caller disposes the result when the duty is
+ * lost.
  *
  * @example
  * dutyElections.compete('acceptance', term =>
@@ -95,7 +106,7 @@
     signal: abortController.signal,
   });
 
-  const claims = createMoveClaims({
+  const moveClaims = createMoveClaims({
     clock,
     store,
     cache,
@@ -147,7 +158,10 @@
         await reloadAfterConflict(key);
         return;
       }
-      log.warn({err: error, record: key}, 'record not reconciled; retrying');
+      log.warn(
+        {err: error, record: key},
+        'failed to reconcile record; retrying',
+      );
       await waitBeforeRetry();
     }
   }
@@ -157,7 +171,7 @@
     await sleep(clock, delayMs, abortController.signal).catch(() => undefined);
   }
 
-  /** Loads the result of another acceptor after a version conflict. */
+  /** Loads what another acceptor wrote, after a version conflict. */
   async function reloadAfterConflict(key: string): Promise<void> {
     try {
       const signal = abortController.signal;
@@ -193,29 +207,30 @@
     key: string,
     {object}: Extract<AcceptanceDecision, {type: 'accept'}>,
   ): Promise<boolean> {
-    const current = cache.acceptedObject(key);
-    const faults = await claims.claim(key, object);
+    const currentObject = cache.acceptedObject(key);
+    const faults = await moveClaims.claim(key, object);
     if (faults.length > 0) {
       const {sourceVersion} = object;
       const decision = {type: 'refuse', sourceVersion, faults} as const;
-      await reject(key, decision, current?.value.sourceVersion);
+      await reject(key, decision, currentObject?.value.sourceVersion);
       return false;
     }
-    const written = await store.put(
+    const writtenObject = await store.put(
       ACCEPTED_KIND,
       key,
       object,
-      unchangedCondition(current),
+      unchangedCondition(currentObject),
       abortController.signal,
     );
-    cache.updateAccepted(key, written);
+    cache.updateAccepted(key, writtenObject);
     decisions?.note(
       'records',
       key,
       object.isRemoved ? 'remove' : 'accept',
       `record version ${object.sourceVersion}`,
     );
-    // Rejected moves may have become valid, and valid ones invalid.
+    // An accepted record may make rejected moves valid, and valid moves
+    // invalid.
     if (cache.canAffectMoves(key)) {
       markDirty(cache.moveKeys());
     }
@@ -262,7 +277,7 @@
     statusWriter.awaitConfirmation(key, accepted);
   }
 
-  /** Removes the status left by a rejected record after its removal. */
+  /** Removes the status of a rejected record that the operator has removed. */
   async function removeOrphanedStatus(key: string): Promise<void> {
     if (cache.acceptanceInput(key, clock.wall()).source === undefined) {
       await statusWriter.remove(key);
@@ -273,36 +288,44 @@
     try {
       markDirty(await statusWriter.load());
     } catch (error) {
-      log.warn({err: error}, 'record statuses not listed');
+      log.warn({err: error}, 'failed to list record statuses');
     }
   }
 
   async function checkConfirmations(): Promise<void> {
-    const pending = statusWriter.unconfirmed();
-    if (isConfirming || pending.length === 0 || !canAct()) {
+    const unconfirmedVersions = statusWriter.unconfirmed();
+    if (isConfirming || unconfirmedVersions.length === 0 || !canAct()) {
       return;
     }
     isConfirming = true;
     try {
-      const lacking = await options.membersLacking(pending);
+      const lackingMembers = await options.membersLacking(unconfirmedVersions);
       if (canAct()) {
-        await statusWriter.handleConfirmation(pending, lacking);
+        await statusWriter.handleConfirmation(
+          unconfirmedVersions,
+          lackingMembers,
+        );
       }
     } catch (error) {
-      log.warn({err: error}, 'confirmations not checked; retrying');
+      log.warn(
+        {err: error},
+        'failed to check confirmations of records; retrying',
+      );
     } finally {
       isConfirming = false;
     }
   }
 
-  function tick(): void {
-    // Resumes processing that stopped while the lease renewal was late.
+  function runPeriodicChecks(): void {
+    // Resumes processing that stopped because the lease renewal was late.
     void processDirtyKeys();
     void checkConfirmations();
   }
 
   void loadStatuses();
-  disposables.add(every(clock, CONFIRMATION_CHECK_INTERVAL_MS, tick));
+  disposables.add(
+    every(clock, CONFIRMATION_CHECK_INTERVAL_MS, runPeriodicChecks),
+  );
   disposables.add(
     every(clock, MOVE_RECHECK_INTERVAL_MS, () => markDirty(cache.moveKeys())),
   );
--- a/packages/records/src/acceptanceDecision.ts
+++ b/packages/records/src/acceptanceDecision.ts
@@ -3,7 +3,7 @@
 import type {AcceptedObject} from './acceptedSchemas.js';
 import type {Move, RecordKind} from './contracts.js';
 import {convertRecord} from './convertRecord.js';
-import {conflictingMoveFault} from './moveClaims.js';
+import {createConflictingMoveFault} from './moveClaims.js';
 
 /** A record as an operator wrote it. */
 export interface SourceRecord {
@@ -11,16 +11,16 @@
   readonly value: unknown;
 }
 
-/** State that the decision on a record is based on. */
+/** Input of the decision on a record. */
 export interface AcceptanceInput {
   readonly kind: RecordKind;
   readonly name: string;
-  /** Undefined if the operator has removed the record. */
+  /** Record as the operator wrote it; undefined if it was removed. */
   readonly source: SourceRecord | undefined;
-  /** Store version at which `source` was absent; used only if it is absent. */
+  /** Store version at which `source` was absent, if `source` is undefined. */
   readonly removalVersion: number;
   readonly accepted: AcceptedObject | undefined;
-  /** Accepted records for the checks across records. */
+  /** Accepted records that a move is validated against. */
   readonly acceptedIndex: AcceptedIndex;
   /** Wall-clock milliseconds. */
   readonly wallMs: number;
@@ -43,7 +43,8 @@
 
 /**
  * Decides on a record. The accepted source version never decreases: an acceptor
- * that reads a stale listing decides on `nothing` and cannot revert anything.
+ * that reads a stale listing decides on `nothing` and cannot revert an accepted
+ * change.
  *
  * @example
  * const decision = decideAcceptance(cache.acceptanceInput(key, clock.wall()));
@@ -58,7 +59,7 @@
   }
   try {
     const accepted = convertRecord(input.kind, input.name, value);
-    const faults = crossRecordFaults(input, accepted);
+    const faults = findCrossRecordFaults(input, accepted);
     if (faults.length > 0) {
       return {type: 'refuse', sourceVersion: version, faults};
     }
@@ -74,7 +75,10 @@
   }
 }
 
-/** Keeps a removal as a tombstone, so that no peer restores the record. */
+/**
+ * Decides on a removed record. The removal is stored as a tombstone, so that no
+ * peer restores the record.
+ */
 function decideRemoval({
   accepted,
   removalVersion,
@@ -92,7 +96,7 @@
   };
 }
 
-function crossRecordFaults(
+function findCrossRecordFaults(
   {kind, acceptedIndex, wallMs}: AcceptanceInput,
   accepted: unknown,
 ): readonly ValidationFault[] {
@@ -113,7 +117,7 @@
         other.deadline > wallMs,
     );
   if (conflictingMove !== undefined) {
-    faults.push(conflictingMoveFault(conflictingMove.name));
+    faults.push(createConflictingMoveFault(conflictingMove.name));
   }
   return faults;
 }
--- a/packages/records/src/configuration.ts
+++ b/packages/records/src/configuration.ts
@@ -1,6 +1,7 @@
 /**
- * The configuration in force in one process. It is read from the platform on
- * readers and from peers on all entries; versions never decrease.
+ * The configuration in force in one process. Readers receive records from the
+ * platform, all entries receive records from peers; the version of a record
+ * never decreases.
  */
 import {
   disposableStore,
@@ -28,11 +29,14 @@
 /** Kind of the stored objects that hold accepted records. */
 export const ACCEPTED_KIND = 'accepted';
 
-/** Configuration with the operations of the process that maintains it. */
+/** Configuration, with operations for the process that maintains it. */
 export interface ConfigurationClient extends Configuration, Disposable {
   /** Applies an accepted object that this process has read or written. */
   applyAccepted(key: string, accepted: AcceptedObject): void;
-  /** Returns the ids of live members that lack a record or did not respond. */
+  /**
+   * Returns the ids of live members that lack any of the records or did not
+   * respond.
+   */
   membersLacking(records: readonly RecordVersion[]): Promise<readonly string[]>;
   dump(): ConfigurationDump;
 }
@@ -41,7 +45,9 @@
   readonly isReady: boolean;
   /** Source of the first complete configuration. */
   readonly readyFrom: 'nowhere' | 'platform' | 'peers';
+  /** Whether this process watches the accepted records on the platform. */
   readonly isReading: boolean;
+  /** Number of records, including removed records. */
   readonly records: number;
   /** Number of accepted records that this release could not use. */
   readonly unusable: number;
@@ -60,7 +66,10 @@
 }
 
 const SOURCE_UPDATE_INTERVAL_MS = 1000;
-/** Time without record messages after which an entry watches the platform. */
+/**
+ * Time without messages about records from peers after which an entry watches
+ * the platform.
+ */
 const PEER_SILENCE_TIMEOUT_MS = 5000;
 
 /**
@@ -75,14 +84,14 @@
 ): ConfigurationClient {
   const {clock, random, store, network, self, members, log} = options;
   const table = createRecordTable();
-  const didChange = emitter<{kind: RecordKind; name: string}>();
+  const changeEmitter = emitter<{kind: RecordKind; name: string}>();
   const disposables = disposableStore();
   let readyFrom: ConfigurationDump['readyFrom'] = 'nowhere';
   let watch: Disposable | undefined;
   let isPulling = false;
   let isPullRequested = false;
   let isListing = false;
-  let unusable = 0;
+  let unusableCount = 0;
 
   const gossip = disposables.add(
     createRecordGossip({
@@ -107,18 +116,18 @@
   ): readonly RelayedRecord[] {
     const newRecords = records.filter(record => table.apply(record));
     for (const {kind, name} of newRecords) {
-      didChange.fire({kind: kind as RecordKind, name});
+      changeEmitter.fire({kind: kind as RecordKind, name});
     }
     return newRecords;
   }
 
-  function parseAccepted(
+  function parseOrWarn(
     name: string,
     value: unknown,
   ): RelayedRecord | undefined {
     const record = parseAcceptedRecord(name, value);
     if (record === undefined) {
-      unusable += 1;
+      unusableCount += 1;
       log.warn(
         {record: name},
         'skipped accepted record that this release cannot use',
@@ -137,17 +146,21 @@
 
   function applyListing(listing: ObjectListing): void {
     const records = listing.objects
-      .map(object => parseAccepted(object.name, object.value))
+      .map(object => parseOrWarn(object.name, object.value))
       .filter(record => record !== undefined);
     const newRecords = applyRecords(records);
-    // The first listing of a starting entry is not pushed: its peers have it.
+    // The first listing of a starting entry is not pushed to peers, since they
+    // have these records already.
     if (isReady()) {
       gossip.push(newRecords);
     }
     markReady('platform');
   }
 
-  /** Accepted objects are never deleted; a missing one stays in force. */
+  /**
+   * Watches the accepted objects. Accepted objects are never deleted, so a
+   * record whose object is missing stays in force.
+   */
   function startWatch(): Disposable {
     return store.watch<AcceptedObject>(ACCEPTED_KIND, {
       onDidList: applyListing,
@@ -157,7 +170,7 @@
   }
 
   function applyAccepted(key: string, accepted: AcceptedObject): void {
-    const record = parseAccepted(key, accepted);
+    const record = parseOrWarn(key, accepted);
     if (record !== undefined) {
       gossip.push(applyRecords([record]));
     }
@@ -181,7 +194,7 @@
     watch = undefined;
   }
 
-  async function listOnce(): Promise<void> {
+  async function listFromPlatform(): Promise<void> {
     if (isListing || watch !== undefined) {
       return;
     }
@@ -189,13 +202,13 @@
     try {
       applyListing(await store.list(ACCEPTED_KIND));
     } catch {
-      // Retried in the next round; peers may respond earlier.
+      // The listing is retried in the next round; peers may respond earlier.
     } finally {
       isListing = false;
     }
   }
 
-  /** Pulls again for peers that connect during a pull. */
+  /** Pulls records until ready; again if a peer connects during a pull. */
   async function pullFromPeers(): Promise<void> {
     isPullRequested = true;
     if (isPulling) {
@@ -219,7 +232,7 @@
     if (isReady()) {
       return;
     }
-    void listOnce();
+    void listFromPlatform();
     void pullFromPeers();
   }
 
@@ -232,14 +245,14 @@
   );
   disposables.add(every(clock, SOURCE_UPDATE_INTERVAL_MS, updateSources));
   disposables.add(toDisposable(() => watch?.dispose()));
-  disposables.add(didChange);
+  disposables.add(changeEmitter);
   updateSources();
 
   return {
     get: (kind, name) => table.get(kind, name),
     list: kind => table.list(kind),
     onDidChange: listener =>
-      didChange.event(({kind, name}) => listener(kind, name)),
+      changeEmitter.event(({kind, name}) => listener(kind, name)),
     isReady,
     versions: () => table.versions(),
     applyAccepted,
@@ -249,7 +262,7 @@
       readyFrom,
       isReading: watch !== undefined,
       records: table.digest().count,
-      unusable,
+      unusable: unusableCount,
       versions: table.versions(),
     }),
     dispose: () => disposables.dispose(),
--- a/packages/records/src/contracts.ts
+++ b/packages/records/src/contracts.ts
@@ -9,9 +9,12 @@
   readonly name: string;
   /** SHA-256 of each valid key, as lower-case hex. */
   readonly keyHashes: readonly string[];
-  /** Highest priority it may request, as RFC 9218 urgency: 0 (highest) to 7. */
+  /**
+   * Highest priority that the customer may request, as RFC 9218 urgency: 0
+   * (highest) to 7.
+   */
   readonly bestUrgency: number;
-  /** Share of a busy service, relative to other customers. */
+  /** Weight of the customer relative to other customers at a busy service. */
   readonly weight: number;
   /** Services the customer may call; empty for all. */
   readonly services: readonly string[];
@@ -22,7 +25,7 @@
   /** HTTP method, or `*` for all. */
   readonly method: string;
   readonly pathPrefix: string;
-  /** False: calls run at most once, through the order ledger. */
+  /** If false, calls run at most once, through the order ledger. */
   readonly isIdempotent: boolean;
 }
 
@@ -32,11 +35,17 @@
   readonly type: 'model' | 'plain';
   /** Version that serves while no move is in progress. */
   readonly version: string;
-  /** Longest match wins; without one only GET, HEAD, OPTIONS are idempotent. */
+  /**
+   * The route with the longest matching path prefix applies; without a match,
+   * only GET, HEAD and OPTIONS are idempotent.
+   */
   readonly routes: readonly Route[];
-  /** Target p95 latency: first token of models, full response of plain ones. */
+  /**
+   * Target p95 latency in milliseconds: until the first token for a model,
+   * until the full response for a plain service.
+   */
   readonly targetMs: number;
-  /** Default and upper bound of the timeout of a request. */
+  /** Default and upper bound of the timeout of a request, in milliseconds. */
   readonly timeoutMs: number;
   /** Maximum number of requests in flight over all entries. */
   readonly concurrency: number;
@@ -84,10 +93,10 @@
     name: string,
   ): AcceptedRecordTypes[K] | undefined;
   list<K extends RecordKind>(kind: K): readonly AcceptedRecordTypes[K][];
-  /** Fires after a record was applied or removed. */
+  /** Registers a listener, called after a record is applied or removed. */
   onDidChange(listener: (kind: RecordKind, name: string) => void): Disposable;
-  /** False until a complete snapshot came from the platform or a peer. */
+  /** Returns whether the platform or a peer sent a complete configuration. */
   isReady(): boolean;
-  /** Versions in force in this process, including removed records. */
+  /** Returns the versions of records in force, including removed records. */
   versions(): readonly RecordVersion[];
 }
--- a/packages/records/src/convertRecord.ts
+++ b/packages/records/src/convertRecord.ts
@@ -26,8 +26,8 @@
 };
 
 /**
- * Validates a record and converts it to the accepted form.
- * Throws `bad-record` that lists every invalid field.
+ * Validates a record and converts it to the accepted form. Throws a
+ * `bad-record` error that lists every invalid field.
  *
  * @example
  * const service = convertRecord('service', 'booking', {schema: 2, ...fields});
@@ -48,7 +48,7 @@
   const conversionsOfKind = conversions[kind] as Conversions<
     AcceptedRecordTypes[K]
   >;
-  const schemaVersion = schemaVersionOf(value);
+  const schemaVersion = getSchemaVersion(value);
   const convert =
     schemaVersion === undefined ? undefined : conversionsOfKind[schemaVersion];
   if (convert === undefined) {
@@ -60,7 +60,7 @@
   return convert(name, value);
 }
 
-function schemaVersionOf(value: unknown): number | undefined {
+function getSchemaVersion(value: unknown): number | undefined {
   if (typeof value !== 'object' || value === null || !('schema' in value)) {
     return undefined;
   }
--- a/packages/records/src/messageSchemas.ts
+++ b/packages/records/src/messageSchemas.ts
@@ -1,27 +1,27 @@
-/** Schemas of the responses of peers to queries about records. */
+/** Schemas of the responses that peers give to queries about records. */
 import type {
   RecordDifference,
   RecordsInForceResponse,
 } from '@skylarkfield/protocol';
 import * as z from 'zod';
 
-const versionSchema = z.object({
+const recordVersionSchema = z.object({
   kind: z.string(),
   name: z.string(),
   sourceVersion: z.number(),
 });
 
-export const differenceSchema = z.object({
+export const recordDifferenceSchema = z.object({
   isReady: z.boolean(),
   records: z.array(
-    versionSchema.extend({
+    recordVersionSchema.extend({
       isRemoved: z.boolean(),
       value: z.unknown().optional(),
     }),
   ),
-  wanted: z.array(versionSchema),
+  wanted: z.array(recordVersionSchema),
 }) satisfies z.ZodType<RecordDifference>;
 
-export const inForceSchema = z.object({
+export const recordsInForceResponseSchema = z.object({
   lacking: z.array(z.string()),
 }) satisfies z.ZodType<RecordsInForceResponse>;
--- a/packages/records/src/moveClaims.ts
+++ b/packages/records/src/moveClaims.ts
@@ -2,8 +2,9 @@
  * Ensures one move at a time per service, even when acceptors race.
  *
  * Two acceptors that check first and then accept different moves of a service
- * would both succeed, since they write different objects. So a move first
- * claims one object per service, which only one of them can write.
+ * would both succeed, since they write different objects. Therefore an acceptor
+ * first claims the service for its move by writing one object per service,
+ * which only one acceptor can write.
  */
 import type {Clock, ValidationFault} from '@skylarkfield/base';
 import type {ObjectStore} from '@skylarkfield/providers';
@@ -19,7 +20,10 @@
 export const MOVE_CLAIM_KIND = 'move-claim';
 
 export interface MoveClaims {
-  /** Claims the service of a move; returns faults if another move holds it. */
+  /**
+   * Claims the service of a move; returns faults if another move has claimed
+   * the service.
+   */
   claim(
     key: string,
     object: AcceptedObject,
@@ -42,7 +46,8 @@
 }): MoveClaims {
   const {clock, store, cache, signal} = options;
 
-  function hasEnded(name: string): boolean {
+  /** Returns whether a move was removed or is past its deadline. */
+  function hasMoveEnded(name: string): boolean {
     const input = cache.acceptanceInput(
       recordKey({kind: 'move', name}),
       clock.wall(),
@@ -55,8 +60,9 @@
   }
 
   /**
-   * Writes a tombstone in place of the accepted move: an acceptor that claimed
-   * the service for the move and was then paused must not accept it any more.
+   * Writes a tombstone in place of the accepted move. An acceptor that claimed
+   * the service for this move and was then paused must not accept the move any
+   * more.
    */
   async function writeTombstone(name: string): Promise<void> {
     const key = recordKey({kind: 'move', name});
@@ -82,32 +88,35 @@
         return [];
       }
       const {service} = object.value as Move;
-      const current = await store.get(MOVE_CLAIM_KIND, service, signal);
-      const claimingMove = claimSchema.safeParse(current?.value).data?.move;
+      const currentClaim = await store.get(MOVE_CLAIM_KIND, service, signal);
+      const claimingMove = claimSchema.safeParse(currentClaim?.value).data
+        ?.move;
       if (claimingMove === name) {
         return [];
       }
       if (claimingMove !== undefined) {
-        if (!hasEnded(claimingMove)) {
-          return [conflictingMoveFault(claimingMove)];
+        if (!hasMoveEnded(claimingMove)) {
+          return [createConflictingMoveFault(claimingMove)];
         }
         await writeTombstone(claimingMove);
       }
-      const claim = {move: name};
-      const condition = unchangedCondition(current);
-      await store.put(MOVE_CLAIM_KIND, service, claim, condition, signal);
+      const newClaim = {move: name};
+      const condition = unchangedCondition(currentClaim);
+      await store.put(MOVE_CLAIM_KIND, service, newClaim, condition, signal);
       return [];
     },
   };
 }
 
 /**
- * Returns the fault of a move whose service has another one in progress.
+ * Returns the fault of a move whose service has another move in progress.
  *
  * @example
- * return [conflictingMoveFault('booking-v7')];
+ * return [createConflictingMoveFault('booking-v7')];
  */
-export function conflictingMoveFault(conflictingMove: string): ValidationFault {
+export function createConflictingMoveFault(
+  conflictingMove: string,
+): ValidationFault {
   return {
     path: 'service',
     expected: `a service without another move in progress; to start this one, remove ${conflictingMove}`,
--- a/packages/records/src/randomSample.ts
+++ b/packages/records/src/randomSample.ts
@@ -2,7 +2,7 @@
 import type {Random} from '@skylarkfield/base';
 
 /**
- * Returns up to `count` different items, each equally likely.
+ * Returns up to `count` different items; all items are equally likely.
  *
  * @example
  * for (const peer of randomSample(random, peers, 3)) { sendDigest(peer); }
@@ -12,11 +12,14 @@
   items: readonly T[],
   count: number,
 ): readonly T[] {
-  const remaining = [...items];
-  const chosen: T[] = [];
-  while (chosen.length < count && remaining.length > 0) {
-    const [item] = remaining.splice(random.integer(0, remaining.length - 1), 1);
-    chosen.push(item as T);
+  const remainingItems = [...items];
+  const chosenItems: T[] = [];
+  while (chosenItems.length < count && remainingItems.length > 0) {
+    const [item] = remainingItems.splice(
+      random.integer(0, remainingItems.length - 1),
+      1,
+    );
+    chosenItems.push(item as T);
   }
-  return chosen;
+  return chosenItems;
 }
--- a/packages/records/src/recordCache.ts
+++ b/packages/records/src/recordCache.ts
@@ -1,4 +1,7 @@
-/** Watch cache of the records that operators wrote and their accepted forms. */
+/**
+ * Cache of the records that operators wrote and of their accepted forms, kept
+ * up to date by watches.
+ */
 import {disposableStore, type Disposable} from '@skylarkfield/base';
 import type {ObjectStore, StoredObject} from '@skylarkfield/providers';
 import type {AcceptanceInput, SourceRecord} from './acceptanceDecision.js';
@@ -9,15 +12,19 @@
 import {recordKey} from './recordTable.js';
 
 export interface RecordCache extends Disposable {
-  /** False until every kind is listed; until then, absent records may exist. */
+  /**
+   * Returns whether every kind is listed. Until then, a record that is absent
+   * in the cache may exist on the platform.
+   */
   isComplete(): boolean;
+  /** Returns the input for the decision on a record. */
   acceptanceInput(key: string, wallMs: number): AcceptanceInput;
   acceptedObject(key: string): StoredObject<AcceptedObject> | undefined;
   updateAccepted(
     key: string,
     object: StoredObject<AcceptedObject> | undefined,
   ): void;
-  /** Returns the keys with services before the moves that refer to them. */
+  /** Returns the keys sorted, services before the moves that refer to them. */
   sortByDependency(keys: Iterable<string>): readonly string[];
   /** Returns whether this record can affect the decision on a move. */
   canAffectMoves(key: string): boolean;
@@ -44,10 +51,11 @@
   const {store, onDidChange, onDidAccept} = options;
   const disposables = disposableStore();
   const sources = new Map<string, SourceRecord>();
-  /** Store versions at which a record was observed to be absent. */
+  /** Store versions at which a removed record was observed to be absent. */
   const removalVersions = new Map<string, number>();
   const acceptedObjects = new Map<string, StoredObject<AcceptedObject>>();
   const listedKinds = new Set<string>();
+  /** Store version of the last listing of each kind. */
   const listVersions = new Map<string, number>();
 
   function isComplete(): boolean {
@@ -69,9 +77,13 @@
     key: string,
     object: StoredObject<AcceptedObject> | undefined,
   ): void {
-    const current = acceptedObjects.get(key);
-    // The reply to a write and the watch may deliver a change in either order.
-    if (object !== undefined && (current?.version ?? 0) < object.version) {
+    const currentObject = acceptedObjects.get(key);
+    // The reply to a write and the watch may deliver the same change in either
+    // order.
+    if (
+      object !== undefined &&
+      (currentObject?.version ?? 0) < object.version
+    ) {
       acceptedObjects.set(key, object);
       onDidAccept?.(key, object.value);
     }
@@ -135,7 +147,7 @@
     );
   }
 
-  function acceptedValues(kind: RecordKind): readonly unknown[] {
+  function listAcceptedValues(kind: RecordKind): readonly unknown[] {
     return [...acceptedObjects.values()]
       .filter(
         object =>
@@ -148,7 +160,7 @@
     hasService: (name: string) =>
       acceptedObjects.get(recordKey({kind: 'service', name}))?.value
         .isRemoved === false,
-    moves: () => acceptedValues('move') as readonly Move[],
+    moves: () => listAcceptedValues('move') as readonly Move[],
   };
 
   watchAccepted();
@@ -173,9 +185,9 @@
     acceptedObject: key => acceptedObjects.get(key),
     updateAccepted,
     sortByDependency(keys) {
-      const rank = (key: string) =>
+      const kindIndex = (key: string) =>
         recordKinds.indexOf(parseRecordKey(key).kind);
-      return [...keys].sort((a, b) => rank(a) - rank(b));
+      return [...keys].sort((a, b) => kindIndex(a) - kindIndex(b));
     },
     canAffectMoves: key =>
       ['move', 'service'].includes(parseRecordKey(key).kind),
--- a/packages/records/src/recordConfirmation.ts
+++ b/packages/records/src/recordConfirmation.ts
@@ -1,29 +1,33 @@
 /**
  * Determines which live members lack a record.
  *
- * In a small fleet every member is queried. In a large one a reader of each
- * failure domain queries the members of its domain, so that the messages of the
- * querying entry grow with the failure domains and not with the fleet.
+ * In a small fleet every member is queried directly. In a large fleet one
+ * reader of each failure domain queries the members of its domain, so that the
+ * messages of the querying entry grow with the number of failure domains and
+ * not with the size of the fleet.
  */
 import type {Disposable} from '@skylarkfield/base';
 import type {PeerNetwork, RecordVersion} from '@skylarkfield/protocol';
-import {inForceSchema} from './messageSchemas.js';
+import {recordsInForceResponseSchema} from './messageSchemas.js';
 import {selectReaders, type RecordMember} from './recordReaders.js';
 import type {RecordTable} from './recordTable.js';
 
 export interface RecordConfirmation extends Disposable {
-  /** Returns the ids of live members that lack a record or did not respond. */
+  /**
+   * Returns the ids of live members that lack any of the records or did not
+   * respond.
+   */
   membersLacking(records: readonly RecordVersion[]): Promise<readonly string[]>;
 }
 
 /** Largest fleet whose members are queried directly, not through readers. */
 const MAX_DIRECT_MEMBERS = 24;
 const MEMBER_TIMEOUT_MS = 1000;
-/** Longer than `MEMBER_TIMEOUT_MS`: a reader first queries its members. */
+/** Exceeds `MEMBER_TIMEOUT_MS`, as a reader first queries its members. */
 const DOMAIN_TIMEOUT_MS = 2500;
 
 /**
- * Answers the queries of peers and sends queries to them.
+ * Starts to answer queries of peers about the records in force.
  *
  * @example
  * const confirmation = createRecordConfirmation(options);
@@ -49,40 +53,43 @@
     if (member === self.id) {
       return areAllInForce(records) ? [] : [self.id];
     }
-    return query(member, records, 'self', [member]);
+    return queryPeer(member, records, 'self', [member]);
   }
 
-  async function query(
-    to: string,
+  async function queryPeer(
+    peer: string,
     records: readonly RecordVersion[],
     scope: 'self' | 'domain',
-    lackingIfUnanswered: readonly string[],
+    lackingWithoutResponse: readonly string[],
   ): Promise<readonly string[]> {
     const timeoutMs = scope === 'self' ? MEMBER_TIMEOUT_MS : DOMAIN_TIMEOUT_MS;
     try {
       const body = {records, scope};
-      const answer = await network.request(
-        to,
+      const response = await network.request(
+        peer,
         'recordsInForce',
         body,
         timeoutMs,
       );
-      return inForceSchema.parse(answer).lacking;
+      return recordsInForceResponseSchema.parse(response).lacking;
     } catch {
-      // No response counts as lacking: only confirmed records are in force.
-      return lackingIfUnanswered;
+      // A member that does not respond counts as lacking the records: only
+      // confirmed records are in force.
+      return lackingWithoutResponse;
     }
   }
 
   async function queryMembers(
-    ids: readonly string[],
+    memberIds: readonly string[],
     records: readonly RecordVersion[],
   ): Promise<readonly string[]> {
-    const answers = await Promise.all(ids.map(id => queryMember(id, records)));
-    return answers.flat();
+    const lackingMembers = await Promise.all(
+      memberIds.map(id => queryMember(id, records)),
+    );
+    return lackingMembers.flat();
   }
 
-  function memberIdsIn(failureDomain: string): string[] {
+  function listMemberIds(failureDomain: string): string[] {
     return members()
       .filter(member => member.failureDomain === failureDomain)
       .map(member => member.id);
@@ -92,17 +99,22 @@
     failureDomain: string,
     records: readonly RecordVersion[],
   ): Promise<readonly string[]> {
-    const ids = memberIdsIn(failureDomain);
+    const memberIds = listMemberIds(failureDomain);
     if (failureDomain === self.failureDomain) {
-      return queryMembers(ids, records);
+      return queryMembers(memberIds, records);
     }
     for (const reader of selectReaders(failureDomain, members())) {
-      const lacking = await query(reader, records, 'domain', ids);
-      if (lacking.length < ids.length) {
-        return lacking;
+      const lackingMembers = await queryPeer(
+        reader,
+        records,
+        'domain',
+        memberIds,
+      );
+      if (lackingMembers.length < memberIds.length) {
+        return lackingMembers;
       }
     }
-    return ids;
+    return memberIds;
   }
 
   const subscription = network.onDidReceive(
@@ -111,7 +123,7 @@
       lacking:
         scope === 'self'
           ? await queryMember(self.id, records)
-          : await queryMembers(memberIdsIn(self.failureDomain), records),
+          : await queryMembers(listMemberIds(self.failureDomain), records),
     }),
   );
 
@@ -127,10 +139,10 @@
       const domains = [
         ...new Set(liveMembers.map(member => member.failureDomain)),
       ];
-      const answers = await Promise.all(
+      const lackingMembers = await Promise.all(
         domains.map(domain => queryDomain(domain, records)),
       );
-      return answers.flat();
+      return lackingMembers.flat();
     },
     dispose: () => subscription.dispose(),
   };
--- a/packages/records/src/recordGossip.ts
+++ b/packages/records/src/recordGossip.ts
@@ -1,9 +1,10 @@
 /**
  * Gossip of accepted records among entries.
  *
- * New records are pushed at once to a few peers, each of which relays a record
- * when it first receives it. Digests sent to a few peers every second find what
- * the pushes missed, so an entry that was cut off catches up from any peer.
+ * New records are pushed at once to a few peers; a peer relays a record when it
+ * first receives the record. Digests sent to a few peers every second find
+ * records that the pushes missed, so an entry that was cut off catches up from
+ * any peer.
  */
 import {
   disposableStore,
@@ -19,31 +20,40 @@
   RelayedRecord,
 } from '@skylarkfield/protocol';
 import {parseRelayedRecord} from './acceptedSchemas.js';
-import {differenceSchema} from './messageSchemas.js';
+import {recordDifferenceSchema} from './messageSchemas.js';
 import {randomSample} from './randomSample.js';
 import type {RecordTable} from './recordTable.js';
 
 export interface RecordGossip extends Disposable {
-  /** Pushes newly applied records to a few peers. */
+  /** Pushes newly applied records to a few peers, but not to `excludedPeer`. */
   push(records: readonly RelayedRecord[], excludedPeer?: string): void;
   /**
-   * Fetches all records that are not in force here from a few peers.
+   * Fetches all records that are not in force in this process from a few peers.
    * Resolves with the number of peers that returned a complete configuration.
    */
   pull(): Promise<number>;
-  /** Monotonic milliseconds of the last message about records from any peer. */
+  /**
+   * Returns the monotonic time, in milliseconds, of the last message about
+   * records from any peer.
+   */
   lastReceivedAt(): number;
 }
 
-/** Peers per push; 4 reach about 98 in 100 entries by pushes alone. */
+/** Peers per push; with 4, pushes alone reach about 98 % of the entries. */
 const PUSH_FANOUT = 4;
 const DIGEST_FANOUT = 2;
 const DIGEST_INTERVAL_MS = 1000;
-/** Delay before a sync; a push in flight usually resolves the difference. */
+/**
+ * Delay between a differing digest and the sync; a push in flight usually
+ * resolves the difference.
+ */
 const SYNC_DELAY_MS = 50;
 const PULL_FANOUT = 3;
 const SYNC_TIMEOUT_MS = 2000;
-/** Keeps one message far below the size limit of the protocol. */
+/**
+ * Upper bound of records per message; keeps a message far below the size limit
+ * of the protocol.
+ */
 const MAX_RECORDS_PER_MESSAGE = 200;
 
 /**
@@ -72,10 +82,10 @@
     from: string,
     records: readonly RelayedRecord[],
   ): void {
-    const usable = records
+    const usableRecords = records
       .map(parseRelayedRecord)
       .filter(record => record !== undefined);
-    const newRecords = options.apply(usable);
+    const newRecords = options.apply(usableRecords);
     push(newRecords, from);
   }
 
@@ -86,10 +96,10 @@
     if (records.length === 0) {
       return;
     }
-    const targets = network
+    const candidatePeers = network
       .connectedPeers()
       .filter(peer => peer !== excludedPeer);
-    for (const peer of randomSample(random, targets, PUSH_FANOUT)) {
+    for (const peer of randomSample(random, candidatePeers, PUSH_FANOUT)) {
       sendRecords(peer, records);
     }
   }
@@ -120,14 +130,14 @@
     lastReceivedAt = clock.now();
     if (
       syncingPeers.has(from) ||
-      differingBuckets(table.digest(), remoteDigest).size === 0
+      findDifferingBuckets(table.digest(), remoteDigest).size === 0
     ) {
       return;
     }
     syncingPeers.add(from);
     disposables.add(
       clock.after(SYNC_DELAY_MS, () => {
-        const buckets = differingBuckets(table.digest(), remoteDigest);
+        const buckets = findDifferingBuckets(table.digest(), remoteDigest);
         void syncBuckets(from, buckets).finally(() =>
           syncingPeers.delete(from),
         );
@@ -144,13 +154,16 @@
     }
   }
 
-  /** Fetches the records missing here and sends those missing at the peer. */
+  /**
+   * Fetches the records that this process lacks and sends those that the peer
+   * lacks.
+   */
   async function syncWithPeer(
     peer: string,
     buckets?: ReadonlySet<number>,
   ): Promise<RecordDifference | undefined> {
     try {
-      const answer = await network.request(
+      const response = await network.request(
         peer,
         'recordsWanted',
         {
@@ -159,7 +172,7 @@
         },
         SYNC_TIMEOUT_MS,
       );
-      const difference = differenceSchema.parse(answer);
+      const difference = recordDifferenceSchema.parse(response);
       if (disposables.isDisposed) {
         return undefined;
       }
@@ -168,7 +181,7 @@
       sendRecords(peer, table.records(difference.wanted));
       return difference;
     } catch {
-      // The next round selects another peer.
+      // A failed sync is not retried; later digests go to other random peers.
       return undefined;
     }
   }
@@ -203,16 +216,22 @@
     push,
     async pull() {
       const peers = randomSample(random, network.connectedPeers(), PULL_FANOUT);
-      const answers = await Promise.all(peers.map(peer => syncWithPeer(peer)));
-      return answers.filter(answer => answer?.isReady === true).length;
+      const differences = await Promise.all(
+        peers.map(peer => syncWithPeer(peer)),
+      );
+      return differences.filter(difference => difference?.isReady === true)
+        .length;
     },
     lastReceivedAt: () => lastReceivedAt,
     dispose: () => disposables.dispose(),
   };
 }
 
-/** Buckets whose sums differ; nearly all if the numbers of buckets differ. */
-function differingBuckets(
+/**
+ * Returns the buckets whose sums differ; nearly all buckets if the digests have
+ * different numbers of buckets.
+ */
+function findDifferingBuckets(
   local: RecordDigest,
   remote: RecordDigest,
 ): Set<number> {
--- a/packages/records/src/recordReaders.ts
+++ b/packages/records/src/recordReaders.ts
@@ -2,9 +2,9 @@
  * Selection of readers: entries that watch accepted records on the platform.
  *
  * The platform counts an open watch as a call, and its rate limits grow more
- * slowly than the fleet: a watch at every entry would exhaust them. A few
+ * slowly than the fleet: a watch at every entry would exhaust the limits. A few
  * readers per failure domain suffice, and the loss of a failure domain leaves
- * the readers of all others.
+ * the readers of all other domains.
  */
 import {rendezvousOrder} from '@skylarkfield/base';
 
@@ -14,7 +14,7 @@
   readonly failureDomain: string;
 }
 
-/** With 2 readers, the failure of one of them has no effect. */
+/** With 2 readers, the failure of one reader has no effect. */
 export const READERS_PER_FAILURE_DOMAIN = 2;
 
 /**
--- a/packages/records/src/recordStatus.ts
+++ b/packages/records/src/recordStatus.ts
@@ -1,4 +1,4 @@
-/** Status of a record for operators, in a stored object named by the key. */
+/** Status of a record for operators, stored under the record key. */
 import type {ValidationFault} from '@skylarkfield/base';
 import * as z from 'zod';
 
@@ -6,9 +6,10 @@
 export const STATUS_KIND = 'status';
 
 /**
- * `accepted`: being propagated to all entries. `in-force`: confirmed by every
- * live entry. `refused`: invalid, see the faults; an older accepted version
- * stays in force. `removed`: the removal is being propagated to all entries.
+ * `accepted`: the record is being propagated to all entries. `in-force`: every
+ * live entry has confirmed the record. `refused`: the record is invalid, see
+ * the faults; an older accepted version stays in force. `removed`: the removal
+ * is being propagated to all entries.
  */
 export type RecordState = 'accepted' | 'in-force' | 'refused' | 'removed';
 
@@ -16,11 +17,11 @@
   readonly state: RecordState;
   /** Version of the record that the status describes. */
   readonly sourceVersion: number;
-  /** Version of the record in force or being propagated, if any. */
+  /** Accepted version, in force or being propagated; undefined if none. */
   readonly acceptedVersion?: number;
-  /** Reasons for a rejection, by field. */
+  /** Reasons for a rejection, one per invalid field. */
   readonly faults: readonly ValidationFault[];
-  /** Entries that have not confirmed yet; truncated if there are many. */
+  /** Ids of some of the members that have not confirmed the record yet. */
   readonly waitingFor: readonly string[];
   /** Wall-clock milliseconds at which the status was written. */
   readonly at: number;
@@ -36,7 +37,7 @@
 });
 
 /**
- * Parses a status object; returns undefined if it is not one.
+ * Parses a stored status; returns undefined if the value is not a status.
  *
  * @example
  * const status = parseStatus((await store.get('status', key))?.value);
--- a/packages/records/src/recordTable.ts
+++ b/packages/records/src/recordTable.ts
@@ -1,9 +1,10 @@
 /**
  * The accepted records in force in one process.
  *
- * The source version of a record never decreases, wherever it comes from: a
- * late relay or a listing from a peer that was partitioned would otherwise
- * revert an accepted change in this process alone.
+ * The source version of a record never decreases, whether the record comes from
+ * the platform or from a peer. Without this rule, a late relay or a listing
+ * from a peer that was partitioned would revert an accepted change in this
+ * process alone.
  */
 import {hash32} from '@skylarkfield/base';
 import type {
@@ -21,19 +22,28 @@
     name: string,
   ): AcceptedRecordTypes[K] | undefined;
   list<K extends RecordKind>(kind: K): readonly AcceptedRecordTypes[K][];
-  /** Returns the versions in these or all buckets, also of removed records. */
+  /**
+   * Returns the versions of all records in the given buckets, including removed
+   * records; without `buckets`, of all records.
+   */
   versions(buckets?: ReadonlySet<number>): readonly RecordVersion[];
-  /** Returns the records newer than in `known` or missing from it. */
+  /**
+   * Returns the records that are newer than in `knownVersions` or not in it.
+   */
   newerThan(
-    known: readonly RecordVersion[],
+    knownVersions: readonly RecordVersion[],
     buckets?: ReadonlySet<number>,
   ): readonly RelayedRecord[];
-  /** Returns the versions of `known` that are higher or missing here. */
-  notInForce(known: readonly RecordVersion[]): readonly RecordVersion[];
-  /** Returns the given records in the version that is in force here. */
+  /**
+   * Returns the known versions that are not in force in this table: the record
+   * is missing or has a lower version.
+   */
+  notInForce(knownVersions: readonly RecordVersion[]): readonly RecordVersion[];
+  /** Returns the records of the given keys, in the version in force. */
   records(versions: readonly RecordVersion[]): readonly RelayedRecord[];
-  /** Returns whether this version or a higher one is in force. */
+  /** Returns whether the given or a higher version of a record is in force. */
   isInForce(version: RecordVersion): boolean;
+  /** Returns the number of records and a hash sum per bucket. */
   digest(): RecordDigest;
 }
 
@@ -51,7 +61,10 @@
   const records = new Map<string, RelayedRecord>();
   const bucketSums = new Array<number>(DIGEST_BUCKET_COUNT).fill(0);
 
-  /** Sums are cheap to update and independent of the order of arrival. */
+  /**
+   * Adds a record to the sum of its bucket or subtracts the record. Sums are
+   * cheap to update and do not depend on the order of arrival.
+   */
   function addToBucketSum(record: RelayedRecord, sign: 1 | -1): void {
     const key = recordKey(record);
     const bucket = bucketOf(key);
@@ -61,29 +74,32 @@
   }
 
   function selectRecords(buckets?: ReadonlySet<number>): RelayedRecord[] {
-    const all = [...records.values()];
+    const allRecords = [...records.values()];
     if (buckets === undefined) {
-      return all;
+      return allRecords;
     }
-    return all.filter(record => buckets.has(bucketOf(recordKey(record))));
+    return allRecords.filter(record =>
+      buckets.has(bucketOf(recordKey(record))),
+    );
   }
 
   function isInForce(version: RecordVersion): boolean {
-    const current = records.get(recordKey(version));
+    const currentRecord = records.get(recordKey(version));
     return (
-      current !== undefined && current.sourceVersion >= version.sourceVersion
+      currentRecord !== undefined &&
+      currentRecord.sourceVersion >= version.sourceVersion
     );
   }
 
   return {
     apply(record) {
       const key = recordKey(record);
-      const current = records.get(key);
-      if (current !== undefined) {
-        if (current.sourceVersion >= record.sourceVersion) {
+      const currentRecord = records.get(key);
+      if (currentRecord !== undefined) {
+        if (currentRecord.sourceVersion >= record.sourceVersion) {
           return false;
         }
-        addToBucketSum(current, -1);
+        addToBucketSum(currentRecord, -1);
       }
       records.set(key, record);
       addToBucketSum(record, 1);
@@ -99,16 +115,20 @@
         .map(record => record.value as AcceptedRecordTypes[K]);
     },
     versions: buckets => selectRecords(buckets).map(toVersion),
-    newerThan(known, buckets) {
-      const versions = new Map(
-        known.map(version => [recordKey(version), version.sourceVersion]),
+    newerThan(knownVersions, buckets) {
+      const knownByKey = new Map(
+        knownVersions.map(version => [
+          recordKey(version),
+          version.sourceVersion,
+        ]),
       );
       return selectRecords(buckets).filter(
         record =>
-          record.sourceVersion > (versions.get(recordKey(record)) ?? -1),
+          record.sourceVersion > (knownByKey.get(recordKey(record)) ?? -1),
       );
     },
-    notInForce: known => known.filter(version => !isInForce(version)),
+    notInForce: knownVersions =>
+      knownVersions.filter(version => !isInForce(version)),
     records: versions =>
       versions
         .map(version => records.get(recordKey(version)))
--- a/packages/records/src/schemas/conversion.ts
+++ b/packages/records/src/schemas/conversion.ts
@@ -2,7 +2,7 @@
 import {validateShape} from '@skylarkfield/base';
 import type * as z from 'zod';
 
-/** Validates and converts a record; throws `bad-record` with its faults. */
+/** Validates and converts a record; throws `bad-record` with the faults. */
 export type Conversion<Accepted> = (name: string, value: unknown) => Accepted;
 
 /** Conversions by schema version. */
--- a/packages/records/src/schemas/customerSchemas.ts
+++ b/packages/records/src/schemas/customerSchemas.ts
@@ -14,7 +14,10 @@
   services: z.array(nameField).default([]),
 });
 
-/** Allows a note per key; access to all services is granted explicitly. */
+/**
+ * In version 2 a key may have a note, and access to all services is granted
+ * explicitly.
+ */
 const schemaV2 = z.strictObject({
   schema: z.literal(2),
   keys: z
--- a/packages/records/src/schemas/endpointClassSchemas.ts
+++ b/packages/records/src/schemas/endpointClassSchemas.ts
@@ -8,7 +8,7 @@
   checksFencing: z.boolean(),
 });
 
-/** Defines how the endpoints treat an order with an outdated fencing token. */
+/** Version 2 names how endpoints treat orders with an old fencing token. */
 const schemaV2 = z.strictObject({
   schema: z.literal(2),
   staleOrders: z.enum(['refused', 'obeyed']),
--- a/packages/records/src/schemas/moveSchemas.ts
+++ b/packages/records/src/schemas/moveSchemas.ts
@@ -25,7 +25,7 @@
     message: 'a version other than from',
   });
 
-/** Gives the deadline in ISO 8601 and the share in percent. */
+/** Version 2 has the deadline in ISO 8601 and the share in percent. */
 const schemaV2 = z
   .strictObject({
     schema: z.literal(2),
--- a/packages/records/src/schemas/serviceSchemas.ts
+++ b/packages/records/src/schemas/serviceSchemas.ts
@@ -48,7 +48,8 @@
   });
 
 /**
- * Groups fields by concern; durations are in seconds and routes are strings.
+ * Version 2 groups fields by concern; durations are in seconds and routes are
+ * strings.
  */
 const schemaV2 = z
   .strictObject({
--- a/packages/records/src/statusWriter.ts
+++ b/packages/records/src/statusWriter.ts
@@ -1,4 +1,4 @@
-/** Writes record statuses, never an older one over a newer one. */
+/** Writes the statuses of records; never replaces a status by an older one. */
 import {isServingError, type Clock} from '@skylarkfield/base';
 import type {ObjectStore, StoredObject} from '@skylarkfield/providers';
 import type {RecordVersion} from '@skylarkfield/protocol';
@@ -12,18 +12,26 @@
 import {unchangedCondition} from './writeCondition.js';
 
 export interface StatusWriter {
-  /** Writes unless an equal or newer status is stored; true if written. */
+  /**
+   * Writes a status unless an equal or newer status is stored. Resolves with
+   * whether the status was written.
+   */
   write(key: string, status: Omit<RecordStatus, 'at'>): Promise<boolean>;
   /** Returns whether the status reports this accepted form as in force. */
   isInForce(key: string, accepted: AcceptedObject): Promise<boolean>;
+  /** Adds an accepted version to the unconfirmed versions. */
   awaitConfirmation(key: string, accepted: AcceptedObject): void;
   /** Returns accepted versions that not every live member has confirmed. */
   unconfirmed(): readonly RecordVersion[];
+  /**
+   * Handles the response to a query: reports the queried records as in force if
+   * no member lacks any of them, and writes `waitingFor` if members do.
+   */
   handleConfirmation(
-    queried: readonly RecordVersion[],
-    lacking: readonly string[],
+    queriedRecords: readonly RecordVersion[],
+    lackingMembers: readonly string[],
   ): Promise<void>;
-  /** Removes the status of a record without a source and an accepted form. */
+  /** Removes the status of a record without source and accepted form. */
   remove(key: string): Promise<void>;
   /** Lists all statuses and returns their keys. */
   load(): Promise<readonly string[]>;
@@ -31,10 +39,10 @@
   reload(key: string): Promise<void>;
 }
 
-/** Maximum number of members in `waitingFor`; more do not help an operator. */
+/** Maximum length of `waitingFor`; more ids would not help operators. */
 const MAX_WAITING_MEMBERS = 10;
 /** Minimum interval between updates of `waitingFor`. */
-const WAITING_UPDATE_INTERVAL_MS = 5000;
+const WAITING_FOR_UPDATE_INTERVAL_MS = 5000;
 
 /**
  * Creates a status writer.
@@ -49,28 +57,28 @@
   readonly signal: AbortSignal;
 }): StatusWriter {
   const {clock, store, signal} = options;
-  const cached = new Map<string, StoredObject | undefined>();
-  const pending = new Map<string, RecordVersion>();
-  let waitingWrittenAt = -Infinity;
+  const cachedStatuses = new Map<string, StoredObject | undefined>();
+  const unconfirmedVersions = new Map<string, RecordVersion>();
+  let waitingForWrittenAt = -Infinity;
 
-  async function read(key: string): Promise<StoredObject | undefined> {
-    if (!cached.has(key)) {
-      cached.set(key, await store.get(STATUS_KIND, key, signal));
+  async function readStatus(key: string): Promise<StoredObject | undefined> {
+    if (!cachedStatuses.has(key)) {
+      cachedStatuses.set(key, await store.get(STATUS_KIND, key, signal));
     }
-    return cached.get(key);
+    return cachedStatuses.get(key);
   }
 
   async function write(
     key: string,
     status: Omit<RecordStatus, 'at'>,
   ): Promise<boolean> {
-    const current = await read(key);
-    const currentStatus = parseStatus(current?.value);
-    const next = {...status, at: clock.wall()};
+    const currentObject = await readStatus(key);
+    const currentStatus = parseStatus(currentObject?.value);
+    const nextStatus = {...status, at: clock.wall()};
     if (currentStatus !== undefined) {
       if (
-        isSuperseded(next, currentStatus) ||
-        isSameStatus(currentStatus, next)
+        isSuperseded(nextStatus, currentStatus) ||
+        isSameStatus(currentStatus, nextStatus)
       ) {
         return false;
       }
@@ -78,9 +86,12 @@
     if (!options.canAct()) {
       return false;
     }
-    cached.delete(key);
-    const condition = unchangedCondition(current);
-    cached.set(key, await store.put(STATUS_KIND, key, next, condition, signal));
+    cachedStatuses.delete(key);
+    const condition = unchangedCondition(currentObject);
+    cachedStatuses.set(
+      key,
+      await store.put(STATUS_KIND, key, nextStatus, condition, signal),
+    );
     return true;
   }
 
@@ -88,7 +99,7 @@
     record: RecordVersion,
     key: string,
   ): Promise<void> {
-    const currentStatus = parseStatus((await read(key))?.value);
+    const currentStatus = parseStatus((await readStatus(key))?.value);
     if (currentStatus?.state === 'removed') {
       await removeStatus(key);
       return;
@@ -106,19 +117,26 @@
   }
 
   async function removeStatus(key: string): Promise<void> {
-    const current = await read(key);
-    cached.delete(key);
-    await store.remove(STATUS_KIND, key, unchangedCondition(current), signal);
+    const currentObject = await readStatus(key);
+    cachedStatuses.delete(key);
+    await store.remove(
+      STATUS_KIND,
+      key,
+      unchangedCondition(currentObject),
+      signal,
+    );
   }
 
-  async function writeWaiting(lacking: readonly string[]): Promise<void> {
-    if (clock.now() - waitingWrittenAt < WAITING_UPDATE_INTERVAL_MS) {
+  async function updateWaitingFor(
+    lackingMembers: readonly string[],
+  ): Promise<void> {
+    if (clock.now() - waitingForWrittenAt < WAITING_FOR_UPDATE_INTERVAL_MS) {
       return;
     }
-    waitingWrittenAt = clock.now();
-    const waitingFor = [...lacking].sort().slice(0, MAX_WAITING_MEMBERS);
-    for (const key of pending.keys()) {
-      const currentStatus = parseStatus((await read(key))?.value);
+    waitingForWrittenAt = clock.now();
+    const waitingFor = [...lackingMembers].sort().slice(0, MAX_WAITING_MEMBERS);
+    for (const key of unconfirmedVersions.keys()) {
+      const currentStatus = parseStatus((await readStatus(key))?.value);
       if (currentStatus !== undefined) {
         await write(key, {...currentStatus, waitingFor});
       }
@@ -128,7 +146,7 @@
   return {
     write,
     async isInForce(key, accepted) {
-      const currentStatus = parseStatus((await read(key))?.value);
+      const currentStatus = parseStatus((await readStatus(key))?.value);
       if (accepted.isRemoved) {
         return currentStatus === undefined;
       }
@@ -141,25 +159,26 @@
       const separator = key.indexOf('.');
       const kind = key.slice(0, separator);
       const name = key.slice(separator + 1);
-      pending.set(key, {kind, name, sourceVersion});
+      unconfirmedVersions.set(key, {kind, name, sourceVersion});
     },
-    unconfirmed: () => [...pending.values()],
-    async handleConfirmation(queried, lacking) {
-      if (lacking.length > 0) {
-        await writeWaiting(lacking);
+    unconfirmed: () => [...unconfirmedVersions.values()],
+    async handleConfirmation(queriedRecords, lackingMembers) {
+      if (lackingMembers.length > 0) {
+        await updateWaitingFor(lackingMembers);
         return;
       }
-      const queriedVersions = new Set(queried);
-      for (const [key, record] of [...pending]) {
-        // The query does not confirm a version accepted after it was sent.
+      const queriedVersions = new Set(queriedRecords);
+      for (const [key, record] of [...unconfirmedVersions]) {
+        // The query does not confirm versions that were accepted after the
+        // query was sent.
         if (!queriedVersions.has(record)) {
           continue;
         }
         try {
           await writeInForce(record, key);
-          pending.delete(key);
+          unconfirmedVersions.delete(key);
         } catch (error) {
-          cached.delete(key);
+          cachedStatuses.delete(key);
           if (!isServingError(error, 'version-conflict')) {
             throw error;
           }
@@ -167,7 +186,7 @@
       }
     },
     async remove(key) {
-      if ((await read(key)) !== undefined) {
+      if ((await readStatus(key)) !== undefined) {
         await removeStatus(key);
       }
     },
@@ -177,28 +196,29 @@
         object => parseStatus(object.value) !== undefined,
       );
       for (const object of statuses) {
-        cached.set(object.name, object);
+        cachedStatuses.set(object.name, object);
       }
       return statuses.map(object => object.name);
     },
     async reload(key) {
-      cached.delete(key);
-      await read(key);
+      cachedStatuses.delete(key);
+      await readStatus(key);
     },
   };
 }
 
 /** Returns whether another acceptor has already reported a newer status. */
 function isSuperseded(
-  next: Omit<RecordStatus, 'at'>,
+  nextStatus: Omit<RecordStatus, 'at'>,
   currentStatus: RecordStatus,
 ): boolean {
-  if (currentStatus.sourceVersion > next.sourceVersion) {
+  if (currentStatus.sourceVersion > nextStatus.sourceVersion) {
     return true;
   }
-  // An acceptor with a stale cache rejects a version accepted since.
+  // An acceptor with a stale cache may reject a version that another acceptor
+  // has accepted meanwhile.
   return (
-    next.state === 'refused' &&
-    (currentStatus.acceptedVersion ?? -1) >= next.sourceVersion
+    nextStatus.state === 'refused' &&
+    (currentStatus.acceptedVersion ?? -1) >= nextStatus.sourceVersion
   );
 }
--- a/packages/records/src/test/acceptance.test.ts
+++ b/packages/records/src/test/acceptance.test.ts
@@ -11,8 +11,8 @@
 import {
   customerV1,
   customerV2,
-  moveV1,
-  moveV2,
+  createMoveV1,
+  createMoveV2,
   serviceV1,
   serviceV2,
 } from './sampleRecords.js';
@@ -21,7 +21,7 @@
 const equivalentRecords: readonly [RecordKind, unknown, unknown][] = [
   ['service', serviceV1, serviceV2],
   ['customer', customerV1, customerV2],
-  ['move', moveV1('booking'), moveV2('booking')],
+  ['move', createMoveV1('booking'), createMoveV2('booking')],
   [
     'endpoint-class',
     {schema: 1, checksFencing: true},
@@ -29,7 +29,7 @@
   ],
 ];
 
-/** Invalid records and the paths of their faults. */
+/** Kind, name and value of invalid records, and the paths of their faults. */
 const invalidRecords: readonly [
   RecordKind,
   string,
@@ -56,8 +56,8 @@
   ],
   ['customer', 'namu', {...customerV1, keyHashes: ['abc']}, ['keyHashes.0']],
   ['customer', 'namu', {...customerV2, allow: undefined}, ['allow']],
-  ['move', 'm', moveV1('booking', 'v1'), ['to']],
-  ['move', 'm', {...moveV2('booking'), finishBy: 'Monday'}, ['finishBy']],
+  ['move', 'm', createMoveV1('booking', 'v1'), ['to']],
+  ['move', 'm', {...createMoveV2('booking'), finishBy: 'Monday'}, ['finishBy']],
   [
     'endpoint-class',
     'x',
@@ -68,7 +68,7 @@
 
 describe('record schemas', () => {
   for (const [kind, recordV1, recordV2] of equivalentRecords) {
-    it(`convert both versions to the same accepted form: ${kind}`, () => {
+    it(`convert both schema versions to the same accepted form: ${kind}`, () => {
       assert.deepEqual(
         convertRecord(kind, 'x', recordV2),
         convertRecord(kind, 'x', recordV1),
@@ -82,8 +82,8 @@
         () => convertRecord(kind, name, value),
         error => {
           assert.ok(isServingError(error, 'bad-record'), String(error));
-          const found = error.faults.map(fault => fault.path);
-          assert.deepEqual(found, paths);
+          const foundPaths = error.faults.map(fault => fault.path);
+          assert.deepEqual(foundPaths, paths);
           return true;
         },
       );
@@ -101,24 +101,27 @@
   wallMs: 0,
 };
 
-/** A paused acceptor or a stale listing must not revert an accepted record. */
+/**
+ * Changes of the input and the expected decision. A paused acceptor or a stale
+ * listing must not revert an accepted record.
+ */
 const decisionCases: readonly [string, Partial<AcceptanceInput>, string][] = [
   ['a new record', {}, 'accept'],
-  ['an accepted record', {accepted: acceptedObject(7)}, 'nothing'],
+  ['an accepted record', {accepted: createAcceptedObject(7)}, 'nothing'],
   [
     'a record older than the accepted version',
-    {accepted: acceptedObject(9)},
+    {accepted: createAcceptedObject(9)},
     'nothing',
   ],
-  ['a newer record', {accepted: acceptedObject(5)}, 'accept'],
+  ['a newer record', {accepted: createAcceptedObject(5)}, 'accept'],
   [
     'a removed record',
-    {source: undefined, removalVersion: 8, accepted: acceptedObject(7)},
+    {source: undefined, removalVersion: 8, accepted: createAcceptedObject(7)},
     'accept',
   ],
   [
     'a record removed before the accepted version',
-    {source: undefined, removalVersion: 6, accepted: acceptedObject(7)},
+    {source: undefined, removalVersion: 6, accepted: createAcceptedObject(7)},
     'nothing',
   ],
   [
@@ -126,7 +129,7 @@
     {
       source: undefined,
       removalVersion: 8,
-      accepted: {...acceptedObject(7), isRemoved: true},
+      accepted: {...createAcceptedObject(7), isRemoved: true},
     },
     'nothing',
   ],
@@ -134,59 +137,65 @@
     'a move of an unknown service',
     {
       kind: 'move',
-      source: {version: 7, value: moveV1('booking')},
+      source: {version: 7, value: createMoveV1('booking')},
       acceptedIndex: {hasService: () => false, moves: () => []},
     },
     'refuse',
   ],
 ];
 
-function acceptedObject(sourceVersion: number) {
+function createAcceptedObject(sourceVersion: number) {
   return {sourceVersion, isRemoved: false, value: {}};
 }
 
 describe('acceptance', () => {
-  for (const [description, changes, expected] of decisionCases) {
-    it(`decides on ${description}: ${expected}`, () => {
-      assert.equal(decideAcceptance({...baseInput, ...changes}).type, expected);
+  for (const [description, inputChanges, expectedType] of decisionCases) {
+    it(`decides on ${description}: ${expectedType}`, () => {
+      assert.equal(
+        decideAcceptance({...baseInput, ...inputChanges}).type,
+        expectedType,
+      );
     });
   }
 
   // Two acceptors race, and each sees only one of two moves of a service. If
-  // both were accepted, half of the traffic would go to each candidate.
+  // both moves were accepted, half of the traffic would go to each candidate.
   it('lets one of two concurrent moves claim a service', async () => {
     const clock = virtualClock();
     const store = createMemoryObjectStore({clock});
     const {signal} = new AbortController();
     const cache = createRecordCache({store, onDidChange: () => {}});
     const claims = createMoveClaims({clock, store, cache, signal});
-    const acceptedMove = (name: string) => ({
+    const createAcceptedMove = (name: string) => ({
       sourceVersion: 7,
       isRemoved: false,
-      value: convertRecord('move', name, moveV1('booking')),
+      value: convertRecord('move', name, createMoveV1('booking')),
     });
-    await store.put('move', 'first', moveV1('booking'), {type: 'absent'});
+    await store.put('move', 'first', createMoveV1('booking'), {type: 'absent'});
     await clock.advance(10);
     assert.deepEqual(
-      await claims.claim('move.first', acceptedMove('first')),
+      await claims.claim('move.first', createAcceptedMove('first')),
       [],
     );
     assert.deepEqual(
-      await claims.claim('move.first', acceptedMove('first')),
+      await claims.claim('move.first', createAcceptedMove('first')),
       [],
     );
-    const faults = await claims.claim('move.second', acceptedMove('second'));
+    const faults = await claims.claim(
+      'move.second',
+      createAcceptedMove('second'),
+    );
     assert.match(faults[0]?.expected ?? '', /first/);
-    // The first move is removed before it was accepted: an acceptor that still
-    // tries to accept it finds a tombstone in its place.
+    // The first move is removed before it was accepted. An acceptor that still
+    // tries to accept this move must fail at a tombstone.
     await store.remove('move', 'first', {type: 'any'});
     await clock.advance(10);
     assert.deepEqual(
-      await claims.claim('move.second', acceptedMove('second')),
+      await claims.claim('move.second', createAcceptedMove('second')),
       [],
     );
     await assert.rejects(
-      store.put('accepted', 'move.first', acceptedMove('first'), {
+      store.put('accepted', 'move.first', createAcceptedMove('first'), {
         type: 'absent',
       }),
     );
@@ -199,7 +208,7 @@
 
   // A peer that was cut off relays old records. Applying them would revert an
   // accepted change on this entry alone.
-  it('never revert to a lower version', () => {
+  it('never revert to a lower version, also after a removal', () => {
     const table = createRecordTable();
     assert.equal(
       table.apply({...record, sourceVersion: 7, value: 'new'}),
@@ -219,16 +228,19 @@
     assert.equal(table.get('service', 'booking'), undefined);
   });
 
-  it('have equal digests regardless of the order of arrival', () => {
-    const [first, second] = [createRecordTable(), createRecordTable()];
+  it('have equal digests regardless of the order in which they arrive', () => {
+    const [firstTable, secondTable] = [
+      createRecordTable(),
+      createRecordTable(),
+    ];
     const roster = {...record, name: 'roster', sourceVersion: 3};
-    first.apply({...record, sourceVersion: 2});
-    first.apply({...record, sourceVersion: 7});
-    first.apply(roster);
-    second.apply(roster);
-    second.apply({...record, sourceVersion: 2});
-    assert.notDeepEqual(first.digest(), second.digest());
-    second.apply({...record, sourceVersion: 7});
-    assert.deepEqual(first.digest(), second.digest());
+    firstTable.apply({...record, sourceVersion: 2});
+    firstTable.apply({...record, sourceVersion: 7});
+    firstTable.apply(roster);
+    secondTable.apply(roster);
+    secondTable.apply({...record, sourceVersion: 2});
+    assert.notDeepEqual(firstTable.digest(), secondTable.digest());
+    secondTable.apply({...record, sourceVersion: 7});
+    assert.deepEqual(firstTable.digest(), secondTable.digest());
   });
 });
--- a/packages/records/src/test/configuration.fuzz.test.ts
+++ b/packages/records/src/test/configuration.fuzz.test.ts
@@ -1,4 +1,7 @@
-/** Random schedules: no record reverts, and all entries converge. */
+/**
+ * Random schedules of writes and faults: no record reverts, and all entries
+ * converge.
+ */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
@@ -8,8 +11,8 @@
 import {
   customerV1,
   customerV2,
-  moveV1,
-  moveV2,
+  createMoveV1,
+  createMoveV2,
   serviceV1,
   serviceV2,
 } from './sampleRecords.js';
@@ -33,12 +36,15 @@
   ['customer', 'namu', customerV1],
   ['customer', 'namu', customerV2],
   ['customer', 'namu', {schema: 3}],
-  ['move', 'm1', moveV1('booking')],
-  ['move', 'm2', moveV2('booking', 'v3')],
-  ['move', 'm3', moveV1('roster')],
+  ['move', 'm1', createMoveV1('booking')],
+  ['move', 'm2', createMoveV2('booking', 'v3')],
+  ['move', 'm3', createMoveV1('roster')],
 ];
 
-/** Events of a schedule; each takes two entry ids and a size from 0 to 1. */
+/**
+ * Events of a schedule; a handler gets two entry ids and a size from 0 to 1, of
+ * which it uses some.
+ */
 const eventHandlers = {
   advance: (simulation, _id, _other, size) =>
     simulation.advance(20 + size * 6000),
@@ -82,8 +88,8 @@
 }
 
 const eventNames = Object.keys(eventHandlers) as (keyof typeof eventHandlers)[];
-const events = fc.record({
-  what: fc.oneof(
+const eventArbitrary = fc.record({
+  eventName: fc.oneof(
     {weight: 10, arbitrary: fc.constant('advance' as const)},
     {weight: 8, arbitrary: fc.constant('write' as const)},
     {weight: 3, arbitrary: fc.constantFrom('accept' as const, 'remove')},
@@ -94,23 +100,26 @@
   size: fc.integer({min: 0, max: 100}).map(percent => percent / 100),
 });
 
-/** Asserts that all entries agree, on the last version if it is valid. */
+/**
+ * Asserts that all entries have the same version of each record, and that this
+ * is the last written version if that version is valid.
+ */
 function checkAgreement(simulation: Simulation): void {
-  for (const [key, versions] of simulation.written) {
+  for (const [key, versions] of simulation.writtenValues) {
     const separator = key.indexOf('.');
     const kind = key.slice(0, separator) as RecordKind;
     const name = key.slice(separator + 1);
-    const inForce = [...simulation.entries.values()].map(entry =>
+    const versionsInForce = [...simulation.entries.values()].map(entry =>
       simulation.versionOn(entry, key),
     );
     assert.equal(
-      new Set(inForce).size,
+      new Set(versionsInForce).size,
       1,
-      `${key} differs between entries: ${inForce.join()}`,
+      `${key} differs between entries: ${versionsInForce.join()}`,
     );
     const source = simulation.platform.table.get(kind, name);
-    const [first] = simulation.entries.values();
-    const value = first?.configuration.get(kind, name);
+    const [firstEntry] = simulation.entries.values();
+    const value = firstEntry?.configuration.get(kind, name);
     if (source === undefined) {
       assert.equal(
         value,
@@ -120,7 +129,11 @@
       continue;
     }
     if (kind !== 'move' && isValid(kind, name, versions.get(source.version))) {
-      assert.equal(inForce[0], source.version, `${key} is not in force`);
+      assert.equal(
+        versionsInForce[0],
+        source.version,
+        `${key} is not in force`,
+      );
       assert.equal(simulation.status(key)?.state, 'in-force', key);
     }
   }
@@ -145,7 +158,7 @@
     await fc.assert(
       fc.asyncProperty(
         fc.integer(),
-        fc.array(events, {minLength: 5, maxLength: 40, size: 'max'}),
+        fc.array(eventArbitrary, {minLength: 5, maxLength: 40, size: 'max'}),
         async (simulationSeed, schedule) => {
           const simulation = createRecordSimulation({
             seed: simulationSeed,
@@ -153,8 +166,8 @@
           });
           simulation.startAcceptor('a1');
           simulation.startAcceptor('b1');
-          for (const {what, id, other, size} of schedule) {
-            await eventHandlers[what](simulation, id, other, size);
+          for (const {eventName, id, other, size} of schedule) {
+            await eventHandlers[eventName](simulation, id, other, size);
           }
           await simulation.heal();
           checkAgreement(simulation);
--- a/packages/records/src/test/configuration.test.ts
+++ b/packages/records/src/test/configuration.test.ts
@@ -1,7 +1,12 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createRecordSimulation} from './recordSimulation.js';
-import {moveV1, moveV2, serviceV1, serviceV2} from './sampleRecords.js';
+import {
+  createMoveV1,
+  createMoveV2,
+  serviceV1,
+  serviceV2,
+} from './sampleRecords.js';
 
 const ENTRY_IDS = ['a1', 'a2', 'a3', 'b1', 'b2', 'b3', 'c1'];
 
@@ -16,7 +21,7 @@
 }
 
 describe('configuration', () => {
-  it('is in force on every entry and reported so in the status', async () => {
+  it('is in force on every entry once the status reports so', async () => {
     const {simulation, version} = await createSettledSimulation();
     for (const entry of simulation.entries.values()) {
       const service = entry.configuration.get('service', 'booking');
@@ -28,8 +33,8 @@
   });
 
   // Two watches per failure domain, regardless of the number of entries: more
-  // would exhaust the platform's rate limit.
-  it('limits the number of watches on the platform', async () => {
+  // watches would exhaust the rate limit of the platform.
+  it('limits the watches on the platform to two per failure domain', async () => {
     const {simulation} = await createSettledSimulation();
     await simulation.advance(10_000);
     const readers = [...simulation.entries.values()].filter(
@@ -39,8 +44,8 @@
   });
 
   // All entries but one lose their connection to the platform. If changes came
-  // from the platform alone, they would keep the old record.
-  it('propagates over peers when entries are cut off from the platform', async () => {
+  // from the platform alone, these entries would keep the old record.
+  it('propagates over peers to entries that are cut off from the platform', async () => {
     const {simulation} = await createSettledSimulation();
     for (const entry of simulation.entries.values()) {
       if (entry.id !== 'a1') {
@@ -57,8 +62,8 @@
     }
   });
 
-  // Only the acceptor reaches the platform, and it is not a reader. Unless it
-  // pushes accepted records itself, no entry receives them.
+  // Only the acceptor reaches the platform, and it is not a reader. Unless the
+  // acceptor pushes accepted records itself, no entry receives them.
   it('propagates from the acceptor when all readers are cut off', async () => {
     const simulation = createRecordSimulation({seed: 11, ids: ENTRY_IDS});
     await simulation.advance(3000);
@@ -79,8 +84,8 @@
   });
 
   // An entry reaches neither the platform nor its peers while a record changes.
-  // When the partition heals it must catch up without another write.
-  it('catches up after a partition', async () => {
+  // When the partition heals, the entry must catch up without another write.
+  it('catches up on an entry after a partition', async () => {
     const {simulation} = await createSettledSimulation();
     simulation.entries.get('c1')?.store.faults.setDown(true);
     simulation.net.pause('c1');
@@ -95,8 +100,9 @@
     assert.equal(simulation.status('service.booking')?.state, 'in-force');
   });
 
-  // An entry is replaced while the platform is down. It has no stored state and
-  // with an empty configuration would reject every caller as unknown.
+  // An entry is replaced while the platform is down. The new entry has no
+  // stored state and with an empty configuration would reject every caller as
+  // unknown.
   it('comes from peers when an entry starts during a platform outage', async () => {
     const {simulation, version} = await createSettledSimulation();
     simulation.platform.faults.setDown(true);
@@ -121,7 +127,7 @@
 
   // An operator writes an invalid record of a running service. The service must
   // keep running unchanged, and the status must list the invalid fields.
-  it('keeps the older version in force when a newer one is rejected', async () => {
+  it('keeps the older version of a record in force when a newer version is rejected', async () => {
     const {simulation, version} = await createSettledSimulation();
     const rejectedVersion = simulation.write('service', 'booking', {
       ...serviceV1,
@@ -154,11 +160,11 @@
   });
 
   // Two moves of one service would send its traffic to two candidates at once.
-  it('rejects a second move of a service until the first is removed', async () => {
+  it('rejects a second move of a service until the first move is removed', async () => {
     const {simulation} = await createSettledSimulation();
-    simulation.write('move', 'first', moveV1('booking'));
+    simulation.write('move', 'first', createMoveV1('booking'));
     await simulation.advance(2000);
-    simulation.write('move', 'second', moveV2('booking', 'v3'));
+    simulation.write('move', 'second', createMoveV2('booking', 'v3'));
     await simulation.advance(2000);
     assert.equal(simulation.status('move.first')?.state, 'in-force');
     const status = simulation.status('move.second');
@@ -169,9 +175,9 @@
     assert.equal(simulation.status('move.second')?.state, 'in-force');
   });
 
-  it('accepts a move once its service is accepted', async () => {
+  it('accepts a rejected move once its service is accepted', async () => {
     const {simulation} = await createSettledSimulation();
-    simulation.write('move', 'early', moveV2('roster'));
+    simulation.write('move', 'early', createMoveV2('roster'));
     await simulation.advance(2000);
     assert.equal(simulation.status('move.early')?.state, 'refused');
     simulation.write('service', 'roster', serviceV2);
@@ -181,7 +187,7 @@
 
   // The acceptor crashes right after writing the accepted form. Unless the
   // next acceptor resumes, the status would remain `accepted` forever.
-  it('has its status completed by the next acceptor', async () => {
+  it('has the status of a record completed by the next acceptor after a crash', async () => {
     const {simulation} = await createSettledSimulation();
     const subscription = simulation.platform.table.onDidChange(change => {
       if (change.kind === 'accepted') {
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -24,7 +24,6 @@
 import {parseStatus, STATUS_KIND} from '../recordStatus.js';
 import {recordKey} from '../recordTable.js';
 
-/** A simulated entry. */
 export interface SimulatedEntry {
   readonly id: string;
   readonly clock: Clock;
@@ -34,13 +33,13 @@
   acceptance: AcceptanceController | undefined;
   /** Highest version observed in force on this entry, by record key. */
   readonly highestVersions: Map<string, number>;
-  /** Versions that were in force on every entry when this one started. */
+  /** Versions that were in force on every entry when this entry started. */
   readonly minVersions: ReadonlyMap<string, number>;
 }
 
 const NETWORK_LATENCY_MS = 2;
 const INVARIANT_CHECK_INTERVAL_MS = 250;
-/** Time after its start in which an entry may lack a record in force. */
+/** Time after its start during which an entry may lack a record in force. */
 const STARTUP_GRACE_MS = 5000;
 
 /**
@@ -61,8 +60,8 @@
   platform.faults.setDelay(NETWORK_LATENCY_MS);
   const net = createMemoryNetwork({clock, random, delayMs: 1});
   const entries = new Map<string, SimulatedEntry>();
-  /** Every version that operators wrote, by key and source version. */
-  const written = new Map<string, Map<number, unknown>>();
+  /** Every record value that operators wrote, by key and source version. */
+  const writtenValues = new Map<string, Map<number, unknown>>();
   const confirmedVersions = new Map<string, number>();
   const acceptedVersions = new Map<string, number>();
 
@@ -93,7 +92,7 @@
     assert.equal(
       new Set(movedServices).size,
       movedServices.length,
-      'two moves of one service',
+      'two moves of one service are accepted',
     );
   }
 
@@ -116,10 +115,10 @@
   }
 
   function versionOn(entry: SimulatedEntry, key: string): number {
-    const found = entry.configuration
+    const foundVersion = entry.configuration
       .versions()
       .find(version => recordKey(version) === key);
-    return found?.sourceVersion ?? -1;
+    return foundVersion?.sourceVersion ?? -1;
   }
 
   function checkInvariants(): void {
@@ -141,10 +140,10 @@
         continue;
       }
       for (const [key, version] of entry.minVersions) {
-        const current = versionOn(entry, key);
+        const currentVersion = versionOn(entry, key);
         assert.ok(
-          current >= version,
-          `${entry.id} started with ${key} at ${current}, but ${version} was in force`,
+          currentVersion >= version,
+          `${entry.id} started with ${key} at ${currentVersion}, but ${version} was in force`,
         );
       }
     }
@@ -160,7 +159,9 @@
     if (value === undefined) {
       return;
     }
-    const source = written.get(recordKey({kind, name}))?.get(sourceVersion);
+    const source = writtenValues
+      .get(recordKey({kind, name}))
+      ?.get(sourceVersion);
     assert.deepEqual(value, convertRecord(kind, name, source));
   }
 
@@ -223,7 +224,7 @@
     entry.store.dispose();
   }
 
-  /** Starts an acceptor without a lease, so that acceptors race. */
+  /** Starts an acceptor that needs no lease, so that several acceptors race. */
   function startAcceptor(id: string): void {
     const entry = entries.get(id);
     if (entry === undefined || entry.acceptance !== undefined) {
@@ -243,11 +244,16 @@
 
   function write(kind: RecordKind, name: string, value: unknown): number {
     const key = recordKey({kind, name});
-    const versions = written.get(key) ?? new Map<number, unknown>();
-    written.set(key, versions);
+    const versions = writtenValues.get(key) ?? new Map<number, unknown>();
+    writtenValues.set(key, versions);
     versions.set(platform.table.version() + 1, value);
-    const write = {kind, name, writeId: 'operator', condition: unconditional};
-    return platform.table.put(write, value).version;
+    const writeRequest = {
+      kind,
+      name,
+      writeId: 'operator',
+      condition: ANY_VERSION,
+    };
+    return platform.table.put(writeRequest, value).version;
   }
 
   async function advance(durationMs: number): Promise<void> {
@@ -268,7 +274,7 @@
     platform,
     net,
     entries,
-    written,
+    writtenValues,
     start,
     stop,
     startAcceptor,
@@ -280,12 +286,15 @@
         kind,
         name,
         writeId: 'operator',
-        condition: unconditional,
+        condition: ANY_VERSION,
       });
     },
     status: (key: string) =>
       parseStatus(platform.table.get(STATUS_KIND, key)?.value),
-    /** Ends every fault and advances until the entries have converged. */
+    /**
+     * Ends every fault, then advances for longer than the entries need to
+     * converge.
+     */
     async heal() {
       platform.faults.setDown(false);
       platform.faults.setDelay(NETWORK_LATENCY_MS);
@@ -309,4 +318,4 @@
   };
 }
 
-const unconditional = {type: 'any'} as const;
+const ANY_VERSION = {type: 'any'} as const;
--- a/packages/records/src/test/sampleRecords.ts
+++ b/packages/records/src/test/sampleRecords.ts
@@ -35,14 +35,14 @@
   allow: 'all',
 };
 
-/** Later than the clock of any test. */
+/** Deadline of moves, later than the clock of any test. */
 export const DEADLINE = 1_900_000_000_000;
 
-export function moveV1(service: string, to = 'v2') {
+export function createMoveV1(service: string, to = 'v2') {
   return {schema: 1, service, from: 'v1', to, deadline: DEADLINE};
 }
 
-export function moveV2(service: string, to = 'v2') {
+export function createMoveV2(service: string, to = 'v2') {
   return {
     schema: 2,
     service,
--- a/packages/records/src/writeCondition.ts
+++ b/packages/records/src/writeCondition.ts
@@ -2,16 +2,16 @@
 import type {StoredObject, WriteCondition} from '@skylarkfield/providers';
 
 /**
- * Returns the condition that the object is unchanged since it was read.
+ * Returns the condition that an object is unchanged since `lastRead`.
  *
  * @example
  * await store.put('status', key, status, unchangedCondition(current));
  */
 export function unchangedCondition(
-  current: StoredObject | undefined,
+  lastRead: StoredObject | undefined,
 ): WriteCondition {
-  if (current === undefined) {
+  if (lastRead === undefined) {
     return {type: 'absent'};
   }
-  return {type: 'version', version: current.version};
+  return {type: 'version', version: lastRead.version};
 }
