--- a/packages/orders/src/activeOrder.ts
+++ b/packages/orders/src/activeOrder.ts
@@ -3,16 +3,18 @@
 import {createMachine, interpret, state, transition} from 'robot3';
 import type {OrderCall, OrderReply} from './contracts.js';
 
-/** The part of an order that its claim and its execution need. */
+/** The data that the claim and the execution of an order need. */
 export interface OrderRequest {
+  /** Digest of customer and key; a random id for an order without a key. */
   readonly id: string;
-  readonly print: string;
+  /** Digest of the request, to detect a key reused for another request. */
+  readonly requestDigest: string;
   readonly service: string;
   readonly call: OrderCall;
   /** Deadline of the answer, in monotonic milliseconds of this process. */
   readonly deadline: number;
-  /** Tokens of void claims for this id: never sent and never to be sent. */
-  readonly released: readonly string[];
+  /** Tokens of void claims of this order, under which it is never sent. */
+  readonly releasedTokens: readonly string[];
 }
 
 /** How an order ended in this process. */
@@ -23,10 +25,10 @@
       readonly isReplay: boolean;
     }
   | {readonly type: 'error'; readonly error: ServingError}
-  /** Never to be sent from here: must be routed to the owner of the shard. */
+  /** This process will not send the order: it must go to the shard's owner. */
   | {
       readonly type: 'moved';
-      /** New owner of the shard, if known. */
+      /** Id of the shard's new owner; undefined when unknown. */
       readonly member: string | undefined;
       /** Token of the claim that is void. */
       readonly token: string;
@@ -35,11 +37,11 @@
     };
 
 /**
- * `queued`: waits for the next write. `committing`: its claim is being written.
- * `claimed`: the claim is in the ledger, nothing has been sent. `handing`: its
- * hand-over is being written, so it may neither be sent nor reported as not
- * run. `sent`: the call has gone to an endpoint. `ended`: completed, cancelled
- * or moved.
+ * `queued`: the order waits for the next write of its shard. `committing`: the
+ * claim is being written. `claimed`: the claim is in the ledger, nothing has
+ * been sent. `handing`: the hand-over is being written, so the order may
+ * neither be sent nor reported as not run. `sent`: the call has gone to an
+ * endpoint. `ended`: the order was completed, cancelled or moved.
  */
 export type ActiveOrderState =
   | 'queued'
@@ -61,10 +63,11 @@
 export interface ActiveOrder {
   readonly request: OrderRequest;
   readonly shard: number;
-  readonly done: Promise<OrderCompletion>;
-  /** Resolves once this process has written the claim or never will. */
-  readonly claimDecided: Promise<void>;
-  /** Token of the claim; empty before there is one. */
+  /** Resolves when the order has ended in this process. */
+  readonly completion: Promise<OrderCompletion>;
+  /** Resolves once the claim is written or the order has ended without it. */
+  readonly whenClaimDecided: Promise<void>;
+  /** Token of the claim; empty before the order is claimed. */
   token: string;
   state(): ActiveOrderState;
   /** True once `claimDecided` has resolved. */
@@ -73,25 +76,27 @@
   isMoved(): boolean;
   /**
    * Monotonic milliseconds until which the order may be sent: the latest
-   * deadline of all waiters. Otherwise a caller with a short timeout would end
-   * the order of a caller that joined with a longer one.
+   * deadline of all waiters. With only the first deadline, a caller with a
+   * short timeout would end the order of a caller that joined with a longer
+   * timeout.
    */
   deadline(): number;
-  /** Applies an event; false when the current state does not allow it. */
+  /** Applies an event; returns false if the current state does not allow it. */
   tryTransition(event: ActiveOrderEvent): boolean;
   /** Completes the order; has no effect if the order has ended. */
   complete(result: OrderCompletion): void;
   /**
-   * Waits for completion. A waiter that stops early gets `deadline-exceeded` or
-   * `cancelled`; the last waiter cancels an unsent order, so that `not-run` is
-   * true.
+   * Waits until the order has ended. Rejects with `deadline-exceeded` at the
+   * deadline and with `cancelled` when the signal aborts. If no other waiter is
+   * left and the order was not sent, the order is cancelled and the error is
+   * `not-run`.
    */
   join(deadline: number, signal: AbortSignal): Promise<OrderCompletion>;
-  /** Aborted once when the order was cancelled or moved before it was sent. */
+  /** Aborts when the order is cancelled or moved before it was sent. */
   readonly stopSignal: AbortSignal;
 }
 
-/** An order is sent only from `claimed`, and not cancelled after `send`. */
+/** An order can be sent or handed over only in state `claimed`. */
 const activeOrderMachine = createMachine({
   queued: state(transition('commit', 'committing'), transition('end', 'ended')),
   committing: state(transition('claim', 'claimed'), transition('end', 'ended')),
@@ -109,7 +114,7 @@
 });
 
 /**
- * Creates the state of one order.
+ * Creates the in-memory state of one order.
  *
  * @example
  * const order = createActiveOrder(request, 3, clock);
@@ -127,42 +132,47 @@
   let waiterCount = origin === 'ledger' ? 1 : 0;
   let isMoved = false;
   let latestDeadline = request.deadline;
-  let resolveDone: (result: OrderCompletion) => void = () => undefined;
-  const done = new Promise<OrderCompletion>(resolve => (resolveDone = resolve));
+  let resolveCompletion: (result: OrderCompletion) => void = () => undefined;
+  const completion = new Promise<OrderCompletion>(
+    resolve => (resolveCompletion = resolve),
+  );
   let resolveClaimDecided: () => void = () => undefined;
-  const claimDecided = new Promise<void>(
+  const whenClaimDecided = new Promise<void>(
     resolve => (resolveClaimDecided = resolve),
   );
 
-  function current(): ActiveOrderState {
+  function currentState(): ActiveOrderState {
     return interpreter.machine.current as ActiveOrderState;
   }
 
   function tryTransition(event: ActiveOrderEvent): boolean {
-    const before = current();
+    const previousState = currentState();
     interpreter.send(event);
-    if (!undecidedStates.has(current())) {
+    if (!undecidedStates.has(currentState())) {
       resolveClaimDecided();
     }
-    return current() !== before;
+    return currentState() !== previousState;
   }
 
   function complete(result: OrderCompletion): void {
-    const wasSent = current() === 'sent';
+    const wasSent = currentState() === 'sent';
     if (!tryTransition('end')) {
       return;
     }
     isMoved = result.type === 'moved';
-    resolveDone(result);
+    resolveCompletion(result);
     if (!wasSent) {
       stopController.abort();
     }
   }
 
-  /** Returns the error of a leaving waiter; cancels the order if possible. */
+  /**
+   * Returns the error for a waiter that stops waiting; cancels an unsent order
+   * that has no other waiter.
+   */
   function removeWaiter(kind: 'deadline-exceeded' | 'cancelled'): ServingError {
     waiterCount -= 1;
-    const mayCancel = waiterCount === 0 && unsentStates.has(current());
+    const mayCancel = waiterCount === 0 && unsentStates.has(currentState());
     const run: RunState = mayCancel ? 'not-run' : 'may-have-run';
     const error = new ServingError(kind, abandonMessages[kind], {run});
     if (run === 'not-run') {
@@ -175,8 +185,8 @@
     deadline: number,
     signal: AbortSignal,
   ): Promise<OrderCompletion> {
-    if (current() === 'ended') {
-      return done;
+    if (currentState() === 'ended') {
+      return completion;
     }
     waiterCount += 1;
     latestDeadline = Math.max(latestDeadline, deadline);
@@ -188,19 +198,19 @@
       signal.addEventListener('abort', onAbort, {once: true});
       let hasStopped = false;
       function stopWaiting(): boolean {
-        const isFirst = !hasStopped;
+        const isFirstCall = !hasStopped;
         hasStopped = true;
         timer.dispose();
         signal.removeEventListener('abort', onAbort);
-        return isFirst;
+        return isFirstCall;
       }
       function abandon(kind: 'deadline-exceeded' | 'cancelled'): void {
         // An order that has ended yields its result instead of an error.
-        if (current() !== 'ended' && stopWaiting()) {
+        if (currentState() !== 'ended' && stopWaiting()) {
           reject(removeWaiter(kind));
         }
       }
-      void done.then(result => {
+      void completion.then(result => {
         if (stopWaiting()) {
           waiterCount -= 1;
           resolve(result);
@@ -215,12 +225,12 @@
   return {
     request,
     shard,
-    done,
-    claimDecided,
+    completion,
+    whenClaimDecided,
     token: '',
     deadline: () => latestDeadline,
-    state: current,
-    isClaimDecided: () => !undecidedStates.has(current()),
+    state: currentState,
+    isClaimDecided: () => !undecidedStates.has(currentState()),
     isMoved: () => isMoved,
     tryTransition,
     complete,
@@ -229,13 +239,13 @@
   };
 }
 
-/** States in which it is open whether the claim will be written. */
+/** States in which the claim may or may not be written later. */
 const undecidedStates: ReadonlySet<ActiveOrderState> = new Set([
   'queued',
   'committing',
 ]);
 
-/** States in which a cancelled order certainly never runs. */
+/** States in which an order can be cancelled: it certainly never runs then. */
 const unsentStates: ReadonlySet<ActiveOrderState> = new Set([
   'queued',
   'committing',
--- a/packages/orders/src/contracts.ts
+++ b/packages/orders/src/contracts.ts
@@ -5,15 +5,16 @@
 export interface Order {
   readonly customer: string;
   readonly service: string;
-  /** Idempotency key sent by the caller; undefined when there was none. */
+  /** Idempotency key sent by the caller; undefined without a key. */
   readonly key: string | undefined;
-  /** Hash of method, path and body; must not differ between uses of a key. */
+  /** Hash of method, path and body; must not differ for orders with one key. */
   readonly fingerprint: string;
   readonly call: OrderCall;
   /** Monotonic milliseconds by which the caller must be answered. */
   readonly deadline: number;
 }
 
+/** The HTTP call that an order makes to its service. */
 export interface OrderCall {
   readonly method: string;
   readonly path: string;
@@ -21,13 +22,14 @@
   readonly body: Uint8Array;
 }
 
-/** Response of the service. */
+/** Response of the service to an order. */
 export interface OrderReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
 }
 
+/** Result of an order for its caller. */
 export interface SubmitResult {
   readonly reply: OrderReply;
   /** True when the reply comes from an earlier execution under the same key. */
@@ -37,16 +39,16 @@
 }
 
 /**
- * Sends one call to an endpoint, after waiting for capacity as long as needed.
+ * Waits until the service has capacity, then sends one call to an endpoint.
  *
  * `begin` is called synchronously right before the call goes to an endpoint.
- * When it returns false, the order was cancelled or handed over meanwhile: the
- * call must not be sent, and `cancelled` (not run) is thrown. `begin` is called
- * again before another endpoint is tried, once the previous endpoint certainly
- * received nothing.
+ * When `begin` returns false, the order was cancelled or handed over meanwhile:
+ * the call must not be sent, and the function throws `cancelled` (not run).
+ * `begin` is called again before the call goes to another endpoint, which
+ * requires that the previous endpoint certainly received nothing.
  *
  * Throws `endpoint-unavailable` only when no byte of the call was sent
- * (certainly not run), `outcome-unknown` once any byte may have been.
+ * (certainly not run), and `outcome-unknown` when any byte may have been sent.
  */
 export type Dispatch = (
   service: string,
@@ -64,7 +66,10 @@
    * `overloaded`.
    */
   submit(order: Order, signal: AbortSignal): Promise<SubmitResult>;
-  /** Rejects new orders, hands over waiting ones, awaits those in progress. */
+  /**
+   * Rejects new orders, hands over orders that were not sent yet, and waits for
+   * the sent orders to end.
+   */
   leave(): Promise<void>;
   dump(): unknown;
 }
--- a/packages/orders/src/forwardAnswer.ts
+++ b/packages/orders/src/forwardAnswer.ts
@@ -1,4 +1,4 @@
-/** Conversion between results of orders and messages of the inner protocol. */
+/** Conversion between results of orders and answers to forwarded orders. */
 import {ServingError} from '@skylarkfield/base';
 import type {ForwardAnswer} from '@skylarkfield/protocol';
 import type {OrderCompletion} from './activeOrder.js';
@@ -6,6 +6,7 @@
 /** Result of executing an order at one entry. */
 export type ExecuteResult =
   | OrderCompletion
+  /** Another entry owns the shard of the order. */
   | {readonly type: 'elsewhere'; readonly member: string}
   /** The request was not sent to the peer. */
   | {readonly type: 'not-sent'}
@@ -13,7 +14,8 @@
   | {readonly type: 'no-answer'};
 
 /**
- * Converts a result to the message that answers a forwarded order.
+ * Converts a result to the message that answers a forwarded order. The message
+ * names `fallbackMember` as owner of the shard when the owner is unknown.
  *
  * @example
  * return toForwardAnswer(await orders.execute(request, signal), member);
@@ -55,7 +57,7 @@
   }
   if (answer.released !== undefined) {
     const {member, released, isWaiting} = answer;
-    // An older software release omits the field; the order may be waiting.
+    // An entry of an older release omits `isWaiting`; the order may be waiting.
     return {
       type: 'moved',
       member,
--- a/packages/orders/src/handOver.ts
+++ b/packages/orders/src/handOver.ts
@@ -5,23 +5,27 @@
 import type {Shard} from './shardContracts.js';
 import {encodeOrder, type LedgerEntry} from './shardRecord.js';
 
-/** For all bodies in a shard object; far below the platform's size limit. */
+/**
+ * Upper bound of all request bodies that one hand-over adds to a shard object;
+ * far below the platform's size limit for one value.
+ */
 const MAX_TOTAL_BODY_BYTES = 262_144;
 const MAX_SUCCESSORS_TRIED = 3;
 const REQUEST_TIMEOUT_MS = 2_000;
 
 export interface HandOver {
-  /** Releases a shard and, if that succeeded, notifies its next owner. */
+  /** Releases a shard; after a successful release, notifies its next owner. */
   transfer(shard: Shard): Promise<void>;
 }
 
 /**
  * Creates the hand-over of one process.
  *
- * An order is blocked from being sent here before it is marked as `waiting` in
- * the ledger, until that write has certainly failed: the next owner may execute
- * it as soon as the mark is there. Otherwise a lost response to the write would
- * execute the order twice.
+ * Before an order is marked as `waiting` in the ledger, this process stops
+ * sending it, and resumes only if the write of the mark has certainly failed:
+ * the next owner may execute the order as soon as the mark is written. If this
+ * process resumed after a lost response to the write, the order could be
+ * executed twice.
  *
  * @example
  * await handOver.transfer(shard);
@@ -31,33 +35,37 @@
   readonly network: OrderNetwork;
   /** Ids of the entries that may own a shard next, in order of preference. */
   readonly successors: (shard: number) => readonly string[];
-  /** Upper bound of a body that is stored in the ledger. */
+  /** Largest request body that is stored in the ledger. */
   readonly maxBodyBytes: number;
   readonly activeOrders: () => readonly ActiveOrder[];
   /**
-   * The shard was lost during the hand-over: its new owner may have the claim
-   * without the `waiting` mark. If the caller has disconnected, nobody routes
-   * the order there, and a retry would get `may-have-run`: the owner must be
-   * notified that the claim is void.
+   * Called when the shard was lost during the hand-over: its new owner may have
+   * the claim without the `waiting` mark. If the caller has disconnected, no
+   * entry routes the order to the new owner, and a retry would get
+   * `may-have-run`: the new owner must be notified that the claim is void.
    */
   readonly onDidVoidClaim: (order: ActiveOrder) => void;
-  /** Continues with an order whose hand-over was not written. */
+  /** Runs an order in this process, as its hand-over was not written. */
   readonly resume: (order: ActiveOrder) => void;
 }): HandOver {
-  /** Marks an order as waiting in the table; returns its old ledger entry. */
+  /**
+   * Marks an order as waiting in the table; returns its previous entry. The
+   * budget counts the bytes that may still be added for bodies.
+   */
   function markWaiting(
     shard: Shard,
     order: ActiveOrder,
-    budget: {bytes: number},
+    bodyBudget: {bytes: number},
   ): LedgerEntry | undefined {
     const {id, service, call} = order.request;
     const entry = shard.table.get(id);
     if (entry?.token !== order.token) {
       return undefined;
     }
-    budget.bytes -= call.body.byteLength;
-    if (call.body.byteLength > options.maxBodyBytes || budget.bytes < 0) {
-      // The order is forwarded to the next owner instead; its claim is void.
+    bodyBudget.bytes -= call.body.byteLength;
+    if (call.body.byteLength > options.maxBodyBytes || bodyBudget.bytes < 0) {
+      // The body is too large for the ledger: the claim becomes void and the
+      // order is forwarded to the next owner instead.
       shard.table.remove(id);
       return entry;
     }
@@ -73,34 +81,37 @@
     shard: Shard,
     successor: string | undefined,
   ): Promise<boolean> {
-    const suspended: Array<{
+    const suspendedOrders: Array<{
       order: ActiveOrder;
-      claim: LedgerEntry | undefined;
+      claimEntry: LedgerEntry | undefined;
     }> = [];
-    const budget = {bytes: MAX_TOTAL_BODY_BYTES};
+    const bodyBudget = {bytes: MAX_TOTAL_BODY_BYTES};
     const result = await shard.release(() => {
       for (const order of options.activeOrders()) {
         if (
           order.shard === shard.index &&
           order.tryTransition('startHandOver')
         ) {
-          suspended.push({order, claim: markWaiting(shard, order, budget)});
+          suspendedOrders.push({
+            order,
+            claimEntry: markWaiting(shard, order, bodyBudget),
+          });
         }
       }
     });
     const isShardReleased = result === 'released' || result === 'lost';
-    for (const {order, claim} of suspended) {
+    for (const {order, claimEntry} of suspendedOrders) {
       if (result === 'lost') {
         options.onDidVoidClaim(order);
       }
       if (isShardReleased) {
         const {token} = order;
-        const isWaiting = claim !== undefined;
+        const isWaiting = claimEntry !== undefined;
         order.complete({type: 'moved', member: successor, token, isWaiting});
         continue;
       }
-      if (claim !== undefined) {
-        shard.table.put(claim);
+      if (claimEntry !== undefined) {
+        shard.table.put(claimEntry);
       }
       order.tryTransition('cancelHandOver');
       options.resume(order);
@@ -126,7 +137,8 @@
           );
           return;
         } catch {
-          // The orders stay in the shard for whichever entry takes it over.
+          // If no successor responds, the orders wait in the ledger until some
+          // entry takes the shard over.
         }
       }
     },
--- a/packages/orders/src/ledger.ts
+++ b/packages/orders/src/ledger.ts
@@ -1,4 +1,4 @@
-/** Ledger of one process: submission, hand-over, messages between entries. */
+/** Ledger of one process: submission of orders, hand-over, peer messages. */
 import {disposableStore, every, ServingError, sleep} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import type {Ledger, Order, SubmitResult} from './contracts.js';
@@ -8,7 +8,12 @@
 import {createOutcomeSender} from './outcomeSender.js';
 import {defaultLedgerSettings, type LedgerOptions} from './ledgerSettings.js';
 import {toClaimOutcome, createLocalOrders} from './localOrders.js';
-import {orderId, requestDigest, shardOf, randomId} from './orderIdentity.js';
+import {
+  orderId,
+  requestDigest,
+  shardIndexOf,
+  randomId,
+} from './orderIdentity.js';
 import {observeAnswer, observeWrites, noopObserver} from './orderObserver.js';
 import {createOrderRouter} from './orderRouter.js';
 import {createOrderRunner, type RunOutcome} from './orderRunner.js';
@@ -40,11 +45,12 @@
   const {network, clock, random, member, observer = noopObserver} = options;
   const store = observeWrites(options.store, observer.onWillWrite);
   const settings = {...defaultLedgerSettings, ...options.settings};
-  const instance = `${member}#${randomId(random)}`;
+  const instanceId = `${member}#${randomId(random)}`;
   const disposables = disposableStore();
-  const undelivered = createOutcomeCache();
+  /** Outcomes that the owner of their shard may not have yet. */
+  const undeliveredOutcomes = createOutcomeCache();
   /** Outcomes of this process's claims, for shard owners that query them. */
-  const ownOutcomes = createOutcomeCache();
+  const localOutcomes = createOutcomeCache();
   /** Answers that callers of this entry are waiting for. */
   const pendingAnswers = new Set<Promise<unknown>>();
   let isLeaving = false;
@@ -60,13 +66,13 @@
           clock,
           decisions: options.decisions,
           member,
-          instance,
+          instanceId,
           minWriteIntervalMs: settings.minWriteIntervalMs,
           outcomeDelayMs: settings.outcomeDelayMs,
           dedupeWindowMs: settings.dedupeWindowMs,
           sealThresholdBytes: settings.sealThresholdBytes,
           holdOffMs: settings.holdOffMs,
-          isReachable: other => router.isReachable(other),
+          isReachable: peer => router.isReachable(peer),
           onDidClaim: order => runner.run(order),
           onDidLose: outcomes =>
             outcomes.forEach(outcome => cacheUndelivered(index, outcome, 0)),
@@ -84,7 +90,7 @@
     random,
     shards,
     queryClaimant,
-    onDidVoidClaim: order => cacheOwnOutcome(order, {state: 'released'}),
+    onDidVoidClaim: order => cacheLocalOutcome(order, {state: 'released'}),
   });
   const runner = createOrderRunner({
     ...settings,
@@ -93,7 +99,7 @@
     random,
     isAlive: () => isAlive,
     onDidFinish: (order, result) => {
-      cacheOwnOutcome(order, result);
+      cacheLocalOutcome(order, result);
       recordOutcome(order.shard, toClaimOutcome(order, result), 0);
     },
   });
@@ -107,11 +113,11 @@
     isLeaving: () => isLeaving,
     executeLocally: orders.execute,
   });
-  const sender = createOutcomeSender({
+  const outcomeSender = createOutcomeSender({
     network,
     clock,
     member,
-    undelivered,
+    undeliveredOutcomes,
     shards,
     preferredOwner: router.preferredOwner,
   });
@@ -130,10 +136,10 @@
     resume: runner.run,
   });
 
-  function cacheOwnOutcome(order: ActiveOrder, result: RunOutcome): void {
+  function cacheLocalOutcome(order: ActiveOrder, result: RunOutcome): void {
     const {shard} = order;
     const outcome = toClaimOutcome(order, result);
-    ownOutcomes.add({shard, outcome, hops: 0, expiresAt: Infinity});
+    localOutcomes.add({shard, outcome, hops: 0, expiresAt: Infinity});
   }
 
   function recordOutcome(
@@ -153,27 +159,36 @@
     hops: number,
   ): void {
     const expiresAt = clock.now() + UNDELIVERED_OUTCOME_TTL_MS;
-    undelivered.add({shard, outcome, hops, expiresAt});
+    undeliveredOutcomes.add({shard, outcome, hops, expiresAt});
   }
 
-  /** After a take-over, applies known outcomes and resumes waiting orders. */
+  /**
+   * After a take-over, records the cached outcomes of the shard's claims and
+   * queues the orders that wait in the shard.
+   */
   function adoptShard(index: number, entries: readonly LedgerEntry[]): void {
     const shard = shards[index] as Shard;
-    for (const {outcome} of undelivered.listShard(index, clock.now())) {
+    for (const {outcome} of undeliveredOutcomes.listByShard(
+      index,
+      clock.now(),
+    )) {
       orders.recordOutcome(shard, outcome);
-      undelivered.remove(outcome.id, outcome.token);
+      undeliveredOutcomes.remove(outcome.id, outcome.token);
     }
-    for (const order of orders.adopt(shard, entries)) {
+    for (const order of orders.adoptOrders(shard, entries)) {
       void rerouteIfMoved(order);
     }
   }
 
-  /** Reroutes an order without a caller here when its shard is lost. */
+  /**
+   * Routes an order from the ledger to the new owner if its shard is lost
+   * again: no caller waits at this entry whose request would route the order.
+   */
   async function rerouteIfMoved(order: ActiveOrder): Promise<void> {
-    const result = await order.done;
+    const result = await order.completion;
     if (result.type === 'moved' && isAlive) {
-      const released = [result.token];
-      const request = {...order.request, released};
+      const releasedTokens = [result.token];
+      const request = {...order.request, releasedTokens};
       await router.route(order.shard, request, neverAbortedSignal());
     }
   }
@@ -184,7 +199,7 @@
   ): Promise<ClaimOutcome | undefined> {
     const {id, token} = entry;
     if (entry.member === member || !router.canAnswer(entry.member)) {
-      return undelivered.find(id, token);
+      return undeliveredOutcomes.find(id, token);
     }
     try {
       const answer = await router.requestWhileLive(
@@ -210,9 +225,9 @@
   ): Promise<ClaimOutcome | undefined> {
     const order = orders.activeOrder(id);
     if (order?.token === token) {
-      await order.done;
+      await order.completion;
     }
-    return ownOutcomes.find(id, token) ?? undelivered.find(id, token);
+    return localOutcomes.find(id, token) ?? undeliveredOutcomes.find(id, token);
   }
 
   disposables.add(
@@ -233,7 +248,7 @@
     }),
   );
   disposables.add(
-    every(clock, OUTCOME_SEND_INTERVAL_MS, () => void sender.send()),
+    every(clock, OUTCOME_SEND_INTERVAL_MS, () => void outcomeSender.send()),
   );
   disposables.add(
     store.onDidChangeState(state => {
@@ -254,7 +269,10 @@
     signal: AbortSignal,
   ): Promise<SubmitResult> {
     if (isLeaving || !isAlive) {
-      throw new ServingError('leaving', 'this entry is leaving');
+      throw new ServingError(
+        'leaving',
+        'this entry is leaving and accepts no orders',
+      );
     }
     const isUnkeyed = order.key === undefined;
     const id =
@@ -263,11 +281,11 @@
         : orderId(order.customer, order.key);
     const request: OrderRequest = {
       id,
-      print: requestDigest(order),
+      requestDigest: requestDigest(order),
       service: order.service,
       call: order.call,
       deadline: order.deadline,
-      released: [],
+      releasedTokens: [],
     };
     const result = await routeOrder(request, signal);
     if (result.type === 'error') {
@@ -278,7 +296,7 @@
   }
 
   async function routeOrder(request: OrderRequest, signal: AbortSignal) {
-    const shard = shardOf(request.id, settings.shardCount);
+    const shard = shardIndexOf(request.id, settings.shardCount);
     const answer = router.route(shard, request, signal);
     pendingAnswers.add(answer);
     try {
@@ -288,14 +306,19 @@
     }
   }
 
-  /** Takes over shards that were released while no other entry was running. */
+  /**
+   * Takes over released shards in which orders wait. They were released while
+   * no other entry was running.
+   */
   async function takeOverWaitingShards(): Promise<void> {
     const {objects} = await store.list<ShardRecord>(LEDGER_KIND);
     for (const {name, value} of objects) {
       const shard = shards.find(({index}) => shardName(index) === name);
-      const isWaiting = value.entries.some(({state}) => state === 'waiting');
-      const isFree = value.owner === '' && isWaiting;
-      if (shard !== undefined && isFree && !isLeaving) {
+      const hasWaitingOrders = value.entries.some(
+        ({state}) => state === 'waiting',
+      );
+      const isReleasedWithOrders = value.owner === '' && hasWaitingOrders;
+      if (shard !== undefined && isReleasedWithOrders && !isLeaving) {
         await shard.acquire();
       }
     }
@@ -304,11 +327,12 @@
   async function leave(): Promise<void> {
     isLeaving = true;
     await Promise.all(shards.map(handOver.transfer));
-    await Promise.all(orders.activeOrders().map(order => order.done));
+    await Promise.all(orders.activeOrders().map(order => order.completion));
     await Promise.allSettled(pendingAnswers);
-    await sender.send();
-    // Orders in transit are still answered as not run; a closed connection
-    // would leave their senders uncertain.
+    await outcomeSender.send();
+    // Orders in transit to this entry are rejected as not run until the delay
+    // ends. If the connection closed at once, their senders could not tell
+    // whether the orders ran.
     await sleep(clock, EXIT_DELAY_MS);
   }
 
@@ -320,7 +344,7 @@
       isLeaving,
       shards: shards.map(shard => shard.dump()),
       flights: countStates(orders.activeOrders()),
-      lateOutcomes: undelivered.size,
+      lateOutcomes: undeliveredOutcomes.size,
     }),
     dispose() {
       isAlive = false;
@@ -329,7 +353,10 @@
   };
 }
 
-/** Adds the key for its caller; other entries never see the key. */
+/**
+ * Adds the idempotency key to the message of a key conflict; other entries
+ * never see the key, so their errors do not contain it.
+ */
 function addKeyToMessage(
   error: ServingError,
   key: string | undefined,
@@ -344,7 +371,7 @@
   );
 }
 
-/** Returns a new signal: listeners would accumulate on a shared one. */
+/** Returns a new signal: listeners would accumulate on a shared signal. */
 function neverAbortedSignal(): AbortSignal {
   return new AbortController().signal;
 }
--- a/packages/orders/src/ledgerResults.ts
+++ b/packages/orders/src/ledgerResults.ts
@@ -6,7 +6,8 @@
 import {decodeReply, type LedgerEntry} from './shardRecord.js';
 
 /**
- * Result for a claim whose outcome arrived after the loss of the shard.
+ * Result of a retry when this process lost the shard while it waited for the
+ * outcome of the claim; undefined is an outcome that could not be queried.
  *
  * @example
  * return resultAfterShardLoss(entry, await queryClaimant(entry, deadline));
@@ -70,7 +71,7 @@
 }
 
 /**
- * Wraps an error as a result.
+ * Result of an order that failed with an error.
  *
  * @example
  * return errorResult(keyConflictError());
--- a/packages/orders/src/ledgerSettings.ts
+++ b/packages/orders/src/ledgerSettings.ts
@@ -13,38 +13,47 @@
   readonly random: Random;
   /** Id of this entry among its peers. */
   readonly member: string;
-  /** Ids of the entries that accept new work, including this one. */
+  /** Ids of the entries that accept new work, including this entry. */
   readonly liveMembers: () => readonly string[];
-  /** Ids of the entries live or leaving; defaults to `liveMembers`. */
+  /**
+   * Ids of the entries that accept new work or are leaving, and so can answer
+   * messages; defaults to `liveMembers`.
+   */
   readonly answeringMembers?: () => readonly string[];
   readonly decisions?: DecisionLog;
-  /** Receives events for metrics; optional. */
+  /** Receives the events of the ledger, for metrics. */
   readonly observer?: OrderObserver;
   readonly settings?: Partial<LedgerSettings>;
 }
 
 export interface LedgerSettings {
-  /** Must be the same in all entries and never change: maps keys to shards. */
+  /**
+   * Number of shards. Must be the same in all entries and never change, since
+   * it determines the shard of an idempotency key.
+   */
   readonly shardCount: number;
-  /** Minimum time between two writes of one shard. */
+  /** Minimum time between the starts of two writes of one shard. */
   readonly minWriteIntervalMs: number;
-  /** Upper bound of the time that an outcome waits for a write. */
+  /** How long a claim outcome waits for a write that also commits claims. */
   readonly outcomeDelayMs: number;
-  /** How long a key is retained after its order has ended. */
+  /** How long an idempotency key is retained after its order has ended. */
   readonly dedupeWindowMs: number;
-  /** How long a deposed owner leaves a shard to the new one. */
+  /** How long a process that lost a shard leaves it to its new owner. */
   readonly holdOffMs: number;
-  /** Size of a shard object from which ended orders are moved into segments. */
+  /** Size of a shard object at which ended orders are moved into segments. */
   readonly sealThresholdBytes: number;
-  /** Size of a shard and its segments from which new orders are rejected. */
+  /** Size of a shard with its segments at which new orders are rejected. */
   readonly maxShardBytes: number;
-  /** Upper bound of a reply body that is stored for retries. */
+  /** Largest reply body that is stored for retries. */
   readonly maxReplyBytes: number;
-  /** Largest body handed over in the ledger; larger ones are forwarded. */
+  /**
+   * Largest request body that is handed over in the ledger; an order with a
+   * larger body is forwarded to the next owner instead.
+   */
   readonly maxHandOverBytes: number;
-  /** Time past the order's deadline that a sent call may take to end. */
+  /** How long a sent call may continue after the deadline of its order. */
   readonly graceMs: number;
-  /** Upper bound of attempts under one claim while nothing was sent. */
+  /** Maximum attempts under one claim, as long as no attempt sent a byte. */
   readonly maxAttempts: number;
   /** Minimum `Retry-After` for callers while the platform is down. */
   readonly retryAfterMs: number;
--- a/packages/orders/src/localOrders.ts
+++ b/packages/orders/src/localOrders.ts
@@ -20,7 +20,7 @@
   resultFromLedger,
   errorResult,
 } from './ledgerResults.js';
-import {shardOf} from './orderIdentity.js';
+import {shardIndexOf} from './orderIdentity.js';
 import type {ExecuteResult} from './forwardAnswer.js';
 import type {RunOutcome} from './orderRunner.js';
 import type {Shard} from './shardContracts.js';
@@ -29,11 +29,20 @@
 export interface LocalOrders {
   /** Executes an order if this process owns its shard or can acquire it. */
   execute(request: OrderRequest, signal: AbortSignal): Promise<ExecuteResult>;
-  /** Queues the waiting orders of a shard that was just taken over. */
-  adopt(shard: Shard, entries: readonly LedgerEntry[]): readonly ActiveOrder[];
-  /** Records how a claim ended; false when the shard is not owned here. */
+  /**
+   * Queues the `waiting` orders of a shard that was just taken over and returns
+   * them; removes those past their deadline.
+   */
+  adoptOrders(
+    shard: Shard,
+    entries: readonly LedgerEntry[],
+  ): readonly ActiveOrder[];
+  /**
+   * Records the outcome of a claim; returns false when this process does not
+   * own the shard.
+   */
   recordOutcome(shard: Shard, outcome: ClaimOutcome): boolean;
-  /** The order with this id that is in progress in this process, if any. */
+  /** The active order with this id; undefined if this process has none. */
   activeOrder(id: string): ActiveOrder | undefined;
   activeOrders(): readonly ActiveOrder[];
 }
@@ -46,9 +55,9 @@
   readonly maxReplyBytes: number;
   readonly maxShardBytes: number;
   readonly retryAfterMs: number;
-  /** The order was cancelled or moved and is never sent under its claim. */
+  /** Called when a claimed order was cancelled or moved before it was sent. */
   readonly onDidVoidClaim: (order: ActiveOrder) => void;
-  /** Queries the entry that made a claim for its outcome. */
+  /** Queries the entry that made a claim for the outcome of the claim. */
   readonly queryClaimant: (
     entry: LedgerEntry,
     deadline: number,
@@ -60,7 +69,7 @@
 const MAX_RETRY_AFTER_MS = 60_000;
 
 /**
- * Creates the orders of one process.
+ * Creates the component that executes orders in one process.
  *
  * @example
  * const result = await orders.execute(request, signal);
@@ -71,9 +80,9 @@
 
   function addActiveOrder(order: ActiveOrder): void {
     activeOrders.set(order.request.id, order);
-    void order.done.then(result => {
-      // Called before the write ends, as the next owner may query the claim by
-      // then.
+    void order.completion.then(result => {
+      // Called even while the claim is still being written: the next owner of
+      // the shard may already query this process for the outcome.
       if (order.token !== '' && isCertainlyUnsent(result)) {
         options.onDidVoidClaim(order);
       }
@@ -84,7 +93,7 @@
   }
 
   function shardFor(id: string): Shard {
-    return shards[shardOf(id, shards.length)] as Shard;
+    return shards[shardIndexOf(id, shards.length)] as Shard;
   }
 
   async function execute(
@@ -105,10 +114,10 @@
     if (ownership.type === 'elsewhere') {
       return ownership;
     }
-    return executeOwned(shard, request, signal);
+    return executeInOwnedShard(shard, request, signal);
   }
 
-  async function executeOwned(
+  async function executeInOwnedShard(
     shard: Shard,
     request: OrderRequest,
     signal: AbortSignal,
@@ -134,9 +143,12 @@
     return result;
   }
 
-  /** Removes claims reported void, so that the order can be claimed again. */
+  /**
+   * Removes claims that the request reports as void, so that the order can be
+   * claimed again.
+   */
   function voidReleasedClaims(shard: Shard, request: OrderRequest): void {
-    for (const token of request.released) {
+    for (const token of request.releasedTokens) {
       recordOutcome(shard, {state: 'released', id: request.id, token});
     }
   }
@@ -159,7 +171,10 @@
     });
   }
 
-  /** Randomizes the delay: synchronized retries could cause the next outage. */
+  /**
+   * Adds a retry delay to an error that has none. The delay is random, since
+   * synchronized retries could cause another outage.
+   */
   function withRetryAfter(error: ServingError): ServingError {
     if (error.retryAfterMs !== undefined) {
       return error;
@@ -177,13 +192,13 @@
     request: OrderRequest,
     signal: AbortSignal,
   ): Promise<ExecuteResult> {
-    if (order.request.print !== request.print) {
+    if (order.request.requestDigest !== request.requestDigest) {
       return resolveKeyConflict(order, request, signal);
     }
     try {
       const result = await order.join(request.deadline, signal);
-      const isOriginal = order.request === request;
-      return result.type === 'reply' && !isOriginal
+      const isFirstRequest = order.request === request;
+      return result.type === 'reply' && !isFirstRequest
         ? {...result, isReplay: true}
         : result;
     } catch (error) {
@@ -191,7 +206,11 @@
     }
   }
 
-  /** Waits for the active order's claim; an unwritten claim never conflicts. */
+  /**
+   * Returns `key-conflict` once the claim of the active order is written. If
+   * the claim is not written, the request is executed, as it conflicts with
+   * nothing.
+   */
   async function resolveKeyConflict(
     order: ActiveOrder,
     request: OrderRequest,
@@ -201,19 +220,23 @@
       return errorResult(keyConflictError());
     }
     const leftMs = request.deadline - clock.now();
-    const timeout = new AbortController();
+    const sleepController = new AbortController();
     await Promise.race([
-      order.claimDecided,
-      sleep(clock, leftMs, timeout.signal).catch(() => undefined),
+      order.whenClaimDecided,
+      sleep(clock, leftMs, sleepController.signal).catch(() => undefined),
     ]);
-    timeout.abort();
+    sleepController.abort();
     if (clock.now() < request.deadline) {
       return execute(request, signal);
     }
     return errorResult(
-      new ServingError('deadline-exceeded', 'the deadline passed', {
-        run: 'not-run',
-      }),
+      new ServingError(
+        'deadline-exceeded',
+        'the deadline passed while another request with the same key was being claimed',
+        {
+          run: 'not-run',
+        },
+      ),
     );
   }
 
@@ -223,7 +246,7 @@
     request: OrderRequest,
     signal: AbortSignal,
   ): Promise<ExecuteResult> {
-    if (entry.print !== request.print) {
+    if (entry.print !== request.requestDigest) {
       return errorResult(keyConflictError());
     }
     if (entry.state !== 'claimed') {
@@ -236,37 +259,39 @@
     if (!shard.isOwned()) {
       return resultAfterShardLoss(entry, outcome);
     }
-    const latest = shard.table.get(request.id);
-    if (latest === undefined || activeOrders.has(request.id)) {
-      // The claim was void, or the same order has been claimed again meanwhile.
-      return executeOwned(shard, request, signal);
+    const latestEntry = shard.table.get(request.id);
+    if (latestEntry === undefined || activeOrders.has(request.id)) {
+      // The claim turned out void, or the order has been claimed again
+      // meanwhile.
+      return executeInOwnedShard(shard, request, signal);
     }
-    return resultFromLedger(latest);
+    return resultFromLedger(latestEntry);
   }
 
-  function adopt(
+  function adoptOrders(
     shard: Shard,
     entries: readonly LedgerEntry[],
   ): readonly ActiveOrder[] {
-    const adopted: ActiveOrder[] = [];
+    const adoptedOrders: ActiveOrder[] = [];
     for (const entry of entries) {
       if (entry.state !== 'waiting' || entry.order === undefined) {
         continue;
       }
       const leftMs = entry.order.runBefore - clock.wall();
       if (leftMs <= 0) {
-        // The deadline has passed without a claim: a retry is a new order.
+        // The deadline passed before the order was claimed again: a retry is
+        // executed like a new order.
         shard.table.remove(entry.id);
         continue;
       }
       const order = createActiveOrder(
         {
           id: entry.id,
-          print: entry.print,
+          requestDigest: entry.print,
           service: entry.order.service,
           call: decodeCall(entry.order),
           deadline: clock.now() + leftMs,
-          released: [],
+          releasedTokens: [],
         },
         shard.index,
         clock,
@@ -274,9 +299,9 @@
       );
       addActiveOrder(order);
       shard.enqueue(order);
-      adopted.push(order);
+      adoptedOrders.push(order);
     }
-    return adopted;
+    return adoptedOrders;
   }
 
   function recordOutcome(shard: Shard, outcome: ClaimOutcome): boolean {
@@ -284,7 +309,7 @@
       return false;
     }
     const entry = shard.table.get(outcome.id);
-    // The outcome is of another claim, or the order has been handed over.
+    // The outcome belongs to another claim, or the order has been handed over.
     if (entry?.token !== outcome.token || entry.state === 'waiting') {
       return true;
     }
@@ -302,19 +327,19 @@
     outcome: ClaimOutcome,
   ): void {
     if (outcome.state !== 'settled') {
-      applyWithoutReply[outcome.state](shard, entry);
+      applyOutcomeWithoutReply[outcome.state](shard, entry);
       return;
     }
-    const isFull =
+    const isOverfilled =
       shard.table.bytes > MAX_OVERFILL_RATIO * options.maxShardBytes;
-    const maxBytes = isFull ? 0 : options.maxReplyBytes;
+    const maxBytes = isOverfilled ? 0 : options.maxReplyBytes;
     const reply = encodeReply(outcome.reply, maxBytes);
     shard.table.put({...entry, state: 'settled', reply});
   }
 
   return {
     execute,
-    adopt,
+    adoptOrders,
     recordOutcome,
     activeOrder: id => activeOrders.get(id),
     activeOrders: () => [...activeOrders.values()],
@@ -339,7 +364,7 @@
   return {state: outcome.state, id, token};
 }
 
-const applyWithoutReply = {
+const applyOutcomeWithoutReply = {
   released: (shard: Shard, entry: LedgerEntry) => shard.table.remove(entry.id),
   unknown: (shard: Shard, entry: LedgerEntry) =>
     shard.table.put({...entry, state: 'unknown'}),
--- a/packages/orders/src/orderIdentity.ts
+++ b/packages/orders/src/orderIdentity.ts
@@ -9,8 +9,9 @@
 const MAX_RANDOM_WORD = 0xffff_ffff;
 
 /**
- * Digest of a customer and its key: 132 bits, so that no two keys share a
- * claim. The key itself never gets into the ledger, a dump or a message.
+ * Digest of a customer and its idempotency key: 132 bits, so that no two keys
+ * share a claim. The key itself is never written to the ledger, a dump or a
+ * message.
  *
  * @example
  * const id = orderId('chain', 'order-17');
@@ -20,10 +21,11 @@
 }
 
 /**
- * Digest of the service and the fingerprint that a key is used with.
+ * Digest of the service and the fingerprint of an order; it must be the same in
+ * all orders with one idempotency key.
  *
  * @example
- * const print = requestDigest(order);
+ * const digest = requestDigest(order);
  */
 export function requestDigest(order: Order): string {
   return digest([order.service, order.fingerprint]);
@@ -43,12 +45,12 @@
 }
 
 /**
- * Index of the shard that holds an order; the same in every entry.
+ * Index of the shard in which an order is recorded; the same in every entry.
  *
  * @example
- * const shard = shardOf(id, 8);
+ * const index = shardIndexOf(id, 8);
  */
-export function shardOf(id: string, shardCount: number): number {
+export function shardIndexOf(id: string, shardCount: number): number {
   return hash32(id) % shardCount;
 }
 
--- a/packages/orders/src/orderObserver.ts
+++ b/packages/orders/src/orderObserver.ts
@@ -12,15 +12,15 @@
   | 'key-conflict';
 
 export interface OrderObserver {
-  /** A caller of this entry was answered. */
+  /** Called when a caller of this entry has got a reply or an error. */
   onDidAnswer(service: string, outcome: OrderOutcome): void;
-  /** A shard or segment is about to be written, or written again by a retry. */
+  /** Called before each write of a shard or segment, including retries. */
   onWillWrite(): void;
-  /** This process has taken a shard over. */
+  /** Called when this process has taken a shard over. */
   onDidTakeOver(): void;
 }
 
-/** Observer of a ledger whose options contain none. */
+/** Ignores all events; used when the ledger options contain no observer. */
 export const noopObserver: OrderObserver = {
   onDidAnswer: () => undefined,
   onWillWrite: () => undefined,
@@ -28,7 +28,7 @@
 };
 
 /**
- * Wraps a store and reports its writes.
+ * Wraps a store and calls `onWillWrite` before each write.
  *
  * @example
  * const store = observeWrites(platformStore, observer.onWillWrite);
--- a/packages/orders/src/orderRouter.ts
+++ b/packages/orders/src/orderRouter.ts
@@ -1,6 +1,6 @@
 /**
- * Routes an order to the owner of its shard. It reports `not-run` only if no
- * unresponsive owner can still run the order.
+ * Routes an order to the owner of its shard. Reports `not-run` only if no owner
+ * that stopped responding can still run the order.
  */
 import {
   isServingError,
@@ -28,13 +28,19 @@
     sendRequest: (timeoutMs: number) => Promise<T>,
     deadline: number,
   ): Promise<T>;
-  /** The entry that should own a shard, if any accepts new work. */
+  /**
+   * Id of the entry that should own a shard; undefined when no entry accepts
+   * new work.
+   */
   preferredOwner(shard: number): string | undefined;
-  /** The other entries that could own a shard, in order of preference. */
+  /**
+   * Ids of the entries other than this one that may own a shard next, in order
+   * of preference.
+   */
   successors(shard: number): readonly string[];
   /** True for an entry that accepts new work and is reachable. */
   isReachable(member: string): boolean;
-  /** Also true for a leaving entry: it completes what it has started. */
+  /** True for an entry that answers requests, even while it is leaving. */
   canAnswer(member: string): boolean;
 }
 
@@ -46,7 +52,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly member: string;
-  /** Ids of the entries that accept new work, including this one. */
+  /** Ids of the entries that accept new work, including this entry. */
   readonly liveMembers: () => readonly string[];
   /** Ids of the entries that can still answer, live or leaving. */
   readonly answeringMembers: () => readonly string[];
@@ -59,6 +65,7 @@
 
 const MAX_HOPS = 12;
 const LIVENESS_CHECK_INTERVAL_MS = 200;
+/** Share of the remaining time that is reserved for the owner's answer. */
 const ANSWER_MARGIN_RATIO = 0.2;
 const MAX_ANSWER_MARGIN_MS = 50;
 const RETRY_DELAY_MS = 50;
@@ -106,7 +113,14 @@
     peer: string,
     request: OrderRequest,
   ): Promise<ExecuteResult> {
-    const {id, print, service, call, deadline, released} = request;
+    const {
+      id,
+      requestDigest: print,
+      service,
+      call,
+      deadline,
+      releasedTokens: released,
+    } = request;
     const body = {
       id,
       print,
@@ -131,7 +145,7 @@
     }
   }
 
-  function candidates(shard: number): readonly string[] {
+  function ownerCandidates(shard: number): readonly string[] {
     return rendezvousOrder(shardHashKey(shard), [
       ...new Set([...liveMembers(), member]),
     ]);
@@ -140,16 +154,17 @@
   function nextTarget(
     shard: number,
     ownerHint: string | undefined,
-    tried: ReadonlySet<string>,
+    triedMembers: ReadonlySet<string>,
   ): string | undefined {
-    // A leaving entry must not acquire shards: its claims would end with it.
+    // A leaving entry must not acquire shards: after its exit, a retry of an
+    // order that it claimed would get `may-have-run`.
     const mayUse = (peer: string) =>
-      !tried.has(peer) && !(peer === member && options.isLeaving());
+      !triedMembers.has(peer) && !(peer === member && options.isLeaving());
     const isHintUsable =
       ownerHint !== undefined &&
       mayUse(ownerHint) &&
       (ownerHint === member || isReachable(ownerHint));
-    return isHintUsable ? ownerHint : candidates(shard).find(mayUse);
+    return isHintUsable ? ownerHint : ownerCandidates(shard).find(mayUse);
   }
 
   async function route(
@@ -157,52 +172,53 @@
     request: OrderRequest,
     signal: AbortSignal,
   ): Promise<Exclude<OrderCompletion, {type: 'moved'}>> {
-    const released = [...request.released];
-    const tried = new Set<string>();
+    const releasedTokens = [...request.releasedTokens];
+    const triedMembers = new Set<string>();
     let ownerHint: string | undefined;
     let mayRunElsewhere = false;
 
     function toErrorResult(
       error: ServingError,
     ): OrderCompletion & {type: 'error'} {
-      // An unresponsive owner may still resume and run the order.
+      // An owner that did not answer may still run the order.
       const mayRun = mayRunElsewhere && error.run === 'not-run';
-      return {type: 'error', error: mayRun ? toMayHaveRun(error) : error};
+      return {type: 'error', error: mayRun ? toMayHaveRunError(error) : error};
     }
 
     for (let hop = 0; hop < MAX_HOPS; hop++) {
       if (signal.aborted || clock.now() >= request.deadline) {
         break;
       }
-      const target = nextTarget(shard, ownerHint, tried);
+      const target = nextTarget(shard, ownerHint, triedMembers);
       if (target === undefined) {
         break;
       }
-      const attempt = {...request, released};
+      const attemptRequest = {...request, releasedTokens};
       const result =
         target === member
-          ? await options.executeLocally(attempt, signal)
-          : await raceAbort(forward(target, attempt), signal);
+          ? await options.executeLocally(attemptRequest, signal)
+          : await raceAbort(forward(target, attemptRequest), signal);
       ownerHint = undefined;
       if (result.type === 'reply') {
         return result;
       }
       if (result.type === 'error') {
-        if (target === member || !isNotAccepted(result.error)) {
+        if (target === member || !isNotAcceptedError(result.error)) {
           return toErrorResult(result.error);
         }
-        tried.add(target);
+        triedMembers.add(target);
         continue;
       }
       if (result.type === 'no-answer' || result.type === 'not-sent') {
         mayRunElsewhere ||= result.type === 'no-answer';
-        tried.add(target);
+        triedMembers.add(target);
         continue;
       }
       ownerHint = result.member;
       if (result.type === 'moved') {
-        released.push(result.token);
-        // The next owner runs the order, whatever another entry answers now.
+        releasedTokens.push(result.token);
+        // The shard's next owner runs the waiting order, even if another entry
+        // returns an error for this request.
         mayRunElsewhere ||= result.isWaiting;
       }
       if (ownerHint === target || ownerHint === undefined) {
@@ -225,11 +241,11 @@
     canAnswer,
     preferredOwner: shard =>
       rendezvousOrder(shardHashKey(shard), liveMembers())[0],
-    successors: shard => candidates(shard).filter(peer => peer !== member),
+    successors: shard => ownerCandidates(shard).filter(peer => peer !== member),
   };
 }
 
-/** Leaves time for the owner's answer to arrive before the deadline. */
+/** Leaves time for the shard owner's answer to arrive before the deadline. */
 function forwardedTimeoutMs(leftMs: number): number {
   const marginMs = Math.min(MAX_ANSWER_MARGIN_MS, leftMs * ANSWER_MARGIN_RATIO);
   return Math.max(0, leftMs - marginMs);
@@ -240,29 +256,37 @@
   return `ledger/${shard}`;
 }
 
+/** Resolves to `no-answer` when the signal aborts first. */
 function raceAbort(
-  forwarded: Promise<ExecuteResult>,
+  forwardResult: Promise<ExecuteResult>,
   signal: AbortSignal,
 ): Promise<ExecuteResult> {
   return new Promise((resolve, reject) => {
     const onAbort = () => resolve({type: 'no-answer'});
     signal.addEventListener('abort', onAbort, {once: true});
-    forwarded
+    forwardResult
       .then(resolve, reject)
       .finally(() => signal.removeEventListener('abort', onAbort));
   });
 }
 
-function noTargetError(signal: AbortSignal, isLate: boolean): ServingError {
+function noTargetError(
+  signal: AbortSignal,
+  isPastDeadline: boolean,
+): ServingError {
   if (signal.aborted) {
     return new ServingError('cancelled', 'the caller cancelled the order', {
       run: 'not-run',
     });
   }
-  if (isLate) {
-    return new ServingError('deadline-exceeded', 'the deadline passed', {
-      run: 'not-run',
-    });
+  if (isPastDeadline) {
+    return new ServingError(
+      'deadline-exceeded',
+      'the deadline passed before an entry accepted the order',
+      {
+        run: 'not-run',
+      },
+    );
   }
   return new ServingError('not-ready', 'no entry can accept the order now', {
     run: 'not-run',
@@ -270,7 +294,7 @@
   });
 }
 
-function toMayHaveRun(cause: ServingError): ServingError {
+function toMayHaveRunError(cause: ServingError): ServingError {
   const kind = cause.kind === 'key-conflict' ? cause.kind : 'outcome-unknown';
   return new ServingError(
     kind,
@@ -280,10 +304,13 @@
 }
 
 function unreachablePeerError(peer: string): ServingError {
-  return new ServingError('interrupted', `${peer} is no longer reachable`);
+  return new ServingError(
+    'interrupted',
+    `entry ${peer} is no longer reachable`,
+  );
 }
 
-/** True for errors by which the peer certainly has not accepted the order. */
-function isNotAccepted(error: ServingError): boolean {
+/** True for errors of a peer that certainly has not accepted the order. */
+function isNotAcceptedError(error: ServingError): boolean {
   return isServingError(error, 'leaving') || isServingError(error, 'not-ready');
 }
--- a/packages/orders/src/orderRunner.ts
+++ b/packages/orders/src/orderRunner.ts
@@ -10,14 +10,20 @@
 import type {Dispatch, OrderReply} from './contracts.js';
 import type {ActiveOrder} from './activeOrder.js';
 
-/** What is known of a claim after its dispatch. */
+/**
+ * Outcome of a claim. `settled`: the order has run. `unknown`: the order may
+ * have run. `released`: the order was not sent, and the claim is void.
+ */
 export type RunOutcome =
   | {readonly state: 'settled'; readonly reply: OrderReply}
   | {readonly state: 'unknown'}
   | {readonly state: 'released'};
 
 export interface OrderRunner {
-  /** Runs a claimed order until its end or hand-over, unless it is running. */
+  /**
+   * Runs a claimed order until it ends or is handed over. Has no effect if the
+   * order is already running.
+   */
   run(order: ActiveOrder): void;
 }
 
@@ -25,17 +31,21 @@
   readonly dispatch: Dispatch;
   readonly clock: Clock;
   readonly random: Random;
-  /** Time past the order's deadline that a sent call may take to end. */
+  /** How long a sent call may continue after the deadline of its order. */
   readonly graceMs: number;
   readonly maxAttempts: number;
   /** False once this process has stopped. */
   readonly isAlive: () => boolean;
+  /** Called with the outcome of a claim, before the order completes. */
   readonly onDidFinish: (order: ActiveOrder, outcome: RunOutcome) => void;
 }
 
 const BASE_BACKOFF_MS = 20;
 
-/** Result of one attempt. */
+/**
+ * Result of one dispatch. `unsent`: no byte was sent. `unknown`: the order may
+ * have run.
+ */
 type AttemptResult =
   | {readonly type: 'reply'; readonly reply: OrderReply}
   | {readonly type: 'unsent'; readonly error: ServingError}
@@ -44,28 +54,30 @@
 /**
  * Creates the runner for the claims of one process.
  *
- * A further attempt under the same claim is made only when no byte of the
- * previous one was sent.
+ * Another attempt under the same claim is made only when no byte of the
+ * previous attempt was sent.
  *
  * @example
  * runner.run(order);
  */
 export function createOrderRunner(options: OrderRunnerOptions): OrderRunner {
   const {clock, random, onDidFinish} = options;
-  const running = new Set<ActiveOrder>();
+  const runningOrders = new Set<ActiveOrder>();
 
-  async function attempt(
+  async function attemptDispatch(
     order: ActiveOrder,
     signal: AbortSignal,
   ): Promise<AttemptResult> {
     const {service, call} = order.request;
     let wasSent = false;
     function begin(): boolean {
-      // Called again after an endpoint that received nothing.
+      // An earlier endpoint received nothing, so the call goes to another
+      // endpoint.
       if (wasSent) {
         order.tryTransition('revertSend');
       }
-      // After a pause of the process the caller may have got `not-run` already.
+      // If the process was paused past the deadline, the caller may already
+      // have received `not-run`.
       const mayBegin = options.isAlive() && clock.now() < order.deadline();
       wasSent = mayBegin && order.tryTransition('send');
       return wasSent;
@@ -75,7 +87,8 @@
       return {type: 'reply', reply};
     } catch (caught) {
       const error = toServingError(caught);
-      // Cancelled before `begin`: nothing was sent, regardless of `run`.
+      // The call was cancelled before `begin`: nothing was sent, even if `run`
+      // is `may-have-run`.
       const isCancelledBeforeSend = !wasSent && error.kind === 'cancelled';
       const isUnsent = isCancelledBeforeSend || error.run === 'not-run';
       if (
@@ -112,17 +125,18 @@
     order.complete({type: 'error', error});
   }
 
-  /** Waits before the next attempt; false when there is none. */
+  /** Waits before another attempt; returns false when no attempt may follow. */
   async function waitForRetry(
     order: ActiveOrder,
-    attempts: number,
+    attemptCount: number,
     error: ServingError,
     signal: AbortSignal,
   ): Promise<boolean> {
-    const backoffMs = BASE_BACKOFF_MS * 2 ** attempts * (0.5 + random.next());
+    const backoffMs =
+      BASE_BACKOFF_MS * 2 ** attemptCount * (0.5 + random.next());
     const isInTime = clock.now() + backoffMs < order.deadline();
     const isRetryable = error.kind === 'endpoint-unavailable';
-    if (!isRetryable || !isInTime || attempts >= options.maxAttempts) {
+    if (!isRetryable || !isInTime || attemptCount >= options.maxAttempts) {
       return false;
     }
     await sleep(clock, backoffMs, signal).catch(() => undefined);
@@ -133,19 +147,19 @@
     order: ActiveOrder,
     signal: AbortSignal,
   ): Promise<void> {
-    for (let attempts = 1; options.isAlive(); attempts++) {
-      const result = await attempt(order, signal);
+    for (let attemptCount = 1; options.isAlive(); attemptCount++) {
+      const result = await attemptDispatch(order, signal);
       if (result.type !== 'unsent') {
         finish(order, result);
         return;
       }
-      if (!isHeldHere(order)) {
+      if (!isClaimStillLocal(order)) {
         return;
       }
-      if (await waitForRetry(order, attempts, result.error, signal)) {
+      if (await waitForRetry(order, attemptCount, result.error, signal)) {
         continue;
       }
-      if (!isHeldHere(order)) {
+      if (!isClaimStillLocal(order)) {
         return;
       }
       abandon(order, result.error);
@@ -153,20 +167,26 @@
     }
   }
 
-  /** False once the claim is handed over: the next owner decides then. */
-  function isHeldHere(order: ActiveOrder): boolean {
+  /**
+   * False once the claim is being handed over or the process has stopped: then
+   * this process must not finish the order.
+   */
+  function isClaimStillLocal(order: ActiveOrder): boolean {
     return options.isAlive() && order.state() !== 'handing' && !order.isMoved();
   }
 
   function abandon(order: ActiveOrder, error: ServingError): void {
-    const isLate = clock.now() >= order.deadline();
+    const isPastDeadline = clock.now() >= order.deadline();
     const deadlineError = new ServingError(
       'deadline-exceeded',
       'the deadline passed before the order was sent',
       {run: 'not-run'},
     );
     onDidFinish(order, {state: 'released'});
-    order.complete({type: 'error', error: isLate ? deadlineError : error});
+    order.complete({
+      type: 'error',
+      error: isPastDeadline ? deadlineError : error,
+    });
   }
 
   /** Remaining time of the call in milliseconds, including the grace period. */
@@ -176,23 +196,23 @@
 
   return {
     run(order) {
-      if (running.has(order)) {
+      if (runningOrders.has(order)) {
         return;
       }
-      running.add(order);
-      const timeLimit = new AbortController();
-      let timer = clock.after(remainingMs(order), onLimit);
-      function onLimit(): void {
+      runningOrders.add(order);
+      const abortController = new AbortController();
+      let timer = clock.after(remainingMs(order), onTimeLimit);
+      function onTimeLimit(): void {
         // A caller with a later deadline may have joined meanwhile.
         if (remainingMs(order) <= 0) {
-          timeLimit.abort();
+          abortController.abort();
           return;
         }
-        timer = clock.after(remainingMs(order), onLimit);
+        timer = clock.after(remainingMs(order), onTimeLimit);
       }
-      order.stopSignal.addEventListener('abort', () => timeLimit.abort());
-      void runAttempts(order, timeLimit.signal).finally(() => {
-        running.delete(order);
+      order.stopSignal.addEventListener('abort', () => abortController.abort());
+      void runAttempts(order, abortController.signal).finally(() => {
+        runningOrders.delete(order);
         timer.dispose();
       });
     },
--- a/packages/orders/src/outcomeSender.ts
+++ b/packages/orders/src/outcomeSender.ts
@@ -1,4 +1,4 @@
-/** Delivers claim outcomes to the owners of shards not owned here. */
+/** Delivers claim outcomes to shard owners other than this process. */
 import type {Clock} from '@skylarkfield/base';
 import type {CachedOutcome, OutcomeCache} from './outcomeCache.js';
 import type {OrderNetwork} from './orderRouter.js';
@@ -8,16 +8,19 @@
   readonly network: OrderNetwork;
   readonly clock: Clock;
   readonly member: string;
-  /** The entry that should own a shard, if any accepts new work. */
+  /**
+   * Id of the entry that should own a shard; undefined when no entry accepts
+   * new work.
+   */
   readonly preferredOwner: (shard: number) => string | undefined;
-  readonly undelivered: OutcomeCache;
+  readonly undeliveredOutcomes: OutcomeCache;
   readonly shards: readonly Shard[];
 }
 
 export interface OutcomeSender {
   /**
-   * Tries once to deliver all outcomes, after the round in progress; those that
-   * can't be delivered stay in the cache.
+   * Tries once to deliver all outcomes, after the delivery round in progress if
+   * there is one. Outcomes that can't be delivered stay in the cache.
    */
   send(): Promise<void>;
 }
@@ -33,16 +36,16 @@
 export function createOutcomeSender(
   options: OutcomeSenderOptions,
 ): OutcomeSender {
-  const {network, clock, member, undelivered, shards} = options;
-  let round: Promise<void> | undefined;
-  /** Starts after the round in progress, for `send` calls made meanwhile. */
+  const {network, clock, member, undeliveredOutcomes, shards} = options;
+  let roundInProgress: Promise<void> | undefined;
+  /** Follows the round in progress, for calls of `send` during that round. */
   let nextRound: Promise<void> | undefined;
 
   /**
-   * Entry to send a shard's outcomes to; undefined if there is none or the
-   * shard was acquired here.
+   * Returns the entry to send a shard's outcomes to; undefined if no entry
+   * accepts new work or this process has acquired the shard.
    */
-  async function recipientFor(index: number): Promise<string | undefined> {
+  async function findRecipient(index: number): Promise<string | undefined> {
     const recipient = options.preferredOwner(index);
     if (recipient !== member) {
       return recipient;
@@ -54,10 +57,10 @@
   async function sendTo(
     recipient: string,
     shard: number,
-    cached: readonly CachedOutcome[],
+    cachedOutcomes: readonly CachedOutcome[],
   ): Promise<void> {
-    const hops = Math.max(...cached.map(outcome => outcome.hops)) + 1;
-    const outcomes = cached.map(({outcome}) => outcome);
+    const hops = Math.max(...cachedOutcomes.map(outcome => outcome.hops)) + 1;
+    const outcomes = cachedOutcomes.map(({outcome}) => outcome);
     try {
       const body = {shard, hops, outcomes};
       await network.request(
@@ -66,43 +69,47 @@
         body,
         REQUEST_TIMEOUT_MS,
       );
-      outcomes.forEach(({id, token}) => undelivered.remove(id, token));
+      outcomes.forEach(({id, token}) => undeliveredOutcomes.remove(id, token));
     } catch {
       // The outcomes stay in the cache and are sent again in the next round.
     }
   }
 
-  async function sendShard(index: number): Promise<void> {
-    const cached = undelivered.listShard(index, clock.now());
-    const recipient = await recipientFor(index);
-    if (cached.length > 0 && recipient !== undefined) {
-      await sendTo(recipient, index, cached);
+  async function sendOutcomesOfShard(index: number): Promise<void> {
+    const cachedOutcomes = undeliveredOutcomes.listByShard(index, clock.now());
+    const recipient = await findRecipient(index);
+    if (cachedOutcomes.length > 0 && recipient !== undefined) {
+      await sendTo(recipient, index, cachedOutcomes);
     }
   }
 
   function startRound(): Promise<void> {
-    // In parallel: a leaving process waits only for the slowest owner.
-    round = Promise.all(undelivered.shards().map(sendShard))
+    // Sent in parallel, so that a leaving process waits only for the slowest
+    // owner.
+    roundInProgress = Promise.all(
+      undeliveredOutcomes.shardIndexes().map(sendOutcomesOfShard),
+    )
       .then(() => undefined)
-      .finally(() => (round = undefined));
-    return round;
+      .finally(() => (roundInProgress = undefined));
+    return roundInProgress;
   }
 
   function startNextRound(): Promise<void> {
     nextRound = undefined;
-    // A round that has started since includes what all callers wait for.
-    return round ?? startRound();
+    // A round that another call has started meanwhile includes all outcomes
+    // that callers of this round wait for.
+    return roundInProgress ?? startRound();
   }
 
   return {
     send() {
-      if (round === undefined) {
+      if (roundInProgress === undefined) {
         return startRound();
       }
       // The round in progress may have passed a shard before its outcome was
       // added. If a leaving process exited after that round, a retry of an
       // order with a known reply would get `may-have-run`.
-      nextRound ??= round.then(startNextRound, startNextRound);
+      nextRound ??= roundInProgress.then(startNextRound, startNextRound);
       return nextRound;
     },
   };
--- a/packages/orders/src/peerMessages.ts
+++ b/packages/orders/src/peerMessages.ts
@@ -46,27 +46,33 @@
 export function handlePeerMessages(options: PeerMessageOptions): Disposable {
   const {network, clock, member, shards} = options;
   const disposables = disposableStore();
-  const forwards = new Map<string, Promise<ForwardAnswer>>();
+  /** Answers to forwarded orders, by the id of the forwarding attempt. */
+  const answersByAttempt = new Map<string, Promise<ForwardAnswer>>();
 
   function handleForward(
     body: OrderMessages['orderForward'],
   ): Promise<ForwardAnswer> {
-    // A duplicate delivery must not execute what the first delivery rejected.
-    const earlier = forwards.get(body.attempt);
-    if (earlier !== undefined) {
-      return earlier;
+    // A duplicate of a message must not execute an order that was rejected when
+    // the message first arrived.
+    const earlierAnswer = answersByAttempt.get(body.attempt);
+    if (earlierAnswer !== undefined) {
+      return earlierAnswer;
     }
     const answer = executeForwarded(body);
-    forwards.set(body.attempt, answer);
+    answersByAttempt.set(body.attempt, answer);
     void answer.then(({type}) => {
-      // The ledger answers duplicates; caching replies here would cost memory.
+      // Replies are not cached, to save memory: the ledger contains the reply
+      // for a duplicate.
       if (type === 'reply') {
-        forwards.delete(body.attempt);
+        answersByAttempt.delete(body.attempt);
       }
     });
-    const [oldest] = forwards.keys();
-    if (forwards.size > MAX_CACHED_FORWARDS && oldest !== undefined) {
-      forwards.delete(oldest);
+    const [oldestAttempt] = answersByAttempt.keys();
+    if (
+      answersByAttempt.size > MAX_CACHED_FORWARDS &&
+      oldestAttempt !== undefined
+    ) {
+      answersByAttempt.delete(oldestAttempt);
     }
     return answer;
   }
@@ -83,10 +89,20 @@
       );
     }
     if (options.isLeaving()) {
-      return errorAnswer('leaving', 'this entry is leaving');
+      return errorAnswer(
+        'leaving',
+        'this entry is leaving and accepts no orders',
+      );
     }
     const deadline = clock.now() + leftMs;
-    const request = {id, print, service, call, deadline, released};
+    const request = {
+      id,
+      requestDigest: print,
+      service,
+      call,
+      deadline,
+      releasedTokens: released,
+    };
     const result = await options.execute(request, neverAbortedSignal());
     if (result.type === 'no-answer' || result.type === 'not-sent') {
       return errorAnswer('not-ready', 'no entry can accept the order now');
@@ -139,7 +155,7 @@
   return {type: 'error', kind, message, run: 'not-run'};
 }
 
-/** Returns a new signal: listeners would accumulate on a shared one. */
+/** Returns a new signal: listeners would accumulate on a shared signal. */
 function neverAbortedSignal(): AbortSignal {
   return new AbortController().signal;
 }
--- a/packages/orders/src/pendingOutcomes.ts
+++ b/packages/orders/src/pendingOutcomes.ts
@@ -6,22 +6,28 @@
   add(outcome: ClaimOutcome): void;
   /** Assigns all pending outcomes to the write that starts now. */
   beginWrite(): void;
-  /** The write has been committed. */
+  /** Drops the outcomes assigned to the write, which has been committed. */
   commitWrite(): void;
-  /** The write certainly had no effect: its outcomes become pending again. */
+  /**
+   * Makes the outcomes assigned to the write pending again, since the write
+   * certainly had no effect.
+   */
   rollBackWrite(): void;
   /** Removes and returns all uncommitted outcomes, oldest first. */
   drain(): readonly ClaimOutcome[];
-  /** Monotonic milliseconds since which outcomes wait, if there are any. */
+  /**
+   * Monotonic milliseconds since which the oldest pending outcome waits for a
+   * write; undefined when no outcome waits.
+   */
   waitingSince(): number | undefined;
 }
 
 /**
- * Creates an empty collection.
+ * Creates a collection without outcomes.
  *
- * Outcomes are retained until their write is committed: a shard can be lost
- * during the write, and its next owner would report that the orders may have
- * run though their replies are known here.
+ * Outcomes are retained until their write is committed: if the shard is lost
+ * during the write, they can be sent to its next owner, which would otherwise
+ * report `may-have-run` for orders whose replies this process has received.
  *
  * @example
  * outcomes.beginWrite();
@@ -29,29 +35,29 @@
  * if (result.type === 'committed') { outcomes.commitWrite(); }
  */
 export function createPendingOutcomes(clock: Clock): PendingOutcomes {
-  let unwritten: ClaimOutcome[] = [];
-  let beingWritten: ClaimOutcome[] = [];
+  let unwrittenOutcomes: ClaimOutcome[] = [];
+  let outcomesInWrite: ClaimOutcome[] = [];
   let waitingSince: number | undefined;
 
   return {
     add(outcome) {
-      unwritten.push(outcome);
+      unwrittenOutcomes.push(outcome);
       waitingSince ??= clock.now();
     },
     beginWrite() {
       waitingSince = undefined;
-      beingWritten = unwritten.splice(0);
+      outcomesInWrite = unwrittenOutcomes.splice(0);
     },
     commitWrite() {
-      beingWritten = [];
+      outcomesInWrite = [];
     },
     rollBackWrite() {
-      unwritten = [...beingWritten.splice(0), ...unwritten];
-      waitingSince = unwritten.length > 0 ? clock.now() : undefined;
+      unwrittenOutcomes = [...outcomesInWrite.splice(0), ...unwrittenOutcomes];
+      waitingSince = unwrittenOutcomes.length > 0 ? clock.now() : undefined;
     },
     drain() {
       waitingSince = undefined;
-      return [...beingWritten.splice(0), ...unwritten.splice(0)];
+      return [...outcomesInWrite.splice(0), ...unwrittenOutcomes.splice(0)];
     },
     waitingSince: () => waitingSince,
   };
--- a/packages/orders/src/shard.ts
+++ b/packages/orders/src/shard.ts
@@ -1,4 +1,4 @@
-/** One shard in one process: batched writes, loss and release of ownership. */
+/** One shard in one process: batched writes, acquisition, loss and release. */
 import {type Disposable, type ServingError} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import {interpret} from 'robot3';
@@ -31,7 +31,7 @@
  * if (ownership.type === 'owned') { shard.enqueue(order); }
  */
 export function createShard(options: ShardOptions): Shard {
-  const {index, clock, member, instance} = options;
+  const {index, clock, member, instanceId} = options;
   const interpreter = interpret(shardMachine, () => undefined);
   const table = createShardTable(clock, options.dedupeWindowMs);
   const segments = createShardSegments(options.store, index);
@@ -39,7 +39,7 @@
   const writer = createShardWriter({
     store: options.store,
     clock,
-    name: shardName(index),
+    objectName: shardName(index),
     onUncertainWrite: () => sendEvent('writeUncertain'),
     signal: lifetime.signal,
   });
@@ -51,22 +51,22 @@
     beginEpoch,
     onDidCommit: onDidCommitTakeOver,
   });
-  let queue: ActiveOrder[] = [];
+  let queuedOrders: ActiveOrder[] = [];
   let batch: ActiveOrder[] = [];
-  let version: number | undefined;
+  let storedVersion: number | undefined;
   let epoch = 0;
   let writeCount = 0;
   let claimCount = 0;
-  let takeovers = 0;
+  let takeOverCount = 0;
   /** Segments to remove after the next committed write. */
   const expiredSegments: string[] = [];
-  const outcomes = createPendingOutcomes(clock);
-  let lastWriteAt = -Infinity;
-  let timer: Disposable | undefined;
-  let writing: Promise<void> | undefined;
-  let takingOver: Promise<Ownership> | undefined;
+  const pendingOutcomes = createPendingOutcomes(clock);
+  let lastWriteStartedAt = -Infinity;
+  let writeTimer: Disposable | undefined;
+  let writeInProgress: Promise<void> | undefined;
+  let takeOverInProgress: Promise<Ownership> | undefined;
 
-  function current(): ShardState {
+  function currentState(): ShardState {
     return interpreter.machine.current as ShardState;
   }
 
@@ -79,13 +79,13 @@
     expire();
     return {
       format: LEDGER_FORMAT,
-      owner: instance,
+      owner: instanceId,
       ownerMember: member,
       epoch,
       write: writeCount,
       age: table.age(),
-      entries: table.unsealed(),
-      segments: table.segments(),
+      entries: table.unsealedEntries(),
+      segments: table.segmentNames(),
     };
   }
 
@@ -98,20 +98,20 @@
     return table.bytes;
   }
 
-  function lose(head: ShardRecord | undefined): void {
+  function handleLoss(currentRecord: ShardRecord | undefined): void {
     sendEvent('lose');
-    const owner = head?.ownerMember;
+    const owner = currentRecord?.ownerMember;
     takeOver.holdOff(owner);
-    timer?.dispose();
-    timer = undefined;
-    // The new owner's object may still refer to these segments.
+    writeTimer?.dispose();
+    writeTimer = undefined;
+    // The object written by the new owner may still refer to these segments.
     expiredSegments.length = 0;
-    options.onDidLose(outcomes.drain());
+    options.onDidLose(pendingOutcomes.drain());
     logDecision(
       'gave up shard',
       `last written by ${owner ?? 'another process'}`,
     );
-    moveQueued();
+    completeQueuedAsMoved();
   }
 
   function logDecision(what: string, why: string): void {
@@ -128,82 +128,87 @@
     committedVersion: number,
     previousOwner: string | undefined,
   ): void {
-    version = committedVersion;
-    takeovers += 1;
+    storedVersion = committedVersion;
+    takeOverCount += 1;
     sendEvent('acquire');
     logDecision(
       'took shard over',
       `previous owner: ${previousOwner || 'none'}`,
     );
-    options.onDidTakeOver(table.unsealed());
+    options.onDidTakeOver(table.unsealedEntries());
   }
 
   function acquire(): Promise<Ownership> {
     if (isOwned()) {
       return Promise.resolve({type: 'owned'});
     }
-    if (takingOver !== undefined) {
-      return takingOver;
+    if (takeOverInProgress !== undefined) {
+      return takeOverInProgress;
     }
     const holdOffOwner = takeOver.holdOffOwner();
     if (holdOffOwner !== undefined) {
       return Promise.resolve({type: 'elsewhere', member: holdOffOwner});
     }
     sendEvent('startTakeOver');
-    takingOver = takeOver.run().finally(() => {
-      takingOver = undefined;
-      // Has no effect when the shard was acquired.
-      if (current() === 'taking') {
+    takeOverInProgress = takeOver.run().finally(() => {
+      takeOverInProgress = undefined;
+      // When the take-over was committed, the state is `owned` already.
+      if (currentState() === 'taking') {
         sendEvent('lose');
       }
     });
-    return takingOver;
+    return takeOverInProgress;
   }
 
   function isOwned(): boolean {
-    const state = current();
+    const state = currentState();
     return state === 'owned' || state === 'bound';
   }
 
   function scheduleWrite(): void {
-    if (writing !== undefined || !isOwned()) {
+    if (writeInProgress !== undefined || !isOwned()) {
       return;
     }
-    timer?.dispose();
-    timer = undefined;
-    const dueAt = queue.length > 0 ? clock.now() : outcomeWriteAt();
+    writeTimer?.dispose();
+    writeTimer = undefined;
+    const dueAt = queuedOrders.length > 0 ? clock.now() : outcomeWriteDueAt();
     if (dueAt === undefined) {
       return;
     }
-    const startAt = Math.max(dueAt, lastWriteAt + options.minWriteIntervalMs);
-    timer = clock.after(startAt - clock.now(), startWrite);
+    const startAt = Math.max(
+      dueAt,
+      lastWriteStartedAt + options.minWriteIntervalMs,
+    );
+    writeTimer = clock.after(startAt - clock.now(), startWrite);
   }
 
-  function outcomeWriteAt(): number | undefined {
-    const since = outcomes.waitingSince();
-    return since === undefined ? undefined : since + options.outcomeDelayMs;
+  function outcomeWriteDueAt(): number | undefined {
+    const waitingSince = pendingOutcomes.waitingSince();
+    return waitingSince === undefined
+      ? undefined
+      : waitingSince + options.outcomeDelayMs;
   }
 
   function startWrite(): void {
-    timer = undefined;
-    if (writing !== undefined || current() !== 'owned') {
+    writeTimer = undefined;
+    if (writeInProgress !== undefined || currentState() !== 'owned') {
       return;
     }
-    lastWriteAt = clock.now();
-    writing = commit().finally(() => {
-      writing = undefined;
+    lastWriteStartedAt = clock.now();
+    writeInProgress = commit().finally(() => {
+      writeInProgress = undefined;
       scheduleWrite();
     });
   }
 
   async function commit(): Promise<void> {
-    batch = queue
+    batch = queuedOrders
       .splice(0, MAX_BATCH_CLAIMS)
       .filter(order => order.tryTransition('commit'));
     for (const order of batch) {
       claimCount += 1;
       order.token = `${epoch}.${claimCount}`;
-      const {id, print} = order.request;
+      const {id, requestDigest: print} = order.request;
       table.put({id, print, token: order.token, state: 'claimed', member});
     }
     const result = await write(nextRecord());
@@ -215,16 +220,16 @@
     }
   }
 
-  /** Writes the table; retains its outcomes until the write is committed. */
+  /** Writes a record; retains the pending outcomes until it is committed. */
   async function write(record: ShardRecord): Promise<WriteResult> {
-    outcomes.beginWrite();
-    const result = await writer.write(record, version);
+    pendingOutcomes.beginWrite();
+    const result = await writer.write(record, storedVersion);
     if (result.type === 'committed') {
-      outcomes.commitWrite();
+      pendingOutcomes.commitWrite();
       segments.remove(expiredSegments.splice(0));
     }
     if (result.type === 'refused') {
-      outcomes.rollBackWrite();
+      pendingOutcomes.rollBackWrite();
     }
     return result;
   }
@@ -234,7 +239,7 @@
     claimedOrders: ActiveOrder[],
   ): void {
     if (result.type === 'committed') {
-      version = result.version;
+      storedVersion = result.version;
       sendEvent('writeResolved');
       claimedOrders.forEach(onDidWriteClaim);
       return;
@@ -246,13 +251,13 @@
       }
       return;
     }
-    lose(result.head);
+    handleLoss(result.currentRecord);
     for (const order of claimedOrders) {
-      moveToOwner(order);
+      completeAsMoved(order);
     }
-    // The new owner may have the claims. Nobody routes the order of a
-    // disconnected caller there, and every retry would get `may-have-run`: the
-    // owner must be notified that the claims are void.
+    // The new owner may have read the claims. No entry routes the order of a
+    // disconnected caller to the new owner, and every retry would get
+    // `may-have-run`: the new owner must be notified that the claims are void.
     options.onDidLose(claimedOrders.map(releasedOutcome));
   }
 
@@ -266,7 +271,7 @@
   }
 
   function enqueueOutcome(outcome: ClaimOutcome): void {
-    outcomes.add(outcome);
+    pendingOutcomes.add(outcome);
     scheduleWrite();
   }
 
@@ -280,14 +285,14 @@
   }
 
   function rejectUnclaimed(error: ServingError): void {
-    // Claims of the batch may still be committed, but ended orders are not
-    // sent.
-    for (const order of [...queue.splice(0), ...batch]) {
+    // The claims of `batch` may still be committed, but a completed order is
+    // not sent.
+    for (const order of [...queuedOrders.splice(0), ...batch]) {
       order.complete({type: 'error', error});
     }
   }
 
-  function moveToOwner(order: ActiveOrder): void {
+  function completeAsMoved(order: ActiveOrder): void {
     const {token} = order;
     order.complete({
       type: 'moved',
@@ -297,22 +302,22 @@
     });
   }
 
-  function moveQueued(): void {
-    for (const order of queue.splice(0)) {
-      moveToOwner(order);
+  function completeQueuedAsMoved(): void {
+    for (const order of queuedOrders.splice(0)) {
+      completeAsMoved(order);
     }
   }
 
   async function release(applyChanges: () => void): Promise<ReleaseResult> {
-    await takingOver?.catch(() => undefined);
-    await writing;
-    if (current() !== 'owned') {
+    await takeOverInProgress?.catch(() => undefined);
+    await writeInProgress;
+    if (currentState() !== 'owned') {
       return 'unowned';
     }
     sendEvent('release');
-    timer?.dispose();
-    timer = undefined;
-    moveQueued();
+    writeTimer?.dispose();
+    writeTimer = undefined;
+    completeQueuedAsMoved();
     applyChanges();
     const record = {...nextRecord(), owner: '', ownerMember: ''};
     const result = await write(record);
@@ -322,18 +327,18 @@
       return 'refused';
     }
     const isLost = result.type === 'lost';
-    lose(isLost ? result.head : undefined);
+    handleLoss(isLost ? result.currentRecord : undefined);
     return isLost ? 'lost' : 'released';
   }
 
   return {
     index,
     table,
-    state: current,
+    state: currentState,
     isOwned,
     acquire,
     enqueue(order) {
-      queue.push(order);
+      queuedOrders.push(order);
       scheduleWrite();
     },
     enqueueOutcome,
@@ -343,19 +348,19 @@
     release,
     dump: () => ({
       shard: index,
-      state: current(),
+      state: currentState(),
       epoch,
       entries: table.count,
-      segments: table.segments().length,
+      segments: table.segmentNames().length,
       bytes: table.bytes,
-      queued: queue.length,
-      takeovers,
+      queued: queuedOrders.length,
+      takeovers: takeOverCount,
     }),
     dispose() {
       lifetime.abort();
-      timer?.dispose();
-      timer = undefined;
-      queue = [];
+      writeTimer?.dispose();
+      writeTimer = undefined;
+      queuedOrders = [];
     },
   };
 }
--- a/packages/orders/src/shardContracts.ts
+++ b/packages/orders/src/shardContracts.ts
@@ -12,17 +12,17 @@
 import type {LedgerEntry} from './shardRecord.js';
 import type {ShardTable} from './shardTable.js';
 
-/** The entry that can execute orders of the shard. */
+/** Whether this process owns a shard, and if not, which entry does. */
 export type Ownership =
   | {readonly type: 'owned'}
   | {readonly type: 'elsewhere'; readonly member: string};
 
 /**
- * `released`: the changes are written, and what they hand over may run
- * elsewhere. `lost`: another process took the shard over first, so that the
- * changes may not be in the ledger; ownership is gone as well. `refused`:
- * certainly nothing was written, the shard is still owned. `unowned`: the
- * shard was not owned.
+ * `released`: the changes are written, and the next owner may run the orders
+ * that they hand over. `lost`: another process took the shard over first, so
+ * the changes may not be in the ledger, and this process no longer owns the
+ * shard. `refused`: certainly nothing was written, and this process still owns
+ * the shard. `unowned`: this process did not own the shard.
  */
 export type ReleaseResult = 'released' | 'lost' | 'refused' | 'unowned';
 
@@ -33,22 +33,22 @@
   readonly decisions?: DecisionLog;
   readonly member: string;
   /** Unique for each start of a process. */
-  readonly instance: string;
-  /** Minimum time between the starts of two writes. */
+  readonly instanceId: string;
+  /** Minimum time between the starts of two writes of the shard. */
   readonly minWriteIntervalMs: number;
-  /** How long outcomes may wait for a write that commits claims as well. */
+  /** How long a claim outcome waits for a write that also commits claims. */
   readonly outcomeDelayMs: number;
   readonly dedupeWindowMs: number;
-  /** Size of a shard object from which ended orders are moved into segments. */
+  /** Size of a shard object at which ended orders are moved into segments. */
   readonly sealThresholdBytes: number;
-  /** How long a deposed owner leaves the shard to the new one. */
+  /** How long a process that lost the shard leaves it to its new owner. */
   readonly holdOffMs: number;
   readonly isReachable: (member: string) => boolean;
-  /** The claim is in the ledger: the order may be dispatched. */
+  /** Called when a claim is in the ledger, so the order may be dispatched. */
   readonly onDidClaim: (order: ActiveOrder) => void;
-  /** The shard was lost, and its new owner may not have these outcomes. */
+  /** Called when the shard is lost, with outcomes the new owner may lack. */
   readonly onDidLose: (outcomes: readonly ClaimOutcome[]) => void;
-  /** The shard was taken over with these entries. */
+  /** Called after a take-over, with the entries of the shard object. */
   readonly onDidTakeOver: (entries: readonly LedgerEntry[]) => void;
 }
 
@@ -56,21 +56,24 @@
   readonly index: number;
   readonly table: ShardTable;
   state(): ShardState;
-  /** True while claims can be committed. */
+  /** True while this process owns the shard, in state `owned` or `bound`. */
   isOwned(): boolean;
-  /** Acquires the shard or names its owner. Throws `platform-unavailable`. */
+  /**
+   * Takes the shard over, or returns the entry that owns it. Throws
+   * `platform-unavailable`.
+   */
   acquire(): Promise<Ownership>;
-  /** Queues an order for the next write. */
+  /** Queues an order; the next write commits its claim. */
   enqueue(order: ActiveOrder): void;
-  /** Schedules a write for an outcome that has changed the table. */
+  /** Schedules a write for an outcome that is already in the table. */
   enqueueOutcome(outcome: ClaimOutcome): void;
-  /** Size of all entries that are still within the dedupe window. */
+  /** Serialized size of all entries within the dedupe window. */
   liveBytes(): number;
-  /** Voids a claim that was never sent. */
+  /** Voids the claim of an order that was not sent. */
   voidClaim(order: ActiveOrder): void;
-  /** Ends the orders that have no claim yet; they were not sent. */
+  /** Completes the orders whose claim is not committed yet with an error. */
   rejectUnclaimed(error: ServingError): void;
-  /** Applies the changes to the table, writes it and releases the shard. */
+  /** Applies changes to the table, writes the table and releases the shard. */
   release(applyChanges: () => void): Promise<ReleaseResult>;
   dump(): unknown;
 }
--- a/packages/orders/src/shardMachine.ts
+++ b/packages/orders/src/shardMachine.ts
@@ -2,10 +2,11 @@
 import {createMachine, state, transition} from 'robot3';
 
 /**
- * `unowned`: another process may own it. `taking`: the change of owner is being
- * written. `owned`: may commit claims. `bound`: the response to a write was
- * lost; nothing may depend on the write until its outcome is known.
- * `releasing`: the release is being written, no more claims.
+ * `unowned`: another process may own the shard. `taking`: the change of owner
+ * is being written. `owned`: this process may commit claims. `bound`: the
+ * response to a write was lost; nothing may depend on the write until its
+ * outcome is known. `releasing`: the release is being written; no further
+ * claims are committed.
  */
 export type ShardState = 'unowned' | 'taking' | 'owned' | 'bound' | 'releasing';
 
@@ -17,7 +18,7 @@
   | 'release'
   | 'lose';
 
-/** Only a committed write of a new epoch leads from `unowned` to `owned`. */
+/** A shard becomes `owned` only by a committed write of a new epoch. */
 export const shardMachine = createMachine({
   unowned: state(transition('startTakeOver', 'taking')),
   taking: state(transition('acquire', 'owned'), transition('lose', 'unowned')),
--- a/packages/orders/src/shardRecord.ts
+++ b/packages/orders/src/shardRecord.ts
@@ -6,7 +6,7 @@
 export const LEDGER_KIND = 'ledger';
 
 /**
- * Name of a shard's object.
+ * Name of the object in which a shard is stored.
  *
  * @example
  * const head = await store.get(LEDGER_KIND, shardName(3));
@@ -15,13 +15,14 @@
   return `shard-${index}`;
 }
 
-/** Incremented when the stored form changes; readers reject a higher one. */
+/** Version of the stored form; readers reject shards with a higher version. */
 export const LEDGER_FORMAT = 1;
 
+/** Reply of an ended order, stored for retries. */
 export interface StoredReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
-  /** Base64; absent when the reply was too large to be stored. */
+  /** Body in base64; absent when the body was too large to be stored. */
   readonly body?: string;
 }
 
@@ -32,51 +33,55 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
-  /** Wall-clock milliseconds after which it must not be executed any more. */
+  /** Wall-clock milliseconds after which the order must not be executed. */
   readonly runBefore: number;
 }
 
 /**
- * `claimed`: may be running or have run; only the process that claimed it may
- * dispatch it. `settled`: has run, with its reply. `unknown`: was sent and its
- * reply was lost. `waiting`: handed over undispatched; the next owner claims
- * and executes it.
+ * `claimed`: the order may be running or have run; only the process that
+ * claimed the order may dispatch it. `settled`: the order has run and its reply
+ * is known. `unknown`: the order was sent and its reply was lost. `waiting`:
+ * the order was handed over before it was dispatched; the next owner of the
+ * shard claims and executes it.
  */
 export type EntryState = 'claimed' | 'settled' | 'unknown' | 'waiting';
 
+/** The claim of an order and its outcome. */
 export interface LedgerEntry {
   readonly id: string;
-  /** Digest of the request; differs when a key is reused for another one. */
+  /** Digest of the request, to detect a key reused for another request. */
   readonly print: string;
-  /** Unique per claim, so that a late outcome can't settle another claim. */
+  /** Unique for each claim: a late outcome must not settle another claim. */
   readonly token: string;
   readonly state: EntryState;
-  /** Member that made the claim. */
+  /** Id of the entry that made the claim. */
   readonly member: string;
-  /** Age of the ledger when the entry got its state, in milliseconds. */
+  /** Age of the shard in milliseconds when the state was last set. */
   readonly age: number;
   readonly reply?: StoredReply;
   readonly order?: StoredOrder;
 }
 
+/** Content of the object in which a shard is stored. */
 export interface ShardRecord {
   readonly format: number;
-  /** Unique instance of the process that may write; empty when released. */
+  /** Instance id of the process that owns the shard; empty when released. */
   readonly owner: string;
+  /** Id of the entry that owns the shard; empty when released. */
   readonly ownerMember: string;
   /** Incremented with every change of owner. */
   readonly epoch: number;
-  /** Counts the owner's writes, to identify one whose response was lost. */
+  /** Count of writes in this epoch; identifies a write without a response. */
   readonly write: number;
   /** Total time for which the shard has been owned, in milliseconds. */
   readonly age: number;
   readonly entries: readonly LedgerEntry[];
-  /** Names of the objects that hold further, ended entries. */
+  /** Names of the segments, which contain ended entries of this shard. */
   readonly segments: readonly string[];
 }
 
 /**
- * Encodes a reply; the body is omitted when it exceeds the limit.
+ * Encodes a reply; omits a body of more than `maxBytes`.
  *
  * @example
  * const stored = encodeReply(reply, 4096);
@@ -98,8 +103,8 @@
  * @example
  * const reply = decodeReply(entry.reply);
  */
-export function decodeReply(stored: StoredReply): ForwardedReply {
-  const {status, headers, body} = stored;
+export function decodeReply(storedReply: StoredReply): ForwardedReply {
+  const {status, headers, body} = storedReply;
   return {
     status,
     headers,
@@ -108,7 +113,7 @@
 }
 
 /**
- * Encodes an order.
+ * Encodes an order that is handed over in the ledger.
  *
  * @example
  * const stored = encodeOrder('booking', call, clock.wall() + leftMs);
@@ -128,9 +133,9 @@
  * @example
  * const call = decodeCall(entry.order);
  */
-export function decodeCall(stored: StoredOrder): OrderCall {
-  const {method, path, headers} = stored;
-  return {method, path, headers, body: fromBase64(stored.body)};
+export function decodeCall(storedOrder: StoredOrder): OrderCall {
+  const {method, path, headers} = storedOrder;
+  return {method, path, headers, body: fromBase64(storedOrder.body)};
 }
 
 function toBase64(bytes: Uint8Array): string {
--- a/packages/orders/src/shardSegments.ts
+++ b/packages/orders/src/shardSegments.ts
@@ -1,12 +1,12 @@
 /**
- * Segments of a shard: objects that are written once, so that the shard object
- * stays small however many ended orders are retained.
+ * Segments of a shard: objects with ended entries, each written only once. They
+ * keep the shard object small however many ended orders are retained.
  */
 import type {ObjectStore} from '@skylarkfield/providers';
 import type {LedgerEntry} from './shardRecord.js';
 import type {ShardTable} from './shardTable.js';
 
-/** Kind of the objects that hold sealed entries. */
+/** Kind of the objects that contain sealed entries. */
 export const SEGMENT_KIND = 'ledger-segment';
 
 interface SegmentRecord {
@@ -14,13 +14,14 @@
 }
 
 export interface ShardSegments {
-  /** Entries of the named segments; undefined if one has been removed. */
+  /** Reads the entries of segments; undefined if a segment has been removed. */
   read(
     names: readonly string[],
   ): Promise<ReadonlyMap<string, readonly LedgerEntry[]> | undefined>;
   /**
    * Moves ended entries into a segment once all unsealed entries take
-   * `minBytes`. They stay unsealed when the write may have failed.
+   * `minBytes`. The entries stay unsealed when the write of the segment may
+   * have failed.
    */
   seal(table: ShardTable, epoch: number, minBytes: number): Promise<void>;
   /** Removes segments that no shard object refers to any more. */
@@ -47,18 +48,18 @@
     const objects = await Promise.all(
       names.map(name => store.get<SegmentRecord>(SEGMENT_KIND, name)),
     );
-    const entries = new Map<string, readonly LedgerEntry[]>();
+    const entriesBySegment = new Map<string, readonly LedgerEntry[]>();
     for (const [index, name] of names.entries()) {
       const object = objects[index];
       if (object === undefined) {
         return undefined;
       }
-      entries.set(name, object.value.entries);
+      entriesBySegment.set(name, object.value.entries);
     }
-    return entries;
+    return entriesBySegment;
   }
 
-  /** Returns the name; undefined when the write may have failed. */
+  /** Returns the segment's name; undefined when the write may have failed. */
   async function write(
     epoch: number,
     entries: readonly LedgerEntry[],
@@ -69,7 +70,8 @@
       await store.put(SEGMENT_KIND, name, {entries}, {type: 'absent'});
       return name;
     } catch {
-      // The entries stay unsealed; nothing refers to a segment written late.
+      // The entries stay unsealed. No shard object refers to the segment if its
+      // write takes effect later.
       return undefined;
     }
   }
@@ -77,7 +79,7 @@
   return {
     read,
     async seal(table, epoch, minBytes) {
-      const entries = table.sealable(minBytes);
+      const entries = table.sealableEntries(minBytes);
       if (entries.length === 0) {
         return;
       }
@@ -88,7 +90,8 @@
     },
     remove(names) {
       for (const name of names) {
-        // Best effort: a segment that remains is never read.
+        // A removal that fails is not repeated: no shard object refers to the
+        // segment, so it is never read.
         store.remove(SEGMENT_KIND, name, {type: 'any'}).catch(() => undefined);
       }
     },
--- a/packages/orders/src/shardTable.ts
+++ b/packages/orders/src/shardTable.ts
@@ -4,51 +4,61 @@
 
 export interface ShardTable {
   get(id: string): LedgerEntry | undefined;
-  /** Adds or replaces an entry; its age is set to the current one. */
+  /** Adds or replaces an entry and sets its age to the age of the shard. */
   put(entry: Omit<LedgerEntry, 'age'>): void;
   remove(id: string): void;
-  /** Replaces all contents with what was read at a change of owner. */
+  /** Replaces all contents with the stored shard, read at a take-over. */
   load(
     entries: readonly LedgerEntry[],
     segments: ReadonlyMap<string, readonly LedgerEntry[]>,
     age: number,
   ): void;
-  /** Removes entries past the dedupe window; returns segments now empty. */
+  /**
+   * Removes entries older than the dedupe window; returns the names of the
+   * segments that contain only such entries.
+   */
   expire(): readonly string[];
-  /** Entries that belong in the shard's object. */
-  unsealed(): readonly LedgerEntry[];
-  segments(): readonly string[];
-  /** Ended entries for a segment, oldest first; none if there are too few. */
-  sealable(minBytes: number): readonly LedgerEntry[];
-  /** Records that a segment holds these entries. */
+  /** Entries to be written to the shard object, not to a segment. */
+  unsealedEntries(): readonly LedgerEntry[];
+  segmentNames(): readonly string[];
+  /**
+   * Ended entries to move into a segment, oldest first; none while the unsealed
+   * entries take less than `minBytes` or the ended entries less than half of
+   * it.
+   */
+  sealableEntries(minBytes: number): readonly LedgerEntry[];
+  /** Records that a segment contains these entries. */
   seal(name: string, entries: readonly LedgerEntry[]): void;
   /** Total time for which the shard has been owned, in milliseconds. */
   age(): number;
-  /** Size of all entries, including sealed ones. */
+  /** Serialized size of all entries, including sealed entries. */
   readonly bytes: number;
+  /** Number of all entries, including sealed entries. */
   readonly count: number;
-  /** Milliseconds until the oldest entry leaves the dedupe window. */
+  /** Milliseconds until the oldest entry is older than the dedupe window. */
   msUntilExpiry(): number;
 }
 
+/** An entry with its serialized size. */
 interface Row {
   readonly entry: LedgerEntry;
   readonly bytes: number;
 }
 
-/** Far below the platform's size limit for one value. */
+/** Size of a full segment; far below the platform's limit for one value. */
 const MAX_SEGMENT_BYTES = 262_144;
 
-/** States that do not change any more. */
-const FINAL_STATES: ReadonlySet<string> = new Set(['settled', 'unknown']);
+/** States of entries whose order has ended. */
+const ENDED_STATES: ReadonlySet<string> = new Set(['settled', 'unknown']);
 
 /**
  * Creates an empty table.
  *
- * The dedupe window is measured in the ledger's own age: the sum of monotonic
- * spans in which the shard was owned. If a wall clock jumped ahead on one
- * entry, a key could be dropped too early and a retry would run its order
- * again; the ledger's age only ever lags, which at worst retains keys too long.
+ * The dedupe window is measured by the age of the shard: the total monotonic
+ * time for which the shard has been owned. By wall clock, a clock that jumps
+ * ahead on one host could drop a key too early, and a retry would run its order
+ * again. The age of the shard can only lag behind real time, which at worst
+ * retains keys too long.
  *
  * @example
  * const table = createShardTable(clock, 3_600_000);
@@ -57,19 +67,19 @@
   clock: Clock,
   dedupeWindowMs: number,
 ): ShardTable {
-  /** All entries, in the order of their last change. */
+  /** Rows of all entries by id, in the order of their last change. */
   const rows = new Map<string, Row>();
   /** Ids of the entries whose current state is not in a segment. */
   const unsealedIds = new Set<string>();
-  /** Age of the newest entry of each segment. */
-  const segments = new Map<string, number>();
+  /** Age of the newest entry of each segment, by segment name. */
+  const newestAgeBySegment = new Map<string, number>();
   let bytes = 0;
   let unsealedBytes = 0;
-  let baseAge = 0;
+  let ageAtTakeOver = 0;
   let ownedSince = clock.now();
 
   function age(): number {
-    return Math.floor(baseAge + clock.now() - ownedSince);
+    return Math.floor(ageAtTakeOver + clock.now() - ownedSince);
   }
 
   function markSealed(id: string): void {
@@ -108,7 +118,7 @@
 
   function expireRows(): void {
     for (const {entry} of rows.values()) {
-      // Rows are in the order of their last change, so later ones are
+      // Rows are in the order of their last change, so all later rows are
       // unexpired.
       if (!isExpired(entry.age)) {
         return;
@@ -124,52 +134,55 @@
     put: entry => add({...entry, age: age()}, true),
     remove,
     load(entries, loadedSegments, loadedAge) {
-      for (const collection of [rows, unsealedIds, segments]) {
+      for (const collection of [rows, unsealedIds, newestAgeBySegment]) {
         collection.clear();
       }
       [bytes, unsealedBytes] = [0, 0];
-      baseAge = loadedAge;
+      ageAtTakeOver = loadedAge;
       ownedSince = clock.now();
-      for (const [name, sealed] of loadedSegments) {
-        segments.set(name, newestAge(sealed));
-        sealed.forEach(entry => add(entry, false));
+      for (const [name, segmentEntries] of loadedSegments) {
+        newestAgeBySegment.set(name, newestAge(segmentEntries));
+        segmentEntries.forEach(entry => add(entry, false));
       }
-      // An entry of the shard's object is newer than one in a segment.
+      // If an order has an entry in the shard object and one in a segment, the
+      // entry in the shard object is newer.
       entries.forEach(entry => add(entry, true));
     },
     expire() {
       expireRows();
-      const expired = [...segments].filter(([, newest]) => isExpired(newest));
-      expired.forEach(([name]) => segments.delete(name));
-      return expired.map(([name]) => name);
+      const expiredSegments = [...newestAgeBySegment].filter(
+        ([, newestEntryAge]) => isExpired(newestEntryAge),
+      );
+      expiredSegments.forEach(([name]) => newestAgeBySegment.delete(name));
+      return expiredSegments.map(([name]) => name);
     },
-    unsealed: () =>
+    unsealedEntries: () =>
       [...unsealedIds].flatMap(id => {
         const row = rows.get(id);
         return row === undefined ? [] : [row.entry];
       }),
-    segments: () => [...segments.keys()],
-    sealable(minBytes) {
+    segmentNames: () => [...newestAgeBySegment.keys()],
+    sealableEntries(minBytes) {
       if (unsealedBytes < minBytes) {
         return [];
       }
-      const chosen: LedgerEntry[] = [];
+      const chosenEntries: LedgerEntry[] = [];
       let chosenBytes = 0;
       for (const id of unsealedIds) {
         const row = rows.get(id);
-        if (row === undefined || !FINAL_STATES.has(row.entry.state)) {
+        if (row === undefined || !ENDED_STATES.has(row.entry.state)) {
           continue;
         }
-        chosen.push(row.entry);
+        chosenEntries.push(row.entry);
         chosenBytes += row.bytes;
         if (chosenBytes >= MAX_SEGMENT_BYTES) {
           break;
         }
       }
-      return chosenBytes * 2 >= minBytes ? chosen : [];
+      return chosenBytes * 2 >= minBytes ? chosenEntries : [];
     },
     seal(name, entries) {
-      segments.set(name, newestAge(entries));
+      newestAgeBySegment.set(name, newestAge(entries));
       for (const entry of entries) {
         // An entry that changed while the segment was written stays unsealed.
         if (rows.get(entry.id)?.entry === entry) {
@@ -185,11 +198,11 @@
       return rows.size;
     },
     msUntilExpiry() {
-      const [oldest] = rows.values();
-      if (oldest === undefined) {
+      const [oldestRow] = rows.values();
+      if (oldestRow === undefined) {
         return 0;
       }
-      return Math.max(0, oldest.entry.age + dedupeWindowMs - age());
+      return Math.max(0, oldestRow.entry.age + dedupeWindowMs - age());
     },
   };
 }
--- a/packages/orders/src/shardTakeOver.ts
+++ b/packages/orders/src/shardTakeOver.ts
@@ -10,7 +10,7 @@
   readonly index: number;
   readonly member: string;
   readonly clock: Clock;
-  /** How long a deposed owner leaves the shard to the new one. */
+  /** How long a process that lost the shard leaves it to its new owner. */
   readonly holdOffMs: number;
   readonly isReachable: (member: string) => boolean;
   readonly writer: ShardWriter;
@@ -18,7 +18,7 @@
   readonly table: ShardTable;
   /** Starts an epoch of this process; returns its first record. */
   readonly beginEpoch: (epoch: number) => ShardRecord;
-  /** The first record was committed as this version: the shard is owned. */
+  /** Called when the first record was committed, so that the shard is owned. */
   readonly onDidCommit: (
     version: number,
     previousOwner: string | undefined,
@@ -26,13 +26,19 @@
 }
 
 export interface TakeOver {
-  /** Writes a new epoch to the shard. Throws `platform-unavailable`. */
+  /**
+   * Takes the shard over by writing a new epoch, or returns the owner that it
+   * is left to. Throws `platform-unavailable`.
+   */
   run(): Promise<Ownership>;
-  /** Starts the hold-off time after the shard was lost to this owner. */
+  /** Starts the hold-off time, after the shard was lost to `owner`. */
   holdOff(owner: string | undefined): void;
-  /** The reachable owner that the shard is left to now, if any. */
+  /**
+   * The owner that the shard is left to; undefined after the hold-off time, or
+   * when the owner is unknown or unreachable.
+   */
   holdOffOwner(): string | undefined;
-  /** The last owner seen other than this process. */
+  /** Id of the last known owner other than this process. */
   lastKnownOwner(): string | undefined;
 }
 
@@ -49,41 +55,46 @@
   let holdOffUntil = -Infinity;
   let lastKnownOwner: string | undefined;
 
-  function shouldYield(head: ShardRecord, attempt: number): boolean {
-    const isOwnedByPeer = head.owner !== '' && head.ownerMember !== member;
+  function shouldYield(currentRecord: ShardRecord, attempt: number): boolean {
+    const isOwnedByPeer =
+      currentRecord.owner !== '' && currentRecord.ownerMember !== member;
     const shouldRespectOwner = attempt > 0 || clock.now() < holdOffUntil;
     return (
       isOwnedByPeer &&
       shouldRespectOwner &&
-      options.isReachable(head.ownerMember)
+      options.isReachable(currentRecord.ownerMember)
     );
   }
 
   /** Returns undefined when another process changed the shard meanwhile. */
   async function tryTakeOver(attempt: number): Promise<Ownership | undefined> {
-    const stored = await writer.read();
-    const head = stored?.value;
-    if (head !== undefined && head.format > LEDGER_FORMAT) {
-      throw unsupportedFormatError(index, head.format);
+    const storedObject = await writer.read();
+    const currentRecord = storedObject?.value;
+    if (currentRecord !== undefined && currentRecord.format > LEDGER_FORMAT) {
+      throw unsupportedFormatError(index, currentRecord.format);
     }
-    if (head !== undefined && shouldYield(head, attempt)) {
-      lastKnownOwner = head.ownerMember;
-      return {type: 'elsewhere', member: head.ownerMember};
+    if (currentRecord !== undefined && shouldYield(currentRecord, attempt)) {
+      lastKnownOwner = currentRecord.ownerMember;
+      return {type: 'elsewhere', member: currentRecord.ownerMember};
     }
-    const sealed = await segments.read(head?.segments ?? []);
-    if (sealed === undefined) {
+    const segmentEntries = await segments.read(currentRecord?.segments ?? []);
+    if (segmentEntries === undefined) {
       return undefined;
     }
-    table.load(head?.entries ?? [], sealed, head?.age ?? 0);
-    const record = options.beginEpoch((head?.epoch ?? 0) + 1);
-    const result = await writer.write(record, stored?.version);
+    table.load(
+      currentRecord?.entries ?? [],
+      segmentEntries,
+      currentRecord?.age ?? 0,
+    );
+    const record = options.beginEpoch((currentRecord?.epoch ?? 0) + 1);
+    const result = await writer.write(record, storedObject?.version);
     if (result.type === 'refused') {
       throw result.error;
     }
     if (result.type === 'lost') {
       return undefined;
     }
-    options.onDidCommit(result.version, head?.owner);
+    options.onDidCommit(result.version, currentRecord?.owner);
     return {type: 'owned'};
   }
 
@@ -97,7 +108,7 @@
       }
       throw new ServingError(
         'platform-unavailable',
-        `the owner of shard ${index} changes too often`,
+        `shard ${index} was changed by another process during every take-over attempt`,
       );
     },
     holdOff(owner) {
--- a/packages/orders/src/shardWriter.ts
+++ b/packages/orders/src/shardWriter.ts
@@ -1,4 +1,4 @@
-/** Conditional shard writes, each resolved to a certain outcome. */
+/** Conditional writes of a shard, repeated until the outcome is certain. */
 import {
   isServingError,
   sleep,
@@ -11,14 +11,22 @@
 
 export type WriteResult =
   | {readonly type: 'committed'; readonly version: number}
-  /** Certainly without effect. */
+  /** The write certainly had no effect. */
   | {readonly type: 'refused'; readonly error: ServingError}
-  /** Another process has written since, so this process can't write again. */
-  | {readonly type: 'lost'; readonly head: ShardRecord | undefined};
+  /**
+   * Another process has written the shard, so later writes of this process
+   * would fail; also returned when the writer's signal has aborted.
+   */
+  | {readonly type: 'lost'; readonly currentRecord: ShardRecord | undefined};
 
 export interface ShardWriter {
+  /** Reads the shard object; undefined when it does not exist. */
   read(): Promise<StoredObject<ShardRecord> | undefined>;
-  /** Writes on top of a version (undefined: no object) until it is resolved. */
+  /**
+   * Writes the record on condition that the object has `baseVersion`
+   * (undefined: that it does not exist), and retries until the outcome of the
+   * write is certain.
+   */
   write(
     record: ShardRecord,
     baseVersion: number | undefined,
@@ -44,32 +52,35 @@
 export function createShardWriter(options: {
   readonly store: ObjectStore;
   readonly clock: Clock;
-  readonly name: string;
-  /** A response was lost: the shard is `bound` until the write is resolved. */
+  readonly objectName: string;
+  /**
+   * Called when the response to a write was lost: the shard is `bound` until
+   * the outcome of the write is certain.
+   */
   readonly onUncertainWrite: () => void;
-  /** Ends all retries. */
+  /** Aborts the retries of a write whose outcome is not certain yet. */
   readonly signal: AbortSignal;
 }): ShardWriter {
-  const {store, clock, name, signal} = options;
+  const {store, clock, objectName, signal} = options;
 
   function read(): Promise<StoredObject<ShardRecord> | undefined> {
-    return store.get<ShardRecord>(LEDGER_KIND, name);
+    return store.get<ShardRecord>(LEDGER_KIND, objectName);
   }
 
-  async function attempt(
+  async function tryWrite(
     record: ShardRecord,
     baseVersion: number | undefined,
   ): Promise<WriteResult | 'conflict' | 'uncertain'> {
     try {
-      const stored = await store.put(
+      const storedObject = await store.put(
         LEDGER_KIND,
-        name,
+        objectName,
         record,
         baseVersion === undefined
           ? {type: 'absent'}
           : {type: 'version', version: baseVersion},
       );
-      return {type: 'committed', version: stored.version};
+      return {type: 'committed', version: storedObject.version};
     } catch (error) {
       if (isServingError(error, 'version-conflict')) {
         return 'conflict';
@@ -81,7 +92,7 @@
     }
   }
 
-  async function readHead(): Promise<
+  async function tryReadCurrentObject(): Promise<
     StoredObject<ShardRecord> | undefined | 'read-failed'
   > {
     try {
@@ -95,34 +106,34 @@
     record: ShardRecord,
     baseVersion: number | undefined,
   ): Promise<WriteResult> {
-    let base = baseVersion;
-    let isUncertain = false;
+    let expectedVersion = baseVersion;
+    let hasUncertainWrite = false;
     let backoffMs = INITIAL_BACKOFF_MS;
     while (!signal.aborted) {
-      const result = await attempt(record, base);
+      const result = await tryWrite(record, expectedVersion);
       if (result === 'conflict') {
-        const head = await readHead();
-        if (head !== 'read-failed') {
-          const resolved = resolveConflict(record, head);
-          if (resolved !== 'older-own-write') {
-            return resolved;
+        const currentObject = await tryReadCurrentObject();
+        if (currentObject !== 'read-failed') {
+          const conflictResult = resolveConflict(record, currentObject);
+          if (conflictResult !== 'older-own-write') {
+            return conflictResult;
           }
-          base = head?.version;
+          expectedVersion = currentObject?.version;
           continue;
         }
       } else if (result !== 'uncertain') {
-        if (result.type !== 'refused' || !isUncertain) {
+        if (result.type !== 'refused' || !hasUncertainWrite) {
           return result;
         }
       }
-      if (!isUncertain) {
-        isUncertain = true;
+      if (!hasUncertainWrite) {
+        hasUncertainWrite = true;
         options.onUncertainWrite();
       }
       await sleep(clock, backoffMs, signal).catch(() => undefined);
       backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
-    return {type: 'lost', head: undefined};
+    return {type: 'lost', currentRecord: undefined};
   }
 
   return {read, write};
@@ -135,25 +146,26 @@
 ]);
 
 /**
- * Resolves a conflict; after `older-own-write` the write may be repeated on top
- * of that older write.
+ * Returns the result of a write that met a version conflict. `older-own-write`:
+ * the object is an earlier write of this process, so that the write may be
+ * repeated on top of it.
  */
 function resolveConflict(
   record: ShardRecord,
-  head: StoredObject<ShardRecord> | undefined,
+  currentObject: StoredObject<ShardRecord> | undefined,
 ): WriteResult | 'older-own-write' {
-  if (head === undefined) {
-    return {type: 'lost', head: undefined};
+  if (currentObject === undefined) {
+    return {type: 'lost', currentRecord: undefined};
   }
-  const {owner, epoch, write} = head.value;
+  const {owner, epoch, write} = currentObject.value;
   if (epoch !== record.epoch) {
-    return {type: 'lost', head: head.value};
+    return {type: 'lost', currentRecord: currentObject.value};
   }
   if (write === record.write && owner === record.owner) {
-    return {type: 'committed', version: head.version};
+    return {type: 'committed', version: currentObject.version};
   }
   const isOwnWrite = owner === record.owner || record.owner === '';
   return isOwnWrite && write < record.write
     ? 'older-own-write'
-    : {type: 'lost', head: head.value};
+    : {type: 'lost', currentRecord: currentObject.value};
 }
--- a/packages/orders/src/test/cluster.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * Several ledgers over one in-memory platform and network, with an oracle for
- * runs and answers.
+ * Several ledgers over one in-memory platform and network, with checks of all
+ * runs at the service and all answers to callers.
  */
 import assert from 'node:assert/strict';
 import {
@@ -22,18 +22,18 @@
 import {
   createProcess,
   createSimulatedNetwork,
-  processStore,
+  createProcessStore,
   type SimulatedProcess,
 } from './simulatedProcess.js';
 
 /** One request of a caller and its answer. */
 export interface SubmittedRequest {
   readonly key: string | undefined;
-  /** Content of the order; a key may be used with two different ones. */
+  /** Content of the order; may differ between requests with one key. */
   readonly subject: string;
-  readonly at: number;
+  readonly submittedAtMs: number;
   readonly timeoutMs: number;
-  /** Undefined until answered; stays so when the entry crashed. */
+  /** Undefined until answered; stays undefined if the entry crashed. */
   answer?: {
     readonly kind: string;
     readonly run: RunState | 'ran';
@@ -44,10 +44,10 @@
   };
 }
 
-/** One execution at the service. */
+/** One execution of an order at the service. */
 export interface ServiceRun {
   readonly subject: string;
-  readonly at: number;
+  readonly startedAtMs: number;
   readonly body: string;
 }
 
@@ -56,17 +56,19 @@
   readonly process: SimulatedProcess;
   readonly ledger: Ledger;
   readonly client: MemoryClient;
-  /** Entries that this one considers dead. */
+  /** Ids of the entries that this entry considers dead. */
   readonly suspects: Set<string>;
   isLeaving: boolean;
 }
 
-/** Faults of the service as shares of the calls, and its delays. */
+/** Shares of calls that the service rejects or loses, and its delays. */
 export interface ServiceFaults {
   rejectedShare: number;
   lostAfterRunShare: number;
   lostBeforeRunShare: number;
+  /** Maximum time that an order waits for capacity, in milliseconds. */
   waitMs: number;
+  /** Maximum duration of a run, in milliseconds. */
   workMs: number;
 }
 
@@ -75,11 +77,15 @@
   readonly platform: ReturnType<typeof createMemoryPlatform>;
   readonly network: ReturnType<typeof createSimulatedNetwork>;
   readonly entries: Map<string, Entry>;
-  readonly submitted: readonly SubmittedRequest[];
+  readonly submittedRequests: readonly SubmittedRequest[];
   readonly runs: readonly ServiceRun[];
   readonly service: ServiceFaults;
-  /** End of the period without entries, if it overlaps the order's lifetime. */
-  emptyUntil(order: SubmittedRequest): number | undefined;
+  /**
+   * Monotonic milliseconds at which the period without live entries ended;
+   * undefined unless that period overlaps the time until the request's
+   * deadline.
+   */
+  endOfEmptyPeriod(request: SubmittedRequest): number | undefined;
   start(id: string): Entry;
   crash(id: string): void;
   pause(id: string): void;
@@ -91,7 +97,7 @@
     subject?: string,
     timeoutMs?: number,
   ): SubmittedRequest;
-  /** Checks all answers so far. */
+  /** Checks all runs and answers so far. */
   check(): void;
   dispose(): void;
 }
@@ -109,7 +115,7 @@
   sealThresholdBytes: 600,
 };
 
-/** Creates a cluster without entries. */
+/** Creates a cluster in which no entry has been started. */
 export function createCluster(
   seed: number,
   settings: Partial<LedgerSettings> = {},
@@ -120,7 +126,7 @@
   platform.faults.setDelay(4);
   const network = createSimulatedNetwork(clock, random);
   const entries = new Map<string, Entry>();
-  const submitted: SubmittedRequest[] = [];
+  const submittedRequests: SubmittedRequest[] = [];
   const runs: ServiceRun[] = [];
   let emptyPeriod: {readonly from: number; to: number} | undefined;
   const service: ServiceFaults = {
@@ -131,11 +137,12 @@
     workMs: 30,
   };
 
-  function dispatchOf(process: SimulatedProcess): Dispatch {
+  function createDispatch(process: SimulatedProcess): Dispatch {
     return async (_service, call, signal, begin) => {
       await sleep(process.clock, service.waitMs * random.next(), signal);
-      // Like a real entry, tries another endpoint if one received nothing.
-      for (let tries = 1; ; tries++) {
+      // Like a real entry, calls another endpoint if the first received
+      // nothing.
+      for (let attempt = 1; ; attempt++) {
         if (!begin()) {
           throw new ServingError('cancelled', 'cancelled before it was sent', {
             run: 'not-run',
@@ -144,20 +151,20 @@
         if (!random.chance(service.rejectedShare)) {
           break;
         }
-        if (tries === MAX_ENDPOINT_ATTEMPTS) {
+        if (attempt === MAX_ENDPOINT_ATTEMPTS) {
           throw new ServingError('endpoint-unavailable', 'refused');
         }
       }
-      const isLostBefore = random.chance(service.lostBeforeRunShare);
-      const isLostAfter = random.chance(service.lostAfterRunShare);
+      const isLostBeforeRun = random.chance(service.lostBeforeRunShare);
+      const isLostAfterRun = random.chance(service.lostAfterRunShare);
       const subject = new TextDecoder().decode(call.body);
       const body = `run ${runs.length} of ${subject}`;
-      if (!isLostBefore) {
-        runs.push({subject, at: clock.now(), body});
+      if (!isLostBeforeRun) {
+        runs.push({subject, startedAtMs: clock.now(), body});
       }
       await sleepOn(clock, service.workMs * random.next());
       await process.whenRunning();
-      if (isLostBefore || isLostAfter) {
+      if (isLostBeforeRun || isLostAfterRun) {
         throw new ServingError('outcome-unknown', 'connection lost');
       }
       return {status: 201, headers: {}, body: new TextEncoder().encode(body)};
@@ -171,20 +178,22 @@
     const suspects = new Set<string>();
     const visibleEntries = () =>
       [...entries.values()].filter(
-        other => other.process.isAlive && !suspects.has(other.id),
+        visibleEntry =>
+          visibleEntry.process.isAlive && !suspects.has(visibleEntry.id),
       );
     const ledger = createLedger({
-      store: processStore(client, process, clock),
+      store: createProcessStore(client, process, clock),
       network: network.connect(process),
-      dispatch: dispatchOf(process),
+      dispatch: createDispatch(process),
       clock: process.clock,
       random: seededRandom(random.integer(0, 1_000_000_000)),
       member: id,
       liveMembers: () =>
         visibleEntries()
-          .filter(other => !other.isLeaving)
-          .map(other => other.id),
-      answeringMembers: () => visibleEntries().map(other => other.id),
+          .filter(visibleEntry => !visibleEntry.isLeaving)
+          .map(visibleEntry => visibleEntry.id),
+      answeringMembers: () =>
+        visibleEntries().map(visibleEntry => visibleEntry.id),
       settings: {...testSettings, ...settings},
     });
     const entry = {id, process, ledger, client, suspects, isLeaving: false};
@@ -200,7 +209,7 @@
     if (entry !== undefined) {
       entry.process.isAlive = false;
       entry.ledger.dispose();
-      entry.process.onDidEnd.splice(0).forEach(notify => notify());
+      entry.process.endListeners.splice(0).forEach(notify => notify());
     }
   }
 
@@ -213,17 +222,17 @@
   function submit(
     id: string,
     key: string | undefined,
-    subject = key ?? `unnamed ${submitted.length}`,
+    subject = key ?? `unnamed ${submittedRequests.length}`,
     timeoutMs = TIMEOUT_MS,
   ): SubmittedRequest {
     const {ledger, process} = entryOf(id);
     const request: SubmittedRequest = {
       key,
       subject,
-      at: clock.now(),
+      submittedAtMs: clock.now(),
       timeoutMs,
     };
-    submitted.push(request);
+    submittedRequests.push(request);
     const order = {
       customer: 'chain',
       service: 'ordering',
@@ -255,10 +264,10 @@
   async function leave(id: string): Promise<void> {
     const entry = entryOf(id);
     entry.isLeaving = true;
-    const isLast = [...entries.values()].every(
-      other => other.isLeaving || !other.process.isAlive,
+    const isLastEntry = [...entries.values()].every(
+      candidate => candidate.isLeaving || !candidate.process.isAlive,
     );
-    if (isLast) {
+    if (isLastEntry) {
       emptyPeriod ??= {from: clock.now(), to: Infinity};
     }
     await entry.ledger.leave();
@@ -268,8 +277,8 @@
   }
 
   function check(): void {
-    checkRuns(runs, submitted);
-    checkAnswers(runs, submitted);
+    checkRuns(runs, submittedRequests);
+    checkAnswers(runs, submittedRequests);
   }
 
   return {
@@ -277,14 +286,14 @@
     platform,
     network,
     entries,
-    submitted,
+    submittedRequests,
     runs,
     service,
-    emptyUntil({at, timeoutMs}) {
+    endOfEmptyPeriod({submittedAtMs, timeoutMs}) {
       const isAffected =
         emptyPeriod !== undefined &&
-        at <= emptyPeriod.to &&
-        at + timeoutMs >= emptyPeriod.from;
+        submittedAtMs <= emptyPeriod.to &&
+        submittedAtMs + timeoutMs >= emptyPeriod.from;
       return isAffected ? emptyPeriod?.to : undefined;
     },
     start,
@@ -304,20 +313,28 @@
   };
 }
 
-/** Each order ran at most once, and none if all callers got `not-run`. */
+/**
+ * Checks that each order ran at most once, and that no order ran whose callers
+ * all got `not-run`.
+ */
 function checkRuns(
   runs: readonly ServiceRun[],
-  submitted: readonly SubmittedRequest[],
+  submittedRequests: readonly SubmittedRequest[],
 ) {
-  const seen = new Map<string, ServiceRun>();
+  const runByKey = new Map<string, ServiceRun>();
   for (const run of runs) {
-    const causes = submitted.filter(({subject}) => subject === run.subject);
-    const key = causes[0]?.key ?? run.subject;
-    assert.equal(seen.get(key), undefined, `${key} ran twice`);
-    seen.set(key, run);
+    const requests = submittedRequests.filter(
+      ({subject}) => subject === run.subject,
+    );
+    const key = requests[0]?.key ?? run.subject;
+    assert.equal(runByKey.get(key), undefined, `${key} ran twice`);
+    runByKey.set(key, run);
     assert.ok(
-      causes.some(({at, answer}) => at <= run.at && answer?.run !== 'not-run'),
-      `${run.subject} ran at ${run.at}, but all its callers received not-run`,
+      requests.some(
+        ({submittedAtMs, answer}) =>
+          submittedAtMs <= run.startedAtMs && answer?.run !== 'not-run',
+      ),
+      `${run.subject} ran at ${run.startedAtMs}, but all its callers received not-run`,
     );
   }
 }
@@ -325,9 +342,9 @@
 /** Checks that every reply comes from a run of its own order. */
 function checkAnswers(
   runs: readonly ServiceRun[],
-  submitted: readonly SubmittedRequest[],
+  submittedRequests: readonly SubmittedRequest[],
 ) {
-  for (const {subject, answer} of submitted) {
+  for (const {subject, answer} of submittedRequests) {
     if (answer?.body !== undefined) {
       const run = runs.find(({body}) => body === answer.body);
       assert.equal(
--- a/packages/orders/src/test/fuzzFindings.test.ts
+++ b/packages/orders/src/test/fuzzFindings.test.ts
@@ -3,7 +3,7 @@
 import {runSchedule, healAndCheck, type Step} from './schedule.js';
 import type {Cluster} from './cluster.js';
 
-/** A failing schedule found by the fuzzer, shrunk. */
+/** A schedule that failed in the fuzzer, reduced to few steps. */
 interface FuzzFinding {
   readonly name: string;
   readonly seed: number;
@@ -13,13 +13,13 @@
 }
 
 function answerKinds(cluster: Cluster): ReadonlyArray<string | undefined> {
-  return cluster.submitted.map(({answer}) => answer?.kind);
+  return cluster.submittedRequests.map(({answer}) => answer?.kind);
 }
 
 const findings: readonly FuzzFinding[] = [
   // An entry takes over the shard of a running order. The old owner recorded
-  // the reply in a table that it could no longer write; a retry got
-  // `may-have-run`.
+  // the reply in its table, which it could no longer write to the ledger; a
+  // retry got `may-have-run`.
   {
     name: 'a reply recorded after the shard was lost reaches the new owner',
     seed: 0,
@@ -40,8 +40,8 @@
       ]),
   },
   // An entry leaves while an order is in transit to it, and another process
-  // starts under its id. The sender waited until the caller's deadline for an
-  // answer that could not come.
+  // starts under its id. The sending entry waited until the caller's deadline
+  // for an answer of the ended process.
   {
     name: 'an order sent to an entry that has just left runs elsewhere',
     seed: 0,
@@ -67,13 +67,13 @@
       {do: 'leave', entry: 2},
     ],
     expect: cluster =>
-      assert.equal(cluster.submitted[0]?.answer?.run, 'not-run'),
+      assert.equal(cluster.submittedRequests[0]?.answer?.run, 'not-run'),
   },
   // A short deadline passes while the order waits for capacity at the service.
-  // A claim left behind as `unknown` would block every retry, though nothing
+  // If its claim became `unknown`, every retry would be blocked, though nothing
   // was sent.
   {
-    name: 'an order cancelled while it waited can be submitted again',
+    name: 'an order cancelled while it waited for capacity can be submitted again',
     seed: 0,
     waitMs: 200,
     steps: [
@@ -83,13 +83,13 @@
       {do: 'submit', entry: 0, key: 0},
     ],
     expect(cluster) {
-      const [shortDeadline, ...later] = cluster.submitted;
-      assert.equal(shortDeadline?.answer?.run, 'not-run');
-      assert.ok(later.every(({answer}) => answer?.kind === 'reply'));
+      const [shortRequest, ...retries] = cluster.submittedRequests;
+      assert.equal(shortRequest?.answer?.run, 'not-run');
+      assert.ok(retries.every(({answer}) => answer?.kind === 'reply'));
     },
   },
-  // Two of three entries leave at once. One took over a shard that the other
-  // had released, claimed an order there and exited; a retry got
+  // Two of three entries leave at once. One leaving entry took over a shard
+  // that the other had released, claimed an order and exited; a retry got
   // `may-have-run`.
   {
     name: 'a leaving entry takes over no shard',
@@ -106,9 +106,9 @@
     expect: cluster =>
       assert.deepEqual(answerKinds(cluster), ['reply', 'reply', 'reply']),
   },
-  // All entries leave while an order waits, so it is handed over with no entry
-  // to take it. Its caller got `not-run`; then an entry started, found the
-  // order and ran it.
+  // All entries leave while an order waits for capacity, so the order is handed
+  // over when no entry can take over its shard. The caller got `not-run`; then
+  // an entry started, found the order in the ledger and ran it.
   {
     name: 'an order that waits in the ledger is not reported as not run',
     seed: 129_460,
@@ -124,12 +124,12 @@
     ],
     expect(cluster) {
       assert.equal(cluster.runs.length, 1);
-      assert.equal(cluster.submitted[0]?.answer?.run, 'may-have-run');
+      assert.equal(cluster.submittedRequests[0]?.answer?.run, 'may-have-run');
     },
   },
-  // A retry waits at the shard's new owner for the reply of a run at the old
-  // one. The new owner leaves meanwhile; the caller got `may-have-run` although
-  // the reply arrived.
+  // A retry waits at the shard's new owner for the reply to a call that the old
+  // owner sent. The new owner leaves meanwhile; the caller got `may-have-run`
+  // although the reply arrived.
   {
     name: 'a reply that arrives after the shard was released is delivered',
     seed: 0,
@@ -146,11 +146,11 @@
       {do: 'wait', ms: 400},
     ],
     expect: cluster =>
-      assert.equal(cluster.submitted[1]?.answer?.kind, 'reply'),
+      assert.equal(cluster.submittedRequests[1]?.answer?.kind, 'reply'),
   },
-  // All entries leave while an order waits, and the next one starts after the
-  // order's deadline. The order must not run then, but a retry was rejected
-  // with the deadline of the old order.
+  // All entries leave while an order waits for capacity, and the next entry
+  // starts after the order's deadline. The order must not run any more, but a
+  // retry was rejected because of the deadline of the old order.
   {
     name: 'an order that waited past its deadline can be submitted again',
     seed: 0,
@@ -165,14 +165,15 @@
       {do: 'leave', entry: 0},
     ],
     expect(cluster) {
-      const [, order, , retry] = cluster.submitted;
+      const [, order, , retry] = cluster.submittedRequests;
       assert.equal(order?.answer?.run, 'may-have-run');
       assert.equal(retry?.answer?.kind, 'reply');
     },
   },
-  // Two requests use one key. The second arrives at an entry that has lost the
-  // shard without knowing it, so its claim is never written. The first was
-  // rejected as conflicting with it, as not run, and then ran.
+  // Two requests use one key. The second request arrives at an entry that has
+  // not noticed the loss of the shard, so its claim is never written. The first
+  // request was rejected for a conflict with that claim, reported as not run,
+  // and then ran.
   {
     name: 'an unwritten claim causes no key conflict',
     seed: 0,
@@ -189,13 +190,16 @@
       {do: 'leave', entry: 1},
     ],
     expect(cluster) {
-      const kept = cluster.submitted.find(({subject}) => subject === 'k3');
-      assert.equal(kept?.answer?.kind, 'reply');
+      const request = cluster.submittedRequests.find(
+        ({subject}) => subject === 'k3',
+      );
+      assert.equal(request?.answer?.kind, 'reply');
     },
   },
   // An entry leaves with an unsent order of a disconnected caller, but another
-  // entry takes the shard before the hand-over is written. Nobody routes the
-  // order there, its claim stayed and a retry got `may-have-run`.
+  // entry takes over the shard before the hand-over is written. No entry routes
+  // the order to the new owner, its claim stayed and a retry got
+  // `may-have-run`.
   {
     name: 'a claim whose hand-over was not written does not block the retry',
     seed: 0,
@@ -211,16 +215,16 @@
       {do: 'leave', entry: 0},
     ],
     expect(cluster) {
-      const retry = cluster.submitted.findLast(({key}) => key === 'k3');
+      const retry = cluster.submittedRequests.findLast(({key}) => key === 'k3');
       assert.equal(retry?.answer?.kind, 'reply');
     },
   },
   // A short deadline passes while the claim is being written, and a new entry
-  // takes over the shard including the claim. It queries the first entry, where
-  // the outcome of the write is open yet; a retry of the unsent order got
-  // `may-have-run`.
+  // takes over the shard including the claim. The new owner queries the old
+  // owner, which does not know the outcome of the write yet; a retry of the
+  // unsent order got `may-have-run`.
   {
-    name: 'a claim cancelled during its write does not block the retry elsewhere',
+    name: 'a claim cancelled during its write does not block a retry at the new owner',
     seed: 484_910,
     waitMs: 2_000,
     steps: [
@@ -235,14 +239,14 @@
       {do: 'lose-replies', entry: 0, count: 1},
     ],
     expect(cluster) {
-      const [, shortDeadline, ...retries] = cluster.submitted;
-      assert.equal(shortDeadline?.answer?.run, 'not-run');
+      const [, shortRequest, ...retries] = cluster.submittedRequests;
+      assert.equal(shortRequest?.answer?.run, 'not-run');
       assert.ok(retries.every(({answer}) => answer?.kind === 'reply'));
     },
   },
-  // A retry with a longer timeout joins an order elsewhere. At the first
-  // deadline the order ended for both, and the retry got `may-have-run` for an
-  // order that never ran.
+  // A retry with a longer timeout joins an order at another entry. At the first
+  // deadline the order ended for both callers, and the retry got `may-have-run`
+  // for an order that never ran.
   {
     name: 'a caller with a short timeout does not end the order of another caller',
     seed: 0,
@@ -259,10 +263,10 @@
       {do: 'submit-short-deadline', entry: 0, key: 0},
     ],
     expect(cluster) {
-      const longDeadline = cluster.submitted.filter(
+      const longRequests = cluster.submittedRequests.filter(
         ({timeoutMs}) => timeoutMs > 1_000,
       );
-      for (const {subject, answer} of longDeadline) {
+      for (const {subject, answer} of longRequests) {
         assert.equal(answer?.kind, 'reply', subject);
       }
     },
--- a/packages/orders/src/test/handOver.test.ts
+++ b/packages/orders/src/test/handOver.test.ts
@@ -6,9 +6,9 @@
 
 describe('shard hand-over', () => {
   it('sends the index of the shard but no epoch', async () => {
-    // The next owner reads the epoch from the ledger. If the message carried an
-    // epoch that is always 0, a later release relying on it would take every
-    // shard for one that was never owned, and run its orders again.
+    // The next owner reads the epoch from the ledger. If the message contained
+    // an epoch that is always 0, a later release that used this epoch would
+    // treat every shard as never owned and run its orders again.
     const bodies: unknown[] = [];
     const handOver = createHandOver({
       clock: virtualClock(),
--- a/packages/orders/src/test/ledger.fuzz.test.ts
+++ b/packages/orders/src/test/ledger.fuzz.test.ts
@@ -14,12 +14,12 @@
 const CI_RUNS = 60;
 const LONG_RUNS = Number(process.env.SKYLARKFIELD_FUZZ_RUNS ?? 1_000);
 
-/** Time that an entry needs after its start to run a waiting order. */
+/** Time after its start in which an entry runs orders from the ledger. */
 const START_MARGIN_MS = 2_000;
 
-function parameters(): fc.Parameters<unknown> {
-  const freshSeed = IS_LONG ? Date.now() | 0 : CI_SEED;
-  const seed = Number(process.env.SKYLARKFIELD_FUZZ_SEED ?? freshSeed);
+function fuzzParameters(): fc.Parameters<unknown> {
+  const defaultSeed = IS_LONG ? Date.now() | 0 : CI_SEED;
+  const seed = Number(process.env.SKYLARKFIELD_FUZZ_SEED ?? defaultSeed);
   if (IS_LONG) {
     console.log(`fuzz seed ${seed}`);
   }
@@ -42,7 +42,7 @@
           cluster.dispose();
         }
       }),
-      parameters(),
+      fuzzParameters(),
     );
   });
 
@@ -52,20 +52,22 @@
         const cluster = await runSchedule(schedule);
         try {
           await healAndCheck(cluster);
-          for (const order of cluster.submitted) {
-            const {subject, answer, at, timeoutMs} = order;
+          for (const request of cluster.submittedRequests) {
+            const {subject, answer, submittedAtMs, timeoutMs} = request;
             assert.ok(answer, `${subject} was not answered`);
-            // Without any live entry the answer may stay open, but accepted
-            // orders still run when an entry starts before the deadline.
-            const until = cluster.emptyUntil(order);
+            // If no entry is live, the outcome may stay unknown to the caller.
+            // An accepted order must still run if an entry starts in time
+            // before the deadline.
+            const emptyUntil = cluster.endOfEmptyPeriod(request);
             const hasRun = cluster.runs.some(run => run.subject === subject);
-            const isTooLate = (until ?? 0) > at + timeoutMs - START_MARGIN_MS;
+            const isTooLate =
+              (emptyUntil ?? 0) > submittedAtMs + timeoutMs - START_MARGIN_MS;
             const isExcused =
               timeoutMs < TIMEOUT_MS ||
-              (until !== undefined && (hasRun || isTooLate));
-            const isKnownOutcome = answer.run !== 'may-have-run';
+              (emptyUntil !== undefined && (hasRun || isTooLate));
+            const hasCertainOutcome = answer.run !== 'may-have-run';
             assert.ok(
-              isKnownOutcome || isExcused,
+              hasCertainOutcome || isExcused,
               `${subject}: ${answer.kind}`,
             );
           }
@@ -73,7 +75,7 @@
           cluster.dispose();
         }
       }),
-      parameters(),
+      fuzzParameters(),
     );
   });
 });
--- a/packages/orders/src/test/ledger.test.ts
+++ b/packages/orders/src/test/ledger.test.ts
@@ -14,91 +14,93 @@
   });
 
   it('runs an order and replays its reply through any entry', async () => {
-    const first = cluster.submit('a', 'k1');
+    const firstRequest = cluster.submit('a', 'k1');
     await cluster.clock.advance(500);
-    const again = ['a', 'b', 'c'].map(id => cluster.submit(id, 'k1'));
+    const retries = ['a', 'b', 'c'].map(id => cluster.submit(id, 'k1'));
     await cluster.clock.advance(500);
-    assert.equal(first.answer?.kind, 'reply');
-    for (const {answer} of again) {
-      assert.equal(answer?.body, first.answer?.body);
+    assert.equal(firstRequest.answer?.kind, 'reply');
+    for (const {answer} of retries) {
+      assert.equal(answer?.body, firstRequest.answer?.body);
       assert.equal(answer?.isReplay, true);
     }
     assert.equal(cluster.runs.length, 1);
   });
 
-  it('joins a retry that arrives while the order runs', async () => {
-    const both = ['a', 'b'].map(id => cluster.submit(id, 'k1'));
+  it('gives a retry that arrives while the order runs the same reply', async () => {
+    const requests = ['a', 'b'].map(id => cluster.submit(id, 'k1'));
     await cluster.clock.advance(500);
-    assert.equal(both[0]?.answer?.body, both[1]?.answer?.body);
+    assert.equal(requests[0]?.answer?.body, requests[1]?.answer?.body);
     assert.equal(cluster.runs.length, 1);
   });
 
-  it('rejects a key that is reused with another request', async () => {
+  it('rejects a request that reuses the key of another request', async () => {
     cluster.submit('a', 'k1', 'two swatch kits');
     await cluster.clock.advance(500);
-    const other = cluster.submit('b', 'k1', 'three swatch kits');
+    const conflictingRequest = cluster.submit('b', 'k1', 'three swatch kits');
     await cluster.clock.advance(500);
-    assert.equal(other.answer?.kind, 'key-conflict');
+    assert.equal(conflictingRequest.answer?.kind, 'key-conflict');
   });
 
-  it('runs each order without a key once', async () => {
+  it('runs two equal orders without a key as separate orders', async () => {
     cluster.submit('a', undefined);
     cluster.submit('a', undefined);
     await cluster.clock.advance(500);
     assert.equal(cluster.runs.length, 2);
   });
 
-  it('commits many claims in one write', async () => {
+  it('commits the claims of 100 orders in at most 8 writes', async () => {
     cluster.submit('a', 'warm-up');
     await cluster.clock.advance(500);
-    const before = cluster.platform.callCounts().writes;
-    for (let order = 0; order < 100; order++) {
-      cluster.submit('a', `k${order}`);
+    const writesBefore = cluster.platform.callCounts().writes;
+    for (let index = 0; index < 100; index++) {
+      cluster.submit('a', `k${index}`);
     }
     await cluster.clock.advance(1_000);
     assert.equal(cluster.runs.length, 101);
-    assert.ok(cluster.platform.callCounts().writes - before <= 8);
+    assert.ok(cluster.platform.callCounts().writes - writesBefore <= 8);
   });
 
-  // An entry crashes after claiming an order that may have been sent: a retry
-  // must get `outcome-unknown`, since running it again could duplicate it.
+  // An entry crashes after it claimed an order that may have been sent: a retry
+  // must get `outcome-unknown`, since a second run could duplicate the order.
   it('does not rerun an order whose entry crashed', async () => {
     cluster.service.workMs = 60_000;
-    const lost = cluster.submit('a', 'k1');
+    const firstRequest = cluster.submit('a', 'k1');
     await cluster.clock.advance(200);
     const owner = ownerOf(cluster);
     cluster.crash(owner);
-    const other = ['a', 'b', 'c'].find(id => id !== owner) ?? '';
-    const retry = cluster.submit(other, 'k1');
+    const survivor = ['a', 'b', 'c'].find(id => id !== owner) ?? '';
+    const retry = cluster.submit(survivor, 'k1');
     await cluster.clock.advance(2 * TIMEOUT_MS);
     assert.equal(cluster.runs.length, 1);
     assert.equal(retry.answer?.kind, 'outcome-unknown');
-    assert.notEqual(lost.answer?.run, 'not-run');
+    assert.notEqual(firstRequest.answer?.run, 'not-run');
   });
 
-  // New orders can't be recorded, so callers get `not-run` and a retry delay at
-  // once. A claimed order continues, and its reply is recorded later.
+  // While the platform is down, new orders can't be recorded, so their callers
+  // get `not-run` and a retry delay at once. A claimed order continues, and its
+  // reply is recorded later.
   it('rejects orders while the platform is down and completes claimed ones', async () => {
     cluster.service.workMs = 10_000;
-    const claimed = cluster.submit('a', 'k1', undefined, 60_000);
+    const claimedRequest = cluster.submit('a', 'k1', undefined, 60_000);
     await cluster.clock.advance(100);
     cluster.platform.faults.setDown(true);
-    const rejected = cluster.submit('a', 'k2');
+    const rejectedRequest = cluster.submit('a', 'k2');
     await cluster.clock.advance(3_000);
-    assert.equal(rejected.answer?.kind, 'platform-unavailable');
-    assert.equal(rejected.answer?.run, 'not-run');
-    assert.ok((rejected.answer?.retryAfterMs ?? 0) > 0);
+    assert.equal(rejectedRequest.answer?.kind, 'platform-unavailable');
+    assert.equal(rejectedRequest.answer?.run, 'not-run');
+    assert.ok((rejectedRequest.answer?.retryAfterMs ?? 0) > 0);
     await cluster.clock.advance(10_000);
-    assert.equal(claimed.answer?.kind, 'reply');
+    assert.equal(claimedRequest.answer?.kind, 'reply');
     cluster.platform.faults.setDown(false);
     await cluster.clock.advance(10_000);
     const retry = cluster.submit('b', 'k1');
     await cluster.clock.advance(500);
-    assert.equal(retry.answer?.body, claimed.answer?.body);
+    assert.equal(retry.answer?.body, claimedRequest.answer?.body);
   });
 
   // Orders wait for capacity at the service when the host of their entry is
-  // reclaimed. They run at the next entry and their callers get the replies.
+  // reclaimed. Another entry must run the orders, and their callers must get
+  // the replies.
   it('hands over waiting orders on an announced reclaim', async () => {
     cluster.service.waitMs = 20_000;
     const orders = ['k1', 'k2', 'k3', 'k4'].map(key =>
@@ -108,9 +110,9 @@
     const owners = ['a', 'b', 'c'].filter(id => ownsShard(cluster, id));
     cluster.service.waitMs = 10;
     assert.equal(cluster.runs.length, 0);
-    const leaving = owners.slice(0, 2).map(id => cluster.leave(id));
+    const departures = owners.slice(0, 2).map(id => cluster.leave(id));
     await cluster.clock.advance(3_000);
-    await Promise.all(leaving);
+    await Promise.all(departures);
     assert.equal(cluster.runs.length, 4);
     assert.deepEqual(
       orders.map(({answer}) => answer?.kind),
--- a/packages/orders/src/test/ledgerSize.test.ts
+++ b/packages/orders/src/test/ledgerSize.test.ts
@@ -10,14 +10,14 @@
   let cluster: Cluster;
   afterEach(() => cluster.dispose());
 
-  function start(settings: Partial<LedgerSettings> = {}): void {
+  function startCluster(settings: Partial<LedgerSettings> = {}): void {
     cluster = createCluster(1, {dedupeWindowMs: WINDOW_MS, ...settings});
     ['a', 'b'].forEach(cluster.start);
   }
 
   async function placeOrders(count: number, prefix = 'k'): Promise<void> {
-    for (let order = 0; order < count; order++) {
-      cluster.submit('a', `${prefix}${order}`);
+    for (let index = 0; index < count; index++) {
+      cluster.submit('a', `${prefix}${index}`);
       await cluster.clock.advance(20);
     }
     await cluster.clock.advance(500);
@@ -29,27 +29,27 @@
       .objects.map(({value}) => JSON.stringify(value).length);
   }
 
-  it('keeps its objects small and finds sealed orders at a new owner', async () => {
-    start();
+  it('keeps the shard object small and replays sealed orders at a new owner', async () => {
+    startCluster();
     await placeOrders(60);
     assert.ok(objectSizes(SEGMENT_KIND).length > 5);
     assert.ok(Math.max(...objectSizes(LEDGER_KIND)) < 2_500);
     cluster.crash('a');
     cluster.crash('b');
     cluster.start('c');
-    const retries = Array.from({length: 60}, (_, order) =>
-      cluster.submit('c', `k${order}`),
+    const retries = Array.from({length: 60}, (_, index) =>
+      cluster.submit('c', `k${index}`),
     );
     await cluster.clock.advance(1_000);
     assert.ok(retries.every(({answer}) => answer?.isReplay));
     cluster.check();
   });
 
-  // The wall clock of an entry jumps ahead by hours. If the dedupe window were
-  // measured by it, all keys would be dropped at once and a retry would run
-  // its order again.
+  // The wall clock jumps ahead by hours. If the dedupe window were measured by
+  // wall clock, all keys would be dropped at once and a retry would run its
+  // order again.
   it('keeps keys when the wall clock jumps ahead', async () => {
-    start();
+    startCluster();
     await placeOrders(10);
     cluster.clock.shiftWall(5 * HOUR_MS);
     await placeOrders(10, 'later ');
@@ -60,36 +60,36 @@
   });
 
   it('removes keys and their segments after the dedupe window', async () => {
-    start();
+    startCluster();
     await placeOrders(30);
-    const before = objectSizes(SEGMENT_KIND).length;
+    const segmentCountBefore = objectSizes(SEGMENT_KIND).length;
     await cluster.clock.advance(WINDOW_MS / 2);
-    const kept = cluster.submit('a', 'k3');
+    const retry = cluster.submit('a', 'k3');
     await cluster.clock.advance(WINDOW_MS);
     await placeOrders(6, 'later ');
-    assert.equal(kept.answer?.isReplay, true);
-    assert.ok(objectSizes(SEGMENT_KIND).length < before);
+    assert.equal(retry.answer?.isReplay, true);
+    assert.ok(objectSizes(SEGMENT_KIND).length < segmentCountBefore);
   });
 
   // The ledger is full. Dropping a key early would break deduplication of
   // retries, so new orders are rejected with a retry delay.
-  it('rejects new orders with a retry delay when it is full', async () => {
-    start({maxShardBytes: 2_000});
+  it('rejects new orders with a retry delay while the ledger is full', async () => {
+    startCluster({maxShardBytes: 2_000});
     await placeOrders(30);
-    const answers = cluster.submitted.map(({answer}) => answer);
-    const rejected = answers.filter(answer => answer?.kind === 'overloaded');
-    assert.ok(rejected.length > 5);
-    assert.ok(rejected.every(answer => answer?.run === 'not-run'));
-    assert.ok(rejected.every(answer => (answer?.retryAfterMs ?? 0) > 0));
+    const answers = cluster.submittedRequests.map(({answer}) => answer);
+    const rejections = answers.filter(answer => answer?.kind === 'overloaded');
+    assert.ok(rejections.length > 5);
+    assert.ok(rejections.every(answer => answer?.run === 'not-run'));
+    assert.ok(rejections.every(answer => (answer?.retryAfterMs ?? 0) > 0));
     await cluster.clock.advance(2 * WINDOW_MS);
-    const later = cluster.submit('a', 'later');
+    const laterOrder = cluster.submit('a', 'later');
     await cluster.clock.advance(500);
-    assert.equal(later.answer?.kind, 'reply');
+    assert.equal(laterOrder.answer?.kind, 'reply');
     cluster.check();
   });
 
-  it('reports that an order ran when its reply was too large to store', async () => {
-    start({maxReplyBytes: 3});
+  it('reports may-have-run to a retry when the reply was too large to store', async () => {
+    startCluster({maxReplyBytes: 3});
     await placeOrders(1);
     const retry = cluster.submit('b', 'k0');
     await cluster.clock.advance(500);
--- a/packages/orders/src/test/schedule.ts
+++ b/packages/orders/src/test/schedule.ts
@@ -1,11 +1,14 @@
-/** Schedules of orders and faults, generated or repeated by named tests. */
+/** Schedules of orders and faults, generated or written in tests. */
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
 import {settlePromises} from '@skylarkfield/base';
 import type {LostReplyEffect} from './simulatedProcess.js';
 import {createCluster, TIMEOUT_MS, type Cluster} from './cluster.js';
 
-/** One step; entries and keys are numbers, so any combination is valid. */
+/**
+ * One step of a schedule. Entries and keys are given by index, so that any
+ * combination of steps is valid.
+ */
 export type Step =
   | {readonly do: 'submit'; readonly entry: number; readonly key: number}
   | {readonly do: 'submit-unkeyed'; readonly entry: number}
@@ -25,10 +28,10 @@
   | {readonly do: 'resume'; readonly entry: number}
   | {readonly do: 'leave'; readonly entry: number}
   | {readonly do: 'start'; readonly entry: number}
-  | {readonly do: 'suspect'; readonly entry: number; readonly other: number}
-  | {readonly do: 'unsuspect'; readonly entry: number; readonly other: number}
-  | {readonly do: 'cut'; readonly entry: number; readonly other: number}
-  | {readonly do: 'uncut'; readonly entry: number; readonly other: number}
+  | {readonly do: 'suspect'; readonly entry: number; readonly peer: number}
+  | {readonly do: 'unsuspect'; readonly entry: number; readonly peer: number}
+  | {readonly do: 'cut'; readonly entry: number; readonly peer: number}
+  | {readonly do: 'uncut'; readonly entry: number; readonly peer: number}
   | {
       readonly do: 'lose-replies';
       readonly entry: number;
@@ -49,11 +52,11 @@
 
 export interface Schedule {
   readonly seed: number;
-  /** Shares of calls rejected, lost after the run, or lost before it. */
+  /** Shares of calls rejected, lost after the run, or lost before the run. */
   readonly service: readonly [number, number, number];
-  /** Shares of the inner messages that are lost or duplicated. */
+  /** Shares of messages between entries that are lost or duplicated. */
   readonly network: readonly [number, number];
-  /** Time that orders wait for capacity at the service. */
+  /** Maximum time that an order waits for capacity at the service. */
   readonly waitMs: number;
   readonly steps: readonly Step[];
 }
@@ -62,90 +65,109 @@
 const KEY_COUNT = 5;
 const SETTLE_MS = 30_000;
 
-const entry = fc.nat(ENTRY_COUNT - 1);
-const key = fc.nat(KEY_COUNT - 1);
-const share = fc.constantFrom(0, 0, 0.1, 0.3);
+const anyEntry = fc.nat(ENTRY_COUNT - 1);
+const anyKey = fc.nat(KEY_COUNT - 1);
+const anyShare = fc.constantFrom(0, 0, 0.1, 0.3);
 
-function step<T extends Step['do'], F extends object>(
-  name: T,
+function anyStep<T extends Step['do'], F extends object>(
+  action: T,
   fields: {[K in keyof F]: fc.Arbitrary<F[K]>},
 ): fc.Arbitrary<{do: T} & F> {
   return fc.record({
-    do: fc.constant(name),
+    do: fc.constant(action),
     ...fields,
   }) as unknown as fc.Arbitrary<{do: T} & F>;
 }
 
 const orderSteps = [
-  {weight: 8, arbitrary: step('submit', {entry, key})},
-  {weight: 2, arbitrary: step('submit-unkeyed', {entry})},
-  {weight: 1, arbitrary: step('submit-conflicting', {entry, key})},
-  {weight: 2, arbitrary: step('submit-short-deadline', {entry, key})},
-  {weight: 5, arbitrary: step('wait', {ms: fc.constantFrom(1, 5, 20, 100)})},
-  {weight: 1, arbitrary: step('wait', {ms: fc.constantFrom(400, 3_000)})},
+  {weight: 8, arbitrary: anyStep('submit', {entry: anyEntry, key: anyKey})},
+  {weight: 2, arbitrary: anyStep('submit-unkeyed', {entry: anyEntry})},
+  {
+    weight: 1,
+    arbitrary: anyStep('submit-conflicting', {entry: anyEntry, key: anyKey}),
+  },
+  {
+    weight: 2,
+    arbitrary: anyStep('submit-short-deadline', {entry: anyEntry, key: anyKey}),
+  },
+  {weight: 5, arbitrary: anyStep('wait', {ms: fc.constantFrom(1, 5, 20, 100)})},
+  {weight: 1, arbitrary: anyStep('wait', {ms: fc.constantFrom(400, 3_000)})},
 ];
 
 const leaveSteps = [
-  {weight: 2, arbitrary: step('leave', {entry})},
-  {weight: 3, arbitrary: step('start', {entry})},
+  {weight: 2, arbitrary: anyStep('leave', {entry: anyEntry})},
+  {weight: 3, arbitrary: anyStep('start', {entry: anyEntry})},
   {
     weight: 1,
-    arbitrary: step('lose-replies', {
-      entry,
+    arbitrary: anyStep('lose-replies', {
+      entry: anyEntry,
       count: fc.integer({min: 1, max: 3}),
     }),
   },
 ];
 
-const lostReplyEffect = fc.constantFrom<LostReplyEffect>(
-  'now',
-  'late',
-  'never',
-);
-const effects = fc.array(lostReplyEffect, {minLength: 1, maxLength: 3});
+const anyEffect = fc.constantFrom<LostReplyEffect>('now', 'late', 'never');
+const anyEffects = fc.array(anyEffect, {minLength: 1, maxLength: 3});
 
 const faultSteps = [
-  {weight: 3, arbitrary: step('interrupt', {entry, effects})},
-  {weight: 1, arbitrary: step('crash', {entry})},
-  {weight: 2, arbitrary: step('pause', {entry})},
-  {weight: 2, arbitrary: step('resume', {entry})},
-  {weight: 1, arbitrary: step('suspect', {entry, other: entry})},
-  {weight: 1, arbitrary: step('unsuspect', {entry, other: entry})},
-  {weight: 1, arbitrary: step('cut', {entry, other: entry})},
-  {weight: 1, arbitrary: step('uncut', {entry, other: entry})},
-  {weight: 1, arbitrary: step('platform', {isDown: fc.boolean()})},
+  {
+    weight: 3,
+    arbitrary: anyStep('interrupt', {entry: anyEntry, effects: anyEffects}),
+  },
+  {weight: 1, arbitrary: anyStep('crash', {entry: anyEntry})},
+  {weight: 2, arbitrary: anyStep('pause', {entry: anyEntry})},
+  {weight: 2, arbitrary: anyStep('resume', {entry: anyEntry})},
+  {
+    weight: 1,
+    arbitrary: anyStep('suspect', {entry: anyEntry, peer: anyEntry}),
+  },
   {
     weight: 1,
-    arbitrary: step('platform-slow', {ms: fc.constantFrom(0, 4, 100, 2_500)}),
+    arbitrary: anyStep('unsuspect', {entry: anyEntry, peer: anyEntry}),
   },
+  {weight: 1, arbitrary: anyStep('cut', {entry: anyEntry, peer: anyEntry})},
+  {weight: 1, arbitrary: anyStep('uncut', {entry: anyEntry, peer: anyEntry})},
+  {weight: 1, arbitrary: anyStep('platform', {isDown: fc.boolean()})},
   {
     weight: 1,
-    arbitrary: step('disconnect', {entry, isDown: fc.boolean()}),
+    arbitrary: anyStep('platform-slow', {
+      ms: fc.constantFrom(0, 4, 100, 2_500),
+    }),
+  },
+  {
+    weight: 1,
+    arbitrary: anyStep('disconnect', {entry: anyEntry, isDown: fc.boolean()}),
   },
 ];
 
-function schedules(
+function createSchedules(
   steps: ReadonlyArray<{weight: number; arbitrary: fc.Arbitrary<Step>}>,
   hasFaults: boolean,
 ): fc.Arbitrary<Schedule> {
-  const fault = hasFaults ? share : fc.constant(0);
+  const faultShare = hasFaults ? anyShare : fc.constant(0);
   return fc.record({
     seed: fc.nat(1_000_000),
-    service: fc.tuple(fault, fault, fault),
-    network: fc.tuple(fault, fault),
+    service: fc.tuple(faultShare, faultShare, faultShare),
+    network: fc.tuple(faultShare, faultShare),
     waitMs: fc.constantFrom(0, 10, 200, 2_000),
     steps: fc.array(fc.oneof(...steps), {minLength: 5, maxLength: 40}),
   });
 }
 
-/** Any orders and faults. */
-export const anySchedules = schedules(
+/** Schedules with any orders and faults. */
+export const anySchedules = createSchedules(
   [...orderSteps, ...leaveSteps, ...faultSteps],
   true,
 );
 
-/** Only announced reclaims, new entries and lost platform responses. */
-export const leaveSchedules = schedules([...orderSteps, ...leaveSteps], false);
+/**
+ * Schedules whose only disruptions are announced reclaims, new entries and lost
+ * platform responses.
+ */
+export const leaveSchedules = createSchedules(
+  [...orderSteps, ...leaveSteps],
+  false,
+);
 
 type Handlers = {
   [K in Step['do']]: (
@@ -154,11 +176,11 @@
   ) => unknown;
 };
 
-function idOf(index: number): string {
+function entryId(index: number): string {
   return `e${index}`;
 }
 
-/** Submits an order if the entry is running, as a caller could. */
+/** Submits an order if the entry is alive; no caller can reach a dead entry. */
 function submitAt(
   cluster: Cluster,
   index: number,
@@ -166,22 +188,22 @@
   timeoutMs = TIMEOUT_MS,
   isConflicting = false,
 ): void {
-  const found = cluster.entries.get(idOf(index));
-  if (found === undefined || !found.process.isAlive) {
+  const entry = cluster.entries.get(entryId(index));
+  if (entry === undefined || !entry.process.isAlive) {
     return;
   }
-  const name = keyIndex === undefined ? undefined : `k${keyIndex}`;
-  const subject = isConflicting ? `${name} changed` : name;
-  cluster.submit(found.id, name, subject, timeoutMs);
+  const key = keyIndex === undefined ? undefined : `k${keyIndex}`;
+  const subject = isConflicting ? `${key} changed` : key;
+  cluster.submit(entry.id, key, subject, timeoutMs);
 }
 
-function withEntry(
+function callIfAlive(
   cluster: Cluster,
   index: number,
   action: (id: string) => unknown,
 ): void {
-  if (cluster.entries.get(idOf(index))?.process.isAlive) {
-    action(idOf(index));
+  if (cluster.entries.get(entryId(index))?.process.isAlive) {
+    action(entryId(index));
   }
 }
 
@@ -193,36 +215,40 @@
   'submit-short-deadline': (cluster, step) =>
     submitAt(cluster, step.entry, step.key, 25),
   wait: (cluster, step) => cluster.clock.advance(step.ms),
-  crash: (cluster, step) => cluster.crash(idOf(step.entry)),
-  pause: (cluster, step) => withEntry(cluster, step.entry, cluster.pause),
-  resume: (cluster, step) => withEntry(cluster, step.entry, cluster.resume),
+  crash: (cluster, step) => cluster.crash(entryId(step.entry)),
+  pause: (cluster, step) => callIfAlive(cluster, step.entry, cluster.pause),
+  resume: (cluster, step) => callIfAlive(cluster, step.entry, cluster.resume),
   leave: (cluster, step) =>
-    withEntry(cluster, step.entry, id => void cluster.leave(id)),
+    callIfAlive(cluster, step.entry, id => void cluster.leave(id)),
   start(cluster, step) {
-    if (!cluster.entries.get(idOf(step.entry))?.process.isAlive) {
-      cluster.start(idOf(step.entry));
+    if (!cluster.entries.get(entryId(step.entry))?.process.isAlive) {
+      cluster.start(entryId(step.entry));
     }
   },
   suspect: (cluster, step) =>
-    cluster.entries.get(idOf(step.entry))?.suspects.add(idOf(step.other)),
+    cluster.entries.get(entryId(step.entry))?.suspects.add(entryId(step.peer)),
   unsuspect: (cluster, step) =>
-    cluster.entries.get(idOf(step.entry))?.suspects.delete(idOf(step.other)),
+    cluster.entries
+      .get(entryId(step.entry))
+      ?.suspects.delete(entryId(step.peer)),
   cut: (cluster, step) =>
-    cluster.network.cuts.add(`${idOf(step.entry)}>${idOf(step.other)}`),
+    cluster.network.cuts.add(`${entryId(step.entry)}>${entryId(step.peer)}`),
   uncut: (cluster, step) =>
-    cluster.network.cuts.delete(`${idOf(step.entry)}>${idOf(step.other)}`),
+    cluster.network.cuts.delete(`${entryId(step.entry)}>${entryId(step.peer)}`),
   'lose-replies': (cluster, step) =>
     cluster.entries
-      .get(idOf(step.entry))
+      .get(entryId(step.entry))
       ?.client.faults.loseReplies(step.count),
   interrupt: (cluster, step) =>
     cluster.entries
-      .get(idOf(step.entry))
+      .get(entryId(step.entry))
       ?.process.lostReplyEffects.push(...step.effects),
   platform: (cluster, step) => cluster.platform.faults.setDown(step.isDown),
   'platform-slow': (cluster, step) => cluster.platform.faults.setDelay(step.ms),
   disconnect: (cluster, step) =>
-    cluster.entries.get(idOf(step.entry))?.client.faults.setDown(step.isDown),
+    cluster.entries
+      .get(entryId(step.entry))
+      ?.client.faults.setDown(step.isDown),
 };
 
 /** Runs the steps of a schedule; returns the cluster in its final state. */
@@ -240,16 +266,16 @@
   [cluster.network.lostShare, cluster.network.duplicatedShare] =
     schedule.network;
   for (let index = 0; index < ENTRY_COUNT - 1; index++) {
-    cluster.start(idOf(index));
+    cluster.start(entryId(index));
   }
-  for (const next of schedule.steps) {
-    await handlers[next.do](cluster, next as never);
+  for (const step of schedule.steps) {
+    await handlers[step.do](cluster, step as never);
     await settlePromises();
   }
   return cluster;
 }
 
-/** Ends all faults, waits for all answers and checks the whole history. */
+/** Ends all faults, waits for all answers, and checks all runs and retries. */
 export async function healAndCheck(cluster: Cluster): Promise<void> {
   const {clock, platform, network, service, entries} = cluster;
   platform.faults.setDown(false);
@@ -274,13 +300,18 @@
   await checkRetries(cluster);
 }
 
-/** A retry through a new entry gets the reply of the run or `may-have-run`. */
+/**
+ * Checks that a retry of an order that has run, through a new entry, gets the
+ * reply of that run or `may-have-run`.
+ */
 async function checkRetries(cluster: Cluster): Promise<void> {
-  const ranBefore = [...cluster.runs];
-  const subjects = [...new Set(cluster.submitted.map(({subject}) => subject))];
+  const earlierRuns = [...cluster.runs];
+  const subjects = [
+    ...new Set(cluster.submittedRequests.map(({subject}) => subject)),
+  ];
   const retries = subjects
     .map(subject =>
-      cluster.submitted.find(request => request.subject === subject),
+      cluster.submittedRequests.find(request => request.subject === subject),
     )
     .filter(request => request?.key !== undefined)
     .map(request => cluster.submit('last', request?.key, request?.subject));
@@ -288,7 +319,7 @@
   cluster.check();
   for (const {key, subject, answer} of retries) {
     assert.ok(answer, `the retry of ${subject} was not answered`);
-    const run = ranBefore.find(item => item.subject === subject);
+    const run = earlierRuns.find(earlierRun => earlierRun.subject === subject);
     if (run === undefined || answer.kind === 'key-conflict') {
       continue;
     }
--- a/packages/orders/src/test/simulatedProcess.ts
+++ b/packages/orders/src/test/simulatedProcess.ts
@@ -17,28 +17,37 @@
   readonly handlers: Map<string, Handler>;
   isAlive: boolean;
   isPaused: boolean;
-  /** Effects of the next writes, whose responses are lost. */
+  /**
+   * When each of the next writes takes effect; the responses to these writes
+   * are lost.
+   */
   readonly lostReplyEffects: LostReplyEffect[];
-  /** Fails pending requests to this process, as closed connections would. */
-  readonly onDidEnd: Array<() => void>;
+  /**
+   * Callbacks for the end of the process; they fail pending requests to the
+   * process, as closed connections would.
+   */
+  readonly endListeners: Array<() => void>;
   /** Runs an action now, after the pause, or never if the process has ended. */
   run(action: () => void): void;
-  /** Resolves while the process runs; never after it has ended. */
+  /** Resolves at once or after the pause; never once the process has ended. */
   whenRunning(): Promise<void>;
-  /** Runs the deferred actions one by one, each with what follows from it. */
+  /**
+   * Runs the actions deferred by the pause one by one, letting promises settle
+   * after each action, and ends the pause.
+   */
   resume(): Promise<void>;
 }
 
 /** Creates a process on the clock of the simulation. */
 export function createProcess(id: string, clock: Clock): SimulatedProcess {
-  const deferred: Array<() => void> = [];
+  const deferredActions: Array<() => void> = [];
   const process: SimulatedProcess = {
     id,
     handlers: new Map(),
     isAlive: true,
     isPaused: false,
     lostReplyEffects: [],
-    onDidEnd: [],
+    endListeners: [],
     clock: {
       now: () => clock.now(),
       wall: () => clock.wall(),
@@ -59,7 +68,7 @@
     },
     run(action) {
       if (process.isPaused) {
-        deferred.push(action);
+        deferredActions.push(action);
         return;
       }
       if (process.isAlive) {
@@ -68,11 +77,11 @@
     },
     whenRunning: () => new Promise<void>(resolve => process.run(resolve)),
     async resume() {
-      let action = deferred.shift();
+      let action = deferredActions.shift();
       while (action !== undefined && process.isAlive) {
         action();
         await settlePromises();
-        action = deferred.shift();
+        action = deferredActions.shift();
       }
       process.isPaused = false;
     },
@@ -80,13 +89,16 @@
   return process;
 }
 
-/** When a write whose response is lost takes effect: now, later or never. */
+/** When a write whose response is lost takes effect. */
 export type LostReplyEffect = 'now' | 'late' | 'never';
 
 const LATE_WRITE_DELAY_MS = 600;
 
-/** Wraps a store: responses wait during a pause or, for writes, can be lost. */
-export function processStore(
+/**
+ * Wraps a store: its responses are delayed until a pause ends, and responses to
+ * writes can be lost.
+ */
+export function createProcessStore(
   store: ObjectStore,
   process: SimulatedProcess,
   clock: Clock,
@@ -119,7 +131,7 @@
     ...store,
     get: (kind, name) => afterResume(store.get(kind, name)),
     put(kind, name, value, condition) {
-      // The platform keeps a copy, as it would over the wire.
+      // Copied, since a real platform receives a serialized copy of the value.
       const copy = structuredClone(value);
       const write = () => store.put(kind, name, copy, condition);
       const effect = process.lostReplyEffects.shift();
@@ -135,8 +147,9 @@
   readonly processes: Map<string, SimulatedProcess>;
   /** Pairs `from>to` whose messages are lost. */
   readonly cuts: Set<string>;
-  /** Share of the requests that are delivered twice, the second time late. */
+  /** Share of the requests that are delivered a second time, after a delay. */
   duplicatedShare: number;
+  /** Share of the messages that are lost. */
   lostShare: number;
 }
 
@@ -168,7 +181,7 @@
     );
   }
 
-  async function answer(
+  async function callHandler(
     from: string,
     to: string,
     type: string,
@@ -189,15 +202,15 @@
         new Promise((resolve, reject) => {
           process.clock.after(timeoutMs, () => reject(new Error('timeout')));
           if (!processes.get(to)?.isAlive) {
-            reject(notConnected(to));
+            reject(notConnectedError(to));
             return;
           }
-          const closed = () =>
+          const onConnectionClosed = () =>
             process.run(() => reject(new Error('connection closed')));
-          processes.get(to)?.onDidEnd.push(closed);
+          processes.get(to)?.endListeners.push(onConnectionClosed);
           const deliver = () =>
             transmit(process.id, to, () => {
-              answer(process.id, to, type, body).then(
+              callHandler(process.id, to, type, body).then(
                 result =>
                   transmit(to, process.id, () =>
                     resolve(structuredClone(result)),
@@ -216,8 +229,8 @@
   return network;
 }
 
-/** The error of the inner protocol when nothing was sent. */
-function notConnected(to: string): ServingError {
+/** Error of the inner protocol for a request that was not sent. */
+function notConnectedError(to: string): ServingError {
   return new ServingError('interrupted', `no connection to ${to}`, {
     run: 'not-run',
   });
