--- a/packages/streams/src/attempt.ts
+++ b/packages/streams/src/attempt.ts
@@ -18,7 +18,7 @@
 import {migrateWhenLeaving} from './leavingMigration.js';
 import type {MigrationCosts} from './migrationCosts.js';
 import type {AttemptTarget} from './migration.js';
-import {isAlive} from './probe.js';
+import {probeLiveness} from './probe.js';
 import type {RequestProgress} from './progress.js';
 import {createStallDetector, type StallLimits} from './stallDetector.js';
 import {raceAbort} from './raceAbort.js';
@@ -26,6 +26,7 @@
 type EndEvent = GenerationEvent & {readonly type: 'end'};
 type Outcome = AttemptResult['outcome'];
 
+/** How an attempt ended: completed, failed or migrated. */
 export type AttemptEnd =
   | {readonly type: 'ended'; readonly event: EndEvent}
   | {readonly type: 'lost'; readonly error: ServingError}
@@ -36,31 +37,31 @@
   readonly limits: StallLimits;
   readonly costs: MigrationCosts;
   readonly progress: RequestProgress;
-  /** Prefix of the attempt id. */
+  /** Prepended to the attempt id to make it unique across entries. */
   readonly attemptIdPrefix: string;
   readonly target: AttemptTarget;
   /** Picks an endpoint other than the current one, or throws. */
   pickEndpoint(): EndpointPick;
   deliver(token: StreamToken): void | Promise<void>;
-  /** The caller's signal. */
+  /** Aborts when the caller aborts the request. */
   readonly signal: AbortSignal;
 }
 
 /**
- * Runs one attempt. Rejects only when the whole request has to end: the caller
- * aborted it or a deadline passed.
+ * Runs one attempt. Rejects only when the whole request has to end, because the
+ * caller aborted it or a deadline passed.
  *
  * @example
  * const end = await runAttempt({clock, limits, costs, target, ...options});
  */
 export async function runAttempt(options: AttemptOptions): Promise<AttemptEnd> {
   const {clock, limits, costs, progress, target} = options;
-  const {request, delivered} = progress;
+  const {request, deliveredTokens} = progress;
   const {pick} = target;
   const {engine} = pick;
   const stateMachine = createAttemptStateMachine();
   beginAttempt(progress, pick, stateMachine);
-  const generation = createGeneration(options);
+  const generationRequest = createGenerationRequest(options);
   const disposables = disposableStore();
   const abortController = disposables.add(
     createAttemptAbortController(clock, options.signal),
@@ -69,14 +70,14 @@
     clock,
     costs,
     progress,
-    resumedTokens: generation.delivered.length,
+    resumedTokens: generationRequest.delivered.length,
   });
 
   const stallDetector = disposables.add(
     createStallDetector({
       clock,
       limits,
-      probe: () => isAlive(clock, engine, limits.probeTimeoutMs),
+      probe: () => probeLiveness(clock, engine, limits.probeTimeoutMs),
       onStall: message =>
         abortController.abort({
           type: 'lost',
@@ -85,12 +86,15 @@
     }),
   );
 
-  /** Estimated time until the answer ends; undefined while not streaming. */
+  /**
+   * Estimated milliseconds until the answer reaches `maxTokens`; undefined
+   * while the engine sends no tokens.
+   */
   function remainingMs(): number | undefined {
     const meanGapMs = stallDetector.meanTokenGapMs();
     const isStreaming = stateMachine.current === 'streaming' && meanGapMs > 0;
     return isStreaming
-      ? (request.maxTokens - delivered.length) * meanGapMs
+      ? (request.maxTokens - deliveredTokens.length) * meanGapMs
       : undefined;
   }
 
@@ -101,13 +105,13 @@
     firstTokenTimeout?.dispose();
   }
 
-  async function deliver(text: string) {
+  async function deliverToken(text: string) {
     stallDetector.recordToken();
     if (!meter.hasFirstToken) {
       handleFirstToken();
     }
-    const index = delivered.length;
-    delivered.push(text);
+    const index = deliveredTokens.length;
+    deliveredTokens.push(text);
     const delivery = options.deliver({index, text});
     if (delivery !== undefined) {
       stallDetector.disarm();
@@ -115,7 +119,7 @@
     }
   }
 
-  /** Applies the verdict on an event; returns the event if it is the end. */
+  /** Applies the verdict on an event; returns the event if it is `end`. */
   async function handleVerdict(
     verdict: EventVerdict,
   ): Promise<EndEvent | undefined> {
@@ -132,25 +136,25 @@
       meter.recordStart(verdict.event);
     }
     if (verdict.type === 'deliver') {
-      await deliver(verdict.text);
+      await deliverToken(verdict.text);
     }
     return undefined;
   }
 
   async function readEvents(): Promise<EndEvent> {
     for await (const event of engine.generate(
-      generation,
+      generationRequest,
       abortController.signal,
     )) {
       if (abortController.reason !== undefined) {
         break;
       }
       progress.mayHaveRun = true;
-      const end = await handleVerdict(
-        validateEvent(event, generation, delivered),
+      const endEvent = await handleVerdict(
+        validateEvent(event, generationRequest, deliveredTokens),
       );
-      if (end !== undefined) {
-        return end;
+      if (endEvent !== undefined) {
+        return endEvent;
       }
       armStallDetector();
     }
@@ -166,13 +170,15 @@
       return;
     }
     const deadline =
-      delivered.length === 0 ? request.firstTokenDeadline : request.deadline;
+      deliveredTokens.length === 0
+        ? request.firstTokenDeadline
+        : request.deadline;
     stallDetector.armForFirstToken(
       (deadline - clock.now()) * limits.firstTokenDeadlineFraction,
     );
   }
 
-  function finish(outcome: Outcome, cachedTokens?: number) {
+  function finishPick(outcome: Outcome, cachedTokens?: number) {
     pick.finish({
       outcome,
       latencyMs: meter.latencyMs(),
@@ -183,27 +189,30 @@
   function handleFailure(error: ServingError): AttemptEnd {
     if (error.run === 'may-have-run') {
       progress.mayHaveRun = true;
-      // Closing the connection cancels too, but an engine may notice it late.
-      engine.cancel(generation.attempt).catch(() => {});
+      // Closing the connection also cancels the attempt, but an engine may
+      // notice a closed connection late.
+      engine.cancel(generationRequest.attempt).catch(() => {});
     }
     const reason = abortController.reason ?? {type: 'lost' as const, error};
     if (reason.type === 'request-ended') {
       stateMachine.send('cancel');
-      finish(reason.error.kind === 'cancelled' ? 'cancelled' : 'overloaded');
+      finishPick(
+        reason.error.kind === 'cancelled' ? 'cancelled' : 'overloaded',
+      );
       throw reason.error;
     }
     if (reason.type === 'moved') {
       stateMachine.send('move');
-      finish(meter.hasFirstToken ? 'ok' : 'cancelled');
+      finishPick(meter.hasFirstToken ? 'ok' : 'cancelled');
       return reason;
     }
     stateMachine.send('lose');
-    finish(outcomeOf(reason.error));
+    finishPick(outcomeOf(reason.error));
     return reason;
   }
 
   const firstTokenTimeout =
-    delivered.length === 0
+    deliveredTokens.length === 0
       ? abortController.abortAt(
           request.firstTokenDeadline,
           'no token was received before the first-token deadline',
@@ -218,7 +227,7 @@
       clock,
       costs,
       pick,
-      attempt: generation.attempt,
+      attemptId: generationRequest.attempt,
       abortController,
       remainingMs,
       onPreparing: () => stateMachine.send('leave'),
@@ -229,7 +238,7 @@
   try {
     const event = await readEvents();
     stateMachine.send('end');
-    finish('ok', event.cachedTokens);
+    finishPick('ok', event.cachedTokens);
     return {type: 'ended', event};
   } catch (caught) {
     return handleFailure(toServingError(caught));
@@ -243,25 +252,25 @@
   pick: EndpointPick,
   stateMachine: RequestProgress['stateMachine'],
 ) {
-  progress.attempts += 1;
-  progress.deliveredAtAttemptStart = progress.delivered.length;
+  progress.attemptCount += 1;
+  progress.deliveredCountAtAttemptStart = progress.deliveredTokens.length;
   progress.endpoint = pick.endpoint;
   progress.stateMachine = stateMachine;
 }
 
-function createGeneration({
+function createGenerationRequest({
   attemptIdPrefix,
   progress,
   target,
 }: AttemptOptions): GenerationRequest {
-  const {request, delivered, attempts} = progress;
+  const {request, deliveredTokens, attemptCount} = progress;
   return {
-    attempt: `${attemptIdPrefix}${request.id}#${attempts}`,
+    attempt: `${attemptIdPrefix}${request.id}#${attemptCount}`,
     prompt: request.prompt,
     maxTokens: request.maxTokens,
     urgency: request.urgency,
     seed: request.seed,
-    delivered: [...delivered],
+    delivered: [...deliveredTokens],
     ...(target.importedCache === undefined
       ? {}
       : {importedCache: target.importedCache}),
--- a/packages/streams/src/attemptAbortController.ts
+++ b/packages/streams/src/attemptAbortController.ts
@@ -1,4 +1,4 @@
-/** Abort of an attempt by this process, with its reason. */
+/** Aborts an attempt and records the reason. */
 import {
   ServingError,
   disposableStore,
@@ -8,7 +8,7 @@
 import type {AttemptTarget} from './migration.js';
 
 export type AbortReason =
-  /** The attempt failed; another one may follow. */
+  /** The attempt failed; another attempt may follow. */
   | {readonly type: 'lost'; readonly error: ServingError}
   /** The stream continues at another endpoint. */
   | {readonly type: 'moved'; readonly target: AttemptTarget}
@@ -16,17 +16,21 @@
   | {readonly type: 'request-ended'; readonly error: ServingError};
 
 export interface AttemptAbortController extends Disposable {
-  /** Aborts with the first call of `abort` or when disposed. */
+  /** Aborts with the first call of `abort`, or on disposal. */
   readonly signal: AbortSignal;
-  /** Reason of the first abort; undefined while the attempt runs. */
+  /** Reason of the first abort; undefined before an abort. */
   readonly reason: AbortReason | undefined;
   abort(reason: AbortReason): void;
-  /** Ends the request at a monotonic time, unless disposed before. */
+  /**
+   * Aborts the whole request with `deadline-exceeded` at a time in monotonic
+   * milliseconds, unless the returned object is disposed before.
+   */
   abortAt(deadlineMs: number, message: string): Disposable;
 }
 
 /**
- * Creates the abort controller of an attempt; it follows the caller's signal.
+ * Creates the abort controller of an attempt, which also aborts when the
+ * caller's signal aborts.
  *
  * @example
  * const abortController = createAttemptAbortController(clock, callerSignal);
@@ -40,25 +44,25 @@
   const disposables = disposableStore();
   let reason: AbortReason | undefined;
 
-  function abort(newReason: AbortReason) {
-    reason ??= newReason;
+  function abort(abortReason: AbortReason) {
+    reason ??= abortReason;
     controller.abort();
   }
 
-  function failRequest(error: ServingError) {
+  function abortRequest(error: ServingError) {
     abort({type: 'request-ended', error});
   }
 
-  const onAbort = () =>
-    failRequest(
+  const onCallerAbort = () =>
+    abortRequest(
       new ServingError('cancelled', 'the caller aborted the request'),
     );
   if (callerSignal.aborted) {
-    onAbort();
+    onCallerAbort();
   }
-  callerSignal.addEventListener('abort', onAbort, {once: true});
+  callerSignal.addEventListener('abort', onCallerAbort, {once: true});
   disposables.add({
-    dispose: () => callerSignal.removeEventListener('abort', onAbort),
+    dispose: () => callerSignal.removeEventListener('abort', onCallerAbort),
   });
 
   return {
@@ -70,11 +74,11 @@
     abortAt: (deadlineMs, message) =>
       disposables.add(
         clock.after(deadlineMs - clock.now(), () =>
-          failRequest(new ServingError('deadline-exceeded', message)),
+          abortRequest(new ServingError('deadline-exceeded', message)),
         ),
       ),
     dispose() {
-      // Aborts a migration that is still being prepared.
+      // Aborts the preparation of a migration that is still in progress.
       abort({
         type: 'lost',
         error: new ServingError('cancelled', 'the attempt has ended'),
--- a/packages/streams/src/attemptMachine.ts
+++ b/packages/streams/src/attemptMachine.ts
@@ -10,9 +10,13 @@
   | 'streaming'
   /** A migration to another endpoint is being prepared. */
   | 'moving'
+  /** The engine has sent its end event. */
   | 'ended'
+  /** The attempt failed; the request may be retried. */
   | 'lost'
+  /** The stream continues at another endpoint. */
   | 'moved'
+  /** The caller aborted the request or a deadline passed. */
   | 'cancelled';
 
 export type AttemptStateEvent =
@@ -30,7 +34,7 @@
   transition('cancel', 'cancelled'),
 ];
 
-const machine = createMachine('sent', {
+const attemptMachine = createMachine('sent', {
   sent: state(
     transition('start', 'started'),
     transition('token', 'streaming'),
@@ -52,7 +56,7 @@
 
 export interface AttemptStateMachine {
   readonly current: AttemptState;
-  /** Applies an event; ignores events without a transition. */
+  /** Applies an event; has no effect if the current state does not allow it. */
   send(event: AttemptStateEvent): void;
 }
 
@@ -64,11 +68,11 @@
  * stateMachine.send('start');
  */
 export function createAttemptStateMachine(): AttemptStateMachine {
-  const service = interpret(machine, () => {});
+  const interpreter = interpret(attemptMachine, () => {});
   return {
     get current() {
-      return service.machine.current as AttemptState;
+      return interpreter.machine.current as AttemptState;
     },
-    send: event => service.send(event),
+    send: event => interpreter.send(event),
   };
 }
--- a/packages/streams/src/attemptMeter.ts
+++ b/packages/streams/src/attemptMeter.ts
@@ -3,15 +3,18 @@
 import type {MigrationCosts} from './migrationCosts.js';
 import type {RequestProgress} from './progress.js';
 
-/** Meter of one attempt; adds recomputed tokens to the request's progress. */
+/** Meter of one attempt; adds its recomputed tokens to `RequestProgress`. */
 export interface AttemptMeter {
-  /** True once the engine has reported that prompt processing started. */
+  /** True once the token counts of the attempt have been recorded. */
   readonly hasStarted: boolean;
   /** True once a token of this attempt was received. */
   readonly hasFirstToken: boolean;
-  /** Milliseconds from the start to the first token, or to now before that. */
+  /**
+   * Milliseconds from the start of the attempt to its first token, or to the
+   * present time while no token was received.
+   */
   latencyMs(): number;
-  /** Records the reported token counts; only the first call counts. */
+  /** Records the token counts from the engine; ignores repeated calls. */
   recordStart(event: {
     readonly promptTokens: number;
     readonly cachedTokens: number;
@@ -24,7 +27,7 @@
   readonly clock: Clock;
   readonly costs: MigrationCosts;
   readonly progress: RequestProgress;
-  /** Answer tokens of earlier attempts, sent along with the prompt. */
+  /** Number of answer tokens from earlier attempts, sent with the prompt. */
   readonly resumedTokens: number;
 }
 
--- a/packages/streams/src/contracts.ts
+++ b/packages/streams/src/contracts.ts
@@ -11,11 +11,13 @@
 export interface StreamSummary {
   readonly reason: 'stop' | 'length';
   readonly promptTokens: number;
+  /** Number of prompt tokens that the last attempt found in the KV cache. */
   readonly cachedTokens: number;
+  /** Number of answer tokens, over all attempts. */
   readonly generatedTokens: number;
-  /** Number of attempts; 1 when none failed or was migrated. */
+  /** Number of attempts; 1 when no attempt failed or was migrated. */
   readonly attempts: number;
-  /** Prompt and answer tokens that later attempts computed again. */
+  /** Number of prompt and answer tokens that later attempts computed again. */
   readonly recomputedTokens: number;
 }
 
@@ -24,15 +26,21 @@
   readonly endpoint: string;
   readonly url: string;
   readonly engine: Engine;
-  /** Estimate of the prompt tokens cached there; 0 when unknown. */
+  /** Estimated number of prompt tokens cached at the endpoint; 0 if unknown. */
   readonly cachedTokens?: number;
-  /** Aborts when the endpoint has to leave: the stream has to migrate. */
+  /** Aborts when the endpoint has to leave, so that the stream must migrate. */
   readonly leaving: AbortSignal;
-  /** Monotonic milliseconds by which a leaving endpoint is gone, if known. */
+  /**
+   * Monotonic milliseconds by which a leaving endpoint is gone; undefined if
+   * unknown.
+   */
   goneAt?(): number | undefined;
-  /** Called at most once, when the engine starts to process the prompt. */
+  /**
+   * Called at most once, when the engine starts to process the prompt, with the
+   * number of prompt tokens found in its KV cache.
+   */
   onStart?(cachedTokens: number): void;
-  /** Called at most once, with the first token. */
+  /** Called at most once, when the first token of the attempt arrives. */
   onFirstToken?(): void;
   /** Called exactly once, with the result of the attempt. */
   finish(result: AttemptResult): void;
@@ -54,21 +62,21 @@
 /** Runs generation requests; one instance per entry. */
 export interface StreamRunner {
   /**
-   * Runs a request to completion, with further attempts after failures.
-   * `pickEndpoint` picks an endpoint that is not excluded, or throws;
-   * `mayRetry` consumes from the retry budget.
-   * `deliver` receives each token once and in order; a returned promise applies
-   * backpressure.
+   * Runs a request to completion; repeats failed attempts. `pickEndpoint` picks
+   * an endpoint that is not excluded, or throws; `mayRetry` takes a retry from
+   * the retry budget and returns false if the budget is exhausted. `deliver`
+   * receives each token once and in order; if it returns a promise, the stream
+   * pauses until the promise resolves.
    *
-   * Rejects with a `ServingError`; its run state is `not-run` only when nothing
-   * of the request reached an engine.
+   * Rejects with a `ServingError` whose run state is `not-run` only when no
+   * part of the request reached an engine.
    */
   run(
     request: StreamRequest,
     hooks: {
       pickEndpoint(
-        excluded: ReadonlySet<string>,
-        delivered: readonly string[],
+        excludedEndpoints: ReadonlySet<string>,
+        deliveredTokens: readonly string[],
       ): EndpointPick;
       mayRetry(): boolean;
       deliver(token: StreamToken): void | Promise<void>;
--- a/packages/streams/src/leavingMigration.ts
+++ b/packages/streams/src/leavingMigration.ts
@@ -9,28 +9,33 @@
   readonly clock: Clock;
   readonly costs: MigrationCosts;
   readonly pick: EndpointPick;
-  readonly attempt: string;
+  readonly attemptId: string;
   readonly abortController: AttemptAbortController;
-  /** Estimated milliseconds until the answer ends; undefined when unknown. */
+  /** Estimated milliseconds until the answer ends; undefined if unknown. */
   remainingMs(): number | undefined;
   /** Called when the preparation of the migration starts. */
   onPreparing(): void;
   pickEndpoint(): EndpointPick;
 }
 
-/** Time reserved for a migration: minimum, and fraction of the notice time. */
+/** Minimum time reserved for a migration before the endpoint is gone. */
 const MIN_MIGRATION_MS = 1000;
+/** Fraction of the notice time that is reserved for a migration. */
 const MIGRATION_NOTICE_FRACTION = 0.4;
-/** Streams expected to end in this fraction of the time left do not move. */
+/**
+ * A stream is not migrated while its answer is expected to be complete within
+ * this fraction of the time until the endpoint is gone.
+ */
 const FINISH_TIME_FRACTION = 0.7;
-/** Assumed notice period when the time of departure is unknown. */
+/** Assumed notice time when it is unknown when the endpoint will be gone. */
 const DEFAULT_NOTICE_MS = 2000;
-/** Interval between checks of a stream that is expected to end in time. */
+/** Interval at which the expected end of a stream is checked again. */
 const RECHECK_INTERVAL_MS = 100;
 
 /**
- * Migrates the stream once its endpoint is leaving, unless disposed before. The
- * migration starts as late as is safe, since many answers end without one.
+ * Migrates the stream once its endpoint is leaving, unless the returned object
+ * is disposed before. The migration starts as late as is safe, since many
+ * answers are complete by then and need no migration.
  *
  * @example
  * disposables.add(migrateWhenLeaving({clock, costs, pick, ...hooks}));
@@ -39,7 +44,7 @@
   options: LeavingMigrationOptions,
 ): Disposable {
   const {leaving} = options.pick;
-  // The preparation rejects only when the attempt has ended.
+  // `migrate` rejects only when the attempt has ended, so the error is ignored.
   const onLeaving = () => void migrate(options).catch(() => {});
   if (leaving.aborted) {
     onLeaving();
@@ -49,7 +54,8 @@
 }
 
 async function migrate(options: LeavingMigrationOptions): Promise<void> {
-  const {clock, costs, pick, attempt, abortController, pickEndpoint} = options;
+  const {clock, costs, pick, attemptId, abortController, pickEndpoint} =
+    options;
   const goneAtMs = pick.goneAt?.() ?? clock.now() + DEFAULT_NOTICE_MS;
   await waitUntilMigrationDue(options, goneAtMs);
   options.onPreparing();
@@ -57,7 +63,7 @@
     clock,
     costs,
     source: pick,
-    attempt,
+    attemptId,
     goneAtMs,
     pickEndpoint,
     signal: abortController.signal,
@@ -74,12 +80,12 @@
   goneAtMs: number,
 ): Promise<void> {
   const noticeMs = Math.max(0, goneAtMs - clock.now());
-  const dueMs =
+  const dueAtMs =
     goneAtMs - Math.max(MIN_MIGRATION_MS, noticeMs * MIGRATION_NOTICE_FRACTION);
-  await sleep(clock, dueMs - clock.now(), abortController.signal);
+  await sleep(clock, dueAtMs - clock.now(), abortController.signal);
   for (;;) {
-    const generationMs = remainingMs() ?? Number.POSITIVE_INFINITY;
-    if (generationMs >= (goneAtMs - clock.now()) * FINISH_TIME_FRACTION) {
+    const answerRemainingMs = remainingMs() ?? Number.POSITIVE_INFINITY;
+    if (answerRemainingMs >= (goneAtMs - clock.now()) * FINISH_TIME_FRACTION) {
       return;
     }
     await sleep(clock, RECHECK_INTERVAL_MS, abortController.signal);
--- a/packages/streams/src/migration.ts
+++ b/packages/streams/src/migration.ts
@@ -1,22 +1,23 @@
-/** Prepares another endpoint to continue the stream of a leaving one. */
+/** Prepares another endpoint to continue the stream of a leaving endpoint. */
 import {sleep, type Clock} from '@skylarkfield/base';
 import type {EndpointPick} from './contracts.js';
 import type {MigrationCosts} from './migrationCosts.js';
 
-/** Endpoint of an attempt. */
+/** Endpoint that an attempt uses, with its imported KV cache. */
 export interface AttemptTarget {
   readonly pick: EndpointPick;
-  /** Handle of the KV cache imported there; undefined when none was. */
+  /** Handle of the KV cache imported at the endpoint; undefined if none. */
   readonly importedCache: string | undefined;
 }
 
-/** Delay before another pick when no endpoint was available. */
+/** Delay before the next try to pick an endpoint, after none was available. */
 const PICK_RETRY_DELAY_MS = 250;
 
 /**
- * Picks an endpoint for the stream and transfers the KV cache to it when that
- * is cheaper than recomputing. The source keeps streaming meanwhile, so the
- * caller sees no pause. Rejects only when the signal aborts.
+ * Picks an endpoint for the stream and transfers the KV cache to that endpoint
+ * if a transfer is cheaper than recomputing the tokens. The source keeps
+ * streaming meanwhile, so the caller sees no pause. Rejects only when the
+ * signal aborts.
  *
  * @example
  * const target = await prepareMigration({clock, costs, source, ...options});
@@ -25,7 +26,7 @@
   readonly clock: Clock;
   readonly costs: MigrationCosts;
   readonly source: EndpointPick;
-  readonly attempt: string;
+  readonly attemptId: string;
   /** Monotonic milliseconds by which the source endpoint is gone. */
   readonly goneAtMs: number;
   pickEndpoint(): EndpointPick;
@@ -55,25 +56,26 @@
   options: Parameters<typeof prepareMigration>[0],
   pick: EndpointPick,
 ): Promise<string | undefined> {
-  const {clock, costs, source, attempt, goneAtMs, signal} = options;
+  const {clock, costs, source, attemptId, goneAtMs, signal} = options;
   try {
-    const exported = await source.engine.exportCache(attempt, signal);
+    const exportedCache = await source.engine.exportCache(attemptId, signal);
     const isTransferCheaper = costs.isTransferCheaper({
-      bytes: exported.bytes,
-      tokens: exported.tokens,
+      bytes: exportedCache.bytes,
+      tokens: exportedCache.tokens,
       cachedTokens: pick.cachedTokens ?? 0,
       remainingMs: goneAtMs - clock.now(),
     });
     if (!isTransferCheaper) {
       return undefined;
     }
-    const startMs = clock.now();
-    const from = {url: source.url, handle: exported.handle};
-    const imported = await pick.engine.importCache(from, signal);
-    costs.recordImport(imported.bytes, clock.now() - startMs);
-    return imported.handle;
+    const importStartedAtMs = clock.now();
+    const cacheSource = {url: source.url, handle: exportedCache.handle};
+    const importResult = await pick.engine.importCache(cacheSource, signal);
+    costs.recordImport(importResult.bytes, clock.now() - importStartedAtMs);
+    return importResult.handle;
   } catch {
-    // Without the cache the tokens are recomputed: slower, but still correct.
+    // Without the KV cache the target recomputes the tokens: slower, but
+    // correct.
     return undefined;
   }
 }
--- a/packages/streams/src/migrationCosts.ts
+++ b/packages/streams/src/migrationCosts.ts
@@ -1,9 +1,9 @@
-/** Cost model of a KV cache transfer compared with a recomputation. */
+/** Cost model that compares a KV cache transfer with a recomputation. */
 
 /** Weight of the newest sample in the moving average of a rate. */
 const RATE_EWMA_WEIGHT = 0.2;
 
-/** Network time that costs as much as one millisecond of engine time. */
+/** Network milliseconds that cost as much as one engine millisecond. */
 const NETWORK_MS_PER_ENGINE_MS = 4;
 
 export interface MigrationCosts {
@@ -12,13 +12,16 @@
   /** Records the duration of a KV cache import. */
   recordImport(bytes: number, durationMs: number): void;
   /**
-   * Returns whether a transfer costs less than a recomputation and completes
-   * in `remainingMs`, the time until the source endpoint is gone.
+   * Returns whether a KV cache transfer costs less than recomputing the tokens
+   * and completes within `remainingMs`, the time until the source endpoint is
+   * gone.
    */
   isTransferCheaper(migration: {
+    /** Size of the KV cache to transfer. */
     readonly bytes: number;
+    /** Number of tokens in the KV cache to transfer. */
     readonly tokens: number;
-    /** Tokens already cached at the target endpoint. */
+    /** Number of tokens already cached at the target endpoint. */
     readonly cachedTokens: number;
     readonly remainingMs: number;
   }): boolean;
@@ -26,7 +29,7 @@
 }
 
 /**
- * Creates a cost model that starts from default rates and adapts to samples.
+ * Creates a cost model with default rates, which recorded durations adjust.
  *
  * @example
  * const costs = createMigrationCosts();
--- a/packages/streams/src/probe.ts
+++ b/packages/streams/src/probe.ts
@@ -7,9 +7,9 @@
  * never rejects.
  *
  * @example
- * if (await isAlive(clock, engine, 250)) { resumeAtSameEndpoint(); }
+ * if (await probeLiveness(clock, engine, 250)) { resumeAtSameEndpoint(); }
  */
-export async function isAlive(
+export async function probeLiveness(
   clock: Clock,
   engine: Engine,
   timeoutMs: number,
--- a/packages/streams/src/progress.ts
+++ b/packages/streams/src/progress.ts
@@ -5,20 +5,24 @@
 export interface RequestProgress {
   readonly request: StreamRequest;
   /** Texts of the tokens delivered to the caller. */
-  readonly delivered: string[];
-  /** Endpoints that this request must not use. */
-  readonly excluded: Set<string>;
+  readonly deliveredTokens: string[];
+  /** Endpoints that this request must not use, as an attempt failed at them. */
+  readonly excludedEndpoints: Set<string>;
   /** Endpoints at which an interrupted stream has already resumed once. */
   readonly resumedEndpoints: Set<string>;
-  attempts: number;
+  /** Number of attempts started so far. */
+  attemptCount: number;
+  /** Number of tokens that were computed again by later attempts. */
   recomputedTokens: number;
   /** True once any byte of the request may have reached an engine. */
   mayHaveRun: boolean;
   /** True once an engine has started to compute the prompt. */
   hasStartedPrefill: boolean;
   /** Number of tokens delivered when the latest attempt started. */
-  deliveredAtAttemptStart: number;
+  deliveredCountAtAttemptStart: number;
+  /** Endpoint of the latest attempt; empty before the first attempt. */
   endpoint: string;
+  /** State of the latest attempt; undefined before the first attempt. */
   stateMachine: AttemptStateMachine | undefined;
 }
 
@@ -31,14 +35,14 @@
 export function createRequestProgress(request: StreamRequest): RequestProgress {
   return {
     request,
-    delivered: [],
-    excluded: new Set(),
+    deliveredTokens: [],
+    excludedEndpoints: new Set(),
     resumedEndpoints: new Set(),
-    attempts: 0,
+    attemptCount: 0,
     recomputedTokens: 0,
     mayHaveRun: false,
     hasStartedPrefill: false,
-    deliveredAtAttemptStart: 0,
+    deliveredCountAtAttemptStart: 0,
     endpoint: '',
     stateMachine: undefined,
   };
--- a/packages/streams/src/raceAbort.ts
+++ b/packages/streams/src/raceAbort.ts
@@ -1,4 +1,4 @@
-/** Waiting for a promise with an abort signal. */
+/** Waits for a promise or for an abort signal. */
 import {ServingError} from '@skylarkfield/base';
 
 /**
--- a/packages/streams/src/stallDetector.ts
+++ b/packages/streams/src/stallDetector.ts
@@ -2,15 +2,24 @@
 import {toDisposable, type Clock, type Disposable} from '@skylarkfield/base';
 
 export interface StallLimits {
-  /** Minimum time in milliseconds without tokens before a probe. */
+  /** Minimum milliseconds without a token before the engine is probed. */
   readonly minProbeDelayMs: number;
-  /** Time without tokens before a probe, in multiples of the mean gap. */
+  /**
+   * Time without a token before the engine is probed, as a multiple of the mean
+   * time between two tokens.
+   */
   readonly probeDelayFactor: number;
-  /** Stall timeout despite successful probes, in probe delays. */
+  /**
+   * Time without a token that counts as a stall even if probes succeed, as a
+   * multiple of the time before the first probe.
+   */
   readonly stallTimeoutFactor: number;
-  /** Milliseconds before a probe while no token was received yet. */
+  /** Milliseconds without the first token before the engine is probed. */
   readonly firstTokenProbeDelayMs: number;
-  /** First-token stall timeout, as a fraction of the time to its deadline. */
+  /**
+   * Time without the first token that counts as a stall even if probes succeed,
+   * as a fraction of the time until the deadline of that token.
+   */
   readonly firstTokenDeadlineFraction: number;
   /** Timeout of a probe in milliseconds. */
   readonly probeTimeoutMs: number;
@@ -31,11 +40,11 @@
 export interface StallDetector extends Disposable {
   /** Records that a token was received. */
   recordToken(): void;
-  /** Starts the timeout for the next token. */
+  /** Starts waiting for the next token, again with each call. */
   arm(): void;
-  /** Starts the timeout for the first token. */
+  /** Starts waiting for the first token of the attempt. */
   armForFirstToken(stallTimeoutMs: number): void;
-  /** Stops the timeout while the caller applies backpressure. */
+  /** Stops waiting for a token, while the caller applies backpressure. */
   disarm(): void;
   /** Mean milliseconds between two tokens; 0 before the second token. */
   meanTokenGapMs(): number;
@@ -43,11 +52,12 @@
 
 /**
  * Creates the stall detector of one attempt. `probe` resolves to whether the
- * engine responds; `onStall` is called at most once.
+ * engine responds; `onStall` is called at most once, when the engine has
+ * stalled.
  *
- * Like a hung engine, a busy engine sends no tokens for a while, so a timeout
- * first triggers a probe: abandoning slow engines would move their work to
- * engines that are as busy, and overload the whole pool with repeated work.
+ * A busy engine sends no tokens for a while, just as a hung engine does, so a
+ * pause first triggers a probe: abandoning busy engines would move their work
+ * to engines that are as busy, and overload the whole pool with repeated work.
  *
  * @example
  * const detector = createStallDetector({clock, limits, probe, onStall});
@@ -63,35 +73,35 @@
   let timer: Disposable = toDisposable(() => {});
   let lastTokenAtMs: number | undefined;
   let meanGapMs = 0;
-  /** Incremented with each restart or stop, to invalidate pending probes. */
-  let epoch = 0;
+  /** Incremented at each start or stop of the timer; outdates older probes. */
+  let timerEpoch = 0;
 
   function tokenProbeDelayMs(): number {
     const scaledMs = limits.probeDelayFactor * meanGapMs;
     return Math.max(limits.minProbeDelayMs, scaledMs);
   }
 
-  function stop() {
-    epoch += 1;
+  function stopTimer() {
+    timerEpoch += 1;
     timer.dispose();
   }
 
-  function start(probeDelayMs: number, stallTimeoutMs: number) {
-    stop();
+  function startTimer(probeDelayMs: number, stallTimeoutMs: number) {
+    stopTimer();
     timer = clock.after(
       probeDelayMs,
       () => void probeEngine(probeDelayMs, stallTimeoutMs - probeDelayMs),
     );
   }
 
-  /** Probes until a token arrives, as the engine may crash in the meantime. */
+  /** Repeats probes until a token arrives, as the engine may crash later. */
   async function probeEngine(probeDelayMs: number, remainingMs: number) {
-    const probeEpoch = epoch;
-    const isAlive = await options.probe();
-    if (epoch !== probeEpoch) {
+    const epochAtProbe = timerEpoch;
+    const isResponding = await options.probe();
+    if (timerEpoch !== epochAtProbe) {
       return;
     }
-    if (!isAlive) {
+    if (!isResponding) {
       options.onStall(
         'the engine sends no tokens and does not respond to probes',
       );
@@ -120,16 +130,16 @@
     },
     arm() {
       const probeDelayMs = tokenProbeDelayMs();
-      start(probeDelayMs, probeDelayMs * limits.stallTimeoutFactor);
+      startTimer(probeDelayMs, probeDelayMs * limits.stallTimeoutFactor);
     },
     armForFirstToken: stallTimeoutMs =>
-      start(limits.firstTokenProbeDelayMs, stallTimeoutMs),
+      startTimer(limits.firstTokenProbeDelayMs, stallTimeoutMs),
     disarm() {
-      stop();
-      // The time the caller takes to read must not count as a token gap.
+      stopTimer();
+      // The time that the caller takes to read must not count as a token gap.
       lastTokenAtMs = undefined;
     },
     meanTokenGapMs: () => meanGapMs,
-    dispose: stop,
+    dispose: stopTimer,
   };
 }
--- a/packages/streams/src/streamRunner.ts
+++ b/packages/streams/src/streamRunner.ts
@@ -1,4 +1,4 @@
-/** Runs generation requests, with further attempts after failures. */
+/** Runs generation requests and repeats failed attempts. */
 import {
   ServingError,
   sleep,
@@ -15,7 +15,7 @@
 } from './contracts.js';
 import {createMigrationCosts} from './migrationCosts.js';
 import type {AttemptTarget} from './migration.js';
-import {isAlive} from './probe.js';
+import {probeLiveness} from './probe.js';
 import {createRequestProgress, type RequestProgress} from './progress.js';
 import {defaultStallLimits, type StallLimits} from './stallDetector.js';
 
@@ -31,10 +31,10 @@
 type Hooks = Parameters<StreamRunner['run']>[1];
 
 const DEFAULT_MAX_ATTEMPTS = 10;
-/** Delay before endpoints excluded after a failure are used again. */
+/** Delay before endpoints that were excluded after a failure are used again. */
 const EXCLUDED_RETRY_DELAY_MS = 150;
 
-/** Errors that every endpoint would return for the request. */
+/** Kinds of errors that every endpoint would return for the same request. */
 const NON_RETRYABLE_KINDS: ReadonlySet<ErrorKind> = new Set([
   'bad-request',
   'too-large',
@@ -43,8 +43,8 @@
 ]);
 
 /**
- * Creates a runner. After a failed attempt, the next one resumes from the exact
- * position that the caller has received.
+ * Creates a runner. After a failed attempt, the next attempt resumes the answer
+ * exactly after the last token that the caller has received.
  *
  * @example
  * const runner = createStreamRunner({clock});
@@ -58,23 +58,23 @@
   const openRequests = new Set<RequestProgress>();
   const totals = {requests: 0, attempts: 0, moved: 0, lost: 0, recomputed: 0};
 
-  /** Picks an endpoint; uses failed ones again when no other is left. */
+  /** Picks an endpoint; allows excluded endpoints if no other is left. */
   async function pickEndpoint(
     progress: RequestProgress,
     hooks: Hooks,
     signal: AbortSignal,
   ): Promise<EndpointPick> {
-    const {excluded, delivered} = progress;
+    const {excludedEndpoints, deliveredTokens} = progress;
     try {
-      return hooks.pickEndpoint(excluded, delivered);
+      return hooks.pickEndpoint(excludedEndpoints, deliveredTokens);
     } catch (error) {
-      if (excluded.size === 0) {
+      if (excludedEndpoints.size === 0) {
         throw error;
       }
     }
     await sleep(clock, EXCLUDED_RETRY_DELAY_MS, signal);
-    excluded.clear();
-    return hooks.pickEndpoint(excluded, delivered);
+    excludedEndpoints.clear();
+    return hooks.pickEndpoint(excludedEndpoints, deliveredTokens);
   }
 
   async function runAttempts(
@@ -89,7 +89,7 @@
         importedCache: undefined,
       };
       const {pick} = target;
-      const end: AttemptEnd = await runAttempt({
+      const attemptEnd: AttemptEnd = await runAttempt({
         clock,
         limits,
         costs,
@@ -98,26 +98,29 @@
         target,
         pickEndpoint: () =>
           hooks.pickEndpoint(
-            new Set([...progress.excluded, pick.endpoint]),
-            progress.delivered,
+            new Set([...progress.excludedEndpoints, pick.endpoint]),
+            progress.deliveredTokens,
           ),
         deliver: token => hooks.deliver(token),
         signal,
       });
-      if (end.type === 'ended') {
-        return createSummary(progress, end.event);
+      if (attemptEnd.type === 'ended') {
+        return createSummary(progress, attemptEnd.event);
       }
-      target = end.type === 'moved' ? end.target : undefined;
-      if (end.type === 'moved') {
+      target = attemptEnd.type === 'moved' ? attemptEnd.target : undefined;
+      if (attemptEnd.type === 'moved') {
         totals.moved += 1;
         continue;
       }
       totals.lost += 1;
-      await prepareRetry(progress, pick, end.error, hooks);
+      await prepareRetry(progress, pick, attemptEnd.error, hooks);
     }
   }
 
-  /** Throws if no retry is allowed; may exclude the failed endpoint. */
+  /**
+   * Throws `error` if the request must not be retried. Otherwise excludes the
+   * failed endpoint, unless the stream can resume at it.
+   */
   async function prepareRetry(
     progress: RequestProgress,
     pick: EndpointPick,
@@ -126,25 +129,29 @@
   ) {
     if (
       NON_RETRYABLE_KINDS.has(error.kind) ||
-      progress.attempts >= maxAttempts
+      progress.attemptCount >= maxAttempts
     ) {
       throw error;
     }
     const hasProgress =
-      progress.delivered.length > progress.deliveredAtAttemptStart;
+      progress.deliveredTokens.length > progress.deliveredCountAtAttemptStart;
     // Only attempts that cost an engine work and delivered no token consume the
-    // retry budget, since these cause retry storms. Other failed attempts
-    // delivered tokens or never reached an engine.
-    const isWasted = !hasProgress && error.kind !== 'endpoint-unavailable';
-    if (isWasted && !hooks.mayRetry()) {
+    // retry budget, since such attempts cause retry storms. All other failed
+    // attempts delivered tokens or never reached an engine.
+    const isWastedWork = !hasProgress && error.kind !== 'endpoint-unavailable';
+    if (isWastedWork && !hooks.mayRetry()) {
       throw error;
     }
     if (!(await canResumeAtSameEndpoint(progress, pick, error, hasProgress))) {
-      progress.excluded.add(pick.endpoint);
+      progress.excludedEndpoints.add(pick.endpoint);
     }
   }
 
-  /** An engine that only lost the connection still has the tokens cached. */
+  /**
+   * Returns whether the stream can resume at the same endpoint, which it does
+   * at most once: an engine that lost only the connection still has the tokens
+   * cached.
+   */
   async function canResumeAtSameEndpoint(
     progress: RequestProgress,
     pick: EndpointPick,
@@ -158,7 +165,7 @@
       return false;
     }
     progress.resumedEndpoints.add(pick.endpoint);
-    return isAlive(clock, pick.engine, limits.probeTimeoutMs);
+    return probeLiveness(clock, pick.engine, limits.probeTimeoutMs);
   }
 
   return {
@@ -172,7 +179,7 @@
         throw withRequestRunState(progress, toServingError(error));
       } finally {
         openRequests.delete(progress);
-        totals.attempts += progress.attempts;
+        totals.attempts += progress.attemptCount;
         totals.recomputed += progress.recomputedTokens;
       }
     },
@@ -181,10 +188,10 @@
       costs: costs.dump(),
       open: [...openRequests].map(progress => ({
         id: progress.request.id,
-        attempt: progress.attempts,
+        attempt: progress.attemptCount,
         state: progress.stateMachine?.current ?? 'placing',
         endpoint: progress.endpoint,
-        delivered: progress.delivered.length,
+        delivered: progress.deliveredTokens.length,
       })),
     }),
   };
@@ -204,14 +211,14 @@
     promptTokens: event.promptTokens,
     cachedTokens: event.cachedTokens,
     generatedTokens: event.generatedTokens,
-    attempts: progress.attempts,
+    attempts: progress.attemptCount,
     recomputedTokens: progress.recomputedTokens,
   };
 }
 
 /**
  * Returns the error with the run state of the whole request: an earlier attempt
- * may have reached an engine although the last one did not.
+ * may have reached an engine although the last attempt did not.
  */
 function withRequestRunState(
   progress: RequestProgress,
--- a/packages/streams/src/test/fakeEngine.ts
+++ b/packages/streams/src/test/fakeEngine.ts
@@ -1,4 +1,4 @@
-/** Scripted engine for tests: each attempt gets the next planned fault. */
+/** Scripted engine for tests: each attempt gets the next fault plan. */
 import {ServingError, sleep, type Clock} from '@skylarkfield/base';
 import type {
   Engine,
@@ -8,56 +8,68 @@
 
 export type PlannedFault =
   | 'none'
+  /** Refuses the connection. */
   | 'refused'
+  /** Fails after it received the request. */
   | 'failed'
+  /** Rejects the request for lack of capacity. */
   | 'overloaded'
+  /** Breaks the connection. */
   | 'cut'
+  /** Sends no further tokens, but responds to load requests. */
   | 'silent'
+  /** Pauses between two tokens. */
   | 'busy'
+  /** Sends a token of another attempt. */
   | 'crossed'
+  /** Sends a token twice. */
   | 'doubled'
+  /** Omits a token. */
   | 'gap'
+  /** Sends a token again with another text. */
   | 'changed'
+  /** Sends the end event before the last tokens. */
   | 'truncated'
+  /** Closes the stream without an end event. */
   | 'endless';
 
 export interface FaultPlan {
   readonly fault: PlannedFault;
   /** Number of tokens that the attempt sends before the fault. */
-  readonly at: number;
+  readonly tokensBeforeFault: number;
 }
 
-/** Tokens of every answer, unless `maxTokens` is lower. */
+/** Number of tokens of every answer, unless `maxTokens` is lower. */
 export const ANSWER_LENGTH = 24;
 const TOKEN_GAP_MS = 20;
 const BUSY_PAUSE_MS = 700;
 const IMPORT_DURATION_MS = 90;
 
-/** Token of the only correct answer. */
+/** Text of one token of the only correct answer. */
 export function expectedToken(index: number): string {
   return ` t${index}`;
 }
 
-/** All tokens of the only correct answer. */
+/** Texts of all tokens of the only correct answer. */
 export function expectedAnswer(maxTokens = ANSWER_LENGTH): string[] {
   const length = Math.min(ANSWER_LENGTH, maxTokens);
   return Array.from({length}, (_, index) => expectedToken(index));
 }
 
 export interface FakeEngine extends Engine {
-  readonly received: GenerationRequest[];
+  readonly receivedRequests: GenerationRequest[];
   readonly cancelledAttempts: string[];
   /** When true, the engine does not respond, not even to load requests. */
   isHung: boolean;
 }
 
-/** Errors of requests that the engine rejects without running them. */
+/** Errors of faults that reject a request before the engine runs it. */
 const refusals: Partial<Record<PlannedFault, () => ServingError>> = {
   refused: () => new ServingError('endpoint-unavailable', 'refused'),
   overloaded: () => new ServingError('overloaded', 'full'),
 };
 
-/** Events that the stream yields instead of the correct token. */
+/** Events that a fault sends instead of the correct token. */
 const replacements: Partial<
   Record<PlannedFault, (token: GenerationEvent) => GenerationEvent[]>
 > = {
@@ -71,28 +83,28 @@
   clock: Clock,
   nextPlan: () => FaultPlan,
 ): FakeEngine {
-  const received: GenerationRequest[] = [];
+  const receivedRequests: GenerationRequest[] = [];
   const cancelledAttempts: string[] = [];
 
   async function* generate(
     request: GenerationRequest,
     signal: AbortSignal,
   ): AsyncGenerator<GenerationEvent> {
-    const {fault, at} = nextPlan();
+    const {fault, tokensBeforeFault} = nextPlan();
     const refusal = refusals[fault];
     if (refusal !== undefined) {
       throw refusal();
     }
-    received.push(request);
+    receivedRequests.push(request);
     if (fault === 'failed') {
       throw new ServingError('endpoint-failed', 'failed');
     }
     const {attempt, delivered, maxTokens} = request;
-    const total = Math.min(ANSWER_LENGTH, maxTokens);
+    const answerLength = Math.min(ANSWER_LENGTH, maxTokens);
     yield {type: 'start', attempt, promptTokens: 100, cachedTokens: 0};
-    for (let index = delivered.length; index < total; index++) {
+    for (let index = delivered.length; index < answerLength; index++) {
       await sleep(clock, TOKEN_GAP_MS, signal);
-      const isFaultDue = index - delivered.length === at;
+      const isFaultDue = index - delivered.length === tokensBeforeFault;
       if (engine.isHung || (isFaultDue && fault === 'silent')) {
         await sleep(clock, 1e9, signal);
       }
@@ -120,15 +132,15 @@
     yield {
       type: 'end',
       attempt,
-      reason: total === maxTokens ? 'length' : 'stop',
+      reason: answerLength === maxTokens ? 'length' : 'stop',
       promptTokens: 100,
       cachedTokens: 0,
-      generatedTokens: total,
+      generatedTokens: answerLength,
     };
   }
 
   const engine: FakeEngine = {
-    received,
+    receivedRequests,
     cancelledAttempts,
     isHung: false,
     generate,
--- a/packages/streams/src/test/streamRig.ts
+++ b/packages/streams/src/test/streamRig.ts
@@ -1,4 +1,4 @@
-/** Stream runner with three scripted engines; records the caller's view. */
+/** Stream runner with three scripted engines; records received tokens. */
 import {
   ServingError,
   toServingError,
@@ -13,7 +13,7 @@
 const ENGINE_COUNT = 3;
 
 export interface RigOptions {
-  /** Faults in the order of the attempts; attempts after the last have none. */
+  /** Faults in the order of attempts; attempts after the last have no fault. */
   readonly plans?: readonly FaultPlan[];
   readonly retryBudget?: number;
   readonly maxTokens?: number;
@@ -25,20 +25,23 @@
 export function createRig(options: RigOptions = {}) {
   const clock = virtualClock();
   const plans = [...(options.plans ?? [])];
-  const nextPlan = () => plans.shift() ?? {fault: 'none' as const, at: 0};
+  const nextPlan = () =>
+    plans.shift() ?? {fault: 'none' as const, tokensBeforeFault: 0};
   const engines = Array.from({length: ENGINE_COUNT}, () =>
     createFakeEngine(clock, nextPlan),
   );
-  const leaving = engines.map(() => new AbortController());
-  const caller = new AbortController();
+  const leavingControllers = engines.map(() => new AbortController());
+  const callerController = new AbortController();
   const runner = createStreamRunner({clock});
   const tokens: string[] = [];
   const picks: {endpoint: string; outcomes: string[]}[] = [];
   let retriesLeft = options.retryBudget ?? 100;
 
-  function pickEndpoint(excluded: ReadonlySet<string>): EndpointPick {
+  function pickEndpoint(excludedEndpoints: ReadonlySet<string>): EndpointPick {
     const index = engines.findIndex(
-      (_, i) => !excluded.has(`e${i}`) && !leaving[i]!.signal.aborted,
+      (_, i) =>
+        !excludedEndpoints.has(`e${i}`) &&
+        !leavingControllers[i]!.signal.aborted,
     );
     if (index < 0) {
       throw new ServingError('endpoint-unavailable', 'no endpoint is left');
@@ -49,7 +52,7 @@
       endpoint: pick.endpoint,
       url: `fake://${index}`,
       engine: engines[index]!,
-      leaving: leaving[index]!.signal,
+      leaving: leavingControllers[index]!.signal,
       goneAt: () => options.goneAt,
       finish: ({outcome}) => void pick.outcomes.push(outcome),
     };
@@ -66,7 +69,7 @@
   };
   const result: {summary?: StreamSummary; error?: Failure} = {};
 
-  function start(): void {
+  function startRequest(): void {
     const hooks = {
       pickEndpoint,
       mayRetry: () => (retriesLeft -= 1) >= 0,
@@ -75,7 +78,7 @@
         return options.deliver?.();
       },
     };
-    runner.run(request, hooks, caller.signal).then(
+    runner.run(request, hooks, callerController.signal).then(
       summary => (result.summary = summary),
       error => (result.error = toServingError(error)),
     );
@@ -84,12 +87,12 @@
   return {
     clock,
     engines,
-    leaving,
-    caller,
+    leavingControllers,
+    callerController,
     runner,
     tokens,
     picks,
     result,
-    start,
+    start: startRequest,
   };
 }
--- a/packages/streams/src/test/streamRunner.fuzz.test.ts
+++ b/packages/streams/src/test/streamRunner.fuzz.test.ts
@@ -28,21 +28,21 @@
   'endless',
 ];
 
-const faultPlan: fc.Arbitrary<FaultPlan> = fc.record({
+const anyFaultPlan: fc.Arbitrary<FaultPlan> = fc.record({
   fault: fc.constantFrom(...faultTypes),
-  at: fc.integer({min: 0, max: 12}),
+  tokensBeforeFault: fc.integer({min: 0, max: 12}),
 });
 
-/** An event at an engine, some time after the previous one. */
-const disruption = fc.record({
+/** A disruption of one engine, `afterMs` after the previous disruption. */
+const anyDisruption = fc.record({
   afterMs: fc.integer({min: 0, max: 600}),
   type: fc.constantFrom('leave' as const, 'hang' as const, 'wake' as const),
   engine: fc.integer({min: 0, max: 2}),
 });
 
-const scenario = fc.record({
-  plans: fc.array(faultPlan, {maxLength: 10}),
-  disruptions: fc.array(disruption, {maxLength: 6}),
+const anyScenario = fc.record({
+  plans: fc.array(anyFaultPlan, {maxLength: 10}),
+  disruptions: fc.array(anyDisruption, {maxLength: 6}),
   goneAt: fc.constantFrom(undefined, 200, 600, 1500),
   retryBudget: fc.integer({min: 0, max: 8}),
   maxTokens: fc.constantFrom(1, 20, 24, 60),
@@ -53,8 +53,8 @@
 
 type Rig = ReturnType<typeof createRig>;
 
-const effects = {
-  leave: (rig: Rig, engine: number) => rig.leaving[engine]!.abort(),
+const applyDisruption = {
+  leave: (rig: Rig, engine: number) => rig.leavingControllers[engine]!.abort(),
   hang: (rig: Rig, engine: number) => void (rig.engines[engine]!.isHung = true),
   wake: (rig: Rig, engine: number) =>
     void (rig.engines[engine]!.isHung = false),
@@ -71,12 +71,19 @@
   }
   if (error?.run === 'not-run') {
     assert.equal(
-      rig.engines.reduce((sum, engine) => sum + engine.received.length, 0),
+      rig.engines.reduce(
+        (sum, engine) => sum + engine.receivedRequests.length,
+        0,
+      ),
       0,
     );
   }
   for (const pick of rig.picks) {
-    assert.equal(pick.outcomes.length, 1, 'each pick is finished exactly once');
+    assert.equal(
+      pick.outcomes.length,
+      1,
+      'a pick was not finished exactly once',
+    );
   }
   assert.deepEqual((rig.runner.dump() as {open: unknown[]}).open, []);
 }
@@ -84,23 +91,32 @@
 describe('stream runner, fuzzed', () => {
   it(`delivers the exact text or an error with a correct run state (seed ${seed})`, async () => {
     await fc.assert(
-      fc.asyncProperty(scenario, async input => {
-        const rig = createRig(input);
-        if (input.callerAbortMs !== null) {
-          rig.clock.after(input.callerAbortMs, () => rig.caller.abort());
+      fc.asyncProperty(anyScenario, async scenario => {
+        const rig = createRig(scenario);
+        if (scenario.callerAbortMs !== null) {
+          rig.clock.after(scenario.callerAbortMs, () =>
+            rig.callerController.abort(),
+          );
         }
-        let atMs = 0;
-        for (const {afterMs, type, engine} of input.disruptions) {
-          atMs += afterMs;
-          rig.clock.after(atMs, () => effects[type](rig, engine));
+        let disruptionAtMs = 0;
+        for (const {afterMs, type, engine} of scenario.disruptions) {
+          disruptionAtMs += afterMs;
+          rig.clock.after(disruptionAtMs, () =>
+            applyDisruption[type](rig, engine),
+          );
         }
         rig.start();
-        // Small steps: a series of rejections takes no virtual time, but more
-        // promise turns than the clock waits for in one step.
-        for (let ms = 0; ms < DEADLINE_MS + 1000; ms += STEP_MS) {
+        // The clock advances in small steps: a series of rejections takes no
+        // virtual time, but more promise turns than the clock waits for in one
+        // step.
+        for (
+          let elapsedMs = 0;
+          elapsedMs < DEADLINE_MS + 1000;
+          elapsedMs += STEP_MS
+        ) {
           await rig.clock.advance(STEP_MS);
         }
-        checkInvariants(rig, input.maxTokens);
+        checkInvariants(rig, scenario.maxTokens);
       }),
       {seed, numRuns},
     );
--- a/packages/streams/src/test/streamRunner.test.ts
+++ b/packages/streams/src/test/streamRunner.test.ts
@@ -5,8 +5,8 @@
 import {createRig, DEADLINE_MS} from './streamRig.js';
 
 describe('stream runner', () => {
-  // An engine rejects, fails, disconnects, stalls, or sends events of another
-  // answer. The caller may only notice a pause: the text must continue at the
+  // An engine rejects the request, fails, disconnects, stalls, or sends wrong
+  // events. The caller may notice only a pause: the text must continue at the
   // exact token, without a gap or a duplicate.
   const faults: [FaultPlan['fault'], string[]][] = [
     ['none', ['ok']],
@@ -25,7 +25,7 @@
   ];
   for (const [fault, outcomes] of faults) {
     it(`delivers the exact text when the engine's fault is: ${fault}`, async () => {
-      const rig = createRig({plans: [{fault, at: 5}]});
+      const rig = createRig({plans: [{fault, tokensBeforeFault: 5}]});
       rig.start();
       await rig.clock.advance(DEADLINE_MS);
       assert.deepEqual(rig.tokens, expectedAnswer());
@@ -40,8 +40,8 @@
   it('resumes at the same engine after a disconnect, since its cache has the tokens', async () => {
     const rig = createRig({
       plans: [
-        {fault: 'cut', at: 5},
-        {fault: 'cut', at: 5},
+        {fault: 'cut', tokensBeforeFault: 5},
+        {fault: 'cut', tokensBeforeFault: 5},
       ],
     });
     rig.start();
@@ -55,7 +55,7 @@
 
   // An engine process hangs while its socket stays open. Without the stall
   // detector the text would stop until the caller's own deadline.
-  it('abandons a hung engine and cancels the attempt there', async () => {
+  it('abandons a hung engine and cancels the attempt at that engine', async () => {
     const rig = createRig();
     rig.start();
     await rig.clock.advance(150);
@@ -69,21 +69,21 @@
     const rig = createRig();
     rig.start();
     await rig.clock.advance(150);
-    rig.caller.abort();
+    rig.callerController.abort();
     await rig.clock.advance(1);
     assert.equal(rig.result.error?.kind, 'cancelled');
     assert.deepEqual(rig.engines[0]!.cancelledAttempts, ['r1#1']);
     assert.deepEqual(rig.picks[0]!.outcomes, ['cancelled']);
   });
 
-  it('transfers the KV cache when the endpoint is leaving', async () => {
+  it('transfers the KV cache to another endpoint when the endpoint is leaving', async () => {
     const rig = createRig({maxTokens: 400, goneAt: 300});
     rig.start();
     await rig.clock.advance(50);
-    rig.leaving[0]!.abort();
+    rig.leavingControllers[0]!.abort();
     await rig.clock.advance(DEADLINE_MS);
     assert.deepEqual(rig.tokens, expectedAnswer());
-    assert.equal(rig.engines[1]!.received[0]?.importedCache, 'r1#1');
+    assert.equal(rig.engines[1]!.receivedRequests[0]?.importedCache, 'r1#1');
     assert.deepEqual(rig.engines[0]!.cancelledAttempts, ['r1#1']);
   });
 
@@ -91,9 +91,9 @@
     const rig = createRig({maxTokens: 400, goneAt: 300});
     rig.start();
     await rig.clock.advance(50);
-    rig.leaving[0]!.abort();
+    rig.leavingControllers[0]!.abort();
     await rig.clock.advance(50);
-    rig.caller.abort();
+    rig.callerController.abort();
     await rig.clock.advance(1000);
     assert.deepEqual(
       rig.picks.map(pick => pick.outcomes),
@@ -105,7 +105,7 @@
     const rig = createRig({maxTokens: 24});
     rig.start();
     await rig.clock.advance(300);
-    rig.leaving[0]!.abort();
+    rig.leavingControllers[0]!.abort();
     await rig.clock.advance(DEADLINE_MS);
     assert.equal(rig.result.summary?.attempts, 1);
   });
@@ -114,28 +114,28 @@
     const rig = createRig({maxTokens: 24, goneAt: 700});
     rig.start();
     await rig.clock.advance(50);
-    rig.leaving[0]!.abort();
+    rig.leavingControllers[0]!.abort();
     await rig.clock.advance(DEADLINE_MS);
     assert.equal(rig.result.summary?.attempts, 1);
   });
 
-  it('reports not-run only when no engine was reached', async () => {
-    const refused: FaultPlan = {fault: 'refused', at: 0};
-    const failed: FaultPlan = {fault: 'failed', at: 0};
+  it('reports not-run only when no attempt reached an engine', async () => {
+    const refused: FaultPlan = {fault: 'refused', tokensBeforeFault: 0};
+    const failed: FaultPlan = {fault: 'failed', tokensBeforeFault: 0};
     const cases: [FaultPlan[], string][] = [
       [Array.from({length: 20}, () => refused), 'not-run'],
       [[failed, ...Array.from({length: 20}, () => refused)], 'may-have-run'],
     ];
-    for (const [plans, run] of cases) {
+    for (const [plans, expectedRun] of cases) {
       const rig = createRig({plans});
       rig.start();
       await rig.clock.advance(DEADLINE_MS);
-      assert.equal(rig.result.error?.run, run);
+      assert.equal(rig.result.error?.run, expectedRun);
     }
   });
 
   it('stops retrying attempts without progress when the retry budget is exhausted', async () => {
-    const failed: FaultPlan = {fault: 'failed', at: 0};
+    const failed: FaultPlan = {fault: 'failed', tokensBeforeFault: 0};
     const rig = createRig({plans: [failed, failed, failed], retryBudget: 1});
     rig.start();
     await rig.clock.advance(DEADLINE_MS);
@@ -143,7 +143,7 @@
     assert.equal(rig.picks.length, 2);
   });
 
-  it('fails when no first token arrives by its deadline', async () => {
+  it('fails when no token arrives by the first-token deadline', async () => {
     const rig = createRig();
     rig.engines.forEach(engine => (engine.isHung = true));
     rig.start();
@@ -152,24 +152,25 @@
     assert.equal(rig.result.error?.run, 'may-have-run');
   });
 
-  // A slow reader must not make the engine look stalled.
+  // A caller that reads slowly must not make the engine look stalled.
   it('pauses the stream while the caller does not read', async () => {
-    const waiting: (() => void)[] = [];
+    const resolveDeliveries: (() => void)[] = [];
     const rig = createRig({
-      deliver: () => new Promise<void>(resolve => waiting.push(resolve)),
+      deliver: () =>
+        new Promise<void>(resolve => resolveDeliveries.push(resolve)),
     });
     rig.start();
     await rig.clock.advance(DEADLINE_MS - 5000);
     assert.equal(rig.tokens.length, 1);
     assert.equal(rig.picks.length, 1);
-    waiting.forEach(resolve => resolve());
+    resolveDeliveries.forEach(resolve => resolve());
     await rig.clock.advance(100);
     assert.equal(rig.tokens.length, 2);
   });
 
-  // The caller pauses reading and the engine hangs afterwards. If the pause
-  // counted as a token gap, the hang would go undetected for seconds.
-  it('does not count a pause of the reader as a token gap', async () => {
+  // The caller pauses reading, and later the engine hangs. If the pause counted
+  // as a token gap, the stall detector would miss the hang for seconds.
+  it('does not count a reading pause of the caller as a token gap', async () => {
     let deliveredCount = 0;
     const rig = createRig({
       deliver() {
