--- a/packages/protocol/src/codec.ts
+++ b/packages/protocol/src/codec.ts
@@ -25,7 +25,7 @@
  * socket.send(encodeFrame({type: 'heartbeat', requestId: 0, body}));
  */
 export function encodeFrame(frame: Frame): Buffer {
-  // Packr reuses its buffer while a socket may still hold the bytes: copy them.
+  // Copies the bytes: Packr may reuse its buffer before the socket sent them.
   return Buffer.from(packr.pack([frame.type, frame.requestId, frame.body]));
 }
 
@@ -36,14 +36,14 @@
  * const {type, body} = decodeFrame(bytes);
  */
 export function decodeFrame(bytes: Buffer): Frame {
-  const parts = unpack(bytes);
-  if (!Array.isArray(parts) || parts.length !== 3) {
+  const fields = unpack(bytes);
+  if (!Array.isArray(fields) || fields.length !== 3) {
     throw new ServingError(
       'protocol-violation',
       'the frame is not an array of three fields',
     );
   }
-  const [type, requestId, body] = parts as unknown[];
+  const [type, requestId, body] = fields as unknown[];
   if (typeof type !== 'string' || typeof requestId !== 'number') {
     throw new ServingError(
       'protocol-violation',
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -8,17 +8,17 @@
 } from '@skylarkfield/base';
 import type {NetworkLimits} from './limits.js';
 
-/** Connection to a peer, from the end of the handshake until it closes. */
+/** Connection to a peer after a successful handshake. */
 export interface Connection extends Disposable {
   readonly peer: string;
   readonly incarnation: number;
-  /** Whether this process dialed. */
+  /** Whether this process opened the connection. */
   readonly isOutbound: boolean;
-  /** Returns false if the connection is closed or the peer reads too slowly. */
+  /** Returns false if the connection is closed or its send buffer is full. */
   send(bytes: Buffer): boolean;
   /** Closes the connection because the peer violated the protocol. */
   abort(reason: string): void;
-  /** Monotonic milliseconds of the last message in either direction. */
+  /** Monotonic time of the last sent or received message, in milliseconds. */
   lastMessageAt(): number;
 }
 
@@ -93,7 +93,7 @@
     options.onMessage(connection, data as Buffer);
   }
 
-  /** Detects a peer that vanished without closing, as after a cable cut. */
+  /** Closes the connection if the peer vanished, as after a cable cut. */
   function checkLiveness() {
     const now = clock.now();
     // A late check means that this process was paused, not that the peer was
@@ -115,7 +115,7 @@
   }
 
   const livenessCheck = every(clock, limits.pingMs, checkLiveness);
-  const closing = toDisposable(() => {
+  const closeCleanup = toDisposable(() => {
     livenessCheck.dispose();
     options.onClose(connection);
   });
@@ -123,11 +123,11 @@
   socket.on('ping', () => (lastReceivedAt = clock.now()));
   socket.on('pong', () => (lastReceivedAt = clock.now()));
   socket.on('error', error =>
-    // ws reports oversized and malformed frames here and closes the socket
-    // itself.
+    // ws emits an error for an oversized or malformed frame and then closes the
+    // socket.
     options.onViolation(connection, error.message),
   );
-  socket.on('close', () => closing.dispose());
+  socket.on('close', () => closeCleanup.dispose());
   return connection;
 }
 
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -37,19 +37,22 @@
   readonly url: string;
 }
 
-/** Counters of a process's inner traffic, for state dumps and benchmarks. */
+/** Counters of a process's messages to and from its peers. */
 export interface NetworkTraffic {
   readonly messagesSent: number;
   readonly bytesSent: number;
   readonly messagesReceived: number;
   readonly bytesReceived: number;
-  /** Malformed or unexpected messages and rejected connections. */
+  /** Number of malformed or unexpected messages and rejected connections. */
   readonly rejected: number;
 }
 
 /** One-way messages and requests between this entry and its peers. */
 export interface PeerNetwork extends Disposable {
-  /** Sets the peers to stay connected to; closes connections to others. */
+  /**
+   * Sets the peers to stay connected to; closes the connections to peers that
+   * are neither in this list nor in the address book.
+   */
   setPeers(peers: readonly PeerAddress[]): void;
   /**
    * Sets the peers to connect to only on demand. With many entries, `setPeers`
@@ -58,7 +61,7 @@
   setAddressBook(peers: readonly PeerAddress[]): void;
   /**
    * Connects to a peer of unknown id, for joining through a seed; resolves with
-   * its id. Throws `interrupted` when no valid peer answers.
+   * the peer's id. Throws `interrupted` when no valid peer answers.
    */
   dial(url: string): Promise<string>;
   /** Ids of the peers with an open connection. */
@@ -66,9 +69,9 @@
   /** Sends a one-way message; returns false without an open connection. */
   send<T extends MessageType>(to: string, type: T, body: Messages[T]): boolean;
   /**
-   * Sends to every connected peer, or to the given ones; returns the number of
-   * receivers. With many entries the connected peers are the neighbours, and
-   * each receiver of new information forwards it once.
+   * Sends a one-way message to every connected peer, or to the peers in `to`;
+   * returns the number of receivers. With many entries only the neighbours are
+   * connected, and each receiver forwards new information once.
    */
   broadcast<T extends MessageType>(
     type: T,
@@ -76,10 +79,11 @@
     to?: readonly string[],
   ): number;
   /**
-   * Sends a request and returns the response body; connects to a peer of the
-   * address book first. Throws `protocol-violation`, `deadline-exceeded`
-   * (`may-have-run`), `interrupted` (`not-run` if nothing was sent),
-   * `cancelled`, or the kind and run state thrown by the peer's handler.
+   * Sends a request and returns the response body. First connects to the peer
+   * if it is in the address book. Throws `protocol-violation`,
+   * `deadline-exceeded` (`may-have-run`), `interrupted` (`not-run` if nothing
+   * was sent), `cancelled`, or the kind and run state thrown by the peer's
+   * handler.
    */
   request<T extends MessageType>(
     to: string,
--- a/packages/protocol/src/dispatcher.ts
+++ b/packages/protocol/src/dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * The part that all network implementations share: handlers by message type,
- * pending requests and counters.
+ * Handlers by message type, pending requests and traffic counters, which all
+ * implementations of the peer network share.
  */
 import {
   ServingError,
@@ -45,14 +45,14 @@
 
 /** Handlers, pending requests and counters of one process. */
 export interface Dispatcher extends Disposable {
-  /** Encodes a frame and counts it as sent to that many peers. */
+  /** Encodes a frame and counts it as sent to `receiverCount` peers. */
   encode(frame: Frame, receiverCount?: number): Buffer;
   /** Handles received bytes; returns false if they are malformed. */
   receive(from: string, bytes: Buffer, reply: (bytes: Buffer) => void): boolean;
   addHandler(type: string, handler: Handler): Disposable;
   /**
-   * Sends a request with the given function and waits for the response. The
-   * channel defaults to the id of the peer.
+   * Sends a request through `send` and waits for the response. `channel`
+   * defaults to the id of the peer.
    */
   request(
     to: string,
@@ -82,7 +82,7 @@
 }): Dispatcher {
   const {clock, log} = options;
   const handlers = new Map<string, Set<Handler>>();
-  const pending = new Map<number, PendingRequest>();
+  const pendingRequests = new Map<number, PendingRequest>();
   let lastRequestId = 0;
   const traffic = {
     messagesSent: 0,
@@ -99,7 +99,7 @@
     return bytes;
   }
 
-  /** Runs the handlers of the type until one returns a result. */
+  /** Runs the handlers of the frame's type until one returns a result. */
   async function runHandlers(from: string, frame: Frame): Promise<unknown> {
     let result: unknown;
     for (const handler of [...(handlers.get(frame.type) ?? [])]) {
@@ -120,10 +120,10 @@
     );
   }
 
-  function deliver(from: string, frame: Frame) {
+  function deliverOneWay(from: string, frame: Frame) {
     for (const handler of [...(handlers.get(frame.type) ?? [])]) {
-      // A handler that throws must neither block the others nor end the
-      // process.
+      // A handler that throws must neither keep the other handlers from running
+      // nor end the process.
       new Promise(resolve => resolve(handler(from, frame.body))).catch(error =>
         log.error(
           {peer: from, type: frame.type, err: toServingError(error)},
@@ -134,7 +134,7 @@
   }
 
   function settleRequest(from: string, frame: Frame) {
-    const request = pending.get(frame.requestId);
+    const request = pendingRequests.get(frame.requestId);
     // Drops responses that come from another peer or after the timeout.
     if (request === undefined || request.to !== from) {
       traffic.rejected += 1;
@@ -158,7 +158,10 @@
     }
     if (!handlers.has(frame.type)) {
       traffic.rejected += 1;
-      log.debug({peer: from, type: frame.type}, 'unknown message type');
+      log.debug(
+        {peer: from, type: frame.type},
+        'received an unknown message type',
+      );
       if (frame.requestId !== 0) {
         const body: ErrorBody = {
           kind: 'protocol-violation',
@@ -173,7 +176,7 @@
       respond(from, frame, reply);
       return;
     }
-    deliver(from, frame);
+    deliverOneWay(from, frame);
   }
 
   return {
@@ -186,7 +189,10 @@
         frame = decodeFrame(bytes);
       } catch (error) {
         traffic.rejected += 1;
-        log.warn({peer: from, reason: String(error)}, 'malformed message');
+        log.warn(
+          {peer: from, reason: String(error)},
+          'received a malformed message',
+        );
         return false;
       }
       dispatch(from, frame, reply);
@@ -212,7 +218,7 @@
           settle({error: timeoutError(to, type)}),
         );
         function settle(outcome: {body: unknown} | {error: ServingError}) {
-          pending.delete(requestId);
+          pendingRequests.delete(requestId);
           timer.dispose();
           if ('error' in outcome) {
             reject(outcome.error);
@@ -220,14 +226,14 @@
           }
           resolve(outcome.body);
         }
-        pending.set(requestId, {to, channel, settle});
+        pendingRequests.set(requestId, {to, channel, settle});
         if (!send(encode({type, requestId, body}))) {
           settle({error: notConnectedError(to)});
         }
       });
     },
     failRequests(channel) {
-      for (const request of [...pending.values()]) {
+      for (const request of [...pendingRequests.values()]) {
         if (request.channel === channel) {
           request.settle({error: interruptedError(request.to)});
         }
@@ -238,7 +244,7 @@
     },
     traffic: () => ({...traffic}),
     dispose() {
-      for (const request of [...pending.values()]) {
+      for (const request of [...pendingRequests.values()]) {
         request.settle({
           error: new ServingError('cancelled', 'the peer network was closed'),
         });
@@ -250,8 +256,8 @@
 
 /** Converts the body of an error frame, which is not trusted, to an error. */
 function toRequestError(body: unknown): ServingError {
-  const failure = (body ?? {}) as Partial<ErrorBody>;
-  const kind = String(failure.kind);
+  const errorBody = (body ?? {}) as Partial<ErrorBody>;
+  const kind = String(errorBody.kind);
   if (!Object.hasOwn(errorResponses, kind)) {
     return new ServingError(
       'protocol-violation',
@@ -259,8 +265,8 @@
     );
   }
   // `not-run` is a guarantee, so it needs the peer's explicit statement.
-  const run = failure.run === 'not-run' ? 'not-run' : 'may-have-run';
-  return new ServingError(kind as ErrorKind, String(failure.message), {run});
+  const run = errorBody.run === 'not-run' ? 'not-run' : 'may-have-run';
+  return new ServingError(kind as ErrorKind, String(errorBody.message), {run});
 }
 
 function timeoutError(to: string, type: string): ServingError {
--- a/packages/protocol/src/handshakes.ts
+++ b/packages/protocol/src/handshakes.ts
@@ -11,9 +11,9 @@
 
 /** Side of this process in a handshake and the id expected of the peer. */
 interface HandshakeRole {
-  /** Whether this process dialed. */
+  /** Whether this process opened the socket. */
   readonly isOutbound: boolean;
-  /** Undefined if any peer is accepted. */
+  /** Id that the peer must have; undefined to accept any id. */
   readonly expectedId: string | undefined;
 }
 
@@ -54,13 +54,13 @@
   const {self, key, clock, log, timeoutMs} = options;
   const pendingSockets = new Set<WebSocket>();
 
-  function encodeOwnHello(withKey: boolean): Buffer {
+  function encodeOwnHello(includeKey: boolean): Buffer {
     const {id, incarnation} = self;
     const body: Hello = {
       id,
       incarnation,
       protocolVersion: PROTOCOL_VERSION,
-      ...(withKey ? {key} : {}),
+      ...(includeKey ? {key} : {}),
     };
     return encodeFrame({type: HELLO_FRAME, requestId: 0, body});
   }
@@ -78,12 +78,12 @@
   ): string | undefined {
     const {isOutbound, expectedId} = role;
     if (isOutbound && !isSameKey(hello.key ?? '', key)) {
-      return 'the accepting side has a different key';
+      return 'the accepting side sent a different key';
     }
     if (hello.id === self.id) {
       return 'the peer has the id of this entry';
     }
-    // The address may have been reassigned to another entry in the meantime.
+    // The peer's address may have been reassigned to another entry.
     if (expectedId !== undefined && hello.id !== expectedId) {
       return `expected peer ${expectedId}, found ${hello.id}`;
     }
--- a/packages/protocol/src/hello.ts
+++ b/packages/protocol/src/hello.ts
@@ -2,26 +2,26 @@
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {PROTOCOL_VERSION} from './contracts.js';
 
-/** First frame of each side of a connection. */
+/** Body of the first frame that each side sends on a connection. */
 export interface Hello {
   readonly id: string;
   readonly incarnation: number;
   readonly protocolVersion: number;
-  /** Only from the accepting side; the dialing side sends it in a header. */
+  /** Set by the accepting side; the dialing side sends its key in a header. */
   readonly key?: string;
 }
 
-/** Adjacent versions run side by side during a rolling restart. */
+/** Adjacent protocol versions run side by side during a rolling restart. */
 const MAX_VERSION_SKEW = 1;
 
 /**
  * Compares two secrets in constant time.
  *
  * @example
- * if (!isSameKey(given, expected)) { reject(); }
+ * if (!isSameKey(receivedKey, innerKey)) { reject(); }
  */
-export function isSameKey(given: string, expected: string): boolean {
-  return timingSafeEqual(sha256(given), sha256(expected));
+export function isSameKey(actualKey: string, expectedKey: string): boolean {
+  return timingSafeEqual(sha256(actualKey), sha256(expectedKey));
 }
 
 /**
--- a/packages/protocol/src/innerListener.ts
+++ b/packages/protocol/src/innerListener.ts
@@ -1,4 +1,4 @@
-/** The inner port: accepts connections of peers that have the inner key. */
+/** The inner port: accepts connections from peers that have the inner key. */
 import http from 'node:http';
 import https from 'node:https';
 import type {AddressInfo} from 'node:net';
@@ -10,11 +10,11 @@
 import type {NetworkLimits} from './limits.js';
 
 export interface InnerListener extends Disposable {
-  /** Bound port, also if port 0 was requested. */
+  /** Port number that the listener is bound to, also if 0 was requested. */
   readonly port: number;
 }
 
-/** Path of the only resource of the inner port. */
+/** Path at which the inner port accepts WebSocket connections. */
 export const PEER_PATH = '/peers';
 
 const BEARER_PREFIX = 'Bearer ';
@@ -38,7 +38,7 @@
   onReject(reason: string): void;
 }): Promise<InnerListener> {
   const {limits, tls} = options;
-  // Node checks for timed-out requests only every 30 s by default.
+  // By default, Node checks for timed-out requests only every 30 s.
   const timeouts = {
     headersTimeout: limits.handshakeMs,
     requestTimeout: limits.handshakeMs,
--- a/packages/protocol/src/innerTls.ts
+++ b/packages/protocol/src/innerTls.ts
@@ -48,7 +48,7 @@
   readonly checkIntervalMs?: number;
 }): Promise<TlsWatcher> {
   const {paths, clock, log} = options;
-  const renewed = emitter<TlsMaterial>();
+  const renewalEmitter = emitter<TlsMaterial>();
   let fingerprint = await readFingerprint(paths);
   let material = await readMaterial(paths);
 
@@ -58,9 +58,10 @@
       return;
     }
     const newMaterial = await readMaterial(paths);
-    // During a renewal a new certificate may be paired with the old key: the
-    // listener throws, the old material stays, and the next check retries.
-    renewed.fire(newMaterial);
+    // While files are being replaced, the new certificate may be paired with
+    // the old key: the listener throws, the old certificate and key stay in
+    // use, and the next check retries.
+    renewalEmitter.fire(newMaterial);
     material = newMaterial;
     fingerprint = newFingerprint;
     log.info('reloaded the TLS certificate and key of the inner port');
@@ -73,14 +74,14 @@
       reloadIfChanged().catch(error =>
         log.warn(
           {reason: String(error)},
-          'cannot load the changed TLS files of the inner port yet',
+          'cannot load the changed TLS files of the inner port yet; will retry',
         ),
       );
     },
   );
   return {
     current: () => material,
-    onDidRenew: renewed.event,
+    onDidRenew: renewalEmitter.event,
     dispose: () => checkTimer.dispose(),
   };
 }
@@ -106,7 +107,7 @@
 function throwBadSettings(error: unknown): never {
   throw new ServingError(
     'bad-settings',
-    `TLS files of the inner port: ${String(error)}`,
+    `cannot read the TLS files of the inner port: ${String(error)}`,
     {
       cause: error,
     },
--- a/packages/protocol/src/limits.ts
+++ b/packages/protocol/src/limits.ts
@@ -3,9 +3,9 @@
 export interface NetworkLimits {
   /** Maximum size of a message in either direction, in bytes. */
   readonly messageBytes: number;
-  /** Average rate of received messages per connection. */
+  /** Maximum average rate of received messages per connection. */
   readonly messagesPerSecond: number;
-  /** Size of the token bucket for bursts above that rate, in messages. */
+  /** Size of the token bucket for message bursts, in messages. */
   readonly messageBurst: number;
   /** Send buffer size above which a slow peer is disconnected, in bytes. */
   readonly bufferedBytes: number;
@@ -17,7 +17,7 @@
   readonly pingMs: number;
   /** Time without received data before a disconnect, in milliseconds. */
   readonly silenceMs: number;
-  /** Idle time before a non-neighbour is disconnected, in milliseconds. */
+  /** Idle time before an on-demand connection closes, in milliseconds. */
   readonly idleMs: number;
 }
 
--- a/packages/protocol/src/memoryNetwork.ts
+++ b/packages/protocol/src/memoryNetwork.ts
@@ -38,7 +38,7 @@
   heal(from: string, to: string): void;
   healAll(): void;
   setLoss(probability: number): void;
-  /** Sums of the traffic of all processes. */
+  /** Sum of the traffic counters of all processes. */
   totalTraffic(): NetworkTraffic;
 }
 
@@ -46,8 +46,8 @@
   readonly id: string;
   readonly dispatcher: Dispatcher;
   readonly connectedIds: Set<string>;
-  readonly deferred: (() => void)[];
-  readonly peerChanged: ReturnType<
+  readonly deferredActions: (() => void)[];
+  readonly peerChangeEmitter: ReturnType<
     typeof emitter<{peer: string; isOpen: boolean}>
   >;
   isPaused: boolean;
@@ -56,7 +56,7 @@
 
 const DEFAULT_DELAY_MS = 1;
 
-/** URL prefix of simulated processes; the id follows. */
+/** URL prefix of a simulated process, followed by its id. */
 export const MEMORY_URL_PREFIX = 'memory://';
 
 /**
@@ -70,7 +70,10 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log?: Logger;
-  /** Minimum one-way delay; random jitter of up to the same amount is added. */
+  /**
+   * Minimum one-way delay, in milliseconds; random jitter of up to the same
+   * amount is added.
+   */
   readonly delayMs?: number;
 }): MemoryNetwork {
   const {clock, random} = options;
@@ -79,13 +82,13 @@
   const partitions = new Set<string>();
   let lossProbability = 0;
 
-  /** Runs the action now, after a pause, or never if the process is dead. */
+  /** Runs an action; defers it during a pause and drops it after a crash. */
   function runOrDefer(process: SimulatedProcess, action: () => void) {
     if (!process.isAlive) {
       return;
     }
     if (process.isPaused) {
-      process.deferred.push(action);
+      process.deferredActions.push(action);
       return;
     }
     action();
@@ -112,14 +115,18 @@
     };
   }
 
-  function deliver(from: SimulatedProcess, to: string, bytes: Buffer): void {
+  function deliverToId(
+    from: SimulatedProcess,
+    to: string,
+    bytes: Buffer,
+  ): void {
     const target = processes.get(to);
     if (target !== undefined) {
-      deliverTo(from, target, bytes);
+      deliverToProcess(from, target, bytes);
     }
   }
 
-  function deliverTo(
+  function deliverToProcess(
     from: SimulatedProcess,
     target: SimulatedProcess,
     bytes: Buffer,
@@ -131,9 +138,9 @@
     clock.after(delayMs * (1 + random.next()), () =>
       runOrDefer(target, () => {
         // The response goes to the process that sent the request, not to a
-        // later one of the same id: a connection ends with its process.
+        // later process of the same id: a connection ends with its process.
         target.dispatcher.receive(from.id, bytes, reply =>
-          deliverTo(target, from, reply),
+          deliverToProcess(target, from, reply),
         );
       }),
     );
@@ -143,7 +150,7 @@
     return process.connectedIds.has(to) && processes.get(to)?.isAlive === true;
   }
 
-  /** Opens the connection on both sides. */
+  /** Opens a connection on both sides, unless they are partitioned. */
   function connect(process: SimulatedProcess, to: string) {
     const target = processes.get(to);
     const isPartitioned =
@@ -154,9 +161,9 @@
     }
     process.connectedIds.add(to);
     target.connectedIds.add(process.id);
-    process.peerChanged.fire({peer: to, isOpen: true});
+    process.peerChangeEmitter.fire({peer: to, isOpen: true});
     runOrDefer(target, () =>
-      target.peerChanged.fire({peer: process.id, isOpen: true}),
+      target.peerChangeEmitter.fire({peer: process.id, isOpen: true}),
     );
   }
 
@@ -165,47 +172,47 @@
       return;
     }
     process.dispatcher.failRequests(to);
-    process.peerChanged.fire({peer: to, isOpen: false});
+    process.peerChangeEmitter.fire({peer: to, isOpen: false});
     const target = processes.get(to);
     if (target?.connectedIds.delete(process.id)) {
       runOrDefer(target, () =>
-        target.peerChanged.fire({peer: process.id, isOpen: false}),
+        target.peerChangeEmitter.fire({peer: process.id, isOpen: false}),
       );
     }
   }
 
   function createProcessNetwork(process: SimulatedProcess): PeerNetwork {
     const {dispatcher} = process;
-    let addressBook = new Set<string>();
-    let wantedPeers = new Set<string>();
+    let addressBookIds = new Set<string>();
+    let wantedPeerIds = new Set<string>();
     function sendBytes(to: string, bytes: Buffer): boolean {
-      if (wantedPeers.has(to) || addressBook.has(to)) {
+      if (wantedPeerIds.has(to) || addressBookIds.has(to)) {
         connect(process, to);
       }
       if (!isConnected(process, to)) {
         return false;
       }
-      deliver(process, to, bytes);
+      deliverToId(process, to, bytes);
       return true;
     }
-    function connected() {
+    function listConnectedIds() {
       return [...process.connectedIds].filter(to => isConnected(process, to));
     }
     return {
       setPeers(peers: readonly PeerAddress[]) {
-        wantedPeers = new Set(peers.map(peer => peer.id));
-        wantedPeers.delete(process.id);
+        wantedPeerIds = new Set(peers.map(peer => peer.id));
+        wantedPeerIds.delete(process.id);
         for (const id of [...process.connectedIds]) {
-          if (!wantedPeers.has(id) && !addressBook.has(id)) {
+          if (!wantedPeerIds.has(id) && !addressBookIds.has(id)) {
             disconnect(process, id);
           }
         }
-        for (const id of wantedPeers) {
+        for (const id of wantedPeerIds) {
           connect(process, id);
         }
       },
       setAddressBook(peers) {
-        addressBook = new Set(peers.map(peer => peer.id));
+        addressBookIds = new Set(peers.map(peer => peer.id));
       },
       dial(url) {
         const id = url.replace(MEMORY_URL_PREFIX, '');
@@ -214,11 +221,11 @@
           ? Promise.resolve(id)
           : Promise.reject(notConnectedError(url));
       },
-      connectedPeers: connected,
+      connectedPeers: listConnectedIds,
       send: (to, type, body) =>
         sendBytes(to, dispatcher.encode({type, requestId: 0, body})),
       broadcast(type, body, to) {
-        const receivers = to ?? connected();
+        const receivers = to ?? listConnectedIds();
         const bytes = dispatcher.encode(
           {type, requestId: 0, body},
           receivers.length,
@@ -235,7 +242,9 @@
           handler as (from: string, body: unknown) => unknown,
         ),
       onDidChangePeer: listener =>
-        process.peerChanged.event(({peer, isOpen}) => listener(peer, isOpen)),
+        process.peerChangeEmitter.event(({peer, isOpen}) =>
+          listener(peer, isOpen),
+        ),
       traffic: () => dispatcher.traffic(),
       dispose() {
         for (const id of [...process.connectedIds]) {
@@ -253,11 +262,11 @@
       return;
     }
     process.isAlive = false;
-    for (const other of processes.values()) {
-      if (other.connectedIds.delete(id)) {
-        other.dispatcher.failRequests(id);
-        runOrDefer(other, () =>
-          other.peerChanged.fire({peer: id, isOpen: false}),
+    for (const peerProcess of processes.values()) {
+      if (peerProcess.connectedIds.delete(id)) {
+        peerProcess.dispatcher.failRequests(id);
+        runOrDefer(peerProcess, () =>
+          peerProcess.peerChangeEmitter.fire({peer: id, isOpen: false}),
         );
       }
     }
@@ -269,8 +278,8 @@
       const process = {
         id,
         connectedIds: new Set<string>(),
-        deferred: [],
-        peerChanged: emitter<{peer: string; isOpen: boolean}>(),
+        deferredActions: [],
+        peerChangeEmitter: emitter<{peer: string; isOpen: boolean}>(),
         isPaused: false,
         isAlive: true,
       } as Omit<SimulatedProcess, 'dispatcher'> as SimulatedProcess;
@@ -296,7 +305,7 @@
         return;
       }
       process.isPaused = false;
-      for (const action of process.deferred.splice(0)) {
+      for (const action of process.deferredActions.splice(0)) {
         runOrDefer(process, action);
       }
     },
--- a/packages/protocol/src/messages/gatewayMessages.ts
+++ b/packages/protocol/src/messages/gatewayMessages.ts
@@ -9,19 +9,19 @@
 /** Kinds of platform objects that entries mirror. */
 export type MirrorKind = 'policy' | 'endpoints' | 'rollouts' | 'crashes';
 
-/** State of the sender's copy of one kind. */
+/** State of the sender's copy of the platform objects of one kind. */
 export interface SyncStatus {
   /** Store revision up to which the copy is complete. */
   readonly revision: number;
   /** Store revision of the newest change in the copy. */
   readonly changedAt: number;
-  /** Age when sent of the last check that the copy is current; -1 for never. */
+  /** Milliseconds since the copy was last confirmed as current; -1 if never. */
   readonly confirmedAgoMs: number;
   /** Whether the sender successfully reads this kind from the platform. */
   readonly isReader: boolean;
 }
 
-/** One changed object; has no value if it was deleted. */
+/** One changed object; `value` is absent if the object was deleted. */
 export interface MirrorChange {
   readonly name: string;
   readonly revision: number;
@@ -33,14 +33,17 @@
   readonly requests: number;
   /** Prompt tokens not yet processed. */
   readonly pendingTokens: number;
-  /** Pending tokens by urgency, 0 first; absent if nothing is pending. */
+  /** Pending tokens by urgency, 0 first; absent if no tokens are pending. */
   readonly pendingByUrgency?: readonly number[];
-  /** Prompt tokens of all its requests at the endpoint. */
+  /** Prompt tokens of all requests of the entry at the endpoint. */
   readonly contextTokens: number;
 }
 
 export interface GatewayMessages {
-  /** Sent several times a second to all peers; via relays in large fleets. */
+  /**
+   * State of the sender or of its failure domain, sent several times a second
+   * to all peers, through relays in large fleets.
+   */
   digest: {
     /**
      * Entries that `used`, `usage`, `loads` and `work` cover: the sender (the
@@ -59,14 +62,14 @@
     readonly stamp: number;
     /** Wall-clock milliseconds of the sender when sent. */
     readonly wallMs: number;
-    /** Last `stamp` received from the receiver; undefined before the first. */
+    /** Last `stamp` from the receiver; undefined before its first digest. */
     readonly echo?: number;
     /** Releases without crash reports omit `crashes`. */
     readonly mirrors: Readonly<
       Record<Exclude<MirrorKind, 'crashes'>, SyncStatus> &
         Partial<Record<'crashes', SyncStatus>>
     >;
-    /** Recent crashes, and when a request was last `served`, by fingerprint. */
+    /** Recent crashes; `served`: last success of a request, by fingerprint. */
     readonly crashes?: {
       readonly crashes: readonly {
         readonly request: string;
@@ -77,7 +80,7 @@
     };
     /** Quota amounts admitted since the sender's start, by customer. */
     readonly used: Readonly<Record<string, number>>;
-    /** Requests that started to run, by window and customer. */
+    /** Requests that started to run, by time window and customer. */
     readonly usage: Readonly<Record<string, Readonly<Record<string, number>>>>;
     /** Load by endpoint; endpoints without load are omitted. */
     readonly loads: Readonly<Record<string, EndpointLoad>>;
@@ -89,17 +92,20 @@
     readonly work: Readonly<Record<string, WorkRate>>;
     /** Engine measurements; unchanged since the last digest if absent. */
     readonly capacity?: CapacityStats;
-    /** Outcomes of requests, by service. */
+    /** Counts of request outcomes, by service. */
     readonly outcomes: Readonly<Record<string, OutcomeCounts>>;
   };
-  /** Changes of one kind between two revisions, sent by their reader. */
+  /**
+   * Changes to the objects of one kind between two store revisions, sent by an
+   * entry that reads the objects from the platform.
+   */
   mirrorChanges: {
     readonly kind: MirrorKind;
     readonly from: number;
     readonly to: number;
     readonly changes: readonly MirrorChange[];
   };
-  /** Requests the receiver's copy of a kind. Response: `MirrorSnapshot`. */
+  /** Requests the receiver's copy of one kind. Response: `MirrorSnapshot`. */
   mirrorWanted: {readonly kind: MirrorKind};
 }
 
--- a/packages/protocol/src/messages/memberMessages.ts
+++ b/packages/protocol/src/messages/memberMessages.ts
@@ -1,6 +1,9 @@
 /** Membership messages. */
 
-/** State of one member; the higher incarnation, then sequence, wins. */
+/**
+ * State of one member. Of two updates, the one with the higher incarnation, or
+ * else the higher sequence, replaces the other.
+ */
 export interface MemberUpdate {
   readonly id: string;
   readonly incarnation: number;
@@ -11,13 +14,13 @@
   readonly innerUrl: string;
   readonly failureDomain: string;
   readonly region: string;
-  /** Requests in flight when this was created, for load balancing. */
+  /** Requests in flight at the member when it created the update. */
   readonly load: number;
-  /** Processor cores it may use; absent if not set in its settings. */
+  /** Processor cores for the member's use; absent if not in its settings. */
   readonly cores?: number;
 }
 
-/** Change of a known member to `leaving` or `gone`, without its addresses. */
+/** State change of a member whose addresses the receiver already has. */
 export interface MemberChange {
   readonly id: string;
   readonly incarnation: number;
@@ -33,10 +36,13 @@
     readonly load: number;
     readonly news: readonly MemberUpdate[];
     readonly changes?: readonly MemberChange[];
-    /** Hash of all known members; a lasting difference is reconciled. */
+    /**
+     * Hash of the sender's member list. If it differs from the receiver's hash
+     * for some time, the two lists are reconciled.
+     */
     readonly digest?: number;
   };
-  /** First message of a stopping entry; a request, to be acknowledged. */
+  /** Announces that the sender is stopping; a request, to be acknowledged. */
   leaving: {readonly news: MemberUpdate};
   /**
    * Probes a member for its current state; carries the state that the sender
@@ -44,22 +50,28 @@
    * Response: `MemberProbeResponse`.
    */
   memberProbe: {readonly from: MemberUpdate; readonly believed?: MemberUpdate};
-  /** Requests when a member was last active. Response: `LastSeenResponse`. */
+  /** Asks when a member was last active. Response: `LastSeenResponse`. */
   memberWord: {readonly id: string; readonly incarnation: number};
-  /** Requests the members of differing buckets. Response: `MembersResponse`. */
+  /**
+   * Requests the members of the buckets in which the two member lists differ.
+   * Response: `MembersResponse`.
+   */
   membersWanted: {readonly buckets: readonly number[]};
 }
 
 /** Response to `memberProbe`. */
 export interface MemberProbeResponse {
   readonly news: MemberUpdate;
-  /** State recorded for the prober by the responder, unless `live`. */
+  /** State that the responder recorded for the prober; absent if `live`. */
   readonly believed?: MemberUpdate;
 }
 
 /** Response to `memberWord`. */
 export interface LastSeenResponse {
-  /** Milliseconds since this or a later incarnation was active; -1: never. */
+  /**
+   * Milliseconds since the member was active in the given or a later
+   * incarnation; -1 if never.
+   */
   readonly heardAgoMs: number;
 }
 
--- a/packages/protocol/src/messages/moveMessages.ts
+++ b/packages/protocol/src/messages/moveMessages.ts
@@ -1,11 +1,11 @@
 /** Messages about moves (rollouts of versions) and their evidence. */
 
-/** Sums over one window for one version, route and load level. */
+/** Sums over one time window for one version, route and load level. */
 export interface EvidenceSum {
   readonly route: string;
   readonly version: string;
   readonly loadLevel: 'low' | 'middle' | 'high';
-  /** True for calls that run at most once; their share is raised last. */
+  /** Whether the calls run at most once; their traffic share is raised last. */
   readonly isOrder?: boolean;
   readonly requests: number;
   readonly errors: number;
@@ -22,7 +22,7 @@
   | 'taken-back'
   | 'withdrawn';
 
-/** Durable state of a move, a platform object written by the duty's holder. */
+/** Durable state of a move: a platform object that the duty holder writes. */
 export interface MoveState {
   readonly move: string;
   readonly phase: MovePhase;
@@ -32,7 +32,7 @@
   readonly orderShare: number;
   /** Reason for this phase, for the operator. */
   readonly why: string;
-  /** Confidence in the verdict, 0 to 1. */
+  /** Confidence in the verdict on the candidate, 0 to 1. */
   readonly confidence: number;
   /** Wall-clock milliseconds of the last change of phase or share. */
   readonly changedAt: number;
@@ -51,14 +51,20 @@
   readonly isOrder: boolean;
   readonly requests: number;
   readonly candidateRequests: number;
-  /** Log-likelihood ratios of an unchanged error rate to 2 and 3 times it. */
+  /**
+   * Log-likelihood ratios of an unchanged error rate to a doubled and to a
+   * tripled error rate.
+   */
   readonly errorsTwice: number;
   readonly errorsThrice: number;
-  /** The same for a relevant added error rate, on routes that rarely fail. */
+  /**
+   * Log-likelihood ratio of an unchanged error rate to one with a relevant
+   * amount added, for routes that rarely fail.
+   */
   readonly errorsAdded: number;
-  /** The same for 1.5 times the latency. */
+  /** Log-likelihood ratio of an unchanged latency to 1.5 times the latency. */
   readonly slower: number;
-  /** Maximum log-likelihood ratio of an ongoing fault over all start times. */
+  /** Log-likelihood ratio of a current fault, maximized over its start time. */
   readonly recentFault: number;
 }
 
@@ -76,6 +82,6 @@
     /** Version of the candidate; the record may name another version by now. */
     readonly to?: string;
   };
-  /** Durable states known to the sender; a receiver keeps the newer of each. */
+  /** Move states that the sender has; a receiver keeps the newer per move. */
   moveStates: {readonly states: readonly MoveState[]};
 }
--- a/packages/protocol/src/messages/orderMessages.ts
+++ b/packages/protocol/src/messages/orderMessages.ts
@@ -31,7 +31,7 @@
       readonly run: RunState;
       readonly retryAfterMs?: number;
     }
-  /** Another member owns the shard; nothing was or will be sent from here. */
+  /** Another member owns the shard; the responder never sends the order. */
   | {
       readonly type: 'elsewhere';
       readonly member: string;
@@ -71,9 +71,9 @@
     readonly call: ForwardedCall;
     /** Remaining time to respond, in milliseconds. */
     readonly leftMs: number;
-    /** Sender's wall-clock milliseconds, to drop messages read far too late. */
+    /** Wall-clock milliseconds when sent, to drop messages read much later. */
     readonly sentAtWall: number;
-    /** Tokens of void claims of this id, whose call is never sent. */
+    /** Tokens of void claims on the order, whose calls are never sent. */
     readonly released: readonly string[];
   };
   /**
@@ -91,7 +91,7 @@
   /**
    * The sender released a shard; the receiver takes it over and runs its queued
    * orders. The epoch is in the ledger. The field name `epoch` is reserved:
-   * earlier releases send it here, always as 0.
+   * earlier releases send it in this message, always as 0.
    */
   orderHandOver: {readonly shard: number};
 }
--- a/packages/protocol/src/messages/recordMessages.ts
+++ b/packages/protocol/src/messages/recordMessages.ts
@@ -15,14 +15,17 @@
   readonly value?: unknown;
 }
 
-/** Digest of all versions in force; equal digests mean equal versions. */
+/**
+ * Digest of the versions of all records in force; equal digests mean equal
+ * versions.
+ */
 export interface RecordDigest {
   readonly count: number;
   /** One checksum per bucket of records, to locate a difference. */
   readonly buckets: readonly number[];
 }
 
-/** Response to `recordsWanted`: differences between both sides. */
+/** Response to `recordsWanted`: how the records of the two members differ. */
 export interface RecordDifference {
   /** False while the responder itself has no complete configuration. */
   readonly isReady: boolean;
@@ -34,7 +37,7 @@
 export interface RecordMessages {
   /** Accepted records that the sender has just put in force. */
   records: {readonly records: readonly RelayedRecord[]};
-  /** Digest of the sender's records in force; a mismatch causes a request. */
+  /** Sender's digest; a receiver whose digest differs sends `recordsWanted`. */
   recordDigest: RecordDigest;
   /** Requests records that the sender lacks. Response: `RecordDifference`. */
   recordsWanted: {
@@ -42,10 +45,10 @@
     /** Restricts the request to these buckets; absent for all. */
     readonly buckets?: readonly number[];
   };
-  /** Whether records are in force. Response: `RecordsInForceResponse`. */
+  /** Asks if records are in force. Response: `RecordsInForceResponse`. */
   recordsInForce: {
     readonly records: readonly RecordVersion[];
-    /** `domain`: all live members of the receiver's failure domain. */
+    /** Receiver alone, or all live members of its failure domain. */
     readonly scope: 'self' | 'domain';
   };
 }
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -21,7 +21,7 @@
 /** Keeps a peer connected, or dials it on demand. */
 export interface PeerLink extends Disposable {
   address: PeerAddress;
-  /** Whether to stay connected; otherwise dials only on demand. */
+  /** Whether to stay connected; if false, the link dials only on demand. */
   isWanted: boolean;
   state(): LinkState;
   /** Dials immediately unless a connection is open or being opened. */
@@ -36,7 +36,7 @@
 const MAX_BACKOFF_MS = 5_000;
 
 /**
- * Creates the link to a peer; `startDial` starts one dial.
+ * Creates the link to a peer; `startDial` starts one connection attempt.
  *
  * @example
  * const link = createPeerLink({address, clock, random, startDial});
@@ -48,22 +48,22 @@
   startDial(link: PeerLink): void;
 }): PeerLink {
   const {clock, random} = options;
-  const service = interpret(linkMachine, () => {});
+  const interpreter = interpret(linkMachine, () => {});
   let failureCount = 0;
   let retryTimer: Disposable | undefined;
   let isDisposed = false;
 
-  function current(): LinkState {
-    return service.machine.current as LinkState;
+  function currentState(): LinkState {
+    return interpreter.machine.current as LinkState;
   }
 
   function send(event: LinkEvent) {
-    service.send(event);
+    interpreter.send(event);
   }
 
   /**
-   * Exponential backoff with 50 % jitter, so that peers that lost an entry do
-   * not redial together.
+   * Exponential backoff with 50 % jitter, so that peers that lost the same
+   * entry do not all redial at the same time.
    */
   function backoffMs(): number {
     const maxDelayMs = Math.min(
@@ -76,9 +76,13 @@
   const link: PeerLink = {
     address: options.address,
     isWanted: false,
-    state: current,
+    state: currentState,
     dial() {
-      if (isDisposed || current() === 'open' || current() === 'dialing') {
+      if (
+        isDisposed ||
+        currentState() === 'open' ||
+        currentState() === 'dialing'
+      ) {
         return;
       }
       retryTimer?.dispose();
@@ -91,7 +95,7 @@
       send('opened');
     },
     handleClosed() {
-      send(current() === 'dialing' ? 'failed' : 'closed');
+      send(currentState() === 'dialing' ? 'failed' : 'closed');
       retryTimer?.dispose();
       if (!link.isWanted) {
         send('goIdle');
--- a/packages/protocol/src/peerLinks.ts
+++ b/packages/protocol/src/peerLinks.ts
@@ -38,7 +38,7 @@
   readonly clock: Clock;
   readonly random: Random;
   connectionTo(id: string): Connection | undefined;
-  /** Starts one dial. */
+  /** Starts one connection attempt. */
   startDial(link: PeerLink): void;
 }): PeerLinks {
   const {selfId, clock, random, connectionTo, startDial} = options;
@@ -46,10 +46,10 @@
   let addressBook = new Map<string, PeerAddress>();
 
   function getOrCreate(address: PeerAddress): PeerLink {
-    const existing = links.get(address.id);
-    if (existing !== undefined) {
-      existing.address = address;
-      return existing;
+    const existingLink = links.get(address.id);
+    if (existingLink !== undefined) {
+      existingLink.address = address;
+      return existingLink;
     }
     const link = createPeerLink({address, clock, random, startDial});
     links.set(address.id, link);
@@ -82,7 +82,7 @@
     link.dispose();
     links.delete(id);
     const connection = connectionTo(id);
-    // Only the dialing side closes: the peer may still want this connection.
+    // Closes only outbound connections: the peer may still need an inbound one.
     if (connection?.isOutbound) {
       connection.dispose();
     }
@@ -94,14 +94,14 @@
     addressOf: id => links.get(id)?.address ?? addressBook.get(id),
     addressFromBook: id => addressBook.get(id),
     setWantedPeers(peers) {
-      const wanted = new Map(peers.map(peer => [peer.id, peer]));
-      wanted.delete(selfId);
+      const wantedPeers = new Map(peers.map(peer => [peer.id, peer]));
+      wantedPeers.delete(selfId);
       for (const link of [...links.values()]) {
-        if (!wanted.has(link.address.id)) {
+        if (!wantedPeers.has(link.address.id)) {
           releaseLink(link);
         }
       }
-      wanted.forEach(keepConnected);
+      wantedPeers.forEach(keepConnected);
     },
     setAddressBook(peers) {
       addressBook = new Map(peers.map(peer => [peer.id, peer]));
--- a/packages/protocol/src/peerNetwork.ts
+++ b/packages/protocol/src/peerNetwork.ts
@@ -51,8 +51,8 @@
   const limits = {...DEFAULT_LIMITS, ...options.limits};
   const dispatcher = createDispatcher({clock, log});
   const connections = new Map<string, Connection>();
-  const peerChanged = emitter<{peer: string; isOpen: boolean}>();
-  const dialFailed = emitter<string>();
+  const peerChangeEmitter = emitter<{peer: string; isOpen: boolean}>();
+  const dialFailureEmitter = emitter<string>();
   const disposables = disposableStore();
   const handshakes = createHandshakes({
     self,
@@ -94,8 +94,8 @@
         log.warn({peer: from.peer, reason}, 'peer violated the protocol');
       },
     });
-    // The newest connection wins: a peer that redials has lost the previous
-    // one.
+    // The newest connection replaces the previous one: a peer that redials has
+    // lost its previous connection.
     const previous = connections.get(peer.id);
     connections.set(peer.id, connection);
     previous?.dispose();
@@ -106,16 +106,16 @@
     }
     links.get(peer.id)?.handleOpened();
     if (previous === undefined) {
-      peerChanged.fire({peer: peer.id, isOpen: true});
+      peerChangeEmitter.fire({peer: peer.id, isOpen: true});
     }
     return connection;
   }
 
   function handleMessage(connection: Connection, bytes: Buffer) {
-    const isReadable = dispatcher.receive(connection.peer, bytes, reply =>
+    const isWellFormed = dispatcher.receive(connection.peer, bytes, reply =>
       connection.send(reply),
     );
-    if (!isReadable) {
+    if (!isWellFormed) {
       connection.abort('unreadable message');
     }
   }
@@ -123,14 +123,14 @@
   function handleClose(connection: Connection) {
     const {peer} = connection;
     // A replaced connection may deliver responses until it closes; afterwards
-    // its requests would wait for their whole timeout.
+    // its pending requests would wait for their whole timeout.
     dispatcher.failRequests(connection);
     if (connections.get(peer) !== connection) {
       return;
     }
     connections.delete(peer);
     links.get(peer)?.handleClosed();
-    peerChanged.fire({peer, isOpen: false});
+    peerChangeEmitter.fire({peer, isOpen: false});
   }
 
   function dialLink(link: PeerLink) {
@@ -143,7 +143,7 @@
     handshakes.dial(socket, id, connection => {
       if (connection === undefined && !connections.has(id)) {
         link.handleClosed();
-        dialFailed.fire(id);
+        dialFailureEmitter.fire(id);
       }
     });
   }
@@ -172,12 +172,12 @@
     }
     return new Promise(resolve => {
       const timer = clock.after(timeoutMs, () => finish(false));
-      const openSubscription = peerChanged.event(({peer, isOpen}) => {
+      const openSubscription = peerChangeEmitter.event(({peer, isOpen}) => {
         if (peer === to && isOpen) {
           finish(true);
         }
       });
-      const failureSubscription = dialFailed.event(id => {
+      const failureSubscription = dialFailureEmitter.event(id => {
         if (id === to && links.get(to)?.isWanted !== true) {
           finish(false);
         }
@@ -275,7 +275,7 @@
         handler as (from: string, body: unknown) => unknown,
       ),
     onDidChangePeer: listener =>
-      peerChanged.event(({peer, isOpen}) => listener(peer, isOpen)),
+      peerChangeEmitter.event(({peer, isOpen}) => listener(peer, isOpen)),
     traffic: () => dispatcher.traffic(),
     dump: () => ({
       traffic: dispatcher.traffic(),
--- a/packages/protocol/src/test/compatibility.test.ts
+++ b/packages/protocol/src/test/compatibility.test.ts
@@ -30,8 +30,11 @@
   {name: 'a missing', protocolVersion: undefined, isAccepted: false},
 ];
 
-function encodeHello(protocolVersion: number | undefined, more = {}): Buffer {
-  const body = {id: 'x', incarnation: 1, protocolVersion, ...more};
+function encodeHello(
+  protocolVersion: number | undefined,
+  extraFields = {},
+): Buffer {
+  const body = {id: 'x', incarnation: 1, protocolVersion, ...extraFields};
   return encodeFrame({type: HELLO_FRAME, requestId: 0, body});
 }
 
@@ -61,9 +64,9 @@
 
 describe('compatibility of adjacent releases', () => {
   // During a rolling restart, entries of two releases exchange messages. If one
-  // disconnected the other because of an unknown message or field, the fleet
-  // would be partitioned, and callers would be sent to entries that have only
-  // half of the members and records.
+  // entry disconnected the other because of an unknown message or field, the
+  // fleet would be partitioned, and callers would be sent to entries that have
+  // only half of the members and records.
   let a: TestPeer;
 
   before(async () => {
@@ -73,17 +76,17 @@
   after(() => a.network.dispose());
 
   async function join(hello: Buffer): Promise<OtherReleasePeer> {
-    const other = dial(a.address.url, hello);
+    const otherPeer = dial(a.address.url, hello);
     await until(
       () => a.network.connectedPeers().includes('x'),
       'x is connected',
     );
-    await until(() => other.received.length > 0, 'x received the hello');
-    return other;
+    await until(() => otherPeer.received.length > 0, 'x received the hello');
+    return otherPeer;
   }
 
-  async function leave(other: OtherReleasePeer): Promise<void> {
-    other.socket.close();
+  async function leave(otherPeer: OtherReleasePeer): Promise<void> {
+    otherPeer.socket.close();
     await until(
       () => !a.network.connectedPeers().includes('x'),
       'x is disconnected',
@@ -93,18 +96,21 @@
   for (const {name, protocolVersion, isAccepted} of VERSIONS) {
     it(`${isAccepted ? 'accepts' : 'rejects'} a dialing peer of ${name} version`, async () => {
       const rejectedBefore = a.network.traffic().rejected;
-      const other = dial(a.address.url, encodeHello(protocolVersion));
+      const otherPeer = dial(a.address.url, encodeHello(protocolVersion));
       if (isAccepted) {
         await until(
           () => a.network.connectedPeers().includes('x'),
-          'connected',
+          'x is connected',
         );
         assert.equal(a.network.traffic().rejected, rejectedBefore);
-        await leave(other);
+        await leave(otherPeer);
         return;
       }
-      await until(() => other.socket.readyState === WebSocket.CLOSED, 'closed');
-      assert.deepEqual(other.received, []);
+      await until(
+        () => otherPeer.socket.readyState === WebSocket.CLOSED,
+        'x is closed',
+      );
+      assert.deepEqual(otherPeer.received, []);
       assert.equal(a.network.traffic().rejected, rejectedBefore + 1);
       assert.deepEqual(a.network.connectedPeers(), []);
     });
@@ -117,11 +123,11 @@
         socket.once('message', () => socket.send(hello)),
       );
       const {port} = server.address() as {port: number};
-      const dialed = a.network.dial(`ws://127.0.0.1:${port}`);
+      const dialResult = a.network.dial(`ws://127.0.0.1:${port}`);
       if (isAccepted) {
-        assert.equal(await dialed, 'x');
+        assert.equal(await dialResult, 'x');
       } else {
-        await assert.rejects(dialed, {kind: 'interrupted', run: 'not-run'});
+        await assert.rejects(dialResult, {kind: 'interrupted', run: 'not-run'});
         assert.deepEqual(a.network.connectedPeers(), []);
       }
       server.clients.forEach(client => client.terminate());
@@ -134,50 +140,50 @@
   }
 
   it('counts and ignores messages of unknown types', async () => {
-    const other = await join(encodeHello(PROTOCOL_VERSION + 1));
+    const otherPeer = await join(encodeHello(PROTOCOL_VERSION + 1));
     const rejectedBefore = a.network.traffic().rejected;
-    other.send({type: 'unknownMessage', requestId: 0, body: {a: 1}});
-    other.send({type: 'unknownRequest', requestId: 7, body: {a: 1}});
-    await until(() => other.received.length === 2, 'the response arrives');
+    otherPeer.send({type: 'unknownMessage', requestId: 0, body: {a: 1}});
+    otherPeer.send({type: 'unknownRequest', requestId: 7, body: {a: 1}});
+    await until(() => otherPeer.received.length === 2, 'the response arrives');
     assert.equal(a.network.traffic().rejected, rejectedBefore + 2);
-    const {type, requestId: receivedId, body} = other.received[1]!;
+    const {type, requestId: receivedId, body} = otherPeer.received[1]!;
     assert.deepEqual({type, receivedId}, {type: ERROR_FRAME, receivedId: 7});
     const {kind, run} = body as {kind: string; run: string};
     assert.deepEqual({kind, run}, {kind: 'protocol-violation', run: 'not-run'});
     assert.ok(a.network.connectedPeers().includes('x'));
-    await leave(other);
+    await leave(otherPeer);
   });
 
   it('passes a body with an unknown field to the handler', async () => {
-    const other = await join(
+    const otherPeer = await join(
       encodeHello(PROTOCOL_VERSION, {unknownField: true}),
     );
-    const seen: object[] = [];
+    const receivedBodies: object[] = [];
     const subscription = a.network.onDidReceive('memberWord', (_, body) => {
-      seen.push(body);
+      receivedBodies.push(body);
       return {heardAgoMs: 5};
     });
     const rejectedBefore = a.network.traffic().rejected;
     const body = {id: 'b', incarnation: 1, unknownField: [1, {nested: true}]};
-    other.send({type: 'memberWord', requestId: 3, body});
-    await until(() => other.received.length === 2, 'the response arrives');
-    assert.deepEqual(other.received[1], {
+    otherPeer.send({type: 'memberWord', requestId: 3, body});
+    await until(() => otherPeer.received.length === 2, 'the response arrives');
+    assert.deepEqual(otherPeer.received[1], {
       type: RESPONSE_FRAME,
       requestId: 3,
       body: {heardAgoMs: 5},
     });
-    assert.deepEqual(seen, [body]);
+    assert.deepEqual(receivedBodies, [body]);
     assert.equal(a.network.traffic().rejected, rejectedBefore);
     assert.ok(a.network.connectedPeers().includes('x'));
     subscription.dispose();
-    await leave(other);
+    await leave(otherPeer);
   });
 
   it('accepts a response with an unknown field', async () => {
-    const other = await join(encodeHello(PROTOCOL_VERSION));
-    other.socket.on('message', (data: RawData) => {
+    const otherPeer = await join(encodeHello(PROTOCOL_VERSION));
+    otherPeer.socket.on('message', (data: RawData) => {
       const {requestId: receivedId} = decodeFrame(data as Buffer);
-      other.send({
+      otherPeer.send({
         type: RESPONSE_FRAME,
         requestId: receivedId,
         body: {heardAgoMs: 5, unknownField: 1},
@@ -192,17 +198,17 @@
     );
     assert.equal((response as {heardAgoMs: number}).heardAgoMs, 5);
     assert.ok(a.network.connectedPeers().includes('x'));
-    await leave(other);
+    await leave(otherPeer);
   });
 
   it('reports that a request may have run on an unknown error kind', async () => {
-    // The next release may add an error kind. If it were taken as `not-run`,
-    // the sender would retry a call that its peer has already run.
-    const other = await join(encodeHello(PROTOCOL_VERSION + 1));
-    other.socket.on('message', (data: RawData) => {
+    // The next release may add an error kind. If an unknown kind were
+    // taken as `not-run`, the sender would retry a call that its peer has run.
+    const otherPeer = await join(encodeHello(PROTOCOL_VERSION + 1));
+    otherPeer.socket.on('message', (data: RawData) => {
       const {requestId: receivedId} = decodeFrame(data as Buffer);
       const body = {kind: 'unknown-kind', message: 'new', run: 'not-run'};
-      other.send({type: ERROR_FRAME, requestId: receivedId, body});
+      otherPeer.send({type: ERROR_FRAME, requestId: receivedId, body});
     });
     const requestBody = {id: 'b', incarnation: 1};
     await assert.rejects(
@@ -212,6 +218,6 @@
         run: 'may-have-run',
       },
     );
-    await leave(other);
+    await leave(otherPeer);
   });
 });
--- a/packages/protocol/src/test/hostileInput.test.ts
+++ b/packages/protocol/src/test/hostileInput.test.ts
@@ -30,11 +30,11 @@
   readonly name: string;
   readonly key?: string;
   readonly path?: string;
-  /** What the client sends, frame by frame. */
+  /** Frames that the client sends. */
   readonly frames: readonly (Buffer | string)[];
 }
 
-/** Each client must be counted and disconnected; a peer stays connected. */
+/** Each client must be counted as rejected and disconnected. */
 const CASES: readonly HostileCase[] = [
   {name: 'a wrong key', key: 'guessed', frames: []},
   {name: 'an empty key', key: '', frames: []},
@@ -87,13 +87,13 @@
   },
 ];
 
-function attack(url: string, hostile: HostileCase): Promise<void> {
+function attack(url: string, hostileCase: HostileCase): Promise<void> {
   return new Promise(resolve => {
-    const socket = new WebSocket(new URL(hostile.path ?? '/peers', url), {
-      headers: {authorization: `Bearer ${hostile.key ?? KEY}`},
+    const socket = new WebSocket(new URL(hostileCase.path ?? '/peers', url), {
+      headers: {authorization: `Bearer ${hostileCase.key ?? KEY}`},
     });
     socket.on('open', () =>
-      hostile.frames.forEach(frame => socket.send(frame)),
+      hostileCase.frames.forEach(frame => socket.send(frame)),
     );
     socket.on('error', () => {});
     socket.on('close', () => resolve());
@@ -102,7 +102,7 @@
 
 describe('hostile input on the inner port', () => {
   // The inner port is reachable from the whole network: by scanners, old
-  // releases and faulty processes. None may disrupt an entry or its peers.
+  // releases and faulty processes. None of them may disrupt an entry or a peer.
   let a: TestPeer;
   let b: TestPeer;
 
@@ -121,17 +121,17 @@
     b.network.dispose();
   });
 
-  for (const hostile of CASES) {
-    it(`disconnects on ${hostile.name} and keeps serving its peer`, async () => {
+  for (const hostileCase of CASES) {
+    it(`disconnects on ${hostileCase.name} and keeps serving a valid peer`, async () => {
       const rejectedBefore = a.network.traffic().rejected;
-      await attack(a.address.url, hostile);
+      await attack(a.address.url, hostileCase);
       await until(
         () => a.network.traffic().rejected > rejectedBefore,
-        'counted',
+        'the rejection is counted',
       );
       await until(
         () => !a.network.connectedPeers().includes('x'),
-        'disconnected',
+        'x is disconnected',
       );
       assert.ok(a.network.connectedPeers().includes('b'));
       const response = b.network.request(
@@ -167,7 +167,7 @@
     assert.ok(handshakes <= LIMITS.handshakes);
     await until(
       () => sockets.every(socket => socket.readyState === WebSocket.CLOSED),
-      'all are closed',
+      'all sockets are closed',
     );
   });
 
--- a/packages/protocol/src/test/innerTls.test.ts
+++ b/packages/protocol/src/test/innerTls.test.ts
@@ -17,7 +17,7 @@
 
 describe('TLS of the inner port', () => {
   const cleanups: (() => void)[] = [];
-  let warnings = 0;
+  let warningCount = 0;
 
   afterEach(() => cleanups.splice(0).forEach(cleanup => cleanup()));
 
@@ -37,18 +37,18 @@
   }
 
   async function watchTlsFiles(folder: string): Promise<TlsWatcher> {
-    const watched = await watchTls({
+    const watcher = await watchTls({
       paths: {
         cert: join(folder, 'cert.pem'),
         key: join(folder, 'key.pem'),
         ca: join(folder, 'ca.pem'),
       },
       clock: systemClock(),
-      log: Object.assign(silentLogger(), {warn: () => (warnings += 1)}),
+      log: Object.assign(silentLogger(), {warn: () => (warningCount += 1)}),
       checkIntervalMs: CHECK_INTERVAL_MS,
     });
-    cleanups.push(() => watched.dispose());
-    return watched;
+    cleanups.push(() => watcher.dispose());
+    return watcher;
   }
 
   async function startTlsPeer(id: string, folder: string): Promise<TestPeer> {
@@ -57,7 +57,7 @@
     return peer;
   }
 
-  async function servedCommonName(url: string): Promise<string> {
+  async function readServedCommonName(url: string): Promise<string> {
     const {hostname, port} = new URL(url);
     const socket = tls.connect({
       host: hostname,
@@ -73,8 +73,8 @@
 
   it('uses renewed certificates and keeps connections open', async () => {
     // Certificates are renewed every few weeks. Without a reload, all entries
-    // lose each other when the old certificates expire; with a restart or a
-    // reset, each renewal would interrupt requests in flight.
+    // lose their connections when the old certificates expire; with a restart
+    // or a reset, each renewal would interrupt requests in flight.
     const folder = createTlsFolder('first');
     const a = await startTlsPeer('a', folder);
     const b = await startTlsPeer('b', createTlsFolder('first'));
@@ -91,11 +91,11 @@
     a.network.onDidChangePeer((peer, isOpen) => {
       connectionChanges.push(`${peer} ${isOpen}`);
     });
-    assert.equal(await servedCommonName(a.address.url), 'first');
+    assert.equal(await readServedCommonName(a.address.url), 'first');
     copyKeyPair(folder, 'renewed');
     let name = '';
-    for (let tries = 0; name !== 'renewed' && tries < 200; tries++) {
-      name = await servedCommonName(a.address.url);
+    for (let attempts = 0; name !== 'renewed' && attempts < 200; attempts++) {
+      name = await readServedCommonName(a.address.url);
     }
     assert.equal(name, 'renewed');
     assert.deepEqual(connectionChanges, []);
@@ -104,14 +104,14 @@
   });
 
   it('keeps the old key while the new files do not match', async () => {
-    // An interrupted renewal leaves a certificate with the key of another.
-    warnings = 0;
+    // An interrupted renewal leaves a key that does not match the certificate.
+    warningCount = 0;
     const folder = createTlsFolder('first');
     const a = await startTlsPeer('a', folder);
     const key = join(FIXTURES, 'renewed-key.pem');
     copyFileSync(key, join(folder, 'key.pem'));
-    await until(() => warnings > 0, 'the mismatched pair was rejected');
-    assert.equal(await servedCommonName(a.address.url), 'first');
+    await until(() => warningCount > 0, 'the mismatched pair was rejected');
+    assert.equal(await readServedCommonName(a.address.url), 'first');
     const b = await startTlsPeer('b', createTlsFolder('first'));
     assert.equal(await b.network.dial(a.address.url), 'a');
   });
--- a/packages/protocol/src/test/peerNetwork.test.ts
+++ b/packages/protocol/src/test/peerNetwork.test.ts
@@ -67,7 +67,7 @@
     await assert.rejects(response, {kind: 'overloaded', run: 'not-run'});
   });
 
-  it('fails a request whose handler was disposed as not-run', async () => {
+  it('fails a request as not-run when its handler was disposed', async () => {
     // A component of the peer was closed, for example during a shutdown. An
     // empty response would be taken for a valid result of that component.
     const {a, b} = await startPair();
@@ -91,7 +91,8 @@
 
   it('reports that a request without a response may have run', async () => {
     // The peer is stopped or its response is lost: the sender cannot know
-    // whether the request ran, and must not report to a caller that it did not.
+    // whether the request ran, and must not report to a caller that the request
+    // did not run.
     const {a, b} = await startPair();
     b.network.onDidReceive('recordsWanted', () => new Promise(() => {}));
     const response = a.network.request('b', 'recordsWanted', {known: []}, 50);
@@ -151,9 +152,9 @@
     await assert.rejects(response, {kind: 'interrupted', run: 'not-run'});
   });
 
-  it('disconnects a peer that has another id', async () => {
+  it('disconnects a peer whose id is not the expected id', async () => {
     // A host's address is reassigned to a new entry, which must not receive
-    // messages for the old one.
+    // messages for the old entry.
     const a = await startPeer('a');
     const b = await startPeer('b');
     openNetworks.push(a.network, b.network);
--- a/packages/protocol/src/test/replacedConnection.test.ts
+++ b/packages/protocol/src/test/replacedConnection.test.ts
@@ -53,7 +53,7 @@
     return {socket, received};
   }
 
-  /** Sends x a request and waits until it arrives on its newest connection. */
+  /** Sends peer x a request and waits until the connection receives it. */
   async function requestOver(connection: RawConnection) {
     const outcome: {value?: unknown} = {};
     const receivedBefore = connection.received.length;
@@ -68,60 +68,62 @@
     return outcome;
   }
 
-  it('fails its requests when it closes', async () => {
+  it('fails pending requests when the old connection closes', async () => {
     // A peer redials, for example after a network failure, and closes the old
     // connection with a request pending. The sender and its caller would wait
     // the whole timeout for a response that cannot arrive.
-    const old = await connect(1);
-    const outcome = await requestOver(old);
+    const oldConnection = await connect(1);
+    const outcome = await requestOver(oldConnection);
     await connect(1);
     await until(() => outcome.value !== undefined, 'the request fails');
     const {kind, run} = outcome.value as ServingError;
     assert.deepEqual({kind, run}, {kind: 'interrupted', run: 'may-have-run'});
   });
 
-  it('fails its requests immediately when the peer has restarted', async () => {
+  it('fails pending requests immediately when the peer has restarted', async () => {
     // The old process is gone with its host, so its connection never closes,
     // and the new process has never received the request.
-    const old = await connect(1);
-    const outcome = await requestOver(old);
-    old.socket.pause();
+    const oldConnection = await connect(1);
+    const outcome = await requestOver(oldConnection);
+    oldConnection.socket.pause();
     await connect(2);
     await until(() => outcome.value !== undefined, 'the request fails');
     const {kind, run} = outcome.value as ServingError;
     assert.deepEqual({kind, run}, {kind: 'interrupted', run: 'may-have-run'});
   });
 
-  it('accepts a response that was in transit', async () => {
+  it('accepts a response that was in transit during the replacement', async () => {
     // Two entries dial each other at the same time, and one connection replaces
-    // the other while a response is in transit. If it were dropped, a call that
-    // has run would be reported as `may-have-run`.
-    const old = await connect(1);
-    const outcome = await requestOver(old);
-    old.socket.pause();
+    // the other while a response is in transit. If the response were dropped, a
+    // call that has run would be reported as `may-have-run`.
+    const oldConnection = await connect(1);
+    const outcome = await requestOver(oldConnection);
+    oldConnection.socket.pause();
     await connect(1);
-    const {requestId: receivedId} = old.received.at(-1)!;
+    const {requestId: receivedId} = oldConnection.received.at(-1)!;
     const body = {heardAgoMs: 5};
-    old.socket.send(
+    oldConnection.socket.send(
       encodeFrame({type: RESPONSE_FRAME, requestId: receivedId, body}),
     );
     await until(() => outcome.value !== undefined, 'the response arrives');
     assert.deepEqual(outcome.value, body);
   });
 
-  it('does not fail requests of the newer connection', async () => {
+  it('does not fail requests of the newer connection when the old one closes', async () => {
     // The old connection closes after a request was sent over the new one.
     // Failing that request too would abandon a call that is still running.
-    const old = await connect(1);
-    old.socket.pause();
-    const newer = await connect(1);
-    const outcome = await requestOver(newer);
-    const closed = new Promise(resolve => old.socket.once('close', resolve));
-    old.socket.resume();
+    const oldConnection = await connect(1);
+    oldConnection.socket.pause();
+    const newerConnection = await connect(1);
+    const outcome = await requestOver(newerConnection);
+    const closed = new Promise(resolve =>
+      oldConnection.socket.once('close', resolve),
+    );
+    oldConnection.socket.resume();
     await closed;
-    const {requestId: receivedId} = newer.received.at(-1)!;
+    const {requestId: receivedId} = newerConnection.received.at(-1)!;
     const body = {heardAgoMs: 5};
-    newer.socket.send(
+    newerConnection.socket.send(
       encodeFrame({type: RESPONSE_FRAME, requestId: receivedId, body}),
     );
     await until(() => outcome.value !== undefined, 'the response arrives');
--- a/packages/protocol/src/test/until.ts
+++ b/packages/protocol/src/test/until.ts
@@ -3,11 +3,11 @@
 
 const TIMEOUT_MS = 10_000;
 
-export async function until(condition: () => boolean, what: string) {
+export async function until(condition: () => boolean, description: string) {
   const deadline = performance.now() + TIMEOUT_MS;
   while (!condition()) {
     if (performance.now() > deadline) {
-      throw new Error(`timed out waiting for: ${what}`);
+      throw new Error(`timed out waiting for: ${description}`);
     }
     await delay(5);
   }
