--- a/packages/providers/src/callRateLimiter.ts
+++ b/packages/providers/src/callRateLimiter.ts
@@ -1,9 +1,10 @@
 /**
- * A token bucket rate limiter for calls to the platform.
+ * Token bucket rate limiter for calls to the platform.
  *
  * The platform's rate limits are shared by the whole fleet and grow more slowly
  * than the fleet. Without a limit per process, peak load makes the platform
- * reject calls, including lease renewals, and duties move without need.
+ * reject calls, including lease renewals, and duties move to other entries
+ * without need.
  */
 import {
   ServingError,
@@ -15,15 +16,15 @@
 /** Limits this process to its share of the platform's rate limit. */
 export interface CallRateLimiter extends Disposable {
   /**
-   * Waits for a token for one call. Throws `platform-unavailable` when none is
-   * available before the deadline.
+   * Waits for a token for one call. Throws `platform-unavailable` when no token
+   * is available before `deadlineAt`, in monotonic milliseconds.
    */
   acquire(deadlineAt: number, signal?: AbortSignal): Promise<void>;
   /** Sets this process's share to the platform's rate divided by `count`. */
   setLiveEntries(count: number): void;
   /** Empties the bucket, so that calls resume slowly after an outage. */
   clearTokens(): void;
-  /** Grants no call for a duration that the platform requested. */
+  /** Delays all calls for a duration that the platform requested. */
   blockFor(durationMs: number): void;
   ratePerSecond(): number;
   queueLength(): number;
@@ -57,9 +58,9 @@
   let callsPerSecond =
     options.platformCallsPerSecond / Math.max(1, options.liveEntries);
   let tokens = burstSize();
-  let refilledAt = clock.now();
+  let lastRefillAt = clock.now();
   let blockedUntil = 0;
-  let timer: Disposable = toDisposable(() => {});
+  let grantTimer: Disposable = toDisposable(() => {});
   const waiters = new Set<Waiter>();
 
   function burstSize(): number {
@@ -70,12 +71,12 @@
     const now = clock.now();
     tokens = Math.min(
       burstSize(),
-      tokens + ((now - refilledAt) * callsPerSecond) / 1000,
+      tokens + ((now - lastRefillAt) * callsPerSecond) / 1000,
     );
-    refilledAt = now;
+    lastRefillAt = now;
   }
 
-  /** Milliseconds until the next call is allowed, 0 when it is allowed now. */
+  /** Milliseconds until a call is allowed; 0 when a call is allowed now. */
   function nextTokenDelayMs(): number {
     refill();
     const refillDelayMs =
@@ -84,7 +85,7 @@
   }
 
   function grantWaiters(): void {
-    timer.dispose();
+    grantTimer.dispose();
     for (const waiter of waiters) {
       if (clock.now() >= waiter.deadlineAt) {
         waiters.delete(waiter);
@@ -93,7 +94,7 @@
       }
       const waitMs = nextTokenDelayMs();
       if (waitMs > 0) {
-        timer = clock.after(Math.max(1, waitMs), grantWaiters);
+        grantTimer = clock.after(Math.max(1, waitMs), grantWaiters);
         return;
       }
       tokens -= 1;
@@ -130,7 +131,7 @@
         signal?.addEventListener('abort', onAbort, {once: true});
         waiters.add(waiter);
         if (waiters.size === 1) {
-          timer = clock.after(Math.max(1, waitMs), grantWaiters);
+          grantTimer = clock.after(Math.max(1, waitMs), grantWaiters);
         }
       });
     },
@@ -148,10 +149,10 @@
     ratePerSecond: () => callsPerSecond,
     queueLength: () => waiters.size,
     dispose() {
-      timer.dispose();
-      const remaining = [...waiters];
+      grantTimer.dispose();
+      const remainingWaiters = [...waiters];
       waiters.clear();
-      for (const waiter of remaining) {
+      for (const waiter of remainingWaiters) {
         waiter.fail(
           new ServingError('cancelled', 'the platform client is closed', {
             run: 'not-run',
--- a/packages/providers/src/circuitBreaker.ts
+++ b/packages/providers/src/circuitBreaker.ts
@@ -1,8 +1,8 @@
 /**
- * A circuit breaker for calls to the platform.
+ * Circuit breaker for calls to the platform.
  *
  * While the platform is down, calls fail at once: callers that each waited for
- * a deadline would accumulate and hold memory and admission slots.
+ * a deadline would accumulate and use up memory and admission slots.
  */
 import {createMachine, interpret, state, transition} from 'robot3';
 import {
@@ -50,7 +50,7 @@
 }): CircuitBreaker {
   const {clock, random} = options;
   const changeEmitter = emitter<PlatformState>();
-  const definition = createMachine({
+  const breakerMachine = createMachine({
     up: state(transition('failed', 'doubtful')),
     doubtful: state(
       transition('responded', 'up'),
@@ -59,15 +59,15 @@
     down: state(transition('responded', 'up')),
   });
   let currentState: PlatformState = 'up';
-  const stateMachine = interpret(definition, () => {});
+  const interpreter = interpret(breakerMachine, () => {});
   let consecutiveFailures = 0;
   let probeCount = 0;
-  let probeAt = 0;
-  let timer: Disposable = toDisposable(() => {});
+  let nextProbeAt = 0;
+  let probeTimer: Disposable = toDisposable(() => {});
 
   function send(event: 'failed' | 'thresholdReached' | 'responded'): void {
-    stateMachine.send(event);
-    const nextState = stateMachine.machine.current as PlatformState;
+    interpreter.send(event);
+    const nextState = interpreter.machine.current as PlatformState;
     if (nextState === currentState) {
       return;
     }
@@ -82,9 +82,9 @@
     );
     const jitteredMs = delayMs * (0.5 + random.next());
     probeCount += 1;
-    probeAt = clock.now() + jitteredMs;
-    timer.dispose();
-    timer = clock.after(jitteredMs, options.probe);
+    nextProbeAt = clock.now() + jitteredMs;
+    probeTimer.dispose();
+    probeTimer = clock.after(jitteredMs, options.probe);
   }
 
   return {
@@ -94,13 +94,13 @@
         return;
       }
       throw new ServingError('platform-unavailable', 'the platform is down', {
-        retryAfterMs: Math.max(0, probeAt - clock.now()),
+        retryAfterMs: Math.max(0, nextProbeAt - clock.now()),
       });
     },
     recordResponse() {
       consecutiveFailures = 0;
       probeCount = 0;
-      timer.dispose();
+      probeTimer.dispose();
       send('responded');
     },
     recordFailure() {
@@ -110,13 +110,13 @@
         send('thresholdReached');
       }
       // A call in flight when the outage began must not postpone the probe.
-      if (currentState === 'down' && clock.now() >= probeAt) {
+      if (currentState === 'down' && clock.now() >= nextProbeAt) {
         scheduleProbe();
       }
     },
     onDidChange: changeEmitter.event,
     dispose() {
-      timer.dispose();
+      probeTimer.dispose();
       changeEmitter.dispose();
     },
   };
--- a/packages/providers/src/contracts.ts
+++ b/packages/providers/src/contracts.ts
@@ -26,7 +26,7 @@
 
 /** Receives the events of a watch. */
 export interface WatchListener<T = unknown> {
-  /** Receives all objects of the kind: at the start, and again after a gap. */
+  /** Receives all objects of the kind, first and after missed changes. */
   onDidList(listing: ObjectListing<T>): void;
   onDidPut(object: StoredObject<T>): void;
   onDidRemove(name: string, version: number): void;
@@ -81,7 +81,7 @@
     condition: WriteCondition,
     signal?: AbortSignal,
   ): Promise<void>;
-  /** Lists, then follows changes until disposed; re-lists after a gap. */
+  /** Lists a kind, then follows changes; lists again after missed changes. */
   watch<T>(kind: string, listener: WatchListener<T>): Disposable;
   state(): PlatformState;
   onDidChangeState(listener: (state: PlatformState) => void): Disposable;
@@ -98,14 +98,14 @@
   readonly pricePerHour: number;
 }
 
-/** A host, from its start call on. */
+/** A host, listed from the moment its start was requested. */
 export interface Host {
   readonly id: string;
   readonly failureDomain: string;
   readonly machineClass: string;
   readonly market: Market;
   readonly state: 'starting' | 'running' | 'leaving' | 'gone';
-  /** Idempotency token of the start call, to find a host after a lost reply. */
+  /** Idempotency token of the start call; finds a host after a lost reply. */
   readonly clientToken: string;
   /** Wall-clock milliseconds by which a leaving host is shut down. */
   readonly goneAt?: number;
@@ -119,8 +119,8 @@
 }
 
 /**
- * Errors: `platform-unavailable`, `overloaded` (start rejected),
- * `outcome-unknown`.
+ * The cloud API. Errors: `platform-unavailable`, `overloaded` (start rejected),
+ * `outcome-unknown` (the reply to a start or stop was lost).
  */
 export interface Cloud {
   offers(signal?: AbortSignal): Promise<readonly Offer[]>;
@@ -136,7 +136,7 @@
     signal?: AbortSignal,
   ): Promise<Host>;
   stop(host: string, signal?: AbortSignal): Promise<void>;
-  /** Follows reclaim notices until disposed. */
+  /** Calls back for each reclaim notice, until disposed. */
   watchNotices(listener: (notice: ReclaimNotice) => void): Disposable;
 }
 
@@ -161,14 +161,14 @@
 
 /** The eventually consistent list of endpoints on live and leaving hosts. */
 export interface HostList {
-  /** Follows the list until disposed; each event carries the whole list. */
+  /** Calls back with the whole list on each change, until disposed. */
   watch(listener: (endpoints: readonly ListedEndpoint[]) => void): Disposable;
 }
 
 /** The rate-limited store of model weights. */
 export interface WeightStore {
   /**
-   * Reserves a load of weights onto a host.
+   * Reserves a load of weights onto a host, to start after `startAfterMs`.
    * Throws `overloaded` with `retryAfterMs` when the rate limit is exceeded.
    */
   reserve(
--- a/packages/providers/src/deadline.ts
+++ b/packages/providers/src/deadline.ts
@@ -1,4 +1,4 @@
-/** Limits an operation by a deadline and its caller's signal. */
+/** Limits an operation by a deadline and the abort signal of its caller. */
 import {ServingError, type Clock} from '@skylarkfield/base';
 
 /**
--- a/packages/providers/src/httpCalls.ts
+++ b/packages/providers/src/httpCalls.ts
@@ -14,14 +14,14 @@
   readonly path: string;
   readonly headers?: Record<string, string>;
   readonly body?: string;
-  /** Whether an interrupted request may have taken effect. */
+  /** Whether an interrupted request may have changed state at the server. */
   readonly hasEffect: boolean;
   readonly signal?: AbortSignal;
 }
 
 export interface HttpClient extends Disposable {
   send(request: HttpRequest): Promise<HttpResponse>;
-  /** Reads a response of JSON lines until it ends or is disposed. */
+  /** Reads a response of JSON lines until the response ends or is disposed. */
   stream(path: string, listener: JsonLineListener): Disposable;
 }
 
@@ -45,7 +45,7 @@
 ]);
 
 /**
- * Creates a client for one base URL, with its own connection pool.
+ * Creates a client for one base URL, with a separate connection pool.
  *
  * @example
  * const client = createHttpClient('http://10.0.0.2:7000');
@@ -60,14 +60,14 @@
     bodyTimeout: 0,
   });
   const {origin, pathname} = new URL(url);
-  const prefix = pathname.replace(/\/$/, '');
+  const pathPrefix = pathname.replace(/\/$/, '');
 
   return {
     async send({method, path, headers, body, hasEffect, signal}) {
       try {
         const response = await dispatcher.request({
           origin,
-          path: `${prefix}${path}`,
+          path: `${pathPrefix}${path}`,
           method,
           headers: {'content-type': 'application/json', ...headers},
           body,
@@ -81,7 +81,7 @@
     },
     stream(path, listener) {
       const controller = new AbortController();
-      const target = {origin, path: `${prefix}${path}`};
+      const target = {origin, path: `${pathPrefix}${path}`};
       void readJsonLines(target, dispatcher, controller.signal, listener);
       return toDisposable(() => controller.abort());
     },
@@ -123,7 +123,7 @@
       }
     }
   } catch {
-    // The cause does not matter: the owner of the stream reopens it.
+    // Ignores the error: the owner of the stream reopens it on any error.
   }
   if (!signal.aborted) {
     listener.onDidEnd(status, retryAfterMs);
@@ -141,10 +141,10 @@
 }
 
 /**
- * Throws for a status outside the expected ones.
+ * Throws if the status of a response is not one of the expected statuses.
  *
  * 429 and 503 are sent before a request takes effect; other server errors may
- * be sent after it took effect.
+ * be sent after the request took effect.
  *
  * @example
  * checkStatus(response, [200, 404], true);
--- a/packages/providers/src/httpCloud.ts
+++ b/packages/providers/src/httpCloud.ts
@@ -94,7 +94,7 @@
         signal,
       }),
     async start(request, signal) {
-      const post = () =>
+      const sendStart = () =>
         call(hostSchema, {
           method: 'POST',
           path: '/cloud/hosts',
@@ -103,12 +103,12 @@
           signal,
         });
       try {
-        return await post();
+        return await sendStart();
       } catch (error) {
         if (!isServingError(error, 'outcome-unknown')) {
           throw error;
         }
-        return post();
+        return sendStart();
       }
     },
     async stop(host, signal) {
--- a/packages/providers/src/httpObjectStore.ts
+++ b/packages/providers/src/httpObjectStore.ts
@@ -1,4 +1,4 @@
-/** Object API over HTTP: conditional requests, write ids, JSON lines watch. */
+/** HTTP client of the object API; a watch is a stream of JSON lines. */
 import {
   validateShape,
   parseJson,
--- a/packages/providers/src/memoryPlatform.ts
+++ b/packages/providers/src/memoryPlatform.ts
@@ -26,15 +26,15 @@
 
 /** Fault injection for one client or, at the platform, for all clients. */
 export interface ObjectFaultControls {
-  /** Fails calls at once without effect and ends watches. */
+  /** While down, calls fail at once without effect and watches end. */
   setDown(isDown: boolean): void;
-  /** Delays calls, half before and half after the effect, and watch events. */
+  /** Delays watch events and calls, half before and half after their effect. */
   setDelay(delayMs: number): void;
   /** Loses the replies of the next `count` writes, which take effect. */
   loseReplies(count: number): void;
-  /** Ends open watches and rejects new ones. */
+  /** While rejecting, ends open watches and rejects new watches. */
   rejectWatches(isRejecting: boolean): void;
-  /** Keeps watches open without delivering events, as on a dead connection. */
+  /** While stalled, watches stay open without events, as on a dead link. */
   stallWatches(isStalled: boolean): void;
 }
 
@@ -198,7 +198,7 @@
       close();
       listener.onDidEnd(reason);
     }
-    /** Delivers in order: timers of equal delay fire in creation order. */
+    /** Keeps the order of events: equal timers fire in creation order. */
     function deliver(notify: () => void): void {
       const notifyUnlessStalled = () => {
         if (!isClosed && !faults.some(fault => fault.isStalled)) {
@@ -257,7 +257,7 @@
 }
 
 /**
- * Creates a client with a memory platform of its own.
+ * Creates the only client of a new memory platform.
  *
  * @example
  * const store = createMemoryObjectStore({clock: virtualClock()});
--- a/packages/providers/src/objectStore.ts
+++ b/packages/providers/src/objectStore.ts
@@ -28,10 +28,11 @@
   readonly writeDeadlineMs?: number;
   /** Rate limit of the whole fleet, in calls per second. */
   readonly platformCallsPerSecond?: number;
+  /** Number of processes that share the rate limit. */
   readonly liveEntries?: number;
 }
 
-/** State of a client in the process's dump. */
+/** State of a client in the state dump of the process. */
 export interface ObjectStoreDump {
   readonly state: string;
   readonly ratePerSecond: number;
@@ -39,9 +40,11 @@
   readonly watches: Readonly<Record<string, WatchState>>;
   /** Number of calls by type. */
   readonly calls: Readonly<Record<CallType, number>>;
+  /** Number of calls without a response or with the platform unavailable. */
   readonly failures: number;
-  /** Writes whose reply was lost, and such writes with an unknown outcome. */
+  /** Number of writes whose reply was lost. */
   readonly lostReplies: number;
+  /** Number of writes whose outcome could not be determined. */
   readonly unknownOutcomes: number;
 }
 
@@ -97,7 +100,7 @@
   const stateEmitter = emitter<'up' | 'doubtful' | 'down'>();
   const watches = new Set<WatchLoop>();
   let writeCount = 0;
-  /** Highest store version seen; any later write is in the history after it. */
+  /** Highest store version seen; later writes are in the history after it. */
   let seenVersion = 0;
 
   circuitBreaker.onDidChange(state => {
@@ -152,7 +155,7 @@
       signal?: AbortSignal,
     ) {
       const write = createWrite(kind, name, condition);
-      const written = await writes.execute(
+      const writtenObject = await writes.execute(
         'put',
         write,
         signal,
@@ -165,8 +168,8 @@
           value,
         }),
       );
-      recordVersion(written.version);
-      return written as StoredObject<T>;
+      recordVersion(writtenObject.version);
+      return writtenObject as StoredObject<T>;
     },
     async remove(kind, name, condition, signal) {
       const write = createWrite(kind, name, condition);
@@ -228,7 +231,7 @@
 /**
  * Creates a writer id that is unique per process start. A restarted process
  * counts its writes from 1 again; with a reused writer id, its lookup of a
- * write could find one that the previous process made.
+ * write could find a write of the previous process.
  */
 function createWriterId(name: string, clock: Clock, random: Random): string {
   const startTime = Math.trunc(clock.wall()).toString(36);
--- a/packages/providers/src/objectTable.ts
+++ b/packages/providers/src/objectTable.ts
@@ -38,6 +38,7 @@
 }
 
 export interface ObjectTable extends Disposable {
+  /** Version of the last change of any object; 0 before the first change. */
   version(): number;
   get(kind: string, name: string): StoredObject | undefined;
   list(kind: string): ObjectListing;
@@ -45,7 +46,7 @@
   put(write: ObjectWrite, value: unknown): StoredObject;
   /** Throws `version-conflict`; does nothing when the object does not exist. */
   remove(write: ObjectWrite): void;
-  /** Changes of a kind after a version; undefined when some were compacted. */
+  /** Changes of a kind after a version; undefined when any was compacted. */
   changesSince(
     kind: string,
     version: number,
@@ -74,9 +75,9 @@
   const changeEmitter = emitter<ObjectChange>();
   let history: ObjectChange[] = [];
   let version = 0;
-  let compactedTo = 0;
+  let compactedVersion = 0;
 
-  function objectsOf(kind: string): Map<string, StoredObject> {
+  function getOrCreateObjects(kind: string): Map<string, StoredObject> {
     let objects = kinds.get(kind);
     if (objects === undefined) {
       objects = new Map();
@@ -89,18 +90,18 @@
     history.push(change);
     if (history.length > historyLimit * 2) {
       history = history.slice(-historyLimit);
-      compactedTo = (history[0]?.version ?? version + 1) - 1;
+      compactedVersion = (history[0]?.version ?? version + 1) - 1;
     }
     changeEmitter.fire(change);
   }
 
   return {
     version: () => version,
-    get: (kind, name) => objectsOf(kind).get(name),
-    list: kind => ({version, objects: [...objectsOf(kind).values()]}),
+    get: (kind, name) => getOrCreateObjects(kind).get(name),
+    list: kind => ({version, objects: [...getOrCreateObjects(kind).values()]}),
     put(write, value) {
       const json = serializeValue(write, value);
-      const objects = objectsOf(write.kind);
+      const objects = getOrCreateObjects(write.kind);
       checkCondition(write, objects.get(write.name));
       version += 1;
       const {kind, name, writeId} = write;
@@ -111,7 +112,7 @@
       return object;
     },
     remove(write) {
-      const objects = objectsOf(write.kind);
+      const objects = getOrCreateObjects(write.kind);
       const current = objects.get(write.name);
       if (current === undefined) {
         return;
@@ -123,7 +124,7 @@
       recordChange({type: 'remove', kind, name, version, writeId});
     },
     changesSince(kind, fromVersion) {
-      if (fromVersion < compactedTo) {
+      if (fromVersion < compactedVersion) {
         return undefined;
       }
       return history.filter(
@@ -133,7 +134,7 @@
     onDidChange: changeEmitter.event,
     compact() {
       history = [];
-      compactedTo = version;
+      compactedVersion = version;
     },
     dispose: () => changeEmitter.dispose(),
   };
@@ -147,7 +148,7 @@
       `${write.kind}/${write.name} has a value that JSON cannot represent`,
     );
   }
-  // Avoids the exact count: UTF-8 takes at most four bytes per character.
+  // Skips counting the bytes: UTF-8 needs at most four bytes per character.
   if (json.length * 4 <= MAX_VALUE_BYTES) {
     return json;
   }
@@ -168,10 +169,11 @@
   if (isConditionMet(write.condition, current)) {
     return;
   }
-  const actual = current === undefined ? 'absent' : `at ${current.version}`;
+  const actualState =
+    current === undefined ? 'absent' : `at ${current.version}`;
   throw new ServingError(
     'version-conflict',
-    `${write.kind}/${write.name} is ${actual}, the write requires ${describeCondition(write.condition)}`,
+    `${write.kind}/${write.name} is ${actualState}, the write requires ${describeCondition(write.condition)}`,
   );
 }
 
--- a/packages/providers/src/objectTransport.ts
+++ b/packages/providers/src/objectTransport.ts
@@ -3,13 +3,13 @@
 import type {Freshness, ObjectListing, StoredObject} from './contracts.js';
 import type {ObjectChange, ObjectWrite} from './objectTable.js';
 
-/** Result of reading an object, with the store version at the time. */
+/** Result of reading an object, with the store version of the read. */
 export interface ObjectReadResult {
   readonly version: number;
   readonly object: StoredObject | undefined;
 }
 
-/** Why a watch ended. `compacted`: changes since its version were discarded. */
+/** Why a watch ended. `compacted`: requested changes have been discarded. */
 export type WatchEndReason = 'compacted' | 'lost';
 
 /** Receives the events of one watch of a transport. */
@@ -23,7 +23,7 @@
 }
 
 /**
- * Single calls without deadlines or retries.
+ * Makes single calls to the object API, without deadlines or retries.
  *
  * Errors: `platform-unavailable` and `overloaded` only when the call is known
  * to have had no effect; `outcome-unknown` when a write may have taken effect.
--- a/packages/providers/src/reconnectingStream.ts
+++ b/packages/providers/src/reconnectingStream.ts
@@ -1,4 +1,4 @@
-/** A stream of JSON lines that reconnects with jittered exponential backoff. */
+/** Stream of JSON lines that reconnects with jittered exponential backoff. */
 import {
   disposableStore,
   toDisposable,
@@ -12,8 +12,9 @@
 const MAX_BACKOFF_MS = 4000;
 
 /**
- * Reopens the stream whenever it ends, until disposed. The server starts every
- * stream with the complete current state, so that a disconnect loses nothing.
+ * Opens a stream and reopens it whenever it ends, until disposed. The server
+ * starts every stream with the complete current state, so that a disconnect
+ * loses nothing.
  *
  * @example
  * openReconnectingStream({client, clock, random, path: '/cloud/notices', onDidLine});
@@ -28,7 +29,7 @@
   const {client, clock, random, path} = options;
   const disposables = disposableStore();
   let stream: Disposable = toDisposable(() => {});
-  let timer: Disposable = toDisposable(() => {});
+  let reconnectTimer: Disposable = toDisposable(() => {});
   let attempts = 0;
 
   function open(): void {
@@ -47,13 +48,13 @@
         );
         attempts += 1;
         const jitteredMs = delayMs * (0.5 + random.next());
-        timer = clock.after(Math.max(retryAfterMs, jitteredMs), open);
+        reconnectTimer = clock.after(Math.max(retryAfterMs, jitteredMs), open);
       },
     });
   }
 
   disposables.add(toDisposable(() => stream.dispose()));
-  disposables.add(toDisposable(() => timer.dispose()));
+  disposables.add(toDisposable(() => reconnectTimer.dispose()));
   open();
   return disposables;
 }
--- a/packages/providers/src/storeCalls.ts
+++ b/packages/providers/src/storeCalls.ts
@@ -1,4 +1,4 @@
-/** Counted object API calls with deadline, rate limit and circuit breaker. */
+/** Calls to the object API with deadline, rate limit and circuit breaker. */
 import {
   isServingError,
   type Clock,
@@ -21,8 +21,8 @@
   readonly rateLimiter: CallRateLimiter;
   readonly circuitBreaker: CircuitBreaker;
   /**
-   * Makes one call, which ends at `deadlineAt`, in monotonic milliseconds, or
-   * after `callDeadlineMs`, whichever is earlier.
+   * Makes one call, which times out at `deadlineAt`, in monotonic milliseconds,
+   * or after `callDeadlineMs`, whichever is earlier.
    */
   call<T>(
     callType: CallType,
@@ -30,10 +30,11 @@
     signal: AbortSignal | undefined,
     operation: (signal: AbortSignal) => Promise<T>,
   ): Promise<T>;
-  /** Admits and counts a watch, which has no deadline once it is open. */
+  /** Waits until a watch may open, and counts it; a watch has no deadline. */
   admitWatch(): Promise<void>;
   counts(): {
     readonly calls: Readonly<Record<CallType, number>>;
+    /** Number of calls without a response or with the platform unavailable. */
     readonly failures: number;
   };
 }
@@ -52,6 +53,7 @@
   readonly callDeadlineMs: number;
   /** Rate limit of the whole fleet, in calls per second. */
   readonly platformCallsPerSecond: number;
+  /** Number of processes that share the rate limit. */
   readonly liveEntries: number;
   /** Makes a read to check whether the platform responds. */
   probe(signal: AbortSignal): Promise<unknown>;
--- a/packages/providers/src/storeErrors.ts
+++ b/packages/providers/src/storeErrors.ts
@@ -1,4 +1,4 @@
-/** The errors of the object API's client. */
+/** Errors of the object API client. */
 import {isServingError, ServingError} from '@skylarkfield/base';
 import type {ObjectWrite} from './objectTable.js';
 
@@ -34,7 +34,7 @@
 }
 
 /**
- * Returns the error of a write that conflicts with that of another writer.
+ * Returns the error of a write that conflicts with a write of another writer.
  *
  * @example
  * throw conflictError(write);
--- a/packages/providers/src/storeWrites.ts
+++ b/packages/providers/src/storeWrites.ts
@@ -16,7 +16,7 @@
 } from './storeErrors.js';
 import {findWriteOutcome} from './writeOutcome.js';
 
-/** Initial and maximum delay between two lookups of a write's outcome. */
+/** Initial and maximum delay between lookups of a write's outcome. */
 const INITIAL_FIND_BACKOFF_MS = 50;
 const MAX_FIND_BACKOFF_MS = 1000;
 
@@ -34,9 +34,9 @@
     toResult: (written: {version: number}) => T,
   ): Promise<T>;
   counts(): {
-    /** Writes whose reply was lost. */
+    /** Number of writes whose reply was lost. */
     readonly lostReplies: number;
-    /** Writes with a lost reply whose outcome could not be determined. */
+    /** Number of writes whose outcome could not be determined. */
     readonly unknownOutcomes: number;
   };
 }
@@ -55,7 +55,7 @@
   readonly random: Random;
   /** Timeout of a write including lookups of its outcome, in milliseconds. */
   readonly writeDeadlineMs: number;
-  /** Highest store version seen; any later write is in the history after it. */
+  /** Highest store version seen; later writes are in the history after it. */
   seenVersion(): number;
 }): StoreWrites {
   const {calls, transport, clock, random, writeDeadlineMs} = options;
--- a/packages/providers/src/test/objectStore.test.ts
+++ b/packages/providers/src/test/objectStore.test.ts
@@ -13,7 +13,7 @@
 describe('object client', () => {
   // A connection that dies without being closed delivers no more events, so the
   // watcher misses all changes until the watch is reopened.
-  it('reopens a watch that has been idle for too long', async () => {
+  it('reopens a watch that delivers no events for the idle timeout', async () => {
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock});
     const store = platform.client('a');
@@ -33,7 +33,7 @@
   });
 
   // When the platform recovers and every entry reopens its watches at the same
-  // moment, these calls alone can overload the platform again.
+  // moment, the watch calls alone can overload the platform again.
   it('spreads reconnects over time when the platform recovers', async () => {
     const clock = virtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(9)});
@@ -64,20 +64,20 @@
     );
   });
 
-  // The share of the platform's rate limit changes with the size of the fleet.
-  it('stays within its share of the rate limit', async () => {
+  // A process's share of the platform's rate limit depends on the fleet size.
+  it('limits calls to the share of the process in the rate limit', async () => {
     const clock = virtualClock();
     const rateLimiter = createCallRateLimiter(clock, {
       platformCallsPerSecond: 100,
       liveEntries: 10,
     });
     async function callsWithin(durationMs: number): Promise<number> {
-      let calls = 0;
+      let callCount = 0;
       const endAt = clock.now() + durationMs;
       async function makeCalls() {
         while (clock.now() < endAt) {
           await rateLimiter.acquire(endAt + 1000).catch(() => undefined);
-          calls += 1;
+          callCount += 1;
         }
       }
       void makeCalls();
@@ -86,7 +86,7 @@
       while (clock.now() < endAt) {
         await clock.advance(10);
       }
-      return calls;
+      return callCount;
     }
     await callsWithin(5000);
     const callsAt10PerSecond = await callsWithin(5000);
--- a/packages/providers/src/watchLoop.ts
+++ b/packages/providers/src/watchLoop.ts
@@ -19,14 +19,14 @@
 import type {ObjectChange} from './objectTable.js';
 import type {ObjectTransport, WatchEndReason} from './objectTransport.js';
 
-/** Dependencies of a watch loop, from the client that owns it. */
+/** Dependencies of a watch loop, provided by the client that owns the loop. */
 export interface WatchLoopOptions {
   readonly kind: string;
   readonly clock: Clock;
   readonly random: Random;
   readonly transport: ObjectTransport;
   readonly listener: WatchListener<unknown>;
-  /** Makes a list call, counted and within the rate limit. */
+  /** Lists a kind; the call is counted and rate limited. */
   list(kind: string): Promise<ObjectListing>;
   /** Waits until a watch may be opened; rejects while the platform is down. */
   admit(): Promise<void>;
@@ -35,7 +35,7 @@
 /** State of a watch, also shown in the dump. */
 export type WatchState = 'listing' | 'opening' | 'open' | 'waiting';
 
-/** A watch that reconnects until it is disposed. */
+/** Watch that reconnects until it is disposed. */
 export interface WatchLoop extends Disposable {
   readonly kind: string;
   state(): WatchState;
@@ -54,7 +54,7 @@
  */
 export function startWatch(options: WatchLoopOptions): WatchLoop {
   const {kind, clock, random, transport, listener} = options;
-  const stateMachine = interpret(createWatchStateMachine(), () => {});
+  const interpreter = interpret(createWatchStateMachine(), () => {});
   const disposables = disposableStore();
   let timer: Disposable = toDisposable(() => {});
   let watch: Disposable = toDisposable(() => {});
@@ -71,7 +71,7 @@
   }
 
   async function connect(): Promise<void> {
-    stateMachine.send(resumeVersion === undefined ? 'list' : 'open');
+    interpreter.send(resumeVersion === undefined ? 'list' : 'open');
     try {
       if (resumeVersion === undefined) {
         const listing = await options.list(kind);
@@ -80,7 +80,7 @@
         }
         resumeVersion = listing.version;
         listener.onDidList(listing);
-        stateMachine.send('open');
+        interpreter.send('open');
       }
       await options.admit();
     } catch {
@@ -98,7 +98,7 @@
     watch = transport.watch(kind, fromVersion, {
       onDidOpen() {
         attempts = 0;
-        stateMachine.send('opened');
+        interpreter.send('opened');
         setConnected(true);
         resetIdleTimer();
       },
@@ -111,7 +111,7 @@
         resumeVersion = Math.max(resumeVersion ?? 0, caughtUpVersion);
         resetIdleTimer();
       },
-      onDidEnd,
+      onDidEnd: handleEnd,
     });
     if (disposables.isDisposed) {
       watch.dispose();
@@ -129,7 +129,7 @@
     listener.onDidRemove(change.name, change.version);
   }
 
-  function onDidEnd(reason: WatchEndReason, retryAfterMs = 0): void {
+  function handleEnd(reason: WatchEndReason, retryAfterMs = 0): void {
     if (reason === 'compacted') {
       resumeVersion = undefined;
     }
@@ -141,7 +141,7 @@
       return;
     }
     setConnected(false);
-    stateMachine.send('lost');
+    interpreter.send('lost');
     const delayMs = Math.min(
       MAX_BACKOFF_MS,
       INITIAL_BACKOFF_MS * 2 ** attempts,
@@ -167,7 +167,7 @@
   void connect();
   return {
     kind,
-    state: () => stateMachine.machine.current as WatchState,
+    state: () => interpreter.machine.current as WatchState,
     dispose: () => disposables.dispose(),
   };
 }
--- a/packages/providers/src/writeOutcome.ts
+++ b/packages/providers/src/writeOutcome.ts
@@ -3,8 +3,8 @@
  *
  * Reading the object back is not enough: another writer may have replaced it
  * since, and then neither the object's version nor its write id shows whether
- * this write took effect before. This shows in the history after the version
- * that the write started from, unless the platform has compacted it.
+ * this write took effect before. The history after the version that the write
+ * started from shows that, unless the platform has compacted this history.
  */
 import {ServingError} from '@skylarkfield/base';
 import type {StoredObject} from './contracts.js';
@@ -18,7 +18,7 @@
   | {readonly type: 'pending'}
   /** The write has not taken effect and no longer can: its condition fails. */
   | {readonly type: 'superseded'}
-  /** The history was compacted, or the deadline passed. */
+  /** The history was compacted, or the deadline passed during the lookup. */
   | {readonly type: 'unknown'};
 
 /**
@@ -36,7 +36,7 @@
 ): Promise<WriteOutcome> {
   const {object} = await transport.get(write.kind, write.name, signal);
   if (object?.writeId === write.writeId) {
-    return {type: 'applied', change: putChange(object)};
+    return {type: 'applied', change: toPutChange(object)};
   }
   if (isUnchanged(write, object)) {
     return {type: 'pending'};
@@ -52,7 +52,7 @@
   return {type: canStillTakeEffect(write, object) ? 'pending' : 'superseded'};
 }
 
-function putChange(object: StoredObject): ObjectChange {
+function toPutChange(object: StoredObject): ObjectChange {
   const {kind, name, version, writeId} = object;
   return {type: 'put', kind, name, version, writeId, object};
 }
@@ -74,7 +74,7 @@
   return condition.type === 'any';
 }
 
-/** Reads the object's changes after a version; undefined when compacted. */
+/** Reads an object's changes after a version; undefined when compacted. */
 function readChangesAfter(
   transport: ObjectTransport,
   write: ObjectWrite,
