--- a/packages/endpoints/src/contracts.ts
+++ b/packages/endpoints/src/contracts.ts
@@ -8,9 +8,9 @@
   readonly maxTokens: number;
   /** RFC 9218 urgency, 0 (most important) to 7. */
   readonly urgency: number;
-  /** Tokens already delivered, to resume after; empty for a new answer. */
+  /** Tokens already delivered, to resume after them; empty for a new answer. */
   readonly delivered: readonly string[];
-  /** Handle of a KV cache imported before, if any. */
+  /** Handle of an imported KV cache; absent if no cache was imported. */
   readonly importedCache?: string;
   /** Sampling seed, so that a resumed answer continues with the same text. */
   readonly seed: number;
@@ -75,7 +75,7 @@
   readonly type: 'load-model' | 'load-adapter' | 'load-version' | 'set-role';
   /** Desired model, adapter, version or role; orders are level-triggered. */
   readonly target: string;
-  /** Fencing token of the issuer; some endpoints reject a stale one. */
+  /** Fencing token of the issuer; some endpoints reject a stale token. */
   readonly fencing: number;
   /** Wall-clock milliseconds after which the order must not be executed. */
   readonly expiresAt: number;
@@ -112,7 +112,10 @@
     signal?: AbortSignal,
   ): Promise<CacheExport>;
   order(order: EndpointOrder, signal?: AbortSignal): Promise<void>;
-  /** Returns what the endpoint runs; read again by a new lease holder. */
+  /**
+   * Returns the version, adapters and role that the endpoint runs; a new lease
+   * holder reads them again.
+   */
   running(signal?: AbortSignal): Promise<{
     readonly version: string;
     readonly adapters: readonly string[];
@@ -140,7 +143,7 @@
  * Client of a plain service.
  *
  * Errors: `endpoint-unavailable` only when no byte of the call left this
- * process (not run); `outcome-unknown` if any may have left; `cancelled`.
+ * process (not run); `outcome-unknown` if any byte may have left; `cancelled`.
  */
 export interface PlainService {
   call(call: ServiceCall, signal: AbortSignal): Promise<ServiceResponse>;
@@ -157,6 +160,6 @@
     | 'cancelled';
   /** Milliseconds to the first token, or to a plain service's response. */
   readonly latencyMs: number;
-  /** Cached tokens that the engine reported, if any report was received. */
+  /** Cached tokens that the engine reported; absent without a report. */
   readonly cachedTokens?: number;
 }
--- a/packages/endpoints/src/engineSchemas.ts
+++ b/packages/endpoints/src/engineSchemas.ts
@@ -1,4 +1,4 @@
-/** Validation of engine responses: events by hand, others with zod. */
+/** Validation of engine responses: events by hand, other responses by zod. */
 import {ServingError} from '@skylarkfield/base';
 import * as z from 'zod';
 import type {GenerationEvent} from './contracts.js';
@@ -53,7 +53,7 @@
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
 
-/** No schema library here: tens of thousands of tokens arrive per second. */
+/** Hand-written validators: zod is too slow for 10,000s of tokens a second. */
 const eventValidators: Record<
   string,
   (event: Record<string, unknown>) => boolean
--- a/packages/endpoints/src/eventQueue.ts
+++ b/packages/endpoints/src/eventQueue.ts
@@ -8,7 +8,7 @@
   fail(error: unknown): void;
   /** Number of values pushed but not yet read. */
   readonly size: number;
-  /** Called whenever the reader has read the last value. */
+  /** Called whenever the reader has read all values. */
   onDrain?: () => void;
 }
 
--- a/packages/endpoints/src/httpEngine.ts
+++ b/packages/endpoints/src/httpEngine.ts
@@ -116,7 +116,7 @@
   return {
     generate,
     async cancel(attempt) {
-      await call('POST', '/v1/cancel', emptySchema, {attempt});
+      await call('POST', '/v1/cancel', ignoredResponseSchema, {attempt});
     },
     load: signal =>
       call('GET', '/v1/load', loadReportSchema, undefined, signal),
@@ -133,7 +133,7 @@
     importCache: (from, signal) =>
       call('POST', '/v1/import', cacheExportSchema, from, signal),
     async order(order, signal) {
-      await call('POST', '/v1/order', emptySchema, order, signal);
+      await call('POST', '/v1/order', ignoredResponseSchema, order, signal);
     },
     running: signal =>
       call('GET', '/v1/running', runningSchema, undefined, signal),
@@ -143,10 +143,10 @@
   };
 }
 
-/** Response whose content is ignored. */
-const emptySchema = z.object({});
+/** Accepts any object, for responses whose content is ignored. */
+const ignoredResponseSchema = z.object({});
 
-/** Converts an error response; a malformed one becomes `endpoint-failed`. */
+/** Reads an error response; malformed content becomes `endpoint-failed`. */
 async function readErrorResponse(
   status: number,
   body: ResponseBody,
--- a/packages/endpoints/src/plainService.ts
+++ b/packages/endpoints/src/plainService.ts
@@ -33,7 +33,7 @@
 const DEFAULT_MAX_RESPONSE_BYTES = 1_048_576;
 const DEFAULT_LOAD_PATH = '/load';
 const LOAD_TIMEOUT_MS = 2_000;
-/** Shorter than in common servers, so that fewer calls race with a close. */
+/** Shorter than common servers' timeout: fewer calls race with a disconnect. */
 const KEEP_ALIVE_TIMEOUT_MS = 4_000;
 
 /**
@@ -41,7 +41,7 @@
  *
  * A call counts as sent once undici assigns it a connection, just before the
  * first byte is written. If the endpoint closes a pooled connection at that
- * moment, it may have read the call, which fails with `outcome-unknown`.
+ * moment, the call fails with `outcome-unknown`: the endpoint may have read it.
  *
  * @example
  * const booking = createHttpPlainService({url: 'http://10.0.0.7:8000'});
@@ -126,7 +126,7 @@
     call,
     load,
     dispose() {
-      // Fails calls in flight; the owner has to drain them before.
+      // Fails calls in flight: the owner must drain them before disposing.
       pool.destroy().catch(() => undefined);
     },
   };
@@ -183,7 +183,7 @@
       onRequestStart(newController) {
         controller = newController;
         if (isSettled) {
-          // Cancelled while queued: aborting here ensures that no byte is sent.
+          // Cancelled while queued: aborting now ensures that no byte is sent.
           newController.abort(new Error('cancelled'));
           return;
         }
--- a/packages/endpoints/src/plainServiceHeaders.ts
+++ b/packages/endpoints/src/plainServiceHeaders.ts
@@ -1,6 +1,6 @@
 /** Selection of the headers that are forwarded to and from a plain service. */
 
-/** Hop-by-hop headers (RFC 9110, 7.6.1), and those the HTTP client sets. */
+/** Hop-by-hop headers (RFC 9110, 7.6.1) and headers set by the HTTP client. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
@@ -32,28 +32,30 @@
 export function removeHopByHopHeaders(
   headers: RawHeaders,
 ): Record<string, string> {
-  const dropped = hopByHopNames(headers);
-  const forwarded: Record<string, string> = {};
+  const droppedNames = hopByHopNames(headers);
+  const forwardedHeaders: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
     const lowerName = name.toLowerCase();
-    if (value === undefined || dropped.has(lowerName)) {
+    if (value === undefined || droppedNames.has(lowerName)) {
       continue;
     }
-    forwarded[lowerName] = typeof value === 'string' ? value : value.join(', ');
+    forwardedHeaders[lowerName] =
+      typeof value === 'string' ? value : value.join(', ');
   }
-  return forwarded;
+  return forwardedHeaders;
 }
 
 function hopByHopNames(headers: RawHeaders): ReadonlySet<string> {
-  const dropped = new Set(HOP_BY_HOP_HEADERS);
+  const droppedNames = new Set(HOP_BY_HOP_HEADERS);
   for (const [name, value] of Object.entries(headers)) {
     if (name.toLowerCase() !== 'connection' || value === undefined) {
       continue;
     }
-    const options = typeof value === 'string' ? value : value.join(',');
-    options.split(',').forEach(option => {
-      dropped.add(option.trim().toLowerCase());
+    const connectionOptions =
+      typeof value === 'string' ? value : value.join(',');
+    connectionOptions.split(',').forEach(option => {
+      droppedNames.add(option.trim().toLowerCase());
     });
   }
-  return dropped;
+  return droppedNames;
 }
--- a/packages/endpoints/src/promptBlocks.ts
+++ b/packages/endpoints/src/promptBlocks.ts
@@ -8,7 +8,8 @@
 
 /**
  * Splits a prompt into tokens. Substitutes for a model's tokenizer: exact for
- * this project's engines, accurate enough to estimate prompt sizes for others.
+ * this project's engines, accurate enough to estimate prompt sizes for other
+ * engines.
  *
  * @example
  * tokenizePrompt('match this oak').length; // 3
@@ -29,20 +30,20 @@
 }
 
 /**
- * Returns the hashes of a text's full blocks, given those of its first blocks,
- * so that a growing history is not hashed from the start each time.
+ * Returns the hashes of a text's full blocks, given the hashes of its first
+ * blocks, so that a growing history is not hashed from the start each time.
  *
  * @example
  * const blocks = extendBlockHashes(hashPromptBlocks(tokens), [...tokens, ...answer]);
  */
 export function extendBlockHashes(
-  knownBlocks: readonly string[],
+  knownHashes: readonly string[],
   tokens: readonly string[],
 ): string[] {
-  const blocks = [...knownBlocks];
-  let previousHash = blocks.at(-1) ?? '';
+  const hashes = [...knownHashes];
+  let previousHash = hashes.at(-1) ?? '';
   for (
-    let start = knownBlocks.length * TOKENS_PER_BLOCK;
+    let start = knownHashes.length * TOKENS_PER_BLOCK;
     start + TOKENS_PER_BLOCK <= tokens.length;
     start += TOKENS_PER_BLOCK
   ) {
@@ -51,7 +52,7 @@
       0,
       BLOCK_HASH_LENGTH,
     );
-    blocks.push(previousHash);
+    hashes.push(previousHash);
   }
-  return blocks;
+  return hashes;
 }
--- a/packages/endpoints/src/requestErrors.ts
+++ b/packages/endpoints/src/requestErrors.ts
@@ -20,7 +20,7 @@
 
 /**
  * Returns whether the error proves that no connection was established. A lost
- * connection proves nothing, since the peer may have read the request before.
+ * connection is no proof: the peer may have read the request before.
  *
  * @example
  * if (isConnectError(error)) { return retryElsewhere(); }
--- a/packages/endpoints/src/test/httpEngine.test.ts
+++ b/packages/endpoints/src/test/httpEngine.test.ts
@@ -6,7 +6,7 @@
 
 const CHUNK_GAP_MS = 30;
 
-const request = {
+const generationRequest = {
   attempt: 'a1',
   prompt: 'p',
   maxTokens: 4,
@@ -15,15 +15,15 @@
   seed: 1,
 };
 
-const token = {type: 'token', attempt: 'a1', index: 0, text: 'oak'};
+const tokenEvent = {type: 'token', attempt: 'a1', index: 0, text: 'oak'};
 
 async function withServer(
   respond: (response: ServerResponse) => void,
-  run: (engine: HttpEngine, requests: () => number) => Promise<void>,
+  run: (engine: HttpEngine, getRequestCount: () => number) => Promise<void>,
 ) {
-  let requests = 0;
+  let requestCount = 0;
   const server = createServer((incoming, response) => {
-    requests += 1;
+    requestCount += 1;
     incoming.resume();
     incoming.once('end', () => respond(response));
   });
@@ -34,7 +34,7 @@
     callTimeoutMs: 300,
   });
   try {
-    await run(engine, () => requests);
+    await run(engine, () => requestCount);
   } finally {
     engine.dispose();
     server.closeAllConnections();
@@ -47,7 +47,7 @@
   signal = new AbortController().signal,
 ) {
   const events = [];
-  for await (const event of engine.generate(request, signal)) {
+  for await (const event of engine.generate(generationRequest, signal)) {
     events.push(event);
   }
   return events;
@@ -60,35 +60,40 @@
 
 describe('HTTP engine', () => {
   it('reads events that are split across chunks', async () => {
-    const text = `data: ${JSON.stringify({...token, text: 'öl'})}\n\n`;
+    const text = `data: ${JSON.stringify({...tokenEvent, text: 'öl'})}\n\n`;
     const bytes = Buffer.from(text);
-    const cut = bytes.indexOf(0xc3) + 1;
+    const splitIndex = bytes.indexOf(0xc3) + 1;
     await withServer(
       response => {
         response.writeHead(200);
-        response.write(bytes.subarray(0, cut));
+        response.write(bytes.subarray(0, splitIndex));
         // Long enough that the chunks are rarely merged; the test also passes
-        // if they are.
-        setTimeout(() => response.end(bytes.subarray(cut)), CHUNK_GAP_MS);
+        // if they are merged.
+        setTimeout(
+          () => response.end(bytes.subarray(splitIndex)),
+          CHUNK_GAP_MS,
+        );
       },
       async engine => {
-        assert.deepEqual(await readAllEvents(engine), [{...token, text: 'öl'}]);
+        assert.deepEqual(await readAllEvents(engine), [
+          {...tokenEvent, text: 'öl'},
+        ]);
       },
     );
   });
 
   // An engine of another release, or a faulty one, sends unknown or invalid
   // events. Accepting them could deliver wrong text to a caller.
-  const malformed: [string, unknown][] = [
+  const malformedEvents: [string, unknown][] = [
     ['an unknown type', {type: 'note', attempt: 'a1'}],
     ['a type named like an object method', {type: 'toString', attempt: 'a1'}],
-    ['no attempt', {...token, attempt: undefined}],
-    ['a negative index', {...token, index: -1}],
-    ['a text that is not a string', {...token, text: 7}],
+    ['no attempt', {...tokenEvent, attempt: undefined}],
+    ['a negative index', {...tokenEvent, index: -1}],
+    ['a text that is not a string', {...tokenEvent, text: 7}],
     ['an end without counts', {type: 'end', attempt: 'a1', reason: 'stop'}],
     ['null', null],
   ];
-  for (const [name, event] of malformed) {
+  for (const [name, event] of malformedEvents) {
     it(`rejects an event with ${name}`, async () => {
       await withServer(
         response => {
@@ -122,16 +127,16 @@
   }
 
   // The connection is lost after the request was sent. The engine may have
-  // processed it, so a retry by the client could run it twice.
+  // processed the request, so a retry by the client could run it twice.
   it('neither retries an interrupted request nor reports it as not run', async () => {
     await withServer(
       response => response.destroy(),
-      async (engine, requests) => {
+      async (engine, getRequestCount) => {
         await assert.rejects(readAllEvents(engine), {
           kind: 'interrupted',
           run: 'may-have-run',
         });
-        assert.equal(requests(), 1);
+        assert.equal(getRequestCount(), 1);
       },
     );
   });
@@ -156,13 +161,13 @@
 
   it('fails with cancelled when the caller aborts', async () => {
     await withServer(
-      response => sendEvents(response, token),
+      response => sendEvents(response, tokenEvent),
       async engine => {
-        const stop = new AbortController();
-        const events = engine.generate(request, stop.signal);
+        const controller = new AbortController();
+        const events = engine.generate(generationRequest, controller.signal);
         const iterator = events[Symbol.asyncIterator]();
         await iterator.next();
-        stop.abort();
+        controller.abort();
         await assert.rejects(iterator.next(), {kind: 'cancelled'});
       },
     );
--- a/packages/endpoints/src/test/plainService.test.ts
+++ b/packages/endpoints/src/test/plainService.test.ts
@@ -18,7 +18,7 @@
   type ServiceCall,
 } from '../index.js';
 
-const booking: ServiceCall = {
+const bookingCall: ServiceCall = {
   method: 'POST',
   path: '/bookings',
   headers: {
@@ -49,7 +49,7 @@
   return service;
 }
 
-async function rejectionOf(call: Promise<unknown>): Promise<ServingError> {
+async function waitForRejection(call: Promise<unknown>): Promise<ServingError> {
   try {
     await call;
   } catch (error) {
@@ -60,28 +60,31 @@
 }
 
 /** A signal that never aborts. */
-const neverAborts = new AbortController().signal;
+const neverAbortedSignal = new AbortController().signal;
 
 describe('plain service client', () => {
   it('forwards a call without hop-by-hop headers', async test => {
-    const seen: Array<Record<string, unknown>> = [];
+    const receivedHeaders: Array<Record<string, unknown>> = [];
     const handleRequest: RequestListener = (request, response) => {
-      seen.push(request.headers);
+      receivedHeaders.push(request.headers);
       response.setHeader('keep-alive', 'timeout=5');
       response.setHeader('x-kept', 'yes');
       response.statusCode = 201;
       request.pipe(response);
     };
     const url = await listen(test, createHttpServer(handleRequest));
-    const response = await createClient(test, {url}).call(booking, neverAborts);
+    const response = await createClient(test, {url}).call(
+      bookingCall,
+      neverAbortedSignal,
+    );
     assert.equal(response.status, 201);
     assert.equal(new TextDecoder().decode(response.body), '{"id":1}');
     assert.equal(response.headers['x-kept'], 'yes');
     assert.equal(response.headers['keep-alive'], undefined);
-    assert.equal(seen[0]?.['x-hop'], undefined);
+    assert.equal(receivedHeaders[0]?.['x-hop'], undefined);
   });
 
-  it('parses the load report and names the faults of an invalid one', async test => {
+  it('parses a load report and lists the faults of an invalid report', async test => {
     let body = '{"sequence":3,"running":1,"waiting":0,"slots":4}';
     const url = await listen(
       test,
@@ -90,7 +93,7 @@
     const service = createClient(test, {url});
     assert.equal((await service.load()).slots, 4);
     body = '{"sequence":"x"}';
-    const error = await rejectionOf(service.load());
+    const error = await waitForRejection(service.load());
     assert.equal(error.kind, 'endpoint-failed');
     assert.ok(error.faults.some(fault => fault.path === 'slots'));
   });
@@ -138,7 +141,9 @@
     it(`reports the run state after a ${fault.name}`, async test => {
       const url = await listen(test, createServer(fault.onSocket));
       const service = createClient(test, {url, idleTimeoutMs: 150});
-      const error = await rejectionOf(service.call(booking, neverAborts));
+      const error = await waitForRejection(
+        service.call(bookingCall, neverAbortedSignal),
+      );
       assert.deepEqual({kind: error.kind, run: error.run}, fault.expected);
     });
   }
@@ -147,23 +152,23 @@
     const server = createServer();
     const url = await listen(test, server);
     await new Promise(resolve => server.close(resolve));
-    const error = await rejectionOf(
-      createClient(test, {url}).call(booking, neverAborts),
+    const error = await waitForRejection(
+      createClient(test, {url}).call(bookingCall, neverAbortedSignal),
     );
     assert.equal(error.kind, 'endpoint-unavailable');
     assert.equal(error.run, 'not-run');
   });
 
   // The endpoint closes a pooled connection while the next booking is written
-  // to it. A retry by the client could run the booking twice.
+  // to this connection. A retry by the client could run the booking twice.
   it('sends a call at most once when its pooled connection is closed', async test => {
-    let calls = 0;
+    let callCount = 0;
     const url = await listen(
       test,
       createServer(socket =>
         socket.on('data', () => {
-          calls += 1;
-          if (calls === 1) {
+          callCount += 1;
+          if (callCount === 1) {
             socket.write('HTTP/1.1 201 Created\r\ncontent-length: 0\r\n\r\n');
             return;
           }
@@ -172,41 +177,49 @@
       ),
     );
     const service = createClient(test, {url, maxConnections: 1});
-    await service.call(booking, neverAborts);
-    const error = await rejectionOf(service.call(booking, neverAborts));
+    await service.call(bookingCall, neverAbortedSignal);
+    const error = await waitForRejection(
+      service.call(bookingCall, neverAbortedSignal),
+    );
     assert.equal(error.kind, 'outcome-unknown');
-    assert.equal(calls, 2);
+    assert.equal(callCount, 2);
   });
 
   // A caller cancels its booking while it is queued for a connection, and gets
   // `not-run`. The booking must not be sent when the connection becomes free.
   it('does not send a call that was cancelled while queued for a connection', async test => {
-    const seen: string[] = [];
+    const receivedPaths: string[] = [];
     const handleRequest: RequestListener = (request, response) => {
-      seen.push(request.url ?? '');
+      receivedPaths.push(request.url ?? '');
       if (request.url !== '/first') {
         response.end();
       }
     };
     const url = await listen(test, createHttpServer(handleRequest));
     const service = createClient(test, {url, maxConnections: 1});
-    const [first, second] = [new AbortController(), new AbortController()];
-    const running = rejectionOf(
-      service.call({...booking, path: '/first'}, first.signal),
+    const [firstController, secondController] = [
+      new AbortController(),
+      new AbortController(),
+    ];
+    const runningRejection = waitForRejection(
+      service.call({...bookingCall, path: '/first'}, firstController.signal),
     );
-    const waiting = rejectionOf(
-      service.call({...booking, path: '/second'}, second.signal),
+    const queuedRejection = waitForRejection(
+      service.call({...bookingCall, path: '/second'}, secondController.signal),
     );
-    while (seen.length === 0) {
+    while (receivedPaths.length === 0) {
       await new Promise(resolve => setImmediate(resolve));
     }
-    second.abort();
-    assert.equal((await waiting).run, 'not-run');
-    const third = service.call({...booking, path: '/third'}, neverAborts);
-    first.abort();
-    assert.equal((await running).run, 'may-have-run');
-    await third;
-    assert.deepEqual(seen, ['/first', '/third']);
+    secondController.abort();
+    assert.equal((await queuedRejection).run, 'not-run');
+    const thirdResponse = service.call(
+      {...bookingCall, path: '/third'},
+      neverAbortedSignal,
+    );
+    firstController.abort();
+    assert.equal((await runningRejection).run, 'may-have-run');
+    await thirdResponse;
+    assert.deepEqual(receivedPaths, ['/first', '/third']);
   });
 
   it('fails a call whose response exceeds the size limit', async test => {
@@ -215,14 +228,18 @@
       createHttpServer((_request, response) => response.end('x'.repeat(2_000))),
     );
     const service = createClient(test, {url, maxResponseBytes: 1_000});
-    const error = await rejectionOf(service.call(booking, neverAborts));
+    const error = await waitForRejection(
+      service.call(bookingCall, neverAbortedSignal),
+    );
     assert.equal(error.kind, 'outcome-unknown');
   });
 
-  it('rejects an invalid header with not-run', async test => {
+  it('rejects a call with an invalid header as not-run', async test => {
     const service = createClient(test, {url: 'http://127.0.0.1:9'});
-    const bad = {...booking, headers: {'x-bad': 'a\r\nb: c'}};
-    const error = await rejectionOf(service.call(bad, neverAborts));
+    const badCall = {...bookingCall, headers: {'x-bad': 'a\r\nb: c'}};
+    const error = await waitForRejection(
+      service.call(badCall, neverAbortedSignal),
+    );
     assert.equal(error.run, 'not-run');
     assert.equal(error.kind, 'bad-request');
   });
@@ -230,11 +247,11 @@
 
 describe('hop-by-hop headers', () => {
   it('removes the headers that the connection header lists', () => {
-    const passed = removeHopByHopHeaders({
+    const forwardedHeaders = removeHopByHopHeaders({
       Connection: 'close, X-Hop',
       'x-hop': '1',
       Accept: ['a', 'b'],
     });
-    assert.deepEqual(passed, {accept: 'a, b'});
+    assert.deepEqual(forwardedHeaders, {accept: 'a, b'});
   });
 });
--- a/packages/endpoints/src/test/promptBlocks.test.ts
+++ b/packages/endpoints/src/test/promptBlocks.test.ts
@@ -6,26 +6,29 @@
   hashPromptBlocks,
 } from '../promptBlocks.js';
 
-function tokens(count: number): string[] {
+function createTokens(count: number): string[] {
   return Array.from({length: count}, (_, index) => `t${index}`);
 }
 
 describe('prompt blocks', () => {
   it('omits a block that is not full', () => {
-    assert.equal(hashPromptBlocks(tokens(TOKENS_PER_BLOCK * 2 + 3)).length, 2);
+    assert.equal(
+      hashPromptBlocks(createTokens(TOKENS_PER_BLOCK * 2 + 3)).length,
+      2,
+    );
   });
 
   it('changes the hash of a block when an earlier token differs', () => {
-    const same = hashPromptBlocks(tokens(64));
-    const other = hashPromptBlocks(['x', ...tokens(64).slice(1)]);
-    assert.notEqual(same[3], other[3]);
+    const originalHashes = hashPromptBlocks(createTokens(64));
+    const changedHashes = hashPromptBlocks(['x', ...createTokens(64).slice(1)]);
+    assert.notEqual(originalHashes[3], changedHashes[3]);
   });
 
-  it('extends known blocks to the same hashes as a full computation', () => {
-    const known = hashPromptBlocks(tokens(40));
+  it('extends the hashes of a prefix to the hashes of the whole text', () => {
+    const knownHashes = hashPromptBlocks(createTokens(40));
     assert.deepEqual(
-      extendBlockHashes(known, tokens(100)),
-      hashPromptBlocks(tokens(100)),
+      extendBlockHashes(knownHashes, createTokens(100)),
+      hashPromptBlocks(createTokens(100)),
     );
   });
 });
