--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -1,4 +1,4 @@
-/** Source of time and timers, replaceable in tests. */
+/** Sources of time and timers, replaceable in tests. */
 import {toDisposable, type Disposable} from './disposables.js';
 import {ServingError} from './errors.js';
 import {createTimerWheel} from './timerWheel.js';
@@ -8,7 +8,7 @@
   now(): number;
   /** Wall-clock milliseconds since 1970; may jump. */
   wall(): number;
-  /** Calls back once after the delay, unless disposed before. */
+  /** Calls back once after the delay, unless the timer is disposed before. */
   after(delayMs: number, callback: () => void): Disposable;
 }
 
@@ -42,7 +42,7 @@
   };
 }
 
-/** Monotonic milliseconds. `performance` would load Node modules at startup. */
+/** Monotonic milliseconds; `performance` would load more modules at startup. */
 function now(): number {
   const [seconds, nanoseconds] = process.hrtime();
   return seconds * MS_PER_SECOND + nanoseconds / NS_PER_MS;
--- a/packages/base/src/decisionLog.ts
+++ b/packages/base/src/decisionLog.ts
@@ -2,7 +2,7 @@
 import type {Clock} from './clock.js';
 import type {Logger} from './logger.js';
 
-/** A decision with its reason and the figures that it is based on. */
+/** Decision of a component, with its reason and the underlying figures. */
 export interface Decision {
   /** Wall-clock milliseconds since 1970. */
   readonly at: number;
@@ -19,7 +19,7 @@
 }
 
 export interface DecisionLog {
-  /** Adds a decision; drops the oldest when the log is full. */
+  /** Adds a decision; drops the oldest decision when the log is full. */
   note(
     by: string,
     subject: string,
--- a/packages/base/src/disposables.ts
+++ b/packages/base/src/disposables.ts
@@ -7,7 +7,7 @@
 
 /** Owns several disposables and disposes them together. */
 export interface DisposableStore extends Disposable {
-  /** Takes ownership; disposes immediately if the store is already disposed. */
+  /** Adds a disposable; disposes it at once if the store has been disposed. */
   add<T extends Disposable>(disposable: T): T;
   readonly isDisposed: boolean;
 }
@@ -40,7 +40,7 @@
  * store.dispose();
  */
 export function disposableStore(): DisposableStore {
-  const owned: Disposable[] = [];
+  const disposables: Disposable[] = [];
   let isDisposed = false;
   return {
     get isDisposed() {
@@ -51,13 +51,13 @@
         disposable.dispose();
         return disposable;
       }
-      owned.push(disposable);
+      disposables.push(disposable);
       return disposable;
     },
     dispose() {
       isDisposed = true;
-      while (owned.length > 0) {
-        owned.pop()?.dispose();
+      while (disposables.length > 0) {
+        disposables.pop()?.dispose();
       }
     },
   };
--- a/packages/base/src/dumps.ts
+++ b/packages/base/src/dumps.ts
@@ -16,18 +16,18 @@
  * dumps.add('router', () => router.dump());
  */
 export function createDumps(): Dumps {
-  const dumps = new Map<string, () => unknown>();
+  const dumpFunctions = new Map<string, () => unknown>();
   return {
     add(name, dump) {
-      dumps.set(name, dump);
-      return toDisposable(() => dumps.delete(name));
+      dumpFunctions.set(name, dump);
+      return toDisposable(() => dumpFunctions.delete(name));
     },
     collect() {
-      const state: Record<string, unknown> = {};
-      for (const [name, dump] of dumps) {
-        state[name] = dumpSafely(dump);
+      const dumpsByName: Record<string, unknown> = {};
+      for (const [name, dump] of dumpFunctions) {
+        dumpsByName[name] = dumpSafely(dump);
       }
-      return state;
+      return dumpsByName;
     },
   };
 }
--- a/packages/base/src/errors.ts
+++ b/packages/base/src/errors.ts
@@ -42,13 +42,13 @@
   readonly status: number;
   /** Short, stable `title` of the RFC 9457 problem. */
   readonly title: string;
-  /** Run state of an error that does not specify its own. */
+  /** Default run state of errors of the kind. */
   readonly run: RunState;
   /** Whether a retry of the same request can succeed. */
   readonly retryable: boolean;
 }
 
-/** Response by error kind. */
+/** Responses by error kind. */
 export const errorResponses: Readonly<Record<ErrorKind, ErrorResponse>> = {
   'bad-request': errorResponse(
     400,
@@ -162,7 +162,7 @@
   internal: errorResponse(500, 'Internal error', 'may-have-run', false),
 };
 
-/** One validation error and its path. */
+/** One validation error and the path of the field that it concerns. */
 export interface ValidationFault {
   /** Path of the field, like `listen.port`; empty for the whole value. */
   readonly path: string;
@@ -205,7 +205,8 @@
 }
 
 /**
- * Returns whether a caught value is a `ServingError`, of the given kind if any.
+ * Returns whether a caught value is a `ServingError` and, if a kind is given,
+ * whether the error has this kind.
  *
  * @example
  * if (isServingError(error, 'version-conflict')) { return retry(); }
--- a/packages/base/src/events.ts
+++ b/packages/base/src/events.ts
@@ -14,8 +14,8 @@
 /**
  * Creates an event emitter.
  *
- * A listener that throws does not keep later ones from being called: the first
- * error is rethrown after all listeners were called.
+ * A listener that throws does not keep later listeners from being called: the
+ * first error is rethrown after all listeners were called.
  *
  * @example
  * const changed = emitter<Member>();
--- a/packages/base/src/hashing.ts
+++ b/packages/base/src/hashing.ts
@@ -17,7 +17,7 @@
  * Returns the hash of a text as a fraction in [0, 1).
  *
  * @example
- * const takesCandidate = hashFraction(`${move}/${session}`) < share;
+ * const usesCandidate = hashFraction(`${move}/${session}`) < share;
  */
 export function hashFraction(text: string, seed = 0): number {
   return hash32(text, seed) / TWO_TO_32;
--- a/packages/base/src/inFlight.ts
+++ b/packages/base/src/inFlight.ts
@@ -1,11 +1,11 @@
-/** Counter of operations in progress that can be awaited to drain. */
+/** Counter of operations in progress; can wait until it drops to zero. */
 import type {Clock} from './clock.js';
 
 export interface InFlightCounter {
   begin(): void;
   end(): void;
   count(): number;
-  /** Resolves to true once nothing is in progress, to false on timeout. */
+  /** Resolves to true once no operation is in progress, to false on timeout. */
   waitUntilIdle(timeoutMs: number): Promise<boolean>;
 }
 
--- a/packages/base/src/logger.ts
+++ b/packages/base/src/logger.ts
@@ -10,11 +10,11 @@
 /** Destination of log lines. */
 export type LogSink = 'stderr' | 'stdout';
 
-/** Bytes buffered before a write, to save a system call per line. */
+/** Number of buffered bytes that triggers a write; saves system calls. */
 const WRITE_BATCH_BYTES = 4_096;
 
 /**
- * Bytes buffered for a slow reader; further lines are dropped. A slow reader of
+ * Maximum number of buffered bytes; further lines are dropped. A slow reader of
  * the log must neither block the process nor exhaust its memory.
  */
 const MAX_BUFFERED_BYTES = 1_048_576;
@@ -22,12 +22,14 @@
 /** Maximum time that a line is buffered, in milliseconds. */
 const MAX_FLUSH_DELAY_MS = 250;
 
-const destinations: Readonly<Record<LogSink, () => pino.DestinationStream>> = {
+const destinationFactories: Readonly<
+  Record<LogSink, () => pino.DestinationStream>
+> = {
   stderr: () => pino.destination({fd: 2, sync: true}),
-  stdout: bufferedStdout,
+  stdout: createBufferedStdout,
 };
 
-function bufferedStdout(): pino.DestinationStream {
+function createBufferedStdout(): pino.DestinationStream {
   const stream = pino.destination({
     fd: 1,
     sync: false,
@@ -43,7 +45,7 @@
     try {
       stream.flushSync();
     } catch {
-      // The error cannot be reported: standard output itself is closed.
+      // The error cannot be logged: standard output is closed.
     }
   });
   return {
@@ -71,15 +73,15 @@
   fields: Record<string, string> = {},
   sink: LogSink = 'stderr',
 ): Logger {
-  const redacted = SECRET_FIELDS.flatMap(name => [name, `*.${name}`]);
+  const redactedPaths = SECRET_FIELDS.flatMap(name => [name, `*.${name}`]);
   return pino(
     {
       level,
       base: fields,
-      redact: redacted,
+      redact: redactedPaths,
       timestamp: pino.stdTimeFunctions.isoTime,
     },
-    destinations[sink](),
+    destinationFactories[sink](),
   );
 }
 
--- a/packages/base/src/metrics.ts
+++ b/packages/base/src/metrics.ts
@@ -11,9 +11,9 @@
 }
 
 /**
- * Creates the metrics of a process. The exporter's own server is disabled: the
- * admin port serves the metrics. The SDK is imported here, not with this
- * module, so that a process that defers this call until the first read starts
+ * Creates the metrics of a process. The exporter's HTTP server is disabled: the
+ * admin port serves the metrics. The SDK is imported by this call, not by the
+ * module, so that a process that defers the call until the first read starts
  * faster.
  *
  * @example
--- a/packages/base/src/pausableClock.ts
+++ b/packages/base/src/pausableClock.ts
@@ -13,7 +13,7 @@
 }
 
 /**
- * Creates a clock that is derived from a shared one.
+ * Creates a clock that is derived from a shared clock.
  *
  * @param rate Speed relative to the shared clock, like 1.001.
  * @example
@@ -23,7 +23,7 @@
 export function pausableClock(sharedClock: Clock, rate = 1): PausableClock {
   const startMs = sharedClock.now();
   const startWallMs = sharedClock.wall();
-  const deferred: (() => void)[] = [];
+  const deferredCallbacks: (() => void)[] = [];
   let isPaused = false;
   let isKilled = false;
 
@@ -32,7 +32,7 @@
       return;
     }
     if (isPaused) {
-      deferred.push(callback);
+      deferredCallbacks.push(callback);
       return;
     }
     callback();
@@ -63,7 +63,7 @@
     },
     resume() {
       isPaused = false;
-      for (const callback of deferred.splice(0)) {
+      for (const callback of deferredCallbacks.splice(0)) {
         runOrDefer(callback);
       }
     },
--- a/packages/base/src/processLifecycle.ts
+++ b/packages/base/src/processLifecycle.ts
@@ -4,8 +4,8 @@
 /**
  * `serving`: accepts requests once it has a configuration. `lingering`: has
  * announced its shutdown to its peers, and still accepts requests of callers
- * with an older lookup result. `leaving`: rejects new requests and drains those
- * in flight. `stopped`.
+ * that looked up its address before. `leaving`: rejects new requests and drains
+ * the requests in flight. `stopped`: final state.
  */
 export type LifecycleState = 'serving' | 'lingering' | 'leaving' | 'stopped';
 
@@ -32,9 +32,9 @@
  * lifecycle.send('announce');
  */
 export function createProcessLifecycle(): ProcessLifecycle {
-  const service = interpret(lifecycleMachine, () => {});
+  const interpreter = interpret(lifecycleMachine, () => {});
   return {
-    state: () => service.machine.current as LifecycleState,
-    send: event => service.send(event),
+    state: () => interpreter.machine.current as LifecycleState,
+    send: event => interpreter.send(event),
   };
 }
--- a/packages/base/src/random.ts
+++ b/packages/base/src/random.ts
@@ -2,13 +2,13 @@
 import prand from 'pure-rand';
 
 export interface Random {
-  /** Uniform in [0, 1). */
+  /** Uniformly distributed number in [0, 1). */
   next(): number;
-  /** Uniform integer from `low` to `high`, both inclusive. */
+  /** Uniformly distributed integer from `low` to `high`, both inclusive. */
   integer(low: number, high: number): number;
   /** Uniformly chosen item; undefined for an empty list. */
   pick<T>(items: readonly T[]): T | undefined;
-  /** Exponentially distributed with the given mean. */
+  /** Exponentially distributed number with the given mean. */
   exponential(mean: number): number;
   /** True with the given probability. */
   chance(probability: number): boolean;
--- a/packages/base/src/shapes.ts
+++ b/packages/base/src/shapes.ts
@@ -13,15 +13,17 @@
   schema: T,
   value: unknown,
   kind: ErrorKind,
-  what = 'value',
+  valueName = 'value',
 ): z.output<T> {
   const result = schema.safeParse(value);
   if (result.success) {
     return result.data;
   }
   const faults = result.error.issues.map(toFault);
-  const lines = faults.map(fault => `${fault.path || what}: ${fault.expected}`);
-  throw new ServingError(kind, `invalid ${what}: ${lines.join('; ')}`, {
+  const lines = faults.map(
+    fault => `${fault.path || valueName}: ${fault.expected}`,
+  );
+  throw new ServingError(kind, `invalid ${valueName}: ${lines.join('; ')}`, {
     faults,
   });
 }
@@ -35,13 +37,13 @@
 export function parseJson(
   text: string,
   kind: ErrorKind,
-  what = 'value',
+  valueName = 'value',
 ): unknown {
   try {
     return JSON.parse(text);
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
-    throw new ServingError(kind, `${what} is not JSON: ${reason}`, {
+    throw new ServingError(kind, `${valueName} is not JSON: ${reason}`, {
       faults: [{path: '', expected: 'JSON text'}],
       cause: error,
     });
--- a/packages/base/src/test/timerWheel.test.ts
+++ b/packages/base/src/test/timerWheel.test.ts
@@ -5,17 +5,17 @@
 
 function setUp() {
   const clock = virtualClock();
-  let wakeCount = 0;
+  let wakeUpCount = 0;
   const wheel = createTimerWheel({
     slotMs: 50,
     now: clock.now,
     arm: (delayMs, callback) =>
       clock.after(delayMs, () => {
-        wakeCount += 1;
+        wakeUpCount += 1;
         callback();
       }),
   });
-  return {clock, wheel, wakeCount: () => wakeCount};
+  return {clock, wheel, getWakeUpCount: () => wakeUpCount};
 }
 
 describe('timer wheel', () => {
@@ -34,14 +34,14 @@
   });
 
   it('wakes up once for all timers of a slot', async () => {
-    const {clock, wheel, wakeCount} = setUp();
-    let fired = 0;
+    const {clock, wheel, getWakeUpCount: getWakeUpCount} = setUp();
+    let firedCount = 0;
     for (let dueMs = 101; dueMs <= 150; dueMs++) {
-      wheel.at(dueMs, () => (fired += 1));
+      wheel.at(dueMs, () => (firedCount += 1));
     }
     await clock.advance(1_000);
-    assert.equal(fired, 50);
-    assert.equal(wakeCount(), 1);
+    assert.equal(firedCount, 50);
+    assert.equal(getWakeUpCount(), 1);
   });
 
   it('does not call disposed timers, even in the slot that is firing', async () => {
@@ -59,7 +59,7 @@
     assert.deepEqual(fired, ['first']);
   });
 
-  it('handles a timer that is due before the armed one', async () => {
+  it('fires a timer that is due before the earliest scheduled timer', async () => {
     const {clock, wheel} = setUp();
     const fired: number[] = [];
     wheel.at(5_000, () => fired.push(5_000));
--- a/packages/base/src/test/virtualClock.test.ts
+++ b/packages/base/src/test/virtualClock.test.ts
@@ -5,11 +5,11 @@
 describe('virtual clock', () => {
   it('runs timers in order of their due time', async () => {
     const clock = virtualClock();
-    const seen: string[] = [];
-    clock.after(20, () => seen.push('late'));
-    clock.after(10, () => seen.push('early'));
+    const firedTimers: string[] = [];
+    clock.after(20, () => firedTimers.push('late'));
+    clock.after(10, () => firedTimers.push('early'));
     await clock.advance(30);
-    assert.deepEqual(seen, ['early', 'late']);
+    assert.deepEqual(firedTimers, ['early', 'late']);
     assert.equal(clock.now(), 30);
   });
 
@@ -25,9 +25,9 @@
 
   it('rejects a sleep whose signal aborts', async () => {
     const clock = virtualClock();
-    const stop = new AbortController();
-    const waiting = sleep(clock, 1000, stop.signal);
-    stop.abort();
-    await assert.rejects(waiting, {kind: 'cancelled'});
+    const controller = new AbortController();
+    const sleepPromise = sleep(clock, 1000, controller.signal);
+    controller.abort();
+    await assert.rejects(sleepPromise, {kind: 'cancelled'});
   });
 });
--- a/packages/base/src/timerWheel.ts
+++ b/packages/base/src/timerWheel.ts
@@ -5,7 +5,7 @@
 import {toDisposable, type Disposable} from './disposables.js';
 
 export interface TimerWheel {
-  /** Calls back in the first slot at or after a time of the wheel's clock. */
+  /** Calls back in the first slot that starts at or after `dueMs`. */
   at(dueMs: number, callback: () => void): Disposable;
 }
 
@@ -19,38 +19,40 @@
 export function createTimerWheel(options: {
   readonly slotMs: number;
   now(): number;
-  /** Calls back once after a delay, never earlier. */
+  /** Starts a timer that calls back once after a delay, never earlier. */
   arm(delayMs: number, callback: () => void): Disposable;
 }): TimerWheel {
   const {slotMs, now} = options;
   const slots = new Map<number, Set<() => void>>();
-  let armed: {readonly slot: number; readonly timer: Disposable} | undefined;
+  let nextWakeUp:
+    | {readonly slot: number; readonly timer: Disposable}
+    | undefined;
 
-  function armFor(slot: number): void {
-    armed?.timer.dispose();
+  function armForSlot(slot: number): void {
+    nextWakeUp?.timer.dispose();
     const delayMs = Math.max(0, slot * slotMs - now());
-    armed = {slot, timer: options.arm(delayMs, fireDueSlots)};
+    nextWakeUp = {slot, timer: options.arm(delayMs, fireDueSlots)};
   }
 
   function fireDueSlots(): void {
-    armed = undefined;
+    nextWakeUp = undefined;
     const currentSlot = Math.floor(now() / slotMs);
-    const due = [...slots.keys()].filter(slot => slot <= currentSlot);
-    for (const slot of due.sort((a, b) => a - b)) {
+    const dueSlots = [...slots.keys()].filter(slot => slot <= currentSlot);
+    for (const slot of dueSlots.sort((a, b) => a - b)) {
       const callbacks = slots.get(slot) ?? new Set();
       slots.delete(slot);
       callbacks.forEach(runCallback);
     }
-    armNext();
+    armForNextSlot();
   }
 
-  function armNext(): void {
+  function armForNextSlot(): void {
     if (slots.size === 0) {
       return;
     }
-    const next = Math.min(...slots.keys());
-    if (armed === undefined || next < armed.slot) {
-      armFor(next);
+    const nextSlot = Math.min(...slots.keys());
+    if (nextWakeUp === undefined || nextSlot < nextWakeUp.slot) {
+      armForSlot(nextSlot);
     }
   }
 
@@ -58,10 +60,10 @@
     at(dueMs, callback) {
       const slot = Math.ceil(dueMs / slotMs);
       const callbacks = slots.get(slot) ?? new Set();
-      // Wrapped, since the same function may be scheduled twice.
+      // The wrapper distinguishes two timers with the same function.
       const wrapper = () => callback();
       slots.set(slot, callbacks.add(wrapper));
-      armNext();
+      armForNextSlot();
       return toDisposable(() => {
         callbacks.delete(wrapper);
         if (callbacks.size === 0 && slots.get(slot) === callbacks) {
@@ -72,7 +74,7 @@
   };
 }
 
-/** Runs a callback; an exception is rethrown after the rest of the slot. */
+/** Runs a callback; its exception is rethrown after the slot's callbacks. */
 function runCallback(callback: () => void): void {
   try {
     callback();
--- a/packages/base/src/virtualClock.ts
+++ b/packages/base/src/virtualClock.ts
@@ -3,7 +3,7 @@
 import {toDisposable} from './disposables.js';
 
 export interface VirtualClock extends Clock {
-  /** Runs the timers due in the span in order; settles promises in between. */
+  /** Runs due timers in order up to `spanMs`; settles promises after each. */
   advance(spanMs: number): Promise<void>;
   /** Like `advance`, but without settling promises, for synchronous replays. */
   advanceSync(spanMs: number): void;
@@ -15,7 +15,7 @@
 
 interface Timer {
   readonly dueMs: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly callback: () => void;
 }
 
@@ -33,27 +33,27 @@
 export function virtualClock(startWallMs = 1_800_000_000_000): VirtualClock {
   let nowMs = 0;
   let wallOffsetMs = startWallMs;
-  let nextOrder = 0;
+  let nextSequence = 0;
   const timers = new Set<Timer>();
 
-  function removeNextDue(limitMs: number): Timer | undefined {
-    let next: Timer | undefined;
+  function removeNextDueTimer(limitMs: number): Timer | undefined {
+    let nextTimer: Timer | undefined;
     for (const timer of timers) {
       if (timer.dueMs > limitMs) {
         continue;
       }
-      if (next === undefined || isBefore(timer, next)) {
-        next = timer;
+      if (nextTimer === undefined || isBefore(timer, nextTimer)) {
+        nextTimer = timer;
       }
     }
-    if (next !== undefined) {
-      timers.delete(next);
+    if (nextTimer !== undefined) {
+      timers.delete(nextTimer);
     }
-    return next;
+    return nextTimer;
   }
 
-  function runNextDue(limitMs: number): boolean {
-    const timer = removeNextDue(limitMs);
+  function runNextDueTimer(limitMs: number): boolean {
+    const timer = removeNextDueTimer(limitMs);
     if (timer === undefined) {
       return false;
     }
@@ -68,7 +68,7 @@
     after(delayMs, callback) {
       const timer = {
         dueMs: nowMs + Math.max(0, delayMs),
-        order: nextOrder++,
+        sequence: nextSequence++,
         callback,
       };
       timers.add(timer);
@@ -77,14 +77,14 @@
     async advance(spanMs) {
       const limitMs = nowMs + spanMs;
       await settlePromises();
-      while (runNextDue(limitMs)) {
+      while (runNextDueTimer(limitMs)) {
         await settlePromises();
       }
       nowMs = Math.max(nowMs, limitMs);
     },
     advanceSync(spanMs) {
       const limitMs = nowMs + spanMs;
-      while (runNextDue(limitMs)) {
+      while (runNextDueTimer(limitMs)) {
         // Runs every due timer, including timers added by other timers.
       }
       nowMs = Math.max(nowMs, limitMs);
@@ -102,7 +102,7 @@
   if (a.dueMs !== b.dueMs) {
     return a.dueMs < b.dueMs;
   }
-  return a.order < b.order;
+  return a.sequence < b.sequence;
 }
 
 /** Runs the promise reactions that are already queued. */
