--- a/deploy/warmUp.cjs
+++ b/deploy/warmUp.cjs
@@ -1,7 +1,7 @@
 'use strict';
 /**
  * Runs two gateways in one process for a short time, with a stand-in platform
- * and endpoint. The build runs it so that V8's code cache holds the functions
+ * and endpoint. The build does so to fill V8's code cache with the functions
  * that a process needs to serve its first requests.
  */
 const {mkdtempSync, rmSync, writeFileSync} = require('node:fs');
@@ -16,8 +16,8 @@
 const OBJECTS_PATH = '/skylarkfield/objects/';
 
 /**
- * Timeout for readiness, in milliseconds; a build on a busy machine may exceed
- * it and continues without.
+ * Timeout for a gateway to become ready, in milliseconds. After the timeout, as
+ * on a busy machine, the build continues with a gateway that is not ready.
  */
 const READY_TIMEOUT_MS = 10_000;
 const POLL_MS = 50;
@@ -129,7 +129,7 @@
   });
 }
 
-/** Starts a stand-in store that keeps writes and reports no changes. */
+/** Starts a stand-in platform; its store accepts writes, reports no changes. */
 async function startPlatform(endpointAddress) {
   const objects = new Map([
     ['config', new Map([['main', configuration()]])],
@@ -224,7 +224,7 @@
   };
 }
 
-/** Sends one request and returns its status; 0 without a response. */
+/** Sends one request; returns the response status, or 0 without a response. */
 function send(port, path, headers, body) {
   return new Promise(resolve => {
     const request = http.request(
@@ -279,8 +279,8 @@
 }
 
 /**
- * Starts the gateways and sends some requests. `startGateway` runs the gateway
- * with a settings file and returns at once.
+ * Starts the gateways and sends some requests. `startGateway` accepts the
+ * path of a settings file and returns before the gateway is ready.
  */
 async function warmUp(startGateway) {
   const folder = mkdtempSync(join(tmpdir(), 'skylarkfield-warm-'));
