--- a/eslint.config.js
+++ b/eslint.config.js
@@ -58,18 +58,18 @@
   'favour',
 ];
 
-/** Restricts replaced words in identifiers: alone, at the start or inside. */
+/** Forbids replaced words as an identifier, at its start or inside of it. */
 function replacedWordSelector() {
   const words = REPLACED_WORDS.filter(word => word !== 'pace');
   const capitalized = words.map(word => word[0].toUpperCase() + word.slice(1));
-  const name = `/^(${words.join('|')})(?![a-z])|(${capitalized.join('|')})|^pace$/`;
+  const pattern = `/^(${words.join('|')})(?![a-z])|(${capitalized.join('|')})|^pace$/`;
   return {
-    selector: `Identifier[name=${name}]`,
+    selector: `Identifier[name=${pattern}]`,
     message: 'Use the term of docs/GLOSSARY.md instead of this word.',
   };
 }
 
-/** Restricts the platform's wire names to its adapter in platform/. */
+/** Forbids the platform's wire names outside of its adapter in platform/. */
 function platformNameSelectors() {
   const message =
     "Names of the platform's wire format are allowed only in platform/.";
@@ -79,7 +79,7 @@
   ]);
 }
 
-/** Restrictions on names: replaced words everywhere, wire names in packages/. */
+/** Forbids replaced words in all TypeScript code, wire names in packages/. */
 function nameRules() {
   const replacedWord = replacedWordSelector();
   return [
--- a/tools/buildBinary.mjs
+++ b/tools/buildBinary.mjs
@@ -1,6 +1,7 @@
 /**
  * Builds dist/skylarkfield, an executable that needs no Node.js installed:
- * bundles the code, makes a blob of it and injects it into a copy of `node`.
+ * bundles the code, converts the bundle to a blob and injects the blob into a
+ * copy of `node`.
  */
 import {copyFileSync, mkdirSync, rmSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
@@ -15,7 +16,7 @@
 const seaConfigPath = join(dist, 'sea.json');
 const binaryPath = join(dist, 'skylarkfield');
 
-/** Sentinel in the node executable that tells whether a blob was injected. */
+/** Sentinel in the node executable that marks whether a blob was injected. */
 const SENTINEL_FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
 await run('npm', ['run', '--silent', 'build'], {cwd: root});
@@ -29,7 +30,7 @@
   format: 'cjs',
   external: ['msgpackr-extract', 'typescript'],
   // The `require` of a single executable loads only built-in modules and warns
-  // about any other.
+  // about other modules.
   banner: {
     js: "require=require('node:module').createRequire(process.execPath);",
   },
--- a/tools/buildGateway.mjs
+++ b/tools/buildGateway.mjs
@@ -1,7 +1,7 @@
 /**
  * Builds the gateway for the users' platform: target/gateway.cjs loads
  * target/gateway-bundle.cjs, a single file without unused modules, with a V8
- * code cache. Reading and compiling code is most of the CPU time of a restart.
+ * code cache. Reading and compiling code takes most of a restart's CPU time.
  */
 import {copyFileSync, existsSync, mkdirSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
@@ -31,7 +31,8 @@
   platform: 'node',
   target: 'node20',
   format: 'cjs',
-  // Identifiers are kept for logs and stack traces; cached code is not parsed.
+  // Identifiers are not shortened, for logs and stack traces. Long identifiers
+  // take no time to parse, as cached code is not parsed.
   minifyWhitespace: true,
   minifySyntax: true,
   treeShaking: true,
@@ -39,7 +40,7 @@
   plugins: [lazyBuiltins(), stubUnusedModules(), undiciSubset()],
   logOverride: {'empty-import-meta': 'silent'},
 });
-// The flags of deploy/system.toml: V8 rejects a cache made with other flags.
+// Flags of deploy/system.toml: V8 rejects a cache made with other flags.
 await run(
   process.execPath,
   [
--- a/tools/capacity.mjs
+++ b/tools/capacity.mjs
@@ -16,6 +16,7 @@
 const START_MARKER = '<!-- computed by tools/capacity.mjs -->';
 const END_MARKER = '<!-- end of computed part -->';
 
+/** Deployment for which the costs are computed, and its changes per day. */
 const DEPLOYMENT = {
   entries: 1_700,
   replicas: 4_800,
@@ -23,6 +24,7 @@
   changesPerDay: 8_300,
   entryChangesPerDay: 1_700 + 71,
 };
+/** Budget of one entry: bytes and CPU time per second, memory in bytes. */
 const BUDGET = {bytes: 7_000, cpuMicros: 45_000, memory: 128e6};
 const SECONDS_PER_DAY = 86_400;
 
@@ -32,9 +34,9 @@
  */
 const HEADER_BYTES = 66 + 66 + 6;
 
-/** Values that the code fixes or bounds, with the names of its constants. */
+/** Values from the code; each comment names the constants and their files. */
 const CODE_CONSTANTS = {
-  /** PUSH_FANOUT in records/recordGossip; as many are received as are sent. */
+  /** Pushes sent, and received: PUSH_FANOUT in records/recordGossip. */
   pushFanout: 4,
   /** DIGEST_FANOUT in records/recordGossip, per second. */
   digestFanout: 2,
@@ -52,7 +54,7 @@
   renewSeconds: 2,
   pollLeaseSeconds: 1.5,
   /**
-   * shardCount in orders/ledgerSettings; minWriteIntervalMs there allows 12.5
+   * shardCount in orders/ledgerSettings, whose minWriteIntervalMs allows 12.5
    * writes per second.
    */
   shards: 8,
@@ -75,7 +77,7 @@
   readFileSync(join(root, 'docs', 'reports', 'orderOwner.json'), 'utf8'),
 );
 
-/** Two largest simulated sizes; heap per member is the slope between them. */
+/** Two largest simulated runs; heap per member is the slope between them. */
 const largestRun = membershipRuns[membershipRuns.length - 1];
 const secondLargestRun = membershipRuns[membershipRuns.length - 2];
 const heapBytesPerMember =
@@ -90,7 +92,7 @@
   return {name, mechanism, messages, bytes, cpuMicros, memory};
 }
 
-/** CPU time of one end of messages: half of the cost measured at both ends. */
+/** CPU time at one end of a connection: half of the sum of both ends. */
 function messageCpuMicros(messages) {
   return (messages * sockets.cpuMicrosPerMessage) / 2;
 }
@@ -150,8 +152,8 @@
 ];
 
 /**
- * Owner of a shard at the highest sustainable order rate, where its keys fill
- * `maxShardBytes`; scaled from the highest measured rate.
+ * Cost of a shard's owner at the highest sustainable order rate, at which the
+ * shard's keys fill `maxShardBytes`; scaled from the highest measured rate.
  */
 const busiestOwner = shardOwnerRuns[shardOwnerRuns.length - 1];
 const fullShardRatio = CODE_CONSTANTS.maxShardBytes / busiestOwner.stateBytes;
@@ -251,8 +253,8 @@
 }
 
 /**
- * Cost of tracking replicas by load reports and host lists, and the rate of
- * reports that fits the budget.
+ * Returns the cost of tracking replicas by load reports and host lists, and the
+ * rate of load reports that the rest of the budget allows.
  */
 function replicaTable() {
   const commonTotal = sumCosts(commonCosts);
@@ -361,16 +363,16 @@
       'platform bytes/s',
       'CPU µs/s',
     ],
-    shardOwnerRuns.map(item => [
-      item.ordersPerSecond,
-      item.entries,
-      item.stateBytes,
-      item.heapBytes,
-      item.messages,
-      item.bytes,
-      item.platformWrites,
-      item.platformBytes,
-      item.cpuMicros,
+    shardOwnerRuns.map(run => [
+      run.ordersPerSecond,
+      run.entries,
+      run.stateBytes,
+      run.heapBytes,
+      run.messages,
+      run.bytes,
+      run.platformWrites,
+      run.platformBytes,
+      run.cpuMicros,
     ]),
   );
 }
@@ -387,15 +389,15 @@
       'bytes per change',
       'first / last notices a kill, ms',
     ],
-    membershipRuns.map(item => [
-      item.entries,
-      item.neighbours,
-      item.messages,
-      item.bytes,
-      item.cpuMicros,
-      item.heapBytes,
-      item.bytesPerChange,
-      `${item.firstNoticeMs} / ${item.lastNoticeMs}`,
+    membershipRuns.map(run => [
+      run.entries,
+      run.neighbours,
+      run.messages,
+      run.bytes,
+      run.cpuMicros,
+      run.heapBytes,
+      run.bytesPerChange,
+      `${run.firstNoticeMs} / ${run.lastNoticeMs}`,
     ]),
   );
 }
--- a/tools/demo.mjs
+++ b/tools/demo.mjs
@@ -28,28 +28,28 @@
   process.exit(1);
 }
 
-async function showFleet([entry, otherEntry]) {
+async function showFleet([entryUrl, otherEntryUrl]) {
   console.log('\na streamed answer from the model service "match":');
-  const answer = await streamChat(entry, 'match a warm oak floor', 12);
+  const answer = await streamChat(entryUrl, 'match a warm oak floor', 12);
   console.log(answer.text);
 
   console.log(
     '\nan order at "booking", repeated with the same key at another entry:',
   );
-  for (const url of [entry, otherEntry]) {
+  for (const url of [entryUrl, otherEntryUrl]) {
     const {status, text} = await sendOrder(url, 'shift-17');
     console.log(`${url}: ${status} ${text.trim()}`);
   }
-  showNextSteps(entry);
+  showNextSteps(entryUrl);
 }
 
-function showNextSteps(entry) {
+function showNextSteps(entryUrl) {
   const cli = 'node packages/cli/out/main.js';
   const adminAddress = fleet.entries[0].ready.admin;
   console.log(`
 the fleet runs until Ctrl-C; in another terminal, try:
-  ${cli} lookup --entry ${entry} --key ${TRIAL_CUSTOMER_KEY}
-  ${cli} send chat "match this walnut table" --entry ${entry} --service match --key ${TRIAL_CUSTOMER_KEY}
+  ${cli} lookup --entry ${entryUrl} --key ${TRIAL_CUSTOMER_KEY}
+  ${cli} send chat "match this walnut table" --entry ${entryUrl} --service match --key ${TRIAL_CUSTOMER_KEY}
   ${cli} status --platform ${fleet.platform.ready.url}
   ${cli} dump --admin ${adminAddress} --key ${TRIAL_ADMIN_KEY}`);
 }
--- a/tools/gatewayLoader.cjs
+++ b/tools/gatewayLoader.cjs
@@ -17,7 +17,7 @@
   cachedData: readFileSync(join(__dirname, 'gateway-bundle.cache')),
 });
 if (script.cachedDataRejected) {
-  // Another Node.js release or other flags; the start is slower, but works.
+  // Other Node.js version or flags than at the build: the start works, slower.
   console.error('{"level":40,"msg":"code cache not usable"}');
 }
 const mainModule = {exports: {}};
--- a/tools/leanBundle.mjs
+++ b/tools/leanBundle.mjs
@@ -1,6 +1,6 @@
 /**
- * esbuild plugins that shorten the start of a gateway by not loading what it
- * does not use: a killed process serves no requests until its bundle is loaded.
+ * esbuild plugins that shorten the start of a gateway by not loading unused
+ * modules: a killed process serves no requests until its bundle is loaded.
  */
 import {createRequire, isBuiltin} from 'node:module';
 import {fileURLToPath} from 'node:url';
@@ -26,8 +26,8 @@
 const STUB_NAMESPACE = 'absent';
 
 /**
- * Stub sources by pattern, for modules with a fallback or of a protocol that no
- * endpoint uses.
+ * Sources of stubs by a pattern of module paths. Either the importing library
+ * has a fallback, or no endpoint uses the module's protocol.
  */
 const STUBS = {
   // msgpackr falls back to its JavaScript implementation.
@@ -61,7 +61,10 @@
   };
 }
 
-/** Source of a lazy module; an `assert` call that holds does not load it. */
+/**
+ * Returns the source of a lazy module. If the module is a function, like
+ * `assert`, a call with a true value does not load the module.
+ */
 function lazyModuleSource(name) {
   const constants = CONSTANT_EXPORTS[name] ?? {};
   const lazyExports = Object.keys(require(`node:${name}`)).filter(
@@ -115,7 +118,7 @@
 }
 
 /**
- * Replaces undici by the subset of it that a gateway uses.
+ * Replaces undici by the subset of undici that a gateway uses.
  *
  * @example
  * await build({...options, plugins: [undiciSubset()]});
--- a/tools/reportPlots.mjs
+++ b/tools/reportPlots.mjs
@@ -3,7 +3,7 @@
 const WIDTH = 300;
 const HEIGHT = 200;
 
-/** Turns keys into a column: `{a: {x: 1}}` becomes `[{policy: 'a', x: 1}]`. */
+/** Turns keys into a column `k`: `{a: {x: 1}}` becomes `[{k: 'a', x: 1}]`. */
 function rowsWithKey(table, column) {
   return Object.entries(table).map(([key, row]) => ({[column]: key, ...row}));
 }
@@ -13,7 +13,7 @@
     $schema: 'https://vega.github.io/schema/vega-lite/v5.json',
     title,
     background: 'white',
-    // No truncation: long names of cases would become indistinguishable.
+    // No truncation: truncated long names of cases would look alike.
     config: {axis: {labelLimit: 0}, legend: {labelLimit: 0}},
     width: WIDTH,
     height: HEIGHT,
@@ -27,24 +27,24 @@
   return {field, title, ...options};
 }
 
-/** Returns a bar chart over the column `x`, grouped by the column `by`. */
-function barChart(title, values, {x, y, by, unit}) {
+/** Returns a bar chart over the column `x`, grouped by the column `groupBy`. */
+function barChart(title, values, {x, y, groupBy, unit}) {
   return plotSpec('bar', title, values, {
     x: channel(x, x, {type: 'nominal', sort: null}),
     y: channel(y, unit ?? y, {type: 'quantitative'}),
-    ...(by && {
-      xOffset: {field: by, sort: null},
-      color: channel(by, by, {type: 'nominal', sort: null}),
+    ...(groupBy && {
+      xOffset: {field: groupBy, sort: null},
+      color: channel(groupBy, groupBy, {type: 'nominal', sort: null}),
     }),
   });
 }
 
-/** Returns a line chart with a line for each value of the column `by`. */
-function lineChart(title, values, {x, y, by, unit, scale = 'linear'}) {
+/** Returns a line chart with a line for each value of the column `groupBy`. */
+function lineChart(title, values, {x, y, groupBy, unit, scale = 'linear'}) {
   return plotSpec('line', title, values, {
     x: channel(x, x, {type: 'quantitative', scale: {type: scale}}),
     y: channel(y, unit ?? y, {type: 'quantitative'}),
-    color: channel(by, by, {type: 'nominal', sort: null}),
+    color: channel(groupBy, groupBy, {type: 'nominal', sort: null}),
   });
 }
 
@@ -68,18 +68,18 @@
   );
 }
 
-/** Returns the rows per mix, without the sum over both users. */
+/** Returns the rows of single mixes, without the sum over both users. */
 function moveRows({summary}) {
   return summary.filter(row => row.mix !== 'both users');
 }
 
-/** Plots by measurement; those not listed here have only tables. */
+/** Plots by measurement; a measurement without plots has only tables. */
 export const plots = {
   isolation: ({rows}) => [
     barChart(
       'Requests of the other services answered in time',
       rows.map(row => ({...row, case: `${row.trouble}, ${row.service}`})),
-      {x: 'case', y: 'success', by: 'gate', unit: 'share'},
+      {x: 'case', y: 'success', groupBy: 'gate', unit: 'share'},
     ),
   ],
   overload: ({rows}) => {
@@ -88,13 +88,13 @@
       lineChart('Goodput by load', accurateRows, {
         x: 'load',
         y: 'goodputPerSecond',
-        by: 'gate',
+        groupBy: 'gate',
         unit: 'requests a second',
       }),
       lineChart('Most urgent requests answered in time', accurateRows, {
         x: 'load',
         y: 'inTimeUrgency1',
-        by: 'gate',
+        groupBy: 'gate',
         unit: 'share',
       }),
     ];
@@ -103,13 +103,13 @@
     barChart('Tokens recomputed', routingRows(report), {
       x: 'policy',
       y: 'recomputedTokens',
-      by: 'user',
+      groupBy: 'user',
       unit: 'tokens',
     }),
     barChart('Time to first token, 95th percentile', routingRows(report), {
       x: 'policy',
       y: 'firstTokenP95Ms',
-      by: 'user',
+      groupBy: 'user',
       unit: 'ms',
     }),
   ],
@@ -117,13 +117,13 @@
     barChart('Tokens recomputed', reclaimRows(report), {
       x: 'case',
       y: 'recomputedTokens',
-      by: 'policy',
+      groupBy: 'policy',
       unit: 'tokens',
     }),
     barChart('Longest pause of a stream', reclaimRows(report), {
       x: 'case',
       y: 'pauseMaxMs',
-      by: 'policy',
+      groupBy: 'policy',
       unit: 'ms',
     }),
   ],
@@ -131,13 +131,13 @@
     lineChart('Writes to the platform', orderRows(report), {
       x: 'ordersPerSecond',
       y: 'writesPerSecond',
-      by: 'way',
+      groupBy: 'way',
       unit: 'writes a second',
     }),
     lineChart('Added latency, 95th percentile', orderRows(report), {
       x: 'ordersPerSecond',
       y: 'addedP95Ms',
-      by: 'way',
+      groupBy: 'way',
       unit: 'ms',
     }),
   ],
@@ -145,19 +145,19 @@
     barChart('Good versions rolled out in time', moveRows(report), {
       x: 'mix',
       y: 'goodMovedIn',
-      by: 'judge',
+      groupBy: 'judge',
       unit: 'share',
     }),
     barChart('Bad versions rolled back', moveRows(report), {
       x: 'mix',
       y: 'badTakenBack',
-      by: 'judge',
+      groupBy: 'judge',
       unit: 'share',
     }),
     barChart('Requests served by a bad version, median', moveRows(report), {
       x: 'mix',
       y: 'badServedMedian',
-      by: 'judge',
+      groupBy: 'judge',
       unit: 'requests',
     }),
   ],
@@ -165,14 +165,14 @@
     lineChart('Longest time until a configuration is in force', results, {
       x: 'entries',
       y: 'inForceMaxMs',
-      by: 'mode',
+      groupBy: 'mode',
       unit: 'ms',
       scale: 'log',
     }),
     lineChart('Calls to the platform', results, {
       x: 'entries',
       y: 'platformCallsPerSecond',
-      by: 'mode',
+      groupBy: 'mode',
       unit: 'calls a second',
       scale: 'log',
     }),
@@ -192,18 +192,18 @@
       {
         x: 'second',
         y: 'ratio',
-        by: 'profile',
+        groupBy: 'profile',
       },
     ),
     barChart('Engines planned for the same load', plans, {
       x: 'profile',
       y: 'engines',
-      by: 'plan',
+      groupBy: 'plan',
     }),
     barChart('Requests served within the goal by that plan', plans, {
       x: 'profile',
       y: 'inTime',
-      by: 'plan',
+      groupBy: 'plan',
       unit: 'share',
     }),
   ],
@@ -211,13 +211,13 @@
     barChart('Requests served within the goal at twice the capacity', rows, {
       x: 'profile',
       y: 'inTime',
-      by: 'refusesLate',
+      groupBy: 'refusesLate',
       unit: 'share',
     }),
     barChart('Requests without an answer by the deadline', rows, {
       x: 'profile',
       y: 'timedOut',
-      by: 'refusesLate',
+      groupBy: 'refusesLate',
       unit: 'share',
     }),
   ],
@@ -232,12 +232,13 @@
     lineChart('Bytes of membership per entry', members.map(withSeries), {
       x: 'entries',
       y: 'bytes',
-      by: 'series',
+      groupBy: 'series',
       unit: 'bytes a second',
     }),
   ],
 };
 
+/** Adds a constant column, as `lineChart` requires a column to group by. */
 function withSeries(row) {
   return {series: 'membership', ...row};
 }
--- a/tools/run.mjs
+++ b/tools/run.mjs
@@ -1,8 +1,8 @@
 import {spawn} from 'node:child_process';
 
 /**
- * Runs a command with inherited stdio and waits for its exit.
- * Exits this process with the command's exit code if it fails.
+ * Runs a command with inherited stdio and waits for its exit. If the command
+ * fails, exits this process with the command's exit code.
  */
 export async function run(command, args, options = {}) {
   const code = await runForExitCode(command, args, options);
--- a/tools/runTests.mjs
+++ b/tools/runTests.mjs
@@ -37,15 +37,21 @@
   });
 }
 
-/** Returns the source of a compiled test; output of a renamed test has none. */
+/**
+ * Returns the source path of a compiled test. Output that is left over from a
+ * renamed test has no source.
+ */
 function sourcePath(filePath) {
   return filePath
     .replace(`${sep}out${sep}`, `${sep}src${sep}`)
     .replace(/\.js$/, '.ts');
 }
 
-/** Returns the entries of KNOWN-RED.txt without empty lines and comments. */
-function readKnownRed() {
+/**
+ * Returns the lines of KNOWN-RED.txt that list a test; none unless
+ * SKYLARKFIELD_KNOWN_RED is set.
+ */
+function readKnownRedLines() {
   const filePath = join(root, 'KNOWN-RED.txt');
   if (!process.env.SKYLARKFIELD_KNOWN_RED || !existsSync(filePath)) {
     return [];
@@ -56,7 +62,7 @@
 }
 
 const layers = JSON.parse(readFileSync(join(root, 'layers.json'), 'utf8'));
-/** Folder of the adapter to the users' platform, next to packages/. */
+/** Folder of the adapter for the users' platform, next to packages/. */
 const PLATFORM_ADAPTER = 'platform';
 const packages =
   selectedPackages.length > 0
@@ -76,8 +82,10 @@
   process.env.SKYLARKFIELD_FUZZ ??= 'long';
 }
 
-const knownRed = readKnownRed();
-const knownRedNames = new Set(knownRed.map(line => line.split('|')[0].trim()));
+const knownRedLines = readKnownRedLines();
+const knownRedNames = new Set(
+  knownRedLines.map(line => line.split('|')[0].trim()),
+);
 let passedCount = 0;
 const failures = [];
 const ignoredFailures = [];
@@ -104,7 +112,7 @@
 });
 stream.compose(new spec()).pipe(process.stdout);
 stream.once('end', () => {
-  for (const line of knownRed) {
+  for (const line of knownRedLines) {
     console.log(`KNOWN RED, listed: ${line}`);
   }
   for (const name of ignoredFailures) {
--- a/tools/writeCodeCache.cjs
+++ b/tools/writeCodeCache.cjs
@@ -1,7 +1,7 @@
 'use strict';
 /**
- * Writes V8's code cache of a gateway's bundle, with the functions compiled in
- * a warm-up run. Arguments: the paths of the bundle and of the cache.
+ * Writes V8's code cache of a gateway's bundle, with the functions that a
+ * warm-up run compiled. Arguments: the paths of the bundle and of the cache.
  */
 const {readFileSync, writeFileSync} = require('node:fs');
 const Module = require('node:module');
@@ -26,7 +26,7 @@
   );
 }
 
-/** Timeout of the warm-up, so that it cannot block a build. */
+/** Timeout of the warm-up, so that a warm-up that hangs cannot block a build. */
 const WARM_UP_TIMEOUT_MS = 60_000;
 
 function writeCacheAndExit() {
