--- a/eslint.config.js
+++ b/eslint.config.js
@@ -10,8 +10,8 @@
 /** Restricts each package's imports to the packages listed in layers.json. */
 function layerRules() {
   return packageNames.map(name => {
-    const forbidden = packageNames.filter(
-      other => other !== name && !layers[name].includes(other),
+    const forbiddenPackages = packageNames.filter(
+      otherName => otherName !== name && !layers[name].includes(otherName),
     );
     return {
       files: [`packages/${name}/src/**/*.ts`],
@@ -21,9 +21,9 @@
           {
             patterns: [
               {
-                group: forbidden.flatMap(other => [
-                  `@skylarkfield/${other}`,
-                  `@skylarkfield/${other}/*`,
+                group: forbiddenPackages.flatMap(otherName => [
+                  `@skylarkfield/${otherName}`,
+                  `@skylarkfield/${otherName}/*`,
                 ]),
                 message: `layers.json does not allow ${name} to import this package.`,
               },
--- a/tools/capacity.mjs
+++ b/tools/capacity.mjs
@@ -434,17 +434,17 @@
 
 /** Returns the page with a new computed section, formatted by prettier. */
 async function withComputedSection(page) {
-  const start = page.indexOf(START_MARKER);
-  const end = page.indexOf(END_MARKER);
-  if (start < 0 || end < 0) {
+  const startIndex = page.indexOf(START_MARKER);
+  const endIndex = page.indexOf(END_MARKER);
+  if (startIndex < 0 || endIndex < 0) {
     throw new Error(`${pagePath} has no markers of a computed section`);
   }
-  const text =
-    page.slice(0, start) +
+  const newPage =
+    page.slice(0, startIndex) +
     computedSection +
-    page.slice(end + END_MARKER.length);
-  const config = await prettier.resolveConfig(pagePath);
-  return prettier.format(text, {...config, filepath: pagePath});
+    page.slice(endIndex + END_MARKER.length);
+  const prettierOptions = await prettier.resolveConfig(pagePath);
+  return prettier.format(newPage, {...prettierOptions, filepath: pagePath});
 }
 
 if (process.argv.includes('--write')) {
--- a/tools/report.mjs
+++ b/tools/report.mjs
@@ -75,19 +75,24 @@
   }
   const entries = Object.entries(value);
   const isFlat = entries.every(
-    ([, inner]) => isObject(inner) && !Object.values(inner).some(isObject),
+    ([, entryValue]) =>
+      isObject(entryValue) && !Object.values(entryValue).some(isObject),
   );
   if (isFlat) {
     const rows = entries.map(([key, row]) => ({name: key, ...row}));
     return renderTables(name, rows);
   }
-  const scalars = entries.filter(([, inner]) => !isObject(inner));
-  const nested = entries.filter(([, inner]) => isObject(inner));
-  const tables = nested.map(([key, inner]) =>
-    renderTables(`${name}.${key}`, inner),
+  const scalarEntries = entries.filter(
+    ([, entryValue]) => !isObject(entryValue),
   );
-  if (scalars.length > 0) {
-    tables.unshift(renderTables(name, [Object.fromEntries(scalars)]));
+  const nestedEntries = entries.filter(([, entryValue]) =>
+    isObject(entryValue),
+  );
+  const tables = nestedEntries.map(([key, entryValue]) =>
+    renderTables(`${name}.${key}`, entryValue),
+  );
+  if (scalarEntries.length > 0) {
+    tables.unshift(renderTables(name, [Object.fromEntries(scalarEntries)]));
   }
   return tables.join('\n');
 }
--- a/tools/writeCodeCache.cjs
+++ b/tools/writeCodeCache.cjs
@@ -26,7 +26,7 @@
   );
 }
 
-/** Timeout of the warm-up, so that a warm-up that hangs cannot block a build. */
+/** Timeout of the warm-up, so that a hanging warm-up cannot block a build. */
 const WARM_UP_TIMEOUT_MS = 60_000;
 
 function writeCacheAndExit() {
