--- a/packages/entry/src/admin/adminServer.ts
+++ b/packages/entry/src/admin/adminServer.ts
@@ -10,7 +10,7 @@
 } from '@skylarkfield/base';
 import {isSameKey} from '@skylarkfield/protocol';
 import {sendProblem, toProblem} from '../callers/problem.js';
-import {bearerKey} from '../callers/requestHeaders.js';
+import {parseBearerKey} from '../callers/requestHeaders.js';
 import type {HttpServer} from '../listener.js';
 
 interface AdminServerOptions {
@@ -57,8 +57,8 @@
   }
 
   function checkAdminKey(request: IncomingMessage): void {
-    const given = bearerKey(request.headers);
-    if (given === undefined || !isSameKey(given, options.key)) {
+    const givenKey = parseBearerKey(request.headers);
+    if (givenKey === undefined || !isSameKey(givenKey, options.key)) {
       throw new ServingError('unauthenticated', 'the admin key is required');
     }
   }
@@ -83,6 +83,7 @@
   response.end(JSON.stringify(value, replaceCollections, 2));
 }
 
+/** Replacer for `JSON.stringify`, which would write maps and sets as `{}`. */
 function replaceCollections(_name: string, value: unknown): unknown {
   if (value instanceof Map) {
     return Object.fromEntries(value);
--- a/packages/entry/src/availableVersions.ts
+++ b/packages/entry/src/availableVersions.ts
@@ -2,7 +2,8 @@
 import type {EndpointPool} from './servingContext.js';
 
 /**
- * Returns the versions of a service with at least one endpoint not leaving.
+ * Returns the versions of a service for which at least one endpoint is listed
+ * and not leaving.
  *
  * @example
  * availableVersions('booking', endpoints).has('v2');
@@ -11,10 +12,11 @@
   service: string,
   endpoints: Pick<EndpointPool, 'list'>,
 ): Set<string> {
-  const usable = endpoints
+  const usableEndpoints = endpoints
     .list()
     .filter(
-      ({listed, leaving}) => listed.service === service && !leaving.aborted,
+      ({listed, leavingSignal}) =>
+        listed.service === service && !leavingSignal.aborted,
     );
-  return new Set(usable.map(({listed}) => listed.version));
+  return new Set(usableEndpoints.map(({listed}) => listed.version));
 }
--- a/packages/entry/src/callers/attemptRunner.ts
+++ b/packages/entry/src/callers/attemptRunner.ts
@@ -15,8 +15,9 @@
 export interface RoutedCall {
   readonly service: string;
   readonly version: string;
-  /** Used if no endpoint of `version` accepts; equals it without a move. */
+  /** Fallback version; equals `version` when no move is in progress. */
   readonly incumbent: string;
+  /** Label of the matching route, for the evidence of moves. */
   readonly route: string;
   readonly call: ServiceCall;
   /** Monotonic milliseconds. */
@@ -24,17 +25,20 @@
 }
 
 export interface AttemptRunner {
-  /** Retries until a response, an exhausted retry budget or the deadline. */
+  /**
+   * Retries until a response, until `MAX_ATTEMPTS` attempts have failed, or
+   * until the retry budget is exhausted or the deadline passes.
+   */
   runIdempotent(
-    call: RoutedCall,
+    routedCall: RoutedCall,
     signal: AbortSignal,
   ): Promise<ServiceResponse>;
   /**
-   * Retries only while no attempt can have run. `begin` is called right before
-   * a call is sent and returns false to cancel the call.
+   * Retries only while no attempt can have run the call. `begin` is called
+   * right before the call is sent and returns false to cancel the call.
    */
   runAtMostOnce(
-    call: RoutedCall,
+    routedCall: RoutedCall,
     signal: AbortSignal,
     begin: () => boolean,
   ): Promise<ServiceResponse>;
@@ -43,11 +47,15 @@
 /** Checks before an attempt and after a failed attempt. */
 interface AttemptPolicy {
   readonly isIdempotent: boolean;
+  /** Called right before the call is sent; false cancels the call. */
   begin(): boolean;
   mayRetry(error: ServingError): boolean;
 }
 
-/** Maximum attempts of a call; 3 failures are not due to a single endpoint. */
+/**
+ * Maximum attempts of a call, each at another endpoint; 3 failures are not due
+ * to a single endpoint.
+ */
 const MAX_ATTEMPTS = 3;
 
 /** Lowest HTTP status that counts as a failure of the service. */
@@ -62,21 +70,21 @@
  * Creates a runner that calls the endpoints chosen by the router.
  *
  * @example
- * const reply = await attempts.runIdempotent(call, signal);
+ * const reply = await attempts.runIdempotent(routedCall, signal);
  */
 export function createAttemptRunner(
   serving: AttemptRunnerContext,
   clock: Clock,
 ): AttemptRunner {
   return {
-    runIdempotent: (call, signal) =>
-      runWithFallback(call, signal, {
+    runIdempotent: (routedCall, signal) =>
+      runWithFallback(routedCall, signal, {
         isIdempotent: true,
         begin: () => true,
-        mayRetry: () => serving.admission.tryAcquireRetry(call.service),
+        mayRetry: () => serving.admission.tryAcquireRetry(routedCall.service),
       }),
-    runAtMostOnce: (call, signal, begin) =>
-      runWithFallback(call, signal, {
+    runAtMostOnce: (routedCall, signal, begin) =>
+      runWithFallback(routedCall, signal, {
         isIdempotent: false,
         begin,
         mayRetry: isKnownNotRun,
@@ -90,61 +98,73 @@
    * the move's deadline.
    */
   async function runWithFallback(
-    call: RoutedCall,
+    routedCall: RoutedCall,
     signal: AbortSignal,
     policy: AttemptPolicy,
   ): Promise<ServiceResponse> {
     try {
-      return await runWithRetries(call, signal, policy);
+      return await runWithRetries(routedCall, signal, policy);
     } catch (error) {
       const failure = toServingError(error);
       if (!isKnownNotRun(failure) || signal.aborted) {
         throw failure;
       }
-      observeUnavailable(call, policy);
-      if (call.version === call.incumbent) {
+      recordUnavailable(routedCall, policy);
+      if (routedCall.version === routedCall.incumbent) {
         throw failure;
       }
-      const fallbackCall = {...call, version: call.incumbent};
+      const fallbackCall = {...routedCall, version: routedCall.incumbent};
       return await runWithFallback(fallbackCall, signal, policy);
     }
   }
 
-  /** Counts an unreachable version, unless all its endpoints were reclaimed. */
-  function observeUnavailable(call: RoutedCall, policy: AttemptPolicy): void {
-    const {service, version} = call;
+  /**
+   * Records an error of an unreachable version, unless all endpoints of the
+   * version were reclaimed.
+   */
+  function recordUnavailable(
+    routedCall: RoutedCall,
+    policy: AttemptPolicy,
+  ): void {
+    const {service, version} = routedCall;
     if (availableVersions(service, serving.endpoints).has(version)) {
-      observe(call, policy, true, 0);
+      recordSample(routedCall, policy, true, 0);
     }
   }
 
-  function observe(
-    call: RoutedCall,
+  function recordSample(
+    routedCall: RoutedCall,
     policy: AttemptPolicy,
     isError: boolean,
     latencyMs: number,
   ): void {
     serving.split.observe({
-      service: call.service,
-      version: call.version,
-      route: call.route,
+      service: routedCall.service,
+      version: routedCall.version,
+      route: routedCall.route,
       isError,
       latencyMs,
-      loadFraction: serving.admission.loadFraction(call.service),
+      loadFraction: serving.admission.loadFraction(routedCall.service),
       isIdempotent: policy.isIdempotent,
     });
   }
 
   async function runWithRetries(
-    call: RoutedCall,
+    routedCall: RoutedCall,
     signal: AbortSignal,
     policy: AttemptPolicy,
   ): Promise<ServiceResponse> {
-    const excluded = new Set<string>();
+    const attemptedEndpoints = new Set<string>();
     let lastError: ServingError | undefined;
-    while (excluded.size < MAX_ATTEMPTS) {
+    while (attemptedEndpoints.size < MAX_ATTEMPTS) {
       try {
-        return await runAttempt(call, excluded, signal, policy, lastError);
+        return await runAttempt(
+          routedCall,
+          attemptedEndpoints,
+          signal,
+          policy,
+          lastError,
+        );
       } catch (error) {
         const failure = toServingError(error);
         lastError = mergeRunState(lastError, failure);
@@ -153,29 +173,31 @@
         }
       }
     }
-    throw lastError ?? noEndpointError(call.service, call.version);
+    throw lastError ?? noEndpointError(routedCall.service, routedCall.version);
   }
 
   async function runAttempt(
-    call: RoutedCall,
-    excluded: Set<string>,
+    routedCall: RoutedCall,
+    attemptedEndpoints: Set<string>,
     signal: AbortSignal,
     policy: AttemptPolicy,
     lastError: ServingError | undefined,
   ): Promise<ServiceResponse> {
     const choice = serving.router.choose({
-      service: call.service,
-      version: call.version,
+      service: routedCall.service,
+      version: routedCall.version,
       blocks: [],
       promptTokens: 0,
-      excluded,
+      excluded: attemptedEndpoints,
     });
     const endpoint = choice && serving.endpoints.get(choice.endpoint)?.plain;
     if (choice === undefined || endpoint === undefined) {
       choice?.finish({outcome: 'unreachable', latencyMs: 0});
-      throw markFinal(lastError ?? noEndpointError(call.service, call.version));
+      throw markFinal(
+        lastError ?? noEndpointError(routedCall.service, routedCall.version),
+      );
     }
-    excluded.add(choice.endpoint);
+    attemptedEndpoints.add(choice.endpoint);
     if (!policy.begin()) {
       choice.finish({outcome: 'cancelled', latencyMs: 0});
       throw new ServingError(
@@ -187,46 +209,57 @@
       );
     }
     const startedAt = clock.now();
-    const deadlineSignal = createDeadlineSignal(clock, call.deadline, signal);
+    const deadlineSignal = createDeadlineSignal(
+      clock,
+      routedCall.deadline,
+      signal,
+    );
     try {
-      const reply = await endpoint.call(call.call, deadlineSignal.signal);
+      const reply = await endpoint.call(routedCall.call, deadlineSignal.signal);
       const isFailure = reply.status >= MIN_FAILURE_STATUS;
-      finish(isFailure ? 'failed' : 'ok', isFailure);
+      finishAttempt(isFailure ? 'failed' : 'ok', isFailure);
       return reply;
     } catch (error) {
       const failure = deadlineSignal.toCallError(toServingError(error));
-      finish(attemptOutcome(failure), isVersionFault(failure));
+      finishAttempt(attemptOutcome(failure), isVersionFault(failure));
       throw failure;
     } finally {
       deadlineSignal.dispose();
     }
 
-    function finish(outcome: AttemptResult['outcome'], isError: boolean): void {
+    function finishAttempt(
+      outcome: AttemptResult['outcome'],
+      isError: boolean,
+    ): void {
       const latencyMs = clock.now() - startedAt;
       choice?.finish({outcome, latencyMs});
       if (outcome === 'cancelled' || outcome === 'unreachable') {
         return;
       }
-      observe(call, policy, isError, latencyMs);
+      recordSample(routedCall, policy, isError, latencyMs);
     }
   }
 }
 
 /**
- * Returns the later error with the combined run state: a call that ran at one
- * endpoint and found the next unreachable must not be reported as not run.
+ * Returns the later error with the combined run state: a call that may have
+ * run at one endpoint must not be reported as not run because the next endpoint
+ * was unreachable.
  */
 function mergeRunState(
-  earlier: ServingError | undefined,
-  later: ServingError,
+  earlierError: ServingError | undefined,
+  laterError: ServingError,
 ): ServingError {
-  if (earlier?.run !== 'may-have-run' || later.run === 'may-have-run') {
-    return later;
+  if (
+    earlierError?.run !== 'may-have-run' ||
+    laterError.run === 'may-have-run'
+  ) {
+    return laterError;
   }
-  const retryAfterMs = later.retryAfterMs;
-  return new ServingError(later.kind, later.message, {
+  const retryAfterMs = laterError.retryAfterMs;
+  return new ServingError(laterError.kind, laterError.message, {
     run: 'may-have-run',
-    cause: later,
+    cause: laterError,
     ...(retryAfterMs === undefined ? {} : {retryAfterMs}),
   });
 }
--- a/packages/entry/src/callers/callerServer.ts
+++ b/packages/entry/src/callers/callerServer.ts
@@ -14,7 +14,7 @@
 import type {ServingContext} from '../servingContext.js';
 import type {EntrySettings} from '../settings.js';
 import type {CustomerKeys} from './customerKeys.js';
-import {callerSignal, type Exchange} from './exchange.js';
+import {createCallerSignal, type Exchange} from './exchange.js';
 import type {ResponseShape} from './modelResponse.js';
 import {
   parseChatRequest,
@@ -24,11 +24,11 @@
 import type {RequestMetrics, RequestType} from './requestMetrics.js';
 import {sendProblem, toProblem} from './problem.js';
 import {readBody} from './requestBody.js';
-import {bearerKey} from './requestHeaders.js';
+import {parseBearerKey} from './requestHeaders.js';
 import type {ModelServer} from './modelServer.js';
 import type {PlainServer} from './plainServer.js';
 
-/** Whether the process accepts requests. */
+/** Whether this entry accepts requests: only when `ready` or `lingering`. */
 export type Readiness = 'starting' | 'ready' | 'lingering' | 'leaving';
 
 interface CallerServerOptions {
@@ -45,24 +45,24 @@
   readiness(): Readiness;
 }
 
-/** Labels of a request for metrics and the log line. */
-interface RequestLabel {
+/** Labels of a request in its metrics and log line. */
+interface RequestLabels {
   service: string;
   type: RequestType;
 }
 
-type Handler = (exchange: Exchange, label: RequestLabel) => Promise<void>;
+type Handler = (exchange: Exchange, labels: RequestLabels) => Promise<void>;
 
-const parsers: Record<
+const requestParsers: Record<
   ResponseShape,
   (text: string, session: string | undefined) => ModelRequest
 > = {chat: parseChatRequest, completion: parseCompletionRequest};
 
-/** Retry delay sent while this entry is not serving, in milliseconds. */
+/** Retry delay sent to callers while this entry rejects requests, in ms. */
 const NOT_SERVING_RETRY_MS = 1_000;
 
 /**
- * Attaches the routes for callers to a server.
+ * Attaches the routes for callers to the HTTP server in `options`.
  *
  * @example
  * attachCallerRoutes(options);
@@ -89,31 +89,31 @@
     response.end(`${options.readiness()}\n`);
   });
   app.get('/v1/entries', wrapHandler(serveLookup));
-  app.post('/v1/chat/completions', wrapHandler(modelHandler('chat')));
-  app.post('/v1/completions', wrapHandler(modelHandler('completion')));
+  app.post('/v1/chat/completions', wrapHandler(createModelHandler('chat')));
+  app.post('/v1/completions', wrapHandler(createModelHandler('completion')));
   app.all('/services/:name', wrapHandler(servePlain));
   app.all('/services/:name/*', wrapHandler(servePlain));
   options.server.on('request', app.handler as never);
 
-  /** Adds request id, authentication, error response, metrics and logging. */
+  /** Wraps a handler with authentication, error responses, metrics and logs. */
   function wrapHandler(handler: Handler) {
     return async (request: IncomingMessage, response: ServerResponse) => {
       const id = randomUUID();
       const arrivedAt = clock.now();
-      const label: RequestLabel = {service: '', type: 'none'};
+      const labels: RequestLabels = {service: '', type: 'none'};
       let customer: Customer | undefined;
       let result = 'ok';
       options.inFlight.begin();
-      countUntilClosed(response);
-      metrics.begin();
+      endInFlightOnClose(response);
+      metrics.recordStart();
       response.setHeader('X-Request-Id', id);
       try {
         checkReadiness(request);
-        customer = options.keys.authenticate(bearerKey(request.headers));
-        const signal = callerSignal(response);
+        customer = options.keys.authenticate(parseBearerKey(request.headers));
+        const signal = createCallerSignal(response);
         await handler(
           {id, request, response, customer, signal, arrivedAt},
-          label,
+          labels,
         );
       } catch (error) {
         const failure = toServingError(error);
@@ -121,12 +121,12 @@
         sendFailure(request, response, failure, id);
       } finally {
         const durationMs = clock.now() - arrivedAt;
-        metrics.end({...label, result, durationMs});
+        metrics.recordEnd({...labels, result, durationMs});
         log.info(
           {
             requestId: id,
             customer: customer?.name,
-            ...label,
+            ...labels,
             method: request.method,
             result,
             durationMs: Math.round(durationMs * 100) / 100,
@@ -138,11 +138,11 @@
   }
 
   /**
-   * Counts a request as in flight until its response is sent. The handler
-   * returns earlier, while the response may still be buffered for a slow
-   * reader; closing the connection then would truncate the response.
+   * Counts a request as in flight until its response is closed. The response
+   * may still be buffered for a slow reader when the handler returns: a stop
+   * that closed the connection at that point would truncate the response.
    */
-  function countUntilClosed(response: ServerResponse): void {
+  function endInFlightOnClose(response: ServerResponse): void {
     response.once('close', () => options.inFlight.end());
   }
 
@@ -174,7 +174,7 @@
       failure.kind === 'leaving' || failure.kind === 'not-ready';
     const entries = isNotServing ? serving.lookup({}) : undefined;
     if (isNotServing || !request.complete) {
-      // Otherwise the unread body would be parsed as the next request.
+      // On an open connection, the unread body would be parsed as a request.
       response.setHeader('Connection', 'close');
     }
     sendProblem(response, toProblem(failure, id, entries));
@@ -188,24 +188,24 @@
       ...optionalField('failureDomain', url.searchParams.get('failure-domain')),
     });
     const body = JSON.stringify(result);
-    const seconds = Math.floor(result.ttlMs / 1000);
+    const maxAgeSeconds = Math.floor(result.ttlMs / 1000);
     exchange.response.writeHead(200, {
       'Content-Type': 'application/json',
-      'Cache-Control': `private, max-age=${seconds}`,
+      'Cache-Control': `private, max-age=${maxAgeSeconds}`,
     });
     exchange.response.end(body);
   }
 
-  function modelHandler(shape: ResponseShape): Handler {
-    return async (exchange, label) => {
+  function createModelHandler(shape: ResponseShape): Handler {
+    return async (exchange, labels) => {
       const body = await readBody(exchange.request, limits.bodyBytes);
       const session = exchange.request.headers['x-session-id'];
-      const request = parsers[shape](
+      const request = requestParsers[shape](
         Buffer.from(body).toString('utf8'),
         typeof session === 'string' ? session : undefined,
       );
-      label.service = request.service;
-      label.type = 'model';
+      labels.service = request.service;
+      labels.type = 'model';
       const service = findService(exchange, request.service, 'model');
       await options.models.serve(exchange, request, service, shape);
     };
@@ -213,11 +213,11 @@
 
   async function servePlain(
     exchange: Exchange,
-    label: RequestLabel,
+    labels: RequestLabels,
   ): Promise<void> {
     const {name, path} = splitServicePath(exchange.request.url ?? '/');
-    label.service = name;
-    label.type = 'plain';
+    labels.service = name;
+    labels.type = 'plain';
     const service = findService(exchange, name, 'plain');
     const body = await readBody(exchange.request, limits.bodyBytes);
     await options.plain.serve(exchange, service, path, body);
@@ -254,13 +254,13 @@
  */
 function splitServicePath(url: string): {name: string; path: string} {
   const nameAndPath = url.slice(SERVICES_PREFIX.length);
-  const end = nameAndPath.search(/[/?]/);
-  if (end === -1) {
+  const nameLength = nameAndPath.search(/[/?]/);
+  if (nameLength === -1) {
     return {name: nameAndPath, path: '/'};
   }
-  const path = nameAndPath.slice(end);
+  const path = nameAndPath.slice(nameLength);
   return {
-    name: nameAndPath.slice(0, end),
+    name: nameAndPath.slice(0, nameLength),
     path: path.startsWith('/') ? path : `/${path}`,
   };
 }
--- a/packages/entry/src/callers/customerKeys.ts
+++ b/packages/entry/src/callers/customerKeys.ts
@@ -3,11 +3,11 @@
 import {ServingError} from '@skylarkfield/base';
 import type {Configuration, Customer} from '@skylarkfield/records';
 
-/** Leading hex digits of a hash by which hashes are indexed. */
+/** Number of leading hex digits of a key hash that select its index bucket. */
 const INDEX_PREFIX_DIGITS = 4;
 
 export interface CustomerKeys {
-  /** Returns the customer of a key. Throws `unauthenticated`. */
+  /** Returns the customer of a key, or throws `unauthenticated`. */
   authenticate(key: string | undefined): Customer;
 }
 
@@ -23,7 +23,7 @@
  *
  * @example
  * const keys = createCustomerKeys(configuration);
- * const customer = keys.authenticate(bearerKey(request.headers));
+ * const customer = keys.authenticate(parseBearerKey(request.headers));
  */
 export function createCustomerKeys(configuration: Configuration): CustomerKeys {
   let index = indexHashes(configuration);
@@ -41,16 +41,16 @@
       const bucket = index.get(
         hash.toString('hex').slice(0, INDEX_PREFIX_DIGITS),
       );
-      const found = bucket?.find(indexed =>
-        timingSafeEqual(indexed.hash, hash),
+      const match = bucket?.find(candidate =>
+        timingSafeEqual(candidate.hash, hash),
       );
-      if (found === undefined) {
+      if (match === undefined) {
         throw new ServingError(
           'unauthenticated',
           'the bearer key is not recognized',
         );
       }
-      return found.customer;
+      return match.customer;
     },
   };
 }
@@ -58,10 +58,10 @@
 function indexHashes(configuration: Configuration): Map<string, IndexedHash[]> {
   const index = new Map<string, IndexedHash[]>();
   for (const customer of configuration.list('customer')) {
-    for (const hex of customer.keyHashes) {
-      const prefix = hex.slice(0, INDEX_PREFIX_DIGITS);
+    for (const keyHash of customer.keyHashes) {
+      const prefix = keyHash.slice(0, INDEX_PREFIX_DIGITS);
       const bucket = index.get(prefix) ?? [];
-      bucket.push({hash: Buffer.from(hex, 'hex'), customer});
+      bucket.push({hash: Buffer.from(keyHash, 'hex'), customer});
       index.set(prefix, bucket);
     }
   }
--- a/packages/entry/src/callers/exchange.ts
+++ b/packages/entry/src/callers/exchange.ts
@@ -1,8 +1,9 @@
-/** An HTTP exchange with a caller. */
+/** HTTP request and response of an authenticated caller. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Customer} from '@skylarkfield/records';
 
 export interface Exchange {
+  /** Id of the request, sent to the caller as `X-Request-Id`. */
   readonly id: string;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -14,13 +15,13 @@
 }
 
 /**
- * Returns a signal that aborts when the caller disconnects before the response
+ * Creates a signal that aborts when the caller disconnects before the response
  * is complete, so that abandoned requests use no more capacity.
  *
  * @example
- * const signal = callerSignal(response);
+ * const signal = createCallerSignal(response);
  */
-export function callerSignal(response: ServerResponse): AbortSignal {
+export function createCallerSignal(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   response.once('close', () => {
     if (!response.writableFinished) {
--- a/packages/entry/src/callers/forwardedHeaders.ts
+++ b/packages/entry/src/callers/forwardedHeaders.ts
@@ -1,7 +1,7 @@
-/** Filters of headers forwarded to plain services and back. */
+/** Filters of the headers forwarded to plain services and back to callers. */
 import type {IncomingHttpHeaders} from 'node:http';
 
-/** Hop-by-hop headers (RFC 9110, 7.6.1) and those set by the entry itself. */
+/** Hop-by-hop headers (RFC 9110, 7.6.1) and headers that the entry sets. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -26,23 +26,23 @@
  * Returns the headers to forward to a service.
  *
  * @example
- * const headers = toServiceHeaders(request.headers, customer.name, exchange.id);
+ * toServiceHeaders(request.headers, customer.name, exchange.id);
  */
 export function toServiceHeaders(
   headers: IncomingHttpHeaders,
   customer: string,
   requestId: string,
 ): Record<string, string> {
-  const forwarded: Record<string, string> = {};
+  const forwardedHeaders: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined || isDropped(name, headers)) {
       continue;
     }
-    forwarded[name] = Array.isArray(value) ? value.join(', ') : value;
+    forwardedHeaders[name] = Array.isArray(value) ? value.join(', ') : value;
   }
-  forwarded['x-customer'] = customer;
-  forwarded['x-request-id'] = requestId;
-  return forwarded;
+  forwardedHeaders['x-customer'] = customer;
+  forwardedHeaders['x-request-id'] = requestId;
+  return forwardedHeaders;
 }
 
 /**
@@ -54,12 +54,13 @@
 export function toCallerHeaders(
   headers: Readonly<Record<string, string>>,
 ): Record<string, string> {
-  const forwarded = Object.entries(headers).filter(
+  const forwardedHeaders = Object.entries(headers).filter(
     ([name]) => !HOP_BY_HOP_HEADERS.has(name.toLowerCase()),
   );
-  return Object.fromEntries(forwarded);
+  return Object.fromEntries(forwardedHeaders);
 }
 
+/** Returns true also for headers that the `Connection` header lists. */
 function isDropped(name: string, headers: IncomingHttpHeaders): boolean {
   if (HOP_BY_HOP_HEADERS.has(name) || CONSUMED_HEADERS.has(name)) {
     return true;
--- a/packages/entry/src/callers/modelRequest.ts
+++ b/packages/entry/src/callers/modelRequest.ts
@@ -34,7 +34,7 @@
   readonly maxTokens: number;
   readonly isStream: boolean;
   readonly seed: number;
-  /** Key that requests of one conversation share. */
+  /** Key shared by the requests of one conversation. */
   readonly session: string;
 }
 
--- a/packages/entry/src/callers/modelResponse.ts
+++ b/packages/entry/src/callers/modelResponse.ts
@@ -7,10 +7,10 @@
 export type ResponseShape = 'chat' | 'completion';
 
 export interface ModelResponse {
-  /** Sends the next token; a returned promise applies backpressure. */
+  /** Adds a token; the next token must wait for a returned promise. */
   deliver(token: StreamToken): void | Promise<void>;
   finish(summary: StreamSummary): void;
-  /** Ends a started response with an error; false if none was started. */
+  /** Ends a started response with an error; returns false if not started. */
   failIfStarted(problem: Problem): boolean;
 }
 
@@ -20,15 +20,15 @@
   readonly shape: ResponseShape;
   readonly response: ServerResponse;
   readonly clock: Clock;
-  /** Bytes buffered for the reader before backpressure applies. */
+  /** Bytes buffered for a slow caller before backpressure applies. */
   readonly bufferedBytes: number;
-  /** Drain timeout of a reader under backpressure, in milliseconds. */
+  /** Time within which a slow caller must drain the buffer, in milliseconds. */
   readonly stalledReaderMs: number;
   readonly signal: AbortSignal;
 }
 
-/** Builders of a streamed chunk, by shape. */
-const chunkMakers: Record<
+/** Builders of the only choice in a streamed chunk, by shape. */
+const chunkChoiceBuilders: Record<
   ResponseShape,
   (text: string, reason: string | null) => unknown
 > = {
@@ -41,7 +41,7 @@
 };
 
 /** Builders of the only choice in a buffered response, by shape. */
-const choiceMakers: Record<
+const bufferedChoiceBuilders: Record<
   ResponseShape,
   (text: string, reason: string) => unknown
 > = {
@@ -82,13 +82,17 @@
     });
   }
 
-  function send(text: string, reason: string | null, extra = {}): void {
+  function sendChunk(
+    text: string,
+    reason: string | null,
+    extraFields = {},
+  ): void {
     const chunk = {
       id: options.id,
       object: `${objectTypes[shape]}.chunk`,
       model: options.model,
-      choices: [chunkMakers[shape](text, reason)],
-      ...extra,
+      choices: [chunkChoiceBuilders[shape](text, reason)],
+      ...extraFields,
     };
     response.write(`data: ${JSON.stringify(chunk)}\n\n`);
   }
@@ -96,7 +100,7 @@
   return {
     deliver(token) {
       writeHeadOnce();
-      send(token.text, null);
+      sendChunk(token.text, null);
       if (response.writableLength <= options.bufferedBytes) {
         return undefined;
       }
@@ -104,7 +108,7 @@
     },
     finish(summary) {
       writeHeadOnce();
-      send('', summary.reason, {usage: usageOf(summary)});
+      sendChunk('', summary.reason, {usage: usageOf(summary)});
       response.end('data: [DONE]\n\n');
     },
     failIfStarted(problem) {
@@ -120,7 +124,7 @@
 }
 
 /**
- * Creates a response that is sent as a whole at its end.
+ * Creates a response that is sent as a whole after the last token.
  *
  * @example
  * const response = createBufferedResponse(options);
@@ -134,7 +138,7 @@
       texts.push(token.text);
     },
     finish(summary) {
-      const choice = choiceMakers[options.shape](
+      const choice = bufferedChoiceBuilders[options.shape](
         texts.join(''),
         summary.reason,
       );
@@ -167,25 +171,29 @@
 }
 
 /**
- * Waits until a slow reader has drained its buffer. A stalled reader would
- * occupy an endpoint's slot indefinitely, so it is disconnected after a
- * timeout.
+ * Waits until a slow caller has drained the buffer of its response. A stalled
+ * caller would occupy an endpoint's slot indefinitely, so the caller is
+ * disconnected after `stalledReaderMs`.
  */
 async function waitForDrain(options: ModelResponseOptions): Promise<void> {
   const {response, clock, signal} = options;
-  const stop = new AbortController();
-  const onAbort = () => stop.abort();
+  const stopController = new AbortController();
+  const onAbort = () => stopController.abort();
   signal.addEventListener('abort', onAbort, {once: true});
   const drain = new Promise<'drained'>(resolve => {
     response.once('drain', () => resolve('drained'));
   });
-  const stalled = sleep(clock, options.stalledReaderMs, stop.signal).then(
+  const stallTimeout = sleep(
+    clock,
+    options.stalledReaderMs,
+    stopController.signal,
+  ).then(
     () => 'stalled' as const,
     () => 'stopped' as const,
   );
-  const result = await Promise.race([drain, stalled]);
+  const result = await Promise.race([drain, stallTimeout]);
   signal.removeEventListener('abort', onAbort);
-  stop.abort();
+  stopController.abort();
   if (result === 'drained') {
     return;
   }
--- a/packages/entry/src/callers/modelServer.ts
+++ b/packages/entry/src/callers/modelServer.ts
@@ -26,9 +26,9 @@
 import type {ModelRequest} from './modelRequest.js';
 import {isVersionFault, type RequestMetrics} from './requestMetrics.js';
 import {noEndpointError} from './noEndpointError.js';
-import {requestTimeoutMs, requestUrgency} from './requestHeaders.js';
+import {parseRequestTimeoutMs, parseRequestUrgency} from './requestHeaders.js';
 import {toProblem} from './problem.js';
-import {createRequestCosts} from './requestCost.js';
+import {createRequestCostEstimator} from './requestCost.js';
 
 export interface ModelServer {
   serve(
@@ -39,12 +39,14 @@
   ): Promise<void>;
 }
 
-/** Decisions on a request made before admission. */
+/** Properties of a request that are determined before its admission. */
 interface RequestPlan {
   readonly admissionRequest: AdmissionRequest;
+  /** Version selected by the traffic split. */
   readonly version: string;
   readonly fallback: VersionFallback;
   readonly promptTokens: number;
+  /** Hashes of the prompt's cache blocks. */
   readonly blocks: readonly string[];
 }
 
@@ -59,11 +61,12 @@
  * Creates the handler of model requests.
  *
  * @example
- * await models.serve(exchange, parseChatRequest(text, undefined), service, 'chat');
+ * const request = parseChatRequest(text, undefined);
+ * await models.serve(exchange, request, service, 'chat');
  */
 export function createModelServer(options: ModelServerOptions): ModelServer {
   const {serving, clock, metrics} = options;
-  const costs = createRequestCosts();
+  const costEstimator = createRequestCostEstimator();
 
   return {
     async serve(exchange, request, service, shape) {
@@ -106,7 +109,7 @@
   ): RequestPlan {
     const {headers} = exchange.request;
     const deadline =
-      exchange.arrivedAt + requestTimeoutMs(headers, service.timeoutMs);
+      exchange.arrivedAt + parseRequestTimeoutMs(headers, service.timeoutMs);
     const tokens = tokenizePrompt(request.prompt);
     const blocks = hashPromptBlocks(tokens);
     const version = serving.split.versionFor({
@@ -119,9 +122,9 @@
       admissionRequest: {
         service: service.name,
         customer: exchange.customer.name,
-        urgency: requestUrgency(headers, exchange.customer.bestUrgency),
+        urgency: parseRequestUrgency(headers, exchange.customer.bestUrgency),
         deadline,
-        cost: costs.costOf(service.name, {
+        cost: costEstimator.estimateCost(service.name, {
           promptTokens: tokens.length,
           cachedTokens: serving.router.cachedTokens(
             service.name,
@@ -141,7 +144,7 @@
     };
   }
 
-  /** Reports one response, exactly once, to admission, moves and metrics. */
+  /** Reports a response to admission, moves and metrics, exactly once each. */
   function trackProgress(
     exchange: Exchange,
     plan: RequestPlan,
@@ -150,9 +153,9 @@
   ) {
     const {service} = plan.admissionRequest;
     const admittedAt = clock.now();
-    let firstTokenMs: number | undefined;
+    let firstTokenLatencyMs: number | undefined;
 
-    function observe(
+    function recordSample(
       version: string,
       isError: boolean,
       latencyMs: number,
@@ -168,44 +171,44 @@
     }
 
     /**
-     * Counts a request not served by its assigned version as that version's
-     * error, unless all endpoints of the version were reclaimed.
+     * Records an error of the selected version, which did not serve the
+     * request, unless all endpoints of that version were reclaimed.
      */
-    function observeUnavailable(): void {
+    function recordUnavailable(): void {
       if (availableVersions(service, serving.endpoints).has(plan.version)) {
-        observe(plan.version, true, 0);
+        recordSample(plan.version, true, 0);
       }
     }
 
     return {
       recordToken() {
-        if (firstTokenMs !== undefined) {
+        if (firstTokenLatencyMs !== undefined) {
           return;
         }
-        firstTokenMs = clock.now() - admittedAt;
-        metrics.firstToken(service, clock.now() - exchange.arrivedAt);
+        firstTokenLatencyMs = clock.now() - admittedAt;
+        metrics.recordFirstToken(service, clock.now() - exchange.arrivedAt);
       },
       succeed(summary: StreamSummary) {
-        const latencyMs = firstTokenMs ?? clock.now() - admittedAt;
+        const latencyMs = firstTokenLatencyMs ?? clock.now() - admittedAt;
         permit.release({outcome: 'ok', latencyMs});
-        metrics.recomputed(service, summary.recomputedTokens);
-        if (plan.fallback.current() !== plan.version) {
-          observeUnavailable();
+        metrics.recordRecomputedTokens(service, summary.recomputedTokens);
+        if (plan.fallback.currentVersion() !== plan.version) {
+          recordUnavailable();
           return;
         }
-        observe(plan.version, summary.attempts > 1, latencyMs);
+        recordSample(plan.version, summary.attempts > 1, latencyMs);
       },
       fail(error: ServingError) {
         const latencyMs = clock.now() - admittedAt;
         const outcome = error.kind === 'cancelled' ? 'cancelled' : 'failed';
         permit.release({outcome, latencyMs});
-        const version = plan.fallback.current();
+        const version = plan.fallback.currentVersion();
         if (isVersionFault(error)) {
-          observe(version, true, latencyMs);
+          recordSample(version, true, latencyMs);
         }
         const isUnavailable = error.kind === 'endpoint-unavailable';
         if (isUnavailable || version !== plan.version) {
-          observeUnavailable();
+          recordUnavailable();
         }
       },
     };
@@ -234,25 +237,29 @@
   function pickEndpoint(
     plan: RequestPlan,
     request: ModelRequest,
-    excluded: ReadonlySet<string>,
-    delivered: readonly string[],
+    excludedEndpoints: ReadonlySet<string>,
+    deliveredTokens: readonly string[],
   ): EndpointPick {
     const {service} = plan.admissionRequest;
-    const blocks = hashSequenceBlocks(request.prompt, plan.blocks, delivered);
-    const picked = pickFirstAvailable(
-      plan.fallback.eligibleVersions(delivered.length),
+    const blocks = hashSequenceBlocks(
+      request.prompt,
+      plan.blocks,
+      deliveredTokens,
     );
-    if (picked === undefined) {
+    const pick = pickFirstAvailable(
+      plan.fallback.eligibleVersions(deliveredTokens.length),
+    );
+    if (pick === undefined) {
       throw noEndpointError(service, plan.version);
     }
-    const {choice, endpoint, engine, version} = picked;
+    const {choice, endpoint, engine, version} = pick;
     plan.fallback.recordAttempt(version);
     return {
       endpoint: choice.endpoint,
       url: endpoint.listed.url,
       engine,
       cachedTokens: choice.cachedTokens,
-      leaving: endpoint.leaving,
+      leaving: endpoint.leavingSignal,
       goneAt: () => endpoint.goneAt?.(),
       onStart: cachedTokens => choice.recordStart(cachedTokens),
       onFirstToken() {
@@ -268,8 +275,8 @@
           service,
           version,
           blocks,
-          promptTokens: plan.promptTokens + delivered.length,
-          excluded,
+          promptTokens: plan.promptTokens + deliveredTokens.length,
+          excluded: excludedEndpoints,
         });
         const endpoint = choice && serving.endpoints.get(choice.endpoint);
         if (choice && endpoint?.engine) {
--- a/packages/entry/src/callers/noEndpointError.ts
+++ b/packages/entry/src/callers/noEndpointError.ts
@@ -1,7 +1,7 @@
 /** Error for a request that no endpoint can accept. */
 import {ServingError} from '@skylarkfield/base';
 
-/** Delay before a caller may retry, in milliseconds. */
+/** Delay after which the caller should retry, in milliseconds. */
 const NO_ENDPOINT_RETRY_MS = 1_000;
 
 /**
--- a/packages/entry/src/callers/plainServer.ts
+++ b/packages/entry/src/callers/plainServer.ts
@@ -10,14 +10,14 @@
 import type {Exchange} from './exchange.js';
 import {toCallerHeaders, toServiceHeaders} from './forwardedHeaders.js';
 import {
-  idempotencyKey,
-  requestTimeoutMs,
-  requestUrgency,
+  parseIdempotencyKey,
+  parseRequestTimeoutMs,
+  parseRequestUrgency,
 } from './requestHeaders.js';
 import {matchRoute} from './routes.js';
 
 export interface PlainServer {
-  /** Forwards a call; `path` is the URL after the service's name. */
+  /** Forwards a call; `path` is the part of the URL after the service name. */
   serve(
     exchange: Exchange,
     service: Service,
@@ -45,7 +45,7 @@
     async serve(exchange, service, path, body) {
       const {headers} = exchange.request;
       const deadline =
-        exchange.arrivedAt + requestTimeoutMs(headers, service.timeoutMs);
+        exchange.arrivedAt + parseRequestTimeoutMs(headers, service.timeoutMs);
       const call: ServiceCall = {
         method: exchange.request.method ?? 'GET',
         path,
@@ -53,16 +53,16 @@
         body,
       };
       const route = matchRoute(service, call.method, path);
-      const key = idempotencyKey(headers);
-      const permit = await admit(exchange, service, deadline);
-      const serve = route.isIdempotent
+      const key = parseIdempotencyKey(headers);
+      const permit = await admitCall(exchange, service, deadline);
+      const serveCall = route.isIdempotent
         ? () => serveIdempotent(exchange, service, call, route.label, deadline)
         : () => serveOrder(exchange, service, call, key, deadline);
-      await withPermit(permit, serve);
+      await runWithPermit(permit, serveCall);
     },
   };
 
-  function admit(
+  function admitCall(
     exchange: Exchange,
     service: Service,
     deadline: number,
@@ -70,7 +70,7 @@
     const admissionRequest = {
       service: service.name,
       customer: exchange.customer.name,
-      urgency: requestUrgency(
+      urgency: parseRequestUrgency(
         exchange.request.headers,
         exchange.customer.bestUrgency,
       ),
@@ -80,13 +80,13 @@
     return serving.admission.admit(admissionRequest, exchange.signal);
   }
 
-  async function withPermit(
+  async function runWithPermit(
     permit: Permit,
-    serve: () => Promise<void>,
+    serveCall: () => Promise<void>,
   ): Promise<void> {
     const startedAt = clock.now();
     try {
-      await serve();
+      await serveCall();
       permit.release({outcome: 'ok', latencyMs: clock.now() - startedAt});
     } catch (error) {
       const {kind} = toServingError(error);
--- a/packages/entry/src/callers/problem.ts
+++ b/packages/entry/src/callers/problem.ts
@@ -18,12 +18,12 @@
   readonly requestId: string;
   readonly retryAfterMs?: number;
   readonly faults?: readonly ValidationFault[];
-  /** Entries to use while the responding entry is leaving or not ready. */
+  /** Other entries, if the responding entry is leaving or not ready. */
   readonly entries?: LookupResult;
 }
 
 /**
- * Converts an error to a problem.
+ * Converts an error to a problem; `entries` are alternatives for the caller.
  *
  * @example
  * const problem = toProblem(error, requestId);
--- a/packages/entry/src/callers/requestBody.ts
+++ b/packages/entry/src/callers/requestBody.ts
@@ -4,7 +4,8 @@
 
 /**
  * Reads a whole body. Rejects with `too-large` as soon as the limit is
- * exceeded, and with `cancelled` when the caller disconnects before the end.
+ * exceeded, and with `cancelled` when the caller disconnects before the end of
+ * the body.
  *
  * @example
  * const body = await readBody(request, settings.limits.bodyBytes);
--- a/packages/entry/src/callers/requestCost.ts
+++ b/packages/entry/src/callers/requestCost.ts
@@ -1,12 +1,12 @@
 /**
  * Estimated cost of a model request, relative to the service's mean.
  *
- * Fair queuing among customers is by cost. With equal costs, a customer with
- * long prompts would get many times the compute of other customers, whose
- * requests would queue behind the long prompts.
+ * Fair queuing divides capacity among customers by cost. With equal costs, a
+ * customer with long prompts would get many times the compute of other
+ * customers, whose requests would queue behind the long prompts.
  */
 
-/** Expected work of a request, as known before admission. */
+/** Expected work of a request, estimated before its admission. */
 export interface ExpectedWork {
   readonly promptTokens: number;
   /** Prompt tokens expected to be in the cache of some endpoint. */
@@ -15,9 +15,9 @@
   readonly maxTokens: number;
 }
 
-export interface RequestCosts {
-  /** Returns the cost, 1 for an average request, and updates the mean. */
-  costOf(service: string, work: ExpectedWork): number;
+export interface RequestCostEstimator {
+  /** Returns the cost, 1 for an average request; updates the service's mean. */
+  estimateCost(service: string, work: ExpectedWork): number;
 }
 
 /**
@@ -41,8 +41,11 @@
 /** Maximum number of tracked services; the least recently used is evicted. */
 const MAX_SERVICES = 1_024;
 
-interface Mean {
+/** Moving mean of the estimated work of a service's requests. */
+interface MovingMean {
+  /** Prompt tokens per request. */
   value: number;
+  /** Requests in the mean, at most `MEAN_WINDOW_REQUESTS`. */
   count: number;
 }
 
@@ -50,27 +53,28 @@
  * Creates an empty cost estimator; the first request of each service costs 1.
  *
  * @example
- * const costs = createRequestCosts();
- * costs.costOf('match', {promptTokens: 900, cachedTokens: 0, maxTokens: 64});
+ * const estimator = createRequestCostEstimator();
+ * const work = {promptTokens: 900, cachedTokens: 0, maxTokens: 64};
+ * estimator.estimateCost('match', work);
  */
-export function createRequestCosts(): RequestCosts {
-  const means = new Map<string, Mean>();
+export function createRequestCostEstimator(): RequestCostEstimator {
+  const means = new Map<string, MovingMean>();
 
-  function meanOf(service: string): Mean {
+  function getOrCreateMean(service: string): MovingMean {
     const mean = means.get(service) ?? {value: 0, count: 0};
     means.delete(service);
     means.set(service, mean);
     if (means.size > MAX_SERVICES) {
-      const [oldest] = means.keys();
-      means.delete(oldest!);
+      const [leastRecentlyUsed] = means.keys();
+      means.delete(leastRecentlyUsed!);
     }
     return mean;
   }
 
   return {
-    costOf(service, work) {
+    estimateCost(service, work) {
       const weightedTokens = estimateWork(work);
-      const mean = meanOf(service);
+      const mean = getOrCreateMean(service);
       mean.count = Math.min(MEAN_WINDOW_REQUESTS, mean.count + 1);
       mean.value += (weightedTokens - mean.value) / mean.count;
       return Math.min(
@@ -81,7 +85,7 @@
   };
 }
 
-/** Returns the work in prompt tokens; at least 1, so that a mean is never 0. */
+/** Returns the work in prompt tokens; at least 1, so that no mean is ever 0. */
 function estimateWork({
   promptTokens,
   cachedTokens,
--- a/packages/entry/src/callers/requestHeaders.ts
+++ b/packages/entry/src/callers/requestHeaders.ts
@@ -1,9 +1,10 @@
-/** Request headers: urgency, timeout, idempotency key and bearer key. */
+/** Parsing of request headers: urgency, timeout, idempotency and bearer key. */
 import type {IncomingHttpHeaders} from 'node:http';
 import {ServingError} from '@skylarkfield/base';
 
 /** Urgency of a request without a `Priority` header (RFC 9218). */
 const DEFAULT_URGENCY = 3;
+/** Least urgent value; 0 is the most urgent. */
 const LOWEST_URGENCY = 7;
 const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 
@@ -12,17 +13,17 @@
  * to the most urgent value in the customer's record.
  *
  * @example
- * requestUrgency({priority: 'u=0'}, 2); // 2
+ * parseRequestUrgency({priority: 'u=0'}, 2); // 2
  */
-export function requestUrgency(
+export function parseRequestUrgency(
   headers: IncomingHttpHeaders,
   bestUrgency: number,
 ): number {
-  const requestedUrgency = parseUrgency(headers['priority']);
+  const requestedUrgency = parsePriorityHeader(headers['priority']);
   return Math.max(requestedUrgency, bestUrgency);
 }
 
-function parseUrgency(priority: string | string[] | undefined): number {
+function parsePriorityHeader(priority: string | string[] | undefined): number {
   const match = /(?:^|,)\s*u=(\d+)/.exec(String(priority ?? ''));
   if (match === null) {
     return DEFAULT_URGENCY;
@@ -34,13 +35,13 @@
 
 /**
  * Returns the timeout of a request in milliseconds: `X-Request-Timeout-Ms`, at
- * most the service's timeout. Throws `bad-request` unless the header is a
+ * most the service's timeout. Throws `bad-request` when the header is not a
  * positive number.
  *
  * @example
- * requestTimeout(request.headers, service.timeoutMs);
+ * parseRequestTimeoutMs(request.headers, service.timeoutMs);
  */
-export function requestTimeoutMs(
+export function parseRequestTimeoutMs(
   headers: IncomingHttpHeaders,
   serviceTimeoutMs: number,
 ): number {
@@ -50,19 +51,19 @@
   }
   const requestedMs = Number(text);
   if (!Number.isFinite(requestedMs) || requestedMs <= 0) {
-    throw invalidHeader('x-request-timeout-ms', 'a positive number');
+    throw invalidHeaderError('x-request-timeout-ms', 'a positive number');
   }
   return Math.min(requestedMs, serviceTimeoutMs);
 }
 
 /**
- * Returns the idempotency key, if any. Throws `bad-request` when it is empty or
- * too long.
+ * Returns the idempotency key; undefined without the header. Throws
+ * `bad-request` when the key is empty or longer than 255 characters.
  *
  * @example
- * const key = idempotencyKey(request.headers);
+ * const key = parseIdempotencyKey(request.headers);
  */
-export function idempotencyKey(
+export function parseIdempotencyKey(
   headers: IncomingHttpHeaders,
 ): string | undefined {
   const text = headers['idempotency-key'];
@@ -71,7 +72,7 @@
   }
   const key = String(text).replace(/^"(.*)"$/, '$1');
   if (key === '' || key.length > MAX_IDEMPOTENCY_KEY_LENGTH) {
-    throw invalidHeader(
+    throw invalidHeaderError(
       'idempotency-key',
       `1 to ${MAX_IDEMPOTENCY_KEY_LENGTH} characters`,
     );
@@ -80,17 +81,19 @@
 }
 
 /**
- * Returns the bearer key of a request, if any.
+ * Returns the bearer key of a request; undefined when there is none.
  *
  * @example
- * const key = bearerKey(request.headers);
+ * const key = parseBearerKey(request.headers);
  */
-export function bearerKey(headers: IncomingHttpHeaders): string | undefined {
+export function parseBearerKey(
+  headers: IncomingHttpHeaders,
+): string | undefined {
   const match = /^Bearer\s+(\S+)$/i.exec(headers.authorization ?? '');
   return match?.[1];
 }
 
-function invalidHeader(path: string, expected: string): ServingError {
+function invalidHeaderError(path: string, expected: string): ServingError {
   return new ServingError('bad-request', `${path}: ${expected}`, {
     faults: [{path, expected}],
   });
--- a/packages/entry/src/callers/requestMetrics.ts
+++ b/packages/entry/src/callers/requestMetrics.ts
@@ -1,30 +1,33 @@
 /** Request metrics, and classification of errors for version moves. */
 import type {ErrorKind, Meter, ServingError} from '@skylarkfield/base';
 
-/** Type of a request; `none` when it was rejected before its type was known. */
+/** Type of a request; `none` if rejected before the type was determined. */
 export type RequestType = 'model' | 'plain' | 'none';
 
 /** Result of a completed request. */
 export interface CompletedRequest {
   readonly service: string;
   readonly type: RequestType;
-  /** `ok` or the kind of the error. */
+  /** `ok` or the error kind. */
   readonly result: string;
   readonly durationMs: number;
 }
 
 export interface RequestMetrics {
-  begin(): void;
-  end(completed: CompletedRequest): void;
-  firstToken(service: string, latencyMs: number): void;
-  recomputed(service: string, tokens: number): void;
+  recordStart(): void;
+  recordEnd(completed: CompletedRequest): void;
+  /** Records the time from the arrival of a request to its first token. */
+  recordFirstToken(service: string, latencyMs: number): void;
+  /** Records the tokens that later attempts of a request computed again. */
+  recordRecomputedTokens(service: string, tokens: number): void;
 }
 
-/** Label of unknown services; callers' made-up names must not become labels. */
+/** Label of services without a record: made-up names must not become labels. */
 const UNKNOWN_SERVICE = 'unknown';
 
 /**
- * Creates the instruments; label sets are bounded by the services in force.
+ * Creates the instruments; the number of label sets is bounded by the services
+ * in force.
  *
  * @example
  * const metrics = createRequestMetrics(meter, isKnownService);
@@ -33,34 +36,43 @@
   meter: Meter,
   isKnownService: (service: string) => boolean,
 ): RequestMetrics {
-  const active = meter.createUpDownCounter('http.server.active_requests');
-  const duration = meter.createHistogram('http.server.request.duration', {
-    unit: 's',
-    advice: {explicitBucketBoundaries: durationBucketsSeconds()},
-  });
-  const firstToken = meter.createHistogram(
+  const activeRequests = meter.createUpDownCounter(
+    'http.server.active_requests',
+  );
+  const requestDuration = meter.createHistogram(
+    'http.server.request.duration',
+    {
+      unit: 's',
+      advice: {explicitBucketBoundaries: durationBucketsSeconds()},
+    },
+  );
+  const firstTokenLatency = meter.createHistogram(
     'gen_ai.server.time_to_first_token',
     {unit: 's', advice: {explicitBucketBoundaries: durationBucketsSeconds()}},
   );
-  const recomputed = meter.createCounter('skylarkfield.recomputed_tokens');
+  const recomputedTokens = meter.createCounter(
+    'skylarkfield.recomputed_tokens',
+  );
   const serviceLabel = (service: string) =>
     isKnownService(service) ? service : UNKNOWN_SERVICE;
   return {
-    begin: () => active.add(1),
-    end(completed) {
-      active.add(-1);
-      duration.record(completed.durationMs / 1000, {
+    recordStart: () => activeRequests.add(1),
+    recordEnd(completed) {
+      activeRequests.add(-1);
+      requestDuration.record(completed.durationMs / 1000, {
         service: serviceLabel(completed.service),
         type: completed.type,
         result: completed.result,
       });
     },
-    firstToken(service, latencyMs) {
-      firstToken.record(latencyMs / 1000, {service: serviceLabel(service)});
+    recordFirstToken(service, latencyMs) {
+      firstTokenLatency.record(latencyMs / 1000, {
+        service: serviceLabel(service),
+      });
     },
-    recomputed(service, tokens) {
+    recordRecomputedTokens(service, tokens) {
       if (tokens > 0) {
-        recomputed.add(tokens, {service: serviceLabel(service)});
+        recomputedTokens.add(tokens, {service: serviceLabel(service)});
       }
     },
   };
--- a/packages/entry/src/callers/routes.ts
+++ b/packages/entry/src/callers/routes.ts
@@ -1,19 +1,19 @@
 /** Route matching, which decides whether a plain call is idempotent. */
 import type {Route, Service} from '@skylarkfield/records';
 
-/** Safe methods of RFC 9110, idempotent unless a route overrides it. */
+/** Safe methods of RFC 9110, idempotent unless a matching route denies it. */
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS']);
 
-/** Route of a call. */
+/** Properties of the route that a call matches. */
 export interface RouteMatch {
-  /** Label for evidence and metrics; the service record bounds their number. */
+  /** Label in evidence of moves; the service record bounds the label count. */
   readonly label: string;
   readonly isIdempotent: boolean;
 }
 
 /**
- * Returns the route with the longest matching prefix; a named method precedes
- * `*`.
+ * Returns the route with the longest matching prefix; of routes with the same
+ * prefix, a route for one method precedes the route for `*`.
  *
  * @example
  * matchRoute(service, 'POST', '/bookings').isIdempotent; // false
@@ -23,15 +23,15 @@
   method: string,
   path: string,
 ): RouteMatch {
-  const best = service.routes
+  const bestRoute = service.routes
     .filter(route => isMatch(route, method, path))
-    .sort(bySpecificity)[0];
-  if (best === undefined) {
+    .sort(compareSpecificity)[0];
+  if (bestRoute === undefined) {
     return {label: 'other', isIdempotent: SAFE_METHODS.has(method)};
   }
   return {
-    label: `${best.method} ${best.pathPrefix}`,
-    isIdempotent: best.isIdempotent,
+    label: `${bestRoute.method} ${bestRoute.pathPrefix}`,
+    isIdempotent: bestRoute.isIdempotent,
   };
 }
 
@@ -42,10 +42,10 @@
   return path.startsWith(route.pathPrefix);
 }
 
-function bySpecificity(a: Route, b: Route): number {
-  const byLength = b.pathPrefix.length - a.pathPrefix.length;
-  if (byLength !== 0) {
-    return byLength;
+function compareSpecificity(a: Route, b: Route): number {
+  const lengthDifference = b.pathPrefix.length - a.pathPrefix.length;
+  if (lengthDifference !== 0) {
+    return lengthDifference;
   }
   return Number(a.method === '*') - Number(b.method === '*');
 }
--- a/packages/entry/src/callers/sequenceBlocks.ts
+++ b/packages/entry/src/callers/sequenceBlocks.ts
@@ -1,23 +1,27 @@
-/** Cache block hashes of a prompt with the delivered part of its response. */
+/** Cache block hashes of a prompt and the delivered part of its response. */
 import {extendBlockHashes, tokenizePrompt} from '@skylarkfield/endpoints';
 
 /**
  * Extends a prompt's block hashes with the delivered tokens of a response that
- * resumes at another endpoint, so that the endpoint with the most cached blocks
- * is preferred and its cache is tracked. The prompt is tokenized again, since
- * migrations are rare and long prompts' tokens would stay in memory meanwhile.
+ * resumes at another endpoint, so that the router prefers the endpoint with the
+ * most cached blocks and tracks the cache of that endpoint. The prompt is
+ * tokenized again, since migrations are rare and the tokens of long prompts
+ * would otherwise stay in memory until every response is complete.
  *
  * @example
  * const blocks = hashSequenceBlocks(request.prompt, plan.blocks, delivered);
  */
 export function hashSequenceBlocks(
   prompt: string,
-  blocks: readonly string[],
-  delivered: readonly string[],
+  promptBlocks: readonly string[],
+  deliveredTokens: readonly string[],
 ): readonly string[] {
-  if (delivered.length === 0) {
-    return blocks;
+  if (deliveredTokens.length === 0) {
+    return promptBlocks;
   }
-  const generated = delivered.map(text => text.trim());
-  return extendBlockHashes(blocks, [...tokenizePrompt(prompt), ...generated]);
+  const trimmedTokens = deliveredTokens.map(text => text.trim());
+  return extendBlockHashes(promptBlocks, [
+    ...tokenizePrompt(prompt),
+    ...trimmedTokens,
+  ]);
 }
--- a/packages/entry/src/components/admissionComponent.ts
+++ b/packages/entry/src/components/admissionComponent.ts
@@ -8,8 +8,8 @@
 import type {EntryContext} from '../context.js';
 
 /**
- * Creates the admission controller; services, customers' weights and the number
- * of live entries follow configuration and membership.
+ * Creates the admission controller and updates its services, customer weights
+ * and number of live entries when the configuration or membership changes.
  *
  * @example
  * createAdmissionComponent(context, configuration, membership);
--- a/packages/entry/src/components/dutiesComponent.ts
+++ b/packages/entry/src/components/dutiesComponent.ts
@@ -14,7 +14,7 @@
 }
 
 /**
- * Takes part in the lease elections; a duty runs at one entry at a time.
+ * Takes part in the lease elections; each duty runs at one entry at a time.
  *
  * @example
  * const duties = createDutiesComponent(context, {platform, members, records});
--- a/packages/entry/src/components/endpointPolling.ts
+++ b/packages/entry/src/components/endpointPolling.ts
@@ -1,4 +1,4 @@
-/** Polls assigned endpoints for load and cache events, at a bounded rate. */
+/** Polls this entry's endpoints for load and cache events at a bounded rate. */
 import {
   disposableStore,
   isServingError,
@@ -9,10 +9,10 @@
 import type {Router} from '@skylarkfield/routing';
 import type {ConnectedEndpoint, EndpointPool} from '../servingContext.js';
 
-/** Minimum times between two polls of one endpoint, in milliseconds. */
+/** Minimum intervals between two polls of one endpoint, in milliseconds. */
 const LOAD_POLL_INTERVAL_MS = 500;
 const CACHE_POLL_INTERVAL_MS = 1_000;
-/** Maximum polls per second, however many endpoints there are. */
+/** Maximum polls per second of this entry, whatever the number of endpoints. */
 const MAX_LOAD_POLLS_PER_SECOND = 16;
 const MAX_CACHE_POLLS_PER_SECOND = 8;
 const POLL_TIMEOUT_MS = 2_000;
@@ -27,16 +27,16 @@
 
 /** A round-robin poll of endpoints. */
 interface PollTask {
-  readonly types: readonly ConnectedEndpoint['listed']['type'][];
+  readonly endpointTypes: readonly ConnectedEndpoint['listed']['type'][];
   readonly endpointIntervalMs: number;
   readonly maxPollsPerSecond: number;
   poll(endpoint: ConnectedEndpoint, signal: AbortSignal): Promise<void>;
 }
 
 /**
- * Starts polling. Polls are spread evenly over each round; an endpoint with a
- * poll in flight is skipped, so that hung endpoints accumulate no open
- * requests.
+ * Starts to poll the endpoints that the router assigns to this entry. Polls are
+ * spread evenly over each round; an endpoint with a poll in flight is skipped,
+ * so that hung endpoints accumulate no open requests.
  *
  * @example
  * disposables.add(startPolling({clock, log, router, endpoints}));
@@ -44,7 +44,7 @@
 export function startPolling(options: PollingOptions): Disposable {
   const {clock, log, router, endpoints} = options;
   const disposables = disposableStore();
-  /** Sequence number of the last cache event of each endpoint. */
+  /** Sequence number of the last applied cache event, by endpoint id. */
   const lastSequences = new Map<string, number>();
 
   async function pollLoad(endpoint: ConnectedEndpoint, signal: AbortSignal) {
@@ -77,58 +77,59 @@
 
   const tasks: PollTask[] = [
     {
-      types: ['model', 'plain'],
+      endpointTypes: ['model', 'plain'],
       endpointIntervalMs: LOAD_POLL_INTERVAL_MS,
       maxPollsPerSecond: MAX_LOAD_POLLS_PER_SECOND,
       poll: pollLoad,
     },
     {
-      types: ['model'],
+      endpointTypes: ['model'],
       endpointIntervalMs: CACHE_POLL_INTERVAL_MS,
       maxPollsPerSecond: MAX_CACHE_POLLS_PER_SECOND,
       poll: pollCacheEvents,
     },
   ];
-  tasks.forEach(start);
+  tasks.forEach(startTask);
   return disposables;
 
-  function start(task: PollTask): void {
-    const inFlight = new Set<string>();
+  function startTask(task: PollTask): void {
+    const inFlightIds = new Set<string>();
     let position = 0;
     let timer = clock.after(0, pollNext);
     disposables.add({dispose: () => timer.dispose()});
 
     function pollNext(): void {
-      const assigned = router
+      const assignedEndpoints = router
         .assignedEndpoints()
-        .filter(({type}) => task.types.includes(type));
+        .filter(({type}) => task.endpointTypes.includes(type));
       const intervalMs = Math.max(
         MS_PER_SECOND / task.maxPollsPerSecond,
-        task.endpointIntervalMs / Math.max(1, assigned.length),
+        task.endpointIntervalMs / Math.max(1, assignedEndpoints.length),
       );
       if (!disposables.isDisposed) {
         timer = clock.after(intervalMs, pollNext);
       }
       position += 1;
-      const id = assigned[position % Math.max(1, assigned.length)]?.id;
+      const id =
+        assignedEndpoints[position % Math.max(1, assignedEndpoints.length)]?.id;
       const endpoint = id === undefined ? undefined : endpoints.get(id);
-      if (endpoint !== undefined && !inFlight.has(endpoint.listed.id)) {
-        void pollOnce(endpoint);
+      if (endpoint !== undefined && !inFlightIds.has(endpoint.listed.id)) {
+        void pollEndpoint(endpoint);
       }
     }
 
-    async function pollOnce(endpoint: ConnectedEndpoint): Promise<void> {
+    async function pollEndpoint(endpoint: ConnectedEndpoint): Promise<void> {
       const {id} = endpoint.listed;
       const controller = new AbortController();
       const timeout = clock.after(POLL_TIMEOUT_MS, () => controller.abort());
-      inFlight.add(id);
+      inFlightIds.add(id);
       try {
         await task.poll(endpoint, controller.signal);
       } catch (error) {
         log.debug({endpoint: id, error: String(error)}, 'endpoint poll failed');
       } finally {
         timeout.dispose();
-        inFlight.delete(id);
+        inFlightIds.delete(id);
       }
     }
   }
--- a/packages/entry/src/components/endpointPoolComponent.ts
+++ b/packages/entry/src/components/endpointPoolComponent.ts
@@ -18,25 +18,26 @@
 import type {LeavingComponent} from './leavingComponent.js';
 
 export interface EndpointPoolComponent extends EndpointPool, Disposable {
-  /** Sends the endpoint no new requests and signals its streams to migrate. */
+  /** Stops new requests to the endpoint and signals its streams to migrate. */
   markLeaving(id: string): void;
 }
 
 interface OpenEndpoint extends ConnectedEndpoint, Disposable {
-  /** Monotonic time by which the endpoint is gone, if a notice gave one. */
+  /** Monotonic milliseconds of the removal; undefined without a notice. */
   goneAtMs: number | undefined;
-  leave(): void;
+  /** Aborts `leavingSignal`. */
+  signalLeaving(): void;
 }
 
 /**
  * Watches the host list and maintains one client per endpoint.
  *
  * @example
- * const endpoints = createEndpointPoolComponent(context, leaving, router);
+ * createEndpointPoolComponent(context, leavingComponent, router);
  */
 export function createEndpointPoolComponent(
   context: EntryContext,
-  {hostList, leaving}: Pick<LeavingComponent, 'hostList' | 'leaving'>,
+  {hostList, tracker}: Pick<LeavingComponent, 'hostList' | 'tracker'>,
   router: Router,
 ): EndpointPoolComponent {
   const {clock, log} = context;
@@ -50,13 +51,16 @@
     toDisposable(() => openEndpoints.forEach(endpoint => endpoint.dispose())),
   );
   disposables.add(hostList.watch(applyHostList));
-  disposables.add(leaving.onDidLeave(handleLeaving));
-  disposables.add(leaving.onDidReturn(handleReturn));
+  disposables.add(tracker.onDidLeave(handleLeaving));
+  disposables.add(tracker.onDidReturn(handleReturn));
   disposables.add(startPolling({clock, log, router, endpoints: pool}));
 
   return {...pool, markLeaving, dispose: () => disposables.dispose()};
 
-  /** Applies a notice, which has the removal time and may precede the list. */
+  /**
+   * Applies a notice, which has the time of the removal and may arrive before
+   * the host list marks the endpoint.
+   */
   function handleLeaving({endpoint, goneAt}: LeavingEndpoint): void {
     const existing = openEndpoints.get(endpoint);
     if (existing !== undefined && goneAt > 0) {
@@ -66,8 +70,9 @@
   }
 
   /**
-   * Discards the client of the old process: its `leaving` signal stays aborted
-   * and would end every stream sent to the new process at the same address.
+   * Discards the client of the old process when an endpoint has restarted. The
+   * client's aborted `leavingSignal` would end every stream sent to the new
+   * process at the same address.
    */
   function handleReturn(id: string): void {
     openEndpoints.get(id)?.dispose();
@@ -77,39 +82,44 @@
 
   function markLeaving(id: string): void {
     router.markLeaving(id);
-    openEndpoints.get(id)?.leave();
+    openEndpoints.get(id)?.signalLeaving();
   }
 
-  function applyHostList(listed: readonly ListedEndpoint[]): void {
-    closeUnlisted(listed);
-    for (const endpoint of listed) {
-      ensureOpen(endpoint);
+  function applyHostList(listedEndpoints: readonly ListedEndpoint[]): void {
+    closeUnlistedEndpoints(listedEndpoints);
+    for (const endpoint of listedEndpoints) {
+      ensureEndpointOpen(endpoint);
     }
-    router.setEndpoints(listed);
-    for (const endpoint of listed) {
+    router.setEndpoints(listedEndpoints);
+    for (const endpoint of listedEndpoints) {
       if (endpoint.state === 'leaving') {
         markLeaving(endpoint.id);
       }
     }
   }
 
-  function closeUnlisted(listed: readonly ListedEndpoint[]): void {
-    const ids = new Set(listed.map(endpoint => endpoint.id));
+  function closeUnlistedEndpoints(
+    listedEndpoints: readonly ListedEndpoint[],
+  ): void {
+    const listedIds = new Set(listedEndpoints.map(endpoint => endpoint.id));
     for (const [id, endpoint] of openEndpoints) {
-      if (!ids.has(id)) {
+      if (!listedIds.has(id)) {
         endpoint.dispose();
         openEndpoints.delete(id);
       }
     }
   }
 
-  function ensureOpen(listed: ListedEndpoint): void {
-    const existing = openEndpoints.get(listed.id);
-    if (existing !== undefined && isSameEndpoint(existing.listed, listed)) {
+  function ensureEndpointOpen(listedEndpoint: ListedEndpoint): void {
+    const existing = openEndpoints.get(listedEndpoint.id);
+    if (
+      existing !== undefined &&
+      isSameEndpoint(existing.listed, listedEndpoint)
+    ) {
       return;
     }
     existing?.dispose();
-    openEndpoints.set(listed.id, openEndpoint(listed));
+    openEndpoints.set(listedEndpoint.id, openEndpoint(listedEndpoint));
   }
 }
 
@@ -123,10 +133,10 @@
 }
 
 function openEndpoint(listed: ListedEndpoint): OpenEndpoint {
-  const leaving = new AbortController();
-  // Every stream at the endpoint adds a listener; more than 10, of which Node
-  // warns, are no leak.
-  setMaxListeners(0, leaving.signal);
+  const leavingController = new AbortController();
+  // Every stream at the endpoint adds a listener: more than 10 listeners, of
+  // which Node warns by default, are no leak.
+  setMaxListeners(0, leavingController.signal);
   const {url} = listed;
   const client =
     listed.type === 'model'
@@ -135,10 +145,10 @@
   const endpoint: OpenEndpoint = {
     ...client,
     listed,
-    leaving: leaving.signal,
+    leavingSignal: leavingController.signal,
     goneAtMs: undefined,
     goneAt: () => endpoint.goneAtMs,
-    leave: () => leaving.abort(),
+    signalLeaving: () => leavingController.abort(),
     dispose: () => (client.engine ?? client.plain)?.dispose(),
   };
   return endpoint;
--- a/packages/entry/src/components/fleetComponent.ts
+++ b/packages/entry/src/components/fleetComponent.ts
@@ -62,17 +62,17 @@
       }),
     });
     let isRepairing = false;
-    disposables.add(every(clock, REPAIR_INTERVAL_MS, () => void repairOnce()));
+    disposables.add(every(clock, REPAIR_INTERVAL_MS, () => void runRepair()));
     disposables.add(dumps.add('fleet', () => duty.dump()));
     return disposables;
 
-    async function repairOnce(): Promise<void> {
+    async function runRepair(): Promise<void> {
       if (isRepairing) {
         return;
       }
       isRepairing = true;
       try {
-        await repair.repairAll(managedEndpoints(), weightsOf);
+        await repair.repairAll(managedEndpoints(), weightsNameOf);
       } finally {
         isRepairing = false;
       }
@@ -89,7 +89,7 @@
       );
   }
 
-  /** Prefers the operators' endpoint class record over the listed value. */
+  /** Applies `checksFencing` of the operators' endpoint class record. */
   function withClassOverrides(listed: ListedEndpoint): ListedEndpoint {
     const classRecord = configuration.get(
       'endpoint-class',
@@ -101,7 +101,7 @@
     };
   }
 
-  function weightsOf(service: string): string {
+  function weightsNameOf(service: string): string {
     return configuration.get('service', service)?.fleet.weights || service;
   }
 }
--- a/packages/entry/src/components/leavingComponent.ts
+++ b/packages/entry/src/components/leavingComponent.ts
@@ -11,16 +11,19 @@
 import type {PlatformComponent} from './platformComponent.js';
 
 export interface LeavingComponent extends Disposable {
-  readonly leaving: LeavingEndpointTracker;
+  readonly tracker: LeavingEndpointTracker;
   /** Host list that marks leaving endpoints before the platform's list does. */
   readonly hostList: HostList;
 }
 
-/** Interval of checks whether this entry reads notices, in milliseconds. */
+/**
+ * Interval of checks whether this entry is one of the readers of the cloud's
+ * notices, in milliseconds.
+ */
 const READER_CHECK_INTERVAL_MS = 2_000;
 
 /**
- * Tracks leaving endpoints from notices, the host list and peers.
+ * Tracks the leaving endpoints that notices, the host list or peers report.
  *
  * @example
  * const {hostList} = createLeavingComponent(context, platform, members);
@@ -33,7 +36,7 @@
   const {clock, decisions, dumps} = context;
   const {membership, network} = members;
   const disposables = disposableStore();
-  const leaving = disposables.add(
+  const tracker = disposables.add(
     createLeavingEndpointTracker({
       cloud: platform.cloud,
       hostList: platform.hostList,
@@ -44,15 +47,15 @@
   );
   disposables.add(
     every(clock, READER_CHECK_INTERVAL_MS, () =>
-      leaving.setReader(
+      tracker.setReader(
         isReader(membership.live(), membership.self, 'notices'),
       ),
     ),
   );
-  disposables.add(dumps.add('leaving', () => leaving.dump()));
+  disposables.add(dumps.add('leaving', () => tracker.dump()));
   return {
-    leaving,
-    hostList: leaving.hostList,
+    tracker,
+    hostList: tracker.hostList,
     dispose: () => disposables.dispose(),
   };
 }
--- a/packages/entry/src/components/loadReportAggregator.ts
+++ b/packages/entry/src/components/loadReportAggregator.ts
@@ -10,8 +10,9 @@
 const PUBLISH_INTERVAL_MS = 1_000;
 
 /**
- * Maximum age of a report, in milliseconds. Without the bound, missing reports
- * would look like idle slots, and entries would borrow slots that are in use.
+ * Maximum age of a load report that counts, in milliseconds. Without the bound,
+ * endpoints that stopped reporting could look idle, and entries would borrow
+ * slots that are in use.
  */
 const MAX_REPORT_AGE_MS = 5_000;
 
@@ -26,6 +27,7 @@
 
 interface TimedReport {
   readonly report: LoadReport;
+  /** Monotonic milliseconds. */
   readonly receivedAt: number;
 }
 
@@ -36,11 +38,11 @@
 }
 
 export interface LoadReportAggregator {
-  /** Wraps the router to record each reported load. */
+  /** Router that forwards all calls and records the reports of `reportLoad`. */
   readonly router: Router;
   /** Returns the latest fresh reports of a service's endpoints. */
   reports(service: string): readonly LoadReport[];
-  /** Starts to update admission control, for the given endpoints. */
+  /** Starts to send the estimated load of `endpoints` to admission control. */
   start(endpoints: EndpointPool): Disposable;
 }
 
@@ -49,8 +51,8 @@
  *
  * @example
  * const loadReports = createLoadReportAggregator(router, options);
- * const {router: reporting} = loadReports;
- * const endpoints = createEndpointPoolComponent(context, leaving, reporting);
+ * const endpoints = createEndpointPoolComponent(
+ *   context, leavingComponent, loadReports.router);
  * disposables.add(loadReports.start(endpoints));
  */
 export function createLoadReportAggregator(
@@ -73,27 +75,28 @@
 
   function usableEndpoints(service: string) {
     return (pool?.list() ?? []).filter(
-      ({listed, leaving}) => listed.service === service && !leaving.aborted,
+      ({listed, leavingSignal}) =>
+        listed.service === service && !leavingSignal.aborted,
     );
   }
 
-  function reportsOf(service: string): LoadReport[] {
+  function freshReportsOf(service: string): LoadReport[] {
     return usableEndpoints(service).flatMap(
       ({listed}) => freshReport(listed.id) ?? [],
     );
   }
 
   /**
-   * Estimates the requests at all endpoints of a service, including those not
-   * polled by this entry; undefined while too few polled endpoints report.
+   * Estimates the number of requests that run or wait at all endpoints of a
+   * service, polled by this entry or not; undefined with too few fresh reports.
    */
   function estimateBusySlots(service: string): number | undefined {
-    const usable = usableEndpoints(service);
-    const assigned = new Set(router.assignedEndpoints().map(({id}) => id));
-    const polledCount = usable.filter(({listed: {id}}) =>
-      assigned.has(id),
+    const endpoints = usableEndpoints(service);
+    const assignedIds = new Set(router.assignedEndpoints().map(({id}) => id));
+    const polledCount = endpoints.filter(({listed: {id}}) =>
+      assignedIds.has(id),
     ).length;
-    const freshReports = reportsOf(service);
+    const freshReports = freshReportsOf(service);
     const requiredCount = Math.min(
       SUFFICIENT_REPORTS,
       polledCount * MIN_REPORTING_FRACTION,
@@ -105,13 +108,15 @@
       (total, report) => total + report.running + report.waiting,
       0,
     );
-    return Math.round((reportedRequests * usable.length) / freshReports.length);
+    return Math.round(
+      (reportedRequests * endpoints.length) / freshReports.length,
+    );
   }
 
   function publishLoad(endpoints: EndpointPool): void {
-    const listed = new Set(endpoints.list().map(({listed: {id}}) => id));
+    const listedIds = new Set(endpoints.list().map(({listed: {id}}) => id));
     for (const id of reports.keys()) {
-      if (!listed.has(id)) {
+      if (!listedIds.has(id)) {
         reports.delete(id);
       }
     }
@@ -132,7 +137,7 @@
         router.reportLoad(id, report);
       },
     },
-    reports: reportsOf,
+    reports: freshReportsOf,
     start(endpoints) {
       pool = endpoints;
       return every(clock, PUBLISH_INTERVAL_MS, () => publishLoad(endpoints));
--- a/packages/entry/src/components/membersComponent.ts
+++ b/packages/entry/src/components/membersComponent.ts
@@ -23,11 +23,13 @@
 export interface MembersComponent extends Disposable {
   readonly network: PeerNetwork;
   readonly membership: Membership;
+  /** URL of the port that peers connect to. */
   readonly innerUrl: string;
   lookup(query: LookupQuery): LookupResult;
 }
 
 interface MembersComponentOptions {
+  /** Shared key with which entries authenticate to each other. */
   readonly innerKey: string;
   /** URL that callers connect to. */
   readonly callersUrl: string;
@@ -36,7 +38,7 @@
 }
 
 /**
- * Opens the inner port and joins the membership.
+ * Opens the port for peers and joins the cluster membership.
  *
  * @example
  * const members = await createMembersComponent(context, platform, options);
@@ -48,7 +50,7 @@
 ): Promise<MembersComponent> {
   const {settings, clock, random, log, decisions, dumps} = context;
   const disposables = disposableStore();
-  // Distinguishes a restart from a pause; wall time increases across restarts.
+  // Wall time increases across restarts, so peers tell restarts from pauses.
   const incarnation = clock.wall();
   const tls = await watchInnerTls(context);
   const network = disposables.add(
@@ -105,7 +107,8 @@
     return undefined;
   }
   if (tls.ca === undefined) {
-    const expected = 'the certificate authorities of the other entries';
+    const expected =
+      'a file with the certificate authorities of the other entries';
     throw new ServingError('bad-settings', `inner.tls.ca: ${expected}`, {
       faults: [{path: 'inner.tls.ca', expected}],
     });
--- a/packages/entry/src/components/movesComponent.ts
+++ b/packages/entry/src/components/movesComponent.ts
@@ -15,8 +15,11 @@
 import {availableVersions} from '../availableVersions.js';
 import type {EndpointPool} from '../servingContext.js';
 
-/** Interval of updates of the available versions, in milliseconds. */
-const AVAILABILITY_INTERVAL_MS = 1_000;
+/**
+ * Interval of updates of the traffic split with the versions that have
+ * endpoints, in milliseconds.
+ */
+const AVAILABILITY_UPDATE_INTERVAL_MS = 1_000;
 
 interface MovesComponentOptions {
   readonly split: TrafficSplit;
@@ -28,7 +31,8 @@
 }
 
 /**
- * Creates the traffic split, which must exist before the first request.
+ * Creates the traffic split, which selects the version of each request and must
+ * exist before the first request.
  *
  * @example
  * const split = createTrafficSplitComponent(context);
@@ -43,7 +47,8 @@
 }
 
 /**
- * Follows moves and takes part in the lease election of the move duty.
+ * Applies the states of moves to the traffic split and takes part in the lease
+ * election of the move duty.
  *
  * @example
  * disposables.add(startMovesComponent(context, options));
@@ -68,7 +73,7 @@
     }),
   );
   disposables.add(
-    every(clock, AVAILABILITY_INTERVAL_MS, updateAvailableVersions),
+    every(clock, AVAILABILITY_UPDATE_INTERVAL_MS, updateAvailableVersions),
   );
   disposables.add(
     duties.compete('moves', term =>
--- a/packages/entry/src/components/orderMetrics.ts
+++ b/packages/entry/src/components/orderMetrics.ts
@@ -2,12 +2,12 @@
 import type {Meter} from '@skylarkfield/base';
 import type {OrderObserver} from '@skylarkfield/orders';
 
-/** Label of unknown services; callers' made-up names must not become labels. */
+/** Label of services without a record: made-up names must not become labels. */
 const UNKNOWN_SERVICE = 'unknown';
 
 /**
- * Creates the counters; label sets are bounded by the services in force and the
- * closed list of outcomes.
+ * Creates the counters; the services in force and the closed list of outcomes
+ * bound the number of label sets.
  *
  * @example
  * const observer = createOrderMetrics(meter, isKnownService);
--- a/packages/entry/src/components/ordersComponent.ts
+++ b/packages/entry/src/components/ordersComponent.ts
@@ -24,8 +24,8 @@
 }
 
 /**
- * Creates the ledger; a claimed order is dispatched to an endpoint of the
- * version assigned to its session at that time.
+ * Creates the ledger. A claimed order is dispatched to an endpoint of the
+ * version that is assigned to the order's session at the time of the dispatch.
  *
  * @example
  * const ledger = createOrdersComponent(context, options);
@@ -59,21 +59,21 @@
   return ledger;
 
   async function dispatch(
-    name: string,
+    serviceName: string,
     call: OrderCall,
     signal: AbortSignal,
     begin: () => boolean,
   ): Promise<OrderReply> {
-    const service = options.configuration.get('service', name);
+    const service = options.configuration.get('service', serviceName);
     if (service === undefined) {
-      // Not run: the record was removed while the order was queued.
+      // The service was removed while the order was queued: nothing has run.
       throw new ServingError(
         'endpoint-unavailable',
-        `service ${name} was removed`,
+        `service ${serviceName} was removed`,
       );
     }
     const version = options.split.versionFor({
-      service: name,
+      service: serviceName,
       incumbent: service.version,
       session:
         call.headers['x-session-id'] ?? call.headers['x-request-id'] ?? '',
@@ -81,9 +81,9 @@
     });
     return options.attempts.runAtMostOnce(
       {
-        service: name,
+        service: serviceName,
         version,
-        incumbent: options.split.incumbentFor(name, service.version),
+        incumbent: options.split.incumbentFor(serviceName, service.version),
         route: matchRoute(service, call.method, call.path).label,
         call,
         deadline: clock.now() + service.timeoutMs,
--- a/packages/entry/src/components/peerFallbackHostList.ts
+++ b/packages/entry/src/components/peerFallbackHostList.ts
@@ -1,4 +1,4 @@
-/** Host list from the platform, or from peers until the platform responds. */
+/** Host list of the platform, or of a peer until the platform responds. */
 import {
   disposableStore,
   every,
@@ -16,7 +16,7 @@
 import type {PeerNetwork} from '@skylarkfield/protocol';
 import * as z from 'zod';
 
-/** Interval of requests to peers while there is no list, in milliseconds. */
+/** Interval of requests for a list while none was received, in milliseconds. */
 const PEER_REQUEST_INTERVAL_MS = 500;
 /** Timeout of a request to a peer, in milliseconds. */
 const PEER_REQUEST_TIMEOUT_MS = 2_000;
@@ -32,9 +32,10 @@
 }
 
 /**
- * Wraps a host list with a fallback to peers' lists. Without it, a process
- * started during a platform outage would have no endpoints and reject all
- * requests while its peers serve. The platform's list always replaces a peer's.
+ * Wraps a host list with a fallback to peers' lists. Without the fallback, an
+ * entry started during a platform outage would have no endpoints and reject all
+ * requests while its peers serve requests. The platform's list always replaces
+ * the list of a peer.
  *
  * @example
  * const hostList = createPeerFallbackHostList(options);
@@ -53,12 +54,12 @@
   const {hostList, network, clock, random, log} = options;
   const disposables = disposableStore();
   let currentList: readonly ListedEndpoint[] | undefined;
-  let isFromPlatform = false;
+  let hasPlatformList = false;
   let isRequesting = false;
 
   disposables.add(
     hostList.watch(endpoints => {
-      isFromPlatform = true;
+      hasPlatformList = true;
       currentList = endpoints;
       listener(endpoints);
     }),
@@ -69,12 +70,12 @@
     })),
   );
   const requestTimer = disposables.add(
-    every(clock, PEER_REQUEST_INTERVAL_MS, () => void requestFromPeer()),
+    every(clock, PEER_REQUEST_INTERVAL_MS, () => void requestListFromPeer()),
   );
   disposables.add(toDisposable(() => (currentList = undefined)));
   return disposables;
 
-  async function requestFromPeer(): Promise<void> {
+  async function requestListFromPeer(): Promise<void> {
     if (currentList !== undefined) {
       requestTimer.dispose();
       return;
@@ -103,7 +104,7 @@
   }
 
   function applyPeerList(endpoints: readonly ListedEndpoint[]): void {
-    if (isFromPlatform || endpoints.length === 0 || disposables.isDisposed) {
+    if (hasPlatformList || endpoints.length === 0 || disposables.isDisposed) {
       return;
     }
     currentList = endpoints;
--- a/packages/entry/src/components/platformComponent.ts
+++ b/packages/entry/src/components/platformComponent.ts
@@ -19,7 +19,7 @@
 }
 
 /**
- * Creates the clients; none calls the platform before its first use.
+ * Creates the clients; no client calls the platform before its first use.
  *
  * @example
  * const platform = createPlatformComponent(context);
--- a/packages/entry/src/components/recordsComponent.ts
+++ b/packages/entry/src/components/recordsComponent.ts
@@ -13,7 +13,7 @@
 }
 
 /**
- * Follows the accepted records, from the platform or from peers.
+ * Receives the accepted records from the platform or from peers.
  *
  * @example
  * const {configuration} = createRecordsComponent(context, platform, members);
--- a/packages/entry/src/components/routingComponent.ts
+++ b/packages/entry/src/components/routingComponent.ts
@@ -4,8 +4,8 @@
 import type {EntryContext} from '../context.js';
 
 /**
- * Creates the router, updates it with the live entries that share the endpoints
- * and adds its state to the dump.
+ * Creates the router, adds its state to the dump, and updates the router with
+ * the live entries, among which the endpoints of large services are divided.
  *
  * @example
  * const router = createRoutingComponent(context, membership);
--- a/packages/entry/src/entryComponents.ts
+++ b/packages/entry/src/entryComponents.ts
@@ -35,11 +35,12 @@
   readonly attempts: AttemptRunner;
   readonly membership: Membership;
   readonly duties: DutyElections;
-  /** Address of the inner port. */
+  /** URL of the port that peers connect to. */
   readonly innerUrl: string;
 }
 
 interface EntryComponentsOptions {
+  /** Shared key with which entries authenticate to each other. */
   readonly innerKey: string;
   /** URL that callers connect to. */
   readonly callersUrl: string;
@@ -48,8 +49,8 @@
 }
 
 /**
- * Builds and starts all components; they are disposed in reverse order, so that
- * none outlives its dependencies.
+ * Builds and starts all components. They are disposed in reverse order, so that
+ * no component outlives its dependencies.
  *
  * @example
  * const components = await createEntryComponents(context, options);
@@ -90,7 +91,7 @@
     hostList: platform.hostList,
     network,
   });
-  const leaving = disposables.add(
+  const leavingComponent = disposables.add(
     createLeavingComponent(
       context,
       {...platform, hostList: fallbackHostList},
@@ -108,7 +109,7 @@
     configuration,
   });
   const endpoints = disposables.add(
-    createEndpointPoolComponent(context, leaving, loadReports.router),
+    createEndpointPoolComponent(context, leavingComponent, loadReports.router),
   );
   disposables.add(loadReports.start(endpoints));
 
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -37,7 +37,7 @@
 import {resolveSecret, type EntrySettings} from './settings.js';
 
 export interface EntryProcess {
-  /** Addresses of the ports; port 0 is resolved to the bound port. */
+  /** URLs of the ports; port 0 is resolved to the bound port. */
   readonly addresses: {
     readonly callers: string;
     readonly inner: string;
@@ -47,7 +47,7 @@
   stop(): Promise<void>;
 }
 
-/** Time to flush rejections when the port closes, in milliseconds. */
+/** Time to send the last responses when the port closes, in milliseconds. */
 const CLOSE_TIMEOUT_MS = 1_000;
 
 /**
@@ -194,9 +194,9 @@
 
 /** Readiness reported to callers in each lifecycle state. */
 const readinessByState: Readonly<
-  Record<LifecycleState, (parts: EntryComponents) => Readiness>
+  Record<LifecycleState, (components: EntryComponents) => Readiness>
 > = {
-  // After a pause of the process its configuration may be outdated: requests
+  // After a pause of the process, the configuration may be outdated: requests
   // are rejected as not run until a peer or the platform has responded again.
   serving: ({serving, membership}) =>
     serving.configuration.isReady() && membership.isCurrent()
@@ -209,8 +209,8 @@
 
 /**
  * Rejects requests as retryable during startup. The port opens before the
- * components exist, since peers are sent its number; without a handler, early
- * requests would get no response.
+ * components are built, since they send its number to peers; without a handler,
+ * early requests would get no response.
  */
 function rejectUntilReady(server: HttpServer): Disposable {
   function reject(_request: IncomingMessage, response: ServerResponse) {
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -21,8 +21,9 @@
 
 export interface Listener extends Disposable {
   /**
-   * Accepts no more connections, closes idle ones and waits for the others up
-   * to the timeout in milliseconds; `dispose` closes the remaining ones.
+   * Stops accepting connections, closes idle connections and waits at most
+   * `timeoutMs` until the other connections have closed; `dispose` closes all
+   * connections immediately.
    */
   close(timeoutMs: number): Promise<void>;
   readonly server: HttpServer;
@@ -31,8 +32,8 @@
 }
 
 /**
- * Creates a server with the limits of the settings; the caller adds handlers
- * and then opens it with `openListener`.
+ * Creates a server with the limits of the settings and without handlers;
+ * `openListener` opens its port.
  *
  * @example
  * const server = createServer(settings.admin, settings.limits);
@@ -45,8 +46,8 @@
     maxHeaderSize: limits.headerBytes,
     headersTimeout: limits.headerMs,
     requestTimeout: limits.requestMs,
-    // Node enforces the timeouts above only at this interval; with its default
-    // of 30 s, a slow sender could far exceed these timeouts.
+    // Node enforces the two timeouts above only at this interval; with the
+    // default of 30 s, a slow sender could far exceed both timeouts.
     connectionsCheckingInterval: Math.min(limits.headerMs, 1_000),
   };
   const server =
@@ -142,10 +143,10 @@
 }
 
 /**
- * Reloads certificates that are renewed in place: once the loaded certificate
- * expires, every handshake would fail. Open connections are unaffected. An
- * unusable pair (partly written, for example) is logged and the loaded pair
- * stays in use.
+ * Reloads certificates that are renewed in place; without a reload, every
+ * handshake would fail once the loaded certificate expires. Open connections
+ * are unaffected. A failed reload (of a partly written file, for example) is
+ * logged, and the loaded certificate and key stay in use.
  */
 function watchCertificates(
   server: https.Server,
@@ -153,9 +154,9 @@
   clock: Clock,
   log: Logger,
 ): Disposable {
-  let loadedTimes = modificationTimes(files);
+  let loadedTimes = readModificationTimes(files);
   return every(clock, CERTIFICATE_CHECK_INTERVAL_MS, () => {
-    const currentTimes = modificationTimes(files);
+    const currentTimes = readModificationTimes(files);
     if (currentTimes === loadedTimes) {
       return;
     }
@@ -172,7 +173,8 @@
   });
 }
 
-function modificationTimes(files: TlsFiles): string {
+/** Returns the modification times of certificate and key, 0 if missing. */
+function readModificationTimes(files: TlsFiles): string {
   return [files.cert, files.key]
     .map(path => statSync(path, {throwIfNoEntry: false})?.mtimeMs ?? 0)
     .join('/');
--- a/packages/entry/src/servingContext.ts
+++ b/packages/entry/src/servingContext.ts
@@ -9,16 +9,17 @@
 import type {Router} from '@skylarkfield/routing';
 import type {StreamRunner} from '@skylarkfield/streams';
 
-/** An endpoint with its client. */
+/** An endpoint with its client: an engine or a plain service. */
 export interface ConnectedEndpoint {
+  /** The endpoint as described in the host list. */
   readonly listed: ListedEndpoint;
-  /** For endpoints of type `model`. */
+  /** Set for endpoints of type `model` only. */
   readonly engine?: Engine;
-  /** For endpoints of type `plain`. */
+  /** Set for endpoints of type `plain` only. */
   readonly plain?: PlainService;
   /** Aborted when the endpoint starts leaving. */
-  readonly leaving: AbortSignal;
-  /** Monotonic milliseconds by which a leaving endpoint is gone, if known. */
+  readonly leavingSignal: AbortSignal;
+  /** Monotonic milliseconds of the removal; undefined without a notice. */
   goneAt?(): number | undefined;
 }
 
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -22,7 +22,7 @@
   tls: tls.optional(),
 });
 
-/** Reference to a secret, which keeps secrets out of settings files. */
+/** Secret: inline, or a reference that keeps it out of the settings file. */
 const secret = z.union([
   z.strictObject({env: z.string().min(1)}),
   z.strictObject({file: z.string().min(1)}),
@@ -34,15 +34,15 @@
   bodyBytes: z.number().int().min(1024).max(67_108_864).default(4_194_304),
   /** Maximum size of the request headers, in bytes. */
   headerBytes: z.number().int().min(1024).max(1_048_576).default(16_384),
-  /** Maximum number of open connections from callers. */
+  /** Maximum number of open connections per HTTP port. */
   connections: z.number().int().min(1).max(1_000_000).default(10_000),
   /** Timeout for receiving the request headers, in milliseconds. */
   headerMs: milliseconds.default(10_000),
   /** Timeout for receiving a whole request, in milliseconds. */
   requestMs: milliseconds.default(30_000),
-  /** Bytes buffered for a slow reader before backpressure applies. */
+  /** Bytes buffered for a slow caller before backpressure applies. */
   bufferedBytes: z.number().int().min(1024).max(16_777_216).default(262_144),
-  /** Drain timeout of a reader under backpressure, in milliseconds. */
+  /** Time within which a slow caller must drain the buffer, in milliseconds. */
   stalledReaderMs: milliseconds.default(30_000),
 });
 
@@ -57,7 +57,7 @@
   callers: listener,
   inner: listener,
   admin: listener,
-  /** Addresses for other processes, if different from the listen addresses. */
+  /** URLs given to other processes, if not those of the listen addresses. */
   advertised: z
     .strictObject({
       callers: z.url().optional(),
@@ -66,16 +66,19 @@
     .prefault({}),
   platform: z.strictObject({
     url: z.url(),
-    /** Maximum calls a second by all entries, long-polled watches included. */
+    /**
+     * Maximum calls to the platform per second by all entries together,
+     * long-polled watches included.
+     */
     callsPerSecond: z.number().min(1).max(100_000).default(400),
-    /** Timeout of one call, in milliseconds. */
+    /** Timeout of one call to the platform, in milliseconds. */
     timeoutMs: milliseconds.default(2_000),
   }),
-  /** Inner addresses of peers, for startup while the platform is unreachable. */
+  /** URLs of peers' inner ports, for startup without a reachable platform. */
   seeds: z.array(z.url()).default([]),
   keys: z.strictObject({inner: secret, admin: secret}),
   limits: limits.prefault({}),
-  /** Drain timeout of a graceful stop, in milliseconds. */
+  /** Time for requests in flight to end in a graceful stop, in milliseconds. */
   drainMs: milliseconds.default(30_000),
   /**
    * Time that a stopping entry keeps accepting requests after notifying its
@@ -118,13 +121,14 @@
 }
 
 /**
- * Resolves a secret. Throws `bad-settings` when it is missing or too short.
+ * Resolves a secret; `path` names the setting in errors. Throws `bad-settings`
+ * when the secret is missing or too short.
  *
  * @example
  * const key = resolveSecret(settings.keys.inner, 'keys.inner');
  */
 export function resolveSecret(secretSetting: Secret, path: string): string {
-  const text = secretText(secretSetting).trim();
+  const text = readSecret(secretSetting).trim();
   if (text.length >= 8) {
     return text;
   }
@@ -134,7 +138,7 @@
   });
 }
 
-function secretText(secretSetting: Secret): string {
+function readSecret(secretSetting: Secret): string {
   if ('env' in secretSetting) {
     return process.env[secretSetting.env] ?? '';
   }
--- a/packages/entry/src/test/attemptRunner.test.ts
+++ b/packages/entry/src/test/attemptRunner.test.ts
@@ -17,8 +17,8 @@
 const CALL_INTERVAL_MS = 50;
 
 /**
- * Creates an entry with the given endpoint behaviours; half the sessions use
- * `v2`.
+ * Creates an entry whose endpoints behave as given; half of the sessions are
+ * assigned to `v2`.
  */
 function createEntry(
   behaviours: readonly {version: string; behaviour: Behaviour}[],
@@ -51,15 +51,15 @@
   const endpoints = new Map(
     behaviours.map(({version, behaviour}, index) => [
       `e${index}`,
-      endpoint(`e${index}`, version, behaviour),
+      createEndpoint(`e${index}`, version, behaviour),
     ]),
   );
   const router: Pick<Router, 'choose'> = {
     choose({version, excluded}) {
-      const found = [...endpoints.values()].find(
+      const foundEndpoint = [...endpoints.values()].find(
         ({listed}) => listed.version === version && !excluded.has(listed.id),
       );
-      return found && choiceFor(found.listed.id);
+      return foundEndpoint && createChoice(foundEndpoint.listed.id);
     },
   };
   const serving = {
@@ -76,8 +76,8 @@
   split.onDidCut((_move, why) => cuts.push(why));
 
   /**
-   * Makes one call of a session; returns the version that responded, or
-   * rejects.
+   * Makes one call of a session and returns the version that responded; rejects
+   * if the call fails.
    */
   async function call(session: string, isIdempotent = true) {
     const version = split.versionFor({
@@ -105,8 +105,8 @@
     return Buffer.from(reply.body).toString();
   }
 
-  /** Returns the number of errors of `v2` in the evidence broadcast next. */
-  function candidateErrors(): number {
+  /** Takes the collected evidence and returns its number of errors of `v2`. */
+  function takeCandidateErrorCount(): number {
     return split
       .takeEvidence()
       .flatMap(({sums}) => sums)
@@ -114,10 +114,10 @@
       .reduce((sum, {errors}) => sum + errors, 0);
   }
 
-  return {clock, call, callVersion, candidateErrors, cuts};
+  return {clock, call, callVersion, takeCandidateErrorCount, cuts};
 }
 
-function choiceFor(endpoint: string): Choice {
+function createChoice(endpoint: string): Choice {
   return {
     endpoint,
     cachedTokens: 0,
@@ -129,7 +129,7 @@
   };
 }
 
-function endpoint(id: string, version: string, behaviour: Behaviour) {
+function createEndpoint(id: string, version: string, behaviour: Behaviour) {
   const listed: Partial<Candidate> = {id, service: 'booking', version};
   const errors = {
     refuse: () =>
@@ -139,7 +139,7 @@
   };
   return {
     listed,
-    leaving: new AbortController().signal,
+    leavingSignal: new AbortController().signal,
     plain: {
       async call() {
         if (behaviour !== 'ok') {
@@ -153,82 +153,88 @@
 
 describe('attempts at a candidate version', () => {
   // The candidate's processes have crashed or never listened. Without fallback,
-  // its sessions would be rejected until the deadline of the move.
-  it('falls back when all endpoints refuse connections, and soon cuts the share', async () => {
+  // calls assigned to `v2` would be rejected until the deadline of the move.
+  it('falls back and cuts the share soon when all endpoints of the candidate refuse connections', async () => {
     const entry = createEntry([
       {version: 'v1', behaviour: 'ok'},
       {version: 'v2', behaviour: 'refuse'},
       {version: 'v2', behaviour: 'refuse'},
     ]);
     const startedAt = entry.clock.now();
-    for (let call = 0; entry.cuts.length === 0; call++) {
-      assert.equal(await entry.call(`s${call}`), 'v1');
+    for (let index = 0; entry.cuts.length === 0; index++) {
+      assert.equal(await entry.call(`s${index}`), 'v1');
       await entry.clock.advance(CALL_INTERVAL_MS);
-      assert.ok(entry.clock.now() - startedAt < MOVE_MS / 20, 'never cut');
+      assert.ok(entry.clock.now() - startedAt < MOVE_MS / 20, 'share not cut');
     }
     assert.match(entry.cuts[0] ?? '', /error/);
   });
 
   const cases: readonly {
     name: string;
-    candidates: readonly Behaviour[];
+    candidateBehaviours: readonly Behaviour[];
     isIdempotent: boolean;
     expected: string;
-    errors: number;
+    errorCount: number;
   }[] = [
     {
       name: 'an order known not to have run falls back',
-      candidates: ['refuse'],
+      candidateBehaviours: ['refuse'],
       isIdempotent: false,
       expected: 'v1',
-      errors: 1,
+      errorCount: 1,
     },
     {
       name: 'an order that may have run is not retried',
-      candidates: ['fail', 'ok'],
+      candidateBehaviours: ['fail', 'ok'],
       isIdempotent: false,
       expected: 'endpoint-failed may-have-run',
-      errors: 1,
+      errorCount: 1,
     },
     {
-      name: 'an unreachable endpoint is no error if another responds',
-      candidates: ['refuse', 'ok'],
+      name: 'an unreachable endpoint counts no error if another endpoint responds',
+      candidateBehaviours: ['refuse', 'ok'],
       isIdempotent: true,
       expected: 'v2',
-      errors: 0,
+      errorCount: 0,
     },
     {
       name: 'a version without listed endpoints falls back without an error',
-      candidates: [],
+      candidateBehaviours: [],
       isIdempotent: true,
       expected: 'v1',
-      errors: 0,
+      errorCount: 0,
     },
     {
-      name: 'a call that may have run is not reported as not run by the next attempt',
-      candidates: ['fail', 'refuse'],
+      name: 'a call that may have run is not reported as not run after an unreachable endpoint',
+      candidateBehaviours: ['fail', 'refuse'],
       isIdempotent: true,
       expected: 'endpoint-unavailable may-have-run',
-      errors: 1,
+      errorCount: 1,
     },
   ];
-  // Response or correct run state for the caller, and evidence for the move,
-  // when some endpoints of the candidate are unreachable or fail.
-  for (const {name, candidates, isIdempotent, expected, errors} of cases) {
+  // Checks the response or run state for the caller, and the candidate's errors
+  // in the evidence, when endpoints of the candidate are unreachable or fail.
+  for (const {
+    name,
+    candidateBehaviours,
+    isIdempotent,
+    expected,
+    errorCount,
+  } of cases) {
     it(name, async () => {
       const entry = createEntry([
         {version: 'v1', behaviour: 'ok'},
-        ...candidates.map(behaviour => ({version: 'v2', behaviour})),
+        ...candidateBehaviours.map(behaviour => ({version: 'v2', behaviour})),
       ]);
-      const got = await entry
+      const actual = await entry
         .callVersion('v2', isIdempotent)
         .catch((error: ServingError) => `${error.kind} ${error.run}`);
-      assert.equal(got, expected);
-      assert.equal(entry.candidateErrors(), errors);
+      assert.equal(actual, expected);
+      assert.equal(entry.takeCandidateErrorCount(), errorCount);
     });
   }
 
-  it('rejects as not run when the incumbent is unreachable too', async () => {
+  it('rejects an order as not run when both versions are unreachable', async () => {
     // This entry has lost connectivity to all endpoints: the error must count
     // against both versions, not only against the candidate.
     const entry = createEntry([
@@ -239,6 +245,6 @@
       kind: 'endpoint-unavailable',
       run: 'not-run',
     });
-    assert.equal(entry.candidateErrors(), 1);
+    assert.equal(entry.takeCandidateErrorCount(), 1);
   });
 });
--- a/packages/entry/src/test/callerServer.test.ts
+++ b/packages/entry/src/test/callerServer.test.ts
@@ -15,7 +15,7 @@
 import type {ServingContext} from '../servingContext.js';
 import {validateEntrySettings} from '../settings.js';
 
-/** Exceeds the buffers of sockets and streams. */
+/** More than the buffers of sockets and streams hold together. */
 const BODY_BYTES = 32 * 1024 * 1024;
 
 const {limits} = validateEntrySettings({
@@ -37,8 +37,8 @@
 };
 
 describe('caller server', () => {
-  const closing: (() => void)[] = [];
-  afterEach(() => closing.splice(0).forEach(close => close()));
+  const closeCallbacks: (() => void)[] = [];
+  afterEach(() => closeCallbacks.splice(0).forEach(close => close()));
 
   /** Starts a server whose plain service responds with a large body at once. */
   async function startServer() {
@@ -69,33 +69,33 @@
     });
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
-    closing.push(() => {
+    closeCallbacks.push(() => {
       server.close();
       server.closeAllConnections();
     });
     return {port: (server.address() as AddressInfo).port, inFlight};
   }
 
-  // A caller reads slowly while the entry stops. If the request ended when its
-  // response was buffered, the stop would close the connection and truncate it.
+  // A caller reads slowly while the entry stops. If a request were in flight
+  // only until its response was buffered, the stop would truncate the response.
   it('counts a request as in flight until its response has been read', async () => {
     const {port, inFlight} = await startServer();
     const socket = connect(port, '127.0.0.1');
-    closing.push(() => socket.destroy());
+    closeCallbacks.push(() => socket.destroy());
     socket.write('GET /services/booking/all HTTP/1.1\r\nHost: a\r\n\r\n');
-    const [first] = (await once(socket, 'data')) as [Buffer];
+    const [firstChunk] = (await once(socket, 'data')) as [Buffer];
     socket.pause();
     assert.equal(inFlight.count(), 1);
-    let received = first.length;
-    socket.on('data', (chunk: Buffer) => (received += chunk.length));
+    let receivedBytes = firstChunk.length;
+    socket.on('data', (chunk: Buffer) => (receivedBytes += chunk.length));
     socket.resume();
     assert.equal(await inFlight.waitUntilIdle(20_000), true);
-    while (received < BODY_BYTES) {
+    while (receivedBytes < BODY_BYTES) {
       await once(socket, 'data');
     }
   });
 
-  it('counts a request as ended when its caller disconnects', async () => {
+  it('no longer counts a request as in flight when its caller disconnects', async () => {
     const {port, inFlight} = await startServer();
     const socket = connect(port, '127.0.0.1');
     socket.write('GET /services/booking/all HTTP/1.1\r\nHost: a\r\n\r\n');
--- a/packages/entry/src/test/endpointPoolComponent.test.ts
+++ b/packages/entry/src/test/endpointPoolComponent.test.ts
@@ -30,10 +30,9 @@
 };
 
 describe('endpoint pool', () => {
-  it('sends requests to an endpoint that restarted at its address', () => {
-    // An endpoint restarts on its host. Streams on the client of the old
-    // process, whose `leaving` signal is aborted, would all migrate away at
-    // once.
+  it('sends requests again to an endpoint that restarted at the same address', () => {
+    // An endpoint restarts on the same host. Streams on the client of the old
+    // process, whose `leavingSignal` is aborted, would migrate at once.
     const clock = virtualClock();
     const log = silentLogger();
     const random = seededRandom(1);
@@ -45,17 +44,17 @@
       self: 'n1',
     });
     const leavingEmitter = emitter<LeavingEndpoint>();
-    const returned = emitter<string>();
-    const lists = emitter<readonly ListedEndpoint[]>();
-    const leaving: Partial<LeavingEndpointTracker> = {
+    const returnEmitter = emitter<string>();
+    const hostListEmitter = emitter<readonly ListedEndpoint[]>();
+    const tracker: Partial<LeavingEndpointTracker> = {
       onDidLeave: leavingEmitter.event,
-      onDidReturn: returned.event,
+      onDidReturn: returnEmitter.event,
     };
     const pool = createEndpointPoolComponent(
       {clock, log} as unknown as EntryContext,
       {
-        hostList: {watch: listener => lists.event(listener)},
-        leaving: leaving as LeavingEndpointTracker,
+        hostList: {watch: listener => hostListEmitter.event(listener)},
+        tracker: tracker as LeavingEndpointTracker,
       },
       router,
     );
@@ -67,21 +66,21 @@
         promptTokens: 1,
         excluded: new Set(),
       });
-    lists.fire([endpoint]);
+    hostListEmitter.fire([endpoint]);
     leavingEmitter.fire({
       endpoint: 'e1',
       host: 'h1',
       goneAt: 0,
       source: 'peer',
     });
-    lists.fire([endpoint]);
+    hostListEmitter.fire([endpoint]);
     assert.equal(choose(), undefined);
-    assert.equal(pool.get('e1')?.leaving.aborted, true);
-    returned.fire('e1');
+    assert.equal(pool.get('e1')?.leavingSignal.aborted, true);
+    returnEmitter.fire('e1');
     assert.equal(choose(), undefined);
-    lists.fire([endpoint]);
+    hostListEmitter.fire([endpoint]);
     assert.equal(choose()?.endpoint, 'e1');
-    assert.equal(pool.get('e1')?.leaving.aborted, false);
+    assert.equal(pool.get('e1')?.leavingSignal.aborted, false);
     pool.dispose();
   });
 });
--- a/packages/entry/src/test/loadReportAggregator.test.ts
+++ b/packages/entry/src/test/loadReportAggregator.test.ts
@@ -8,8 +8,8 @@
 import type {ConnectedEndpoint} from '../servingContext.js';
 
 /**
- * Returns the busy slots published for the numbers of listed, polled and
- * reporting endpoints.
+ * Returns the number of busy slots first published for these numbers of
+ * endpoints; checks that no number is published once the reports are old.
  */
 async function firstPublishedBusySlots(
   listedCount: number,
@@ -38,10 +38,13 @@
     id =>
       ({
         listed: {id, service: 'assistant'},
-        leaving: new AbortController().signal,
+        leavingSignal: new AbortController().signal,
       }) as unknown as ConnectedEndpoint,
   );
-  const watch = aggregator.start({list: () => endpoints, get: () => undefined});
+  const updates = aggregator.start({
+    list: () => endpoints,
+    get: () => undefined,
+  });
   for (const id of ids.slice(0, reportingCount)) {
     aggregator.router.reportLoad(id, {
       sequence: 1,
@@ -55,59 +58,77 @@
   }
   await clock.advance(1_500);
   await clock.advance(6_000);
-  watch.dispose();
-  assert.equal(published.at(-1), undefined, 'old reports no longer count');
+  updates.dispose();
+  assert.equal(published.at(-1), undefined, 'old reports must not count');
   return published[0];
 }
 
 describe('estimated busy slots', () => {
-  // An entry polls only some of a large service's endpoints. If that made the
-  // load unknown, entries could not borrow idle slots from each other and would
-  // reject callers while endpoints are idle.
+  // An entry polls only some of a large service's endpoints. If the load of the
+  // service were unknown for that reason, entries could not borrow idle slots
+  // from each other and would reject callers while endpoints are idle.
   const cases = [
-    {name: 'a small service', listed: 4, assigned: 4, reporting: 4, busy: 16},
     {
-      name: 'a sample of a large service',
-      listed: 480,
-      assigned: 48,
-      reporting: 48,
-      busy: 1920,
+      name: 'when all endpoints of a small service report',
+      listedCount: 4,
+      polledCount: 4,
+      reportingCount: 4,
+      busySlots: 16,
+    },
+    {
+      name: 'when all polled endpoints of a large service report',
+      listedCount: 480,
+      polledCount: 48,
+      reportingCount: 48,
+      busySlots: 1920,
+    },
+    {
+      name: 'when 16 of 48 polled endpoints report',
+      listedCount: 480,
+      polledCount: 48,
+      reportingCount: 16,
+      busySlots: 1920,
     },
     {
-      name: 'some not polled yet',
-      listed: 480,
-      assigned: 48,
-      reporting: 16,
-      busy: 1920,
+      name: 'when 3 of 4 endpoints report',
+      listedCount: 4,
+      polledCount: 4,
+      reportingCount: 3,
+      busySlots: 16,
     },
     {
-      name: 'one of four not reporting',
-      listed: 4,
-      assigned: 4,
-      reporting: 3,
-      busy: 16,
+      name: 'when 2 of 3 endpoints report',
+      listedCount: 3,
+      polledCount: 3,
+      reportingCount: 2,
+      busySlots: undefined,
     },
     {
-      name: 'one of three not reporting',
-      listed: 3,
-      assigned: 3,
-      reporting: 2,
-      busy: undefined,
+      name: 'when 15 of 48 polled endpoints report',
+      listedCount: 480,
+      polledCount: 48,
+      reportingCount: 15,
+      busySlots: undefined,
     },
     {
-      name: 'too few reports of a large service',
-      listed: 480,
-      assigned: 48,
-      reporting: 15,
-      busy: undefined,
+      name: 'when no endpoint reports',
+      listedCount: 4,
+      polledCount: 4,
+      reportingCount: 0,
+      busySlots: undefined,
     },
-    {name: 'no report', listed: 4, assigned: 4, reporting: 0, busy: undefined},
   ];
-  for (const {name, listed, assigned, reporting, busy} of cases) {
-    it(`${busy === undefined ? 'is unknown' : 'is scaled to all endpoints'}: ${name}`, async () => {
+  for (const {
+    name,
+    listedCount,
+    polledCount,
+    reportingCount,
+    busySlots,
+  } of cases) {
+    it(`${busySlots === undefined ? 'is unknown' : 'is scaled to all endpoints'} ${name}`, async () => {
       assert.equal(
-        await firstPublishedBusySlots(listed, assigned, reporting),
-        busy,
+        await firstPublishedBusySlots(listedCount, polledCount, reportingCount),
+        busySlots,
       );
     });
   }
--- a/packages/entry/src/test/modelServer.test.ts
+++ b/packages/entry/src/test/modelServer.test.ts
@@ -11,34 +11,34 @@
 type Behaviour = 'ok' | 'refuse';
 
 /**
- * Serves one request assigned to `v2`; returns the response and the samples
- * recorded.
+ * Serves one request assigned to `v2`; returns the response body, or the error
+ * kind and run state, and the recorded samples.
  */
-async function serveOne(
+async function serveOneRequest(
   endpoints: readonly {version: string; behaviour: Behaviour}[],
 ) {
   const clock = virtualClock();
   const samples: RequestSample[] = [];
   const pool = endpoints.map(({version, behaviour}, index) => ({
     listed: {id: `e${index}`, service: 'match', version, url: 'http://e'},
-    leaving: new AbortController().signal,
+    leavingSignal: new AbortController().signal,
     engine: createEngine(version, behaviour),
   }));
   const serving = {
     router: {
       cachedTokens: () => 0,
       choose(routingRequest: {version: string; excluded: ReadonlySet<string>}) {
-        const found = pool.find(
+        const foundEndpoint = pool.find(
           ({listed: {id, version}}) =>
             version === routingRequest.version &&
             !routingRequest.excluded.has(id),
         );
         return (
-          found && {
-            endpoint: found.listed.id,
+          foundEndpoint && {
+            endpoint: foundEndpoint.listed.id,
             cachedTokens: 0,
-            started() {},
-            streaming() {},
+            recordStart() {},
+            recordFirstToken() {},
             finish() {},
           }
         );
@@ -64,7 +64,12 @@
     serving: serving as never,
     clock,
     limits: {bufferedBytes: 1000, stalledReaderMs: 1000} as never,
-    metrics: {begin() {}, end() {}, firstToken() {}, recomputed() {}},
+    metrics: {
+      recordStart() {},
+      recordEnd() {},
+      recordFirstToken() {},
+      recordRecomputedTokens() {},
+    },
   });
   let body = '';
   const response = {
@@ -85,11 +90,11 @@
     's1',
   );
   const service = {name: 'match', version: 'v1', timeoutMs: 30_000} as never;
-  const served = server
+  const completion = server
     .serve(exchange, request, service, 'completion')
     .catch((error: ServingError) => (body = `${error.kind} ${error.run}`));
   await clock.advance(10_000);
-  await served;
+  await completion;
   return {
     body,
     samples: samples.map(({version, isError}) => ({version, isError})),
@@ -119,10 +124,10 @@
 }
 
 describe('a model request assigned to a candidate version', () => {
-  // The candidate's replicas are listed but refuse connections. Without
-  // fallback, requests of its sessions would wait and then be rejected.
-  it('is served by the incumbent and counts against the candidate', async () => {
-    const {body, samples} = await serveOne([
+  // The candidate's endpoints are listed but refuse connections. Without
+  // fallback, requests assigned to the candidate would wait and be rejected.
+  it('is served by the incumbent and counts as an error of an unreachable candidate', async () => {
+    const {body, samples} = await serveOneRequest([
       {version: 'v1', behaviour: 'ok'},
       {version: 'v2', behaviour: 'refuse'},
     ]);
@@ -130,14 +135,16 @@
     assert.deepEqual(samples, [{version: 'v2', isError: true}]);
   });
 
-  it('is served by the incumbent, without an error, when the candidate has no replica', async () => {
-    const {body, samples} = await serveOne([{version: 'v1', behaviour: 'ok'}]);
+  it('is served by the incumbent and counts no error when the candidate has no endpoint', async () => {
+    const {body, samples} = await serveOneRequest([
+      {version: 'v1', behaviour: 'ok'},
+    ]);
     assert.match(body, /by v1/);
     assert.deepEqual(samples, []);
   });
 
-  it('is rejected as not run, and counted, when no endpoint is reachable', async () => {
-    const {body, samples} = await serveOne([
+  it('is rejected as not run and counts as an error when no endpoint is reachable', async () => {
+    const {body, samples} = await serveOneRequest([
       {version: 'v2', behaviour: 'refuse'},
     ]);
     assert.equal(body, 'endpoint-unavailable not-run');
--- a/packages/entry/src/test/orderMetrics.test.ts
+++ b/packages/entry/src/test/orderMetrics.test.ts
@@ -13,8 +13,8 @@
 const reply: OrderReply = {status: 201, headers: {}, body: new Uint8Array()};
 
 /**
- * Creates a ledger without peers, with a service that responds and one that
- * fails.
+ * Creates a ledger without peers. Calls of the service `lossy` fail, and calls
+ * of all other services succeed.
  */
 async function createMeteredLedger() {
   const clock = virtualClock();
@@ -52,15 +52,15 @@
   return {clock, ledger, metrics, platform, submit};
 }
 
-/** Returns a reader of single values of rendered metrics. */
-function valuesOf(page: string): (name: string) => number {
+/** Returns a function that reads one value from rendered metrics. */
+function createValueReader(page: string): (name: string) => number {
   const lines = page.split('\n');
   return name =>
     Number(lines.find(line => line.startsWith(name))?.split(' ')[1]);
 }
 
 describe('order metrics', () => {
-  it('count each outcome once, by known services only', async () => {
+  it('count each order once by outcome, without labels for made-up services', async () => {
     const {ledger, metrics, platform, submit} = await createMeteredLedger();
     await submit('k1');
     await submit('k1');
@@ -68,12 +68,12 @@
     await submit('k2', 'lossy');
     await submit('k3', 'made-up');
     const {writes} = platform.callCounts();
-    const before = valuesOf(await metrics.render());
-    assert.equal(before('skylarkfield_ledger_writes_total'), writes);
+    const valueBeforeOutage = createValueReader(await metrics.render());
+    assert.equal(valueBeforeOutage('skylarkfield_ledger_writes_total'), writes);
     platform.faults.setDown(true);
     await submit('k4');
     const page = await metrics.render();
-    const value = valuesOf(page);
+    const valueAfterOutage = createValueReader(page);
     const counts = [
       ['booking', 'reply'],
       ['booking', 'replay'],
@@ -82,13 +82,13 @@
       ['lossy', 'may-have-run'],
       ['unknown', 'reply'],
     ].map(([service, outcome]) =>
-      value(
+      valueAfterOutage(
         `skylarkfield_orders_total{service="${service}",outcome="${outcome}"`,
       ),
     );
     assert.deepEqual(counts, [1, 1, 1, 1, 1, 1]);
     assert.ok(!page.includes('made-up'));
-    assert.ok(value('skylarkfield_ledger_take_overs_total') >= 1);
+    assert.ok(valueAfterOutage('skylarkfield_ledger_take_overs_total') >= 1);
     ledger.dispose();
   });
 });
--- a/packages/entry/src/test/requestCost.test.ts
+++ b/packages/entry/src/test/requestCost.test.ts
@@ -8,19 +8,22 @@
   sleep,
   virtualClock,
 } from '@skylarkfield/base';
-import {createRequestCosts, type ExpectedWork} from '../callers/requestCost.js';
+import {
+  createRequestCostEstimator,
+  type ExpectedWork,
+} from '../callers/requestCost.js';
 
-const workOfCustomers = {
+const workByCustomer = {
   rosters: {promptTokens: 4_000, cachedTokens: 0, maxTokens: 64},
   tags: {promptTokens: 40, cachedTokens: 0, maxTokens: 64},
 };
 
 /**
- * Returns the token share of the customer with long prompts while both have a
- * backlog.
+ * Returns the fraction of admitted tokens that the customer with long prompts
+ * gets while both customers have a backlog.
  */
-async function longPromptShare(
-  costOf: (work: ExpectedWork) => number,
+async function measureLongPromptShare(
+  estimateCost: (work: ExpectedWork) => number,
 ): Promise<number> {
   const clock = virtualClock();
   const admission = createAdmissionController({
@@ -42,7 +45,7 @@
   const admittedTokens = {rosters: 0, tags: 0};
 
   async function submit(customer: 'rosters' | 'tags'): Promise<void> {
-    const work = workOfCustomers[customer];
+    const work = workByCustomer[customer];
     const {signal} = new AbortController();
     const permit = await admission.admit(
       {
@@ -50,7 +53,7 @@
         customer,
         urgency: 3,
         deadline: Infinity,
-        cost: costOf(work),
+        cost: estimateCost(work),
       },
       signal,
     );
@@ -70,47 +73,50 @@
 }
 
 describe('cost of a request', () => {
-  it('keeps a customer with long prompts from starving the others', async () => {
-    // One customer sends long prompts, another short ones. With fairness by
-    // request count, nearly all compute goes to the long prompts, and the other
-    // customer queues behind them.
-    const costs = createRequestCosts();
-    const shareWithEqualCosts = await longPromptShare(() => 1);
-    const shareWithEstimatedCosts = await longPromptShare(work =>
-      costs.costOf('assistant', work),
+  it('keeps a customer with long prompts from starving other customers', async () => {
+    // One customer sends long prompts, another customer short prompts. With
+    // fairness by request count, nearly all compute goes to the long prompts,
+    // and the customer with short prompts queues behind the long prompts.
+    const costEstimator = createRequestCostEstimator();
+    const shareWithEqualCosts = await measureLongPromptShare(() => 1);
+    const shareWithEstimatedCosts = await measureLongPromptShare(work =>
+      costEstimator.estimateCost('assistant', work),
     );
     assert.ok(shareWithEqualCosts > 0.95, `${shareWithEqualCosts}`);
     assert.ok(shareWithEstimatedCosts < 0.8, `${shareWithEstimatedCosts}`);
   });
 
-  it('is 1 for typical requests and bounded for others', () => {
-    const costs = createRequestCosts();
-    const {rosters, tags} = workOfCustomers;
-    assert.equal(costs.costOf('assistant', tags), 1);
+  it('is 1 for typical requests and limited to 1/16 to 16 for unusual requests', () => {
+    const costEstimator = createRequestCostEstimator();
+    const {rosters, tags} = workByCustomer;
+    assert.equal(costEstimator.estimateCost('assistant', tags), 1);
     for (let count = 0; count < 1_000; count++) {
-      costs.costOf('assistant', tags);
+      costEstimator.estimateCost('assistant', tags);
     }
-    assert.equal(costs.costOf('assistant', tags), 1);
+    assert.equal(costEstimator.estimateCost('assistant', tags), 1);
     assert.equal(
-      costs.costOf('assistant', {...rosters, promptTokens: 1e9}),
+      costEstimator.estimateCost('assistant', {...rosters, promptTokens: 1e9}),
       16,
     );
     assert.equal(
-      costs.costOf('assistant', {
+      costEstimator.estimateCost('assistant', {
         promptTokens: 0,
         cachedTokens: 0,
         maxTokens: 0,
       }),
       1 / 16,
     );
-    assert.equal(costs.costOf('match', rosters), 1);
+    assert.equal(costEstimator.estimateCost('match', rosters), 1);
   });
 
   it('excludes cached tokens', () => {
-    const costs = createRequestCosts();
-    const {rosters} = workOfCustomers;
-    const cold = costs.costOf('assistant', rosters);
-    const warm = costs.costOf('assistant', {...rosters, cachedTokens: 4_000});
-    assert.ok(warm < cold / 5, `${warm}`);
+    const costEstimator = createRequestCostEstimator();
+    const {rosters} = workByCustomer;
+    const uncachedCost = costEstimator.estimateCost('assistant', rosters);
+    const cachedCost = costEstimator.estimateCost('assistant', {
+      ...rosters,
+      cachedTokens: 4_000,
+    });
+    assert.ok(cachedCost < uncachedCost / 5, `${cachedCost}`);
   });
 });
--- a/packages/entry/src/test/requestHeaders.test.ts
+++ b/packages/entry/src/test/requestHeaders.test.ts
@@ -1,12 +1,13 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  bearerKey,
-  idempotencyKey,
-  requestTimeoutMs,
-  requestUrgency,
+  parseBearerKey,
+  parseIdempotencyKey,
+  parseRequestTimeoutMs,
+  parseRequestUrgency,
 } from '../callers/requestHeaders.js';
 
+/** `Priority` header, best urgency of the customer, and expected urgency. */
 const urgencies: readonly [string | undefined, number, number][] = [
   [undefined, 0, 3],
   ['u=1', 0, 1],
@@ -18,26 +19,29 @@
 ];
 
 describe('request headers', () => {
-  for (const [priority, best, expected] of urgencies) {
-    it(`limits priority ${priority} by ${best} to ${expected}`, () => {
+  for (const [priority, bestUrgency, expected] of urgencies) {
+    it(`maps priority ${priority} with best urgency ${bestUrgency} to ${expected}`, () => {
       const headers = priority === undefined ? {} : {priority};
-      assert.equal(requestUrgency(headers, best), expected);
+      assert.equal(parseRequestUrgency(headers, bestUrgency), expected);
     });
   }
 
-  it('limits the timeout to that of the service', () => {
+  it('limits the timeout to the timeout of the service', () => {
     assert.equal(
-      requestTimeoutMs({'x-request-timeout-ms': '900000'}, 500),
+      parseRequestTimeoutMs({'x-request-timeout-ms': '900000'}, 500),
       500,
     );
-    assert.equal(requestTimeoutMs({'x-request-timeout-ms': '200'}, 500), 200);
-    assert.equal(requestTimeoutMs({}, 500), 500);
+    assert.equal(
+      parseRequestTimeoutMs({'x-request-timeout-ms': '200'}, 500),
+      200,
+    );
+    assert.equal(parseRequestTimeoutMs({}, 500), 500);
   });
 
   for (const text of ['0', '-1', 'soon', '']) {
     it(`rejects the timeout ${JSON.stringify(text)}`, () => {
       assert.throws(
-        () => requestTimeoutMs({'x-request-timeout-ms': text}, 500),
+        () => parseRequestTimeoutMs({'x-request-timeout-ms': text}, 500),
         {
           kind: 'bad-request',
           run: 'not-run',
@@ -47,21 +51,27 @@
   }
 
   it('reads idempotency keys, quoted or not', () => {
-    assert.equal(idempotencyKey({'idempotency-key': '"shift-1"'}), 'shift-1');
-    assert.equal(idempotencyKey({'idempotency-key': 'shift-1'}), 'shift-1');
-    assert.equal(idempotencyKey({}), undefined);
+    assert.equal(
+      parseIdempotencyKey({'idempotency-key': '"shift-1"'}),
+      'shift-1',
+    );
+    assert.equal(
+      parseIdempotencyKey({'idempotency-key': 'shift-1'}),
+      'shift-1',
+    );
+    assert.equal(parseIdempotencyKey({}), undefined);
   });
 
   for (const text of ['', '""', 'x'.repeat(256)]) {
-    it(`rejects an idempotency key of ${text.length} characters`, () => {
-      assert.throws(() => idempotencyKey({'idempotency-key': text}), {
+    it(`rejects an Idempotency-Key header of ${text.length} characters`, () => {
+      assert.throws(() => parseIdempotencyKey({'idempotency-key': text}), {
         kind: 'bad-request',
       });
     });
   }
 
-  it('reads a bearer key', () => {
-    assert.equal(bearerKey({authorization: 'Bearer abc'}), 'abc');
-    assert.equal(bearerKey({authorization: 'Basic abc'}), undefined);
+  it('reads a bearer key and ignores other authorization schemes', () => {
+    assert.equal(parseBearerKey({authorization: 'Bearer abc'}), 'abc');
+    assert.equal(parseBearerKey({authorization: 'Basic abc'}), undefined);
   });
 });
--- a/packages/entry/src/test/requestMetrics.test.ts
+++ b/packages/entry/src/test/requestMetrics.test.ts
@@ -3,6 +3,7 @@
 import {ServingError, type ErrorKind, type RunState} from '@skylarkfield/base';
 import {isVersionFault} from '../callers/requestMetrics.js';
 
+/** Error kind, run state, and whether the error is a fault of the version. */
 const cases: readonly [ErrorKind, RunState, boolean][] = [
   ['endpoint-failed', 'may-have-run', true],
   ['interrupted', 'may-have-run', true],
@@ -15,11 +16,12 @@
   ['platform-unavailable', 'not-run', false],
 ];
 
-// A hung version fails only by deadlines. If deadlines were no evidence,
-// its share of the callers would time out until the end of the move.
-describe('evidence against a version', () => {
+// Requests to a hung version fail only by deadlines. If these errors were no
+// evidence, the version's share of the callers would time out until the end of
+// the move.
+describe('isVersionFault', () => {
   for (const [kind, run, expected] of cases) {
-    it(`${kind}, ${run}: ${expected ? 'counts' : 'does not count'}`, () => {
+    it(`${kind} (${run}) ${expected ? 'counts' : 'does not count'}`, () => {
       assert.equal(isVersionFault(new ServingError(kind, '', {run})), expected);
     });
   }
--- a/packages/entry/src/test/routes.test.ts
+++ b/packages/entry/src/test/routes.test.ts
@@ -19,6 +19,7 @@
   fleet: {minReplicas: 0, maxReplicas: 0, machineClass: '', weights: ''},
 };
 
+/** Method, path, and whether the call is idempotent. */
 const cases: readonly [string, string, boolean][] = [
   ['GET', '/anything', true],
   ['POST', '/anything', false],
--- a/packages/entry/src/test/sequenceBlocks.test.ts
+++ b/packages/entry/src/test/sequenceBlocks.test.ts
@@ -7,15 +7,15 @@
   const words = Array.from({length: 70}, (_, index) => `w${index}`);
 
   for (const promptLength of [1, 16, 20, 32]) {
-    it(`hashes prompt and delivered tokens as one sequence, ${promptLength} prompt tokens`, () => {
+    it(`hashes prompt and delivered tokens as one sequence, with ${promptLength} prompt tokens`, () => {
       const prompt = words.slice(0, promptLength).join(' ');
-      const known = hashPromptBlocks(tokenizePrompt(prompt));
+      const promptBlocks = hashPromptBlocks(tokenizePrompt(prompt));
       const delivered = words.slice(promptLength).map(word => ` ${word}`);
       assert.deepEqual(
-        hashSequenceBlocks(prompt, known, delivered),
+        hashSequenceBlocks(prompt, promptBlocks, delivered),
         hashPromptBlocks(words),
       );
-      assert.equal(hashSequenceBlocks(prompt, known, []), known);
+      assert.equal(hashSequenceBlocks(prompt, promptBlocks, []), promptBlocks);
     });
   }
 });
--- a/packages/entry/src/test/settings.test.ts
+++ b/packages/entry/src/test/settings.test.ts
@@ -3,7 +3,7 @@
 import {isServingError} from '@skylarkfield/base';
 import {validateEntrySettings, resolveSecret} from '../settings.js';
 
-const valid = {
+const validSettings = {
   id: 'a1',
   failureDomain: 'a',
   callers: {port: 0},
@@ -13,7 +13,8 @@
   keys: {inner: {env: 'INNER'}, admin: {env: 'ADMIN'}},
 };
 
-const faulty: readonly [string, object, string][] = [
+/** Title, change to the valid settings, and start of the path of the fault. */
+const faultyChanges: readonly [string, object, string][] = [
   ['an unknown key', {colour: 'red'}, ''],
   ['a port out of range', {callers: {port: 70_000}}, 'callers.port'],
   ['an id with spaces', {id: 'a 1'}, 'id'],
@@ -27,17 +28,17 @@
 ];
 
 describe('entry settings', () => {
-  it('applies defaults', () => {
-    const settings = validateEntrySettings(valid);
+  it('applies defaults to absent settings', () => {
+    const settings = validateEntrySettings(validSettings);
     assert.equal(settings.callers.host, '127.0.0.1');
     assert.equal(settings.limits.headerBytes, 16_384);
     assert.equal(settings.log.level, 'info');
   });
 
-  for (const [title, change, path] of faulty) {
+  for (const [title, change, path] of faultyChanges) {
     it(`rejects ${title} and reports its path`, () => {
       assert.throws(
-        () => validateEntrySettings({...valid, ...change}),
+        () => validateEntrySettings({...validSettings, ...change}),
         error =>
           isServingError(error, 'bad-settings') &&
           error.faults.some(fault => fault.path.startsWith(path)),
@@ -45,9 +46,9 @@
     });
   }
 
-  it('reports all faults at once', () => {
+  it('reports all faults in one error', () => {
     assert.throws(
-      () => validateEntrySettings({...valid, id: 'A', drainMs: -1}),
+      () => validateEntrySettings({...validSettings, id: 'A', drainMs: -1}),
       error => isServingError(error) && error.faults.length === 2,
     );
   });
--- a/packages/entry/src/test/versionFallback.test.ts
+++ b/packages/entry/src/test/versionFallback.test.ts
@@ -6,12 +6,12 @@
   it('allows the incumbent before the first token', () => {
     const fallback = createVersionFallback('v2', 'v1');
     assert.deepEqual(fallback.eligibleVersions(0), ['v2', 'v1']);
-    assert.equal(fallback.current(), 'v2');
+    assert.equal(fallback.currentVersion(), 'v2');
     fallback.recordAttempt('v1');
-    assert.equal(fallback.current(), 'v1');
+    assert.equal(fallback.currentVersion(), 'v1');
   });
 
-  it('keeps the version that started the response', () => {
+  it('keeps the version that sent the first token', () => {
     // The only endpoint of a version fails during a response. Resuming with
     // another version would mix the output of two versions in one response.
     const fallback = createVersionFallback('v2', 'v1');
@@ -22,7 +22,7 @@
     onIncumbent.recordAttempt('v1');
     onIncumbent.recordFirstToken('v1');
     assert.deepEqual(onIncumbent.eligibleVersions(3), ['v1']);
-    assert.equal(onIncumbent.current(), 'v1');
+    assert.equal(onIncumbent.currentVersion(), 'v1');
   });
 
   it('has one eligible version when no move is in progress', () => {
