--- a/packages/entry/src/callers/attemptRunner.ts
+++ b/packages/entry/src/callers/attemptRunner.ts
@@ -20,7 +20,7 @@
   /** Label of the matching route, for the evidence of moves. */
   readonly route: string;
   readonly call: ServiceCall;
-  /** Monotonic milliseconds. */
+  /** Monotonic milliseconds by which the caller needs a response. */
   readonly deadline: number;
 }
 
--- a/packages/entry/src/callers/callerServer.ts
+++ b/packages/entry/src/callers/callerServer.ts
@@ -91,8 +91,8 @@
   app.get('/v1/entries', wrapHandler(serveLookup));
   app.post('/v1/chat/completions', wrapHandler(createModelHandler('chat')));
   app.post('/v1/completions', wrapHandler(createModelHandler('completion')));
-  app.all('/services/:name', wrapHandler(servePlain));
-  app.all('/services/:name/*', wrapHandler(servePlain));
+  app.all('/services/:name', wrapHandler(servePlainCall));
+  app.all('/services/:name/*', wrapHandler(servePlainCall));
   options.server.on('request', app.handler as never);
 
   /** Wraps a handler with authentication, error responses, metrics and logs. */
@@ -211,7 +211,7 @@
     };
   }
 
-  async function servePlain(
+  async function servePlainCall(
     exchange: Exchange,
     labels: RequestLabels,
   ): Promise<void> {
--- a/packages/entry/src/callers/deadlineSignal.ts
+++ b/packages/entry/src/callers/deadlineSignal.ts
@@ -9,7 +9,8 @@
 }
 
 /**
- * Creates the signal; `deadline` is in monotonic milliseconds.
+ * Creates a signal that aborts with `callerSignal` or at `deadline`, in
+ * monotonic milliseconds.
  *
  * @example
  * const limit = createDeadlineSignal(clock, call.deadline, signal);
--- a/packages/entry/src/callers/modelResponse.ts
+++ b/packages/entry/src/callers/modelResponse.ts
@@ -180,7 +180,7 @@
   const stopController = new AbortController();
   const onAbort = () => stopController.abort();
   signal.addEventListener('abort', onAbort, {once: true});
-  const drain = new Promise<'drained'>(resolve => {
+  const drainPromise = new Promise<'drained'>(resolve => {
     response.once('drain', () => resolve('drained'));
   });
   const stallTimeout = sleep(
@@ -191,7 +191,7 @@
     () => 'stalled' as const,
     () => 'stopped' as const,
   );
-  const result = await Promise.race([drain, stallTimeout]);
+  const result = await Promise.race([drainPromise, stallTimeout]);
   signal.removeEventListener('abort', onAbort);
   stopController.abort();
   if (result === 'drained') {
--- a/packages/entry/src/callers/modelServer.ts
+++ b/packages/entry/src/callers/modelServer.ts
@@ -75,7 +75,7 @@
         plan.admissionRequest,
         exchange.signal,
       );
-      const modelResponse = createResponse(exchange, request, shape);
+      const modelResponse = createModelResponse(exchange, request, shape);
       const progress = trackProgress(exchange, plan, permit, shape);
       try {
         const summary = await serving.streams.run(
@@ -214,7 +214,7 @@
     };
   }
 
-  function createResponse(
+  function createModelResponse(
     exchange: Exchange,
     request: ModelRequest,
     shape: ResponseShape,
--- a/packages/entry/src/callers/plainServer.ts
+++ b/packages/entry/src/callers/plainServer.ts
@@ -53,11 +53,11 @@
         body,
       };
       const route = matchRoute(service, call.method, path);
-      const key = parseIdempotencyKey(headers);
+      const idempotencyKey = parseIdempotencyKey(headers);
       const permit = await admitCall(exchange, service, deadline);
       const serveCall = route.isIdempotent
         ? () => serveIdempotent(exchange, service, call, route.label, deadline)
-        : () => serveOrder(exchange, service, call, key, deadline);
+        : () => serveOrder(exchange, service, call, idempotencyKey, deadline);
       await runWithPermit(permit, serveCall);
     },
   };
@@ -127,14 +127,14 @@
     exchange: Exchange,
     service: Service,
     call: ServiceCall,
-    key: string | undefined,
+    idempotencyKey: string | undefined,
     deadline: number,
   ): Promise<void> {
     const result = await serving.ledger.submit(
       {
         customer: exchange.customer.name,
         service: service.name,
-        key,
+        key: idempotencyKey,
         fingerprint: fingerprintOf(service.name, call),
         call,
         deadline,
--- a/packages/entry/src/callers/requestMetrics.ts
+++ b/packages/entry/src/callers/requestMetrics.ts
@@ -15,7 +15,7 @@
 
 export interface RequestMetrics {
   recordStart(): void;
-  recordEnd(completed: CompletedRequest): void;
+  recordEnd(completedRequest: CompletedRequest): void;
   /** Records the time from the arrival of a request to its first token. */
   recordFirstToken(service: string, latencyMs: number): void;
   /** Records the tokens that later attempts of a request computed again. */
@@ -57,12 +57,12 @@
     isKnownService(service) ? service : UNKNOWN_SERVICE;
   return {
     recordStart: () => activeRequests.add(1),
-    recordEnd(completed) {
+    recordEnd(completedRequest) {
       activeRequests.add(-1);
-      requestDuration.record(completed.durationMs / 1000, {
-        service: serviceLabel(completed.service),
-        type: completed.type,
-        result: completed.result,
+      requestDuration.record(completedRequest.durationMs / 1000, {
+        service: serviceLabel(completedRequest.service),
+        type: completedRequest.type,
+        result: completedRequest.result,
       });
     },
     recordFirstToken(service, latencyMs) {
--- a/packages/entry/src/components/endpointPolling.ts
+++ b/packages/entry/src/components/endpointPolling.ts
@@ -94,7 +94,7 @@
 
   function startTask(task: PollTask): void {
     const inFlightIds = new Set<string>();
-    let position = 0;
+    let roundRobinIndex = 0;
     let timer = clock.after(0, pollNext);
     disposables.add({dispose: () => timer.dispose()});
 
@@ -109,9 +109,11 @@
       if (!disposables.isDisposed) {
         timer = clock.after(intervalMs, pollNext);
       }
-      position += 1;
+      roundRobinIndex += 1;
       const id =
-        assignedEndpoints[position % Math.max(1, assignedEndpoints.length)]?.id;
+        assignedEndpoints[
+          roundRobinIndex % Math.max(1, assignedEndpoints.length)
+        ]?.id;
       const endpoint = id === undefined ? undefined : endpoints.get(id);
       if (endpoint !== undefined && !inFlightIds.has(endpoint.listed.id)) {
         void pollEndpoint(endpoint);
--- a/packages/entry/src/components/endpointPoolComponent.ts
+++ b/packages/entry/src/components/endpointPoolComponent.ts
@@ -18,7 +18,7 @@
 import type {LeavingComponent} from './leavingComponent.js';
 
 export interface EndpointPoolComponent extends EndpointPool, Disposable {
-  /** Stops new requests to the endpoint and signals its streams to migrate. */
+  /** Stops new requests to an endpoint and signals its streams to migrate. */
   markLeaving(id: string): void;
 }
 
--- a/packages/entry/src/components/fleetComponent.ts
+++ b/packages/entry/src/components/fleetComponent.ts
@@ -101,6 +101,7 @@
     };
   }
 
+  /** Returns the name of a model's weights, by default the service name. */
   function weightsNameOf(service: string): string {
     return configuration.get('service', service)?.fleet.weights || service;
   }
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -83,10 +83,10 @@
   const lifecycle = createProcessLifecycle();
   const inFlight = createInFlightCounter(clock);
 
-  const callers = await openPort(settings.callers);
-  const admin = await openPort(settings.admin);
-  const callersUrl = settings.advertised.callers ?? callers.url;
-  const startupHandler = rejectUntilReady(callers.server);
+  const callerPort = await openPort(settings.callers);
+  const adminPort = await openPort(settings.admin);
+  const callersUrl = settings.advertised.callers ?? callerPort.url;
+  const startupHandler = rejectUntilReady(callerPort.server);
   const components = disposables.add(
     await createEntryComponents(context, {
       innerKey,
@@ -112,7 +112,7 @@
     addresses: {
       callers: callersUrl,
       inner: components.innerUrl,
-      admin: admin.url,
+      admin: adminPort.url,
     },
     stop() {
       stopPromise ??= stop();
@@ -135,14 +135,14 @@
       name => configuration.get('service', name) !== undefined,
     );
     attachAdminRoutes({
-      server: admin.server,
+      server: adminPort.server,
       key: adminKey,
       dumps,
       decisions,
       metrics,
     });
     attachCallerRoutes({
-      server: callers.server,
+      server: callerPort.server,
       serving,
       keys: createCustomerKeys(configuration),
       models: createModelServer({
@@ -181,7 +181,7 @@
     const isIdle = await inFlight.waitUntilIdle(settings.drainMs);
     log.info({isIdle, inFlight: inFlight.count()}, 'drained');
     lifecycle.send('close');
-    await callers.listener.close(CLOSE_TIMEOUT_MS);
+    await callerPort.listener.close(CLOSE_TIMEOUT_MS);
     disposables.dispose();
   }
 
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -154,15 +154,15 @@
   clock: Clock,
   log: Logger,
 ): Disposable {
-  let loadedTimes = readModificationTimes(files);
+  let loadedModificationTimes = readModificationTimes(files);
   return every(clock, CERTIFICATE_CHECK_INTERVAL_MS, () => {
-    const currentTimes = readModificationTimes(files);
-    if (currentTimes === loadedTimes) {
+    const currentModificationTimes = readModificationTimes(files);
+    if (currentModificationTimes === loadedModificationTimes) {
       return;
     }
     try {
       server.setSecureContext(readTls(files));
-      loadedTimes = currentTimes;
+      loadedModificationTimes = currentModificationTimes;
       log.info({cert: files.cert}, 'certificate reloaded');
     } catch (error) {
       log.warn(
--- a/packages/entry/src/test/attemptRunner.test.ts
+++ b/packages/entry/src/test/attemptRunner.test.ts
@@ -72,8 +72,8 @@
     admission: {tryAcquireRetry: () => true, loadFraction: () => 0.1},
   };
   const attempts = createAttemptRunner(serving as never, clock);
-  const cuts: string[] = [];
-  split.onDidCut((_move, why) => cuts.push(why));
+  const cutReasons: string[] = [];
+  split.onDidCut((_move, why) => cutReasons.push(why));
 
   /**
    * Makes one call of a session and returns the version that responded; rejects
@@ -114,7 +114,7 @@
       .reduce((sum, {errors}) => sum + errors, 0);
   }
 
-  return {clock, call, callVersion, takeCandidateErrorCount, cuts};
+  return {clock, call, callVersion, takeCandidateErrorCount, cutReasons};
 }
 
 function createChoice(endpoint: string): Choice {
@@ -161,12 +161,12 @@
       {version: 'v2', behaviour: 'refuse'},
     ]);
     const startedAt = entry.clock.now();
-    for (let index = 0; entry.cuts.length === 0; index++) {
+    for (let index = 0; entry.cutReasons.length === 0; index++) {
       assert.equal(await entry.call(`s${index}`), 'v1');
       await entry.clock.advance(CALL_INTERVAL_MS);
       assert.ok(entry.clock.now() - startedAt < MOVE_MS / 20, 'share not cut');
     }
-    assert.match(entry.cuts[0] ?? '', /error/);
+    assert.match(entry.cutReasons[0] ?? '', /error/);
   });
 
   const cases: readonly {
--- a/packages/entry/src/test/loadReportAggregator.test.ts
+++ b/packages/entry/src/test/loadReportAggregator.test.ts
@@ -17,7 +17,7 @@
   reportingCount: number,
 ): Promise<number | undefined> {
   const clock = virtualClock();
-  const published: Array<number | undefined> = [];
+  const publishedBusySlots: Array<number | undefined> = [];
   const ids = Array.from({length: listedCount}, (_, index) => `e${index}`);
   const router: Partial<Router> = {
     assignedEndpoints: () =>
@@ -26,7 +26,8 @@
     reportLoad: () => {},
   };
   const admission: Partial<AdmissionController> = {
-    setReportedSlots: (_service, _slots, busy) => published.push(busy),
+    setReportedSlots: (_service, _slots, busySlots) =>
+      publishedBusySlots.push(busySlots),
   };
   const configuration = {list: () => [{name: 'assistant'}]};
   const aggregator = createLoadReportAggregator(router as Router, {
@@ -59,8 +60,12 @@
   await clock.advance(1_500);
   await clock.advance(6_000);
   updates.dispose();
-  assert.equal(published.at(-1), undefined, 'old reports must not count');
-  return published[0];
+  assert.equal(
+    publishedBusySlots.at(-1),
+    undefined,
+    'old reports must not count',
+  );
+  return publishedBusySlots[0];
 }
 
 describe('estimated busy slots', () => {
--- a/packages/entry/src/test/orderMetrics.test.ts
+++ b/packages/entry/src/test/orderMetrics.test.ts
@@ -53,8 +53,8 @@
 }
 
 /** Returns a function that reads one value from rendered metrics. */
-function createValueReader(page: string): (name: string) => number {
-  const lines = page.split('\n');
+function createValueReader(renderedMetrics: string): (name: string) => number {
+  const lines = renderedMetrics.split('\n');
   return name =>
     Number(lines.find(line => line.startsWith(name))?.split(' ')[1]);
 }
@@ -72,8 +72,8 @@
     assert.equal(valueBeforeOutage('skylarkfield_ledger_writes_total'), writes);
     platform.faults.setDown(true);
     await submit('k4');
-    const page = await metrics.render();
-    const valueAfterOutage = createValueReader(page);
+    const renderedMetrics = await metrics.render();
+    const valueAfterOutage = createValueReader(renderedMetrics);
     const counts = [
       ['booking', 'reply'],
       ['booking', 'replay'],
@@ -87,7 +87,7 @@
       ),
     );
     assert.deepEqual(counts, [1, 1, 1, 1, 1, 1]);
-    assert.ok(!page.includes('made-up'));
+    assert.ok(!renderedMetrics.includes('made-up'));
     assert.ok(valueAfterOutage('skylarkfield_ledger_take_overs_total') >= 1);
     ledger.dispose();
   });
