--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -37,7 +37,7 @@
 import {resolveSecret, type EntrySettings} from './settings.js';
 
 export interface EntryProcess {
-  /** Addresses of the ports; port 0 is resolved to the bound port. */
+  /** URLs of the ports; port 0 is resolved to the bound port. */
   readonly addresses: {
     readonly callers: string;
     readonly inner: string;
@@ -47,7 +47,7 @@
   stop(): Promise<void>;
 }
 
-/** Time to flush rejections when the port closes, in milliseconds. */
+/** Time to send the last responses when the port closes, in milliseconds. */
 const CLOSE_TIMEOUT_MS = 1_000;
 
 /**
@@ -83,10 +83,10 @@
   const lifecycle = createProcessLifecycle();
   const inFlight = createInFlightCounter(clock);
 
-  const callers = await openPort(settings.callers);
-  const admin = await openPort(settings.admin);
-  const callersUrl = settings.advertised.callers ?? callers.url;
-  const startupHandler = rejectUntilReady(callers.server);
+  const callerPort = await openPort(settings.callers);
+  const adminPort = await openPort(settings.admin);
+  const callersUrl = settings.advertised.callers ?? callerPort.url;
+  const startupHandler = rejectUntilReady(callerPort.server);
   const components = disposables.add(
     await createEntryComponents(context, {
       innerKey,
@@ -112,7 +112,7 @@
     addresses: {
       callers: callersUrl,
       inner: components.innerUrl,
-      admin: admin.url,
+      admin: adminPort.url,
     },
     stop() {
       stopPromise ??= stop();
@@ -135,14 +135,14 @@
       name => configuration.get('service', name) !== undefined,
     );
     attachAdminRoutes({
-      server: admin.server,
+      server: adminPort.server,
       key: adminKey,
       dumps,
       decisions,
       metrics,
     });
     attachCallerRoutes({
-      server: callers.server,
+      server: callerPort.server,
       serving,
       keys: createCustomerKeys(configuration),
       models: createModelServer({
@@ -181,7 +181,7 @@
     const isIdle = await inFlight.waitUntilIdle(settings.drainMs);
     log.info({isIdle, inFlight: inFlight.count()}, 'drained');
     lifecycle.send('close');
-    await callers.listener.close(CLOSE_TIMEOUT_MS);
+    await callerPort.listener.close(CLOSE_TIMEOUT_MS);
     disposables.dispose();
   }
 
@@ -194,9 +194,9 @@
 
 /** Readiness reported to callers in each lifecycle state. */
 const readinessByState: Readonly<
-  Record<LifecycleState, (parts: EntryComponents) => Readiness>
+  Record<LifecycleState, (components: EntryComponents) => Readiness>
 > = {
-  // After a pause of the process its configuration may be outdated: requests
+  // After a pause of the process, the configuration may be outdated: requests
   // are rejected as not run until a peer or the platform has responded again.
   serving: ({serving, membership}) =>
     serving.configuration.isReady() && membership.isCurrent()
@@ -209,8 +209,8 @@
 
 /**
  * Rejects requests as retryable during startup. The port opens before the
- * components exist, since peers are sent its number; without a handler, early
- * requests would get no response.
+ * components are built, since they send its number to peers; without a handler,
+ * early requests would get no response.
  */
 function rejectUntilReady(server: HttpServer): Disposable {
   function reject(_request: IncomingMessage, response: ServerResponse) {
