--- a/packages/standins/src/engine/answerText.ts
+++ b/packages/standins/src/engine/answerText.ts
@@ -1,13 +1,13 @@
 /** Deterministic answer text for a prompt and a seed. */
 import {hash32} from '@skylarkfield/base';
 
-/** Range of natural answer lengths, in tokens. */
+/** Range of answer lengths in tokens, before `maxTokens` is applied. */
 const MIN_ANSWER_TOKENS = 8;
 const MAX_ANSWER_TOKENS = 400;
 
 /** Answer that a model samples for one prompt and seed. */
 export interface Answer {
-  /** Number of tokens until the model stops by itself. */
+  /** Number of tokens after which the model ends the answer. */
   readonly length: number;
   /** Returns the text of the token at a zero-based position. */
   tokenAt(index: number): string;
@@ -22,9 +22,9 @@
  */
 export function createAnswer(prompt: string, seed: number): Answer {
   const answerHash = hash32(prompt, seed);
-  const range = MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS;
+  const lengthRange = MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS;
   return {
-    length: MIN_ANSWER_TOKENS + (answerHash % range),
+    length: MIN_ANSWER_TOKENS + (answerHash % lengthRange),
     tokenAt(index) {
       const word = hash32(String(index), answerHash).toString(36);
       return index === 0 ? word : ` ${word}`;
@@ -33,7 +33,7 @@
 }
 
 /**
- * Returns the first tokens of an answer, to compare with received tokens.
+ * Returns the first tokens of an answer, as the expected result in tests.
  *
  * @example
  * assert.equal(received.join(''), generateAnswerTokens(prompt, 7, 20).join(''));
--- a/packages/standins/src/engine/blockCache.ts
+++ b/packages/standins/src/engine/blockCache.ts
@@ -1,4 +1,4 @@
-/** Bounded LRU prefix cache of an engine stand-in and its events. */
+/** Bounded LRU prefix cache of block hashes, and events about its changes. */
 import type {Clock, Random} from '@skylarkfield/base';
 import type {CacheEvent} from '@skylarkfield/endpoints';
 
@@ -7,29 +7,32 @@
   readonly random: Random;
   /** Maximum number of blocks. */
   readonly capacity: number;
-  /** Delay until an event can be fetched, in milliseconds. */
+  /** Delay from a cache change until its event can be fetched. */
   readonly eventDelayMs: number;
-  /** Probability that an event is lost, which leaves a sequence gap. */
-  readonly eventLoss: number;
+  /** Probability that an event is lost; a loss leaves a gap in the sequence. */
+  readonly eventLossProbability: number;
 }
 
 export interface BlockCache {
   /** Returns the number of leading blocks of a prompt that are cached. */
-  countCachedPrefix(blocks: readonly string[]): number;
-  /** Adds blocks or marks them as used; evicts the least recently used ones. */
+  countCachedPrefixBlocks(blocks: readonly string[]): number;
+  /** Adds blocks or marks them as used; evicts least recently used blocks. */
   store(blocks: readonly string[]): void;
   clear(): void;
   readonly size: number;
-  /** Published events after a sequence number; -1 gives the full contents. */
+  /**
+   * Returns the published events after a sequence number; -1 returns the full
+   * contents of the cache as two events.
+   */
   eventsAfter(afterSequence: number): readonly CacheEvent[];
 }
 
-/** Events retained for fetching; dropping older ones leaves a sequence gap. */
+/** Maximum number of retained events; a dropped event leaves a sequence gap. */
 const MAX_RETAINED_EVENTS = 2000;
 
-/** An event that can be fetched from `fromMs` on. */
+/** An event and the time from which it can be fetched. */
 interface PublishedEvent {
-  readonly fromMs: number;
+  readonly fetchableFromMs: number;
   readonly event: CacheEvent;
 }
 
@@ -37,13 +40,13 @@
  * Creates an empty cache.
  *
  * @example
- * const options = {capacity: 500, eventDelayMs: 200, eventLoss: 0};
+ * const options = {capacity: 500, eventDelayMs: 200, eventLossProbability: 0};
  * const cache = createBlockCache({clock, random, ...options});
  */
 export function createBlockCache(options: BlockCacheOptions): BlockCache {
-  const {clock, random, capacity, eventDelayMs, eventLoss} = options;
+  const {clock, random, capacity, eventDelayMs, eventLossProbability} = options;
   /** Cached blocks, least recently used first. */
-  const cached = new Set<string>();
+  const cachedBlocks = new Set<string>();
   const events: PublishedEvent[] = [];
   let lastSequence = 1;
 
@@ -52,11 +55,11 @@
       return;
     }
     lastSequence += 1;
-    if (random.chance(eventLoss)) {
+    if (random.chance(eventLossProbability)) {
       return;
     }
     events.push({
-      fromMs: clock.now() + eventDelayMs,
+      fetchableFromMs: clock.now() + eventDelayMs,
       event: {sequence: lastSequence, type, blocks},
     });
     if (events.length > MAX_RETAINED_EVENTS) {
@@ -64,54 +67,56 @@
     }
   }
 
-  function evict(): string[] {
-    const evicted: string[] = [];
-    for (const block of cached) {
-      if (cached.size <= capacity) {
+  function evictExcessBlocks(): string[] {
+    const evictedBlocks: string[] = [];
+    for (const block of cachedBlocks) {
+      if (cachedBlocks.size <= capacity) {
         break;
       }
-      cached.delete(block);
-      evicted.push(block);
+      cachedBlocks.delete(block);
+      evictedBlocks.push(block);
     }
-    return evicted;
+    return evictedBlocks;
   }
 
   return {
-    countCachedPrefix(blocks) {
-      const firstMiss = blocks.findIndex(block => !cached.has(block));
-      return firstMiss < 0 ? blocks.length : firstMiss;
+    countCachedPrefixBlocks(blocks) {
+      const firstMissIndex = blocks.findIndex(
+        block => !cachedBlocks.has(block),
+      );
+      return firstMissIndex < 0 ? blocks.length : firstMissIndex;
     },
     store(blocks) {
-      const added = blocks.filter(block => !cached.has(block));
-      // From end to start: a block is useless without the blocks before it,
-      // so the start of a prefix must be evicted last.
+      const addedBlocks = blocks.filter(block => !cachedBlocks.has(block));
+      // Marks the last block as used first: a block is useless without the
+      // blocks before it, so the start of a prefix must be evicted last.
       for (let index = blocks.length - 1; index >= 0; index--) {
         const block = blocks[index]!;
-        cached.delete(block);
-        cached.add(block);
+        cachedBlocks.delete(block);
+        cachedBlocks.add(block);
       }
-      publish('stored', added);
-      publish('evicted', evict());
+      publish('stored', addedBlocks);
+      publish('evicted', evictExcessBlocks());
     },
     clear() {
-      cached.clear();
+      cachedBlocks.clear();
       publish('cleared', []);
     },
     get size() {
-      return cached.size;
+      return cachedBlocks.size;
     },
     eventsAfter(afterSequence) {
       if (afterSequence < 0) {
         return [
           {sequence: lastSequence - 1, type: 'cleared', blocks: []},
-          {sequence: lastSequence, type: 'stored', blocks: [...cached]},
+          {sequence: lastSequence, type: 'stored', blocks: [...cachedBlocks]},
         ];
       }
       const nowMs = clock.now();
       return events
         .filter(
-          ({event, fromMs}) =>
-            event.sequence > afterSequence && fromMs <= nowMs,
+          ({event, fetchableFromMs}) =>
+            event.sequence > afterSequence && fetchableFromMs <= nowMs,
         )
         .map(({event}) => event);
     },
--- a/packages/standins/src/engine/engineCosts.ts
+++ b/packages/standins/src/engine/engineCosts.ts
@@ -1,4 +1,4 @@
-/** Time and memory costs of an engine stand-in, and its report delays. */
+/** Simulated time and memory costs and report delays of an engine stand-in. */
 
 export interface EngineCosts {
   /** Maximum number of requests in the batch. */
@@ -18,11 +18,13 @@
   readonly reportIntervalMs: number;
   /** Delay from sampling a load report to its publication. */
   readonly reportLagMs: number;
+  /** Size of the KV cache of one token. */
   readonly bytesPerToken: number;
+  /** Bandwidth of fetching an exported KV cache. */
   readonly importBytesPerMs: number;
 }
 
-/** Mid-size model on one host: about 20 ms per token at a medium batch size. */
+/** A mid-size model on one host: about 20 ms per token at medium batch size. */
 export const defaultEngineCosts: EngineCosts = {
   slots: 24,
   stepMs: 14,
--- a/packages/standins/src/engine/engineFaults.ts
+++ b/packages/standins/src/engine/engineFaults.ts
@@ -3,9 +3,10 @@
 
 /**
  * `down`: refuses connections; `pause`: accepts requests but does no work;
- * `fail`: rejects requests; `slow`: longer steps; `late`: delayed events;
- * `cut`: ends the stream; `truncate`: drops all further tokens; `gap`: drops a
- * token; `double`: repeats a token; `cross`: sends a token of another attempt.
+ * `fail`: rejects requests; `slow`: lengthens steps; `late`: delays events;
+ * `cut`: ends the stream without an end event; `truncate`: drops all further
+ * tokens; `gap`: drops one token; `double`: sends one token twice; `cross`:
+ * replaces one token by a token of another attempt.
  */
 export type EngineFaultType =
   | 'down'
@@ -19,12 +20,13 @@
   | 'truncate'
   | 'late';
 
-/** A fault and its conditions, all of which must hold. */
+/** A fault that is active only while all its conditions hold. */
 export interface EngineFault {
   readonly type: EngineFaultType;
   /**
-   * Tokens before `cut`, `gap`, `double`, `cross` or `truncate` takes effect;
-   * step time factor of `slow`; milliseconds of `late`.
+   * Number of tokens sent before `cut`, `gap`, `double`, `cross` or `truncate`
+   * takes effect. For `slow`, the factor by which steps take longer. For
+   * `late`, the delay of each event in milliseconds.
    */
   readonly amount?: number;
   /** Probability that a request is affected, 1 by default. */
@@ -33,11 +35,14 @@
   readonly version?: string;
   /** Active only while at least this many requests are queued or running. */
   readonly minRunning?: number;
-  /** Active only once this many requests were submitted. */
+  /** Active only once the engine has received this many requests. */
   readonly afterRequests?: number;
 }
 
-/** State for the conditions of a fault; `running` includes queued requests. */
+/**
+ * Engine state that decides whether a fault is active: version, queued and
+ * running requests (`running`), requests received so far (`requests`).
+ */
 export interface FaultContext {
   readonly version: string;
   readonly running: number;
@@ -45,7 +50,7 @@
 }
 
 /**
- * Returns whether the conditions of a fault hold, apart from its probability.
+ * Returns whether the conditions of a fault hold, ignoring its probability.
  *
  * @example
  * faults.filter(fault => isFaultActive(fault, {version, running, requests}));
@@ -72,29 +77,29 @@
 
 type TokenEvent = GenerationEvent & {readonly type: 'token'};
 
-/** Handlers by fault type; `position` is the number of tokens already sent. */
+/** Handlers by fault type; `tokensBefore` counts the tokens already sent. */
 const tokenFaultHandlers: Partial<
   Record<
     EngineFaultType,
-    (event: TokenEvent, position: number, amount: number) => FaultedEvents
+    (event: TokenEvent, tokensBefore: number, amount: number) => FaultedEvents
   >
 > = {
-  cut: (event, position, amount) =>
-    position < amount ? {events: [event]} : {events: [], isCut: true},
-  double: (event, position, amount) => ({
-    events: position === amount ? [event, event] : [event],
+  cut: (event, tokensBefore, amount) =>
+    tokensBefore < amount ? {events: [event]} : {events: [], isCut: true},
+  double: (event, tokensBefore, amount) => ({
+    events: tokensBefore === amount ? [event, event] : [event],
   }),
-  gap: (event, position, amount) => ({
-    events: position === amount ? [] : [event],
+  gap: (event, tokensBefore, amount) => ({
+    events: tokensBefore === amount ? [] : [event],
   }),
-  cross: (event, position, amount) => ({
+  cross: (event, tokensBefore, amount) => ({
     events:
-      position === amount
+      tokensBefore === amount
         ? [{...event, attempt: `other-${event.attempt}`, text: ' crossed'}]
         : [event],
   }),
-  truncate: (event, position, amount) => ({
-    events: position < amount ? [event] : [],
+  truncate: (event, tokensBefore, amount) => ({
+    events: tokensBefore < amount ? [event] : [],
   }),
 };
 
@@ -102,16 +107,16 @@
  * Applies a fault to one event of a stream.
  *
  * @example
- * const {events, isCut} = applyFault(event, position, fault);
+ * const {events, isCut} = applyFault(event, tokensBefore, fault);
  */
 export function applyFault(
   event: GenerationEvent,
-  position: number,
+  tokensBefore: number,
   fault: EngineFault,
 ): FaultedEvents {
   const handler = tokenFaultHandlers[fault.type];
   if (event.type !== 'token' || handler === undefined) {
     return {events: [event]};
   }
-  return handler(event, position, fault.amount ?? 1);
+  return handler(event, tokensBefore, fault.amount ?? 1);
 }
--- a/packages/standins/src/engine/engineRequestSchemas.ts
+++ b/packages/standins/src/engine/engineRequestSchemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of the data that the engine stand-in receives. */
+/** Schemas of request bodies and of KV caches fetched from another engine. */
 import * as z from 'zod';
 
 const nonNegativeInt = z.number().int().nonnegative();
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -63,7 +63,7 @@
 
 /**
  * Starts an engine stand-in. `POST /control/faults` sets the injected faults,
- * `GET /control/totals` returns the counters of the work done.
+ * `GET /control/totals` returns the numbers of requests and tokens processed.
  *
  * @example
  * const options = {host: '127.0.0.1', service: 'match', version: 'v1'};
@@ -105,9 +105,9 @@
       return;
     }
     isListening = false;
-    const closed = new Promise(resolve => server.close(resolve));
+    const closePromise = new Promise(resolve => server.close(resolve));
     sockets.forEach(socket => socket.destroy());
-    await closed;
+    await closePromise;
   }
 
   async function setFaults(faults: readonly EngineFault[]) {
@@ -119,22 +119,22 @@
     }
   }
 
-  function route(
+  function addRoute(
     method: 'get' | 'post',
     path: string,
     handler: Handler,
-    isControl = false,
+    isControlRoute = false,
   ) {
     app[method](path, (request, response) => {
       // A paused engine accepts the connection and never responds.
-      if (!isControl && engine.hasFault('pause')) {
+      if (!isControlRoute && engine.hasFault('pause')) {
         return;
       }
       handler(request, response).catch(error => sendError(response, error));
     });
   }
 
-  route('post', '/v1/generate', async (request, response) => {
+  addRoute('post', '/v1/generate', async (request, response) => {
     const generation = validateShape(
       generationSchema,
       await readBody(request),
@@ -142,7 +142,7 @@
     );
     streamAnswer(engine, generation as GenerationRequest, response);
   });
-  route('post', '/v1/cancel', async (request, response) => {
+  addRoute('post', '/v1/cancel', async (request, response) => {
     const body = validateShape(
       attemptSchema,
       await readBody(request),
@@ -151,53 +151,56 @@
     engine.cancel(body.attempt);
     sendJson(response, {});
   });
-  route('get', '/v1/load', async (_request, response) =>
+  addRoute('get', '/v1/load', async (_request, response) =>
     sendJson(response, engine.load()),
   );
-  route('get', '/v1/cache-events', async (request, response) => {
+  addRoute('get', '/v1/cache-events', async (request, response) => {
     const url = new URL(request.url ?? '/', 'http://engine');
-    const after = Number(url.searchParams.get('after') ?? '-1');
-    sendJson(response, engine.cacheEvents(after));
+    const afterSequence = Number(url.searchParams.get('after') ?? '-1');
+    sendJson(response, engine.cacheEvents(afterSequence));
   });
-  route('post', '/v1/export', async (request, response) => {
+  addRoute('post', '/v1/export', async (request, response) => {
     const body = validateShape(
       attemptSchema,
       await readBody(request),
       'bad-request',
     );
-    const exported = engine.exportCache(body.attempt);
-    if (exported === undefined) {
-      throw new ServingError('not-found', 'there is no KV cache to export');
+    const exportedCache = engine.exportCache(body.attempt);
+    if (exportedCache === undefined) {
+      throw new ServingError(
+        'not-found',
+        'there is no KV cache to export: the attempt is not being decoded',
+      );
     }
-    const {handle, tokens, bytes} = exported;
+    const {handle, tokens, bytes} = exportedCache;
     sendJson(response, {handle, tokens, bytes});
   });
-  route('get', '/v1/exports/:handle', async (request, response) => {
+  addRoute('get', '/v1/exports/:handle', async (request, response) => {
     const handle = (request.url ?? '').split('/').at(-1) ?? '';
-    const exported = engine.getExport(decodeURIComponent(handle));
-    if (exported === undefined) {
+    const exportedCache = engine.getExport(decodeURIComponent(handle));
+    if (exportedCache === undefined) {
       throw new ServingError(
         'not-found',
         'there is no export with this handle',
       );
     }
-    sendJson(response, exported);
+    sendJson(response, exportedCache);
   });
-  route('post', '/v1/import', async (request, response) => {
+  addRoute('post', '/v1/import', async (request, response) => {
     const source = validateShape(
       importSourceSchema,
       await readBody(request),
       'bad-request',
     );
-    const exported = await fetchExport(source);
+    const exportedCache = await fetchExport(source);
     await new Promise(resolve =>
-      setTimeout(resolve, engine.importDelayMs(exported)),
+      setTimeout(resolve, engine.importDelayMs(exportedCache)),
     );
-    engine.importCache(exported);
-    const {handle, tokens, bytes} = exported;
+    engine.importCache(exportedCache);
+    const {handle, tokens, bytes} = exportedCache;
     sendJson(response, {handle, tokens, bytes});
   });
-  route('post', '/v1/order', async (request, response) => {
+  addRoute('post', '/v1/order', async (request, response) => {
     const order = validateShape(
       orderSchema,
       await readBody(request),
@@ -206,10 +209,10 @@
     engine.order(order as EndpointOrder);
     sendJson(response, {});
   });
-  route('get', '/v1/running', async (_request, response) =>
+  addRoute('get', '/v1/running', async (_request, response) =>
     sendJson(response, engine.running()),
   );
-  route(
+  addRoute(
     'post',
     '/control/faults',
     async (request, response) => {
@@ -223,7 +226,7 @@
     },
     true,
   );
-  route(
+  addRoute(
     'get',
     '/control/totals',
     async (_request, response) => sendJson(response, engine.totals()),
@@ -244,18 +247,18 @@
   };
 }
 
-/** Streams an answer as server-sent events; a disconnect cancels the work. */
+/** Streams an answer as server-sent events; a client disconnect cancels it. */
 function streamAnswer(
   engine: SimulatedEngine,
   generation: GenerationRequest,
   response: ServerResponse,
 ) {
-  let isStarted = false;
+  let isResponseStarted = false;
   response.once('close', () => engine.cancel(generation.attempt));
   engine.submit(generation, {
     event(event) {
-      if (!isStarted) {
-        isStarted = true;
+      if (!isResponseStarted) {
+        isResponseStarted = true;
         response.writeHead(200, {'content-type': 'text/event-stream'});
       }
       response.write(`data: ${JSON.stringify(event)}\n\n`);
@@ -264,7 +267,7 @@
       }
     },
     fail(error) {
-      if (isStarted) {
+      if (isResponseStarted) {
         response.destroy();
       } else {
         sendError(response, error);
@@ -281,7 +284,7 @@
   } catch (error) {
     throw new ServingError(
       'endpoint-failed',
-      'cannot fetch the exported KV cache',
+      'cannot fetch the exported KV cache from the source engine',
       {
         cause: error,
       },
@@ -291,11 +294,11 @@
 
 async function readBody(request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
-  let size = 0;
+  let bodyBytes = 0;
   for await (const chunk of request) {
     chunks.push(chunk as Buffer);
-    size += (chunk as Buffer).length;
-    if (size > MAX_BODY_BYTES) {
+    bodyBytes += (chunk as Buffer).length;
+    if (bodyBytes > MAX_BODY_BYTES) {
       throw new ServingError('too-large', 'the request body is too large');
     }
   }
--- a/packages/standins/src/engine/exportedCache.ts
+++ b/packages/standins/src/engine/exportedCache.ts
@@ -8,7 +8,7 @@
   readonly blocks: readonly string[];
 }
 
-/** Values by handle; the oldest value is evicted above the capacity. */
+/** Map by handle that evicts its oldest value above a fixed capacity. */
 export interface BoundedMap<Value> {
   get(handle: string): Value | undefined;
   set(handle: string, value: Value): void;
--- a/packages/standins/src/engine/loadReports.ts
+++ b/packages/standins/src/engine/loadReports.ts
@@ -4,27 +4,27 @@
 import type {EngineCosts} from './engineCosts.js';
 
 export interface LoadReports {
-  /** Called whenever the load may have changed; takes a sample if one is due. */
+  /** Samples the load if a sample is due; called after each change of load. */
   update(): void;
-  /** Returns the latest report that is older than the lag. */
-  published(): LoadReport;
+  /** Returns the latest report that is at least `reportLagMs` old. */
+  latestPublishedReport(): LoadReport;
 }
 
 /**
- * Creates the reports of an engine; `sample` returns its current load.
+ * Creates the load reports of an engine; `sampleLoad` returns its current load.
  *
  * @example
- * const reports = createLoadReports({clock, costs, sample});
+ * const reports = createLoadReports({clock, costs, sampleLoad});
  */
 export function createLoadReports(options: {
   readonly clock: Clock;
   readonly costs: Pick<EngineCosts, 'reportIntervalMs' | 'reportLagMs'>;
-  sample(): Omit<LoadReport, 'sequence'>;
+  sampleLoad(): Omit<LoadReport, 'sequence'>;
 }): LoadReports {
-  const {clock, costs, sample} = options;
+  const {clock, costs, sampleLoad} = options;
   let sequence = 1;
-  let latestPublished: LoadReport = {...sample(), sequence};
-  let pending: {report: LoadReport; sampledMs: number}[] = [];
+  let publishedReport: LoadReport = {...sampleLoad(), sequence};
+  let unpublishedReports: {report: LoadReport; sampledMs: number}[] = [];
   let nextSampleMs = clock.now();
 
   function update() {
@@ -33,23 +33,30 @@
     }
     nextSampleMs = clock.now() + costs.reportIntervalMs;
     sequence += 1;
-    pending.push({report: {...sample(), sequence}, sampledMs: clock.now()});
-    publishDue();
+    unpublishedReports.push({
+      report: {...sampleLoad(), sequence},
+      sampledMs: clock.now(),
+    });
+    publishDueReports();
   }
 
-  function publishDue() {
+  function publishDueReports() {
     const latestDueMs = clock.now() - costs.reportLagMs;
-    const due = pending.filter(({sampledMs}) => sampledMs <= latestDueMs);
-    pending = pending.filter(({sampledMs}) => sampledMs > latestDueMs);
-    latestPublished = due.at(-1)?.report ?? latestPublished;
+    const dueReports = unpublishedReports.filter(
+      ({sampledMs}) => sampledMs <= latestDueMs,
+    );
+    unpublishedReports = unpublishedReports.filter(
+      ({sampledMs}) => sampledMs > latestDueMs,
+    );
+    publishedReport = dueReports.at(-1)?.report ?? publishedReport;
   }
 
   return {
     update,
-    published() {
+    latestPublishedReport() {
       update();
-      publishDue();
-      return latestPublished;
+      publishDueReports();
+      return publishedReport;
     },
   };
 }
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -78,31 +78,34 @@
       }
       return simulatedEngine.load();
     },
-    async cacheEvents(after) {
+    async cacheEvents(afterSequence) {
       throwIfDown();
-      return simulatedEngine.cacheEvents(after);
+      return simulatedEngine.cacheEvents(afterSequence);
     },
     async exportCache(attempt): Promise<CacheExport> {
       throwIfDown();
-      const exported = simulatedEngine.exportCache(attempt);
-      if (exported === undefined) {
-        throw new ServingError('not-found', 'there is no KV cache to export');
+      const exportedCache = simulatedEngine.exportCache(attempt);
+      if (exportedCache === undefined) {
+        throw new ServingError(
+          'not-found',
+          'there is no KV cache to export: the attempt is not being decoded',
+        );
       }
-      return toCacheExport(exported);
+      return toCacheExport(exportedCache);
     },
     async importCache(exportSource, signal) {
       throwIfDown();
       const sourceEngine = resolve(exportSource.url);
-      const exported = sourceEngine?.getExport(exportSource.handle);
-      if (exported === undefined || sourceEngine?.hasFault('down')) {
+      const exportedCache = sourceEngine?.getExport(exportSource.handle);
+      if (exportedCache === undefined || sourceEngine?.hasFault('down')) {
         throw new ServingError(
           'endpoint-failed',
-          'cannot fetch the exported KV cache',
+          'cannot fetch the exported KV cache from the source engine',
         );
       }
-      await sleep(clock, simulatedEngine.importDelayMs(exported), signal);
-      simulatedEngine.importCache(exported);
-      return toCacheExport(exported);
+      await sleep(clock, simulatedEngine.importDelayMs(exportedCache), signal);
+      simulatedEngine.importCache(exportedCache);
+      return toCacheExport(exportedCache);
     },
     async order(order) {
       throwIfDown();
@@ -115,6 +118,10 @@
   };
 }
 
-function toCacheExport(cache: CacheExport): CacheExport {
-  return {handle: cache.handle, tokens: cache.tokens, bytes: cache.bytes};
+function toCacheExport(exportedCache: CacheExport): CacheExport {
+  return {
+    handle: exportedCache.handle,
+    tokens: exportedCache.tokens,
+    bytes: exportedCache.bytes,
+  };
 }
--- a/packages/standins/src/engine/sequence.ts
+++ b/packages/standins/src/engine/sequence.ts
@@ -24,14 +24,16 @@
   readonly answer: Answer;
   /** Faults injected into this request. */
   readonly faults: readonly EngineFault[];
-  readonly promptLength: number;
+  readonly promptTokenCount: number;
   /** Tokens of the prompt and of the answer generated so far. */
   readonly tokens: string[];
-  /** Hashes of the full blocks of the prompt and the delivered tokens. */
+  /** Hashes of the full blocks of the prompt and of `request.delivered`. */
   readonly blocks: readonly string[];
-  /** Tokens left to prefill before the next token can be sampled. */
-  prefillLeft: number;
+  /** Number of tokens to prefill before the next token can be sampled. */
+  prefillTokensLeft: number;
+  /** Number of tokens reused from the prefix cache or an imported KV cache. */
   cachedTokens: number;
+  /** Number of tokens passed to the sink. */
   sentTokens: number;
 }
 
@@ -48,24 +50,27 @@
   answer: Answer,
   faults: readonly EngineFault[],
 ): Sequence {
-  const prompt = tokenizePrompt(request.prompt);
-  const tokens = [...prompt, ...request.delivered.map(text => text.trim())];
+  const promptTokens = tokenizePrompt(request.prompt);
+  const tokens = [
+    ...promptTokens,
+    ...request.delivered.map(text => text.trim()),
+  ];
   return {
     request,
     sink,
     answer,
     faults,
-    promptLength: prompt.length,
+    promptTokenCount: promptTokens.length,
     tokens,
     blocks: hashPromptBlocks(tokens),
-    prefillLeft: tokens.length,
+    prefillTokensLeft: tokens.length,
     cachedTokens: 0,
     sentTokens: 0,
   };
 }
 
 /**
- * Appends tokens of the answer.
+ * Appends generated tokens to a sequence.
  *
  * @example
  * appendTokens(sequence, [answer.tokenAt(0)]);
@@ -78,11 +83,11 @@
 }
 
 /**
- * Returns the hashes of all full blocks, including those of the answer so far.
+ * Returns the hashes of all full blocks of the prompt and the answer so far.
  *
  * @example
- * cache.store(sequenceBlocks(sequence));
+ * cache.store(hashSequenceBlocks(sequence));
  */
-export function sequenceBlocks(sequence: Sequence): string[] {
+export function hashSequenceBlocks(sequence: Sequence): string[] {
   return extendBlockHashes(sequence.blocks, sequence.tokens);
 }
--- a/packages/standins/src/engine/simulatedEngine.ts
+++ b/packages/standins/src/engine/simulatedEngine.ts
@@ -1,7 +1,7 @@
 /**
  * Clock-driven simulation of a model engine: continuous batching, a bounded
  * prefix cache, priorities, delayed load reports, KV cache export and import.
- * It does no I/O, so that benchmarks can run it on a virtual clock.
+ * The simulation does no I/O, so that benchmarks can use a virtual clock.
  */
 import {
   ServingError,
@@ -29,7 +29,7 @@
 import {
   appendTokens,
   createSequence,
-  sequenceBlocks,
+  hashSequenceBlocks,
   type Sequence,
   type StreamSink,
 } from './sequence.js';
@@ -44,7 +44,7 @@
   readonly costs?: Partial<EngineCosts>;
 }
 
-/** Counters of the work done since the start. */
+/** Numbers of requests and tokens since the engine was created. */
 export interface EngineTotals {
   readonly requests: number;
   readonly prefilledTokens: number;
@@ -54,27 +54,27 @@
 }
 
 export interface SimulatedEngine extends Disposable {
-  /** Enqueues a request; the sink receives its events and its end. */
+  /** Enqueues a request; the sink receives its events or an error. */
   submit(request: GenerationRequest, sink: StreamSink): void;
   cancel(attempt: string): void;
   load(): LoadReport;
   cacheEvents(afterSequence: number): readonly CacheEvent[];
-  /** Exports the KV cache of an attempt; undefined unless it is decoding. */
+  /** Exports an attempt's KV cache; undefined unless the attempt is decoding. */
   exportCache(attempt: string): ExportedCache | undefined;
   getExport(handle: string): ExportedCache | undefined;
-  /** Milliseconds that fetching an export over the network takes. */
+  /** Returns the time to fetch an export over the network, in milliseconds. */
   importDelayMs(cache: ExportedCache): number;
   importCache(cache: ExportedCache): void;
   order(order: EndpointOrder): void;
   running(): {version: string; adapters: readonly string[]; role: string};
   setFaults(faults: readonly EngineFault[]): void;
-  /** Returns whether a fault of the type is active. */
+  /** Returns whether a fault of the given type is active. */
   hasFault(type: EngineFaultType): boolean;
   totals(): EngineTotals;
 }
 
-/** Maximum number of exports held for fetching, and of imports held for use. */
-const MAX_HELD_EXPORTS = 256;
+/** Maximum number of retained exports, and separately of retained imports. */
+const MAX_RETAINED_CACHES = 256;
 
 /**
  * Creates an idle engine.
@@ -88,31 +88,33 @@
 ): SimulatedEngine {
   const {clock, random} = options;
   const costs = {...defaultEngineCosts, ...options.costs};
-  const cache = createBlockCache({
+  const prefixCache = createBlockCache({
     clock,
     random,
     capacity: costs.cacheBlocks,
     eventDelayMs: costs.cacheEventDelayMs,
-    eventLoss: costs.cacheEventLoss,
+    eventLossProbability: costs.cacheEventLoss,
   });
-  const waiting: Sequence[] = [];
+  const waitingSequences: Sequence[] = [];
   const batch: Sequence[] = [];
-  const exports = createBoundedMap<ExportedCache>(MAX_HELD_EXPORTS);
-  const imports = createBoundedMap<number>(MAX_HELD_EXPORTS);
+  const exportsByHandle = createBoundedMap<ExportedCache>(MAX_RETAINED_CACHES);
+  const importedTokensByHandle = createBoundedMap<number>(MAX_RETAINED_CACHES);
   const streamOutput = createStreamOutput(clock, removeFromBatch);
   const loadReports = createLoadReports({
     clock,
     costs,
-    sample: () => ({
+    sampleLoad: () => ({
       running: batch.length,
-      waiting: waiting.length,
+      waiting: waitingSequences.length,
       slots: costs.slots,
-      waitingPromptTokens: [...waiting, ...batch].reduce(
-        (sum, sequence) => sum + sequence.prefillLeft,
+      waitingPromptTokens: [...waitingSequences, ...batch].reduce(
+        (sum, sequence) => sum + sequence.prefillTokensLeft,
         0,
       ),
-      cacheUse: cache.size / costs.cacheBlocks,
-      attempts: [...batch, ...waiting].map(({request}) => request.attempt),
+      cacheUse: prefixCache.size / costs.cacheBlocks,
+      attempts: [...batch, ...waitingSequences].map(
+        ({request}) => request.attempt,
+      ),
     }),
   });
   let faults: readonly EngineFault[] = [];
@@ -132,7 +134,7 @@
   function activeFaults(): EngineFault[] {
     const context = {
       version,
-      running: batch.length + waiting.length,
+      running: batch.length + waitingSequences.length,
       requests: totals.requests,
     };
     return faults.filter(fault => isFaultActive(fault, context));
@@ -149,46 +151,47 @@
   }
 
   function admitWaiting() {
-    while (waiting.length > 0 && batch.length < costs.slots) {
-      startSequence(waiting.shift()!);
+    while (waitingSequences.length > 0 && batch.length < costs.slots) {
+      startSequence(waitingSequences.shift()!);
     }
   }
 
   function startSequence(sequence: Sequence) {
     const {request, tokens} = sequence;
-    const importedTokenCount = imports.get(request.importedCache ?? '') ?? 0;
+    const importedTokenCount =
+      importedTokensByHandle.get(request.importedCache ?? '') ?? 0;
     const prefixTokens =
-      cache.countCachedPrefix(sequence.blocks) * TOKENS_PER_BLOCK;
+      prefixCache.countCachedPrefixBlocks(sequence.blocks) * TOKENS_PER_BLOCK;
     const tokenCount = tokens.length;
-    // The last token is always computed: the next token is sampled from it.
+    // The last token must be computed: its output determines the next token.
     const reusableTokens = Math.min(
       Math.max(prefixTokens, importedTokenCount),
       tokenCount - 1,
     );
     sequence.cachedTokens = Math.max(0, reusableTokens);
-    sequence.prefillLeft = tokenCount - sequence.cachedTokens;
+    sequence.prefillTokensLeft = tokenCount - sequence.cachedTokens;
     totals.cachedTokens += sequence.cachedTokens;
     batch.push(sequence);
     streamOutput.emit(sequence, {
       type: 'start',
       attempt: request.attempt,
-      promptTokens: sequence.promptLength,
+      promptTokens: sequence.promptTokenCount,
       cachedTokens: sequence.cachedTokens,
     });
   }
 
-  /** Assigns the prefill budget of the next step, in order of admission. */
+  /** Distributes the prefill tokens of the next step in order of admission. */
   function planPrefill(): Map<Sequence, number> {
-    const plan = new Map<Sequence, number>();
-    let budget = costs.prefillTokensPerStep;
+    const stepTokensBySequence = new Map<Sequence, number>();
+    let budgetLeft = costs.prefillTokensPerStep;
     for (const sequence of batch) {
-      const stepTokens = Math.min(budget, sequence.prefillLeft);
+      const stepTokens = Math.min(budgetLeft, sequence.prefillTokensLeft);
       if (stepTokens > 0) {
-        plan.set(sequence, stepTokens);
-        budget -= stepTokens;
+        stepTokensBySequence.set(sequence, stepTokens);
+        budgetLeft -= stepTokens;
       }
     }
-    return plan;
+    return stepTokensBySequence;
   }
 
   function scheduleStep() {
@@ -199,36 +202,38 @@
     if (batch.length === 0) {
       return;
     }
-    const prefill = planPrefill();
-    const decoding = batch.filter(sequence => sequence.prefillLeft === 0);
-    const prefillTokens = [...prefill.values()].reduce((a, b) => a + b, 0);
+    const prefillPlan = planPrefill();
+    const decodingSequences = batch.filter(
+      sequence => sequence.prefillTokensLeft === 0,
+    );
+    const prefillTokens = [...prefillPlan.values()].reduce((a, b) => a + b, 0);
     const durationMs =
       costs.stepMs +
-      costs.decodeMsPerSequence * decoding.length +
+      costs.decodeMsPerSequence * decodingSequences.length +
       costs.prefillMsPerToken * prefillTokens;
     stepTimer = clock.after(durationMs * slowdownFactor(), () => {
       stepTimer = undefined;
-      finishStep(prefill, decoding);
+      finishStep(prefillPlan, decodingSequences);
       scheduleStep();
     });
   }
 
   function finishStep(
-    prefill: ReadonlyMap<Sequence, number>,
-    decoding: readonly Sequence[],
+    prefillPlan: ReadonlyMap<Sequence, number>,
+    decodingSequences: readonly Sequence[],
   ) {
     if (hasFault('pause')) {
       return;
     }
-    for (const [sequence, tokens] of prefill) {
-      sequence.prefillLeft -= tokens;
-      totals.prefilledTokens += tokens;
-      if (sequence.prefillLeft === 0) {
-        cache.store(sequence.blocks);
+    for (const [sequence, prefilledTokens] of prefillPlan) {
+      sequence.prefillTokensLeft -= prefilledTokens;
+      totals.prefilledTokens += prefilledTokens;
+      if (sequence.prefillTokensLeft === 0) {
+        prefixCache.store(sequence.blocks);
         decode(sequence);
       }
     }
-    decoding.forEach(decode);
+    decodingSequences.forEach(decode);
     loadReports.update();
   }
 
@@ -237,7 +242,7 @@
       return;
     }
     const {request, answer} = sequence;
-    const index = sequence.tokens.length - sequence.promptLength;
+    const index = sequence.tokens.length - sequence.promptTokenCount;
     if (index < Math.min(answer.length, request.maxTokens)) {
       const text = answer.tokenAt(index);
       appendTokens(sequence, [text]);
@@ -253,31 +258,34 @@
   }
 
   function finishIfComplete(sequence: Sequence) {
-    const {request, answer, tokens, promptLength} = sequence;
-    const generated = tokens.length - promptLength;
+    const {request, answer, tokens, promptTokenCount} = sequence;
+    const generatedCount = tokens.length - promptTokenCount;
     const tokenLimit = Math.min(answer.length, request.maxTokens);
-    if (generated < tokenLimit || !removeFromBatch(sequence)) {
+    if (generatedCount < tokenLimit || !removeFromBatch(sequence)) {
       return;
     }
     streamOutput.emit(sequence, {
       type: 'end',
       attempt: request.attempt,
       reason: tokenLimit === answer.length ? 'stop' : 'length',
-      promptTokens: promptLength,
+      promptTokens: promptTokenCount,
       cachedTokens: sequence.cachedTokens,
-      generatedTokens: generated,
+      generatedTokens: generatedCount,
     });
   }
 
-  /** Removes a sequence; its computed blocks stay in the prefix cache. */
+  /**
+   * Removes a sequence from the batch and caches its computed blocks. Returns
+   * false if the sequence is not in the batch.
+   */
   function removeFromBatch(sequence: Sequence): boolean {
     const index = batch.indexOf(sequence);
     if (index < 0) {
       return false;
     }
     batch.splice(index, 1);
-    if (sequence.prefillLeft === 0) {
-      cache.store(sequenceBlocks(sequence));
+    if (sequence.prefillTokensLeft === 0) {
+      prefixCache.store(hashSequenceBlocks(sequence));
     }
     loadReports.update();
     return true;
@@ -285,29 +293,36 @@
 
   function enqueueByUrgency(sequence: Sequence) {
     const {urgency} = sequence.request;
-    const index = waiting.findIndex(other => other.request.urgency > urgency);
-    waiting.splice(index < 0 ? waiting.length : index, 0, sequence);
+    const index = waitingSequences.findIndex(
+      queuedSequence => queuedSequence.request.urgency > urgency,
+    );
+    waitingSequences.splice(
+      index < 0 ? waitingSequences.length : index,
+      0,
+      sequence,
+    );
   }
 
   function findSequence(attempt: string): Sequence | undefined {
-    return [...batch, ...waiting].find(
+    return [...batch, ...waitingSequences].find(
       ({request}) => request.attempt === attempt,
     );
   }
 
-  const orderHandlers: Record<EndpointOrder['type'], (t: string) => void> = {
-    'load-model': () => cache.clear(),
-    'load-adapter': target => {
-      adapters = [...new Set([...adapters, target])];
-    },
-    'load-version': target => {
-      version = target;
-      cache.clear();
-    },
-    'set-role': target => {
-      role = target;
-    },
-  };
+  const orderHandlers: Record<EndpointOrder['type'], (target: string) => void> =
+    {
+      'load-model': () => prefixCache.clear(),
+      'load-adapter': target => {
+        adapters = [...new Set([...adapters, target])];
+      },
+      'load-version': target => {
+        version = target;
+        prefixCache.clear();
+      },
+      'set-role': target => {
+        role = target;
+      },
+    };
 
   return {
     submit(request, sink) {
@@ -329,36 +344,38 @@
       if (sequence === undefined) {
         return;
       }
-      const index = waiting.indexOf(sequence);
+      const index = waitingSequences.indexOf(sequence);
       if (index >= 0) {
-        waiting.splice(index, 1);
+        waitingSequences.splice(index, 1);
       }
       removeFromBatch(sequence);
-      sequence.sink.fail(new ServingError('cancelled', 'cancelled'));
+      sequence.sink.fail(
+        new ServingError('cancelled', 'the request was cancelled'),
+      );
     },
-    load: () => loadReports.published(),
-    cacheEvents: afterSequence => cache.eventsAfter(afterSequence),
+    load: () => loadReports.latestPublishedReport(),
+    cacheEvents: afterSequence => prefixCache.eventsAfter(afterSequence),
     exportCache(attempt) {
       const sequence = findSequence(attempt);
-      if (sequence === undefined || sequence.prefillLeft > 0) {
+      if (sequence === undefined || sequence.prefillTokensLeft > 0) {
         return undefined;
       }
       const tokens = sequence.tokens.length;
-      const exported = {
+      const exportedCache = {
         handle: `export-${attempt}-${tokens}`,
         tokens,
         bytes: tokens * costs.bytesPerToken,
-        blocks: sequenceBlocks(sequence),
+        blocks: hashSequenceBlocks(sequence),
       };
-      exports.set(exported.handle, exported);
-      return exported;
+      exportsByHandle.set(exportedCache.handle, exportedCache);
+      return exportedCache;
     },
-    getExport: handle => exports.get(handle),
+    getExport: handle => exportsByHandle.get(handle),
     importDelayMs: ({bytes}) => bytes / costs.importBytesPerMs,
-    importCache(exported) {
-      imports.set(exported.handle, exported.tokens);
-      totals.importedTokens += exported.tokens;
-      cache.store(exported.blocks);
+    importCache(exportedCache) {
+      importedTokensByHandle.set(exportedCache.handle, exportedCache.tokens);
+      totals.importedTokens += exportedCache.tokens;
+      prefixCache.store(exportedCache.blocks);
     },
     order(order) {
       if (options.checksFencing && order.fencing < highestFencingToken) {
@@ -382,12 +399,17 @@
     totals: () => ({...totals}),
     dispose() {
       stepTimer?.dispose();
-      const unfinished = [...batch.splice(0), ...waiting.splice(0)];
+      const unfinishedSequences = [
+        ...batch.splice(0),
+        ...waitingSequences.splice(0),
+      ];
       const interruptedError = new ServingError(
         'interrupted',
         'the engine was stopped',
       );
-      unfinished.forEach(sequence => sequence.sink.fail(interruptedError));
+      unfinishedSequences.forEach(sequence =>
+        sequence.sink.fail(interruptedError),
+      );
     },
   };
 }
--- a/packages/standins/src/engine/streamOutput.ts
+++ b/packages/standins/src/engine/streamOutput.ts
@@ -6,13 +6,13 @@
 
 /** Output for the events of an engine's sequences. */
 export interface StreamOutput {
-  /** Sends an event to the sequence's sink after applying its faults. */
+  /** Applies the faults of a sequence to an event and sends the resulting events. */
   emit(sequence: Sequence, event: GenerationEvent): void;
 }
 
 /**
- * Creates the output of an engine; `abort` is called for a sequence whose
- * stream a fault cuts.
+ * Creates the output of an engine. `abort` is called with each sequence whose
+ * stream is cut by a fault.
  *
  * @example
  * const output = createStreamOutput(clock, removeFromBatch);
@@ -33,13 +33,13 @@
 
   return {
     emit(sequence, event) {
-      const position = sequence.sentTokens;
+      const tokensBefore = sequence.sentTokens;
       if (event.type === 'token') {
         sequence.sentTokens += 1;
       }
       for (const fault of sequence.faults) {
-        const faulted = applyFault(event, position, fault);
-        if (faulted.isCut) {
+        const faultResult = applyFault(event, tokensBefore, fault);
+        if (faultResult.isCut) {
           abort(sequence);
           sequence.sink.fail(
             new ServingError(
@@ -49,8 +49,13 @@
           );
           return;
         }
-        if (faulted.events.length !== 1 || faulted.events[0] !== event) {
-          faulted.events.forEach(other => send(sequence, other));
+        if (
+          faultResult.events.length !== 1 ||
+          faultResult.events[0] !== event
+        ) {
+          faultResult.events.forEach(faultedEvent =>
+            send(sequence, faultedEvent),
+          );
           return;
         }
       }
--- a/packages/standins/src/platform/cloudModel.ts
+++ b/packages/standins/src/platform/cloudModel.ts
@@ -1,4 +1,4 @@
-/** Simulated cloud: offers, hosts and reclaim notices. */
+/** Simulated cloud: machine offers, hosts and reclaim notices. */
 import {
   emitter,
   ServingError,
@@ -20,22 +20,25 @@
   offers(): readonly Offer[];
   setOffers(offers: readonly Offer[]): void;
   hosts(): readonly Host[];
-  /** Starts one host per client token. Throws `overloaded` on rejection. */
+  /**
+   * Starts a host, or returns the host that the client token already started.
+   * Throws `overloaded` when the start is rejected.
+   */
   start(request: StartRequest): Host;
   stop(id: string): void;
-  /** Reclaims hosts: after a notice, or at once when `noticeMs` is 0. */
+  /** Reclaims hosts `noticeMs` after a notice, or without notice if 0. */
   reclaim(
     isAffected: (host: Host) => boolean,
     noticeMs: number,
   ): readonly Host[];
-  /** Notices of hosts that are not gone yet. */
+  /** Returns the reclaim notices of all hosts in state `leaving`. */
   notices(): readonly ReclaimNotice[];
   readonly onDidAddNotice: Event<ReclaimNotice>;
 }
 
 const START_RETRY_AFTER_MS = 2000;
 
-/** Failure domains, machine classes and prices of a small cloud. */
+/** Offers of a small cloud: two machine classes in four failure domains. */
 export const defaultOffers: readonly Offer[] = ['a', 'b', 'c', 'd'].flatMap(
   (failureDomain, index) => [
     {
@@ -78,7 +81,7 @@
   const hosts = new Map<string, Host>();
   const noticeEmitter = emitter<ReclaimNotice>();
   let offers = defaultOffers;
-  let hostCount = 0;
+  let lastHostNumber = 0;
   const timers = createTimerSet(clock);
 
   function updateHost(id: string, change: Partial<Host>): void {
@@ -95,11 +98,11 @@
     },
     hosts: () => [...hosts.values()].filter(host => host.state !== 'gone'),
     start(request) {
-      const existing = [...hosts.values()].find(
+      const existingHost = [...hosts.values()].find(
         host => host.clientToken === request.clientToken,
       );
-      if (existing !== undefined) {
-        return existing;
+      if (existingHost !== undefined) {
+        return existingHost;
       }
       if (faults.startsToRefuse > 0) {
         faults.startsToRefuse -= 1;
@@ -111,10 +114,10 @@
           },
         );
       }
-      hostCount += 1;
+      lastHostNumber += 1;
       const host: Host = {
         ...request,
-        id: `host-${hostCount}`,
+        id: `host-${lastHostNumber}`,
         state: 'starting',
       };
       hosts.set(host.id, host);
@@ -127,10 +130,10 @@
     },
     stop: id => updateHost(id, {state: 'gone'}),
     reclaim(isAffected, noticeMs) {
-      const affected = [...hosts.values()].filter(
+      const affectedHosts = [...hosts.values()].filter(
         host => host.state !== 'gone' && isAffected(host),
       );
-      for (const {id} of affected) {
+      for (const {id} of affectedHosts) {
         if (noticeMs === 0) {
           updateHost(id, {state: 'gone'});
           continue;
@@ -140,7 +143,7 @@
         noticeEmitter.fire({host: id, goneAt});
         timers.after(noticeMs, () => updateHost(id, {state: 'gone'}));
       }
-      return affected;
+      return affectedHosts;
     },
     notices: () =>
       [...hosts.values()]
@@ -151,20 +154,23 @@
   };
 }
 
-/** Timers that are cancelled with the cloud; a notice may outlast the cloud. */
+/**
+ * Creates timers that are cancelled when the cloud is disposed, because a
+ * reclaim notice may end after the disposal.
+ */
 function createTimerSet(clock: Clock) {
-  const pending = new Set<Disposable>();
+  const pendingTimers = new Set<Disposable>();
   return {
     after(delayMs: number, callback: () => void) {
       const timer = clock.after(delayMs, () => {
-        pending.delete(timer);
+        pendingTimers.delete(timer);
         callback();
       });
-      pending.add(timer);
+      pendingTimers.add(timer);
     },
     dispose() {
-      pending.forEach(timer => timer.dispose());
-      pending.clear();
+      pendingTimers.forEach(timer => timer.dispose());
+      pendingTimers.clear();
     },
   };
 }
--- a/packages/standins/src/platform/cloudRoutes.ts
+++ b/packages/standins/src/platform/cloudRoutes.ts
@@ -25,7 +25,7 @@
 const reservationSchema = z.object({weights: z.string(), host: z.string()});
 
 /**
- * Registers the routes on an app.
+ * Registers the cloud API, host list and weight store routes on an app.
  *
  * @example
  * addCloudRoutes(app, {cloud, endpoints, faults, clock});
@@ -40,9 +40,9 @@
   },
 ): void {
   const {cloud, endpoints, faults, clock} = options;
-  let nextLoadAt = 0;
+  let nextWeightLoadMs = 0;
 
-  /** Sends the operation's result, or 503 while the platform is down. */
+  /** Sends the result or error of an operation; 503 if the platform is down. */
   async function respond(
     response: ServerResponse,
     operation: () => unknown,
@@ -76,7 +76,7 @@
     void respond(response, () => {
       const id = routeParameter(request, 'id');
       cloud.stop(id);
-      endpoints.removeHosts(new Set([id]));
+      endpoints.removeEndpointsOfHosts(new Set([id]));
       return {};
     });
   });
@@ -96,7 +96,7 @@
       return;
     }
     const writeLine = startJsonLines(response);
-    writeLine(endpoints.visible());
+    writeLine(endpoints.visibleEndpoints());
     const subscription = endpoints.onDidChange(writeLine);
     response.once('close', () => subscription.dispose());
   });
@@ -104,16 +104,16 @@
     void respond(response, async () => {
       validateShape(reservationSchema, await readJson(request), 'bad-request');
       const now = clock.now();
-      if (now < nextLoadAt) {
+      if (now < nextWeightLoadMs) {
         throw new ServingError(
           'overloaded',
           'the rate limit for weight loads is exceeded',
           {
-            retryAfterMs: nextLoadAt - now,
+            retryAfterMs: nextWeightLoadMs - now,
           },
         );
       }
-      nextLoadAt = now + 1000 / faults.loadsPerSecond;
+      nextWeightLoadMs = now + 1000 / faults.loadsPerSecond;
       return {startAfterMs: 0};
     });
   });
--- a/packages/standins/src/platform/controlRoutes.ts
+++ b/packages/standins/src/platform/controlRoutes.ts
@@ -1,4 +1,4 @@
-/** Control routes: fault injection and the state of the simulated cloud. */
+/** Routes that inject faults, and that show and change the simulated cloud. */
 import type {ServerResponse} from 'node:http';
 import {validateShape} from '@skylarkfield/base';
 import {listedEndpointSchema, type ObjectTable} from '@skylarkfield/providers';
@@ -18,7 +18,7 @@
 const reclaimSchema = z.strictObject({
   host: z.string().optional(),
   failureDomain: z.string().optional(),
-  /** 0 or absent: the hosts are gone without notice. */
+  /** Time from the notice until the hosts are gone; 0 if absent. */
   noticeSeconds: z.number().nonnegative().default(0),
 });
 const offersSchema = z.array(
@@ -31,7 +31,7 @@
 );
 
 /**
- * Registers the control routes on an app. Injected faults do not affect them.
+ * Registers the control routes on an app. The routes ignore injected faults.
  *
  * @example
  * addControlRoutes(app, {table, cloud, endpoints, faults, load, dropWatches});
@@ -66,7 +66,7 @@
       load: options.load,
       version: table.version(),
       hosts: cloud.hosts(),
-      endpoints: endpoints.visible(),
+      endpoints: endpoints.visibleEndpoints(),
     }));
   });
   app.post('/control/faults', (request, response) => {
@@ -123,14 +123,15 @@
 
   function reclaim(body: z.output<typeof reclaimSchema>) {
     const noticeMs = body.noticeSeconds * 1000;
-    const hosts = cloud.reclaim(
+    const reclaimedHosts = cloud.reclaim(
       host =>
         host.id === body.host || host.failureDomain === body.failureDomain,
       noticeMs,
     );
-    const hostIds = new Set(hosts.map(host => host.id));
-    for (const endpoint of endpoints.visible()) {
-      // Endpoints registered by hand run on hosts unknown to this cloud.
+    const hostIds = new Set(reclaimedHosts.map(host => host.id));
+    for (const endpoint of endpoints.visibleEndpoints()) {
+      // Endpoints added through `POST /control/endpoints` may run on hosts that
+      // the simulated cloud did not start.
       const isAffected =
         endpoint.host === body.host ||
         endpoint.failureDomain === body.failureDomain;
@@ -139,7 +140,7 @@
       }
     }
     if (noticeMs === 0) {
-      endpoints.removeHosts(hostIds);
+      endpoints.removeEndpointsOfHosts(hostIds);
     } else {
       endpoints.markLeaving(hostIds);
     }
--- a/packages/standins/src/platform/endpointList.ts
+++ b/packages/standins/src/platform/endpointList.ts
@@ -1,4 +1,4 @@
-/** Eventually consistent host list: actual endpoints and visible snapshot. */
+/** Eventually consistent list of endpoints: readers see changes after a lag. */
 import {emitter, type Clock, type Event} from '@skylarkfield/base';
 import type {ListedEndpoint} from '@skylarkfield/providers';
 import type {PlatformFaults} from './platformFaults.js';
@@ -7,15 +7,15 @@
   set(endpoint: ListedEndpoint): void;
   remove(id: string): void;
   /** Marks the endpoints on the hosts as leaving. */
-  markLeaving(hosts: ReadonlySet<string>): void;
-  removeHosts(hosts: ReadonlySet<string>): void;
-  /** Endpoints that readers see, `listLagMs` behind the actual ones. */
-  visible(): readonly ListedEndpoint[];
+  markLeaving(hostIds: ReadonlySet<string>): void;
+  removeEndpointsOfHosts(hostIds: ReadonlySet<string>): void;
+  /** Returns the endpoints as readers see them: as of `listLagMs` ago. */
+  visibleEndpoints(): readonly ListedEndpoint[];
   readonly onDidChange: Event<readonly ListedEndpoint[]>;
 }
 
 /**
- * Creates an empty list that publishes each change after `listLagMs`.
+ * Creates an empty list that publishes each change after `faults.listLagMs`.
  *
  * @example
  * const list = createEndpointList(systemClock(), faults);
@@ -24,15 +24,15 @@
   clock: Clock,
   faults: PlatformFaults,
 ): EndpointList {
-  const actual = new Map<string, ListedEndpoint>();
+  const actualEndpoints = new Map<string, ListedEndpoint>();
   const changeEmitter = emitter<readonly ListedEndpoint[]>();
-  let visible: readonly ListedEndpoint[] = [];
+  let visibleSnapshot: readonly ListedEndpoint[] = [];
 
   function publish(): void {
-    const snapshot = [...actual.values()];
+    const snapshot = [...actualEndpoints.values()];
     const makeVisible = () => {
-      visible = snapshot;
-      changeEmitter.fire(visible);
+      visibleSnapshot = snapshot;
+      changeEmitter.fire(visibleSnapshot);
     };
     if (faults.listLagMs === 0) {
       makeVisible();
@@ -43,30 +43,30 @@
 
   return {
     set(endpoint) {
-      actual.set(endpoint.id, endpoint);
+      actualEndpoints.set(endpoint.id, endpoint);
       publish();
     },
     remove(id) {
-      actual.delete(id);
+      actualEndpoints.delete(id);
       publish();
     },
-    markLeaving(hosts) {
-      for (const endpoint of actual.values()) {
-        if (hosts.has(endpoint.host)) {
-          actual.set(endpoint.id, {...endpoint, state: 'leaving'});
+    markLeaving(hostIds) {
+      for (const endpoint of actualEndpoints.values()) {
+        if (hostIds.has(endpoint.host)) {
+          actualEndpoints.set(endpoint.id, {...endpoint, state: 'leaving'});
         }
       }
       publish();
     },
-    removeHosts(hosts) {
-      for (const endpoint of [...actual.values()]) {
-        if (hosts.has(endpoint.host)) {
-          actual.delete(endpoint.id);
+    removeEndpointsOfHosts(hostIds) {
+      for (const endpoint of [...actualEndpoints.values()]) {
+        if (hostIds.has(endpoint.host)) {
+          actualEndpoints.delete(endpoint.id);
         }
       }
       publish();
     },
-    visible: () => visible,
+    visibleEndpoints: () => visibleSnapshot,
     onDidChange: changeEmitter.event,
   };
 }
--- a/packages/standins/src/platform/httpResponses.ts
+++ b/packages/standins/src/platform/httpResponses.ts
@@ -11,7 +11,7 @@
 const MAX_BODY_BYTES = 2_000_000;
 
 /**
- * Parses a request body as JSON; an empty body gives undefined.
+ * Reads a request body as JSON; returns undefined if the body is empty.
  *
  * @example
  * const body = await readJson(request);
@@ -19,10 +19,10 @@
  */
 export async function readJson(request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
-  let bytes = 0;
+  let bodyBytes = 0;
   for await (const chunk of request as AsyncIterable<Buffer>) {
-    bytes += chunk.length;
-    if (bytes > MAX_BODY_BYTES) {
+    bodyBytes += chunk.length;
+    if (bodyBytes > MAX_BODY_BYTES) {
       throw new ServingError('too-large', 'the request body is too large');
     }
     chunks.push(chunk);
@@ -51,7 +51,7 @@
 }
 
 /**
- * Sends the error response that corresponds to an error.
+ * Sends an error response, or closes a connection whose response has begun.
  *
  * @example
  * sendError(response, new ServingError('not-found', 'no such object'));
@@ -119,7 +119,7 @@
 }
 
 /**
- * Sends the error response of a platform that is down.
+ * Sends the `platform-unavailable` (503) response of a platform that is down.
  *
  * @example
  * sendUnavailable(response);
--- a/packages/standins/src/platform/objectRoutes.ts
+++ b/packages/standins/src/platform/objectRoutes.ts
@@ -20,7 +20,7 @@
   type RoutedRequest,
 } from './httpResponses.js';
 
-/** Call counters of the object API. */
+/** Numbers of object API calls since the start, and of open watches. */
 export interface ObjectApiLoad {
   reads: number;
   writes: number;
@@ -54,14 +54,14 @@
     refused: 0,
   };
   const watches = new Set<ServerResponse>();
-  let windowStart = clock.now();
+  let windowStartMs = clock.now();
   let callsInWindow = 0;
 
-  /** Counts a call and throws `overloaded` above the limit per second. */
+  /** Counts a call; throws `overloaded` above `callsPerSecond`. */
   function checkRateLimit(): void {
     const now = clock.now();
-    if (now - windowStart >= RATE_WINDOW_MS) {
-      windowStart = now;
+    if (now - windowStartMs >= RATE_WINDOW_MS) {
+      windowStartMs = now;
       callsInWindow = 0;
     }
     callsInWindow += 1;
@@ -85,23 +85,27 @@
 
   async function handleRead(
     response: ServerResponse,
-    operation: () => void,
+    sendResponse: () => void,
   ): Promise<void> {
     try {
       checkRateLimit();
       load.reads += 1;
       await delay(faults.delayMs);
       throwIfDown(faults);
-      operation();
+      sendResponse();
     } catch (error) {
       sendError(response, error);
     }
   }
 
+  /**
+   * Handles a write. `applyWrite` stores the change and returns a function that
+   * sends the response, so that a fault can lose the response.
+   */
   async function handleWrite(
     request: IncomingMessage,
     response: ServerResponse,
-    operation: (body: unknown) => () => void,
+    applyWrite: (body: unknown) => () => void,
   ): Promise<void> {
     try {
       checkRateLimit();
@@ -109,7 +113,7 @@
       const body = await readJson(request);
       await delay(faults.delayMs / 2);
       throwIfDown(faults);
-      const sendResponse = operation(body);
+      const sendResponse = applyWrite(body);
       if (faults.repliesToLose > 0) {
         faults.repliesToLose -= 1;
         response.destroy();
@@ -266,9 +270,9 @@
   if (request.headers['if-none-match'] === '*') {
     return {type: 'absent'};
   }
-  const match = request.headers['if-match'];
-  if (match === undefined) {
+  const ifMatch = request.headers['if-match'];
+  if (ifMatch === undefined) {
     return {type: 'any'};
   }
-  return {type: 'version', version: Number(match.replaceAll('"', ''))};
+  return {type: 'version', version: Number(ifMatch.replaceAll('"', ''))};
 }
--- a/packages/standins/src/platform/platformFaults.ts
+++ b/packages/standins/src/platform/platformFaults.ts
@@ -4,34 +4,35 @@
 /** Body of `POST /control/faults`; absent fields keep their values. */
 export const platformFaultsSchema = z
   .object({
-    /** Calls get 503 without effect; open watches are closed. */
+    /** Calls are rejected with 503; open watches are closed. */
     isDown: z.boolean(),
-    /** Latency of every call; for writes half before the effect, half after. */
+    /** Latency of the object API; a write takes effect after half of it. */
     delayMs: z.number().nonnegative(),
-    /** Number of next writes that take effect but whose responses are lost. */
+    /** Number of upcoming writes that take effect but get no response. */
     repliesToLose: z.number().int().nonnegative(),
+    /** Open watches and new watches are closed. */
     isRejectingWatches: z.boolean(),
     /** Watches stay open but deliver no events. */
     isSilent: z.boolean(),
-    /** Number of next host starts that are rejected. */
+    /** Number of upcoming host starts that are rejected. */
     startsToRefuse: z.number().int().nonnegative(),
-    /** Delay until a change of the host list becomes visible. */
+    /** Delay until readers of the host list see a change. */
     listLagMs: z.number().nonnegative(),
     /** Calls per second above which the object API responds with 429. */
     callsPerSecond: z.number().positive(),
     /** Weight loads per second that the weight store grants. */
     loadsPerSecond: z.number().positive(),
-    /** Time from the start request of a host until it runs. */
+    /** Time from the request to start a host until the host runs. */
     startMs: z.number().nonnegative(),
   })
   .partial()
   .strict();
 
-/** Current value of every fault. */
+/** Current values of all fault settings. */
 export type PlatformFaults = Required<z.output<typeof platformFaultsSchema>>;
 
 /**
- * Returns the settings of a healthy platform of typical size.
+ * Returns the fault settings of a healthy platform of typical size.
  *
  * @example
  * const faults = {...createPlatformFaults(), listLagMs: 5000};
--- a/packages/standins/src/platform/platformStandin.ts
+++ b/packages/standins/src/platform/platformStandin.ts
@@ -14,9 +14,9 @@
 
 export interface PlatformStandin {
   readonly url: string;
-  /** Stored objects, to set up and check state without HTTP. */
+  /** Stored objects, which tests can read and write without HTTP. */
   readonly table: ObjectTable;
-  /** Injected faults; shared with the control routes. */
+  /** Injected faults; `POST /control/faults` changes the same object. */
   readonly faults: PlatformFaults;
   /** Closes every open watch. */
   dropWatches(): void;
@@ -35,6 +35,7 @@
   readonly host?: string;
   readonly clock?: Clock;
   readonly faults?: Partial<PlatformFaults>;
+  /** Minimum number of object changes that are kept for watches to resume. */
   readonly historyLimit?: number;
 }): Promise<PlatformStandin> {
   const {host = '127.0.0.1', clock = systemClock()} = options;
--- a/packages/standins/src/service/serviceFaults.ts
+++ b/packages/standins/src/service/serviceFaults.ts
@@ -2,11 +2,11 @@
 import * as z from 'zod';
 
 /**
- * A fault and its conditions. Types:
- * `hang`: no effect, no response; `hang-after`: the effect, then no response;
- * `slow`: the effect after a delay; `fail`: an error status without effect;
- * `close-before`: the connection is closed without effect;
- * `close-after`: the connection is closed after the effect.
+ * A fault and its conditions. Effect of each type on a request:
+ * `hang`: not executed, no response; `hang-after`: executed, no response;
+ * `slow`: executed after a delay; `fail`: not executed, error status;
+ * `close-before`: not executed, connection closed;
+ * `close-after`: executed, connection closed without a response.
  */
 export const serviceFaultSchema = z.object({
   type: z.enum([
@@ -17,19 +17,21 @@
     'close-before',
     'close-after',
   ]),
-  /** Affected path; all paths when absent. */
+  /** Path of the affected requests; all paths if absent. */
   route: z.string().optional(),
-  /** Affected version; stand-ins of other versions ignore the fault. */
+  /** Affected version of the service; all versions if absent. */
   version: z.string().optional(),
   /** Maximum number of affected requests; unlimited when absent. */
   count: z.number().int().positive().optional(),
-  /** Number of matching requests that are served before the fault starts. */
+  /** Number of matching requests that are served before any is affected. */
   afterRequests: z.number().int().nonnegative().default(0),
   /** Active only while more than this many requests are running. */
   aboveRunning: z.number().int().nonnegative().optional(),
   /** Fraction of the matching requests that are affected. */
   share: z.number().min(0).max(1).default(1),
+  /** Delay that `slow` adds. */
   delayMs: z.number().nonnegative().default(1_000),
+  /** HTTP status that `fail` responds with. */
   status: z.number().int().default(500),
 });
 
@@ -39,17 +41,20 @@
 export interface ServiceFaults {
   add(fault: ServiceFaultInput): void;
   clear(): void;
-  /** Returns the fault to apply to a request, if any, and counts its use. */
+  /**
+   * Returns the fault that affects a request, or undefined. Counts the request
+   * towards the limits of the faults, so each request must be passed only once.
+   */
   take(path: string, running: number): ServiceFault | undefined;
   list(): readonly ServiceFault[];
 }
 
 interface InjectedFault {
   readonly fault: ServiceFault;
-  /** Matching requests served before the fault started. */
-  passed: number;
-  /** Requests affected so far. */
-  hits: number;
+  /** Number of matching requests served so far because of `afterRequests`. */
+  unaffectedRequests: number;
+  /** Number of requests affected so far. */
+  affectedRequests: number;
 }
 
 /**
@@ -63,8 +68,9 @@
   version: string,
   nextRandom: () => number,
 ): ServiceFaults {
-  let injected: InjectedFault[] = [];
+  let injectedFaults: InjectedFault[] = [];
 
+  /** Decides whether a fault affects a request; counts skipped requests. */
   function shouldApply(
     injectedFault: InjectedFault,
     path: string,
@@ -74,14 +80,17 @@
     if (fault.route !== undefined && fault.route !== path) {
       return false;
     }
-    if (injectedFault.passed < fault.afterRequests) {
-      injectedFault.passed += 1;
+    if (injectedFault.unaffectedRequests < fault.afterRequests) {
+      injectedFault.unaffectedRequests += 1;
       return false;
     }
     if (fault.aboveRunning !== undefined && running <= fault.aboveRunning) {
       return false;
     }
-    if (fault.count !== undefined && injectedFault.hits >= fault.count) {
+    if (
+      fault.count !== undefined &&
+      injectedFault.affectedRequests >= fault.count
+    ) {
       return false;
     }
     return nextRandom() < fault.share;
@@ -93,21 +102,21 @@
       if (fault.version !== undefined && fault.version !== version) {
         return;
       }
-      injected.push({fault, passed: 0, hits: 0});
+      injectedFaults.push({fault, unaffectedRequests: 0, affectedRequests: 0});
     },
     clear() {
-      injected = [];
+      injectedFaults = [];
     },
     take(path, running) {
-      const match = injected.find(injectedFault =>
+      const matchingFault = injectedFaults.find(injectedFault =>
         shouldApply(injectedFault, path, running),
       );
-      if (match === undefined) {
+      if (matchingFault === undefined) {
         return undefined;
       }
-      match.hits += 1;
-      return match.fault;
+      matchingFault.affectedRequests += 1;
+      return matchingFault.fault;
     },
-    list: () => injected.map(injectedFault => injectedFault.fault),
+    list: () => injectedFaults.map(injectedFault => injectedFault.fault),
   };
 }
--- a/packages/standins/src/service/serviceLoad.ts
+++ b/packages/standins/src/service/serviceLoad.ts
@@ -2,8 +2,9 @@
 import type {LoadReport} from '@skylarkfield/endpoints';
 
 export interface ServiceLoad {
-  /** Waits for a free slot; the returned function releases it. */
+  /** Waits for a free slot; returns the function that releases the slot. */
   acquireSlot(): Promise<() => void>;
+  /** Number of occupied slots. */
   readonly running: number;
   /** Returns the load as it was `lagMs` ago. */
   report(): LoadReport;
@@ -11,7 +12,7 @@
 }
 
 interface Snapshot {
-  readonly at: number;
+  readonly takenAtMs: number;
   readonly running: number;
   readonly waiting: number;
 }
@@ -19,7 +20,7 @@
 const MAX_SNAPSHOTS = 10_000;
 
 /**
- * Creates the slots of one stand-in.
+ * Creates the slots and load report of one stand-in; all slots are free.
  *
  * @example
  * const load = createServiceLoad(16, 200, () => performance.now());
@@ -28,16 +29,16 @@
 export function createServiceLoad(
   slots: number,
   initialLagMs: number,
-  now: () => number,
+  nowMs: () => number,
 ): ServiceLoad {
   const waiters: Array<() => void> = [];
-  const snapshots: Snapshot[] = [{at: 0, running: 0, waiting: 0}];
+  const snapshots: Snapshot[] = [{takenAtMs: 0, running: 0, waiting: 0}];
   let running = 0;
   let lagMs = initialLagMs;
   let sequence = 0;
 
   function recordSnapshot(): void {
-    snapshots.push({at: now(), running, waiting: waiters.length});
+    snapshots.push({takenAtMs: nowMs(), running, waiting: waiters.length});
     if (snapshots.length > MAX_SNAPSHOTS) {
       snapshots.shift();
     }
@@ -65,13 +66,15 @@
       return releaseSlot;
     },
     report() {
-      const asOfMs = now() - lagMs;
-      const lagged = snapshots.findLast(snapshot => snapshot.at <= asOfMs);
+      const asOfMs = nowMs() - lagMs;
+      const laggedSnapshot = snapshots.findLast(
+        snapshot => snapshot.takenAtMs <= asOfMs,
+      );
       sequence += 1;
       return {
         sequence,
-        running: lagged?.running ?? 0,
-        waiting: lagged?.waiting ?? 0,
+        running: laggedSnapshot?.running ?? 0,
+        waiting: laggedSnapshot?.waiting ?? 0,
         slots,
         waitingPromptTokens: 0,
         cacheUse: 0,
--- a/packages/standins/src/service/serviceStandin.ts
+++ b/packages/standins/src/service/serviceStandin.ts
@@ -1,6 +1,6 @@
 /**
  * Plain service for tests: non-idempotent bookings, advances and kit orders,
- * idempotent lookups, a counter of every run, and fault injection.
+ * idempotent lookups, counters of executed calls, and fault injection.
  */
 import {
   createServer,
@@ -27,14 +27,14 @@
   readonly version?: string;
   /** Maximum number of concurrent requests; further requests wait. */
   readonly slots?: number;
-  /** Processing time of each request. */
+  /** Simulated processing time of each request. */
   readonly workMs?: number;
-  /** Delay of the load report. */
+  /** Delay until the load report shows a change. */
   readonly lagMs?: number;
   readonly seed?: number;
 }
 
-/** Numbers of executions of non-idempotent calls. */
+/** Numbers of times that non-idempotent calls were executed. */
 export interface ServiceRuns {
   readonly total: number;
   /** Runs per idempotency key, or per `body:ID` for calls without a key. */
@@ -61,7 +61,7 @@
 const NON_IDEMPOTENT_ROUTES = ['/bookings', '/advances', '/orders'];
 
 /**
- * Starts the stand-in; resolves once it is listening.
+ * Starts a service stand-in; resolves once the server is listening.
  *
  * @example
  * const booking = await startServiceStandin({service: 'booking'});
@@ -93,7 +93,7 @@
     return {total: totalRuns, byKey: Object.fromEntries(runs)};
   }
 
-  /** Creates a handler that occupies a slot and applies the injected fault. */
+  /** Creates a handler that waits for a slot and applies injected faults. */
   function createWorkHandler(
     prepareEffect: (request: IncomingMessage, body: string) => () => unknown,
     status: number,
@@ -106,21 +106,24 @@
       releaseOnClose(response, releaseSlot);
       if (
         fault !== undefined &&
-        preEffectFaults[fault.type]?.(fault, response)
+        preEffectFaultHandlers[fault.type]?.(fault, response)
       ) {
         return;
       }
       await delay(workMs + (fault?.type === 'slow' ? fault.delayMs : 0));
       const result = runEffect();
-      if (fault !== undefined && postEffectFaults[fault.type]?.(response)) {
+      if (
+        fault !== undefined &&
+        postEffectFaultHandlers[fault.type]?.(response)
+      ) {
         return;
       }
       sendJson(response, status, result);
     };
   }
 
-  const orderHandler = createWorkHandler((request, body) => {
-    const key = runKey(request, body);
+  const nonIdempotentHandler = createWorkHandler((request, body) => {
+    const key = getRunKey(request, body);
     return () => {
       countRun(key);
       return {
@@ -161,7 +164,7 @@
     );
   });
   for (const route of NON_IDEMPOTENT_ROUTES) {
-    app.post(route, withErrorResponse(orderHandler));
+    app.post(route, withErrorResponse(nonIdempotentHandler));
   }
   app.get('/control/runs', (_request, response) =>
     sendJson(response, 200, currentRuns()),
@@ -213,8 +216,8 @@
 
 const lagSchema = z.object({lagMs: z.number().nonnegative()});
 
-/** Faults applied before the effect; true ends the handling of the request. */
-const preEffectFaults: Partial<
+/** Called before a request is executed; true prevents the execution. */
+const preEffectFaultHandlers: Partial<
   Record<
     ServiceFault['type'],
     (fault: ServiceFault, response: ServerResponse) => boolean
@@ -231,8 +234,8 @@
   },
 };
 
-/** Faults applied after the effect; true ends the handling of the request. */
-const postEffectFaults: Partial<
+/** Called after a request is executed; true prevents the response. */
+const postEffectFaultHandlers: Partial<
   Record<ServiceFault['type'], (response: ServerResponse) => boolean>
 > = {
   'hang-after': () => true,
@@ -253,7 +256,10 @@
   };
 }
 
-/** Releases the slot on close; callers may disconnect while waiting for it. */
+/**
+ * Releases a slot when the response closes. The client may already have
+ * disconnected while the request was waiting for the slot.
+ */
 function releaseOnClose(
   response: ServerResponse,
   releaseSlot: () => void,
@@ -278,25 +284,35 @@
   return Number(query.get(name) ?? fallback);
 }
 
-/** Key under which a run is counted: idempotency key, else the body `id`. */
-function runKey(request: IncomingMessage, body: string): string {
+/**
+ * Returns the key under which a run is counted: the idempotency key or, if it
+ * is absent, the `id` in the body.
+ */
+function getRunKey(request: IncomingMessage, body: string): string {
   const key = request.headers['idempotency-key'];
   if (typeof key === 'string') {
     return key;
   }
   const value = parseJson(body, 'bad-request', 'body');
-  const {id} = validateShape(orderBodySchema, value, 'bad-request', 'body');
+  const {id} = validateShape(
+    nonIdempotentBodySchema,
+    value,
+    'bad-request',
+    'body',
+  );
   return `body:${id}`;
 }
 
-const orderBodySchema = z.object({id: z.union([z.string(), z.number()])});
+const nonIdempotentBodySchema = z.object({
+  id: z.union([z.string(), z.number()]),
+});
 
 async function readBody(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
-  let bytes = 0;
+  let bodyBytes = 0;
   for await (const chunk of request as AsyncIterable<Buffer>) {
-    bytes += chunk.byteLength;
-    if (bytes > MAX_BODY_BYTES) {
+    bodyBytes += chunk.byteLength;
+    if (bodyBytes > MAX_BODY_BYTES) {
       throw new Error(`the request body exceeds ${MAX_BODY_BYTES} bytes`);
     }
     chunks.push(chunk);
--- a/packages/standins/src/test/engineModel.test.ts
+++ b/packages/standins/src/test/engineModel.test.ts
@@ -4,14 +4,18 @@
 import type {GenerationRequest, GenerationEvent} from '@skylarkfield/endpoints';
 import {generateAnswerTokens, createSimulatedEngine} from '../index.js';
 
-function words(count: number, name = 'w'): string {
-  return Array.from({length: count}, (_, i) => `${name}${i}`).join(' ');
+function makeWords(count: number, prefix = 'w'): string {
+  return Array.from({length: count}, (_, index) => `${prefix}${index}`).join(
+    ' ',
+  );
 }
 
-function generation(overrides: Partial<GenerationRequest>): GenerationRequest {
+function createRequest(
+  overrides: Partial<GenerationRequest>,
+): GenerationRequest {
   return {
     attempt: 'a1',
-    prompt: words(40),
+    prompt: makeWords(40),
     maxTokens: 20,
     urgency: 3,
     delivered: [],
@@ -36,10 +40,10 @@
 }
 
 describe('simulated engine', () => {
-  it('continues a resumed answer identically', async () => {
+  it('continues a resumed answer with the same tokens', async () => {
     const {clock, engine, events, sink, text} = setUp();
-    const expected = generateAnswerTokens(words(40), 7, 20);
-    engine.submit(generation({delivered: expected.slice(0, 5)}), sink);
+    const expected = generateAnswerTokens(makeWords(40), 7, 20);
+    engine.submit(createRequest({delivered: expected.slice(0, 5)}), sink);
     await clock.advance(5000);
     assert.equal(text(), expected.slice(5).join(''));
     assert.equal(events.at(-1)?.type, 'end');
@@ -47,9 +51,9 @@
 
   it('prefills only tokens that are not in its prefix cache', async () => {
     const {clock, engine, events, sink} = setUp();
-    engine.submit(generation({}), sink);
+    engine.submit(createRequest({}), sink);
     await clock.advance(5000);
-    engine.submit(generation({attempt: 'a2', prompt: words(90)}), sink);
+    engine.submit(createRequest({attempt: 'a2', prompt: makeWords(90)}), sink);
     await clock.advance(5000);
     const starts = events.filter(event => event.type === 'start');
     assert.deepEqual(
@@ -60,9 +64,9 @@
 
   it('starts waiting requests in order of urgency', async () => {
     const {clock, engine, events, sink} = setUp({slots: 1});
-    engine.submit(generation({attempt: 'first'}), sink);
-    engine.submit(generation({attempt: 'later', urgency: 6}), sink);
-    engine.submit(generation({attempt: 'urgent', urgency: 0}), sink);
+    engine.submit(createRequest({attempt: 'first'}), sink);
+    engine.submit(createRequest({attempt: 'later', urgency: 6}), sink);
+    engine.submit(createRequest({attempt: 'urgent', urgency: 0}), sink);
     await clock.advance(60_000);
     const starts = events.filter(event => event.type === 'start');
     assert.deepEqual(
@@ -78,7 +82,7 @@
     });
     engine.load();
     await clock.advance(100);
-    engine.submit(generation({maxTokens: 400}), sink);
+    engine.submit(createRequest({maxTokens: 400}), sink);
     const attempts = () => engine.load().attempts;
     assert.deepEqual(attempts(), []);
     await clock.advance(310);
@@ -86,27 +90,30 @@
   });
 
   it('imports an exported cache and prefills only the last token', async () => {
-    const source = setUp();
-    const target = setUp();
-    source.engine.submit(generation({maxTokens: 400}), source.sink);
-    await source.clock.advance(200);
-    const exported = source.engine.exportCache('a1');
+    const sourceSetup = setUp();
+    const targetSetup = setUp();
+    sourceSetup.engine.submit(
+      createRequest({maxTokens: 400}),
+      sourceSetup.sink,
+    );
+    await sourceSetup.clock.advance(200);
+    const exported = sourceSetup.engine.exportCache('a1');
     assert.ok(exported);
-    target.engine.importCache(exported);
-    const delivered = source.events.flatMap(event =>
+    targetSetup.engine.importCache(exported);
+    const delivered = sourceSetup.events.flatMap(event =>
       event.type === 'token' ? [event.text] : [],
     );
-    target.engine.submit(
-      generation({attempt: 'a2', delivered, importedCache: exported.handle}),
-      target.sink,
+    targetSetup.engine.submit(
+      createRequest({attempt: 'a2', delivered, importedCache: exported.handle}),
+      targetSetup.sink,
     );
-    await target.clock.advance(200);
-    const [start] = target.events;
+    await targetSetup.clock.advance(200);
+    const [start] = targetSetup.events;
     assert.ok(start?.type === 'start');
     assert.equal(start.cachedTokens, 40 + delivered.length - 1);
   });
 
-  it('rejects an outdated fencing token only if it checks fencing', () => {
+  it('rejects an order with an outdated fencing token only if the engine checks fencing', () => {
     for (const checksFencing of [true, false]) {
       const clock = virtualClock();
       const random = seededRandom(1);
@@ -116,7 +123,7 @@
         version: 'v1',
         checksFencing,
       });
-      const order = (fencing: number) =>
+      const sendOrder = (fencing: number) =>
         engine.order({
           id: `o${fencing}`,
           type: 'set-role',
@@ -124,11 +131,11 @@
           fencing,
           expiresAt: clock.wall() + 1000,
         });
-      order(5);
+      sendOrder(5);
       if (checksFencing) {
-        assert.throws(() => order(4), {kind: 'fenced'});
+        assert.throws(() => sendOrder(4), {kind: 'fenced'});
       } else {
-        order(4);
+        sendOrder(4);
       }
       assert.equal(engine.running().role, checksFencing ? 'role-5' : 'role-4');
     }
--- a/packages/standins/src/test/engineStandin.test.ts
+++ b/packages/standins/src/test/engineStandin.test.ts
@@ -45,7 +45,7 @@
   }
 }
 
-async function read(engine: ReturnType<typeof createHttpEngine>) {
+async function readAnswer(engine: ReturnType<typeof createHttpEngine>) {
   const texts: string[] = [];
   const signal = new AbortController().signal;
   for await (const event of engine.generate(generation, signal)) {
@@ -60,13 +60,13 @@
   it('streams the complete answer', async () => {
     await withEngine([], async engine => {
       assert.deepEqual(
-        await read(engine),
+        await readAnswer(engine),
         generateAnswerTokens(generation.prompt, generation.seed, 12),
       );
     });
   });
 
-  it('serves load, cache events, orders and the running version', async () => {
+  it('reports load and cache events, and applies an order to load a version', async () => {
     await withEngine([], async engine => {
       assert.equal((await engine.load()).running, 0);
       assert.equal((await engine.cacheEvents(-1)).length, 2);
@@ -81,10 +81,10 @@
     });
   });
 
-  // The engine process is down, fails or cuts the stream. The error may be
-  // `not-run` only if nothing was sent; otherwise the engine may have worked on
-  // the request.
-  const cases: [string, EngineFault, string, string][] = [
+  // The engine process is down, fails or cuts the stream. The client may report
+  // `not-run` only if it sent nothing: an engine that received the request may
+  // have worked on the answer.
+  const faultCases: [string, EngineFault, string, string][] = [
     ['is down', {type: 'down'}, 'endpoint-unavailable', 'not-run'],
     ['fails', {type: 'fail'}, 'endpoint-failed', 'may-have-run'],
     [
@@ -94,34 +94,40 @@
       'may-have-run',
     ],
   ];
-  for (const [name, fault, kind, run] of cases) {
-    it(`reports the kind and whether it ran when the engine ${name}`, async () => {
+  for (const [failure, fault, kind, run] of faultCases) {
+    it(`reports whether the request may have run when the engine ${failure}`, async () => {
       await withEngine([fault], async engine => {
-        await assert.rejects(read(engine), {kind, run});
+        await assert.rejects(readAnswer(engine), {kind, run});
       });
     });
   }
 
-  it('listens on the same port again after being down', async () => {
+  it('listens on the same port again after the fault `down` is removed', async () => {
     await withEngine([{type: 'down'}], async (engine, standin) => {
-      await assert.rejects(read(engine), {kind: 'endpoint-unavailable'});
+      await assert.rejects(readAnswer(engine), {kind: 'endpoint-unavailable'});
       await standin.setFaults([]);
-      assert.equal((await read(engine)).length, 12);
+      assert.equal((await readAnswer(engine)).length, 12);
     });
   });
 
   it('transfers a KV cache from one engine to another', async () => {
-    await withEngine([], async (source, sourceStandin) => {
-      await withEngine([], async target => {
+    await withEngine([], async (sourceEngine, sourceStandin) => {
+      await withEngine([], async targetEngine => {
         const signal = new AbortController().signal;
-        const long = {...generation, attempt: 'long', maxTokens: 100};
-        for await (const event of source.generate(long, signal)) {
+        const longGeneration = {...generation, attempt: 'long', maxTokens: 100};
+        for await (const event of sourceEngine.generate(
+          longGeneration,
+          signal,
+        )) {
           if (event.type !== 'token') {
             continue;
           }
-          const exported = await source.exportCache('long');
-          const from = {url: sourceStandin.url, handle: exported.handle};
-          const imported = await target.importCache(from);
+          const exported = await sourceEngine.exportCache('long');
+          const exportSource = {
+            url: sourceStandin.url,
+            handle: exported.handle,
+          };
+          const imported = await targetEngine.importCache(exportSource);
           assert.deepEqual(imported, exported);
           break;
         }
--- a/packages/standins/src/test/objectApiFixtures.ts
+++ b/packages/standins/src/test/objectApiFixtures.ts
@@ -34,11 +34,11 @@
 };
 
 export const objectApiFixtureTypes: readonly ObjectApiFixtureType[] = [
-  {name: 'memory platform', start: startMemory},
-  {name: 'HTTP stand-in', start: startHttp},
+  {name: 'memory platform', start: startMemoryPlatform},
+  {name: 'HTTP stand-in', start: startHttpStandin},
 ];
 
-async function startMemory(): Promise<ObjectApiFixture> {
+async function startMemoryPlatform(): Promise<ObjectApiFixture> {
   const platform = createMemoryPlatform({clock: testClock});
   return {
     table: platform.table,
@@ -48,9 +48,9 @@
   };
 }
 
-let seedCount = 0;
+let lastSeed = 0;
 
-async function startHttp(): Promise<ObjectApiFixture> {
+async function startHttpStandin(): Promise<ObjectApiFixture> {
   const platform = await startPlatformStandin({port: 0, clock: testClock});
   return {
     table: platform.table,
@@ -79,7 +79,7 @@
         url: platform.url,
         writer,
         clock: testClock,
-        random: seededRandom((seedCount += 1)),
+        random: seededRandom((lastSeed += 1)),
       }),
     stop: () => platform.stop(),
   };
--- a/packages/standins/src/test/objectStore.test.ts
+++ b/packages/standins/src/test/objectStore.test.ts
@@ -1,4 +1,4 @@
-/** Contract tests of the object API, run in process and over HTTP. */
+/** Contract tests of the object API, for the memory platform and HTTP. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {isServingError, type ErrorKind} from '@skylarkfield/base';
@@ -16,21 +16,21 @@
 const TIMEOUT_MS = 20_000;
 const fastSettings: ObjectStoreSettings = {callDeadlineMs: 300};
 
-/** Initial state of a test: one stored object at a known version. */
+/** Initial state of a test: an object API that stores one object. */
 interface Scenario {
   readonly fixture: ObjectApiFixture;
   readonly store: ObjectClient;
-  readonly first: StoredObject<string>;
+  readonly initialObject: StoredObject<string>;
 }
 
-/** Lets another writer replace the object right after our write. */
-function overwriteAfterOwnWrite({fixture, first}: Scenario): void {
+/** Makes another writer replace the object right after the tested write. */
+function overwriteAfterTestedWrite({fixture, initialObject}: Scenario): void {
   const subscription = fixture.table.onDidChange(change => {
-    if (change.version <= first.version) {
+    if (change.version <= initialObject.version) {
       return;
     }
     subscription.dispose();
-    // The emitter fires inside the first write, so the overwrite is deferred.
+    // The event fires while the tested write runs, so defer the overwrite.
     queueMicrotask(() => overwrite(fixture, 'theirs'));
   });
 }
@@ -47,7 +47,7 @@
   );
 }
 
-/** A write under a fault, with its expected outcome. */
+/** A fault during a write, and the expected outcome of the write. */
 interface WriteFaultCase {
   readonly fault: string;
   readonly arrange: (scenario: Scenario) => void;
@@ -57,7 +57,7 @@
 
 const writeFaultCases: readonly WriteFaultCase[] = [
   {
-    fault: 'nothing goes wrong',
+    fault: 'there is no fault',
     arrange: () => {},
     outcome: 'written',
     finalValue: 'ours',
@@ -72,7 +72,7 @@
     fault: 'the response is lost and another writer replaces the object',
     arrange: scenario => {
       scenario.fixture.faults.loseReplies(1);
-      overwriteAfterOwnWrite(scenario);
+      overwriteAfterTestedWrite(scenario);
     },
     outcome: 'written',
     finalValue: 'theirs',
@@ -82,7 +82,7 @@
       'the response is lost, the object replaced and the history compacted',
     arrange: scenario => {
       scenario.fixture.faults.loseReplies(1);
-      overwriteAfterOwnWrite(scenario);
+      overwriteAfterTestedWrite(scenario);
       scenario.fixture.table.onDidChange(change => {
         if (change.writeId === 'other.1') {
           scenario.fixture.table.compact();
@@ -93,7 +93,7 @@
     finalValue: 'theirs',
   },
   {
-    fault: 'the call times out and another writer comes first',
+    fault: 'the call times out and another write takes effect first',
     arrange: ({fixture}) => {
       fixture.faults.setDelay(1500);
       setTimeout(() => overwrite(fixture, 'theirs'), 50);
@@ -103,7 +103,7 @@
     finalValue: 'theirs',
   },
   {
-    fault: 'the call times out and takes effect later',
+    fault: 'the call times out and the write takes effect later',
     arrange: ({fixture}) => {
       fixture.faults.setDelay(900);
       setTimeout(() => fixture.faults.setDelay(0), 100);
@@ -119,17 +119,19 @@
   },
 ];
 
-for (const type of objectApiFixtureTypes) {
-  describe(`object API over ${type.name}`, {timeout: TIMEOUT_MS}, () => {
+for (const fixtureType of objectApiFixtureTypes) {
+  describe(`object API over ${fixtureType.name}`, {timeout: TIMEOUT_MS}, () => {
     async function withScenario(
       run: (scenario: Scenario) => Promise<void>,
       settings: ObjectStoreSettings = fastSettings,
     ): Promise<void> {
-      const fixture = await type.start();
+      const fixture = await fixtureType.start();
       const store = fixture.client('us', settings);
       try {
-        const first = await store.put('thing', 'a', 'first', {type: 'absent'});
-        await run({fixture, store, first});
+        const initialObject = await store.put('thing', 'a', 'first', {
+          type: 'absent',
+        });
+        await run({fixture, store, initialObject});
       } finally {
         store.dispose();
         await fixture.stop();
@@ -137,12 +139,12 @@
     }
 
     it('rejects a write whose condition does not hold', () =>
-      withScenario(async ({store, first}) => {
+      withScenario(async ({store, initialObject}) => {
         await assertRejects(
           store.put('thing', 'a', 'x', {type: 'absent'}),
           'version-conflict',
         );
-        const {version} = first;
+        const {version} = initialObject;
         await store.put('thing', 'a', 'y', {type: 'version', version});
         await assertRejects(
           store.put('thing', 'a', 'z', {type: 'version', version}),
@@ -155,8 +157,8 @@
         assert.equal((await store.get('thing', 'a'))?.value, 'y');
       }));
 
-    it('reads, lists and removes', () =>
-      withScenario(async ({store, first}) => {
+    it('reads, lists and removes objects', () =>
+      withScenario(async ({store, initialObject}) => {
         await store.put('thing', 'b/c d', {deep: [1]}, {type: 'any'});
         const read = await store.get('thing', 'b/c d');
         assert.deepEqual(read?.value, {deep: [1]});
@@ -166,25 +168,29 @@
           'b/c d',
         ]);
         assert.equal(listing.version, read?.version);
-        const {version} = first;
+        const {version} = initialObject;
         await store.remove('thing', 'a', {type: 'version', version});
         await store.remove('thing', 'a', {type: 'version', version});
         assert.equal(await store.get('thing', 'a'), undefined);
       }));
 
-    // A process crashes and is restarted with the same name. With repeated write
-    // ids, the new process would mistake writes of the old process for its own.
+    // A process crashes and is restarted with the same name. If it repeated
+    // write ids, it would mistake writes from before the crash for new writes.
     it('never reuses a write id after a restart', () =>
       withScenario(async ({store, fixture}) => {
-        const restarted = fixture.client('us', fastSettings);
-        const one = await store.put('thing', 'b', 1, {type: 'any'});
-        const two = await restarted.put('thing', 'c', 1, {type: 'any'});
-        const ids = [one.writeId, two.writeId].map(id => id.split('.').at(-2));
-        assert.notEqual(ids[0], ids[1]);
-        restarted.dispose();
+        const restartedStore = fixture.client('us', fastSettings);
+        const firstWrite = await store.put('thing', 'b', 1, {type: 'any'});
+        const secondWrite = await restartedStore.put('thing', 'c', 1, {
+          type: 'any',
+        });
+        const incarnations = [firstWrite.writeId, secondWrite.writeId].map(
+          writeId => writeId.split('.').at(-2),
+        );
+        assert.notEqual(incarnations[0], incarnations[1]);
+        restartedStore.dispose();
       }));
 
-    it('rejects a value above a megabyte', () =>
+    it('rejects a value larger than a megabyte', () =>
       withScenario(({store}) =>
         assertRejects(
           store.put('thing', 'big', 'x'.repeat(1_100_000), {type: 'any'}),
@@ -192,14 +198,14 @@
         ),
       ));
 
-    // A response is lost or late, so the writer cannot tell whether its change
-    // took effect. A wrong conclusion runs an order twice or loses it.
+    // A response is lost or late, so the client must find out whether the write
+    // took effect. A wrong result makes the caller repeat or lose an order.
     for (const {fault, arrange, outcome, finalValue} of writeFaultCases) {
       it(`reports the actual outcome of a write when ${fault}`, () =>
         withScenario(async scenario => {
-          const {store, fixture, first} = scenario;
+          const {store, fixture, initialObject} = scenario;
           arrange(scenario);
-          const {version} = first;
+          const {version} = initialObject;
           const result = await store
             .put('thing', 'a', 'ours', {type: 'version', version})
             .then(
@@ -210,23 +216,23 @@
           await waitUntil(
             () => fixture.table.get('thing', 'a')?.value === finalValue,
           );
-          const ours = (
+          const testedWrites = (
             fixture.table.changesSince('thing', version) ?? []
           ).filter(change => change.writeId.startsWith('us'));
-          assert.ok(ours.length <= 1, 'the write took effect twice');
+          assert.ok(testedWrites.length <= 1, 'the write took effect twice');
         }));
     }
 
     // The platform goes down right after a write, so its outcome is unknown.
     it('reports an unknown outcome when the write cannot be read back', () =>
       withScenario(
-        async ({store, fixture, first}) => {
+        async ({store, fixture, initialObject}) => {
           fixture.faults.loseReplies(1);
           const subscription = fixture.table.onDidChange(() => {
             subscription.dispose();
             fixture.faults.setDown(true);
           });
-          const {version} = first;
+          const {version} = initialObject;
           await assertRejects(
             store.put('thing', 'a', 'ours', {type: 'version', version}),
             'outcome-unknown',
@@ -237,7 +243,7 @@
 
     // While the platform is down, calls must not wait for their deadlines:
     // requests would queue up instead of being rejected at once.
-    it('fails fast while the platform is down, and recovers by itself', () =>
+    it('rejects calls at once while the platform is down, and recovers afterwards', () =>
       withScenario(async ({store, fixture}) => {
         fixture.faults.setDown(true);
         while (store.state() !== 'down') {
@@ -251,16 +257,16 @@
         assert.equal((await store.get('thing', 'a'))?.value, 'first');
       }));
 
-    for (const gap of ['none', 'cut', 'cut and compacted'] as const) {
+    for (const interruption of ['none', 'cut', 'cut and compacted'] as const) {
       // A watch is interrupted while objects change. A process that continues
       // from its stale list acts on records and leases that no longer exist.
-      it(`delivers every object to a watcher after a gap: ${gap}`, () =>
+      it(`delivers all changes to a watcher, interruption of the watch: ${interruption}`, () =>
         withScenario(async ({store, fixture}) => {
           const view = new Map<string, unknown>();
-          let lists = 0;
+          let listCount = 0;
           const watch = store.watch('thing', {
             onDidList({objects}) {
-              lists += 1;
+              listCount += 1;
               view.clear();
               objects.forEach(object => view.set(object.name, object.value));
             },
@@ -270,19 +276,19 @@
           await waitUntil(() => view.get('a') === 'first');
           await store.put('thing', 'b', 1, {type: 'absent'});
           await waitUntil(() => view.get('b') === 1);
-          if (gap !== 'none') {
+          if (interruption !== 'none') {
             fixture.faults.rejectWatches(true);
             await waitUntil(() => store.dump().watches['thing'] !== 'open');
           }
           await store.put('thing', 'c', 2, {type: 'absent'});
           await store.remove('thing', 'b', {type: 'any'});
-          if (gap === 'cut and compacted') {
+          if (interruption === 'cut and compacted') {
             fixture.table.compact();
           }
           fixture.faults.rejectWatches(false);
           await waitUntil(() => view.get('c') === 2 && !view.has('b'));
           assert.deepEqual([...view.keys()].sort(), ['a', 'c']);
-          assert.equal(lists, gap === 'cut and compacted' ? 2 : 1);
+          assert.equal(listCount, interruption === 'cut and compacted' ? 2 : 1);
           watch.dispose();
         }));
     }
--- a/packages/standins/src/test/platformStandin.test.ts
+++ b/packages/standins/src/test/platformStandin.test.ts
@@ -57,7 +57,7 @@
 async function withPlatform(
   run: (
     platform: PlatformStandin,
-    track: <T extends Disposable>(disposable: T) => T,
+    disposeAtEnd: <T extends Disposable>(disposable: T) => T,
   ) => Promise<void>,
 ): Promise<void> {
   const platform = await startPlatformStandin({port: 0, clock: testClock});
@@ -74,46 +74,49 @@
 }
 
 describe('platform stand-in', {timeout: TIMEOUT_MS}, () => {
-  it('starts one host per client token, rejects starts and stops hosts', () =>
+  it('starts one host per client token, rejects a start and stops a host', () =>
     withPlatform(async platform => {
       const cloud = createHttpCloud({url: platform.url, clock: testClock});
       assert.ok((await cloud.offers()).length > 0);
-      const [one, two] = await Promise.all([
+      const [firstHost, secondHost] = await Promise.all([
         cloud.start(startRequest),
         cloud.start(startRequest),
       ]);
-      assert.equal(one.id, two.id);
+      assert.equal(firstHost.id, secondHost.id);
       await postControl(platform, 'faults', {startsToRefuse: 1});
       await assert.rejects(
         cloud.start({...startRequest, clientToken: 'token-2'}),
         error => isServingError(error, 'overloaded') && error.run === 'not-run',
       );
-      await cloud.stop(one.id);
+      await cloud.stop(firstHost.id);
       assert.deepEqual(await cloud.hosts(), []);
     }));
 
-  // A failure domain is reclaimed with notice. Endpoints there must not stay
-  // listed as live, or requests would still be sent to hosts that shut down.
-  it('delivers reclaim notices and marks endpoints as leaving', () =>
-    withPlatform(async (platform, track) => {
+  // A failure domain is reclaimed with notice. Endpoints in the domain must not
+  // stay listed as live, or requests would be sent to hosts that shut down.
+  it('delivers a reclaim notice, marks endpoints as leaving and removes them', () =>
+    withPlatform(async (platform, disposeAtEnd) => {
       const cloud = createHttpCloud({url: platform.url, clock: testClock});
       const notices: ReclaimNotice[] = [];
-      let listed: readonly ListedEndpoint[] = [];
-      track(cloud.watchNotices(notice => notices.push(notice)));
-      const hosts = createHttpHostList({url: platform.url, clock: testClock});
-      track(hosts.watch(endpoints => (listed = endpoints)));
+      let listedEndpoints: readonly ListedEndpoint[] = [];
+      disposeAtEnd(cloud.watchNotices(notice => notices.push(notice)));
+      const hostList = createHttpHostList({
+        url: platform.url,
+        clock: testClock,
+      });
+      disposeAtEnd(hostList.watch(endpoints => (listedEndpoints = endpoints)));
       const host = await cloud.start(startRequest);
       await postControl(platform, 'endpoints', {...endpoint, host: host.id});
-      await waitUntil(() => listed[0]?.state === 'live');
+      await waitUntil(() => listedEndpoints[0]?.state === 'live');
       const reclaim = {failureDomain: 'a', noticeSeconds: 60};
       assert.equal(await postControl(platform, 'reclaim', reclaim), 200);
       await waitUntil(() => notices[0]?.host === host.id);
-      await waitUntil(() => listed[0]?.state === 'leaving');
+      await waitUntil(() => listedEndpoints[0]?.state === 'leaving');
       await postControl(platform, 'reclaim', {host: host.id});
-      await waitUntil(() => listed.length === 0);
+      await waitUntil(() => listedEndpoints.length === 0);
     }));
 
-  it('grants weight loads at the configured rate', () =>
+  it('rejects weight loads above the configured rate', () =>
     withPlatform(async platform => {
       const weights = createHttpWeightStore({url: platform.url});
       await postControl(platform, 'faults', {loadsPerSecond: 0.001});
@@ -127,9 +130,9 @@
 
   // Calls exceed the rate that the platform accepts. A client that does not
   // back off would crowd out the lease renewals of all processes.
-  it('responds with 429 above its rate, and the client backs off', () =>
-    withPlatform(async (platform, track) => {
-      const store = track(
+  it('responds with 429 above the rate limit, and the client reports the retry delay', () =>
+    withPlatform(async (platform, disposeAtEnd) => {
+      const store = disposeAtEnd(
         createHttpObjectStore({
           url: platform.url,
           writer: 'us',
@@ -137,7 +140,7 @@
           random: seededRandom(1),
         }),
       );
-      // Below one call per second, every call exceeds the rate.
+      // A limit below one call per second rejects every call.
       await postControl(platform, 'faults', {callsPerSecond: 0.5});
       await assert.rejects(
         store.get('thing', 'a'),
@@ -149,7 +152,7 @@
       assert.equal(store.state(), 'up');
     }));
 
-  it('rejects an unknown fault', () =>
+  it('rejects an unknown fault setting', () =>
     withPlatform(async platform => {
       assert.equal(await postControl(platform, 'faults', {isDwn: true}), 400);
     }));
--- a/packages/standins/src/test/serviceStandin.test.ts
+++ b/packages/standins/src/test/serviceStandin.test.ts
@@ -6,7 +6,7 @@
   type ServiceStandin,
 } from '../index.js';
 
-async function start(test: TestContext): Promise<ServiceStandin> {
+async function startBookingStandin(test: TestContext): Promise<ServiceStandin> {
   const standin = await startServiceStandin({service: 'booking', workMs: 1});
   test.after(() => standin.stop());
   return standin;
@@ -22,8 +22,8 @@
 }
 
 describe('plain-service stand-in', () => {
-  it('counts runs per key and per body id', async test => {
-    const standin = await start(test);
+  it('counts runs per idempotency key, and per body id without a key', async test => {
+    const standin = await startBookingStandin(test);
     await book(standin, 'k1');
     await book(standin, 'k1');
     const advance = await fetch(`${standin.url}/advances`, {
@@ -36,8 +36,9 @@
     assert.deepEqual(await response.json(), standin.runs());
   });
 
-  const faults: Array<{
+  const faultCases: Array<{
     fault: ServiceFaultInput;
+    /** 0 if no response is expected. */
     status: number;
     runs: number;
   }> = [
@@ -52,36 +53,36 @@
     {fault: {type: 'fail', afterRequests: 1}, status: 201, runs: 1},
     {fault: {type: 'fail', aboveRunning: 5}, status: 201, runs: 1},
   ];
-  for (const {fault, status, runs} of faults) {
-    it(`responds with ${status} and ${runs} runs under ${JSON.stringify(fault)}`, async test => {
-      const standin = await start(test);
+  for (const {fault, status, runs} of faultCases) {
+    it(`gives status ${status} and ${runs} runs under fault ${JSON.stringify(fault)}`, async test => {
+      const standin = await startBookingStandin(test);
       standin.addFault(fault);
-      const received = await book(standin, 'k').then(
+      const receivedStatus = await book(standin, 'k').then(
         response => response.status,
         () => 0,
       );
-      assert.equal(received, status);
+      assert.equal(receivedStatus, status);
       assert.equal(standin.runs().total, runs);
     });
   }
 
-  it('injects a fault over HTTP for a number of requests', async test => {
-    const standin = await start(test);
+  it('applies a fault added over HTTP to `count` requests, and rejects an unknown type', async test => {
+    const standin = await startBookingStandin(test);
     await fetch(`${standin.url}/control/faults`, {
       method: 'POST',
       body: JSON.stringify({type: 'fail', count: 1}),
     });
     assert.equal((await book(standin, 'a')).status, 500);
     assert.equal((await book(standin, 'a')).status, 201);
-    const refused = await fetch(`${standin.url}/control/faults`, {
+    const unknownTypeResponse = await fetch(`${standin.url}/control/faults`, {
       method: 'POST',
       body: '{"type":"unheard-of"}',
     });
-    assert.equal(refused.status, 400);
+    assert.equal(unknownTypeResponse.status, 400);
   });
 
-  it('reports its slots in the load report', async test => {
-    const standin = await start(test);
+  it('includes the number of slots in the load report', async test => {
+    const standin = await startBookingStandin(test);
     const response = await fetch(`${standin.url}/load`);
     const report = (await response.json()) as {slots: number};
     assert.equal(report.slots, 64);
