--- a/packages/cli/src/commandTable.ts
+++ b/packages/cli/src/commandTable.ts
@@ -16,7 +16,7 @@
 import {StandinServiceCommand} from './commands/standinService.js';
 import {StatusCommand} from './commands/status.js';
 
-/** Static members of a command class that the registry and the help use. */
+/** Static members of a command class that dispatch and help output use. */
 export interface RunnableCommand {
   id: string;
   readonly description?: string | undefined;
--- a/packages/cli/src/commands/checkRecord.ts
+++ b/packages/cli/src/commands/checkRecord.ts
@@ -4,7 +4,6 @@
 import {printJson, printLine} from '../output.js';
 import {parseRecordFile} from '../recordStore.js';
 
-/** Checks a record without writing it. */
 export class CheckRecordCommand extends Command {
   static override description = 'Check a record without writing it.';
   static override examples = [
@@ -18,19 +17,19 @@
     }),
   };
   static override flags = {
-    json: Flags.boolean({description: 'print the accepted form as JSON'}),
+    json: Flags.boolean({description: 'print the validated record as JSON'}),
   };
 
   async run(): Promise<void> {
     const {args, flags} = await this.parse(CheckRecordCommand);
     const record = parseRecordFile(readJsonFile(args.file, 'bad-record'));
-    const accepted = convertRecord(
+    const acceptedRecord = convertRecord(
       record.kind as RecordKind,
       record.name,
       record.value,
     );
     if (flags.json) {
-      printJson(accepted);
+      printJson(acceptedRecord);
       return;
     }
     printLine(`${args.file}: valid ${record.kind} ${record.name}`);
--- a/packages/cli/src/commands/checkSettings.ts
+++ b/packages/cli/src/commands/checkSettings.ts
@@ -3,10 +3,9 @@
 import {readJsonFile} from '../input.js';
 import {printJson, printLine} from '../output.js';
 
-/** Checks an entry's settings without starting anything. */
 export class CheckSettingsCommand extends Command {
   static override description =
-    "Check an entry's settings without starting anything.";
+    "Check an entry's settings without starting the entry.";
   static override examples = [
     'skylarkfield check settings entry-a1.json',
     'skylarkfield check settings entry-a1.json --json',
--- a/packages/cli/src/commands/decisions.ts
+++ b/packages/cli/src/commands/decisions.ts
@@ -4,7 +4,6 @@
 import {requestJson} from '../input.js';
 import {printJson, printTable} from '../output.js';
 
-/** Shows recent decisions of an entry. */
 export class DecisionsCommand extends Command {
   static override description =
     'Show recent decisions of an entry with their reasons and figures.';
@@ -22,16 +21,16 @@
     const decisions = (await requestJson(`${flags.admin}/decisions`, {
       key: flags.key,
     })) as Decision[];
-    const shown = decisions.filter(
+    const shownDecisions = decisions.filter(
       decision => flags.by === undefined || decision.by === flags.by,
     );
     if (flags.json) {
-      shown.forEach(printJson);
+      shownDecisions.forEach(printJson);
       return;
     }
     printTable(
       ['at', 'by', 'subject', 'what', 'why'],
-      shown.map(decision => [
+      shownDecisions.map(decision => [
         new Date(decision.at).toISOString(),
         decision.by,
         decision.subject,
--- a/packages/cli/src/commands/dump.ts
+++ b/packages/cli/src/commands/dump.ts
@@ -3,7 +3,6 @@
 import {requestJson} from '../input.js';
 import {printJson, printLine} from '../output.js';
 
-/** Shows the internal state of an entry. */
 export class DumpCommand extends Command {
   static override description =
     'Show the state machines, queues and cached views of an entry.';
@@ -13,7 +12,9 @@
   ];
   static override flags = {
     ...adminFlags,
-    part: Flags.string({description: 'show only this part of the state'}),
+    part: Flags.string({
+      description: 'show only this top-level part of the dump',
+    }),
     json: Flags.boolean({description: 'print one JSON line'}),
   };
 
@@ -22,11 +23,11 @@
     const dump = (await requestJson(`${flags.admin}/dump`, {
       key: flags.key,
     })) as Record<string, unknown>;
-    const shown = flags.part === undefined ? dump : dump[flags.part];
+    const shownPart = flags.part === undefined ? dump : dump[flags.part];
     if (flags.json) {
-      printJson(shown ?? null);
+      printJson(shownPart ?? null);
       return;
     }
-    printLine(JSON.stringify(shown ?? null, null, 2));
+    printLine(JSON.stringify(shownPart ?? null, null, 2));
   }
 }
--- a/packages/cli/src/commands/entry.ts
+++ b/packages/cli/src/commands/entry.ts
@@ -2,7 +2,6 @@
 import {readEntrySettings, startEntry} from '@skylarkfield/entry';
 import {runUntilStopped} from '../longRunning.js';
 
-/** Runs an entry process. */
 export class EntryCommand extends Command {
   static override description =
     'Run an entry. Prints one JSON line with its addresses once it listens; logs go to standard error. SIGTERM stops it gracefully.';
--- a/packages/cli/src/commands/getRecord.ts
+++ b/packages/cli/src/commands/getRecord.ts
@@ -3,9 +3,8 @@
 import {printJson, printTable} from '../output.js';
 import {platformFlag, recordKinds, withStore} from '../recordStore.js';
 
-/** Shows records as stored on the platform. */
 export class GetRecordCommand extends Command {
-  static override description = 'Show one record, or list all of a kind.';
+  static override description = 'Show one record, or all records of a kind.';
   static override examples = [
     'skylarkfield record get service --platform http://127.0.0.1:7000',
     'skylarkfield record get service booking --json',
@@ -16,7 +15,9 @@
       options: [...recordKinds],
       description: 'kind of record',
     }),
-    name: Args.string({description: 'name of the record'}),
+    name: Args.string({
+      description: 'name of the record; all records of the kind if absent',
+    }),
   };
   static override flags = {
     platform: platformFlag,
--- a/packages/cli/src/commands/lookup.ts
+++ b/packages/cli/src/commands/lookup.ts
@@ -4,7 +4,6 @@
 import {requestJson} from '../input.js';
 import {printJson, printTable} from '../output.js';
 
-/** Looks up the entries that a caller should use. */
 export class LookupCommand extends Command {
   static override description = 'Look up which entries to call, best first.';
   static override examples = [
@@ -31,16 +30,20 @@
     if (flags['failure-domain'] !== undefined) {
       url.searchParams.set('failure-domain', flags['failure-domain']);
     }
-    const response = (await requestJson(url.href, {
+    const lookupResult = (await requestJson(url.href, {
       key: flags.key,
     })) as LookupResult;
     if (flags.json) {
-      printJson(response);
+      printJson(lookupResult);
       return;
     }
     printTable(
       ['entry', 'failure domain', 'address'],
-      response.entries.map(entry => [entry.id, entry.failureDomain, entry.url]),
+      lookupResult.entries.map(entry => [
+        entry.id,
+        entry.failureDomain,
+        entry.url,
+      ]),
     );
   }
 }
--- a/packages/cli/src/commands/putRecord.ts
+++ b/packages/cli/src/commands/putRecord.ts
@@ -31,15 +31,15 @@
   async run(): Promise<void> {
     const {args, flags} = await this.parse(PutRecordCommand);
     const record = parseRecordFile(readJsonFile(args.file, 'bad-record'));
-    const stored = await withStore(flags.platform, store =>
+    const storedObject = await withStore(flags.platform, store =>
       store.put(
         record.kind,
         record.name,
         record.value,
-        writeCondition(flags['if-version']),
+        toWriteCondition(flags['if-version']),
       ),
     );
-    const {kind, name, version} = stored;
+    const {kind, name, version} = storedObject;
     if (flags.json) {
       printJson({kind, name, version});
       return;
@@ -48,7 +48,7 @@
   }
 }
 
-function writeCondition(version: number | undefined): WriteCondition {
+function toWriteCondition(version: number | undefined): WriteCondition {
   if (version === undefined) {
     return {type: 'any'};
   }
--- a/packages/cli/src/commands/removeRecord.ts
+++ b/packages/cli/src/commands/removeRecord.ts
@@ -2,7 +2,6 @@
 import {printLine} from '../output.js';
 import {platformFlag, recordKinds, withStore} from '../recordStore.js';
 
-/** Removes a record. */
 export class RemoveRecordCommand extends Command {
   static override description = 'Remove a record.';
   static override examples = [
--- a/packages/cli/src/commands/sendCall.ts
+++ b/packages/cli/src/commands/sendCall.ts
@@ -3,7 +3,6 @@
 import {sendHttpRequest, toResponseError} from '../input.js';
 import {printJson, printLine} from '../output.js';
 
-/** Calls a plain service through an entry. */
 export class SendCallCommand extends Command {
   static override description = 'Call a plain service through an entry.';
   static override examples = [
@@ -20,10 +19,10 @@
     ...callerFlags,
     service: Flags.string({
       required: true,
-      description: 'plain service',
+      description: 'name of the plain service',
     }),
     method: Flags.string({default: 'GET', description: 'HTTP method'}),
-    data: Flags.string({description: 'body'}),
+    data: Flags.string({description: 'request body'}),
     'idempotency-key': Flags.string({
       description: 'key that identifies retries of a non-idempotent call',
     }),
--- a/packages/cli/src/commands/sendChat.ts
+++ b/packages/cli/src/commands/sendChat.ts
@@ -11,7 +11,6 @@
   readonly usage?: unknown;
 }
 
-/** Sends one chat request and prints the streamed answer. */
 export class SendChatCommand extends Command {
   static override description =
     'Send one chat request to a model service and print the streamed answer.';
@@ -25,7 +24,7 @@
     ...callerFlags,
     service: Flags.string({
       required: true,
-      description: 'model service',
+      description: 'name of the model service',
     }),
     'max-tokens': Flags.integer({
       default: 64,
@@ -78,14 +77,14 @@
     const text = await response.body.text();
     throw new ServingError('endpoint-failed', text);
   }
-  let isDone = false;
+  let hasDoneEvent = false;
   const parser = createParser({
     onEvent(event) {
       if (event.event === 'error') {
         throw new ServingError('interrupted', event.data);
       }
       if (event.data === '[DONE]') {
-        isDone = true;
+        hasDoneEvent = true;
         return;
       }
       printChunk(JSON.parse(event.data) as ChatChunk);
@@ -94,10 +93,10 @@
   for await (const chunk of response.body) {
     parser.feed(Buffer.from(chunk as Uint8Array).toString('utf8'));
   }
-  if (!isDone) {
+  if (!hasDoneEvent) {
     throw new ServingError(
       'interrupted',
-      'the answer ended without its [DONE] event',
+      'the answer stream ended without a [DONE] event',
     );
   }
 }
@@ -112,7 +111,7 @@
   } catch (error) {
     throw new ServingError(
       'endpoint-unavailable',
-      `no answer: ${String(error)}`,
+      `no answer from the entry: ${String(error)}`,
     );
   }
 }
--- a/packages/cli/src/commands/standinEngine.ts
+++ b/packages/cli/src/commands/standinEngine.ts
@@ -3,7 +3,6 @@
 import {runUntilStopped} from '../longRunning.js';
 import {registerOrStop, standinFlags} from '../standinFlags.js';
 
-/** Runs a stand-in for a model engine. */
 export class StandinEngineCommand extends Command {
   static override description =
     'Run a stand-in for a model engine. For trials and tests only.';
@@ -22,7 +21,7 @@
       checksFencing: flags['checks-fencing'],
     });
     await registerOrStop(standin, {
-      platform: flags.register,
+      platformUrl: flags.register,
       type: 'model',
       url: standin.url,
       flags,
--- a/packages/cli/src/commands/standinPlatform.ts
+++ b/packages/cli/src/commands/standinPlatform.ts
@@ -3,7 +3,6 @@
 import {runUntilStopped} from '../longRunning.js';
 import {listenFlags} from '../standinFlags.js';
 
-/** Runs a stand-in for the platform. */
 export class StandinPlatformCommand extends Command {
   static override description =
     'Run a stand-in for the platform: object API, cloud, host list, weight store. For trials and tests only.';
--- a/packages/cli/src/commands/standinService.ts
+++ b/packages/cli/src/commands/standinService.ts
@@ -3,7 +3,6 @@
 import {runUntilStopped} from '../longRunning.js';
 import {registerOrStop, standinFlags} from '../standinFlags.js';
 
-/** Runs a stand-in for a plain service. */
 export class StandinServiceCommand extends Command {
   static override description =
     'Run a stand-in for a plain service that counts each run. For trials and tests only.';
@@ -29,7 +28,7 @@
       workMs: flags['work-ms'],
     });
     await registerOrStop(standin, {
-      platform: flags.register,
+      platformUrl: flags.register,
       type: 'plain',
       url: standin.url,
       flags,
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -2,10 +2,9 @@
 import {printJson, printTable} from '../output.js';
 import {platformFlag, withStore} from '../recordStore.js';
 
-/** Kinds of the status objects that the system writes. */
+/** Object kinds that entries write to report the status of the system. */
 const STATUS_KINDS = ['status', 'move-state', 'member', 'lease'];
 
-/** Shows the status objects of the system. */
 export class StatusCommand extends Command {
   static override description =
     'Show the status of records (accepted, refused or in force), moves, entries and leases.';
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -24,7 +24,7 @@
 };
 
 /**
- * Returns the exit code for an error kind; unlisted kinds give 1.
+ * Returns the exit code for an error kind, 1 unless a specific code is defined.
  *
  * @example
  * process.exitCode = exitCodeOf('bad-settings'); // 2
--- a/packages/cli/src/help.ts
+++ b/packages/cli/src/help.ts
@@ -30,8 +30,8 @@
 }
 
 /**
- * Prints options and examples of one command. A bundle has no folder in which
- * oclif could discover commands, so the command is passed explicitly.
+ * Prints options and examples of one command. The command is passed explicitly,
+ * because the bundled executable has no folder in which oclif finds commands.
  *
  * @example
  * printCommandHelp('dump', DumpCommand, config);
@@ -41,29 +41,29 @@
   command: RunnableCommand,
   config: Config,
 ): void {
-  const commandInfo = {
+  const commandMetadata = {
     id: name,
     description: command.description,
     examples: command.examples,
-    flags: withNames(command.flags),
-    args: withNames(command.args),
+    flags: addNames(command.flags),
+    args: addNames(command.args),
     aliases: [],
     hiddenAliases: [],
     hidden: false,
     strict: command.strict,
   };
-  const help = new CommandHelp(commandInfo as never, config, {
+  const help = new CommandHelp(commandMetadata as never, config, {
     maxWidth: 100,
   } as never);
   printLine(help.generate());
 }
 
-function withNames(
-  items: Readonly<Record<string, object>>,
+function addNames(
+  flagsOrArgs: Readonly<Record<string, object>>,
 ): Record<string, object> {
-  const namedItems = Object.entries(items).map(([name, item]) => [
+  const namedItems = Object.entries(flagsOrArgs).map(([name, flagOrArg]) => [
     name,
-    {...item, name},
+    {...flagOrArg, name},
   ]);
   return Object.fromEntries(namedItems) as Record<string, object>;
 }
--- a/packages/cli/src/input.ts
+++ b/packages/cli/src/input.ts
@@ -1,4 +1,4 @@
-/** JSON files and HTTP responses that commands read. */
+/** Reads JSON files and sends HTTP requests for commands. */
 import {readFileSync} from 'node:fs';
 import {
   errorResponses,
@@ -11,7 +11,8 @@
 const RESPONSE_TIMEOUT_MS = 10_000;
 
 /**
- * Reads a JSON file, or standard input for `-`. Errors have the given kind.
+ * Reads a JSON file, or standard input if the path is `-`. Throws an error of
+ * the given kind if the file cannot be read or is not JSON.
  *
  * @example
  * const record = readJsonFile('booking.json', 'bad-record');
@@ -31,10 +32,10 @@
   }
 }
 
-/** Maximum length of the text shown of an unrecognized error body. */
+/** Maximum length of an unrecognized error body in an error message. */
 const MAX_SHOWN_CHARACTERS = 300;
 
-/** A response of an entry's HTTP port. */
+/** A complete HTTP response of an entry or stand-in. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, unknown>>;
@@ -42,8 +43,8 @@
 }
 
 /**
- * Sends an HTTP request with a bearer key. Throws `endpoint-unavailable` when
- * there is no response.
+ * Sends an HTTP request, with `key` as bearer token if present. Throws
+ * `endpoint-unavailable` if there is no response.
  *
  * @example
  * const response = await sendHttpRequest('http://127.0.0.1:9000/dump', {key});
@@ -82,7 +83,8 @@
 }
 
 /**
- * Sends a request and parses the JSON response; throws on an error status.
+ * Sends a request and parses the JSON response; throws if the status is 400 or
+ * above.
  *
  * @example
  * const dump = await requestJson('http://127.0.0.1:9000/dump', {key});
@@ -107,7 +109,7 @@
 }
 
 /**
- * Converts an error response to the corresponding error.
+ * Converts an error response to an error of the kind named in the body.
  *
  * @example
  * if (response.status >= 400) { throw toResponseError(response); }
--- a/packages/cli/src/longRunning.ts
+++ b/packages/cli/src/longRunning.ts
@@ -1,4 +1,4 @@
-/** Support for commands that run until they receive a stop signal. */
+/** Runs the servers of commands until the process receives a stop signal. */
 import {printJson} from './output.js';
 
 interface Stoppable {
@@ -7,7 +7,7 @@
 
 /**
  * Prints one JSON line with the listen addresses, then waits for SIGTERM or
- * SIGINT and stops gracefully. A repeated signal exits at once.
+ * SIGINT and stops the server gracefully. SIGINT during the stop exits at once.
  *
  * @example
  * await runUntilStopped(standin, {url: standin.url});
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -7,7 +7,7 @@
 import {printLine} from './output.js';
 import {VERSION} from './version.js';
 
-/** Replaces the package.json that oclif reads; the executable has none. */
+/** Passed to oclif, because the executable has no package.json to read. */
 const PACKAGE_JSON = {
   name: 'skylarkfield',
   version: VERSION,
@@ -19,28 +19,28 @@
 interface CommandMatch {
   readonly name: string;
   readonly command: RunnableCommand;
-  readonly rest: readonly string[];
+  readonly commandArgs: readonly string[];
 }
 
-/** Matches a command name of two words or, if there is none, of one word. */
+/** Matches a two-word command name or, if none matches, a one-word name. */
 function matchCommand(args: readonly string[]): CommandMatch | undefined {
-  for (const length of [2, 1]) {
-    const name = args.slice(0, length).join(' ');
+  for (const wordCount of [2, 1]) {
+    const name = args.slice(0, wordCount).join(' ');
     const command = commands.get(name);
     if (command !== undefined) {
-      return {name, command, rest: args.slice(length)};
+      return {name, command, commandArgs: args.slice(wordCount)};
     }
   }
   return undefined;
 }
 
 async function main(args: readonly string[]): Promise<void> {
-  const first = args[0];
-  if (first === undefined || first === '--help' || first === 'help') {
+  const firstArg = args[0];
+  if (firstArg === undefined || firstArg === '--help' || firstArg === 'help') {
     printOverview(commands);
     return;
   }
-  if (first === '--version') {
+  if (firstArg === '--version') {
     printLine(VERSION);
     return;
   }
@@ -52,13 +52,13 @@
     );
   }
   const config = await loadConfig();
-  if (match.rest.includes('--help')) {
+  if (match.commandArgs.includes('--help')) {
     printCommandHelp(match.name, match.command, config);
     return;
   }
   const {command} = match;
   command.id = match.name;
-  await command.run([...match.rest], config);
+  await command.run([...match.commandArgs], config);
 }
 
 async function loadConfig(): Promise<Config> {
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,4 +1,4 @@
-/** Output of commands: results go to stdout, everything else to stderr. */
+/** Prints the results of commands to stdout; errors and logs go to stderr. */
 
 /**
  * Prints a value as one JSON line.
--- a/packages/cli/src/recordStore.ts
+++ b/packages/cli/src/recordStore.ts
@@ -1,9 +1,9 @@
-/** Access of record commands to the platform's object API. */
+/** Access of record and status commands to the platform's object API. */
 import {Flags} from '@oclif/core';
 import {ServingError} from '@skylarkfield/base';
 import {createHttpObjectStore, type ObjectStore} from '@skylarkfield/providers';
 
-/** Record kinds that operators write. */
+/** Kinds of records that operators can write and remove. */
 export const recordKinds = [
   'customer',
   'service',
@@ -45,16 +45,17 @@
 
 /**
  * Separates kind and name from the value of a record file:
- * `{"kind", "name", "schema", …}`. Throws `bad-record`.
+ * `{"kind", "name", "schema", …}`. Throws `bad-record` if the content is not an
+ * object or has an invalid kind or name.
  *
  * @example
  * const record = parseRecordFile(readJsonFile('booking.json', 'bad-record'));
  */
-export function parseRecordFile(content: unknown): RecordFile {
-  if (typeof content !== 'object' || content === null) {
+export function parseRecordFile(fileContent: unknown): RecordFile {
+  if (typeof fileContent !== 'object' || fileContent === null) {
     throw badRecordError('', 'an object');
   }
-  const {kind, name, ...value} = content as Record<string, unknown>;
+  const {kind, name, ...value} = fileContent as Record<string, unknown>;
   if (!recordKinds.includes(kind as never)) {
     throw badRecordError('kind', `one of ${recordKinds.join(', ')}`);
   }
--- a/packages/cli/src/standinFlags.ts
+++ b/packages/cli/src/standinFlags.ts
@@ -35,7 +35,7 @@
     description: 'failure domain of the host',
   }),
   'machine-host': Flags.string({
-    description: 'host in the host list; defaults to the id',
+    description: 'host in the host list; defaults to the id of the endpoint',
   }),
   'checks-fencing': Flags.boolean({
     default: false,
@@ -48,7 +48,7 @@
 };
 
 interface Registration {
-  readonly platform: string | undefined;
+  readonly platformUrl: string | undefined;
   readonly type: EndpointType;
   readonly url: string;
   readonly flags: {
@@ -62,11 +62,11 @@
 }
 
 /**
- * Registers a stand-in and stops it on failure: otherwise the process would
- * keep listening without being in the host list.
+ * Registers a stand-in in the host list. Stops the stand-in if the registration
+ * fails, because the process would keep listening without being listed.
  *
  * @example
- * await registerOrStop(standin, {platform, type: 'model', url, flags});
+ * await registerOrStop(standin, {platformUrl, type: 'model', url, flags});
  */
 export async function registerOrStop(
   standin: {stop(): Promise<void>},
@@ -82,11 +82,11 @@
 
 /**
  * Adds an endpoint to the host list of the platform stand-in, as a cloud does.
- * Does nothing if no platform was given.
+ * Does nothing if `platformUrl` is undefined.
  */
 async function registerEndpoint(registration: Registration): Promise<void> {
-  const {platform, flags} = registration;
-  if (platform === undefined) {
+  const {platformUrl, flags} = registration;
+  if (platformUrl === undefined) {
     return;
   }
   const endpoint: ListedEndpoint = {
@@ -101,7 +101,7 @@
     checksFencing: flags['checks-fencing'],
     state: 'live',
   };
-  await requestJson(`${platform}/control/endpoints`, {
+  await requestJson(`${platformUrl}/control/endpoints`, {
     method: 'POST',
     headers: {'content-type': 'application/json'},
     body: JSON.stringify(endpoint),
--- a/packages/cli/src/test/commandLine.test.ts
+++ b/packages/cli/src/test/commandLine.test.ts
@@ -8,28 +8,31 @@
 
 const MAIN = fileURLToPath(new URL('../main.js', import.meta.url));
 
-interface Result {
-  readonly code: number;
-  readonly output: string;
-  readonly errors: string;
+interface CommandResult {
+  readonly exitCode: number;
+  readonly stdout: string;
+  readonly stderr: string;
 }
 
 /** Runs the command line to completion with the given standard input. */
-function run(args: readonly string[], input = ''): Promise<Result> {
+function runCommandLine(
+  args: readonly string[],
+  input = '',
+): Promise<CommandResult> {
   return new Promise(resolve => {
     const child = execFile(
       process.execPath,
       [MAIN, ...args],
-      (error, output, errors) => {
-        const code = error === null ? 0 : Number(error.code);
-        resolve({code, output, errors});
+      (error, stdout, stderr) => {
+        const exitCode = error === null ? 0 : Number(error.code);
+        resolve({exitCode, stdout, stderr});
       },
     );
     child.stdin?.end(input);
   });
 }
 
-const settings = {
+const validSettings = {
   id: 'a1',
   failureDomain: 'a',
   callers: {port: 0},
@@ -39,7 +42,7 @@
   keys: {inner: {env: 'INNER'}, admin: {env: 'ADMIN'}},
 };
 
-const service = {
+const validServiceRecord = {
   kind: 'service',
   name: 'booking',
   schema: 1,
@@ -52,101 +55,107 @@
 const cases: readonly {
   readonly title: string;
   readonly args: readonly string[];
+  /** Written to standard input as JSON; if undefined, `{` is written. */
   readonly input?: unknown;
-  readonly code: number;
-  readonly output?: RegExp;
-  readonly errors?: RegExp;
+  readonly exitCode: number;
+  readonly stdout?: RegExp;
+  readonly stderr?: RegExp;
 }[] = [
   {
     title: 'valid settings',
     args: ['check', 'settings', '-'],
-    input: settings,
-    code: 0,
-    output: /valid settings of entry a1/,
+    input: validSettings,
+    exitCode: 0,
+    stdout: /valid settings of entry a1/,
   },
   {
     title: 'settings with an unknown key',
     args: ['check', 'settings', '-'],
-    input: {...settings, colour: 1},
-    code: 2,
-    errors: /colour/,
+    input: {...validSettings, colour: 1},
+    exitCode: 2,
+    stderr: /colour/,
   },
   {
     title: 'settings that are not JSON',
     args: ['check', 'settings', '-'],
     input: undefined,
-    code: 2,
-    errors: /not JSON/,
+    exitCode: 2,
+    stderr: /not JSON/,
   },
   {
     title: 'a valid record',
     args: ['check', 'record', '-', '--json'],
-    input: service,
-    code: 0,
-    output: /"targetMs":300/,
+    input: validServiceRecord,
+    exitCode: 0,
+    stdout: /"targetMs":300/,
   },
   {
-    title: 'a record with a wrong field',
+    title: 'a record with a field of a wrong type',
     args: ['check', 'record', '-'],
-    input: {...service, targetMs: 'soon'},
-    code: 2,
-    errors: /targetMs/,
+    input: {...validServiceRecord, targetMs: 'soon'},
+    exitCode: 2,
+    stderr: /targetMs/,
   },
   {
     title: 'a record of an unknown kind',
     args: ['check', 'record', '-'],
-    input: {...service, kind: 'shop'},
-    code: 2,
-    errors: /kind/,
+    input: {...validServiceRecord, kind: 'shop'},
+    exitCode: 2,
+    stderr: /kind/,
   },
   {
     title: 'a record of an unknown schema',
     args: ['check', 'record', '-'],
-    input: {...service, schema: 9},
-    code: 2,
-    errors: /schema/,
+    input: {...validServiceRecord, schema: 9},
+    exitCode: 2,
+    stderr: /schema/,
   },
   {
     title: 'an unknown command',
     args: ['fly'],
-    code: 2,
-    errors: /no command "fly"/,
+    exitCode: 2,
+    stderr: /no command "fly"/,
   },
-  {title: 'a missing flag', args: ['lookup'], code: 2, errors: /entry/},
   {
-    title: 'a process that is not running',
+    title: 'a command without its required flags',
+    args: ['lookup'],
+    exitCode: 2,
+    stderr: /entry/,
+  },
+  {
+    title: 'an admin port that refuses connections',
     args: ['dump', '--admin', 'http://127.0.0.1:9', '--key', 'k'],
-    code: 3,
-    errors: /no answer/,
+    exitCode: 3,
+    stderr: /no answer/,
   },
   {
     title: 'a settings file that does not exist',
     args: ['entry', '--settings', 'no-such-file.json'],
-    code: 2,
-    errors: /cannot read/,
+    exitCode: 2,
+    stderr: /cannot read/,
   },
 ];
 
 describe('command line', () => {
-  for (const {title, args, input, code, output, errors} of cases) {
-    it(`exits with ${code} for ${title}`, async () => {
-      const text = input === undefined ? '{' : JSON.stringify(input);
-      const result = await run(args, text);
-      assert.equal(result.code, code, result.errors);
-      assert.match(result.output, output ?? /^/);
-      assert.match(result.errors, errors ?? /^/);
+  for (const {title, args, input, exitCode, stdout, stderr} of cases) {
+    it(`exits with ${exitCode} for ${title}`, async () => {
+      const inputText = input === undefined ? '{' : JSON.stringify(input);
+      const result = await runCommandLine(args, inputText);
+      assert.equal(result.exitCode, exitCode, result.stderr);
+      assert.match(result.stdout, stdout ?? /^/);
+      assert.match(result.stderr, stderr ?? /^/);
     });
   }
 
   it('lists every command and the exit codes', async () => {
-    const {output} = await run(['--help']);
+    const {stdout} = await runCommandLine(['--help']);
     for (const name of commands.keys()) {
-      assert.ok(output.includes(`  ${name} `), name);
+      assert.ok(stdout.includes(`  ${name} `), name);
     }
-    assert.match(output, /EXIT CODES/);
+    assert.match(stdout, /EXIT CODES/);
   });
 
-  it('has an example for every command', () => {
+  it('shows an example that starts with the command name for every command', () => {
     for (const [name, command] of commands) {
       const [example] = command.examples;
       assert.match(String(example), new RegExp(`^skylarkfield ${name} `));
@@ -159,6 +168,6 @@
       version: string;
     };
     assert.equal(version, VERSION);
-    assert.equal((await run(['--version'])).output.trim(), version);
+    assert.equal((await runCommandLine(['--version'])).stdout.trim(), version);
   });
 });
