--- a/packages/cli/src/version.ts
+++ b/packages/cli/src/version.ts
@@ -1,2 +1,2 @@
-/** Release version, which a test compares with that in the root package.json. */
+/** Release version; a test compares it with the root package.json. */
 export const VERSION = '0.1.0';
