--- a/packages/standins/src/engine/simulatedEngine.ts
+++ b/packages/standins/src/engine/simulatedEngine.ts
@@ -59,7 +59,7 @@
   cancel(attempt: string): void;
   load(): LoadReport;
   cacheEvents(afterSequence: number): readonly CacheEvent[];
-  /** Exports an attempt's KV cache; undefined unless the attempt is decoding. */
+  /** Exports the KV cache of an attempt; undefined unless it is decoding. */
   exportCache(attempt: string): ExportedCache | undefined;
   getExport(handle: string): ExportedCache | undefined;
   /** Returns the time to fetch an export over the network, in milliseconds. */
--- a/packages/standins/src/engine/streamOutput.ts
+++ b/packages/standins/src/engine/streamOutput.ts
@@ -6,7 +6,7 @@
 
 /** Output for the events of an engine's sequences. */
 export interface StreamOutput {
-  /** Applies the faults of a sequence to an event and sends the resulting events. */
+  /** Applies a sequence's faults to an event and sends the resulting events. */
   emit(sequence: Sequence, event: GenerationEvent): void;
 }
 
--- a/packages/standins/src/test/engineModel.test.ts
+++ b/packages/standins/src/test/engineModel.test.ts
@@ -34,18 +34,18 @@
     event: (event: GenerationEvent) => void events.push(event),
     fail: (error: {kind: string}) => void errors.push(error.kind),
   };
-  const text = () =>
+  const receivedText = () =>
     events.map(event => (event.type === 'token' ? event.text : '')).join('');
-  return {clock, engine, events, errors, sink, text};
+  return {clock, engine, events, errors, sink, receivedText};
 }
 
 describe('simulated engine', () => {
   it('continues a resumed answer with the same tokens', async () => {
-    const {clock, engine, events, sink, text} = setUp();
+    const {clock, engine, events, sink, receivedText} = setUp();
     const expected = generateAnswerTokens(makeWords(40), 7, 20);
     engine.submit(createRequest({delivered: expected.slice(0, 5)}), sink);
     await clock.advance(5000);
-    assert.equal(text(), expected.slice(5).join(''));
+    assert.equal(receivedText(), expected.slice(5).join(''));
     assert.equal(events.at(-1)?.type, 'end');
   });
 
@@ -55,9 +55,9 @@
     await clock.advance(5000);
     engine.submit(createRequest({attempt: 'a2', prompt: makeWords(90)}), sink);
     await clock.advance(5000);
-    const starts = events.filter(event => event.type === 'start');
+    const startEvents = events.filter(event => event.type === 'start');
     assert.deepEqual(
-      starts.map(event => event.cachedTokens),
+      startEvents.map(event => event.cachedTokens),
       [0, 32],
     );
   });
@@ -68,9 +68,9 @@
     engine.submit(createRequest({attempt: 'later', urgency: 6}), sink);
     engine.submit(createRequest({attempt: 'urgent', urgency: 0}), sink);
     await clock.advance(60_000);
-    const starts = events.filter(event => event.type === 'start');
+    const startEvents = events.filter(event => event.type === 'start');
     assert.deepEqual(
-      starts.map(event => event.attempt),
+      startEvents.map(event => event.attempt),
       ['first', 'urgent', 'later'],
     );
   });
@@ -83,10 +83,10 @@
     engine.load();
     await clock.advance(100);
     engine.submit(createRequest({maxTokens: 400}), sink);
-    const attempts = () => engine.load().attempts;
-    assert.deepEqual(attempts(), []);
+    const reportedAttempts = () => engine.load().attempts;
+    assert.deepEqual(reportedAttempts(), []);
     await clock.advance(310);
-    assert.deepEqual(attempts(), ['a1']);
+    assert.deepEqual(reportedAttempts(), ['a1']);
   });
 
   it('imports an exported cache and prefills only the last token', async () => {
--- a/packages/standins/src/test/objectStore.test.ts
+++ b/packages/standins/src/test/objectStore.test.ts
@@ -160,14 +160,14 @@
     it('reads, lists and removes objects', () =>
       withScenario(async ({store, initialObject}) => {
         await store.put('thing', 'b/c d', {deep: [1]}, {type: 'any'});
-        const read = await store.get('thing', 'b/c d');
-        assert.deepEqual(read?.value, {deep: [1]});
+        const readObject = await store.get('thing', 'b/c d');
+        assert.deepEqual(readObject?.value, {deep: [1]});
         const listing = await store.list('thing');
         assert.deepEqual(listing.objects.map(object => object.name).sort(), [
           'a',
           'b/c d',
         ]);
-        assert.equal(listing.version, read?.version);
+        assert.equal(listing.version, readObject?.version);
         const {version} = initialObject;
         await store.remove('thing', 'a', {type: 'version', version});
         await store.remove('thing', 'a', {type: 'version', version});
@@ -262,20 +262,22 @@
       // from its stale list acts on records and leases that no longer exist.
       it(`delivers all changes to a watcher, interruption of the watch: ${interruption}`, () =>
         withScenario(async ({store, fixture}) => {
-          const view = new Map<string, unknown>();
+          const watchedValues = new Map<string, unknown>();
           let listCount = 0;
           const watch = store.watch('thing', {
             onDidList({objects}) {
               listCount += 1;
-              view.clear();
-              objects.forEach(object => view.set(object.name, object.value));
+              watchedValues.clear();
+              objects.forEach(object =>
+                watchedValues.set(object.name, object.value),
+              );
             },
-            onDidPut: object => view.set(object.name, object.value),
-            onDidRemove: name => view.delete(name),
+            onDidPut: object => watchedValues.set(object.name, object.value),
+            onDidRemove: name => watchedValues.delete(name),
           });
-          await waitUntil(() => view.get('a') === 'first');
+          await waitUntil(() => watchedValues.get('a') === 'first');
           await store.put('thing', 'b', 1, {type: 'absent'});
-          await waitUntil(() => view.get('b') === 1);
+          await waitUntil(() => watchedValues.get('b') === 1);
           if (interruption !== 'none') {
             fixture.faults.rejectWatches(true);
             await waitUntil(() => store.dump().watches['thing'] !== 'open');
@@ -286,8 +288,10 @@
             fixture.table.compact();
           }
           fixture.faults.rejectWatches(false);
-          await waitUntil(() => view.get('c') === 2 && !view.has('b'));
-          assert.deepEqual([...view.keys()].sort(), ['a', 'c']);
+          await waitUntil(
+            () => watchedValues.get('c') === 2 && !watchedValues.has('b'),
+          );
+          assert.deepEqual([...watchedValues.keys()].sort(), ['a', 'c']);
           assert.equal(listCount, interruption === 'cut and compacted' ? 2 : 1);
           watch.dispose();
         }));
