--- a/packages/standins/src/engine/simulatedEngine.ts
+++ b/packages/standins/src/engine/simulatedEngine.ts
@@ -59,7 +59,10 @@
   cancel(attempt: string): void;
   load(): LoadReport;
   cacheEvents(afterSequence: number): readonly CacheEvent[];
-  /** Exports the KV cache of an attempt; undefined unless it is decoding. */
+  /**
+   * Exports the KV cache of an attempt. Returns undefined unless the attempt is
+   * being decoded.
+   */
   exportCache(attempt: string): ExportedCache | undefined;
   getExport(handle: string): ExportedCache | undefined;
   /** Returns the time to fetch an export over the network, in milliseconds. */
--- a/packages/standins/src/service/serviceFaults.ts
+++ b/packages/standins/src/service/serviceFaults.ts
@@ -29,7 +29,7 @@
   aboveRunning: z.number().int().nonnegative().optional(),
   /** Fraction of the matching requests that are affected. */
   share: z.number().min(0).max(1).default(1),
-  /** Delay that `slow` adds. */
+  /** Processing time that `slow` adds to a request. */
   delayMs: z.number().nonnegative().default(1_000),
   /** HTTP status that `fail` responds with. */
   status: z.number().int().default(500),
--- a/packages/standins/src/service/serviceStandin.ts
+++ b/packages/standins/src/service/serviceStandin.ts
@@ -216,7 +216,7 @@
 
 const lagSchema = z.object({lagMs: z.number().nonnegative()});
 
-/** Called before a request is executed; true prevents the execution. */
+/** Fault handlers called before a request runs; true keeps it from running. */
 const preEffectFaultHandlers: Partial<
   Record<
     ServiceFault['type'],
@@ -234,7 +234,7 @@
   },
 };
 
-/** Called after a request is executed; true prevents the response. */
+/** Fault handlers called after a request ran; true suppresses the response. */
 const postEffectFaultHandlers: Partial<
   Record<ServiceFault['type'], (response: ServerResponse) => boolean>
 > = {
