--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -1,14 +1,15 @@
 /**
  * `capacity`: convergence of the estimated speed of engines that have no
- * configured speed, and requests in time with as many engines as the estimate,
- * the true speed, or constants of another engine call for.
+ * configured speed, and the fraction of requests in time when the number of
+ * engines is planned from the estimate, the true speed, or constants of another
+ * engine.
  */
 import {targetUtilization, type EngineEstimate} from '@skylarkfield/capacity';
 import {endpointsNeeded, workMs} from '@skylarkfield/traffic';
 import {
   ENGINE_PROFILES,
-  kindsFor,
-  promptMs,
+  requestKindsFor,
+  computePromptMs,
   type EngineProfile,
 } from './engines/profiles.js';
 import {replayEngines} from './engines/engineReplay.js';
@@ -16,18 +17,24 @@
 import type {MeasureOptions} from './measurements.js';
 
 const DEFAULT_SECONDS = 40;
-const ENGINES = 6;
-const ENTRIES = 6;
+const ENGINE_COUNT = 6;
+const ENTRY_COUNT = 6;
+/** Offered load relative to the prompt capacity of the engines. */
 const LOAD = 0.4;
+/** Allowed deviation from 1 of the ratio of estimated to true prompt time. */
 const RATIO_TOLERANCE = 0.2;
 
-/** Constants that applied to every engine before speed was estimated. */
-const FIXED_ESTIMATE = {promptTokenMs: 1 / 140, pairsMs: 0.3, use: 0.34};
+/** Constants that were used for every engine before entries estimated speed. */
+const FIXED_ESTIMATE = {
+  promptTokenMs: 1 / 140,
+  pairsMs: 0.3,
+  utilization: 0.34,
+};
 
 type PlanName = 'learned' | 'true' | 'fixed';
 
 /**
- * Measures each engine profile.
+ * Measures the estimates and the plans for each engine profile.
  *
  * @example
  * const report = await measureCapacity({seed: 1000});
@@ -38,23 +45,39 @@
   const plans = [];
   const curves: object[] = [];
   for (const profile of ENGINE_PROFILES) {
-    const learning = await measureLearning(options.seed, seconds, profile);
-    rows.push(learning.row);
-    curves.push(...learning.curve);
-    for (const [plan, engines] of Object.entries(learning.enginesNeeded)) {
-      const served = await measurePlan(options.seed, seconds, profile, engines);
-      plans.push({profile: profile.name, plan, engines, ...served});
+    const convergence = await measureConvergence(
+      options.seed,
+      seconds,
+      profile,
+    );
+    rows.push(convergence.row);
+    curves.push(...convergence.curve);
+    for (const [plan, engines] of Object.entries(convergence.enginesNeeded)) {
+      const planResult = await measurePlan(
+        options.seed,
+        seconds,
+        profile,
+        engines,
+      );
+      plans.push({profile: profile.name, plan, engines, ...planResult});
     }
   }
-  return {engines: ENGINES, entries: ENTRIES, load: LOAD, rows, plans, curves};
+  return {
+    engines: ENGINE_COUNT,
+    entries: ENTRY_COUNT,
+    load: LOAD,
+    rows,
+    plans,
+    curves,
+  };
 }
 
-async function measureLearning(
+async function measureConvergence(
   seed: number,
   seconds: number,
   profile: EngineProfile,
 ) {
-  const trueMs = usualPromptMs(profile);
+  const trueMs = meanPromptMs(profile);
   const ratios: number[] = [];
   let enginesNeeded: Record<PlanName, number> = {learned: 1, true: 1, fixed: 1};
   let usualUse = 0;
@@ -62,14 +85,14 @@
     seed,
     seconds,
     profile,
-    engines: ENGINES,
-    entries: ENTRIES,
+    engineCount: ENGINE_COUNT,
+    entryCount: ENTRY_COUNT,
     loadAt: () => LOAD,
-    refusesLate: true,
+    shouldRefuseLate: true,
     onDidElapseSecond(_, entry) {
-      const {engines} = entry;
-      ratios.push(engines.estimateFor(SERVICE).usualPromptMs / trueMs);
-      usualUse = engines.demandSignals(SERVICE).use.usual;
+      const {estimates} = entry;
+      ratios.push(estimates.estimateFor(SERVICE).usualPromptMs / trueMs);
+      usualUse = estimates.demandSignals(SERVICE).use.usual;
       enginesNeeded = computeEnginesNeeded(entry, profile);
     },
   });
@@ -90,34 +113,36 @@
   };
 }
 
-/** Returns the engines needed for the observed work by each speed estimate. */
+/** Computes the number of engines that each plan has for the observed work. */
 function computeEnginesNeeded(
-  {engines}: ReplayEntry,
+  {estimates}: ReplayEntry,
   profile: EngineProfile,
 ): Record<PlanName, number> {
-  const learned = engines.estimateFor(SERVICE);
-  const signals = engines.demandSignals(SERVICE);
+  const estimate = estimates.estimateFor(SERVICE);
+  const signals = estimates.demandSignals(SERVICE);
   const trueEstimate: EngineEstimate = {
-    ...learned,
-    promptTokenMs: profile.tokenMs,
+    ...estimate,
+    promptTokenMs: profile.promptTokenMs,
     pairsMs: profile.pairsMs,
     requestStepMs: profile.requestStepMs,
     contextStepMs: profile.contextStepMs,
-    usualPromptMs: usualPromptMs(profile),
+    usualPromptMs: meanPromptMs(profile),
   };
-  const latencyTargets = kindsFor(profile).map(({goalMs, deadlineMs}) => ({
-    goalMs,
-    timeoutMs: deadlineMs,
-  }));
-  const work = engines.workRate(SERVICE);
-  const fixedMs = workMs(work, {...learned, ...FIXED_ESTIMATE});
+  const latencyTargets = requestKindsFor(profile).map(
+    ({goalMs, deadlineMs}) => ({
+      goalMs,
+      timeoutMs: deadlineMs,
+    }),
+  );
+  const work = estimates.workRate(SERVICE);
+  const fixedWorkMs = workMs(work, {...estimate, ...FIXED_ESTIMATE});
   return {
     learned: endpointsNeeded(signals.workRate, signals.use.usual),
     true: endpointsNeeded(
       workMs(work, trueEstimate),
       targetUtilization(trueEstimate, latencyTargets).usual,
     ),
-    fixed: endpointsNeeded(fixedMs, FIXED_ESTIMATE.use),
+    fixed: endpointsNeeded(fixedWorkMs, FIXED_ESTIMATE.utilization),
   };
 }
 
@@ -125,35 +150,36 @@
   seed: number,
   seconds: number,
   profile: EngineProfile,
-  engines: number,
+  engineCount: number,
 ) {
   const outcomes = await replayEngines({
     seed,
     seconds,
     profile,
-    engines,
-    referenceEngines: ENGINES,
-    entries: ENTRIES,
+    engineCount,
+    referenceEngineCount: ENGINE_COUNT,
+    entryCount: ENTRY_COUNT,
     loadAt: () => LOAD,
-    refusesLate: true,
+    shouldRefuseLate: true,
   });
   const inTime = outcomes.filter(({result}) => result === 'in-time').length;
   return {inTime: inTime / Math.max(1, outcomes.length)};
 }
 
-/** Returns the second from which the ratio stays near one; -1 if none. */
+/** Returns the second from which all ratios are near 1; -1 if none. */
 function secondsUntilConverged(ratios: readonly number[]): number {
-  const lastOutside = ratios.findLastIndex(
+  const lastOutsideIndex = ratios.findLastIndex(
     ratio => Math.abs(ratio - 1) > RATIO_TOLERANCE,
   );
-  return lastOutside === ratios.length - 1 ? -1 : lastOutside + 2;
+  return lastOutsideIndex === ratios.length - 1 ? -1 : lastOutsideIndex + 2;
 }
 
-function usualPromptMs(profile: EngineProfile): number {
-  const kinds = kindsFor(profile);
-  const weights = kinds.reduce((sum, {weight}) => sum + weight, 0);
+function meanPromptMs(profile: EngineProfile): number {
+  const kinds = requestKindsFor(profile);
+  const totalWeight = kinds.reduce((sum, {weight}) => sum + weight, 0);
   return kinds.reduce(
-    (sum, kind) => sum + (kind.weight / weights) * promptMs(kind, profile),
+    (sum, kind) =>
+      sum + (kind.weight / totalWeight) * computePromptMs(kind, profile),
     0,
   );
 }
--- a/packages/bench/src/commandLine.ts
+++ b/packages/bench/src/commandLine.ts
@@ -6,7 +6,7 @@
 
 export interface BenchCommand {
   readonly name: string | undefined;
-  readonly isList: boolean;
+  readonly shouldList: boolean;
   readonly seed: number;
   readonly seconds: number | undefined;
   readonly outFile: string | undefined;
@@ -20,12 +20,13 @@
 const DEFAULT_SEED = 1000;
 
 /**
- * Parses the arguments; throws an error that describes an invalid one.
+ * Parses the arguments; throws an error that describes the first invalid
+ * argument.
  *
  * @example
- * const command = readCommand(process.argv.slice(2));
+ * const command = parseCommand(process.argv.slice(2));
  */
-export function readCommand(args: readonly string[]): BenchCommand {
+export function parseCommand(args: readonly string[]): BenchCommand {
   const {values, positionals} = parseArgs({
     args: [...args],
     allowPositionals: true,
@@ -43,14 +44,14 @@
   }
   return {
     name: positionals[0],
-    isList: values.list,
-    seed: readNumber('seed', values.seed) ?? DEFAULT_SEED,
-    seconds: readNumber('seconds', values.seconds),
+    shouldList: values.list,
+    seed: parseNumber('seed', values.seed) ?? DEFAULT_SEED,
+    seconds: parseNumber('seconds', values.seconds),
     outFile: values.out,
   };
 }
 
-function readNumber(
+function parseNumber(
   name: string,
   text: string | undefined,
 ): number | undefined {
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -8,50 +8,52 @@
 } from '@skylarkfield/base';
 import {answerWork, promptWork, type ModelDemand} from '@skylarkfield/traffic';
 import {
-  kindsFor,
-  promptMs,
+  requestKindsFor,
+  computePromptMs,
   type EngineProfile,
   type RequestKind,
 } from './profiles.js';
 import {createReplayEngine, type EngineRequest} from './replayEngine.js';
 import {createReplayEntry, SERVICE, type ReplayEntry} from './replayEntry.js';
 
-/** Result of a request for its caller. */
+/** Result of one request as its caller sees it. */
 export interface ReplayOutcome {
   readonly kind: string;
   readonly arrivedMs: number;
+  /** `in-time`: the first answer event met the goal of the request kind. */
   readonly result: 'in-time' | 'late' | 'refused' | 'timed-out';
-  readonly tookMs: number;
+  /** Milliseconds from the arrival until the result. */
+  readonly durationMs: number;
 }
 
 export interface EngineReplayOptions {
   readonly seed: number;
   readonly seconds: number;
   readonly profile: EngineProfile;
-  readonly engines: number;
-  /** Number of engines that a load of 1 saturates; default: `engines`. */
-  readonly referenceEngines?: number;
-  readonly entries: number;
-  /** Offered load relative to the prompt capacity of the engines. */
+  readonly engineCount: number;
+  /** Number of engines that a load of 1 saturates; default: `engineCount`. */
+  readonly referenceEngineCount?: number;
+  readonly entryCount: number;
+  /** Offered load relative to the prompt capacity of the engines, by second. */
   loadAt(second: number): number;
   /** Whether entries refuse requests that would miss their deadline. */
-  readonly refusesLate: boolean;
+  readonly shouldRefuseLate: boolean;
   /** Called with the first entry once per second of virtual time. */
   onDidElapseSecond?(second: number, entry: ReplayEntry): void;
 }
 
 const DIGEST_INTERVAL_MS = 300;
 const SECOND_MS = 1_000;
-/** Sizes are uniform from 0.5 to 1.5 times the mean. */
+/** Request sizes are uniform from 0.5 to 1.5 times the mean of their kind. */
 const MIN_SIZE_FACTOR = 0.5;
 
 /**
- * Replays one case; requests that are open at the end are not counted.
+ * Replays one run; requests that are open at its end are not counted.
  *
  * @example
  * const outcomes = await replayEngines({
- *   seed: 1, seconds: 30, profile, engines: 6, entries: 6,
- *   loadAt: () => 2, refusesLate: true,
+ *   seed: 1, seconds: 30, profile, engineCount: 6, entryCount: 6,
+ *   loadAt: () => 2, shouldRefuseLate: true,
  * });
  */
 export async function replayEngines(
@@ -60,14 +62,14 @@
   const clock = virtualClock();
   const random = seededRandom(options.seed);
   const {profile} = options;
-  const kinds = kindsFor(profile);
+  const kinds = requestKindsFor(profile);
   const engines = new Map(
-    Array.from({length: options.engines}, (_, index) => [
+    Array.from({length: options.engineCount}, (_, index) => [
       `engine-${index}`,
       createReplayEngine(clock, profile),
     ]),
   );
-  const entries = Array.from({length: options.entries}, (_, index) =>
+  const entries = Array.from({length: options.entryCount}, (_, index) =>
     createReplayEntry({
       id: `entry-${index}`,
       engineIds: [...engines.keys()],
@@ -81,20 +83,20 @@
 
   function exchangeDigests(): void {
     for (const entry of entries) {
-      const digest = entry.digest();
+      const digest = entry.createDigest();
       entries
         .filter(other => other !== entry)
         .forEach(other => other.acceptDigest(entry.id, digest));
     }
   }
 
-  function arrive(): void {
+  function handleArrival(): void {
     const kind = pickKind(kinds, random);
     const entry = entries[Math.floor(random.next() * entries.length)]!;
-    serve(kind, entry);
+    serveRequest(kind, entry);
   }
 
-  function serve(kind: RequestKind, entry: ReplayEntry): void {
+  function serveRequest(kind: RequestKind, entry: ReplayEntry): void {
     const arrivedMs = clock.now();
     const sizeFactor = MIN_SIZE_FACTOR + random.next();
     const demand = createDemand(kind, sizeFactor);
@@ -103,7 +105,7 @@
         kind: kind.name,
         arrivedMs,
         result,
-        tookMs: clock.now() - arrivedMs,
+        durationMs: clock.now() - arrivedMs,
       });
     const choice = entry.router.choose({
       service: SERVICE,
@@ -119,9 +121,13 @@
       return;
     }
     const call = createCall(kind, demand.model);
-    entry.engines.work.record(SERVICE, promptWork(demand.model));
-    const wait = entry.observer.expectedWait(call, choice, kind.deadlineMs);
-    if (options.refusesLate && wait.isTooLong) {
+    entry.estimates.work.record(SERVICE, promptWork(demand.model));
+    const expectedWait = entry.observer.expectedWait(
+      call,
+      choice,
+      kind.deadlineMs,
+    );
+    if (options.shouldRefuseLate && expectedWait.isTooLong) {
       choice.finish({outcome: 'cancelled', latencyMs: 0});
       recordOutcome('refused');
       return;
@@ -149,7 +155,7 @@
       onDidEnd() {
         timer.dispose();
         observation.recordEnd();
-        entry.engines.work.record(
+        entry.estimates.work.record(
           SERVICE,
           answerWork(demand.model, demand.answerTokens),
         );
@@ -168,10 +174,10 @@
   }
 
   const digestTimer = every(clock, DIGEST_INTERVAL_MS, exchangeDigests);
-  const fullLoadPerMs = fullLoadRate(options, kinds);
+  const saturatingRatePerMs = computeSaturatingRatePerMs(options, kinds);
   const arrivalsPerMs = () =>
-    fullLoadPerMs * options.loadAt(clock.now() / SECOND_MS);
-  scheduleArrivals(clock, random, arrivalsPerMs, arrive);
+    saturatingRatePerMs * options.loadAt(clock.now() / SECOND_MS);
+  scheduleArrivals(clock, random, arrivalsPerMs, handleArrival);
   for (let second = 1; second <= options.seconds; second++) {
     clock.advanceSync(SECOND_MS);
     options.onDidElapseSecond?.(second, entries[0]!);
@@ -187,28 +193,33 @@
 }
 
 /** Returns the requests per millisecond whose prompts saturate the engines. */
-function fullLoadRate(
-  {profile, engines, referenceEngines = engines}: EngineReplayOptions,
+function computeSaturatingRatePerMs(
+  {
+    profile,
+    engineCount,
+    referenceEngineCount = engineCount,
+  }: EngineReplayOptions,
   kinds: readonly RequestKind[],
 ): number {
-  const weights = kinds.reduce((sum, {weight}) => sum + weight, 0);
-  const meanMs = kinds.reduce(
-    (sum, kind) => sum + (kind.weight / weights) * promptMs(kind, profile),
+  const totalWeight = kinds.reduce((sum, {weight}) => sum + weight, 0);
+  const meanPromptMs = kinds.reduce(
+    (sum, kind) =>
+      sum + (kind.weight / totalWeight) * computePromptMs(kind, profile),
     0,
   );
-  return referenceEngines / meanMs;
+  return referenceEngineCount / meanPromptMs;
 }
 
 function scheduleArrivals(
   clock: Clock,
   random: Random,
   arrivalsPerMs: () => number,
-  arrive: () => void,
+  onArrival: () => void,
 ): void {
   const gapMs = -Math.log(1 - random.next()) / arrivalsPerMs();
   clock.after(gapMs, () => {
-    arrive();
-    scheduleArrivals(clock, random, arrivalsPerMs, arrive);
+    onArrival();
+    scheduleArrivals(clock, random, arrivalsPerMs, onArrival);
   });
 }
 
--- a/packages/bench/src/engines/profiles.ts
+++ b/packages/bench/src/engines/profiles.ts
@@ -5,11 +5,12 @@
   readonly name: string;
   readonly slots: number;
   /** Milliseconds per prompt token. */
-  readonly tokenMs: number;
-  /** Milliseconds per million pairs of a prompt token and a preceding one. */
+  readonly promptTokenMs: number;
+  /** Milliseconds per million attention pairs (prompt token, earlier token). */
   readonly pairsMs: number;
-  /** Base milliseconds of a step, with no request running. */
+  /** Milliseconds of a step before the cost of its requests and tokens. */
   readonly stepMs: number;
+  /** Milliseconds added to a step per running request. */
   readonly requestStepMs: number;
   /** Milliseconds added to a step per thousand tokens of running prompts. */
   readonly contextStepMs: number;
@@ -19,7 +20,7 @@
   readonly tokensPerEvent: number;
 }
 
-const defaults = {
+const profileDefaults = {
   slots: 48,
   pairsMs: 0.3,
   requestStepMs: 0.02,
@@ -28,34 +29,69 @@
   tokensPerEvent: 4,
 };
 
-/** 8 to 200 prompt tokens per ms, steps of 2 to 20 ms, 8 to 128 slots. */
+/** Cover 8 to 200 prompt tokens per ms, steps of 2 to 20 ms, 8 to 128 slots. */
 export const ENGINE_PROFILES: readonly EngineProfile[] = [
-  {...defaults, name: 'fast', tokenMs: 1 / 140, stepMs: 2.2},
-  {...defaults, name: 'fastest', tokenMs: 1 / 200, stepMs: 2, slots: 128},
-  {...defaults, name: 'dense', tokenMs: 1 / 38, pairsMs: 1.2, stepMs: 4.7},
-  {...defaults, name: 'few slots', tokenMs: 1 / 60, stepMs: 6, slots: 8},
-  {...defaults, name: 'slow steps', tokenMs: 1 / 25, stepMs: 20, slots: 96},
-  {...defaults, name: 'slow', tokenMs: 1 / 8, pairsMs: 2, stepMs: 12},
+  {...profileDefaults, name: 'fast', promptTokenMs: 1 / 140, stepMs: 2.2},
+  {
+    ...profileDefaults,
+    name: 'fastest',
+    promptTokenMs: 1 / 200,
+    stepMs: 2,
+    slots: 128,
+  },
+  {
+    ...profileDefaults,
+    name: 'dense',
+    promptTokenMs: 1 / 38,
+    pairsMs: 1.2,
+    stepMs: 4.7,
+  },
+  {
+    ...profileDefaults,
+    name: 'few slots',
+    promptTokenMs: 1 / 60,
+    stepMs: 6,
+    slots: 8,
+  },
+  {
+    ...profileDefaults,
+    name: 'slow steps',
+    promptTokenMs: 1 / 25,
+    stepMs: 20,
+    slots: 96,
+  },
+  {
+    ...profileDefaults,
+    name: 'slow',
+    promptTokenMs: 1 / 8,
+    pairsMs: 2,
+    stepMs: 12,
+  },
 ];
 
-/** Class of requests with the same size and goals. */
+/** Class of requests with the same mean size, latency goal and deadline. */
 export interface RequestKind {
   readonly name: string;
+  /** Mean prompt tokens that the engine has to compute. */
   readonly ownTokens: number;
+  /** Prompt tokens that are already in the prefix cache. */
   readonly sharedTokens: number;
   readonly answerTokens: number;
   /** Lower values are served first; 0 is the most urgent. */
   readonly urgency: number;
+  /** Target for the time until the first answer event. */
   readonly goalMs: number;
   readonly deadlineMs: number;
-  /** Relative frequency. */
+  /** Frequency relative to the weights of the other kinds. */
   readonly weight: number;
 }
 
-/** Returns kinds with goals of 15 times an engine's typical prompt time. */
-export function kindsFor(profile: EngineProfile): readonly RequestKind[] {
-  const usualMs = 1_500 * profile.tokenMs + 3 * profile.pairsMs;
-  const goalMs = Math.max(300, usualMs * 15);
+/** Latency goals are about 15 times the typical prompt time of the engine. */
+export function requestKindsFor(
+  profile: EngineProfile,
+): readonly RequestKind[] {
+  const typicalPromptMs = 1_500 * profile.promptTokenMs + 3 * profile.pairsMs;
+  const goalMs = Math.max(300, typicalPromptMs * 15);
   return [
     {
       name: 'revision',
@@ -94,9 +130,12 @@
  * Returns the milliseconds that one engine needs for a kind's prompt.
  *
  * @example
- * const ms = promptMs(kind, profile);
+ * const ms = computePromptMs(kind, profile);
  */
-export function promptMs(kind: RequestKind, profile: EngineProfile): number {
+export function computePromptMs(
+  kind: RequestKind,
+  profile: EngineProfile,
+): number {
   const pairs = (kind.ownTokens * (kind.ownTokens + kind.sharedTokens)) / 1e6;
-  return kind.ownTokens * profile.tokenMs + pairs * profile.pairsMs;
+  return kind.ownTokens * profile.promptTokenMs + pairs * profile.pairsMs;
 }
--- a/packages/bench/src/engines/replayEngine.ts
+++ b/packages/bench/src/engines/replayEngine.ts
@@ -16,15 +16,16 @@
 export interface ReplayEngine {
   submit(request: EngineRequest): void;
   cancel(request: EngineRequest): void;
-  /** Returns the milliseconds spent on cancelled requests. */
+  /** Returns the prefill milliseconds spent on requests cancelled later. */
   wastedMs(): number;
 }
 
+/** Waiting or running request with its progress. */
 interface Sequence {
   readonly request: EngineRequest;
   promptTokensLeft: number;
   generatedTokens: number;
-  spentMs: number;
+  spentPrefillMs: number;
 }
 
 /**
@@ -37,107 +38,116 @@
   clock: Clock,
   profile: EngineProfile,
 ): ReplayEngine {
-  let waiting: Sequence[] = [];
-  let running: Sequence[] = [];
+  let waitingSequences: Sequence[] = [];
+  let runningSequences: Sequence[] = [];
   let isBusy = false;
   let wastedMs = 0;
 
-  function admit(): void {
-    while (waiting.length > 0 && running.length < profile.slots) {
-      insert(running, waiting.shift()!);
+  function admitWaitingSequences(): void {
+    while (
+      waitingSequences.length > 0 &&
+      runningSequences.length < profile.slots
+    ) {
+      insertByUrgency(runningSequences, waitingSequences.shift()!);
     }
   }
 
   function decodeStepMs(): number {
-    const context = running.reduce(
+    const contextTokens = runningSequences.reduce(
       (sum, {request}) => sum + request.promptTokens,
       0,
     );
     return (
       profile.stepMs +
-      running.length * profile.requestStepMs +
-      (context / 1e3) * profile.contextStepMs
+      runningSequences.length * profile.requestStepMs +
+      (contextTokens / 1e3) * profile.contextStepMs
     );
   }
 
   function chunkPrefillMs(sequence: Sequence, tokens: number): number {
     const pairs = (tokens * sequence.request.promptTokens) / 1e6;
-    return tokens * profile.tokenMs + pairs * profile.pairsMs;
+    return tokens * profile.promptTokenMs + pairs * profile.pairsMs;
   }
 
-  function step(): void {
-    admit();
-    if (running.length === 0) {
+  function runStep(): void {
+    admitWaitingSequences();
+    if (runningSequences.length === 0) {
       isBusy = false;
       return;
     }
     isBusy = true;
-    const prefilling = running.find(
+    const prefillSequence = runningSequences.find(
       ({promptTokensLeft}) => promptTokensLeft > 0,
     );
-    const tokens = Math.min(
-      prefilling?.promptTokensLeft ?? 0,
+    const prefillTokens = Math.min(
+      prefillSequence?.promptTokensLeft ?? 0,
       profile.chunkTokens,
     );
     const prefillMs =
-      prefilling === undefined ? 0 : chunkPrefillMs(prefilling, tokens);
+      prefillSequence === undefined
+        ? 0
+        : chunkPrefillMs(prefillSequence, prefillTokens);
     clock.after(decodeStepMs() + prefillMs, () => {
-      const decoding = running.filter(
+      const decodingSequences = runningSequences.filter(
         ({promptTokensLeft}) => promptTokensLeft === 0,
       );
-      if (prefilling !== undefined) {
-        prefilling.promptTokensLeft -= tokens;
-        prefilling.spentMs += prefillMs;
+      if (prefillSequence !== undefined) {
+        prefillSequence.promptTokensLeft -= prefillTokens;
+        prefillSequence.spentPrefillMs += prefillMs;
       }
-      decoding.forEach(decode);
-      if (prefilling?.promptTokensLeft === 0) {
-        decode(prefilling);
+      decodingSequences.forEach(generateToken);
+      if (prefillSequence?.promptTokensLeft === 0) {
+        generateToken(prefillSequence);
       }
-      step();
+      runStep();
     });
   }
 
-  function decode(sequence: Sequence): void {
+  function generateToken(sequence: Sequence): void {
     const {request} = sequence;
     if (sequence.generatedTokens % profile.tokensPerEvent === 0) {
       request.onDidEvent();
     }
     sequence.generatedTokens += 1;
     if (sequence.generatedTokens >= request.answerTokens) {
-      running = running.filter(other => other !== sequence);
+      runningSequences = runningSequences.filter(other => other !== sequence);
       request.onDidEnd();
     }
   }
 
   return {
     submit(request) {
-      insert(waiting, {
+      insertByUrgency(waitingSequences, {
         request,
         promptTokensLeft: request.ownTokens,
         generatedTokens: 0,
-        spentMs: 0,
+        spentPrefillMs: 0,
       });
       if (!isBusy) {
-        step();
+        runStep();
       }
     },
     cancel(request) {
-      const cancelled = [...waiting, ...running].find(
+      const cancelledSequence = [...waitingSequences, ...runningSequences].find(
         sequence => sequence.request === request,
       );
-      wastedMs += cancelled?.spentMs ?? 0;
-      waiting = waiting.filter(sequence => sequence !== cancelled);
-      running = running.filter(sequence => sequence !== cancelled);
+      wastedMs += cancelledSequence?.spentPrefillMs ?? 0;
+      waitingSequences = waitingSequences.filter(
+        sequence => sequence !== cancelledSequence,
+      );
+      runningSequences = runningSequences.filter(
+        sequence => sequence !== cancelledSequence,
+      );
     },
     wastedMs: () => wastedMs,
   };
 }
 
-/** Inserts a sequence behind all that are at least as urgent. */
-function insert(sequences: Sequence[], sequence: Sequence): void {
+/** Inserts a sequence behind all sequences of the same or a higher urgency. */
+function insertByUrgency(sequences: Sequence[], sequence: Sequence): void {
   const {urgency} = sequence.request;
-  const lastAhead = sequences.findLastIndex(
+  const lastAheadIndex = sequences.findLastIndex(
     other => other.request.urgency <= urgency,
   );
-  sequences.splice(lastAhead + 1, 0, sequence);
+  sequences.splice(lastAheadIndex + 1, 0, sequence);
 }
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -1,4 +1,4 @@
-/** Request decisions of one entry, composed as in the gateway. */
+/** Simulated entry: routing, engine estimates and digests as in the gateway. */
 import {
   decisionLog,
   silentLogger,
@@ -18,14 +18,15 @@
 
 type Digest = Messages['digest'];
 
-/** Service of all requests. */
+/** Name of the service that all replayed requests call. */
 export const SERVICE = 'chat';
 
 const REPORTER_TIMEOUT_MS = 1_200;
 
-/** Quota window; replayed requests have no quota. */
+/** Window of the quotas; replayed requests have no quota. */
 const QUOTA_WINDOW_MS = 8_000;
 
+/** State of a mirror without records, for the digests. */
 const emptyMirror = {
   revision: 0,
   changedAt: 0,
@@ -36,9 +37,9 @@
 export interface ReplayEntry {
   readonly id: string;
   readonly router: Router;
-  readonly engines: EngineEstimates;
+  readonly estimates: EngineEstimates;
   readonly observer: EngineObserver;
-  digest(): Digest;
+  createDigest(): Digest;
   acceptDigest(peer: string, digest: Digest): void;
 }
 
@@ -66,17 +67,17 @@
     reporterTimeoutMs: REPORTER_TIMEOUT_MS,
     quotaWindowMs: QUOTA_WINDOW_MS,
   });
-  const targets = kinds.map(({goalMs, deadlineMs}) => ({
+  const latencyTargets = kinds.map(({goalMs, deadlineMs}) => ({
     goalMs,
     timeoutMs: deadlineMs,
   }));
-  const engines = createEngineEstimates({
+  const estimates = createEngineEstimates({
     clock,
     reports,
     log,
     restored: () => ({}),
     isModel: () => true,
-    latencyTargets: () => targets,
+    latencyTargets: () => latencyTargets,
   });
   const router = createRouter({
     clock,
@@ -84,7 +85,7 @@
     decisions: decisionLog(clock, log),
     failureDomain: 'a',
     self: id,
-    weightsOf: service => engines.routeWeights(service),
+    weightsOf: service => estimates.routeWeights(service),
   });
   router.setEndpoints(
     options.engineIds.map(engine => ({
@@ -97,9 +98,9 @@
     })),
   );
   const observer = createEngineObserver({
-    model: engines.model,
+    model: estimates.model,
     clock,
-    estimateFor: engines.estimateFor,
+    estimateFor: estimates.estimateFor,
     tokensPerEvent: () => profile.tokensPerEvent,
     fits: () => true,
     onDidReread() {},
@@ -107,9 +108,9 @@
   return {
     id,
     router,
-    engines,
+    estimates,
     observer,
-    digest: () => ({
+    createDigest: () => ({
       scope: 'own',
       failureDomain: 'a',
       incarnation: 1,
@@ -124,9 +125,9 @@
       entries: 1,
       used: {},
       loads: router.ownLoads(),
-      work: engines.work.rates(),
-      outcomes: engines.outcomes.counts(),
-      capacity: engines.model.stats(),
+      work: estimates.work.rates(),
+      outcomes: estimates.outcomes.counts(),
+      capacity: estimates.model.stats(),
     }),
     acceptDigest(peer, digest) {
       if (reports.accept(peer, digest) !== undefined) {
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -1,7 +1,8 @@
 /**
  * `fleet`: replays days with varying prices and waves of reclaims on a virtual
- * clock. Compares cost and time within the latency target of the host plan with
- * all hosts on demand and with the cheapest reclaimable hosts.
+ * clock. Compares the planned hosts with two baselines, on-demand hosts only
+ * and the cheapest reclaimable hosts, by cost and by time within the latency
+ * target.
  */
 import {
   decisionLog,
@@ -23,8 +24,9 @@
 
 const HOUR_MS = 3_600_000;
 const DAY_MS = 24 * HOUR_MS;
-/** Days replayed per policy, each with its own prices and waves. */
-const DAYS = 6;
+/** Days replayed per policy; every day has its own prices and waves. */
+const DAY_COUNT = 6;
+/** Interval at which the cost and the serving hosts are measured. */
 const STEP_MS = 15_000;
 const SLOTS_PER_REPLICA = 8;
 /** Slot utilization above which the latency target is missed. */
@@ -36,7 +38,7 @@
 type Planner = typeof planHosts;
 export type FleetPolicy = 'planned' | 'on-demand' | 'cheapest';
 
-/** Planning functions; the baselines run the same duty with their own. */
+/** Planning function of each policy; all policies run the same fleet duty. */
 const planners: Readonly<Record<FleetPolicy, Planner>> = {
   planned: planHosts,
   'on-demand': (demand, offers, supplies) =>
@@ -66,7 +68,7 @@
 };
 
 /**
- * Measures each policy over the same days.
+ * Measures each policy over days with the same prices and reclaim waves.
  *
  * @example
  * const report = await measureFleet({seed: 1000});
@@ -74,11 +76,11 @@
 export async function measureFleet(options: MeasureOptions) {
   const rows = [];
   for (const policy of Object.keys(planners) as FleetPolicy[]) {
-    rows.push(await runDays(policy, options.seed));
+    rows.push(await replayDays(policy, options.seed));
   }
   const [planned, onDemand, cheapest] = rows;
   return {
-    days: DAYS,
+    days: DAY_COUNT,
     rows,
     costAgainstOnDemand:
       planned!.costPerTargetHour / onDemand!.costPerTargetHour,
@@ -87,13 +89,13 @@
   };
 }
 
-async function runDays(policy: FleetPolicy, seed: number) {
+async function replayDays(policy: FleetPolicy, seed: number) {
   let cost = 0;
   let targetHours = 0;
   let hoursWithoutReplica = 0;
   let waves = 0;
-  for (let day = 0; day < DAYS; day++) {
-    const result = await runDay(policy, seed + day);
+  for (let day = 0; day < DAY_COUNT; day++) {
+    const result = await replayDay(policy, seed + day);
     cost += result.cost;
     targetHours += result.targetHours;
     hoursWithoutReplica += result.hoursWithoutReplica;
@@ -102,18 +104,18 @@
   return {
     policy,
     waves,
-    costPerDay: cost / DAYS,
-    targetHeld: targetHours / (DAYS * 24),
-    withoutAnyReplica: hoursWithoutReplica / (DAYS * 24),
+    costPerDay: cost / DAY_COUNT,
+    targetHeld: targetHours / (DAY_COUNT * 24),
+    withoutAnyReplica: hoursWithoutReplica / (DAY_COUNT * 24),
     costPerTargetHour: cost / targetHours,
   };
 }
 
-async function runDay(policy: FleetPolicy, seed: number) {
+async function replayDay(policy: FleetPolicy, seed: number) {
   const clock = virtualClock();
-  const replay = createReplayCloud(clock, seededRandom(seed));
+  const replayCloud = createReplayCloud(clock, seededRandom(seed));
   const duty = createFleetDuty({
-    cloud: replay.cloud,
+    cloud: replayCloud.cloud,
     clock,
     random: seededRandom(seed + 1),
     decisions: decisionLog(clock, silentLogger()),
@@ -127,7 +129,7 @@
     services: () => [service],
     reports: () =>
       createLoadReports(
-        replay.serving().length,
+        replayCloud.servingHosts().length,
         concurrentRequestsAt(clock.now()),
       ),
     plan: planners[policy],
@@ -138,10 +140,10 @@
   let targetHours = 0;
   let hoursWithoutReplica = 0;
   const stepHours = STEP_MS / HOUR_MS;
-  for (let elapsed = 0; elapsed < DAY_MS; elapsed += STEP_MS) {
+  for (let elapsedMs = 0; elapsedMs < DAY_MS; elapsedMs += STEP_MS) {
     await clock.advance(STEP_MS);
-    cost += replay.pricePerHour() * stepHours;
-    const slots = replay.serving().length * SLOTS_PER_REPLICA;
+    cost += replayCloud.pricePerHour() * stepHours;
+    const slots = replayCloud.servingHosts().length * SLOTS_PER_REPLICA;
     if (concurrentRequestsAt(clock.now()) <= slots * TARGET_UTILIZATION) {
       targetHours += stepHours;
     }
@@ -150,10 +152,15 @@
     }
   }
   duty.dispose();
-  return {cost, targetHours, hoursWithoutReplica, waves: replay.waves()};
+  return {
+    cost,
+    targetHours,
+    hoursWithoutReplica,
+    waves: replayCloud.waveCount(),
+  };
 }
 
-/** Returns the load of a sinusoidal day with its minimum at midnight. */
+/** Returns the requests in flight on a sinusoidal day, lowest at midnight. */
 function concurrentRequestsAt(nowMs: number): number {
   const angle = (2 * Math.PI * nowMs) / DAY_MS;
   const dailyFraction = (1 - Math.cos(angle)) / 2;
@@ -174,13 +181,13 @@
   }));
 }
 
-/** Plans the needed replicas on the cheapest reclaimable offer. */
+/** Plans all replicas on the cheapest reclaimable offer. */
 function planCheapestHosts(
   demand: Demand,
   offers: readonly Offer[],
   supplies: Parameters<Planner>[2],
 ): HostPlan {
-  const best = offers
+  const cheapestOffer = offers
     .filter(offer => offer.market === 'reclaimable')
     .filter(
       offer =>
@@ -192,7 +199,7 @@
     )
     .sort((a, b) => a.pricePerHour - b.pricePerHour)[0];
   const count = Math.max(demand.replicas, demand.minReplicas);
-  if (best === undefined) {
+  if (cheapestOffer === undefined) {
     return {
       wanted: [],
       costPerHour: 0,
@@ -200,7 +207,7 @@
       shortfall: 'all failure domains refuse reclaimable hosts',
     };
   }
-  const {failureDomain, machineClass, market, pricePerHour} = best;
+  const {failureDomain, machineClass, market, pricePerHour} = cheapestOffer;
   return {
     wanted: [
       {service: demand.service, failureDomain, machineClass, market, count},
--- a/packages/bench/src/fleet/replayCloud.ts
+++ b/packages/bench/src/fleet/replayCloud.ts
@@ -11,10 +11,11 @@
 const HOUR_MS = 60 * MINUTE_MS;
 /** Time from the start of a host until its replica has loaded its weights. */
 const HOST_START_MS = 3 * MINUTE_MS;
+/** Time from the reclaim notice of a host until the host is gone. */
 const NOTICE_MS = 30_000;
-/** Mean time between waves; each reclaims one or two failure domains. */
+/** Mean time between waves; a wave reclaims one or two failure domains. */
 const WAVE_INTERVAL_MS = 4 * HOUR_MS;
-const SECOND_DOMAIN_CHANCE = 0.25;
+const SECOND_DOMAIN_PROBABILITY = 0.25;
 /** Time for which a failure domain refuses reclaimable starts after a wave. */
 const REFUSAL_MS = 40 * MINUTE_MS;
 const PRICE_INTERVAL_MS = 30 * MINUTE_MS;
@@ -25,10 +26,10 @@
 export interface ReplayCloud {
   readonly cloud: Cloud;
   /** Returns the hosts that have finished starting and are not gone. */
-  serving(): readonly Host[];
-  /** Returns the cost per hour of all present hosts. */
+  servingHosts(): readonly Host[];
+  /** Returns the total price per hour of all hosts, starting hosts included. */
   pricePerHour(): number;
-  waves(): number;
+  waveCount(): number;
 }
 
 interface ReplayHost {
@@ -37,8 +38,8 @@
 }
 
 /**
- * Creates a cloud on the given clock. Waves and prices depend only on `random`,
- * so that every policy gets the same waves and prices.
+ * Creates a cloud on the given clock. Reclaim waves and prices depend only on
+ * `random`, so that they are the same for every policy.
  *
  * @example
  * const replay = createReplayCloud(clock, seededRandom(1000));
@@ -49,22 +50,29 @@
 ): ReplayCloud {
   const hosts = new Map<string, ReplayHost>();
   const prices = new Map(DOMAINS.map(domain => [domain, drawInitialPrice()]));
-  const refusedUntil = new Map<string, number>();
+  const refusedUntilMs = new Map<string, number>();
   let notify: (notice: ReclaimNotice) => void = () => {};
-  let started = 0;
+  let startedCount = 0;
   let waveCount = 0;
   scheduleWave();
   schedulePriceChange();
 
   const cloud: Cloud = {
     offers: async () => DOMAINS.flatMap(offersOf),
-    hosts: async () => present().map(item => item.host),
+    hosts: async () => presentHosts().map(item => item.host),
     async start(request) {
-      const until = refusedUntil.get(request.failureDomain) ?? 0;
-      if (request.market === 'reclaimable' && clock.now() < until) {
-        throw new ServingError('overloaded', 'no reclaimable capacity');
+      const untilMs = refusedUntilMs.get(request.failureDomain) ?? 0;
+      if (request.market === 'reclaimable' && clock.now() < untilMs) {
+        throw new ServingError(
+          'overloaded',
+          'failure domain has no reclaimable capacity',
+        );
       }
-      const host: Host = {...request, id: `h${started++}`, state: 'running'};
+      const host: Host = {
+        ...request,
+        id: `h${startedCount++}`,
+        state: 'running',
+      };
       hosts.set(host.id, {host, servesFromMs: clock.now() + HOST_START_MS});
       return host;
     },
@@ -79,16 +87,16 @@
 
   return {
     cloud,
-    serving: () =>
-      present()
+    servingHosts: () =>
+      presentHosts()
         .filter(item => item.servesFromMs <= clock.now())
         .map(item => item.host),
     pricePerHour: () =>
-      present().reduce((sum, item) => sum + priceOf(item.host), 0),
-    waves: () => waveCount,
+      presentHosts().reduce((sum, item) => sum + priceOf(item.host), 0),
+    waveCount: () => waveCount,
   };
 
-  function present(): ReplayHost[] {
+  function presentHosts(): ReplayHost[] {
     return [...hosts.values()];
   }
 
@@ -97,14 +105,14 @@
   }
 
   function offersOf(failureDomain: string): Offer[] {
-    const shared = {failureDomain, machineClass: REPLAY_MACHINE_CLASS};
+    const commonFields = {failureDomain, machineClass: REPLAY_MACHINE_CLASS};
     return [
       {
-        ...shared,
+        ...commonFields,
         market: 'reclaimable',
         pricePerHour: prices.get(failureDomain)!,
       },
-      {...shared, market: 'on-demand', pricePerHour: ON_DEMAND_PRICE},
+      {...commonFields, market: 'on-demand', pricePerHour: ON_DEMAND_PRICE},
     ];
   }
 
@@ -117,8 +125,8 @@
   function schedulePriceChange(): void {
     clock.after(PRICE_INTERVAL_MS, () => {
       for (const domain of DOMAINS) {
-        const drift = 0.9 + random.next() * 0.2;
-        const price = prices.get(domain)! * drift;
+        const driftFactor = 0.9 + random.next() * 0.2;
+        const price = prices.get(domain)! * driftFactor;
         prices.set(domain, Math.min(2.5, Math.max(0.5, price)));
       }
       schedulePriceChange();
@@ -128,19 +136,19 @@
   function scheduleWave(): void {
     clock.after(random.exponential(WAVE_INTERVAL_MS), () => {
       waveCount += 1;
-      const first = random.integer(0, DOMAINS.length - 1);
-      reclaim(DOMAINS[first]!);
-      if (random.chance(SECOND_DOMAIN_CHANCE)) {
-        reclaim(DOMAINS[(first + 1) % DOMAINS.length]!);
+      const firstIndex = random.integer(0, DOMAINS.length - 1);
+      reclaimDomain(DOMAINS[firstIndex]!);
+      if (random.chance(SECOND_DOMAIN_PROBABILITY)) {
+        reclaimDomain(DOMAINS[(firstIndex + 1) % DOMAINS.length]!);
       }
       scheduleWave();
     });
   }
 
-  function reclaim(domain: string): void {
-    refusedUntil.set(domain, clock.now() + REFUSAL_MS);
+  function reclaimDomain(domain: string): void {
+    refusedUntilMs.set(domain, clock.now() + REFUSAL_MS);
     const goneAt = clock.wall() + NOTICE_MS;
-    for (const item of present()) {
+    for (const item of presentHosts()) {
       const {host} = item;
       if (host.failureDomain !== domain || host.market !== 'reclaimable') {
         continue;
--- a/packages/bench/src/isolation.ts
+++ b/packages/bench/src/isolation.ts
@@ -1,7 +1,8 @@
 /**
- * `isolation`: one of three services hangs, slows, fails or is flooded.
- * Compares the other two with an undisturbed run of the same arrivals, for the
- * admission package and for one pool shared by all services.
+ * `isolation`: one of three services hangs, slows down, fails or is flooded.
+ * Compares the two other services with a run of the same arrivals without a
+ * disturbance, for the admission package and for one pool shared by all
+ * services.
  */
 import type {MeasureOptions} from './measurements.js';
 import type {GateType} from './replay/gates.js';
@@ -19,10 +20,15 @@
 const TIMEOUT_MS = 2000;
 const FLOOD_FACTOR = 20;
 const FAULTY_SERVICE = 'roster';
-const GATES: readonly GateType[] = ['shared-fifo', 'aimd'];
+const GATE_TYPES: readonly GateType[] = ['shared-fifo', 'aimd'];
 
-type Trouble = Exclude<ServiceFault, 'none'> | 'flooded';
-const TROUBLES: readonly Trouble[] = ['hung', 'slow', 'failing', 'flooded'];
+type Disturbance = Exclude<ServiceFault, 'none'> | 'flooded';
+const DISTURBANCES: readonly Disturbance[] = [
+  'hung',
+  'slow',
+  'failing',
+  'flooded',
+];
 
 /** Each service has a utilization of about two thirds. */
 const SERVICES = [
@@ -32,8 +38,8 @@
 ];
 
 const URGENCIES = [
-  {urgency: 1, part: 0.2},
-  {urgency: 3, part: 0.8},
+  {urgency: 1, weight: 0.2},
+  {urgency: 3, weight: 0.8},
 ];
 
 /**
@@ -45,29 +51,29 @@
 export async function measureIsolation(options: MeasureOptions) {
   const seconds = options.seconds ?? DEFAULT_SECONDS;
   const rows = [];
-  for (const gate of GATES) {
+  for (const gate of GATE_TYPES) {
     const baselineFigures = await runCase(
       options.seed,
       seconds,
       gate,
       undefined,
     );
-    for (const trouble of TROUBLES) {
+    for (const disturbance of DISTURBANCES) {
       const disturbedFigures = await runCase(
         options.seed,
         seconds,
         gate,
-        trouble,
+        disturbance,
       );
-      for (const [index, disturbed] of disturbedFigures.entries()) {
+      for (const [index, disturbedService] of disturbedFigures.entries()) {
         const baseline = baselineFigures[index] as ServiceFigures;
         rows.push({
           gate,
-          trouble,
-          service: disturbed.service,
-          p95Ms: disturbed.p95Ms,
-          p95Ratio: disturbed.p95Ms / baseline.p95Ms,
-          success: disturbed.success,
+          trouble: disturbance,
+          service: disturbedService.service,
+          p95Ms: disturbedService.p95Ms,
+          p95Ratio: disturbedService.p95Ms / baseline.p95Ms,
+          success: disturbedService.success,
           successUndisturbed: baseline.success,
         });
       }
@@ -85,22 +91,22 @@
 function summarize(
   rows: readonly {gate: GateType; p95Ratio: number; success: number}[],
 ) {
-  return GATES.map(gate => {
-    const own = rows.filter(row => row.gate === gate);
+  return GATE_TYPES.map(gate => {
+    const gateRows = rows.filter(row => row.gate === gate);
     return {
       gate,
-      worstP95Ratio: Math.max(...own.map(({p95Ratio}) => p95Ratio)),
-      worstSuccess: Math.min(...own.map(({success}) => success)),
+      worstP95Ratio: Math.max(...gateRows.map(({p95Ratio}) => p95Ratio)),
+      worstSuccess: Math.min(...gateRows.map(({success}) => success)),
     };
   });
 }
 
-/** Returns the figures of the other two services during the disturbance. */
+/** Runs one case; returns the figures of the two undisturbed services. */
 async function runCase(
   seed: number,
   seconds: number,
   gate: GateType,
-  trouble: Trouble | undefined,
+  disturbance: Disturbance | undefined,
 ): Promise<ServiceFigures[]> {
   const faultEndMs = seconds * 1000 * FAULT_END_FRACTION;
   function isDuringFault(nowMs: number): boolean {
@@ -124,7 +130,9 @@
       service: name,
       perSecond,
       rateFactor: nowMs =>
-        trouble === 'flooded' && name === FAULTY_SERVICE && isDuringFault(nowMs)
+        disturbance === 'flooded' &&
+        name === FAULTY_SERVICE &&
+        isDuringFault(nowMs)
           ? FLOOD_FACTOR
           : 1,
       timeoutMs: TIMEOUT_MS,
@@ -132,25 +140,29 @@
       urgencies: URGENCIES,
     })),
     scheduleFaults(clock, services) {
-      if (trouble === undefined || trouble === 'flooded') {
+      if (disturbance === undefined || disturbance === 'flooded') {
         return;
       }
       const faultyService = services.get(FAULTY_SERVICE);
-      clock.after(FAULT_START_MS, () => faultyService?.setFault(trouble));
+      clock.after(FAULT_START_MS, () => faultyService?.setFault(disturbance));
       clock.after(faultEndMs, () => faultyService?.setFault('none'));
     },
   });
-  const counted = outcomes.filter(({arrivedMs}) => isDuringFault(arrivedMs));
+  const countedOutcomes = outcomes.filter(({arrivedMs}) =>
+    isDuringFault(arrivedMs),
+  );
   return SERVICES.filter(({name}) => name !== FAULTY_SERVICE).map(({name}) => {
-    const own = counted.filter(({service}) => service === name);
-    const ok = own.filter(({result}) => result === 'ok');
+    const serviceOutcomes = countedOutcomes.filter(
+      ({service}) => service === name,
+    );
+    const okOutcomes = serviceOutcomes.filter(({result}) => result === 'ok');
     return {
       service: name,
       p95Ms: quantile(
-        ok.map(({latencyMs}) => latencyMs),
+        okOutcomes.map(({latencyMs}) => latencyMs),
         0.95,
       ),
-      success: ok.length / own.length,
+      success: okOutcomes.length / serviceOutcomes.length,
     };
   });
 }
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,7 +1,7 @@
 /** Runs one measurement; prints its report as tables and as a JSON line. */
 import {writeFileSync} from 'node:fs';
 import {performance} from 'node:perf_hooks';
-import {readCommand, USAGE, type BenchCommand} from './commandLine.js';
+import {parseCommand, USAGE, type BenchCommand} from './commandLine.js';
 import {loadMeasurement, measurements} from './measurements.js';
 import {renderTable} from './table.js';
 
@@ -24,12 +24,12 @@
     return EXIT_FAILED;
   }
   const {seed, seconds} = command;
-  const start = performance.now();
+  const startMs = performance.now();
   const result = await loaded.measure({
     seed,
     ...(seconds === undefined ? {} : {seconds}),
   });
-  const tookSeconds = Math.round(performance.now() - start) / 1000;
+  const tookSeconds = Math.round(performance.now() - startMs) / 1000;
   const report = {measurement: name, seed, tookSeconds, ...result};
   console.log(renderTable(report));
   const json = JSON.stringify(report);
@@ -43,13 +43,13 @@
 async function main(): Promise<number> {
   let command: BenchCommand;
   try {
-    command = readCommand(process.argv.slice(2));
+    command = parseCommand(process.argv.slice(2));
   } catch (error) {
     console.error(error instanceof Error ? error.message : String(error));
     console.error(USAGE);
     return EXIT_USAGE;
   }
-  if (command.isList) {
+  if (command.shouldList) {
     console.log(listMeasurements());
     return 0;
   }
--- a/packages/bench/src/measurements.ts
+++ b/packages/bench/src/measurements.ts
@@ -3,7 +3,7 @@
 export interface MeasureOptions {
   /** Seed of every random number of the run. */
   readonly seed: number;
-  /** Length of the run; the default depends on the measurement. */
+  /** Length of the run in seconds; the default depends on the measurement. */
   readonly seconds?: number;
 }
 
@@ -25,14 +25,13 @@
   | 'shedding';
 
 interface Measurement {
-  /** Path of the module relative to this one, imported on demand. */
+  /** Path of the module relative to this file; imported when it is loaded. */
   readonly module: string;
   /** Name of the measuring function that the module exports. */
   readonly exportName: string;
   readonly description: string;
 }
 
-/** All measurements by name. */
 export const measurements: Readonly<Record<MeasurementName, Measurement>> = {
   overhead: {
     module: './overhead.js',
@@ -141,6 +140,6 @@
 
 /** Excludes missing dependencies of the module, which are real errors. */
 function isMissingModule(error: unknown, url: string): boolean {
-  const {code, url: missing} = error as {code?: string; url?: string};
-  return code === 'ERR_MODULE_NOT_FOUND' && missing === url;
+  const {code, url: missingUrl} = error as {code?: string; url?: string};
+  return code === 'ERR_MODULE_NOT_FOUND' && missingUrl === url;
 }
--- a/packages/bench/src/moves.ts
+++ b/packages/bench/src/moves.ts
@@ -15,21 +15,21 @@
 import {drawTick} from './replay/moveTraffic.js';
 import {
   drawVersion,
-  kinds,
-  mixes,
+  versionKinds,
+  trafficMixes,
   type TrafficMix,
   type Version,
 } from './replay/versions.js';
 import {quantile} from './replay/admissionReplay.js';
 
 /** Number of versions drawn for each of the four traffic mixes. */
-const DEFAULT_VERSIONS = 130;
+const DEFAULT_VERSIONS_PER_MIX = 130;
 
-/** Approximate versions evaluated per second, to convert `--seconds`. */
+/** Approximate versions judged per second; converts `--seconds` to versions. */
 const VERSIONS_PER_SECOND = 14;
 const HOUR_MS = 3_600_000;
 
-/** Interval at which a move is evaluated, by traffic mix. */
+/** Interval at which a move is evaluated, by name of the traffic mix. */
 const TICK_MS: Readonly<Record<string, number>> = {
   namu: 10_000,
   sahakarana: 15_000,
@@ -39,14 +39,18 @@
 
 const WALL_START_MS = 1_800_000_000_000;
 
+/** Result of the rollout of one version. */
 interface Verdict {
   readonly mix: string;
   readonly version: Version;
+  /** Whether the move ended with all traffic on the new version. */
   readonly isFinished: boolean;
+  /** Requests to the new version on routes on which its fault is active. */
   readonly badRequests: number;
   readonly why: string;
 }
 
+/** `ours`: the move controller; `canary`: the canary with fixed thresholds. */
 type JudgeName = 'ours' | 'canary';
 
 const judges: Readonly<
@@ -57,7 +61,7 @@
 > = {ours: judgeWithMoveController, canary: judgeWithCanary};
 
 /**
- * Measures both rollout methods on the same versions.
+ * Measures the move controller and the canary on the same versions.
  *
  * @example
  * const report = await measureMoves({seed: 1000});
@@ -65,17 +69,19 @@
 export async function measureMoves(options: MeasureOptions) {
   const versionsPerMix =
     options.seconds === undefined
-      ? DEFAULT_VERSIONS
-      : Math.ceil((options.seconds * VERSIONS_PER_SECOND) / mixes.length);
+      ? DEFAULT_VERSIONS_PER_MIX
+      : Math.ceil(
+          (options.seconds * VERSIONS_PER_SECOND) / trafficMixes.length,
+        );
   const verdicts: Record<JudgeName, Verdict[]> = {ours: [], canary: []};
-  for (const mix of mixes) {
+  for (const mix of trafficMixes) {
     const random = seededRandom(options.seed);
     for (let index = 0; index < versionsPerMix; index++) {
       const kind = pickKind(index);
       const version = drawVersion(kind, mix, random);
       const seed = options.seed * 100_003 + index;
-      for (const type of ['ours', 'canary'] as const) {
-        verdicts[type].push(judges[type](mix, version, seed));
+      for (const judge of ['ours', 'canary'] as const) {
+        verdicts[judge].push(judges[judge](mix, version, seed));
       }
     }
     // Lets the process handle signals during a long run.
@@ -95,9 +101,11 @@
   };
 }
 
-/** Cycles through the kinds by weight, so that every run has all of them. */
+/** Cycles through the kinds by weight, so that a run includes every kind. */
 function pickKind(index: number) {
-  const weightedKinds = kinds.flatMap(({kind, part}) => Array(part).fill(kind));
+  const weightedKinds = versionKinds.flatMap(({kind, weight}) =>
+    Array(weight).fill(kind),
+  );
   // The weights sum to 100; a step coprime to 100 visits every item.
   return weightedKinds[(index * 37) % weightedKinds.length];
 }
@@ -107,24 +115,25 @@
   return [
     {
       name: 'both users',
-      own: verdicts.filter(({mix}) => userMixes.includes(mix)),
+      mixVerdicts: verdicts.filter(({mix}) => userMixes.includes(mix)),
     },
-    ...mixes.map(({name}) => ({
+    ...trafficMixes.map(({name}) => ({
       name,
-      own: verdicts.filter(({mix}) => mix === name),
+      mixVerdicts: verdicts.filter(({mix}) => mix === name),
     })),
-  ].map(({name, own}) => {
-    const good = own.filter(({version}) => !version.isBad);
-    const bad = own.filter(({version}) => version.isBad);
-    const badRequestCounts = bad.map(({badRequests}) => badRequests);
+  ].map(({name, mixVerdicts}) => {
+    const goodVerdicts = mixVerdicts.filter(({version}) => !version.isBad);
+    const badVerdicts = mixVerdicts.filter(({version}) => version.isBad);
+    const badRequestCounts = badVerdicts.map(({badRequests}) => badRequests);
     return {
       judge,
       mix: name,
-      good: good.length,
-      goodMovedIn: fractionOf(good, ({isFinished}) => isFinished),
-      falseAlarms: good.filter(({why}) => why.includes('incumbent')).length,
-      bad: bad.length,
-      badTakenBack: fractionOf(bad, ({isFinished}) => !isFinished),
+      good: goodVerdicts.length,
+      goodMovedIn: fractionOf(goodVerdicts, ({isFinished}) => isFinished),
+      falseAlarms: goodVerdicts.filter(({why}) => why.includes('incumbent'))
+        .length,
+      bad: badVerdicts.length,
+      badTakenBack: fractionOf(badVerdicts, ({isFinished}) => !isFinished),
       badServedMedian: quantile(badRequestCounts, 0.5),
       badServedP95: quantile(badRequestCounts, 0.95),
     };
@@ -132,18 +141,18 @@
 }
 
 function summarizeByKind(judge: JudgeName, verdicts: readonly Verdict[]) {
-  return kinds.map(({kind}) => {
-    const own = verdicts.filter(({version}) => version.kind === kind);
+  return versionKinds.map(({kind}) => {
+    const kindVerdicts = verdicts.filter(({version}) => version.kind === kind);
     return {
       judge,
       kind,
-      versions: own.length,
+      versions: kindVerdicts.length,
       judgedRight: fractionOf(
-        own,
+        kindVerdicts,
         ({isFinished, version}) => isFinished !== version.isBad,
       ),
       servedMedian: quantile(
-        own.map(({badRequests}) => badRequests),
+        kindVerdicts.map(({badRequests}) => badRequests),
         0.5,
       ),
     };
@@ -181,7 +190,7 @@
   const decisions = decisionLog(clock, silentLogger());
   const controller = createMoveController({clock, decisions});
   const random = seededRandom(seed);
-  const durationMs = mix.hours * HOUR_MS;
+  const durationMs = mix.moveHours * HOUR_MS;
   const tickMs = TICK_MS[mix.name] as number;
   const move: Move = {
     name: 'move',
@@ -220,7 +229,7 @@
 ): Verdict {
   const canary = createCanary();
   const random = seededRandom(seed);
-  const durationMs = mix.hours * HOUR_MS;
+  const durationMs = mix.moveHours * HOUR_MS;
   const tickMs = TICK_MS[mix.name] as number;
   let badRequests = 0;
   for (let elapsedMs = 0; elapsedMs <= durationMs; elapsedMs += tickMs) {
@@ -238,7 +247,7 @@
       random,
     );
     badRequests += tick.badRequests;
-    canary.add(tick.sums);
+    canary.addEvidence(tick.sums);
   }
   const isFinished = !canary.isRolledBack();
   const why = isFinished ? '' : 'worse than the incumbent';
--- a/packages/bench/src/orderHandOver.ts
+++ b/packages/bench/src/orderHandOver.ts
@@ -1,14 +1,14 @@
-/** Compares order hand-over in the ledger and over the inner protocol. */
+/** Compares handing over orders in the ledger and over the inner protocol. */
 import {seededRandom, sleep, type Clock} from '@skylarkfield/base';
 import {createMemoryPlatform} from '@skylarkfield/providers';
 import {startLedgers, type LedgerFleet} from './orderLedgers.js';
 
-const ENTRIES = 3;
-const ORDERS = 100;
+const ENTRY_COUNT = 3;
+const ORDER_COUNT = 100;
 const BODY_BYTES = [1_024, 8_192];
 const PLATFORM_DELAY_MS = 4;
 const TIMEOUT_MS = 30_000;
-/** Delay before dispatch, so that no order is sent before the hand-over. */
+/** Delay before dispatch, so that orders still wait at the hand-over. */
 const DISPATCH_DELAY_MS = 1_000;
 const LEDGER_KIND = 'ledger';
 
@@ -17,15 +17,16 @@
   readonly bodyBytes: number;
   readonly orders: number;
   readonly answered: number;
-  /** Time from the start of leaving until the shards are released. */
+  /** Milliseconds from the call of `leave` until the shards are released. */
   readonly leaveMs: number;
-  /** Size of the largest ledger object during the hand-over. */
+  /** Size of the largest ledger object written during the run. */
   readonly ledgerBytes: number;
+  /** Bytes sent between entries during the hand-over. */
   readonly innerBytes: number;
 }
 
 /**
- * Measures both ways of hand-over with several order sizes.
+ * Measures both ways of hand-over for several sizes of order bodies.
  *
  * @example
  * const results = await measureHandOver(systemClock(), 1);
@@ -65,7 +66,7 @@
     clock,
     random,
     platform,
-    entries: ENTRIES,
+    entryCount: ENTRY_COUNT,
     dispatch: async (_service, _call, signal, begin) => {
       await sleep(clock, dispatchDelayMs, signal);
       begin();
@@ -79,22 +80,23 @@
   });
   const body = new Uint8Array(bodyBytes).fill(seed);
   await fleet.submit('warm-up', 0, TIMEOUT_MS, body);
-  const owner = findOwner(fleet);
-  const replies = Array.from({length: ORDERS}, (_, index) =>
-    fleet.submit(`key ${index}`, owner, TIMEOUT_MS, body),
+  const ownerIndex = findOwnerIndex(fleet);
+  const replies = Array.from({length: ORDER_COUNT}, (_, index) =>
+    fleet.submit(`key ${index}`, ownerIndex, TIMEOUT_MS, body),
   );
   await sleep(clock, DISPATCH_DELAY_MS / 2);
   dispatchDelayMs = 0;
   const bytesBefore = fleet.traffic().bytesSent;
-  const start = clock.now();
-  await fleet.leave(owner);
-  const leaveMs = Math.round(clock.now() - start);
-  const settled = await Promise.allSettled(replies);
+  const startMs = clock.now();
+  await fleet.leave(ownerIndex);
+  const leaveMs = Math.round(clock.now() - startMs);
+  const settledReplies = await Promise.allSettled(replies);
   const result = {
     way,
     bodyBytes,
-    orders: ORDERS,
-    answered: settled.filter(({status}) => status === 'fulfilled').length,
+    orders: ORDER_COUNT,
+    answered: settledReplies.filter(({status}) => status === 'fulfilled')
+      .length,
     leaveMs,
     ledgerBytes: maxLedgerBytes,
     innerBytes: fleet.traffic().bytesSent - bytesBefore,
@@ -104,7 +106,7 @@
 }
 
 /** Returns the index of the entry that owns the only shard. */
-function findOwner(fleet: LedgerFleet): number {
+function findOwnerIndex(fleet: LedgerFleet): number {
   return fleet.ledgers().findIndex(ledger => {
     const {shards} = ledger.dump() as {shards: Array<{state: string}>};
     return shards[0]?.state === 'owned';
--- a/packages/bench/src/orderLedgers.ts
+++ b/packages/bench/src/orderLedgers.ts
@@ -13,12 +13,12 @@
 export interface LedgerFleet {
   submit(
     key: string,
-    entry: number,
+    entryIndex: number,
     timeoutMs: number,
     body?: Uint8Array,
   ): Promise<SubmitResult>;
-  /** Makes one entry leave; the entry accepts no new orders afterwards. */
-  leave(entry: number): Promise<void>;
+  /** Makes one entry leave the fleet; it accepts no new orders afterwards. */
+  leave(entryIndex: number): Promise<void>;
   ledgers(): readonly Ledger[];
   traffic(): NetworkTraffic;
   dispose(): void;
@@ -28,22 +28,27 @@
  * Starts one ledger per entry.
  *
  * @example
- * const fleet = startLedgers({clock, random, platform, entries: 7, dispatch});
+ * const fleet = startLedgers({
+ *   clock, random, platform, entryCount: 7, dispatch,
+ * });
  */
 export function startLedgers(options: {
   readonly clock: Clock;
   readonly random: Random;
   readonly platform: MemoryPlatform;
-  readonly entries: number;
+  readonly entryCount: number;
   readonly dispatch: Dispatch;
   readonly settings?: Partial<LedgerSettings>;
 }): LedgerFleet {
   const {clock, random, platform} = options;
   const network = createMemoryNetwork({clock, random, delayMs: 0.5});
-  const ids = Array.from({length: options.entries}, (_, index) => `e${index}`);
-  const leaving = new Set<string>();
-  const peers = ids.map(id => ({id, peer: network.start(id)}));
-  const addresses = ids.map(id => ({
+  const entryIds = Array.from(
+    {length: options.entryCount},
+    (_, index) => `e${index}`,
+  );
+  const leavingIds = new Set<string>();
+  const peers = entryIds.map(id => ({id, peer: network.start(id)}));
+  const addresses = entryIds.map(id => ({
     id,
     incarnation: 1,
     url: `memory://${id}`,
@@ -57,19 +62,19 @@
       clock,
       random,
       member: id,
-      liveMembers: () => ids.filter(other => !leaving.has(other)),
-      answeringMembers: () => ids,
+      liveMembers: () => entryIds.filter(other => !leavingIds.has(other)),
+      answeringMembers: () => entryIds,
       settings: options.settings,
     });
   });
 
-  function ledgerAt(entry: number): Ledger {
-    return ledgers[entry % ledgers.length] as Ledger;
+  function ledgerAt(entryIndex: number): Ledger {
+    return ledgers[entryIndex % ledgers.length] as Ledger;
   }
 
   return {
-    submit: (key, entry, timeoutMs, body = new Uint8Array(200)) =>
-      ledgerAt(entry).submit(
+    submit: (key, entryIndex, timeoutMs, body = new Uint8Array(200)) =>
+      ledgerAt(entryIndex).submit(
         {
           customer: 'chain',
           service: 'ordering',
@@ -80,9 +85,9 @@
         },
         new AbortController().signal,
       ),
-    leave(entry) {
-      leaving.add(ids[entry] ?? '');
-      return ledgerAt(entry).leave();
+    leave(entryIndex) {
+      leavingIds.add(entryIds[entryIndex] ?? '');
+      return ledgerAt(entryIndex).leave();
     },
     ledgers: () => ledgers,
     traffic: () => network.totalTraffic(),
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -1,8 +1,8 @@
 /**
  * `orders`: added latency and platform writes per second of the order ledger as
- * orders grow, compared with one platform object per order, and two ways of
- * handing over waiting orders. Entries and platform run in this process on the
- * real clock, with a simulated platform delay.
+ * the order rate grows, compared with one platform object per order, and two
+ * ways of handing over waiting orders. Entries and platform run in this process
+ * on the real clock, with a simulated platform delay.
  */
 import {
   seededRandom,
@@ -20,20 +20,20 @@
 import {startLedgers, type LedgerFleet} from './orderLedgers.js';
 import type {MeasureOptions} from './measurements.js';
 
-/** Orders per second at 1x. */
-const BASE_RATE = 5;
-const FACTORS = [1, 10, 100];
+/** Orders per second at a rate factor of 1. */
+const BASE_ORDERS_PER_SECOND = 5;
+const RATE_FACTORS = [1, 10, 100];
 /** Minimum write intervals of a shard, compared at the highest order rate. */
 const MIN_WRITE_INTERVALS_MS = [20, 40, 80];
-const ENTRIES = 7;
-/** Duration of one platform call. */
+const ENTRY_COUNT = 7;
+/** Simulated duration of one platform call. */
 const PLATFORM_DELAY_MS = 4;
 /** Simulated service time, subtracted from the measured latency. */
 const SERVICE_MS = 10;
 const DEFAULT_SECONDS = 36;
 const TIMEOUT_MS = 10_000;
 
-type Submit = (key: string, entry: number) => Promise<unknown>;
+type Submit = (key: string, entryIndex: number) => Promise<unknown>;
 
 interface RateResult {
   readonly ordersPerSecond: number;
@@ -53,49 +53,56 @@
  */
 export async function measureOrders(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
-  // The clock's timers are unreferenced; no socket keeps the process alive.
+  // Keeps the process alive: timers of the clock are unreferenced, and no
+  // socket is open.
   const keepAliveTimer = setInterval(() => undefined, 1_000);
   try {
-    return await measure(clock, options);
+    return await measureAll(clock, options);
   } finally {
     clearInterval(keepAliveTimer);
   }
 }
 
-async function measure(clock: Clock, options: MeasureOptions): Promise<object> {
+async function measureAll(
+  clock: Clock,
+  options: MeasureOptions,
+): Promise<object> {
   const seconds = options.seconds ?? DEFAULT_SECONDS;
-  const runs = 2 * FACTORS.length + MIN_WRITE_INTERVALS_MS.length;
-  const runSeconds = seconds / runs;
+  const runCount = 2 * RATE_FACTORS.length + MIN_WRITE_INTERVALS_MS.length;
+  const runSeconds = seconds / runCount;
   const ledger: RateResult[] = [];
   const objectPerOrder: RateResult[] = [];
-  for (const factor of FACTORS) {
+  for (const factor of RATE_FACTORS) {
     const random = seededRandom(options.seed + factor);
-    const rate = BASE_RATE * factor;
+    const rate = BASE_ORDERS_PER_SECOND * factor;
     ledger.push(await measureLedger(clock, random, rate, runSeconds, {}));
     objectPerOrder.push(await measureBaseline(clock, random, rate, runSeconds));
   }
   const gaps: object[] = [];
   for (const writeGapMs of MIN_WRITE_INTERVALS_MS) {
     const random = seededRandom(options.seed);
-    const rate = BASE_RATE * (FACTORS.at(-1) ?? 1);
+    const rate = BASE_ORDERS_PER_SECOND * (RATE_FACTORS.at(-1) ?? 1);
     const result = await measureLedger(clock, random, rate, runSeconds, {
       minWriteIntervalMs: writeGapMs,
     });
     gaps.push({writeGapMs, ...result});
   }
   return {
-    entries: ENTRIES,
+    entries: ENTRY_COUNT,
     platformDelayMs: PLATFORM_DELAY_MS,
     ledger,
     objectPerOrder,
     gaps,
-    writesRatioAtMost: ratio(ledger.at(-1), objectPerOrder.at(-1)),
+    writesRatioAtMost: computeWriteRatio(ledger.at(-1), objectPerOrder.at(-1)),
     handOver: await measureHandOver(clock, options.seed),
   };
 }
 
-function ratio(numerator?: RateResult, denominator?: RateResult): number {
-  return round(
+function computeWriteRatio(
+  numerator?: RateResult,
+  denominator?: RateResult,
+): number {
+  return roundToHundredths(
     (numerator?.writesPerSecond ?? 0) / (denominator?.writesPerSecond ?? 1),
   );
 }
@@ -112,7 +119,7 @@
     clock,
     random,
     platform,
-    entries: ENTRIES,
+    entryCount: ENTRY_COUNT,
     settings,
     dispatch: async (_service, _call, signal, begin) => {
       begin();
@@ -120,7 +127,8 @@
       return {status: 201, headers: {}, body: new Uint8Array(200)};
     },
   });
-  const submit: Submit = (key, entry) => fleet.submit(key, entry, TIMEOUT_MS);
+  const submit: Submit = (key, entryIndex) =>
+    fleet.submit(key, entryIndex, TIMEOUT_MS);
   try {
     await warmUp(submit);
     return await offerOrders(clock, random, platform, submit, rate, seconds);
@@ -137,12 +145,12 @@
   seconds: number,
 ): Promise<RateResult> {
   const platform = createDelayedPlatform(clock, random);
-  const clients = Array.from({length: ENTRIES}, (_, index) =>
+  const clients = Array.from({length: ENTRY_COUNT}, (_, index) =>
     platform.client(`e${index}`),
   );
-  const submit: Submit = async (key, entry) => {
-    const store = clients[entry % clients.length];
-    const claim = await store?.put(
+  const submit: Submit = async (key, entryIndex) => {
+    const store = clients[entryIndex % clients.length];
+    const claimedObject = await store?.put(
       'order',
       key,
       {state: 'claimed'},
@@ -151,11 +159,11 @@
       },
     );
     await sleep(clock, SERVICE_MS);
-    const settled = {state: 'settled', status: 201, body: 'x'.repeat(200)};
-    const version = claim?.version ?? 0;
+    const settledOrder = {state: 'settled', status: 201, body: 'x'.repeat(200)};
+    const version = claimedObject?.version ?? 0;
     // As in the ledger, the caller does not wait until the reply is stored.
     void store
-      ?.put('order', key, settled, {type: 'version', version})
+      ?.put('order', key, settledOrder, {type: 'version', version})
       .catch(() => undefined);
   };
   try {
@@ -177,6 +185,7 @@
   await Promise.all(keys.map((key, index) => submit(key, index)));
 }
 
+/** Sends orders at random intervals, on average `rate` orders per second. */
 async function offerOrders(
   clock: Clock,
   random: Random,
@@ -186,44 +195,48 @@
   seconds: number,
 ): Promise<RateResult> {
   const addedLatenciesMs: number[] = [];
-  const pending: Array<Promise<void>> = [];
-  const before = platform.callCounts();
-  const start = clock.now();
+  const openOrders: Array<Promise<void>> = [];
+  const callsBefore = platform.callCounts();
+  const startMs = clock.now();
   let refused = 0;
-  let dueAt = start;
-  let count = 0;
-  while (dueAt < start + seconds * 1_000) {
-    dueAt += random.exponential(1_000 / rate);
-    if (dueAt > clock.now()) {
-      await sleep(clock, dueAt - clock.now());
+  let dueMs = startMs;
+  let orderCount = 0;
+  while (dueMs < startMs + seconds * 1_000) {
+    dueMs += random.exponential(1_000 / rate);
+    if (dueMs > clock.now()) {
+      await sleep(clock, dueMs - clock.now());
     }
-    const sentAt = clock.now();
-    const sent = submit(`key ${count}`, count).then(
-      () => void addedLatenciesMs.push(clock.now() - sentAt - SERVICE_MS),
+    const sentMs = clock.now();
+    const openOrder = submit(`key ${orderCount}`, orderCount).then(
+      () => void addedLatenciesMs.push(clock.now() - sentMs - SERVICE_MS),
       () => void (refused += 1),
     );
-    pending.push(sent);
-    count += 1;
+    openOrders.push(openOrder);
+    orderCount += 1;
   }
-  await Promise.all(pending);
-  const elapsedSeconds = (clock.now() - start) / 1_000;
-  const after = platform.callCounts();
+  await Promise.all(openOrders);
+  const elapsedSeconds = (clock.now() - startMs) / 1_000;
+  const callsAfter = platform.callCounts();
   addedLatenciesMs.sort((a, b) => a - b);
   return {
     ordersPerSecond: rate,
-    orders: count,
+    orders: orderCount,
     refused,
-    addedP50Ms: round(quantile(addedLatenciesMs, 0.5)),
-    addedP95Ms: round(quantile(addedLatenciesMs, 0.95)),
-    writesPerSecond: round((after.writes - before.writes) / elapsedSeconds),
-    readsPerSecond: round((after.reads - before.reads) / elapsedSeconds),
+    addedP50Ms: roundToHundredths(quantileOfSorted(addedLatenciesMs, 0.5)),
+    addedP95Ms: roundToHundredths(quantileOfSorted(addedLatenciesMs, 0.95)),
+    writesPerSecond: roundToHundredths(
+      (callsAfter.writes - callsBefore.writes) / elapsedSeconds,
+    ),
+    readsPerSecond: roundToHundredths(
+      (callsAfter.reads - callsBefore.reads) / elapsedSeconds,
+    ),
   };
 }
 
-function quantile(sorted: readonly number[], fraction: number): number {
+function quantileOfSorted(sorted: readonly number[], fraction: number): number {
   return sorted[Math.floor(sorted.length * fraction)] ?? 0;
 }
 
-function round(value: number): number {
+function roundToHundredths(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -16,7 +16,7 @@
 import {waitUntilServing} from './processes/waitUntilServing.js';
 
 const DEFAULT_SECONDS = 20;
-/** Calls in flight while throughput is measured. */
+/** Concurrent calls while throughput is measured. */
 const CONCURRENCY = 64;
 const WARM_UP_CALLS = 500;
 const MICROSECONDS_PER_MS = 1000;
@@ -24,7 +24,7 @@
 const SERVICE = 'booking';
 const HEADERS = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
 
-/** Destination of calls. */
+/** Destination of measured calls: the endpoint directly, or the entry. */
 interface Target {
   readonly name: 'direct' | 'entry';
   readonly pool: Pool;
@@ -32,7 +32,7 @@
 }
 
 /**
- * Measures latency and throughput on a trial fleet.
+ * Measures the latency and throughput of an entry of a trial fleet.
  *
  * @example
  * const report = await measureOverhead({seed: 1000});
@@ -53,41 +53,41 @@
     settings: {log: {level: 'warn'}},
   });
   try {
-    return await measure(fleet, seconds * 1000);
+    return await measureTargets(fleet, seconds * 1000);
   } finally {
     await fleet.dispose();
   }
 }
 
-async function measure(fleet: TrialFleet, runMs: number) {
+async function measureTargets(fleet: TrialFleet, runMs: number) {
   await fleet.store.put('service', SERVICE, serviceRecord, {type: 'any'});
   const entryUrl = await waitUntilServing(fleet, [SERVICE]);
   const endpointUrl = fleet.endpoints.get('b1')?.ready['url'] ?? '';
-  const direct = createTarget('direct', endpointUrl, '/availability');
-  const entry = createTarget(
+  const directTarget = createTarget('direct', endpointUrl, '/availability');
+  const entryTarget = createTarget(
     'entry',
     entryUrl,
     `/services/${SERVICE}/availability`,
   );
-  const targets = [direct, entry];
+  const targets = [directTarget, entryTarget];
   try {
-    for (const each of targets) {
-      await callRepeatedly(each, WARM_UP_CALLS);
+    for (const target of targets) {
+      await callRepeatedly(target, WARM_UP_CALLS);
     }
     const latencies = await measureLatencies(targets, runMs / 2);
     const throughput = await measureThroughput(
-      entry,
+      entryTarget,
       fleet.entries[0]!,
       runMs / 2,
     );
-    const medians = latencies.map(each => each.p50Ms);
+    const medians = latencies.map(latency => latency.p50Ms);
     return {
       rows: latencies,
       addedMedianMs: (medians[1] ?? 0) - (medians[0] ?? 0),
       ...throughput,
     };
   } finally {
-    await Promise.all(targets.map(each => each.pool.close()));
+    await Promise.all(targets.map(target => target.pool.close()));
   }
 }
 
@@ -95,19 +95,19 @@
   return {name, pool: new Pool(url, {connections: CONCURRENCY}), path};
 }
 
-/** Calls the targets alternately, so that both see the same machine load. */
+/** Calls the targets in turn, so that the machine load is the same for all. */
 async function measureLatencies(targets: readonly Target[], runMs: number) {
   const histograms = targets.map(() => buildHistogram());
-  const endAt = performance.now() + runMs;
-  while (performance.now() < endAt) {
-    for (const [index, each] of targets.entries()) {
-      await callOnce(each, histograms[index]);
+  const endMs = performance.now() + runMs;
+  while (performance.now() < endMs) {
+    for (const [index, target] of targets.entries()) {
+      await callOnce(target, histograms[index]);
     }
   }
-  return targets.map((each, index) => {
+  return targets.map((target, index) => {
     const histogram = histograms[index] as Histogram;
     return {
-      target: each.name,
+      target: target.name,
       calls: histogram.totalCount,
       p50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
       p95Ms: histogram.getValueAtPercentile(95) / MICROSECONDS_PER_MS,
@@ -117,38 +117,41 @@
 
 /** Makes concurrent calls and measures the processor time of the entry. */
 async function measureThroughput(
-  entry: Target,
+  entryTarget: Target,
   entryProcess: TrialProcess,
   runMs: number,
 ) {
-  const cpuBefore = await readCpuSeconds(entryProcess);
-  const startedAt = performance.now();
-  const endAt = startedAt + runMs;
-  let calls = 0;
+  const cpuBefore = await fetchCpuSeconds(entryProcess);
+  const startMs = performance.now();
+  const endMs = startMs + runMs;
+  let callCount = 0;
   async function callUntilEnd(): Promise<void> {
-    while (performance.now() < endAt) {
-      await callOnce(entry);
-      calls += 1;
+    while (performance.now() < endMs) {
+      await callOnce(entryTarget);
+      callCount += 1;
     }
   }
   await Promise.all(Array.from({length: CONCURRENCY}, callUntilEnd));
-  const seconds = (performance.now() - startedAt) / 1000;
-  const cpuSeconds = (await readCpuSeconds(entryProcess)) - cpuBefore;
+  const seconds = (performance.now() - startMs) / 1000;
+  const cpuSeconds = (await fetchCpuSeconds(entryProcess)) - cpuBefore;
   return {
-    callsPerSecond: calls / seconds,
-    callsPerCoreSecond: calls / cpuSeconds,
+    callsPerSecond: callCount / seconds,
+    callsPerCoreSecond: callCount / cpuSeconds,
     coresUsed: cpuSeconds / seconds,
   };
 }
 
-async function callRepeatedly(target: Target, times: number): Promise<void> {
-  for (let call = 0; call < times; call++) {
+async function callRepeatedly(
+  target: Target,
+  callCount: number,
+): Promise<void> {
+  for (let call = 0; call < callCount; call++) {
     await callOnce(target);
   }
 }
 
 async function callOnce(target: Target, histogram?: Histogram): Promise<void> {
-  const startedAt = performance.now();
+  const startMs = performance.now();
   const reply = await target.pool.request({
     method: 'GET',
     path: target.path,
@@ -156,15 +159,17 @@
   });
   const text = await reply.body.text();
   if (reply.statusCode !== 200) {
-    throw new Error(`${target.name}: ${reply.statusCode} ${text}`);
+    throw new Error(
+      `${target.name} call failed with ${reply.statusCode}: ${text}`,
+    );
   }
-  const elapsed = performance.now() - startedAt;
+  const elapsedMs = performance.now() - startMs;
   histogram?.recordValue(
-    Math.max(1, Math.round(elapsed * MICROSECONDS_PER_MS)),
+    Math.max(1, Math.round(elapsedMs * MICROSECONDS_PER_MS)),
   );
 }
 
-async function readCpuSeconds(trialProcess: TrialProcess): Promise<number> {
+async function fetchCpuSeconds(trialProcess: TrialProcess): Promise<number> {
   const response = await fetch(`${trialProcess.ready['admin']}/dump`, {
     headers: {authorization: `Bearer ${TRIAL_ADMIN_KEY}`},
   });
--- a/packages/bench/src/overload.ts
+++ b/packages/bench/src/overload.ts
@@ -1,8 +1,8 @@
 /**
- * `overload`: one service at 1, 2 and 5 times its capacity, with load uneven
- * over the entries. Compares the limit policies of the admission package with
- * each other and with a FIFO pool, also while the record and the load reports
- * state four times the real capacity.
+ * `overload`: one service at 1, 2 and 5 times its capacity, with the load
+ * uneven over the entries. Compares the limit policies of the admission package
+ * with each other and with a FIFO pool. One more case per gate, at twice the
+ * capacity, has a record and load reports that state four times the capacity.
  */
 import type {MeasureOptions} from './measurements.js';
 import type {GateType} from './replay/gates.js';
@@ -22,8 +22,9 @@
 const OVERSTATEMENT_FACTOR = 4;
 const TIMEOUT_MS = 1000;
 const CAPACITY_PER_SECOND = (SLOTS * 1000) / MEAN_SERVICE_MS;
+/** Offered loads relative to the capacity of the service. */
 const LOADS = [1, 2, 5];
-const GATES: readonly GateType[] = [
+const GATE_TYPES: readonly GateType[] = [
   'service-fifo',
   'fixed',
   'aimd',
@@ -32,19 +33,22 @@
 
 /** At 5 times the capacity, urgency 1 alone needs half of the capacity. */
 const URGENCIES = [
-  {urgency: 1, part: 0.1},
-  {urgency: 3, part: 0.5},
-  {urgency: 5, part: 0.4},
+  {urgency: 1, weight: 0.1},
+  {urgency: 3, weight: 0.5},
+  {urgency: 5, weight: 0.4},
 ];
 
-const record = createServiceRecord('match', {
+const serviceRecord = createServiceRecord('match', {
   concurrency: SLOTS,
   queue: 100,
   targetMs: 250,
   timeoutMs: TIMEOUT_MS,
 });
 
-const overstatedRecord = {...record, concurrency: SLOTS * OVERSTATEMENT_FACTOR};
+const overstatedRecord = {
+  ...serviceRecord,
+  concurrency: SLOTS * OVERSTATEMENT_FACTOR,
+};
 
 /**
  * Measures each gate at each load.
@@ -55,7 +59,7 @@
 export async function measureOverload(options: MeasureOptions) {
   const seconds = options.seconds ?? DEFAULT_SECONDS;
   const rows = [];
-  for (const gate of GATES) {
+  for (const gate of GATE_TYPES) {
     for (const load of LOADS) {
       rows.push(await runCase(options.seed, seconds, gate, load, false));
     }
@@ -71,17 +75,19 @@
 
 type Row = Awaited<ReturnType<typeof runCase>>;
 
-/** Summarizes targets at 5 times the capacity: urgency 1, and all goodput. */
+/** Summarizes results at 5 times the capacity: urgency 1, and all goodput. */
 function summarize(rows: readonly Row[]) {
-  return GATES.map(gate => {
-    const own = rows.filter(row => row.gate === gate && !row.isOverstated);
-    const peak = Math.max(...own.map(row => row.goodputPerSecond));
-    const highestLoad = own.find(row => row.load === Math.max(...LOADS)) as Row;
+  return GATE_TYPES.map(gate => {
+    const gateRows = rows.filter(row => row.gate === gate && !row.isOverstated);
+    const peakGoodput = Math.max(...gateRows.map(row => row.goodputPerSecond));
+    const highestLoadRow = gateRows.find(
+      row => row.load === Math.max(...LOADS),
+    ) as Row;
     return {
       gate,
-      mostImportantInTimeAt5x: highestLoad.inTimeUrgency1,
-      totalGoodputAt5xOfPeak: highestLoad.goodputPerSecond / peak,
-      wastedWorkAt5x: highestLoad.wastedWork,
+      mostImportantInTimeAt5x: highestLoadRow.inTimeUrgency1,
+      totalGoodputAt5xOfPeak: highestLoadRow.goodputPerSecond / peakGoodput,
+      wastedWorkAt5x: highestLoadRow.wastedWork,
     };
   });
 }
@@ -99,7 +105,7 @@
     gate,
     services: [
       {
-        record: isOverstated ? overstatedRecord : record,
+        record: isOverstated ? overstatedRecord : serviceRecord,
         slots: SLOTS,
         reportedSlots: isOverstated ? SLOTS * OVERSTATEMENT_FACTOR : SLOTS,
         meanMs: MEAN_SERVICE_MS,
@@ -107,7 +113,7 @@
     ],
     streams: [
       {
-        service: record.name,
+        service: serviceRecord.name,
         perSecond: CAPACITY_PER_SECOND * load,
         rateFactor: () => 1,
         timeoutMs: TIMEOUT_MS,
@@ -123,29 +129,40 @@
   {outcomes, services}: AdmissionReplayResult,
   seconds: number,
 ) {
-  const counted = outcomes.filter(({arrivedMs}) => arrivedMs >= WARM_UP_MS);
-  const ok = counted.filter(({result}) => result === 'ok');
-  const refused = counted.filter(({result}) => result === 'refused');
-  const work = services.get(record.name)?.work();
+  const countedOutcomes = outcomes.filter(
+    ({arrivedMs}) => arrivedMs >= WARM_UP_MS,
+  );
+  const okOutcomes = countedOutcomes.filter(({result}) => result === 'ok');
+  const refusedOutcomes = countedOutcomes.filter(
+    ({result}) => result === 'refused',
+  );
+  const work = services.get(serviceRecord.name)?.work();
   return {
-    goodputPerSecond: ok.length / (seconds - WARM_UP_MS / 1000),
-    inTimeUrgency1: inTimeFraction(counted, 1),
-    inTimeUrgency3: inTimeFraction(counted, 3),
-    inTimeUrgency5: inTimeFraction(counted, 5),
+    goodputPerSecond: okOutcomes.length / (seconds - WARM_UP_MS / 1000),
+    inTimeUrgency1: inTimeFraction(countedOutcomes, 1),
+    inTimeUrgency3: inTimeFraction(countedOutcomes, 3),
+    inTimeUrgency5: inTimeFraction(countedOutcomes, 5),
     p95Urgency1Ms: quantile(
-      ok.filter(({urgency}) => urgency === 1).map(({latencyMs}) => latencyMs),
+      okOutcomes
+        .filter(({urgency}) => urgency === 1)
+        .map(({latencyMs}) => latencyMs),
       0.95,
     ),
-    late: counted.filter(({result}) => result === 'late').length,
+    late: countedOutcomes.filter(({result}) => result === 'late').length,
     refusedAtOnce:
-      refused.filter(({latencyMs}) => latencyMs === 0).length /
-      Math.max(1, refused.length),
+      refusedOutcomes.filter(({latencyMs}) => latencyMs === 0).length /
+      Math.max(1, refusedOutcomes.length),
     wastedWork:
       work === undefined ? 0 : work.wastedMs / Math.max(1, work.doneMs),
   };
 }
 
 function inTimeFraction(outcomes: readonly Outcome[], urgency: number): number {
-  const own = outcomes.filter(outcome => outcome.urgency === urgency);
-  return own.filter(({result}) => result === 'ok').length / own.length;
+  const outcomesOfUrgency = outcomes.filter(
+    outcome => outcome.urgency === urgency,
+  );
+  return (
+    outcomesOfUrgency.filter(({result}) => result === 'ok').length /
+    outcomesOfUrgency.length
+  );
 }
--- a/packages/bench/src/processes/childProcess.ts
+++ b/packages/bench/src/processes/childProcess.ts
@@ -10,24 +10,24 @@
 /** Number of last lines of standard error kept for error messages. */
 const MAX_LOG_LINES = 200;
 
-/** Environment variable: binary to run instead of the compiled command line. */
+/** Environment variable: path of a binary that replaces `COMMAND_LINE`. */
 const BINARY_VARIABLE = 'SKYLARKFIELD_BINARY';
 const COMMAND_LINE = fileURLToPath(
   new URL('../../../cli/out/main.js', import.meta.url),
 );
 
-/** JSON line that a process prints when it listens. */
+/** JSON line that a process prints to standard output when it listens. */
 export type ReadyLine = Readonly<Record<string, string>>;
 
 export interface TrialProcess {
   readonly name: string;
   readonly pid: number;
   readonly ready: ReadyLine;
-  /** Last lines of its standard error. */
+  /** Returns the last lines that the process wrote to standard error. */
   logLines(): readonly string[];
   /** Sends SIGSTOP: the process is suspended and keeps its sockets. */
   pause(): void;
-  /** Sends SIGCONT. */
+  /** Sends SIGCONT: the suspended process continues. */
   resume(): void;
   /** Sends SIGTERM and resolves with the exit code. */
   stop(): Promise<number | null>;
@@ -37,8 +37,9 @@
 }
 
 /**
- * Starts `skylarkfield ARGUMENTS` and waits until it listens.
- * Throws an error with the last lines of its standard error if it does not.
+ * Starts `skylarkfield ARGUMENTS` and waits until the process listens. If it
+ * does not listen in time, throws an error with the last lines of its standard
+ * error.
  *
  * @example
  * const platform = await startProcess('platform', ['standin', 'platform']);
@@ -53,34 +54,34 @@
     binary === undefined ? [COMMAND_LINE, ...args] : [...args],
     {stdio: ['ignore', 'pipe', 'pipe']},
   );
-  const lines: string[] = [];
+  const logLines: string[] = [];
   createInterface({input: child.stderr}).on('line', line => {
-    lines.push(line);
-    if (lines.length > MAX_LOG_LINES) {
-      lines.shift();
+    logLines.push(line);
+    if (logLines.length > MAX_LOG_LINES) {
+      logLines.shift();
     }
   });
-  const ended = new Promise<number | null>(resolve => {
+  const exitCodePromise = new Promise<number | null>(resolve => {
     child.once('exit', code => resolve(code));
   });
-  const ready = await waitForReady(name, child, lines);
+  const ready = await waitForReady(name, child, logLines);
   return {
     name,
     pid: child.pid ?? 0,
     ready,
-    logLines: () => lines,
+    logLines: () => logLines,
     pause: () => void child.kill('SIGSTOP'),
     resume: () => void child.kill('SIGCONT'),
     async stop() {
       child.kill('SIGTERM');
       const timer = setTimeout(() => child.kill('SIGKILL'), STOP_TIMEOUT_MS);
-      const code = await ended;
+      const code = await exitCodePromise;
       clearTimeout(timer);
       return code;
     },
     async kill() {
       child.kill('SIGKILL');
-      await ended;
+      await exitCodePromise;
     },
     hasEnded: () => child.exitCode !== null || child.signalCode !== null,
   };
@@ -89,7 +90,7 @@
 function waitForReady(
   name: string,
   child: ChildProcess,
-  lines: readonly string[],
+  logLines: readonly string[],
 ): Promise<ReadyLine> {
   return new Promise((resolve, reject) => {
     const output = createInterface({input: child.stdout as never});
@@ -107,7 +108,7 @@
     function fail(reason: string) {
       clearTimeout(timer);
       child.kill('SIGKILL');
-      reject(new Error(`${name} ${reason}:\n${lines.join('\n')}`));
+      reject(new Error(`${name} ${reason}:\n${logLines.join('\n')}`));
     }
   });
 }
--- a/packages/bench/src/processes/servingFleet.ts
+++ b/packages/bench/src/processes/servingFleet.ts
@@ -14,7 +14,8 @@
 }
 
 /**
- * Starts the fleet and waits until every entry serves both services.
+ * Starts the fleet and waits until every entry serves the model and the plain
+ * service.
  *
  * @example
  * const {fleet, urls} = await startServingFleet({lingerMs: 0});
--- a/packages/bench/src/processes/trialCalls.ts
+++ b/packages/bench/src/processes/trialCalls.ts
@@ -1,4 +1,4 @@
-/** Caller requests to a trial fleet, with their records and endpoints. */
+/** Calls to a trial fleet, with the records and endpoints that they need. */
 import type {TrialEndpoint, TrialFleet} from './trialFleet.js';
 import {TRIAL_CUSTOMER_KEY} from './trialFleet.js';
 
@@ -79,25 +79,25 @@
   readonly text: string;
   /** Whether the stream ended with `[DONE]`. */
   readonly isComplete: boolean;
-  /** Data of an error event, if there was one. */
+  /** Data of the error event; undefined if the stream has none. */
   readonly error: string | undefined;
   readonly usage: Readonly<Record<string, number>> | undefined;
 }
 
 /**
- * Streams one chat answer to its end; calls `onToken` with the token count so
- * far.
+ * Streams one chat answer to its end; calls `onToken` with the number of tokens
+ * received so far.
  *
  * @example
  * const answer = await streamChat(entry, 'match this oak', 40);
  */
 export async function streamChat(
-  entry: string,
+  entryUrl: string,
   content: string,
   maxTokens: number,
   onToken: (count: number) => void = () => {},
 ): Promise<StreamedAnswer> {
-  const response = await fetch(`${entry}/v1/chat/completions`, {
+  const response = await fetch(`${entryUrl}/v1/chat/completions`, {
     method: 'POST',
     headers: trialHeaders,
     body: JSON.stringify({
@@ -108,16 +108,16 @@
     }),
   });
   let received = '';
-  let seen = 0;
+  let reportedCount = 0;
   for await (const chunk of response.body ?? []) {
     received += Buffer.from(chunk as Uint8Array).toString('utf8');
     const count = received.split('"content":').length - 1;
-    if (count > seen) {
-      seen = count;
+    if (count > reportedCount) {
+      reportedCount = count;
       onToken(count);
     }
   }
-  return readStream(response.status, received);
+  return parseStream(response.status, received);
 }
 
 interface Chunk {
@@ -125,7 +125,7 @@
   readonly usage?: Readonly<Record<string, number>>;
 }
 
-function readStream(status: number, received: string): StreamedAnswer {
+function parseStream(status: number, received: string): StreamedAnswer {
   const lines = received.split('\n');
   const chunks = lines
     .filter(line => line.startsWith('data: {"id"'))
@@ -144,6 +144,7 @@
 export interface OrderReply {
   readonly status: number;
   readonly text: string;
+  /** Field `run` of an error reply, such as `not-run`; undefined if absent. */
   readonly run: string | undefined;
 }
 
@@ -154,10 +155,10 @@
  * const reply = await sendOrder(entry, 'shift-17');
  */
 export async function sendOrder(
-  entry: string,
+  entryUrl: string,
   key: string,
 ): Promise<OrderReply> {
-  const response = await fetch(`${entry}/services/booking/bookings`, {
+  const response = await fetch(`${entryUrl}/services/booking/bookings`, {
     method: 'POST',
     headers: {...trialHeaders, 'idempotency-key': key},
     body: JSON.stringify({shift: key}),
@@ -168,12 +169,13 @@
 }
 
 /**
- * Returns how often each key has run, summed over the given endpoints.
+ * Returns how often the order with each idempotency key has run, summed over
+ * the given endpoints.
  *
  * @example
- * (await runsByKey(fleet, ['b1', 'b2'])).get('shift-17'); // 1
+ * (await fetchRunsByKey(fleet, ['b1', 'b2'])).get('shift-17'); // 1
  */
-export async function runsByKey(
+export async function fetchRunsByKey(
   fleet: TrialFleet,
   endpoints: readonly string[],
 ): Promise<ReadonlyMap<string, number>> {
--- a/packages/bench/src/processes/trialFleet.ts
+++ b/packages/bench/src/processes/trialFleet.ts
@@ -26,7 +26,7 @@
   /** Failure domain of each entry to start. */
   readonly entryDomains: readonly string[];
   readonly endpoints: readonly TrialEndpoint[];
-  /** Merged into each entry's settings. */
+  /** Settings of every entry that override the defaults of the trial fleet. */
   readonly settings?: Readonly<Record<string, unknown>>;
 }
 
@@ -49,12 +49,12 @@
     body?: unknown,
     method?: string,
   ): Promise<unknown>;
-  /** Kills every started process, in whatever state it is. */
+  /** Kills every started process, also if paused, and deletes the settings. */
   dispose(): Promise<void>;
 }
 
 /**
- * Starts a fleet; kills the started processes when one fails to start.
+ * Starts a fleet; if one process fails to start, kills the started processes.
  *
  * @example
  * const fleet = await startTrialFleet({entryDomains: ['a', 'b'], endpoints});
@@ -64,18 +64,18 @@
   options: TrialFleetOptions,
 ): Promise<TrialFleet> {
   const folder = mkdtempSync(join(tmpdir(), 'skylarkfield-'));
-  const started: TrialProcess[] = [];
+  const startedProcesses: TrialProcess[] = [];
   const entries: TrialProcess[] = [];
   const endpoints = new Map<string, TrialProcess>();
 
   async function start(name: string, args: readonly string[]) {
     const child = await startProcess(name, args);
-    started.push(child);
+    startedProcesses.push(child);
     return child;
   }
 
   async function dispose(): Promise<void> {
-    await Promise.all(started.map(child => child.kill()));
+    await Promise.all(startedProcesses.map(child => child.kill()));
     rmSync(folder, {recursive: true, force: true});
   }
 
@@ -117,8 +117,11 @@
       settings: Readonly<Record<string, unknown>> = {},
     ) {
       const path = join(folder, `${id}.json`);
-      const content = {...entrySettings(id, failureDomain), ...settings};
-      writeFileSync(path, JSON.stringify(content));
+      const mergedSettings = {
+        ...createEntrySettings(id, failureDomain),
+        ...settings,
+      };
+      writeFileSync(path, JSON.stringify(mergedSettings));
       const entry = await start(id, ['entry', '--settings', path]);
       entries.push(entry);
       return entry;
@@ -139,15 +142,15 @@
       return child;
     }
 
-    function entrySettings(id: string, failureDomain: string) {
-      const listen = {host: '127.0.0.1', port: 0};
+    function createEntrySettings(id: string, failureDomain: string) {
+      const listenAddress = {host: '127.0.0.1', port: 0};
       return {
         id,
         failureDomain,
         region: 'trial',
-        callers: listen,
-        inner: listen,
-        admin: listen,
+        callers: listenAddress,
+        inner: listenAddress,
+        admin: listenAddress,
         platform: {url: platformUrl},
         keys: {inner: {value: INNER_KEY}, admin: {value: TRIAL_ADMIN_KEY}},
         lingerMs: 200,
@@ -174,7 +177,9 @@
   });
   const text = await response.text();
   if (!response.ok) {
-    throw new Error(`control ${path}: ${response.status} ${text}`);
+    throw new Error(
+      `control request ${path} failed with ${response.status}: ${text}`,
+    );
   }
   return text === '' ? undefined : JSON.parse(text);
 }
--- a/packages/bench/src/processes/waitUntilServing.ts
+++ b/packages/bench/src/processes/waitUntilServing.ts
@@ -1,16 +1,16 @@
-/** Polls until a trial fleet serves. */
+/** Waits for conditions of a trial fleet by polling. */
 import {TRIAL_CUSTOMER_KEY, type TrialFleet} from './trialFleet.js';
 
 /** Interval at which a condition is checked. */
 const POLL_MS = 50;
-/** Time after which an unmet condition is a failure. */
+/** Time after which waiting for a condition fails. */
 const CONDITION_TIMEOUT_MS = 30_000;
 
 /**
  * Waits for a condition; throws an error with its description on timeout.
  *
  * @example
- * await waitUntil('the order ran', async () => (await runs()).total === 1);
+ * await waitUntil('the order ran', async () => (await fetchRunCount()) === 1);
  */
 export async function waitUntil(
   description: string,
@@ -45,11 +45,11 @@
     .map(entry => entry.ready['callers'] ?? '');
   for (const url of urls) {
     await waitUntil(`${url} lists every entry`, async () => {
-      const answer = await get(`${url}/v1/entries`);
-      if (!answer.ok) {
+      const response = await fetchAsCustomer(`${url}/v1/entries`);
+      if (!response.ok) {
         return false;
       }
-      const body = (await answer.json()) as {entries: unknown[]};
+      const body = (await response.json()) as {entries: unknown[]};
       return body.entries.length === urls.length;
     });
     for (const service of services) {
@@ -61,25 +61,27 @@
   return urls[0] ?? '';
 }
 
-/** Probes a service as a plain service and then as a model. */
+/** Calls the service as a plain service and, if there is none, as a model. */
 async function servesService(url: string, service: string): Promise<boolean> {
-  const plain = await get(`${url}/services/${service}/health`);
-  const plainBody = await plain.text();
-  if (plain.ok) {
+  const plainResponse = await fetchAsCustomer(
+    `${url}/services/${service}/health`,
+  );
+  const plainBody = await plainResponse.text();
+  if (plainResponse.ok) {
     return true;
   }
   if (!plainBody.includes('unknown-service')) {
     return false;
   }
-  const model = await fetch(`${url}/v1/completions`, {
+  const modelResponse = await fetch(`${url}/v1/completions`, {
     method: 'POST',
     headers: {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`},
     body: JSON.stringify({model: service, prompt: 'ready', max_tokens: 1}),
   });
-  await model.text();
-  return model.ok;
+  await modelResponse.text();
+  return modelResponse.ok;
 }
 
-function get(url: string): Promise<Response> {
+function fetchAsCustomer(url: string): Promise<Response> {
   return fetch(url, {headers: {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`}});
 }
--- a/packages/bench/src/reclaim.ts
+++ b/packages/bench/src/reclaim.ts
@@ -2,7 +2,7 @@
 import type {Reclaim} from './reclaim/fleet.js';
 import {replayReclaim} from './reclaim/replay.js';
 
-const reclaims: Readonly<Record<string, Reclaim>> = {
+const reclaimsByName: Readonly<Record<string, Reclaim>> = {
   notice5s: {type: 'notice', noticeMs: 5000},
   notice1500ms: {type: 'notice', noticeMs: 1500},
   crash: {type: 'crash'},
@@ -10,8 +10,8 @@
 };
 
 /**
- * Measures each way of losing a failure domain, with the same streams for both
- * policies.
+ * Measures stream migration and plain retry, with the same streams, for each
+ * way of losing a failure domain.
  *
  * @example
  * const result = await measureReclaim({seed: 1000});
@@ -21,7 +21,7 @@
   readonly seconds?: number;
 }): Promise<object> {
   const result: Record<string, object> = {};
-  for (const [name, reclaim] of Object.entries(reclaims)) {
+  for (const [name, reclaim] of Object.entries(reclaimsByName)) {
     result[name] = {
       plain: await replayReclaim('plain', reclaim, options.seed),
       skylarkfield: await replayReclaim('skylarkfield', reclaim, options.seed),
--- a/packages/bench/src/reclaim/fleet.ts
+++ b/packages/bench/src/reclaim/fleet.ts
@@ -9,7 +9,7 @@
   type SimulatedEngine,
 } from '@skylarkfield/standins';
 
-/** Way in which a failure domain is lost. */
+/** Way in which a failure domain is lost; only `notice` is announced. */
 export type Reclaim =
   | {readonly type: 'notice'; readonly noticeMs: number}
   /** Processes exit; connections break at once. */
@@ -22,12 +22,13 @@
   readonly url: string;
   readonly engine: Engine;
   readonly simulatedEngine: SimulatedEngine;
-  readonly leaving: AbortController;
-  /** Monotonic time at which the endpoint is gone, in milliseconds. */
+  /** Aborted when the endpoint gets a reclaim notice. */
+  readonly leavingController: AbortController;
+  /** Monotonic time of the loss in milliseconds; undefined without a notice. */
   goneAt: number | undefined;
 }
 
-const REPLICAS = 8;
+const REPLICA_COUNT = 8;
 const FAILURE_DOMAINS = ['a', 'b', 'c', 'd'];
 export const RECLAIMED_DOMAIN = 'b';
 
@@ -42,13 +43,17 @@
   seed: number,
 ): FleetEndpoint[] {
   const enginesByUrl = new Map<string, SimulatedEngine>();
-  return Array.from({length: REPLICAS}, (_, index) => {
+  return Array.from({length: REPLICA_COUNT}, (_, index) => {
     const url = `model://r${index}`;
     const random = seededRandom(seed * 31 + index);
-    const leaving = new AbortController();
-    setMaxListeners(0, leaving.signal);
-    const model = createSimulatedEngine({clock, random, version: 'v1'});
-    enginesByUrl.set(url, model);
+    const leavingController = new AbortController();
+    setMaxListeners(0, leavingController.signal);
+    const simulatedEngine = createSimulatedEngine({
+      clock,
+      random,
+      version: 'v1',
+    });
+    enginesByUrl.set(url, simulatedEngine);
     return {
       candidate: {
         id: `r${index}`,
@@ -61,18 +66,19 @@
       url,
       engine: createLocalEngine({
         clock,
-        simulatedEngine: model,
+        simulatedEngine,
         resolve: source => enginesByUrl.get(source),
       }),
-      simulatedEngine: model,
-      leaving,
+      simulatedEngine,
+      leavingController,
       goneAt: undefined,
     };
   });
 }
 
 /**
- * Reclaims the failure domain, after the notice period if there is one.
+ * Reclaims `RECLAIMED_DOMAIN`: after the notice period for type `notice`, at
+ * once for all other types.
  *
  * @example
  * reclaimDomain(clock, fleet, {type: 'crash'}, markLeaving);
@@ -83,25 +89,25 @@
   reclaim: Reclaim,
   markLeaving: (endpoint: string) => void,
 ): void {
-  const reclaimed = fleet.filter(
+  const reclaimedEndpoints = fleet.filter(
     ({candidate}) => candidate.failureDomain === RECLAIMED_DOMAIN,
   );
   if (reclaim.type === 'silence') {
-    reclaimed.forEach(({simulatedEngine}) =>
+    reclaimedEndpoints.forEach(({simulatedEngine}) =>
       simulatedEngine.setFaults([{type: 'pause'}]),
     );
     return;
   }
   const noticeMs = reclaim.type === 'notice' ? reclaim.noticeMs : 0;
   if (reclaim.type === 'notice') {
-    for (const endpoint of reclaimed) {
+    for (const endpoint of reclaimedEndpoints) {
       endpoint.goneAt = clock.now() + noticeMs;
       markLeaving(endpoint.candidate.id);
-      endpoint.leaving.abort();
+      endpoint.leavingController.abort();
     }
   }
   clock.after(noticeMs, () => {
-    for (const {simulatedEngine} of reclaimed) {
+    for (const {simulatedEngine} of reclaimedEndpoints) {
       simulatedEngine.setFaults([{type: 'down'}]);
       simulatedEngine.dispose();
     }
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -29,13 +29,14 @@
   type Reclaim,
 } from './fleet.js';
 
-/** `plain` restarts an interrupted answer from its first token. */
+/** `plain` restarts an interrupted answer; `skylarkfield` continues it. */
 export type RetryPolicy = 'plain' | 'skylarkfield';
 
 export interface ReclaimFigures {
   readonly streams: number;
   /** Streams with an attempt on an engine that was reclaimed. */
   readonly affected: number;
+  /** Affected streams whose answer was delivered to its end. */
   readonly affectedCompleted: number;
   readonly otherCompleted: number;
   /** Answers that differ from the expected text; must be 0. */
@@ -56,7 +57,8 @@
   isDone: boolean;
   recomputedTokens: number;
   hasStarted: boolean;
-  engine: string;
+  /** Engine of the latest attempt. */
+  engineId: string;
 }
 
 const STREAMS_PER_SECOND = 12;
@@ -64,9 +66,10 @@
 const ARRIVALS_END_MS = 20_000;
 const RUN_MS = 60_000;
 const STEP_MS = 1000;
-const ENTRIES = 2;
+const ENTRY_COUNT = 2;
 const POLL_MS = 400;
 const MAX_PLAIN_ATTEMPTS = 6;
+/** Retries allowed per request of an entry, beyond `MIN_RETRY_BUDGET`. */
 const RETRY_BUDGET_FRACTION = 0.1;
 const MIN_RETRY_BUDGET = 10;
 const TIMEOUT_MS = 30_000;
@@ -85,12 +88,12 @@
 ): Promise<ReclaimFigures> {
   const clock = virtualClock();
   const fleet = createEngineFleet(clock, seed);
-  const byId = new Map(fleet.map(item => [item.candidate.id, item]));
-  const entries = Array.from({length: ENTRIES}, (_, index) =>
+  const endpointsById = new Map(fleet.map(item => [item.candidate.id, item]));
+  const entries = Array.from({length: ENTRY_COUNT}, (_, index) =>
     createEntry(index),
   );
   const streams: StreamState[] = [];
-  const arrivals = seededRandom(seed);
+  const arrivalRandom = seededRandom(seed);
 
   function createEntry(index: number) {
     const router = createRouter({
@@ -101,7 +104,7 @@
       self: `e${index}`,
     });
     router.setEndpoints(fleet.map(({candidate}) => candidate));
-    every(clock, POLL_MS, () => void poll(router));
+    every(clock, POLL_MS, () => void pollLoads(router));
     const maxAttempts = policy === 'plain' ? 1 : undefined;
     const runner = createStreamRunner({
       clock,
@@ -110,7 +113,7 @@
     return {router, runner, requests: 0, retries: 0};
   }
 
-  async function poll(router: Router) {
+  async function pollLoads(router: Router) {
     for (const {candidate, engine} of fleet) {
       const timeoutController = new AbortController();
       clock.after(POLL_MS, () => timeoutController.abort());
@@ -138,19 +141,20 @@
       excluded,
     });
     if (choice === undefined) {
-      throw new Error('the router found no endpoint');
+      throw new Error('the router found no usable endpoint');
     }
-    const endpoint = byId.get(choice.endpoint)!;
+    const endpoint = endpointsById.get(choice.endpoint)!;
     return {
       endpoint: choice.endpoint,
       url: endpoint.url,
       engine: countRecomputedTokens(stream, endpoint),
       cachedTokens: choice.cachedTokens,
-      // A plain retry detects a reclaim only by its broken stream.
+      // With plain retry, a stream detects a reclaim only when its connection
+      // breaks.
       leaving:
         policy === 'plain'
           ? new AbortController().signal
-          : endpoint.leaving.signal,
+          : endpoint.leavingController.signal,
       goneAt: () => endpoint.goneAt,
       onStart: cachedTokens => choice.recordStart(cachedTokens),
       onFirstToken: () => choice.recordFirstToken(),
@@ -158,7 +162,7 @@
     };
   }
 
-  /** Wraps the endpoint's engine to count recomputed tokens. */
+  /** Wraps an endpoint's engine to count recomputed tokens of a stream. */
   function countRecomputedTokens(
     stream: StreamState,
     endpoint: FleetEndpoint,
@@ -167,11 +171,11 @@
     async function* generate(
       ...[request, signal]: Parameters<Engine['generate']>
     ): AsyncGenerator<GenerationEvent> {
-      stream.engine = endpoint.candidate.id;
+      stream.engineId = endpoint.candidate.id;
       for await (const event of engine.generate(request, signal)) {
         if (event.type === 'start') {
           const total = event.promptTokens + request.delivered.length;
-          // A refused attempt computed nothing that has to be recomputed.
+          // A refused attempt has computed no tokens that could be recomputed.
           stream.recomputedTokens += stream.hasStarted
             ? total - event.cachedTokens
             : 0;
@@ -200,7 +204,7 @@
   }
 
   async function runStream(stream: StreamState) {
-    const entry = entries[streams.length % ENTRIES]!;
+    const entry = entries[streams.length % ENTRY_COUNT]!;
     entry.requests += 1;
     const maxAttempts = policy === 'plain' ? MAX_PLAIN_ATTEMPTS : 1;
     for (let attempt = 1; attempt <= maxAttempts; attempt++) {
@@ -234,16 +238,19 @@
     }
   }
 
-  function arrive() {
+  function handleArrival() {
     if (clock.now() >= ARRIVALS_END_MS) {
       return;
     }
     const id = streams.length;
     const stream: StreamState = {
       request: {
-        id: `e${id % ENTRIES}-${id}`,
-        prompt: distinctWords(`s${seed}-${id}`, arrivals.integer(600, 3000)),
-        maxTokens: arrivals.integer(100, 380),
+        id: `e${id % ENTRY_COUNT}-${id}`,
+        prompt: distinctWords(
+          `s${seed}-${id}`,
+          arrivalRandom.integer(600, 3000),
+        ),
+        maxTokens: arrivalRandom.integer(100, 380),
         urgency: 3,
         seed: id,
         firstTokenDeadline: clock.now() + FIRST_TOKEN_TIMEOUT_MS,
@@ -256,11 +263,14 @@
       isDone: false,
       recomputedTokens: 0,
       hasStarted: false,
-      engine: '',
+      engineId: '',
     };
     void runStream(stream);
     streams.push(stream);
-    clock.after(arrivals.exponential(1000 / STREAMS_PER_SECOND), arrive);
+    clock.after(
+      arrivalRandom.exponential(1000 / STREAMS_PER_SECOND),
+      handleArrival,
+    );
   }
 
   function startReclaim() {
@@ -270,7 +280,7 @@
         .map(({candidate}) => candidate.id),
     );
     for (const stream of streams) {
-      stream.isAffected = !stream.isDone && reclaimedIds.has(stream.engine);
+      stream.isAffected = !stream.isDone && reclaimedIds.has(stream.engineId);
       stream.longestPauseMs = 0;
     }
     reclaimDomain(clock, fleet, reclaim, id =>
@@ -278,7 +288,7 @@
     );
   }
 
-  clock.after(0, arrive);
+  clock.after(0, handleArrival);
   clock.after(RECLAIM_AT_MS, startReclaim);
   for (let ms = 0; ms < RUN_MS; ms += STEP_MS) {
     await clock.advance(STEP_MS);
@@ -287,18 +297,18 @@
 }
 
 function summarize(streams: readonly StreamState[]): ReclaimFigures {
-  const affected = streams.filter(({isAffected}) => isAffected);
-  const others = streams.filter(({isAffected}) => !isAffected);
-  const pauses = affected
+  const affectedStreams = streams.filter(({isAffected}) => isAffected);
+  const otherStreams = streams.filter(({isAffected}) => !isAffected);
+  const pausesMs = affectedStreams
     .map(({longestPauseMs}) => longestPauseMs)
     .sort((a, b) => a - b);
   const quantile = (fraction: number) =>
-    Math.round(pauses[Math.floor((pauses.length - 1) * fraction)] ?? 0);
+    Math.round(pausesMs[Math.floor((pausesMs.length - 1) * fraction)] ?? 0);
   return {
     streams: streams.length,
-    affected: affected.length,
-    affectedCompleted: affected.filter(({isDone}) => isDone).length,
-    otherCompleted: others.filter(({isDone}) => isDone).length,
+    affected: affectedStreams.length,
+    affectedCompleted: affectedStreams.filter(({isDone}) => isDone).length,
+    otherCompleted: otherStreams.filter(({isDone}) => isDone).length,
     wrong: streams.filter(isWrong).length,
     recomputedTokens: streams.reduce(
       (sum, {recomputedTokens}) => sum + recomputedTokens,
--- a/packages/bench/src/replay/admissionReplay.ts
+++ b/packages/bench/src/replay/admissionReplay.ts
@@ -12,7 +12,7 @@
   readonly gate: GateType;
   readonly services: readonly ReplayServiceSettings[];
   readonly streams: readonly ArrivalStream[];
-  /** Schedules faults before the run starts. */
+  /** Called before the run starts, to schedule faults on the clock. */
   scheduleFaults?(
     clock: ReplayClock,
     services: Map<string, ReplayService>,
@@ -23,8 +23,9 @@
 export interface ReplayServiceSettings {
   readonly record: Service;
   readonly slots: number;
-  /** Slots that the endpoints report; default: the real number. */
+  /** Slots that the endpoints report; default: the real number of slots. */
   readonly reportedSlots?: number;
+  /** Mean service time of a job of cost 1. */
   readonly meanMs: number;
 }
 
@@ -41,7 +42,7 @@
 const REPORT_LAG_MS = 300;
 
 /**
- * Runs a replay to its end.
+ * Runs a replay until the last request has ended or timed out.
  *
  * @example
  * const {outcomes} = await runAdmissionReplay({
@@ -76,10 +77,10 @@
       const name = record.name;
       const service = services.get(name) as ReplayService;
       const slots = reportedSlots ?? service.slots();
-      const busy = service.busy();
+      const busyJobs = service.busyJobs();
       clock.after(REPORT_LAG_MS, () => {
         for (const gate of gates) {
-          gate.reportSlots(name, slots, busy);
+          gate.reportSlots(name, slots, busyJobs);
         }
       });
     }
@@ -94,7 +95,7 @@
     gates,
     services,
     streams: options.streams,
-    record: outcome => outcomes.push(outcome),
+    recordOutcome: outcome => outcomes.push(outcome),
   });
   const maxTimeoutMs = Math.max(
     ...options.streams.map(({timeoutMs}) => timeoutMs),
@@ -103,13 +104,13 @@
   return {outcomes, services};
 }
 
-/** Typical customers and their fraction of the requests. */
+/** Typical customers, weighted by their fraction of the requests. */
 export const defaultCustomers = [
-  {name: 'chain', part: 0.45},
-  {name: 'studio', part: 0.3},
-  {name: 'flooring', part: 0.15},
-  {name: 'carpenter', part: 0.07},
-  {name: 'counter', part: 0.03},
+  {name: 'chain', weight: 0.45},
+  {name: 'studio', weight: 0.3},
+  {name: 'flooring', weight: 0.15},
+  {name: 'carpenter', weight: 0.07},
+  {name: 'counter', weight: 0.03},
 ];
 
 /**
--- a/packages/bench/src/replay/canary.ts
+++ b/packages/bench/src/replay/canary.ts
@@ -3,9 +3,9 @@
 import type {Shares} from './moveTraffic.js';
 
 export interface Canary {
-  /** Returns the shares at this fraction of the move; zero after a rollback. */
+  /** Returns the new version's shares at `progress`; 0 after a rollback. */
   advance(progress: number): Shares;
-  add(sums: readonly EvidenceSum[]): void;
+  addEvidence(sums: readonly EvidenceSum[]): void;
   isRolledBack(): boolean;
 }
 
@@ -18,6 +18,7 @@
 
 /** Interval between threshold checks, as a fraction of the move. */
 const CHECK_INTERVAL = 0.02;
+/** Minimum requests to each version before the thresholds are checked. */
 const MIN_REQUESTS = 50;
 const MAX_ADDED_ERROR_RATE = 0.01;
 const MAX_LATENCY_FACTOR = 1.3;
@@ -30,7 +31,7 @@
  * const canary = createCanary();
  */
 export function createCanary(): Canary {
-  let lastCheckAt = 0;
+  let lastCheckProgress = 0;
   let hasRolledBack = false;
   let totals = {v1: emptyTotals(), v2: emptyTotals()};
 
@@ -41,7 +42,7 @@
     }
     totals = {v1: emptyTotals(), v2: emptyTotals()};
     const addedErrorRate = v2.errors / v2.requests - v1.errors / v1.requests;
-    const latencyFactor = Math.exp(meanLog(v2) - meanLog(v1));
+    const latencyFactor = Math.exp(meanLogLatency(v2) - meanLogLatency(v1));
     hasRolledBack ||=
       addedErrorRate > MAX_ADDED_ERROR_RATE ||
       latencyFactor > MAX_LATENCY_FACTOR;
@@ -49,15 +50,15 @@
 
   return {
     advance(progress) {
-      if (progress - lastCheckAt >= CHECK_INTERVAL) {
-        lastCheckAt = progress;
+      if (progress - lastCheckProgress >= CHECK_INTERVAL) {
+        lastCheckProgress = progress;
         checkThresholds();
       }
       const step = STEPS.findLast(({fromProgress}) => progress >= fromProgress);
       const share = hasRolledBack ? 0 : (step?.share ?? 0);
       return {share, orderShare: share};
     },
-    add(sums) {
+    addEvidence(sums) {
       for (const sum of sums) {
         const total = sum.version === 'v2' ? totals.v2 : totals.v1;
         total.requests += sum.requests;
@@ -73,6 +74,6 @@
   return {requests: 0, errors: 0, logLatency: 0};
 }
 
-function meanLog(sums: ReturnType<typeof emptyTotals>): number {
+function meanLogLatency(sums: ReturnType<typeof emptyTotals>): number {
   return sums.logLatency / Math.max(1, sums.requests - sums.errors);
 }
--- a/packages/bench/src/replay/gates.ts
+++ b/packages/bench/src/replay/gates.ts
@@ -33,19 +33,21 @@
 export type GateType = 'shared-fifo' | 'service-fifo' | LimitPolicy;
 
 /**
- * `shared-fifo`: one pool and one queue for all services.
- * `service-fifo`: one pool and one FIFO queue per service.
- * Others: the admission package with the limit policy of that name.
+ * Gate factories by type. `shared-fifo`: one pool and one FIFO queue for all
+ * services. `service-fifo`: one pool and one FIFO queue per service. All other
+ * types: the admission package with the limit policy of that name.
  */
 export const gateFactories: Readonly<
   Record<GateType, (options: GateOptions) => Gate>
 > = {
   'shared-fifo': options => {
-    const total = sum(options.services.map(service => service.concurrency));
-    const queue = sum(options.services.map(service => service.queue));
+    const totalConcurrency = sum(
+      options.services.map(service => service.concurrency),
+    );
+    const totalQueueLimit = sum(options.services.map(service => service.queue));
     const pool = createFifoPool(
-      Math.max(1, Math.floor(total / options.entryCount)),
-      queue,
+      Math.max(1, Math.floor(totalConcurrency / options.entryCount)),
+      totalQueueLimit,
     );
     return {
       admit: (_admissionRequest, signal) => pool(signal),
@@ -68,12 +70,15 @@
       reportSlots() {},
     };
   },
-  fixed: options => admissionGate(options, 'fixed'),
-  aimd: options => admissionGate(options, 'aimd'),
-  gradient: options => admissionGate(options, 'gradient'),
+  fixed: options => createAdmissionGate(options, 'fixed'),
+  aimd: options => createAdmissionGate(options, 'aimd'),
+  gradient: options => createAdmissionGate(options, 'gradient'),
 };
 
-function admissionGate(options: GateOptions, limitPolicy: LimitPolicy): Gate {
+function createAdmissionGate(
+  options: GateOptions,
+  limitPolicy: LimitPolicy,
+): Gate {
   const {clock, random, services, entryCount} = options;
   const decisions = decisionLog(clock, silentLogger());
   const admission = createAdmissionController({
@@ -96,11 +101,11 @@
 
 type FifoPool = (signal: AbortSignal) => Promise<Permit>;
 
-/** Creates a limit with a bounded FIFO queue that skips cancelled waiters. */
+/** Creates a pool with a bounded FIFO queue that skips cancelled requests. */
 function createFifoPool(limit: number, queueLimit: number): FifoPool {
-  const waiting: {start: () => void; signal: AbortSignal}[] = [];
+  const waiters: {start: () => void; signal: AbortSignal}[] = [];
   let inFlight = 0;
-  function permit(): Permit {
+  function createPermit(): Permit {
     inFlight += 1;
     let isReleased = false;
     return {
@@ -111,10 +116,10 @@
         }
         isReleased = true;
         inFlight -= 1;
-        while (inFlight < limit && waiting.length > 0) {
-          const next = waiting.shift();
-          if (next !== undefined && !next.signal.aborted) {
-            next.start();
+        while (inFlight < limit && waiters.length > 0) {
+          const waiter = waiters.shift();
+          if (waiter !== undefined && !waiter.signal.aborted) {
+            waiter.start();
           }
         }
       },
@@ -122,13 +127,15 @@
   }
   return signal => {
     if (inFlight < limit) {
-      return Promise.resolve(permit());
+      return Promise.resolve(createPermit());
     }
-    if (waiting.length >= queueLimit) {
-      return Promise.reject(new ServingError('overloaded', 'queue full'));
+    if (waiters.length >= queueLimit) {
+      return Promise.reject(
+        new ServingError('overloaded', 'FIFO queue is full'),
+      );
     }
     return new Promise((resolve, reject) => {
-      waiting.push({start: () => resolve(permit()), signal});
+      waiters.push({start: () => resolve(createPermit()), signal});
       signal.addEventListener(
         'abort',
         () =>
--- a/packages/bench/src/replay/moveTraffic.ts
+++ b/packages/bench/src/replay/moveTraffic.ts
@@ -7,11 +7,11 @@
 /** Standard deviation of the log latency of single requests. */
 const LATENCY_SIGMA = 0.5;
 
-/** Load cycles per move, and the range of the load. */
+/** Load cycles per move, and the range of the load (1 is full load). */
 const LOAD_CYCLES = 6;
 const MIN_LOAD = 0.25;
 const MAX_LOAD = 0.95;
-/** Load at which faults under load become active. */
+/** Load from which faults of the `under load` kinds are active. */
 const LOAD_FAULT_THRESHOLD = 0.8;
 
 /** Latency factor from no load to full load, for both versions. */
@@ -24,6 +24,7 @@
 const SHARED_FAULT_END = 0.36;
 const FAULTY_INCUMBENT_ERROR_FACTOR = 8;
 
+/** Fractions of the requests and of the orders sent to the new version. */
 export interface Shares {
   readonly share: number;
   readonly orderShare: number;
@@ -31,7 +32,7 @@
 
 export interface Tick {
   readonly sums: readonly EvidenceSum[];
-  /** Requests to the candidate on routes on which its fault is active. */
+  /** Requests to the new version on routes on which its fault is active. */
   readonly badRequests: number;
 }
 
@@ -53,13 +54,16 @@
   const loadCycle = (1 - Math.cos(2 * Math.PI * LOAD_CYCLES * progress)) / 2;
   const load = MIN_LOAD + (MAX_LOAD - MIN_LOAD) * loadCycle;
   const loadLevel = load >= 0.8 ? 'high' : load >= 0.5 ? 'middle' : 'low';
-  const perSecond = mix.perSecond * (0.4 + 1.2 * loadCycle);
+  const requestsPerSecond = mix.perSecond * (0.4 + 1.2 * loadCycle);
   const sums: EvidenceSum[] = [];
   let badRequests = 0;
   for (const route of mix.routes) {
-    const count = poisson(perSecond * seconds * route.part, random);
+    const count = drawPoisson(
+      requestsPerSecond * seconds * route.requestFraction,
+      random,
+    );
     const share = route.isOrder ? shares.orderShare : shares.share;
-    const candidateRequests = binomial(count, share, random);
+    const candidateRequests = drawBinomial(count, share, random);
     const isFaulty = isFaultActive(version, route, progress, load);
     badRequests += isFaulty ? candidateRequests : 0;
     for (const [name, requests] of [
@@ -77,15 +81,15 @@
         load,
         isCandidate && isFaulty,
       );
-      const errors = binomial(requests, health.errorRate, random);
+      const errors = drawBinomial(requests, health.errorRate, random);
       const successes = requests - errors;
       const shiftedMs = health.medianMs + LATENCY_OFFSET_MS;
-      const mean = Math.log(shiftedMs);
+      const meanLogLatency = Math.log(shiftedMs);
       const sigma = (LATENCY_SIGMA * health.medianMs) / shiftedMs;
-      const noise = sigma * Math.sqrt(successes) * normal(random);
-      const logLatency = successes * mean + noise;
+      const logLatencyNoise = sigma * Math.sqrt(successes) * drawNormal(random);
+      const logLatency = successes * meanLogLatency + logLatencyNoise;
       const squaredDeviations =
-        sigma * sigma * chiSquare(Math.max(0, successes - 1), random);
+        sigma * sigma * drawChiSquare(Math.max(0, successes - 1), random);
       sums.push({
         route: route.name,
         version: name,
@@ -146,9 +150,9 @@
  * Draws from the standard normal distribution (Box-Muller).
  *
  * @example
- * const latencyMs = medianMs * Math.exp(sigma * normal(random));
+ * const latencyMs = medianMs * Math.exp(sigma * drawNormal(random));
  */
-export function normal(random: Random): number {
+export function drawNormal(random: Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   return radius * Math.cos(2 * Math.PI * random.next());
 }
@@ -156,21 +160,25 @@
 /** Largest mean or degrees of freedom sampled without normal approximation. */
 const MAX_EXACT_MEAN = 30;
 
-function poisson(mean: number, random: Random): number {
+function drawPoisson(mean: number, random: Random): number {
   if (mean > MAX_EXACT_MEAN) {
-    return Math.max(0, Math.round(mean + Math.sqrt(mean) * normal(random)));
+    return Math.max(0, Math.round(mean + Math.sqrt(mean) * drawNormal(random)));
   }
-  const limit = Math.exp(-mean);
+  const threshold = Math.exp(-mean);
   let count = 0;
   let product = random.next();
-  while (product > limit) {
+  while (product > threshold) {
     count += 1;
     product *= random.next();
   }
   return count;
 }
 
-function binomial(count: number, probability: number, random: Random): number {
+function drawBinomial(
+  count: number,
+  probability: number,
+  random: Random,
+): number {
   if (count === 0 || probability <= 0) {
     return 0;
   }
@@ -179,11 +187,12 @@
   }
   const mean = count * probability;
   if (mean > MAX_EXACT_MEAN && count - mean > MAX_EXACT_MEAN) {
-    const drawn = mean + Math.sqrt(mean * (1 - probability)) * normal(random);
+    const drawn =
+      mean + Math.sqrt(mean * (1 - probability)) * drawNormal(random);
     return Math.min(count, Math.max(0, Math.round(drawn)));
   }
   if (probability > 0.5) {
-    return count - binomial(count, 1 - probability, random);
+    return count - drawBinomial(count, 1 - probability, random);
   }
   // Draws geometric gaps between successes: O(mean) instead of O(count).
   const logFailureProbability = Math.log(1 - probability);
@@ -199,16 +208,16 @@
   }
 }
 
-function chiSquare(degreesOfFreedom: number, random: Random): number {
+function drawChiSquare(degreesOfFreedom: number, random: Random): number {
   if (degreesOfFreedom > MAX_EXACT_MEAN) {
     return Math.max(
       0,
-      degreesOfFreedom + Math.sqrt(2 * degreesOfFreedom) * normal(random),
+      degreesOfFreedom + Math.sqrt(2 * degreesOfFreedom) * drawNormal(random),
     );
   }
   let sum = 0;
   for (let index = 0; index < degreesOfFreedom; index++) {
-    sum += normal(random) ** 2;
+    sum += drawNormal(random) ** 2;
   }
   return sum;
 }
--- a/packages/bench/src/replay/replayClock.ts
+++ b/packages/bench/src/replay/replayClock.ts
@@ -2,13 +2,13 @@
 import {toDisposable, type Clock} from '@skylarkfield/base';
 
 export interface ReplayClock extends Clock {
-  /** Runs every timer due by the given time, with microtasks in between. */
+  /** Runs the timers due by the given time, and microtasks after each timer. */
   run(untilMs: number): Promise<void>;
 }
 
 interface Timer {
   readonly dueMs: number;
-  readonly order: number;
+  readonly sequence: number;
   callback: (() => void) | undefined;
 }
 
@@ -28,13 +28,13 @@
 ): ReplayClock {
   const heap: Timer[] = [];
   let nowMs = 0;
-  let nextOrder = 0;
+  let nextSequence = 0;
   return {
     now: () => nowMs,
     wall: () => startWallMs + nowMs,
     after(delayMs, callback) {
       const dueMs = nowMs + Math.max(0, delayMs);
-      const timer: Timer = {dueMs, order: nextOrder++, callback};
+      const timer: Timer = {dueMs, sequence: nextSequence++, callback};
       if (dueMs < Infinity) {
         pushTimer(heap, timer);
       }
@@ -59,7 +59,7 @@
 }
 
 function isBefore(a: Timer, b: Timer): boolean {
-  return a.dueMs === b.dueMs ? a.order < b.order : a.dueMs < b.dueMs;
+  return a.dueMs === b.dueMs ? a.sequence < b.sequence : a.dueMs < b.dueMs;
 }
 
 function pushTimer(heap: Timer[], timer: Timer) {
--- a/packages/bench/src/replay/replayService.ts
+++ b/packages/bench/src/replay/replayService.ts
@@ -10,7 +10,7 @@
   setSlots(slots: number): void;
   slots(): number;
   /** Returns the number of running and queued jobs. */
-  busy(): number;
+  busyJobs(): number;
   /** Returns the milliseconds of work, in total and for cancelled jobs. */
   work(): {readonly doneMs: number; readonly wastedMs: number};
 }
@@ -21,14 +21,16 @@
   isCancelled: boolean;
 }
 
+/** Factor on service times while the service is `slow`. */
 const SLOW_FACTOR = 10;
+/** Service time of a job while the service is `failing`. */
 const FAILURE_MS = 3;
 
 /** Standard deviation of the logarithm of service times. */
 const SERVICE_TIME_SIGMA = 0.4;
 
 /**
- * Creates a service with the given slots and mean time per job of cost 1.
+ * Creates a service; `meanMs` is the mean service time of a job of cost 1.
  *
  * @example
  * const service = createReplayService(clock, random, 28, 100);
@@ -39,15 +41,15 @@
   initialSlots: number,
   meanMs: number,
 ): ReplayService {
-  const waiting: Job[] = [];
+  const waitingJobs: Job[] = [];
   const hungJobs: Job[] = [];
   let slotCount = initialSlots;
-  let running = 0;
+  let runningCount = 0;
   let fault: ServiceFault = 'none';
   let doneMs = 0;
   let wastedMs = 0;
 
-  function normal(): number {
+  function drawNormal(): number {
     const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
     return radius * Math.cos(2 * Math.PI * random.next());
   }
@@ -56,24 +58,24 @@
     if (fault === 'failing') {
       return FAILURE_MS;
     }
-    const spread = Math.exp(
-      SERVICE_TIME_SIGMA * normal() -
+    const noiseFactor = Math.exp(
+      SERVICE_TIME_SIGMA * drawNormal() -
         (SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA) / 2,
     );
-    return meanMs * cost * spread * (fault === 'slow' ? SLOW_FACTOR : 1);
+    return meanMs * cost * noiseFactor * (fault === 'slow' ? SLOW_FACTOR : 1);
   }
 
   function startWaitingJobs() {
-    while (running < slotCount && waiting.length > 0) {
-      const job = waiting.shift() as Job;
+    while (runningCount < slotCount && waitingJobs.length > 0) {
+      const job = waitingJobs.shift() as Job;
       if (!job.isCancelled) {
-        start(job);
+        startJob(job);
       }
     }
   }
 
-  function start(job: Job) {
-    running += 1;
+  function startJob(job: Job) {
+    runningCount += 1;
     if (fault === 'hung') {
       hungJobs.push(job);
       return;
@@ -81,7 +83,7 @@
     const isOk = fault !== 'failing';
     const serviceTimeMs = sampleServiceTimeMs(job.cost);
     clock.after(serviceTimeMs, () => {
-      running -= 1;
+      runningCount -= 1;
       doneMs += serviceTimeMs;
       if (job.isCancelled) {
         wastedMs += serviceTimeMs;
@@ -95,29 +97,30 @@
   return {
     run(cost, done) {
       const job: Job = {cost, done, isCancelled: false};
-      waiting.push(job);
+      waitingJobs.push(job);
       startWaitingJobs();
       return {cancel: () => (job.isCancelled = true)};
     },
-    setFault(next) {
-      fault = next;
-      if (next === 'hung') {
+    setFault(newFault) {
+      fault = newFault;
+      if (newFault === 'hung') {
         return;
       }
       for (const job of hungJobs.splice(0)) {
-        running -= 1;
+        runningCount -= 1;
         if (!job.isCancelled) {
           job.done(false);
         }
       }
       startWaitingJobs();
     },
-    setSlots(next) {
-      slotCount = next;
+    setSlots(newSlotCount) {
+      slotCount = newSlotCount;
       startWaitingJobs();
     },
     slots: () => slotCount,
-    busy: () => running + waiting.filter(job => !job.isCancelled).length,
+    busyJobs: () =>
+      runningCount + waitingJobs.filter(job => !job.isCancelled).length,
     work: () => ({doneMs, wastedMs}),
   };
 }
--- a/packages/bench/src/replay/traffic.ts
+++ b/packages/bench/src/replay/traffic.ts
@@ -13,17 +13,20 @@
 export interface ArrivalStream {
   readonly service: string;
   readonly perSecond: number;
-  /** Returns the factor on `perSecond` at the given time; 1 for none. */
+  /** Returns the factor on `perSecond` at the given time; 1 is no change. */
   rateFactor(nowMs: number): number;
   readonly timeoutMs: number;
-  readonly customers: readonly {readonly name: string; readonly part: number}[];
+  readonly customers: readonly {
+    readonly name: string;
+    readonly weight: number;
+  }[];
   readonly urgencies: readonly {
     readonly urgency: number;
-    readonly part: number;
+    readonly weight: number;
   }[];
 }
 
-/** Result of one request. */
+/** Result of one request; `late` means that it timed out. */
 export interface Outcome {
   readonly service: string;
   readonly customer: string;
@@ -38,11 +41,12 @@
 export interface TrafficOptions {
   readonly clock: Clock;
   readonly seed: number;
+  /** Time at which arrivals stop. */
   readonly endMs: number;
   readonly gates: readonly Gate[];
   readonly services: ReadonlyMap<string, ReplayService>;
   readonly streams: readonly ArrivalStream[];
-  record(outcome: Outcome): void;
+  recordOutcome(outcome: Outcome): void;
 }
 
 /** Probability that a request goes to the preferred entry of its customer. */
@@ -52,7 +56,9 @@
  * Starts arrivals that continue until `endMs`.
  *
  * @example
- * startTraffic({clock, seed, endMs, gates, services, streams, record});
+ * startTraffic({
+ *   clock, seed, endMs, gates, services, streams, recordOutcome,
+ * });
  */
 export function startTraffic(options: TrafficOptions) {
   for (const [index, stream] of options.streams.entries()) {
@@ -67,30 +73,33 @@
   random: Random,
 ) {
   const {clock, gates, endMs} = options;
-  function arrive() {
+  function handleArrival() {
     if (clock.now() >= endMs) {
       return;
     }
     const customer = pickWeighted(stream.customers, random);
     const {urgency} = pickWeighted(stream.urgencies, random);
-    const preferred = stream.customers.indexOf(customer) % gates.length;
-    const chosen = random.chance(AFFINITY_PROBABILITY)
-      ? preferred
+    const preferredIndex = stream.customers.indexOf(customer) % gates.length;
+    const gateIndex = random.chance(AFFINITY_PROBABILITY)
+      ? preferredIndex
       : random.integer(0, gates.length - 1);
     void sendRequest(
       options,
       stream,
-      gates[chosen] as Gate,
+      gates[gateIndex] as Gate,
       customer.name,
       urgency,
     );
-    scheduleNext();
+    scheduleNextArrival();
   }
-  function scheduleNext() {
+  function scheduleNextArrival() {
     const factor = stream.rateFactor(clock.now());
-    clock.after(random.exponential(1000 / (stream.perSecond * factor)), arrive);
+    clock.after(
+      random.exponential(1000 / (stream.perSecond * factor)),
+      handleArrival,
+    );
   }
-  scheduleNext();
+  scheduleNextArrival();
 }
 
 async function sendRequest(
@@ -109,7 +118,7 @@
     timer.dispose();
     const latencyMs = clock.now() - arrivedMs;
     const {service} = stream;
-    options.record({
+    options.recordOutcome({
       service,
       customer,
       urgency,
@@ -148,16 +157,16 @@
 ): Promise<Outcome['result']> {
   const startedMs = clock.now();
   return new Promise(resolve => {
-    const latency = () => clock.now() - startedMs;
+    const elapsedMs = () => clock.now() - startedMs;
     function cancel() {
       job.cancel();
-      permit.release({outcome: 'cancelled', latencyMs: latency()});
+      permit.release({outcome: 'cancelled', latencyMs: elapsedMs()});
       resolve('late');
     }
     const job = (services.get(service) as ReplayService).run(1, isOk => {
       signal.removeEventListener('abort', cancel);
       const outcome = isOk ? 'ok' : 'failed';
-      permit.release({outcome, latencyMs: latency()});
+      permit.release({outcome, latencyMs: elapsedMs()});
       resolve(outcome);
     });
     if (signal.aborted) {
@@ -168,16 +177,17 @@
   });
 }
 
-function pickWeighted<T extends {readonly part: number}>(
-  parts: readonly T[],
+function pickWeighted<T extends {readonly weight: number}>(
+  candidates: readonly T[],
   random: Random,
 ): T {
-  let remaining = random.next() * parts.reduce((sum, {part}) => sum + part, 0);
-  for (const candidate of parts) {
-    remaining -= candidate.part;
+  let remaining =
+    random.next() * candidates.reduce((sum, {weight}) => sum + weight, 0);
+  for (const candidate of candidates) {
+    remaining -= candidate.weight;
     if (remaining < 0) {
       return candidate;
     }
   }
-  return parts.at(-1) as T;
+  return candidates.at(-1) as T;
 }
--- a/packages/bench/src/replay/versions.ts
+++ b/packages/bench/src/replay/versions.ts
@@ -5,7 +5,7 @@
 export interface MixRoute {
   readonly name: string;
   /** Fraction of the requests. */
-  readonly part: number;
+  readonly requestFraction: number;
   readonly isOrder: boolean;
   readonly errorRate: number;
   readonly medianMs: number;
@@ -15,50 +15,50 @@
 export interface TrafficMix {
   readonly name: string;
   readonly perSecond: number;
-  readonly hours: number;
+  readonly moveHours: number;
   readonly routes: readonly MixRoute[];
 }
 
-export const mixes: readonly TrafficMix[] = [
+export const trafficMixes: readonly TrafficMix[] = [
   {
     name: 'namu',
     perSecond: 25,
-    hours: 6,
+    moveHours: 6,
     routes: [
-      route('match', 0.45, 0.005, 600),
-      route('lookup', 0.3, 0.004, 40),
-      route('swatches', 0.15, 0.006, 120),
-      route('kit-order', 0.1, 0.005, 150, true),
+      createRoute('match', 0.45, 0.005, 600),
+      createRoute('lookup', 0.3, 0.004, 40),
+      createRoute('swatches', 0.15, 0.006, 120),
+      createRoute('kit-order', 0.1, 0.005, 150, true),
     ],
   },
   {
     name: 'sahakarana',
     perSecond: 14,
-    hours: 10,
+    moveHours: 10,
     routes: [
-      route('roster', 0.2, 0.008, 1500),
-      route('answers', 0.4, 0.005, 500),
-      route('tags', 0.25, 0.005, 200),
-      route('confirm', 0.15, 0.005, 120, true),
+      createRoute('roster', 0.2, 0.008, 1500),
+      createRoute('answers', 0.4, 0.005, 500),
+      createRoute('tags', 0.25, 0.005, 200),
+      createRoute('confirm', 0.15, 0.005, 120, true),
     ],
   },
   {
     name: 'quiet',
     perSecond: 1,
-    hours: 24,
+    moveHours: 24,
     routes: [
-      route('ask', 0.6, 0.005, 300),
-      route('list', 0.3, 0.005, 80),
-      route('book', 0.1, 0.005, 150, true),
+      createRoute('ask', 0.6, 0.005, 300),
+      createRoute('list', 0.3, 0.005, 80),
+      createRoute('book', 0.1, 0.005, 150, true),
     ],
   },
   {
     name: 'very-quiet',
     perSecond: 0.1,
-    hours: 48,
+    moveHours: 48,
     routes: [
-      route('ask', 0.8, 0.005, 300),
-      route('book', 0.2, 0.005, 150, true),
+      createRoute('ask', 0.8, 0.005, 300),
+      createRoute('book', 0.2, 0.005, 150, true),
     ],
   },
 ];
@@ -78,35 +78,37 @@
   | 'hanging';
 
 /** Kinds with weights that sum to 100; about half of the versions are good. */
-export const kinds: readonly {
+export const versionKinds: readonly {
   readonly kind: VersionKind;
-  readonly part: number;
+  readonly weight: number;
 }[] = [
-  {kind: 'good', part: 30},
-  {kind: 'good, both ill for a while', part: 8},
-  {kind: 'good, incumbent ill', part: 8},
-  {kind: 'failing at once', part: 6},
-  {kind: 'failing later', part: 6},
-  {kind: 'failing under load', part: 6},
-  {kind: 'failing on one route', part: 6},
-  {kind: 'slow at once', part: 6},
-  {kind: 'slow later', part: 6},
-  {kind: 'slow under load', part: 6},
-  {kind: 'slow on one route', part: 6},
-  {kind: 'hanging', part: 6},
+  {kind: 'good', weight: 30},
+  {kind: 'good, both ill for a while', weight: 8},
+  {kind: 'good, incumbent ill', weight: 8},
+  {kind: 'failing at once', weight: 6},
+  {kind: 'failing later', weight: 6},
+  {kind: 'failing under load', weight: 6},
+  {kind: 'failing on one route', weight: 6},
+  {kind: 'slow at once', weight: 6},
+  {kind: 'slow later', weight: 6},
+  {kind: 'slow under load', weight: 6},
+  {kind: 'slow on one route', weight: 6},
+  {kind: 'hanging', weight: 6},
 ];
 
 /** Simulated version and its fault. */
 export interface Version {
   readonly kind: VersionKind;
   readonly isBad: boolean;
-  /** Factors on the error rate and the latency while the fault is active. */
+  /** Factors on the error rate and on the latency while the fault is active. */
   readonly errorFactor: number;
   readonly latencyFactor: number;
   /** Fraction of the move after which the fault is active. */
   readonly onset: number;
   readonly isUnderLoadOnly: boolean;
-  /** The only route with the fault; undefined when all have it. */
+  /**
+   * The only route with the fault; undefined when all routes have the fault.
+   */
   readonly route: string | undefined;
 }
 
@@ -138,9 +140,9 @@
     errorFactor: isHanging
       ? worstErrorFactor
       : isFailing
-        ? pick(ERROR_FACTORS, random)
+        ? drawFactor(ERROR_FACTORS, random)
         : 1,
-    latencyFactor: isSlow ? pick(LATENCY_FACTORS, random) : 1,
+    latencyFactor: isSlow ? drawFactor(LATENCY_FACTORS, random) : 1,
     onset: kind.endsWith('later') ? 0.02 + random.next() * ONSET_RANGE : 0,
     isUnderLoadOnly: kind.endsWith('under load'),
     route: kind.endsWith('one route')
@@ -149,16 +151,16 @@
   };
 }
 
-function pick(values: readonly number[], random: Random): number {
+function drawFactor(values: readonly number[], random: Random): number {
   return random.pick(values) as number;
 }
 
-function route(
+function createRoute(
   name: string,
-  part: number,
+  requestFraction: number,
   errorRate: number,
   medianMs: number,
   isOrder = false,
 ): MixRoute {
-  return {name, part, errorRate, medianMs, isOrder};
+  return {name, requestFraction, errorRate, medianMs, isOrder};
 }
--- a/packages/bench/src/routing.ts
+++ b/packages/bench/src/routing.ts
@@ -13,16 +13,17 @@
   readonly prefilledTokens: number;
   /** Tokens computed although some replica had computed them before. */
   readonly recomputedTokens: number;
-  /** Cached prompt tokens relative to those in an unlimited cache. */
+  /** Cached prompt tokens divided by those of one unlimited shared cache. */
   readonly shareOfBound: number;
   readonly firstTokenP50Ms: number;
   readonly firstTokenP95Ms: number;
-  /** Requests of the busiest replica relative to the mean. */
+  /** Requests of the busiest replica divided by the mean per replica. */
   readonly busiest: number;
 }
 
 /**
- * Measures every policy on both workloads, with the same sessions for each.
+ * Measures every policy on both workloads, with the same sessions for each
+ * policy.
  *
  * @example
  * const result = await measureRouting({seed: 101});
@@ -53,16 +54,18 @@
     .filter(name => name !== 'skylarkfield')
     .map(name => figures[name]);
   const skylarkfield = figures.skylarkfield;
-  const fewestRecomputed = Math.min(
+  const minRecomputedTokens = Math.min(
     ...baselines.map(item => item.recomputedTokens),
   );
-  const bestP95 = Math.min(...baselines.map(item => item.firstTokenP95Ms));
+  const minFirstTokenP95Ms = Math.min(
+    ...baselines.map(item => item.firstTokenP95Ms),
+  );
   return {
     policies: figures,
     recomputedMoreThanBestPlain:
-      skylarkfield.recomputedTokens - fewestRecomputed,
+      skylarkfield.recomputedTokens - minRecomputedTokens,
     firstTokenP95AgainstBestPlain: round(
-      skylarkfield.firstTokenP95Ms / bestP95,
+      skylarkfield.firstTokenP95Ms / minFirstTokenP95Ms,
       3,
     ),
   };
@@ -70,13 +73,13 @@
 
 function summarize(result: RoutingReplayResult): PolicyFigures {
   const sorted = [...result.firstTokenMs].sort((a, b) => a - b);
-  const cached = result.promptTokens - result.prefilledTokens;
-  const cachedAtBest = result.promptTokens - result.boundTokens;
+  const cachedTokens = result.promptTokens - result.prefilledTokens;
+  const maxCachedTokens = result.promptTokens - result.boundTokens;
   return {
     requests: result.requests,
     prefilledTokens: result.prefilledTokens,
     recomputedTokens: result.prefilledTokens - result.boundTokens,
-    shareOfBound: round(cached / cachedAtBest, 4),
+    shareOfBound: round(cachedTokens / maxCachedTokens, 4),
     firstTokenP50Ms: round(quantileSorted(sorted, 0.5), 1),
     firstTokenP95Ms: round(quantileSorted(sorted, 0.95), 1),
     busiest: round(result.busiest, 2),
--- a/packages/bench/src/routing/decisionTime.ts
+++ b/packages/bench/src/routing/decisionTime.ts
@@ -1,4 +1,4 @@
-/** Measures the processor time of a routing decision as replicas grow. */
+/** Measures the processor time of routing decisions by number of replicas. */
 import {
   decisionLog,
   seededRandom,
@@ -12,12 +12,13 @@
   readonly replicas: number;
   /** Replicas assigned to the entry. */
   readonly held: number;
+  /** Mean processor time of one routing decision. */
   readonly microseconds: number;
 }
 
 const REPLICA_COUNTS = [8, 48, 480, 4800];
-const ENTRIES = 1700;
-const DECISIONS = 3000;
+const ENTRY_COUNT = 1700;
+const DECISION_COUNT = 3000;
 const PROMPT_TOKENS = 2000;
 
 function createCandidates(replicas: number): Candidate[] {
@@ -40,7 +41,7 @@
 export function measureDecisionTime(): DecisionTime[] {
   const tokens = Array.from({length: PROMPT_TOKENS}, (_, index) => `w${index}`);
   const blocks = hashPromptBlocks(tokens);
-  const entries = Array.from({length: ENTRIES}, (_, index) => `e${index}`);
+  const entries = Array.from({length: ENTRY_COUNT}, (_, index) => `e${index}`);
   return REPLICA_COUNTS.map(replicas => {
     const clock = systemClock();
     const router = createRouter({
@@ -59,17 +60,17 @@
       promptTokens: PROMPT_TOKENS,
       excluded: new Set<string>(),
     };
-    const start = process.cpuUsage();
-    for (let index = 0; index < DECISIONS; index++) {
+    const cpuBefore = process.cpuUsage();
+    for (let index = 0; index < DECISION_COUNT; index++) {
       const choice = router.choose(routingRequest);
       const cachedTokens = choice?.cachedTokens ?? 0;
       choice?.finish({outcome: 'ok', latencyMs: 50, cachedTokens});
     }
-    const {user, system} = process.cpuUsage(start);
+    const {user, system} = process.cpuUsage(cpuBefore);
     return {
       replicas,
       held: router.assignedEndpoints().length,
-      microseconds: Number(((user + system) / DECISIONS).toFixed(1)),
+      microseconds: Number(((user + system) / DECISION_COUNT).toFixed(1)),
     };
   });
 }
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -1,4 +1,4 @@
-/** Routing policies: the router and plain baselines. */
+/** Routing policies: the router of the routing package, and baselines. */
 import {
   decisionLog,
   silentLogger,
@@ -19,6 +19,7 @@
 export interface Policy {
   choose(routingRequest: RoutingRequest): Choice;
   reportLoad(endpoint: string, report: LoadReport): void;
+  /** Applies cache events; returns the last applied sequence number. */
   reportCache(endpoint: string, events: readonly CacheEvent[]): number;
 }
 
@@ -52,27 +53,29 @@
   };
 }
 
-function roundRobin(options: PolicyOptions): Policy {
+function createRoundRobinPolicy(options: PolicyOptions): Policy {
   const ids = options.endpoints.map(({id}) => id);
-  let next = options.random.integer(0, ids.length - 1);
+  let nextIndex = options.random.integer(0, ids.length - 1);
   return {
-    choose: () => createPlainChoice(ids[next++ % ids.length]!),
+    choose: () => createPlainChoice(ids[nextIndex++ % ids.length]!),
     reportLoad() {},
     reportCache: () => -1,
   };
 }
 
 /** Chooses by last reported load plus the requests sent since that report. */
-function leastLoaded(options: PolicyOptions): Policy {
+function createLeastLoadedPolicy(options: PolicyOptions): Policy {
   const {random} = options;
   const ids = options.endpoints.map(({id}) => id);
   const loads = new Map(ids.map(id => [id, 0]));
   return {
     choose() {
-      const least = Math.min(...loads.values());
-      const chosen = random.pick(ids.filter(id => loads.get(id) === least))!;
-      loads.set(chosen, least + 1);
-      return createPlainChoice(chosen);
+      const minLoad = Math.min(...loads.values());
+      const chosenId = random.pick(
+        ids.filter(id => loads.get(id) === minLoad),
+      )!;
+      loads.set(chosenId, minLoad + 1);
+      return createPlainChoice(chosenId);
     },
     reportLoad(endpoint, report) {
       loads.set(endpoint, report.running + report.waiting);
@@ -82,20 +85,22 @@
 }
 
 /** Hashes a prompt up to the first block that not all callers share. */
-function prefixHash(options: PolicyOptions): Policy {
+function createPrefixHashPolicy(options: PolicyOptions): Policy {
   const ids = options.endpoints.map(({id}) => id);
   return {
     choose(routingRequest) {
       const {blocks} = routingRequest;
-      const depth = Math.min(options.sharedBlocks, blocks.length - 1);
-      return createPlainChoice(rendezvousOrder(blocks[depth] ?? '', ids)[0]!);
+      const blockIndex = Math.min(options.sharedBlocks, blocks.length - 1);
+      return createPlainChoice(
+        rendezvousOrder(blocks[blockIndex] ?? '', ids)[0]!,
+      );
     },
     reportLoad() {},
     reportCache: () => -1,
   };
 }
 
-function skylarkfield(options: PolicyOptions): Policy {
+function createSkylarkfieldPolicy(options: PolicyOptions): Policy {
   const {clock, random, self, failureDomain, weights} = options;
   const router = createRouter({
     clock,
@@ -110,7 +115,7 @@
     choose(routingRequest) {
       const choice = router.choose(routingRequest);
       if (choice === undefined) {
-        throw new Error('the router found no endpoint');
+        throw new Error('the router found no usable endpoint');
       }
       return choice;
     },
@@ -122,4 +127,9 @@
 
 export const policies: Readonly<
   Record<PolicyName, (options: PolicyOptions) => Policy>
-> = {roundRobin, leastLoaded, prefixHash, skylarkfield};
+> = {
+  roundRobin: createRoundRobinPolicy,
+  leastLoaded: createLeastLoadedPolicy,
+  prefixHash: createPrefixHashPolicy,
+  skylarkfield: createSkylarkfieldPolicy,
+};
--- a/packages/bench/src/routing/replay.ts
+++ b/packages/bench/src/routing/replay.ts
@@ -37,30 +37,32 @@
   readonly seconds: number;
   readonly weights?: Partial<RouteWeights>;
   readonly costs?: Partial<EngineCosts>;
-  /** Factor on the session arrival rate. */
-  readonly rate?: number;
+  /** Factor on the session arrival rate of the workload; default: 1. */
+  readonly rateFactor?: number;
 }
 
 export interface RoutingReplayResult {
   readonly requests: number;
   readonly promptTokens: number;
+  /** Prompt tokens that the replicas computed. */
   readonly prefilledTokens: number;
-  /** Lower bound of computed tokens, reached by one unlimited shared cache. */
+  /** Lower bound of `prefilledTokens`, with one unlimited shared cache. */
   readonly boundTokens: number;
   readonly firstTokenMs: readonly number[];
-  /** Requests of the busiest replica relative to the mean. */
+  /** Requests of the busiest replica divided by the mean per replica. */
   readonly busiest: number;
 }
 
-const ENTRIES = 6;
+const ENTRY_COUNT = 6;
 const FAILURE_DOMAINS = ['a', 'b', 'c', 'd'];
 const LOAD_POLL_MS = 750;
 const CACHE_POLL_MS = 1000;
 /** Probability that a caller switches to a random entry for its next turn. */
 const ENTRY_CHANGE_PROBABILITY = 0.3;
-const CACHE_EVENT_LOSS = 0.03;
-/** Fraction of a run that is not counted because caches are still cold. */
+const CACHE_EVENT_LOSS_PROBABILITY = 0.03;
+/** Fraction of a run, from its start, not counted: caches are still cold. */
 const WARM_UP_FRACTION = 0.2;
+/** Maximum steps of 100 ms in which open requests end after the run. */
 const MAX_DRAIN_STEPS = 600;
 
 /**
@@ -93,24 +95,24 @@
   };
   const warmUpMs = seconds * 1000 * WARM_UP_FRACTION;
   let openRequests = 0;
-  let attempts = 0;
+  let attemptCount = 0;
 
   /** Counts the tokens of a prompt that no replica has computed before. */
   function countUnseenTokens(
     blocks: readonly string[],
-    tokens: number,
+    promptTokens: number,
   ): number {
     const firstUnseen = blocks.findIndex(block => !seenBlocks.has(block));
     const seenPrefix = firstUnseen < 0 ? blocks.length : firstUnseen;
-    return Math.max(1, tokens - seenPrefix * TOKENS_PER_BLOCK);
+    return Math.max(1, promptTokens - seenPrefix * TOKENS_PER_BLOCK);
   }
 
   function runTurn(
     session: Session,
     turn: Turn,
     prompt: string,
-    done: (answer: string) => void,
-    entry: number,
+    onDidAnswer: (answer: string) => void,
+    entryIndex: number,
   ) {
     const tokens = tokenizePrompt(prompt);
     const blocks = hashPromptBlocks(tokens);
@@ -128,18 +130,18 @@
       sums.boundTokens += countUnseenTokens(blocks, tokens.length);
     }
     blocks.forEach(block => seenBlocks.add(block));
-    const choice = entries[entry]!.choose(routingRequest);
+    const choice = entries[entryIndex]!.choose(routingRequest);
     requestsByReplica.set(
       choice.endpoint,
       (requestsByReplica.get(choice.endpoint) ?? 0) + 1,
     );
     const startMs = clock.now();
     let latencyMs = 0;
-    const texts: string[] = [];
+    const tokenTexts: string[] = [];
     openRequests += 1;
-    attempts += 1;
+    attemptCount += 1;
     const generation: GenerationRequest = {
-      attempt: `entry${entry}-${attempts}`,
+      attempt: `entry${entryIndex}-${attemptCount}`,
       prompt,
       maxTokens: turn.maxTokens,
       urgency: 3,
@@ -155,14 +157,14 @@
           }
         }
         if (event.type === 'token') {
-          if (texts.length === 0) {
+          if (tokenTexts.length === 0) {
             latencyMs = clock.now() - startMs;
             choice.recordFirstToken();
             if (isPastWarmUp) {
               firstTokenMs.push(latencyMs);
             }
           }
-          texts.push(event.text);
+          tokenTexts.push(event.text);
         }
         if (event.type === 'end') {
           openRequests -= 1;
@@ -171,11 +173,11 @@
             latencyMs,
             cachedTokens: event.cachedTokens,
           });
-          const answer = texts.join('');
+          const answer = tokenTexts.join('');
           hashPromptBlocks(tokenizePrompt(`${prompt} ${answer}`)).forEach(
             block => seenBlocks.add(block),
           );
-          done(answer);
+          onDidAnswer(answer);
         }
       },
       fail(error) {
@@ -187,7 +189,7 @@
   function runSession(random: Random) {
     const session = workload.session(drawCustomer(workload, random), random);
     const maxTurns = session.turns.length;
-    let entry = random.integer(0, ENTRIES - 1);
+    let entryIndex = random.integer(0, ENTRY_COUNT - 1);
     function runTurnAt(index: number, history: string) {
       const turn = session.turns[index];
       if (turn === undefined || index >= maxTurns) {
@@ -195,7 +197,7 @@
       }
       clock.after(turn.thinkMs, () => {
         if (random.chance(ENTRY_CHANGE_PROBABILITY)) {
-          entry = random.integer(0, ENTRIES - 1);
+          entryIndex = random.integer(0, ENTRY_COUNT - 1);
         }
         const prompt = `${history} ${turn.question}`;
         runTurn(
@@ -203,37 +205,42 @@
           turn,
           prompt,
           answer => runTurnAt(index + 1, `${prompt} ${answer}`),
-          entry,
+          entryIndex,
         );
       });
     }
     runTurnAt(0, session.prompt);
   }
 
-  const arrivals = seededRandom(seed);
-  const rate = workload.sessionsPerSecond * (options.rate ?? 1);
-  let sessions = 0;
-  function arrive() {
+  const arrivalRandom = seededRandom(seed);
+  const sessionsPerSecond =
+    workload.sessionsPerSecond * (options.rateFactor ?? 1);
+  let sessionCount = 0;
+  function handleArrival() {
     if (clock.now() >= seconds * 1000) {
       return;
     }
-    sessions += 1;
-    runSession(seededRandom(seed * 100_003 + sessions));
-    clock.after(arrivals.exponential(1000 / rate), arrive);
+    sessionCount += 1;
+    runSession(seededRandom(seed * 100_003 + sessionCount));
+    clock.after(
+      arrivalRandom.exponential(1000 / sessionsPerSecond),
+      handleArrival,
+    );
   }
-  clock.after(0, arrive);
+  clock.after(0, handleArrival);
   clock.advanceSync(seconds * 1000);
   for (let step = 0; openRequests > 0 && step < MAX_DRAIN_STEPS; step++) {
     clock.advanceSync(100);
   }
-  const perReplica = [...engines.keys()].map(
+  const requestCounts = [...engines.keys()].map(
     id => requestsByReplica.get(id) ?? 0,
   );
-  const mean = perReplica.reduce((a, b) => a + b, 0) / perReplica.length;
+  const meanRequests =
+    requestCounts.reduce((a, b) => a + b, 0) / requestCounts.length;
   return {
     ...sums,
     firstTokenMs,
-    busiest: Math.max(...perReplica) / mean,
+    busiest: Math.max(...requestCounts) / meanRequests,
   };
 }
 
@@ -259,7 +266,7 @@
         clock,
         random: seededRandom(options.seed * 31 + index),
         version: 'v1',
-        costs: {cacheEventLoss: CACHE_EVENT_LOSS, ...options.costs},
+        costs: {cacheEventLoss: CACHE_EVENT_LOSS_PROBABILITY, ...options.costs},
       }),
     ]),
   );
@@ -270,7 +277,7 @@
   clock: VirtualClock,
   endpoints: readonly Candidate[],
 ): Policy[] {
-  return Array.from({length: ENTRIES}, (_, index) =>
+  return Array.from({length: ENTRY_COUNT}, (_, index) =>
     policies[options.policy]({
       clock,
       random: seededRandom(options.seed * 57 + index),
@@ -283,14 +290,14 @@
   );
 }
 
-/** Polls the engines at a different phase for each entry. */
+/** Starts load and cache polls, with a different phase for each entry. */
 function startPolling(
   clock: VirtualClock,
   engines: ReadonlyMap<string, SimulatedEngine>,
   entries: readonly Policy[],
 ) {
   entries.forEach((entry, index) => {
-    const phase = index / entries.length;
+    const phaseFraction = index / entries.length;
     const lastSequences = new Map<string, number>();
     function pollLoad() {
       for (const [id, engine] of engines) {
@@ -303,10 +310,10 @@
         lastSequences.set(id, entry.reportCache(id, events));
       }
     }
-    clock.after(phase * LOAD_POLL_MS, () => {
+    clock.after(phaseFraction * LOAD_POLL_MS, () => {
       every(clock, LOAD_POLL_MS, pollLoad);
     });
-    clock.after(phase * CACHE_POLL_MS, () => {
+    clock.after(phaseFraction * CACHE_POLL_MS, () => {
       every(clock, CACHE_POLL_MS, pollCache);
     });
   });
--- a/packages/bench/src/routing/workloads.ts
+++ b/packages/bench/src/routing/workloads.ts
@@ -1,7 +1,7 @@
-/** Seeded multi-turn workloads modelled on the two users. */
+/** Seeded multi-turn workloads modelled on the two users of the system. */
 import {hash32, seededRandom, type Random} from '@skylarkfield/base';
 
-/** Model pool and callers of one user. */
+/** Model replicas and callers of one user of the system. */
 export interface Workload {
   readonly name: 'namu' | 'sahakarana';
   readonly replicas: number;
@@ -25,7 +25,7 @@
   /** Text that the caller appends to the previous answer. */
   readonly question: string;
   readonly maxTokens: number;
-  /** Milliseconds after the end of the previous answer. */
+  /** Milliseconds from the end of the previous answer until the question. */
   readonly thinkMs: number;
 }
 
@@ -46,25 +46,25 @@
   id: string,
   shape: {
     readonly turns: readonly [number, number];
-    readonly answer: readonly [number, number];
-    readonly thinkMs: number;
+    readonly answerTokens: readonly [number, number];
+    readonly meanThinkMs: number;
   },
 ): Turn[] {
   const count = random.integer(...shape.turns);
-  return Array.from({length: count}, (_, turn) => ({
-    question: distinctWords(`${id}q${turn}`, random.integer(15, 60)),
-    maxTokens: random.integer(...shape.answer),
-    thinkMs: turn === 0 ? 0 : random.exponential(shape.thinkMs),
+  return Array.from({length: count}, (_, turnIndex) => ({
+    question: distinctWords(`${id}q${turnIndex}`, random.integer(15, 60)),
+    maxTokens: random.integer(...shape.answerTokens),
+    thinkMs: turnIndex === 0 ? 0 : random.exponential(shape.meanThinkMs),
   }));
 }
 
-/** Draws an index with weight 1/(rank + 1): few histories are popular. */
+/** Draws a rank with weight 1/(rank + 1): low ranks are frequent. */
 function drawZipfRank(random: Random, count: number): number {
-  const total = Array.from({length: count}, (_, i) => 1 / (i + 1)).reduce(
+  const totalWeight = Array.from({length: count}, (_, i) => 1 / (i + 1)).reduce(
     (a, b) => a + b,
     0,
   );
-  let remaining = random.next() * total;
+  let remaining = random.next() * totalWeight;
   for (let rank = 0; rank < count; rank++) {
     remaining -= 1 / (rank + 1);
     if (remaining <= 0) {
@@ -96,14 +96,14 @@
     ].join(' ');
     const turns = drawTurns(random, id, {
       turns: [1, 5],
-      answer: [20, 120],
-      thinkMs: 6000,
+      answerTokens: [20, 120],
+      meanThinkMs: 6000,
     });
     return {prompt, turns};
   },
 };
 
-/** Long worker histories, queried repeatedly by few customers. */
+/** Long histories of worker crews, queried repeatedly by few customers. */
 const sahakarana: Workload = {
   name: 'sahakarana',
   replicas: 8,
@@ -111,8 +111,8 @@
   customerShares: CUSTOMER_SHARES,
   sharedBlocks: 12,
   session(customer, random) {
-    const crews = Math.round(20 + 80 * (CUSTOMER_SHARES[customer] ?? 0));
-    const crew = `crew${customer}-${drawZipfRank(random, crews)}`;
+    const crewCount = Math.round(20 + 80 * (CUSTOMER_SHARES[customer] ?? 0));
+    const crew = `crew${customer}-${drawZipfRank(random, crewCount)}`;
     // A crew's history must have the same length in all of its sessions.
     const crewRandom = seededRandom(hash32(crew));
     const prompt = [
@@ -121,8 +121,8 @@
     ].join(' ');
     const turns = drawTurns(random, drawId(random), {
       turns: [2, 6],
-      answer: [40, 200],
-      thinkMs: 5000,
+      answerTokens: [40, 200],
+      meanThinkMs: 5000,
     });
     return {prompt, turns};
   },
--- a/packages/bench/src/slopes.ts
+++ b/packages/bench/src/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * `slopes`: cost of control traffic per process as entries, replicas and
- * changes grow. The script of the capacity page reads the returned object.
+ * `slopes`: cost of control traffic per process as the numbers of entries,
+ * replicas and changes grow. `tools/capacity.mjs` reads the returned object.
  */
 import type {MeasureOptions} from './measurements.js';
 import {measureIdleEntries} from './slopes/idleEntry.js';
@@ -15,12 +15,12 @@
 const ENTRY_COUNTS = [7, 25, 100, 300] as const;
 /** Entries simulated for the loss of a failure domain. */
 const DOMAIN_LOSS_ENTRIES = 100;
-/** Runs of at least this many seconds also measure the largest count. */
+/** Runs of at least this many seconds also measure `LARGE_ENTRY_COUNT`. */
 const LARGE_COUNT_MIN_SECONDS = 120;
 const LARGE_ENTRY_COUNT = 600;
 
 /**
- * Measures all slopes.
+ * Measures the cost of idle entries, sockets, load polls and membership.
  *
  * @example
  * const slopes = await measureSlopes({seed: 1});
--- a/packages/bench/src/slopes/heap.ts
+++ b/packages/bench/src/slopes/heap.ts
@@ -1,4 +1,4 @@
-/** Memory use after garbage collection. */
+/** Measures memory use after garbage collection. */
 import v8 from 'node:v8';
 import vm from 'node:vm';
 
@@ -9,9 +9,9 @@
  * Collects garbage and returns the used heap in bytes.
  *
  * @example
- * const before = collectedHeapBytes();
+ * const before = measureHeapBytes();
  */
-export function collectedHeapBytes(): number {
+export function measureHeapBytes(): number {
   collectGarbage();
   return process.memoryUsage().heapUsed;
 }
@@ -20,9 +20,9 @@
  * Collects garbage and returns the resident set size in bytes.
  *
  * @example
- * const before = collectedResidentBytes();
+ * const before = measureResidentBytes();
  */
-export function collectedResidentBytes(): number {
+export function measureResidentBytes(): number {
   collectGarbage();
   return process.memoryUsage().rss;
 }
--- a/packages/bench/src/slopes/idleEntry.ts
+++ b/packages/bench/src/slopes/idleEntry.ts
@@ -1,4 +1,4 @@
-/** Measures the resource use of real entry processes without calls. */
+/** Measures the resource use of entry processes that receive no calls. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {
   putTrialRecords,
@@ -25,16 +25,16 @@
   };
 }
 
-async function readDump(admin: string): Promise<ProcessDump> {
-  const response = await fetch(`${admin}/dump`, {
+async function fetchDump(adminUrl: string): Promise<ProcessDump> {
+  const response = await fetch(`${adminUrl}/dump`, {
     headers: {authorization: `Bearer ${TRIAL_ADMIN_KEY}`},
   });
   return (await response.json()) as ProcessDump;
 }
 
 /**
- * Measures seven entries with four endpoints over some idle seconds; returns
- * the mean per entry, and the maximum for memory.
+ * Measures seven entries with four endpoints for `WINDOW_MS`, without calls.
+ * Returns the mean per entry; for memory, the maximum.
  *
  * @example
  * const {residentBytes} = await measureIdleEntries();
@@ -53,39 +53,42 @@
   try {
     await putTrialRecords(fleet);
     await waitUntilServing(fleet, ['match', 'booking']);
-    const admins = fleet.entries.map(entry => entry.ready['admin'] ?? '');
+    const adminUrls = fleet.entries.map(entry => entry.ready['admin'] ?? '');
     await delay(WINDOW_MS / 2);
-    const before = await Promise.all(admins.map(readDump));
+    const dumpsBefore = await Promise.all(adminUrls.map(fetchDump));
     await delay(WINDOW_MS);
-    const after = await Promise.all(admins.map(readDump));
-    return summarize(before, after);
+    const dumpsAfter = await Promise.all(adminUrls.map(fetchDump));
+    return summarize(dumpsBefore, dumpsAfter);
   } finally {
     await fleet.dispose();
   }
 }
 
 function summarize(
-  before: readonly ProcessDump[],
-  after: readonly ProcessDump[],
+  dumpsBefore: readonly ProcessDump[],
+  dumpsAfter: readonly ProcessDump[],
 ) {
   const seconds = WINDOW_MS / 1_000;
-  function rate(read: (dump: ProcessDump) => number): number {
-    const sum = after.reduce(
-      (total, dump, index) => total + read(dump) - read(before[index]!),
+  function meanPerSecond(readCounter: (dump: ProcessDump) => number): number {
+    const sum = dumpsAfter.reduce(
+      (total, dump, index) =>
+        total + readCounter(dump) - readCounter(dumpsBefore[index]!),
       0,
     );
-    return Math.round((sum / after.length / seconds) * 10) / 10;
+    return Math.round((sum / dumpsAfter.length / seconds) * 10) / 10;
   }
-  const resident = after.map(dump => dump.process.memory.rss);
+  const residentSizes = dumpsAfter.map(dump => dump.process.memory.rss);
   return {
-    entries: after.length,
+    entries: dumpsAfter.length,
     endpoints: 4,
-    residentBytes: Math.max(...resident),
-    cpuMicrosPerSecond: rate(({process: {cpu}}) => cpu.user + cpu.system),
-    innerMessages: rate(
+    residentBytes: Math.max(...residentSizes),
+    cpuMicrosPerSecond: meanPerSecond(
+      ({process: {cpu}}) => cpu.user + cpu.system,
+    ),
+    innerMessages: meanPerSecond(
       ({network: {traffic}}) => traffic.messagesSent + traffic.messagesReceived,
     ),
-    innerBytes: rate(
+    innerBytes: meanPerSecond(
       ({network: {traffic}}) => traffic.bytesSent + traffic.bytesReceived,
     ),
   };
--- a/packages/bench/src/slopes/memberCluster.ts
+++ b/packages/bench/src/slopes/memberCluster.ts
@@ -10,7 +10,7 @@
 import {createMemoryPlatform} from '@skylarkfield/providers';
 import {MEMORY_URL_PREFIX, createMemoryNetwork} from '@skylarkfield/protocol';
 
-const FAILURE_DOMAINS = 10;
+const FAILURE_DOMAIN_COUNT = 10;
 
 /**
  * Creates a cluster of simulated entries in ten failure domains.
@@ -19,7 +19,7 @@
  * const cluster = createMemberCluster(1, 100);
  * await cluster.clock.advance(60_000);
  */
-export function createMemberCluster(seed: number, count: number) {
+export function createMemberCluster(seed: number, memberCount: number) {
   const clock = virtualClock();
   const random = seededRandom(seed);
   const net = createMemoryNetwork({clock, random});
@@ -29,7 +29,7 @@
   let incarnation = 0;
 
   function domainOf(id: string): string {
-    return `domain-${Number(id.slice(1)) % FAILURE_DOMAINS}`;
+    return `domain-${Number(id.slice(1)) % FAILURE_DOMAIN_COUNT}`;
   }
 
   function start(id: string) {
@@ -56,7 +56,7 @@
     members.set(id, membership);
   }
 
-  const ids = Array.from({length: count}, (_, index) => `e${index}`);
+  const ids = Array.from({length: memberCount}, (_, index) => `e${index}`);
   ids.forEach(start);
   return {
     clock,
@@ -71,16 +71,16 @@
       net.crash(id);
       members.delete(id);
     },
-    /** Returns the number of members that list exactly the running ones. */
+    /** Returns the number of members that list exactly the running members. */
     countAgreeing(): number {
-      const expected = members.size;
+      const runningCount = members.size;
       return [...members.values()].filter(
         membership =>
-          membership.live().length === expected &&
+          membership.live().length === runningCount &&
           membership.live().every(member => members.has(member.id)),
       ).length;
     },
-    /** Returns the number of members that still list one of these ids. */
+    /** Returns the number of members that still list one of the given ids. */
     countListing(ids: ReadonlySet<string>): number {
       return [...members.values()].filter(membership =>
         membership.live().some(member => ids.has(member.id)),
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -1,19 +1,20 @@
 /** Measures the membership cost per entry and the failure detection time. */
-import {collectedHeapBytes} from './heap.js';
+import {measureHeapBytes} from './heap.js';
 import {createMemberCluster, type MemberCluster} from './memberCluster.js';
 
 export interface MemberSlope {
   readonly entries: number;
+  /** Mean number of heartbeat neighbours per entry. */
   readonly neighbours: number;
-  /** Sent and received per entry and second, without membership changes. */
+  /** Messages sent and received per entry and second without changes. */
   readonly messages: number;
-  /** Counted as `messages`. */
+  /** Bytes sent and received per entry and second without changes. */
   readonly bytes: number;
-  /** Microseconds per second and entry, including the simulation. */
+  /** Processor microseconds per entry and second, including the simulation. */
   readonly cpuMicros: number;
   /** Heap per entry, including its member list. */
   readonly heapBytes: number;
-  /** Bytes per entry, sent and received, for one crash and one start. */
+  /** Bytes sent and received per entry for one crash and one restart. */
   readonly bytesPerChange: number;
   /** Time from a crash until the first and the last entry remove the member. */
   readonly firstNoticeMs: number;
@@ -25,7 +26,7 @@
 const STEP_MS = 250;
 const CHANGE_WINDOW_MS = 20_000;
 
-/** Runs until all members agree and no gossip is pending. */
+/** Advances the clock until all members agree and no gossip is pending. */
 async function waitForConvergence(cluster: MemberCluster): Promise<void> {
   for (let ms = 0; ms < CONVERGENCE_TIMEOUT_MS; ms += 1_000) {
     await cluster.clock.advance(1_000);
@@ -36,12 +37,12 @@
       return;
     }
   }
-  throw new Error('the members did not converge in time');
+  throw new Error('the members did not converge before the timeout');
 }
 
 interface MembershipDump {
   readonly neighbours: readonly string[];
-  /** Pending membership updates. */
+  /** Number of membership updates that are still to be sent. */
   readonly gossip: number;
 }
 
@@ -56,28 +57,34 @@
 }
 
 function meanNeighbours(cluster: MemberCluster): number {
-  const all = readDumps(cluster);
-  const sum = all.reduce((total, {neighbours}) => total + neighbours.length, 0);
-  return sum / all.length;
+  const dumps = readDumps(cluster);
+  const sum = dumps.reduce(
+    (total, {neighbours}) => total + neighbours.length,
+    0,
+  );
+  return sum / dumps.length;
 }
 
 async function measureSteadyState(cluster: MemberCluster) {
   const {net, clock, members} = cluster;
   const before = net.totalTraffic();
-  const cpu = process.cpuUsage();
+  const cpuBefore = process.cpuUsage();
   await clock.advance(STEADY_MS);
-  const used = process.cpuUsage(cpu);
+  const usedCpu = process.cpuUsage(cpuBefore);
   const after = net.totalTraffic();
   const entrySeconds = members.size * (STEADY_MS / 1000);
   return {
     messages: (2 * (after.messagesSent - before.messagesSent)) / entrySeconds,
     bytes: (2 * (after.bytesSent - before.bytesSent)) / entrySeconds,
-    cpuMicros: (used.user + used.system) / entrySeconds,
+    cpuMicros: (usedCpu.user + usedCpu.system) / entrySeconds,
   };
 }
 
-/** Crashes one entry; measures its detection and the bytes of the change. */
-async function measureChange(cluster: MemberCluster, steadyBytes: number) {
+/** Crashes one entry; measures the detection time and the bytes per change. */
+async function measureChange(
+  cluster: MemberCluster,
+  steadyBytesPerSecond: number,
+) {
   const {net, clock, members} = cluster;
   const id = cluster.random.pick([...members.keys()])!;
   const before = net.totalTraffic().bytesSent;
@@ -87,11 +94,11 @@
   cluster.start(id);
   await clock.advance(CHANGE_WINDOW_MS);
   const bytes = (2 * (net.totalTraffic().bytesSent - before)) / members.size;
-  const expectedBytes = (steadyBytes * 2 * CHANGE_WINDOW_MS) / 1000;
+  const expectedBytes = (steadyBytesPerSecond * 2 * CHANGE_WINDOW_MS) / 1000;
   return {...detection, bytesPerChange: Math.max(0, bytes - expectedBytes)};
 }
 
-/** Runs until no entry lists the given ids, or for `limitMs`. */
+/** Advances the clock until no entry lists the given ids, or by `limitMs`. */
 export async function measureDetectionTimes(
   cluster: MemberCluster,
   lostIds: ReadonlySet<string>,
@@ -101,11 +108,11 @@
   let firstNoticeMs = -1;
   for (let ms = STEP_MS; ms <= limitMs; ms += STEP_MS) {
     await cluster.clock.advance(STEP_MS);
-    const listing = cluster.countListing(lostIds);
-    if (firstNoticeMs < 0 && listing < entryCount) {
+    const listingCount = cluster.countListing(lostIds);
+    if (firstNoticeMs < 0 && listingCount < entryCount) {
       firstNoticeMs = ms;
     }
-    if (listing === 0) {
+    if (listingCount === 0) {
       return {firstNoticeMs, lastNoticeMs: ms};
     }
   }
@@ -122,18 +129,18 @@
   seed: number,
   entries: number,
 ): Promise<MemberSlope> {
-  const heapBefore = collectedHeapBytes();
+  const heapBefore = measureHeapBytes();
   const cluster = createMemberCluster(seed, entries);
   await waitForConvergence(cluster);
-  const heapBytesPerEntry = (collectedHeapBytes() - heapBefore) / entries;
+  const heapBytesPerEntry = (measureHeapBytes() - heapBefore) / entries;
   const steady = await measureSteadyState(cluster);
   const change = await measureChange(cluster, steady.bytes);
   return {
     entries,
-    neighbours: round(meanNeighbours(cluster)),
-    messages: round(steady.messages),
-    bytes: round(steady.bytes),
-    cpuMicros: round(steady.cpuMicros),
+    neighbours: roundToTenths(meanNeighbours(cluster)),
+    messages: roundToTenths(steady.messages),
+    bytes: roundToTenths(steady.bytes),
+    cpuMicros: roundToTenths(steady.cpuMicros),
     heapBytes: Math.round(heapBytesPerEntry),
     bytesPerChange: Math.round(change.bytesPerChange),
     firstNoticeMs: change.firstNoticeMs,
@@ -143,7 +150,7 @@
 
 /**
  * Crashes a failure domain; measures the time until no entry lists a member of
- * the domain, and the bytes per entry in the busiest second until then.
+ * the domain, and the bytes per entry in the busiest second of that time.
  *
  * @example
  * const loss = await measureDomainLoss(1, 100);
@@ -155,16 +162,19 @@
     id => cluster.domainOf(id) === 'domain-3',
   );
   lostIds.forEach(id => cluster.crash(id));
-  const ids = new Set(lostIds);
+  const lostIdSet = new Set(lostIds);
   let busiestBytes = 0;
   let detectedMs = -1;
   let seconds = 0;
   for (; seconds < 90 && detectedMs < 0; seconds++) {
     const before = cluster.net.totalTraffic().bytesSent;
     await cluster.clock.advance(1_000);
-    const sent = cluster.net.totalTraffic().bytesSent - before;
-    busiestBytes = Math.max(busiestBytes, (2 * sent) / cluster.members.size);
-    if (cluster.countListing(ids) === 0) {
+    const sentBytes = cluster.net.totalTraffic().bytesSent - before;
+    busiestBytes = Math.max(
+      busiestBytes,
+      (2 * sentBytes) / cluster.members.size,
+    );
+    if (cluster.countListing(lostIdSet) === 0) {
       detectedMs = (seconds + 1) * 1_000;
     }
   }
@@ -177,8 +187,8 @@
 }
 
 /**
- * Counts suspicions and removals of live entries, with 10 % message loss and
- * short pauses of single processes.
+ * Counts suspicions and removals of running entries, with 10 % message loss and
+ * pauses of 1 s of single processes.
  *
  * @example
  * const {suspicions, wronglyGone} = await measureFalseAlarms(1, 25);
@@ -205,6 +215,6 @@
   return {entries, minutes, loss: 0.1, pauseMs: 1_000, suspicions, wronglyGone};
 }
 
-function round(value: number): number {
+function roundToTenths(value: number): number {
   return Math.round(value * 10) / 10;
 }
--- a/packages/bench/src/slopes/replicaSlopes.ts
+++ b/packages/bench/src/slopes/replicaSlopes.ts
@@ -1,22 +1,22 @@
-/** Measures the cost per replica and per record for an entry. */
+/** Measures the cost to an entry per replica and per record. */
 import net, {type AddressInfo, type Socket} from 'node:net';
 import {createHttpEngine} from '@skylarkfield/endpoints';
 import type {ListedEndpoint} from '@skylarkfield/providers';
 import {encodeFrame, type Messages} from '@skylarkfield/protocol';
 import {startEngineStandin} from '@skylarkfield/standins';
 
-const POLLS = 1_000;
-const LISTED_ENDPOINTS = 200;
-/** Number of buckets of a record digest in the records package. */
+const POLL_COUNT = 1_000;
+const LISTED_ENDPOINT_COUNT = 200;
+/** Number of buckets of a record digest, as in the records package. */
 const DIGEST_BUCKETS = 16;
 const BUCKET_HASH = 0xfedc_ba98;
 
 /** Starts a TCP proxy that counts the bytes in both directions. */
-async function startCountingProxy(target: number) {
+async function startCountingProxy(targetPort: number) {
   let bytes = 0;
   const sockets = new Set<Socket>();
   const server = net.createServer(downstream => {
-    const upstream = net.connect(target, '127.0.0.1');
+    const upstream = net.connect(targetPort, '127.0.0.1');
     for (const [from, to] of [
       [downstream, upstream],
       [upstream, downstream],
@@ -55,31 +55,35 @@
     service: 'match',
     version: 'v1',
   });
-  const counter = await startCountingProxy(standin.port);
-  const direct = createHttpEngine({url: standin.url});
-  const counted = createHttpEngine({url: `http://127.0.0.1:${counter.port}`});
-  for (let warmUp = 0; warmUp < POLLS / 5; warmUp++) {
-    await direct.load();
-    await counted.load();
+  const countingProxy = await startCountingProxy(standin.port);
+  const directEngine = createHttpEngine({url: standin.url});
+  const proxiedEngine = createHttpEngine({
+    url: `http://127.0.0.1:${countingProxy.port}`,
+  });
+  for (let warmUp = 0; warmUp < POLL_COUNT / 5; warmUp++) {
+    await directEngine.load();
+    await proxiedEngine.load();
   }
-  const before = counter.bytes();
-  for (let poll = 0; poll < POLLS; poll++) {
-    await counted.load();
+  const before = countingProxy.bytes();
+  for (let poll = 0; poll < POLL_COUNT; poll++) {
+    await proxiedEngine.load();
   }
-  const bytes = counter.bytes() - before;
-  const cpu = process.cpuUsage();
-  for (let poll = 0; poll < POLLS; poll++) {
-    await direct.load();
+  const bytes = countingProxy.bytes() - before;
+  const cpuBefore = process.cpuUsage();
+  for (let poll = 0; poll < POLL_COUNT; poll++) {
+    await directEngine.load();
   }
-  const used = process.cpuUsage(cpu);
-  direct.dispose();
-  counted.dispose();
-  counter.close();
+  const usedCpu = process.cpuUsage(cpuBefore);
+  directEngine.dispose();
+  proxiedEngine.dispose();
+  countingProxy.close();
   await standin.stop();
   return {
-    polls: POLLS,
-    bytesPerPoll: Math.round(bytes / POLLS),
-    cpuMicrosPerPollBothSides: Math.round((used.user + used.system) / POLLS),
+    polls: POLL_COUNT,
+    bytesPerPoll: Math.round(bytes / POLL_COUNT),
+    cpuMicrosPerPollBothSides: Math.round(
+      (usedCpu.user + usedCpu.system) / POLL_COUNT,
+    ),
   };
 }
 
@@ -91,30 +95,32 @@
  */
 export function measureEncodedSizes() {
   return {
-    recordBytes: encodedBytes('records', {records: [exampleRecord()]}),
-    digestBytes: encodedBytes('recordDigest', {
+    recordBytes: countEncodedBytes('records', {
+      records: [createExampleRecord()],
+    }),
+    digestBytes: countEncodedBytes('recordDigest', {
       count: 500,
       buckets: new Array<number>(DIGEST_BUCKETS).fill(BUCKET_HASH),
     }),
-    confirmBytes: encodedBytes('recordsInForce', {
+    confirmBytes: countEncodedBytes('recordsInForce', {
       records: [
         {kind: 'service', name: 'booking-thrissur', sourceVersion: 1_234_567},
       ],
       scope: 'self',
     }),
-    leavingBytes: encodedBytes('endpointLeaving', {
+    leavingBytes: countEncodedBytes('endpointLeaving', {
       endpoints: ['replica-1042'],
       host: 'host-00417',
       goneAt: 1_800_000_000_000,
       isWhole: true,
     }),
     bytesPerListedEndpoint: Math.round(
-      JSON.stringify(exampleList()).length / LISTED_ENDPOINTS,
+      JSON.stringify(createExampleList()).length / LISTED_ENDPOINT_COUNT,
     ),
   };
 }
 
-function encodedBytes<T extends keyof Messages & string>(
+function countEncodedBytes<T extends keyof Messages & string>(
   type: T,
   body: Messages[T],
 ): number {
@@ -122,7 +128,7 @@
 }
 
 /** Creates a service record, the record kind with the most fields. */
-function exampleRecord() {
+function createExampleRecord() {
   const route = {method: 'POST', pathPrefix: '/v1/shifts', isIdempotent: false};
   return {
     kind: 'service',
@@ -148,8 +154,8 @@
   };
 }
 
-function exampleList(): ListedEndpoint[] {
-  return Array.from({length: LISTED_ENDPOINTS}, (_, index) => ({
+function createExampleList(): ListedEndpoint[] {
+  return Array.from({length: LISTED_ENDPOINT_COUNT}, (_, index) => ({
     id: `replica-${1_000 + index}`,
     type: 'model' as const,
     service: 'roster-assistant',
--- a/packages/bench/src/slopes/socketSlopes.ts
+++ b/packages/bench/src/slopes/socketSlopes.ts
@@ -1,10 +1,10 @@
 /** Measures the cost of messages and connections on loopback sockets. */
 import {seededRandom, silentLogger, systemClock} from '@skylarkfield/base';
 import {createPeerNetwork, type PeerAddress} from '@skylarkfield/protocol';
-import {collectedResidentBytes} from './heap.js';
+import {measureResidentBytes} from './heap.js';
 
-const REQUESTS = 5_000;
-const PEERS = 60;
+const REQUEST_COUNT = 5_000;
+const PEER_COUNT = 60;
 const REQUEST_TIMEOUT_MS = 5_000;
 
 async function startPeer(index: number) {
@@ -27,46 +27,46 @@
 
 /**
  * Measures processor time per message (sent, transferred and received) and
- * memory per connection end.
+ * resident memory per end of a connection.
  *
  * @example
  * const {cpuMicrosPerMessage} = await measureSockets();
  */
 export async function measureSockets() {
   const peers = await Promise.all(
-    Array.from({length: PEERS + 1}, (_, index) => startPeer(index)),
+    Array.from({length: PEER_COUNT + 1}, (_, index) => startPeer(index)),
   );
   const [hub, ...spokes] = peers;
-  const before = collectedResidentBytes();
+  const bytesBefore = measureResidentBytes();
   hub!.network.setPeers(spokes.map(spoke => spoke.address));
-  while (hub!.network.connectedPeers().length < PEERS) {
+  while (hub!.network.connectedPeers().length < PEER_COUNT) {
     await new Promise(resolve => setTimeout(resolve, 10));
   }
-  const bytesPerEnd = (collectedResidentBytes() - before) / (2 * PEERS);
+  const bytesPerEnd = (measureResidentBytes() - bytesBefore) / (2 * PEER_COUNT);
 
-  const [peer] = spokes;
-  peer!.network.onDidReceive('memberWord', () => ({heardAgoMs: 1}));
+  const [firstSpoke] = spokes;
+  firstSpoke!.network.onDidReceive('memberWord', () => ({heardAgoMs: 1}));
   const sendRequest = () =>
     hub!.network.request(
-      peer!.address.id,
+      firstSpoke!.address.id,
       'memberWord',
       {id: 'p1', incarnation: 1},
       REQUEST_TIMEOUT_MS,
     );
-  for (let warmUp = 0; warmUp < REQUESTS / 5; warmUp++) {
+  for (let warmUp = 0; warmUp < REQUEST_COUNT / 5; warmUp++) {
     await sendRequest();
   }
-  const cpu = process.cpuUsage();
-  for (let index = 0; index < REQUESTS; index++) {
+  const cpuBefore = process.cpuUsage();
+  for (let index = 0; index < REQUEST_COUNT; index++) {
     await sendRequest();
   }
-  const used = process.cpuUsage(cpu);
+  const usedCpu = process.cpuUsage(cpuBefore);
   peers.forEach(({network}) => network.dispose());
-  const messages = 2 * REQUESTS;
+  const messages = 2 * REQUEST_COUNT;
   return {
     messages,
-    cpuMicrosPerMessage: Math.round((used.user + used.system) / messages),
-    connections: PEERS,
+    cpuMicrosPerMessage: Math.round((usedCpu.user + usedCpu.system) / messages),
+    connections: PEER_COUNT,
     residentBytesPerConnectionEnd: Math.round(bytesPerEnd),
   };
 }
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -1,9 +1,10 @@
 /**
- * `spread`: time until a record is in force on every entry, and platform load,
- * as entries grow: with working watches, with the platform reachable from only
- * one entry, and with the baseline of a watch at every entry. Entries, network
- * and platform run in this process on the real clock, with a simulated delay of
- * 1 ms between entries and 4 ms to the platform.
+ * `spread`: time until a record is in force on every entry, and load on the
+ * platform, as the number of entries grows. Measures three cases: working
+ * watches, a platform that only one entry can reach, and a baseline in which
+ * every entry watches the platform. Entries, network and platform run in this
+ * process on the real clock, with a simulated delay of 1 ms between entries and
+ * 4 ms to the platform.
  */
 import {seededRandom, sleep, systemClock, type Clock} from '@skylarkfield/base';
 import {createMemoryPlatform} from '@skylarkfield/providers';
@@ -12,9 +13,9 @@
 
 const ENTRY_COUNTS = [7, 25, 100, 300];
 const DEFAULT_SECONDS = 24;
-/** Target for the time until a record is in force everywhere. */
+/** Target for the time until a record is in force on every entry. */
 const TARGET_MS = 2000;
-const POLL_MS = 2;
+const CONDITION_POLL_MS = 2;
 const CONDITION_TIMEOUT_MS = 5_000;
 const IDLE_SECONDS = 2;
 const PLATFORM_DELAY_MS = 4;
@@ -29,25 +30,27 @@
   /** Milliseconds from the operator's write until the last entry applies it. */
   readonly inForceP50Ms: number;
   readonly inForceMaxMs: number;
-  /** Milliseconds until the status is `in-force`; -1 when it never was. */
+  /** Maximum milliseconds until the status is `in-force`; -1 on a timeout. */
   readonly statusMaxMs: number;
+  /** Rounds in which an entry did not apply the record before the timeout. */
   readonly missed: number;
   readonly openWatches: number;
-  /** Platform calls per idle second; each open watch counts as one. */
+  /** Platform calls per idle second; an open watch counts as one call. */
   readonly platformCallsPerSecond: number;
   readonly messagesPerEntryPerSecond: number;
   readonly bytesPerEntryPerSecond: number;
 }
 
 /**
- * Measures propagation for several numbers of entries.
+ * Measures the propagation of records for several numbers of entries.
  *
  * @example
  * const result = await measureSpread({seed: 1});
  */
 export async function measureSpread(options: MeasureOptions): Promise<object> {
   const clock = systemClock();
-  // The clock's timers are unreferenced; no socket keeps the process alive.
+  // Keeps the process alive: timers of the clock are unreferenced, and no
+  // socket is open.
   const keepAliveTimer = setInterval(() => undefined, 1000);
   const rounds = Math.max(
     3,
@@ -55,17 +58,21 @@
   );
   try {
     const results: SpreadResult[] = [];
-    for (const count of ENTRY_COUNTS) {
-      results.push(...(await measureFleet(clock, count, rounds, options.seed)));
-      results.push(await measureBaseline(clock, count, rounds, options.seed));
+    for (const entryCount of ENTRY_COUNTS) {
+      results.push(
+        ...(await measureFleet(clock, entryCount, rounds, options.seed)),
+      );
+      results.push(
+        await measureBaseline(clock, entryCount, rounds, options.seed),
+      );
     }
     const fleetResults = results.filter(
       result => !result.mode.startsWith('baseline'),
     );
-    const isMet = fleetResults.every(
+    const isWithinTarget = fleetResults.every(
       result => result.missed === 0 && result.inForceMaxMs < TARGET_MS,
     );
-    return {targetMs: TARGET_MS, isTargetMet: isMet, results};
+    return {targetMs: TARGET_MS, isTargetMet: isWithinTarget, results};
   } finally {
     clearInterval(keepAliveTimer);
   }
@@ -73,29 +80,34 @@
 
 async function measureFleet(
   clock: Clock,
-  count: number,
+  entryCount: number,
   rounds: number,
   seed: number,
 ): Promise<readonly SpreadResult[]> {
-  const fleet = startSpreadFleet(clock, {count, seed});
+  const fleet = startSpreadFleet(clock, {entryCount, seed});
   try {
     await waitUntil(clock, () =>
       fleet.entries.every(entry => entry.configuration.isReady()),
     );
-    // The set of watching entries settles after the first rounds.
+    // Waits until the set of entries that watch the platform is stable.
     await sleep(clock, SETTLE_MS);
-    const watched = await measureMode(clock, fleet, 'platform watched', rounds);
+    const watchedResult = await measureMode(
+      clock,
+      fleet,
+      'platform watched',
+      rounds,
+    );
     for (const entry of fleet.entries.slice(1)) {
       entry.store.faults.setDown(true);
     }
     await sleep(clock, SETTLE_MS);
-    const cut = await measureMode(
+    const cutOffResult = await measureMode(
       clock,
       fleet,
       'platform cut for all but one',
       rounds,
     );
-    return [watched, cut];
+    return [watchedResult, cutOffResult];
   } finally {
     fleet.dispose();
   }
@@ -107,12 +119,12 @@
   mode: Mode,
   rounds: number,
 ): Promise<SpreadResult> {
-  const idle = await measureIdle(clock, fleet);
+  const idleFigures = await measureIdle(clock, fleet);
   const delaysMs: number[] = [];
   const statusDelaysMs: number[] = [];
   let missed = 0;
   for (let round = 0; round < rounds; round++) {
-    const start = clock.now();
+    const startMs = clock.now();
     const version = writeCustomer(fleet, round);
     const isInForceEverywhere = await waitUntil(clock, () =>
       fleet.entries.every(entry =>
@@ -120,9 +132,9 @@
       ),
     );
     missed += isInForceEverywhere ? 0 : 1;
-    delaysMs.push(clock.now() - start);
+    delaysMs.push(clock.now() - startMs);
     const isReported = await waitUntil(clock, () => isInForce(fleet, version));
-    statusDelaysMs.push(isReported ? clock.now() - start : -1);
+    statusDelaysMs.push(isReported ? clock.now() - startMs : -1);
   }
   return {
     entries: fleet.entries.length,
@@ -134,49 +146,52 @@
       ? -1
       : Math.round(Math.max(...statusDelaysMs)),
     missed,
-    ...idle,
+    ...idleFigures,
   };
 }
 
-/** Measures the baseline without peers: every entry watches the records. */
+/** Measures the baseline: every entry watches the platform, without peers. */
 async function measureBaseline(
   clock: Clock,
-  count: number,
+  entryCount: number,
   rounds: number,
   seed: number,
 ): Promise<SpreadResult> {
   const platform = createMemoryPlatform({clock, random: seededRandom(seed)});
   platform.faults.setDelay(PLATFORM_DELAY_MS);
-  const stores = Array.from({length: count}, (_, index) =>
-    platform.client(`b${index}`, {liveEntries: count}),
+  const clients = Array.from({length: entryCount}, (_, index) =>
+    platform.client(`b${index}`, {liveEntries: entryCount}),
   );
-  const latestVersions = new Array<number>(count).fill(0);
-  stores.forEach((store, index) => {
-    store.watch('customer', {
+  const latestVersions = new Array<number>(entryCount).fill(0);
+  clients.forEach((client, index) => {
+    client.watch('customer', {
       onDidList: () => {},
       onDidPut: object => (latestVersions[index] = object.version),
       onDidRemove: () => {},
     });
   });
-  await waitUntil(clock, () => platform.callCounts().openWatches === count);
+  await waitUntil(
+    clock,
+    () => platform.callCounts().openWatches === entryCount,
+  );
   const delaysMs: number[] = [];
   let missed = 0;
   for (let round = 0; round < rounds; round++) {
-    const start = clock.now();
+    const startMs = clock.now();
     const {version} = platform.table.put(
       createOperatorWrite(),
       createCustomerRecord(round),
     );
     const isInForceEverywhere = await waitUntil(clock, () =>
-      latestVersions.every(reached => reached >= version),
+      latestVersions.every(latestVersion => latestVersion >= version),
     );
     missed += isInForceEverywhere ? 0 : 1;
-    delaysMs.push(clock.now() - start);
+    delaysMs.push(clock.now() - startMs);
   }
   const {openWatches} = platform.callCounts();
-  stores.forEach(store => store.dispose());
+  clients.forEach(client => client.dispose());
   return {
-    entries: count,
+    entries: entryCount,
     mode: 'baseline: a watch at every entry',
     rounds,
     inForceP50Ms: median(delaysMs),
@@ -192,29 +207,35 @@
 
 async function measureIdle(clock: Clock, fleet: SpreadFleet) {
   const {platform, net, entries} = fleet;
-  const before = {load: platform.callCounts(), total: net.totalTraffic()};
-  const start = clock.now();
+  const before = {
+    callCounts: platform.callCounts(),
+    traffic: net.totalTraffic(),
+  };
+  const startMs = clock.now();
   await sleep(clock, IDLE_SECONDS * 1000);
-  const seconds = (clock.now() - start) / 1000;
-  const after = {load: platform.callCounts(), total: net.totalTraffic()};
+  const seconds = (clock.now() - startMs) / 1000;
+  const after = {
+    callCounts: platform.callCounts(),
+    traffic: net.totalTraffic(),
+  };
   const calls =
-    after.load.reads -
-    before.load.reads +
-    after.load.writes -
-    before.load.writes +
-    after.load.watchCalls -
-    before.load.watchCalls;
-  const {openWatches} = after.load;
-  const perEntry = (difference: number) =>
+    after.callCounts.reads -
+    before.callCounts.reads +
+    after.callCounts.writes -
+    before.callCounts.writes +
+    after.callCounts.watchCalls -
+    before.callCounts.watchCalls;
+  const {openWatches} = after.callCounts;
+  const perEntryPerSecond = (difference: number) =>
     roundToHundredths(difference / seconds / entries.length);
   return {
     openWatches,
     platformCallsPerSecond: roundToHundredths(calls / seconds + openWatches),
-    messagesPerEntryPerSecond: perEntry(
-      after.total.messagesSent - before.total.messagesSent,
+    messagesPerEntryPerSecond: perEntryPerSecond(
+      after.traffic.messagesSent - before.traffic.messagesSent,
     ),
-    bytesPerEntryPerSecond: perEntry(
-      after.total.bytesSent - before.total.bytesSent,
+    bytesPerEntryPerSecond: perEntryPerSecond(
+      after.traffic.bytesSent - before.traffic.bytesSent,
     ),
   };
 }
@@ -256,7 +277,7 @@
   return value?.state === 'in-force' && value.sourceVersion === version;
 }
 
-/** Waits for a condition; returns false on timeout. */
+/** Waits for a condition; returns false after `CONDITION_TIMEOUT_MS`. */
 async function waitUntil(
   clock: Clock,
   condition: () => boolean,
@@ -266,7 +287,7 @@
     if (clock.now() > deadline) {
       return false;
     }
-    await sleep(clock, POLL_MS);
+    await sleep(clock, CONDITION_POLL_MS);
   }
   return true;
 }
--- a/packages/bench/src/spreadFleet.ts
+++ b/packages/bench/src/spreadFleet.ts
@@ -22,7 +22,7 @@
   type ConfigurationClient,
 } from '@skylarkfield/records';
 
-/** The configuration part of one entry. */
+/** Simulated entry that has only a platform client and its configuration. */
 export interface SpreadEntry {
   readonly id: string;
   readonly store: MemoryClient;
@@ -47,22 +47,24 @@
  * heartbeat neighbours.
  *
  * @example
- * const fleet = startSpreadFleet(systemClock(), {count: 100, seed: 1});
+ * const fleet = startSpreadFleet(systemClock(), {entryCount: 100, seed: 1});
  */
 export function startSpreadFleet(
   clock: Clock,
-  options: {readonly count: number; readonly seed: number},
+  options: {readonly entryCount: number; readonly seed: number},
 ): SpreadFleet {
-  const {count, seed} = options;
+  const {entryCount, seed} = options;
   const random = seededRandom(seed);
   const platform = createMemoryPlatform({clock, random});
   platform.faults.setDelay(PLATFORM_DELAY_MS);
   const net = createMemoryNetwork({clock, random, delayMs: 1});
-  const domains =
-    count > MAX_SMALL_FLEET_ENTRIES ? LARGE_FLEET_DOMAINS : SMALL_FLEET_DOMAINS;
-  const members = Array.from({length: count}, (_, index) => ({
+  const domainCount =
+    entryCount > MAX_SMALL_FLEET_ENTRIES
+      ? LARGE_FLEET_DOMAINS
+      : SMALL_FLEET_DOMAINS;
+  const members = Array.from({length: entryCount}, (_, index) => ({
     id: `e${index}`,
-    failureDomain: `d${index % domains}`,
+    failureDomain: `d${index % domainCount}`,
   }));
   const peers = members.map(({id}) => ({
     id,
@@ -70,12 +72,12 @@
     url: `${MEMORY_URL_PREFIX}${id}`,
   }));
 
-  const started = members.map(self => {
+  const startedMembers = members.map(self => {
     const {network} = net.start(self.id);
-    const store = platform.client(self.id, {liveEntries: count});
+    const store = platform.client(self.id, {liveEntries: entryCount});
     return {self, network, store};
   });
-  const entries = started.map(({self, network, store}) => {
+  const entries = startedMembers.map(({self, network, store}) => {
     const neighbours = new Set(neighboursOf(self.id, members));
     network.setPeers(peers.filter(peer => neighbours.has(peer.id)));
     network.setAddressBook(peers);
@@ -90,17 +92,17 @@
     });
     return {id: self.id, store, configuration};
   });
-  const [first] = entries;
-  const acceptance = createAcceptanceController({
+  const [firstEntry] = entries;
+  const acceptanceController = createAcceptanceController({
     clock,
     random,
-    store: (first as SpreadEntry).store,
+    store: (firstEntry as SpreadEntry).store,
     log: silentLogger(),
     canAct: () => true,
     onDidAccept: (key, accepted) =>
-      (first as SpreadEntry).configuration.applyAccepted(key, accepted),
+      (firstEntry as SpreadEntry).configuration.applyAccepted(key, accepted),
     membersLacking: records =>
-      (first as SpreadEntry).configuration.membersLacking(records),
+      (firstEntry as SpreadEntry).configuration.membersLacking(records),
   });
 
   return {
@@ -108,12 +110,12 @@
     net,
     entries,
     dispose() {
-      acceptance.dispose();
+      acceptanceController.dispose();
       for (const {configuration, store} of entries) {
         configuration.dispose();
         store.dispose();
       }
-      started.forEach(({network}) => network.dispose());
+      startedMembers.forEach(({network}) => network.dispose());
     },
   };
 }
