--- a/packages/bench/src/table.ts
+++ b/packages/bench/src/table.ts
@@ -12,15 +12,15 @@
  * console.log(renderTable({seed: 1, cases: [{load: 1, goodput: 0.99}]}));
  */
 export function renderTable(result: object): string {
-  const parts: string[] = [];
-  const single = Object.entries(result).filter(([, value]) => !isTable(value));
-  parts.push(renderFigures(flatten(single)));
+  const sections: string[] = [];
+  const scalars = Object.entries(result).filter(([, value]) => !isTable(value));
+  sections.push(renderScalars(flatten(scalars)));
   for (const [name, value] of Object.entries(result)) {
     if (isTable(value)) {
-      parts.push(`${name}\n${renderRows(value)}`);
+      sections.push(`${name}\n${renderRows(value)}`);
     }
   }
-  return parts.filter(part => part !== '').join('\n\n');
+  return sections.filter(part => part !== '').join('\n\n');
 }
 
 function isTable(value: unknown): value is Row[] {
@@ -38,12 +38,15 @@
       return [[name, value] as [string, unknown]];
     }
     return flatten(
-      Object.entries(value).map(([key, inner]) => [`${name}.${key}`, inner]),
+      Object.entries(value).map(([key, innerValue]) => [
+        `${name}.${key}`,
+        innerValue,
+      ]),
     );
   });
 }
 
-function renderFigures(pairs: [string, unknown][]): string {
+function renderScalars(pairs: [string, unknown][]): string {
   const width = Math.max(0, ...pairs.map(([name]) => name.length));
   return pairs
     .map(([name, value]) => `${name.padEnd(width)}  ${renderValue(value)}`)
@@ -51,11 +54,13 @@
 }
 
 function renderRows(rows: readonly Row[]): string {
-  const flat = rows.map(
+  const flatRows = rows.map(
     row => Object.fromEntries(flatten(Object.entries(row))) as Row,
   );
-  const columns = [...new Set(flat.flatMap(row => Object.keys(row)))];
-  const cells = flat.map(row => columns.map(name => renderValue(row[name])));
+  const columns = [...new Set(flatRows.flatMap(row => Object.keys(row)))];
+  const cells = flatRows.map(row =>
+    columns.map(name => renderValue(row[name])),
+  );
   const widths = columns.map((name, index) =>
     Math.max(name.length, ...cells.map(row => row[index]?.length ?? 0)),
   );
--- a/packages/bench/src/test/failures.test.ts
+++ b/packages/bench/src/test/failures.test.ts
@@ -2,7 +2,7 @@
 import {afterEach, describe, it} from 'node:test';
 import {startServingFleet} from '../processes/servingFleet.js';
 import {
-  runsByKey,
+  fetchRunsByKey,
   sendOrder,
   streamChat,
   trialHeaders,
@@ -26,92 +26,101 @@
   return serving;
 }
 
-/** Returns the entry URLs that an entry lists to callers. */
-async function listedEntries(url: string): Promise<string[]> {
+/** Fetches the URLs of the entries that one entry lists to callers. */
+async function fetchListedUrls(url: string): Promise<string[]> {
   const response = await fetch(`${url}/v1/entries`, {headers: trialHeaders});
   const body = (await response.json()) as {entries: {url: string}[]};
   return body.entries.map(entry => entry.url);
 }
 
 describe('failures of real processes', () => {
-  // The host of a model replica is lost without notice while it streams. The
-  // caller would get a truncated answer.
+  // The host of a model replica is lost without notice while the replica
+  // streams. The caller would get a truncated answer.
   it('finishes a stream on another replica when its replica is killed', async () => {
     const {fleet, urls} = await startServing();
     const expected = await streamChat(urls[0]!, QUESTION, 160);
-    let killed: Promise<void> | undefined;
+    let killPromise: Promise<void> | undefined;
     const answer = await streamChat(urls[0]!, QUESTION, 160, count => {
-      // Load reports are delayed; by now they show which engine is busy.
+      // Load reports are delayed; after 80 tokens they show which engine is
+      // busy.
       if (count >= 80) {
-        killed ??= killBusyEngine(fleet);
+        killPromise ??= killBusyEngine(fleet);
       }
     });
-    await killed;
+    await killPromise;
     assert.equal(answer.error, undefined);
     assert.equal(answer.isComplete, true);
     assert.equal(answer.text, expected.text);
     assert.equal(answer.usage?.['attempts'], 2);
   });
 
-  // A rolling restart stops an entry while callers read answers and send orders.
-  // Without draining, answers would be cut and orders have an unknown outcome.
-  it('completes requests in flight on a graceful stop, and is no longer listed', async () => {
+  // A rolling restart stops an entry while callers read answers and send
+  // orders. Without draining, answers would be cut and the outcome of orders
+  // would be unknown.
+  it('completes requests in flight on a graceful stop, and other entries stop listing the stopped entry', async () => {
     const {fleet, urls} = await startServing();
-    const [leaving, other] = [urls[0]!, urls[1]!];
-    let stopped: Promise<number | null> | undefined;
-    const answer = await streamChat(leaving, QUESTION, 120, () => {
-      stopped ??= fleet.entries[0]!.stop();
+    const [leavingUrl, otherUrl] = [urls[0]!, urls[1]!];
+    let stopPromise: Promise<number | null> | undefined;
+    const answer = await streamChat(leavingUrl, QUESTION, 120, () => {
+      stopPromise ??= fleet.entries[0]!.stop();
     });
-    const code = await stopped;
+    const exitCode = await stopPromise;
     assert.equal(answer.isComplete, true);
-    assert.equal(code, 0);
-    const listed = await listedEntries(other);
-    assert.ok(!listed.includes(leaving));
-    assert.equal(listed.length, 2);
+    assert.equal(exitCode, 0);
+    const listedUrls = await fetchListedUrls(otherUrl);
+    assert.ok(!listedUrls.includes(leavingUrl));
+    assert.equal(listedUrls.length, 2);
   });
 
   // Callers cache lookups and send requests to an entry that is draining.
-  // Without an explicit refusal they could not tell whether a retry is safe.
-  it('refuses requests as not run with a current entry list while it drains', async () => {
+  // Without an explicit refusal, callers could not tell whether a retry is
+  // safe.
+  it('refuses orders as not run, with a current entry list, while the entry drains', async () => {
     const {fleet, urls} = await startServing({lingerMs: 0});
-    let stopped: Promise<number | null> | undefined;
+    let stopPromise: Promise<number | null> | undefined;
     const stream = streamChat(urls[0]!, QUESTION, 150, () => {
-      stopped ??= fleet.entries[0]!.stop();
-    });
-    await waitUntil('the entry refuses', async () => {
-      const reply = await sendOrder(urls[0]!, `probe-${Math.random()}`);
-      if (reply.status !== 503) {
-        return false;
-      }
-      const problem = JSON.parse(reply.text) as {
-        kind: string;
-        run: string;
-        entries: {entries: {url: string}[]};
-      };
-      assert.equal(problem.kind, 'leaving');
-      assert.equal(problem.run, 'not-run');
-      return problem.entries.entries.every(entry => entry.url !== urls[0]);
+      stopPromise ??= fleet.entries[0]!.stop();
     });
+    await waitUntil(
+      'the draining entry refuses an order with a current entry list',
+      async () => {
+        const reply = await sendOrder(urls[0]!, `probe-${Math.random()}`);
+        if (reply.status !== 503) {
+          return false;
+        }
+        const problem = JSON.parse(reply.text) as {
+          kind: string;
+          run: string;
+          entries: {entries: {url: string}[]};
+        };
+        assert.equal(problem.kind, 'leaving');
+        assert.equal(problem.run, 'not-run');
+        return problem.entries.entries.every(entry => entry.url !== urls[0]);
+      },
+    );
     assert.equal((await stream).isComplete, true);
-    assert.equal(await stopped, 0);
+    assert.equal(await stopPromise, 0);
   });
 
-  // The platform is down for a while. Requests that need no coordination must
+  // The platform is down for some time. Requests that need no coordination must
   // succeed; an order accepted without a stored claim could run twice.
   it('serves requests without the platform, and refuses orders as not run', async () => {
     const {fleet, urls} = await startServing();
     await fleet.control(fleet.platform, 'faults', {isDown: true});
     const answer = await streamChat(urls[1]!, QUESTION, 5);
     assert.equal(answer.isComplete, true);
-    const call = await fetch(`${urls[2]}/services/booking/availability`, {
-      headers: trialHeaders,
-    });
-    assert.equal(call.status, 200);
-    const refused = await sendOrder(urls[0]!, 'shift-3');
-    assert.equal(refused.status, 503, refused.text);
-    assert.equal(refused.run, 'not-run', refused.text);
+    const callResponse = await fetch(
+      `${urls[2]}/services/booking/availability`,
+      {
+        headers: trialHeaders,
+      },
+    );
+    assert.equal(callResponse.status, 200);
+    const refusedReply = await sendOrder(urls[0]!, 'shift-3');
+    assert.equal(refusedReply.status, 503, refusedReply.text);
+    assert.equal(refusedReply.run, 'not-run', refusedReply.text);
     assert.equal(
-      (await runsByKey(fleet, PLAIN_ENDPOINTS)).get('shift-3'),
+      (await fetchRunsByKey(fleet, PLAIN_ENDPOINTS)).get('shift-3'),
       undefined,
     );
     await fleet.control(fleet.platform, 'faults', {isDown: false});
@@ -119,34 +128,37 @@
       const reply = await sendOrder(urls[0]!, 'shift-3');
       return reply.status === 201;
     });
-    assert.equal((await runsByKey(fleet, PLAIN_ENDPOINTS)).get('shift-3'), 1);
+    assert.equal(
+      (await fetchRunsByKey(fleet, PLAIN_ENDPOINTS)).get('shift-3'),
+      1,
+    );
   });
 
-  // A host is replaced during a platform outage: the new process has no state
-  // and cannot read the platform. It must not serve an older configuration.
+  // A host is replaced during a platform outage: the new entry has no state and
+  // cannot read the platform. It must not serve an older configuration.
   it('starts an entry from its peers while the platform is down', async () => {
     const {fleet} = await startServing();
-    const seed = fleet.entries[0]!.ready['inner']!;
+    const seedUrl = fleet.entries[0]!.ready['inner']!;
     await fleet.control(fleet.platform, 'faults', {isDown: true});
-    const late = await fleet.startEntry('late', 'a', {seeds: [seed]});
-    await waitUntil('the new entry serves', async () => {
-      const answer = await streamChat(late.ready['callers']!, QUESTION, 2);
+    const newEntry = await fleet.startEntry('late', 'a', {seeds: [seedUrl]});
+    await waitUntil('the new entry serves a model answer', async () => {
+      const answer = await streamChat(newEntry.ready['callers']!, QUESTION, 2);
       return answer.isComplete;
     });
   });
 
-  // A service accepts calls and answers none. Without a bulkhead, calls to
-  // other services would queue behind its open calls.
-  it('serves other services while one hangs', async () => {
+  // A service accepts calls and answers none of them. Without a bulkhead, calls
+  // to other services would queue behind its open calls.
+  it('serves other services while one service hangs', async () => {
     const {fleet, urls} = await startServing();
     for (const id of PLAIN_ENDPOINTS) {
       await fleet.control(fleet.endpoints.get(id)!, 'faults', {type: 'hang'});
     }
-    const hung = new AbortController();
+    const hungCalls = new AbortController();
     const calls = Array.from({length: 300}, () =>
       fetch(`${urls[0]}/services/booking/availability`, {
         headers: trialHeaders,
-        signal: hung.signal,
+        signal: hungCalls.signal,
       }).then(
         response => response.text(),
         () => 'ended',
@@ -154,7 +166,7 @@
     );
     const answer = await streamChat(urls[0]!, QUESTION, 20);
     assert.equal(answer.isComplete, true);
-    hung.abort();
+    hungCalls.abort();
     await Promise.all(calls);
   });
 });
--- a/packages/bench/src/test/frame.test.ts
+++ b/packages/bench/src/test/frame.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {readCommand} from '../commandLine.js';
+import {parseCommand} from '../commandLine.js';
 import {loadMeasurement} from '../measurements.js';
 import {renderTable} from '../table.js';
 
 describe('bench command', () => {
-  it('parses a name, seed and duration', () => {
-    const command = readCommand(['moves', '--seed', '7', '--seconds', '3']);
+  it('parses the measurement name, seed and duration', () => {
+    const command = parseCommand(['moves', '--seed', '7', '--seconds', '3']);
     assert.equal(command.name, 'moves');
     assert.equal(command.seed, 7);
     assert.equal(command.seconds, 3);
@@ -18,19 +18,19 @@
     ['a', '--seconds', '-1'],
     ['a', '--colour'],
   ]) {
-    it(`rejects ${args.join(' ')}`, () => {
-      assert.throws(() => readCommand(args));
+    it(`rejects the arguments ${args.join(' ')}`, () => {
+      assert.throws(() => parseCommand(args));
     });
   }
 
-  it('reports an unknown name', async () => {
+  it('reports an unknown measurement name as unavailable', async () => {
     assert.deepEqual(await loadMeasurement('toString'), {
       type: 'unavailable',
       reason: 'unknown name',
     });
   });
 
-  it('renders scalar values and rows', () => {
+  it('renders scalar values as lines and lists of objects as tables', () => {
     const text = renderTable({
       seed: 1,
       limits: {low: 0.123456},
--- a/packages/bench/src/test/hostileCallers.test.ts
+++ b/packages/bench/src/test/hostileCallers.test.ts
@@ -9,9 +9,9 @@
 } from '../processes/trialFleet.js';
 import {waitUntil, waitUntilServing} from '../processes/waitUntilServing.js';
 
-const KEY = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
+const KEY_HEADERS = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
 const MODEL_PATH = '/v1/chat/completions';
-const LIMIT_BYTES = 65_536;
+const MAX_BODY_BYTES = 65_536;
 const HEADER_TIMEOUT_MS = 500;
 
 interface HostileRequest {
@@ -24,7 +24,7 @@
 
 function post(
   body: string,
-  headers: Record<string, string> = KEY,
+  headers: Record<string, string> = KEY_HEADERS,
 ): RequestInit {
   return {method: 'POST', headers, body};
 }
@@ -68,21 +68,21 @@
   {
     title: 'a body over the limit',
     path: '/services/booking/bookings',
-    init: post('x'.repeat(LIMIT_BYTES + 1)),
+    init: post('x'.repeat(MAX_BODY_BYTES + 1)),
     status: 413,
     kind: 'too-large',
   },
   {
     title: 'a service that does not exist',
     path: '/services/nowhere/x',
-    init: {headers: KEY},
+    init: {headers: KEY_HEADERS},
     status: 404,
     kind: 'unknown-service',
   },
   {
     title: 'a service name of the object prototype',
     path: '/services/__proto__/x',
-    init: {headers: KEY},
+    init: {headers: KEY_HEADERS},
     status: 404,
     kind: 'unknown-service',
   },
@@ -98,27 +98,27 @@
   {
     title: 'an overlong idempotency key',
     path: '/services/booking/bookings',
-    init: post('{}', {...KEY, 'idempotency-key': 'k'.repeat(300)}),
+    init: post('{}', {...KEY_HEADERS, 'idempotency-key': 'k'.repeat(300)}),
     status: 400,
     kind: 'bad-request',
   },
   {
     title: 'a timeout that is not a number',
     path: '/services/booking/availability',
-    init: {headers: {...KEY, 'x-request-timeout-ms': 'soon'}},
+    init: {headers: {...KEY_HEADERS, 'x-request-timeout-ms': 'soon'}},
     status: 400,
     kind: 'bad-request',
   },
   {
     title: 'an unknown path',
     path: '/v2/nothing',
-    init: {headers: KEY},
+    init: {headers: KEY_HEADERS},
     status: 404,
     kind: 'not-found',
   },
 ];
 
-/** Raw inputs and responses; an empty response is a closed connection. */
+/** Title, bytes, expected response; an empty one is a closed connection. */
 const rawInputs: readonly [string, string, RegExp][] = [
   [
     'bytes that are not HTTP',
@@ -147,11 +147,11 @@
   ],
 ];
 
-// Broken clients, scanners and attackers send arbitrary input. A process that
-// crashes on it or waits forever fails all other callers too.
+// Broken clients, scanners and attackers send arbitrary input. If an entry
+// crashed on such input or waited forever, all other callers would fail too.
 describe('hostile callers', () => {
   let fleet: TrialFleet;
-  let entry: string;
+  let entryUrl: string;
 
   before(async () => {
     fleet = await startTrialFleet({
@@ -167,7 +167,7 @@
       ],
       settings: {
         log: {level: 'info'},
-        limits: {bodyBytes: LIMIT_BYTES, headerMs: HEADER_TIMEOUT_MS},
+        limits: {bodyBytes: MAX_BODY_BYTES, headerMs: HEADER_TIMEOUT_MS},
       },
     });
     await fleet.store.put(
@@ -183,14 +183,14 @@
       },
       {type: 'any'},
     );
-    entry = await waitUntilServing(fleet, ['booking']);
+    entryUrl = await waitUntilServing(fleet, ['booking']);
   });
 
   after(() => fleet?.dispose());
 
   for (const {title, path, init, status, kind} of requests) {
     it(`answers ${title} with ${kind}, not run`, async () => {
-      const response = await fetch(`${entry}${path}`, init);
+      const response = await fetch(`${entryUrl}${path}`, init);
       const problem = (await response.json()) as {kind: string; run: string};
       assert.deepEqual(
         {status: response.status, kind: problem.kind, run: problem.run},
@@ -201,27 +201,27 @@
 
   for (const [title, bytes, answer] of rawInputs) {
     it(`ends a connection that sends ${title}`, async () => {
-      assert.match(await sendRaw(entry, bytes), answer);
+      assert.match(await sendRaw(entryUrl, bytes), answer);
     });
   }
 
-  // A half-closed connection looks like a disconnected caller, whose work has to
-  // stop. The caller must not get a partial response.
+  // A half-closed connection looks like a disconnected caller, whose request
+  // has to be cancelled. The caller must not get a partial response.
   it('treats a half-closed connection as disconnected: no response, or a complete one', async () => {
     const head = `GET /services/booking/availability HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer ${TRIAL_CUSTOMER_KEY}\r\n\r\n`;
-    const answer = await sendRaw(entry, head, 'half-close');
+    const answer = await sendRaw(entryUrl, head, 'half-close');
     assert.match(answer, /^$|^HTTP\/1\.1 200[^]*"service":"booking"/);
   });
 
-  it('still serves after all of these, with nothing in flight', async () => {
-    const response = await fetch(`${entry}/services/booking/availability`, {
-      headers: KEY,
+  it('still serves after all hostile requests, with no request in flight', async () => {
+    const response = await fetch(`${entryUrl}/services/booking/availability`, {
+      headers: KEY_HEADERS,
     });
     assert.equal(response.status, 200);
     await response.text();
-    await waitUntil('nothing is in flight', async () => {
-      const state = (await dump(fleet)) as {process: {inFlight: number}};
-      return state.process.inFlight === 0;
+    await waitUntil('no request is in flight', async () => {
+      const dump = (await fetchDump(fleet)) as {process: {inFlight: number}};
+      return dump.process.inFlight === 0;
     });
   });
 
@@ -229,8 +229,10 @@
     const admin = fleet.entries[0]?.ready['admin'];
     for (const path of ['/dump', '/metrics', '/decisions']) {
       assert.equal((await fetch(`${admin}${path}`)).status, 401);
-      const wrong = await fetch(`${admin}${path}`, {headers: KEY});
-      assert.equal(wrong.status, 401);
+      const wrongKeyResponse = await fetch(`${admin}${path}`, {
+        headers: KEY_HEADERS,
+      });
+      assert.equal(wrongKeyResponse.status, 401);
     }
   });
 
@@ -239,14 +241,14 @@
   it('shows no key in dump, metrics or log', async () => {
     const admin = fleet.entries[0]?.ready['admin'];
     const headers = {authorization: `Bearer ${TRIAL_ADMIN_KEY}`};
-    const shown = await Promise.all(
+    const responseTexts = await Promise.all(
       ['/dump', '/metrics', '/decisions'].map(async path =>
         (await fetch(`${admin}${path}`, {headers})).text(),
       ),
     );
-    const log = fleet.entries[0]?.logLines() ?? [];
-    assert.ok(log.length > 0);
-    for (const text of [...shown, ...log]) {
+    const logLines = fleet.entries[0]?.logLines() ?? [];
+    assert.ok(logLines.length > 0);
+    for (const text of [...responseTexts, ...logLines]) {
       assert.ok(!text.includes(TRIAL_CUSTOMER_KEY));
       assert.ok(!text.includes(TRIAL_ADMIN_KEY));
       assert.ok(!text.includes('trial-inner-key'));
@@ -254,7 +256,7 @@
   });
 
   // An operator removes a leaked key from the customer's record; the key
-  // remains usable until the change is in force everywhere.
+  // remains usable until the change is in force on every entry.
   it('refuses a key soon after its removal from the record', async () => {
     await fleet.store.put(
       'customer',
@@ -263,25 +265,27 @@
       {type: 'any'},
     );
     await waitUntil('the key is refused', async () => {
-      const response = await fetch(`${entry}/v1/entries`, {headers: KEY});
+      const response = await fetch(`${entryUrl}/v1/entries`, {
+        headers: KEY_HEADERS,
+      });
       await response.text();
       return response.status === 401;
     });
   });
 });
 
-async function dump(fleet: TrialFleet): Promise<unknown> {
+async function fetchDump(fleet: TrialFleet): Promise<unknown> {
   const response = await fetch(`${fleet.entries[0]?.ready['admin']}/dump`, {
     headers: {authorization: `Bearer ${TRIAL_ADMIN_KEY}`},
   });
   return response.json();
 }
 
-/** Sends bytes; returns what is received until the connection ends. */
+/** Sends bytes; returns the received text when the connection closes. */
 function sendRaw(
   url: string,
   bytes: string,
-  then: 'wait' | 'half-close' = 'wait',
+  afterWrite: 'wait' | 'half-close' = 'wait',
 ): Promise<string> {
   const {hostname, port} = new URL(url);
   return new Promise((resolve, reject) => {
@@ -293,7 +297,7 @@
       received === '' ? reject(error) : resolve(received),
     );
     socket.write(bytes, 'latin1');
-    if (then === 'half-close') {
+    if (afterWrite === 'half-close') {
       socket.end();
     }
   });
--- a/packages/bench/src/test/leavingEndpoints.test.ts
+++ b/packages/bench/src/test/leavingEndpoints.test.ts
@@ -4,7 +4,7 @@
 import type {TrialProcess} from '../processes/childProcess.js';
 import {startServingFleet} from '../processes/servingFleet.js';
 import {
-  runsByKey,
+  fetchRunsByKey,
   sendOrder,
   trialServiceEndpoint,
 } from '../processes/trialCalls.js';
@@ -13,29 +13,30 @@
 
 const PLAIN_ENDPOINTS = ['b1', 'b2', 'b3'];
 
-let running: TrialFleet | undefined;
+let currentFleet: TrialFleet | undefined;
 
 afterEach(async () => {
-  await running?.dispose();
-  running = undefined;
+  await currentFleet?.dispose();
+  currentFleet = undefined;
 });
 
 async function startServing() {
   const serving = await startServingFleet();
-  running = serving.fleet;
+  currentFleet = serving.fleet;
   return serving;
 }
 
 const leavingSignals = [
   {
-    signal: 'its reclaim notice, while the host list still has it as live',
+    description:
+      'its reclaim notice, while the host list still marks it as live',
     async announce(fleet: TrialFleet, host: string) {
       await fleet.control(fleet.platform, 'faults', {listLagMs: 60_000});
       await fleet.control(fleet.platform, 'reclaim', {host, noticeSeconds: 40});
     },
   },
   {
-    signal: 'the host list marks it as leaving',
+    description: 'the host list marks it as leaving',
     async announce(fleet: TrialFleet, host: string) {
       const url = fleet.endpoints.get('b3')!.ready['url'];
       await fleet.control(fleet.platform, 'endpoints', {
@@ -66,7 +67,7 @@
   return host.id;
 }
 
-async function everyEntry<T>(
+async function holdsAtEveryEntry<T>(
   entries: readonly T[],
   condition: (entry: T) => Promise<boolean>,
 ): Promise<boolean> {
@@ -74,19 +75,26 @@
 }
 
 /** Sends an order through an entry; returns whether the endpoint ran it. */
-async function isReachable(fleet: TrialFleet, url: string, endpoint: string) {
-  const before = await runsAt(fleet, endpoint);
+async function sendProbeOrder(
+  fleet: TrialFleet,
+  url: string,
+  endpoint: string,
+) {
+  const runsBefore = await countRunsAt(fleet, endpoint);
   await sendOrder(url, `probe-${Math.random()}`);
-  return (await runsAt(fleet, endpoint)) > before;
+  return (await countRunsAt(fleet, endpoint)) > runsBefore;
 }
 
-async function runsAt(fleet: TrialFleet, endpoint: string): Promise<number> {
-  const runs = await runsByKey(fleet, [endpoint]);
+async function countRunsAt(
+  fleet: TrialFleet,
+  endpoint: string,
+): Promise<number> {
+  const runs = await fetchRunsByKey(fleet, [endpoint]);
   return [...runs.values()].reduce((sum, count) => sum + count, 0);
 }
 
-async function runsOfPrefix(fleet: TrialFleet, prefix: string) {
-  const runs = await runsByKey(fleet, PLAIN_ENDPOINTS);
+async function countRunsWithPrefix(fleet: TrialFleet, prefix: string) {
+  const runs = await fetchRunsByKey(fleet, PLAIN_ENDPOINTS);
   return [...runs]
     .filter(([key]) => key.startsWith(prefix))
     .reduce((sum, [, count]) => sum + count, 0);
@@ -112,31 +120,32 @@
 }
 
 describe('leaving endpoints of real processes', () => {
-  for (const {signal, announce} of leavingSignals) {
-    // An endpoint's host is reclaimed with short notice. A call sent there in
-    // its last seconds would be cut, and the outcome of an order unknown.
-    it(`gives an endpoint no new work after ${signal}`, async () => {
+  for (const {description, announce} of leavingSignals) {
+    // The host of an endpoint is reclaimed with short notice. A call sent to
+    // the endpoint in its last seconds would be cut, and the outcome of an
+    // order would be unknown.
+    it(`gives an endpoint no new work after ${description}`, async () => {
       const {fleet, urls} = await startServing();
       const host = await startCloudHost(fleet);
       await fleet.startEndpoint({
         ...trialServiceEndpoint('b3', 'c'),
         flags: ['--machine-host', host],
       });
-      await waitUntil('every entry sends work to it', () =>
-        everyEntry(urls, url => isReachable(fleet, url, 'b3')),
+      await waitUntil('every entry sends orders to b3', () =>
+        holdsAtEveryEntry(urls, url => sendProbeOrder(fleet, url, 'b3')),
       );
       await announce(fleet, host);
-      await waitUntil('every entry marks it as leaving', () =>
-        everyEntry(fleet.entries, entry => isMarkedLeaving(entry, 'b3')),
+      await waitUntil('every entry marks b3 as leaving', () =>
+        holdsAtEveryEntry(fleet.entries, entry => isMarkedLeaving(entry, 'b3')),
       );
-      const before = await runsAt(fleet, 'b3');
+      const runsBefore = await countRunsAt(fleet, 'b3');
       await Promise.all(
         Array.from({length: 30}, (_, index) =>
           sendOrder(urls[index % urls.length]!, `late-${index}`),
         ),
       );
-      assert.equal(await runsAt(fleet, 'b3'), before);
-      assert.equal(await runsOfPrefix(fleet, 'late-'), 30);
+      assert.equal(await countRunsAt(fleet, 'b3'), runsBefore);
+      assert.equal(await countRunsWithPrefix(fleet, 'late-'), 30);
     });
   }
 });
--- a/packages/bench/src/test/ordersUnderFaults.test.ts
+++ b/packages/bench/src/test/ordersUnderFaults.test.ts
@@ -3,7 +3,7 @@
 import type {TrialProcess} from '../processes/childProcess.js';
 import {
   putTrialRecords,
-  runsByKey,
+  fetchRunsByKey,
   sendOrder,
   trialServiceEndpoint,
 } from '../processes/trialCalls.js';
@@ -11,13 +11,13 @@
 import {waitUntil, waitUntilServing} from '../processes/waitUntilServing.js';
 
 const PLAIN_ENDPOINTS = ['b1', 'b2'];
-const ORDERS = 60;
-/** Interval between orders, so that a fault occurs among them. */
+const ORDER_COUNT = 60;
+/** Interval between orders, so that a fault occurs while orders are sent. */
 const ORDER_INTERVAL_MS = 15;
-/** Longer than the failure detection time of the other entries. */
+/** Pause longer than the failure detection time of the other entries. */
 const PAUSE_MS = 6_000;
 
-/** Result of one order as received by its caller. */
+/** Result of one order for its caller; `run` is `ran` for an accepted order. */
 interface OrderOutcome {
   readonly key: string;
   readonly status: number;
@@ -25,7 +25,7 @@
   readonly body: string;
 }
 
-describe('orders as separate processes, under faults', () => {
+describe('orders in a fleet of processes, under faults', () => {
   let fleet: TrialFleet;
 
   before(async () => {
@@ -44,15 +44,17 @@
   after(() => fleet?.dispose());
 
   afterEach(async () => {
-    const double = [...(await runs())].filter(([, count]) => count > 1);
-    assert.deepEqual(double, []);
+    const duplicateRuns = [...(await fetchRuns())].filter(
+      ([, count]) => count > 1,
+    );
+    assert.deepEqual(duplicateRuns, []);
   });
 
-  function running(): readonly TrialProcess[] {
+  function runningEntries(): readonly TrialProcess[] {
     return fleet.entries.filter(entry => !entry.hasEnded());
   }
 
-  async function order(
+  async function placeOrder(
     key: string,
     entry: TrialProcess,
   ): Promise<OrderOutcome> {
@@ -68,30 +70,30 @@
   /** Sends orders to all entries in turn and injects a fault halfway. */
   async function sendOrdersAround(
     prefix: string,
-    fault: () => unknown,
+    injectFault: () => unknown,
   ): Promise<readonly OrderOutcome[]> {
-    const entries = running();
-    const placed: Array<Promise<OrderOutcome>> = [];
-    for (let index = 0; index < ORDERS; index++) {
-      if (index === ORDERS / 2) {
-        void fault();
+    const entries = runningEntries();
+    const openOrders: Array<Promise<OrderOutcome>> = [];
+    for (let index = 0; index < ORDER_COUNT; index++) {
+      if (index === ORDER_COUNT / 2) {
+        void injectFault();
       }
       const entry = entries[index % entries.length] as TrialProcess;
-      placed.push(order(`${prefix}-${index}`, entry));
+      openOrders.push(placeOrder(`${prefix}-${index}`, entry));
       await new Promise(resolve => setTimeout(resolve, ORDER_INTERVAL_MS));
     }
-    return Promise.all(placed);
+    return Promise.all(openOrders);
   }
 
-  function runs(): Promise<ReadonlyMap<string, number>> {
-    return runsByKey(fleet, PLAIN_ENDPOINTS);
+  function fetchRuns(): Promise<ReadonlyMap<string, number>> {
+    return fetchRunsByKey(fleet, PLAIN_ENDPOINTS);
   }
 
-  /** Checks that `not-run` orders did not run and answered ones ran once. */
+  /** Checks that `not-run` orders did not run and accepted orders ran once. */
   async function checkRuns(outcomes: readonly OrderOutcome[]): Promise<void> {
-    const counts = await runs();
+    const runCounts = await fetchRuns();
     for (const {key, run, body} of outcomes) {
-      const count = counts.get(key) ?? 0;
+      const count = runCounts.get(key) ?? 0;
       assert.ok(run !== 'not-run' || count === 0, `${key} ran: ${body}`);
       assert.ok(run !== 'ran' || count === 1, `${key} ran ${count} times`);
     }
@@ -101,64 +103,68 @@
   async function retryAll(
     outcomes: readonly OrderOutcome[],
   ): Promise<readonly OrderOutcome[]> {
-    const entry = running()[0] as TrialProcess;
-    return Promise.all(outcomes.map(({key}) => order(key, entry)));
+    const entry = runningEntries()[0] as TrialProcess;
+    return Promise.all(outcomes.map(({key}) => placeOrder(key, entry)));
   }
 
   // The host of an entry is lost during orders. Callers get no answer and retry
-  // elsewhere; an order could run twice, or a retry get another reply.
+  // at another entry: an order could run twice, or its retry could get a
+  // different reply.
   it('runs each order at most once when an entry is killed', async () => {
-    const [victim] = running();
+    const [victim] = runningEntries();
     const outcomes = await sendOrdersAround('kill', () => victim?.kill());
     await checkRuns(outcomes);
-    const retried = await retryAll(outcomes);
-    await checkRuns(retried);
-    const replies = new Map(retried.map(({key, body}) => [key, body]));
+    const retryOutcomes = await retryAll(outcomes);
+    await checkRuns(retryOutcomes);
+    const replies = new Map(retryOutcomes.map(({key, body}) => [key, body]));
     for (const {key, run, body} of outcomes) {
       if (run === 'ran') {
-        const retry = retried.find(outcome => outcome.key === key);
+        const retry = retryOutcomes.find(outcome => outcome.key === key);
         assert.ok(retry?.run !== 'ran' || replies.get(key) === body, key);
       }
     }
-    const answered = retried.filter(({run}) => run === 'ran').length;
-    assert.ok(answered > ORDERS / 2, `${answered} of ${ORDERS} were answered`);
+    const answeredCount = retryOutcomes.filter(({run}) => run === 'ran').length;
+    assert.ok(
+      answeredCount > ORDER_COUNT / 2,
+      `${answeredCount} of ${ORDER_COUNT} retries were answered`,
+    );
   });
 
   // An entry is suspended beyond the failure detection time and then resumes.
-  // The orders that it had claimed could run twice, there and at a new owner.
+  // The orders that it had claimed could run twice, at this entry and at a new
+  // owner.
   it('runs each order at most once when an entry is paused and resumes', async () => {
-    const [victim] = running();
-    const placing = sendOrdersAround('pause', () => victim?.pause());
+    const [victim] = runningEntries();
+    const sending = sendOrdersAround('pause', () => victim?.pause());
     await new Promise(resolve => setTimeout(resolve, PAUSE_MS));
     victim?.resume();
-    const outcomes = await placing;
+    const outcomes = await sending;
     await checkRuns(outcomes);
     await checkRuns(await retryAll(outcomes));
   });
 
   // An entry is stopped gracefully during orders. Each order must get its
-  // reply, or a refusal as not run with other entries; no connection may be
-  // cut.
+  // reply, or a `not-run` refusal with other entries; no connection may be cut.
   it('answers every order when an entry is stopped gracefully', async () => {
-    const [victim] = running();
-    let stopped: Promise<number | null> | undefined;
+    const [victim] = runningEntries();
+    let stopPromise: Promise<number | null> | undefined;
     const outcomes = await sendOrdersAround(
       'stop',
-      () => (stopped = victim?.stop()),
+      () => (stopPromise = victim?.stop()),
     );
-    assert.equal(await stopped, 0);
+    assert.equal(await stopPromise, 0);
     await checkRuns(outcomes);
-    const cut = outcomes.filter(({run}) => run === undefined);
-    // After the entry has exited, connections fail without being accepted.
+    const unanswered = outcomes.filter(({run}) => run === undefined);
+    // Orders sent after the exit of the entry fail to connect (status 0).
     assert.deepEqual(
-      cut.filter(({status}) => status !== 0),
+      unanswered.filter(({status}) => status !== 0),
       [],
     );
-    const unclear = outcomes.filter(({run}) => run === 'may-have-run');
-    assert.deepEqual(unclear, []);
-    const retried = await retryAll(outcomes);
+    const unknownOutcomes = outcomes.filter(({run}) => run === 'may-have-run');
+    assert.deepEqual(unknownOutcomes, []);
+    const retryOutcomes = await retryAll(outcomes);
     assert.deepEqual(
-      retried
+      retryOutcomes
         .filter(({run}) => run !== 'ran')
         .map(({key, body}) => [key, body]),
       [],
@@ -166,25 +172,25 @@
   });
 
   // The platform is down. Orders whose claim cannot be stored must be refused
-  // at once as not run; after recovery, a retry of each must run.
+  // at once as not run; after recovery, a retry of each order must run.
   it('refuses orders at once while the platform is down, and accepts them afterwards', async () => {
     await fleet.control(fleet.platform, 'faults', {isDown: true});
-    const first = running()[0] as TrialProcess;
-    await waitUntil('an order is refused', async () => {
-      const {run} = await order(`down-${Math.random()}`, first);
+    const firstEntry = runningEntries()[0] as TrialProcess;
+    await waitUntil('an order is refused as not run', async () => {
+      const {run} = await placeOrder(`down-${Math.random()}`, firstEntry);
       return run === 'not-run';
     });
     const outcomes = await sendOrdersAround('down', () => undefined);
     await checkRuns(outcomes);
     assert.ok(outcomes.every(({run}) => run === 'not-run'));
     await fleet.control(fleet.platform, 'faults', {isDown: false});
-    // Entries detect the recovery at different times, and the owner of an
-    // order's shard may be a late one: callers retry.
-    let retried = await retryAll(outcomes);
+    // Entries detect the recovery at different times. An order is refused while
+    // the owner of its shard has not detected the recovery, so callers retry.
+    let retryOutcomes = await retryAll(outcomes);
     await waitUntil('a retry of each order runs', async () => {
-      retried = await retryAll(outcomes);
-      return retried.every(({run}) => run === 'ran');
+      retryOutcomes = await retryAll(outcomes);
+      return retryOutcomes.every(({run}) => run === 'ran');
     });
-    await checkRuns(retried);
+    await checkRuns(retryOutcomes);
   });
 });
--- a/packages/bench/src/test/outsideShapes.test.ts
+++ b/packages/bench/src/test/outsideShapes.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import {readFileSync} from 'node:fs';
 import {before, describe, it} from 'node:test';
-import {readOutsideShapes, type OutsideShapes} from './outsideShapes.js';
+import {extractOutsideShapes, type OutsideShapes} from './outsideShapes.js';
 
 const FIXTURE = new URL(
   '../../src/test/fixtures/outsideShapes.json',
   import.meta.url,
 );
 
-/** Returns the items of the first list missing in the second, with repeats. */
-function findMissing(wanted: readonly string[], found: readonly string[]) {
-  const remaining = [...found];
-  return wanted.filter(item => {
+/** Returns the expected items that are not in `actual`, duplicates included. */
+function findMissing(expected: readonly string[], actual: readonly string[]) {
+  const remaining = [...actual];
+  return expected.filter(item => {
     const index = remaining.indexOf(item);
     if (index >= 0) {
       remaining.splice(index, 1);
@@ -22,27 +22,29 @@
 
 // Guards against a rename that breaks compatibility with another release: field
 // names of messages, stored objects and settings are serialized as the
-// interfaces spell them. A release that adds to a shape updates its line in the
-// fixture.
+// interfaces declare them. A release that adds a field updates the line of that
+// structure in the fixture.
 describe('data of the previous release', () => {
-  const released = JSON.parse(readFileSync(FIXTURE, 'utf8')) as OutsideShapes;
+  const releasedShapes = JSON.parse(
+    readFileSync(FIXTURE, 'utf8'),
+  ) as OutsideShapes;
   let shapes: OutsideShapes;
 
   before(() => {
-    shapes = readOutsideShapes();
+    shapes = extractOutsideShapes();
   });
 
   it('has the same message bodies', () => {
-    for (const [type, body] of Object.entries(released.messages)) {
+    for (const [type, body] of Object.entries(releasedShapes.messages)) {
       assert.equal(shapes.messages[type], body, type);
     }
   });
 
   it('has the same stored objects and answers', () => {
-    assert.deepEqual(findMissing(released.types, shapes.types), []);
+    assert.deepEqual(findMissing(releasedShapes.types, shapes.types), []);
   });
 
   it('is accepted by the same schemas', () => {
-    assert.deepEqual(findMissing(released.schemas, shapes.schemas), []);
+    assert.deepEqual(findMissing(releasedShapes.schemas, shapes.schemas), []);
   });
 });
--- a/packages/bench/src/test/outsideShapes.ts
+++ b/packages/bench/src/test/outsideShapes.ts
@@ -5,7 +5,7 @@
 import ts from 'typescript';
 
 /** Root of the repository, relative to the compiled test. */
-const ROOT = fileURLToPath(new URL('../../../../', import.meta.url));
+const REPOSITORY_ROOT = fileURLToPath(new URL('../../../../', import.meta.url));
 
 /** Types of stored objects and responses that no message body refers to. */
 const NAMED_TYPES: Readonly<Record<string, readonly string[]>> = {
@@ -32,91 +32,94 @@
 const MAX_DEPTH = 12;
 
 export interface OutsideShapes {
-  /** Structure of the body by message type. */
+  /** Structure of the message body, by message type. */
   readonly messages: Readonly<Record<string, string>>;
   /** Structures of stored objects and responses, sorted. */
   readonly types: readonly string[];
-  /** Output types of setting, record and stored object schemas, sorted. */
+  /** Output types of schemas of settings, records and stored objects. */
   readonly schemas: readonly string[];
 }
 
-function sourceFiles(folder: string): string[] {
+function listSourceFiles(folder: string): string[] {
   return readdirSync(folder, {withFileTypes: true}).flatMap(item => {
     const path = join(folder, item.name);
     if (item.isDirectory()) {
-      return item.name === 'test' ? [] : sourceFiles(path);
+      return item.name === 'test' ? [] : listSourceFiles(path);
     }
     return item.name.endsWith('.ts') ? [path] : [];
   });
 }
 
-function allSources(): string[] {
-  const packages = readdirSync(join(ROOT, 'packages')).map(name =>
-    join(ROOT, 'packages', name, 'src'),
+function listAllSourceFiles(): string[] {
+  const packages = readdirSync(join(REPOSITORY_ROOT, 'packages')).map(name =>
+    join(REPOSITORY_ROOT, 'packages', name, 'src'),
+  );
+  return [...packages, join(REPOSITORY_ROOT, 'platform', 'src')].flatMap(
+    listSourceFiles,
   );
-  return [...packages, join(ROOT, 'platform', 'src')].flatMap(sourceFiles);
 }
 
 /** Creates a program that resolves packages to their sources. */
 function createProgram(files: readonly string[]): ts.Program {
   const paths = Object.fromEntries(
-    readdirSync(join(ROOT, 'packages')).map(name => [
+    readdirSync(join(REPOSITORY_ROOT, 'packages')).map(name => [
       `@skylarkfield/${name}`,
-      [join(ROOT, 'packages', name, 'src', 'index.ts')],
+      [join(REPOSITORY_ROOT, 'packages', name, 'src', 'index.ts')],
     ]),
   );
-  const base = ts.parseConfigFileTextToJson(
+  const baseConfig = ts.parseConfigFileTextToJson(
     'tsconfig.base.json',
-    readFileSync(join(ROOT, 'tsconfig.base.json'), 'utf8'),
+    readFileSync(join(REPOSITORY_ROOT, 'tsconfig.base.json'), 'utf8'),
   ).config as {compilerOptions: object};
   const {options} = ts.convertCompilerOptionsFromJson(
-    base.compilerOptions,
-    ROOT,
+    baseConfig.compilerOptions,
+    REPOSITORY_ROOT,
   );
   return ts.createProgram(files, {
     ...options,
     incremental: false,
     strict: true,
     noEmit: true,
-    baseUrl: ROOT,
+    baseUrl: REPOSITORY_ROOT,
     paths,
   });
 }
 
 /**
- * Returns the structure of all serialized data: names of fields and string
+ * Extracts the structure of all serialized data: names of fields and string
  * values, independent of type names.
  *
  * @example
- * const {messages} = readOutsideShapes();
+ * const {messages} = extractOutsideShapes();
  */
-export function readOutsideShapes(): OutsideShapes {
-  const files = allSources();
+export function extractOutsideShapes(): OutsideShapes {
+  const files = listAllSourceFiles();
   const program = createProgram(files);
   const checker = program.getTypeChecker();
-  const fileOf = (path: string) => program.getSourceFile(join(ROOT, path))!;
+  const sourceFileAt = (path: string) =>
+    program.getSourceFile(join(REPOSITORY_ROOT, path))!;
 
-  function print(type: ts.Type, depth = 0): string {
+  function printType(type: ts.Type, depth = 0): string {
     if (depth > MAX_DEPTH) {
       return '…';
     }
     if (type.isUnion()) {
-      const parts = type.types.map(part => print(part, depth + 1));
+      const parts = type.types.map(part => printType(part, depth + 1));
       return [...new Set(parts)].sort().join(' | ');
     }
     if (checker.isArrayType(type) || checker.isTupleType(type)) {
       const items = checker.getTypeArguments(type as ts.TypeReference);
-      return `[${items.map(item => print(item, depth + 1)).join(', ')}]`;
+      return `[${items.map(item => printType(item, depth + 1)).join(', ')}]`;
     }
     const isObject = (type.flags & ts.TypeFlags.Object) !== 0;
     if (!isObject && !type.isIntersection()) {
       return checker.typeToString(type);
     }
     const symbol = type.getSymbol();
-    const isLibrary = symbol?.declarations?.some(declaration =>
+    const isLibraryType = symbol?.declarations?.some(declaration =>
       program.isSourceFileDefaultLibrary(declaration.getSourceFile()),
     );
-    if (isLibrary && symbol !== undefined && symbol.name !== '__type') {
+    if (isLibraryType && symbol !== undefined && symbol.name !== '__type') {
       return symbol.name;
     }
     return printObject(type, depth);
@@ -124,27 +127,28 @@
 
   function printObject(type: ts.Type, depth: number): string {
     const fields = type.getProperties().map(property => {
-      const optional = property.flags & ts.SymbolFlags.Optional ? '?' : '';
+      const optionalMark = property.flags & ts.SymbolFlags.Optional ? '?' : '';
       const value = checker.getTypeOfSymbol(property);
-      return `${property.name}${optional}: ${print(value, depth + 1)}`;
+      return `${property.name}${optionalMark}: ${printType(value, depth + 1)}`;
     });
-    const index = type.getStringIndexType();
-    const rest = index === undefined ? [] : [`[]: ${print(index, depth + 1)}`];
-    return `{${[...fields, ...rest].sort().join('; ')}}`;
+    const indexType = type.getStringIndexType();
+    const indexFields =
+      indexType === undefined ? [] : [`[]: ${printType(indexType, depth + 1)}`];
+    return `{${[...fields, ...indexFields].sort().join('; ')}}`;
   }
 
-  function declaredType(path: string, name: string): ts.Type {
-    const found = checker
-      .getExportsOfModule(checker.getSymbolAtLocation(fileOf(path))!)
+  function findExportedType(path: string, name: string): ts.Type {
+    const exportedSymbol = checker
+      .getExportsOfModule(checker.getSymbolAtLocation(sourceFileAt(path))!)
       .find(symbol => symbol.name === name);
-    if (found === undefined) {
+    if (exportedSymbol === undefined) {
       throw new Error(`${path} exports no type ${name}`);
     }
-    return checker.getDeclaredTypeOfSymbol(found);
+    return checker.getDeclaredTypeOfSymbol(exportedSymbol);
   }
 
   /** Returns the output types of the schemas that a file declares. */
-  function schemasOf(path: string): string[] {
+  function printSchemaTypes(path: string): string[] {
     const source = program.getSourceFile(path)!;
     return source.statements
       .filter(statement => ts.isVariableStatement(statement))
@@ -152,22 +156,28 @@
       .map(({name}) => checker.getTypeAtLocation(name))
       .map(type => type.getProperty('_output'))
       .filter(output => output !== undefined)
-      .map(output => print(checker.getTypeOfSymbol(output)));
+      .map(output => printType(checker.getTypeOfSymbol(output)));
   }
 
-  const bodies = declaredType('packages/protocol/src/contracts.ts', 'Messages');
+  const messagesType = findExportedType(
+    'packages/protocol/src/contracts.ts',
+    'Messages',
+  );
   return {
     messages: Object.fromEntries(
-      bodies
+      messagesType
         .getProperties()
-        .map(message => [message.name, print(checker.getTypeOfSymbol(message))])
+        .map(message => [
+          message.name,
+          printType(checker.getTypeOfSymbol(message)),
+        ])
         .sort(),
     ),
     types: Object.entries(NAMED_TYPES)
       .flatMap(([path, names]) =>
-        names.map(name => print(declaredType(path, name))),
+        names.map(name => printType(findExportedType(path, name))),
       )
       .sort(),
-    schemas: files.flatMap(schemasOf).sort(),
+    schemas: files.flatMap(printSchemaTypes).sort(),
   };
 }
--- a/packages/bench/src/test/recordsUnderFaults.test.ts
+++ b/packages/bench/src/test/recordsUnderFaults.test.ts
@@ -6,17 +6,17 @@
 import type {TrialFleet} from '../processes/trialFleet.js';
 import {waitUntil} from '../processes/waitUntilServing.js';
 
-let running: TrialFleet | undefined;
+let currentFleet: TrialFleet | undefined;
 
 afterEach(async () => {
-  await running?.dispose();
-  running = undefined;
+  await currentFleet?.dispose();
+  currentFleet = undefined;
 });
 
 interface Fault {
   readonly name: string;
   inject(holder: TrialProcess): Promise<void> | void;
-  /** Ends the fault after another entry has taken over. */
+  /** Called after another entry has taken over the duty, to end the fault. */
   clear(holder: TrialProcess): void;
 }
 
@@ -29,15 +29,15 @@
   },
 ];
 
-/** Returns the entry that holds the lease of a duty. */
-async function holderOf(
+/** Returns the entry that has the lease of a duty. */
+async function fetchHolder(
   fleet: TrialFleet,
   duty: string,
 ): Promise<TrialProcess> {
   const lease = await fleet.store.get<{holder: string}>('lease', duty);
-  const id = lease?.value.holder.split('.')[0];
-  const holder = fleet.entries.find(entry => entry.name === id);
-  assert.ok(holder, `no entry holds ${duty}`);
+  const entryId = lease?.value.holder.split('.')[0];
+  const holder = fleet.entries.find(entry => entry.name === entryId);
+  assert.ok(holder, `no entry has the lease of duty ${duty}`);
   return holder;
 }
 
@@ -49,7 +49,7 @@
   return fleet.store.put('service', 'booking', value, {type: 'any'});
 }
 
-async function statusOf(fleet: TrialFleet) {
+async function fetchBookingStatus(fleet: TrialFleet) {
   const status = await fleet.store.get<{
     state: string;
     sourceVersion: number;
@@ -58,8 +58,10 @@
   return status?.value;
 }
 
-/** Returns the version of the booking record in force at an entry. */
-async function versionAt(entry: TrialProcess): Promise<number | undefined> {
+/** Fetches the version of the booking record in force at an entry. */
+async function fetchBookingVersion(
+  entry: TrialProcess,
+): Promise<number | undefined> {
   const response = await fetch(`${entry.ready['admin']}/dump`, {
     headers: {authorization: 'Bearer trial-admin-key'},
   });
@@ -73,40 +75,47 @@
   )?.sourceVersion;
 }
 
-describe('records while their acceptor fails, as separate processes', () => {
+describe('records while the entry that accepts them fails', () => {
   for (const {name, inject, clear} of faults) {
-    // The entry that accepts records fails when an operator writes one. The
-    // record would have no effect, or the resumed entry, acting on its stale
-    // state, would put an older version in force again.
-    it(`puts a record in force when its acceptor is ${name}`, async () => {
+    // The entry that accepts records fails when an operator writes a record.
+    // The record would have no effect, or the entry would resume with stale
+    // state and put an older version in force again.
+    it(`puts a record in force when the accepting entry is ${name}`, async () => {
       const {fleet} = await startServingFleet();
-      running = fleet;
+      currentFleet = fleet;
       await waitUntil('the first record is in force', async () => {
-        return (await statusOf(fleet))?.state === 'in-force';
+        return (await fetchBookingStatus(fleet))?.state === 'in-force';
       });
-      const holder = await holderOf(fleet, 'acceptance');
+      const holder = await fetchHolder(fleet, 'acceptance');
       await inject(holder);
-      const stored = await putBooking(fleet, '/drafts');
-      const others = fleet.entries.filter(entry => entry !== holder);
-      await waitUntil('the record is in force at the others', async () => {
-        const versions = await Promise.all(others.map(versionAt));
-        return versions.every(version => version === stored.version);
-      });
-      assert.notEqual(await holderOf(fleet, 'acceptance'), holder);
+      const storedRecord = await putBooking(fleet, '/drafts');
+      const otherEntries = fleet.entries.filter(entry => entry !== holder);
+      await waitUntil(
+        'the record is in force at the other entries',
+        async () => {
+          const versions = await Promise.all(
+            otherEntries.map(fetchBookingVersion),
+          );
+          return versions.every(version => version === storedRecord.version);
+        },
+      );
+      assert.notEqual(await fetchHolder(fleet, 'acceptance'), holder);
       clear(holder);
-      const latest = await putBooking(fleet, '/later');
-      const alive = fleet.entries.filter(entry => !entry.hasEnded());
+      const latestRecord = await putBooking(fleet, '/later');
+      const runningEntries = fleet.entries.filter(entry => !entry.hasEnded());
       await waitUntil('the last record is reported in force', async () => {
-        const status = await statusOf(fleet);
+        const status = await fetchBookingStatus(fleet);
         return (
           status?.state === 'in-force' &&
-          status.sourceVersion === latest.version
+          status.sourceVersion === latestRecord.version
         );
       });
-      const versions = await Promise.all(alive.map(versionAt));
-      assert.deepEqual(new Set(versions), new Set([latest.version]));
+      const versions = await Promise.all(
+        runningEntries.map(fetchBookingVersion),
+      );
+      assert.deepEqual(new Set(versions), new Set([latestRecord.version]));
       const reply = await fetch(
-        `${alive[0]!.ready['callers']}/services/booking/availability`,
+        `${runningEntries[0]!.ready['callers']}/services/booking/availability`,
         {headers: trialHeaders},
       );
       assert.equal(reply.status, 200);
--- a/packages/bench/src/test/streamFaults.test.ts
+++ b/packages/bench/src/test/streamFaults.test.ts
@@ -18,23 +18,23 @@
 const PROMPT = 'which oak stain matches this floor';
 const SEED = 12;
 const MAX_TOKENS = 30;
-const FAULTY = 'r0';
+const FAULTY_ENDPOINT = 'r0';
 
-/** Runs one stream over HTTP whose first attempt uses a faulty engine. */
+/** Runs one stream over HTTP; its first attempt uses the engine with faults. */
 async function runWithFaults(
   faults: readonly EngineFault[],
-  onToken: (index: number, faulty: {set(f: EngineFault[]): void}) => void,
+  onToken: (index: number, faultyEngine: {set(f: EngineFault[]): void}) => void,
 ) {
   const clock = systemClock();
   const standins = await Promise.all(
-    [faults, [], []].map(own =>
+    [faults, [], []].map(engineFaults =>
       startEngineStandin({
         port: 0,
         host: '127.0.0.1',
         service: 's',
         version: 'v1',
         costs: {stepMs: 4, decodeMsPerSequence: 0, prefillMsPerToken: 0},
-        faults: own,
+        faults: engineFaults,
         random: seededRandom(1),
       }),
     ),
@@ -57,19 +57,21 @@
       type: 'model',
     })),
   );
-  const endpoints: string[] = [];
+  const chosenEndpoints: string[] = [];
   function chooseEndpoint(excluded: ReadonlySet<string>): EndpointPick {
-    // The first attempt has to use the faulty engine.
-    const others = new Set(endpoints.length === 0 ? ['r1', 'r2'] : excluded);
+    // The first attempt has to use the engine with faults.
+    const excludedEndpoints = new Set(
+      chosenEndpoints.length === 0 ? ['r1', 'r2'] : excluded,
+    );
     const choice = router.choose({
       service: 's',
       version: 'v1',
       blocks: [],
       promptTokens: 6,
-      excluded: others,
+      excluded: excludedEndpoints,
     });
     assert.ok(choice);
-    endpoints.push(choice.endpoint);
+    chosenEndpoints.push(choice.endpoint);
     const index = Number(choice.endpoint.slice(1));
     return {
       endpoint: choice.endpoint,
@@ -79,8 +81,10 @@
       finish: result => choice.finish(result),
     };
   }
-  const texts: string[] = [];
-  const faulty = {set: (f: EngineFault[]) => void standins[0]!.setFaults(f)};
+  const deliveredTexts: string[] = [];
+  const faultyEngine = {
+    set: (f: EngineFault[]) => void standins[0]!.setFaults(f),
+  };
   try {
     const summary = await createStreamRunner({clock, entryId: 'e1'}).run(
       {
@@ -96,13 +100,13 @@
         pickEndpoint: chooseEndpoint,
         mayRetry: () => true,
         deliver(token) {
-          texts.push(token.text);
-          onToken(token.index, faulty);
+          deliveredTexts.push(token.text);
+          onToken(token.index, faultyEngine);
         },
       },
       new AbortController().signal,
     );
-    return {texts, summary, endpoints: endpoints};
+    return {texts: deliveredTexts, summary, endpoints: chosenEndpoints};
   } finally {
     engines.forEach(engine => engine.dispose());
     await Promise.all(standins.map(standin => standin.stop()));
@@ -113,13 +117,13 @@
   const expected = generateAnswerTokens(PROMPT, SEED, MAX_TOKENS);
 
   // An engine fails in one of the ways seen with real engines. The caller must
-  // get the complete text exactly once.
-  // The numbers are the allowed attempts: after a cut the router may choose the
-  // same engine again, since its cache holds the tokens.
+  // get the complete text exactly once. The numbers are the allowed numbers of
+  // attempts: after a cut the router may choose the same engine again, since
+  // its cache contains the tokens.
   const cases: [string, EngineFault[], number[]][] = [
-    ['none', [], [1]],
+    ['has no fault', [], [1]],
     ['refuses connections', [{type: 'down'}], [2]],
-    ['fails', [{type: 'fail'}], [2]],
+    ['fails every request', [{type: 'fail'}], [2]],
     ['cuts the stream repeatedly', [{type: 'cut', amount: 5}], [2, 3]],
     ['sends another answer', [{type: 'cross', amount: 5}], [2]],
     ['sends a token twice', [{type: 'double', amount: 5}], [1]],
@@ -131,15 +135,15 @@
     it(`delivers the complete text once when an engine ${name}`, async () => {
       const {texts, summary, endpoints} = await runWithFaults(faults, () => {});
       assert.deepEqual(texts, expected);
-      assert.equal(endpoints[0], FAULTY);
+      assert.equal(endpoints[0], FAULTY_ENDPOINT);
       assert.ok(attempts.includes(summary.attempts), `${summary.attempts}`);
     });
   }
 
   it('continues on another engine when the engine goes down mid-stream', async () => {
-    const {texts, summary} = await runWithFaults([], (index, faulty) => {
+    const {texts, summary} = await runWithFaults([], (index, faultyEngine) => {
       if (index === 6) {
-        faulty.set([{type: 'down'}]);
+        faultyEngine.set([{type: 'down'}]);
       }
     });
     assert.deepEqual(texts, expected);
@@ -147,9 +151,9 @@
   });
 
   it('continues on another engine when the engine hangs mid-stream', async () => {
-    const {texts, summary} = await runWithFaults([], (index, faulty) => {
+    const {texts, summary} = await runWithFaults([], (index, faultyEngine) => {
       if (index === 6) {
-        faulty.set([{type: 'pause'}]);
+        faultyEngine.set([{type: 'pause'}]);
       }
     });
     assert.deepEqual(texts, expected);
--- a/packages/bench/src/test/wholePath.test.ts
+++ b/packages/bench/src/test/wholePath.test.ts
@@ -2,7 +2,7 @@
 import {after, before, describe, it} from 'node:test';
 import {
   putTrialRecords,
-  runsByKey,
+  fetchRunsByKey,
   sendOrder,
   streamChat,
   trialEngineEndpoint,
@@ -14,7 +14,7 @@
 
 describe('requests through separate processes', () => {
   let fleet: TrialFleet;
-  let entry: string;
+  let entryUrl: string;
 
   before(async () => {
     fleet = await startTrialFleet({
@@ -28,25 +28,28 @@
       settings: {log: {level: 'warn'}},
     });
     await putTrialRecords(fleet);
-    entry = await waitUntilServing(fleet, ['match', 'booking']);
+    entryUrl = await waitUntilServing(fleet, ['match', 'booking']);
   });
 
   after(() => fleet?.dispose());
 
   it('streams a model answer token by token, with its end marker', async () => {
     const counts: number[] = [];
-    const answer = await streamChat(entry, 'match a warm oak floor', 6, count =>
-      counts.push(count),
+    const answer = await streamChat(
+      entryUrl,
+      'match a warm oak floor',
+      6,
+      count => counts.push(count),
     );
     assert.equal(answer.status, 200);
     assert.equal(answer.isComplete, true);
     assert.equal(answer.usage?.['completion_tokens'], 6);
-    assert.ok(counts.length > 1, 'tokens arrived one by one');
+    assert.ok(counts.length > 1, 'the tokens did not arrive one by one');
   });
 
   it('returns the same text with and without streaming', async () => {
     const question = 'match a pale ash table';
-    const response = await fetch(`${entry}/v1/chat/completions`, {
+    const response = await fetch(`${entryUrl}/v1/chat/completions`, {
       method: 'POST',
       headers: trialHeaders,
       body: JSON.stringify({
@@ -55,15 +58,15 @@
         messages: [{role: 'user', content: question}],
       }),
     });
-    const whole = (await response.json()) as {
+    const completion = (await response.json()) as {
       choices: [{message: {content: string}}];
     };
-    const streamed = await streamChat(entry, question, 5);
-    assert.equal(streamed.text, whole.choices[0].message.content);
+    const streamed = await streamChat(entryUrl, question, 5);
+    assert.equal(streamed.text, completion.choices[0].message.content);
   });
 
   it('forwards an idempotent call with its headers', async () => {
-    const response = await fetch(`${entry}/services/booking/availability`, {
+    const response = await fetch(`${entryUrl}/services/booking/availability`, {
       headers: trialHeaders,
     });
     assert.equal(response.status, 200, await response.text());
@@ -78,13 +81,13 @@
       replies.add(`${status} ${text}`);
     }
     assert.equal(replies.size, 1, [...replies].join('\n'));
-    const runs = await runsByKey(fleet, ['b1', 'b2']);
+    const runs = await fetchRunsByKey(fleet, ['b1', 'b2']);
     assert.equal(runs.get('shift-1'), 1);
   });
 
-  it('refuses the same key with another body', async () => {
+  it('refuses an order that reuses a key with another body', async () => {
     const send = (shift: number) =>
-      fetch(`${entry}/services/booking/bookings`, {
+      fetch(`${entryUrl}/services/booking/bookings`, {
         method: 'POST',
         headers: {...trialHeaders, 'idempotency-key': 'shift-2'},
         body: JSON.stringify({shift}),
@@ -97,7 +100,7 @@
   });
 
   it('answers lookups with every entry, and reports the records in force', async () => {
-    const response = await fetch(`${entry}/v1/entries?affinity=s1`, {
+    const response = await fetch(`${entryUrl}/v1/entries?affinity=s1`, {
       headers: trialHeaders,
     });
     const answer = (await response.json()) as {entries: {url: string}[]};
