--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -84,8 +84,8 @@
         bulkhead.setEntryCount(entryCount);
       }
     },
-    setReportedSlots(service, slots, outstanding) {
-      bulkheads.get(service)?.setReportedSlots(slots, outstanding);
+    recordReportedSlots(service, slots, outstanding) {
+      bulkheads.get(service)?.recordReportedSlots(slots, outstanding);
     },
     loadFraction: service => bulkheads.get(service)?.loadFraction() ?? 0,
     dump: () => ({
--- a/packages/admission/src/bulkhead.ts
+++ b/packages/admission/src/bulkhead.ts
@@ -28,7 +28,7 @@
   tryAcquireRetry(): boolean;
   configure(config: ServiceAdmissionConfig): void;
   setEntryCount(count: number): void;
-  setReportedSlots(slots: number, outstanding: number | undefined): void;
+  recordReportedSlots(slots: number, outstanding: number | undefined): void;
   /** Returns the requests in flight relative to the limit, 0 to 1. */
   loadFraction(): number;
   /** Rejects all queued and all later requests as `not-run`. */
@@ -124,7 +124,7 @@
       return;
     }
     lastDecisionAt = clock.now();
-    decisions.note(
+    decisions.recordDecision(
       'admission',
       config.name,
       enteredState,
@@ -388,7 +388,7 @@
       adaptiveLimit.setCeiling(capacityShare.current());
       admitQueued();
     },
-    setReportedSlots(slots, outstanding) {
+    recordReportedSlots(slots, outstanding) {
       const isLimitReached = inFlight >= currentLimit();
       capacityShare.recordReport(slots, outstanding, isLimitReached);
       adaptiveLimit.setCeiling(capacityShare.current());
--- a/packages/admission/src/contracts.ts
+++ b/packages/admission/src/contracts.ts
@@ -60,7 +60,11 @@
    * run or queue. Without `outstanding` each entry is limited to an equal
    * share.
    */
-  setReportedSlots(service: string, slots: number, outstanding?: number): void;
+  recordReportedSlots(
+    service: string,
+    slots: number,
+    outstanding?: number,
+  ): void;
   /** Returns this entry's requests in flight relative to its limit, 0 to 1. */
   loadFraction(service: string): number;
   dump(): unknown;
--- a/packages/admission/src/test/admission.fuzz.test.ts
+++ b/packages/admission/src/test/admission.fuzz.test.ts
@@ -225,7 +225,7 @@
     .tuple(fc.nat(6), fc.option(fc.nat(8), {nil: undefined}))
     .map(([slots, outstanding]) =>
       createStep(`slots ${slots} outstanding ${outstanding}`, ({setup}) =>
-        setup.admission.setReportedSlots('booking', slots, outstanding),
+        setup.admission.recordReportedSlots('booking', slots, outstanding),
       ),
     ),
 ];
--- a/packages/admission/src/test/admission.test.ts
+++ b/packages/admission/src/test/admission.test.ts
@@ -150,7 +150,7 @@
     // requests would be rejected while other entries run less urgent requests.
     const {admit, admission} = setUp({concurrency: 16, queue: 50});
     admission.setEntryCount(4);
-    admission.setReportedSlots('booking', 16, 16);
+    admission.recordReportedSlots('booking', 16, 16);
     let admittedCount = 0;
     for (let index = 0; index < 12; index++) {
       void admit({urgency: 1}).then(() => (admittedCount += 1));
@@ -158,7 +158,7 @@
     await settlePromises();
     assert.equal(admittedCount, 8);
     for (let index = 0; index < 10; index++) {
-      admission.setReportedSlots('booking', 16, 20);
+      admission.recordReportedSlots('booking', 16, 20);
     }
     const {services} = admission.dump() as {
       services: {ordinaryFraction: number}[];
@@ -251,7 +251,7 @@
     await settlePromises();
     assert.equal(admittedCount, 4);
     for (let index = 0; index < 30; index++) {
-      admission.setReportedSlots('booking', 16, admittedCount);
+      admission.recordReportedSlots('booking', 16, admittedCount);
       await settlePromises();
     }
     assert.ok(admittedCount >= 14 && admittedCount <= 16, `${admittedCount}`);
@@ -288,14 +288,14 @@
       void admit({deadline: Infinity});
     }
     for (let index = 0; index < 20; index++) {
-      admission.setReportedSlots('booking', 16, 4);
+      admission.recordReportedSlots('booking', 16, 4);
     }
     const {services: borrowed} = admission.dump() as {
       services: {share: number}[];
     };
     assert.equal(borrowed[0]?.share, 16);
     for (let index = 0; index < 20; index++) {
-      admission.setReportedSlots('booking', 16, 28);
+      admission.recordReportedSlots('booking', 16, 28);
     }
     const {services} = admission.dump() as {services: {share: number}[]};
     assert.equal(services[0]?.share, 4);
--- a/packages/admission/src/test/fixtures.ts
+++ b/packages/admission/src/test/fixtures.ts
@@ -1,9 +1,9 @@
 /** Fixtures shared by the admission tests. */
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import type {Service} from '@skylarkfield/records';
 import {
@@ -28,8 +28,8 @@
 
 /** Creates an admission controller on a virtual clock with one service. */
 export function setUp(overrides: Partial<Service> = {}) {
-  const clock = virtualClock();
-  const decisions = decisionLog(clock, silentLogger());
+  const clock = createVirtualClock();
+  const decisions = createDecisionLog(clock, createSilentLogger());
   const admission = createAdmissionController({
     clock,
     random: seededRandom(1),
--- a/packages/base/src/decisionLog.ts
+++ b/packages/base/src/decisionLog.ts
@@ -20,7 +20,7 @@
 
 export interface DecisionLog {
   /** Adds a decision; drops the oldest decision when the log is full. */
-  note(
+  recordDecision(
     by: string,
     subject: string,
     what: string,
@@ -37,16 +37,16 @@
  * Creates a decision log that also writes each decision as a log line.
  *
  * @example
- * decisions.note('routing', 'r3', 'eject', '5 failures in a row', {failures: 5});
+ * decisions.recordDecision('routing', 'r3', 'eject', '5 failures in a row', {failures: 5});
  */
-export function decisionLog(
+export function createDecisionLog(
   clock: Clock,
   log: Logger,
   capacity = DEFAULT_CAPACITY,
 ): DecisionLog {
   const decisions: Decision[] = [];
   return {
-    note(by, subject, what, why, figures = {}) {
+    recordDecision(by, subject, what, why, figures = {}) {
       const decision = {at: clock.wall(), by, what, why, subject, figures};
       decisions.push(decision);
       if (decisions.length > capacity) {
--- a/packages/base/src/disposables.ts
+++ b/packages/base/src/disposables.ts
@@ -35,11 +35,11 @@
  * Creates a store that disposes its contents in reverse order of addition.
  *
  * @example
- * const store = disposableStore();
+ * const store = createDisposableStore();
  * store.add(clock.after(1000, sendHeartbeat));
  * store.dispose();
  */
-export function disposableStore(): DisposableStore {
+export function createDisposableStore(): DisposableStore {
   const disposables: Disposable[] = [];
   let isDisposed = false;
   return {
--- a/packages/base/src/events.ts
+++ b/packages/base/src/events.ts
@@ -18,11 +18,11 @@
  * first error is rethrown after all listeners were called.
  *
  * @example
- * const changed = emitter<Member>();
+ * const changed = createEmitter<Member>();
  * const subscription = changed.event(member => redraw(member));
  * changed.fire(member);
  */
-export function emitter<T>(): Emitter<T> {
+export function createEmitter<T>(): Emitter<T> {
   const listeners = new Set<(value: T) => void>();
   return {
     event(listener) {
--- a/packages/base/src/logger.ts
+++ b/packages/base/src/logger.ts
@@ -89,8 +89,8 @@
  * Returns a logger that writes nothing, for tests and replays.
  *
  * @example
- * const router = createRouter({log: silentLogger(), ...rest});
+ * const router = createRouter({log: createSilentLogger(), ...rest});
  */
-export function silentLogger(): Logger {
+export function createSilentLogger(): Logger {
   return pino({level: 'silent'});
 }
--- a/packages/base/src/pausableClock.ts
+++ b/packages/base/src/pausableClock.ts
@@ -17,10 +17,13 @@
  *
  * @param rate Speed relative to the shared clock, like 1.001.
  * @example
- * const clock = pausableClock(sharedClock, 0.999);
+ * const clock = createPausableClock(sharedClock, 0.999);
  * clock.pause();
  */
-export function pausableClock(sharedClock: Clock, rate = 1): PausableClock {
+export function createPausableClock(
+  sharedClock: Clock,
+  rate = 1,
+): PausableClock {
   const startMs = sharedClock.now();
   const startWallMs = sharedClock.wall();
   const deferredCallbacks: (() => void)[] = [];
--- a/packages/base/src/test/timerWheel.test.ts
+++ b/packages/base/src/test/timerWheel.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '../virtualClock.js';
+import {createVirtualClock} from '../virtualClock.js';
 import {createTimerWheel} from '../timerWheel.js';
 
 function setUp() {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   let wakeUpCount = 0;
   const wheel = createTimerWheel({
     slotMs: 50,
@@ -34,7 +34,7 @@
   });
 
   it('wakes up once for all timers of a slot', async () => {
-    const {clock, wheel, getWakeUpCount: getWakeUpCount} = setUp();
+    const {clock, wheel, getWakeUpCount} = setUp();
     let firedCount = 0;
     for (let dueMs = 101; dueMs <= 150; dueMs++) {
       wheel.at(dueMs, () => (firedCount += 1));
--- a/packages/base/src/test/virtualClock.test.ts
+++ b/packages/base/src/test/virtualClock.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {every, sleep, virtualClock} from '../index.js';
+import {every, sleep, createVirtualClock} from '../index.js';
 
 describe('virtual clock', () => {
   it('runs timers in order of their due time', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const firedTimers: string[] = [];
     clock.after(20, () => firedTimers.push('late'));
     clock.after(10, () => firedTimers.push('early'));
@@ -14,7 +14,7 @@
   });
 
   it('repeats an interval timer until it is disposed', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     let calls = 0;
     const timer = every(clock, 10, () => (calls += 1));
     await clock.advance(35);
@@ -24,7 +24,7 @@
   });
 
   it('rejects a sleep whose signal aborts', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const controller = new AbortController();
     const sleepPromise = sleep(clock, 1000, controller.signal);
     controller.abort();
--- a/packages/base/src/virtualClock.ts
+++ b/packages/base/src/virtualClock.ts
@@ -26,11 +26,13 @@
  * Creates a virtual clock whose monotonic time starts at 0.
  *
  * @example
- * const clock = virtualClock();
+ * const clock = createVirtualClock();
  * clock.after(1000, () => calls.push(clock.now()));
  * await clock.advance(1000);
  */
-export function virtualClock(startWallMs = 1_800_000_000_000): VirtualClock {
+export function createVirtualClock(
+  startWallMs = 1_800_000_000_000,
+): VirtualClock {
   let nowMs = 0;
   let wallOffsetMs = startWallMs;
   let nextSequence = 0;
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -5,7 +5,7 @@
  * engine.
  */
 import {targetUtilization, type EngineEstimate} from '@skylarkfield/capacity';
-import {endpointsNeeded, workMs} from '@skylarkfield/traffic';
+import {countEndpointsNeeded, workMs} from '@skylarkfield/traffic';
 import {
   ENGINE_PROFILES,
   requestKindsFor,
@@ -137,12 +137,12 @@
   const work = estimates.workRate(SERVICE);
   const fixedWorkMs = workMs(work, {...estimate, ...FIXED_ESTIMATE});
   return {
-    learned: endpointsNeeded(signals.workRate, signals.use.usual),
-    true: endpointsNeeded(
+    learned: countEndpointsNeeded(signals.workRate, signals.use.usual),
+    true: countEndpointsNeeded(
       workMs(work, trueEstimate),
       targetUtilization(trueEstimate, latencyTargets).usual,
     ),
-    fixed: endpointsNeeded(fixedWorkMs, FIXED_ESTIMATE.utilization),
+    fixed: countEndpointsNeeded(fixedWorkMs, FIXED_ESTIMATE.utilization),
   };
 }
 
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -2,7 +2,7 @@
 import {
   every,
   seededRandom,
-  virtualClock,
+  createVirtualClock,
   type Clock,
   type Random,
 } from '@skylarkfield/base';
@@ -59,7 +59,7 @@
 export async function replayEngines(
   options: EngineReplayOptions,
 ): Promise<readonly ReplayOutcome[]> {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(options.seed);
   const {profile} = options;
   const kinds = requestKindsFor(profile);
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -1,7 +1,7 @@
 /** Simulated entry: routing, engine estimates and digests as in the gateway. */
 import {
-  decisionLog,
-  silentLogger,
+  createDecisionLog,
+  createSilentLogger,
   type Clock,
   type Random,
 } from '@skylarkfield/base';
@@ -60,7 +60,7 @@
   readonly random: Random;
 }): ReplayEntry {
   const {id, clock, random, profile, kinds} = options;
-  const log = silentLogger();
+  const log = createSilentLogger();
   const reports = createPeerReports({
     clock,
     failureDomain: 'a',
@@ -82,10 +82,10 @@
   const router = createRouter({
     clock,
     random,
-    decisions: decisionLog(clock, log),
+    decisions: createDecisionLog(clock, log),
     failureDomain: 'a',
     self: id,
-    weightsOf: service => estimates.routeWeights(service),
+    weightOverrides: service => estimates.routeWeights(service),
   });
   router.setEndpoints(
     options.engineIds.map(engine => ({
@@ -102,8 +102,8 @@
     clock,
     estimateFor: estimates.estimateFor,
     tokensPerEvent: () => profile.tokensPerEvent,
-    fits: () => true,
-    onDidReread() {},
+    fitsKvCache: () => true,
+    onDidRecompute() {},
   });
   return {
     id,
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -5,10 +5,10 @@
  * target.
  */
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import type {LoadReport} from '@skylarkfield/endpoints';
 import {
@@ -112,13 +112,13 @@
 }
 
 async function replayDay(policy: FleetPolicy, seed: number) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const replayCloud = createReplayCloud(clock, seededRandom(seed));
   const duty = createFleetDuty({
     cloud: replayCloud.cloud,
     clock,
     random: seededRandom(seed + 1),
-    decisions: decisionLog(clock, silentLogger()),
+    decisions: createDecisionLog(clock, createSilentLogger()),
     term: {
       duty: 'fleet',
       fencing: 1,
--- a/packages/bench/src/fleet/replayCloud.ts
+++ b/packages/bench/src/fleet/replayCloud.ts
@@ -58,8 +58,8 @@
   schedulePriceChange();
 
   const cloud: Cloud = {
-    offers: async () => DOMAINS.flatMap(offersOf),
-    hosts: async () => presentHosts().map(item => item.host),
+    listOffers: async () => DOMAINS.flatMap(offersOf),
+    listHosts: async () => presentHosts().map(item => item.host),
     async start(request) {
       const untilMs = refusedUntilMs.get(request.failureDomain) ?? 0;
       if (request.market === 'reclaimable' && clock.now() < untilMs) {
--- a/packages/bench/src/moves.ts
+++ b/packages/bench/src/moves.ts
@@ -3,10 +3,10 @@
  * by a canary with fixed thresholds on the same traffic model.
  */
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {createMoveController, type MoveState} from '@skylarkfield/moves';
 import type {Move} from '@skylarkfield/records';
@@ -186,8 +186,8 @@
   version: Version,
   seed: number,
 ): Verdict {
-  const clock = virtualClock(WALL_START_MS);
-  const decisions = decisionLog(clock, silentLogger());
+  const clock = createVirtualClock(WALL_START_MS);
+  const decisions = createDecisionLog(clock, createSilentLogger());
   const controller = createMoveController({clock, decisions});
   const random = seededRandom(seed);
   const durationMs = mix.moveHours * HOUR_MS;
--- a/packages/bench/src/orderLedgers.ts
+++ b/packages/bench/src/orderLedgers.ts
@@ -56,7 +56,7 @@
   const ledgers = peers.map(({id, peer}) => {
     peer.network.setPeers(addresses);
     return createLedger({
-      store: platform.client(id),
+      store: platform.createClient(id),
       network: peer.network,
       dispatch: options.dispatch,
       clock,
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -146,7 +146,7 @@
 ): Promise<RateResult> {
   const platform = createDelayedPlatform(clock, random);
   const clients = Array.from({length: ENTRY_COUNT}, (_, index) =>
-    platform.client(`e${index}`),
+    platform.createClient(`e${index}`),
   );
   const submit: Submit = async (key, entryIndex) => {
     const store = clients[entryIndex % clients.length];
--- a/packages/bench/src/reclaim/fleet.ts
+++ b/packages/bench/src/reclaim/fleet.ts
@@ -67,7 +67,7 @@
       engine: createLocalEngine({
         clock,
         simulatedEngine,
-        resolve: source => enginesByUrl.get(source),
+        resolveEngine: source => enginesByUrl.get(source),
       }),
       simulatedEngine,
       leavingController,
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -1,11 +1,11 @@
 /** Replays streams during a reclaim on a virtual clock. */
 import {
-  decisionLog,
+  createDecisionLog,
   every,
   seededRandom,
-  silentLogger,
+  createSilentLogger,
   toServingError,
-  virtualClock,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {
   hashPromptBlocks,
@@ -86,7 +86,7 @@
   reclaim: Reclaim,
   seed: number,
 ): Promise<ReclaimFigures> {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const fleet = createEngineFleet(clock, seed);
   const endpointsById = new Map(fleet.map(item => [item.candidate.id, item]));
   const entries = Array.from({length: ENTRY_COUNT}, (_, index) =>
@@ -99,7 +99,7 @@
     const router = createRouter({
       clock,
       random: seededRandom(seed * 57 + index),
-      decisions: decisionLog(clock, silentLogger()),
+      decisions: createDecisionLog(clock, createSilentLogger()),
       failureDomain: index === 0 ? 'a' : 'c',
       self: `e${index}`,
     });
@@ -151,11 +151,11 @@
       cachedTokens: choice.cachedTokens,
       // With plain retry, a stream detects a reclaim only when its connection
       // breaks.
-      leaving:
+      leavingSignal:
         policy === 'plain'
           ? new AbortController().signal
           : endpoint.leavingController.signal,
-      goneAt: () => endpoint.goneAt,
+      goneAtMs: () => endpoint.goneAt,
       onStart: cachedTokens => choice.recordStart(cachedTokens),
       onFirstToken: () => choice.recordFirstToken(),
       finish: result => choice.finish(result),
--- a/packages/bench/src/replay/gates.ts
+++ b/packages/bench/src/replay/gates.ts
@@ -1,8 +1,8 @@
 /** Admission gates of a replay: the admission package and plain baselines. */
 import {
-  decisionLog,
+  createDecisionLog,
   ServingError,
-  silentLogger,
+  createSilentLogger,
   type Clock,
   type Random,
 } from '@skylarkfield/base';
@@ -80,7 +80,7 @@
   limitPolicy: LimitPolicy,
 ): Gate {
   const {clock, random, services, entryCount} = options;
-  const decisions = decisionLog(clock, silentLogger());
+  const decisions = createDecisionLog(clock, createSilentLogger());
   const admission = createAdmissionController({
     clock,
     random,
@@ -95,7 +95,7 @@
     admit: (admissionRequest, signal) =>
       admission.admit(admissionRequest, signal),
     reportSlots: (service, slots, busy) =>
-      admission.setReportedSlots(service, slots, busy),
+      admission.recordReportedSlots(service, slots, busy),
   };
 }
 
--- a/packages/bench/src/routing/decisionTime.ts
+++ b/packages/bench/src/routing/decisionTime.ts
@@ -1,8 +1,8 @@
 /** Measures the processor time of routing decisions by number of replicas. */
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
+  createSilentLogger,
   systemClock,
 } from '@skylarkfield/base';
 import {hashPromptBlocks} from '@skylarkfield/endpoints';
@@ -47,7 +47,7 @@
     const router = createRouter({
       clock,
       random: seededRandom(1),
-      decisions: decisionLog(clock, silentLogger()),
+      decisions: createDecisionLog(clock, createSilentLogger()),
       failureDomain: 'd1',
       self: 'e1',
     });
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -1,7 +1,7 @@
 /** Routing policies: the router of the routing package, and baselines. */
 import {
-  decisionLog,
-  silentLogger,
+  createDecisionLog,
+  createSilentLogger,
   type Clock,
   type Random,
 } from '@skylarkfield/base';
@@ -105,7 +105,7 @@
   const router = createRouter({
     clock,
     random,
-    decisions: decisionLog(clock, silentLogger()),
+    decisions: createDecisionLog(clock, createSilentLogger()),
     failureDomain,
     self,
     ...(weights === undefined ? {} : {weights}),
--- a/packages/bench/src/routing/replay.ts
+++ b/packages/bench/src/routing/replay.ts
@@ -2,7 +2,7 @@
 import {
   every,
   seededRandom,
-  virtualClock,
+  createVirtualClock,
   type Random,
   type VirtualClock,
 } from '@skylarkfield/base';
@@ -78,7 +78,7 @@
   options: RoutingReplayOptions,
 ): RoutingReplayResult {
   const {workload, seed, seconds} = options;
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const engines = createEngines(options, clock);
   const candidates = createCandidates(workload);
   const entries = createEntries(options, clock, candidates);
--- a/packages/bench/src/slopes/memberCluster.ts
+++ b/packages/bench/src/slopes/memberCluster.ts
@@ -1,10 +1,10 @@
 /** Memberships of many entries on a virtual clock and an in-process network. */
 import {
-  decisionLog,
+  createDecisionLog,
   hash32,
   seededRandom,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {createMembership, type Membership} from '@skylarkfield/members';
 import {createMemoryPlatform} from '@skylarkfield/providers';
@@ -20,11 +20,11 @@
  * await cluster.clock.advance(60_000);
  */
 export function createMemberCluster(seed: number, memberCount: number) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(seed);
   const net = createMemoryNetwork({clock, random});
   const platform = createMemoryPlatform({clock, random});
-  const decisions = decisionLog(clock, silentLogger());
+  const decisions = createDecisionLog(clock, createSilentLogger());
   const members = new Map<string, Membership>();
   let incarnation = 0;
 
@@ -44,12 +44,12 @@
         failureDomain: domainOf(id),
         region: 'region-1',
       },
-      store: platform.client(id),
+      store: platform.createClient(id),
       network: peer.network,
       clock: peer.clock,
       // Consecutive small seeds give nearly the same first numbers.
       random: seededRandom(hash32(`${seed}/${incarnation}`)),
-      log: silentLogger(),
+      log: createSilentLogger(),
       decisions,
       load: () => 20,
     });
@@ -76,14 +76,14 @@
       const runningCount = members.size;
       return [...members.values()].filter(
         membership =>
-          membership.live().length === runningCount &&
-          membership.live().every(member => members.has(member.id)),
+          membership.liveMembers().length === runningCount &&
+          membership.liveMembers().every(member => members.has(member.id)),
       ).length;
     },
     /** Returns the number of members that still list one of the given ids. */
     countListing(ids: ReadonlySet<string>): number {
       return [...members.values()].filter(membership =>
-        membership.live().some(member => ids.has(member.id)),
+        membership.liveMembers().some(member => ids.has(member.id)),
       ).length;
     },
   };
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -7,7 +7,7 @@
  */
 import {
   seededRandom,
-  virtualClock,
+  createVirtualClock,
   type VirtualClock,
 } from '@skylarkfield/base';
 import type {Dispatch} from '@skylarkfield/orders';
@@ -46,7 +46,7 @@
 }
 
 async function measureOwner(seed: number, rate: number) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(seed);
   const memoryPlatform = createMemoryPlatform({clock, random});
   memoryPlatform.faults.setDelay(PLATFORM_DELAY_MS);
@@ -180,8 +180,8 @@
 ): MemoryPlatform {
   return {
     ...memoryPlatform,
-    client(name) {
-      const client = memoryPlatform.client(name);
+    createClient(name) {
+      const client = memoryPlatform.createClient(name);
       return {
         ...client,
         // Returns a copy: objects shared with the platform would not count as
--- a/packages/bench/src/slopes/socketSlopes.ts
+++ b/packages/bench/src/slopes/socketSlopes.ts
@@ -1,5 +1,9 @@
 /** Measures the cost of messages and connections on loopback sockets. */
-import {seededRandom, silentLogger, systemClock} from '@skylarkfield/base';
+import {
+  seededRandom,
+  createSilentLogger,
+  systemClock,
+} from '@skylarkfield/base';
 import {createPeerNetwork, type PeerAddress} from '@skylarkfield/protocol';
 import {measureResidentBytes} from './heap.js';
 
@@ -13,7 +17,7 @@
     self: {id, incarnation: 1},
     clock: systemClock(),
     random: seededRandom(index),
-    log: silentLogger(),
+    log: createSilentLogger(),
     key: 'key of the measurement',
   });
   const {port} = await network.listen({host: '127.0.0.1', port: 0});
@@ -45,7 +49,7 @@
   const bytesPerEnd = (measureResidentBytes() - bytesBefore) / (2 * PEER_COUNT);
 
   const [firstSpoke] = spokes;
-  firstSpoke!.network.onDidReceive('memberWord', () => ({heardAgoMs: 1}));
+  firstSpoke!.network.addHandler('memberWord', () => ({heardAgoMs: 1}));
   const sendRequest = () =>
     hub!.network.request(
       firstSpoke!.address.id,
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -160,7 +160,7 @@
   const platform = createMemoryPlatform({clock, random: seededRandom(seed)});
   platform.faults.setDelay(PLATFORM_DELAY_MS);
   const clients = Array.from({length: entryCount}, (_, index) =>
-    platform.client(`b${index}`, {liveEntries: entryCount}),
+    platform.createClient(`b${index}`, {liveEntries: entryCount}),
   );
   const latestVersions = new Array<number>(entryCount).fill(0);
   clients.forEach((client, index) => {
--- a/packages/bench/src/spreadFleet.ts
+++ b/packages/bench/src/spreadFleet.ts
@@ -1,7 +1,7 @@
 /** Configurations of many entries over an in-process network and platform. */
 import {
   seededRandom,
-  silentLogger,
+  createSilentLogger,
   type Clock,
   type Disposable,
 } from '@skylarkfield/base';
@@ -74,7 +74,7 @@
 
   const startedMembers = members.map(self => {
     const {network} = net.start(self.id);
-    const store = platform.client(self.id, {liveEntries: entryCount});
+    const store = platform.createClient(self.id, {liveEntries: entryCount});
     return {self, network, store};
   });
   const entries = startedMembers.map(({self, network, store}) => {
@@ -88,7 +88,7 @@
       network,
       self,
       members: () => members,
-      log: silentLogger(),
+      log: createSilentLogger(),
     });
     return {id: self.id, store, configuration};
   });
@@ -97,7 +97,7 @@
     clock,
     random,
     store: (firstEntry as SpreadEntry).store,
-    log: silentLogger(),
+    log: createSilentLogger(),
     canAct: () => true,
     onDidAccept: (key, accepted) =>
       (firstEntry as SpreadEntry).configuration.applyAccepted(key, accepted),
--- a/packages/bench/src/test/streamFaults.test.ts
+++ b/packages/bench/src/test/streamFaults.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
+  createSilentLogger,
   systemClock,
 } from '@skylarkfield/base';
 import {createHttpEngine} from '@skylarkfield/endpoints';
@@ -43,7 +43,7 @@
   const router = createRouter({
     clock,
     random: seededRandom(1),
-    decisions: decisionLog(clock, silentLogger()),
+    decisions: createDecisionLog(clock, createSilentLogger()),
     failureDomain: 'a',
     self: 'e1',
   });
@@ -77,7 +77,7 @@
       endpoint: choice.endpoint,
       url: standins[index]!.url,
       engine: engines[index]!,
-      leaving: new AbortController().signal,
+      leavingSignal: new AbortController().signal,
       finish: result => choice.finish(result),
     };
   }
--- a/packages/capacity/src/contracts.ts
+++ b/packages/capacity/src/contracts.ts
@@ -105,7 +105,7 @@
 export interface WorkRate {
   /** Prompt tokens that only one request has. */
   readonly ownTokens: number;
-  /** Millions of pairs of one of the `ownTokens` and a token of its prompt. */
+  /** Millions of pairs of one of the `countOwnTokens` and a token of its prompt. */
   readonly pairs: number;
   /** Tokens of shared prompt parts that are expected to be uncached. */
   readonly rereadTokens: number;
--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -26,7 +26,7 @@
 /** Prior standard deviation of attention time, as a fraction of prompt time. */
 const PRIOR_PAIRS_FRACTION = 0.2;
 
-/** Mean `ownTokens` of a prompt before the first sample. */
+/** Mean `countOwnTokens` of a prompt before the first sample. */
 const PRIOR_PROMPT_TOKENS = 1_000;
 /** Latency target of a service whose routes set none, in milliseconds. */
 const DEFAULT_TARGET_MS = 1_000;
--- a/packages/capacity/src/test/engineModel.test.ts
+++ b/packages/capacity/src/test/engineModel.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {seededRandom, virtualClock, type Random} from '@skylarkfield/base';
+import {
+  seededRandom,
+  createVirtualClock,
+  type Random,
+} from '@skylarkfield/base';
 import {
   addCapacityStats,
   createEngineModel,
@@ -71,7 +75,7 @@
   },
 ];
 
-/** Mean square of `ownTokens` over its squared mean in `addSamples`. */
+/** Mean square of `countOwnTokens` over its squared mean in `addSamples`. */
 const SQUARED_MEAN_RATIO = 1.163;
 
 /**
@@ -143,7 +147,7 @@
       // Requests of one route wait longer than requests of the other, and all
       // have waits that depend on no feature. If the model attributed the waits
       // to the prompts, far too many endpoints would be requested.
-      const model = createEngineModel(virtualClock());
+      const model = createEngineModel(createVirtualClock());
       addSamples(model, profile, 600, seededRandom(1_000));
       const estimate = estimateEngine(model.stats()['chat'], LATENCY_TARGETS);
       assertWithin(estimate.usualPromptMs, meanPromptMs(profile), 0.2);
@@ -157,7 +161,7 @@
     const [, profile] = PROFILES;
     const random = seededRandom(5);
     const entryStats = Array.from({length: 9}, () => {
-      const model = createEngineModel(virtualClock());
+      const model = createEngineModel(createVirtualClock());
       addSamples(model, profile!, 30, random);
       return model.stats();
     });
@@ -177,7 +181,7 @@
   it('follows engines that become slower', () => {
     // A new version processes prompts at a third of the speed. Samples of the
     // old version must not hide the slowdown for longer than a minute.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const model = createEngineModel(clock);
     addSamples(model, PROFILES[0]!, 300, seededRandom(1));
     clock.advanceSync(60_000);
@@ -189,7 +193,7 @@
   it('estimates the speed within 30 % although some requests hang', () => {
     // One request in fifty hangs for seconds at a failing endpoint.
     const [, profile] = PROFILES;
-    const model = createEngineModel(virtualClock());
+    const model = createEngineModel(createVirtualClock());
     const random = seededRandom(3);
     addSamples(model, profile!, 600, random);
     for (let index = 0; index < 12; index++) {
@@ -213,7 +217,7 @@
     // long prompts wait no longer than short ones. With an estimate of zero,
     // routing would always choose one endpoint, and all others would be
     // released.
-    const model = createEngineModel(virtualClock());
+    const model = createEngineModel(createVirtualClock());
     const random = seededRandom(6);
     for (let index = 0; index < 400; index++) {
       const ownTokens = 500 + 4_000 * random.next();
@@ -235,7 +239,7 @@
   it('decays the token rate of a removed route', () => {
     // An operator removes the route with the longest answers. If its token rate
     // did not decay, the service would keep endpoints that are not needed.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const model = createEngineModel(clock);
     const answer = {service: 'chat', stepMs: 5, requests: 1, contextTokens: 9};
     for (let index = 0; index < 20; index++) {
@@ -264,7 +268,7 @@
     profile: Profile,
     latencyTargets: readonly LatencyTargets[],
   ): number {
-    const model = createEngineModel(virtualClock());
+    const model = createEngineModel(createVirtualClock());
     addSamples(model, profile, 300, seededRandom(4));
     return targetUtilization(
       estimateEngine(model.stats()['chat'], latencyTargets),
--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -1,7 +1,7 @@
 /** Lease elections of one process for all its duties. */
 import {
   rendezvousOrder,
-  silentLogger,
+  createSilentLogger,
   toDisposable,
   type Clock,
   type DecisionLog,
@@ -11,7 +11,7 @@
 import type {ObjectStore} from '@skylarkfield/providers';
 import {startLeaseElection, type LeaseElection} from './leaseElection.js';
 import type {DutyElections, DutyName, DutyTerm} from './contracts.js';
-import {defaultLeaseTiming, type LeaseTiming} from './lease.js';
+import {DEFAULT_LEASE_TIMING, type LeaseTiming} from './lease.js';
 
 /**
  * Number of candidates for each duty; more candidates would only add reads of
@@ -76,8 +76,8 @@
           random,
           store,
           self: `${self.id}.${self.incarnation}`,
-          timing: options.timing ?? defaultLeaseTiming,
-          log: options.log ?? silentLogger(),
+          timing: options.timing ?? DEFAULT_LEASE_TIMING,
+          log: options.log ?? createSilentLogger(),
           decisions,
           isCandidate: () => isCandidate(duty),
           mayHold: options.mayHold ?? (() => true),
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -2,4 +2,4 @@
 export * from './contracts.js';
 export * from './duties.js';
 export * from './lease.js';
-export * from './orderGate.js';
+export * from './commandGate.js';
--- a/packages/duties/src/lease.ts
+++ b/packages/duties/src/lease.ts
@@ -21,9 +21,9 @@
 /** Durations, intervals and safety margin of leases. */
 export interface LeaseTiming {
   readonly durationMs: number;
-  readonly renewEveryMs: number;
+  readonly renewIntervalMs: number;
   /** Interval at which a candidate reads the lease, in milliseconds. */
-  readonly pollMs: number;
+  readonly pollIntervalMs: number;
   /**
    * Safety margin, in milliseconds, by which the holder stops before the expiry
    * and a successor waits after the expiry. Monotonic clocks of two hosts drift
@@ -33,10 +33,10 @@
   readonly marginMs: number;
 }
 
-export const defaultLeaseTiming: LeaseTiming = {
+export const DEFAULT_LEASE_TIMING: LeaseTiming = {
   durationMs: 8000,
-  renewEveryMs: 2000,
-  pollMs: 1500,
+  renewIntervalMs: 2000,
+  pollIntervalMs: 1500,
   marginMs: 1000,
 };
 
--- a/packages/duties/src/leaseElection.ts
+++ b/packages/duties/src/leaseElection.ts
@@ -147,7 +147,7 @@
       return;
     }
     const intervalMs =
-      heldLease === undefined ? timing.pollMs : timing.renewEveryMs;
+      heldLease === undefined ? timing.pollIntervalMs : timing.renewIntervalMs;
     roundTimer.dispose();
     roundTimer = clock.after(intervalMs * (0.75 + random.next() / 2), () => {
       void runRound();
@@ -245,7 +245,9 @@
       previousLease === undefined
         ? 'no process held the lease'
         : describeVacancy(previousLease);
-    options.decisions?.note('duties', duty, 'take', reason, {fencing});
+    options.decisions?.recordDecision('duties', duty, 'take', reason, {
+      fencing,
+    });
     // Set before `start` is called, as it may check whether the term is valid.
     heldLease = {fencing, term, abortController, work: toDisposable(() => {})};
     heldLease = {...heldLease, work: options.start(term)};
@@ -265,7 +267,7 @@
     acquireNotBefore = clock.now() + timing.durationMs + timing.marginMs;
     endTerm();
     interpreter.send('lose');
-    options.decisions?.note(
+    options.decisions?.recordDecision(
       'duties',
       duty,
       'hand over',
@@ -315,7 +317,9 @@
     const {fencing} = heldLease;
     endTerm();
     interpreter.send('lose');
-    options.decisions?.note('duties', duty, 'lose', reason, {fencing});
+    options.decisions?.recordDecision('duties', duty, 'lose', reason, {
+      fencing,
+    });
   }
 
   function endTerm(): void {
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  pausableClock,
+  createPausableClock,
   seededRandom,
   toDisposable,
-  virtualClock,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {
   createMemoryPlatform,
@@ -14,14 +14,14 @@
 } from '@skylarkfield/providers';
 import type {DutyTerm} from '../contracts.js';
 import {createDutyElections} from '../duties.js';
-import {defaultLeaseTiming} from '../lease.js';
-import {createOrderGate} from '../orderGate.js';
+import {DEFAULT_LEASE_TIMING} from '../lease.js';
+import {createCommandGate} from '../commandGate.js';
 
 /**
  * Creates one platform for two processes, `a` and `b`, which `start` starts.
  */
 function createTwoProcesses() {
-  const commonClock = virtualClock();
+  const commonClock = createVirtualClock();
   const platform = createMemoryPlatform({clock: commonClock});
   platform.faults.setDelay(2);
   function start(
@@ -29,8 +29,8 @@
     mayHold = () => true,
     wrapStore = (client: MemoryClient) => client,
   ) {
-    const clock = pausableClock(commonClock);
-    const store = wrapStore(platform.client(id, {clock}));
+    const clock = createPausableClock(commonClock);
+    const store = wrapStore(platform.createClient(id, {clock}));
     const terms: DutyTerm[] = [];
     let runningCount = 0;
     const dutyElections = createDutyElections({
@@ -127,7 +127,7 @@
     await commonClock.advance(20_000);
     assert.equal(a.runningCount(), 1);
     const reacquiredAt = a.terms[1]!.acquiredAt;
-    const {durationMs} = defaultLeaseTiming;
+    const {durationMs} = DEFAULT_LEASE_TIMING;
     assert.ok(
       reacquiredAt - handedOverAt >= durationMs,
       `${reacquiredAt - handedOverAt}`,
@@ -254,15 +254,15 @@
     await commonClock.advance(3000);
     const [term] = a.terms;
     assert.ok(term !== undefined);
-    const gate = createOrderGate({
+    const gate = createCommandGate({
       clock: a.clock,
       term,
-      orderDeadlineMs: 5000,
+      commandDeadlineMs: 5000,
       marginMs: 1000,
     });
     assert.equal(gate.isOpen({checksFencing: true}), true);
     assert.equal(gate.isOpen({checksFencing: false}), false);
-    await commonClock.advance(gate.opensInMs());
+    await commonClock.advance(gate.msUntilOpen());
     assert.equal(gate.isOpen({checksFencing: false}), true);
     void a.dutyElections.release();
     assert.equal(gate.isOpen({checksFencing: true}), false);
--- a/packages/duties/src/test/dutySimulation.ts
+++ b/packages/duties/src/test/dutySimulation.ts
@@ -1,10 +1,10 @@
 /** Simulated processes that compete for one duty on one platform. */
 import assert from 'node:assert/strict';
 import {
-  pausableClock,
+  createPausableClock,
   seededRandom,
   toDisposable,
-  virtualClock,
+  createVirtualClock,
   type PausableClock,
 } from '@skylarkfield/base';
 import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
@@ -36,7 +36,7 @@
  * await simulation.advance(10_000);
  */
 export function createDutySimulation(seed: number) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(seed);
   const platform = createMemoryPlatform({clock, random});
   platform.faults.setDelay(NETWORK_LATENCY_MS);
@@ -48,8 +48,8 @@
   function start(id: string): void {
     incarnationCount += 1;
     const clockRate = 1 + MAX_CLOCK_DRIFT * (2 * random.next() - 1);
-    const processClock = pausableClock(clock, clockRate);
-    const store = platform.client(id, {clock: processClock});
+    const processClock = createPausableClock(clock, clockRate);
+    const store = platform.createClient(id, {clock: processClock});
     const dutyElections = createDutyElections({
       clock: processClock,
       random: seededRandom(random.integer(0, 1_000_000)),
--- a/packages/endpoints/src/contracts.ts
+++ b/packages/endpoints/src/contracts.ts
@@ -70,7 +70,7 @@
 }
 
 /** Command that changes what an endpoint runs. */
-export interface EndpointOrder {
+export interface EndpointCommand {
   readonly id: string;
   readonly type: 'load-model' | 'load-adapter' | 'load-version' | 'set-role';
   /** Desired model, adapter, version or role; orders are level-triggered. */
@@ -102,7 +102,7 @@
   cancel(attempt: string): Promise<void>;
   load(signal?: AbortSignal): Promise<LoadReport>;
   /** Returns the events after a sequence number; -1 for the whole cache. */
-  cacheEvents(
+  readCacheEvents(
     after: number,
     signal?: AbortSignal,
   ): Promise<readonly CacheEvent[]>;
@@ -111,12 +111,12 @@
     from: {readonly url: string; readonly handle: string},
     signal?: AbortSignal,
   ): Promise<CacheExport>;
-  order(order: EndpointOrder, signal?: AbortSignal): Promise<void>;
+  sendCommand(order: EndpointCommand, signal?: AbortSignal): Promise<void>;
   /**
    * Returns the version, adapters and role that the endpoint runs; a new lease
    * holder reads them again.
    */
-  running(signal?: AbortSignal): Promise<{
+  readRunning(signal?: AbortSignal): Promise<{
     readonly version: string;
     readonly adapters: readonly string[];
     readonly role: string;
--- a/packages/endpoints/src/httpEngine.ts
+++ b/packages/endpoints/src/httpEngine.ts
@@ -120,7 +120,7 @@
     },
     load: signal =>
       call('GET', '/v1/load', loadReportSchema, undefined, signal),
-    cacheEvents: (after, signal) =>
+    readCacheEvents: (after, signal) =>
       call(
         'GET',
         `/v1/cache-events?after=${after}`,
@@ -132,10 +132,10 @@
       call('POST', '/v1/export', cacheExportSchema, {attempt}, signal),
     importCache: (from, signal) =>
       call('POST', '/v1/import', cacheExportSchema, from, signal),
-    async order(order, signal) {
+    async sendCommand(order, signal) {
       await call('POST', '/v1/order', ignoredResponseSchema, order, signal);
     },
-    running: signal =>
+    readRunning: signal =>
       call('GET', '/v1/running', runningSchema, undefined, signal),
     dispose() {
       void pool.destroy();
--- a/packages/entry/src/callers/attemptRunner.ts
+++ b/packages/entry/src/callers/attemptRunner.ts
@@ -138,7 +138,7 @@
     isError: boolean,
     latencyMs: number,
   ): void {
-    serving.split.observe({
+    serving.split.recordSample({
       service: routedCall.service,
       version: routedCall.version,
       route: routedCall.route,
--- a/packages/entry/src/callers/modelServer.ts
+++ b/packages/entry/src/callers/modelServer.ts
@@ -160,7 +160,7 @@
       isError: boolean,
       latencyMs: number,
     ): void {
-      serving.split.observe({
+      serving.split.recordSample({
         service,
         version,
         route: shape,
@@ -259,8 +259,8 @@
       url: endpoint.listed.url,
       engine,
       cachedTokens: choice.cachedTokens,
-      leaving: endpoint.leavingSignal,
-      goneAt: () => endpoint.goneAt?.(),
+      leavingSignal: endpoint.leavingSignal,
+      goneAtMs: () => endpoint.goneAt?.(),
       onStart: cachedTokens => choice.recordStart(cachedTokens),
       onFirstToken() {
         plan.fallback.recordFirstToken(version);
--- a/packages/entry/src/callers/plainServer.ts
+++ b/packages/entry/src/callers/plainServer.ts
@@ -172,7 +172,7 @@
 
 function sendOrderResult(exchange: Exchange, result: SubmitResult): void {
   exchange.response.setHeader('Idempotent-Replayed', String(result.isReplay));
-  if (result.isUnkeyed) {
+  if (result.hasNoKey) {
     exchange.response.setHeader(
       'Warning',
       '299 - "no Idempotency-Key: a retry of this request can not be recognised"',
--- a/packages/entry/src/components/admissionComponent.ts
+++ b/packages/entry/src/components/admissionComponent.ts
@@ -48,6 +48,6 @@
   }
 
   function applyEntryCount(): void {
-    admission.setEntryCount(Math.max(1, membership.live().length));
+    admission.setEntryCount(Math.max(1, membership.liveMembers().length));
   }
 }
--- a/packages/entry/src/components/dutiesComponent.ts
+++ b/packages/entry/src/components/dutiesComponent.ts
@@ -1,5 +1,5 @@
 /** Control duties that this entry performs while it holds their leases. */
-import {disposableStore, type Disposable} from '@skylarkfield/base';
+import {createDisposableStore, type Disposable} from '@skylarkfield/base';
 import {createDutyElections, type DutyElections} from '@skylarkfield/duties';
 import {createAcceptanceController} from '@skylarkfield/records';
 import type {EntryContext} from '../context.js';
@@ -26,14 +26,14 @@
   const {clock, random, log, decisions, dumps} = context;
   const {platform, members, records} = options;
   const {membership} = members;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const duties = disposables.add(
     createDutyElections({
       clock,
       random,
       store: platform.store,
       self: membership.self,
-      members: () => membership.live().map(member => member.id),
+      members: () => membership.liveMembers().map(member => member.id),
       log,
       decisions,
     }),
--- a/packages/entry/src/components/endpointPolling.ts
+++ b/packages/entry/src/components/endpointPolling.ts
@@ -1,6 +1,6 @@
 /** Polls this entry's endpoints for load and cache events at a bounded rate. */
 import {
-  disposableStore,
+  createDisposableStore,
   isServingError,
   type Clock,
   type Disposable,
@@ -43,7 +43,7 @@
  */
 export function startPolling(options: PollingOptions): Disposable {
   const {clock, log, router, endpoints} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   /** Sequence number of the last applied cache event, by endpoint id. */
   const lastSequences = new Map<string, number>();
 
@@ -69,7 +69,7 @@
   ) {
     const {id} = endpoint.listed;
     const lastSequence = lastSequences.get(id) ?? -1;
-    const events = await endpoint.engine?.cacheEvents(lastSequence, signal);
+    const events = await endpoint.engine?.readCacheEvents(lastSequence, signal);
     if (events !== undefined) {
       lastSequences.set(id, router.applyCacheEvents(id, events));
     }
--- a/packages/entry/src/components/endpointPoolComponent.ts
+++ b/packages/entry/src/components/endpointPoolComponent.ts
@@ -1,7 +1,7 @@
 /** Pool of the endpoints in the host list, each with its client. */
 import {setMaxListeners} from 'node:events';
 import {
-  disposableStore,
+  createDisposableStore,
   toDisposable,
   type Disposable,
 } from '@skylarkfield/base';
@@ -42,7 +42,7 @@
 ): EndpointPoolComponent {
   const {clock, log} = context;
   const openEndpoints = new Map<string, OpenEndpoint>();
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const pool: EndpointPool = {
     get: id => openEndpoints.get(id),
     list: () => [...openEndpoints.values()],
--- a/packages/entry/src/components/fleetComponent.ts
+++ b/packages/entry/src/components/fleetComponent.ts
@@ -1,10 +1,14 @@
 /** Fleet duty of this entry: host scaling and endpoint repair. */
-import {disposableStore, every, type Disposable} from '@skylarkfield/base';
-import {createOrderGate, type DutyElections} from '@skylarkfield/duties';
+import {
+  createDisposableStore,
+  every,
+  type Disposable,
+} from '@skylarkfield/base';
+import {createCommandGate, type DutyElections} from '@skylarkfield/duties';
 import {
   createEndpointRepair,
   createFleetDuty,
-  ORDER_DEADLINE_MS,
+  COMMAND_DEADLINE_MS,
   type ManagedEndpoint,
 } from '@skylarkfield/fleet';
 import type {ListedEndpoint} from '@skylarkfield/providers';
@@ -38,7 +42,7 @@
   const {clock, random, decisions, dumps} = context;
   const {platform, configuration, endpoints} = options;
   return options.duties.compete('fleet', term => {
-    const disposables = disposableStore();
+    const disposables = createDisposableStore();
     const duty = disposables.add(
       createFleetDuty({
         cloud: platform.cloud,
@@ -55,10 +59,10 @@
       decisions,
       weights: platform.weights,
       term,
-      gate: createOrderGate({
+      gate: createCommandGate({
         clock,
         term,
-        orderDeadlineMs: ORDER_DEADLINE_MS,
+        commandDeadlineMs: COMMAND_DEADLINE_MS,
       }),
     });
     let isRepairing = false;
--- a/packages/entry/src/components/leavingComponent.ts
+++ b/packages/entry/src/components/leavingComponent.ts
@@ -1,5 +1,9 @@
 /** Tracking of leaving endpoints, and a host list that marks them. */
-import {disposableStore, every, type Disposable} from '@skylarkfield/base';
+import {
+  createDisposableStore,
+  every,
+  type Disposable,
+} from '@skylarkfield/base';
 import {
   createLeavingEndpointTracker,
   isReader,
@@ -35,7 +39,7 @@
 ): LeavingComponent {
   const {clock, decisions, dumps} = context;
   const {membership, network} = members;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const tracker = disposables.add(
     createLeavingEndpointTracker({
       cloud: platform.cloud,
@@ -47,8 +51,8 @@
   );
   disposables.add(
     every(clock, READER_CHECK_INTERVAL_MS, () =>
-      tracker.setReader(
-        isReader(membership.live(), membership.self, 'notices'),
+      tracker.setIsNoticeReader(
+        isReader(membership.liveMembers(), membership.self, 'notices'),
       ),
     ),
   );
--- a/packages/entry/src/components/loadReportAggregator.ts
+++ b/packages/entry/src/components/loadReportAggregator.ts
@@ -121,7 +121,7 @@
       }
     }
     for (const {name} of configuration.list('service')) {
-      admission.setReportedSlots(
+      admission.recordReportedSlots(
         name,
         router.slots(name),
         estimateBusySlots(name),
--- a/packages/entry/src/components/membersComponent.ts
+++ b/packages/entry/src/components/membersComponent.ts
@@ -1,6 +1,6 @@
 /** Peer network, cluster membership and entry lookup. */
 import {
-  disposableStore,
+  createDisposableStore,
   ServingError,
   type Disposable,
 } from '@skylarkfield/base';
@@ -49,7 +49,7 @@
   options: MembersComponentOptions,
 ): Promise<MembersComponent> {
   const {settings, clock, random, log, decisions, dumps} = context;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   // Wall time increases across restarts, so peers tell restarts from pauses.
   const incarnation = clock.wall();
   const tls = await watchInnerTls(context);
--- a/packages/entry/src/components/movesComponent.ts
+++ b/packages/entry/src/components/movesComponent.ts
@@ -1,5 +1,9 @@
 /** Version moves of this entry: traffic split, move follower and move duty. */
-import {disposableStore, every, type Disposable} from '@skylarkfield/base';
+import {
+  createDisposableStore,
+  every,
+  type Disposable,
+} from '@skylarkfield/base';
 import type {DutyElections} from '@skylarkfield/duties';
 import {
   createMoveDuty,
@@ -59,7 +63,7 @@
 ): Disposable {
   const {clock, log, decisions, dumps} = context;
   const {split, configuration, network, objects, endpoints, duties} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const controller = createMoveController({clock, decisions});
   disposables.add(dumps.add('moveJudge', () => controller.dump()));
   disposables.add(
--- a/packages/entry/src/components/ordersComponent.ts
+++ b/packages/entry/src/components/ordersComponent.ts
@@ -43,7 +43,7 @@
     clock,
     random,
     member: settings.id,
-    liveMembers: () => membership.live().map(member => member.id),
+    liveMembers: () => membership.liveMembers().map(member => member.id),
     answeringMembers: () =>
       membership
         .members()
--- a/packages/entry/src/components/peerFallbackHostList.ts
+++ b/packages/entry/src/components/peerFallbackHostList.ts
@@ -1,6 +1,6 @@
 /** Host list of the platform, or of a peer until the platform responds. */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   toDisposable,
   type Clock,
@@ -52,7 +52,7 @@
   listener: (endpoints: readonly ListedEndpoint[]) => void,
 ): Disposable {
   const {hostList, network, clock, random, log} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   let currentList: readonly ListedEndpoint[] | undefined;
   let hasPlatformList = false;
   let isRequesting = false;
@@ -65,7 +65,7 @@
     }),
   );
   disposables.add(
-    network.onDidReceive('endpointsWanted', () => ({
+    network.addHandler('endpointsWanted', () => ({
       endpoints: currentList ?? [],
     })),
   );
--- a/packages/entry/src/components/recordsComponent.ts
+++ b/packages/entry/src/components/recordsComponent.ts
@@ -1,5 +1,5 @@
 /** Configuration in force at this entry. */
-import {disposableStore, type Disposable} from '@skylarkfield/base';
+import {createDisposableStore, type Disposable} from '@skylarkfield/base';
 import {
   createConfiguration,
   type ConfigurationClient,
@@ -25,7 +25,7 @@
 ): RecordsComponent {
   const {clock, random, log, dumps} = context;
   const {membership, network} = members;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const configuration = disposables.add(
     createConfiguration({
       clock,
@@ -33,7 +33,7 @@
       store: platform.store,
       network,
       self: membership.self,
-      members: () => membership.live(),
+      members: () => membership.liveMembers(),
       log,
     }),
   );
@@ -44,6 +44,6 @@
 
   /** Splits the platform's rate limit evenly among the live entries. */
   function updatePlatformShare(): void {
-    platform.store.setLiveEntries(Math.max(1, membership.live().length));
+    platform.store.setLiveEntries(Math.max(1, membership.liveMembers().length));
   }
 }
--- a/packages/entry/src/components/routingComponent.ts
+++ b/packages/entry/src/components/routingComponent.ts
@@ -12,7 +12,7 @@
  */
 export function createRoutingComponent(
   context: EntryContext,
-  membership: Pick<Membership, 'live' | 'onDidChange'>,
+  membership: Pick<Membership, 'liveMembers' | 'onDidChange'>,
 ): Router {
   const {settings, clock, random, decisions, dumps} = context;
   const router = createRouter({
@@ -23,7 +23,7 @@
     self: settings.id,
   });
   const updateEntries = () =>
-    router.setEntries(membership.live().map(({id}) => id));
+    router.setEntries(membership.liveMembers().map(({id}) => id));
   updateEntries();
   membership.onDidChange(updateEntries);
   dumps.add('routing', () => router.dump());
--- a/packages/entry/src/entryComponents.ts
+++ b/packages/entry/src/entryComponents.ts
@@ -1,6 +1,6 @@
 /** Builds the components of an entry in order of their dependencies. */
 import {
-  disposableStore,
+  createDisposableStore,
   type Disposable,
   type DisposableStore,
 } from '@skylarkfield/base';
@@ -59,7 +59,7 @@
   context: EntryContext,
   options: EntryComponentsOptions,
 ): Promise<EntryComponents> {
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   try {
     return await buildComponents(context, options, disposables);
   } catch (error) {
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -6,8 +6,8 @@
   createLogger,
   createMetrics,
   createProcessLifecycle,
-  decisionLog,
-  disposableStore,
+  createDecisionLog,
+  createDisposableStore,
   processRandom,
   ServingError,
   systemClock,
@@ -61,7 +61,7 @@
 export async function startEntry(
   settings: EntrySettings,
 ): Promise<EntryProcess> {
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   try {
     return await start(settings, disposables);
   } catch (error) {
@@ -228,7 +228,7 @@
   const clock = systemClock();
   const log = createLogger(settings.log.level, {entry: settings.id});
   const dumps = createDumps();
-  const decisions = decisionLog(clock, log);
+  const decisions = createDecisionLog(clock, log);
   dumps.add('decisions', () => decisions.list());
   return {
     settings,
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -4,7 +4,7 @@
 import https from 'node:https';
 import type {AddressInfo} from 'node:net';
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   ServingError,
   toDisposable,
@@ -72,7 +72,7 @@
   log: Logger,
 ): Promise<Listener> {
   await bind(server, settings);
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   disposables.add(toDisposable(() => closeImmediately(server)));
   if (settings.tls !== undefined) {
     disposables.add(
--- a/packages/entry/src/test/attemptRunner.test.ts
+++ b/packages/entry/src/test/attemptRunner.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decisionLog,
+  createDecisionLog,
   ServingError,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {createTrafficSplit} from '@skylarkfield/moves';
 import type {Candidate, Choice, Router} from '@skylarkfield/routing';
@@ -23,10 +23,10 @@
 function createEntry(
   behaviours: readonly {version: string; behaviour: Behaviour}[],
 ) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const split = createTrafficSplit({
     clock,
-    decisions: decisionLog(clock, silentLogger()),
+    decisions: createDecisionLog(clock, createSilentLogger()),
   });
   const move = {
     name: 'to-v2',
--- a/packages/entry/src/test/callerServer.test.ts
+++ b/packages/entry/src/test/callerServer.test.ts
@@ -5,7 +5,7 @@
 import {afterEach, describe, it} from 'node:test';
 import {
   createMetrics,
-  silentLogger,
+  createSilentLogger,
   systemClock,
   toDisposable,
 } from '@skylarkfield/base';
@@ -63,7 +63,7 @@
       metrics: createRequestMetrics(meter, () => true),
       limits,
       clock,
-      log: silentLogger(),
+      log: createSilentLogger(),
       inFlight,
       readiness: () => 'ready',
     });
--- a/packages/entry/src/test/endpointPoolComponent.test.ts
+++ b/packages/entry/src/test/endpointPoolComponent.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decisionLog,
-  emitter,
+  createDecisionLog,
+  createEmitter,
   seededRandom,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import type {
   LeavingEndpointTracker,
@@ -33,19 +33,19 @@
   it('sends requests again to an endpoint that restarted at the same address', () => {
     // An endpoint restarts on the same host. Streams on the client of the old
     // process, whose `leavingSignal` is aborted, would migrate at once.
-    const clock = virtualClock();
-    const log = silentLogger();
+    const clock = createVirtualClock();
+    const log = createSilentLogger();
     const random = seededRandom(1);
     const router = createRouter({
       clock,
       random,
-      decisions: decisionLog(clock, log),
+      decisions: createDecisionLog(clock, log),
       failureDomain: 'a',
       self: 'n1',
     });
-    const leavingEmitter = emitter<LeavingEndpoint>();
-    const returnEmitter = emitter<string>();
-    const hostListEmitter = emitter<readonly ListedEndpoint[]>();
+    const leavingEmitter = createEmitter<LeavingEndpoint>();
+    const returnEmitter = createEmitter<string>();
+    const hostListEmitter = createEmitter<readonly ListedEndpoint[]>();
     const tracker: Partial<LeavingEndpointTracker> = {
       onDidLeave: leavingEmitter.event,
       onDidReturn: returnEmitter.event,
--- a/packages/entry/src/test/loadReportAggregator.test.ts
+++ b/packages/entry/src/test/loadReportAggregator.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import type {AdmissionController} from '@skylarkfield/admission';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import type {Configuration} from '@skylarkfield/records';
 import type {Router} from '@skylarkfield/routing';
 import {createLoadReportAggregator} from '../components/loadReportAggregator.js';
@@ -16,7 +16,7 @@
   polledCount: number,
   reportingCount: number,
 ): Promise<number | undefined> {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const publishedBusySlots: Array<number | undefined> = [];
   const ids = Array.from({length: listedCount}, (_, index) => `e${index}`);
   const router: Partial<Router> = {
@@ -26,7 +26,7 @@
     reportLoad: () => {},
   };
   const admission: Partial<AdmissionController> = {
-    setReportedSlots: (_service, _slots, busySlots) =>
+    recordReportedSlots: (_service, _slots, busySlots) =>
       publishedBusySlots.push(busySlots),
   };
   const configuration = {list: () => [{name: 'assistant'}]};
--- a/packages/entry/src/test/modelServer.test.ts
+++ b/packages/entry/src/test/modelServer.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {describe, it} from 'node:test';
-import {ServingError, virtualClock} from '@skylarkfield/base';
+import {ServingError, createVirtualClock} from '@skylarkfield/base';
 import type {Engine, GenerationEvent} from '@skylarkfield/endpoints';
 import type {RequestSample} from '@skylarkfield/moves';
 import {createStreamRunner} from '@skylarkfield/streams';
@@ -17,7 +17,7 @@
 async function serveOneRequest(
   endpoints: readonly {version: string; behaviour: Behaviour}[],
 ) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const samples: RequestSample[] = [];
   const pool = endpoints.map(({version, behaviour}, index) => ({
     listed: {id: `e${index}`, service: 'match', version, url: 'http://e'},
@@ -52,7 +52,7 @@
     split: {
       versionFor: () => 'v2',
       incumbentFor: () => 'v1',
-      observe: (sample: RequestSample) => samples.push(sample),
+      recordSample: (sample: RequestSample) => samples.push(sample),
     },
     admission: {
       admit: () => Promise.resolve({waitedMs: 0, release() {}}),
--- a/packages/entry/src/test/orderMetrics.test.ts
+++ b/packages/entry/src/test/orderMetrics.test.ts
@@ -4,7 +4,7 @@
   createMetrics,
   seededRandom,
   ServingError,
-  virtualClock,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {createLedger, type OrderReply} from '@skylarkfield/orders';
 import {createMemoryPlatform} from '@skylarkfield/providers';
@@ -17,15 +17,15 @@
  * of all other services succeed.
  */
 async function createMeteredLedger() {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(1);
   const metrics = await createMetrics('test');
   const platform = createMemoryPlatform({clock, random});
   const ledger = createLedger({
-    store: platform.client('a'),
+    store: platform.createClient('a'),
     network: {
       request: () => Promise.reject(new Error('no peers')),
-      onDidReceive: () => ({dispose: () => undefined}),
+      addHandler: () => ({dispose: () => undefined}),
     },
     dispatch: async (service, _call, _signal, begin) => {
       begin();
--- a/packages/entry/src/test/requestCost.test.ts
+++ b/packages/entry/src/test/requestCost.test.ts
@@ -2,11 +2,11 @@
 import {describe, it} from 'node:test';
 import {createAdmissionController} from '@skylarkfield/admission';
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
+  createSilentLogger,
   sleep,
-  virtualClock,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {
   createRequestCostEstimator,
@@ -25,11 +25,11 @@
 async function measureLongPromptShare(
   estimateCost: (work: ExpectedWork) => number,
 ): Promise<number> {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const admission = createAdmissionController({
     clock,
     random: seededRandom(1),
-    decisions: decisionLog(clock, silentLogger()),
+    decisions: createDecisionLog(clock, createSilentLogger()),
   });
   admission.setService('assistant', {
     name: 'assistant',
--- a/packages/fleet/src/clientToken.ts
+++ b/packages/fleet/src/clientToken.ts
@@ -15,9 +15,9 @@
  * reply reuses the client token.
  *
  * @example
- * makeClientToken('match', 7, 3); // 'skylarkfield/match/7/3'
+ * formatClientToken('match', 7, 3); // 'skylarkfield/match/7/3'
  */
-export function makeClientToken(
+export function formatClientToken(
   service: string,
   fencing: number,
   sequence: number,
@@ -34,9 +34,9 @@
  * neither leaks that host nor starts another one in its place.
  *
  * @example
- * readClientToken(host.clientToken)?.service; // 'match'
+ * parseClientToken(host.clientToken)?.service; // 'match'
  */
-export function readClientToken(token: string): HostOwner | undefined {
+export function parseClientToken(token: string): HostOwner | undefined {
   const [prefix, service, ...numberParts] = token.split('/');
   if (prefix !== TOKEN_PREFIX || !service || numberParts.length !== 2) {
     return undefined;
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -5,7 +5,7 @@
   type Clock,
   type DecisionLog,
 } from '@skylarkfield/base';
-import type {OrderGate, DutyTerm} from '@skylarkfield/duties';
+import type {CommandGate, DutyTerm} from '@skylarkfield/duties';
 import type {Engine} from '@skylarkfield/endpoints';
 import type {ListedEndpoint, WeightStore} from '@skylarkfield/providers';
 
@@ -16,7 +16,7 @@
 }
 
 /** Time after which an order to an endpoint expires, in milliseconds. */
-export const ORDER_DEADLINE_MS = 10_000;
+export const COMMAND_DEADLINE_MS = 10_000;
 
 export interface EndpointRepair {
   /**
@@ -54,7 +54,7 @@
   readonly decisions: DecisionLog;
   readonly weights: WeightStore;
   readonly term: DutyTerm;
-  readonly gate: OrderGate;
+  readonly gate: CommandGate;
 }): EndpointRepair {
   const {clock, decisions, weights, term, gate} = options;
   let nextOrderNumber = 0;
@@ -122,7 +122,7 @@
     endpoint: ManagedEndpoint,
   ): Promise<string | undefined> {
     try {
-      return (await endpoint.engine.running(term.signal)).version;
+      return (await endpoint.engine.readRunning(term.signal)).version;
     } catch {
       // Routing handles endpoints that do not respond; a reload would not help.
       return undefined;
@@ -142,13 +142,13 @@
       if (!gate.isOpen(listed)) {
         return false;
       }
-      await engine.order(
+      await engine.sendCommand(
         {
           id: `repair-${term.fencing}-${nextOrderNumber++}`,
           type: 'load-version',
           target: listed.version,
           fencing: term.fencing,
-          expiresAt: clock.wall() + ORDER_DEADLINE_MS,
+          expiresAt: clock.wall() + COMMAND_DEADLINE_MS,
         },
         term.signal,
       );
@@ -182,7 +182,7 @@
     why: string,
   ): void {
     const {listed} = mismatch.endpoint;
-    decisions.note('fleet', listed.id, what, why, {
+    decisions.recordDecision('fleet', listed.id, what, why, {
       runs: mismatch.runningVersion,
       listed: listed.version,
       fencing: term.fencing,
--- a/packages/fleet/src/fleetActions.ts
+++ b/packages/fleet/src/fleetActions.ts
@@ -1,5 +1,5 @@
 /** Computes the host starts and stops from the present to the wanted hosts. */
-import {readClientToken} from './clientToken.js';
+import {parseClientToken} from './clientToken.js';
 import type {FleetAction, Host, WantedHosts} from './contracts.js';
 
 /**
@@ -26,7 +26,7 @@
  * services are stopped; hosts with client tokens of other software are ignored.
  *
  * @example
- * for (const action of planFleetActions(plan.wanted, await cloud.hosts())) { … }
+ * for (const action of planFleetActions(plan.wanted, await cloud.listHosts())) { … }
  */
 export function planFleetActions(
   wanted: readonly WantedHosts[],
@@ -58,7 +58,7 @@
     getOrCreateGroup(key).wanted += count;
   }
   for (const host of hosts) {
-    const owner = readClientToken(host.clientToken);
+    const owner = parseClientToken(host.clientToken);
     if (owner === undefined || isBeingLost(host)) {
       continue;
     }
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -1,6 +1,6 @@
 /** Fleet duty: its holder starts and stops hosts according to host plans. */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   isServingError,
   toDisposable,
@@ -14,7 +14,7 @@
 import type {LoadReport} from '@skylarkfield/endpoints';
 import type {Cloud} from '@skylarkfield/providers';
 import type {Service} from '@skylarkfield/records';
-import {makeClientToken, readClientToken} from './clientToken.js';
+import {formatClientToken, parseClientToken} from './clientToken.js';
 import type {FleetAction, Host, HostPlan} from './contracts.js';
 import {planFleetActions} from './fleetActions.js';
 import {planHosts} from './hostPlan.js';
@@ -59,7 +59,7 @@
   readonly plan?: typeof planHosts;
 }): FleetDuty {
   const {cloud, clock, random, decisions, term, plan = planHosts} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const capacityPools = createCapacityPoolTracker({clock, random});
   const demandEstimator = createReplicaDemandEstimator();
   const unconfirmedStarts: UnconfirmedStart[] = [];
@@ -109,7 +109,7 @@
       await applyPlan();
     } catch (error) {
       const {message} = toServingError(error);
-      decisions.note('fleet', 'cloud', 'skip a round', message);
+      decisions.recordDecision('fleet', 'cloud', 'skip a round', message);
     } finally {
       isReconciling = false;
     }
@@ -122,12 +122,12 @@
     if (managedServices.length === 0) {
       return;
     }
-    const offers = await cloud.offers(term.signal);
-    hosts = await cloud.hosts(term.signal);
+    const offers = await cloud.listOffers(term.signal);
+    hosts = await cloud.listHosts(term.signal);
     capacityPools.observe(hosts);
     plans = new Map(
       managedServices.map(service => {
-        const demand = demandEstimator.update(
+        const demand = demandEstimator.updateDemand(
           service,
           options.reports(service.name),
           countRunningHostsWithoutSpares(service.name),
@@ -153,7 +153,7 @@
   function countRunningHostsWithoutSpares(service: string): number {
     const hostsPerDomain = new Map<string, number>();
     for (const host of hosts) {
-      const owner = readClientToken(host.clientToken)?.service;
+      const owner = parseClientToken(host.clientToken)?.service;
       if (owner === service && host.state === 'running') {
         const previousCount = hostsPerDomain.get(host.failureDomain) ?? 0;
         hostsPerDomain.set(host.failureDomain, previousCount + 1);
@@ -182,11 +182,11 @@
       startSequence += 1;
       await startHost(
         action,
-        makeClientToken(action.service, term.fencing, startSequence),
+        formatClientToken(action.service, term.fencing, startSequence),
       );
       return;
     }
-    decisions.note('fleet', action.host, 'stop host', action.why);
+    decisions.recordDecision('fleet', action.host, 'stop host', action.why);
     await cloud.stop(action.host, term.signal);
   }
 
@@ -215,7 +215,12 @@
       );
       hosts = [...hosts.filter(other => other.id !== host.id), host];
       capacityPools.recordStart(failureDomain, machineClass, market);
-      decisions.note('fleet', subject, `start ${market} host`, action.why);
+      decisions.recordDecision(
+        'fleet',
+        subject,
+        `start ${market} host`,
+        action.why,
+      );
     } catch (error) {
       if (isServingError(error, 'outcome-unknown')) {
         unconfirmedStarts.push({token, action});
@@ -225,7 +230,7 @@
         throw error;
       }
       capacityPools.recordRejection(failureDomain, machineClass, market);
-      decisions.note(
+      decisions.recordDecision(
         'fleet',
         subject,
         'look elsewhere',
--- a/packages/fleet/src/replicaDemand.ts
+++ b/packages/fleet/src/replicaDemand.ts
@@ -16,7 +16,7 @@
    * Returns the demand of a service, from the latest reports of its endpoints
    * and the number of its hosts without spares.
    */
-  update(
+  updateDemand(
     service: Service,
     reports: readonly LoadReport[],
     hostsWithoutSpares: number,
@@ -31,12 +31,12 @@
  * hosts.
  *
  * @example
- * const demand = createReplicaDemandEstimator().update(service, reports, 4);
+ * const demand = createReplicaDemandEstimator().updateDemand(service, reports, 4);
  */
 export function createReplicaDemandEstimator(): ReplicaDemandEstimator {
   const smoothedReplicas = new Map<string, number>();
   return {
-    update(service, reports, hostsWithoutSpares) {
+    updateDemand(service, reports, hostsWithoutSpares) {
       const previousReplicas =
         smoothedReplicas.get(service.name) ?? hostsWithoutSpares;
       const neededReplicas = estimateReplicas(reports) ?? previousReplicas;
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
   ServingError,
-  silentLogger,
+  createSilentLogger,
   toDisposable,
-  virtualClock,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import type {LoadReport} from '@skylarkfield/endpoints';
 import type {Cloud, Host, ReclaimNotice} from '@skylarkfield/providers';
@@ -36,14 +36,14 @@
   const startFaults: StartFault[] = [];
   let notify: (notice: ReclaimNotice) => void = () => {};
   const cloud: Cloud = {
-    offers: async () =>
+    listOffers: async () =>
       ['a', 'b', 'c', 'd'].map((failureDomain, index) => ({
         failureDomain,
         machineClass: 'gpu',
         market: 'reclaimable' as const,
         pricePerHour: 1 + index / 10,
       })),
-    hosts: async () => [...hosts.values()],
+    listHosts: async () => [...hosts.values()],
     async start(request) {
       const fault = startFaults.shift();
       if (fault === 'refuse') {
@@ -89,7 +89,7 @@
   fakeCloud: ReturnType<typeof createFakeCloud>,
   fencing = 1,
 ) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const inputs = {
     isValid: true,
     services: [service] as readonly Service[],
@@ -99,7 +99,7 @@
     cloud: fakeCloud.cloud,
     clock,
     random: seededRandom(5),
-    decisions: decisionLog(clock, silentLogger()),
+    decisions: createDecisionLog(clock, createSilentLogger()),
     term: {
       duty: 'fleet',
       fencing,
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -166,7 +166,7 @@
 
     function onDidRespond(status: number, headers: ResponseHeaders): void {
       recordActivity();
-      head = format.readResponse(headers, status);
+      head = format.parseResponseHead(headers, status);
       statusAndHeaders = {status, headers};
       if (head.attemptId !== options.attemptId) {
         abort(
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -13,7 +13,7 @@
 import {
   chooseService,
   isRepeatable,
-  ownTokens,
+  countOwnTokens,
   promptKeys,
   type CustomerConfig,
   type Quotas,
@@ -159,7 +159,7 @@
     request: IncomingMessage,
     arrivedAt: number,
   ): AcceptedRequest {
-    const head = format.readCall(request.headers);
+    const head = format.parseCall(request.headers);
     const {attemptId} = head;
     if (!options.servingState.isServing()) {
       throw new ServingError('leaving', 'this entry is stopping', {
@@ -238,7 +238,7 @@
       return 1;
     }
     const usualOwnTokens = Math.max(1, options.usualOwnTokens(service));
-    return Math.max(MIN_COST, ownTokens(demand) / usualOwnTokens);
+    return Math.max(MIN_COST, countOwnTokens(demand) / usualOwnTokens);
   }
 
   function admit(
@@ -382,7 +382,7 @@
         acceptedRequest,
         attemptId:
           acceptedRequest?.attemptId ??
-          format.readCall(request.headers).attemptId,
+          format.parseCall(request.headers).attemptId,
         result,
         hasDisconnected: disconnectController.signal.aborted,
         arrivedAt,
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -69,7 +69,7 @@
     sink: {
       begin(status, headers) {
         if (!response.headersSent) {
-          writeHead(status, format.callerHeaders(headers));
+          writeHead(status, format.buildCallerHeaders(headers));
         }
       },
       write({bytes, id}: EventFrame) {
@@ -89,7 +89,7 @@
       },
     },
     sendResponse(status, headers, body) {
-      const replyHeaders = format.callerHeaders(headers);
+      const replyHeaders = format.buildCallerHeaders(headers);
       replyHeaders['content-length'] = String(body.length);
       writeHead(status, replyHeaders);
       response.end(body);
--- a/packages/gateway/src/clusterDuty.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -1,5 +1,5 @@
 /** Tasks of the cluster duty, which one entry performs for all entries. */
-import {disposableStore, type Disposable} from '@skylarkfield/base';
+import {createDisposableStore, type Disposable} from '@skylarkfield/base';
 import type {DutyTerm} from '@skylarkfield/duties';
 import type {Coordination} from './coordination.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
@@ -23,7 +23,7 @@
   const {settings, platform, clock, log} = context;
 
   function startTasks(term: DutyTerm): Disposable {
-    const disposables = disposableStore();
+    const disposables = createDisposableStore();
     const commonOptions = {
       term,
       holder: settings.id,
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -34,7 +34,7 @@
 }
 
 /** Values that the gateway adds to the headers of a forwarded request. */
-export interface UpstreamFields {
+export interface UpstreamHeaderValues {
   /** Time until the deadline of the response, in milliseconds. */
   readonly timeoutMs: number;
   /** Id of the process that must respond; all others reject the request. */
@@ -104,16 +104,18 @@
 /** Codec for the headers exchanged with callers and endpoints. */
 export interface CallFormat {
   /** Reads the metadata of a caller's request. */
-  readCall(headers: IncomingHttpHeaders): CallHead;
+  parseCall(headers: IncomingHttpHeaders): CallHead;
   /** Returns headers for the endpoint as alternating names and values. */
-  upstreamHeaders(
+  buildUpstreamHeaders(
     rawHeaders: readonly string[],
-    fields: UpstreamFields,
+    fields: UpstreamHeaderValues,
   ): string[];
   /** Reads the metadata of an endpoint's response. */
-  readResponse(headers: ResponseHeaders, status: number): ResponseHead;
+  parseResponseHead(headers: ResponseHeaders, status: number): ResponseHead;
   /** Returns the headers of an endpoint's response for the caller. */
-  callerHeaders(headers: ResponseHeaders): Record<string, string | string[]>;
+  buildCallerHeaders(
+    headers: ResponseHeaders,
+  ): Record<string, string | string[]>;
 }
 
 /** Codec for service discovery by callers and for readiness checks. */
@@ -121,9 +123,9 @@
   /** Returns the failure domain of a lookup; undefined for other URLs. */
   parseLookup(url: string): {readonly failureDomain: string} | undefined;
   /** Returns the response body of a lookup; addresses are `IP:port`. */
-  writeAnswer(addresses: readonly string[], ttlMs: number): string;
+  formatLookupResponse(addresses: readonly string[], ttlMs: number): string;
   /** Whether the URL is that of the readiness check. */
-  isReadiness(url: string): boolean;
+  isReadinessCheck(url: string): boolean;
 }
 
 /** An object with the store revision of its last change. */
@@ -163,7 +165,7 @@
    * Returns the changes after a store revision, waiting up to `waitMs` for the
    * first change. Undefined if the store has compacted these changes away.
    */
-  changes(
+  readChanges(
     afterRevision: number,
     waitMs: number,
     signal: AbortSignal,
@@ -191,7 +193,7 @@
 }
 
 /** Result of an endpoint order or a usage report. */
-export type EndpointOrderResult =
+export type PlatformCallResult =
   | 'accepted'
   /** No capacity is available at present. */
   | 'unavailable'
@@ -205,18 +207,18 @@
     window: number,
     counts: CustomerCounts,
     signal: AbortSignal,
-  ): Promise<EndpointOrderResult>;
+  ): Promise<PlatformCallResult>;
   orderEndpoints(
     credentials: FencingCredentials,
     order: EndpointOrder,
     signal: AbortSignal,
-  ): Promise<EndpointOrderResult>;
+  ): Promise<PlatformCallResult>;
 }
 
 /** All functions of the platform that the gateway uses. */
 export interface Platform {
-  readonly calls: CallFormat;
-  readonly lookups: LookupFormat;
+  readonly callFormat: CallFormat;
+  readonly lookupFormat: LookupFormat;
   readonly policy: ObjectSource<TrafficPolicy>;
   readonly endpoints: ObjectSource<RegisteredEndpoint>;
   readonly rollouts: ObjectSource<Rollout>;
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -1,6 +1,6 @@
 /** Peer network, shared store, membership and duties of an entry. */
 import {
-  disposableStore,
+  createDisposableStore,
   ServingError,
   type Disposable,
 } from '@skylarkfield/base';
@@ -39,8 +39,8 @@
  */
 const LEASE_TIMING: LeaseTiming = {
   durationMs: 3_000,
-  renewEveryMs: 900,
-  pollMs: 1_000,
+  renewIntervalMs: 900,
+  pollIntervalMs: 1_000,
   marginMs: 400,
 };
 
@@ -59,7 +59,7 @@
 ): Promise<Coordination> {
   const {settings, platform, incarnation, clock, random, log, decisions} =
     context;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const self = {id: settings.id, incarnation};
   const network = disposables.add(
     createPeerNetwork({self, clock, random, log, key: settings.innerKey}),
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -6,7 +6,7 @@
  * observations to one object and mirrors the objects of the other entries.
  */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   toServingError,
   type Clock,
@@ -89,7 +89,7 @@
   isReader(): boolean;
 }): Disposable {
   const {mirror, crashQuarantine, store, self, clock, random, log} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const appliedRevisions = new Map<string, number>();
   let isRestored = false;
   let isDirty = false;
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -3,7 +3,7 @@
  * the sync status of mirrors.
  */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   type Clock,
   type Disposable,
@@ -64,7 +64,7 @@
  *
  * @example
  * const digests = startDigests({network, clock, self, plan,
- *   takeSnapshot, onDidReceive});
+ *   takeSnapshot, addHandler});
  */
 export function startDigests(options: {
   readonly network: PeerNetwork;
@@ -92,7 +92,7 @@
   ): void;
 }): Digests {
   const {network, clock, self} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const contacts = new Map<string, PeerContact>();
   /** Wall-clock milliseconds of each recently sent stamp. */
   const wallMsByStamp = new Map<number, number>();
@@ -203,7 +203,7 @@
     );
   }
 
-  disposables.add(network.onDidReceive('digest', receiveDigest));
+  disposables.add(network.addHandler('digest', receiveDigest));
   disposables.add(every(clock, DIGEST_INTERVAL_MS, sendDigests));
   return {
     commonWallMs() {
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -1,5 +1,5 @@
 /** The registered endpoints, updated from the mirrored registrations. */
-import {emitter, type Event, type Logger} from '@skylarkfield/base';
+import {createEmitter, type Event, type Logger} from '@skylarkfield/base';
 import type {Candidate, Router} from '@skylarkfield/routing';
 import {
   currentRolloutState,
@@ -50,8 +50,8 @@
   isModel(service: string): boolean;
 }): EndpointDirectory {
   const {endpoints, rollouts, router, upstreams, log} = options;
-  const leaveEmitter = emitter<string>();
-  const vanishEmitter = emitter<string>();
+  const leaveEmitter = createEmitter<string>();
+  const vanishEmitter = createEmitter<string>();
   let endpointsByKey = new Map<string, RegisteredEndpoint>();
 
   /**
--- a/packages/gateway/src/engineEstimates.ts
+++ b/packages/gateway/src/engineEstimates.ts
@@ -39,7 +39,7 @@
    * Returns the demand for a service over all entries, and the fraction of its
    * requests served late.
    */
-  demandSignals(service: string): Omit<DemandSignals, 'present'>;
+  demandSignals(service: string): Omit<DemandSignals, 'readyEndpoints'>;
   /** Returns the routing weights; undefined for a plain service. */
   routeWeights(service: string): Partial<RouteWeights> | undefined;
   /**
@@ -166,7 +166,9 @@
     );
   }
 
-  function demandSignals(service: string): Omit<DemandSignals, 'present'> {
+  function demandSignals(
+    service: string,
+  ): Omit<DemandSignals, 'readyEndpoints'> {
     const {estimate} = cachedEstimate(service);
     return {
       workRate: workMs(workRate(service), estimate),
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -2,7 +2,11 @@
 import type {EngineEstimate, EngineModel} from '@skylarkfield/capacity';
 import type {Clock} from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
-import {ownTokens, type ModelDemand, type Route} from '@skylarkfield/traffic';
+import {
+  countOwnTokens,
+  type ModelDemand,
+  type Route,
+} from '@skylarkfield/traffic';
 import type {EventSink} from './attempt.js';
 import type {CallHead} from './contracts.js';
 import {createStepMeter} from './stepMeter.js';
@@ -87,14 +91,14 @@
   readonly clock: Clock;
   estimateFor(service: string): EngineEstimate;
   /** Whether the request fits into an engine's memory. */
-  fits(service: string, demand: ModelDemand): boolean;
+  fitsKvCache(service: string, demand: ModelDemand): boolean;
   /** Tokens per event of the service's streams. */
   tokensPerEvent(service: string): number;
   /**
    * Called with the number of shared prompt tokens that are probably computed
    * again, since the endpoint has not cached them.
    */
-  onDidReread(service: string, tokens: number): void;
+  onDidRecompute(service: string, tokens: number): void;
 }): EngineObserver {
   const {model, clock} = options;
   return {
@@ -110,10 +114,10 @@
     },
     observe({head, route, service}, choice, isFresh) {
       const {demand} = head;
-      if (demand === undefined || !options.fits(service, demand)) {
+      if (demand === undefined || !options.fitsKvCache(service, demand)) {
         return NO_OBSERVER;
       }
-      const ownTokenCount = ownTokens(demand);
+      const ownTokenCount = countOwnTokens(demand);
       const uncachedTokens = Math.max(
         0,
         demand.promptTokens - choice.cachedTokens,
@@ -123,7 +127,7 @@
       const sentAt = clock.now();
       const steps = createStepMeter(clock);
       if (isFresh) {
-        options.onDidReread(service, rereadTokens);
+        options.onDidRecompute(service, rereadTokens);
       }
       return {
         wrap: sink => ({
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -20,7 +20,7 @@
 } from '@skylarkfield/traffic';
 import type {
   EndpointOrder,
-  EndpointOrderResult,
+  PlatformCallResult,
   PlatformOrders,
 } from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
@@ -62,7 +62,7 @@
    * Returns the demand for a service over all entries, and the fraction of its
    * requests served late.
    */
-  demandSignals(service: string): Omit<DemandSignals, 'present'>;
+  demandSignals(service: string): Omit<DemandSignals, 'readyEndpoints'>;
   readonly clock: Clock;
   readonly log: Logger;
 }
@@ -135,11 +135,11 @@
 
   function updateNeed(
     service: string,
-    signals: Omit<DemandSignals, 'present'>,
+    signals: Omit<DemandSignals, 'readyEndpoints'>,
   ): EndpointNeed {
     const estimator = estimators.get(service) ?? createDemandEstimator(clock);
     estimators.set(service, estimator);
-    return estimator.update({...signals, present: countReady(service)});
+    return estimator.update({...signals, readyEndpoints: countReady(service)});
   }
 
   /**
@@ -225,9 +225,7 @@
     return newOrders;
   }
 
-  async function issueOrder(
-    order: EndpointOrder,
-  ): Promise<EndpointOrderResult> {
+  async function issueOrder(order: EndpointOrder): Promise<PlatformCallResult> {
     const market: MarketName = order.isReclaimable ? 'reclaimable' : 'onDemand';
     const key = `${order.service}/${order.failureDomain}/${market}`;
     if (!term.isValid()) {
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -7,7 +7,7 @@
   RateLimits,
   Router,
 } from '@skylarkfield/routing';
-import {ownTokens, type Route} from '@skylarkfield/traffic';
+import {countOwnTokens, type Route} from '@skylarkfield/traffic';
 import {runAttempt, type AttemptResult} from './attempt.js';
 import {
   describeResult,
@@ -134,7 +134,7 @@
       version: call.version,
       blocks: call.promptKeys,
       promptTokens: demand?.promptTokens ?? 0,
-      ...(demand && {ownTokens: ownTokens(demand)}),
+      ...(demand && {ownTokens: countOwnTokens(demand)}),
       ...(call.urgency !== undefined && {urgency: call.urgency}),
       excluded: excludedEndpoints,
       isSuspected: crashGuard.isSuspected(call),
@@ -188,7 +188,7 @@
       request: {
         method: call.method,
         path: call.path,
-        headers: format.upstreamHeaders(call.rawHeaders, {
+        headers: format.buildUpstreamHeaders(call.rawHeaders, {
           timeoutMs: Math.max(1, Math.floor(call.deadlineAt - sentAt)),
           endpointId: endpoint.id,
           customer: call.customer,
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -1,6 +1,6 @@
 /** The listening ports of a gateway and their handlers. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {disposableStore, type Disposable} from '@skylarkfield/base';
+import {createDisposableStore, type Disposable} from '@skylarkfield/base';
 import type {Coordination} from './coordination.js';
 import {MS_PER_SECOND, type GatewayContext} from './context.js';
 import {openPort} from './listeners.js';
@@ -32,7 +32,7 @@
   {policy, handler}: TrafficPipeline,
 ): Promise<Disposable> {
   const {settings, platform, lifecycle} = context;
-  const {lookups} = platform;
+  const {lookupFormat} = platform;
 
   function isReady(): boolean {
     return lifecycle.state() === 'serving' && policy.isKnown();
@@ -42,18 +42,20 @@
     const status = isReady() ? READY_STATUS : NOT_READY_STATUS;
     sendStatus(
       response,
-      lookups.isReadiness(request.url ?? '') ? status : NOT_FOUND_STATUS,
+      lookupFormat.isReadinessCheck(request.url ?? '')
+        ? status
+        : NOT_FOUND_STATUS,
     );
   }
 
   function answerLookup(request: IncomingMessage, response: ServerResponse) {
-    const query = lookups.parseLookup(request.url ?? '');
+    const query = lookupFormat.parseLookup(request.url ?? '');
     if (query === undefined) {
       sendStatus(response, NOT_FOUND_STATUS);
       return;
     }
     const members = membership
-      .live()
+      .liveMembers()
       .filter(({id}) => isReady() || id !== settings.id);
     const callerAddress = request.socket.remoteAddress ?? '';
     const addresses = selectEntries(
@@ -70,10 +72,10 @@
       settings.lookupSeconds * MS_PER_SECOND,
     );
     response.setHeader('content-type', 'application/json');
-    response.end(lookups.writeAnswer(addresses, ttlMs));
+    response.end(lookupFormat.formatLookupResponse(addresses, ttlMs));
   }
 
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   try {
     disposables.add(await openPort(settings.lookup, answerLookup));
     disposables.add(await openPort(settings.readiness, answerReadiness));
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -5,8 +5,8 @@
   createLogger,
   createMetrics,
   createProcessLifecycle,
-  decisionLog,
-  disposableStore,
+  createDecisionLog,
+  createDisposableStore,
   processRandom,
   systemClock,
   type Logger,
@@ -58,7 +58,7 @@
   platform: Platform,
   log = createLogger(settings.log.level, {entry: settings.id}),
 ): Promise<GatewayProcess> {
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   try {
     const context = createContext(settings, platform, log);
     const coordination = disposables.add(await createCoordination(context));
@@ -102,7 +102,7 @@
     clock,
     random: processRandom(),
     log,
-    decisions: decisionLog(clock, log),
+    decisions: createDecisionLog(clock, log),
     dumps: createDumps(),
     metrics: createRequestMetrics(() => createMetrics('skylarkfield'), log),
     lifecycle: createProcessLifecycle(),
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -28,7 +28,7 @@
  * close their connections to entries that are no longer listed.
  *
  * @example
- * const addresses = selectEntries(membership.live(), 'zone-a', '10.9.0.4');
+ * const addresses = selectEntries(membership.liveMembers(), 'zone-a', '10.9.0.4');
  */
 export function selectEntries(
   liveMembers: readonly Member[],
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -2,7 +2,12 @@
  * Local replica of all objects of one kind in the platform's store. It is
  * updated by reads of this entry, or by steps and copies from peers.
  */
-import {emitter, type Clock, type Event, type Logger} from '@skylarkfield/base';
+import {
+  createEmitter,
+  type Clock,
+  type Event,
+  type Logger,
+} from '@skylarkfield/base';
 import type {
   MirrorChange,
   MirrorSnapshot,
@@ -81,7 +86,7 @@
   readonly log: Logger;
 }): Mirror<T> {
   const {kind, clock, log} = options;
-  const changeEmitter = emitter<void>();
+  const changeEmitter = createEmitter<void>();
   const confirmation = createConfirmation(clock);
   const items = new Map<string, SourceItem<T>>();
   /** Store revision of the replica; undefined before the first listing. */
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -14,7 +14,7 @@
   type Random,
 } from '@skylarkfield/base';
 import type {Freshness} from '@skylarkfield/providers';
-import {timestampOf} from '@skylarkfield/traffic';
+import {currentTimestamp} from '@skylarkfield/traffic';
 import type {ObjectSource} from './contracts.js';
 import type {Mirror, MirrorStep} from './mirror.js';
 
@@ -101,7 +101,7 @@
   }
 
   async function readList(): Promise<void> {
-    const requestedAt = timestampOf(clock);
+    const requestedAt = currentTimestamp(clock);
     // A stale listing could predate the compaction, and the changes after the
     // listing are no longer available.
     const freshness = isCompacted ? 'latest' : timing.firstListing;
@@ -116,10 +116,10 @@
   }
 
   async function readChanges(): Promise<void> {
-    const requestedAt = timestampOf(clock);
+    const requestedAt = currentTimestamp(clock);
     const changes = await callWithTimeout(
       timing.waitMs + timing.graceMs,
-      signal => source.changes(mirror.revision(), timing.waitMs, signal),
+      signal => source.readChanges(mirror.revision(), timing.waitMs, signal),
     );
     if (changes === undefined) {
       isCompacted = true;
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -3,7 +3,7 @@
  * and send to all other entries.
  */
 import {
-  disposableStore,
+  createDisposableStore,
   type Clock,
   type Disposable,
   type Logger,
@@ -93,7 +93,7 @@
   readonly log: Logger;
 }): PlatformView {
   const {platform, network, self, clock, random, log} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const mirrors = {
     policy: createMirror<TrafficPolicy>({kind: 'policy', clock, log}),
     endpoints: createMirror<RegisteredEndpoint>({
@@ -216,7 +216,7 @@
   }
 
   disposables.add(
-    network.onDidReceive('mirrorChanges', (from, step) => {
+    network.addHandler('mirrorChanges', (from, step) => {
       const mirror = mirrors[step.kind];
       const previousRevision = mirror.revision();
       if (!mirror.applyStep(step)) {
@@ -231,7 +231,7 @@
     }),
   );
   disposables.add(
-    network.onDidReceive('mirrorWanted', (_, {kind}) => mirrors[kind].copy()),
+    network.addHandler('mirrorWanted', (_, {kind}) => mirrors[kind].copy()),
   );
   startReader(mirrors.policy, platform.policy);
   startReader(mirrors.endpoints, platform.endpoints);
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -1,6 +1,6 @@
 /** Splits traffic between versions during rollouts; publishes their state. */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   toServingError,
   type Disposable,
@@ -89,7 +89,7 @@
   const {clock, decisions, log, dumps} = context;
   const moves = createRolloutMoves(options.rollouts, clock);
   const split = createTrafficSplit({clock, decisions});
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   let activeRollouts: Disposable | undefined;
 
   function startOrStopRollouts(): void {
@@ -116,7 +116,7 @@
         isIdempotent: isRepeatable,
       }) as VersionGroup,
     observe: ({group, isRepeatable, ...sample}) =>
-      split.observe({
+      split.recordSample({
         ...sample,
         version: group,
         isIdempotent: isRepeatable,
@@ -140,7 +140,7 @@
 ): Disposable {
   const {clock, log, decisions} = context;
   const {directory, store, dutyElections} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const controller = createMoveController({clock, decisions});
   const inFlightUpdates = new Set<string>();
 
@@ -232,7 +232,7 @@
 function createEvidenceNetwork(options: RolloutOptions) {
   const {network} = options;
   return {
-    onDidReceive: network.onDidReceive,
+    addHandler: network.addHandler,
     onDidChangePeer: network.onDidChangePeer,
     send: network.send,
     broadcast: ((type, body) =>
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -1,5 +1,5 @@
 /** Represents rollouts as traffic moves between two version groups. */
-import {emitter, type Clock, type Event} from '@skylarkfield/base';
+import {createEmitter, type Clock, type Event} from '@skylarkfield/base';
 import type {MoveState} from '@skylarkfield/moves';
 import type {Configuration, Move} from '@skylarkfield/records';
 import {
@@ -84,7 +84,7 @@
   mirror: Mirror<Rollout>,
   clock: Clock,
 ): RolloutMoves {
-  const changeEmitter = emitter<void>();
+  const changeEmitter = createEmitter<void>();
   /** Earliest known start of each move, in wall-clock milliseconds. */
   const startWallMsByMove = new Map<string, number>();
 
--- a/packages/gateway/src/test/crashGuard.test.ts
+++ b/packages/gateway/src/test/crashGuard.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decisionLog,
+  createDecisionLog,
   ServingError,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {createCrashQuarantine} from '@skylarkfield/routing';
 import type {RegisteredEndpoint} from '@skylarkfield/traffic';
@@ -27,11 +27,11 @@
 
 /** Creates a crash guard and a directory with endpoints in the given states. */
 function createGuard(states: Readonly<Record<string, 'ready' | 'draining'>>) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const crashQuarantine = createCrashQuarantine({
     clock,
     self: 'a1',
-    decisions: decisionLog(clock, silentLogger()),
+    decisions: createDecisionLog(clock, createSilentLogger()),
     wallMs: () => clock.wall(),
   });
   const directory = {
--- a/packages/gateway/src/test/crashPersistence.test.ts
+++ b/packages/gateway/src/test/crashPersistence.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
   ServingError,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
   type VirtualClock,
 } from '@skylarkfield/base';
 import {createMemoryPlatform, type ObjectStore} from '@skylarkfield/providers';
@@ -21,11 +21,11 @@
  * Creates an entry whose mirror is updated from the store only by `refresh`.
  */
 function startEntry(self: string, store: ObjectStore, clock: VirtualClock) {
-  const log = silentLogger();
+  const log = createSilentLogger();
   const crashQuarantine = createCrashQuarantine({
     clock,
     self,
-    decisions: decisionLog(clock, log),
+    decisions: createDecisionLog(clock, log),
     wallMs: () => clock.wall(),
   });
   const mirror = createMirror<CrashReport>({kind: 'crashes', clock, log});
@@ -60,8 +60,8 @@
 }
 
 function createFleet() {
-  const clock = virtualClock();
-  const store: ObjectStore = createMemoryPlatform({clock}).client('e1');
+  const clock = createVirtualClock();
+  const store: ObjectStore = createMemoryPlatform({clock}).createClient('e1');
   const start = (self: string, entryStore = store) =>
     startEntry(self, entryStore, clock);
   return {clock, store, start};
--- a/packages/gateway/src/test/digests.test.ts
+++ b/packages/gateway/src/test/digests.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {toDisposable, virtualClock} from '@skylarkfield/base';
+import {toDisposable, createVirtualClock} from '@skylarkfield/base';
 import type {Messages, PeerNetwork} from '@skylarkfield/protocol';
 import {startDigests, type DigestContent} from '../digests.js';
 import type {RelayPlan} from '../relayPlan.js';
@@ -26,7 +26,7 @@
 
 /** Counts the digests that an entry behind two relays sends to each. */
 function startTestDigests() {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const sentCounts: Record<string, number> = {first: 0, second: 0};
   let receive: (peer: string, digest: Digest) => void = () => {};
   const network = {
@@ -34,7 +34,7 @@
       sentCounts[to] = (sentCounts[to] ?? 0) + 1;
       return true;
     },
-    onDidReceive(_: string, handler: typeof receive) {
+    addHandler(_: string, handler: typeof receive) {
       receive = handler;
       return toDisposable(() => {});
     },
--- a/packages/gateway/src/test/engineCapacityStore.test.ts
+++ b/packages/gateway/src/test/engineCapacityStore.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {seededRandom, silentLogger, virtualClock} from '@skylarkfield/base';
+import {
+  seededRandom,
+  createSilentLogger,
+  createVirtualClock,
+} from '@skylarkfield/base';
 import {
   createEngineModel,
   estimateEngine,
@@ -14,12 +18,12 @@
 const TOKEN_MS = 0.04;
 
 function createStore(): ObjectStore {
-  return createMemoryPlatform({clock: virtualClock()}).client('e1');
+  return createMemoryPlatform({clock: createVirtualClock()}).createClient('e1');
 }
 
 function createMeasuredCapacity(): CapacityStats {
   const random = seededRandom(7);
-  const model = createEngineModel(virtualClock());
+  const model = createEngineModel(createVirtualClock());
   for (let index = 0; index < 400; index++) {
     const ownTokens = 500 + 3_000 * random.next();
     model.recordPrompt({
@@ -44,8 +48,8 @@
     // When power returns, the callers return at once. With prior estimates
     // only, the system would remove endpoints that it needs immediately.
     const store = createStore();
-    const clock = virtualClock();
-    const log = silentLogger();
+    const clock = createVirtualClock();
+    const log = createSilentLogger();
     const storeBeforeLoss = createEngineCapacityStore({store, clock, log});
     const persistence = storeBeforeLoss.startPersisting(createMeasuredCapacity);
     clock.advanceSync(10_000);
@@ -67,8 +71,8 @@
     // Engines may have been replaced during the power loss, so current
     // measurements must soon outweigh restored measurements.
     const store = createStore();
-    const clock = virtualClock();
-    const log = silentLogger();
+    const clock = createVirtualClock();
+    const log = createSilentLogger();
     await store.put('engine-capacity', 'learned', createMeasuredCapacity(), {
       type: 'any',
     });
@@ -89,8 +93,8 @@
     await store.put('engine-capacity', 'learned', {chat: 7}, {type: 'any'});
     const capacityStore = createEngineCapacityStore({
       store,
-      clock: virtualClock(),
-      log: silentLogger(),
+      clock: createVirtualClock(),
+      log: createSilentLogger(),
     });
     await waitForStoreCalls();
     assert.deepEqual(capacityStore.restoredStats(), {});
--- a/packages/gateway/src/test/engineObserver.test.ts
+++ b/packages/gateway/src/test/engineObserver.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import {
   createEngineModel,
   estimateEngine,
@@ -29,14 +29,14 @@
   readonly tokensAhead: number;
   readonly leftMs: number;
 }) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const observer = createEngineObserver({
     model: createEngineModel(clock),
     clock,
     estimateFor: () => options.estimate ?? reliableEstimate,
-    fits: () => true,
+    fitsKvCache: () => true,
     tokensPerEvent: () => 4,
-    onDidReread() {},
+    onDidRecompute() {},
   });
   const route = {name: 'r1', goalMs: 800, timeoutMs: 4_000};
   const isModel = options.isModel ?? true;
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -4,9 +4,9 @@
 import {describe, it} from 'node:test';
 import {createAdmissionController} from '@skylarkfield/admission';
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
+  createSilentLogger,
   systemClock,
 } from '@skylarkfield/base';
 import {createEngineModel, estimateEngine} from '@skylarkfield/capacity';
@@ -30,21 +30,21 @@
 } from './testEndpoint.js';
 
 const format: CallFormat = {
-  readCall: () => {
+  parseCall: () => {
     throw new Error('not used here');
   },
-  upstreamHeaders: (_, {lastEventId}) => [
+  buildUpstreamHeaders: (_, {lastEventId}) => [
     'attempt',
     'r1',
     ...(lastEventId === undefined ? [] : ['last-event', lastEventId]),
   ],
-  readResponse: headers => ({
+  parseResponseHead: headers => ({
     attemptId: headers['attempt'] as string | undefined,
     isNotRun: headers['not-run'] !== undefined,
     load: undefined,
     limitPerSecond: undefined,
   }),
-  callerHeaders: () => ({}),
+  buildCallerHeaders: () => ({}),
 };
 
 const idempotentRoute: Route = {
@@ -123,9 +123,9 @@
   streamMigrator: StreamMigrator = noMigrator,
 ): Promise<ForwardingOutcome> {
   const clock = systemClock();
-  const log = silentLogger();
+  const log = createSilentLogger();
   const random = seededRandom(1);
-  const decisions = decisionLog(clock, log);
+  const decisions = createDecisionLog(clock, log);
   const behaviour = runInTurn(behaviours);
   const endpoints = await Promise.all(
     Array.from({length: ENDPOINT_COUNT}, () => startTestEndpoint(behaviour)),
@@ -189,8 +189,8 @@
       clock,
       estimateFor: () => estimateEngine(undefined, []),
       tokensPerEvent: () => 1,
-      fits: () => true,
-      onDidReread: () => {},
+      fitsKvCache: () => true,
+      onDidRecompute: () => {},
     }),
     format,
     clock,
--- a/packages/gateway/src/test/mirror.test.ts
+++ b/packages/gateway/src/test/mirror.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {silentLogger, virtualClock} from '@skylarkfield/base';
-import {timestampOf} from '@skylarkfield/traffic';
+import {createSilentLogger, createVirtualClock} from '@skylarkfield/base';
+import {currentTimestamp} from '@skylarkfield/traffic';
 import {createMirror} from '../mirror.js';
 
 function setUp() {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const createReplica = () =>
-    createMirror<string>({kind: 'endpoints', clock, log: silentLogger()});
+    createMirror<string>({kind: 'endpoints', clock, log: createSilentLogger()});
   return {clock, createReplica};
 }
 
@@ -22,7 +22,7 @@
     const replica = createReplica();
     reader.applyListing(
       {revision: 5, items: [createItem('a', 2), createItem('b', 5)]},
-      timestampOf(clock),
+      currentTimestamp(clock),
     );
     replica.applyCopy(reader.copy());
     const step = reader.applyChanges(
@@ -33,7 +33,7 @@
           {name: 'c', item: createItem('c', 8)},
         ],
       },
-      timestampOf(clock),
+      currentTimestamp(clock),
     );
     assert.ok(step !== undefined && replica.applyStep(step));
     assert.deepEqual(replica.items(), reader.items());
@@ -47,7 +47,7 @@
     // remain in use.
     const {clock, createReplica} = setUp();
     const mirror = createReplica();
-    mirror.applyListing({revision: 5, items: []}, timestampOf(clock));
+    mirror.applyListing({revision: 5, items: []}, currentTimestamp(clock));
     assert.ok(!mirror.applyStep({from: 7, to: 9, changes: []}));
     assert.equal(mirror.revision(), 5);
   });
@@ -61,7 +61,7 @@
     assert.ok(mirror.isKnown());
     assert.equal(mirror.get('a'), 'a');
     assert.equal(mirror.ageMs(), Infinity);
-    mirror.applyChanges({revision: 6, changes: []}, timestampOf(clock));
+    mirror.applyChanges({revision: 6, changes: []}, currentTimestamp(clock));
     assert.equal(mirror.ageMs(), 0);
   });
 
@@ -70,7 +70,7 @@
     const mirror = createReplica();
     mirror.applyListing(
       {revision: 9, items: [createItem('a', 9, 'new')]},
-      timestampOf(clock),
+      currentTimestamp(clock),
     );
     mirror.applyStep({from: 3, to: 10, changes: [createItem('a', 4, 'old')]});
     mirror.applyCopy({
@@ -89,19 +89,19 @@
     const mirror = createReplica();
     mirror.applyListing(
       {revision: 5, items: [createItem('a', 2)]},
-      timestampOf(clock),
+      currentTimestamp(clock),
     );
-    mirror.applyListing({revision: 8, items: []}, timestampOf(clock));
+    mirror.applyListing({revision: 8, items: []}, currentTimestamp(clock));
     assert.equal(mirror.get('a'), undefined);
   });
 
   it('is confirmed by a peer only if it has all changes of the peer', () => {
     const {clock, createReplica} = setUp();
     const mirror = createReplica();
-    mirror.applyListing({revision: 5, items: []}, timestampOf(clock));
+    mirror.applyListing({revision: 5, items: []}, currentTimestamp(clock));
     clock.advanceSync(4_000);
     const syncStatus = {confirmedAgoMs: 100, isReader: true};
-    const now = timestampOf(clock);
+    const now = currentTimestamp(clock);
     assert.ok(
       !mirror.confirmByPeer({...syncStatus, revision: 9, changedAt: 7}, now),
     );
--- a/packages/gateway/src/test/mirrorReader.test.ts
+++ b/packages/gateway/src/test/mirrorReader.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {seededRandom, silentLogger, virtualClock} from '@skylarkfield/base';
+import {
+  seededRandom,
+  createSilentLogger,
+  createVirtualClock,
+} from '@skylarkfield/base';
 import type {ObjectSource} from '../contracts.js';
 import {createMirror} from '../mirror.js';
 import {startMirrorReader} from '../mirrorReader.js';
@@ -12,8 +16,8 @@
 } as const;
 
 function setUp() {
-  const clock = virtualClock();
-  const log = silentLogger();
+  const clock = createVirtualClock();
+  const log = createSilentLogger();
   const mirror = createMirror<string>({kind: 'endpoints', clock, log});
   const calls: string[] = [];
   let shouldRead = true;
@@ -23,7 +27,7 @@
       calls.push(`list ${freshness}`);
       return Promise.resolve({revision: 5, items: []});
     },
-    async changes(afterRevision, waitMs) {
+    async readChanges(afterRevision, waitMs) {
       calls.push('changes');
       if (isCompacted) {
         return undefined;
--- a/packages/gateway/src/test/peerVisibility.test.ts
+++ b/packages/gateway/src/test/peerVisibility.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import {createPeerVisibility} from '../peerVisibility.js';
 
 /** Creates the peer visibility of an entry that has just started. */
 function setUp() {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const peers: {entryCount: number | undefined; visible: number} = {
     entryCount: undefined,
     visible: 0,
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import {
   createQuotas,
   ZERO_WORK,
@@ -42,7 +42,7 @@
  * Creates entries that exchange digests, and can be separated by a partition.
  */
 function createFleet() {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const grantedByStep: number[] = [];
   let isPartitioned = false;
   const entries = Array.from({length: ENTRY_COUNT}, (_, index) => {
@@ -80,7 +80,7 @@
         loads: {},
         work: {chat: ZERO_WORK},
         outcomes: {},
-        used: {...sender.quotas.ownUsage()},
+        used: {...sender.quotas.totalOwnUsage()},
       };
       for (const receiver of entries) {
         const isReached =
@@ -98,7 +98,7 @@
       isPartitioned = value;
     },
     /**
-     * Lets the entries consume three times the quota in total, in equal parts.
+     * Lets the entries consumeToken three times the quota in total, in equal parts.
      */
     sendLoad(seconds: number): void {
       const amount = (3 * QUOTA_PER_SECOND * STEP_MS) / 1_000 / ENTRY_COUNT;
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import type {Messages} from '@skylarkfield/protocol';
 import type {CrashReport} from '@skylarkfield/routing';
 import {createQuotas, ZERO_WORK} from '@skylarkfield/traffic';
@@ -38,7 +38,7 @@
 
 /** Creates entries that exchange digests by their relay plans. */
 function createFleet(nodes: readonly RelayNode[]) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const entries = new Map(
     nodes.map(node => [
       node.id,
@@ -262,7 +262,7 @@
     // increase, and each entry would grant the whole quota.
     const nodes = createNodes(2);
     const fleet = createFleet(nodes);
-    const quotas = createQuotas(virtualClock());
+    const quotas = createQuotas(createVirtualClock());
     const {reports} = fleet.entries.get('entry-0')!;
     const quota = {unit: 'tokens', perSecond: 1, burst: 100} as const;
     const customer = {
--- a/packages/gateway/src/test/requestMetrics.test.ts
+++ b/packages/gateway/src/test/requestMetrics.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {createMetrics, silentLogger} from '@skylarkfield/base';
+import {createMetrics, createSilentLogger} from '@skylarkfield/base';
 import {createRequestMetrics} from '../requestMetrics.js';
 
 function createObservation(tookMs: number) {
@@ -12,7 +12,7 @@
   const metrics = createRequestMetrics(() => {
     loadCount += 1;
     return createMetrics('test');
-  }, silentLogger());
+  }, createSilentLogger());
   metrics.record(createObservation(7));
   metrics.record(createObservation(30));
   assert.equal(loadCount, 0);
@@ -33,7 +33,7 @@
   const metrics = createRequestMetrics(() => {
     loadCount += 1;
     return createMetrics('test');
-  }, silentLogger());
+  }, createSilentLogger());
   for (let count = 0; count < 4_095; count++) {
     metrics.record(createObservation(1));
   }
@@ -50,7 +50,7 @@
 test('shutting down does not load the SDK if the metrics were never rendered', async () => {
   const metrics = createRequestMetrics(
     () => Promise.reject(new Error('loaded')),
-    silentLogger(),
+    createSilentLogger(),
   );
   metrics.record(createObservation(1));
   await metrics.shutDown();
--- a/packages/gateway/src/test/rolloutMoves.test.ts
+++ b/packages/gateway/src/test/rolloutMoves.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {silentLogger, virtualClock} from '@skylarkfield/base';
+import {createSilentLogger, createVirtualClock} from '@skylarkfield/base';
 import type {MoveState} from '@skylarkfield/moves';
 import type {Rollout} from '@skylarkfield/traffic';
 import {createMirror} from '../mirror.js';
@@ -9,11 +9,11 @@
 const PERIOD_MS = 12_000;
 
 function setUp() {
-  const clock = virtualClock(1_800_000_000_000);
+  const clock = createVirtualClock(1_800_000_000_000);
   const mirror = createMirror<Rollout>({
     kind: 'rollouts',
     clock,
-    log: silentLogger(),
+    log: createSilentLogger(),
   });
   const moves = createRolloutMoves(mirror, clock);
   let revision = 0;
--- a/packages/gateway/src/test/stepMeter.test.ts
+++ b/packages/gateway/src/test/stepMeter.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import {createStepMeter} from '../stepMeter.js';
 
 describe('step meter', () => {
@@ -9,7 +9,7 @@
     // 15 ms between events grows to 70 ms. If the long intervals counted as
     // decode steps, the engine would seem so slow that twice as many endpoints
     // as needed would be ordered.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 20; index++) {
       steps.recordEvent();
@@ -22,7 +22,7 @@
   it('divides the interval among events that were read together', () => {
     // A busy entry reads two events in one turn of the event loop. An interval
     // of zero between these events would make the engine seem infinitely fast.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const steps = createStepMeter(clock);
     for (let index = 0; index < 5; index++) {
       steps.recordEvent();
@@ -33,7 +33,7 @@
   });
 
   it('returns undefined before the second event', () => {
-    const steps = createStepMeter(virtualClock());
+    const steps = createStepMeter(createVirtualClock());
     steps.recordEvent();
     assert.equal(steps.eventIntervalMs(), undefined);
   });
--- a/packages/gateway/src/test/usageDuty.test.ts
+++ b/packages/gateway/src/test/usageDuty.test.ts
@@ -2,14 +2,14 @@
 import {describe, it} from 'node:test';
 import {
   seededRandom,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
   type VirtualClock,
 } from '@skylarkfield/base';
 import type {DutyTerm} from '@skylarkfield/duties';
 import {createMemoryPlatform, type ObjectStore} from '@skylarkfield/providers';
 import {createUsageWindows, type CustomerCounts} from '@skylarkfield/traffic';
-import type {EndpointOrderResult, PlatformOrders} from '../contracts.js';
+import type {PlatformCallResult, PlatformOrders} from '../contracts.js';
 import {startUsageDuty} from '../usageDuty.js';
 
 const WINDOW_MS = 5_000;
@@ -20,7 +20,7 @@
   readonly fencing: number;
 }
 
-function createOrderRecorder(answers: EndpointOrderResult[]) {
+function createOrderRecorder(answers: PlatformCallResult[]) {
   const reports: Report[] = [];
   const orders: PlatformOrders = {
     async reportUsage({fencing}, window, counts) {
@@ -70,7 +70,7 @@
     lateMs: 10_000,
     clock,
     commonWallMs: () => clock.wall(),
-    log: silentLogger(),
+    log: createSilentLogger(),
   });
   return {term, duty, usage};
 }
@@ -96,10 +96,10 @@
     // The holder of the duty fails after its report has reached the platform
     // but before it gets the response. Its successor has other counts; a
     // second, different report would bill the customer twice.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
     const {reports, orders} = createOrderRecorder(['failed', 'accepted']);
-    const store = platform.client('e1');
+    const store = platform.createClient('e1');
     const firstHolder = startHolder({
       clock,
       store,
@@ -114,7 +114,7 @@
     assert.ok(reportCount >= 1);
     startHolder({
       clock,
-      store: platform.client('e2'),
+      store: platform.createClient('e2'),
       orders,
       fencing: 2,
       ownCount: 99,
@@ -128,7 +128,7 @@
     // and a partitioned entry delivers its counts long after the window was
     // reported. If the persisted counts were already removed, the window would
     // be reported again with other counts, and the customer billed twice.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
     const {reports, orders} = createOrderRecorder([]);
     const startedAt = clock.wall();
@@ -136,7 +136,7 @@
       clock,
       orders,
       windowMs: 1_000,
-      store: platform.client('e1'),
+      store: platform.createClient('e1'),
       fencing: 1,
       ownCount: 7,
     });
@@ -148,12 +148,12 @@
   });
 
   it('sends nothing after its term has ended', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
     const {reports, orders} = createOrderRecorder([]);
     const {term} = startHolder({
       clock,
-      store: platform.client('e1'),
+      store: platform.createClient('e1'),
       orders,
       fencing: 1,
       ownCount: 1,
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -1,6 +1,6 @@
 /** The request path of a gateway, and its state exchange with other entries. */
 import {createAdmissionController} from '@skylarkfield/admission';
-import {disposableStore, type Disposable} from '@skylarkfield/base';
+import {createDisposableStore, type Disposable} from '@skylarkfield/base';
 import type {Messages} from '@skylarkfield/protocol';
 import {
   createCrashQuarantine,
@@ -11,7 +11,7 @@
   answerWork,
   createQuotas,
   createUsageWindows,
-  fitsMemory,
+  fitsKvCache,
   TOKENS_PER_KEY,
   ZERO_WORK,
   promptWork,
@@ -86,7 +86,7 @@
   const {settings, platform, clock, random, log, decisions, lifecycle} =
     context;
   const {network, membership} = coordination;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const view = disposables.add(
     createPlatformView({
       platform,
@@ -110,7 +110,7 @@
   const isModel = (service: string): boolean =>
     findService(service)?.engine !== undefined;
   const fitsEngineMemory = (service: string, demand: ModelDemand): boolean =>
-    fitsMemory(demand, findService(service)?.engine);
+    fitsKvCache(demand, findService(service)?.engine);
   const quotaWindowMs = settings.quotaWindowSeconds * MS_PER_SECOND;
   const reports = createPeerReports({
     clock,
@@ -142,7 +142,7 @@
     failureDomain: settings.failureDomain,
     self: settings.id,
     blockTokens: TOKENS_PER_KEY,
-    weightsOf: service => engineEstimates.routeWeights(service),
+    weightOverrides: service => engineEstimates.routeWeights(service),
   });
   const directory = createEndpointDirectory({
     endpoints: view.endpoints,
@@ -220,11 +220,11 @@
       plan: coordination.plan,
       takeSnapshot() {
         visibility.refresh();
-        admission.setEntryCount(membership.live().length);
+        admission.setEntryCount(membership.liveMembers().length);
         const mirrors = view.syncStatuses();
         const ownReport = {
           entries: 1,
-          used: quotas.ownUsage(),
+          used: quotas.totalOwnUsage(),
           loads: router.ownLoads(),
           limits: rateLimits.ownReports(),
           crashes: crashQuarantine.reportToGossip(),
@@ -265,7 +265,7 @@
   }
 
   function updateEntries(): void {
-    const ids = membership.live().map(({id}) => id);
+    const ids = membership.liveMembers().map(({id}) => id);
     rateLimits.setEntries(ids);
     crashQuarantine.setEntries(ids);
   }
@@ -315,11 +315,11 @@
       clock,
       estimateFor: engineEstimates.estimateFor,
       tokensPerEvent,
-      fits: fitsEngineMemory,
-      onDidReread: (service, rereadTokens) =>
+      fitsKvCache: fitsEngineMemory,
+      onDidRecompute: (service, rereadTokens) =>
         work.record(service, {...ZERO_WORK, rereadTokens}),
     }),
-    format: platform.calls,
+    format: platform.callFormat,
     clock,
     log,
     onDidRun(customer, wallMs) {
@@ -338,7 +338,7 @@
     visibility,
     admission,
     forwarding,
-    format: platform.calls,
+    format: platform.callFormat,
     servingState: {
       isServing: () =>
         lifecycle.state() === 'serving' || lifecycle.state() === 'lingering',
--- a/packages/members/src/contracts.ts
+++ b/packages/members/src/contracts.ts
@@ -33,7 +33,7 @@
   /** All known members that are not gone, including this entry. */
   members(): readonly Member[];
   /** Members that accept new work. */
-  live(): readonly Member[];
+  liveMembers(): readonly Member[];
   /**
    * Number of entries that may accept work: live members, suspects and recently
    * lost members, which may be alive behind a network partition; in the first
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -206,11 +206,17 @@
       return;
     }
     suspicions.delete(id);
-    decisions.note('members', id, 'count as gone', 'no heartbeat, confirmed', {
-      silentMs: Math.round(clock.now() - knownMember.lastSeenAt),
-      confirmedBy: suspicion.silentTo.size,
-      others: otherLiveCount,
-    });
+    decisions.recordDecision(
+      'members',
+      id,
+      'count as gone',
+      'no heartbeat, confirmed',
+      {
+        silentMs: Math.round(clock.now() - knownMember.lastSeenAt),
+        confirmedBy: suspicion.silentTo.size,
+        others: otherLiveCount,
+      },
+    );
     options.onDidConfirmGone(knownMember);
   }
 
@@ -231,7 +237,7 @@
       isInvestigating: false,
     };
     suspicions.set(id, suspicion);
-    decisions.note('members', id, 'suspect', 'no heartbeat', {
+    decisions.recordDecision('members', id, 'suspect', 'no heartbeat', {
       silentMs: Math.round(silentMs),
     });
     table.sendEvent(knownMember, 'suspected');
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -6,8 +6,8 @@
  * receives work again.
  */
 import {
-  disposableStore,
-  emitter,
+  createDisposableStore,
+  createEmitter,
   every,
   type Clock,
   type DecisionLog,
@@ -60,7 +60,7 @@
    */
   onDidReturn(listener: (endpoint: string) => void): Disposable;
   /**
-   * Records a report from another source, such as the endpoint itself. `goneAt`
+   * Records a report from another source, such as the endpoint itself. `goneAtMs`
    * is in wall-clock milliseconds; 0 means that no deadline is known.
    */
   reportLeaving(
@@ -75,7 +75,7 @@
    */
   readonly hostList: HostList;
   /** Sets whether this entry watches reclaim notices or relies on its peers. */
-  setReader(isReader: boolean): void;
+  setIsNoticeReader(isReader: boolean): void;
   dump(): unknown;
 }
 
@@ -110,13 +110,13 @@
 }): LeavingEndpointTracker {
   const {cloud, network, clock, decisions} = options;
   const leavingHosts = new Map<string, LeavingHost>();
-  const didLeave = emitter<LeavingEndpoint>();
-  const didReturn = emitter<string>();
-  const disposables = disposableStore();
+  const didLeave = createEmitter<LeavingEndpoint>();
+  const didReturn = createEmitter<string>();
+  const disposables = createDisposableStore();
   /** Endpoints of the latest host list, by id. */
   let listedEndpointsById = new Map<string, ListedEndpoint>();
   let latestList: readonly ListedEndpoint[] | undefined;
-  const didCorrectList = emitter<readonly ListedEndpoint[]>();
+  const didCorrectList = createEmitter<readonly ListedEndpoint[]>();
   let isCorrectionDue = false;
   let noticeSubscription: Disposable | undefined;
 
@@ -189,11 +189,17 @@
         createDeparture(findListedEndpoint(host, endpoint)),
       );
       leavingHost.back.delete(endpoint);
-      decisions.note('members', endpoint, 'give no new work', 'leaving', {
-        host,
-        source,
-        goneAt,
-      });
+      decisions.recordDecision(
+        'members',
+        endpoint,
+        'give no new work',
+        'leaving',
+        {
+          host,
+          source,
+          goneAt,
+        },
+      );
       didLeave.fire({endpoint, host, goneAt, source});
     }
     if (hasChanges && source !== 'list') {
@@ -337,7 +343,9 @@
   }
 
   function readmit(endpoint: string, host: string, reason: string) {
-    decisions.note('members', endpoint, 'give work again', reason, {host});
+    decisions.recordDecision('members', endpoint, 'give work again', reason, {
+      host,
+    });
     didReturn.fire(endpoint);
   }
 
@@ -386,7 +394,7 @@
     }
   }
 
-  function setReader(isReader: boolean) {
+  function setIsNoticeReader(isReader: boolean) {
     if (isReader === (noticeSubscription !== undefined)) {
       return;
     }
@@ -396,7 +404,7 @@
       : undefined;
   }
 
-  disposables.add(network.onDidReceive('endpointLeaving', handlePeerMessage));
+  disposables.add(network.addHandler('endpointLeaving', handlePeerMessage));
   disposables.add(
     network.onDidChangePeer((peer, isOpen) => {
       if (isOpen) {
@@ -406,7 +414,7 @@
   );
   disposables.add(options.hostList.watch(handleHostList));
   disposables.add(every(clock, EXPIRY_INTERVAL_MS, expireHosts));
-  setReader(true);
+  setIsNoticeReader(true);
 
   return {
     isLeaving,
@@ -425,7 +433,7 @@
         broadcastHost(host);
       }
     },
-    setReader,
+    setIsNoticeReader,
     dump: () => ({
       isReader: noticeSubscription !== undefined,
       hosts: [...leavingHosts.values()].map(leavingHost => ({
@@ -436,7 +444,7 @@
       })),
     }),
     dispose() {
-      setReader(false);
+      setIsNoticeReader(false);
       disposables.dispose();
     },
   };
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -58,11 +58,11 @@
 }
 
 /**
- * Sets the deadline to `goneAt`, in wall-clock milliseconds, if it is later
+ * Sets the deadline to `goneAtMs`, in wall-clock milliseconds, if it is later
  * than the current deadline, as after a second notice.
  *
  * @example
- * extendDeadline(leavingHost, notice.goneAt, clock);
+ * extendDeadline(leavingHost, notice.goneAtMs, clock);
  */
 export function extendDeadline(
   leavingHost: LeavingHost,
@@ -84,7 +84,7 @@
  * apply to the endpoint.
  *
  * @example
- * const isNew = !isRepeatedNotice(leavingHost, notice.goneAt, endpoint);
+ * const isNew = !isRepeatedNotice(leavingHost, notice.goneAtMs, endpoint);
  */
 export function isRepeatedNotice(
   leavingHost: LeavingHost | undefined,
--- a/packages/members/src/localMember.ts
+++ b/packages/members/src/localMember.ts
@@ -8,7 +8,7 @@
 import {buildMember} from './memberView.js';
 
 /** Identity and addresses of this entry, fixed at start. */
-export interface LocalMemberInfo {
+export interface LocalMemberIdentity {
   readonly id: string;
   /**
    * Number greater than that of any earlier process of this id, such as the
@@ -50,7 +50,7 @@
  * gossip.add(localMember.currentUpdate());
  */
 export function createLocalMember(options: {
-  readonly self: LocalMemberInfo;
+  readonly self: LocalMemberIdentity;
   readonly decisions: DecisionLog;
   /** Number of requests in flight on this entry. */
   load(): number;
@@ -89,7 +89,7 @@
         ? update.incarnation + 1
         : baseUpdate.incarnation;
       baseUpdate = {...baseUpdate, incarnation, sequence: update.sequence + 1};
-      decisions.note(
+      decisions.recordDecision(
         'members',
         baseUpdate.id,
         'refute',
--- a/packages/members/src/memberObjects.ts
+++ b/packages/members/src/memberObjects.ts
@@ -279,7 +279,12 @@
     );
     removedCount += 1;
     failedSweepsById.delete(name);
-    decisions.note('members', name, 'remove its object', 'gone or unreachable');
+    decisions.recordDecision(
+      'members',
+      name,
+      'remove its object',
+      'gone or unreachable',
+    );
   }
 
   return {
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -1,7 +1,7 @@
 /** Cluster membership as seen by one entry. */
 import {
-  disposableStore,
-  emitter,
+  createDisposableStore,
+  createEmitter,
   every,
   type Clock,
   type DecisionLog,
@@ -22,16 +22,16 @@
 import {createMemberObjects} from './memberObjects.js';
 import {createMemberTable, toMember} from './memberTable.js';
 import {createUpdateHandler} from './updateHandler.js';
-import {createLocalMember, type LocalMemberInfo} from './localMember.js';
+import {createLocalMember, type LocalMemberIdentity} from './localMember.js';
 import {createPauseRecovery} from './pauseRecovery.js';
 import {createPeerDirectory} from './peerDirectory.js';
 import {createReconciler} from './reconciler.js';
 import {createFailureDetector} from './failureDetector.js';
-import {DEFAULT_TIMING, type MemberTiming} from './timing.js';
+import {DEFAULT_MEMBER_TIMING, type MemberTiming} from './timing.js';
 import {pruneTombstones} from './tombstones.js';
 import {createPauseDetector} from './pauseDetector.js';
 
-export type {LocalMemberInfo} from './localMember.js';
+export type {LocalMemberIdentity} from './localMember.js';
 
 /** Time limit for removing this entry's object on leave, in milliseconds. */
 const LEAVE_STORE_TIMEOUT_MS = 1_000;
@@ -44,7 +44,7 @@
  * membership.onDidChange(member => log.info({member}, 'member changed'));
  */
 export function createMembership(options: {
-  readonly self: LocalMemberInfo;
+  readonly self: LocalMemberIdentity;
   readonly store: ObjectStore;
   readonly network: PeerNetwork;
   readonly clock: Clock;
@@ -58,9 +58,9 @@
   readonly timing?: Partial<MemberTiming>;
 }): Membership {
   const {network, clock, random, log, decisions} = options;
-  const timing = {...DEFAULT_TIMING, ...options.timing};
-  const disposables = disposableStore();
-  const didChange = emitter<Member>();
+  const timing = {...DEFAULT_MEMBER_TIMING, ...options.timing};
+  const disposables = createDisposableStore();
+  const didChange = createEmitter<Member>();
   const gossip = createGossipQueue();
   const pauseDetector = createPauseDetector(clock, timing.pauseThresholdMs);
   const table = createMemberTable({
@@ -199,7 +199,7 @@
       return;
     }
     didChange.fire(localMember.member());
-    decisions.note(
+    decisions.recordDecision(
       'members',
       options.self.id,
       'leave',
@@ -231,18 +231,18 @@
     return {};
   }
 
-  disposables.add(network.onDidReceive('heartbeat', heartbeats.receive));
-  disposables.add(network.onDidReceive('leaving', relayLeaving));
+  disposables.add(network.addHandler('heartbeat', heartbeats.receive));
+  disposables.add(network.addHandler('leaving', relayLeaving));
   disposables.add(
-    network.onDidReceive('memberProbe', (_, body) => answerProbe(body)),
+    network.addHandler('memberProbe', (_, body) => answerProbe(body)),
   );
   disposables.add(
-    network.onDidReceive('memberWord', (_, {id, incarnation}) =>
+    network.addHandler('memberWord', (_, {id, incarnation}) =>
       failureDetector.lastSeen(id, incarnation),
     ),
   );
   disposables.add(
-    network.onDidReceive('membersWanted', (_, {buckets}) => ({
+    network.addHandler('membersWanted', (_, {buckets}) => ({
       news: table.differingUpdates(buckets, localMember.currentUpdate()),
     })),
   );
@@ -263,7 +263,7 @@
   );
   const startedAt = clock.now();
 
-  function live(): Member[] {
+  function liveMembers(): Member[] {
     return [
       localMember.member(),
       ...table.presentMembers().map(toMember),
@@ -286,7 +286,7 @@
    * only in the first `reconnectIntervalMs` after the start.
    */
   function entryCount(): number | undefined {
-    const count = live().length + countPossiblyLive();
+    const count = liveMembers().length + countPossiblyLive();
     const listedCount = memberObjects.listedCount();
     if (listedCount === undefined) {
       return count > 1 ? count : undefined;
@@ -307,7 +307,7 @@
       localMember.member(),
       ...table.presentMembers().map(toMember),
     ],
-    live,
+    liveMembers,
     entryCount,
     onDidChange: didChange.event,
     leave,
--- a/packages/members/src/pauseRecovery.ts
+++ b/packages/members/src/pauseRecovery.ts
@@ -47,7 +47,7 @@
    */
   function restartSilenceTimeouts(pauseMs: number) {
     const now = clock.now();
-    decisions.note('members', id, 'hold back', 'process was paused', {
+    decisions.recordDecision('members', id, 'hold back', 'process was paused', {
       pauseMs: Math.round(pauseMs),
     });
     for (const knownMember of table.all()) {
--- a/packages/members/src/readers.ts
+++ b/packages/members/src/readers.ts
@@ -14,7 +14,7 @@
  * order. In small installations all members are readers.
  *
  * @example
- * tracker.setReader(isReader(membership.live(), membership.self, 'notices'));
+ * tracker.setIsNoticeReader(isReader(membership.liveMembers(), membership.self, 'notices'));
  */
 export function isReader(
   liveMembers: readonly Member[],
--- a/packages/members/src/test/cluster.ts
+++ b/packages/members/src/test/cluster.ts
@@ -1,10 +1,10 @@
 /** Simulated cluster of entries in one test process, on a virtual clock. */
 import {
-  decisionLog,
+  createDecisionLog,
   hash32,
   seededRandom,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {createMemoryPlatform} from '@skylarkfield/providers';
 import {MEMORY_URL_PREFIX, createMemoryNetwork} from '@skylarkfield/protocol';
@@ -12,7 +12,7 @@
 
 /** Creates a cluster whose entries can be started, crashed and partitioned. */
 export function createCluster(seed = 1) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(seed);
   const net = createMemoryNetwork({clock, random});
   const platform = createMemoryPlatform({clock, random});
@@ -31,14 +31,14 @@
         failureDomain: `domain-${domainIndex(id)}`,
         region: 'region-1',
       },
-      store: platform.client(id),
+      store: platform.createClient(id),
       network: peer.network,
       clock: peer.clock,
       // The seed is hashed, as similar small seeds produce nearly the same
       // first numbers.
       random: seededRandom(hash32(`${seed}/${incarnation}`)),
-      log: silentLogger(),
-      decisions: decisionLog(clock, silentLogger()),
+      log: createSilentLogger(),
+      decisions: createDecisionLog(clock, createSilentLogger()),
       seeds: seeds.map(seedId => MEMORY_URL_PREFIX + seedId),
     });
     memberships.set(id, membership);
@@ -87,7 +87,7 @@
     },
     /** Ids of the members that an entry considers live. */
     liveIdsSeenBy(id: string): string[] {
-      const live = memberships.get(id)!.live();
+      const live = memberships.get(id)!.liveMembers();
       return live.map(member => member.id).sort();
     },
   };
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
+  createSilentLogger,
   toDisposable,
-  virtualClock,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import type {ListedEndpoint, ReclaimNotice} from '@skylarkfield/providers';
 import {MEMORY_URL_PREFIX, createMemoryNetwork} from '@skylarkfield/protocol';
@@ -34,7 +34,7 @@
 
 /** Creates entries a, b and c in a chain: a and c are connected only via b. */
 function createChain() {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const net = createMemoryNetwork({clock, random: seededRandom(1)});
   const ids = ['a', 'b', 'c'];
   const networks = ids.map(id => net.start(id).network);
@@ -63,7 +63,7 @@
       },
       network,
       clock,
-      decisions: decisionLog(clock, silentLogger()),
+      decisions: createDecisionLog(clock, createSilentLogger()),
     });
     tracker.onDidLeave(({endpoint, source}) =>
       events.push(`${endpoint} by ${source}`),
@@ -261,7 +261,7 @@
     assert.deepEqual(b.events, ['e1 by peer']);
     const restartedNetwork = net.start('c').network;
     const received: string[] = [];
-    restartedNetwork.onDidReceive('endpointLeaving', (_, {endpoints}) => {
+    restartedNetwork.addHandler('endpointLeaving', (_, {endpoints}) => {
       received.push(...endpoints);
     });
     const url = `${MEMORY_URL_PREFIX}b`;
--- a/packages/members/src/test/membership.test.ts
+++ b/packages/members/src/test/membership.test.ts
@@ -139,7 +139,7 @@
     const restartedMembership = cluster.start('m0');
     assert.equal(restartedMembership.entryCount(), undefined);
     await cluster.clock.advance(200);
-    assert.equal(restartedMembership.live().length, 1);
+    assert.equal(restartedMembership.liveMembers().length, 1);
     assert.equal(restartedMembership.entryCount(), 9);
     await cluster.clock.advance(10_000);
     assert.equal(restartedMembership.entryCount(), 1);
@@ -152,7 +152,7 @@
     const [leftIds, rightIds] = [ids.slice(0, 4), ids.slice(4)];
     leftIds.forEach(id => cluster.isolate(id, rightIds));
     await cluster.clock.advance(12_000);
-    assert.equal(cluster.memberships.get('m0')!.live().length, 4);
+    assert.equal(cluster.memberships.get('m0')!.liveMembers().length, 4);
     assert.equal(cluster.memberships.get('m0')!.entryCount(), 9);
     assert.equal(cluster.memberships.get('m8')!.entryCount(), 9);
     await cluster.clock.advance(20_000);
@@ -198,8 +198,8 @@
     const {network} = cluster.net.start('odd');
     network.setPeers([{id: 'm0', incarnation: 1, url: 'memory://m0'}]);
     const malformedUpdate = {id: 'odd', state: 'live'} as never;
-    network.onDidReceive('memberProbe', () => ({news: malformedUpdate}));
-    network.onDidReceive('membersWanted', () => ({news: 5}));
+    network.addHandler('memberProbe', () => ({news: malformedUpdate}));
+    network.addHandler('membersWanted', () => ({news: 5}));
     const probe = network.request(
       'm0',
       'memberProbe',
--- a/packages/members/src/timing.ts
+++ b/packages/members/src/timing.ts
@@ -46,7 +46,7 @@
   readonly ownObjectCheckIntervalMs: number;
 }
 
-export const DEFAULT_TIMING: MemberTiming = {
+export const DEFAULT_MEMBER_TIMING: MemberTiming = {
   heartbeatIntervalMs: 1_000,
   silenceTimeoutMs: 3_500,
   closedSilenceTimeoutMs: 1_000,
--- a/packages/moves/src/contracts.ts
+++ b/packages/moves/src/contracts.ts
@@ -48,7 +48,7 @@
    * Records a finished request; cuts the candidate's share to 0 once the
    * evidence shows a fault of the candidate.
    */
-  observe(sample: RequestSample): void;
+  recordSample(sample: RequestSample): void;
   /** Applies a cut of the candidate that another entry reported. */
   applyCut(moveName: string, why: string): void;
   /**
--- a/packages/moves/src/localEvidence.ts
+++ b/packages/moves/src/localEvidence.ts
@@ -50,7 +50,7 @@
  * Creates the evidence that this entry collects about a move.
  *
  * @example
- * const why = evidence.observe(sample);
+ * const why = evidence.recordSample(sample);
  */
 export function createLocalEvidence(move: Move, clock: Clock): LocalEvidence {
   const windowCount = Math.ceil((move.deadline - clock.wall()) / WINDOW_MS);
--- a/packages/moves/src/moveController.ts
+++ b/packages/moves/src/moveController.ts
@@ -156,11 +156,17 @@
       return nextState;
     }
     lastNotes.set(state.move, decisionText);
-    decisions.note('moves', state.move, nextState.phase, nextState.why, {
-      share: nextState.share,
-      orderShare: nextState.orderShare,
-      confidence: nextState.confidence,
-    });
+    decisions.recordDecision(
+      'moves',
+      state.move,
+      nextState.phase,
+      nextState.why,
+      {
+        share: nextState.share,
+        orderShare: nextState.orderShare,
+        confidence: nextState.confidence,
+      },
+    );
     return nextState;
   }
 
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -1,6 +1,6 @@
 /** Duty `moves`: its holder advances every move and stores its state. */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   isServingError,
   toServingError,
@@ -49,7 +49,7 @@
  */
 export function createMoveDuty(options: MoveDutyOptions): Disposable {
   const {clock, log, objects, configuration, controller, term} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const storedStates = new Map<string, StoredObject<MoveState>>();
   let areStatesLoaded = false;
   let isAdvancing = false;
--- a/packages/moves/src/moveFollower.ts
+++ b/packages/moves/src/moveFollower.ts
@@ -3,7 +3,7 @@
  * exchanges evidence and cuts with peers.
  */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   type Clock,
   type Disposable,
@@ -25,7 +25,7 @@
   readonly objects: Pick<ObjectStore, 'watch'>;
   readonly network: Pick<
     PeerNetwork,
-    'broadcast' | 'onDidReceive' | 'onDidChangePeer' | 'send'
+    'broadcast' | 'addHandler' | 'onDidChangePeer' | 'send'
   >;
   readonly configuration: Pick<Configuration, 'list' | 'onDidChange'>;
   readonly split: TrafficSplit;
@@ -50,7 +50,7 @@
  */
 export function createMoveFollower(options: MoveFollowerOptions): Disposable {
   const {clock, objects, network, configuration, split, controller} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const latestStates = new Map<string, MoveState>();
   const pendingCuts = new Map<string, PendingCut>();
   let nextEvidenceSequence = 0;
@@ -173,17 +173,15 @@
     }),
   );
   disposables.add(
-    network.onDidReceive('moveStates', (_from, body) =>
-      applyStates(body.states),
-    ),
+    network.addHandler('moveStates', (_from, body) => applyStates(body.states)),
   );
   disposables.add(
-    network.onDidReceive('moveEvidence', (_from, {move, sums}) =>
+    network.addHandler('moveEvidence', (_from, {move, sums}) =>
       controller.addEvidence(move, sums),
     ),
   );
   disposables.add(
-    network.onDidReceive('moveCut', (_from, {move, why, to}) =>
+    network.addHandler('moveCut', (_from, {move, why, to}) =>
       applyCut(move, why, to),
     ),
   );
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -3,11 +3,11 @@
  * network.
  */
 import {
-  decisionLog,
-  emitter,
+  createDecisionLog,
+  createEmitter,
   ServingError,
   settlePromises,
-  silentLogger,
+  createSilentLogger,
   toDisposable,
   type VirtualClock,
 } from '@skylarkfield/base';
@@ -143,7 +143,7 @@
  */
 export function createFakePeerBus() {
   const handlers = new Map<string, Map<string, Handler>>();
-  const peerOpenEmitter = emitter<string>();
+  const peerOpenEmitter = createEmitter<string>();
   const disconnectedPeers = new Set<string>();
   function networkOf(id: string): PeerNetwork {
     const ownHandlers = new Map<string, Handler>();
@@ -167,7 +167,7 @@
       },
       onDidChangePeer: (listener: (peer: string, isOpen: boolean) => void) =>
         peerOpenEmitter.event(peer => listener(peer, true)),
-      onDidReceive(type: keyof Messages, handler: Handler) {
+      addHandler(type: keyof Messages, handler: Handler) {
         ownHandlers.set(type, handler);
         return toDisposable(() => ownHandlers.delete(type));
       },
@@ -176,7 +176,7 @@
   }
   return {
     networkOf,
-    disconnectedPeers: disconnectedPeers,
+    disconnectedPeers,
     firePeerOpened: (peer: string) => peerOpenEmitter.fire(peer),
   };
 }
@@ -188,7 +188,7 @@
 export function createCluster(clock: VirtualClock, count: number) {
   const bus = createFakePeerBus();
   const platform = createFakeStore();
-  const changeEmitter = emitter<{kind: RecordKind; name: string}>();
+  const changeEmitter = createEmitter<{kind: RecordKind; name: string}>();
   let moves: readonly Move[] = [move];
   const configuration = {
     list: () => moves as never,
@@ -197,7 +197,7 @@
     isReady: () => true,
   };
   function startEntry(index: number) {
-    const decisions = decisionLog(clock, silentLogger());
+    const decisions = createDecisionLog(clock, createSilentLogger());
     const split = createTrafficSplit({clock, decisions});
     const controller = createMoveController({clock, decisions});
     const network = bus.networkOf(`e${index}`);
@@ -224,7 +224,7 @@
     };
     const moveDuty = createMoveDuty({
       clock,
-      log: silentLogger(),
+      log: createSilentLogger(),
       objects: platform.store,
       configuration,
       controller: entries[index]?.controller as never,
--- a/packages/moves/src/test/moveCluster.test.ts
+++ b/packages/moves/src/test/moveCluster.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import {createCluster, HOUR_MS, move, START_MS} from './fakes.js';
 
 const SESSION_COUNT = 400;
 
 function setUp(entryCount = 3) {
-  const clock = virtualClock(START_MS);
+  const clock = createVirtualClock(START_MS);
   const testCluster = createCluster(clock, entryCount);
   /** Returns the number of sessions that an entry assigns to the candidate. */
   function countCandidateSessions(index: number): number {
@@ -38,7 +38,7 @@
           session: `${second}-${request}`,
           isIdempotent: true,
         });
-        split?.observe({
+        split?.recordSample({
           service: 'booking',
           version: version ?? 'v1',
           route: 'confirm',
--- a/packages/moves/src/test/moveController.test.ts
+++ b/packages/moves/src/test/moveController.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {decisionLog, silentLogger, virtualClock} from '@skylarkfield/base';
+import {
+  createDecisionLog,
+  createSilentLogger,
+  createVirtualClock,
+} from '@skylarkfield/base';
 import type {EvidenceSum} from '@skylarkfield/protocol';
 import type {Move} from '@skylarkfield/records';
 import {createMoveController, type MoveState} from '../index.js';
@@ -10,8 +14,8 @@
 const STEP_MS = 5000;
 
 function createController() {
-  const clock = virtualClock();
-  const decisions = decisionLog(clock, silentLogger());
+  const clock = createVirtualClock();
+  const decisions = createDecisionLog(clock, createSilentLogger());
   return createMoveController({clock, decisions});
 }
 
@@ -182,10 +186,10 @@
       if (currentState.orderShare > 0) {
         firstElapsedMs.orderShare ??= elapsedMs;
       }
-      const {
-        candidateRequests: requests,
-        incumbentRequests: incumbentRequests,
-      } = requestCounts(currentState.share, 0);
+      const {candidateRequests: requests, incumbentRequests} = requestCounts(
+        currentState.share,
+        0,
+      );
       return [
         ...evidenceOfWindow(
           {...HEALTHY_STATS, requests},
@@ -225,12 +229,7 @@
       expectedPhase: 'finished',
     },
   ];
-  for (const {
-    title,
-    phase,
-    elapsedMs: elapsedMs,
-    expectedPhase: expectedPhase,
-  } of cutCases) {
+  for (const {title, phase, elapsedMs, expectedPhase} of cutCases) {
     it(`sets ${title} to ${expectedPhase} when an entry has cut the candidate`, () => {
       // An entry has cut a failing candidate. If the move continued, the other
       // entries would keep sending requests to the candidate.
--- a/packages/moves/src/test/trafficSplit.test.ts
+++ b/packages/moves/src/test/trafficSplit.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {decisionLog, silentLogger, virtualClock} from '@skylarkfield/base';
+import {
+  createDecisionLog,
+  createSilentLogger,
+  createVirtualClock,
+} from '@skylarkfield/base';
 import type {Move} from '@skylarkfield/records';
 import {createTrafficSplit, type MoveState} from '../index.js';
 
@@ -30,8 +34,8 @@
 }
 
 function createSplitWithClock(share: number) {
-  const clock = virtualClock();
-  const decisions = decisionLog(clock, silentLogger());
+  const clock = createVirtualClock();
+  const decisions = createDecisionLog(clock, createSilentLogger());
   const split = createTrafficSplit({clock, decisions});
   split.setMoves([move]);
   split.setStates([createState(share)]);
@@ -76,7 +80,7 @@
     const {split, clock} = createSplitWithClock(0.1);
     for (let count = 0; count < 20_000; count++) {
       const version = split.versionFor(createRequest(`s${count}`));
-      split.observe({
+      split.recordSample({
         service: 'booking',
         version,
         route: 'confirm',
--- a/packages/moves/src/trafficSplit.ts
+++ b/packages/moves/src/trafficSplit.ts
@@ -3,7 +3,7 @@
  * entry.
  */
 import {
-  emitter,
+  createEmitter,
   hashFraction,
   type Clock,
   type DecisionLog,
@@ -43,7 +43,7 @@
   const cuts = new Map<string, Cut>();
   const localEvidence = new Map<string, LocalEvidence>();
   const availableVersions = new Map<string, ReadonlySet<string>>();
-  const cutEmitter = emitter<{move: string; why: string}>();
+  const cutEmitter = createEmitter<{move: string; why: string}>();
   let moves: readonly Move[] = [];
   let sessionlessCount = 0;
   let movesByService = new Map<string, readonly MoveWithState[]>();
@@ -86,7 +86,7 @@
 
   function cutCandidate(move: Move, why: string) {
     cuts.set(move.name, {to: move.to, why});
-    decisions.note('moves', move.name, 'cut share to 0', why);
+    decisions.recordDecision('moves', move.name, 'cut share to 0', why);
   }
 
   function dropStaleCuts() {
@@ -188,7 +188,7 @@
     },
     incumbentFor: (service, incumbent) =>
       resolveServingVersion(movesByService.get(service) ?? [], incumbent),
-    observe(sample) {
+    recordSample(sample) {
       const activeMove = activeMoveOf(sample.service);
       if (activeMove === undefined || cuts.has(activeMove.move.name)) {
         return;
--- a/packages/orders/src/contracts.ts
+++ b/packages/orders/src/contracts.ts
@@ -35,7 +35,7 @@
   /** True when the reply comes from an earlier execution under the same key. */
   readonly isReplay: boolean;
   /** True when the caller sent no key, so that a retry cannot be recognized. */
-  readonly isUnkeyed: boolean;
+  readonly hasNoKey: boolean;
 }
 
 /**
--- a/packages/orders/src/ledger.ts
+++ b/packages/orders/src/ledger.ts
@@ -1,5 +1,10 @@
 /** Ledger of one process: submission of orders, hand-over, peer messages. */
-import {disposableStore, every, ServingError, sleep} from '@skylarkfield/base';
+import {
+  createDisposableStore,
+  every,
+  ServingError,
+  sleep,
+} from '@skylarkfield/base';
 import type {ClaimOutcome} from '@skylarkfield/protocol';
 import type {Ledger, Order, SubmitResult} from './contracts.js';
 import type {ActiveOrder, OrderRequest} from './activeOrder.js';
@@ -46,7 +51,7 @@
   const store = observeWrites(options.store, observer.onWillWrite);
   const settings = {...defaultLedgerSettings, ...options.settings};
   const instanceId = `${member}#${randomId(random)}`;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   /** Outcomes that the owner of their shard may not have yet. */
   const undeliveredOutcomes = createOutcomeCache();
   /** Outcomes of this process's claims, for shard owners that query them. */
@@ -274,7 +279,7 @@
         'this entry is leaving and accepts no orders',
       );
     }
-    const isUnkeyed = order.key === undefined;
+    const hasNoKey = order.key === undefined;
     const id =
       order.key === undefined
         ? randomId(random)
@@ -292,7 +297,7 @@
       throw addKeyToMessage(result.error, order.key);
     }
     const {reply, isReplay} = result;
-    return {reply, isReplay, isUnkeyed};
+    return {reply, isReplay, hasNoKey};
   }
 
   async function routeOrder(request: OrderRequest, signal: AbortSignal) {
--- a/packages/orders/src/orderRouter.ts
+++ b/packages/orders/src/orderRouter.ts
@@ -45,7 +45,7 @@
 }
 
 /** The part of the inner protocol that the ledger uses. */
-export type OrderNetwork = Pick<PeerNetwork, 'request' | 'onDidReceive'>;
+export type OrderNetwork = Pick<PeerNetwork, 'request' | 'addHandler'>;
 
 export interface OrderRouterOptions {
   readonly network: OrderNetwork;
--- a/packages/orders/src/peerMessages.ts
+++ b/packages/orders/src/peerMessages.ts
@@ -1,5 +1,9 @@
 /** Handlers for the ledger messages of other entries. */
-import {disposableStore, type Clock, type Disposable} from '@skylarkfield/base';
+import {
+  createDisposableStore,
+  type Clock,
+  type Disposable,
+} from '@skylarkfield/base';
 import type {
   ClaimOutcome,
   ForwardAnswer,
@@ -45,7 +49,7 @@
  */
 export function handlePeerMessages(options: PeerMessageOptions): Disposable {
   const {network, clock, member, shards} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   /** Answers to forwarded orders, by the id of the forwarding attempt. */
   const answersByAttempt = new Map<string, Promise<ForwardAnswer>>();
 
@@ -124,21 +128,21 @@
   }
 
   disposables.add(
-    network.onDidReceive('orderForward', (_from, body) => handleForward(body)),
+    network.addHandler('orderForward', (_from, body) => handleForward(body)),
   );
   disposables.add(
-    network.onDidReceive('orderOutcomeWanted', (_from, {id, token}) =>
+    network.addHandler('orderOutcomeWanted', (_from, {id, token}) =>
       options.awaitOutcome(id, token),
     ),
   );
   disposables.add(
-    network.onDidReceive('orderOutcomes', async (_from, body) => {
+    network.addHandler('orderOutcomes', async (_from, body) => {
       await receiveOutcomes(body);
       return true;
     }),
   );
   disposables.add(
-    network.onDidReceive('orderHandOver', async (_from, {shard}) => {
+    network.addHandler('orderHandOver', async (_from, {shard}) => {
       if (!options.isLeaving()) {
         await shards[shard]?.acquire().catch(() => undefined);
       }
--- a/packages/orders/src/shard.ts
+++ b/packages/orders/src/shard.ts
@@ -115,7 +115,9 @@
   }
 
   function logDecision(what: string, why: string): void {
-    options.decisions?.note('orders', shardName(index), what, why, {epoch});
+    options.decisions?.recordDecision('orders', shardName(index), what, why, {
+      epoch,
+    });
   }
 
   function beginEpoch(nextEpoch: number): ShardRecord {
--- a/packages/orders/src/test/cluster.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -8,7 +8,7 @@
   ServingError,
   sleep,
   toServingError,
-  virtualClock,
+  createVirtualClock,
   type Clock,
   type RunState,
 } from '@skylarkfield/base';
@@ -73,7 +73,7 @@
 }
 
 export interface Cluster {
-  readonly clock: ReturnType<typeof virtualClock>;
+  readonly clock: ReturnType<typeof createVirtualClock>;
   readonly platform: ReturnType<typeof createMemoryPlatform>;
   readonly network: ReturnType<typeof createSimulatedNetwork>;
   readonly entries: Map<string, Entry>;
@@ -120,7 +120,7 @@
   seed: number,
   settings: Partial<LedgerSettings> = {},
 ): Cluster {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(seed);
   const platform = createMemoryPlatform({clock, random});
   platform.faults.setDelay(4);
@@ -174,7 +174,7 @@
   function start(id: string): Entry {
     crash(id);
     const process = createProcess(id, clock);
-    const client = platform.client(id);
+    const client = platform.createClient(id);
     const suspects = new Set<string>();
     const visibleEntries = () =>
       [...entries.values()].filter(
--- a/packages/orders/src/test/handOver.test.ts
+++ b/packages/orders/src/test/handOver.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import {createHandOver} from '../handOver.js';
 import type {Shard} from '../shardContracts.js';
 
@@ -11,13 +11,13 @@
     // treat every shard as never owned and run its orders again.
     const bodies: unknown[] = [];
     const handOver = createHandOver({
-      clock: virtualClock(),
+      clock: createVirtualClock(),
       network: {
         request: (_to, _type, body) => {
           bodies.push(body);
           return Promise.resolve(true);
         },
-        onDidReceive: () => ({dispose() {}}),
+        addHandler: () => ({dispose() {}}),
       },
       successors: () => ['b'],
       maxBodyBytes: 0,
--- a/packages/orders/src/test/simulatedProcess.ts
+++ b/packages/orders/src/test/simulatedProcess.ts
@@ -194,7 +194,7 @@
   function connect(process: SimulatedProcess): OrderNetwork {
     processes.set(process.id, process);
     return {
-      onDidReceive(type, handler) {
+      addHandler(type, handler) {
         process.handlers.set(type, handler as unknown as Handler);
         return toDisposable(() => process.handlers.delete(type));
       },
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -60,7 +60,7 @@
         return false;
       }
       // A peer that does not read would let the send buffer grow without bound.
-      if (socket.bufferedAmount > limits.bufferedBytes) {
+      if (socket.bufferedAmount > limits.maxBufferedBytes) {
         socket.terminate();
         return false;
       }
@@ -98,23 +98,23 @@
     const now = clock.now();
     // A late check means that this process was paused, not that the peer was
     // silent.
-    if (now - lastCheckAt > 2 * limits.pingMs) {
+    if (now - lastCheckAt > 2 * limits.pingIntervalMs) {
       lastReceivedAt = now;
     }
     lastCheckAt = now;
-    if (now - lastReceivedAt > limits.silenceMs) {
+    if (now - lastReceivedAt > limits.silenceTimeoutMs) {
       socket.terminate();
       return;
     }
     if (
-      now - lastReceivedAt >= limits.pingMs &&
+      now - lastReceivedAt >= limits.pingIntervalMs &&
       socket.readyState === socket.OPEN
     ) {
       socket.ping();
     }
   }
 
-  const livenessCheck = every(clock, limits.pingMs, checkLiveness);
+  const livenessCheck = every(clock, limits.pingIntervalMs, checkLiveness);
   const closeCleanup = toDisposable(() => {
     livenessCheck.dispose();
     options.onClose(connection);
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -92,7 +92,7 @@
     timeoutMs: number,
   ): Promise<unknown>;
   /** Handles messages of a type; the result is the response to a `request`. */
-  onDidReceive<T extends MessageType>(
+  addHandler<T extends MessageType>(
     type: T,
     handler: (from: string, body: Messages[T]) => unknown,
   ): Disposable;
--- a/packages/protocol/src/handshakes.ts
+++ b/packages/protocol/src/handshakes.ts
@@ -17,7 +17,7 @@
   readonly expectedId: string | undefined;
 }
 
-/** Inbound and outbound handshakes of one entry. */
+/** Inbound and outbound maxHandshakes of one entry. */
 export interface Handshakes extends Disposable {
   /** Starts the handshake on a socket that this process opened. */
   dial(
@@ -27,16 +27,16 @@
   ): void;
   /** Starts the handshake on a socket that the peer opened. */
   accept(socket: WebSocket): void;
-  /** Number of handshakes in progress. */
+  /** Number of maxHandshakes in progress. */
   count(): number;
 }
 
 /**
- * Creates the handshakes of one entry.
+ * Creates the maxHandshakes of one entry.
  *
  * @example
- * const handshakes = createHandshakes({self, key, clock, log, ...rest});
- * handshakes.dial(socket, 'b', connection => use(connection));
+ * const maxHandshakes = createHandshakes({self, key, clock, log, ...rest});
+ * maxHandshakes.dial(socket, 'b', connection => use(connection));
  */
 export function createHandshakes(options: {
   readonly self: {readonly id: string; readonly incarnation: number};
--- a/packages/protocol/src/innerListener.ts
+++ b/packages/protocol/src/innerListener.ts
@@ -32,7 +32,7 @@
   readonly tls?: TlsWatcher;
   readonly limits: NetworkLimits;
   readonly log: Logger;
-  /** Number of handshakes in progress. */
+  /** Number of maxHandshakes in progress. */
   handshakeCount(): number;
   onSocket(socket: WebSocket): void;
   onReject(reason: string): void;
@@ -40,15 +40,15 @@
   const {limits, tls} = options;
   // By default, Node checks for timed-out requests only every 30 s.
   const timeouts = {
-    headersTimeout: limits.handshakeMs,
-    requestTimeout: limits.handshakeMs,
-    connectionsCheckingInterval: limits.handshakeMs,
+    headersTimeout: limits.handshakeTimeoutMs,
+    requestTimeout: limits.handshakeTimeoutMs,
+    connectionsCheckingInterval: limits.handshakeTimeoutMs,
   };
   const server = tls
     ? https.createServer({
         ...timeouts,
         ...tls.current(),
-        handshakeTimeout: limits.handshakeMs,
+        handshakeTimeout: limits.handshakeTimeoutMs,
         // Mutual TLS: the certificates of both sides must be issued by `ca`.
         requestCert: true,
         minVersion: 'TLSv1.2',
@@ -59,7 +59,7 @@
   );
   const webSocketServer = new WebSocketServer({
     noServer: true,
-    maxPayload: limits.messageBytes,
+    maxPayload: limits.maxMessageBytes,
     perMessageDeflate: false,
   });
   server.on('request', (_, response) => {
@@ -77,7 +77,7 @@
     if (request.url !== PEER_PATH) {
       return '404 Not Found';
     }
-    if (options.handshakeCount() >= limits.handshakes) {
+    if (options.handshakeCount() >= limits.maxHandshakes) {
       return '503 Service Unavailable';
     }
     return undefined;
--- a/packages/protocol/src/innerTls.ts
+++ b/packages/protocol/src/innerTls.ts
@@ -2,7 +2,7 @@
 import {readFile, stat} from 'node:fs/promises';
 import {
   ServingError,
-  emitter,
+  createEmitter,
   every,
   type Clock,
   type Disposable,
@@ -48,7 +48,7 @@
   readonly checkIntervalMs?: number;
 }): Promise<TlsWatcher> {
   const {paths, clock, log} = options;
-  const renewalEmitter = emitter<TlsMaterial>();
+  const renewalEmitter = createEmitter<TlsMaterial>();
   let fingerprint = await readFingerprint(paths);
   let material = await readMaterial(paths);
 
--- a/packages/protocol/src/limits.ts
+++ b/packages/protocol/src/limits.ts
@@ -1,34 +1,34 @@
-/** Limits on the resources that a faulty or hostile peer can consume. */
+/** Limits on the resources that a faulty or hostile peer can consumeToken. */
 
 export interface NetworkLimits {
   /** Maximum size of a message in either direction, in bytes. */
-  readonly messageBytes: number;
+  readonly maxMessageBytes: number;
   /** Maximum average rate of received messages per connection. */
   readonly messagesPerSecond: number;
   /** Size of the token bucket for message bursts, in messages. */
   readonly messageBurst: number;
   /** Send buffer size above which a slow peer is disconnected, in bytes. */
-  readonly bufferedBytes: number;
-  /** Maximum number of handshakes in progress. */
-  readonly handshakes: number;
+  readonly maxBufferedBytes: number;
+  /** Maximum number of maxHandshakes in progress. */
+  readonly maxHandshakes: number;
   /** Time limit for connecting and the hello, in milliseconds. */
-  readonly handshakeMs: number;
+  readonly handshakeTimeoutMs: number;
   /** Time without received data after which a ping is sent, in milliseconds. */
-  readonly pingMs: number;
+  readonly pingIntervalMs: number;
   /** Time without received data before a disconnect, in milliseconds. */
-  readonly silenceMs: number;
+  readonly silenceTimeoutMs: number;
   /** Idle time before an on-demand connection closes, in milliseconds. */
-  readonly idleMs: number;
+  readonly idleTimeoutMs: number;
 }
 
-export const DEFAULT_LIMITS: NetworkLimits = {
-  messageBytes: 4 * 1024 * 1024,
+export const DEFAULT_NETWORK_LIMITS: NetworkLimits = {
+  maxMessageBytes: 4 * 1024 * 1024,
   messagesPerSecond: 5_000,
   messageBurst: 20_000,
-  bufferedBytes: 16 * 1024 * 1024,
-  handshakes: 64,
-  handshakeMs: 3_000,
-  pingMs: 5_000,
-  silenceMs: 15_000,
-  idleMs: 60_000,
+  maxBufferedBytes: 16 * 1024 * 1024,
+  maxHandshakes: 64,
+  handshakeTimeoutMs: 3_000,
+  pingIntervalMs: 5_000,
+  silenceTimeoutMs: 15_000,
+  idleTimeoutMs: 60_000,
 };
--- a/packages/protocol/src/memoryNetwork.ts
+++ b/packages/protocol/src/memoryNetwork.ts
@@ -4,8 +4,8 @@
  * benchmarks.
  */
 import {
-  emitter,
-  silentLogger,
+  createEmitter,
+  createSilentLogger,
   toDisposable,
   type Clock,
   type Logger,
@@ -48,7 +48,7 @@
   readonly connectedIds: Set<string>;
   readonly deferredActions: (() => void)[];
   readonly peerChangeEmitter: ReturnType<
-    typeof emitter<{peer: string; isOpen: boolean}>
+    typeof createEmitter<{peer: string; isOpen: boolean}>
   >;
   isPaused: boolean;
   isAlive: boolean;
@@ -63,7 +63,7 @@
  * Creates an empty network of simulated processes.
  *
  * @example
- * const net = createMemoryNetwork({clock: virtualClock(), random: seededRandom(1)});
+ * const net = createMemoryNetwork({clock: createVirtualClock(), random: seededRandom(1)});
  * const {network, clock} = net.start('a');
  */
 export function createMemoryNetwork(options: {
@@ -236,7 +236,7 @@
         dispatcher.request(to, type, body, timeoutMs, bytes =>
           sendBytes(to, bytes),
         ),
-      onDidReceive: (type, handler) =>
+      addHandler: (type, handler) =>
         dispatcher.addHandler(
           type,
           handler as (from: string, body: unknown) => unknown,
@@ -279,14 +279,14 @@
         id,
         connectedIds: new Set<string>(),
         deferredActions: [],
-        peerChangeEmitter: emitter<{peer: string; isOpen: boolean}>(),
+        peerChangeEmitter: createEmitter<{peer: string; isOpen: boolean}>(),
         isPaused: false,
         isAlive: true,
       } as Omit<SimulatedProcess, 'dispatcher'> as SimulatedProcess;
       const processClock = createProcessClock(process);
       const dispatcher = createDispatcher({
         clock: processClock,
-        log: options.log ?? silentLogger(),
+        log: options.log ?? createSilentLogger(),
       });
       Object.assign(process, {dispatcher});
       processes.set(id, process);
--- a/packages/protocol/src/peerNetwork.ts
+++ b/packages/protocol/src/peerNetwork.ts
@@ -1,8 +1,8 @@
 /** Network between entries over WebSockets. */
 import type {WebSocket} from 'ws';
 import {
-  disposableStore,
-  emitter,
+  createDisposableStore,
+  createEmitter,
   every,
   type Clock,
   type Logger,
@@ -15,7 +15,7 @@
 import {createHandshakes} from './handshakes.js';
 import {listenForPeers} from './innerListener.js';
 import type {TlsWatcher} from './innerTls.js';
-import {DEFAULT_LIMITS, type NetworkLimits} from './limits.js';
+import {DEFAULT_NETWORK_LIMITS, type NetworkLimits} from './limits.js';
 import type {PeerLink} from './peerLink.js';
 import {createPeerLinks} from './peerLinks.js';
 import {openPeerSocket} from './peerSocket.js';
@@ -48,18 +48,18 @@
   readonly limits?: Partial<NetworkLimits>;
 }): ListeningNetwork {
   const {self, clock, random, log, key, tls} = options;
-  const limits = {...DEFAULT_LIMITS, ...options.limits};
+  const limits = {...DEFAULT_NETWORK_LIMITS, ...options.limits};
   const dispatcher = createDispatcher({clock, log});
   const connections = new Map<string, Connection>();
-  const peerChangeEmitter = emitter<{peer: string; isOpen: boolean}>();
-  const dialFailureEmitter = emitter<string>();
-  const disposables = disposableStore();
+  const peerChangeEmitter = createEmitter<{peer: string; isOpen: boolean}>();
+  const dialFailureEmitter = createEmitter<string>();
+  const disposables = createDisposableStore();
   const handshakes = createHandshakes({
     self,
     key,
     clock,
     log,
-    timeoutMs: limits.handshakeMs,
+    timeoutMs: limits.handshakeTimeoutMs,
     adopt,
     onReject: () => dispatcher.countRejected(),
   });
@@ -154,8 +154,8 @@
     for (const connection of connections.values()) {
       const isWanted = links.get(connection.peer)?.isWanted === true;
       const idleLimitMs = connection.isOutbound
-        ? limits.idleMs
-        : 2 * limits.idleMs;
+        ? limits.idleTimeoutMs
+        : 2 * limits.idleTimeoutMs;
       if (!isWanted && now - connection.lastMessageAt() > idleLimitMs) {
         connection.dispose();
       }
@@ -204,7 +204,7 @@
     return false;
   }
 
-  disposables.add(every(clock, limits.idleMs, closeIdleConnections));
+  disposables.add(every(clock, limits.idleTimeoutMs, closeIdleConnections));
 
   return {
     async listen({host, port}) {
@@ -269,7 +269,7 @@
         connections.get(to),
       );
     },
-    onDidReceive: (type, handler) =>
+    addHandler: (type, handler) =>
       dispatcher.addHandler(
         type,
         handler as (from: string, body: unknown) => unknown,
--- a/packages/protocol/src/peerSocket.ts
+++ b/packages/protocol/src/peerSocket.ts
@@ -23,8 +23,8 @@
   try {
     return new WebSocket(new URL(PEER_PATH, url), {
       headers: {authorization: `Bearer ${key}`},
-      handshakeTimeout: limits.handshakeMs,
-      maxPayload: limits.messageBytes,
+      handshakeTimeout: limits.handshakeTimeoutMs,
+      maxPayload: limits.maxMessageBytes,
       perMessageDeflate: false,
       ...tls?.current(),
     });
--- a/packages/protocol/src/test/compatibility.test.ts
+++ b/packages/protocol/src/test/compatibility.test.ts
@@ -159,7 +159,7 @@
       encodeHello(PROTOCOL_VERSION, {unknownField: true}),
     );
     const receivedBodies: object[] = [];
-    const subscription = a.network.onDidReceive('memberWord', (_, body) => {
+    const subscription = a.network.addHandler('memberWord', (_, body) => {
       receivedBodies.push(body);
       return {heardAgoMs: 5};
     });
--- a/packages/protocol/src/test/hostileInput.test.ts
+++ b/packages/protocol/src/test/hostileInput.test.ts
@@ -9,11 +9,11 @@
 import {until} from './until.js';
 
 const LIMITS = {
-  messageBytes: 10_000,
+  maxMessageBytes: 10_000,
   messagesPerSecond: 100,
   messageBurst: 200,
-  handshakes: 4,
-  handshakeMs: 300,
+  maxHandshakes: 4,
+  handshakeTimeoutMs: 300,
 };
 
 function encodeHello(body: object): Buffer {
@@ -164,7 +164,7 @@
       'all handshakes got a response',
     );
     const {handshakes} = a.network.dump() as {handshakes: number};
-    assert.ok(handshakes <= LIMITS.handshakes);
+    assert.ok(handshakes <= LIMITS.maxHandshakes);
     await until(
       () => sockets.every(socket => socket.readyState === WebSocket.CLOSED),
       'all sockets are closed',
--- a/packages/protocol/src/test/innerTls.test.ts
+++ b/packages/protocol/src/test/innerTls.test.ts
@@ -5,7 +5,7 @@
 import tls from 'node:tls';
 import {fileURLToPath} from 'node:url';
 import {afterEach, describe, it} from 'node:test';
-import {silentLogger, systemClock} from '@skylarkfield/base';
+import {createSilentLogger, systemClock} from '@skylarkfield/base';
 import {watchTls, type TlsWatcher} from '../index.js';
 import {startPeer, type TestPeer} from './peers.js';
 import {until} from './until.js';
@@ -44,7 +44,9 @@
         ca: join(folder, 'ca.pem'),
       },
       clock: systemClock(),
-      log: Object.assign(silentLogger(), {warn: () => (warningCount += 1)}),
+      log: Object.assign(createSilentLogger(), {
+        warn: () => (warningCount += 1),
+      }),
       checkIntervalMs: CHECK_INTERVAL_MS,
     });
     cleanups.push(() => watcher.dispose());
--- a/packages/protocol/src/test/peerNetwork.test.ts
+++ b/packages/protocol/src/test/peerNetwork.test.ts
@@ -33,7 +33,7 @@
 
   it('carries messages and responses in both directions', async () => {
     const {a, b} = await startPair();
-    b.network.onDidReceive('recordsWanted', (from, body) => ({
+    b.network.addHandler('recordsWanted', (from, body) => ({
       from,
       known: body.known.length,
     }));
@@ -45,7 +45,7 @@
     );
     assert.deepEqual(response, {from: 'a', known: 0});
     const received: string[] = [];
-    a.network.onDidReceive('moveCut', (from, body) => {
+    a.network.addHandler('moveCut', (from, body) => {
       received.push(`${from}: ${body.why}`);
     });
     assert.ok(b.network.send('a', 'moveCut', {move: 'm', why: 'slow'}));
@@ -55,7 +55,7 @@
 
   it('returns the kind and run state of a failed handler', async () => {
     const {a, b} = await startPair();
-    b.network.onDidReceive('recordsWanted', () => {
+    b.network.addHandler('recordsWanted', () => {
       throw new ServingError('overloaded', 'busy');
     });
     const response = a.network.request(
@@ -71,10 +71,7 @@
     // A component of the peer was closed, for example during a shutdown. An
     // empty response would be taken for a valid result of that component.
     const {a, b} = await startPair();
-    const subscription = b.network.onDidReceive(
-      'recordsWanted',
-      () => 'records',
-    );
+    const subscription = b.network.addHandler('recordsWanted', () => 'records');
     subscription.dispose();
     const response = a.network.request(
       'b',
@@ -94,7 +91,7 @@
     // whether the request ran, and must not report to a caller that the request
     // did not run.
     const {a, b} = await startPair();
-    b.network.onDidReceive('recordsWanted', () => new Promise(() => {}));
+    b.network.addHandler('recordsWanted', () => new Promise(() => {}));
     const response = a.network.request('b', 'recordsWanted', {known: []}, 50);
     await assert.rejects(response, {
       kind: 'deadline-exceeded',
@@ -107,7 +104,7 @@
     // listens on the same address shortly after.
     const {a, b} = await startPair();
     const port = Number(new URL(b.address.url).port);
-    b.network.onDidReceive('recordsWanted', () => new Promise(() => {}));
+    b.network.addHandler('recordsWanted', () => new Promise(() => {}));
     const response = a.network.request(
       'b',
       'recordsWanted',
@@ -125,7 +122,7 @@
     const a = await startPeer('a');
     const b = await startPeer('b');
     openNetworks.push(a.network, b.network);
-    b.network.onDidReceive('recordsWanted', () => 'here');
+    b.network.addHandler('recordsWanted', () => 'here');
     a.network.setAddressBook([b.address]);
     assert.deepEqual(a.network.connectedPeers(), []);
     const response = await a.network.request(
--- a/packages/protocol/src/test/peers.ts
+++ b/packages/protocol/src/test/peers.ts
@@ -1,5 +1,9 @@
 /** Peer networks over real loopback sockets. */
-import {seededRandom, silentLogger, systemClock} from '@skylarkfield/base';
+import {
+  seededRandom,
+  createSilentLogger,
+  systemClock,
+} from '@skylarkfield/base';
 import {
   createPeerNetwork,
   type ListeningNetwork,
@@ -28,7 +32,7 @@
     self: {id, incarnation: 1},
     clock: systemClock(),
     random: seededRandom(1),
-    log: silentLogger(),
+    log: createSilentLogger(),
     key: KEY,
     ...options,
   });
--- a/packages/providers/src/circuitBreaker.ts
+++ b/packages/providers/src/circuitBreaker.ts
@@ -6,7 +6,7 @@
  */
 import {createMachine, interpret, state, transition} from 'robot3';
 import {
-  emitter,
+  createEmitter,
   ServingError,
   toDisposable,
   type Clock,
@@ -49,7 +49,7 @@
   readonly probe: () => void;
 }): CircuitBreaker {
   const {clock, random} = options;
-  const changeEmitter = emitter<PlatformState>();
+  const changeEmitter = createEmitter<PlatformState>();
   const breakerMachine = createMachine({
     up: state(transition('failed', 'doubtful')),
     doubtful: state(
--- a/packages/providers/src/contracts.ts
+++ b/packages/providers/src/contracts.ts
@@ -123,8 +123,8 @@
  * `outcome-unknown` (the reply to a start or stop was lost).
  */
 export interface Cloud {
-  offers(signal?: AbortSignal): Promise<readonly Offer[]>;
-  hosts(signal?: AbortSignal): Promise<readonly Host[]>;
+  listOffers(signal?: AbortSignal): Promise<readonly Offer[]>;
+  listHosts(signal?: AbortSignal): Promise<readonly Host[]>;
   /** Starts a host; idempotent per client token. */
   start(
     request: {
--- a/packages/providers/src/httpCalls.ts
+++ b/packages/providers/src/httpCalls.ts
@@ -15,7 +15,7 @@
   readonly headers?: Record<string, string>;
   readonly body?: string;
   /** Whether an interrupted request may have changed state at the server. */
-  readonly hasEffect: boolean;
+  readonly isWrite: boolean;
   readonly signal?: AbortSignal;
 }
 
@@ -49,7 +49,7 @@
  *
  * @example
  * const client = createHttpClient('http://10.0.0.2:7000');
- * const response = await client.send({method: 'GET', path: '/cloud/offers', hasEffect: false});
+ * const response = await client.send({method: 'GET', path: '/cloud/offers', isWrite: false});
  */
 export function createHttpClient(url: string): HttpClient {
   // No timeouts: callers set deadlines, and a watch may be idle indefinitely.
@@ -63,7 +63,7 @@
   const pathPrefix = pathname.replace(/\/$/, '');
 
   return {
-    async send({method, path, headers, body, hasEffect, signal}) {
+    async send({method, path, headers, body, isWrite, signal}) {
       try {
         const response = await dispatcher.request({
           origin,
@@ -76,7 +76,7 @@
         const text = await response.body.text();
         return {status: response.statusCode, headers: response.headers, text};
       } catch (error) {
-        throw transportError(error, hasEffect);
+        throw transportError(error, isWrite);
       }
     },
     stream(path, listener) {
@@ -130,11 +130,11 @@
   }
 }
 
-function transportError(error: unknown, hasEffect: boolean): ServingError {
+function transportError(error: unknown, isWrite: boolean): ServingError {
   const code = (error as {code?: string}).code ?? '';
   const isUnsent = CONNECT_ERROR_CODES.has(code);
   const message = error instanceof Error ? error.message : String(error);
-  if (isUnsent || !hasEffect) {
+  if (isUnsent || !isWrite) {
     return new ServingError('platform-unavailable', message, {cause: error});
   }
   return new ServingError('outcome-unknown', message, {cause: error});
@@ -152,7 +152,7 @@
 export function checkStatus(
   response: HttpResponse,
   expectedStatuses: readonly number[],
-  hasEffect: boolean,
+  isWrite: boolean,
 ): void {
   if (expectedStatuses.includes(response.status)) {
     return;
@@ -171,7 +171,7 @@
   }
   if (response.status >= 500) {
     throw new ServingError(
-      hasEffect ? 'outcome-unknown' : 'platform-unavailable',
+      isWrite ? 'outcome-unknown' : 'platform-unavailable',
       message,
     );
   }
--- a/packages/providers/src/httpCloud.ts
+++ b/packages/providers/src/httpCloud.ts
@@ -41,7 +41,7 @@
  *
  * @example
  * const cloud = createHttpCloud({url: 'http://10.0.0.2:7000'});
- * const offers = await cloud.offers();
+ * const offers = await cloud.listOffers();
  */
 export function createHttpCloud(options: {
   readonly url: string;
@@ -62,14 +62,14 @@
         signal: request.signal,
         onTimeout: () =>
           new ServingError(
-            request.hasEffect ? 'outcome-unknown' : 'platform-unavailable',
+            request.isWrite ? 'outcome-unknown' : 'platform-unavailable',
             'the cloud API did not respond before the deadline',
           ),
         onCancel: () => new ServingError('cancelled', 'the call was cancelled'),
       },
       signal => client.send({...request, signal}),
     );
-    checkStatus(response, [200, 204, 404], request.hasEffect);
+    checkStatus(response, [200, 204, 404], request.isWrite);
     const value = parseJson(
       response.text || 'null',
       'protocol-violation',
@@ -79,18 +79,18 @@
   }
 
   return {
-    offers: signal =>
+    listOffers: signal =>
       call(z.array(offerSchema), {
         method: 'GET',
         path: '/cloud/offers',
-        hasEffect: false,
+        isWrite: false,
         signal,
       }),
-    hosts: signal =>
+    listHosts: signal =>
       call(z.array(hostSchema), {
         method: 'GET',
         path: '/cloud/hosts',
-        hasEffect: false,
+        isWrite: false,
         signal,
       }),
     async start(request, signal) {
@@ -99,7 +99,7 @@
           method: 'POST',
           path: '/cloud/hosts',
           body: JSON.stringify(request),
-          hasEffect: true,
+          isWrite: true,
           signal,
         });
       try {
@@ -115,7 +115,7 @@
       await call(z.unknown(), {
         method: 'DELETE',
         path: `/cloud/hosts/${encodeURIComponent(host)}`,
-        hasEffect: true,
+        isWrite: true,
         signal,
       });
     },
--- a/packages/providers/src/httpObjectStore.ts
+++ b/packages/providers/src/httpObjectStore.ts
@@ -89,7 +89,7 @@
       const response = await client.send({
         method: 'GET',
         path: objectPath(kind, name),
-        hasEffect: false,
+        isWrite: false,
         signal,
       });
       checkStatus(response, [200, 404], false);
@@ -102,7 +102,7 @@
       const response = await client.send({
         method: 'GET',
         path: `/objects/${encodeURIComponent(kind)}`,
-        hasEffect: false,
+        isWrite: false,
         signal,
       });
       checkStatus(response, [200], false);
@@ -120,7 +120,7 @@
         path: objectPath(write.kind, write.name),
         headers: writeHeaders(write),
         body,
-        hasEffect: true,
+        isWrite: true,
         signal,
       });
       checkStatus(response, [200, 201], true);
@@ -133,7 +133,7 @@
         method: 'DELETE',
         path: objectPath(write.kind, write.name),
         headers: writeHeaders(write),
-        hasEffect: true,
+        isWrite: true,
         signal,
       });
       checkStatus(response, [200, 204, 404], true);
--- a/packages/providers/src/httpWeightStore.ts
+++ b/packages/providers/src/httpWeightStore.ts
@@ -47,7 +47,7 @@
             method: 'POST',
             path: '/weights/reservations',
             body: JSON.stringify({weights, host}),
-            hasEffect: true,
+            isWrite: true,
             signal: callSignal,
           }),
       );
--- a/packages/providers/src/memoryPlatform.ts
+++ b/packages/providers/src/memoryPlatform.ts
@@ -33,9 +33,9 @@
   /** Loses the replies of the next `count` writes, which take effect. */
   loseReplies(count: number): void;
   /** While rejecting, ends open watches and rejects new watches. */
-  rejectWatches(isRejecting: boolean): void;
+  setRejectingWatches(isRejecting: boolean): void;
   /** While stalled, watches stay open without events, as on a dead link. */
-  stallWatches(isStalled: boolean): void;
+  setStallingWatches(isStalled: boolean): void;
 }
 
 /** Number of calls by all clients. */
@@ -52,7 +52,7 @@
   readonly table: ObjectTable;
   readonly faults: ObjectFaultControls;
   /** Creates a client, which simulates a separate process. */
-  client(name: string, settings?: MemoryClientSettings): MemoryClient;
+  createClient(name: string, settings?: MemoryClientSettings): MemoryClient;
   callCounts(): PlatformCallCounts;
 }
 
@@ -92,8 +92,8 @@
  * Creates a platform whose clients run on the given clock.
  *
  * @example
- * const platform = createMemoryPlatform({clock: virtualClock()});
- * const store = platform.client('a1');
+ * const platform = createMemoryPlatform({clock: createVirtualClock()});
+ * const store = platform.createClient('a1');
  * platform.faults.setDown(true);
  */
 export function createMemoryPlatform(options: {
@@ -239,7 +239,7 @@
   return {
     table,
     faults: createFaultControls(platformFaults, endWatches),
-    client(name, settings = {}) {
+    createClient(name, settings = {}) {
       clientCount += 1;
       const clientFaults = createFaultState();
       const processClock = settings.clock ?? clock;
@@ -260,13 +260,13 @@
  * Creates the only client of a new memory platform.
  *
  * @example
- * const store = createMemoryObjectStore({clock: virtualClock()});
+ * const store = createMemoryObjectStore({clock: createVirtualClock()});
  */
 export function createMemoryObjectStore(options: {
   readonly clock: Clock;
   readonly random?: Random;
 }): MemoryClient {
-  return createMemoryPlatform(options).client('only');
+  return createMemoryPlatform(options).createClient('only');
 }
 
 function createFaultState(): FaultState {
@@ -294,11 +294,11 @@
     loseReplies(count) {
       faults.repliesToLose = count;
     },
-    rejectWatches(isRejecting) {
+    setRejectingWatches(isRejecting) {
       faults.isRejectingWatches = isRejecting;
       endWatches();
     },
-    stallWatches(isStalled) {
+    setStallingWatches(isStalled) {
       faults.isStalled = isStalled;
     },
   };
--- a/packages/providers/src/objectStore.ts
+++ b/packages/providers/src/objectStore.ts
@@ -1,6 +1,6 @@
 /** Client of the object API over any transport. */
 import {
-  emitter,
+  createEmitter,
   toDisposable,
   type Clock,
   type Random,
@@ -97,7 +97,7 @@
     writeDeadlineMs: options.writeDeadlineMs ?? DEFAULT_WRITE_DEADLINE_MS,
     seenVersion: () => seenVersion,
   });
-  const stateEmitter = emitter<'up' | 'doubtful' | 'down'>();
+  const stateEmitter = createEmitter<'up' | 'doubtful' | 'down'>();
   const watches = new Set<WatchLoop>();
   let writeCount = 0;
   /** Highest store version seen; later writes are in the history after it. */
--- a/packages/providers/src/objectTable.ts
+++ b/packages/providers/src/objectTable.ts
@@ -4,7 +4,7 @@
  * their objects in this table, so that tests see the same semantics in both.
  */
 import {
-  emitter,
+  createEmitter,
   ServingError,
   type Disposable,
   type Event,
@@ -72,7 +72,7 @@
   historyLimit = DEFAULT_HISTORY_LIMIT,
 ): ObjectTable {
   const kinds = new Map<string, Map<string, StoredObject>>();
-  const changeEmitter = emitter<ObjectChange>();
+  const changeEmitter = createEmitter<ObjectChange>();
   let history: ObjectChange[] = [];
   let version = 0;
   let compactedVersion = 0;
--- a/packages/providers/src/reconnectingStream.ts
+++ b/packages/providers/src/reconnectingStream.ts
@@ -1,6 +1,6 @@
 /** Stream of JSON lines that reconnects with jittered exponential backoff. */
 import {
-  disposableStore,
+  createDisposableStore,
   toDisposable,
   type Clock,
   type Disposable,
@@ -27,7 +27,7 @@
   readonly onDidLine: (value: unknown) => void;
 }): Disposable {
   const {client, clock, random, path} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   let stream: Disposable = toDisposable(() => {});
   let reconnectTimer: Disposable = toDisposable(() => {});
   let attempts = 0;
--- a/packages/providers/src/test/objectStore.test.ts
+++ b/packages/providers/src/test/objectStore.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {isServingError, seededRandom, virtualClock} from '@skylarkfield/base';
+import {
+  isServingError,
+  seededRandom,
+  createVirtualClock,
+} from '@skylarkfield/base';
 import {createCallRateLimiter} from '../callRateLimiter.js';
 import {createMemoryPlatform} from '../memoryPlatform.js';
 
@@ -14,19 +18,19 @@
   // A connection that dies without being closed delivers no more events, so the
   // watcher misses all changes until the watch is reopened.
   it('reopens a watch that delivers no events for the idle timeout', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock});
-    const store = platform.client('a');
+    const store = platform.createClient('a');
     const received: unknown[] = [];
     store.watch('thing', {
       ...noopListener,
       onDidPut: object => received.push(object.value),
     });
     await clock.advance(100);
-    store.faults.stallWatches(true);
-    await platform.client('b').put('thing', 'x', 1, {type: 'any'});
+    store.faults.setStallingWatches(true);
+    await platform.createClient('b').put('thing', 'x', 1, {type: 'any'});
     await clock.advance(1000);
-    store.faults.stallWatches(false);
+    store.faults.setStallingWatches(false);
     assert.deepEqual(received, []);
     await clock.advance(20_000);
     assert.deepEqual(received, [1]);
@@ -35,12 +39,12 @@
   // When the platform recovers and every entry reopens its watches at the same
   // moment, the watch calls alone can overload the platform again.
   it('spreads reconnects over time when the platform recovers', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(9)});
     const clientCount = 50;
     for (let index = 0; index < clientCount; index++) {
       platform
-        .client(`e${index}`, {liveEntries: clientCount})
+        .createClient(`e${index}`, {liveEntries: clientCount})
         .watch('thing', noopListener);
     }
     await clock.advance(1000);
@@ -66,7 +70,7 @@
 
   // A process's share of the platform's rate limit depends on the fleet size.
   it('limits calls to the share of the process in the rate limit', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const rateLimiter = createCallRateLimiter(clock, {
       platformCallsPerSecond: 100,
       liveEntries: 10,
@@ -104,7 +108,7 @@
   });
 
   it('rejects a call at once that would wait past its deadline', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const rateLimiter = createCallRateLimiter(clock, {
       platformCallsPerSecond: 1,
       liveEntries: 1,
--- a/packages/providers/src/watchLoop.ts
+++ b/packages/providers/src/watchLoop.ts
@@ -9,7 +9,7 @@
  */
 import {createMachine, interpret, state, transition} from 'robot3';
 import {
-  disposableStore,
+  createDisposableStore,
   toDisposable,
   type Clock,
   type Disposable,
@@ -55,7 +55,7 @@
 export function startWatch(options: WatchLoopOptions): WatchLoop {
   const {kind, clock, random, transport, listener} = options;
   const interpreter = interpret(createWatchStateMachine(), () => {});
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   let timer: Disposable = toDisposable(() => {});
   let watch: Disposable = toDisposable(() => {});
   let resumeVersion: number | undefined;
--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -7,7 +7,7 @@
  * acceptors that race or resume after a pause cannot revert an accepted change.
  */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   isServingError,
   sleep,
@@ -86,7 +86,7 @@
   options: AcceptanceControllerOptions,
 ): AcceptanceController {
   const {clock, random, store, log, decisions} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const abortController = new AbortController();
   const dirtyKeys = new Set<string>();
   let isProcessing = false;
@@ -223,7 +223,7 @@
       abortController.signal,
     );
     cache.updateAccepted(key, writtenObject);
-    decisions?.note(
+    decisions?.recordDecision(
       'records',
       key,
       object.isRemoved ? 'remove' : 'accept',
@@ -252,7 +252,7 @@
     });
     if (isWritten) {
       const reasons = faults.map(fault => `${fault.path}: ${fault.expected}`);
-      decisions?.note('records', key, 'refuse', reasons.join('; '));
+      decisions?.recordDecision('records', key, 'refuse', reasons.join('; '));
     }
   }
 
--- a/packages/records/src/configuration.ts
+++ b/packages/records/src/configuration.ts
@@ -4,8 +4,8 @@
  * never decreases.
  */
 import {
-  disposableStore,
-  emitter,
+  createDisposableStore,
+  createEmitter,
   every,
   toDisposable,
   type Clock,
@@ -84,8 +84,8 @@
 ): ConfigurationClient {
   const {clock, random, store, network, self, members, log} = options;
   const table = createRecordTable();
-  const changeEmitter = emitter<{kind: RecordKind; name: string}>();
-  const disposables = disposableStore();
+  const changeEmitter = createEmitter<{kind: RecordKind; name: string}>();
+  const disposables = createDisposableStore();
   let readyFrom: ConfigurationDump['readyFrom'] = 'nowhere';
   let watch: Disposable | undefined;
   let isPulling = false;
