--- a/packages/records/src/recordCache.ts
+++ b/packages/records/src/recordCache.ts
@@ -2,7 +2,7 @@
  * Cache of the records that operators wrote and of their accepted forms, kept
  * up to date by watches.
  */
-import {disposableStore, type Disposable} from '@skylarkfield/base';
+import {createDisposableStore, type Disposable} from '@skylarkfield/base';
 import type {ObjectStore, StoredObject} from '@skylarkfield/providers';
 import type {AcceptanceInput, SourceRecord} from './acceptanceDecision.js';
 import type {AcceptedObject} from './acceptedSchemas.js';
@@ -49,7 +49,7 @@
   readonly onDidAccept?: (key: string, accepted: AcceptedObject) => void;
 }): RecordCache {
   const {store, onDidChange, onDidAccept} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const sources = new Map<string, SourceRecord>();
   /** Store versions at which a removed record was observed to be absent. */
   const removalVersions = new Map<string, number>();
--- a/packages/records/src/recordConfirmation.ts
+++ b/packages/records/src/recordConfirmation.ts
@@ -117,7 +117,7 @@
     return memberIds;
   }
 
-  const subscription = network.onDidReceive(
+  const subscription = network.addHandler(
     'recordsInForce',
     async (_from, {records, scope}) => ({
       lacking:
--- a/packages/records/src/recordGossip.ts
+++ b/packages/records/src/recordGossip.ts
@@ -7,7 +7,7 @@
  * any peer.
  */
 import {
-  disposableStore,
+  createDisposableStore,
   every,
   type Clock,
   type Disposable,
@@ -74,7 +74,7 @@
   ) => readonly RelayedRecord[];
 }): RecordGossip {
   const {table, network, clock, random} = options;
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const syncingPeers = new Set<string>();
   let lastReceivedAt = clock.now();
 
@@ -178,7 +178,7 @@
       }
       lastReceivedAt = clock.now();
       applyFromPeer(peer, difference.records);
-      sendRecords(peer, table.records(difference.wanted));
+      sendRecords(peer, table.findRecords(difference.wanted));
       return difference;
     } catch {
       // A failed sync is not retried; later digests go to other random peers.
@@ -187,20 +187,20 @@
   }
 
   disposables.add(
-    network.onDidReceive('records', (from, body) => {
+    network.addHandler('records', (from, body) => {
       lastReceivedAt = clock.now();
       applyFromPeer(from, body.records);
     }),
   );
-  disposables.add(network.onDidReceive('recordDigest', handleDigest));
+  disposables.add(network.addHandler('recordDigest', handleDigest));
   disposables.add(
-    network.onDidReceive('recordsWanted', (_from, body): RecordDifference => {
+    network.addHandler('recordsWanted', (_from, body): RecordDifference => {
       const buckets =
         body.buckets === undefined ? undefined : new Set(body.buckets);
       return {
         isReady: options.isReady(),
-        records: table.newerThan(body.known, buckets),
-        wanted: table.notInForce(body.known),
+        records: table.listNewerThan(body.known, buckets),
+        wanted: table.listNotInForce(body.known),
       };
     }),
   );
--- a/packages/records/src/recordTable.ts
+++ b/packages/records/src/recordTable.ts
@@ -30,7 +30,7 @@
   /**
    * Returns the records that are newer than in `knownVersions` or not in it.
    */
-  newerThan(
+  listNewerThan(
     knownVersions: readonly RecordVersion[],
     buckets?: ReadonlySet<number>,
   ): readonly RelayedRecord[];
@@ -38,9 +38,11 @@
    * Returns the known versions that are not in force in this table: the record
    * is missing or has a lower version.
    */
-  notInForce(knownVersions: readonly RecordVersion[]): readonly RecordVersion[];
+  listNotInForce(
+    knownVersions: readonly RecordVersion[],
+  ): readonly RecordVersion[];
   /** Returns the records of the given keys, in the version in force. */
-  records(versions: readonly RecordVersion[]): readonly RelayedRecord[];
+  findRecords(versions: readonly RecordVersion[]): readonly RelayedRecord[];
   /** Returns whether the given or a higher version of a record is in force. */
   isInForce(version: RecordVersion): boolean;
   /** Returns the number of records and a hash sum per bucket. */
@@ -115,7 +117,7 @@
         .map(record => record.value as AcceptedRecordTypes[K]);
     },
     versions: buckets => selectRecords(buckets).map(toVersion),
-    newerThan(knownVersions, buckets) {
+    listNewerThan(knownVersions, buckets) {
       const knownByKey = new Map(
         knownVersions.map(version => [
           recordKey(version),
@@ -127,9 +129,9 @@
           record.sourceVersion > (knownByKey.get(recordKey(record)) ?? -1),
       );
     },
-    notInForce: knownVersions =>
+    listNotInForce: knownVersions =>
       knownVersions.filter(version => !isInForce(version)),
-    records: versions =>
+    findRecords: versions =>
       versions
         .map(version => records.get(recordKey(version)))
         .filter(record => record !== undefined),
--- a/packages/records/src/test/acceptance.test.ts
+++ b/packages/records/src/test/acceptance.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {isServingError, virtualClock} from '@skylarkfield/base';
+import {isServingError, createVirtualClock} from '@skylarkfield/base';
 import {createMemoryObjectStore} from '@skylarkfield/providers';
 import {decideAcceptance, type AcceptanceInput} from '../acceptanceDecision.js';
 import type {RecordKind} from '../contracts.js';
@@ -161,7 +161,7 @@
   // Two acceptors race, and each sees only one of two moves of a service. If
   // both moves were accepted, half of the traffic would go to each candidate.
   it('lets one of two concurrent moves claim a service', async () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const store = createMemoryObjectStore({clock});
     const {signal} = new AbortController();
     const cache = createRecordCache({store, onDidChange: () => {}});
--- a/packages/records/src/test/configuration.fuzz.test.ts
+++ b/packages/records/src/test/configuration.fuzz.test.ts
@@ -71,7 +71,7 @@
   healPlatform: (simulation, id) =>
     simulation.entries.get(id)?.store.faults.setDown(false),
   silence: (simulation, id) =>
-    simulation.entries.get(id)?.store.faults.stallWatches(true),
+    simulation.entries.get(id)?.store.faults.setStallingWatches(true),
   platformDown: simulation => simulation.platform.faults.setDown(true),
   platformUp: simulation => simulation.platform.faults.setDown(false),
   slow: (simulation, _id, _other, size) =>
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -3,8 +3,8 @@
 import {
   seededRandom,
   settlePromises,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
   type Clock,
 } from '@skylarkfield/base';
 import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
@@ -54,7 +54,7 @@
   readonly seed: number;
   readonly ids: readonly string[];
 }) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(options.seed);
   const platform = createMemoryPlatform({clock, random, historyLimit: 40});
   platform.faults.setDelay(NETWORK_LATENCY_MS);
@@ -185,7 +185,7 @@
     stop(id);
     const peer = net.start(id);
     networks.set(id, peer.network);
-    const store = platform.client(id, {clock: peer.clock});
+    const store = platform.createClient(id, {clock: peer.clock});
     const entryRandom = seededRandom(random.integer(0, 1_000_000));
     const configuration = createConfiguration({
       clock: peer.clock,
@@ -194,7 +194,7 @@
       network: peer.network,
       self: memberOf(id),
       members: () => [...entries.keys()].map(memberOf),
-      log: silentLogger(),
+      log: createSilentLogger(),
     });
     const entry: SimulatedEntry = {
       id,
@@ -234,7 +234,7 @@
       clock: entry.clock,
       random: seededRandom(random.integer(0, 1_000_000)),
       store: entry.store,
-      log: silentLogger(),
+      log: createSilentLogger(),
       canAct: () => true,
       onDidAccept: (key, object) =>
         entry.configuration.applyAccepted(key, object),
@@ -299,16 +299,16 @@
       platform.faults.setDown(false);
       platform.faults.setDelay(NETWORK_LATENCY_MS);
       platform.faults.loseReplies(0);
-      platform.faults.rejectWatches(false);
-      platform.faults.stallWatches(false);
+      platform.faults.setRejectingWatches(false);
+      platform.faults.setStallingWatches(false);
       net.setLoss(0);
       net.healAll();
       for (const id of options.ids) {
         const entry = entries.get(id) ?? start(id);
         entry.store.faults.setDown(false);
         entry.store.faults.loseReplies(0);
-        entry.store.faults.rejectWatches(false);
-        entry.store.faults.stallWatches(false);
+        entry.store.faults.setRejectingWatches(false);
+        entry.store.faults.setStallingWatches(false);
         net.resume(id);
       }
       connectAll();
--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -53,7 +53,7 @@
  *
  * @example
  * const view = createCacheView({clock});
- * const lastSequence = view.applyEvents(await engine.cacheEvents(-1));
+ * const lastSequence = view.applyEvents(await engine.readCacheEvents(-1));
  */
 export function createCacheView(options: CacheViewOptions): CacheView {
   const {clock, maxBlocks = DEFAULT_MAX_BLOCKS} = options;
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -7,7 +7,7 @@
  * request until its quarantine ends. A complete response clears the request.
  */
 import {
-  emitter,
+  createEmitter,
   rendezvousOrder,
   type Clock,
   type DecisionLog,
@@ -133,7 +133,7 @@
 }): CrashQuarantine {
   const {clock, self, decisions, wallMs} = options;
   const evidence = createCrashEvidence();
-  const changeEmitter = emitter<void>();
+  const changeEmitter = createEmitter<void>();
   const quarantinedRequests = new Set<string>();
   /** Start of the last trial in monotonic milliseconds, by request. */
   const trialStartTimes = new Map<string, number>();
@@ -199,12 +199,24 @@
       if (hasReachedThreshold) {
         quarantinedRequests.add(request);
         const why = 'several endpoints crashed while running it';
-        decisions.note('routing', request, 'quarantine', why, figures);
+        decisions.recordDecision(
+          'routing',
+          request,
+          'quarantine',
+          why,
+          figures,
+        );
       } else {
         quarantinedRequests.delete(request);
         const why =
           'it received a complete response or its crashes have expired';
-        decisions.note('routing', request, 'end quarantine', why, figures);
+        decisions.recordDecision(
+          'routing',
+          request,
+          'end quarantine',
+          why,
+          figures,
+        );
       }
     }
   }
@@ -270,7 +282,7 @@
     if (crashes >= NOTABLE_CRASHES) {
       const why = 'its endpoint crashed while running it';
       const figures = {endpoint, crashes};
-      decisions.note('routing', request, 'suspect', why, figures);
+      decisions.recordDecision('routing', request, 'suspect', why, figures);
     }
     changeEmitter.fire();
   }
@@ -291,7 +303,7 @@
       trialStartTimes.set(request, clock.now());
       const figures = {crashes: crashCountOf(request)};
       const why = 'its quarantine has ended';
-      decisions.note('routing', request, 'try once', why, figures);
+      decisions.recordDecision('routing', request, 'try once', why, figures);
     },
     recordCompleted(request) {
       const crashes = crashCountOf(request);
--- a/packages/routing/src/rateLimits.ts
+++ b/packages/routing/src/rateLimits.ts
@@ -46,7 +46,7 @@
   /** Whether a request may be sent to the endpoint now. */
   allowsRequest(endpoint: string): boolean;
   /** Takes a token for a request that is sent to the endpoint. */
-  consume(endpoint: string): void;
+  consumeToken(endpoint: string): void;
   /**
    * Returns the milliseconds until this entry may send the endpoint a request;
    * undefined if this entry has no share of the limit.
@@ -94,7 +94,7 @@
  *
  * @example
  * rateLimits.recordLimit('i-1', 2.9);
- * if (rateLimits.allowsRequest('i-1')) { rateLimits.consume('i-1'); }
+ * if (rateLimits.allowsRequest('i-1')) { rateLimits.consumeToken('i-1'); }
  */
 export function createRateLimits(options: {
   readonly clock: Clock;
@@ -137,7 +137,7 @@
     ) {
       return;
     }
-    decisions.note(
+    decisions.recordDecision(
       'routing',
       endpoint,
       perSecond === undefined ? 'end its limit' : 'limit requests',
@@ -235,7 +235,7 @@
       const bucket = refilledBucket(endpoint);
       return bucket === undefined || bucket.level >= 1;
     },
-    consume(endpoint) {
+    consumeToken(endpoint) {
       const bucket = refilledBucket(endpoint);
       if (bucket !== undefined) {
         bucket.level -= 1;
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -27,14 +27,14 @@
    * Returns whether this entry made the attempt with this id. By default,
    * attempt ids start with the id of their entry and a hyphen.
    */
-  readonly isOwn?: (attempt: string) => boolean;
+  readonly isOwnAttempt?: (attempt: string) => boolean;
   readonly weights?: Partial<RouteWeights>;
   /** Returns overrides of `weights` for one service; called at each choice. */
-  weightsOf?(service: string): Partial<RouteWeights> | undefined;
+  weightOverrides?(service: string): Partial<RouteWeights> | undefined;
   /** Rate limits set by endpoints; none when absent. */
   readonly rateLimits?: Pick<
     RateLimits,
-    'allowsRequest' | 'consume' | 'waitMs'
+    'allowsRequest' | 'consumeToken' | 'waitMs'
   >;
   /** Prompt tokens per block; the engines' block size when absent. */
   readonly blockTokens?: number;
@@ -91,7 +91,8 @@
   const blockTokens = options.blockTokens ?? TOKENS_PER_BLOCK;
   const weights = {...defaultRouteWeights, ...options.weights};
   const isOwnAttempt =
-    options.isOwn ?? ((attempt: string) => attempt.startsWith(`${self}-`));
+    options.isOwnAttempt ??
+    ((attempt: string) => attempt.startsWith(`${self}-`));
   const pools = createEndpointPools({
     clock,
     random,
@@ -100,7 +101,7 @@
     blockTokens,
   });
   const costsByService = new Map<string, RouteCosts>();
-  /** Cached, so that weights are merged only when `weightsOf` changes them. */
+  /** Cached, so that weights are merged only when `weightOverrides` changes them. */
   const mergedWeightsByService = new Map<
     string,
     {overrides: Partial<RouteWeights>; merged: RouteWeights}
@@ -109,7 +110,7 @@
   const totals = {choices: 0, probes: 0, forced: 0, ejections: 0};
 
   function mergedWeightsFor(service: string): RouteWeights {
-    const overrides = options.weightsOf?.(service);
+    const overrides = options.weightOverrides?.(service);
     if (overrides === undefined) {
       return weights;
     }
@@ -252,7 +253,7 @@
       health.state === 'live' ? ejectionReason(endpoint, pool) : undefined;
     if (reason !== undefined) {
       const {failuresInRow, failureRate, slowness} = health.stats;
-      decisions.note('routing', candidate.id, 'eject', reason, {
+      decisions.recordDecision('routing', candidate.id, 'eject', reason, {
         failuresInRow,
         failurePercent: Math.round(failureRate * PERCENT),
         slowness: Math.round(slowness * PERCENT) / PERCENT,
@@ -264,7 +265,7 @@
       return;
     }
     for (const other of liveEndpointsOfLostDomain(endpoint, pool)) {
-      decisions.note(
+      decisions.recordDecision(
         'routing',
         other.candidate.id,
         'probe first',
@@ -312,7 +313,7 @@
     cache.recordSentBlocks(routingRequest.blocks);
     popularityOf(routingRequest.service).recordRequest(routingRequest.blocks);
     health.recordRequestSent();
-    rateLimits?.consume(candidate.id);
+    rateLimits?.consumeToken(candidate.id);
     totals.choices += 1;
 
     function finish(result: AttemptResult) {
@@ -361,7 +362,7 @@
     setEntries: entries => pools.setEntries(entries),
     markLeaving(endpoint) {
       if (!pools.leavingIds().includes(endpoint)) {
-        decisions.note('routing', endpoint, 'no new work', 'leaving');
+        decisions.recordDecision('routing', endpoint, 'no new work', 'leaving');
       }
       pools.markLeaving(endpoint);
     },
--- a/packages/routing/src/test/crashQuarantine.test.ts
+++ b/packages/routing/src/test/crashQuarantine.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  decisionLog,
+  createDecisionLog,
   rendezvousOrder,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import {CRASH_TTL_MS, createCrashQuarantine} from '../crashQuarantine.js';
 import type {CrashReport} from '../crashEvidence.js';
@@ -12,11 +12,11 @@
 const REQUEST = 'f00d';
 const CONFIRMATION_DELAY_MS = 300;
 
-function createEntry(self = 'a1', clock = virtualClock()) {
+function createEntry(self = 'a1', clock = createVirtualClock()) {
   const crashQuarantine = createCrashQuarantine({
     clock,
     self,
-    decisions: decisionLog(clock, silentLogger()),
+    decisions: createDecisionLog(clock, createSilentLogger()),
     wallMs: () => clock.wall(),
   });
   return {
@@ -254,7 +254,7 @@
 
   // A trial at each entry could crash one endpoint per entry.
   it('ends with a trial of one request at one entry', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const ids = ['a1', 'a2', 'a3'];
     const entries = ids.map(id => createEntry(id, clock));
     const atMs = clock.wall();
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {decisionLog, silentLogger, virtualClock} from '@skylarkfield/base';
+import {
+  createDecisionLog,
+  createSilentLogger,
+  createVirtualClock,
+} from '@skylarkfield/base';
 import {
   createRateLimits,
   mergeRateLimitReports,
@@ -14,10 +18,10 @@
 
 /** Creates entries that send requests to one rate-limited endpoint. */
 function createEntries(count: number) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const ids = Array.from({length: count}, (_, index) => `entry-${index}`);
   const entries = ids.map(self => {
-    const decisions = decisionLog(clock, silentLogger());
+    const decisions = createDecisionLog(clock, createSilentLogger());
     const rateLimits = createRateLimits({clock, self, decisions});
     rateLimits.setEntries(ids);
     return rateLimits;
@@ -37,7 +41,7 @@
     if (!entry.allowsRequest(ENDPOINT)) {
       return 0;
     }
-    entry.consume(ENDPOINT);
+    entry.consumeToken(ENDPOINT);
     entry.recordLimit(ENDPOINT, perSecond);
     return 1;
   }
--- a/packages/routing/src/test/routerRig.ts
+++ b/packages/routing/src/test/routerRig.ts
@@ -1,9 +1,9 @@
 /** Test rig: a router with a few endpoints and a virtual clock. */
 import {
-  decisionLog,
+  createDecisionLog,
   seededRandom,
-  silentLogger,
-  virtualClock,
+  createSilentLogger,
+  createVirtualClock,
 } from '@skylarkfield/base';
 import type {AttemptResult, LoadReport} from '@skylarkfield/endpoints';
 import type {Candidate, RoutingRequest} from '../contracts.js';
@@ -47,8 +47,8 @@
 }
 
 export function createRig(endpoints: readonly Candidate[]) {
-  const clock = virtualClock();
-  const decisions = decisionLog(clock, silentLogger());
+  const clock = createVirtualClock();
+  const decisions = createDecisionLog(clock, createSilentLogger());
   const router = createRouter({
     clock,
     random: seededRandom(5),
--- a/packages/standins/src/engine/engineFaults.ts
+++ b/packages/standins/src/engine/engineFaults.ts
@@ -69,7 +69,7 @@
 }
 
 /** Events that a fault sends in place of one event. */
-export interface FaultedEvents {
+export interface FaultResult {
   readonly events: readonly GenerationEvent[];
   /** Whether the stream is cut after these events. */
   readonly isCut?: boolean;
@@ -81,7 +81,7 @@
 const tokenFaultHandlers: Partial<
   Record<
     EngineFaultType,
-    (event: TokenEvent, tokensBefore: number, amount: number) => FaultedEvents
+    (event: TokenEvent, tokensBefore: number, amount: number) => FaultResult
   >
 > = {
   cut: (event, tokensBefore, amount) =>
@@ -113,7 +113,7 @@
   event: GenerationEvent,
   tokensBefore: number,
   fault: EngineFault,
-): FaultedEvents {
+): FaultResult {
   const handler = tokenFaultHandlers[fault.type];
   if (event.type !== 'token' || handler === undefined) {
     return {events: [event]};
--- a/packages/standins/src/engine/engineStandin.ts
+++ b/packages/standins/src/engine/engineStandin.ts
@@ -15,7 +15,7 @@
   toServingError,
   type Random,
 } from '@skylarkfield/base';
-import type {EndpointOrder, GenerationRequest} from '@skylarkfield/endpoints';
+import type {EndpointCommand, GenerationRequest} from '@skylarkfield/endpoints';
 import polka from 'polka';
 import type {EngineCosts} from './engineCosts.js';
 import type {EngineFault} from './engineFaults.js';
@@ -206,7 +206,7 @@
       await readBody(request),
       'bad-request',
     );
-    engine.order(order as EndpointOrder);
+    engine.executeCommand(order as EndpointCommand);
     sendJson(response, {});
   });
   addRoute('get', '/v1/running', async (_request, response) =>
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -16,7 +16,7 @@
   readonly clock: Clock;
   readonly simulatedEngine: SimulatedEngine;
   /** Returns the simulated engine at a URL, to fetch its exported KV caches. */
-  resolve(url: string): SimulatedEngine | undefined;
+  resolveEngine(url: string): SimulatedEngine | undefined;
 }
 
 /**
@@ -27,7 +27,7 @@
  * const engine = createLocalEngine({clock, simulatedEngine, resolve});
  */
 export function createLocalEngine(options: LocalEngineOptions): Engine {
-  const {clock, simulatedEngine, resolve} = options;
+  const {clock, simulatedEngine, resolveEngine} = options;
 
   function throwIfDown() {
     if (simulatedEngine.hasFault('down')) {
@@ -78,7 +78,7 @@
       }
       return simulatedEngine.load();
     },
-    async cacheEvents(afterSequence) {
+    async readCacheEvents(afterSequence) {
       throwIfDown();
       return simulatedEngine.cacheEvents(afterSequence);
     },
@@ -95,7 +95,7 @@
     },
     async importCache(exportSource, signal) {
       throwIfDown();
-      const sourceEngine = resolve(exportSource.url);
+      const sourceEngine = resolveEngine(exportSource.url);
       const exportedCache = sourceEngine?.getExport(exportSource.handle);
       if (exportedCache === undefined || sourceEngine?.hasFault('down')) {
         throw new ServingError(
@@ -107,11 +107,11 @@
       simulatedEngine.importCache(exportedCache);
       return toCacheExport(exportedCache);
     },
-    async order(order) {
+    async sendCommand(order) {
       throwIfDown();
-      simulatedEngine.order(order);
+      simulatedEngine.executeCommand(order);
     },
-    async running() {
+    async readRunning() {
       throwIfDown();
       return simulatedEngine.running();
     },
--- a/packages/standins/src/engine/simulatedEngine.ts
+++ b/packages/standins/src/engine/simulatedEngine.ts
@@ -12,7 +12,7 @@
 import {
   TOKENS_PER_BLOCK,
   type CacheEvent,
-  type EndpointOrder,
+  type EndpointCommand,
   type GenerationRequest,
   type LoadReport,
 } from '@skylarkfield/endpoints';
@@ -68,7 +68,7 @@
   /** Returns the time to fetch an export over the network, in milliseconds. */
   importDelayMs(cache: ExportedCache): number;
   importCache(cache: ExportedCache): void;
-  order(order: EndpointOrder): void;
+  executeCommand(order: EndpointCommand): void;
   running(): {version: string; adapters: readonly string[]; role: string};
   setFaults(faults: readonly EngineFault[]): void;
   /** Returns whether a fault of the given type is active. */
@@ -312,20 +312,22 @@
     );
   }
 
-  const orderHandlers: Record<EndpointOrder['type'], (target: string) => void> =
-    {
-      'load-model': () => prefixCache.clear(),
-      'load-adapter': target => {
-        adapters = [...new Set([...adapters, target])];
-      },
-      'load-version': target => {
-        version = target;
-        prefixCache.clear();
-      },
-      'set-role': target => {
-        role = target;
-      },
-    };
+  const orderHandlers: Record<
+    EndpointCommand['type'],
+    (target: string) => void
+  > = {
+    'load-model': () => prefixCache.clear(),
+    'load-adapter': target => {
+      adapters = [...new Set([...adapters, target])];
+    },
+    'load-version': target => {
+      version = target;
+      prefixCache.clear();
+    },
+    'set-role': target => {
+      role = target;
+    },
+  };
 
   return {
     submit(request, sink) {
@@ -380,7 +382,7 @@
       totals.importedTokens += exportedCache.tokens;
       prefixCache.store(exportedCache.blocks);
     },
-    order(order) {
+    executeCommand(order) {
       if (options.checksFencing && order.fencing < highestFencingToken) {
         throw new ServingError(
           'fenced',
--- a/packages/standins/src/platform/cloudModel.ts
+++ b/packages/standins/src/platform/cloudModel.ts
@@ -1,6 +1,6 @@
 /** Simulated cloud: machine offers, hosts and reclaim notices. */
 import {
-  emitter,
+  createEmitter,
   ServingError,
   type Clock,
   type Disposable,
@@ -79,7 +79,7 @@
   faults: PlatformFaults,
 ): CloudModel {
   const hosts = new Map<string, Host>();
-  const noticeEmitter = emitter<ReclaimNotice>();
+  const noticeEmitter = createEmitter<ReclaimNotice>();
   let offers = defaultOffers;
   let lastHostNumber = 0;
   const timers = createTimerSet(clock);
--- a/packages/standins/src/platform/endpointList.ts
+++ b/packages/standins/src/platform/endpointList.ts
@@ -1,5 +1,5 @@
 /** Eventually consistent list of endpoints: readers see changes after a lag. */
-import {emitter, type Clock, type Event} from '@skylarkfield/base';
+import {createEmitter, type Clock, type Event} from '@skylarkfield/base';
 import type {ListedEndpoint} from '@skylarkfield/providers';
 import type {PlatformFaults} from './platformFaults.js';
 
@@ -25,7 +25,7 @@
   faults: PlatformFaults,
 ): EndpointList {
   const actualEndpoints = new Map<string, ListedEndpoint>();
-  const changeEmitter = emitter<readonly ListedEndpoint[]>();
+  const changeEmitter = createEmitter<readonly ListedEndpoint[]>();
   let visibleSnapshot: readonly ListedEndpoint[] = [];
 
   function publish(): void {
--- a/packages/standins/src/service/serviceFaults.ts
+++ b/packages/standins/src/service/serviceFaults.ts
@@ -45,7 +45,7 @@
    * Returns the fault that affects a request, or undefined. Counts the request
    * towards the limits of the faults, so each request must be passed only once.
    */
-  take(path: string, running: number): ServiceFault | undefined;
+  selectFault(path: string, running: number): ServiceFault | undefined;
   list(): readonly ServiceFault[];
 }
 
@@ -107,7 +107,7 @@
     clear() {
       injectedFaults = [];
     },
-    take(path, running) {
+    selectFault(path, running) {
       const matchingFault = injectedFaults.find(injectedFault =>
         shouldApply(injectedFault, path, running),
       );
--- a/packages/standins/src/service/serviceStandin.ts
+++ b/packages/standins/src/service/serviceStandin.ts
@@ -101,7 +101,7 @@
     return async (request, response) => {
       const body = await readBody(request);
       const runEffect = prepareEffect(request, body);
-      const fault = faults.take(requestPath(request), load.running);
+      const fault = faults.selectFault(requestPath(request), load.running);
       const releaseSlot = await load.acquireSlot();
       releaseOnClose(response, releaseSlot);
       if (
--- a/packages/standins/src/test/engineModel.test.ts
+++ b/packages/standins/src/test/engineModel.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {seededRandom, virtualClock} from '@skylarkfield/base';
+import {seededRandom, createVirtualClock} from '@skylarkfield/base';
 import type {GenerationRequest, GenerationEvent} from '@skylarkfield/endpoints';
 import {generateAnswerTokens, createSimulatedEngine} from '../index.js';
 
@@ -25,7 +25,7 @@
 }
 
 function setUp(costs = {}) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const random = seededRandom(1);
   const engine = createSimulatedEngine({clock, random, version: 'v1', costs});
   const events: GenerationEvent[] = [];
@@ -115,7 +115,7 @@
 
   it('rejects an order with an outdated fencing token only if the engine checks fencing', () => {
     for (const checksFencing of [true, false]) {
-      const clock = virtualClock();
+      const clock = createVirtualClock();
       const random = seededRandom(1);
       const engine = createSimulatedEngine({
         clock,
@@ -124,7 +124,7 @@
         checksFencing,
       });
       const sendOrder = (fencing: number) =>
-        engine.order({
+        engine.executeCommand({
           id: `o${fencing}`,
           type: 'set-role',
           target: `role-${fencing}`,
--- a/packages/standins/src/test/engineStandin.test.ts
+++ b/packages/standins/src/test/engineStandin.test.ts
@@ -69,15 +69,15 @@
   it('reports load and cache events, and applies an order to load a version', async () => {
     await withEngine([], async engine => {
       assert.equal((await engine.load()).running, 0);
-      assert.equal((await engine.cacheEvents(-1)).length, 2);
-      await engine.order({
+      assert.equal((await engine.readCacheEvents(-1)).length, 2);
+      await engine.sendCommand({
         id: 'o1',
         type: 'load-version',
         target: 'v2',
         fencing: 1,
         expiresAt: Date.now() + 60_000,
       });
-      assert.equal((await engine.running()).version, 'v2');
+      assert.equal((await engine.readRunning()).version, 'v2');
     });
   });
 
--- a/packages/standins/src/test/objectApiFixtures.ts
+++ b/packages/standins/src/test/objectApiFixtures.ts
@@ -43,7 +43,7 @@
   return {
     table: platform.table,
     faults: platform.faults,
-    client: (writer, settings) => platform.client(writer, settings),
+    client: (writer, settings) => platform.createClient(writer, settings),
     stop: () => Promise.resolve(),
   };
 }
@@ -65,11 +65,11 @@
       loseReplies(count) {
         platform.faults.repliesToLose = count;
       },
-      rejectWatches(isRejecting) {
+      setRejectingWatches(isRejecting) {
         platform.faults.isRejectingWatches = isRejecting;
         platform.dropWatches();
       },
-      stallWatches(isSilent) {
+      setStallingWatches(isSilent) {
         platform.faults.isSilent = isSilent;
       },
     },
--- a/packages/standins/src/test/objectStore.test.ts
+++ b/packages/standins/src/test/objectStore.test.ts
@@ -279,7 +279,7 @@
           await store.put('thing', 'b', 1, {type: 'absent'});
           await waitUntil(() => watchedValues.get('b') === 1);
           if (interruption !== 'none') {
-            fixture.faults.rejectWatches(true);
+            fixture.faults.setRejectingWatches(true);
             await waitUntil(() => store.dump().watches['thing'] !== 'open');
           }
           await store.put('thing', 'c', 2, {type: 'absent'});
@@ -287,7 +287,7 @@
           if (interruption === 'cut and compacted') {
             fixture.table.compact();
           }
-          fixture.faults.rejectWatches(false);
+          fixture.faults.setRejectingWatches(false);
           await waitUntil(
             () => watchedValues.get('c') === 2 && !watchedValues.has('b'),
           );
--- a/packages/standins/src/test/platformStandin.test.ts
+++ b/packages/standins/src/test/platformStandin.test.ts
@@ -77,7 +77,7 @@
   it('starts one host per client token, rejects a start and stops a host', () =>
     withPlatform(async platform => {
       const cloud = createHttpCloud({url: platform.url, clock: testClock});
-      assert.ok((await cloud.offers()).length > 0);
+      assert.ok((await cloud.listOffers()).length > 0);
       const [firstHost, secondHost] = await Promise.all([
         cloud.start(startRequest),
         cloud.start(startRequest),
@@ -89,7 +89,7 @@
         error => isServingError(error, 'overloaded') && error.run === 'not-run',
       );
       await cloud.stop(firstHost.id);
-      assert.deepEqual(await cloud.hosts(), []);
+      assert.deepEqual(await cloud.listHosts(), []);
     }));
 
   // A failure domain is reclaimed with notice. Endpoints in the domain must not
--- a/packages/streams/src/attempt.ts
+++ b/packages/streams/src/attempt.ts
@@ -1,7 +1,7 @@
 /** One attempt at one engine, until it completes, fails or is migrated. */
 import {
   ServingError,
-  disposableStore,
+  createDisposableStore,
   toServingError,
   type Clock,
 } from '@skylarkfield/base';
@@ -62,7 +62,7 @@
   const stateMachine = createAttemptStateMachine();
   beginAttempt(progress, pick, stateMachine);
   const generationRequest = createGenerationRequest(options);
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   const abortController = disposables.add(
     createAttemptAbortController(clock, options.signal),
   );
--- a/packages/streams/src/attemptAbortController.ts
+++ b/packages/streams/src/attemptAbortController.ts
@@ -1,7 +1,7 @@
 /** Aborts an attempt and records the reason. */
 import {
   ServingError,
-  disposableStore,
+  createDisposableStore,
   type Clock,
   type Disposable,
 } from '@skylarkfield/base';
@@ -41,7 +41,7 @@
   callerSignal: AbortSignal,
 ): AttemptAbortController {
   const controller = new AbortController();
-  const disposables = disposableStore();
+  const disposables = createDisposableStore();
   let reason: AbortReason | undefined;
 
   function abort(abortReason: AbortReason) {
--- a/packages/streams/src/contracts.ts
+++ b/packages/streams/src/contracts.ts
@@ -29,12 +29,12 @@
   /** Estimated number of prompt tokens cached at the endpoint; 0 if unknown. */
   readonly cachedTokens?: number;
   /** Aborts when the endpoint has to leave, so that the stream must migrate. */
-  readonly leaving: AbortSignal;
+  readonly leavingSignal: AbortSignal;
   /**
    * Monotonic milliseconds by which a leaving endpoint is gone; undefined if
    * unknown.
    */
-  goneAt?(): number | undefined;
+  goneAtMs?(): number | undefined;
   /**
    * Called at most once, when the engine starts to process the prompt, with the
    * number of prompt tokens found in its KV cache.
--- a/packages/streams/src/leavingMigration.ts
+++ b/packages/streams/src/leavingMigration.ts
@@ -43,20 +43,20 @@
 export function migrateWhenLeaving(
   options: LeavingMigrationOptions,
 ): Disposable {
-  const {leaving} = options.pick;
+  const {leavingSignal} = options.pick;
   // `migrate` rejects only when the attempt has ended, so the error is ignored.
   const onLeaving = () => void migrate(options).catch(() => {});
-  if (leaving.aborted) {
+  if (leavingSignal.aborted) {
     onLeaving();
   }
-  leaving.addEventListener('abort', onLeaving, {once: true});
-  return {dispose: () => leaving.removeEventListener('abort', onLeaving)};
+  leavingSignal.addEventListener('abort', onLeaving, {once: true});
+  return {dispose: () => leavingSignal.removeEventListener('abort', onLeaving)};
 }
 
 async function migrate(options: LeavingMigrationOptions): Promise<void> {
   const {clock, costs, pick, attemptId, abortController, pickEndpoint} =
     options;
-  const goneAtMs = pick.goneAt?.() ?? clock.now() + DEFAULT_NOTICE_MS;
+  const goneAtMs = pick.goneAtMs?.() ?? clock.now() + DEFAULT_NOTICE_MS;
   await waitUntilMigrationDue(options, goneAtMs);
   options.onPreparing();
   const target = await prepareMigration({
--- a/packages/streams/src/streamRunner.ts
+++ b/packages/streams/src/streamRunner.ts
@@ -135,7 +135,7 @@
     }
     const hasProgress =
       progress.deliveredTokens.length > progress.deliveredCountAtAttemptStart;
-    // Only attempts that cost an engine work and delivered no token consume the
+    // Only attempts that cost an engine work and delivered no token consumeToken the
     // retry budget, since such attempts cause retry storms. All other failed
     // attempts delivered tokens or never reached an engine.
     const isWastedWork = !hasProgress && error.kind !== 'endpoint-unavailable';
@@ -161,7 +161,10 @@
     if (error.kind !== 'interrupted' || !hasProgress) {
       return false;
     }
-    if (pick.leaving.aborted || progress.resumedEndpoints.has(pick.endpoint)) {
+    if (
+      pick.leavingSignal.aborted ||
+      progress.resumedEndpoints.has(pick.endpoint)
+    ) {
       return false;
     }
     progress.resumedEndpoints.add(pick.endpoint);
--- a/packages/streams/src/test/fakeEngine.ts
+++ b/packages/streams/src/test/fakeEngine.ts
@@ -160,14 +160,14 @@
         cacheUse: 0,
       };
     },
-    cacheEvents: async () => [],
+    readCacheEvents: async () => [],
     exportCache: async attempt => ({handle: attempt, tokens: 90, bytes: 9e6}),
     async importCache({handle}, signal) {
       await sleep(clock, IMPORT_DURATION_MS, signal);
       return {handle, tokens: 90, bytes: 9e6};
     },
-    order: async () => {},
-    running: async () => ({version: 'v1', adapters: [], role: 'serving'}),
+    sendCommand: async () => {},
+    readRunning: async () => ({version: 'v1', adapters: [], role: 'serving'}),
   };
   return engine;
 }
--- a/packages/streams/src/test/streamRig.ts
+++ b/packages/streams/src/test/streamRig.ts
@@ -2,7 +2,7 @@
 import {
   ServingError,
   toServingError,
-  virtualClock,
+  createVirtualClock,
   type ServingError as Failure,
 } from '@skylarkfield/base';
 import type {EndpointPick, StreamRequest, StreamSummary} from '../contracts.js';
@@ -23,7 +23,7 @@
 }
 
 export function createRig(options: RigOptions = {}) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const plans = [...(options.plans ?? [])];
   const nextPlan = () =>
     plans.shift() ?? {fault: 'none' as const, tokensBeforeFault: 0};
@@ -52,8 +52,8 @@
       endpoint: pick.endpoint,
       url: `fake://${index}`,
       engine: engines[index]!,
-      leaving: leavingControllers[index]!.signal,
-      goneAt: () => options.goneAt,
+      leavingSignal: leavingControllers[index]!.signal,
+      goneAtMs: () => options.goneAt,
       finish: ({outcome}) => void pick.outcomes.push(outcome),
     };
   }
--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -33,11 +33,11 @@
  * moment.
  *
  * @example
- * const requestedAt = timestampOf(clock);
+ * const requestedAt = currentTimestamp(clock);
  * await store.get('policy', 'main');
  * confirmation.confirm(requestedAt);
  */
-export function timestampOf(clock: Clock): Timestamp {
+export function currentTimestamp(clock: Clock): Timestamp {
   return {monotonicMs: clock.now(), wallMs: clock.wall()};
 }
 
--- a/packages/traffic/src/demandEstimator.ts
+++ b/packages/traffic/src/demandEstimator.ts
@@ -13,7 +13,7 @@
  */
 import type {Clock} from '@skylarkfield/base';
 import type {TargetUtilization} from '@skylarkfield/capacity';
-import {endpointsNeeded, type EndpointNeed} from './fleetPlan.js';
+import {countEndpointsNeeded, type EndpointNeed} from './fleetPlan.js';
 
 /** Inputs of the estimated need. */
 export interface DemandSignals {
@@ -22,7 +22,7 @@
   /** Target utilization of an endpoint. */
   readonly use: TargetUtilization;
   /** Endpoints that accept requests now. */
-  readonly present: number;
+  readonly readyEndpoints: number;
   /** Fraction of recent requests that were late. */
   readonly latePart: number;
   /** Whether the engine estimate is precise enough to release endpoints. */
@@ -99,14 +99,14 @@
   /**
    * Returns more endpoints than are present if many requests are late, else 1.
    */
-  function needFromLateness({latePart, present}: DemandSignals): number {
+  function needFromLateness({latePart, readyEndpoints}: DemandSignals): number {
     return latePart < LATE_FRACTION_LIMIT
       ? 1
-      : Math.ceil(present * SCALE_UP_FACTOR);
+      : Math.ceil(readyEndpoints * SCALE_UP_FACTOR);
   }
 
   function needFromWork(signals: DemandSignals, utilization: number): number {
-    const neededEndpoints = endpointsNeeded(signals.workRate, utilization);
+    const neededEndpoints = countEndpointsNeeded(signals.workRate, utilization);
     // An uncertain estimate must not exceed the operator's initial fleet.
     return signals.isSure
       ? neededEndpoints
@@ -129,7 +129,7 @@
 
   function recordStartupSignals({
     workRate,
-    present,
+    readyEndpoints: present,
     isSure,
   }: DemandSignals): void {
     if (firstWorkAtMs === undefined) {
--- a/packages/traffic/src/engineWork.ts
+++ b/packages/traffic/src/engineWork.ts
@@ -18,9 +18,9 @@
  * last part, which other requests do not have.
  *
  * @example
- * const tokens = ownTokens(demand);
+ * const tokens = countOwnTokens(demand);
  */
-export function ownTokens(demand: ModelDemand): number {
+export function countOwnTokens(demand: ModelDemand): number {
   const {parts, promptTokens} = demand;
   return Math.min(promptTokens, parts.at(-1)?.tokens ?? promptTokens);
 }
@@ -31,9 +31,9 @@
  * endpoints to be requested and distort the learned estimates.
  *
  * @example
- * if (fitsMemory(demand, service.engine)) { work.record(name, promptWork(demand)); }
+ * if (fitsKvCache(demand, service.engine)) { work.record(name, promptWork(demand)); }
  */
-export function fitsMemory(
+export function fitsKvCache(
   {promptTokens}: ModelDemand,
   engine: EngineConfig | undefined,
 ): boolean {
@@ -49,7 +49,7 @@
  * work.record('chat', promptWork(demand));
  */
 export function promptWork(demand: ModelDemand): WorkRate {
-  const ownTokenCount = ownTokens(demand);
+  const ownTokenCount = countOwnTokens(demand);
   const pairs = (ownTokenCount * demand.promptTokens) / PAIRS_PER_UNIT;
   return {...ZERO_WORK, ownTokens: ownTokenCount, pairs};
 }
--- a/packages/traffic/src/fleetPlan.ts
+++ b/packages/traffic/src/fleetPlan.ts
@@ -50,9 +50,9 @@
  * work rate is in milliseconds of one endpoint's time per second.
  *
  * @example
- * const count = endpointsNeeded(2_600, 0.34); // 8
+ * const count = countEndpointsNeeded(2_600, 0.34); // 8
  */
-export function endpointsNeeded(
+export function countEndpointsNeeded(
   workRate: number,
   targetUtilization: number,
 ): number {
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -31,7 +31,7 @@
    */
   retryAfterMs(customer: CustomerConfig, amount: number): number;
   /** Returns the usage at this entry since its start, to report to peers. */
-  ownUsage(): UsageByCustomer;
+  totalOwnUsage(): UsageByCustomer;
   /** Adds the increase of usage at peers since their last report. */
   addPeerUsage(increase: UsageByCustomer): void;
   /**
@@ -264,7 +264,7 @@
       );
       return Math.max(0, retryAtMs - nowMs);
     },
-    ownUsage: () => ownUsage,
+    totalOwnUsage: () => ownUsage,
     addPeerUsage(increase) {
       for (const [name, amount] of Object.entries(increase)) {
         const account = accounts.get(name);
--- a/packages/traffic/src/test/fleet.test.ts
+++ b/packages/traffic/src/test/fleet.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import type {FleetConfig, ModelDemand} from '../contracts.js';
-import {fitsMemory, promptWork} from '../engineWork.js';
+import {fitsKvCache, promptWork} from '../engineWork.js';
 import {
   createDemandEstimator,
   type DemandSignals,
   type DemandEstimator,
 } from '../demandEstimator.js';
-import {endpointsNeeded, planFleet, type FleetPlan} from '../fleetPlan.js';
+import {countEndpointsNeeded, planFleet, type FleetPlan} from '../fleetPlan.js';
 
 const UTILIZATION = {usual: 0.34, brief: 0.5};
 
@@ -121,7 +121,7 @@
 ): DemandSignals {
   return {
     workRate,
-    present,
+    readyEndpoints: present,
     use: UTILIZATION,
     latePart: 0,
     isSure: true,
@@ -140,7 +140,7 @@
   it('keeps a fraction of the initial endpoints until some seconds after the first work', () => {
     // The endpoints start before the callers. If idle endpoints were released
     // at once, too few would be left for the first callers.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const estimator = createDemandEstimator(clock);
     estimator.update(createSignals(0, 3));
     assert.equal(updateUsualNeed(estimator, createSignals(0, 10)), 6);
@@ -150,14 +150,14 @@
     clock.advanceSync(20_000);
     assert.equal(
       updateUsualNeed(estimator, createSignals(400, 5)),
-      endpointsNeeded(400, UTILIZATION.usual),
+      countEndpointsNeeded(400, UTILIZATION.usual),
     );
   });
 
   it('keeps a fraction of the initial endpoints while the estimate is uncertain', () => {
     // Low traffic gives few samples. Endpoints released because of an uncertain
     // estimate would be missing when the busy hour starts.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const estimator = createDemandEstimator(clock);
     estimator.update(createSignals(0, 10));
     estimator.update(createSignals(400, 10, {isSure: false}));
@@ -170,18 +170,18 @@
   });
 
   it('rises at once and falls only after eight seconds of less work', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const estimator = createDemandEstimator(clock);
     estimator.update(createSignals(100, 1));
     clock.advanceSync(20_000);
     const highNeed = updateUsualNeed(estimator, createSignals(3_000, 1));
-    assert.equal(highNeed, endpointsNeeded(3_000, UTILIZATION.usual));
+    assert.equal(highNeed, countEndpointsNeeded(3_000, UTILIZATION.usual));
     clock.advanceSync(4_000);
     assert.equal(updateUsualNeed(estimator, createSignals(400, 8)), highNeed);
     clock.advanceSync(5_000);
     assert.equal(
       updateUsualNeed(estimator, createSignals(400, 8)),
-      endpointsNeeded(400, UTILIZATION.usual),
+      countEndpointsNeeded(400, UTILIZATION.usual),
     );
   });
 
@@ -189,7 +189,7 @@
     // The first prompts are processed with empty caches, and from a few
     // requests three times the actual work was estimated. This need must not
     // outlast the uncertain estimate.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const estimator = createDemandEstimator(clock);
     estimator.update(createSignals(0, 10));
     const uncertainSignals = createSignals(8_000, 10, {isSure: false});
@@ -201,7 +201,7 @@
   it('exceeds the present endpoints while requests are late, whatever the work rate', () => {
     // A new version processes prompts at half the estimated speed. The
     // estimated work does not rise although requests time out.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const estimator = createDemandEstimator(clock);
     estimator.update(createSignals(1_200, 4));
     clock.advanceSync(20_000);
@@ -216,7 +216,7 @@
 
   it('is at most twice the need due to work when all requests are late', () => {
     // All endpoints fail for some time; more endpoints would fail as well.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const estimator = createDemandEstimator(clock);
     estimator.update(createSignals(1_200, 4));
     clock.advanceSync(20_000);
@@ -242,9 +242,9 @@
   it('is not counted for a prompt larger than the KV cache', () => {
     // A caller declares an absurd number of prompt tokens. If these were
     // counted, all available endpoints would be requested.
-    assert.equal(fitsMemory(createDemand(1e200, 10), engine), false);
-    assert.equal(fitsMemory(createDemand(12_000, 4_000), engine), true);
-    assert.equal(fitsMemory(createDemand(12_000, 4_000), undefined), false);
+    assert.equal(fitsKvCache(createDemand(1e200, 10), engine), false);
+    assert.equal(fitsKvCache(createDemand(12_000, 4_000), engine), true);
+    assert.equal(fitsKvCache(createDemand(12_000, 4_000), undefined), false);
   });
 
   it('counts at most the prompt tokens if a part is declared longer', () => {
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {seededRandom, virtualClock} from '@skylarkfield/base';
+import {seededRandom, createVirtualClock} from '@skylarkfield/base';
 import type {CustomerConfig} from '../contracts.js';
 import {createQuotas, type Quotas, type UsageByCustomer} from '../quotas.js';
 
@@ -28,7 +28,7 @@
  * Consumes an amount at every entry and step; returns the total granted amount.
  */
 function consumeRepeatedly(
-  clock: ReturnType<typeof virtualClock>,
+  clock: ReturnType<typeof createVirtualClock>,
   entries: readonly Quotas[],
   options: {
     readonly spanMs: number;
@@ -56,7 +56,7 @@
   count: number,
   options: {readonly seconds: number; readonly amount: number},
 ): {granted: number; peak: number} {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const entries = Array.from({length: count}, () =>
     createQuotas(clock, WINDOW_SECONDS * 1_000),
   );
@@ -83,7 +83,7 @@
 
 /** Creates entries that can be flooded with requests and restarted. */
 function createFleet(count: number) {
-  const clock = virtualClock();
+  const clock = createVirtualClock();
   const spanMs = 1_000 / SLICES_PER_SECOND;
   const grantedPerSlice: number[] = [];
   const processes = Array.from({length: count}, (_, index) =>
@@ -110,7 +110,7 @@
       quotas.setReportingPeers(1, isJoined ? joined.length : 1);
     }
     for (const sender of joined) {
-      const usage = {...sender.quotas.ownUsage()};
+      const usage = {...sender.quotas.totalOwnUsage()};
       const isNew = clock.now() - sender.startedAt < WINDOW_SECONDS * 1_000;
       for (const receiver of joined.filter(process => process !== sender)) {
         const reportedUsage =
@@ -166,7 +166,7 @@
 
 function exchangeUsage(entries: readonly Quotas[]): void {
   for (const sender of entries) {
-    const usage = {...sender.ownUsage()};
+    const usage = {...sender.totalOwnUsage()};
     const increase = usageIncrease(lastReportedUsage.get(sender), usage);
     lastReportedUsage.set(sender, usage);
     entries
@@ -216,7 +216,7 @@
 
   // Guards against a burst that is not refilled while a customer uses its rate.
   it('rejects no request of a customer that stays within rate and burst in every window', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
     let rejectedCount = 0;
     for (let atMs = 0; atMs < 80_000; atMs += 100) {
@@ -231,7 +231,7 @@
 
   // Guards against both sides of a partition granting the whole quota.
   it('grants only a proportional fraction at entries without reports from peers', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const entries = Array.from({length: 4}, () => createQuotas(clock));
     entries.forEach(entry => entry.setReportingPeers(0, 4));
     consumeRepeatedly(clock, entries, {
@@ -294,7 +294,7 @@
   // Guards against rejecting all requests after all entries restart, until the
   // entries are connected.
   it('grants a fraction of the burst before the first report from a peer', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const quotas = createQuotas(clock, WINDOW_SECONDS * 1_000);
     assert.ok(quotas.tryConsume(customer, 1));
     quotas.setReportingPeers(0, 7);
@@ -310,7 +310,7 @@
   // Guards against rejecting all requests of a customer after an operator
   // lowers its quota.
   it('keeps granting after the quota is lowered', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const quotas = createQuotas(clock);
     consumeRepeatedly(clock, [quotas], {
       spanMs: 20_000,
@@ -334,7 +334,7 @@
   it('grants large requests at least half as often as small ones at the limit', () => {
     // At the limit the bucket is nearly empty all the time. If a request had to
     // fit into the remaining level, callers with long prompts would starve.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const quotas = createQuotas(clock);
     const random = seededRandom(7);
     const grantedCounts = {small: 0, large: 0};
@@ -353,7 +353,7 @@
   it('staggers the retry times of requests rejected at the same moment', () => {
     // Many requests are rejected at the same moment. With the same Retry-After,
     // all but one would be rejected again.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const quotas = createQuotas(clock);
     while (quotas.tryConsume(customer, 100));
     const waitsMs = [1, 2, 3].map(() => quotas.retryAfterMs(customer, 500));
@@ -364,10 +364,10 @@
   });
 
   it('refunds a request that has not run', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const quotas = createQuotas(clock);
     assert.ok(quotas.tryConsume(customer, 600));
     quotas.refund(customer, 600);
-    assert.equal(quotas.ownUsage()['chain'], 0);
+    assert.equal(quotas.totalOwnUsage()['chain'], 0);
   });
 });
--- a/packages/traffic/src/test/traffic.test.ts
+++ b/packages/traffic/src/test/traffic.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {virtualClock} from '@skylarkfield/base';
+import {createVirtualClock} from '@skylarkfield/base';
 import {
   earlierTimestamp,
   createConfirmation,
-  timestampOf,
+  currentTimestamp,
 } from '../confirmation.js';
 import type {Route} from '../contracts.js';
 import {createCustomerTable} from '../customerTable.js';
@@ -102,14 +102,14 @@
 
 describe('confirmation', () => {
   it('measures its age from the request, not from the response', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const confirmation = createConfirmation(clock);
     assert.equal(confirmation.ageMs(), Infinity);
-    const requestedAt = timestampOf(clock);
+    const requestedAt = currentTimestamp(clock);
     clock.advanceSync(800);
     confirmation.confirm(requestedAt);
     assert.equal(confirmation.ageMs(), 800);
-    confirmation.confirm(earlierTimestamp(timestampOf(clock), 5_000));
+    confirmation.confirm(earlierTimestamp(currentTimestamp(clock), 5_000));
     assert.equal(confirmation.ageMs(), 800);
   });
 
@@ -117,17 +117,17 @@
     // The monotonic clock stops while a host is suspended, here for ten
     // seconds. By that clock alone, a key revoked in these seconds would be
     // accepted.
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const confirmation = createConfirmation(clock);
-    confirmation.confirm(timestampOf(clock));
+    confirmation.confirm(currentTimestamp(clock));
     clock.shiftWall(10_000);
     assert.equal(confirmation.ageMs(), 10_000);
   });
 
   it('does not become younger when the wall clock is set back', () => {
-    const clock = virtualClock();
+    const clock = createVirtualClock();
     const confirmation = createConfirmation(clock);
-    confirmation.confirm(timestampOf(clock));
+    confirmation.confirm(currentTimestamp(clock));
     clock.advanceSync(3_000);
     clock.shiftWall(-10_000);
     assert.equal(confirmation.ageMs(), 3_000);
--- a/tools/capacity.mjs
+++ b/tools/capacity.mjs
@@ -50,7 +50,7 @@
   /** sweepIntervalMs and ownObjectCheckIntervalMs in members/timing. */
   sweepSeconds: 60,
   ownObjectSeconds: 600,
-  /** defaultLeaseTiming in duties/lease. */
+  /** DEFAULT_LEASE_TIMING in duties/lease. */
   renewSeconds: 2,
   pollLeaseSeconds: 1.5,
   /**
