--- a/packages/routing/src/affinity.ts
+++ b/packages/routing/src/affinity.ts
@@ -5,9 +5,10 @@
 const RANK_AFFINITIES = [1, 0.5, 0.25];
 
 /**
- * Returns the affinity of endpoints for a key, by rendezvous hashing. The
- * second endpoint has a higher affinity than the third, so that entries that
- * avoid a busy first endpoint choose the same alternative.
+ * Returns the affinities, 0 to 1, of the endpoints that rank highest for a key
+ * by rendezvous hashing; other endpoints are absent. The second endpoint has a
+ * higher affinity than the third, so that entries that avoid a busy first
+ * endpoint choose the same alternative.
  *
  * @example
  * affinitiesFor('9xk2', ['r1', 'r2']).get('r2') ?? 0;
--- a/packages/routing/src/cacheView.ts
+++ b/packages/routing/src/cacheView.ts
@@ -12,7 +12,10 @@
 
 /** Expected content of one engine's prefix cache. */
 export interface CacheView {
-  /** Returns the prompt tokens expected to be cached, scaled by confidence. */
+  /**
+   * Returns the number of leading prompt tokens expected to be cached,
+   * multiplied by the confidence in the view.
+   */
   expectedCachedTokens(blocks: readonly string[]): number;
   /** Returns whether the block is expected to be cached. */
   has(block: string): boolean;
@@ -21,20 +24,22 @@
   /** Records how many tokens of a request the engine found cached. */
   recordCachedTokens(blocks: readonly string[], cachedTokens: number): void;
   /**
-   * Applies cache events. Returns the last sequence number; -1 to request the
-   * whole content.
+   * Applies cache events. Returns the sequence number of the last event; -1 if
+   * the whole content should be requested, because events were lost or
+   * responses contradicted the view.
    */
   applyEvents(events: readonly CacheEvent[]): number;
   dump(): unknown;
 }
 
 const DEFAULT_MAX_BLOCKS = 16_000;
-/** Lifetime of unconfirmed blocks if the engine publishes events. */
+/** Lifetime of blocks sent but not confirmed if the engine publishes events. */
 const SENT_BLOCK_TTL_MS = 12_000;
-/** Lifetime of unconfirmed blocks if the engine never published events. */
+/** Lifetime of blocks sent but not confirmed if it never published events. */
 const SENT_BLOCK_TTL_WITHOUT_EVENTS_MS = 300_000;
 /**
- * Assumed event lag: an eviction does not apply to blocks sent more recently.
+ * Assumed event lag: an eviction event does not apply to blocks sent within
+ * this time before its arrival.
  */
 const ASSUMED_EVENT_LAG_MS = 1500;
 /** Half-life of the confidence in the view after an event was lost. */
@@ -114,7 +119,7 @@
     sentBlockTimes.delete(block);
   }
 
-  function expireOldest() {
+  function dropOldBlocks() {
     for (const block of confirmedBlocks) {
       if (confirmedBlocks.size <= maxBlocks) {
         break;
@@ -168,7 +173,7 @@
           sentBlockTimes.set(block, clock.now());
         }
       }
-      expireOldest();
+      dropOldBlocks();
     },
     recordCachedTokens(blocks, cachedTokens) {
       const foundBlockCount = Math.ceil(cachedTokens / blockTokens);
@@ -183,7 +188,7 @@
         sentBlockTimes.set(block, clock.now());
       }
       blocks.slice(0, foundBlockCount).forEach(confirm);
-      expireOldest();
+      dropOldBlocks();
     },
     applyEvents(events) {
       const isResync = lastSequence < 0;
@@ -200,7 +205,7 @@
         trackSequence(event.sequence);
         eventHandlers[event.type](event);
       }
-      expireOldest();
+      dropOldBlocks();
       const isUnreliable =
         gapAtMs !== undefined || consecutiveMismatches > MAX_MISMATCHES;
       if (isUnreliable && mayResync()) {
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -23,7 +23,8 @@
   readonly blocks: readonly string[];
   readonly promptTokens: number;
   /**
-   * Trailing prompt tokens that no cache can hold; absent when not declared.
+   * Trailing prompt tokens that no other request has, so that none of them is
+   * cached; absent when the caller does not declare them.
    */
   readonly ownTokens?: number;
   /** 0 (served first) to 9, for endpoints that serve by urgency. */
@@ -89,8 +90,8 @@
   /** Chooses an endpoint; undefined when no endpoint can accept the request. */
   choose(routingRequest: RoutingRequest): Choice | undefined;
   /**
-   * Returns the milliseconds until the rate limit of any endpoint of the
-   * service allows a request; undefined when no endpoint is rate limited now.
+   * Returns the milliseconds until the first of the service's rate-limited
+   * endpoints allows a request; undefined when no endpoint is rate limited now.
    */
   rateLimitWaitMs(service: string): number | undefined;
   /**
@@ -122,12 +123,13 @@
    */
   applyCacheEvents(endpoint: string, events: readonly CacheEvent[]): number;
   /**
-   * Returns the endpoints assigned to this entry: a subset of large services.
+   * Returns the endpoints assigned to this entry: all endpoints of a small
+   * service, and a subset of the endpoints of a large service.
    */
   assignedEndpoints(): readonly Candidate[];
   /**
-   * Returns the estimated number of concurrent requests that all endpoints of a
-   * service can run, without leaving and ejected endpoints.
+   * Returns the estimated number of concurrent requests that the endpoints of a
+   * service can run, not counting leaving and ejected endpoints.
    */
   slots(service: string): number;
   dump(): unknown;
--- a/packages/routing/src/crashDetector.ts
+++ b/packages/routing/src/crashDetector.ts
@@ -28,7 +28,10 @@
   recordUnanswered(lostRequest: LostRequest): void;
   /** Records that the endpoint was deregistered without a leave notice. */
   recordDeregistered(endpoint: string): void;
-  /** Records a response to a request sent at this time, in monotonic ms. */
+  /**
+   * Records that the endpoint responded to a request that was sent at `sentAt`,
+   * in monotonic milliseconds.
+   */
   recordResponse(endpoint: string, sentAt: number): void;
   /** Returns whether a response can still refute that this was a crash. */
   isUnconfirmed(lostRequest: LostRequest): boolean;
@@ -41,14 +44,14 @@
 /** Time for which unanswered requests and deregistrations are kept, in ms. */
 const UNANSWERED_TTL_MS = 15_000;
 
-/** Maximum number of unanswered requests kept, and of deregistrations. */
+/** Maximum number of unanswered requests kept, and of deregistrations kept. */
 const MAX_UNANSWERED = 500;
 
 /** A crash that a response may refute. */
 interface PossibleCrash {
   readonly crash: Crash;
-  /** Loss of the request, in monotonic milliseconds. */
-  readonly lostAt: number;
+  /** Time at which the request was lost, in monotonic milliseconds. */
+  readonly lostAtMs: number;
 }
 
 /**
@@ -79,13 +82,13 @@
     endpoint,
   }: LostRequest): PossibleCrash {
     const crash = {request, endpoint, atMs: Math.round(wallMs())};
-    return {crash, lostAt: clock.now()};
+    return {crash, lostAtMs: clock.now()};
   }
 
   function removeExpired(): void {
     const oldestAt = clock.now() - UNANSWERED_TTL_MS;
     unansweredRequests = unansweredRequests
-      .filter(({lostAt}) => lostAt >= oldestAt)
+      .filter(({lostAtMs}) => lostAtMs >= oldestAt)
       .slice(-MAX_UNANSWERED);
     for (const [endpoint, deregisteredAt] of deregistrationTimes) {
       if (
@@ -133,8 +136,8 @@
       if (unconfirmedCrashes.size === 0 && unansweredRequests.length === 0) {
         return;
       }
-      const isRefuted = ({crash, lostAt}: PossibleCrash) =>
-        crash.endpoint === endpoint && lostAt < sentAt;
+      const isRefuted = ({crash, lostAtMs}: PossibleCrash) =>
+        crash.endpoint === endpoint && lostAtMs < sentAt;
       unansweredRequests = unansweredRequests.filter(
         possibleCrash => !isRefuted(possibleCrash),
       );
--- a/packages/routing/src/crashEvidence.ts
+++ b/packages/routing/src/crashEvidence.ts
@@ -182,21 +182,21 @@
 }
 
 /**
- * Returns the crashes and complete responses of a report from a wall-clock time
- * on. Complete responses may expire with the crashes, since they only clear
- * crashes.
+ * Returns a report with only the crashes and complete responses that occurred
+ * at or after a wall-clock time. Complete responses may expire with the
+ * crashes, since they only clear crashes.
  *
  * @example
  * const recentReport = filterReportSince(report, nowMs - 10_000);
  */
 export function filterReportSince(
   report: CrashReport,
-  fromMs: number,
+  sinceMs: number,
 ): CrashReport {
   return {
-    crashes: report.crashes.filter(({atMs}) => atMs >= fromMs),
+    crashes: report.crashes.filter(({atMs}) => atMs >= sinceMs),
     served: Object.fromEntries(
-      Object.entries(report.served).filter(([, atMs]) => atMs >= fromMs),
+      Object.entries(report.served).filter(([, atMs]) => atMs >= sinceMs),
     ),
   };
 }
--- a/packages/routing/src/crashQuarantine.ts
+++ b/packages/routing/src/crashQuarantine.ts
@@ -50,7 +50,10 @@
   recordCompleted(request: string): void;
   /** Replaces another entry's stored report. */
   setStoredReport(entry: string, report: CrashReport): void;
-  /** Removes the deleted stored report of this or another entry. */
+  /**
+   * Removes the evidence of an entry (this or another one) whose stored report
+   * was deleted, and all gossiped evidence.
+   */
   removeStoredReport(entry: string): void;
   /** Merges a report gossiped by another entry, which may not be stored yet. */
   mergeGossip(report: CrashReport): void;
@@ -91,7 +94,9 @@
 /** Milliseconds after which a trial without a result may be repeated. */
 const TRIAL_TIMEOUT_MS = 10_000;
 
-/** Time for which stored evidence is still gossiped, over several digests. */
+/**
+ * Milliseconds for which stored evidence is still gossiped: several digests.
+ */
 const GOSSIP_MS = 1_500;
 
 /**
@@ -100,17 +105,19 @@
  */
 const NOTABLE_CRASHES = 2;
 
-/** Maximum crashes in an entry's stored report, and in all gossiped reports. */
+/**
+ * Maximum crashes in an entry's stored report, and in the gossiped evidence.
+ */
 const MAX_STORED_CRASHES = 100;
 const MAX_GOSSIPED_CRASHES = 1_000;
 
 /** Maximum number of requests in a dump. */
 const MAX_DUMPED_REQUESTS = 50;
 
-/** Evidence of this entry, and evidence gossiped by other entries. */
+/** Sources of evidence: this entry, and the gossip of other entries. */
 const OWN_SOURCE = 'own';
 const GOSSIP_SOURCE = 'gossip';
-/** Complete responses that this entry does not report to other entries. */
+/** Source of complete responses that are not reported to other entries. */
 const LOCAL_SOURCE = 'local';
 
 function storedReportSource(entry: string): string {
@@ -166,8 +173,8 @@
   }
 
   function computeVerdict(request: string): QuarantineVerdict {
-    const timesMs = recentCrashTimesMs(request);
-    const crashes = timesMs.length;
+    const crashTimesMs = recentCrashTimesMs(request);
+    const crashes = crashTimesMs.length;
     if (crashes === 0) {
       return {type: 'clear'};
     }
@@ -175,7 +182,7 @@
       return {type: 'suspected', crashes};
     }
     const remainingMs =
-      timesMs.at(-1)! + quarantineDurationMs(timesMs) - wallMs();
+      crashTimesMs.at(-1)! + quarantineDurationMs(crashTimesMs) - wallMs();
     if (remainingMs > 0) {
       return {type: 'quarantined', crashes, retryAfterMs: remainingMs};
     }
@@ -187,14 +194,14 @@
 
   function updateQuarantinedRequests(requests: ReadonlySet<string>): void {
     for (const request of requests) {
-      const timesMs = recentCrashTimesMs(request);
-      const hasReachedThreshold = timesMs.length >= QUARANTINE_CRASHES;
+      const crashTimesMs = recentCrashTimesMs(request);
+      const hasReachedThreshold = crashTimesMs.length >= QUARANTINE_CRASHES;
       if (hasReachedThreshold === quarantinedRequests.has(request)) {
         continue;
       }
       const figures = {
-        crashes: timesMs.length,
-        occasions: countIncidents(timesMs),
+        crashes: crashTimesMs.length,
+        occasions: countIncidents(crashTimesMs),
       };
       if (hasReachedThreshold) {
         quarantinedRequests.add(request);
@@ -239,7 +246,8 @@
   }
 
   /**
-   * Removes own crashes of the request, and adds the response to the source.
+   * Removes this entry's crashes under the request, and adds a complete
+   * response to the report of the source.
    */
   function addCompleteResponse(
     request: string,
@@ -380,10 +388,10 @@
 }
 
 /** Counts the incidents among ascending crash times. */
-function countIncidents(timesMs: readonly number[]): number {
+function countIncidents(crashTimesMs: readonly number[]): number {
   let incidents = 0;
   let incidentStartMs = -Infinity;
-  for (const atMs of timesMs) {
+  for (const atMs of crashTimesMs) {
     if (atMs - incidentStartMs >= INCIDENT_MS) {
       incidents += 1;
       incidentStartMs = atMs;
@@ -392,7 +400,8 @@
   return incidents;
 }
 
-function quarantineDurationMs(timesMs: readonly number[]): number {
-  const index = Math.min(countIncidents(timesMs), QUARANTINE_MS.length) - 1;
+function quarantineDurationMs(crashTimesMs: readonly number[]): number {
+  const index =
+    Math.min(countIncidents(crashTimesMs), QUARANTINE_MS.length) - 1;
   return QUARANTINE_MS[Math.max(0, index)]!;
 }
--- a/packages/routing/src/endpointPool.ts
+++ b/packages/routing/src/endpointPool.ts
@@ -31,7 +31,7 @@
    * including endpoints that are not assigned to this entry.
    */
   countListed(service: string): number;
-  leavingIds(): readonly string[];
+  leavingEndpointIds(): readonly string[];
 }
 
 /** Mark of a leaving endpoint, which the host list may still contain. */
@@ -102,21 +102,21 @@
       const subset = pickSubset(self, entries, ids);
       // With few entries and many endpoints an entry may be assigned no
       // endpoint; it then uses all of them.
-      const assigned = group.filter(({id}) => subset.has(id));
-      return assigned.length > 0 ? assigned : group;
+      const assignedCandidates = group.filter(({id}) => subset.has(id));
+      return assignedCandidates.length > 0 ? assignedCandidates : group;
     });
   }
 
   function rebuildPools() {
-    const assigned = pickAssignedEndpoints();
-    const assignedIds = new Set(assigned.map(({id}) => id));
+    const assignedCandidates = pickAssignedEndpoints();
+    const assignedIds = new Set(assignedCandidates.map(({id}) => id));
     for (const id of endpointsById.keys()) {
       if (!assignedIds.has(id)) {
         endpointsById.delete(id);
       }
     }
     pools.clear();
-    for (const candidate of assigned) {
+    for (const candidate of assignedCandidates) {
       const existing = endpointsById.get(candidate.id);
       // The same id on another host is a new process, to which neither the
       // state nor the leaving mark of the old process applies.
@@ -182,6 +182,6 @@
         candidate =>
           candidate.service === service && !leavingMarks.has(candidate.id),
       ).length,
-    leavingIds: () => [...leavingMarks.keys()],
+    leavingEndpointIds: () => [...leavingMarks.keys()],
   };
 }
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -48,7 +48,10 @@
  * Upper bound of a latency ratio, so that one late response cannot dominate.
  */
 const MAX_LATENCY_RATIO_SAMPLE = 20;
-/** First ejection; each consecutive ejection is twice as long. */
+/**
+ * Duration of the first ejection; each consecutive ejection is twice as long,
+ * up to `MAX_EJECTION_MS`.
+ */
 const BASE_EJECTION_MS = 1500;
 const MAX_EJECTION_MS = 45_000;
 /** Consecutive successes that end probing. */
--- a/packages/routing/src/loadView.ts
+++ b/packages/routing/src/loadView.ts
@@ -58,7 +58,7 @@
 
 /** Assumed lag of a load report that does not list its attempts. */
 const ASSUMED_REPORT_LAG_MS = 400;
-/** Time for which past counts of own requests are retained. */
+/** Time for which past counts of this entry's requests are retained. */
 const OWN_COUNT_HISTORY_MS = 4000;
 /** Age above which the weight of an endpoint's report decays. */
 const FRESH_REPORT_MS = 2500;
@@ -75,9 +75,9 @@
  *
  * A delayed report still counts requests of this entry that have ended and
  * lacks requests just sent. So the view uses the reported count of other
- * entries' requests and the exact load of this entry. With the reported count
- * of this entry, all requests in one report interval would go to the endpoint
- * that last looked idle.
+ * entries' requests and the exact load of this entry. If it used the reported
+ * count of this entry's requests, all requests in one report interval would go
+ * to the endpoint that last looked idle.
  *
  * @example
  * const load = createLoadView({
@@ -87,11 +87,11 @@
 export function createLoadView(options: LoadViewOptions): LoadView {
   const {clock, isOwnAttempt} = options;
   const ownRequests = new Set<OwnRequest>();
-  /** Past counts of own requests, for reports that list no attempts. */
+  /** Past counts of this entry's requests, for reports without attempts. */
   const ownCountHistory: {atMs: number; count: number}[] = [];
   let slots = DEFAULT_SLOTS;
-  let otherRequests = 0;
-  let otherPendingTokens = 0;
+  let otherEntriesRequestCount = 0;
+  let otherEntriesPendingTokens = 0;
   let reportReceivedMs = Number.NEGATIVE_INFINITY;
   let lastReportSequence = -1;
   const loadsByEntry = new Map<string, {load: EntryLoad; receivedMs: number}>();
@@ -151,8 +151,8 @@
   function loadFromReport(): EntryLoad {
     const weight = reportWeight();
     return {
-      requests: otherRequests * weight,
-      pendingTokens: otherPendingTokens * weight,
+      requests: otherEntriesRequestCount * weight,
+      pendingTokens: otherEntriesPendingTokens * weight,
       contextTokens: 0,
     };
   }
@@ -180,9 +180,11 @@
       lastReportSequence = report.sequence;
       const total = report.running + report.waiting;
       slots = Math.max(1, report.slots);
-      otherRequests = Math.max(0, total - countOwnAttempts(report));
-      otherPendingTokens =
-        total === 0 ? 0 : (report.waitingPromptTokens * otherRequests) / total;
+      otherEntriesRequestCount = Math.max(0, total - countOwnAttempts(report));
+      otherEntriesPendingTokens =
+        total === 0
+          ? 0
+          : (report.waitingPromptTokens * otherEntriesRequestCount) / total;
       reportReceivedMs = clock.now();
     },
     recordEntryLoad(entry, load) {
@@ -219,8 +221,8 @@
     reportAgeMs: () => clock.now() - reportReceivedMs,
     dump: () => ({
       own: ownRequests.size,
-      others: otherRequests,
-      othersTokens: otherPendingTokens,
+      others: otherEntriesRequestCount,
+      othersTokens: otherEntriesPendingTokens,
       slots,
     }),
   };
--- a/packages/routing/src/popularity.ts
+++ b/packages/routing/src/popularity.ts
@@ -39,8 +39,8 @@
 export function createPrefixPopularity(): PrefixPopularity {
   let currentCounts = new Map<string, number>();
   let previousCounts = new Map<string, number>();
-  let currentTotal = 0;
-  let previousTotal = 0;
+  let currentRequestCount = 0;
+  let previousRequestCount = 0;
 
   function trafficShare(block: string): number {
     const count =
@@ -50,18 +50,18 @@
     }
     // Uses a lower confidence bound, since a small count may be due to chance.
     const lowerBound = count - CONFIDENCE_DEVIATIONS * Math.sqrt(count);
-    return lowerBound / (currentTotal + previousTotal);
+    return lowerBound / (currentRequestCount + previousRequestCount);
   }
 
   return {
     recordRequest(blocks) {
-      if (currentTotal >= WINDOW_REQUESTS) {
+      if (currentRequestCount >= WINDOW_REQUESTS) {
         previousCounts = currentCounts;
-        previousTotal = currentTotal;
+        previousRequestCount = currentRequestCount;
         currentCounts = new Map();
-        currentTotal = 0;
+        currentRequestCount = 0;
       }
-      currentTotal += 1;
+      currentRequestCount += 1;
       for (let index = 0; index < blocks.length; index += BLOCK_STRIDE) {
         const block = blocks[index]!;
         currentCounts.set(block, (currentCounts.get(block) ?? 0) + 1);
--- a/packages/routing/src/rateLimits.ts
+++ b/packages/routing/src/rateLimits.ts
@@ -48,8 +48,8 @@
   /** Takes a token for a request that is sent to the endpoint. */
   consumeToken(endpoint: string): void;
   /**
-   * Returns the milliseconds until this entry may send the endpoint a request;
-   * undefined if this entry has no share of the limit.
+   * Returns the milliseconds until this entry may send the endpoint a request:
+   * 0 if the endpoint has no limit, undefined if this entry has no share of it.
    */
   waitMs(endpoint: string): number | undefined;
   dump(): unknown;
@@ -66,7 +66,7 @@
 
 /** Token bucket with this entry's share of an endpoint's limit. */
 interface TokenBucket {
-  newest: Observation;
+  newestObservation: Observation;
   /** Tokens available: requests that may be sent now. */
   level: number;
   /** Last refill, in monotonic milliseconds. */
@@ -75,7 +75,7 @@
 
 const SECOND_MS = 1_000;
 
-/** Bucket capacity in milliseconds of refill, but at least one request. */
+/** Bucket capacity in milliseconds of refill; it is at least one request. */
 const BURST_MS = 250;
 
 /** Relative change of a limit above which the change is logged. */
@@ -85,7 +85,8 @@
 const REMOVAL_GOSSIP_MS = 10_000;
 
 /**
- * Minimum requests per second, to probe whether a limit of zero still applies.
+ * Lower bound of an applied limit in requests per second, so that requests
+ * still probe whether a limit of zero applies.
  */
 const MIN_PER_SECOND = 0.1;
 
@@ -108,20 +109,24 @@
   const shares = new Map<string, number>();
 
   function hasLimit(endpoint: string): boolean {
-    return buckets.get(endpoint)?.newest.perSecond !== undefined;
+    return buckets.get(endpoint)?.newestObservation.perSecond !== undefined;
   }
 
   function applyObservation(endpoint: string, newest: Observation): void {
     const bucket = buckets.get(endpoint);
     if (bucket === undefined) {
-      buckets.set(endpoint, {newest, level: 0, refilledAt: clock.now()});
+      buckets.set(endpoint, {
+        newestObservation: newest,
+        level: 0,
+        refilledAt: clock.now(),
+      });
       logChange(endpoint, undefined, newest);
       return;
     }
-    if (newest.at >= bucket.newest.at) {
-      logChange(endpoint, bucket.newest, newest);
+    if (newest.at >= bucket.newestObservation.at) {
+      logChange(endpoint, bucket.newestObservation, newest);
       refill(endpoint, bucket);
-      bucket.newest = newest;
+      bucket.newestObservation = newest;
       shares.delete(endpoint);
     }
   }
@@ -171,7 +176,7 @@
 
   function refill(endpoint: string, bucket: TokenBucket): void {
     const now = clock.now();
-    const {perSecond} = bucket.newest;
+    const {perSecond} = bucket.newestObservation;
     const rate = perSecond === undefined ? 0 : shareOf(endpoint, perSecond);
     const addedTokens = ((now - bucket.refilledAt) * rate) / SECOND_MS;
     const capacity = Math.max(1, (rate * BURST_MS) / SECOND_MS);
@@ -182,7 +187,7 @@
   /** Refills and returns the endpoint's bucket; undefined without a limit. */
   function refilledBucket(endpoint: string): TokenBucket | undefined {
     const bucket = buckets.get(endpoint);
-    if (bucket?.newest.perSecond === undefined) {
+    if (bucket?.newestObservation.perSecond === undefined) {
       return undefined;
     }
     refill(endpoint, bucket);
@@ -206,7 +211,7 @@
     },
     ownReports() {
       const reports: Record<string, RateLimitReport> = {};
-      for (const [endpoint, {newest}] of buckets) {
+      for (const [endpoint, {newestObservation: newest}] of buckets) {
         const {perSecond, at, isOwn} = newest;
         const agoMs = clock.now() - at;
         if (isOwn && perSecond !== undefined) {
@@ -218,7 +223,7 @@
       return reports;
     },
     setEntries(ids) {
-      // The time up to now is refilled at the old shares.
+      // Refills the buckets for the time until now at the old shares.
       buckets.forEach((bucket, endpoint) => refill(endpoint, bucket));
       entries = ids;
       shares.clear();
@@ -243,10 +248,10 @@
     },
     waitMs(endpoint) {
       const bucket = refilledBucket(endpoint);
-      if (bucket?.newest.perSecond === undefined) {
+      if (bucket?.newestObservation.perSecond === undefined) {
         return 0;
       }
-      const share = shareOf(endpoint, bucket.newest.perSecond);
+      const share = shareOf(endpoint, bucket.newestObservation.perSecond);
       if (share === 0) {
         return undefined;
       }
@@ -254,7 +259,7 @@
     },
     dump: () =>
       Object.fromEntries(
-        [...buckets].map(([endpoint, {newest, level}]) => [
+        [...buckets].map(([endpoint, {newestObservation: newest, level}]) => [
           endpoint,
           {...newest, level, share: shares.get(endpoint)},
         ]),
--- a/packages/routing/src/routeCosts.ts
+++ b/packages/routing/src/routeCosts.ts
@@ -4,8 +4,8 @@
 /** Weights of the cost model; see docs/DECISIONS/routing.md. */
 export interface RouteWeights {
   /**
-   * Share of the shareable tokens that seem uncached but will be computed; 1
-   * when absent.
+   * Share of the seemingly uncached shareable tokens that are in fact computed,
+   * since the others prove to be cached; 1 when absent.
    */
   readonly recomputedTokenShare?: number;
   /**
@@ -73,7 +73,10 @@
     sharedTokens: number,
     affinity: number,
   ): number;
-  /** Records the time to the first token, after `tokens` were computed. */
+  /**
+   * Records that the first token arrived after `firstTokenMs`, in which the
+   * endpoint computed `tokens` prompt tokens.
+   */
   recordFirstToken(tokens: number, firstTokenMs: number): void;
   /** Records the total duration of a request at an endpoint. */
   recordDuration(durationMs: number): void;
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -40,12 +40,15 @@
   readonly blockTokens?: number;
 }
 
-/** Probability that a short and a long request are used as a probe. */
+/** Probabilities that a short request and a long request serve as a probe. */
 const PROBE_PROBABILITY = 0.3;
 const LONG_PROBE_PROBABILITY = 0.03;
 /** Uncached prompt tokens above which a request counts as long. */
 const LONG_PROBE_TOKENS = 512;
-/** Lower bound of expected latency: ratios to a lower one are unreliable. */
+/**
+ * Lower bound of the expected latency by which an actual latency is divided,
+ * since ratios to a lower latency are unreliable.
+ */
 const MIN_EXPECTED_LATENCY_MS = 40;
 const PERCENT = 100;
 /** Milliseconds to wait when this entry has no share of the rate limit. */
@@ -55,9 +58,9 @@
 
 /** Endpoints that are preferred for a prompt's prefix. */
 interface PrefixPlacement {
-  /** Leading tokens whose traffic is too much for one endpoint. */
+  /** Tokens of the prefix whose traffic is too much for one endpoint. */
   readonly sharedTokens: number;
-  /** Affinity by endpoint for the tokens after these, equal at every entry. */
+  /** Affinity by endpoint for the tokens after it, equal at every entry. */
   readonly affinities: ReadonlyMap<string, number>;
 }
 
@@ -232,17 +235,17 @@
     candidates: readonly PooledEndpoint[],
   ): PooledEndpoint[] | undefined {
     const targets = candidates.filter(({health}) => health.needsProbe());
-    const [first] = targets;
-    if (first === undefined) {
+    const [target] = targets;
+    if (target === undefined) {
       return undefined;
     }
-    const cached = first.cache.expectedCachedTokens(routingRequest.blocks);
+    const cached = target.cache.expectedCachedTokens(routingRequest.blocks);
     const isLong = routingRequest.promptTokens - cached > LONG_PROBE_TOKENS;
     if (!random.chance(isLong ? LONG_PROBE_PROBABILITY : PROBE_PROBABILITY)) {
       return undefined;
     }
     totals.probes += 1;
-    return [first];
+    return [target];
   }
 
   function updateHealth(endpoint: PooledEndpoint) {
@@ -361,7 +364,7 @@
     setEndpoints: endpoints => pools.setEndpoints(endpoints),
     setEntries: entries => pools.setEntries(entries),
     markLeaving(endpoint) {
-      if (!pools.leavingIds().includes(endpoint)) {
+      if (!pools.leavingEndpointIds().includes(endpoint)) {
         decisions.recordDecision('routing', endpoint, 'no new work', 'leaving');
       }
       pools.markLeaving(endpoint);
@@ -448,7 +451,7 @@
       costs: Object.fromEntries(
         [...costsByService].map(([service, costs]) => [service, costs.dump()]),
       ),
-      leaving: pools.leavingIds(),
+      leaving: pools.leavingEndpointIds(),
       endpoints: pools.all().map(({candidate, health, load, cache}) => ({
         ...candidate,
         health: health.state,
--- a/packages/routing/src/test/requestLimits.test.ts
+++ b/packages/routing/src/test/requestLimits.test.ts
@@ -49,7 +49,10 @@
   return {
     clock,
     entries,
-    /** Sends all allowed requests; each response sets the given limit. */
+    /**
+     * Lets each entry send one request per step if the limit allows; every
+     * response sets the limit to `perSecond`.
+     */
     sendAllowed(seconds: number, perSecond: number | undefined): void {
       for (let atMs = 0; atMs < seconds * 1_000; atMs += STEP_MS) {
         if (atMs % DIGEST_INTERVAL_MS === 0) {
@@ -62,7 +65,8 @@
       }
     },
     /**
-     * Returns the largest window and the total of the last seconds' requests.
+     * Returns how many requests were sent in the last `seconds`: in total, and
+     * in the busiest window of `WINDOW_SECONDS`.
      */
     countSent(seconds: number): {maxInWindow: number; total: number} {
       const recentPerStep = sentPerStep.slice((-seconds * 1_000) / STEP_MS);
@@ -159,7 +163,7 @@
   // An entry that starts after the removal must not receive the removed limit.
   it('are no longer gossiped by entries that received their removal', () => {
     const {clock, entries} = createEntries(3);
-    const [first, second, started] = entries as [
+    const [first, second, newEntry] = entries as [
       RateLimits,
       RateLimits,
       RateLimits,
@@ -170,9 +174,9 @@
     second.recordLimit(ENDPOINT, undefined);
     first.mergeReports(second.ownReports());
     clock.advanceSync(20_000);
-    started.mergeReports(first.ownReports());
-    started.mergeReports(second.ownReports());
-    assert.ok(started.allowsRequest(ENDPOINT));
+    newEntry.mergeReports(first.ownReports());
+    newEntry.mergeReports(second.ownReports());
+    assert.ok(newEntry.allowsRequest(ENDPOINT));
   });
 
   it('do not apply to endpoints that set none', () => {
--- a/packages/routing/src/test/subset.test.ts
+++ b/packages/routing/src/test/subset.test.ts
@@ -20,23 +20,28 @@
   });
 
   it('assigns every endpoint to the same number of entries', () => {
-    const expected = entriesPerEndpoint(endpoints.length, entries.length);
+    const expectedAssigneeCount = entriesPerEndpoint(
+      endpoints.length,
+      entries.length,
+    );
     for (const endpoint of endpoints) {
       const assigneeCount = subsets.filter(subset =>
         subset.has(endpoint),
       ).length;
-      assert.equal(assigneeCount, expected);
+      assert.equal(assigneeCount, expectedAssigneeCount);
     }
   });
 
   it('reassigns few endpoints when an entry leaves', () => {
-    const remaining = entries.slice(1);
-    remaining.forEach((entry, index) => {
-      const before = subsets[index + 1]!;
-      const after = pickSubset(entry, remaining, endpoints);
-      const keptEndpoints = [...before].filter(endpoint => after.has(endpoint));
-      assert.equal(keptEndpoints.length, before.size);
-      assert.ok(after.size <= before.size + 12);
+    const remainingEntries = entries.slice(1);
+    remainingEntries.forEach((entry, index) => {
+      const subsetBefore = subsets[index + 1]!;
+      const subsetAfter = pickSubset(entry, remainingEntries, endpoints);
+      const keptEndpoints = [...subsetBefore].filter(endpoint =>
+        subsetAfter.has(endpoint),
+      );
+      assert.equal(keptEndpoints.length, subsetBefore.size);
+      assert.ok(subsetAfter.size <= subsetBefore.size + 12);
     });
   });
 });
