--- a/packages/traffic/src/confirmation.ts
+++ b/packages/traffic/src/confirmation.ts
@@ -58,7 +58,7 @@
 }
 
 /**
- * Creates a confirmation of infinite age.
+ * Creates a confirmation without a confirmed time, so that its age is Infinity.
  *
  * The age is measured on the monotonic and on the wall clock, and the larger
  * value counts. The monotonic clock stops while a host is suspended, so by this
--- a/packages/traffic/src/contracts.ts
+++ b/packages/traffic/src/contracts.ts
@@ -22,7 +22,7 @@
   readonly timeoutMs: number;
   /** Target time to the response or the first event of a stream, in ms. */
   readonly goalMs: number;
-  /** 0 is the highest. */
+  /** Priority of the route's requests; 0 is the highest. */
   readonly priority: number;
   readonly services: readonly WeightedService[];
   /** Maximum number of endpoints on which one request may run. */
@@ -37,9 +37,9 @@
 
 /** Bounds and prices of the endpoints that may be requested for a service. */
 export interface FleetConfig {
-  /** Minimum endpoints in each failure domain, over both markets. */
+  /** Minimum in each failure domain, on-demand and reclaimable together. */
   readonly least: number;
-  /** Maximum endpoints in each failure domain, over both markets. */
+  /** Maximum in each failure domain, on-demand and reclaimable together. */
   readonly most: number;
   /** Time from requesting an endpoint to its first served request, in ms. */
   readonly bootMs: number;
--- a/packages/traffic/src/demandEstimator.ts
+++ b/packages/traffic/src/demandEstimator.ts
@@ -8,14 +8,15 @@
  * been lower for `SCALE_DOWN_WINDOW_MS`.
  *
  * If the engine speed is overestimated, requests are late. While many requests
- * are late, the need is higher than the number of present endpoints, whatever
- * the work rate, and for `SCALE_DOWN_WINDOW_MS` after that it does not fall.
+ * are late, the need is higher than the number of present endpoints, but at
+ * most `MAX_SCALE_UP_OVER_WORK` times the need due to work. It does not fall
+ * for `SCALE_DOWN_WINDOW_MS` after that.
  */
 import type {Clock} from '@skylarkfield/base';
 import type {TargetUtilization} from '@skylarkfield/capacity';
 import {countEndpointsNeeded, type EndpointNeed} from './fleetPlan.js';
 
-/** Inputs of the estimated need. */
+/** Measurements from which the number of needed endpoints is estimated. */
 export interface DemandSignals {
   /** Arriving work, in milliseconds of one endpoint's time per second. */
   readonly workRate: number;
@@ -31,7 +32,7 @@
 
 /** Estimates the endpoints needed by one service. */
 export interface DemandEstimator {
-  /** Records the current signals and returns the endpoints needed. */
+  /** Records the signals and returns the number of endpoints needed. */
   update(signals: DemandSignals): EndpointNeed;
 }
 
@@ -71,7 +72,7 @@
  */
 const MAX_SCALE_UP_OVER_WORK = 2;
 
-/** Need at one time, in monotonic milliseconds. */
+/** Number of needed endpoints, computed at a time in monotonic milliseconds. */
 interface NeedSample extends EndpointNeed {
   readonly computedAtMs: number;
 }
@@ -129,12 +130,12 @@
 
   function recordStartupSignals({
     workRate,
-    readyEndpoints: present,
+    readyEndpoints: readyCount,
     isSure,
   }: DemandSignals): void {
     if (firstWorkAtMs === undefined) {
       // Takes the maximum, since endpoints register one by one at the start.
-      initialCount = Math.max(initialCount, present);
+      initialCount = Math.max(initialCount, readyCount);
     }
     if (workRate >= MIN_WORK_RATE) {
       firstWorkAtMs ??= clock.now();
--- a/packages/traffic/src/fleetPlan.ts
+++ b/packages/traffic/src/fleetPlan.ts
@@ -34,8 +34,8 @@
   readonly config: FleetConfig;
   readonly needed: EndpointNeed;
   /**
-   * Present reclaimable endpoints, by failure domain, of the domains in which
-   * no more of them are available.
+   * Number of present reclaimable endpoints by failure domain, for the failure
+   * domains that offer no further ones.
    */
   readonly scarce: ReadonlyMap<string, number>;
 }
@@ -60,7 +60,9 @@
 }
 
 /**
- * Plans the endpoints of a service.
+ * Plans the number of endpoints by failure domain and market. On-demand
+ * endpoints go to the cheapest failure domains; reclaimable endpoints go to the
+ * domains with the fewest endpoints.
  *
  * @example
  * const plan = planFleet({config, needed: {usual: 4, brief: 3}, scarce: new Map()});
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -2,11 +2,11 @@
  * Distributed rate limits per customer, enforced without a remote call per
  * request.
  *
- * In any window, a quota allows rate times window plus burst. Entries exchange
- * their cumulative usage, and each entry enforces the quota on the sum of its
- * own and the reported usage. An entry that has reports from only some peers
- * grants a proportional fraction, so that both sides of a partition together
- * stay within the quota.
+ * In any window, a quota allows `perSecond * windowMs / 1000 + burst` units.
+ * Entries exchange their cumulative usage, and each entry enforces the quota on
+ * the sum of its own and the reported usage. An entry that has reports from
+ * only some peers grants a proportional fraction, so that both sides of a
+ * partition together stay within the quota.
  */
 import type {Clock, Logger} from '@skylarkfield/base';
 import type {CustomerConfig, Quota} from './contracts.js';
@@ -76,7 +76,7 @@
 /** Upper bound of the time after which to retry, in milliseconds. */
 const MAX_RETRY_AFTER_MS = 8_000;
 
-/** Fraction of the allowance above which usage is logged. */
+/** Fraction of the granted allowance above which usage is logged. */
 const MIN_LOGGED_FRACTION = 0.5;
 /** Minimum time between usage log lines of one customer, in milliseconds. */
 const LOG_INTERVAL_MS = 1_000;
@@ -124,12 +124,12 @@
   function createAccount(quota: Quota): Account {
     const nowMs = clock.now();
     const allowance = windowAllowance(quota);
-    const fullRefillPerMs = allowance / windowMs;
-    const level = Math.min(quota.burst, fullRefillPerMs * MIN_RESTART_MS);
-    const repaidAtMs = startedAtMs + (quota.burst + level) / fullRefillPerMs;
+    const maxTokensPerMs = allowance / windowMs;
+    const level = Math.min(quota.burst, maxTokensPerMs * MIN_RESTART_MS);
+    const refillStartMs = startedAtMs + (quota.burst + level) / maxTokensPerMs;
     return {
       level,
-      refilledAtMs: Math.max(nowMs, repaidAtMs),
+      refilledAtMs: Math.max(nowMs, refillStartMs),
       // Earlier usage is unknown, so all of the allowance but the burst counts
       // as used.
       window: createQuotaWindow({
--- a/packages/traffic/src/routeTable.ts
+++ b/packages/traffic/src/routeTable.ts
@@ -3,7 +3,10 @@
 
 /** Routes by authority and path prefix. */
 export interface RouteTable {
-  /** Returns the route with the longest matching path prefix, or undefined. */
+  /**
+   * Returns the route of the authority with the longest matching path prefix;
+   * undefined if no route matches.
+   */
   match(authority: string, path: string): Route | undefined;
 }
 
--- a/packages/traffic/src/test/fleet.test.ts
+++ b/packages/traffic/src/test/fleet.test.ts
@@ -116,12 +116,12 @@
 /** Creates the signals of a service whose requests are on time. */
 function createSignals(
   workRate: number,
-  present: number,
+  readyCount: number,
   overrides: Partial<DemandSignals> = {},
 ): DemandSignals {
   return {
     workRate,
-    readyEndpoints: present,
+    readyEndpoints: readyCount,
     use: UTILIZATION,
     latePart: 0,
     isSure: true,
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -25,7 +25,8 @@
 };
 
 /**
- * Consumes an amount at every entry and step; returns the total granted amount.
+ * Tries to consume an amount at every entry in each step; returns the sum of
+ * the granted amounts.
  */
 function consumeRepeatedly(
   clock: ReturnType<typeof createVirtualClock>,
@@ -51,7 +52,10 @@
   return granted;
 }
 
-/** Returns the amounts granted by connected entries: total and peak window. */
+/**
+ * Runs entries that exchange their usage. Returns the total amount granted, and
+ * the largest amount granted in one window.
+ */
 function runConnected(
   count: number,
   options: {readonly seconds: number; readonly amount: number},
--- a/packages/traffic/src/workMeter.ts
+++ b/packages/traffic/src/workMeter.ts
@@ -26,8 +26,9 @@
 }
 
 /**
- * Creates a meter at zero. The meter counts tokens, not engine time, because
- * the estimate of engine speed may change after the work has arrived.
+ * Creates a meter without recorded work. It measures work in tokens, not in
+ * engine time, because the estimate of engine speed may change after the work
+ * has arrived.
  *
  * @example
  * meter.record('chat', promptWork(demand));
