--- a/packages/capacity/src/contracts.ts
+++ b/packages/capacity/src/contracts.ts
@@ -89,7 +89,10 @@
   readonly contextStepMs: number;
   /** Mean number of an answer's tokens. */
   readonly usualAnswerTokens: number;
-  /** Highest tokens per second that the long answers of any route need. */
+  /**
+   * Tokens per second to plan for: the maximum over the routes of the mean rate
+   * that answers need plus 1.5 standard deviations.
+   */
   readonly neededPace: number;
   /** Exponentially decayed number of sampled prompts. */
   readonly prompts: number;
@@ -105,11 +108,14 @@
 export interface WorkRate {
   /** Prompt tokens that only one request has. */
   readonly ownTokens: number;
-  /** Millions of pairs of one of the `countOwnTokens` and a token of its prompt. */
+  /**
+   * Millions of pairs of an own token and a token of the same prompt: the sum
+   * over all prompts of `ownTokens * promptTokens / 1e6`.
+   */
   readonly pairs: number;
   /** Tokens of shared prompt parts that are expected to be uncached. */
   readonly rereadTokens: number;
   readonly answerTokens: number;
-  /** Sum over answers of answer tokens times thousands of prompt tokens. */
+  /** Sum over all answers of `answerTokens * promptTokens / 1000`. */
   readonly answerContext: number;
 }
--- a/packages/capacity/src/engineEstimate.ts
+++ b/packages/capacity/src/engineEstimate.ts
@@ -26,12 +26,15 @@
 /** Prior standard deviation of attention time, as a fraction of prompt time. */
 const PRIOR_PAIRS_FRACTION = 0.2;
 
-/** Mean `countOwnTokens` of a prompt before the first sample. */
+/** Mean `ownTokens` of a prompt assumed before the first sample. */
 const PRIOR_PROMPT_TOKENS = 1_000;
 /** Latency target of a service whose routes set none, in milliseconds. */
 const DEFAULT_TARGET_MS = 1_000;
 
-/** Prior step time per thousand context tokens, in prompt token times. */
+/**
+ * Prior time that a thousand context tokens add to a decode step, as a fraction
+ * of the time of one prompt token.
+ */
 const PRIOR_CONTEXT_FRACTION = 0.5;
 
 /** Standard deviations above a route's mean token rate to plan for. */
--- a/packages/capacity/src/engineModel.ts
+++ b/packages/capacity/src/engineModel.ts
@@ -3,8 +3,8 @@
  * serve.
  *
  * The speed of engines differs by a factor of ten between customers and is not
- * configured. With an overestimate too few endpoints run and requests miss
- * their deadlines; with an underestimate idle endpoints cost money.
+ * configured. If it is overestimated, too few endpoints run and requests miss
+ * their deadlines; if it is underestimated, idle endpoints cost money.
  */
 import type {Clock} from '@skylarkfield/base';
 import {addTokenRateStats, scaleTokenRateStats} from './capacityStats.js';
--- a/packages/capacity/src/outcomeMeter.ts
+++ b/packages/capacity/src/outcomeMeter.ts
@@ -14,7 +14,7 @@
 }
 
 export interface OutcomeMeter {
-  /** Records the outcome of one request. */
+  /** Records a request; `isLate` also covers rejected and failed requests. */
   record(service: string, isLate: boolean): void;
   /** Returns the counts by service. */
   counts(): Readonly<Record<string, OutcomeCounts>>;
--- a/packages/capacity/src/regression.ts
+++ b/packages/capacity/src/regression.ts
@@ -273,7 +273,8 @@
 type CrossProduct = (i: number, j: number) => number;
 
 /**
- * Keeps the noise variance positive, and the precision of a zero prior finite.
+ * Keeps the noise variance positive, and the precision of a prior with standard
+ * deviation 0 finite.
  */
 const EPSILON = 1e-12;
 
--- a/packages/capacity/src/targetUtilization.ts
+++ b/packages/capacity/src/targetUtilization.ts
@@ -63,8 +63,8 @@
 }
 
 /**
- * Returns the utilization u at which prompts meet their latency targets. The
- * mean wait is u / (1 - u) times the mean prompt time.
+ * Returns the highest utilization u at which prompts meet their latency
+ * targets. The mean wait is u / (1 - u) times the mean prompt time.
  */
 function maxUtilizationForTargets(
   {usualPromptMs}: EngineEstimate,
@@ -83,8 +83,9 @@
 }
 
 /**
- * Returns the utilization u at which answers reach the needed token rate. A
- * decode step takes stepMs / (1 - u) if prompts take a fraction u of the time.
+ * Returns the highest utilization u at which answers reach the needed token
+ * rate. A decode step takes stepMs / (1 - u) if prompts take a fraction u of
+ * the time.
  */
 function maxUtilizationForTokenRate({
   stepMs,
--- a/packages/capacity/src/test/engineModel.test.ts
+++ b/packages/capacity/src/test/engineModel.test.ts
@@ -75,7 +75,10 @@
   },
 ];
 
-/** Mean square of `countOwnTokens` over its squared mean in `addSamples`. */
+/**
+ * Mean of `ownTokens ** 2` divided by the square of the mean of `ownTokens`, in
+ * the samples of `addSamples`.
+ */
 const SQUARED_MEAN_RATIO = 1.163;
 
 /**
@@ -179,8 +182,8 @@
   });
 
   it('follows engines that become slower', () => {
-    // A new version processes prompts at a third of the speed. Samples of the
-    // old version must not hide the slowdown for longer than a minute.
+    // A new version processes prompts at about a quarter of the speed. Samples
+    // of the old version must not hide the slowdown for longer than a minute.
     const clock = createVirtualClock();
     const model = createEngineModel(clock);
     addSamples(model, PROFILES[0]!, 300, seededRandom(1));
