--- a/packages/admission/src/bulkhead.ts
+++ b/packages/admission/src/bulkhead.ts
@@ -31,7 +31,7 @@
   recordReportedSlots(slots: number, outstanding: number | undefined): void;
   /** Returns the requests in flight relative to the limit, 0 to 1. */
   loadFraction(): number;
-  /** Rejects all queued and all later requests as `not-run`. */
+  /** Rejects all queued and later requests as `unknown-service`, `not-run`. */
   close(): void;
   dump(): unknown;
 }
@@ -113,13 +113,14 @@
   let rejectionCount = 0;
   let lastDecisionAt = -Infinity;
   capacityShare.setEntryCount(options.entryCount);
-  adaptiveLimit.setCeiling(capacityShare.current());
+  adaptiveLimit.setCeiling(capacityShare.maxConcurrency());
 
   function recordStateChange(enteredState: BulkheadState) {
-    const isRateLimited = clock.now() - lastDecisionAt < DECISION_INTERVAL_MS;
+    const wasLoggedRecently =
+      clock.now() - lastDecisionAt < DECISION_INTERVAL_MS;
     if (
       enteredState === 'queueing' ||
-      (enteredState !== 'closed' && isRateLimited)
+      (enteredState !== 'closed' && wasLoggedRecently)
     ) {
       return;
     }
@@ -139,7 +140,7 @@
   }
 
   function currentLimit(urgency = DEFAULT_URGENCY): number {
-    const baseLimit = Math.floor(adaptiveLimit.current());
+    const baseLimit = Math.floor(adaptiveLimit.currentLimit());
     if (urgency < DEFAULT_URGENCY) {
       return Math.max(1, baseLimit + capacityShare.overdraft());
     }
@@ -157,7 +158,7 @@
     return request.urgency < (queue.headUrgency() ?? Infinity);
   }
 
-  /** Returns 0 if the request can be admitted at once. */
+  /** Returns the expected wait for admission; 0 if admitted at once. */
   function expectedWaitMs(request: AdmissionRequest): number {
     if (
       inFlight < currentLimit(request.urgency) &&
@@ -376,7 +377,7 @@
     configure(newConfig) {
       config = newConfig;
       capacityShare.setConcurrency(newConfig.concurrency);
-      adaptiveLimit.setCeiling(capacityShare.current());
+      adaptiveLimit.setCeiling(capacityShare.maxConcurrency());
       adaptiveLimit.setTarget(newConfig.targetMs);
       while (queue.size > config.queue) {
         rejectEvicted(queue.evictLowestPriority());
@@ -385,13 +386,13 @@
     },
     setEntryCount(count) {
       capacityShare.setEntryCount(count);
-      adaptiveLimit.setCeiling(capacityShare.current());
+      adaptiveLimit.setCeiling(capacityShare.maxConcurrency());
       admitQueued();
     },
     recordReportedSlots(slots, outstanding) {
       const isLimitReached = inFlight >= currentLimit();
       capacityShare.recordReport(slots, outstanding, isLimitReached);
-      adaptiveLimit.setCeiling(capacityShare.current());
+      adaptiveLimit.setCeiling(capacityShare.maxConcurrency());
       admitQueued();
     },
     loadFraction: () => Math.min(1, inFlight / currentLimit()),
@@ -404,8 +405,8 @@
     dump: () => ({
       service: config.name,
       state: machine.state(),
-      limit: adaptiveLimit.current(),
-      share: capacityShare.current(),
+      limit: adaptiveLimit.currentLimit(),
+      share: capacityShare.maxConcurrency(),
       overdraft: capacityShare.overdraft(),
       ordinaryFraction: capacityShare.ordinaryFraction(),
       inFlight,
--- a/packages/admission/src/capacityShare.ts
+++ b/packages/admission/src/capacityShare.ts
@@ -6,13 +6,13 @@
  * so load is uneven, and with equal shares alone one entry would reject
  * requests while capacity is idle at another. If the endpoints report their
  * load, an entry at its limit borrows an equal part of the idle slots with each
- * report. It returns borrowed slots when it is below its limit or a report
- * shows no idle slots.
+ * report. It returns half of its borrowed slots with each report that shows no
+ * idle slots or arrives while the entry is below its limit.
  */
 
 export interface CapacityShare {
   /** Returns the concurrency that this entry may use, at least 1. */
-  current(): number;
+  maxConcurrency(): number;
   /**
    * Returns the number of extra slots for requests more urgent than the default
    * urgency. Urgency has to take effect across entries: if a customer's urgent
@@ -68,7 +68,7 @@
 export function createCapacityShare(initialConcurrency: number): CapacityShare {
   let concurrency = initialConcurrency;
   let entryCount = 1;
-  let slots: number | undefined;
+  let totalReportedSlots: number | undefined;
   let borrowedSlots = 0;
   let ordinaryFraction = 1;
   let isLoadReported = false;
@@ -84,13 +84,15 @@
   }
 
   function totalConcurrency(): number {
-    return slots === undefined ? concurrency : Math.min(concurrency, slots);
+    return totalReportedSlots === undefined
+      ? concurrency
+      : Math.min(concurrency, totalReportedSlots);
   }
   function equalShare(): number {
     return totalConcurrency() / entryCount;
   }
   return {
-    current() {
+    maxConcurrency() {
       const maxConcurrency = Math.min(
         totalConcurrency(),
         equalShare() + borrowedSlots,
@@ -111,7 +113,7 @@
       entryCount = Math.max(1, count);
     },
     recordReport(reportedSlots, outstanding, isLimitReached) {
-      slots = reportedSlots > 0 ? reportedSlots : undefined;
+      totalReportedSlots = reportedSlots > 0 ? reportedSlots : undefined;
       isLoadReported = outstanding !== undefined;
       if (outstanding === undefined) {
         borrowedSlots = 0;
--- a/packages/admission/src/concurrencyLimit.ts
+++ b/packages/admission/src/concurrencyLimit.ts
@@ -21,7 +21,7 @@
 
 export interface ConcurrencyLimit {
   /** Returns the current limit, at least 1; not necessarily an integer. */
-  current(): number;
+  currentLimit(): number;
   recordSample(sample: LimitSample): void;
   /** Sets the upper bound of the limit. */
   setCeiling(ceiling: number): void;
@@ -67,7 +67,7 @@
 function createFixedLimit(options: LimitOptions): ConcurrencyLimit {
   let ceiling = options.ceiling;
   return {
-    current: () => clampLimit(ceiling, ceiling),
+    currentLimit: () => clampLimit(ceiling, ceiling),
     recordSample() {},
     setCeiling: newCeiling => (ceiling = newCeiling),
     setTarget() {},
@@ -112,7 +112,7 @@
     limitReachedCount = 0;
   }
   return {
-    current: () => clampLimit(limit, ceiling),
+    currentLimit: () => clampLimit(limit, ceiling),
     recordSample(sample) {
       sampleCount += 1;
       limitReachedCount += sample.isLimitReached ? 1 : 0;
@@ -140,7 +140,9 @@
  * limit.
  */
 const GRADIENT_TOLERANCE = 1.5;
-/** Fraction of the computed change applied over as many samples as the limit. */
+/**
+ * Fraction of the computed change applied over as many samples as the limit.
+ */
 const GRADIENT_SMOOTHING = 0.2;
 /**
  * Lower bound of the gradient, also the gradient of a sample with an overload.
@@ -157,7 +159,7 @@
   let longTermLatencyMs: number | undefined;
   let shortTermLatencyMs = 0;
   return {
-    current: () => clampLimit(limit, ceiling),
+    currentLimit: () => clampLimit(limit, ceiling),
     recordSample({latencyMs, isOverload, isLimitReached}) {
       longTermLatencyMs =
         longTermLatencyMs === undefined ? latencyMs : longTermLatencyMs;
--- a/packages/admission/src/contracts.ts
+++ b/packages/admission/src/contracts.ts
@@ -9,7 +9,9 @@
 export interface AdmissionRequest {
   readonly service: string;
   readonly customer: string;
-  /** RFC 9218 urgency, 0 (most urgent) to 7, after the customer's cap. */
+  /**
+   * RFC 9218 urgency, 0 (most urgent) to 7, with the customer's cap applied.
+   */
   readonly urgency: number;
   /** Monotonic ms by which the response must end (plain) or begin (model). */
   readonly deadline: number;
--- a/packages/admission/src/fairQueue.ts
+++ b/packages/admission/src/fairQueue.ts
@@ -44,7 +44,7 @@
    * served before `incoming`.
    */
   costAheadAtSameUrgency(incoming: QueueItem): number;
-  /** Returns the number of flows in memory, summed over all urgencies. */
+  /** Returns the number of flows in memory, one per customer and urgency. */
   flowCount(): number;
   items(): readonly T[];
 }
--- a/packages/admission/src/test/admission.test.ts
+++ b/packages/admission/src/test/admission.test.ts
@@ -290,10 +290,10 @@
     for (let index = 0; index < 20; index++) {
       admission.recordReportedSlots('booking', 16, 4);
     }
-    const {services: borrowed} = admission.dump() as {
+    const {services: servicesAfterBorrowing} = admission.dump() as {
       services: {share: number}[];
     };
-    assert.equal(borrowed[0]?.share, 16);
+    assert.equal(servicesAfterBorrowing[0]?.share, 16);
     for (let index = 0; index < 20; index++) {
       admission.recordReportedSlots('booking', 16, 28);
     }
