--- a/packages/members/src/endpointDeparture.ts
+++ b/packages/members/src/endpointDeparture.ts
@@ -5,8 +5,9 @@
  * requests sent to it would be cut off. A return therefore requires a list that
  * shows the endpoint as leaving or does not contain it, followed by a list that
  * shows it as live. As an older list may arrive after a newer one, a return
- * also requires a new URL or that the deadline of the old process has passed. A
- * new process on a host that leaves as a whole is not a return.
+ * also requires a new URL or that the deadline of the host has passed. Before
+ * the deadline of a host that leaves as a whole, a new process on this host is
+ * not a return.
  */
 import type {ListedEndpoint} from '@skylarkfield/providers';
 
--- a/packages/members/src/failureDetector.ts
+++ b/packages/members/src/failureDetector.ts
@@ -17,7 +17,7 @@
 /** Suspects silent neighbours and confirms whether they are gone. */
 export interface FailureDetector {
   /** Checks the neighbours for silence; must be called with every heartbeat. */
-  check(neighbours: readonly string[]): void;
+  check(neighbourIds: readonly string[]): void;
   /**
    * Requests a member's current update; resolves to whether the member
    * answered.
@@ -50,7 +50,7 @@
  *
  * @example
  * const failureDetector = createFailureDetector({table, network, ...rest});
- * failureDetector.check(neighbours);
+ * failureDetector.check(neighbourIds);
  */
 export function createFailureDetector(options: {
   readonly table: MemberTable;
@@ -268,12 +268,12 @@
   }
 
   return {
-    check(neighbours) {
+    check(neighbourIds) {
       const now = clock.now();
       neighbourSince = new Map(
-        neighbours.map(id => [id, neighbourSince.get(id) ?? now]),
+        neighbourIds.map(id => [id, neighbourSince.get(id) ?? now]),
       );
-      new Set([...neighbours, ...suspicions.keys()]).forEach(checkMember);
+      new Set([...neighbourIds, ...suspicions.keys()]).forEach(checkMember);
       for (const [id, lastClosedAt] of connectionClosedAt) {
         if (now - lastClosedAt > timing.silenceTimeoutMs) {
           connectionClosedAt.delete(id);
--- a/packages/members/src/heartbeats.ts
+++ b/packages/members/src/heartbeats.ts
@@ -9,7 +9,7 @@
 
 /** Sends the heartbeats of one entry and processes received heartbeats. */
 export interface Heartbeats {
-  send(neighbours: readonly string[]): void;
+  send(neighbourIds: readonly string[]): void;
   receive(from: string, body: Messages['heartbeat']): void;
 }
 
@@ -18,7 +18,7 @@
  *
  * @example
  * const heartbeats = createHeartbeats({localMember, table, gossip, ...rest});
- * heartbeats.send(peerDirectory.neighbours());
+ * heartbeats.send(peerDirectory.neighbourIds());
  */
 export function createHeartbeats(options: {
   readonly localMember: LocalMember;
@@ -40,7 +40,7 @@
   } = options;
 
   return {
-    send(neighbours) {
+    send(neighbourIds) {
       const {news, changes} = gossip.dequeueBatch();
       const {incarnation, sequence, load} = localMember.currentUpdate();
       const digest = table.digestWith(localMember.baseUpdate());
@@ -52,7 +52,7 @@
         digest,
         ...(changes.length > 0 && {changes}),
       };
-      network.broadcast('heartbeat', body, neighbours);
+      network.broadcast('heartbeat', body, neighbourIds);
     },
     receive(from, body) {
       body.news.forEach(updateHandler.applyUpdate);
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -60,7 +60,7 @@
    */
   onDidReturn(listener: (endpoint: string) => void): Disposable;
   /**
-   * Records a report from another source, such as the endpoint itself. `goneAtMs`
+   * Records a report from another source, such as the endpoint itself. `goneAt`
    * is in wall-clock milliseconds; 0 means that no deadline is known.
    */
   reportLeaving(
@@ -98,7 +98,7 @@
  * messages until disposed.
  *
  * @example
- * const tracker = createLeavingEndpointTracker({cloud, hostList, network, ...rest});
+ * const tracker = createLeavingEndpointTracker({cloud, hostList, ...rest});
  * tracker.onDidLeave(({endpoint}) => router.remove(endpoint));
  */
 export function createLeavingEndpointTracker(options: {
--- a/packages/members/src/leavingHost.ts
+++ b/packages/members/src/leavingHost.ts
@@ -58,11 +58,11 @@
 }
 
 /**
- * Sets the deadline to `goneAtMs`, in wall-clock milliseconds, if it is later
+ * Sets the deadline to `goneAt`, in wall-clock milliseconds, if it is later
  * than the current deadline, as after a second notice.
  *
  * @example
- * extendDeadline(leavingHost, notice.goneAtMs, clock);
+ * extendDeadline(leavingHost, notice.goneAt, clock);
  */
 export function extendDeadline(
   leavingHost: LeavingHost,
@@ -79,12 +79,13 @@
 }
 
 /**
- * Returns whether a notice repeats an earlier one, as after a network
- * partition, although the endpoint has returned since. Such a notice does not
- * apply to the endpoint.
+ * Returns whether a notice has no later deadline than the earlier notices for
+ * the host although the endpoint has returned since. Such a notice repeats an
+ * earlier one, as after a network partition, and does not apply to the
+ * endpoint.
  *
  * @example
- * const isNew = !isRepeatedNotice(leavingHost, notice.goneAtMs, endpoint);
+ * const isNew = !isRepeatedNotice(leavingHost, notice.goneAt, endpoint);
  */
 export function isRepeatedNotice(
   leavingHost: LeavingHost | undefined,
--- a/packages/members/src/memberObjects.ts
+++ b/packages/members/src/memberObjects.ts
@@ -86,7 +86,7 @@
    * Contacts a member that is known only by its object; resolves to whether the
    * member replied.
    */
-  contact(id: string, value: MemberObject): Promise<boolean>;
+  contact(id: string, memberObject: MemberObject): Promise<boolean>;
 }): MemberObjects {
   const {store, table, clock, random, log, decisions, timing} = options;
   /** Number of sweeps that failed to contact an unknown member, by its id. */
@@ -204,10 +204,10 @@
    */
   function isSweeper(): boolean {
     const {id} = options.localUpdate();
-    const live = [...table.all()]
+    const liveMemberIds = [...table.all()]
       .filter(knownMember => knownMember.machine.state() === 'live')
       .map(knownMember => knownMember.update.id);
-    return rendezvousOrder('member-sweeper', [...live, id])[0] === id;
+    return rendezvousOrder('member-sweeper', [...liveMemberIds, id])[0] === id;
   }
 
   function isDead(knownMember: KnownMember, value: MemberObject): boolean {
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -101,7 +101,7 @@
     decisions,
     timing,
     localUpdate: localMember.currentUpdate,
-    contact: (id, value) => reconnector.contactMember(id, value),
+    contact: (id, memberObject) => reconnector.contactMember(id, memberObject),
   });
   disposables.add(memberObjects);
   const peerDirectory = createPeerDirectory({
@@ -170,8 +170,8 @@
   function tick() {
     pauseRecovery.check();
     peerDirectory.refresh();
-    heartbeats.send(peerDirectory.neighbours());
-    failureDetector.check(peerDirectory.neighbours());
+    heartbeats.send(peerDirectory.neighbourIds());
+    failureDetector.check(peerDirectory.neighbourIds());
     reconnector.check();
     pruneTombstones(table, clock.now(), timing.tombstoneTtlMs);
   }
@@ -209,7 +209,7 @@
     gossip.add(update);
     const unacknowledgedIds = await announceLeaving(
       update,
-      peerDirectory.neighbours(),
+      peerDirectory.neighbourIds(),
     );
     await announceLeaving(update, unacknowledgedIds);
     await memberObjects
@@ -224,7 +224,7 @@
       // Relayed without waiting for the next heartbeat, so that callers are
       // routed away from the leaving entry at once.
       const receivers = peerDirectory
-        .neighbours()
+        .neighbourIds()
         .filter(id => id !== from && id !== body.news.id);
       network.broadcast('leaving', body, receivers);
     }
@@ -319,7 +319,7 @@
         sequence: knownMember.update.sequence,
         heardAgoMs: Math.round(clock.now() - knownMember.lastSeenAt),
       })),
-      neighbours: peerDirectory.neighbours(),
+      neighbours: peerDirectory.neighbourIds(),
       gossip: gossip.size(),
       reconciliations: reconciler.fetchCount(),
       silence: failureDetector.dump(),
--- a/packages/members/src/peerDirectory.ts
+++ b/packages/members/src/peerDirectory.ts
@@ -9,7 +9,7 @@
 /** Neighbours and peer addresses, derived from the member table. */
 export interface PeerDirectory {
   /** Ids of the members that this entry exchanges heartbeats with. */
-  neighbours(): readonly string[];
+  neighbourIds(): readonly string[];
   /**
    * Updates the network's peers and addresses if the member table has changed.
    */
@@ -30,7 +30,7 @@
  *
  * @example
  * peerDirectory.refresh();
- * network.broadcast('heartbeat', body, peerDirectory.neighbours());
+ * network.broadcast('heartbeat', body, peerDirectory.neighbourIds());
  */
 export function createPeerDirectory(options: {
   readonly table: MemberTable;
@@ -40,7 +40,7 @@
   const {table, network} = options;
   /** Inner URLs of peers added by `addContact`, by member id. */
   const contactUrls = new Map<string, string>();
-  let neighbours: readonly string[] = [];
+  let neighbourIds: readonly string[] = [];
   let lastRevision = -1;
 
   function lostMembers(): KnownMember[] {
@@ -52,17 +52,17 @@
 
   function updateNetwork() {
     const addresses = table.presentMembers().map(addressOf);
-    const neighbourIds = new Set(neighbours);
+    const neighbourIdSet = new Set(neighbourIds);
     network.setAddressBook([
       ...addresses,
       ...lostMembers().map(addressOf),
       ...[...contactUrls].map(([id, url]) => ({id, incarnation: 0, url})),
     ]);
-    network.setPeers(addresses.filter(({id}) => neighbourIds.has(id)));
+    network.setPeers(addresses.filter(({id}) => neighbourIdSet.has(id)));
   }
 
   return {
-    neighbours: () => neighbours,
+    neighbourIds: () => neighbourIds,
     refresh() {
       if (table.revision() === lastRevision) {
         return;
@@ -72,7 +72,7 @@
       const members = table
         .presentMembers()
         .map(knownMember => knownMember.update);
-      neighbours = neighboursOf(localUpdate.id, [localUpdate, ...members]);
+      neighbourIds = neighboursOf(localUpdate.id, [localUpdate, ...members]);
       updateNetwork();
     },
     addContact(id, url) {
--- a/packages/members/src/readers.ts
+++ b/packages/members/src/readers.ts
@@ -1,6 +1,7 @@
 /**
- * Selection of the entries that watch a source on behalf of all others, so that
- * the number of watches does not grow with the number of entries.
+ * Selection of the entries that watch a source, such as reclaim notices, on
+ * behalf of all others, so that the number of watches does not grow with the
+ * number of entries.
  */
 import {rendezvousOrder} from '@skylarkfield/base';
 import type {Member} from './contracts.js';
@@ -14,7 +15,8 @@
  * order. In small installations all members are readers.
  *
  * @example
- * tracker.setIsNoticeReader(isReader(membership.liveMembers(), membership.self, 'notices'));
+ * const liveMembers = membership.liveMembers();
+ * tracker.setIsNoticeReader(isReader(liveMembers, membership.self, 'notices'));
  */
 export function isReader(
   liveMembers: readonly Member[],
--- a/packages/members/src/reconciler.ts
+++ b/packages/members/src/reconciler.ts
@@ -68,13 +68,14 @@
   }
 
   /**
-   * Drops peers that are no longer neighbours. For a current neighbour, a
-   * heartbeat would have removed the peer from the map or caused a fetch within
-   * this time.
+   * Drops peers whose digests have differed for more than twice
+   * `reconcileDelayMs`. They are no longer neighbours: a heartbeat of a
+   * neighbour would have removed it from the map or caused a fetch within this
+   * time.
    */
   function dropStalePeers(now: number) {
-    for (const [peer, since] of digestDiffersSince) {
-      if (now - since > 2 * timing.reconcileDelayMs) {
+    for (const [peer, differsSince] of digestDiffersSince) {
+      if (now - differsSince > 2 * timing.reconcileDelayMs) {
         digestDiffersSince.delete(peer);
       }
     }
@@ -88,13 +89,13 @@
         return;
       }
       const now = clock.now();
-      const since = digestDiffersSince.get(peer);
-      if (since === undefined) {
+      const differsSince = digestDiffersSince.get(peer);
+      if (differsSince === undefined) {
         dropStalePeers(now);
         digestDiffersSince.set(peer, now);
         return;
       }
-      if (now - since < timing.reconcileDelayMs) {
+      if (now - differsSince < timing.reconcileDelayMs) {
         return;
       }
       // Fetches from one peer only: while an update propagates, the digests of
--- a/packages/members/src/reconnector.ts
+++ b/packages/members/src/reconnector.ts
@@ -83,7 +83,7 @@
         return;
       }
       lastAttemptAt = now;
-      const isAlone = peerDirectory.neighbours().length === 0;
+      const isAlone = peerDirectory.neighbourIds().length === 0;
       // Only one lost member is contacted, so that the loss of many members
       // does not cause a burst of attempts.
       const lostMember = random.pick(peerDirectory.lostMembers());
--- a/packages/members/src/test/cluster.ts
+++ b/packages/members/src/test/cluster.ts
@@ -87,8 +87,8 @@
     },
     /** Ids of the members that an entry considers live. */
     liveIdsSeenBy(id: string): string[] {
-      const live = memberships.get(id)!.liveMembers();
-      return live.map(member => member.id).sort();
+      const liveMembers = memberships.get(id)!.liveMembers();
+      return liveMembers.map(member => member.id).sort();
     },
   };
 }
--- a/packages/members/src/test/endpointLeaving.test.ts
+++ b/packages/members/src/test/endpointLeaving.test.ts
@@ -251,7 +251,8 @@
   });
 
   it('resends a report to a peer that was disconnected during the broadcast', async () => {
-    // A switch is down for a moment when the notice arrives.
+    // `c` crashes before the notice arrives. Its new process connects to `b`
+    // only after the broadcast.
     const {clock, net, a, b, c} = createChain();
     net.crash('c');
     a.sendNotice('h1');
--- a/packages/members/src/test/membership.fuzz.test.ts
+++ b/packages/members/src/test/membership.fuzz.test.ts
@@ -19,22 +19,28 @@
   | {readonly type: 'loss'; probability: number}
   | {readonly type: 'wait'; ms: number};
 
-const id = fc.constantFrom(...IDS);
-const idAction = fc.record({
+const idArbitrary = fc.constantFrom(...IDS);
+const idActionArbitrary = fc.record({
   type: fc.constantFrom('start', 'crash', 'pause', 'resume', 'stop'),
-  id,
+  id: idArbitrary,
 });
-const action: fc.Arbitrary<Action> = fc.oneof(
-  {weight: 5, arbitrary: idAction as fc.Arbitrary<Action>},
+const actionArbitrary: fc.Arbitrary<Action> = fc.oneof(
+  {weight: 5, arbitrary: idActionArbitrary as fc.Arbitrary<Action>},
   {
     weight: 2,
     arbitrary: fc.record({
       type: fc.constantFrom('cut' as const, 'heal' as const),
-      id,
-      other: id,
+      id: idArbitrary,
+      other: idArbitrary,
+    }),
+  },
+  {
+    weight: 1,
+    arbitrary: fc.record({
+      type: fc.constant('cutOff' as const),
+      id: idArbitrary,
     }),
   },
-  {weight: 1, arbitrary: fc.record({type: fc.constant('cutOff' as const), id})},
   {weight: 1, arbitrary: fc.constant({type: 'healAll' as const})},
   {
     weight: 1,
@@ -185,7 +191,10 @@
     // that stays listed costs every caller a timeout.
     console.log(`membership fuzz: seed ${SEED}, ${RUNS} runs`);
     await fc.assert(
-      fc.asyncProperty(fc.array(action, {maxLength: 25}), checkConvergence),
+      fc.asyncProperty(
+        fc.array(actionArbitrary, {maxLength: 25}),
+        checkConvergence,
+      ),
       {seed: SEED, numRuns: RUNS},
     );
   });
