--- a/packages/duties/src/commandGate.ts
+++ b/packages/duties/src/commandGate.ts
@@ -2,9 +2,9 @@
  * Delays commands to endpoints that do not check fencing tokens.
  *
  * An endpoint without token checks would execute a delayed command of the
- * previous holder and thereby undo a command of the new holder. Each command has a
- * deadline after which its sender abandons it, so a new holder waits until the
- * deadlines of all commands of the previous holder have passed.
+ * previous holder and thereby undo a command of the new holder. Each command
+ * has a deadline after which its sender abandons it, so a new holder waits
+ * until the deadlines of all commands of the previous holder have passed.
  */
 import type {Clock} from '@skylarkfield/base';
 import type {DutyTerm} from './contracts.js';
@@ -15,8 +15,8 @@
   /** Returns whether a command may be sent to the endpoint now. */
   isOpen(endpoint: {readonly checksFencing: boolean}): boolean;
   /**
-   * Returns the milliseconds until commands may be sent to endpoints that do not
-   * check fencing tokens.
+   * Returns the milliseconds until commands may be sent to endpoints that do
+   * not check fencing tokens.
    */
   msUntilOpen(): number;
 }
@@ -28,7 +28,7 @@
  *   to its deadline, in milliseconds.
  * @example
  * const gate = createCommandGate({clock, term, commandDeadlineMs: 5000});
- * if (gate.isOpen(endpoint)) { await model.sendCommand(command, term.fencing); }
+ * if (gate.isOpen(endpoint)) { await engine.sendCommand(command); }
  */
 export function createCommandGate(options: {
   readonly clock: Clock;
--- a/packages/duties/src/duties.ts
+++ b/packages/duties/src/duties.ts
@@ -27,7 +27,8 @@
  * exclusion does not depend on this selection.
  *
  * @example
- * const dutyElections = createDutyElections({clock, random, store, self: {id: 'a1', incarnation: 7}, members});
+ * const self = {id: 'a1', incarnation: 7};
+ * const dutyElections = createDutyElections({self, clock, members, ...rest});
  * dutyElections.compete('acceptance', term => startAcceptance(term));
  */
 export function createDutyElections(options: {
--- a/packages/duties/src/leaseElection.ts
+++ b/packages/duties/src/leaseElection.ts
@@ -197,7 +197,7 @@
   /**
    * Returns an upper bound of all earlier fencing tokens; needed if the lease
    * object is missing. The object may have been removed, and endpoints would
-   * reject the new holder's orders as stale if tokens restarted at 1. Store
+   * reject the new holder's commands as stale if tokens restarted at 1. Store
    * versions rise at least as fast as fencing tokens.
    */
   async function readMaxPastFencing(): Promise<number> {
@@ -260,7 +260,7 @@
   /**
    * Releases the duty while this process keeps running, and does not reacquire
    * it for one lease duration. If the process reacquired the duty at once,
-   * platforms that do not check fencing tokens could get orders from two
+   * endpoints that do not check fencing tokens could get commands from two
    * holders alternately.
    */
   async function handOver({fencing}: HeldLease): Promise<void> {
--- a/packages/duties/src/test/duties.fuzz.test.ts
+++ b/packages/duties/src/test/duties.fuzz.test.ts
@@ -46,7 +46,7 @@
   ) => Promise<void> | void
 >;
 
-const command = fc.record({
+const stepArbitrary = fc.record({
   fault: fc.oneof(
     {weight: 12, arbitrary: fc.constant('advance' as const)},
     {
@@ -62,8 +62,8 @@
 });
 
 // Holders are paused until after their leases have expired, replies are lost
-// and the platform fails. Two valid holders of a duty would order hosts twice
-// and send conflicting orders to endpoints.
+// and the platform fails. Two valid holders of a duty would start hosts twice
+// and send conflicting commands to endpoints.
 test(
   `duties: a duty never has two valid holders (${runs} schedules, seed ${seed})`,
   {timeout: TIMEOUT_MS},
@@ -72,7 +72,7 @@
     await fc.assert(
       fc.asyncProperty(
         fc.integer(),
-        fc.array(command, {minLength: 5, maxLength: 40, size: 'max'}),
+        fc.array(stepArbitrary, {minLength: 5, maxLength: 40, size: 'max'}),
         async (simulationSeed, schedule) => {
           const simulation = createDutySimulation(simulationSeed);
           for (const {fault, id, magnitude} of schedule) {
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -106,10 +106,10 @@
     assert.equal(b.terms.length, 1);
   });
 
-  // A holder that discovers more members may only receive aggregates, so that
-  // its reports would cover its own part alone. If it reacquired the duty at
-  // once, platforms that do not check fencing tokens would get orders from two
-  // holders alternately.
+  // A holder that discovers more members may from then on receive only
+  // aggregated reports, so that the individual reports that it has cover only a
+  // part of the fleet. If it reacquired the duty at once, endpoints that do not
+  // check fencing tokens would get commands from two holders alternately.
   it('is handed over by an ineligible holder and not reacquired within a lease duration', async () => {
     const {commonClock, start} = createTwoProcesses();
     const canHold = {a: true, b: true};
@@ -225,7 +225,7 @@
   });
 
   // The lease object is removed. Endpoints that store the last fencing token
-  // would reject all orders of a holder whose tokens restart at 1.
+  // would reject all commands of a holder whose tokens restart at 1.
   it('never reuses a fencing token after its lease object was removed', async () => {
     const {commonClock, platform, start} = createTwoProcesses();
     const a = start('a');
@@ -246,9 +246,9 @@
   });
 
   // An endpoint that does not check fencing tokens would execute a delayed
-  // order of the previous holder, sent just before a pause, and undo an order
-  // of the new holder.
-  it("delays a new holder's orders until the previous holder's orders have expired", async () => {
+  // command of the previous holder, sent just before a pause, and undo a
+  // command of the new holder.
+  it("delays a new holder's commands until the previous holder's commands have expired", async () => {
     const {commonClock, start} = createTwoProcesses();
     const a = start('a');
     await commonClock.advance(3000);
--- a/packages/duties/src/test/dutySimulation.ts
+++ b/packages/duties/src/test/dutySimulation.ts
@@ -29,7 +29,8 @@
 const CHECK_INTERVAL_MS = 250;
 
 /**
- * Creates the simulation; checks the invariants at the start of each term.
+ * Creates the simulation. Asserts that a duty never has two valid holders, at
+ * the start of each term and every `CHECK_INTERVAL_MS`.
  *
  * @example
  * const simulation = createDutySimulation(7);
