--- a/packages/moves/src/evidence.ts
+++ b/packages/moves/src/evidence.ts
@@ -81,11 +81,11 @@
   clear(): void;
 }
 
-/** Lower bound of incumbent requests in a comparable stratum. */
+/** Minimum number of incumbent requests in a comparable stratum. */
 const MIN_INCUMBENT_REQUESTS = 4;
 
 /**
- * Upper bound of routes with a separate stratum, to limit memory; further
+ * Maximum number of routes with separate strata, to limit memory; further
  * routes are summed under `OTHER_ROUTES`.
  */
 const MAX_ROUTES = 24;
--- a/packages/moves/src/faultDetector.ts
+++ b/packages/moves/src/faultDetector.ts
@@ -212,7 +212,8 @@
 
 /**
  * Returns the prior weight of a scope. The number of scopes is not known in
- * advance, so the weights form a series; each scope type sums to at most 1/3.
+ * advance, so the weights form a series; the weights of the scopes of each type
+ * sum to at most 1/3.
  */
 function scopeWeight(type: ScopeType, index: number): number {
   if (type === 'service') {
--- a/packages/moves/src/localEvidence.ts
+++ b/packages/moves/src/localEvidence.ts
@@ -11,10 +11,10 @@
 
 export interface LocalEvidence {
   /**
-   * Adds a request; returns the reason to cut the candidate if the evidence now
-   * shows a fault, and undefined if not.
+   * Records a request; returns the reason to cut the candidate if the evidence
+   * now shows a fault, and undefined if not.
    */
-  observe(sample: RequestSample): string | undefined;
+  recordSample(sample: RequestSample): string | undefined;
   /** Returns the sums collected since the last call and clears them. */
   takeSums(): readonly EvidenceSum[];
   /** Drops the current window; called after a change of the traffic shares. */
@@ -27,12 +27,12 @@
  * up.
  */
 const FALSE_ALARM_PROBABILITY = 0.0003;
-/** Minimum length of an evidence window. */
+/** Minimum length of an evidence window, in milliseconds. */
 const WINDOW_MS = 1000;
 
 /**
- * Upper bound of sums to broadcast. Requests that would need a further sum are
- * only used for fault detection on this entry.
+ * Maximum number of sums to broadcast. Requests that would need a further sum
+ * are only used for fault detection on this entry.
  */
 const MAX_PENDING_SUMS = 256;
 
@@ -62,7 +62,7 @@
   let pendingSums = new Map<string, PendingSum>();
   let windowStartedAt = clock.now();
 
-  function addPending(sum: EvidenceSum) {
+  function addToPendingSums(sum: EvidenceSum) {
     const {route, version, loadLevel, isOrder} = sum;
     const id = [route, version, loadLevel, isOrder].join('\u0000');
     const existingSum = pendingSums.get(id);
@@ -79,9 +79,9 @@
   }
 
   return {
-    observe(sample) {
+    recordSample(sample) {
       const sum = toEvidenceSum(sample);
-      addPending(sum);
+      addToPendingSums(sum);
       window.add([sum]);
       if (clock.now() - windowStartedAt < WINDOW_MS) {
         return undefined;
--- a/packages/moves/src/moveController.ts
+++ b/packages/moves/src/moveController.ts
@@ -45,8 +45,8 @@
 
 /** Evidence of one move and the state of its tests. */
 interface MoveAnalysis {
-  readonly from: string;
-  readonly to: string;
+  readonly incumbentVersion: string;
+  readonly candidateVersion: string;
   readonly startedAt: number;
   readonly window: EvidenceWindow;
   readonly detector: FaultDetector;
@@ -64,8 +64,8 @@
 ): boolean {
   const startedAt = state.startedAt ?? analysis.startedAt;
   return (
-    analysis.from === move.from &&
-    analysis.to === move.to &&
+    analysis.incumbentVersion === move.from &&
+    analysis.candidateVersion === move.to &&
     analysis.startedAt === startedAt
   );
 }
@@ -91,7 +91,7 @@
   const analyses = new Map<string, MoveAnalysis>();
   const cutReasons = new Map<string, string>();
   const lastStates = new Map<string, MoveState>();
-  const lastNotes = new Map<string, string>();
+  const lastDecisionTexts = new Map<string, string>();
 
   function getOrCreateAnalysis(
     move: Move,
@@ -108,8 +108,8 @@
     const startedAt = state.startedAt ?? wallMs;
     const windowCount = Math.ceil((move.deadline - startedAt) / WINDOW_MS);
     const newAnalysis: MoveAnalysis = {
-      from: move.from,
-      to: move.to,
+      incumbentVersion: move.from,
+      candidateVersion: move.to,
       startedAt,
       window: createEvidenceWindow(move.from, move.to),
       detector: createFaultDetector({
@@ -152,10 +152,10 @@
     const decisionText = `${nextState.phase} ${nextState.share} ${nextState.orderShare} ${nextState.why}`;
     // The change is logged once, although it is retried while the platform is
     // unavailable.
-    if (lastNotes.get(state.move) === decisionText) {
+    if (lastDecisionTexts.get(state.move) === decisionText) {
       return nextState;
     }
-    lastNotes.set(state.move, decisionText);
+    lastDecisionTexts.set(state.move, decisionText);
     decisions.recordDecision(
       'moves',
       state.move,
@@ -202,8 +202,9 @@
   }
 
   /**
-   * Returns the lowest log-odds among the idempotent and the non-idempotent
-   * routes, if they have traffic; minus infinity without traffic.
+   * Returns the log-odds that the candidate is good on the idempotent or on the
+   * non-idempotent routes, whichever is lower. Ignores a class of routes
+   * without traffic; returns minus infinity if neither class has traffic.
    */
   function overallLogOdds(nonInferiorityTest: NonInferiorityTest): number {
     const logOdds = [false, true]
@@ -321,8 +322,8 @@
   }
 
   /**
-   * Returns the state; a new state if the move was withdrawn or its record now
-   * names other versions.
+   * Returns `state`, or a new waiting state if there is no state, the move was
+   * withdrawn or its record now names other versions.
    */
   function resumeOrReset(
     move: Move,
@@ -384,18 +385,18 @@
   }
 
   return {
-    addEvidence(move, sums) {
-      analyses.get(move)?.window.add(sums);
+    addEvidence(moveName, sums) {
+      analyses.get(moveName)?.window.add(sums);
     },
-    reportCut(move, why) {
-      if (!cutReasons.has(move)) {
-        cutReasons.set(move, why);
+    reportCut(moveName, why) {
+      if (!cutReasons.has(moveName)) {
+        cutReasons.set(moveName, why);
       }
     },
     advance(move, state, wallMs) {
-      const next = advance(move, state, wallMs);
-      lastStates.set(move.name, next);
-      return next;
+      const nextState = advance(move, state, wallMs);
+      lastStates.set(move.name, nextState);
+      return nextState;
     },
     track(move, state, wallMs) {
       if (isFinal(state.phase) || state.startedAt === undefined) {
@@ -403,9 +404,9 @@
       }
       endWindowWhenDue(getOrCreateAnalysis(move, state, wallMs), state, wallMs);
     },
-    retainMoves(names) {
-      const retainedNames = new Set(names);
-      for (const map of [analyses, cutReasons, lastStates, lastNotes]) {
+    retainMoves(moveNames) {
+      const retainedNames = new Set(moveNames);
+      for (const map of [analyses, cutReasons, lastStates, lastDecisionTexts]) {
         for (const name of map.keys()) {
           if (!retainedNames.has(name)) {
             map.delete(name);
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -38,7 +38,7 @@
  * Time for which the final state of a removed move is kept, so that operators
  * can read the outcome.
  */
-const ENDED_STATE_RETENTION_MS = 7 * 24 * 3_600_000;
+const FINAL_STATE_RETENTION_MS = 7 * 24 * 3_600_000;
 
 /**
  * Starts the duty for one term; the caller disposes the result at the term's
@@ -68,29 +68,29 @@
    * With unconditional writes, a holder that was paused beyond its lease could
    * undo a decision of its successor, such as a rollback.
    */
-  async function writeState(next: MoveState) {
+  async function writeState(nextState: MoveState) {
     if (!term.isValid()) {
       return;
     }
-    const storedState = storedStates.get(next.move);
-    const previousChangedAt = storedState?.value.changedAt ?? 0;
+    const storedObject = storedStates.get(nextState.move);
+    const previousChangedAt = storedObject?.value.changedAt ?? 0;
     // Followers ignore states without a higher timestamp, and the clock of an
     // earlier holder may have been ahead of this one.
     const value = {
-      ...next,
-      changedAt: Math.max(next.changedAt, previousChangedAt + 1),
+      ...nextState,
+      changedAt: Math.max(nextState.changedAt, previousChangedAt + 1),
     };
     try {
-      const written = await objects.put(
+      const writtenObject = await objects.put(
         MOVE_STATE_KIND,
-        next.move,
+        nextState.move,
         value,
-        storedState === undefined
+        storedObject === undefined
           ? {type: 'absent'}
-          : {type: 'version', version: storedState.version},
+          : {type: 'version', version: storedObject.version},
         term.signal,
       );
-      storedStates.set(next.move, written);
+      storedStates.set(nextState.move, writtenObject);
     } catch (error) {
       // After a conflict or an unknown outcome, the stored states are read
       // again.
@@ -146,7 +146,10 @@
     }
   }
 
-  /** Ends moves without a record and deletes their states after retention. */
+  /**
+   * Sets moves without a record to `withdrawn`, and deletes the final states of
+   * such moves after `FINAL_STATE_RETENTION_MS`.
+   */
   async function endWithdrawnMoves(currentMoveNames: ReadonlySet<string>) {
     for (const object of [...storedStates.values()]) {
       const state = object.value;
@@ -162,7 +165,7 @@
           why: 'the operator withdrew the move',
           changedAt: clock.wall(),
         });
-      } else if (clock.wall() - state.changedAt > ENDED_STATE_RETENTION_MS) {
+      } else if (clock.wall() - state.changedAt > FINAL_STATE_RETENTION_MS) {
         const condition = {type: 'version', version: object.version} as const;
         await objects.remove(
           MOVE_STATE_KIND,
@@ -184,12 +187,12 @@
       await loadStates();
     }
     const moves = configuration.list('move');
-    const names = moves.map(move => move.name);
-    controller.retainMoves(names);
+    const moveNames = moves.map(move => move.name);
+    controller.retainMoves(moveNames);
     for (const service of new Set(moves.map(move => move.service))) {
       await advanceService(moves.filter(move => move.service === service));
     }
-    await endWithdrawnMoves(new Set(names));
+    await endWithdrawnMoves(new Set(moveNames));
     options.onDidAdvance?.([...storedStates.values()].map(({value}) => value));
   }
 
@@ -212,8 +215,8 @@
 }
 
 /**
- * Returns the state of a waiting move, rolled back at its deadline; `state`
- * itself if unchanged.
+ * Returns the state of a move that has to wait, rolled back once its deadline
+ * has passed; returns `state` itself if phase and reason are unchanged.
  */
 function createWaitingState(
   move: Move,
--- a/packages/moves/src/moveFollower.ts
+++ b/packages/moves/src/moveFollower.ts
@@ -46,7 +46,7 @@
  * Starts to follow all moves; disposing the result stops following them.
  *
  * @example
- * disposables.add(createMoveFollower({clock, objects, network, configuration, split, controller}));
+ * disposables.add(createMoveFollower({clock, objects, network, ...rest}));
  */
 export function createMoveFollower(options: MoveFollowerOptions): Disposable {
   const {clock, objects, network, configuration, split, controller} = options;
--- a/packages/moves/src/nonInferiorityTest.ts
+++ b/packages/moves/src/nonInferiorityTest.ts
@@ -36,12 +36,14 @@
   hasTraffic(isOrder: boolean): boolean;
   /** Describes the strongest evidence against the candidate, for operators. */
   describeWorstRoute(): string;
+  /** Returns the evidence of each route, to be stored in the move's state. */
   proofs(): readonly RouteProof[];
 }
 
 /**
- * Thresholds of a bad version: ratio of its error rate to the incumbent's, and
- * excess of its mean log latency over the incumbent's.
+ * Thresholds from which a version is bad or has a gross fault: ratio of its
+ * error rate to the incumbent's, and excess of its mean log latency over the
+ * incumbent's.
  */
 const BAD_ERROR_FACTOR = 2;
 const GROSS_ERROR_FACTOR = 3;
@@ -54,8 +56,8 @@
 const BAD_ADDED_ERROR_RATE = 0.002;
 
 /**
- * Share of the requests from which a route has full weight; the weight of a
- * route below 1/8 is proportional to its share.
+ * Share of the requests from which a route has full weight. The weight of a
+ * route is `min(1, share / FULL_WEIGHT_SHARE)`.
  */
 const FULL_WEIGHT_SHARE = 1 / 8;
 
--- a/packages/moves/src/shareSchedule.ts
+++ b/packages/moves/src/shareSchedule.ts
@@ -149,7 +149,8 @@
  * Returns the candidate's share on non-idempotent routes.
  *
  * @example
- * const share = orderShareFor(move, progress, {share: 0.1, hasTraffic: true}, logOdds);
+ * const idempotentRoutes = {share: 0.1, hasTraffic: true};
+ * const share = orderShareFor(move, progress, idempotentRoutes, logOdds);
  */
 export function orderShareFor(
   move: Move,
--- a/packages/moves/src/test/fakes.ts
+++ b/packages/moves/src/test/fakes.ts
@@ -182,7 +182,7 @@
 }
 
 /**
- * Starts entries, each with a follower and a controller. `startDuty` runs the
+ * Starts entries, each with a follower and a controller. `holdDuty` runs the
  * duty on one of them.
  */
 export function createCluster(clock: VirtualClock, count: number) {
@@ -213,7 +213,7 @@
     return {split, controller};
   }
   const entries = Array.from({length: count}, (_, index) => startEntry(index));
-  function startDuty(index: number) {
+  function holdDuty(index: number) {
     const abortController = new AbortController();
     const term: DutyTerm = {
       duty: 'moves',
@@ -240,5 +240,5 @@
     changeEmitter.fire({kind: 'move', name: ''});
     await settlePromises();
   }
-  return {entries, startEntry, platform, bus, holdDuty: startDuty, setMoves};
+  return {entries, startEntry, platform, bus, holdDuty, setMoves};
 }
--- a/packages/moves/src/test/moveCluster.test.ts
+++ b/packages/moves/src/test/moveCluster.test.ts
@@ -128,9 +128,10 @@
     );
   });
 
-  it('rejects state writes of a holder that was paused beyond its term', async () => {
-    // A paused holder loses its lease and its successor rolls the move back.
-    // The old holder resumes with its old state and must not undo the rollback.
+  it('rejects state writes of a holder after its successor has rolled the move back', async () => {
+    // The stored state changes to a rollback without the holder's knowledge, as
+    // by a successor while the holder was paused. The holder continues with its
+    // old state and must not undo the rollback.
     const {clock, holdDuty, platform, entries} = setUp();
     holdDuty(0);
     await clock.advance(3000);
--- a/packages/moves/src/test/moveController.test.ts
+++ b/packages/moves/src/test/moveController.test.ts
@@ -24,21 +24,21 @@
  * each step.
  */
 function runMove(
-  evidence: (state: MoveState, elapsedMs: number) => EvidenceSum[],
+  createEvidence: (state: MoveState, elapsedMs: number) => EvidenceSum[],
   record: Move = move,
 ) {
   const controller = createController();
   let state: MoveState | undefined;
-  let endedMs = 0;
+  let endElapsedMs = 0;
   for (let elapsedMs = 0; elapsedMs <= HOUR_MS; elapsedMs += STEP_MS) {
     state = controller.advance(record, state, START_MS + elapsedMs);
     if (state.phase === 'finished' || state.phase === 'taken-back') {
-      endedMs = elapsedMs;
+      endElapsedMs = elapsedMs;
       break;
     }
-    controller.addEvidence(record.name, evidence(state, elapsedMs));
+    controller.addEvidence(record.name, createEvidence(state, elapsedMs));
   }
-  return {state, endedMs};
+  return {state, endElapsedMs};
 }
 
 /**
@@ -117,7 +117,7 @@
     it(`ends with phase ${outcome} for ${title}`, () => {
       // Guards against two errors: all traffic goes to a bad version, or a good
       // version is rolled back, which costs the operator another move.
-      const {state, endedMs} = runMove(({share}, elapsedMs) => {
+      const {state, endElapsedMs} = runMove(({share}, elapsedMs) => {
         const isAfterOnset = elapsedMs >= onsetMs;
         const counts = requestCounts(
           share,
@@ -141,9 +141,9 @@
         );
       });
       assert.equal(state?.phase, outcome, state?.why);
-      assert.ok(endedMs < HOUR_MS);
+      assert.ok(endElapsedMs < HOUR_MS);
       if (outcome === 'taken-back') {
-        const rollbackDelayMs = endedMs - onsetMs;
+        const rollbackDelayMs = endElapsedMs - onsetMs;
         assert.ok(
           rollbackDelayMs <= (withinMs ?? HOUR_MS / 4),
           `${rollbackDelayMs}`,
@@ -154,9 +154,9 @@
 
   it('rolls back a candidate without evidence before the deadline', () => {
     // If the move finished, all requests would go to an untested version.
-    const {state, endedMs} = runMove(() => []);
+    const {state, endElapsedMs} = runMove(() => []);
     assert.equal(state?.phase, 'taken-back');
-    assert.ok(endedMs < HOUR_MS - 20_000);
+    assert.ok(endElapsedMs < HOUR_MS - 20_000);
   });
 
   it('limits the share of an unproven candidate to the maximum in the record', () => {
--- a/packages/moves/src/test/trafficSplit.test.ts
+++ b/packages/moves/src/test/trafficSplit.test.ts
@@ -95,9 +95,9 @@
   });
 
   it('ignores later states of a rolled-back move', () => {
-    // A delayed state from a slow watch or another entry still has the share
-    // from before the rollback. Applying it would send requests to the bad
-    // version.
+    // A state with a later timestamp, as from a holder whose clock is ahead,
+    // still has the share from before the rollback. Applying it would send
+    // requests to the bad version.
     const split = createSplit(0.5);
     const laterState = {...createState(0.5), changedAt: 2};
     split.setStates([{...createState(0), phase: 'taken-back', changedAt: 1}]);
--- a/packages/moves/src/trafficSplit.ts
+++ b/packages/moves/src/trafficSplit.ts
@@ -25,7 +25,7 @@
 
 /** Cut of a candidate; void once the move's record names another candidate. */
 interface Cut {
-  readonly to: string;
+  readonly candidateVersion: string;
   readonly why: string;
 }
 
@@ -65,7 +65,9 @@
 
   function isCut(move: Move): boolean {
     const isBeforeDeadline = clock.wall() < move.deadline;
-    return isBeforeDeadline && cuts.get(move.name)?.to === move.to;
+    return (
+      isBeforeDeadline && cuts.get(move.name)?.candidateVersion === move.to
+    );
   }
 
   /** Returns whether this entry may send traffic to the candidate now. */
@@ -85,14 +87,14 @@
   }
 
   function cutCandidate(move: Move, why: string) {
-    cuts.set(move.name, {to: move.to, why});
+    cuts.set(move.name, {candidateVersion: move.to, why});
     decisions.recordDecision('moves', move.name, 'cut share to 0', why);
   }
 
   function dropStaleCuts() {
-    for (const [name, {to}] of cuts) {
+    for (const [name, {candidateVersion}] of cuts) {
       const move = moves.find(item => item.name === name);
-      if (move?.to !== to) {
+      if (move?.to !== candidateVersion) {
         cuts.delete(name);
         localEvidence.delete(name);
       }
@@ -197,7 +199,7 @@
       if (sample.version !== move.from && sample.version !== move.to) {
         return;
       }
-      const why = getOrCreateLocalEvidence(move).observe(sample);
+      const why = getOrCreateLocalEvidence(move).recordSample(sample);
       if (why !== undefined) {
         cutCandidate(move, why);
         cutEmitter.fire({move: move.name, why});
@@ -205,7 +207,10 @@
     },
     applyCut(moveName, why) {
       const move = moves.find(item => item.name === moveName);
-      if (move !== undefined && cuts.get(moveName)?.to !== move.to) {
+      if (
+        move !== undefined &&
+        cuts.get(moveName)?.candidateVersion !== move.to
+      ) {
         cutCandidate(move, why);
       }
     },
