--- a/packages/fleet/src/capacityPools.ts
+++ b/packages/fleet/src/capacityPools.ts
@@ -13,7 +13,10 @@
 const MAX_BACKOFF_MS = 300_000;
 
 export interface CapacityPoolTracker {
-  /** Adds the running time of hosts since the last call; called every round. */
+  /**
+   * Decays older observations, and adds the time since the last call for each
+   * running reclaimable host to the host hours of its pool; called every round.
+   */
   observe(hosts: readonly Host[]): void;
   recordReclaim(failureDomain: string, machineClass: string): void;
   recordRejection(
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -15,17 +15,17 @@
   readonly engine: Engine;
 }
 
-/** Time after which an order to an endpoint expires, in milliseconds. */
+/** Time after which a command to an endpoint expires, in milliseconds. */
 export const COMMAND_DEADLINE_MS = 10_000;
 
 export interface EndpointRepair {
   /**
-   * Orders endpoints to load their listed version if they run another one;
-   * resolves with the number of orders that endpoints accepted.
+   * Commands endpoints to load their listed version if they run another one;
+   * resolves with the number of commands that endpoints accepted.
    */
   repairAll(
     endpoints: readonly ManagedEndpoint[],
-    weightsOf: (service: string) => string,
+    weightsNameOf: (service: string) => string,
   ): Promise<number>;
 }
 
@@ -42,8 +42,8 @@
  * Routing relies on the host list. A replica that restarts after a crash with
  * another version would get the requests for the listed version, so a
  * rolled-back version could get traffic unnoticed. Repair is level-triggered:
- * each round compares running with listed versions, so a lost order is sent
- * again and a new holder of the duty needs no record of earlier orders.
+ * each round compares running with listed versions, so a lost command is
+ * sent again and a new holder of the duty needs no record of earlier commands.
  *
  * @example
  * const repair = createEndpointRepair({clock, decisions, weights, term, gate});
@@ -57,22 +57,22 @@
   readonly gate: CommandGate;
 }): EndpointRepair {
   const {clock, decisions, weights, term, gate} = options;
-  let nextOrderNumber = 0;
+  let nextCommandNumber = 0;
 
   return {
-    async repairAll(endpoints, weightsOf) {
+    async repairAll(endpoints, weightsNameOf) {
       const mismatches = await findMismatches(endpoints);
-      let acceptedOrderCount = 0;
+      let acceptedCommandCount = 0;
       for (const mismatch of mismatches) {
         if (!term.isValid()) {
-          return acceptedOrderCount;
+          return acceptedCommandCount;
         }
         const {service} = mismatch.endpoint.listed;
-        acceptedOrderCount += Number(
-          await repair(mismatch, weightsOf(service)),
+        acceptedCommandCount += Number(
+          await repair(mismatch, weightsNameOf(service)),
         );
       }
-      return acceptedOrderCount;
+      return acceptedCommandCount;
     },
   };
 
@@ -144,7 +144,7 @@
       }
       await engine.sendCommand(
         {
-          id: `repair-${term.fencing}-${nextOrderNumber++}`,
+          id: `repair-${term.fencing}-${nextCommandNumber++}`,
           type: 'load-version',
           target: listed.version,
           fencing: term.fencing,
--- a/packages/fleet/src/fleetActions.ts
+++ b/packages/fleet/src/fleetActions.ts
@@ -1,4 +1,4 @@
-/** Computes the host starts and stops from the present to the wanted hosts. */
+/** Computes the starts and stops that turn present into wanted hosts. */
 import {parseClientToken} from './clientToken.js';
 import type {FleetAction, Host, WantedHosts} from './contracts.js';
 
@@ -14,7 +14,7 @@
   readonly failureDomain: string;
   readonly machineClass: string;
   readonly market: Host['market'];
-  wanted: number;
+  wantedCount: number;
   readonly hosts: Host[];
 }
 
@@ -26,7 +26,8 @@
  * services are stopped; hosts with client tokens of other software are ignored.
  *
  * @example
- * for (const action of planFleetActions(plan.wanted, await cloud.listHosts())) { … }
+ * const hosts = await cloud.listHosts();
+ * for (const action of planFleetActions(plan.wanted, hosts)) { … }
  */
 export function planFleetActions(
   wanted: readonly WantedHosts[],
@@ -42,7 +43,7 @@
 ): HostGroup[] {
   const groups = new Map<string, HostGroup>();
   function getOrCreateGroup(
-    key: Omit<HostGroup, 'wanted' | 'hosts'>,
+    key: Omit<HostGroup, 'wantedCount' | 'hosts'>,
   ): HostGroup {
     const name = [
       key.service,
@@ -50,16 +51,16 @@
       key.machineClass,
       key.market,
     ].join('/');
-    const group = groups.get(name) ?? {...key, wanted: 0, hosts: []};
+    const group = groups.get(name) ?? {...key, wantedCount: 0, hosts: []};
     groups.set(name, group);
     return group;
   }
   for (const {count, ...key} of wanted) {
-    getOrCreateGroup(key).wanted += count;
+    getOrCreateGroup(key).wantedCount += count;
   }
   for (const host of hosts) {
     const owner = parseClientToken(host.clientToken);
-    if (owner === undefined || isBeingLost(host)) {
+    if (owner === undefined || isLeavingOrGone(host)) {
       continue;
     }
     const {failureDomain, machineClass, market} = host;
@@ -77,7 +78,7 @@
  * Returns whether a host is leaving or gone. A leaving host does not count as
  * capacity, as it serves requests for a few seconds only.
  */
-function isBeingLost(host: Host): boolean {
+function isLeavingOrGone(host: Host): boolean {
   return host.state === 'leaving' || host.state === 'gone';
 }
 
@@ -91,8 +92,8 @@
       wantedHosts: 0,
       missingHosts: 0,
     };
-    counts.wantedHosts += group.wanted;
-    counts.missingHosts += Math.max(0, group.wanted - group.hosts.length);
+    counts.wantedHosts += group.wantedCount;
+    counts.missingHosts += Math.max(0, group.wantedCount - group.hosts.length);
     hostCounts.set(group.service, counts);
   }
   const missingFraction = (group: HostGroup) => {
@@ -106,14 +107,14 @@
 }
 
 function planGroupStarts(group: HostGroup): FleetAction[] {
-  const missingCount = Math.max(0, group.wanted - group.hosts.length);
+  const missingCount = Math.max(0, group.wantedCount - group.hosts.length);
   return Array.from({length: missingCount}, () => ({
     type: 'start',
     service: group.service,
     failureDomain: group.failureDomain,
     machineClass: group.machineClass,
     market: group.market,
-    why: `${group.hosts.length} of ${group.wanted} wanted hosts exist`,
+    why: `${group.hosts.length} of ${group.wantedCount} wanted hosts exist`,
   }));
 }
 
@@ -126,11 +127,11 @@
     const previousSpare = spareRunningHosts.get(group.service) ?? 0;
     spareRunningHosts.set(
       group.service,
-      previousSpare + runningCount - group.wanted,
+      previousSpare + runningCount - group.wantedCount,
     );
   }
   return groups.flatMap(group => {
-    const surplus = group.hosts.length - group.wanted;
+    const surplus = group.hosts.length - group.wantedCount;
     const stopCount = Math.min(
       surplus,
       spareRunningHosts.get(group.service) ?? 0,
@@ -147,7 +148,7 @@
       .map(host => ({
         type: 'stop' as const,
         host: host.id,
-        why: `${surplus} hosts more than the ${group.wanted} wanted`,
+        why: `${surplus} hosts more than the ${group.wantedCount} wanted`,
       }));
   });
 }
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -25,7 +25,10 @@
 const RECONCILE_INTERVAL_MS = 5_000;
 
 export interface FleetDuty extends Disposable {
-  /** Runs one planning round now, in addition to the periodic rounds. */
+  /**
+   * Runs one planning round now, in addition to the periodic rounds; does
+   * nothing while another round is running.
+   */
   reconcile(): Promise<void>;
   dump(): unknown;
 }
@@ -40,8 +43,8 @@
 }
 
 /**
- * Starts the duty for a term. Services without a machine class are ignored, as
- * other software manages their hosts.
+ * Starts the fleet duty for a term. Services without a machine class are
+ * ignored, as other software manages their hosts.
  *
  * @example
  * dutyElections.compete('fleet', term => createFleetDuty({...parts, term}));
@@ -166,9 +169,9 @@
 
   /** Retries starts without a reply unless the cloud lists their hosts. */
   async function retryUnconfirmedStarts(): Promise<void> {
-    const tokens = new Set(hosts.map(host => host.clientToken));
+    const listedClientTokens = new Set(hosts.map(host => host.clientToken));
     for (const unconfirmed of unconfirmedStarts.splice(0)) {
-      if (!tokens.has(unconfirmed.token) && term.isValid()) {
+      if (!listedClientTokens.has(unconfirmed.token) && term.isValid()) {
         await startHost(unconfirmed.action, unconfirmed.token);
       }
     }
--- a/packages/fleet/src/hostPlan.ts
+++ b/packages/fleet/src/hostPlan.ts
@@ -11,14 +11,17 @@
   WantedHosts,
 } from './contracts.js';
 
-/** Hours to replace a replica: rejections, start and loading weights. */
+/**
+ * Hours to replace a replica, including rejected starts, the start of the host
+ * and the loading of weights.
+ */
 const REPLACEMENT_HOURS = 0.1;
 /**
  * Cost of a missing replica, in multiples of its price; answers are late until
  * the replica is replaced.
  */
 const MISSING_REPLICA_COST_FACTOR = 5;
-/** Failure domains that may lose all reclaimable hosts at once. */
+/** Number of failure domains that may lose all reclaimable hosts at once. */
 const CORRELATED_RECLAIM_DOMAINS = 2;
 
 /** Failure domain, with the market in which its hosts are started. */
@@ -69,14 +72,18 @@
       demand.maxReplicas,
     ),
   );
-  const best = candidates
+  const bestCandidate = candidates
     .map(allocations => convertToOnDemand(allocations, demand.minReplicas))
     .map(allocations => ({
       allocations,
       wanted: toWantedHosts(demand.service, allocations),
     }))
     .sort((a, b) => comparePlans(a.allocations, b.allocations, replicas))[0];
-  return toHostPlan(best!.allocations, best!.wanted, replicas);
+  return toHostPlan(
+    bestCandidate!.allocations,
+    bestCandidate!.wanted,
+    replicas,
+  );
 }
 
 /**
@@ -141,7 +148,7 @@
   )[0];
 }
 
-/** Returns the price of a host plus the expected cost of missing replicas. */
+/** Returns the price of a host plus the expected cost of its reclaims. */
 function expectedPricePerHour(placement: Placement): number {
   const missingReplicaCost =
     placement.reclaimRate * REPLACEMENT_HOURS * MISSING_REPLICA_COST_FACTOR;
@@ -176,7 +183,7 @@
 
 /**
  * Converts reclaimable to on-demand hosts, the lowest surcharge first, until a
- * correlated reclaim leaves `minReplicas`.
+ * correlated reclaim would leave `minReplicas` or no host is left to convert.
  */
 function convertToOnDemand(
   allocations: readonly Allocation[],
--- a/packages/fleet/src/replicaDemand.ts
+++ b/packages/fleet/src/replicaDemand.ts
@@ -19,7 +19,7 @@
   updateDemand(
     service: Service,
     reports: readonly LoadReport[],
-    hostsWithoutSpares: number,
+    hostCountWithoutSpares: number,
   ): Demand;
 }
 
@@ -31,14 +31,15 @@
  * hosts.
  *
  * @example
- * const demand = createReplicaDemandEstimator().updateDemand(service, reports, 4);
+ * const estimator = createReplicaDemandEstimator();
+ * const demand = estimator.updateDemand(service, reports, 4);
  */
 export function createReplicaDemandEstimator(): ReplicaDemandEstimator {
   const smoothedReplicas = new Map<string, number>();
   return {
-    updateDemand(service, reports, hostsWithoutSpares) {
+    updateDemand(service, reports, hostCountWithoutSpares) {
       const previousReplicas =
-        smoothedReplicas.get(service.name) ?? hostsWithoutSpares;
+        smoothedReplicas.get(service.name) ?? hostCountWithoutSpares;
       const neededReplicas = estimateReplicas(reports) ?? previousReplicas;
       const nextReplicas =
         neededReplicas >= previousReplicas
@@ -58,7 +59,10 @@
   };
 }
 
-/** Returns the replicas for the reported load; undefined without slots. */
+/**
+ * Returns the replicas needed for the reported load; undefined if the reports
+ * contain no slots.
+ */
 function estimateReplicas(reports: readonly LoadReport[]): number | undefined {
   const totalSlots = reports.reduce((sum, report) => sum + report.slots, 0);
   if (totalSlots === 0) {
--- a/packages/fleet/src/test/fleetDuty.test.ts
+++ b/packages/fleet/src/test/fleetDuty.test.ts
@@ -168,8 +168,8 @@
     const fakeCloud = createFakeCloud();
     const {clock} = createDuty(fakeCloud);
     await clock.advance(6_000);
-    const first = listRunningHosts(fakeCloud)[0]!;
-    fakeCloud.reclaim(first.id);
+    const firstHost = listRunningHosts(fakeCloud)[0]!;
+    fakeCloud.reclaim(firstHost.id);
     await clock.advance(1_000);
     assert.equal(listRunningHosts(fakeCloud).length, 4);
   });
@@ -179,14 +179,14 @@
   // these hosts are replaced.
   it('stops no hosts while no load reports have arrived', async () => {
     const fakeCloud = createFakeCloud();
-    const busy = createDuty(fakeCloud, 1);
-    busy.inputs.reports = [createReport(30, 8), createReport(30, 8)];
-    await busy.clock.advance(30_000);
+    const firstHolder = createDuty(fakeCloud, 1);
+    firstHolder.inputs.reports = [createReport(30, 8), createReport(30, 8)];
+    await firstHolder.clock.advance(30_000);
     const count = fakeCloud.hosts.size;
     assert.ok(count > 6, `${count} hosts`);
-    busy.duty.dispose();
-    const nextDuty = createDuty(fakeCloud, 2);
-    await nextDuty.clock.advance(60_000);
+    firstHolder.duty.dispose();
+    const secondHolder = createDuty(fakeCloud, 2);
+    await secondHolder.clock.advance(60_000);
     assert.equal(fakeCloud.hosts.size, count);
   });
 
@@ -194,11 +194,11 @@
   // the earlier holder started, and not start them again.
   it('counts the hosts that an earlier holder of the duty started', async () => {
     const fakeCloud = createFakeCloud();
-    const first = createDuty(fakeCloud, 1);
-    await first.clock.advance(6_000);
-    first.duty.dispose();
-    const second = createDuty(fakeCloud, 2);
-    await second.clock.advance(30_000);
+    const firstHolder = createDuty(fakeCloud, 1);
+    await firstHolder.clock.advance(6_000);
+    firstHolder.duty.dispose();
+    const secondHolder = createDuty(fakeCloud, 2);
+    await secondHolder.clock.advance(30_000);
     assert.equal(fakeCloud.hosts.size, 4);
   });
 
--- a/packages/fleet/src/test/hostPlan.test.ts
+++ b/packages/fleet/src/test/hostPlan.test.ts
@@ -7,21 +7,21 @@
 const DOMAINS = ['a', 'b', 'c', 'd'];
 
 function createOffers(
-  reclaimable: readonly number[],
-  onDemand: readonly number[],
+  reclaimablePrices: readonly number[],
+  onDemandPrices: readonly number[],
 ): Offer[] {
   return DOMAINS.flatMap((failureDomain, index) => [
     {
       failureDomain,
       machineClass: 'gpu',
       market: 'reclaimable' as const,
-      pricePerHour: reclaimable[index]!,
+      pricePerHour: reclaimablePrices[index]!,
     },
     {
       failureDomain,
       machineClass: 'gpu',
       market: 'on-demand' as const,
-      pricePerHour: onDemand[index]!,
+      pricePerHour: onDemandPrices[index]!,
     },
   ]);
 }
@@ -64,13 +64,13 @@
             createOffers(reclaimablePrices, onDemandPrices),
             [],
           );
-          const needed = Math.max(replicas, minReplicas);
-          const total = DOMAINS.reduce(
+          const neededReplicas = Math.max(replicas, minReplicas);
+          const totalHosts = DOMAINS.reduce(
             (sum, domain) => sum + countHosts(plan, domain),
             0,
           );
           for (const domain of DOMAINS) {
-            assert.ok(total - countHosts(plan, domain) >= needed);
+            assert.ok(totalHosts - countHosts(plan, domain) >= neededReplicas);
           }
           assert.equal(plan.shortfall, undefined);
         },
@@ -80,18 +80,18 @@
   });
 
   it('uses an expensive failure domain only if that saves enough spare hosts', () => {
-    const equalPrices = planHosts(
+    const planAtEqualPrices = planHosts(
       demand,
       createOffers([1, 1, 1, 1], [9, 9, 9, 9]),
       [],
     );
-    const oneExpensive = planHosts(
+    const planWithExpensiveDomain = planHosts(
       demand,
       createOffers([1, 1, 1, 8], [9, 9, 9, 9]),
       [],
     );
-    assert.equal(countHosts(equalPrices, 'd'), 2);
-    assert.equal(countHosts(oneExpensive, 'd'), 0);
+    assert.equal(countHosts(planAtEqualPrices, 'd'), 2);
+    assert.equal(countHosts(planWithExpensiveDomain, 'd'), 0);
   });
 
   it('uses on-demand hosts where reclaims make reclaimable hosts more expensive', () => {
@@ -120,8 +120,8 @@
         )
         .reduce((sum, hosts) => sum + hosts.count, 0),
     ).sort((a, b) => b - a);
-    const total = plan.wanted.reduce((sum, hosts) => sum + hosts.count, 0);
-    assert.ok(total - reclaimableCounts[0]! - reclaimableCounts[1]! >= 6);
+    const totalHosts = plan.wanted.reduce((sum, hosts) => sum + hosts.count, 0);
+    assert.ok(totalHosts - reclaimableCounts[0]! - reclaimableCounts[1]! >= 6);
   });
 
   it('avoids pools that reject starts and reports the missing fault tolerance', () => {
