--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -52,7 +52,7 @@
    */
   readonly onDidAccept?: (key: string, accepted: AcceptedObject) => void;
   /**
-   * Returns whether this process certainly has the duty; called right before
+   * Returns whether this process certainly holds the duty; called right before
    * each write.
    */
   readonly canAct: () => boolean;
@@ -90,7 +90,7 @@
   const abortController = new AbortController();
   const dirtyKeys = new Set<string>();
   let isProcessing = false;
-  let isConfirming = false;
+  let isCheckingConfirmations = false;
 
   const cache = disposables.add(
     createRecordCache({
@@ -171,7 +171,10 @@
     await sleep(clock, delayMs, abortController.signal).catch(() => undefined);
   }
 
-  /** Loads what another acceptor wrote, after a version conflict. */
+  /**
+   * Reloads the accepted object and the status of a record after a version
+   * conflict, as another acceptor has written them.
+   */
   async function reloadAfterConflict(key: string): Promise<void> {
     try {
       const signal = abortController.signal;
@@ -256,7 +259,11 @@
     }
   }
 
-  /** Reports an accepted record until every live member has confirmed it. */
+  /**
+   * Writes that a record is accepted or removed and starts to wait until every
+   * live member has confirmed it, unless this is already confirmed. Removes the
+   * status if no accepted form and no source record exist.
+   */
   async function reportStatus(key: string): Promise<void> {
     const accepted = cache.acceptedObject(key)?.value;
     if (accepted === undefined) {
@@ -293,17 +300,22 @@
   }
 
   async function checkConfirmations(): Promise<void> {
-    const unconfirmedVersions = statusWriter.unconfirmed();
-    if (isConfirming || unconfirmedVersions.length === 0 || !canAct()) {
+    const unconfirmedVersions = statusWriter.unconfirmedVersions();
+    if (
+      isCheckingConfirmations ||
+      unconfirmedVersions.length === 0 ||
+      !canAct()
+    ) {
       return;
     }
-    isConfirming = true;
+    isCheckingConfirmations = true;
     try {
-      const lackingMembers = await options.membersLacking(unconfirmedVersions);
+      const lackingMemberIds =
+        await options.membersLacking(unconfirmedVersions);
       if (canAct()) {
         await statusWriter.handleConfirmation(
           unconfirmedVersions,
-          lackingMembers,
+          lackingMemberIds,
         );
       }
     } catch (error) {
@@ -312,7 +324,7 @@
         'failed to check confirmations of records; retrying',
       );
     } finally {
-      isConfirming = false;
+      isCheckingConfirmations = false;
     }
   }
 
@@ -333,7 +345,7 @@
     dump: () => ({
       isComplete: cache.isComplete(),
       waiting: [...dirtyKeys].map(key => recordKey(cache.parseRecordKey(key))),
-      unconfirmed: statusWriter.unconfirmed(),
+      unconfirmed: statusWriter.unconfirmedVersions(),
     }),
     dispose() {
       abortController.abort();
--- a/packages/records/src/configuration.ts
+++ b/packages/records/src/configuration.ts
@@ -87,7 +87,7 @@
   const changeEmitter = createEmitter<{kind: RecordKind; name: string}>();
   const disposables = createDisposableStore();
   let readyFrom: ConfigurationDump['readyFrom'] = 'nowhere';
-  let watch: Disposable | undefined;
+  let watchSubscription: Disposable | undefined;
   let isPulling = false;
   let isPullRequested = false;
   let isListing = false;
@@ -136,12 +136,15 @@
     return record;
   }
 
-  function markReady(from: 'platform' | 'peers'): void {
+  function markReady(source: 'platform' | 'peers'): void {
     if (isReady()) {
       return;
     }
-    readyFrom = from;
-    log.info({from, records: table.digest().count}, 'configuration complete');
+    readyFrom = source;
+    log.info(
+      {from: source, records: table.digest().count},
+      'configuration complete',
+    );
   }
 
   function applyListing(listing: ObjectListing): void {
@@ -187,15 +190,15 @@
 
   function updateWatch(): void {
     if (shouldWatch()) {
-      watch ??= startWatch();
+      watchSubscription ??= startWatch();
       return;
     }
-    watch?.dispose();
-    watch = undefined;
+    watchSubscription?.dispose();
+    watchSubscription = undefined;
   }
 
   async function listFromPlatform(): Promise<void> {
-    if (isListing || watch !== undefined) {
+    if (isListing || watchSubscription !== undefined) {
       return;
     }
     isListing = true;
@@ -208,7 +211,10 @@
     }
   }
 
-  /** Pulls records until ready; again if a peer connects during a pull. */
+  /**
+   * Pulls records from peers. If called during a pull, pulls once more after it
+   * unless the configuration is complete by then.
+   */
   async function pullFromPeers(): Promise<void> {
     isPullRequested = true;
     if (isPulling) {
@@ -244,7 +250,7 @@
     }),
   );
   disposables.add(every(clock, SOURCE_UPDATE_INTERVAL_MS, updateSources));
-  disposables.add(toDisposable(() => watch?.dispose()));
+  disposables.add(toDisposable(() => watchSubscription?.dispose()));
   disposables.add(changeEmitter);
   updateSources();
 
@@ -260,7 +266,7 @@
     dump: () => ({
       isReady: isReady(),
       readyFrom,
-      isReading: watch !== undefined,
+      isReading: watchSubscription !== undefined,
       records: table.digest().count,
       unusable: unusableCount,
       versions: table.versions(),
--- a/packages/records/src/contracts.ts
+++ b/packages/records/src/contracts.ts
@@ -75,7 +75,7 @@
 /** Properties of a class of endpoints. */
 export interface EndpointClass {
   readonly name: string;
-  /** Whether the endpoints reject orders with an outdated fencing token. */
+  /** Whether the endpoints reject commands with an outdated fencing token. */
   readonly checksFencing: boolean;
 }
 
--- a/packages/records/src/recordConfirmation.ts
+++ b/packages/records/src/recordConfirmation.ts
@@ -47,13 +47,13 @@
   }
 
   async function queryMember(
-    member: string,
+    memberId: string,
     records: readonly RecordVersion[],
   ): Promise<readonly string[]> {
-    if (member === self.id) {
+    if (memberId === self.id) {
       return areAllInForce(records) ? [] : [self.id];
     }
-    return queryPeer(member, records, 'self', [member]);
+    return queryPeer(memberId, records, 'self', [memberId]);
   }
 
   async function queryPeer(
@@ -83,10 +83,10 @@
     memberIds: readonly string[],
     records: readonly RecordVersion[],
   ): Promise<readonly string[]> {
-    const lackingMembers = await Promise.all(
+    const lackingMemberIds = await Promise.all(
       memberIds.map(id => queryMember(id, records)),
     );
-    return lackingMembers.flat();
+    return lackingMemberIds.flat();
   }
 
   function listMemberIds(failureDomain: string): string[] {
@@ -104,14 +104,14 @@
       return queryMembers(memberIds, records);
     }
     for (const reader of selectReaders(failureDomain, members())) {
-      const lackingMembers = await queryPeer(
+      const lackingMemberIds = await queryPeer(
         reader,
         records,
         'domain',
         memberIds,
       );
-      if (lackingMembers.length < memberIds.length) {
-        return lackingMembers;
+      if (lackingMemberIds.length < memberIds.length) {
+        return lackingMemberIds;
       }
     }
     return memberIds;
@@ -139,10 +139,10 @@
       const domains = [
         ...new Set(liveMembers.map(member => member.failureDomain)),
       ];
-      const lackingMembers = await Promise.all(
+      const lackingMemberIds = await Promise.all(
         domains.map(domain => queryDomain(domain, records)),
       );
-      return lackingMembers.flat();
+      return lackingMemberIds.flat();
     },
     dispose: () => subscription.dispose(),
   };
--- a/packages/records/src/recordGossip.ts
+++ b/packages/records/src/recordGossip.ts
@@ -28,8 +28,9 @@
   /** Pushes newly applied records to a few peers, but not to `excludedPeer`. */
   push(records: readonly RelayedRecord[], excludedPeer?: string): void;
   /**
-   * Fetches all records that are not in force in this process from a few peers.
-   * Resolves with the number of peers that returned a complete configuration.
+   * Fetches the records that this process lacks from a few peers, and sends
+   * them those that they lack. Resolves with the number of peers that returned
+   * a complete configuration.
    */
   pull(): Promise<number>;
   /**
@@ -79,14 +80,14 @@
   let lastReceivedAt = clock.now();
 
   function applyFromPeer(
-    from: string,
+    peer: string,
     records: readonly RelayedRecord[],
   ): void {
     const usableRecords = records
       .map(parseRelayedRecord)
       .filter(record => record !== undefined);
     const newRecords = options.apply(usableRecords);
-    push(newRecords, from);
+    push(newRecords, peer);
   }
 
   function push(
@@ -126,31 +127,31 @@
     }
   }
 
-  function handleDigest(from: string, remoteDigest: RecordDigest): void {
+  function handleDigest(peer: string, remoteDigest: RecordDigest): void {
     lastReceivedAt = clock.now();
     if (
-      syncingPeers.has(from) ||
+      syncingPeers.has(peer) ||
       findDifferingBuckets(table.digest(), remoteDigest).size === 0
     ) {
       return;
     }
-    syncingPeers.add(from);
+    syncingPeers.add(peer);
     disposables.add(
       clock.after(SYNC_DELAY_MS, () => {
         const buckets = findDifferingBuckets(table.digest(), remoteDigest);
-        void syncBuckets(from, buckets).finally(() =>
-          syncingPeers.delete(from),
+        void syncBuckets(peer, buckets).finally(() =>
+          syncingPeers.delete(peer),
         );
       }),
     );
   }
 
   async function syncBuckets(
-    from: string,
+    peer: string,
     buckets: ReadonlySet<number>,
   ): Promise<void> {
     if (buckets.size > 0) {
-      await syncWithPeer(from, buckets);
+      await syncWithPeer(peer, buckets);
     }
   }
 
--- a/packages/records/src/recordTable.ts
+++ b/packages/records/src/recordTable.ts
@@ -64,8 +64,9 @@
   const bucketSums = new Array<number>(DIGEST_BUCKET_COUNT).fill(0);
 
   /**
-   * Adds a record to the sum of its bucket or subtracts the record. Sums are
-   * cheap to update and do not depend on the order of arrival.
+   * Adds the hash of a record to the sum of its bucket, or subtracts it if
+   * `sign` is -1. Sums are cheap to update and do not depend on the order of
+   * arrival.
    */
   function addToBucketSum(record: RelayedRecord, sign: 1 | -1): void {
     const key = recordKey(record);
--- a/packages/records/src/schemas/endpointClassSchemas.ts
+++ b/packages/records/src/schemas/endpointClassSchemas.ts
@@ -8,7 +8,7 @@
   checksFencing: z.boolean(),
 });
 
-/** Version 2 names how endpoints treat orders with an old fencing token. */
+/** Version 2 names how endpoints treat commands with an old fencing token. */
 const schemaV2 = z.strictObject({
   schema: z.literal(2),
   staleOrders: z.enum(['refused', 'obeyed']),
--- a/packages/records/src/statusWriter.ts
+++ b/packages/records/src/statusWriter.ts
@@ -17,21 +17,25 @@
    * whether the status was written.
    */
   write(key: string, status: Omit<RecordStatus, 'at'>): Promise<boolean>;
-  /** Returns whether the status reports this accepted form as in force. */
+  /**
+   * Returns whether the status reports this accepted form as in force or, for a
+   * removed record, whether the status has been deleted.
+   */
   isInForce(key: string, accepted: AcceptedObject): Promise<boolean>;
   /** Adds an accepted version to the unconfirmed versions. */
   awaitConfirmation(key: string, accepted: AcceptedObject): void;
   /** Returns accepted versions that not every live member has confirmed. */
-  unconfirmed(): readonly RecordVersion[];
+  unconfirmedVersions(): readonly RecordVersion[];
   /**
-   * Handles the response to a query: reports the queried records as in force if
-   * no member lacks any of them, and writes `waitingFor` if members do.
+   * Handles the result of a query for members that lack any of the records:
+   * reports the queried records as in force if there are none, and otherwise
+   * writes their ids to `waitingFor` of all unconfirmed records.
    */
   handleConfirmation(
     queriedRecords: readonly RecordVersion[],
-    lackingMembers: readonly string[],
+    lackingMemberIds: readonly string[],
   ): Promise<void>;
-  /** Removes the status of a record without source and accepted form. */
+  /** Removes the status of a record, if a status is stored. */
   remove(key: string): Promise<void>;
   /** Lists all statuses and returns their keys. */
   load(): Promise<readonly string[]>;
@@ -128,13 +132,15 @@
   }
 
   async function updateWaitingFor(
-    lackingMembers: readonly string[],
+    lackingMemberIds: readonly string[],
   ): Promise<void> {
     if (clock.now() - waitingForWrittenAt < WAITING_FOR_UPDATE_INTERVAL_MS) {
       return;
     }
     waitingForWrittenAt = clock.now();
-    const waitingFor = [...lackingMembers].sort().slice(0, MAX_WAITING_MEMBERS);
+    const waitingFor = [...lackingMemberIds]
+      .sort()
+      .slice(0, MAX_WAITING_MEMBERS);
     for (const key of unconfirmedVersions.keys()) {
       const currentStatus = parseStatus((await readStatus(key))?.value);
       if (currentStatus !== undefined) {
@@ -161,10 +167,10 @@
       const name = key.slice(separator + 1);
       unconfirmedVersions.set(key, {kind, name, sourceVersion});
     },
-    unconfirmed: () => [...unconfirmedVersions.values()],
-    async handleConfirmation(queriedRecords, lackingMembers) {
-      if (lackingMembers.length > 0) {
-        await updateWaitingFor(lackingMembers);
+    unconfirmedVersions: () => [...unconfirmedVersions.values()],
+    async handleConfirmation(queriedRecords, lackingMemberIds) {
+      if (lackingMemberIds.length > 0) {
+        await updateWaitingFor(lackingMemberIds);
         return;
       }
       const queriedVersions = new Set(queriedRecords);
--- a/packages/records/src/test/configuration.fuzz.test.ts
+++ b/packages/records/src/test/configuration.fuzz.test.ts
@@ -42,8 +42,8 @@
 ];
 
 /**
- * Events of a schedule; a handler gets two entry ids and a size from 0 to 1, of
- * which it uses some.
+ * Handlers of the events of a schedule. Each gets two entry ids and a size from
+ * 0 to 1, which scales the event or selects a record; few handlers use all.
  */
 const eventHandlers = {
   advance: (simulation, _id, _other, size) =>
--- a/packages/records/src/test/configuration.test.ts
+++ b/packages/records/src/test/configuration.test.ts
@@ -185,8 +185,9 @@
     assert.equal(simulation.status('move.early')?.state, 'in-force');
   });
 
-  // The acceptor crashes right after writing the accepted form. Unless the
-  // next acceptor resumes, the status would remain `accepted` forever.
+  // The acceptor crashes after writing the accepted form, before the status.
+  // Unless the next acceptor resumes, the status would describe the previous
+  // version forever.
   it('has the status of a record completed by the next acceptor after a crash', async () => {
     const {simulation} = await createSettledSimulation();
     const subscription = simulation.platform.table.onDidChange(change => {
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -1,4 +1,7 @@
-/** Simulated entries with peers, platform and acceptors; checks invariants. */
+/**
+ * Simulated entries with peers, platform and acceptors. Asserts that no record
+ * reverts and that statuses report records as in force only when they are.
+ */
 import assert from 'node:assert/strict';
 import {
   seededRandom,
@@ -75,10 +78,10 @@
   });
 
   function checkAccepted(key: string, accepted: AcceptedObject): void {
-    const previous = acceptedVersions.get(key) ?? -1;
+    const previousVersion = acceptedVersions.get(key) ?? -1;
     assert.ok(
-      accepted.sourceVersion > previous,
-      `${key} accepted at version ${accepted.sourceVersion} after ${previous}`,
+      accepted.sourceVersion > previousVersion,
+      `${key} accepted at version ${accepted.sourceVersion} after ${previousVersion}`,
     );
     acceptedVersions.set(key, accepted.sourceVersion);
     const movedServices = platform.table
@@ -126,12 +129,12 @@
       const {configuration} = entry;
       for (const {kind, name, sourceVersion} of configuration.versions()) {
         const key = recordKey({kind, name});
-        const previous = entry.highestVersions.get(key) ?? -1;
+        const previousVersion = entry.highestVersions.get(key) ?? -1;
         assert.ok(
-          sourceVersion >= previous,
-          `${key} reverted from ${previous} to ${sourceVersion} on ${entry.id}`,
+          sourceVersion >= previousVersion,
+          `${key} reverted from ${previousVersion} to ${sourceVersion} on ${entry.id}`,
         );
-        if (sourceVersion > previous) {
+        if (sourceVersion > previousVersion) {
           entry.highestVersions.set(key, sourceVersion);
           checkValue(entry, kind as RecordKind, name, sourceVersion);
         }
