--- a/packages/gateway/src/activePolicy.ts
+++ b/packages/gateway/src/activePolicy.ts
@@ -16,7 +16,7 @@
 
 export interface ActivePolicy {
   /** False until the first policy has arrived. */
-  isKnown(): boolean;
+  isLoaded(): boolean;
   version(): number;
   /** Milliseconds since the policy was last confirmed to be up to date. */
   ageMs(): number;
@@ -27,8 +27,9 @@
   routeOf(authority: string, path: string): Route | undefined;
   /**
    * Returns the customer that the request's API key belongs to; undefined on a
-   * public route. Throws `unauthenticated` for an unknown key, or `not-ready`
-   * if the policy is too old to trust the key.
+   * public route, and while the policy has no customers. Throws
+   * `unauthenticated` for a missing or unknown key, or `not-ready` if the
+   * policy is too old to trust the key.
    */
   customerOf(route: Route, head: CallHead): CustomerConfig | undefined;
   /** Fires after a new policy has become active. */
@@ -108,7 +109,7 @@
   mirror.onDidChange(activateLatest);
   activateLatest();
   return {
-    isKnown: () => currentPolicy !== undefined,
+    isLoaded: () => currentPolicy !== undefined,
     version: () => currentPolicy?.version ?? 0,
     ageMs: () => mirror.ageMs(),
     limits: () => currentPolicy?.limits ?? INITIAL_LIMITS,
--- a/packages/gateway/src/admissionConfigurator.ts
+++ b/packages/gateway/src/admissionConfigurator.ts
@@ -24,9 +24,9 @@
 
 export interface AdmissionConfigurator {
   /**
-   * Recomputes the limits; to be called on each change of the endpoints. An
-   * entry that has just started would otherwise keep a limit of one slot and
-   * reject requests while endpoints are idle.
+   * Recomputes the limits; must be called on each change of the endpoints.
+   * Without this call, an entry that has just started would keep a limit of one
+   * slot and reject requests while endpoints are idle.
    */
   update(): void;
 }
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -39,14 +39,14 @@
 
 /** Receives the events of a stream over all attempts of one request. */
 export interface EventSink {
-  /** Passes on status and headers; ignored after the first attempt. */
+  /** Passes on status and headers; ignored if they have already been sent. */
   begin(status: number, headers: ResponseHeaders): void;
   /**
    * Passes on an event. Returns false if the caller reads too slowly; the
    * attempt then pauses reading from the endpoint.
    */
   write(frame: EventFrame): boolean;
-  /** Calls back once, when the caller can take more data. */
+  /** Calls back once, when buffered data has been written to the caller. */
   whenDrained(callback: () => void): void;
   /** Ends a complete stream after the bytes that follow the last event. */
   finish(remainder: Buffer): void;
@@ -96,8 +96,8 @@
  * would leak another caller's data.
  *
  * @example
- * const result = await runAttempt({address: '10.0.0.7:8000', request, attemptId,
- *   ...rest});
+ * const result = await runAttempt({address: '10.0.0.7:8000', request,
+ *   attemptId, ...rest});
  */
 export function runAttempt(options: AttemptOptions): Promise<AttemptResult> {
   return new Promise(resolve => {
--- a/packages/gateway/src/attemptOutcome.ts
+++ b/packages/gateway/src/attemptOutcome.ts
@@ -14,11 +14,11 @@
  */
 const MIN_RETRY_MS = 300;
 
-/** Lowest status of the server error class. */
+/** Lowest HTTP status that is a server error. */
 const FIRST_SERVER_ERROR_STATUS = 500;
 
 /**
- * Whether a status is a server error.
+ * Whether an HTTP status is a server error.
  *
  * @example
  * isServerError(502); // true
@@ -76,12 +76,12 @@
 }
 
 /**
- * Returns the error, marked as `may-have-run` if any attempt may have run: a
- * later rejection does not undo an earlier run. `runs` is the number of
- * endpoints that may have run the request.
+ * Returns the error unchanged if no attempt may have run, else an error marked
+ * as `may-have-run`: a later rejection does not undo an earlier run. `runs` is
+ * the number of endpoints that may have run the request.
  *
  * @example
- * reply.sendError(withRunState(error, progress.runs));
+ * reply.sendError(withRunState(error, progress.runCount));
  */
 export function withRunState(error: ServingError, runs: number): ServingError {
   if (runs === 0 || error.run === 'may-have-run') {
--- a/packages/gateway/src/callerHandler.ts
+++ b/packages/gateway/src/callerHandler.ts
@@ -56,7 +56,7 @@
   readonly policy: ActivePolicy;
   readonly quotas: Quotas;
   readonly crashQuarantine: Pick<CrashQuarantine, 'isEmpty' | 'verdictFor'>;
-  readonly visibility: PeerVisibility;
+  readonly peerVisibility: PeerVisibility;
   readonly admission: AdmissionController;
   readonly forwarding: Forwarding;
   readonly format: CallFormat;
@@ -67,24 +67,27 @@
    */
   usualOwnTokens(service: string): number;
   /** Counts model requests whose first event is late. */
-  readonly outcomes: OutcomeMeter;
+  readonly outcomeMeter: OutcomeMeter;
   readonly metrics: RequestMetrics;
   readonly clock: Clock;
   readonly log: Logger;
   /**
    * Selects a request's version group. All entries select the same group for
-   * the same key.
+   * the same `key`, which is the caller's attempt id.
    */
   chooseGroup(
     service: string,
     key: string,
     isRepeatable: boolean,
   ): VersionGroup;
-  /** Called when a request is about to be queued, to record its work. */
+  /** Called before a request is passed to admission, to record its work. */
   onDidAccept(service: string, head: CallHead): void;
-  /** Called when a response has ended, whether complete or not. */
+  /**
+   * Called when forwarding has ended, with the number of events that the caller
+   * received, whether its response is complete or not.
+   */
   onDidAnswer(service: string, head: CallHead, eventCount: number): void;
-  /** Called when forwarding has ended, with or without an error. */
+  /** Called when forwarding has ended, with the result of the request. */
   onDidConclude(
     call: Pick<ForwardedCall, 'service' | 'version' | 'route'>,
     result: ForwardingResult,
@@ -120,7 +123,7 @@
  * Minimum admission cost of a request, as a fraction of the cost of a typical
  * request: even the smallest request occupies a slot.
  */
-const MIN_COST = 0.1;
+const MIN_ADMISSION_COST = 0.1;
 
 /** Reason with which a request's signal is aborted at its deadline. */
 const DEADLINE_EXCEEDED = new ServingError(
@@ -166,7 +169,7 @@
         retryAfterMs: LEAVING_RETRY_MS,
       });
     }
-    if (!policy.isKnown()) {
+    if (!policy.isLoaded()) {
       throw notReadyError('the traffic policy has not been loaded yet');
     }
     if (attemptId === undefined) {
@@ -206,14 +209,15 @@
 
   /**
    * Consumes the customer's quota for a request, and returns a function that
-   * refunds it. Throws `overloaded` if the quota is exhausted.
+   * refunds it. Throws `overloaded` if the quota is exhausted, or `not-ready`
+   * if the number of entries, which share the quota, is not known yet.
    */
   function consumeQuota({customer, head}: AcceptedRequest): () => void {
     const amount = quotaAmount(customer, head);
     if (customer === undefined || amount === 0) {
       return () => {};
     }
-    if (!options.visibility.isEntryCountKnown()) {
+    if (!options.peerVisibility.isEntryCountKnown()) {
       throw notReadyError('the number of entries is not known yet');
     }
     if (!quotas.tryConsume(customer, amount)) {
@@ -238,7 +242,10 @@
       return 1;
     }
     const usualOwnTokens = Math.max(1, options.usualOwnTokens(service));
-    return Math.max(MIN_COST, countOwnTokens(demand) / usualOwnTokens);
+    return Math.max(
+      MIN_ADMISSION_COST,
+      countOwnTokens(demand) / usualOwnTokens,
+    );
   }
 
   function admit(
@@ -369,8 +376,8 @@
           acceptedRequest,
           disconnectController.signal,
         );
-      } catch (caught) {
-        const error = toServingError(caught);
+      } catch (thrownValue) {
+        const error = toServingError(thrownValue);
         const status = reply.sendError(error);
         result = {status, error, firstByteMs: undefined, endpoints: []};
         // Node discards the rest of an unread body only after `resume`.
@@ -429,9 +436,9 @@
 
 /** Defers a computation to its first use and caches the result. */
 function memoize<T>(compute: () => T): () => T {
-  let cached: {readonly value: T} | undefined;
+  let cachedResult: {readonly value: T} | undefined;
   return () => {
-    cached ??= {value: compute()};
-    return cached.value;
+    cachedResult ??= {value: compute()};
+    return cachedResult.value;
   };
 }
--- a/packages/gateway/src/callerPresence.ts
+++ b/packages/gateway/src/callerPresence.ts
@@ -4,8 +4,8 @@
 /**
  * Throws `cancelled` with run state `not-run` if the caller has disconnected.
  * An overloaded process reads a request and the end of its connection in two
- * different turns of the event loop, and would run the request of a
- * disconnected caller if it did not wait for the second turn.
+ * different turns of the event loop, so this function waits for two turns:
+ * otherwise the request of a disconnected caller would be run.
  *
  * @example
  * await checkConnected(callerSignal);
--- a/packages/gateway/src/callerReply.ts
+++ b/packages/gateway/src/callerReply.ts
@@ -17,10 +17,14 @@
   /** Sends a complete response of an endpoint. */
   sendResponse(status: number, headers: ResponseHeaders, body: Buffer): void;
   /**
-   * Sends the error, or aborts a response that has begun; returns the status.
+   * Sends the error as a response, or aborts the response if it has already
+   * begun. Returns the HTTP status for the error in both cases.
    */
   sendError(error: ServingError): number;
-  /** Aborts an incomplete response so that it does not appear complete. */
+  /**
+   * Closes the caller's connection, so that an incomplete response does not
+   * appear complete.
+   */
   abort(): void;
 }
 
--- a/packages/gateway/src/clusterDuty.ts
+++ b/packages/gateway/src/clusterDuty.ts
@@ -35,7 +35,7 @@
       startUsageDuty({
         ...commonOptions,
         store: coordination.store,
-        usage: traffic.usage,
+        usageWindows: traffic.usageWindows,
         lateMs: settings.usageLateSeconds * MS_PER_SECOND,
         commonWallMs: traffic.digests.commonWallMs,
       }),
@@ -49,12 +49,12 @@
         services: () =>
           traffic.policy
             .services()
-            .filter(({name}) => !traffic.rollouts.isRollingOut(name)),
+            .filter(({name}) => !traffic.rolloutController.isRollingOut(name)),
         demandSignals: traffic.engineEstimates.demandSignals,
       }),
     );
     disposables.add(
-      traffic.engineStore.startPersisting(
+      traffic.engineCapacityStore.startPersisting(
         traffic.engineEstimates.fleetCapacity,
       ),
     );
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -26,7 +26,10 @@
   readonly store: ObjectStore;
   readonly membership: Membership;
   readonly dutyElections: DutyElections;
-  /** Returns the receivers of digests and the candidates for duties. */
+  /**
+   * Returns the relay plan for the current members: the receivers of this
+   * entry's digests and the candidates for duties.
+   */
   plan(): RelayPlan;
 }
 
@@ -112,11 +115,11 @@
       random,
       store,
       self,
-      members: () => plan().coordinators,
+      members: () => plan().coordinatorIds,
       // An entry behind a relay lacks the counts of the whole fleet. It may
       // have acquired a duty before it discovered enough peers for relays to be
       // used.
-      mayHold: () => plan().ownRelays.length === 0,
+      mayHold: () => plan().relayIds.length === 0,
       log,
       decisions,
       timing: LEASE_TIMING,
--- a/packages/gateway/src/crashGuard.ts
+++ b/packages/gateway/src/crashGuard.ts
@@ -1,4 +1,7 @@
-/** Stops resending requests that crash endpoints, and records evidence. */
+/**
+ * Stops sending requests that crash endpoints, and records which requests were
+ * running when an endpoint was lost.
+ */
 import type {CrashQuarantine, QuarantineVerdict} from '@skylarkfield/routing';
 import type {AttemptResult} from './attempt.js';
 import {isServerError} from './attemptOutcome.js';
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -24,7 +24,7 @@
 import type {Platform, ObjectSource} from './contracts.js';
 import type {Mirror} from './mirror.js';
 
-/** Kind of the objects, each named after the entry that writes it. */
+/** Kind of the stored reports, each named after the entry that writes it. */
 const OBJECT_KIND = 'endpoint-crashes';
 
 /** Timeout of one write, in milliseconds. */
@@ -41,7 +41,7 @@
  */
 const WRITE_RETRY_MS = 500;
 
-/** Interval at which expired objects are removed, in milliseconds. */
+/** Interval at which expired crash reports are removed, in milliseconds. */
 const CLEANUP_INTERVAL_MS = 300_000;
 
 const reportSchema = z.object({
@@ -71,8 +71,8 @@
  * other entries have persisted.
  *
  * @example
- * const persistence = disposables.add(startCrashPersistence({mirror: view.crashes,
- *   crashQuarantine, store, self, ...rest}));
+ * const persistence = disposables.add(startCrashPersistence({
+ *   mirror: platformView.crashes, crashQuarantine, store, self, ...rest}));
  */
 export function startCrashPersistence(options: {
   readonly mirror: Mirror<CrashReport>;
@@ -83,8 +83,8 @@
   readonly random: Random;
   readonly log: Logger;
   /**
-   * Whether this entry reads the objects from the store for all entries; if so,
-   * it also removes expired objects.
+   * Whether this entry reads the crash reports from the store for all entries;
+   * if so, it also removes expired reports.
    */
   isReader(): boolean;
 }): Disposable {
@@ -122,20 +122,22 @@
     }
   }
 
-  /** Writes until the store has the current report. */
+  /**
+   * Writes this entry's report, with retries, until the store is up to date.
+   */
   async function flush(): Promise<void> {
     if (isWriting) {
       return;
     }
     isWriting = true;
     await delay(WRITE_BATCH_MS);
-    let failures = 0;
+    let failureCount = 0;
     while (isDirty && !isDisposed) {
       // Writing before the object of the previous process under this id has
       // been restored would overwrite the object.
-      const isWritten = isRestored && (await writeOnce(failures));
+      const isWritten = isRestored && (await writeOnce(failureCount));
       if (!isWritten) {
-        failures += 1;
+        failureCount += 1;
         await delay(WRITE_RETRY_MS * (0.5 + random.next() / 2));
       }
     }
@@ -147,19 +149,22 @@
   }
 
   /** Returns whether the write succeeded. */
-  async function writeOnce(failures: number): Promise<boolean> {
+  async function writeOnce(failureCount: number): Promise<boolean> {
     isDirty = false;
     const report = crashQuarantine.reportToStore();
     try {
       const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
       await store.put(OBJECT_KIND, self, report, {type: 'any'}, signal);
       crashQuarantine.recordStored(report);
-      log.info({crashes: report.crashes.length, failures}, 'crashes persisted');
+      log.info(
+        {crashes: report.crashes.length, failures: failureCount},
+        'crashes persisted',
+      );
       return true;
     } catch (error) {
       isDirty = true;
       const {kind, message} = toServingError(error);
-      if (failures === 0) {
+      if (failureCount === 0) {
         log.warn({kind, message}, 'persisting crashes failed');
       }
       return false;
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -64,7 +64,7 @@
  *
  * @example
  * const digests = startDigests({network, clock, self, plan,
- *   takeSnapshot, addHandler});
+ *   takeSnapshot, onDidReceive});
  */
 export function startDigests(options: {
   readonly network: PeerNetwork;
@@ -83,7 +83,7 @@
   takeSnapshot(): (scope: DigestScope, receiver: string) => DigestContent;
   /**
    * Called for each received digest. `timestamp` is a time before the digest
-   * was sent; undefined if the digest echoes no known stamp.
+   * was sent; undefined if the digest does not echo a recently sent stamp.
    */
   onDidReceive(
     peer: string,
@@ -93,7 +93,7 @@
 }): Digests {
   const {network, clock, self} = options;
   const disposables = createDisposableStore();
-  const contacts = new Map<string, PeerContact>();
+  const contactsByPeer = new Map<string, PeerContact>();
   /** Wall-clock milliseconds of each recently sent stamp. */
   const wallMsByStamp = new Map<number, number>();
   const startedAt = clock.now();
@@ -103,9 +103,9 @@
    * Whether the peer is a standby relay of this entry and any relay before it
    * in the order of relays is alive.
    */
-  function isStandby(peer: string, ownRelays: readonly string[]): boolean {
-    const position = ownRelays.indexOf(peer);
-    return position > 0 && ownRelays.slice(0, position).some(isAlive);
+  function isStandby(peer: string, relayIds: readonly string[]): boolean {
+    const position = relayIds.indexOf(peer);
+    return position > 0 && relayIds.slice(0, position).some(isAlive);
   }
 
   function sendDigests(): void {
@@ -114,7 +114,7 @@
     const wallMs = clock.wall();
     wallMsByStamp.set(stamp, wallMs);
     dropOldStamps(stamp);
-    const {targets, activeRelay, ownRelays} = options.plan();
+    const {targets, activeRelayId, relayIds} = options.plan();
     const contentOf = options.takeSnapshot();
     const contentByScope = new Map<DigestScope, DigestContent>();
 
@@ -131,7 +131,7 @@
     }
 
     const isActiveRelayAlive =
-      activeRelay !== undefined && isAlive(activeRelay);
+      activeRelayId !== undefined && isAlive(activeRelayId);
     for (const [peer, scope] of targets) {
       // While the active relay is alive, its standby sends no aggregates: they
       // would double the traffic.
@@ -140,11 +140,11 @@
       }
       if (
         tickCount % STANDBY_INTERVAL_TICKS !== 0 &&
-        isStandby(peer, ownRelays)
+        isStandby(peer, relayIds)
       ) {
         continue;
       }
-      const echo = contacts.get(peer)?.stamp;
+      const echo = contactsByPeer.get(peer)?.stamp;
       network.send(peer, 'digest', {
         ...cachedContentFor(scope, peer),
         ...self,
@@ -158,7 +158,7 @@
   }
 
   function isAlive(peer: string): boolean {
-    const contact = contacts.get(peer);
+    const contact = contactsByPeer.get(peer);
     return (
       contact !== undefined &&
       clock.now() - contact.receivedAt < PEER_TIMEOUT_MS
@@ -189,7 +189,7 @@
   }
 
   function receiveDigest(peer: string, digest: Digest): void {
-    contacts.set(peer, {
+    contactsByPeer.set(peer, {
       receivedAt: clock.now(),
       stamp: digest.stamp,
       wallOffsetMs: digest.wallMs - clock.wall(),
@@ -197,8 +197,8 @@
     options.onDidReceive(peer, digest, echoedTimestamp(digest));
   }
 
-  function liveContacts(): [string, PeerContact][] {
-    return [...contacts].filter(
+  function recentContacts(): [string, PeerContact][] {
+    return [...contactsByPeer].filter(
       ([, {receivedAt}]) => clock.now() - receivedAt < PEER_TIMEOUT_MS,
     );
   }
@@ -209,7 +209,7 @@
     commonWallMs() {
       const offsets = [
         0,
-        ...liveContacts().map(([, {wallOffsetMs}]) => wallOffsetMs),
+        ...recentContacts().map(([, {wallOffsetMs}]) => wallOffsetMs),
       ];
       offsets.sort((a, b) => a - b);
       return clock.wall() + offsets[Math.floor((offsets.length - 1) / 2)]!;
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -9,7 +9,10 @@
 import type {Mirror} from './mirror.js';
 import type {Upstreams} from './upstream.js';
 
-/** Side of a rollout to which an endpoint's version belongs. */
+/**
+ * Side of a rollout to which an endpoint's version belongs: `candidate` for the
+ * target of a rollout that is in progress or was rolled back, else `incumbent`.
+ */
 export type VersionGroup = 'incumbent' | 'candidate';
 
 export interface EndpointDirectory {
@@ -26,7 +29,9 @@
    * Applies the current registrations to the router and the connection pools.
    */
   refresh(): void;
-  /** Fires with the router key when an endpoint drains or is removed. */
+  /**
+   * Fires with the router key when an endpoint starts to drain or is removed.
+   */
   readonly onDidLeave: Event<string>;
   /** Fires with the router key of an endpoint removed without draining. */
   readonly onDidVanish: Event<string>;
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -72,8 +72,8 @@
 
 export interface EngineCapacityStore extends Disposable {
   /**
-   * Returns the restored measurements, decayed by their time since the restore;
-   * empty until they have been read.
+   * Returns the restored measurements, weighted less the longer ago they were
+   * restored; empty until they have been read.
    */
   restoredStats(): CapacityStats;
   /** Writes the measurements periodically until disposed. */
@@ -81,10 +81,11 @@
 }
 
 /**
- * Creates the store, and starts to read the persisted measurements.
+ * Creates the engine capacity store, and starts to read the persisted
+ * measurements.
  *
  * @example
- * const engineStore = createEngineCapacityStore({store, clock, log});
+ * const engineCapacityStore = createEngineCapacityStore({store, clock, log});
  */
 export function createEngineCapacityStore(options: {
   readonly store: ObjectStore;
--- a/packages/gateway/src/engineEstimates.ts
+++ b/packages/gateway/src/engineEstimates.ts
@@ -102,7 +102,7 @@
   const model = createEngineModel(clock);
   const outcomes = createOutcomeMeter(clock);
   const work = createWorkMeter(clock);
-  const cache = new Map<string, CachedEstimate>();
+  const cachedEstimates = new Map<string, CachedEstimate>();
   const loggedEstimates = new Map<string, EngineEstimate>();
   let publishedAt = -Infinity;
 
@@ -124,7 +124,7 @@
   }
 
   function cachedEstimate(service: string): CachedEstimate {
-    const cachedResult = cache.get(service);
+    const cachedResult = cachedEstimates.get(service);
     if (
       cachedResult !== undefined &&
       clock.now() - cachedResult.computedAt < REFRESH_INTERVAL_MS
@@ -132,7 +132,7 @@
       return cachedResult;
     }
     const newResult = computeEstimate(service);
-    cache.set(service, newResult);
+    cachedEstimates.set(service, newResult);
     logChange(service, newResult.estimate);
     return newResult;
   }
@@ -197,7 +197,7 @@
     fleetCapacity,
     dump: () =>
       Object.fromEntries(
-        [...cache].map(([service, {estimate}]) => [
+        [...cachedEstimates].map(([service, {estimate}]) => [
           service,
           {...estimate, ...demandSignals(service)},
         ]),
--- a/packages/gateway/src/engineObserver.ts
+++ b/packages/gateway/src/engineObserver.ts
@@ -48,8 +48,8 @@
     leftMs: number,
   ): ExpectedWait;
   /**
-   * Starts to observe an attempt. `isFresh` is false for a resumed request, of
-   * which the endpoint processes only little prompt.
+   * Starts to observe an attempt. `isFresh` is false for a resumed request, for
+   * which the endpoint processes only a small part of the prompt.
    */
   observe(
     call: ObservedCall,
@@ -65,12 +65,13 @@
 };
 
 /**
- * Minimum number of events of a response from which step times are measured.
+ * Minimum number of events in a response for its step times to be recorded.
  */
 const MIN_EVENTS = 3;
 
 /**
- * Wait of plain requests, and of all requests before the estimate is reliable.
+ * Expected wait of plain requests, and of all requests to a service whose
+ * engine estimate is not reliable yet.
  */
 const NO_WAIT: ExpectedWait = {ms: 0, longestMs: Infinity, isTooLong: false};
 
@@ -84,7 +85,7 @@
  * Creates the observer of one entry.
  *
  * @example
- * const observer = engineObserver.observe(call, choice, true);
+ * const attemptObserver = engineObserver.observe(call, choice, true);
  */
 export function createEngineObserver(options: {
   readonly model: EngineModel;
@@ -125,7 +126,7 @@
       const rereadTokens = Math.max(0, uncachedTokens - ownTokenCount);
       const {loadBefore} = choice;
       const sentAt = clock.now();
-      const steps = createStepMeter(clock);
+      const stepMeter = createStepMeter(clock);
       if (isFresh) {
         options.onDidRecompute(service, rereadTokens);
       }
@@ -133,7 +134,7 @@
         wrap: sink => ({
           ...sink,
           write(frame) {
-            steps.recordEvent();
+            stepMeter.recordEvent();
             return sink.write(frame);
           },
         }),
@@ -152,8 +153,8 @@
           });
         },
         recordEnd() {
-          const eventCount = steps.eventCount();
-          const eventMs = steps.eventIntervalMs();
+          const eventCount = stepMeter.eventCount();
+          const eventMs = stepMeter.eventIntervalMs();
           if (eventCount < MIN_EVENTS || eventMs === undefined) {
             return;
           }
--- a/packages/gateway/src/eventFramer.ts
+++ b/packages/gateway/src/eventFramer.ts
@@ -32,22 +32,24 @@
  * for (const frame of framer.push(chunk)) { response.write(frame.bytes); }
  */
 export function createEventFramer(): EventFramer {
-  let buffered: Buffer = Buffer.alloc(0);
+  let bufferedBytes: Buffer = Buffer.alloc(0);
   return {
     push(chunk) {
-      buffered =
-        buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
+      bufferedBytes =
+        bufferedBytes.length === 0
+          ? chunk
+          : Buffer.concat([bufferedBytes, chunk]);
       const frames: EventFrame[] = [];
-      let eventEnd = findEventEnd(buffered);
+      let eventEnd = findEventEnd(bufferedBytes);
       while (eventEnd > 0) {
-        const bytes = buffered.subarray(0, eventEnd);
+        const bytes = bufferedBytes.subarray(0, eventEnd);
         frames.push({bytes, id: parseEventId(bytes)});
-        buffered = buffered.subarray(eventEnd);
-        eventEnd = findEventEnd(buffered);
+        bufferedBytes = bufferedBytes.subarray(eventEnd);
+        eventEnd = findEventEnd(bufferedBytes);
       }
       return frames;
     },
-    remainder: () => buffered,
+    remainder: () => bufferedBytes,
   };
 }
 
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -31,8 +31,11 @@
 /** Time after which an unfulfilled order is issued again, in milliseconds. */
 const ORDER_TIMEOUT_MS = 6_000;
 
-/** Interval of probing a scarce failure domain again, in milliseconds. */
-const SCARCE_RETRY_INTERVAL_MS = 3_000;
+/**
+ * Interval at which a failure domain without reclaimable capacity is probed, in
+ * milliseconds.
+ */
+const PROBE_INTERVAL_MS = 3_000;
 
 /**
  * Time after the start of a term during which no endpoints are removed, in
@@ -46,7 +49,7 @@
 
 type MarketName = keyof DomainFleet;
 
-/** The last order in one market of a failure domain. */
+/** The last order for one market, reclaimable or on-demand, of a domain. */
 interface IssuedOrder {
   readonly count: number;
   readonly issuedAt: number;
@@ -80,8 +83,8 @@
    * Time of the next probe for each `service/domain` without reclaimable
    * capacity, in monotonic milliseconds.
    */
-  const scarceRetryAt = new Map<string, number>();
-  const estimators = new Map<string, DemandEstimator>();
+  const nextProbeAtByKey = new Map<string, number>();
+  const demandEstimators = new Map<string, DemandEstimator>();
   const startedAt = clock.now();
   let isScaling = false;
 
@@ -118,14 +121,21 @@
   }
 
   function markScarce(service: string, domain: string): void {
-    const retryAt = clock.now() + SCARCE_RETRY_INTERVAL_MS;
-    scarceRetryAt.set(`${service}/${domain}`, retryAt);
+    const retryAt = clock.now() + PROBE_INTERVAL_MS;
+    nextProbeAtByKey.set(`${service}/${domain}`, retryAt);
   }
 
-  function scarceDomains(service: string, domains: readonly string[]) {
+  /**
+   * Returns the number of ready reclaimable endpoints in each failure domain
+   * that is marked as scarce.
+   */
+  function countReadyInScarceDomains(
+    service: string,
+    domains: readonly string[],
+  ) {
     return new Map(
       domains
-        .filter(domain => scarceRetryAt.has(`${service}/${domain}`))
+        .filter(domain => nextProbeAtByKey.has(`${service}/${domain}`))
         .map(domain => [
           domain,
           countReadyInMarket(service, domain, 'reclaimable'),
@@ -137,8 +147,9 @@
     service: string,
     signals: Omit<DemandSignals, 'readyEndpoints'>,
   ): EndpointNeed {
-    const estimator = estimators.get(service) ?? createDemandEstimator(clock);
-    estimators.set(service, estimator);
+    const estimator =
+      demandEstimators.get(service) ?? createDemandEstimator(clock);
+    demandEstimators.set(service, estimator);
     return estimator.update({...signals, readyEndpoints: countReady(service)});
   }
 
@@ -154,7 +165,10 @@
     return Math.max(0, countReady(service) - neededCount);
   }
 
-  /** Returns the next count to order in a market, towards the planned count. */
+  /**
+   * Returns the number of endpoints to order in a market now: the planned
+   * number, within the maximum number of endpoints and of removals.
+   */
   function nextCount(
     plannedCount: number,
     readyCount: number,
@@ -257,7 +271,7 @@
     service: string,
     {most}: FleetConfig,
   ): Promise<void> {
-    for (const [key, retryAt] of scarceRetryAt) {
+    for (const [key, retryAt] of nextProbeAtByKey) {
       const [serviceOfKey, failureDomain = ''] = key.split('/');
       const readyCount = countReadyInMarket(
         service,
@@ -283,7 +297,7 @@
         isReclaimable: true,
       };
       if ((await issueOrder(order)) === 'accepted') {
-        scarceRetryAt.delete(key);
+        nextProbeAtByKey.delete(key);
       }
     }
   }
@@ -296,12 +310,25 @@
     await probeScarceDomains(name, fleet);
     const signals = options.demandSignals(name);
     const needed = updateNeed(name, signals);
-    const scarce = scarceDomains(name, Object.keys(fleet.prices));
-    const plan = planFleet({config: fleet, needed, scarce});
+    const readyCountByScarceDomain = countReadyInScarceDomains(
+      name,
+      Object.keys(fleet.prices),
+    );
+    const plan = planFleet({
+      config: fleet,
+      needed,
+      scarce: readyCountByScarceDomain,
+    });
     const newOrders = ordersFor(name, plan, fleet.most, needed.usual);
     if (newOrders.length > 0) {
       log.info(
-        {service: name, ...signals, needed, scarce: [...scarce.keys()], plan},
+        {
+          service: name,
+          ...signals,
+          needed,
+          scarce: [...readyCountByScarceDomain.keys()],
+          plan,
+        },
         'endpoints planned',
       );
     }
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -118,7 +118,7 @@
     log,
   } = options;
   const crashGuard = createCrashGuard(options);
-  const rules = createRetryRules({admission: options.admission, clock});
+  const retryRules = createRetryRules({admission: options.admission, clock});
 
   /**
    * Chooses an endpoint of the call's version group or, if none is available,
@@ -205,7 +205,7 @@
       clock,
       signal: call.signal,
       sink: isStream ? observer.wrap(reply.sink) : undefined,
-      idleTimeoutMs: rules.idleTimeoutMs(call, progress),
+      idleTimeoutMs: retryRules.idleTimeoutMs(call, progress),
       isStopRequested: watchedStream.isStopRequested,
       onDidRespond({limitPerSecond}) {
         options.rateLimits.recordLimit(choice.endpoint, limitPerSecond);
@@ -235,7 +235,7 @@
       crashGuard.recordAttemptResult(call, choice.endpoint, result);
     }
     if (mayHaveRun(result) && kvCache === undefined) {
-      progress.runs += 1;
+      progress.runCount += 1;
       if (!isStream) {
         countRun(sentWallMs);
       }
@@ -269,8 +269,8 @@
   }
 
   /**
-   * Responds to the caller and returns the final result of the call; returns
-   * undefined if the call is to be retried.
+   * Returns undefined if the call is to be retried; else responds to the caller
+   * and returns the status and error of the call.
    */
   function conclude(
     call: ForwardedCall,
@@ -283,7 +283,7 @@
     }
     if (result.type === 'answered') {
       const isFault = isServerError(result.status);
-      if (isFault && !reply.hasBegun() && rules.mayRerun(call, progress)) {
+      if (isFault && !reply.hasBegun() && retryRules.mayRerun(call, progress)) {
         return undefined;
       }
       if (reply.hasBegun()) {
@@ -296,20 +296,20 @@
       return {status: result.status};
     }
     if (result.type === 'declined') {
-      if (rules.mayResend(call, progress)) {
+      if (retryRules.mayResend(call, progress)) {
         return undefined;
       }
-      const {endpoints, runs} = progress;
+      const {endpoints, runCount} = progress;
       const error = allDeclinedError(call.service, endpoints.length);
-      return respondWithError(reply, withRunState(error, runs));
+      return respondWithError(reply, withRunState(error, runCount));
     }
-    const hasRun = result.error.run === 'may-have-run';
-    const mayRetry = hasRun
-      ? rules.mayRerun(call, progress)
-      : rules.mayResend(call, progress);
+    const isRunPossible = result.error.run === 'may-have-run';
+    const mayRetry = isRunPossible
+      ? retryRules.mayRerun(call, progress)
+      : retryRules.mayResend(call, progress);
     return mayRetry
       ? undefined
-      : respondWithError(reply, withRunState(result.error, progress.runs));
+      : respondWithError(reply, withRunState(result.error, progress.runCount));
   }
 
   /**
@@ -338,17 +338,17 @@
   }
 
   /**
-   * Rejects a request that has not run yet and that even the best endpoint
-   * cannot answer before the deadline: the caller gets Retry-After early, and
-   * no capacity is wasted on the request. Returns the error to respond with;
-   * undefined to send the request.
+   * Returns the error for a request that has not run yet and that even the best
+   * endpoint cannot answer before the deadline: the caller gets Retry-After
+   * early, and no capacity is wasted on the request. Undefined if the request
+   * is to be sent.
    */
   function rejectIfTooLate(
     call: ForwardedCall,
     progress: Progress,
     {choice, kvCache}: AttemptTarget,
   ): ServingError | undefined {
-    if (progress.runs > 0 || kvCache !== undefined) {
+    if (progress.runCount > 0 || kvCache !== undefined) {
       return undefined;
     }
     const wait = engineObserver.expectedWait(
@@ -410,13 +410,16 @@
       for (;;) {
         const verdict = crashGuard.checkSend(call, progress);
         if (verdict.type === 'quarantined') {
-          const error = withRunState(quarantinedError(verdict), progress.runs);
+          const error = withRunState(
+            quarantinedError(verdict),
+            progress.runCount,
+          );
           return toResult(respondWithError(reply, error), progress);
         }
         const target = chooseTarget(call, progress);
         if (target === undefined) {
           const error = noEndpointError(call.service);
-          const rejection = withRunState(error, progress.runs);
+          const rejection = withRunState(error, progress.runCount);
           return toResult(respondWithError(reply, rejection), progress);
         }
         const rejection = rejectIfTooLate(call, progress, target);
@@ -436,7 +439,7 @@
             request: call.attemptId,
             endpoint: target.choice.endpoint,
             end: describeResult(result),
-            runs: progress.runs,
+            runs: progress.runCount,
             sends: progress.endpoints.length,
             fingerprint: progress.fingerprint,
           },
--- a/packages/gateway/src/gatewayPorts.ts
+++ b/packages/gateway/src/gatewayPorts.ts
@@ -9,8 +9,8 @@
 import type {TrafficPipeline} from './trafficPipeline.js';
 
 /**
- * Maximum time for which callers may cache a lookup, in milliseconds, so that
- * they soon stop using failed entries.
+ * Maximum time for which callers may cache the response to a lookup, in
+ * milliseconds, so that they soon stop using failed entries.
  */
 const MAX_LOOKUP_TTL_MS = 2_000;
 
@@ -24,7 +24,7 @@
  * callers.
  *
  * @example
- * const ports = disposables.add(await openPorts(context, coordination, traffic));
+ * disposables.add(await openPorts(context, coordination, traffic));
  */
 export async function openPorts(
   context: GatewayContext,
@@ -35,7 +35,7 @@
   const {lookupFormat} = platform;
 
   function isReady(): boolean {
-    return lifecycle.state() === 'serving' && policy.isKnown();
+    return lifecycle.state() === 'serving' && policy.isLoaded();
   }
 
   function answerReadiness(request: IncomingMessage, response: ServerResponse) {
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -120,8 +120,8 @@
 }
 
 /**
- * Shuts the process down. Leaving the membership and releasing leases is not
- * awaited beyond the linger time: if the platform is down, waiting would use up
+ * Shuts the process down without waiting until it has left the membership and
+ * released its leases: if the platform is down, waiting would use up
  * the time that is left for responses in flight.
  */
 async function shutDown(
--- a/packages/gateway/src/lookup.ts
+++ b/packages/gateway/src/lookup.ts
@@ -28,7 +28,8 @@
  * close their connections to entries that are no longer listed.
  *
  * @example
- * const addresses = selectEntries(membership.liveMembers(), 'zone-a', '10.9.0.4');
+ * const addresses = selectEntries(membership.liveMembers(), 'zone-a',
+ *   '10.9.0.4');
  */
 export function selectEntries(
   liveMembers: readonly Member[],
@@ -55,7 +56,8 @@
 }
 
 /**
- * Limits the members to the maximum, by rendezvous hashing weighted by cores.
+ * Returns at most `MAX_ENTRIES` of the members, selected for the caller by
+ * rendezvous hashing weighted by cores.
  */
 function limitByCores(
   members: readonly Member[],
--- a/packages/gateway/src/mirror.ts
+++ b/packages/gateway/src/mirror.ts
@@ -29,7 +29,7 @@
 export interface Mirror<T> {
   readonly kind: MirrorKind;
   /** False until the first listing or copy has arrived. */
-  isKnown(): boolean;
+  isLoaded(): boolean;
   get(name: string): T | undefined;
   items(): readonly SourceItem<T>[];
   revision(): number;
@@ -97,8 +97,8 @@
   let changedAt = 0;
 
   function putItem(name: string, itemRevision: number, value: T): boolean {
-    const existing = items.get(name);
-    if (existing !== undefined && existing.revision >= itemRevision) {
+    const existingItem = items.get(name);
+    if (existingItem !== undefined && existingItem.revision >= itemRevision) {
       return false;
     }
     items.set(name, {name, revision: itemRevision, value});
@@ -113,9 +113,9 @@
     if (value !== undefined) {
       return putItem(name, changeRevision, value as T);
     }
-    const existing = items.get(name);
+    const existingItem = items.get(name);
     // The object may have been recreated after this removal.
-    if (existing === undefined || existing.revision > changeRevision) {
+    if (existingItem === undefined || existingItem.revision > changeRevision) {
       return false;
     }
     return items.delete(name);
@@ -125,12 +125,12 @@
     changes: readonly MirrorChange[],
     toRevision: number,
   ): void {
-    let isDifferent = false;
+    let hasChanged = false;
     for (const change of changes) {
-      isDifferent = applyChange(change) || isDifferent;
+      hasChanged = applyChange(change) || hasChanged;
     }
     changedAt = Math.max(changedAt, toRevision);
-    if (isDifferent) {
+    if (hasChanged) {
       log.info(
         {mirror: kind, to: toRevision, changed: changes.map(({name}) => name)},
         'mirror changed',
@@ -149,16 +149,16 @@
       return;
     }
     const names = new Set(newItems.map(({name}) => name));
-    const removed = [...items.keys()].filter(name => !names.has(name));
-    removed.forEach(name => items.delete(name));
-    const isFirst = revision === undefined;
+    const removedNames = [...items.keys()].filter(name => !names.has(name));
+    removedNames.forEach(name => items.delete(name));
+    const isFirstContent = revision === undefined;
     revision = toRevision;
-    let isDifferent = isFirst || removed.length > 0;
+    let hasChanged = isFirstContent || removedNames.length > 0;
     for (const change of newItems) {
-      isDifferent = applyChange(change) || isDifferent;
+      hasChanged = applyChange(change) || hasChanged;
     }
     changedAt = Math.max(changedAt, changeRevision);
-    if (isDifferent) {
+    if (hasChanged) {
       log.info(
         {mirror: kind, to: toRevision, objects: items.size},
         'mirror replaced',
@@ -169,7 +169,7 @@
 
   return {
     kind,
-    isKnown: () => revision !== undefined,
+    isLoaded: () => revision !== undefined,
     get: name => items.get(name)?.value,
     items: () => [...items.values()],
     revision: () => revision ?? 0,
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -32,7 +32,7 @@
 }
 
 export interface MirrorReader extends Disposable {
-  /** Whether this entry reads and its last call succeeded recently. */
+  /** Whether a read by this entry succeeded recently. */
   isReading(): boolean;
   dump(): unknown;
 }
@@ -49,13 +49,13 @@
  * process that has not discovered its peers yet would read in addition to the
  * current reader.
  */
-const SETTLE_MS = 1_000;
+const PAUSE_AFTER_FIRST_LISTING_MS = 1_000;
 
 /** Interval at which `shouldRead` is checked, in milliseconds. */
 const READ_CHECK_INTERVAL_MS = 200;
 
 /**
- * Starts the reader.
+ * Starts to read the objects of the mirror's kind while `shouldRead` is true.
  *
  * @example
  * const reader = startMirrorReader({mirror, source, clock, random, log,
@@ -68,20 +68,23 @@
   readonly random: Random;
   readonly log: Logger;
   readonly timing: ReadTiming;
-  /** Whether no entry before this one in the takeover order reads. */
+  /**
+   * Whether this entry should read, since no entry before it in the takeover
+   * order reports successful reads.
+   */
   shouldRead(): boolean;
   /** Called with changes to broadcast to peers. */
   onDidStep(step: MirrorStep): void;
 }): MirrorReader {
   const {mirror, source, clock, random, log, timing} = options;
   const stopController = new AbortController();
-  let succeededAt = -Infinity;
-  let failures = 0;
-  let calls = 0;
+  let lastSuccessAt = -Infinity;
+  let failureCount = 0;
+  let callCount = 0;
   let isCompacted = false;
 
   function isReading(): boolean {
-    return clock.now() - succeededAt < timing.waitMs + timing.graceMs;
+    return clock.now() - lastSuccessAt < timing.waitMs + timing.graceMs;
   }
 
   async function callWithTimeout<R>(
@@ -90,7 +93,7 @@
   ): Promise<R> {
     const timeoutController = new AbortController();
     const timer = clock.after(timeoutMs, () => timeoutController.abort());
-    calls += 1;
+    callCount += 1;
     try {
       return await call(
         AbortSignal.any([timeoutController.signal, stopController.signal]),
@@ -134,33 +137,36 @@
   /** Reads once and returns the pause before the next read, in milliseconds. */
   async function tryRead(): Promise<number> {
     try {
-      await (mirror.isKnown() && !isCompacted ? readChanges() : readList());
-      if (failures > 0) {
-        log.info({mirror: mirror.kind, failures}, 'platform reads recovered');
+      await (mirror.isLoaded() && !isCompacted ? readChanges() : readList());
+      if (failureCount > 0) {
+        log.info(
+          {mirror: mirror.kind, failures: failureCount},
+          'platform reads recovered',
+        );
       }
-      failures = 0;
-      succeededAt = clock.now();
+      failureCount = 0;
+      lastSuccessAt = clock.now();
       return 0;
     } catch (error) {
-      failures += 1;
-      if (failures === 1 && !stopController.signal.aborted) {
+      failureCount += 1;
+      if (failureCount === 1 && !stopController.signal.aborted) {
         const {kind, message} = toServingError(error);
         log.warn({mirror: mirror.kind, kind, message}, 'platform read failed');
       }
-      const delayMs = FIRST_RETRY_MS * 2 ** Math.min(failures, 6);
+      const delayMs = FIRST_RETRY_MS * 2 ** Math.min(failureCount, 6);
       return Math.min(MAX_RETRY_MS, delayMs) * (0.5 + random.next());
     }
   }
 
   async function runReadLoop(): Promise<void> {
     while (!stopController.signal.aborted) {
-      const wasKnown = mirror.isKnown();
+      const wasLoaded = mirror.isLoaded();
       const wasCompacted = isCompacted;
       let pauseMs = options.shouldRead()
         ? await tryRead()
         : READ_CHECK_INTERVAL_MS;
-      if (!wasKnown && mirror.isKnown()) {
-        pauseMs = SETTLE_MS * (0.75 + random.next() / 2);
+      if (!wasLoaded && mirror.isLoaded()) {
+        pauseMs = PAUSE_AFTER_FIRST_LISTING_MS * (0.75 + random.next() / 2);
       } else if (wasCompacted) {
         pauseMs = Math.max(pauseMs, FIRST_RETRY_MS);
       }
@@ -174,8 +180,8 @@
   return {
     isReading,
     dump: () => ({
-      calls,
-      failures,
+      calls: callCount,
+      failures: failureCount,
       isReading: isReading(),
       ageMs: mirror.ageMs(),
     }),
--- a/packages/gateway/src/outcomeWatch.ts
+++ b/packages/gateway/src/outcomeWatch.ts
@@ -5,7 +5,7 @@
 import type {CallerReply} from './callerReply.js';
 import type {CallHead} from './contracts.js';
 
-/** Observation of one request until its end. */
+/** Records, for one request, whether it meets its latency target. */
 export interface OutcomeWatch {
   /** Records the end of the request, with its error if the request failed. */
   recordEnd(error: ServingError | undefined): void;
@@ -17,7 +17,7 @@
   'deadline-exceeded',
 ]);
 
-/** Observes nothing: for plain services and routes without a target. */
+/** Records nothing; for plain services and routes without a latency target. */
 const NO_WATCH: OutcomeWatch = {recordEnd() {}};
 
 /**
@@ -27,7 +27,7 @@
  *
  * @example
  * const outcome = watchOutcome({head, route, service}, reply, {clock,
- *   outcomes});
+ *   outcomeMeter});
  * outcome.recordEnd(result.error);
  */
 export function watchOutcome(
@@ -37,7 +37,10 @@
     readonly service: string;
   },
   reply: Pick<CallerReply, 'hasBegun'>,
-  {clock, outcomes}: {readonly clock: Clock; readonly outcomes: OutcomeMeter},
+  {
+    clock,
+    outcomeMeter,
+  }: {readonly clock: Clock; readonly outcomeMeter: OutcomeMeter},
 ): OutcomeWatch {
   const {head, route, service} = call;
   if (head.demand === undefined || route.goalMs <= 0) {
@@ -47,7 +50,7 @@
   function recordOnce(isLate: boolean): void {
     if (!isRecorded) {
       isRecorded = true;
-      outcomes.record(service, isLate);
+      outcomeMeter.record(service, isLate);
     }
   }
   const timer = clock.after(route.goalMs, () => recordOnce(!reply.hasBegun()));
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -26,14 +26,14 @@
 import type {DigestScope} from './relayPlan.js';
 
 type Digest = Messages['digest'];
-type Amounts = Readonly<Record<string, number>>;
+type AmountsByCustomer = Readonly<Record<string, number>>;
 
-/** Usage and load of one or more entries. */
+/** Usage, load and measurements of one or more entries. */
 export interface AggregateReport {
   /** Number of entries that the report covers. */
   readonly entries: number;
   /** Accumulated quota usage by customer. */
-  readonly used: Amounts;
+  readonly used: AmountsByCustomer;
   /** Load that the entries have placed on each endpoint. */
   readonly loads: Readonly<Record<string, EndpointLoad>>;
   /** Rate limits that endpoints have announced. */
@@ -55,7 +55,7 @@
   /** Name of the set of entries that the digest covers. */
   readonly origin: string;
   /** Quota usage of the origin by customer, since the previous report. */
-  readonly increase: Amounts;
+  readonly increase: AmountsByCustomer;
 }
 
 export interface PeerReports {
@@ -125,7 +125,10 @@
 }): PeerReports {
   const {clock, failureDomain, reporterTimeoutMs, quotaWindowMs} = options;
   const origins = new Map<string, OriginState>();
-  const previousUsage = new Map<string, {incarnation: number; used: Amounts}>();
+  const previousUsageByReporter = new Map<
+    string,
+    {incarnation: number; used: AmountsByCustomer}
+  >();
 
   function originOf(peer: string, digest: Digest): string {
     const originByScope: Readonly<Record<DigestScope, string>> = {
@@ -162,8 +165,8 @@
   ): Record<string, number> {
     const {incarnation = 0, used, scope = 'own', upMs = Infinity} = digest;
     const key = `${peer} ${scope}`;
-    const previous = previousUsage.get(key);
-    previousUsage.set(key, {incarnation, used});
+    const previous = previousUsageByReporter.get(key);
+    previousUsageByReporter.set(key, {incarnation, used});
     if (previous === undefined || previous.incarnation !== incarnation) {
       const isCountedInFull = scope === 'own' && upMs < quotaWindowMs;
       return isCountedInFull ? {...used} : {};
@@ -289,28 +292,31 @@
   };
 }
 
-function addAmounts(to: Record<string, number>, from: Amounts): void {
-  for (const [name, amount] of Object.entries(from)) {
-    to[name] = (to[name] ?? 0) + amount;
+function addAmounts(
+  totals: Record<string, number>,
+  increments: AmountsByCustomer,
+): void {
+  for (const [name, amount] of Object.entries(increments)) {
+    totals[name] = (totals[name] ?? 0) + amount;
   }
 }
 
 function addLoadsTo(
-  to: Record<string, EndpointLoad>,
-  from: Readonly<Record<string, EndpointLoad>>,
+  totals: Record<string, EndpointLoad>,
+  increments: Readonly<Record<string, EndpointLoad>>,
 ): void {
-  for (const [endpoint, load] of Object.entries(from)) {
-    const sum = to[endpoint];
-    to[endpoint] = sum === undefined ? load : addLoads(sum, load);
+  for (const [endpoint, load] of Object.entries(increments)) {
+    const sum = totals[endpoint];
+    totals[endpoint] = sum === undefined ? load : addLoads(sum, load);
   }
 }
 
 function addWorkRates(
-  to: Record<string, WorkRate>,
-  from: Readonly<Record<string, WorkRate>>,
+  totals: Record<string, WorkRate>,
+  increments: Readonly<Record<string, WorkRate>>,
 ): void {
-  for (const [service, work] of Object.entries(from)) {
-    to[service] = addWork(to[service] ?? ZERO_WORK, work);
+  for (const [service, work] of Object.entries(increments)) {
+    totals[service] = addWork(totals[service] ?? ZERO_WORK, work);
   }
 }
 
@@ -324,12 +330,12 @@
 }
 
 function addOutcomes(
-  to: Record<string, OutcomeCounts>,
-  from: Readonly<Record<string, OutcomeCounts>>,
+  totals: Record<string, OutcomeCounts>,
+  increments: Readonly<Record<string, OutcomeCounts>>,
 ): void {
-  for (const [service, {count, late}] of Object.entries(from)) {
-    const sum = to[service];
-    to[service] = {
+  for (const [service, {count, late}] of Object.entries(increments)) {
+    const sum = totals[service];
+    totals[service] = {
       count: (sum?.count ?? 0) + count,
       late: (sum?.late ?? 0) + late,
     };
--- a/packages/gateway/src/peerVisibility.ts
+++ b/packages/gateway/src/peerVisibility.ts
@@ -8,8 +8,9 @@
   /** Recomputes the fraction of visible peers. */
   refresh(): void;
   /**
-   * Whether the number of entries is known, which it is not shortly after the
-   * start. Called for each request; also refreshes an outdated fraction.
+   * Whether the number of entries is known, which takes up to `JOIN_TIMEOUT_MS`
+   * after the start. Called for each request that consumes quota; also
+   * recomputes the fraction of visible peers if it is outdated.
    */
   isEntryCountKnown(): boolean;
 }
@@ -21,7 +22,8 @@
 const JOIN_TIMEOUT_MS = 900;
 
 /**
- * Age at which the fraction is refreshed by the next request, in milliseconds.
+ * Age from which the next request recomputes the fraction of visible peers, in
+ * milliseconds.
  */
 const REFRESH_INTERVAL_MS = 100;
 
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -40,10 +40,14 @@
   readonly policy: Mirror<TrafficPolicy>;
   readonly endpoints: Mirror<RegisteredEndpoint>;
   readonly rollouts: Mirror<Rollout>;
-  /** Reports of endpoint crashes that each entry has persisted. */
+  /** Reports of endpoint crashes, one persisted by each entry. */
   readonly crashes: Mirror<CrashReport>;
   syncStatuses(): SyncStatuses;
-  /** Applies the statuses in a peer's digest, sent after `timestamp`. */
+  /**
+   * Applies the sync statuses in a peer's digest: fetches a copy of each mirror
+   * that the peer has a newer version of, and confirms the other mirrors.
+   * `timestamp` is a time before the digest was sent; undefined if not known.
+   */
   recordSyncStatuses(
     peer: string,
     syncStatuses: SyncStatuses,
@@ -53,11 +57,12 @@
 }
 
 /**
- * Timing of the reads of each kind. The policy is read most often, and its
- * first listing must be the latest, since the age of the mirrored policy
- * decides whether a key is accepted. Changes of the other kinds are received as
- * they happen; the long-poll timeout only bounds how long a dead connection
- * goes undetected. Crashes have to reach all entries within three seconds.
+ * Timing of the reads of each kind of object. The policy is read most often,
+ * and its first listing must be up to date, since the age of the mirrored
+ * policy decides whether a key is accepted. Changes of the other kinds are
+ * received as they happen; the long-poll timeout only bounds how long a dead
+ * connection goes undetected. Crashes have to reach all entries within three
+ * seconds.
  */
 const READ_TIMINGS: Readonly<Record<MirrorKind, ReadTiming>> = {
   policy: {waitMs: 1_000, graceMs: 700, firstListing: 'latest'},
@@ -76,7 +81,7 @@
 const STATUS_TTL_MS = 1_000;
 
 /**
- * Creates the view and starts its readers.
+ * Creates the view and starts mirroring the platform's objects into it.
  *
  * @example
  * const view = createPlatformView({platform, crashReports, network, self:
@@ -104,8 +109,8 @@
     rollouts: createMirror<Rollout>({kind: 'rollouts', clock, log}),
     crashes: createMirror<CrashReport>({kind: 'crashes', clock, log}),
   };
-  const kinds = Object.keys(mirrors) as MirrorKind[];
-  const readers = new Map<MirrorKind, MirrorReader>();
+  const mirrorKinds = Object.keys(mirrors) as MirrorKind[];
+  const mirrorReaders = new Map<MirrorKind, MirrorReader>();
   const peerStatuses = new Map<
     string,
     {receivedAt: number; syncStatuses: SyncStatuses}
@@ -125,13 +130,13 @@
    * none of its relays sends digests.
    */
   function shouldRead(kind: MirrorKind): boolean {
-    const {coordinators, ownRelays} = options.plan();
-    if (ownRelays.length > 0) {
-      return !ownRelays.some(hasFreshStatus);
+    const {coordinatorIds, relayIds} = options.plan();
+    if (relayIds.length > 0) {
+      return !relayIds.some(hasFreshStatus);
     }
-    const position = coordinators.indexOf(self);
+    const position = coordinatorIds.indexOf(self);
     const predecessors =
-      position < 0 ? coordinators : coordinators.slice(0, position);
+      position < 0 ? coordinatorIds : coordinatorIds.slice(0, position);
     return !predecessors.some(id => isReadBy(id, kind));
   }
 
@@ -158,7 +163,7 @@
       shouldRead: () => shouldRead(mirror.kind),
       onDidStep: step => broadcastStep({kind: mirror.kind, ...step}, self),
     });
-    readers.set(mirror.kind, disposables.add(reader));
+    mirrorReaders.set(mirror.kind, disposables.add(reader));
   }
 
   async function fetchCopy(kind: MirrorKind, peer: string): Promise<void> {
@@ -191,7 +196,7 @@
     timestamp: Timestamp | undefined,
   ): void {
     const mirror = mirrors[kind];
-    if (!mirror.isKnown() || mirror.revision() < syncStatus.changedAt) {
+    if (!mirror.isLoaded() || mirror.revision() < syncStatus.changedAt) {
       if (syncStatus.revision > 0) {
         void fetchCopy(kind, peer);
       }
@@ -248,7 +253,7 @@
     }),
     recordSyncStatuses(peer, syncStatuses, timestamp) {
       peerStatuses.set(peer, {receivedAt: clock.now(), syncStatuses});
-      for (const kind of kinds) {
+      for (const kind of mirrorKinds) {
         const syncStatus = syncStatuses[kind];
         if (syncStatus !== undefined) {
           recordSyncStatus(kind, peer, syncStatus, timestamp);
@@ -257,12 +262,12 @@
     },
     dump: () =>
       Object.fromEntries(
-        kinds.map(kind => [
+        mirrorKinds.map(kind => [
           kind,
           {
             ...mirrors[kind].syncStatus(isReading(kind)),
             objects: mirrors[kind].items().length,
-            reader: readers.get(kind)?.dump(),
+            reader: mirrorReaders.get(kind)?.dump(),
           },
         ]),
       ),
@@ -270,6 +275,6 @@
   };
 
   function isReading(kind: MirrorKind): boolean {
-    return readers.get(kind)?.isReading() ?? false;
+    return mirrorReaders.get(kind)?.isReading() ?? false;
   }
 }
--- a/packages/gateway/src/relayPlan.ts
+++ b/packages/gateway/src/relayPlan.ts
@@ -29,20 +29,24 @@
 
 export interface RelayPlan {
   /**
-   * Receivers of this entry's digests, with the scope of the digests for each.
+   * Ids of the receivers of this entry's digests, with the scope of the digests
+   * for each.
    */
   readonly targets: ReadonlyMap<string, DigestScope>;
   /**
-   * Active relay of this entry's failure domain; undefined unless this entry is
-   * the standby relay.
+   * Id of the active relay of this entry's failure domain; undefined unless
+   * this entry is the standby relay.
    */
-  readonly activeRelay: string | undefined;
-  /** Entries that may read the platform and hold leases, by precedence. */
-  readonly coordinators: readonly string[];
+  readonly activeRelayId: string | undefined;
   /**
-   * Relays of this entry, active relay first; empty in a mesh and for relays.
+   * Ids of the entries that may read the platform and hold leases, in order.
    */
-  readonly ownRelays: readonly string[];
+  readonly coordinatorIds: readonly string[];
+  /**
+   * Ids of the relays that this entry sends its digests to, active relay first;
+   * empty in a full mesh and for relays.
+   */
+  readonly relayIds: readonly string[];
 }
 
 /** Largest fleet that uses a full mesh. */
@@ -75,35 +79,35 @@
   if (nodes.length <= MAX_FULL_MESH_ENTRIES) {
     return {
       targets: new Map(otherNodes.map(({id}) => [id, 'own'])),
-      activeRelay: undefined,
-      coordinators: rendezvousOrder(COORDINATOR_KEY, idsOf(liveNodes)),
-      ownRelays: [],
+      activeRelayId: undefined,
+      coordinatorIds: rendezvousOrder(COORDINATOR_KEY, idsOf(liveNodes)),
+      relayIds: [],
     };
   }
   const relayIdsByDomain = relaysByDomain(liveNodes);
-  const ownRelays = relayIdsByDomain.get(self.failureDomain) ?? [];
-  const coordinators = rankCoordinators([...relayIdsByDomain.values()]);
-  if (!ownRelays.includes(self.id)) {
+  const relayIds = relayIdsByDomain.get(self.failureDomain) ?? [];
+  const coordinatorIds = rankCoordinators([...relayIdsByDomain.values()]);
+  if (!relayIds.includes(self.id)) {
     return {
-      targets: new Map(ownRelays.map(id => [id, 'own'])),
-      activeRelay: undefined,
-      coordinators,
-      ownRelays,
+      targets: new Map(relayIds.map(id => [id, 'own'])),
+      activeRelayId: undefined,
+      coordinatorIds,
+      relayIds,
     };
   }
   const targets = new Map<string, DigestScope>();
   for (const {id, failureDomain} of otherNodes) {
     if (failureDomain === self.failureDomain) {
-      targets.set(id, ownRelays.includes(id) ? 'own' : 'rest');
+      targets.set(id, relayIds.includes(id) ? 'own' : 'rest');
     } else if (relayIdsByDomain.get(failureDomain)?.includes(id)) {
       targets.set(id, 'domain');
     }
   }
   return {
     targets,
-    activeRelay: ownRelays[0] === self.id ? undefined : ownRelays[0],
-    coordinators,
-    ownRelays: [],
+    activeRelayId: relayIds[0] === self.id ? undefined : relayIds[0],
+    coordinatorIds,
+    relayIds: [],
   };
 }
 
--- a/packages/gateway/src/requestLog.ts
+++ b/packages/gateway/src/requestLog.ts
@@ -35,8 +35,8 @@
  * Creates the log of one entry's requests.
  *
  * @example
- * requestLog.record({acceptedRequest, attemptId, result, hasDisconnected: false,
- *   arrivedAt, events: 0});
+ * requestLog.record({acceptedRequest, attemptId, result,
+ *   hasDisconnected: false, arrivedAt, eventCount: 0});
  */
 export function createRequestLog(options: {
   readonly policy: Pick<ActivePolicy, 'version' | 'ageMs'>;
--- a/packages/gateway/src/requestMetrics.ts
+++ b/packages/gateway/src/requestMetrics.ts
@@ -27,7 +27,7 @@
 const BOUNDARIES_MS = [10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000];
 
 /** Number of buffered observations at which the metrics SDK is loaded. */
-const MAX_BUFFERED = 4_096;
+const MAX_BUFFERED_OBSERVATIONS = 4_096;
 
 /**
  * Creates the metrics. The SDK is loaded when the metrics are first rendered or
@@ -38,7 +38,8 @@
  * @example
  * const metrics = createRequestMetrics(() => createMetrics('skylarkfield'),
  *   log);
- * metrics.record({service: 'booking', kind: 'ok', firstMs: 21, tookMs: 23});
+ * metrics.record({service: 'booking', kind: 'ok', firstByteMs: 21,
+ *   tookMs: 23});
  */
 export function createRequestMetrics(
   loadSdk: () => Promise<Metrics>,
@@ -48,7 +49,7 @@
   let metricsPromise: Promise<Metrics> | undefined;
   let recordObservation = (observation: RequestObservation): void => {
     bufferedObservations.push(observation);
-    if (bufferedObservations.length >= MAX_BUFFERED) {
+    if (bufferedObservations.length >= MAX_BUFFERED_OBSERVATIONS) {
       loadMetricsOnce().catch(error => {
         log.warn(
           {reason: String(error), dropped: bufferedObservations.length},
--- a/packages/gateway/src/retryRules.ts
+++ b/packages/gateway/src/retryRules.ts
@@ -4,7 +4,7 @@
 import {isRepeatable, type Route} from '@skylarkfield/traffic';
 import type {Continuation} from './streamMigration.js';
 
-/** The properties of a call that the rules depend on. */
+/** The properties of a call that the retry rules depend on. */
 export interface RetryableCall {
   readonly route: Pick<
     Route,
@@ -25,7 +25,7 @@
   /** Prompt tokens queued at the first endpoint before the first send. */
   tokensAhead: number | undefined;
   /** Number of endpoints that may have run the request. */
-  runs: number;
+  runCount: number;
   /** Monotonic milliseconds of the start of forwarding. */
   startedAt: number;
   /** Monotonic milliseconds of the first send; undefined before that send. */
@@ -78,7 +78,7 @@
  * target or longest pause, whichever is longer. After that time the response is
  * late anyway; callers disconnect after eight such pauses.
  */
-const RESUME_PAUSE_MULTIPLE = 3;
+const RESUME_IDLE_TIMEOUT_MULTIPLE = 3;
 
 /**
  * Returns the progress of a request before its first attempt.
@@ -91,7 +91,7 @@
     endpoints: [],
     excludedEndpoints: new Set(),
     tokensAhead: undefined,
-    runs: 0,
+    runCount: 0,
     startedAt: now,
     firstSendAt: undefined,
     firstByteMs: undefined,
@@ -117,7 +117,7 @@
   function mayRerun(call: RetryableCall, progress: Progress): boolean {
     return (
       isRepeatable(call.route) &&
-      progress.runs < call.route.attempts &&
+      progress.runCount < call.route.attempts &&
       progress.endpoints.length < MAX_SENDS &&
       !call.signal.aborted &&
       admission.tryAcquireRetry(call.service)
@@ -125,7 +125,7 @@
   }
 
   function mayResend(call: RetryableCall, progress: Progress): boolean {
-    if (progress.runs > 0) {
+    if (progress.runCount > 0) {
       return mayRerun(call, progress);
     }
     return (
@@ -136,13 +136,16 @@
   }
 
   function idleTimeoutMs(call: RetryableCall, progress: Progress) {
-    if (!isRepeatable(call.route) || progress.runs + 1 >= call.route.attempts) {
+    if (
+      !isRepeatable(call.route) ||
+      progress.runCount + 1 >= call.route.attempts
+    ) {
       return undefined;
     }
     if (call.route.kind === 'streaming') {
       return (
         Math.max(call.route.goalMs, call.route.longestPauseMs) *
-        RESUME_PAUSE_MULTIPLE
+        RESUME_IDLE_TIMEOUT_MULTIPLE
       );
     }
     return (call.deadlineAt - clock.now()) * IDLE_TIMEOUT_FRACTION;
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -23,7 +23,7 @@
 import type {RelayPlan} from './relayPlan.js';
 import {createRolloutMoves, type RolloutMoves} from './rolloutMoves.js';
 
-/** Result of one request, as evidence about its version. */
+/** Result of one request, as evidence about the version that served it. */
 export interface RolloutSample {
   readonly service: string;
   readonly group: VersionGroup;
@@ -46,7 +46,7 @@
     isRepeatable: boolean,
   ): VersionGroup;
   /** Records a sample as evidence about its version group. */
-  observe(sample: RolloutSample): void;
+  recordSample(sample: RolloutSample): void;
   /** Whether a rollout of the service is in progress. */
   isRollingOut(service: string): boolean;
 }
@@ -88,35 +88,35 @@
 ): RolloutController {
   const {clock, decisions, log, dumps} = context;
   const moves = createRolloutMoves(options.rollouts, clock);
-  const split = createTrafficSplit({clock, decisions});
+  const trafficSplit = createTrafficSplit({clock, decisions});
   const disposables = createDisposableStore();
   let activeRollouts: Disposable | undefined;
 
   function startOrStopRollouts(): void {
     if (moves.hasOpenRollouts() && activeRollouts === undefined) {
-      activeRollouts = startRollouts(context, options, moves, split);
+      activeRollouts = startRollouts(context, options, moves, trafficSplit);
       log.info({}, 'rollout in progress');
     } else if (!moves.hasOpenRollouts() && activeRollouts !== undefined) {
       activeRollouts.dispose();
       activeRollouts = undefined;
-      split.setMoves([]);
+      trafficSplit.setMoves([]);
       log.info({}, 'no rollout in progress');
     }
   }
 
   disposables.add(moves.onDidChange(startOrStopRollouts));
   startOrStopRollouts();
-  dumps.add('rollouts', () => split.dump());
+  dumps.add('rollouts', () => trafficSplit.dump());
   return {
     groupFor: (service, requestKey, isRepeatable) =>
-      split.versionFor({
+      trafficSplit.versionFor({
         service,
         incumbent: 'incumbent',
         session: requestKey,
         isIdempotent: isRepeatable,
       }) as VersionGroup,
-    observe: ({group, isRepeatable, ...sample}) =>
-      split.recordSample({
+    recordSample: ({group, isRepeatable, ...sample}) =>
+      trafficSplit.recordSample({
         ...sample,
         version: group,
         isIdempotent: isRepeatable,
@@ -136,12 +136,12 @@
   context: GatewayContext,
   options: RolloutOptions,
   moves: RolloutMoves,
-  split: TrafficSplit,
+  trafficSplit: TrafficSplit,
 ): Disposable {
   const {clock, log, decisions} = context;
   const {directory, store, dutyElections} = options;
   const disposables = createDisposableStore();
-  const controller = createMoveController({clock, decisions});
+  const moveController = createMoveController({clock, decisions});
   const inFlightUpdates = new Set<string>();
 
   function availableGroups(service: string): VersionGroup[] {
@@ -151,14 +151,14 @@
   }
 
   function updateAvailability(): void {
-    for (const {service} of moves.records.list('move')) {
-      split.setAvailableVersions(service, availableGroups(service));
+    for (const {service} of moves.moveRecords.list('move')) {
+      trafficSplit.setAvailableVersions(service, availableGroups(service));
     }
   }
 
   function onDidAdvance(states: readonly MoveState[]): void {
     moves.recordStates(states);
-    for (const update of moves.pendingUpdates(states)) {
+    for (const update of moves.unpublishedUpdates(states)) {
       if (!inFlightUpdates.has(update.name)) {
         void writeState(update);
       }
@@ -166,14 +166,14 @@
   }
 
   /**
-   * Publishes a rollout state. A failed write is retried at the next evaluation
-   * of the move, since the mirrored rollout still has the old state.
+   * Publishes a rollout state. A failed write is retried the next time the
+   * rollout is evaluated, since the mirrored rollout still has the old state.
    */
   async function writeState({
     name,
     target,
     state,
-  }: ReturnType<RolloutMoves['pendingUpdates']>[number]): Promise<void> {
+  }: ReturnType<RolloutMoves['unpublishedUpdates']>[number]): Promise<void> {
     inFlightUpdates.add(name);
     try {
       await context.platform.writeRolloutState(
@@ -199,9 +199,9 @@
       clock,
       objects: store,
       network: createEvidenceNetwork(options),
-      configuration: moves.records,
-      split,
-      controller,
+      configuration: moves.moveRecords,
+      split: trafficSplit,
+      controller: moveController,
     }),
   );
   disposables.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
@@ -211,8 +211,8 @@
         clock,
         log,
         objects: store,
-        configuration: moves.records,
-        controller,
+        configuration: moves.moveRecords,
+        controller: moveController,
         term,
         hasEndpoints: (service, group) =>
           availableGroups(service).some(name => name === group),
@@ -226,7 +226,7 @@
 
 /**
  * Returns a network that sends evidence only to the entries that may evaluate
- * moves, so that the cost of evidence does not grow with the square of the
+ * rollouts, so that the cost of evidence does not grow with the square of the
  * number of entries. Other messages, such as `moveCut`, go to all entries.
  */
 function createEvidenceNetwork(options: RolloutOptions) {
@@ -248,5 +248,5 @@
 
 function moveEvaluators({plan, otherEntryIds}: RolloutOptions): string[] {
   const otherIds = new Set(otherEntryIds());
-  return plan().coordinators.filter(id => otherIds.has(id));
+  return plan().coordinatorIds.filter(id => otherIds.has(id));
 }
--- a/packages/gateway/src/rolloutMoves.ts
+++ b/packages/gateway/src/rolloutMoves.ts
@@ -26,22 +26,29 @@
 
 export interface RolloutMoves {
   /** Open rollouts in the form of move records. */
-  readonly records: MoveRecords;
+  readonly moveRecords: MoveRecords;
   /** Whether any rollout is in progress. */
   hasOpenRollouts(): boolean;
   /** Whether a rollout of the service is in progress. */
   isRollingOut(service: string): boolean;
-  /** Applies persisted states; the earliest known start of a move counts. */
+  /**
+   * Records when moves started according to their persisted states; of several
+   * starts of one move, the earliest is kept.
+   */
   recordStates(states: readonly MoveState[]): void;
-  /** Returns the rollout states that are not published yet. */
-  pendingUpdates(states: readonly MoveState[]): readonly RolloutStateUpdate[];
+  /**
+   * Returns the rollout states to publish: those that differ from the mirror.
+   */
+  unpublishedUpdates(
+    states: readonly MoveState[],
+  ): readonly RolloutStateUpdate[];
   /** Fires when the mirrored rollouts have changed. */
   readonly onDidChange: Event<void>;
 }
 
 /** Version groups between which a rollout moves traffic. */
-const FROM_GROUP: VersionGroup = 'incumbent';
-const TO_GROUP: VersionGroup = 'candidate';
+const SOURCE_GROUP: VersionGroup = 'incumbent';
+const TARGET_GROUP: VersionGroup = 'candidate';
 
 /**
  * Maximum fraction of requests that are sent to a version before it has been
@@ -50,10 +57,10 @@
 const MAX_UNPROVEN_SHARE = 0.08;
 
 /**
- * Time before the deadline at which a rollout is reported done, in
- * milliseconds. Once a rollout is done, the old endpoints are terminated with
- * their requests, so this is long after all traffic has moved, yet leaves time
- * to retry the call.
+ * Time before the deadline of a rollout from which the rollout may be reported
+ * as `done`, in milliseconds. Once a rollout is done, the old endpoints are
+ * terminated with their requests, so this is long after all traffic has moved,
+ * yet leaves time to retry the call.
  */
 const DONE_MARGIN_MS = 1_000;
 
@@ -78,7 +85,7 @@
  *
  * @example
  * const moves = createRolloutMoves(view.rollouts, clock);
- * createMoveDuty({configuration: moves.records, ...rest});
+ * createMoveDuty({configuration: moves.moveRecords, ...rest});
  */
 export function createRolloutMoves(
   mirror: Mirror<Rollout>,
@@ -100,8 +107,8 @@
     return {
       name: moveId,
       service,
-      from: FROM_GROUP,
-      to: TO_GROUP,
+      from: SOURCE_GROUP,
+      to: TARGET_GROUP,
       deadline: (startWallMsByMove.get(moveId) ?? clock.wall()) + periodMs,
       maxUnprovenShare: MAX_UNPROVEN_SHARE,
     };
@@ -135,10 +142,10 @@
   mirror.onDidChange(recordStarts);
   recordStarts();
   return {
-    records: {
+    moveRecords: {
       // The gateway has no records of other kinds.
       list: kind => (kind === 'move' ? (openMoves() as never[]) : []),
-      isReady: () => mirror.isKnown(),
+      isReady: () => mirror.isLoaded(),
       onDidChange: listener =>
         changeEmitter.event(() => listener('move', 'rollouts')),
     },
@@ -153,7 +160,7 @@
         }
       }
     },
-    pendingUpdates(states) {
+    unpublishedUpdates(states) {
       return openRollouts().flatMap(({name, rollout}) => {
         const move = toMove(name, rollout);
         const state = states.find(
--- a/packages/gateway/src/stepMeter.ts
+++ b/packages/gateway/src/stepMeter.ts
@@ -5,12 +5,17 @@
   /** Records that an event has arrived now. */
   recordEvent(): void;
   eventCount(): number;
-  /** Returns milliseconds between events; undefined before the second event. */
+  /**
+   * Returns the interval between events without prompt processing, in
+   * milliseconds; undefined before the second event.
+   */
   eventIntervalMs(): number | undefined;
 }
 
-/** Interval below which two events count as read together, in milliseconds. */
-const COALESCED_MS = 0.5;
+/**
+ * Minimum interval of events that count as read separately, in milliseconds.
+ */
+const MIN_EVENT_INTERVAL_MS = 0.5;
 
 /**
  * Quantile of the intervals between events that is taken as the step time. It
@@ -23,11 +28,11 @@
  * Creates a meter for one stream.
  *
  * @example
- * steps.recordEvent();
- * const stepMs = steps.eventIntervalMs();
+ * stepMeter.recordEvent();
+ * const intervalMs = stepMeter.eventIntervalMs();
  */
 export function createStepMeter(clock: Clock): StepMeter {
-  const gaps: number[] = [];
+  const eventIntervalsMs: number[] = [];
   let eventCount = 0;
   let coalescedCount = 0;
   let lastReadAt: number | undefined;
@@ -41,17 +46,19 @@
         return;
       }
       coalescedCount += 1;
-      if (now - lastReadAt < COALESCED_MS) {
+      if (now - lastReadAt < MIN_EVENT_INTERVAL_MS) {
         return;
       }
-      gaps.push((now - lastReadAt) / coalescedCount);
+      eventIntervalsMs.push((now - lastReadAt) / coalescedCount);
       coalescedCount = 0;
       lastReadAt = now;
     },
     eventCount: () => eventCount,
     eventIntervalMs() {
-      const sorted = [...gaps].sort((a, b) => a - b);
-      return sorted[Math.floor(sorted.length * STEP_QUANTILE)];
+      const sortedIntervalsMs = [...eventIntervalsMs].sort((a, b) => a - b);
+      return sortedIntervalsMs[
+        Math.floor(sortedIntervalsMs.length * STEP_QUANTILE)
+      ];
     },
   };
 }
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -26,7 +26,10 @@
 export interface WatchedStream extends Disposable {
   /** Whether the endpoint was requested to stop the stream. */
   isStopRequested(): boolean;
-  /** Waits for a migration in progress; undefined if there was none. */
+  /**
+   * Waits for a migration in progress and returns its target; undefined if no
+   * migration was started, or if it failed.
+   */
   continuation(): Promise<Continuation | undefined>;
 }
 
@@ -52,8 +55,8 @@
 const MIGRATION_DELAY_MS = 800;
 
 /**
- * Timeout of copying the KV cache, in milliseconds: the copy waits for the
- * copies of all other streams on the endpoint.
+ * Timeout of copying the KV cache of one stream, in milliseconds; it includes
+ * the wait for the copies of all other streams on the endpoint.
  */
 const MIGRATION_TIMEOUT_MS = 1_000;
 
--- a/packages/gateway/src/test/digests.test.ts
+++ b/packages/gateway/src/test/digests.test.ts
@@ -24,7 +24,7 @@
   entries: 1,
 };
 
-/** Counts the digests that an entry behind two relays sends to each. */
+/** Starts the digests of an entry behind two relays; counts those to each. */
 function startTestDigests() {
   const clock = createVirtualClock();
   const sentCounts: Record<string, number> = {first: 0, second: 0};
@@ -44,9 +44,9 @@
       ['first', 'own'],
       ['second', 'own'],
     ]),
-    activeRelay: undefined,
-    coordinators: [],
-    ownRelays: ['first', 'second'],
+    activeRelayId: undefined,
+    coordinatorIds: [],
+    relayIds: ['first', 'second'],
   };
   startDigests({
     network,
--- a/packages/gateway/src/test/eventFramer.test.ts
+++ b/packages/gateway/src/test/eventFramer.test.ts
@@ -20,8 +20,10 @@
         frames.map(({id}) => id),
         [1, 2, undefined, 30],
       );
-      const whole = Buffer.concat(frames.map(frame => frame.bytes)).toString();
-      assert.equal(whole + framer.remainder().toString(), STREAM);
+      const completeEvents = Buffer.concat(
+        frames.map(frame => frame.bytes),
+      ).toString();
+      assert.equal(completeEvents + framer.remainder().toString(), STREAM);
       assert.equal(framer.remainder().toString(), 'id: 4\nda');
     });
   }
--- a/packages/gateway/src/test/forwarding.test.ts
+++ b/packages/gateway/src/test/forwarding.test.ts
@@ -360,7 +360,7 @@
   });
 
   it('drops a response with the id of another request', async () => {
-    // An endpoint sends its response to an earlier request again, on a
+    // The endpoint sends a second response to an earlier request, on a
     // connection that now carries the request of another caller. The response
     // contains data of the first caller.
     const outcome = await forwardTo(orderRoute, [
@@ -378,9 +378,9 @@
   });
 
   it('resumes an interrupted stream after the last delivered event', async () => {
-    // The endpoint is reclaimed while it sends an event, and the next endpoint
-    // repeats events that the caller already has. The caller must receive each
-    // event once.
+    // The first endpoint is reclaimed and closes the connection in the middle
+    // of an event, and the next endpoint repeats events that the caller already
+    // has. The caller must receive each event once.
     const outcome = await forwardTo(resumableRoute, [
       streamEvents(1, 3, 'cut'),
       streamEvents(2, 6, 'whole'),
@@ -408,10 +408,10 @@
   });
 
   it('aborts a migrated stream if its new endpoint declines it', async () => {
-    // The endpoint with the copied KV cache crashes before the stream resumes,
-    // and another process answers at its address and declines. A third endpoint
-    // would run the request from its start, and the caller would receive two
-    // joined responses.
+    // The endpoint with the copied KV cache declines the stream, for example
+    // because it crashed and another process answers at its address. A third
+    // endpoint would run the request from its start, and the caller would
+    // receive two joined responses.
     const outcome = await forwardTo(
       streamRoute,
       [streamEvents(1, 3, 'cut'), declineRequest, streamEvents(1, 6, 'whole')],
--- a/packages/gateway/src/test/mirror.test.ts
+++ b/packages/gateway/src/test/mirror.test.ts
@@ -42,9 +42,9 @@
   });
 
   it('rejects a step if an earlier step is missing', () => {
-    // A message between two entries was lost. If the following step were
-    // applied, an endpoint that the lost message reported as draining would
-    // remain in use.
+    // The message with the step from revision 5 to 7 was lost. If the following
+    // step were applied, an endpoint that the lost message reported as draining
+    // would remain in use.
     const {clock, createReplica} = setUp();
     const mirror = createReplica();
     mirror.applyListing({revision: 5, items: []}, currentTimestamp(clock));
@@ -58,7 +58,7 @@
     const {clock, createReplica} = setUp();
     const mirror = createReplica();
     mirror.applyListing({revision: 5, items: [createItem('a', 2)]}, undefined);
-    assert.ok(mirror.isKnown());
+    assert.ok(mirror.isLoaded());
     assert.equal(mirror.get('a'), 'a');
     assert.equal(mirror.ageMs(), Infinity);
     mirror.applyChanges({revision: 6, changes: []}, currentTimestamp(clock));
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -98,7 +98,7 @@
       isPartitioned = value;
     },
     /**
-     * Lets the entries consumeToken three times the quota in total, in equal parts.
+     * Makes the entries request three times the quota in total, in equal parts.
      */
     sendLoad(seconds: number): void {
       const amount = (3 * QUOTA_PER_SECOND * STEP_MS) / 1_000 / ENTRY_COUNT;
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -109,24 +109,27 @@
       }
       const plan = planRelays(entry.node, nodes);
       const isActiveRelayAlive =
-        plan.activeRelay !== undefined && !failedIds.has(plan.activeRelay);
-      for (const [to, scope] of plan.targets) {
-        if (failedIds.has(to) || (isActiveRelayAlive && scope !== 'own')) {
+        plan.activeRelayId !== undefined && !failedIds.has(plan.activeRelayId);
+      for (const [receiverId, scope] of plan.targets) {
+        if (
+          failedIds.has(receiverId) ||
+          (isActiveRelayAlive && scope !== 'own')
+        ) {
           continue;
         }
         sentCount += 1;
-        deliver(entry, to, digestOf(entry, scope, to));
+        deliver(entry, receiverId, digestOf(entry, scope, receiverId));
       }
     }
     clock.advanceSync(DIGEST_INTERVAL_MS);
   }
 
-  function deliver(from: Entry, to: string, digest: Digest): void {
-    const receiver = entries.get(to)!;
+  function deliver(sender: Entry, receiverId: string, digest: Digest): void {
+    const receiver = entries.get(receiverId)!;
     for (const {request} of digest.crashes?.crashes ?? []) {
       receiver.receivedCrashes.add(request);
     }
-    const acceptedReport = receiver.reports.accept(from.node.id, digest);
+    const acceptedReport = receiver.reports.accept(sender.node.id, digest);
     if (acceptedReport !== undefined) {
       const used = receiver.usedByOthers.get(acceptedReport.origin) ?? 0;
       receiver.usedByOthers.set(
@@ -138,10 +141,10 @@
 
   return {
     entries,
-    failed: failedIds,
+    failedIds,
     crashReports,
-    digestFrom: (from: string, to: string) =>
-      digestOf(entries.get(from)!, 'own', to),
+    digestFrom: (senderId: string, receiverId: string) =>
+      digestOf(entries.get(senderId)!, 'own', receiverId),
     runRounds(count: number) {
       for (let index = 0; index < count; index++) {
         runRound();
@@ -188,8 +191,8 @@
     const nodes = createNodes(MAX_FULL_MESH_ENTRIES);
     for (const plan of plansById(nodes).values()) {
       assert.equal(plan.targets.size, MAX_FULL_MESH_ENTRIES - 1);
-      assert.equal(plan.coordinators.length, MAX_FULL_MESH_ENTRIES);
-      assert.deepEqual(plan.ownRelays, []);
+      assert.equal(plan.coordinatorIds.length, MAX_FULL_MESH_ENTRIES);
+      assert.deepEqual(plan.relayIds, []);
     }
   });
 
@@ -222,12 +225,12 @@
     fleet.entries.forEach(entry => (entry.used += 10));
     fleet.runRounds(5);
     for (const [id, entry] of fleet.entries) {
-      const {coordinators, ownRelays} = planRelays(entry.node, nodes);
+      const {coordinatorIds, relayIds} = planRelays(entry.node, nodes);
       assert.equal(entry.reports.visiblePeers(), 76, id);
       assert.equal(entry.reports.workOf('chat').ownTokens, 76 * 5, id);
       assert.equal(usedByOthersTotal(entry), 76 * 10, id);
-      if (ownRelays.length === 0) {
-        assert.ok(coordinators.includes(id));
+      if (relayIds.length === 0) {
+        assert.ok(coordinatorIds.includes(id));
         assert.equal(aggregatedRequests(entry.reports, id), 76, id);
       }
     }
@@ -242,17 +245,17 @@
     const fleet = createFleet(nodes);
     fleet.runRounds(5);
     const nonRelay = nodes.find(
-      node => planRelays(node, nodes).ownRelays.length > 0,
+      node => planRelays(node, nodes).relayIds.length > 0,
     )!;
-    const [activeRelay = ''] = planRelays(nonRelay, nodes).ownRelays;
+    const [activeRelayId = ''] = planRelays(nonRelay, nodes).relayIds;
     fleet.entries.forEach(entry => (entry.used += 10));
     fleet.runRounds(5);
-    fleet.failed.add(activeRelay);
+    fleet.failedIds.add(activeRelayId);
     fleet.runRounds(8);
     fleet.entries.forEach(entry => (entry.used += 1));
     fleet.runRounds(5);
-    const received = usedByOthersTotal(fleet.entries.get(nonRelay.id)!);
-    assert.equal(received, 39 * 10 + 38);
+    const receivedUsage = usedByOthersTotal(fleet.entries.get(nonRelay.id)!);
+    assert.equal(receivedUsage, 39 * 10 + 38);
     assert.equal(fleet.entries.get(nonRelay.id)!.reports.visiblePeers(), 38);
   });
 
@@ -310,12 +313,12 @@
       id => fleet.entries.get(id)!,
     );
     longRunningEntry!.used = 1_000_000;
-    fleet.failed.add('entry-2');
+    fleet.failedIds.add('entry-2');
     fleet.runRounds(2);
     assert.equal(usedByOthersTotal(fleet.entries.get('entry-0')!), 0);
     justStartedEntry!.used = 500;
     justStartedEntry!.upMs = 600;
-    fleet.failed.delete('entry-2');
+    fleet.failedIds.delete('entry-2');
     fleet.runRounds(1);
     justStartedEntry!.used = 507;
     fleet.runRounds(2);
@@ -328,10 +331,10 @@
       isLive: node.failureDomain !== 'a' || node.id === 'entry-0',
     }));
     const drainingNode = nodes.find(node => !node.isLive)!;
-    const {targets, ownRelays, coordinators} = planRelays(drainingNode, nodes);
-    assert.deepEqual(ownRelays, ['entry-0']);
+    const {targets, relayIds, coordinatorIds} = planRelays(drainingNode, nodes);
+    assert.deepEqual(relayIds, ['entry-0']);
     assert.deepEqual([...targets], [['entry-0', 'own']]);
-    assert.ok(!coordinators.includes(drainingNode.id));
+    assert.ok(!coordinatorIds.includes(drainingNode.id));
   });
 
   // Guards against selecting a relay on a host that is busy with requests of
@@ -342,7 +345,7 @@
       cores: index < 12 ? 1.35 : 0.324,
     }));
     const relays = nodes.filter(
-      node => planRelays(node, nodes).ownRelays.length === 0,
+      node => planRelays(node, nodes).relayIds.length === 0,
     );
     assert.equal(relays.length, 2 * DOMAINS.length);
     assert.ok(relays.every(({cores}) => cores === 1.35));
--- a/packages/gateway/src/test/rolloutMoves.test.ts
+++ b/packages/gateway/src/test/rolloutMoves.test.ts
@@ -57,7 +57,9 @@
     assert.equal(moves.hasOpenRollouts(), false);
     setRollout();
     assert.deepEqual(
-      moves.records.list('move').map(({name, from, to}) => [name, from, to]),
+      moves.moveRecords
+        .list('move')
+        .map(({name, from, to}) => [name, from, to]),
       [['chat.v2', 'incumbent', 'candidate']],
     );
     assert.ok(moves.isRollingOut('chat'));
@@ -70,7 +72,7 @@
     setRollout({state: 'rolled-back', stateTarget: 'v2'});
     assert.equal(moves.hasOpenRollouts(), false);
     setRollout({target: 'v3', state: 'rolled-back', stateTarget: 'v2'});
-    assert.equal(moves.records.list('move')[0]?.name, 'chat.v3');
+    assert.equal(moves.moveRecords.list('move')[0]?.name, 'chat.v3');
   });
 
   it('reports a finished move as done only shortly before the deadline', () => {
@@ -82,12 +84,12 @@
     const finishedStates = [createMoveState('finished')];
     clock.advanceSync(PERIOD_MS / 2);
     assert.deepEqual(
-      moves.pendingUpdates(finishedStates).map(({state}) => state),
+      moves.unpublishedUpdates(finishedStates).map(({state}) => state),
       ['running'],
     );
     clock.advanceSync(PERIOD_MS / 2 - 500);
     assert.deepEqual(
-      moves.pendingUpdates(finishedStates).map(({state}) => state),
+      moves.unpublishedUpdates(finishedStates).map(({state}) => state),
       ['done'],
     );
   });
@@ -96,11 +98,11 @@
     const {moves, setRollout} = setUp();
     setRollout();
     const states = [createMoveState('taken-back')];
-    assert.deepEqual(moves.pendingUpdates(states), [
+    assert.deepEqual(moves.unpublishedUpdates(states), [
       {name: 'chat', target: 'v2', state: 'rolled-back'},
     ]);
     setRollout({state: 'rolled-back', stateTarget: 'v2'});
-    assert.deepEqual(moves.pendingUpdates(states), []);
+    assert.deepEqual(moves.unpublishedUpdates(states), []);
   });
 
   it('measures the deadline from the start that an earlier process recorded', () => {
@@ -112,7 +114,7 @@
     const startedAt = clock.wall() - 5_000;
     moves.recordStates([createMoveState('proving', startedAt)]);
     assert.equal(
-      moves.records.list('move')[0]?.deadline,
+      moves.moveRecords.list('move')[0]?.deadline,
       startedAt + PERIOD_MS,
     );
   });
--- a/packages/gateway/src/test/usageDuty.test.ts
+++ b/packages/gateway/src/test/usageDuty.test.ts
@@ -20,7 +20,7 @@
   readonly fencing: number;
 }
 
-function createOrderRecorder(answers: PlatformCallResult[]) {
+function createReportRecorder(answers: PlatformCallResult[]) {
   const reports: Report[] = [];
   const orders: PlatformOrders = {
     async reportUsage({fencing}, window, counts) {
@@ -66,7 +66,7 @@
     holder: `e${options.fencing}`,
     store: options.store,
     orders: options.orders,
-    usage,
+    usageWindows: usage,
     lateMs: 10_000,
     clock,
     commonWallMs: () => clock.wall(),
@@ -98,7 +98,7 @@
     // second, different report would bill the customer twice.
     const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = createOrderRecorder(['failed', 'accepted']);
+    const {reports, orders} = createReportRecorder(['failed', 'accepted']);
     const store = platform.createClient('e1');
     const firstHolder = startHolder({
       clock,
@@ -130,7 +130,7 @@
     // be reported again with other counts, and the customer billed twice.
     const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = createOrderRecorder([]);
+    const {reports, orders} = createReportRecorder([]);
     const startedAt = clock.wall();
     const {usage} = startHolder({
       clock,
@@ -150,7 +150,7 @@
   it('sends nothing after its term has ended', async () => {
     const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock, random: seededRandom(1)});
-    const {reports, orders} = createOrderRecorder([]);
+    const {reports, orders} = createReportRecorder([]);
     const {term} = startHolder({
       clock,
       store: platform.createClient('e1'),
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -58,11 +58,11 @@
   readonly policy: ActivePolicy;
   readonly handler: CallerHandler;
   readonly directory: EndpointDirectory;
-  readonly usage: UsageWindows;
+  readonly usageWindows: UsageWindows;
   readonly digests: Digests;
-  readonly rollouts: RolloutController;
+  readonly rolloutController: RolloutController;
   readonly engineEstimates: EngineEstimates;
-  readonly engineStore: EngineCapacityStore;
+  readonly engineCapacityStore: EngineCapacityStore;
 }
 
 /**
@@ -87,7 +87,7 @@
     context;
   const {network, membership} = coordination;
   const disposables = createDisposableStore();
-  const view = disposables.add(
+  const platformView = disposables.add(
     createPlatformView({
       platform,
       crashReports: crashReportSource(platform),
@@ -100,7 +100,7 @@
     }),
   );
   const policy = createActivePolicy({
-    mirror: view.policy,
+    mirror: platformView.policy,
     clock,
     log,
     maxPolicyAgeMs: settings.keyRevocationMs - KEY_MARGIN_MS,
@@ -112,20 +112,20 @@
   const fitsEngineMemory = (service: string, demand: ModelDemand): boolean =>
     fitsKvCache(demand, findService(service)?.engine);
   const quotaWindowMs = settings.quotaWindowSeconds * MS_PER_SECOND;
-  const reports = createPeerReports({
+  const peerReports = createPeerReports({
     clock,
     failureDomain: settings.failureDomain,
     reporterTimeoutMs: PEER_TIMEOUT_MS,
     quotaWindowMs,
   });
-  const engineStore = disposables.add(
+  const engineCapacityStore = disposables.add(
     createEngineCapacityStore({store: coordination.store, clock, log}),
   );
   const engineEstimates = createEngineEstimates({
     clock,
-    reports,
+    reports: peerReports,
     log,
-    restored: engineStore.restoredStats,
+    restored: engineCapacityStore.restoredStats,
     isModel,
     latencyTargets: policy.routesTo,
   });
@@ -145,8 +145,8 @@
     weightOverrides: service => engineEstimates.routeWeights(service),
   });
   const directory = createEndpointDirectory({
-    endpoints: view.endpoints,
-    rollouts: view.rollouts,
+    endpoints: platformView.endpoints,
+    rollouts: platformView.rollouts,
     router,
     upstreams,
     log,
@@ -161,14 +161,14 @@
   directory.onDidVanish(crashQuarantine.recordDeregistered);
   disposables.add(
     startCrashPersistence({
-      mirror: view.crashes,
+      mirror: platformView.crashes,
       crashQuarantine,
       store: coordination.store,
       self: settings.id,
       clock,
       random,
       log,
-      isReader: () => view.syncStatuses().crashes?.isReader === true,
+      isReader: () => platformView.syncStatuses().crashes?.isReader === true,
     }),
   );
   const admission = createAdmissionController({
@@ -182,19 +182,19 @@
     directory,
     policy,
   });
-  view.endpoints.onDidChange(refreshEndpoints);
-  view.rollouts.onDidChange(refreshEndpoints);
+  platformView.endpoints.onDidChange(refreshEndpoints);
+  platformView.rollouts.onDidChange(refreshEndpoints);
 
   const quotas = createQuotas(clock, quotaWindowMs, log);
-  const usage = createUsageWindows({
+  const usageWindows = createUsageWindows({
     windowMs: settings.usageWindowSeconds * MS_PER_SECOND,
     self: `${settings.id}.${context.incarnation}`,
     lateMs: settings.usageLateSeconds * MS_PER_SECOND,
   });
-  const visibility = createPeerVisibility({
+  const peerVisibility = createPeerVisibility({
     clock,
     membership,
-    reports,
+    reports: peerReports,
     onDidRefresh(visibleFraction, entryCount) {
       quotas.setReportingPeers(visibleFraction, entryCount, OVERDUE_MS);
     },
@@ -205,8 +205,8 @@
    * that duty.
    */
   const usageByScope: Readonly<Record<DigestScope, () => WindowCounts>> = {
-    own: usage.ownCounts,
-    domain: usage.domainCounts,
+    own: usageWindows.ownCounts,
+    domain: usageWindows.domainCounts,
     rest: () => ({}),
   };
   const digests = disposables.add(
@@ -219,9 +219,9 @@
       },
       plan: coordination.plan,
       takeSnapshot() {
-        visibility.refresh();
+        peerVisibility.refresh();
         admission.setEntryCount(membership.liveMembers().length);
-        const mirrors = view.syncStatuses();
+        const mirrors = platformView.syncStatuses();
         const ownReport = {
           entries: 1,
           used: quotas.totalOwnUsage(),
@@ -235,7 +235,7 @@
         return (scope, receiver) => ({
           mirrors,
           usage: usageByScope[scope](),
-          ...reports.aggregateFor(scope, receiver, ownReport),
+          ...peerReports.aggregateFor(scope, receiver, ownReport),
         });
       },
       onDidReceive(peer, digest, timestamp) {
@@ -243,9 +243,9 @@
         if (digest.crashes !== undefined) {
           crashQuarantine.mergeGossip(digest.crashes);
         }
-        view.recordSyncStatuses(peer, digest.mirrors, timestamp);
+        platformView.recordSyncStatuses(peer, digest.mirrors, timestamp);
         recordUsage(peer, digest);
-        const acceptedReport = reports.accept(peer, digest);
+        const acceptedReport = peerReports.accept(peer, digest);
         if (acceptedReport !== undefined) {
           quotas.addPeerUsage(acceptedReport.increase);
           router.reportEntryLoads(acceptedReport.origin, digest.loads);
@@ -261,7 +261,7 @@
       ? `${peer}.${incarnation}`
       : `all of ${failureDomain}`;
     const isLocalEntry = isOwnScope && failureDomain === settings.failureDomain;
-    usage.mergeCounts(origin, counts, isLocalEntry);
+    usageWindows.mergeCounts(origin, counts, isLocalEntry);
   }
 
   function updateEntries(): void {
@@ -281,9 +281,9 @@
     admissionConfigurator.update();
   }
 
-  const rollouts = disposables.add(
+  const rolloutController = disposables.add(
     createRolloutController(context, {
-      rollouts: view.rollouts,
+      rollouts: platformView.rollouts,
       directory,
       network,
       store: coordination.store,
@@ -324,7 +324,7 @@
     log,
     onDidRun(customer, wallMs) {
       if (customer !== undefined) {
-        usage.recordRequest(
+        usageWindows.recordRequest(
           customer,
           wallMs + digests.commonWallMs() - clock.wall(),
         );
@@ -335,7 +335,7 @@
     policy,
     quotas,
     crashQuarantine,
-    visibility,
+    peerVisibility,
     admission,
     forwarding,
     format: platform.callFormat,
@@ -347,15 +347,15 @@
     inFlight: context.inFlight,
     usualOwnTokens: service =>
       engineEstimates.estimateFor(service).usualOwnTokens,
-    outcomes: engineEstimates.outcomes,
+    outcomeMeter: engineEstimates.outcomes,
     metrics: context.metrics,
     clock,
     log,
-    chooseGroup: rollouts.groupFor,
+    chooseGroup: rolloutController.groupFor,
     onDidConclude(call, result) {
       const sample = sampleOf(call, result);
       if (sample !== undefined) {
-        rollouts.observe(sample);
+        rolloutController.recordSample(sample);
       }
     },
     onDidAccept(service: string, {demand}: CallHead) {
@@ -370,11 +370,11 @@
       }
     },
   });
-  context.dumps.add('view', () => view.dump());
+  context.dumps.add('view', () => platformView.dump());
   context.dumps.add('routing', () => router.dump());
   context.dumps.add('admission', () => admission.dump());
   context.dumps.add('engines', () => engineEstimates.dump());
-  context.dumps.add('reports', () => reports.dump());
+  context.dumps.add('reports', () => peerReports.dump());
   context.dumps.add('limits', () => rateLimits.dump());
   context.dumps.add('crashes', () => crashQuarantine.dump());
   context.dumps.add('quotas', () => quotas.dump());
@@ -383,11 +383,11 @@
     policy,
     handler,
     directory,
-    usage,
+    usageWindows,
     digests,
-    rollouts,
+    rolloutController,
     engineEstimates,
-    engineStore,
+    engineCapacityStore,
     dispose: () => disposables.dispose(),
   };
 }
--- a/packages/gateway/src/upstream.ts
+++ b/packages/gateway/src/upstream.ts
@@ -87,7 +87,7 @@
 type ConnectionEnd = 'none' | 'closed' | 'failed';
 
 interface ConnectionEndState {
-  current: ConnectionEnd;
+  connectionEnd: ConnectionEnd;
 }
 
 function createConnector(
@@ -95,8 +95,8 @@
 ): buildConnector.connector {
   const connect = buildConnector({timeout: CONNECT_TIMEOUT_MS});
   function setEnd(end: ConnectionEnd): void {
-    endState.current = end;
-    queueMicrotask(() => (endState.current = 'none'));
+    endState.connectionEnd = end;
+    queueMicrotask(() => (endState.connectionEnd = 'none'));
   }
   return (options, callback) =>
     connect(options, (...connectResult) => {
@@ -144,12 +144,12 @@
  */
 export function createUpstreams(): Upstreams {
   const pools = new Map<string, Pool>();
-  const endState: ConnectionEndState = {current: 'none'};
+  const endState: ConnectionEndState = {connectionEnd: 'none'};
 
   function getOrCreatePool(address: string): Pool {
-    const existing = pools.get(address);
-    if (existing !== undefined) {
-      return existing;
+    const existingPool = pools.get(address);
+    if (existingPool !== undefined) {
+      return existingPool;
     }
     const pool = new Pool(`http://${address}`, {
       connections: MAX_CONNECTIONS,
@@ -247,7 +247,7 @@
         }
       },
       onResponseEnd() {
-        if (!isCompleteByFraming[framing](endState.current)) {
+        if (!isCompleteByFraming[framing](endState.connectionEnd)) {
           fail(new Error('the connection ended in the middle of the response'));
           return;
         }
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -20,10 +20,10 @@
 import type {CustomerCounts, UsageWindows} from '@skylarkfield/traffic';
 import type {PlatformOrders} from './contracts.js';
 
-/** Kind of the objects with the reported counts, named by window. */
+/** Kind of the stored objects with the reported counts, one for each window. */
 const OBJECT_KIND = 'usage-report';
 
-/** Interval of checking for a window to report, in milliseconds. */
+/** Interval at which windows due for a report are checked, in milliseconds. */
 const CHECK_INTERVAL_MS = 500;
 
 /**
@@ -47,7 +47,7 @@
   readonly holder: string;
   readonly store: ObjectStore;
   readonly orders: PlatformOrders;
-  readonly usage: UsageWindows;
+  readonly usageWindows: UsageWindows;
   /**
    * Time after a window's end during which the window may be reported, in
    * milliseconds.
@@ -66,20 +66,22 @@
  * dutyElections.compete('usage', term => startUsageDuty({term, ...rest}));
  */
 export function startUsageDuty(options: UsageDutyOptions): Disposable {
-  const {term, store, orders, usage, clock, log} = options;
-  const firstWindow = usage.windowAt(options.commonWallMs() - options.lateMs);
+  const {term, store, orders, usageWindows, clock, log} = options;
+  const firstWindow = usageWindows.windowAt(
+    options.commonWallMs() - options.lateMs,
+  );
   const retainedReports =
-    usage.windowAt(options.lateMs) + EXTRA_RETAINED_REPORTS;
+    usageWindows.windowAt(options.lateMs) + EXTRA_RETAINED_REPORTS;
   const reportedWindows = new Set<number>();
   let isReporting = false;
 
   /** Returns the earliest window that is complete and not reported yet. */
   function dueWindow(): number | undefined {
     const latestWindow =
-      usage.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
+      usageWindows.windowAt(options.commonWallMs() - REPORT_DELAY_MS) - 1;
     const earliestWindow = Math.max(
       firstWindow,
-      usage.windowAt(options.commonWallMs() - options.lateMs) - 1,
+      usageWindows.windowAt(options.commonWallMs() - options.lateMs) - 1,
     );
     for (let window = earliestWindow; window <= latestWindow; window++) {
       if (!reportedWindows.has(window)) {
@@ -90,11 +92,11 @@
   }
 
   /**
-   * Persists the local counts of a window and returns the counts to report:
-   * those that a predecessor has already persisted, or else the local counts.
+   * Returns the counts to report for a window: those that a predecessor has
+   * already persisted, or else the local counts, which are then persisted.
    */
   async function persistCounts(window: number): Promise<CustomerCounts> {
-    const counts = usage.totalCounts(window);
+    const counts = usageWindows.totalCounts(window);
     try {
       await store.put(
         OBJECT_KIND,
@@ -108,11 +110,11 @@
       if (!isServingError(error, 'version-conflict')) {
         throw error;
       }
-      const existing = await store.get<CustomerCounts>(
+      const existingObject = await store.get<CustomerCounts>(
         OBJECT_KIND,
         String(window),
       );
-      return existing?.value ?? counts;
+      return existingObject?.value ?? counts;
     }
   }
 
