--- a/packages/orders/src/activeOrder.ts
+++ b/packages/orders/src/activeOrder.ts
@@ -13,7 +13,7 @@
   readonly call: OrderCall;
   /** Deadline of the answer, in monotonic milliseconds of this process. */
   readonly deadline: number;
-  /** Tokens of void claims of this order, under which it is never sent. */
+  /** Tokens of void claims of this order; it is never sent under them. */
   readonly releasedTokens: readonly string[];
 }
 
@@ -70,7 +70,7 @@
   /** Token of the claim; empty before the order is claimed. */
   token: string;
   state(): ActiveOrderState;
-  /** True once `claimDecided` has resolved. */
+  /** True once `whenClaimDecided` has resolved. */
   isClaimDecided(): boolean;
   /** True once the order has completed by moving to another owner. */
   isMoved(): boolean;
@@ -92,7 +92,7 @@
    * `not-run`.
    */
   join(deadline: number, signal: AbortSignal): Promise<OrderCompletion>;
-  /** Aborts when the order is cancelled or moved before it was sent. */
+  /** Aborts when the order ends without having been sent. */
   readonly stopSignal: AbortSignal;
 }
 
@@ -239,7 +239,7 @@
   };
 }
 
-/** States in which the claim may or may not be written later. */
+/** States in which it is not yet certain whether the claim is written. */
 const undecidedStates: ReadonlySet<ActiveOrderState> = new Set([
   'queued',
   'committing',
--- a/packages/orders/src/handOver.ts
+++ b/packages/orders/src/handOver.ts
@@ -6,15 +6,18 @@
 import {encodeOrder, type LedgerEntry} from './shardRecord.js';
 
 /**
- * Upper bound of all request bodies that one hand-over adds to a shard object;
- * far below the platform's size limit for one value.
+ * Upper bound of the total size of the request bodies that one hand-over adds
+ * to a shard object; far below the platform's size limit for one value.
  */
 const MAX_TOTAL_BODY_BYTES = 262_144;
 const MAX_SUCCESSORS_TRIED = 3;
 const REQUEST_TIMEOUT_MS = 2_000;
 
 export interface HandOver {
-  /** Releases a shard; after a successful release, notifies its next owner. */
+  /**
+   * Releases a shard and notifies its next owner, unless this process did not
+   * own the shard or the release was refused.
+   */
   transfer(shard: Shard): Promise<void>;
 }
 
@@ -45,12 +48,14 @@
    * `may-have-run`: the new owner must be notified that the claim is void.
    */
   readonly onDidVoidClaim: (order: ActiveOrder) => void;
-  /** Runs an order in this process, as its hand-over was not written. */
+  /** Called to run an order in this process if its hand-over was refused. */
   readonly resume: (order: ActiveOrder) => void;
 }): HandOver {
   /**
-   * Marks an order as waiting in the table; returns its previous entry. The
-   * budget counts the bytes that may still be added for bodies.
+   * Marks an order as waiting in the table, or removes its entry if its body is
+   * too large. Returns the previous entry; undefined if the table does not
+   * contain the order's claim. `bodyBudget` counts the bytes that may still be
+   * added for bodies.
    */
   function markWaiting(
     shard: Shard,
@@ -76,7 +81,7 @@
     return entry;
   }
 
-  /** Returns true when the next owner can take the shard over. */
+  /** Returns true if this process has released or lost the shard. */
   async function release(
     shard: Shard,
     successor: string | undefined,
@@ -99,12 +104,12 @@
         }
       }
     });
-    const isShardReleased = result === 'released' || result === 'lost';
+    const hasGivenUpShard = result === 'released' || result === 'lost';
     for (const {order, claimEntry} of suspendedOrders) {
       if (result === 'lost') {
         options.onDidVoidClaim(order);
       }
-      if (isShardReleased) {
+      if (hasGivenUpShard) {
         const {token} = order;
         const isWaiting = claimEntry !== undefined;
         order.complete({type: 'moved', member: successor, token, isWaiting});
@@ -116,14 +121,14 @@
       order.tryTransition('cancelHandOver');
       options.resume(order);
     }
-    return isShardReleased;
+    return hasGivenUpShard;
   }
 
   return {
     async transfer(shard) {
       const successors = options.successors(shard.index);
-      const isReleased = await release(shard, successors[0]);
-      if (!isReleased) {
+      const hasGivenUpShard = await release(shard, successors[0]);
+      if (!hasGivenUpShard) {
         return;
       }
       const body = {shard: shard.index};
--- a/packages/orders/src/ledger.ts
+++ b/packages/orders/src/ledger.ts
@@ -80,7 +80,9 @@
           isReachable: peer => router.isReachable(peer),
           onDidClaim: order => runner.run(order),
           onDidLose: outcomes =>
-            outcomes.forEach(outcome => cacheUndelivered(index, outcome, 0)),
+            outcomes.forEach(outcome =>
+              cacheUndeliveredOutcome(index, outcome, 0),
+            ),
           onDidTakeOver: entries => {
             observer.onDidTakeOver();
             adoptShard(index, entries);
@@ -113,8 +115,8 @@
     clock,
     random,
     member,
-    liveMembers: options.liveMembers,
-    answeringMembers: options.answeringMembers ?? options.liveMembers,
+    liveMemberIds: options.liveMembers,
+    answeringMemberIds: options.answeringMembers ?? options.liveMembers,
     isLeaving: () => isLeaving,
     executeLocally: orders.execute,
   });
@@ -133,7 +135,7 @@
     maxBodyBytes: settings.maxHandOverBytes,
     activeOrders: orders.activeOrders,
     onDidVoidClaim: order =>
-      cacheUndelivered(
+      cacheUndeliveredOutcome(
         order.shard,
         toClaimOutcome(order, {state: 'released'}),
         0,
@@ -155,10 +157,10 @@
     if (orders.recordOutcome(shards[shard] as Shard, outcome)) {
       return;
     }
-    cacheUndelivered(shard, outcome, hops);
+    cacheUndeliveredOutcome(shard, outcome, hops);
   }
 
-  function cacheUndelivered(
+  function cacheUndeliveredOutcome(
     shard: number,
     outcome: ClaimOutcome,
     hops: number,
--- a/packages/orders/src/ledgerResults.ts
+++ b/packages/orders/src/ledgerResults.ts
@@ -7,7 +7,7 @@
 
 /**
  * Result of a retry when this process lost the shard while it waited for the
- * outcome of the claim; undefined is an outcome that could not be queried.
+ * outcome of the claim. `outcome` is undefined if it could not be queried.
  *
  * @example
  * return resultAfterShardLoss(entry, await queryClaimant(entry, deadline));
--- a/packages/orders/src/ledgerSettings.ts
+++ b/packages/orders/src/ledgerSettings.ts
@@ -34,7 +34,7 @@
   readonly shardCount: number;
   /** Minimum time between the starts of two writes of one shard. */
   readonly minWriteIntervalMs: number;
-  /** How long a claim outcome waits for a write that also commits claims. */
+  /** Maximum time a claim outcome waits for a write that commits claims. */
   readonly outcomeDelayMs: number;
   /** How long an idempotency key is retained after its order has ended. */
   readonly dedupeWindowMs: number;
--- a/packages/orders/src/localOrders.ts
+++ b/packages/orders/src/localOrders.ts
@@ -162,7 +162,7 @@
         ),
       );
     }
-    if (shard.liveBytes() < options.maxShardBytes) {
+    if (shard.unexpiredBytes() < options.maxShardBytes) {
       return undefined;
     }
     return new ServingError('overloaded', 'the order ledger is full', {
--- a/packages/orders/src/orderRouter.ts
+++ b/packages/orders/src/orderRouter.ts
@@ -53,9 +53,9 @@
   readonly random: Random;
   readonly member: string;
   /** Ids of the entries that accept new work, including this entry. */
-  readonly liveMembers: () => readonly string[];
-  /** Ids of the entries that can still answer, live or leaving. */
-  readonly answeringMembers: () => readonly string[];
+  readonly liveMemberIds: () => readonly string[];
+  /** Ids of the entries that accept new work or are leaving. */
+  readonly answeringMemberIds: () => readonly string[];
   readonly isLeaving: () => boolean;
   readonly executeLocally: (
     request: OrderRequest,
@@ -77,14 +77,14 @@
  * const result = await router.route(shard, request, signal);
  */
 export function createOrderRouter(options: OrderRouterOptions): OrderRouter {
-  const {network, clock, random, member, liveMembers} = options;
+  const {network, clock, random, member, liveMemberIds} = options;
 
   function isReachable(peer: string): boolean {
-    return liveMembers().includes(peer);
+    return liveMemberIds().includes(peer);
   }
 
   function canAnswer(peer: string): boolean {
-    return options.answeringMembers().includes(peer);
+    return options.answeringMemberIds().includes(peer);
   }
 
   function requestWhileLive<T>(
@@ -147,19 +147,19 @@
 
   function ownerCandidates(shard: number): readonly string[] {
     return rendezvousOrder(shardHashKey(shard), [
-      ...new Set([...liveMembers(), member]),
+      ...new Set([...liveMemberIds(), member]),
     ]);
   }
 
   function nextTarget(
     shard: number,
     ownerHint: string | undefined,
-    triedMembers: ReadonlySet<string>,
+    triedMemberIds: ReadonlySet<string>,
   ): string | undefined {
     // A leaving entry must not acquire shards: after its exit, a retry of an
     // order that it claimed would get `may-have-run`.
     const mayUse = (peer: string) =>
-      !triedMembers.has(peer) && !(peer === member && options.isLeaving());
+      !triedMemberIds.has(peer) && !(peer === member && options.isLeaving());
     const isHintUsable =
       ownerHint !== undefined &&
       mayUse(ownerHint) &&
@@ -173,7 +173,7 @@
     signal: AbortSignal,
   ): Promise<Exclude<OrderCompletion, {type: 'moved'}>> {
     const releasedTokens = [...request.releasedTokens];
-    const triedMembers = new Set<string>();
+    const triedMemberIds = new Set<string>();
     let ownerHint: string | undefined;
     let mayRunElsewhere = false;
 
@@ -189,7 +189,7 @@
       if (signal.aborted || clock.now() >= request.deadline) {
         break;
       }
-      const target = nextTarget(shard, ownerHint, triedMembers);
+      const target = nextTarget(shard, ownerHint, triedMemberIds);
       if (target === undefined) {
         break;
       }
@@ -206,12 +206,12 @@
         if (target === member || !isNotAcceptedError(result.error)) {
           return toErrorResult(result.error);
         }
-        triedMembers.add(target);
+        triedMemberIds.add(target);
         continue;
       }
       if (result.type === 'no-answer' || result.type === 'not-sent') {
         mayRunElsewhere ||= result.type === 'no-answer';
-        triedMembers.add(target);
+        triedMemberIds.add(target);
         continue;
       }
       ownerHint = result.member;
@@ -240,12 +240,15 @@
     isReachable,
     canAnswer,
     preferredOwner: shard =>
-      rendezvousOrder(shardHashKey(shard), liveMembers())[0],
+      rendezvousOrder(shardHashKey(shard), liveMemberIds())[0],
     successors: shard => ownerCandidates(shard).filter(peer => peer !== member),
   };
 }
 
-/** Leaves time for the shard owner's answer to arrive before the deadline. */
+/**
+ * Timeout of an order at the shard owner; less than `leftMs`, so that the
+ * owner's answer arrives before the deadline.
+ */
 function forwardedTimeoutMs(leftMs: number): number {
   const marginMs = Math.min(MAX_ANSWER_MARGIN_MS, leftMs * ANSWER_MARGIN_RATIO);
   return Math.max(0, leftMs - marginMs);
@@ -256,7 +259,7 @@
   return `ledger/${shard}`;
 }
 
-/** Resolves to `no-answer` when the signal aborts first. */
+/** Waits for a result; resolves to `no-answer` when the signal aborts first. */
 function raceAbort(
   forwardResult: Promise<ExecuteResult>,
   signal: AbortSignal,
--- a/packages/orders/src/peerMessages.ts
+++ b/packages/orders/src/peerMessages.ts
@@ -24,7 +24,10 @@
     request: OrderRequest,
     signal: AbortSignal,
   ) => Promise<ExecuteResult>;
-  /** Waits for a claim of this process to end and returns its outcome. */
+  /**
+   * Waits for a claim of this process to end and returns its outcome; undefined
+   * if this process does not know the outcome.
+   */
   readonly awaitOutcome: (
     id: string,
     token: string,
--- a/packages/orders/src/shard.ts
+++ b/packages/orders/src/shard.ts
@@ -35,13 +35,13 @@
   const interpreter = interpret(shardMachine, () => undefined);
   const table = createShardTable(clock, options.dedupeWindowMs);
   const segments = createShardSegments(options.store, index);
-  const lifetime = new AbortController();
+  const lifetimeController = new AbortController();
   const writer = createShardWriter({
     store: options.store,
     clock,
     objectName: shardName(index),
     onUncertainWrite: () => sendEvent('writeUncertain'),
-    signal: lifetime.signal,
+    signal: lifetimeController.signal,
   });
   const takeOver = createTakeOver({
     ...options,
@@ -52,14 +52,14 @@
     onDidCommit: onDidCommitTakeOver,
   });
   let queuedOrders: ActiveOrder[] = [];
-  let batch: ActiveOrder[] = [];
+  let ordersInWrite: ActiveOrder[] = [];
   let storedVersion: number | undefined;
   let epoch = 0;
   let writeCount = 0;
   let claimCount = 0;
   let takeOverCount = 0;
-  /** Segments to remove after the next committed write. */
-  const expiredSegments: string[] = [];
+  /** Names of the segments to remove after the next committed write. */
+  const expiredSegmentNames: string[] = [];
   const pendingOutcomes = createPendingOutcomes(clock);
   let lastWriteStartedAt = -Infinity;
   let writeTimer: Disposable | undefined;
@@ -90,10 +90,10 @@
   }
 
   function expire(): void {
-    expiredSegments.push(...table.expire());
+    expiredSegmentNames.push(...table.expire());
   }
 
-  function liveBytes(): number {
+  function unexpiredBytes(): number {
     expire();
     return table.bytes;
   }
@@ -105,7 +105,7 @@
     writeTimer?.dispose();
     writeTimer = undefined;
     // The object written by the new owner may still refer to these segments.
-    expiredSegments.length = 0;
+    expiredSegmentNames.length = 0;
     options.onDidLose(pendingOutcomes.drain());
     logDecision(
       'gave up shard',
@@ -204,18 +204,18 @@
   }
 
   async function commit(): Promise<void> {
-    batch = queuedOrders
+    ordersInWrite = queuedOrders
       .splice(0, MAX_BATCH_CLAIMS)
       .filter(order => order.tryTransition('commit'));
-    for (const order of batch) {
+    for (const order of ordersInWrite) {
       claimCount += 1;
       order.token = `${epoch}.${claimCount}`;
       const {id, requestDigest: print} = order.request;
       table.put({id, print, token: order.token, state: 'claimed', member});
     }
     const result = await write(nextRecord());
-    const claimedOrders = batch;
-    batch = [];
+    const claimedOrders = ordersInWrite;
+    ordersInWrite = [];
     finishWrite(result, claimedOrders);
     if (result.type === 'committed') {
       await segments.seal(table, epoch, options.sealThresholdBytes);
@@ -228,7 +228,7 @@
     const result = await writer.write(record, storedVersion);
     if (result.type === 'committed') {
       pendingOutcomes.commitWrite();
-      segments.remove(expiredSegments.splice(0));
+      segments.remove(expiredSegmentNames.splice(0));
     }
     if (result.type === 'refused') {
       pendingOutcomes.rollBackWrite();
@@ -287,9 +287,9 @@
   }
 
   function rejectUnclaimed(error: ServingError): void {
-    // The claims of `batch` may still be committed, but a completed order is
-    // not sent.
-    for (const order of [...queuedOrders.splice(0), ...batch]) {
+    // The claims of `ordersInWrite` may still be committed, but a completed
+    // order is not sent.
+    for (const order of [...queuedOrders.splice(0), ...ordersInWrite]) {
       order.complete({type: 'error', error});
     }
   }
@@ -344,7 +344,7 @@
       scheduleWrite();
     },
     enqueueOutcome,
-    liveBytes,
+    unexpiredBytes,
     voidClaim,
     rejectUnclaimed,
     release,
@@ -359,7 +359,7 @@
       takeovers: takeOverCount,
     }),
     dispose() {
-      lifetime.abort();
+      lifetimeController.abort();
       writeTimer?.dispose();
       writeTimer = undefined;
       queuedOrders = [];
--- a/packages/orders/src/shardContracts.ts
+++ b/packages/orders/src/shardContracts.ts
@@ -36,7 +36,7 @@
   readonly instanceId: string;
   /** Minimum time between the starts of two writes of the shard. */
   readonly minWriteIntervalMs: number;
-  /** How long a claim outcome waits for a write that also commits claims. */
+  /** Maximum time a claim outcome waits for a write that commits claims. */
   readonly outcomeDelayMs: number;
   readonly dedupeWindowMs: number;
   /** Size of a shard object at which ended orders are moved into segments. */
@@ -59,8 +59,12 @@
   /** True while this process owns the shard, in state `owned` or `bound`. */
   isOwned(): boolean;
   /**
-   * Takes the shard over, or returns the entry that owns it. Throws
-   * `platform-unavailable`.
+   * Takes over the shard if this process does not own it. During the hold-off
+   * time, and after another process has changed the shard during an attempt,
+   * returns the current owner instead if it is a reachable peer.
+   *
+   * Throws `platform-unavailable` if the platform can't be reached, the shard
+   * has a newer format, or every attempt met a change by another process.
    */
   acquire(): Promise<Ownership>;
   /** Queues an order; the next write commits its claim. */
@@ -68,7 +72,7 @@
   /** Schedules a write for an outcome that is already in the table. */
   enqueueOutcome(outcome: ClaimOutcome): void;
   /** Serialized size of all entries within the dedupe window. */
-  liveBytes(): number;
+  unexpiredBytes(): number;
   /** Voids the claim of an order that was not sent. */
   voidClaim(order: ActiveOrder): void;
   /** Completes the orders whose claim is not committed yet with an error. */
--- a/packages/orders/src/shardTable.ts
+++ b/packages/orders/src/shardTable.ts
@@ -22,9 +22,9 @@
   unsealedEntries(): readonly LedgerEntry[];
   segmentNames(): readonly string[];
   /**
-   * Ended entries to move into a segment, oldest first; none while the unsealed
-   * entries take less than `minBytes` or the ended entries less than half of
-   * it.
+   * Ended entries to move into a segment, oldest first; none unless the unsealed
+   * entries take at least `minBytes` and the ended entries at least half of
+   * `minBytes`.
    */
   sealableEntries(minBytes: number): readonly LedgerEntry[];
   /** Records that a segment contains these entries. */
--- a/packages/orders/src/shardTakeOver.ts
+++ b/packages/orders/src/shardTakeOver.ts
@@ -27,15 +27,19 @@
 
 export interface TakeOver {
   /**
-   * Takes the shard over by writing a new epoch, or returns the owner that it
-   * is left to. Throws `platform-unavailable`.
+   * Takes over the shard by writing a new epoch. During the hold-off time, and
+   * after another process has changed the shard during an attempt, returns the
+   * current owner instead if it is a reachable peer.
+   *
+   * Throws `platform-unavailable` if the platform can't be reached, the shard
+   * has a newer format, or every attempt met a change by another process.
    */
   run(): Promise<Ownership>;
   /** Starts the hold-off time, after the shard was lost to `owner`. */
   holdOff(owner: string | undefined): void;
   /**
-   * The owner that the shard is left to; undefined after the hold-off time, or
-   * when the owner is unknown or unreachable.
+   * Id of the owner that keeps the shard during the hold-off time; undefined
+   * after that time, or when the owner is unknown or unreachable.
    */
   holdOffOwner(): string | undefined;
   /** Id of the last known owner other than this process. */
--- a/packages/orders/src/shardWriter.ts
+++ b/packages/orders/src/shardWriter.ts
@@ -46,7 +46,7 @@
  *
  * @example
  * const writer = createShardWriter({
- *   store, clock, name: 'shard-3', onUncertainWrite, signal,
+ *   store, clock, objectName: 'shard-3', onUncertainWrite, signal,
  * });
  */
 export function createShardWriter(options: {
--- a/packages/orders/src/test/cluster.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -81,11 +81,11 @@
   readonly runs: readonly ServiceRun[];
   readonly service: ServiceFaults;
   /**
-   * Monotonic milliseconds at which the period without live entries ended;
+   * Monotonic milliseconds at which the period without a live entry ended;
    * undefined unless that period overlaps the time until the request's
    * deadline.
    */
-  endOfEmptyPeriod(request: SubmittedRequest): number | undefined;
+  endOfPeriodWithoutEntries(request: SubmittedRequest): number | undefined;
   start(id: string): Entry;
   crash(id: string): void;
   pause(id: string): void;
@@ -128,7 +128,9 @@
   const entries = new Map<string, Entry>();
   const submittedRequests: SubmittedRequest[] = [];
   const runs: ServiceRun[] = [];
-  let emptyPeriod: {readonly from: number; to: number} | undefined;
+  let periodWithoutEntries:
+    | {readonly startMs: number; endMs: number}
+    | undefined;
   const service: ServiceFaults = {
     rejectedShare: 0,
     lostAfterRunShare: 0,
@@ -198,8 +200,11 @@
     });
     const entry = {id, process, ledger, client, suspects, isLeaving: false};
     entries.set(id, entry);
-    if (emptyPeriod !== undefined) {
-      emptyPeriod.to = Math.min(emptyPeriod.to, clock.now());
+    if (periodWithoutEntries !== undefined) {
+      periodWithoutEntries.endMs = Math.min(
+        periodWithoutEntries.endMs,
+        clock.now(),
+      );
     }
     return entry;
   }
@@ -268,7 +273,7 @@
       candidate => candidate.isLeaving || !candidate.process.isAlive,
     );
     if (isLastEntry) {
-      emptyPeriod ??= {from: clock.now(), to: Infinity};
+      periodWithoutEntries ??= {startMs: clock.now(), endMs: Infinity};
     }
     await entry.ledger.leave();
     if (entries.get(id) === entry) {
@@ -289,12 +294,12 @@
     submittedRequests,
     runs,
     service,
-    endOfEmptyPeriod({submittedAtMs, timeoutMs}) {
+    endOfPeriodWithoutEntries({submittedAtMs, timeoutMs}) {
       const isAffected =
-        emptyPeriod !== undefined &&
-        submittedAtMs <= emptyPeriod.to &&
-        submittedAtMs + timeoutMs >= emptyPeriod.from;
-      return isAffected ? emptyPeriod?.to : undefined;
+        periodWithoutEntries !== undefined &&
+        submittedAtMs <= periodWithoutEntries.endMs &&
+        submittedAtMs + timeoutMs >= periodWithoutEntries.startMs;
+      return isAffected ? periodWithoutEntries?.endMs : undefined;
     },
     start,
     crash,
--- a/packages/orders/src/test/fuzzFindings.test.ts
+++ b/packages/orders/src/test/fuzzFindings.test.ts
@@ -276,12 +276,12 @@
 describe('schedules found by the fuzzer', () => {
   for (const {name, seed, waitMs, steps, expect} of findings) {
     it(name, async () => {
-      const service = [0, 0, 0] as const;
-      const network = [0, 0] as const;
+      const serviceFaultShares = [0, 0, 0] as const;
+      const networkFaultShares = [0, 0] as const;
       const cluster = await runSchedule({
         seed,
-        service,
-        network,
+        serviceFaultShares,
+        networkFaultShares,
         waitMs,
         steps,
       });
--- a/packages/orders/src/test/ledger.fuzz.test.ts
+++ b/packages/orders/src/test/ledger.fuzz.test.ts
@@ -14,7 +14,7 @@
 const CI_RUNS = 60;
 const LONG_RUNS = Number(process.env.SKYLARKFIELD_FUZZ_RUNS ?? 1_000);
 
-/** Time after its start in which an entry runs orders from the ledger. */
+/** Time that a started entry may take to run the orders from the ledger. */
 const START_MARGIN_MS = 2_000;
 
 function fuzzParameters(): fc.Parameters<unknown> {
@@ -58,13 +58,16 @@
             // If no entry is live, the outcome may stay unknown to the caller.
             // An accepted order must still run if an entry starts in time
             // before the deadline.
-            const emptyUntil = cluster.endOfEmptyPeriod(request);
+            const endOfPeriodWithoutEntries =
+              cluster.endOfPeriodWithoutEntries(request);
             const hasRun = cluster.runs.some(run => run.subject === subject);
             const isTooLate =
-              (emptyUntil ?? 0) > submittedAtMs + timeoutMs - START_MARGIN_MS;
+              (endOfPeriodWithoutEntries ?? 0) >
+              submittedAtMs + timeoutMs - START_MARGIN_MS;
             const isExcused =
               timeoutMs < TIMEOUT_MS ||
-              (emptyUntil !== undefined && (hasRun || isTooLate));
+              (endOfPeriodWithoutEntries !== undefined &&
+                (hasRun || isTooLate));
             const hasCertainOutcome = answer.run !== 'may-have-run';
             assert.ok(
               hasCertainOutcome || isExcused,
--- a/packages/orders/src/test/schedule.ts
+++ b/packages/orders/src/test/schedule.ts
@@ -53,9 +53,9 @@
 export interface Schedule {
   readonly seed: number;
   /** Shares of calls rejected, lost after the run, or lost before the run. */
-  readonly service: readonly [number, number, number];
+  readonly serviceFaultShares: readonly [number, number, number];
   /** Shares of messages between entries that are lost or duplicated. */
-  readonly network: readonly [number, number];
+  readonly networkFaultShares: readonly [number, number];
   /** Maximum time that an order waits for capacity at the service. */
   readonly waitMs: number;
   readonly steps: readonly Step[];
@@ -147,8 +147,8 @@
   const faultShare = hasFaults ? anyShare : fc.constant(0);
   return fc.record({
     seed: fc.nat(1_000_000),
-    service: fc.tuple(faultShare, faultShare, faultShare),
-    network: fc.tuple(faultShare, faultShare),
+    serviceFaultShares: fc.tuple(faultShare, faultShare, faultShare),
+    networkFaultShares: fc.tuple(faultShare, faultShare),
     waitMs: fc.constantFrom(0, 10, 200, 2_000),
     steps: fc.array(fc.oneof(...steps), {minLength: 5, maxLength: 40}),
   });
@@ -169,7 +169,7 @@
   false,
 );
 
-type Handlers = {
+type StepHandlers = {
   [K in Step['do']]: (
     cluster: Cluster,
     step: Extract<Step, {do: K}>,
@@ -207,7 +207,7 @@
   }
 }
 
-const handlers: Handlers = {
+const stepHandlers: StepHandlers = {
   submit: (cluster, step) => submitAt(cluster, step.entry, step.key),
   'submit-unkeyed': (cluster, step) => submitAt(cluster, step.entry, undefined),
   'submit-conflicting': (cluster, step) =>
@@ -255,7 +255,7 @@
 export async function runSchedule(schedule: Schedule): Promise<Cluster> {
   const cluster = createCluster(schedule.seed);
   const [rejectedShare, lostAfterRunShare, lostBeforeRunShare] =
-    schedule.service;
+    schedule.serviceFaultShares;
   const {waitMs} = schedule;
   Object.assign(cluster.service, {
     rejectedShare,
@@ -264,12 +264,12 @@
     waitMs,
   });
   [cluster.network.lostShare, cluster.network.duplicatedShare] =
-    schedule.network;
+    schedule.networkFaultShares;
   for (let index = 0; index < ENTRY_COUNT - 1; index++) {
     cluster.start(entryId(index));
   }
   for (const step of schedule.steps) {
-    await handlers[step.do](cluster, step as never);
+    await stepHandlers[step.do](cluster, step as never);
     await settlePromises();
   }
   return cluster;
