--- a/packages/streams/src/attempt.ts
+++ b/packages/streams/src/attempt.ts
@@ -40,7 +40,7 @@
   /** Prepended to the attempt id to make it unique across entries. */
   readonly attemptIdPrefix: string;
   readonly target: AttemptTarget;
-  /** Picks an endpoint other than the current one, or throws. */
+  /** Picks an endpoint other than `target`'s; throws if none is available. */
   pickEndpoint(): EndpointPick;
   deliver(token: StreamToken): void | Promise<void>;
   /** Aborts when the caller aborts the request. */
--- a/packages/streams/src/contracts.ts
+++ b/packages/streams/src/contracts.ts
@@ -63,10 +63,10 @@
 export interface StreamRunner {
   /**
    * Runs a request to completion; repeats failed attempts. `pickEndpoint` picks
-   * an endpoint that is not excluded, or throws; `mayRetry` takes a retry from
-   * the retry budget and returns false if the budget is exhausted. `deliver`
-   * receives each token once and in order; if it returns a promise, the stream
-   * pauses until the promise resolves.
+   * an endpoint that is not excluded, or throws if none is available;
+   * `mayRetry` takes a retry from the retry budget and returns false if the
+   * budget is exhausted. `deliver` receives each token once and in order; if it
+   * returns a promise, the stream pauses until the promise resolves.
    *
    * Rejects with a `ServingError` whose run state is `not-run` only when no
    * part of the request reached an engine.
--- a/packages/streams/src/stallDetector.ts
+++ b/packages/streams/src/stallDetector.ts
@@ -40,9 +40,12 @@
 export interface StallDetector extends Disposable {
   /** Records that a token was received. */
   recordToken(): void;
-  /** Starts waiting for the next token, again with each call. */
+  /** Starts waiting for the next token; each call restarts the wait. */
   arm(): void;
-  /** Starts waiting for the first token of the attempt. */
+  /**
+   * Starts waiting for the first token of the attempt; without a token, the
+   * engine counts as stalled after `stallTimeoutMs` even if probes succeed.
+   */
   armForFirstToken(stallTimeoutMs: number): void;
   /** Stops waiting for a token, while the caller applies backpressure. */
   disarm(): void;
@@ -73,7 +76,10 @@
   let timer: Disposable = toDisposable(() => {});
   let lastTokenAtMs: number | undefined;
   let meanGapMs = 0;
-  /** Incremented at each start or stop of the timer; outdates older probes. */
+  /**
+   * Incremented at each start or stop of the timer, so that the result of a
+   * probe that started before is ignored.
+   */
   let timerEpoch = 0;
 
   function tokenProbeDelayMs(): number {
@@ -95,7 +101,7 @@
   }
 
   /** Repeats probes until a token arrives, as the engine may crash later. */
-  async function probeEngine(probeDelayMs: number, remainingMs: number) {
+  async function probeEngine(probeDelayMs: number, msUntilStall: number) {
     const epochAtProbe = timerEpoch;
     const isResponding = await options.probe();
     if (timerEpoch !== epochAtProbe) {
@@ -107,14 +113,14 @@
       );
       return;
     }
-    if (remainingMs <= 0) {
+    if (msUntilStall <= 0) {
       options.onStall('the engine responds to probes but sends no tokens');
       return;
     }
-    const delayMs = Math.min(probeDelayMs, remainingMs);
+    const delayMs = Math.min(probeDelayMs, msUntilStall);
     timer = clock.after(
       delayMs,
-      () => void probeEngine(probeDelayMs, remainingMs - delayMs),
+      () => void probeEngine(probeDelayMs, msUntilStall - delayMs),
     );
   }
 
--- a/packages/streams/src/streamRunner.ts
+++ b/packages/streams/src/streamRunner.ts
@@ -28,7 +28,7 @@
   readonly maxAttempts?: number;
 }
 
-type Hooks = Parameters<StreamRunner['run']>[1];
+type RequestHooks = Parameters<StreamRunner['run']>[1];
 
 const DEFAULT_MAX_ATTEMPTS = 10;
 /** Delay before endpoints that were excluded after a failure are used again. */
@@ -61,7 +61,7 @@
   /** Picks an endpoint; allows excluded endpoints if no other is left. */
   async function pickEndpoint(
     progress: RequestProgress,
-    hooks: Hooks,
+    hooks: RequestHooks,
     signal: AbortSignal,
   ): Promise<EndpointPick> {
     const {excludedEndpoints, deliveredTokens} = progress;
@@ -79,7 +79,7 @@
 
   async function runAttempts(
     progress: RequestProgress,
-    hooks: Hooks,
+    hooks: RequestHooks,
     signal: AbortSignal,
   ): Promise<StreamSummary> {
     let target: AttemptTarget | undefined;
@@ -125,7 +125,7 @@
     progress: RequestProgress,
     pick: EndpointPick,
     error: ServingError,
-    hooks: Hooks,
+    hooks: RequestHooks,
   ) {
     if (
       NON_RETRYABLE_KINDS.has(error.kind) ||
@@ -135,7 +135,7 @@
     }
     const hasProgress =
       progress.deliveredTokens.length > progress.deliveredCountAtAttemptStart;
-    // Only attempts that cost an engine work and delivered no token consumeToken the
+    // Only attempts that cost an engine work and delivered no token use up the
     // retry budget, since such attempts cause retry storms. All other failed
     // attempts delivered tokens or never reached an engine.
     const isWastedWork = !hasProgress && error.kind !== 'endpoint-unavailable';
--- a/packages/streams/src/test/streamRig.ts
+++ b/packages/streams/src/test/streamRig.ts
@@ -13,12 +13,12 @@
 const ENGINE_COUNT = 3;
 
 export interface RigOptions {
-  /** Faults in the order of attempts; attempts after the last have no fault. */
+  /** One fault plan per attempt, in order; all later attempts have no fault. */
   readonly plans?: readonly FaultPlan[];
   readonly retryBudget?: number;
   readonly maxTokens?: number;
   /** Monotonic milliseconds by which leaving endpoints are gone. */
-  readonly goneAt?: number;
+  readonly goneAtMs?: number;
   readonly deliver?: () => Promise<void> | undefined;
 }
 
@@ -53,7 +53,7 @@
       url: `fake://${index}`,
       engine: engines[index]!,
       leavingSignal: leavingControllers[index]!.signal,
-      goneAtMs: () => options.goneAt,
+      goneAtMs: () => options.goneAtMs,
       finish: ({outcome}) => void pick.outcomes.push(outcome),
     };
   }
--- a/packages/streams/src/test/streamRunner.fuzz.test.ts
+++ b/packages/streams/src/test/streamRunner.fuzz.test.ts
@@ -43,7 +43,7 @@
 const anyScenario = fc.record({
   plans: fc.array(anyFaultPlan, {maxLength: 10}),
   disruptions: fc.array(anyDisruption, {maxLength: 6}),
-  goneAt: fc.constantFrom(undefined, 200, 600, 1500),
+  goneAtMs: fc.constantFrom(undefined, 200, 600, 1500),
   retryBudget: fc.integer({min: 0, max: 8}),
   maxTokens: fc.constantFrom(1, 20, 24, 60),
   callerAbortMs: fc.option(fc.integer({min: 0, max: 1500})),
--- a/packages/streams/src/test/streamRunner.test.ts
+++ b/packages/streams/src/test/streamRunner.test.ts
@@ -77,7 +77,7 @@
   });
 
   it('transfers the KV cache to another endpoint when the endpoint is leaving', async () => {
-    const rig = createRig({maxTokens: 400, goneAt: 300});
+    const rig = createRig({maxTokens: 400, goneAtMs: 300});
     rig.start();
     await rig.clock.advance(50);
     rig.leavingControllers[0]!.abort();
@@ -88,7 +88,7 @@
   });
 
   it('finishes the prepared pick when the caller aborts during a migration', async () => {
-    const rig = createRig({maxTokens: 400, goneAt: 300});
+    const rig = createRig({maxTokens: 400, goneAtMs: 300});
     rig.start();
     await rig.clock.advance(50);
     rig.leavingControllers[0]!.abort();
@@ -111,7 +111,7 @@
   });
 
   it('does not migrate an answer that ends well before the endpoint is gone', async () => {
-    const rig = createRig({maxTokens: 24, goneAt: 700});
+    const rig = createRig({maxTokens: 24, goneAtMs: 700});
     rig.start();
     await rig.clock.advance(50);
     rig.leavingControllers[0]!.abort();
