--- a/packages/entry/src/availableVersions.ts
+++ b/packages/entry/src/availableVersions.ts
@@ -6,17 +6,19 @@
  * and not leaving.
  *
  * @example
- * availableVersions('booking', endpoints).has('v2');
+ * availableVersions('booking', endpointPool).has('v2');
  */
 export function availableVersions(
   service: string,
-  endpoints: Pick<EndpointPool, 'list'>,
+  endpointPool: Pick<EndpointPool, 'list'>,
 ): Set<string> {
-  const usableEndpoints = endpoints
+  const usableEndpoints = endpointPool
     .list()
     .filter(
-      ({listed, leavingSignal}) =>
-        listed.service === service && !leavingSignal.aborted,
+      ({listedEndpoint, leavingSignal}) =>
+        listedEndpoint.service === service && !leavingSignal.aborted,
     );
-  return new Set(usableEndpoints.map(({listed}) => listed.version));
+  return new Set(
+    usableEndpoints.map(({listedEndpoint}) => listedEndpoint.version),
+  );
 }
--- a/packages/entry/src/callers/attemptRunner.ts
+++ b/packages/entry/src/callers/attemptRunner.ts
@@ -15,9 +15,9 @@
 export interface RoutedCall {
   readonly service: string;
   readonly version: string;
-  /** Fallback version; equals `version` when no move is in progress. */
+  /** Fallback version; equals `version` when no version move is in progress. */
   readonly incumbent: string;
-  /** Label of the matching route, for the evidence of moves. */
+  /** Label of the matching route in the evidence for version moves. */
   readonly route: string;
   readonly call: ServiceCall;
   /** Monotonic milliseconds by which the caller needs a response. */
@@ -63,14 +63,14 @@
 
 type AttemptRunnerContext = Pick<
   ServingContext,
-  'router' | 'endpoints' | 'split' | 'admission'
+  'router' | 'endpointPool' | 'trafficSplit' | 'admission'
 >;
 
 /**
  * Creates a runner that calls the endpoints chosen by the router.
  *
  * @example
- * const reply = await attempts.runIdempotent(routedCall, signal);
+ * const reply = await attemptRunner.runIdempotent(routedCall, signal);
  */
 export function createAttemptRunner(
   serving: AttemptRunnerContext,
@@ -95,7 +95,7 @@
    * Falls back to the incumbent when a call is known not to have run, and
    * counts an error of the candidate. Without the fallback, a candidate whose
    * endpoints refuse all connections would fail its share of the calls until
-   * the move's deadline.
+   * the deadline of the move to that candidate.
    */
   async function runWithFallback(
     routedCall: RoutedCall,
@@ -127,7 +127,7 @@
     policy: AttemptPolicy,
   ): void {
     const {service, version} = routedCall;
-    if (availableVersions(service, serving.endpoints).has(version)) {
+    if (availableVersions(service, serving.endpointPool).has(version)) {
       recordSample(routedCall, policy, true, 0);
     }
   }
@@ -138,7 +138,7 @@
     isError: boolean,
     latencyMs: number,
   ): void {
-    serving.split.recordSample({
+    serving.trafficSplit.recordSample({
       service: routedCall.service,
       version: routedCall.version,
       route: routedCall.route,
@@ -190,7 +190,8 @@
       promptTokens: 0,
       excluded: attemptedEndpoints,
     });
-    const endpoint = choice && serving.endpoints.get(choice.endpoint)?.plain;
+    const endpoint =
+      choice && serving.endpointPool.get(choice.endpoint)?.plainService;
     if (choice === undefined || endpoint === undefined) {
       choice?.finish({outcome: 'unreachable', latencyMs: 0});
       throw markFinal(
--- a/packages/entry/src/callers/callerServer.ts
+++ b/packages/entry/src/callers/callerServer.ts
@@ -34,14 +34,14 @@
 interface CallerServerOptions {
   readonly server: HttpServer;
   readonly serving: ServingContext;
-  readonly keys: CustomerKeys;
-  readonly models: ModelServer;
-  readonly plain: PlainServer;
+  readonly customerKeys: CustomerKeys;
+  readonly modelServer: ModelServer;
+  readonly plainServer: PlainServer;
   readonly metrics: RequestMetrics;
   readonly limits: EntrySettings['limits'];
   readonly clock: Clock;
   readonly log: Logger;
-  readonly inFlight: InFlightCounter;
+  readonly inFlightCounter: InFlightCounter;
   readiness(): Readiness;
 }
 
@@ -103,13 +103,15 @@
       const labels: RequestLabels = {service: '', type: 'none'};
       let customer: Customer | undefined;
       let result = 'ok';
-      options.inFlight.begin();
+      options.inFlightCounter.begin();
       endInFlightOnClose(response);
       metrics.recordStart();
       response.setHeader('X-Request-Id', id);
       try {
         checkReadiness(request);
-        customer = options.keys.authenticate(parseBearerKey(request.headers));
+        customer = options.customerKeys.authenticate(
+          parseBearerKey(request.headers),
+        );
         const signal = createCallerSignal(response);
         await handler(
           {id, request, response, customer, signal, arrivedAt},
@@ -143,7 +145,7 @@
    * that closed the connection at that point would truncate the response.
    */
   function endInFlightOnClose(response: ServerResponse): void {
-    response.once('close', () => options.inFlight.end());
+    response.once('close', () => options.inFlightCounter.end());
   }
 
   function checkReadiness(request: IncomingMessage): void {
@@ -207,7 +209,7 @@
       labels.service = request.service;
       labels.type = 'model';
       const service = findService(exchange, request.service, 'model');
-      await options.models.serve(exchange, request, service, shape);
+      await options.modelServer.serve(exchange, request, service, shape);
     };
   }
 
@@ -220,7 +222,7 @@
     labels.type = 'plain';
     const service = findService(exchange, name, 'plain');
     const body = await readBody(exchange.request, limits.bodyBytes);
-    await options.plain.serve(exchange, service, path, body);
+    await options.plainServer.serve(exchange, service, path, body);
   }
 
   function findService(
--- a/packages/entry/src/callers/forwardedHeaders.ts
+++ b/packages/entry/src/callers/forwardedHeaders.ts
@@ -1,8 +1,11 @@
 /** Filters of the headers forwarded to plain services and back to callers. */
 import type {IncomingHttpHeaders} from 'node:http';
 
-/** Hop-by-hop headers (RFC 9110, 7.6.1) and headers that the entry sets. */
-const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
+/**
+ * Headers of a single connection: hop-by-hop headers (RFC 9110, 7.6.1) and
+ * headers that the entry sets itself.
+ */
+const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -55,14 +58,17 @@
   headers: Readonly<Record<string, string>>,
 ): Record<string, string> {
   const forwardedHeaders = Object.entries(headers).filter(
-    ([name]) => !HOP_BY_HOP_HEADERS.has(name.toLowerCase()),
+    ([name]) => !CONNECTION_HEADERS.has(name.toLowerCase()),
   );
   return Object.fromEntries(forwardedHeaders);
 }
 
-/** Returns true also for headers that the `Connection` header lists. */
+/**
+ * Returns whether a request header is not forwarded; true also for headers that
+ * the `Connection` header lists.
+ */
 function isDropped(name: string, headers: IncomingHttpHeaders): boolean {
-  if (HOP_BY_HOP_HEADERS.has(name) || CONSUMED_HEADERS.has(name)) {
+  if (CONNECTION_HEADERS.has(name) || CONSUMED_HEADERS.has(name)) {
     return true;
   }
   const connectionOptions = (headers.connection ?? '')
--- a/packages/entry/src/callers/modelRequest.ts
+++ b/packages/entry/src/callers/modelRequest.ts
@@ -57,8 +57,8 @@
   const lines = body.messages.map(
     message => `${message.role}: ${message.content}`,
   );
-  const opening = lines[0] ?? '';
-  return toModelRequest(body, lines.join('\n'), session, opening);
+  const openingText = lines[0] ?? '';
+  return toModelRequest(body, lines.join('\n'), session, openingText);
 }
 
 /**
@@ -92,7 +92,7 @@
   body: SharedBody,
   prompt: string,
   session: string | undefined,
-  opening: string,
+  openingText: string,
 ): ModelRequest {
   return {
     service: body.model,
@@ -101,6 +101,6 @@
     isStream: body.stream,
     // A fixed seed keeps sampling consistent across attempts of one response.
     seed: body.seed ?? hash32(prompt),
-    session: session ?? body.user ?? `opening-${hash32(opening)}`,
+    session: session ?? body.user ?? `opening-${hash32(openingText)}`,
   };
 }
--- a/packages/entry/src/callers/modelResponse.ts
+++ b/packages/entry/src/callers/modelResponse.ts
@@ -7,7 +7,10 @@
 export type ResponseShape = 'chat' | 'completion';
 
 export interface ModelResponse {
-  /** Adds a token; the next token must wait for a returned promise. */
+  /**
+   * Adds a token. If a promise is returned, the next token must not be
+   * delivered before it resolves.
+   */
   deliver(token: StreamToken): void | Promise<void>;
   finish(summary: StreamSummary): void;
   /** Ends a started response with an error; returns false if not started. */
--- a/packages/entry/src/callers/modelServer.ts
+++ b/packages/entry/src/callers/modelServer.ts
@@ -62,7 +62,7 @@
  *
  * @example
  * const request = parseChatRequest(text, undefined);
- * await models.serve(exchange, request, service, 'chat');
+ * await modelServer.serve(exchange, request, service, 'chat');
  */
 export function createModelServer(options: ModelServerOptions): ModelServer {
   const {serving, clock, metrics} = options;
@@ -78,7 +78,7 @@
       const modelResponse = createModelResponse(exchange, request, shape);
       const progress = trackProgress(exchange, plan, permit, shape);
       try {
-        const summary = await serving.streams.run(
+        const summary = await serving.streamRunner.run(
           toStreamRequest(exchange, request, plan),
           {
             pickEndpoint: (excluded, delivered) =>
@@ -112,7 +112,7 @@
       exchange.arrivedAt + parseRequestTimeoutMs(headers, service.timeoutMs);
     const tokens = tokenizePrompt(request.prompt);
     const blocks = hashPromptBlocks(tokens);
-    const version = serving.split.versionFor({
+    const version = serving.trafficSplit.versionFor({
       service: service.name,
       incumbent: service.version,
       session: request.session,
@@ -137,14 +137,17 @@
       version,
       fallback: createVersionFallback(
         version,
-        serving.split.incumbentFor(service.name, service.version),
+        serving.trafficSplit.incumbentFor(service.name, service.version),
       ),
       promptTokens: tokens.length,
       blocks,
     };
   }
 
-  /** Reports a response to admission, moves and metrics, exactly once each. */
+  /**
+   * Creates callbacks that report the progress and result of a request to
+   * admission control, the traffic split and the metrics.
+   */
   function trackProgress(
     exchange: Exchange,
     plan: RequestPlan,
@@ -160,7 +163,7 @@
       isError: boolean,
       latencyMs: number,
     ): void {
-      serving.split.recordSample({
+      serving.trafficSplit.recordSample({
         service,
         version,
         route: shape,
@@ -175,7 +178,7 @@
      * request, unless all endpoints of that version were reclaimed.
      */
     function recordUnavailable(): void {
-      if (availableVersions(service, serving.endpoints).has(plan.version)) {
+      if (availableVersions(service, serving.endpointPool).has(plan.version)) {
         recordSample(plan.version, true, 0);
       }
     }
@@ -256,7 +259,7 @@
     plan.fallback.recordAttempt(version);
     return {
       endpoint: choice.endpoint,
-      url: endpoint.listed.url,
+      url: endpoint.listedEndpoint.url,
       engine,
       cachedTokens: choice.cachedTokens,
       leavingSignal: endpoint.leavingSignal,
@@ -278,7 +281,7 @@
           promptTokens: plan.promptTokens + deliveredTokens.length,
           excluded: excludedEndpoints,
         });
-        const endpoint = choice && serving.endpoints.get(choice.endpoint);
+        const endpoint = choice && serving.endpointPool.get(choice.endpoint);
         if (choice && endpoint?.engine) {
           return {choice, endpoint, engine: endpoint.engine, version};
         }
--- a/packages/entry/src/callers/plainServer.ts
+++ b/packages/entry/src/callers/plainServer.ts
@@ -28,7 +28,7 @@
 
 interface PlainServerOptions {
   readonly serving: ServingContext;
-  readonly attempts: AttemptRunner;
+  readonly attemptRunner: AttemptRunner;
   readonly clock: Clock;
 }
 
@@ -36,10 +36,10 @@
  * Creates the handler of calls to plain services.
  *
  * @example
- * await plain.serve(exchange, service, '/bookings?day=3', body);
+ * await plainServer.serve(exchange, service, '/bookings?day=3', body);
  */
 export function createPlainServer(options: PlainServerOptions): PlainServer {
-  const {serving, attempts, clock} = options;
+  const {serving, attemptRunner, clock} = options;
 
   return {
     async serve(exchange, service, path, body) {
@@ -103,17 +103,20 @@
     route: string,
     deadline: number,
   ): Promise<void> {
-    const version = serving.split.versionFor({
+    const version = serving.trafficSplit.versionFor({
       service: service.name,
       incumbent: service.version,
       session: sessionOf(exchange),
       isIdempotent: true,
     });
-    const reply = await attempts.runIdempotent(
+    const reply = await attemptRunner.runIdempotent(
       {
         service: service.name,
         version,
-        incumbent: serving.split.incumbentFor(service.name, service.version),
+        incumbent: serving.trafficSplit.incumbentFor(
+          service.name,
+          service.version,
+        ),
         route,
         call,
         deadline,
--- a/packages/entry/src/callers/problem.ts
+++ b/packages/entry/src/callers/problem.ts
@@ -23,7 +23,8 @@
 }
 
 /**
- * Converts an error to a problem; `entries` are alternatives for the caller.
+ * Converts an error to a problem; `entries` are entries that the caller can use
+ * instead of this entry.
  *
  * @example
  * const problem = toProblem(error, requestId);
--- a/packages/entry/src/callers/requestMetrics.ts
+++ b/packages/entry/src/callers/requestMetrics.ts
@@ -1,4 +1,4 @@
-/** Request metrics, and classification of errors for version moves. */
+/** Request metrics, and classification of errors as faults of a version. */
 import type {ErrorKind, Meter, ServingError} from '@skylarkfield/base';
 
 /** Type of a request; `none` if rejected before the type was determined. */
@@ -26,8 +26,8 @@
 const UNKNOWN_SERVICE = 'unknown';
 
 /**
- * Creates the instruments; the number of label sets is bounded by the services
- * in force.
+ * Creates the instruments; the number of label sets is bounded by the number of
+ * service records in force.
  *
  * @example
  * const metrics = createRequestMetrics(meter, isKnownService);
--- a/packages/entry/src/callers/routes.ts
+++ b/packages/entry/src/callers/routes.ts
@@ -6,7 +6,10 @@
 
 /** Properties of the route that a call matches. */
 export interface RouteMatch {
-  /** Label in evidence of moves; the service record bounds the label count. */
+  /**
+   * Label in the evidence for version moves; the service record bounds the
+   * number of labels.
+   */
   readonly label: string;
   readonly isIdempotent: boolean;
 }
--- a/packages/entry/src/components/dutiesComponent.ts
+++ b/packages/entry/src/components/dutiesComponent.ts
@@ -31,7 +31,7 @@
     createDutyElections({
       clock,
       random,
-      store: platform.store,
+      store: platform.objectStore,
       self: membership.self,
       members: () => membership.liveMembers().map(member => member.id),
       log,
@@ -44,7 +44,7 @@
       const acceptance = createAcceptanceController({
         clock,
         random,
-        store: platform.store,
+        store: platform.objectStore,
         log,
         decisions,
         canAct: () => term.isValid(),
--- a/packages/entry/src/components/endpointPolling.ts
+++ b/packages/entry/src/components/endpointPolling.ts
@@ -22,12 +22,12 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly router: Router;
-  readonly endpoints: EndpointPool;
+  readonly endpointPool: EndpointPool;
 }
 
 /** A round-robin poll of endpoints. */
 interface PollTask {
-  readonly endpointTypes: readonly ConnectedEndpoint['listed']['type'][];
+  readonly endpointTypes: readonly ConnectedEndpoint['listedEndpoint']['type'][];
   readonly endpointIntervalMs: number;
   readonly maxPollsPerSecond: number;
   poll(endpoint: ConnectedEndpoint, signal: AbortSignal): Promise<void>;
@@ -39,17 +39,17 @@
  * so that hung endpoints accumulate no open requests.
  *
  * @example
- * disposables.add(startPolling({clock, log, router, endpoints}));
+ * disposables.add(startPolling({clock, log, router, endpointPool}));
  */
 export function startPolling(options: PollingOptions): Disposable {
-  const {clock, log, router, endpoints} = options;
+  const {clock, log, router, endpointPool} = options;
   const disposables = createDisposableStore();
   /** Sequence number of the last applied cache event, by endpoint id. */
   const lastSequences = new Map<string, number>();
 
   async function pollLoad(endpoint: ConnectedEndpoint, signal: AbortSignal) {
-    const {id} = endpoint.listed;
-    const client = endpoint.engine ?? endpoint.plain;
+    const {id} = endpoint.listedEndpoint;
+    const client = endpoint.engine ?? endpoint.plainService;
     try {
       const report = await client?.load(signal);
       if (report !== undefined) {
@@ -67,7 +67,7 @@
     endpoint: ConnectedEndpoint,
     signal: AbortSignal,
   ) {
-    const {id} = endpoint.listed;
+    const {id} = endpoint.listedEndpoint;
     const lastSequence = lastSequences.get(id) ?? -1;
     const events = await endpoint.engine?.readCacheEvents(lastSequence, signal);
     if (events !== undefined) {
@@ -114,14 +114,17 @@
         assignedEndpoints[
           roundRobinIndex % Math.max(1, assignedEndpoints.length)
         ]?.id;
-      const endpoint = id === undefined ? undefined : endpoints.get(id);
-      if (endpoint !== undefined && !inFlightIds.has(endpoint.listed.id)) {
+      const endpoint = id === undefined ? undefined : endpointPool.get(id);
+      if (
+        endpoint !== undefined &&
+        !inFlightIds.has(endpoint.listedEndpoint.id)
+      ) {
         void pollEndpoint(endpoint);
       }
     }
 
     async function pollEndpoint(endpoint: ConnectedEndpoint): Promise<void> {
-      const {id} = endpoint.listed;
+      const {id} = endpoint.listedEndpoint;
       const controller = new AbortController();
       const timeout = clock.after(POLL_TIMEOUT_MS, () => controller.abort());
       inFlightIds.add(id);
--- a/packages/entry/src/components/endpointPoolComponent.ts
+++ b/packages/entry/src/components/endpointPoolComponent.ts
@@ -23,7 +23,10 @@
 }
 
 interface OpenEndpoint extends ConnectedEndpoint, Disposable {
-  /** Monotonic milliseconds of the removal; undefined without a notice. */
+  /**
+   * Monotonic milliseconds at which the endpoint is removed; undefined without
+   * a notice.
+   */
   goneAtMs: number | undefined;
   /** Aborts `leavingSignal`. */
   signalLeaving(): void;
@@ -37,7 +40,10 @@
  */
 export function createEndpointPoolComponent(
   context: EntryContext,
-  {hostList, tracker}: Pick<LeavingComponent, 'hostList' | 'tracker'>,
+  {
+    hostList,
+    leavingTracker: tracker,
+  }: Pick<LeavingComponent, 'hostList' | 'leavingTracker'>,
   router: Router,
 ): EndpointPoolComponent {
   const {clock, log} = context;
@@ -53,18 +59,18 @@
   disposables.add(hostList.watch(applyHostList));
   disposables.add(tracker.onDidLeave(handleLeaving));
   disposables.add(tracker.onDidReturn(handleReturn));
-  disposables.add(startPolling({clock, log, router, endpoints: pool}));
+  disposables.add(startPolling({clock, log, router, endpointPool: pool}));
 
   return {...pool, markLeaving, dispose: () => disposables.dispose()};
 
   /**
-   * Applies a notice, which has the time of the removal and may arrive before
-   * the host list marks the endpoint.
+   * Handles the notice that an endpoint leaves. The notice has the time of the
+   * removal and may arrive before the host list marks the endpoint as leaving.
    */
   function handleLeaving({endpoint, goneAt}: LeavingEndpoint): void {
-    const existing = openEndpoints.get(endpoint);
-    if (existing !== undefined && goneAt > 0) {
-      existing.goneAtMs = clock.now() + goneAt - clock.wall();
+    const existingEndpoint = openEndpoints.get(endpoint);
+    if (existingEndpoint !== undefined && goneAt > 0) {
+      existingEndpoint.goneAtMs = clock.now() + goneAt - clock.wall();
     }
     markLeaving(endpoint);
   }
@@ -111,14 +117,14 @@
   }
 
   function ensureEndpointOpen(listedEndpoint: ListedEndpoint): void {
-    const existing = openEndpoints.get(listedEndpoint.id);
+    const existingEndpoint = openEndpoints.get(listedEndpoint.id);
     if (
-      existing !== undefined &&
-      isSameEndpoint(existing.listed, listedEndpoint)
+      existingEndpoint !== undefined &&
+      isSameEndpoint(existingEndpoint.listedEndpoint, listedEndpoint)
     ) {
       return;
     }
-    existing?.dispose();
+    existingEndpoint?.dispose();
     openEndpoints.set(listedEndpoint.id, openEndpoint(listedEndpoint));
   }
 }
@@ -132,24 +138,24 @@
   );
 }
 
-function openEndpoint(listed: ListedEndpoint): OpenEndpoint {
+function openEndpoint(listedEndpoint: ListedEndpoint): OpenEndpoint {
   const leavingController = new AbortController();
   // Every stream at the endpoint adds a listener: more than 10 listeners, of
   // which Node warns by default, are no leak.
   setMaxListeners(0, leavingController.signal);
-  const {url} = listed;
+  const {url} = listedEndpoint;
   const client =
-    listed.type === 'model'
+    listedEndpoint.type === 'model'
       ? {engine: createHttpEngine({url})}
-      : {plain: createHttpPlainService({url})};
+      : {plainService: createHttpPlainService({url})};
   const endpoint: OpenEndpoint = {
     ...client,
-    listed,
+    listedEndpoint,
     leavingSignal: leavingController.signal,
     goneAtMs: undefined,
     goneAt: () => endpoint.goneAtMs,
     signalLeaving: () => leavingController.abort(),
-    dispose: () => (client.engine ?? client.plain)?.dispose(),
+    dispose: () => (client.engine ?? client.plainService)?.dispose(),
   };
   return endpoint;
 }
--- a/packages/entry/src/components/fleetComponent.ts
+++ b/packages/entry/src/components/fleetComponent.ts
@@ -25,8 +25,8 @@
   readonly duties: DutyElections;
   readonly platform: PlatformComponent;
   readonly configuration: Configuration;
-  readonly endpoints: EndpointPool;
-  readonly loadReports: Pick<LoadReportAggregator, 'reports'>;
+  readonly endpointPool: EndpointPool;
+  readonly loadReports: Pick<LoadReportAggregator, 'freshReports'>;
 }
 
 /**
@@ -40,7 +40,7 @@
   options: FleetComponentOptions,
 ): Disposable {
   const {clock, random, decisions, dumps} = context;
-  const {platform, configuration, endpoints} = options;
+  const {platform, configuration, endpointPool} = options;
   return options.duties.compete('fleet', term => {
     const disposables = createDisposableStore();
     const duty = disposables.add(
@@ -51,13 +51,13 @@
         decisions,
         term,
         services: () => configuration.list('service'),
-        reports: options.loadReports.reports,
+        reports: options.loadReports.freshReports,
       }),
     );
     const repair = createEndpointRepair({
       clock,
       decisions,
-      weights: platform.weights,
+      weights: platform.weightStore,
       term,
       gate: createCommandGate({
         clock,
@@ -84,24 +84,24 @@
   });
 
   function managedEndpoints(): ManagedEndpoint[] {
-    return endpoints
+    return endpointPool
       .list()
-      .flatMap(({listed, engine}) =>
+      .flatMap(({listedEndpoint, engine}) =>
         engine === undefined
           ? []
-          : [{listed: withClassOverrides(listed), engine}],
+          : [{listed: withClassOverrides(listedEndpoint), engine}],
       );
   }
 
   /** Applies `checksFencing` of the operators' endpoint class record. */
-  function withClassOverrides(listed: ListedEndpoint): ListedEndpoint {
+  function withClassOverrides(listedEndpoint: ListedEndpoint): ListedEndpoint {
     const classRecord = configuration.get(
       'endpoint-class',
-      listed.machineClass,
+      listedEndpoint.machineClass,
     );
     return {
-      ...listed,
-      checksFencing: classRecord?.checksFencing ?? listed.checksFencing,
+      ...listedEndpoint,
+      checksFencing: classRecord?.checksFencing ?? listedEndpoint.checksFencing,
     };
   }
 
--- a/packages/entry/src/components/leavingComponent.ts
+++ b/packages/entry/src/components/leavingComponent.ts
@@ -15,7 +15,7 @@
 import type {PlatformComponent} from './platformComponent.js';
 
 export interface LeavingComponent extends Disposable {
-  readonly tracker: LeavingEndpointTracker;
+  readonly leavingTracker: LeavingEndpointTracker;
   /** Host list that marks leaving endpoints before the platform's list does. */
   readonly hostList: HostList;
 }
@@ -58,7 +58,7 @@
   );
   disposables.add(dumps.add('leaving', () => tracker.dump()));
   return {
-    tracker,
+    leavingTracker: tracker,
     hostList: tracker.hostList,
     dispose: () => disposables.dispose(),
   };
--- a/packages/entry/src/components/loadReportAggregator.ts
+++ b/packages/entry/src/components/loadReportAggregator.ts
@@ -41,7 +41,7 @@
   /** Router that forwards all calls and records the reports of `reportLoad`. */
   readonly router: Router;
   /** Returns the latest fresh reports of a service's endpoints. */
-  reports(service: string): readonly LoadReport[];
+  freshReports(service: string): readonly LoadReport[];
   /** Starts to send the estimated load of `endpoints` to admission control. */
   start(endpoints: EndpointPool): Disposable;
 }
@@ -51,9 +51,9 @@
  *
  * @example
  * const loadReports = createLoadReportAggregator(router, options);
- * const endpoints = createEndpointPoolComponent(
+ * const endpointPool = createEndpointPoolComponent(
  *   context, leavingComponent, loadReports.router);
- * disposables.add(loadReports.start(endpoints));
+ * disposables.add(loadReports.start(endpointPool));
  */
 export function createLoadReportAggregator(
   router: Router,
@@ -75,14 +75,14 @@
 
   function usableEndpoints(service: string) {
     return (pool?.list() ?? []).filter(
-      ({listed, leavingSignal}) =>
-        listed.service === service && !leavingSignal.aborted,
+      ({listedEndpoint, leavingSignal}) =>
+        listedEndpoint.service === service && !leavingSignal.aborted,
     );
   }
 
   function freshReportsOf(service: string): LoadReport[] {
     return usableEndpoints(service).flatMap(
-      ({listed}) => freshReport(listed.id) ?? [],
+      ({listedEndpoint}) => freshReport(listedEndpoint.id) ?? [],
     );
   }
 
@@ -93,7 +93,7 @@
   function estimateBusySlots(service: string): number | undefined {
     const endpoints = usableEndpoints(service);
     const assignedIds = new Set(router.assignedEndpoints().map(({id}) => id));
-    const polledCount = endpoints.filter(({listed: {id}}) =>
+    const polledCount = endpoints.filter(({listedEndpoint: {id}}) =>
       assignedIds.has(id),
     ).length;
     const freshReports = freshReportsOf(service);
@@ -114,7 +114,9 @@
   }
 
   function publishLoad(endpoints: EndpointPool): void {
-    const listedIds = new Set(endpoints.list().map(({listed: {id}}) => id));
+    const listedIds = new Set(
+      endpoints.list().map(({listedEndpoint: {id}}) => id),
+    );
     for (const id of reports.keys()) {
       if (!listedIds.has(id)) {
         reports.delete(id);
@@ -137,7 +139,7 @@
         router.reportLoad(id, report);
       },
     },
-    reports: freshReportsOf,
+    freshReports: freshReportsOf,
     start(endpoints) {
       pool = endpoints;
       return every(clock, PUBLISH_INTERVAL_MS, () => publishLoad(endpoints));
--- a/packages/entry/src/components/membersComponent.ts
+++ b/packages/entry/src/components/membersComponent.ts
@@ -34,7 +34,7 @@
   /** URL that callers connect to. */
   readonly callersUrl: string;
   /** Number of requests in flight at this entry. */
-  load(): number;
+  inFlightCount(): number;
 }
 
 /**
@@ -50,7 +50,8 @@
 ): Promise<MembersComponent> {
   const {settings, clock, random, log, decisions, dumps} = context;
   const disposables = createDisposableStore();
-  // Wall time increases across restarts, so peers tell restarts from pauses.
+  // Wall time increases across restarts, so that peers can distinguish a
+  // restart from a pause.
   const incarnation = clock.wall();
   const tls = await watchInnerTls(context);
   const network = disposables.add(
@@ -77,14 +78,14 @@
         failureDomain: settings.failureDomain,
         region: settings.region,
       },
-      store: platform.store,
+      store: platform.objectStore,
       network,
       clock,
       random,
       log,
       decisions,
       seeds: settings.seeds,
-      load: options.load,
+      load: options.inFlightCount,
     }),
   );
   dumps.add('network', () => network.dump());
--- a/packages/entry/src/components/movesComponent.ts
+++ b/packages/entry/src/components/movesComponent.ts
@@ -26,11 +26,11 @@
 const AVAILABILITY_UPDATE_INTERVAL_MS = 1_000;
 
 interface MovesComponentOptions {
-  readonly split: TrafficSplit;
+  readonly trafficSplit: TrafficSplit;
   readonly configuration: Configuration;
   readonly network: PeerNetwork;
-  readonly objects: ObjectStore;
-  readonly endpoints: EndpointPool;
+  readonly objectStore: ObjectStore;
+  readonly endpointPool: EndpointPool;
   readonly duties: Pick<DutyElections, 'compete'>;
 }
 
@@ -62,18 +62,25 @@
   options: MovesComponentOptions,
 ): Disposable {
   const {clock, log, decisions, dumps} = context;
-  const {split, configuration, network, objects, endpoints, duties} = options;
+  const {
+    trafficSplit,
+    configuration,
+    network,
+    objectStore,
+    endpointPool,
+    duties,
+  } = options;
   const disposables = createDisposableStore();
-  const controller = createMoveController({clock, decisions});
-  disposables.add(dumps.add('moveJudge', () => controller.dump()));
+  const moveController = createMoveController({clock, decisions});
+  disposables.add(dumps.add('moveJudge', () => moveController.dump()));
   disposables.add(
     createMoveFollower({
       clock,
-      objects,
+      objects: objectStore,
       network,
       configuration,
-      split,
-      controller,
+      split: trafficSplit,
+      controller: moveController,
     }),
   );
   disposables.add(
@@ -84,12 +91,12 @@
       createMoveDuty({
         clock,
         log,
-        objects,
+        objects: objectStore,
         configuration,
-        controller,
+        controller: moveController,
         term,
         hasEndpoints: (service, version) =>
-          availableVersions(service, endpoints).has(version),
+          availableVersions(service, endpointPool).has(version),
       }),
     ),
   );
@@ -97,8 +104,8 @@
 
   function updateAvailableVersions(): void {
     for (const {service} of configuration.list('move')) {
-      split.setAvailableVersions(service, [
-        ...availableVersions(service, endpoints),
+      trafficSplit.setAvailableVersions(service, [
+        ...availableVersions(service, endpointPool),
       ]);
     }
   }
--- a/packages/entry/src/components/orderMetrics.ts
+++ b/packages/entry/src/components/orderMetrics.ts
@@ -6,8 +6,8 @@
 const UNKNOWN_SERVICE = 'unknown';
 
 /**
- * Creates the counters; the services in force and the closed list of outcomes
- * bound the number of label sets.
+ * Creates the counters; the number of label sets is bounded by the numbers of
+ * service records in force and of possible outcomes.
  *
  * @example
  * const observer = createOrderMetrics(meter, isKnownService);
--- a/packages/entry/src/components/ordersComponent.ts
+++ b/packages/entry/src/components/ordersComponent.ts
@@ -19,8 +19,8 @@
   readonly platform: PlatformComponent;
   readonly members: MembersComponent;
   readonly configuration: Configuration;
-  readonly split: TrafficSplit;
-  readonly attempts: AttemptRunner;
+  readonly trafficSplit: TrafficSplit;
+  readonly attemptRunner: AttemptRunner;
 }
 
 /**
@@ -37,7 +37,7 @@
   const {settings, clock, random, decisions, dumps} = context;
   const {membership, network} = options.members;
   const ledger = createLedger({
-    store: options.platform.store,
+    store: options.platform.objectStore,
     network,
     dispatch,
     clock,
@@ -72,18 +72,21 @@
         `service ${serviceName} was removed`,
       );
     }
-    const version = options.split.versionFor({
+    const version = options.trafficSplit.versionFor({
       service: serviceName,
       incumbent: service.version,
       session:
         call.headers['x-session-id'] ?? call.headers['x-request-id'] ?? '',
       isIdempotent: false,
     });
-    return options.attempts.runAtMostOnce(
+    return options.attemptRunner.runAtMostOnce(
       {
         service: serviceName,
         version,
-        incumbent: options.split.incumbentFor(serviceName, service.version),
+        incumbent: options.trafficSplit.incumbentFor(
+          serviceName,
+          service.version,
+        ),
         route: matchRoute(service, call.method, call.path).label,
         call,
         deadline: clock.now() + service.timeoutMs,
--- a/packages/entry/src/components/peerFallbackHostList.ts
+++ b/packages/entry/src/components/peerFallbackHostList.ts
@@ -16,7 +16,7 @@
 import type {PeerNetwork} from '@skylarkfield/protocol';
 import * as z from 'zod';
 
-/** Interval of requests for a list while none was received, in milliseconds. */
+/** Interval of requests to peers until a list is received, in milliseconds. */
 const PEER_REQUEST_INTERVAL_MS = 500;
 /** Timeout of a request to a peer, in milliseconds. */
 const PEER_REQUEST_TIMEOUT_MS = 2_000;
--- a/packages/entry/src/components/platformComponent.ts
+++ b/packages/entry/src/components/platformComponent.ts
@@ -12,10 +12,10 @@
 import type {EntryContext} from '../context.js';
 
 export interface PlatformComponent {
-  readonly store: ObjectClient;
+  readonly objectStore: ObjectClient;
   readonly cloud: Cloud;
   readonly hostList: HostList;
-  readonly weights: WeightStore;
+  readonly weightStore: WeightStore;
 }
 
 /**
@@ -29,7 +29,7 @@
 ): PlatformComponent {
   const {settings, clock, random, dumps} = context;
   const {url, callsPerSecond, timeoutMs} = settings.platform;
-  const store = createHttpObjectStore({
+  const objectStore = createHttpObjectStore({
     url,
     writer: settings.id,
     clock,
@@ -37,11 +37,11 @@
     callDeadlineMs: timeoutMs,
     platformCallsPerSecond: callsPerSecond,
   });
-  dumps.add('platform', () => store.dump());
+  dumps.add('platform', () => objectStore.dump());
   return {
-    store,
+    objectStore,
     cloud: createHttpCloud({url, clock, random}),
     hostList: createHttpHostList({url, clock, random}),
-    weights: createHttpWeightStore({url, clock}),
+    weightStore: createHttpWeightStore({url, clock}),
   };
 }
--- a/packages/entry/src/components/recordsComponent.ts
+++ b/packages/entry/src/components/recordsComponent.ts
@@ -30,7 +30,7 @@
     createConfiguration({
       clock,
       random,
-      store: platform.store,
+      store: platform.objectStore,
       network,
       self: membership.self,
       members: () => membership.liveMembers(),
@@ -44,6 +44,8 @@
 
   /** Splits the platform's rate limit evenly among the live entries. */
   function updatePlatformShare(): void {
-    platform.store.setLiveEntries(Math.max(1, membership.liveMembers().length));
+    platform.objectStore.setLiveEntries(
+      Math.max(1, membership.liveMembers().length),
+    );
   }
 }
--- a/packages/entry/src/entryComponents.ts
+++ b/packages/entry/src/entryComponents.ts
@@ -32,7 +32,7 @@
 
 export interface EntryComponents extends Disposable {
   readonly serving: ServingContext;
-  readonly attempts: AttemptRunner;
+  readonly attemptRunner: AttemptRunner;
   readonly membership: Membership;
   readonly duties: DutyElections;
   /** URL of the port that peers connect to. */
@@ -45,7 +45,7 @@
   /** URL that callers connect to. */
   readonly callersUrl: string;
   /** Number of requests in flight at this entry. */
-  load(): number;
+  inFlightCount(): number;
 }
 
 /**
@@ -75,7 +75,7 @@
 ): Promise<EntryComponents> {
   const {settings, clock, dumps} = context;
   const platform = createPlatformComponent(context);
-  disposables.add(platform.store);
+  disposables.add(platform.objectStore);
   const members = disposables.add(
     await createMembersComponent(context, platform, options),
   );
@@ -108,16 +108,16 @@
     admission,
     configuration,
   });
-  const endpoints = disposables.add(
+  const endpointPool = disposables.add(
     createEndpointPoolComponent(context, leavingComponent, loadReports.router),
   );
-  disposables.add(loadReports.start(endpoints));
+  disposables.add(loadReports.start(endpointPool));
 
-  const split = createTrafficSplitComponent(context);
-  const streams = createStreamRunner({clock, entryId: settings.id});
-  dumps.add('streams', () => streams.dump());
-  const attempts = createAttemptRunner(
-    {router, endpoints, split, admission},
+  const trafficSplit = createTrafficSplitComponent(context);
+  const streamRunner = createStreamRunner({clock, entryId: settings.id});
+  dumps.add('streams', () => streamRunner.dump());
+  const attemptRunner = createAttemptRunner(
+    {router, endpointPool, trafficSplit, admission},
     clock,
   );
   const ledger = disposables.add(
@@ -125,8 +125,8 @@
       platform,
       members,
       configuration,
-      split,
-      attempts,
+      trafficSplit,
+      attemptRunner,
     }),
   );
 
@@ -135,11 +135,11 @@
   );
   disposables.add(
     startMovesComponent(context, {
-      split,
+      trafficSplit,
       configuration,
       network,
-      objects: platform.store,
-      endpoints,
+      objectStore: platform.objectStore,
+      endpointPool,
       duties,
     }),
   );
@@ -148,7 +148,7 @@
       duties,
       platform,
       configuration,
-      endpoints,
+      endpointPool,
       loadReports,
     }),
   );
@@ -157,13 +157,13 @@
       configuration,
       admission,
       router,
-      endpoints,
-      streams,
-      split,
+      endpointPool,
+      streamRunner,
+      trafficSplit,
       ledger,
       lookup: members.lookup,
     },
-    attempts,
+    attemptRunner,
     membership,
     duties,
     innerUrl: members.innerUrl,
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -81,7 +81,7 @@
   const adminKey = resolveSecret(settings.keys.admin, 'keys.admin');
   const innerKey = resolveSecret(settings.keys.inner, 'keys.inner');
   const lifecycle = createProcessLifecycle();
-  const inFlight = createInFlightCounter(clock);
+  const inFlightCounter = createInFlightCounter(clock);
 
   const callerPort = await openPort(settings.callers);
   const adminPort = await openPort(settings.admin);
@@ -91,7 +91,7 @@
     await createEntryComponents(context, {
       innerKey,
       callersUrl,
-      load: inFlight.count,
+      inFlightCount: inFlightCounter.count,
     }),
   );
   startupHandler.dispose();
@@ -100,7 +100,7 @@
     id: settings.id,
     life: lifecycle.state(),
     readiness: readiness(),
-    inFlight: inFlight.count(),
+    inFlight: inFlightCounter.count(),
     memory: process.memoryUsage(),
     cpu: process.cpuUsage(),
     uptimeSeconds: process.uptime(),
@@ -128,7 +128,7 @@
     return {server, listener, url: urlOf(listener, listenerSettings.host)};
   }
 
-  function attachRoutes({serving, attempts}: EntryComponents): void {
+  function attachRoutes({serving, attemptRunner}: EntryComponents): void {
     const {configuration} = serving;
     const requestMetrics = createRequestMetrics(
       metrics.meter,
@@ -144,19 +144,19 @@
     attachCallerRoutes({
       server: callerPort.server,
       serving,
-      keys: createCustomerKeys(configuration),
-      models: createModelServer({
+      customerKeys: createCustomerKeys(configuration),
+      modelServer: createModelServer({
         serving,
         clock,
         limits: settings.limits,
         metrics: requestMetrics,
       }),
-      plain: createPlainServer({serving, attempts, clock}),
+      plainServer: createPlainServer({serving, attemptRunner, clock}),
       metrics: requestMetrics,
       limits: settings.limits,
       clock,
       log,
-      inFlight,
+      inFlightCounter,
       readiness,
     });
   }
@@ -178,8 +178,8 @@
     await waitForLingerPeriod();
     lifecycle.send('refuse');
     await components.serving.ledger.leave();
-    const isIdle = await inFlight.waitUntilIdle(settings.drainMs);
-    log.info({isIdle, inFlight: inFlight.count()}, 'drained');
+    const isIdle = await inFlightCounter.waitUntilIdle(settings.drainMs);
+    log.info({isIdle, inFlight: inFlightCounter.count()}, 'drained');
     lifecycle.send('close');
     await callerPort.listener.close(CLOSE_TIMEOUT_MS);
     disposables.dispose();
--- a/packages/entry/src/servingContext.ts
+++ b/packages/entry/src/servingContext.ts
@@ -12,14 +12,17 @@
 /** An endpoint with its client: an engine or a plain service. */
 export interface ConnectedEndpoint {
   /** The endpoint as described in the host list. */
-  readonly listed: ListedEndpoint;
+  readonly listedEndpoint: ListedEndpoint;
   /** Set for endpoints of type `model` only. */
   readonly engine?: Engine;
   /** Set for endpoints of type `plain` only. */
-  readonly plain?: PlainService;
+  readonly plainService?: PlainService;
   /** Aborted when the endpoint starts leaving. */
   readonly leavingSignal: AbortSignal;
-  /** Monotonic milliseconds of the removal; undefined without a notice. */
+  /**
+   * Monotonic milliseconds at which the endpoint is removed; undefined without
+   * a notice.
+   */
   goneAt?(): number | undefined;
 }
 
@@ -32,9 +35,9 @@
   readonly configuration: Configuration;
   readonly admission: AdmissionController;
   readonly router: Router;
-  readonly endpoints: EndpointPool;
-  readonly streams: StreamRunner;
-  readonly split: TrafficSplit;
+  readonly endpointPool: EndpointPool;
+  readonly streamRunner: StreamRunner;
+  readonly trafficSplit: TrafficSplit;
   readonly ledger: Ledger;
   lookup(query: LookupQuery): LookupResult;
 }
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -110,7 +110,8 @@
 }
 
 /**
- * Reads and validates a settings file. Throws `bad-settings`.
+ * Reads and validates a settings file. Throws `bad-settings` when the file
+ * can't be read or its content is invalid.
  *
  * @example
  * const settings = readEntrySettings('entry-a1.json');
--- a/packages/entry/src/test/attemptRunner.test.ts
+++ b/packages/entry/src/test/attemptRunner.test.ts
@@ -57,21 +57,23 @@
   const router: Pick<Router, 'choose'> = {
     choose({version, excluded}) {
       const foundEndpoint = [...endpoints.values()].find(
-        ({listed}) => listed.version === version && !excluded.has(listed.id),
+        ({listedEndpoint}) =>
+          listedEndpoint.version === version &&
+          !excluded.has(listedEndpoint.id),
       );
-      return foundEndpoint && createChoice(foundEndpoint.listed.id);
+      return foundEndpoint && createChoice(foundEndpoint.listedEndpoint.id);
     },
   };
   const serving = {
     router: router as Router,
-    endpoints: {
+    endpointPool: {
       get: (id: string) => endpoints.get(id),
       list: () => [...endpoints.values()],
     },
-    split,
+    trafficSplit: split,
     admission: {tryAcquireRetry: () => true, loadFraction: () => 0.1},
   };
-  const attempts = createAttemptRunner(serving as never, clock);
+  const attemptRunner = createAttemptRunner(serving as never, clock);
   const cutReasons: string[] = [];
   split.onDidCut((_move, why) => cutReasons.push(why));
 
@@ -100,8 +102,8 @@
     };
     const {signal} = new AbortController();
     const reply = isIdempotent
-      ? await attempts.runIdempotent(routedCall, signal)
-      : await attempts.runAtMostOnce(routedCall, signal, () => true);
+      ? await attemptRunner.runIdempotent(routedCall, signal)
+      : await attemptRunner.runAtMostOnce(routedCall, signal, () => true);
     return Buffer.from(reply.body).toString();
   }
 
@@ -130,7 +132,7 @@
 }
 
 function createEndpoint(id: string, version: string, behaviour: Behaviour) {
-  const listed: Partial<Candidate> = {id, service: 'booking', version};
+  const listedEndpoint: Partial<Candidate> = {id, service: 'booking', version};
   const errors = {
     refuse: () =>
       new ServingError('endpoint-unavailable', 'refused', {run: 'not-run'}),
@@ -138,9 +140,9 @@
       new ServingError('endpoint-failed', 'broke', {run: 'may-have-run'}),
   };
   return {
-    listed,
+    listedEndpoint,
     leavingSignal: new AbortController().signal,
-    plain: {
+    plainService: {
       async call() {
         if (behaviour !== 'ok') {
           throw errors[behaviour]();
@@ -148,12 +150,13 @@
         return {status: 200, headers: {}, body: Buffer.from(version)};
       },
     },
-  } as unknown as ConnectedEndpoint & {listed: Candidate};
+  } as unknown as ConnectedEndpoint & {listedEndpoint: Candidate};
 }
 
 describe('attempts at a candidate version', () => {
   // The candidate's processes have crashed or never listened. Without fallback,
-  // calls assigned to `v2` would be rejected until the deadline of the move.
+  // calls assigned to `v2` would be rejected until the deadline of the move of
+  // traffic from `v1` to `v2`.
   it('falls back and cuts the share soon when all endpoints of the candidate refuse connections', async () => {
     const entry = createEntry([
       {version: 'v1', behaviour: 'ok'},
--- a/packages/entry/src/test/callerServer.test.ts
+++ b/packages/entry/src/test/callerServer.test.ts
@@ -53,9 +53,9 @@
     attachCallerRoutes({
       server,
       serving: {configuration} as unknown as ServingContext,
-      keys: {authenticate: () => customer},
-      models: {serve: () => Promise.reject(new Error('unexpected call'))},
-      plain: {
+      customerKeys: {authenticate: () => customer},
+      modelServer: {serve: () => Promise.reject(new Error('unexpected call'))},
+      plainServer: {
         async serve(exchange) {
           exchange.response.end(Buffer.alloc(BODY_BYTES, 'x'));
         },
@@ -64,7 +64,7 @@
       limits,
       clock,
       log: createSilentLogger(),
-      inFlight,
+      inFlightCounter: inFlight,
       readiness: () => 'ready',
     });
     server.listen(0, '127.0.0.1');
--- a/packages/entry/src/test/endpointPoolComponent.test.ts
+++ b/packages/entry/src/test/endpointPoolComponent.test.ts
@@ -54,7 +54,7 @@
       {clock, log} as unknown as EntryContext,
       {
         hostList: {watch: listener => hostListEmitter.event(listener)},
-        tracker: tracker as LeavingEndpointTracker,
+        leavingTracker: tracker as LeavingEndpointTracker,
       },
       router,
     );
--- a/packages/entry/src/test/loadReportAggregator.test.ts
+++ b/packages/entry/src/test/loadReportAggregator.test.ts
@@ -38,7 +38,7 @@
   const endpoints = ids.map(
     id =>
       ({
-        listed: {id, service: 'assistant'},
+        listedEndpoint: {id, service: 'assistant'},
         leavingSignal: new AbortController().signal,
       }) as unknown as ConnectedEndpoint,
   );
--- a/packages/entry/src/test/modelServer.test.ts
+++ b/packages/entry/src/test/modelServer.test.ts
@@ -20,7 +20,12 @@
   const clock = createVirtualClock();
   const samples: RequestSample[] = [];
   const pool = endpoints.map(({version, behaviour}, index) => ({
-    listed: {id: `e${index}`, service: 'match', version, url: 'http://e'},
+    listedEndpoint: {
+      id: `e${index}`,
+      service: 'match',
+      version,
+      url: 'http://e',
+    },
     leavingSignal: new AbortController().signal,
     engine: createEngine(version, behaviour),
   }));
@@ -29,13 +34,13 @@
       cachedTokens: () => 0,
       choose(routingRequest: {version: string; excluded: ReadonlySet<string>}) {
         const foundEndpoint = pool.find(
-          ({listed: {id, version}}) =>
+          ({listedEndpoint: {id, version}}) =>
             version === routingRequest.version &&
             !routingRequest.excluded.has(id),
         );
         return (
           foundEndpoint && {
-            endpoint: foundEndpoint.listed.id,
+            endpoint: foundEndpoint.listedEndpoint.id,
             cachedTokens: 0,
             recordStart() {},
             recordFirstToken() {},
@@ -44,12 +49,13 @@
         );
       },
     },
-    endpoints: {
-      get: (id: string) => pool.find(({listed}) => listed.id === id),
+    endpointPool: {
+      get: (id: string) =>
+        pool.find(({listedEndpoint}) => listedEndpoint.id === id),
       list: () => pool,
     },
-    streams: createStreamRunner({clock}),
-    split: {
+    streamRunner: createStreamRunner({clock}),
+    trafficSplit: {
       versionFor: () => 'v2',
       incumbentFor: () => 'v1',
       recordSample: (sample: RequestSample) => samples.push(sample),
--- a/packages/entry/src/test/requestMetrics.test.ts
+++ b/packages/entry/src/test/requestMetrics.test.ts
@@ -17,8 +17,8 @@
 ];
 
 // Requests to a hung version fail only by deadlines. If these errors were no
-// evidence, the version's share of the callers would time out until the end of
-// the move.
+// evidence against the version, its share of the callers would time out until
+// the end of the move of traffic to that version.
 describe('isVersionFault', () => {
   for (const [kind, run, expected] of cases) {
     it(`${kind} (${run}) ${expected ? 'counts' : 'does not count'}`, () => {
