--- a/packages/orders/src/contracts.ts
+++ b/packages/orders/src/contracts.ts
@@ -61,9 +61,9 @@
   /**
    * Executes the order at most once across all entries and retries.
    *
-   * Throws `key-conflict`, `overloaded`, `platform-unavailable` or `leaving`
-   * (both not run), `deadline-exceeded`, `outcome-unknown` (may have run), or
-   * the error of `Dispatch`.
+   * Throws `platform-unavailable` or `leaving` (both not run), `overloaded`,
+   * `not-ready`, `key-conflict`, `cancelled`, `deadline-exceeded`,
+   * `outcome-unknown` (may have run), or the error of `Dispatch`.
    */
   submit(order: Order, signal: AbortSignal): Promise<SubmitResult>;
   /**
