--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -93,7 +93,10 @@
     options.onMessage(connection, data as Buffer);
   }
 
-  /** Closes the connection if the peer vanished, as after a cable cut. */
+  /**
+   * Pings a peer that has sent nothing for `pingIntervalMs`; closes the
+   * connection after `silenceTimeoutMs`, as after a cable cut.
+   */
   function checkLiveness() {
     const now = clock.now();
     // A late check means that this process was paused, not that the peer was
--- a/packages/protocol/src/contracts.ts
+++ b/packages/protocol/src/contracts.ts
@@ -66,17 +66,26 @@
   dial(url: string): Promise<string>;
   /** Ids of the peers with an open connection. */
   connectedPeers(): readonly string[];
-  /** Sends a one-way message; returns false without an open connection. */
-  send<T extends MessageType>(to: string, type: T, body: Messages[T]): boolean;
   /**
-   * Sends a one-way message to every connected peer, or to the peers in `to`;
-   * returns the number of receivers. With many entries only the neighbours are
-   * connected, and each receiver forwards new information once.
+   * Sends a one-way message. Returns false if no connection to the peer is open
+   * or its send buffer is full. Without a connection, also starts to connect if
+   * the peer is in the address book.
+   */
+  send<T extends MessageType>(
+    peerId: string,
+    type: T,
+    body: Messages[T],
+  ): boolean;
+  /**
+   * Sends a one-way message to the peers in `peerIds`, by default to every
+   * connected peer; returns the number of peers that it was sent to. With many
+   * entries only the neighbours are connected, and each receiver forwards new
+   * information once.
    */
   broadcast<T extends MessageType>(
     type: T,
     body: Messages[T],
-    to?: readonly string[],
+    peerIds?: readonly string[],
   ): number;
   /**
    * Sends a request and returns the response body. First connects to the peer
@@ -86,15 +95,18 @@
    * handler.
    */
   request<T extends MessageType>(
-    to: string,
+    peerId: string,
     type: T,
     body: Messages[T],
     timeoutMs: number,
   ): Promise<unknown>;
-  /** Handles messages of a type; the result is the response to a `request`. */
+  /**
+   * Handles messages of a type; the result of the handler is the response to a
+   * `request`.
+   */
   addHandler<T extends MessageType>(
     type: T,
-    handler: (from: string, body: Messages[T]) => unknown,
+    handler: (senderId: string, body: Messages[T]) => unknown,
   ): Disposable;
   /** Fires when a peer's connection opens or closes. */
   onDidChangePeer(
--- a/packages/protocol/src/dispatcher.ts
+++ b/packages/protocol/src/dispatcher.ts
@@ -28,10 +28,10 @@
  */
 export type Channel = object | string;
 
-type Handler = (from: string, body: unknown) => unknown;
+type Handler = (senderId: string, body: unknown) => unknown;
 
 interface PendingRequest {
-  readonly to: string;
+  readonly peerId: string;
   readonly channel: Channel;
   settle(outcome: {body: unknown} | {error: ServingError}): void;
 }
@@ -43,26 +43,30 @@
   readonly run: RunState;
 }
 
-/** Handlers, pending requests and counters of one process. */
+/** Encodes, sends, receives and counts the messages of one process. */
 export interface Dispatcher extends Disposable {
   /** Encodes a frame and counts it as sent to `receiverCount` peers. */
   encode(frame: Frame, receiverCount?: number): Buffer;
   /** Handles received bytes; returns false if they are malformed. */
-  receive(from: string, bytes: Buffer, reply: (bytes: Buffer) => void): boolean;
+  receive(
+    senderId: string,
+    bytes: Buffer,
+    reply: (bytes: Buffer) => void,
+  ): boolean;
   addHandler(type: string, handler: Handler): Disposable;
   /**
-   * Sends a request through `send` and waits for the response. `channel`
-   * defaults to the id of the peer.
+   * Sends a request through `send`, which returns false if it cannot send, and
+   * waits for the response. `channel` defaults to the id of the peer.
    */
   request(
-    to: string,
+    peerId: string,
     type: string,
     body: unknown,
     timeoutMs: number,
     send: (bytes: Buffer) => boolean,
     channel?: Channel,
   ): Promise<unknown>;
-  /** Fails the pending requests of a channel that closed. */
+  /** Fails the pending requests of a closed channel with `interrupted`. */
   failRequests(channel: Channel): void;
   /** Counts invalid input that was rejected outside the dispatcher. */
   countRejected(): void;
@@ -100,16 +104,20 @@
   }
 
   /** Runs the handlers of the frame's type until one returns a result. */
-  async function runHandlers(from: string, frame: Frame): Promise<unknown> {
+  async function runHandlers(senderId: string, frame: Frame): Promise<unknown> {
     let result: unknown;
     for (const handler of [...(handlers.get(frame.type) ?? [])]) {
-      result ??= await handler(from, frame.body);
+      result ??= await handler(senderId, frame.body);
     }
     return result;
   }
 
-  function respond(from: string, frame: Frame, reply: (bytes: Buffer) => void) {
-    runHandlers(from, frame).then(
+  function respond(
+    senderId: string,
+    frame: Frame,
+    reply: (bytes: Buffer) => void,
+  ) {
+    runHandlers(senderId, frame).then(
       body =>
         reply(encode({type: RESPONSE_FRAME, requestId: frame.requestId, body})),
       error => {
@@ -120,23 +128,24 @@
     );
   }
 
-  function deliverOneWay(from: string, frame: Frame) {
+  function deliverOneWay(senderId: string, frame: Frame) {
     for (const handler of [...(handlers.get(frame.type) ?? [])]) {
       // A handler that throws must neither keep the other handlers from running
       // nor end the process.
-      new Promise(resolve => resolve(handler(from, frame.body))).catch(error =>
-        log.error(
-          {peer: from, type: frame.type, err: toServingError(error)},
-          'message handler failed',
-        ),
+      new Promise(resolve => resolve(handler(senderId, frame.body))).catch(
+        error =>
+          log.error(
+            {peer: senderId, type: frame.type, err: toServingError(error)},
+            'message handler failed',
+          ),
       );
     }
   }
 
-  function settleRequest(from: string, frame: Frame) {
+  function settleRequest(senderId: string, frame: Frame) {
     const request = pendingRequests.get(frame.requestId);
     // Drops responses that come from another peer or after the timeout.
-    if (request === undefined || request.to !== from) {
+    if (request === undefined || request.peerId !== senderId) {
       traffic.rejected += 1;
       return;
     }
@@ -148,18 +157,18 @@
   }
 
   function dispatch(
-    from: string,
+    senderId: string,
     frame: Frame,
     reply: (bytes: Buffer) => void,
   ) {
     if (frame.type === RESPONSE_FRAME || frame.type === ERROR_FRAME) {
-      settleRequest(from, frame);
+      settleRequest(senderId, frame);
       return;
     }
     if (!handlers.has(frame.type)) {
       traffic.rejected += 1;
       log.debug(
-        {peer: from, type: frame.type},
+        {peer: senderId, type: frame.type},
         'received an unknown message type',
       );
       if (frame.requestId !== 0) {
@@ -173,15 +182,15 @@
       return;
     }
     if (frame.requestId !== 0) {
-      respond(from, frame, reply);
+      respond(senderId, frame, reply);
       return;
     }
-    deliverOneWay(from, frame);
+    deliverOneWay(senderId, frame);
   }
 
   return {
     encode,
-    receive(from, bytes, reply) {
+    receive(senderId, bytes, reply) {
       traffic.messagesReceived += 1;
       traffic.bytesReceived += bytes.length;
       let frame: Frame;
@@ -190,12 +199,12 @@
       } catch (error) {
         traffic.rejected += 1;
         log.warn(
-          {peer: from, reason: String(error)},
+          {peer: senderId, reason: String(error)},
           'received a malformed message',
         );
         return false;
       }
-      dispatch(from, frame, reply);
+      dispatch(senderId, frame, reply);
       return true;
     },
     addHandler(type, handler) {
@@ -211,11 +220,11 @@
         }
       });
     },
-    request(to, type, body, timeoutMs, send, channel = to) {
+    request(peerId, type, body, timeoutMs, send, channel = peerId) {
       const requestId = ++lastRequestId;
       return new Promise((resolve, reject) => {
         const timer = clock.after(timeoutMs, () =>
-          settle({error: timeoutError(to, type)}),
+          settle({error: timeoutError(peerId, type)}),
         );
         function settle(outcome: {body: unknown} | {error: ServingError}) {
           pendingRequests.delete(requestId);
@@ -226,16 +235,16 @@
           }
           resolve(outcome.body);
         }
-        pendingRequests.set(requestId, {to, channel, settle});
+        pendingRequests.set(requestId, {peerId, channel, settle});
         if (!send(encode({type, requestId, body}))) {
-          settle({error: notConnectedError(to)});
+          settle({error: notConnectedError(peerId)});
         }
       });
     },
     failRequests(channel) {
       for (const request of [...pendingRequests.values()]) {
         if (request.channel === channel) {
-          request.settle({error: interruptedError(request.to)});
+          request.settle({error: interruptedError(request.peerId)});
         }
       }
     },
@@ -269,27 +278,27 @@
   return new ServingError(kind as ErrorKind, String(errorBody.message), {run});
 }
 
-function timeoutError(to: string, type: string): ServingError {
+function timeoutError(peerId: string, type: string): ServingError {
   return new ServingError(
     'deadline-exceeded',
-    `${to} did not respond to ${type} in time`,
+    `${peerId} did not respond to ${type} in time`,
     {run: 'may-have-run'},
   );
 }
 
 /**
- * Returns the error of a request that was never sent; its run state is
- * `not-run`.
+ * Returns the error of a request that was never sent to `target`, a peer's id
+ * or URL; its run state is `not-run`.
  *
  * @example
  * throw notConnectedError('b');
  */
-export function notConnectedError(to: string): ServingError {
-  return new ServingError('interrupted', `no connection to ${to}`, {
+export function notConnectedError(target: string): ServingError {
+  return new ServingError('interrupted', `no connection to ${target}`, {
     run: 'not-run',
   });
 }
 
-function interruptedError(to: string): ServingError {
-  return new ServingError('interrupted', `the connection to ${to} closed`);
+function interruptedError(peerId: string): ServingError {
+  return new ServingError('interrupted', `the connection to ${peerId} closed`);
 }
--- a/packages/protocol/src/handshakes.ts
+++ b/packages/protocol/src/handshakes.ts
@@ -6,7 +6,7 @@
 import {PROTOCOL_VERSION} from './contracts.js';
 import {isSameKey, parseHello, type Hello} from './hello.js';
 
-/** Receives the connection, or undefined if the handshake failed. */
+/** Called with the connection, or with undefined if the handshake failed. */
 type HandshakeCallback = (connection: Connection | undefined) => void;
 
 /** Side of this process in a handshake and the id expected of the peer. */
@@ -17,7 +17,7 @@
   readonly expectedId: string | undefined;
 }
 
-/** Inbound and outbound maxHandshakes of one entry. */
+/** Runs the inbound and outbound handshakes of one entry. */
 export interface Handshakes extends Disposable {
   /** Starts the handshake on a socket that this process opened. */
   dial(
@@ -27,16 +27,16 @@
   ): void;
   /** Starts the handshake on a socket that the peer opened. */
   accept(socket: WebSocket): void;
-  /** Number of maxHandshakes in progress. */
+  /** Number of handshakes in progress. */
   count(): number;
 }
 
 /**
- * Creates the maxHandshakes of one entry.
+ * Creates the object that runs the handshakes of one entry.
  *
  * @example
- * const maxHandshakes = createHandshakes({self, key, clock, log, ...rest});
- * maxHandshakes.dial(socket, 'b', connection => use(connection));
+ * const handshakes = createHandshakes({self, key, clock, log, ...rest});
+ * handshakes.dial(socket, 'b', connection => use(connection));
  */
 export function createHandshakes(options: {
   readonly self: {readonly id: string; readonly incarnation: number};
@@ -46,8 +46,12 @@
   readonly log: Logger;
   /** Time limit for connecting and the hello, in milliseconds. */
   readonly timeoutMs: number;
-  /** Turns a socket into a connection after a valid hello. */
-  adopt(socket: WebSocket, peer: Hello, isOutbound: boolean): Connection;
+  /** Creates and registers the connection of a socket after a valid hello. */
+  addConnection(
+    socket: WebSocket,
+    peer: Hello,
+    isOutbound: boolean,
+  ): Connection;
   /** Called for each rejected peer. */
   onReject(): void;
 }): Handshakes {
@@ -126,7 +130,7 @@
       if (!isOutbound) {
         socket.send(encodeOwnHello(true));
       }
-      finish(options.adopt(socket, hello, isOutbound));
+      finish(options.addConnection(socket, hello, isOutbound));
     });
   }
 
--- a/packages/protocol/src/innerListener.ts
+++ b/packages/protocol/src/innerListener.ts
@@ -32,7 +32,7 @@
   readonly tls?: TlsWatcher;
   readonly limits: NetworkLimits;
   readonly log: Logger;
-  /** Number of maxHandshakes in progress. */
+  /** Number of handshakes in progress. */
   handshakeCount(): number;
   onSocket(socket: WebSocket): void;
   onReject(reason: string): void;
--- a/packages/protocol/src/limits.ts
+++ b/packages/protocol/src/limits.ts
@@ -1,4 +1,4 @@
-/** Limits on the resources that a faulty or hostile peer can consumeToken. */
+/** Limits on the resources that a faulty or hostile peer can consume. */
 
 export interface NetworkLimits {
   /** Maximum size of a message in either direction, in bytes. */
@@ -9,7 +9,7 @@
   readonly messageBurst: number;
   /** Send buffer size above which a slow peer is disconnected, in bytes. */
   readonly maxBufferedBytes: number;
-  /** Maximum number of maxHandshakes in progress. */
+  /** Maximum number of handshakes in progress. */
   readonly maxHandshakes: number;
   /** Time limit for connecting and the hello, in milliseconds. */
   readonly handshakeTimeoutMs: number;
--- a/packages/protocol/src/memoryNetwork.ts
+++ b/packages/protocol/src/memoryNetwork.ts
@@ -33,10 +33,15 @@
   /** Defers timers and received messages of a process, like SIGSTOP. */
   pause(id: string): void;
   resume(id: string): void;
-  /** Drops messages in one direction; the opposite direction stays open. */
+  /**
+   * Drops messages from one process to another, but not in the opposite
+   * direction; the two processes cannot open a new connection.
+   */
   partition(from: string, to: string): void;
+  /** Ends a partition in one direction. */
   heal(from: string, to: string): void;
   healAll(): void;
+  /** Sets the probability with which each message is lost. */
   setLoss(probability: number): void;
   /** Sum of the traffic counters of all processes. */
   totalTraffic(): NetworkTraffic;
@@ -115,12 +120,12 @@
     };
   }
 
-  function deliverToId(
+  function deliverToPeer(
     from: SimulatedProcess,
-    to: string,
+    targetId: string,
     bytes: Buffer,
   ): void {
-    const target = processes.get(to);
+    const target = processes.get(targetId);
     if (target !== undefined) {
       deliverToProcess(from, target, bytes);
     }
@@ -146,34 +151,37 @@
     );
   }
 
-  function isConnected(process: SimulatedProcess, to: string): boolean {
-    return process.connectedIds.has(to) && processes.get(to)?.isAlive === true;
+  function isConnected(process: SimulatedProcess, peerId: string): boolean {
+    return (
+      process.connectedIds.has(peerId) &&
+      processes.get(peerId)?.isAlive === true
+    );
   }
 
-  /** Opens a connection on both sides, unless they are partitioned. */
-  function connect(process: SimulatedProcess, to: string) {
-    const target = processes.get(to);
+  /** Connects two processes unless they are partitioned in any direction. */
+  function connect(process: SimulatedProcess, peerId: string) {
+    const target = processes.get(peerId);
     const isPartitioned =
-      partitions.has(partitionKey(process.id, to)) ||
-      partitions.has(partitionKey(to, process.id));
-    if (!target?.isAlive || isPartitioned || process.connectedIds.has(to)) {
+      partitions.has(partitionKey(process.id, peerId)) ||
+      partitions.has(partitionKey(peerId, process.id));
+    if (!target?.isAlive || isPartitioned || process.connectedIds.has(peerId)) {
       return;
     }
-    process.connectedIds.add(to);
+    process.connectedIds.add(peerId);
     target.connectedIds.add(process.id);
-    process.peerChangeEmitter.fire({peer: to, isOpen: true});
+    process.peerChangeEmitter.fire({peer: peerId, isOpen: true});
     runOrDefer(target, () =>
       target.peerChangeEmitter.fire({peer: process.id, isOpen: true}),
     );
   }
 
-  function disconnect(process: SimulatedProcess, to: string) {
-    if (!process.connectedIds.delete(to)) {
+  function disconnect(process: SimulatedProcess, peerId: string) {
+    if (!process.connectedIds.delete(peerId)) {
       return;
     }
-    process.dispatcher.failRequests(to);
-    process.peerChangeEmitter.fire({peer: to, isOpen: false});
-    const target = processes.get(to);
+    process.dispatcher.failRequests(peerId);
+    process.peerChangeEmitter.fire({peer: peerId, isOpen: false});
+    const target = processes.get(peerId);
     if (target?.connectedIds.delete(process.id)) {
       runOrDefer(target, () =>
         target.peerChangeEmitter.fire({peer: process.id, isOpen: false}),
@@ -184,30 +192,32 @@
   function createProcessNetwork(process: SimulatedProcess): PeerNetwork {
     const {dispatcher} = process;
     let addressBookIds = new Set<string>();
-    let wantedPeerIds = new Set<string>();
-    function sendBytes(to: string, bytes: Buffer): boolean {
-      if (wantedPeerIds.has(to) || addressBookIds.has(to)) {
-        connect(process, to);
+    let persistentPeerIds = new Set<string>();
+    function sendBytes(peerId: string, bytes: Buffer): boolean {
+      if (persistentPeerIds.has(peerId) || addressBookIds.has(peerId)) {
+        connect(process, peerId);
       }
-      if (!isConnected(process, to)) {
+      if (!isConnected(process, peerId)) {
         return false;
       }
-      deliverToId(process, to, bytes);
+      deliverToPeer(process, peerId, bytes);
       return true;
     }
     function listConnectedIds() {
-      return [...process.connectedIds].filter(to => isConnected(process, to));
+      return [...process.connectedIds].filter(peerId =>
+        isConnected(process, peerId),
+      );
     }
     return {
       setPeers(peers: readonly PeerAddress[]) {
-        wantedPeerIds = new Set(peers.map(peer => peer.id));
-        wantedPeerIds.delete(process.id);
+        persistentPeerIds = new Set(peers.map(peer => peer.id));
+        persistentPeerIds.delete(process.id);
         for (const id of [...process.connectedIds]) {
-          if (!wantedPeerIds.has(id) && !addressBookIds.has(id)) {
+          if (!persistentPeerIds.has(id) && !addressBookIds.has(id)) {
             disconnect(process, id);
           }
         }
-        for (const id of wantedPeerIds) {
+        for (const id of persistentPeerIds) {
           connect(process, id);
         }
       },
@@ -222,19 +232,19 @@
           : Promise.reject(notConnectedError(url));
       },
       connectedPeers: listConnectedIds,
-      send: (to, type, body) =>
-        sendBytes(to, dispatcher.encode({type, requestId: 0, body})),
-      broadcast(type, body, to) {
-        const receivers = to ?? listConnectedIds();
+      send: (peerId, type, body) =>
+        sendBytes(peerId, dispatcher.encode({type, requestId: 0, body})),
+      broadcast(type, body, peerIds) {
+        const receivers = peerIds ?? listConnectedIds();
         const bytes = dispatcher.encode(
           {type, requestId: 0, body},
           receivers.length,
         );
         return receivers.filter(id => sendBytes(id, bytes)).length;
       },
-      request: (to, type, body, timeoutMs) =>
-        dispatcher.request(to, type, body, timeoutMs, bytes =>
-          sendBytes(to, bytes),
+      request: (peerId, type, body, timeoutMs) =>
+        dispatcher.request(peerId, type, body, timeoutMs, bytes =>
+          sendBytes(peerId, bytes),
         ),
       addHandler: (type, handler) =>
         dispatcher.addHandler(
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -18,17 +18,17 @@
 
 type LinkEvent = 'dial' | 'opened' | 'failed' | 'closed' | 'goIdle';
 
-/** Keeps a peer connected, or dials it on demand. */
+/** Link to one peer, which is kept connected or dialed on demand. */
 export interface PeerLink extends Disposable {
   address: PeerAddress;
   /** Whether to stay connected; if false, the link dials only on demand. */
-  isWanted: boolean;
+  isPersistent: boolean;
   state(): LinkState;
   /** Dials immediately unless a connection is open or being opened. */
   dial(): void;
-  /** Called when a connection, dialed by either side, is open. */
+  /** Must be called when a connection, dialed by either side, opens. */
   handleOpened(): void;
-  /** Called when the connection closed or the dial failed. */
+  /** Must be called when the connection closes or the dial fails. */
   handleClosed(): void;
 }
 
@@ -75,7 +75,7 @@
 
   const link: PeerLink = {
     address: options.address,
-    isWanted: false,
+    isPersistent: false,
     state: currentState,
     dial() {
       if (
@@ -97,7 +97,7 @@
     handleClosed() {
       send(currentState() === 'dialing' ? 'failed' : 'closed');
       retryTimer?.dispose();
-      if (!link.isWanted) {
+      if (!link.isPersistent) {
         send('goIdle');
         return;
       }
--- a/packages/protocol/src/peerLinks.ts
+++ b/packages/protocol/src/peerLinks.ts
@@ -10,7 +10,7 @@
  */
 const SECOND_DIALER_DELAY_MS = 300;
 
-/** Links by peer id, and the address book for peers without a link. */
+/** Links by peer id, and an address book that also covers other peers. */
 export interface PeerLinks extends Disposable {
   get(id: string): PeerLink | undefined;
   /** Returns the link to a peer; creates it if there is none. */
@@ -20,8 +20,8 @@
   /** Address of a peer from the address book alone. */
   addressFromBook(id: string): PeerAddress | undefined;
   /** Sets the peers to stay connected to. */
-  setWantedPeers(peers: readonly PeerAddress[]): void;
-  /** Sets the peers to dial only on demand. */
+  setPersistentPeers(peers: readonly PeerAddress[]): void;
+  /** Sets the addresses of the peers that may be dialed on demand. */
   setAddressBook(peers: readonly PeerAddress[]): void;
   dump(): unknown;
 }
@@ -31,7 +31,7 @@
  *
  * @example
  * const links = createPeerLinks({selfId, clock, random, connectionTo, startDial});
- * links.setWantedPeers(neighbours);
+ * links.setPersistentPeers(neighbours);
  */
 export function createPeerLinks(options: {
   readonly selfId: string;
@@ -61,13 +61,13 @@
 
   function keepConnected(address: PeerAddress) {
     const link = getOrCreate(address);
-    if (link.isWanted) {
+    if (link.isPersistent) {
       return;
     }
-    link.isWanted = true;
+    link.isPersistent = true;
     const delayMs = selfId < address.id ? 0 : SECOND_DIALER_DELAY_MS;
     clock.after(delayMs, () => {
-      if (link.isWanted) {
+      if (link.isPersistent) {
         link.dial();
       }
     });
@@ -75,7 +75,7 @@
 
   function releaseLink(link: PeerLink) {
     const {id} = link.address;
-    link.isWanted = false;
+    link.isPersistent = false;
     if (addressBook.has(id)) {
       return;
     }
@@ -93,15 +93,15 @@
     getOrCreate,
     addressOf: id => links.get(id)?.address ?? addressBook.get(id),
     addressFromBook: id => addressBook.get(id),
-    setWantedPeers(peers) {
-      const wantedPeers = new Map(peers.map(peer => [peer.id, peer]));
-      wantedPeers.delete(selfId);
+    setPersistentPeers(peers) {
+      const persistentPeers = new Map(peers.map(peer => [peer.id, peer]));
+      persistentPeers.delete(selfId);
       for (const link of [...links.values()]) {
-        if (!wantedPeers.has(link.address.id)) {
+        if (!persistentPeers.has(link.address.id)) {
           releaseLink(link);
         }
       }
-      wantedPeers.forEach(keepConnected);
+      persistentPeers.forEach(keepConnected);
     },
     setAddressBook(peers) {
       addressBook = new Map(peers.map(peer => [peer.id, peer]));
@@ -110,7 +110,7 @@
         const address = addressBook.get(link.address.id);
         if (address !== undefined) {
           link.address = address;
-        } else if (!link.isWanted) {
+        } else if (!link.isPersistent) {
           releaseLink(link);
         }
       }
@@ -119,7 +119,7 @@
       [...links.values()].map(link => ({
         id: link.address.id,
         state: link.state(),
-        isWanted: link.isWanted,
+        isWanted: link.isPersistent,
       })),
     dispose() {
       links.forEach(link => link.dispose());
--- a/packages/protocol/src/peerNetwork.ts
+++ b/packages/protocol/src/peerNetwork.ts
@@ -60,7 +60,7 @@
     clock,
     log,
     timeoutMs: limits.handshakeTimeoutMs,
-    adopt,
+    addConnection,
     onReject: () => dispatcher.countRejected(),
   });
   const links = createPeerLinks({
@@ -75,7 +75,7 @@
     return openPeerSocket({url, key, limits, tls, log});
   }
 
-  function adopt(
+  function addConnection(
     socket: WebSocket,
     peer: Hello,
     isOutbound: boolean,
@@ -89,23 +89,29 @@
       limits,
       onMessage: handleMessage,
       onClose: handleClose,
-      onViolation: (from, reason) => {
+      onViolation: (violatingConnection, reason) => {
         dispatcher.countRejected();
-        log.warn({peer: from.peer, reason}, 'peer violated the protocol');
+        log.warn(
+          {peer: violatingConnection.peer, reason},
+          'peer violated the protocol',
+        );
       },
     });
     // The newest connection replaces the previous one: a peer that redials has
     // lost its previous connection.
-    const previous = connections.get(peer.id);
+    const previousConnection = connections.get(peer.id);
     connections.set(peer.id, connection);
-    previous?.dispose();
-    if (previous !== undefined && previous.incarnation !== peer.incarnation) {
+    previousConnection?.dispose();
+    if (
+      previousConnection !== undefined &&
+      previousConnection.incarnation !== peer.incarnation
+    ) {
       // The previous process is gone and may never close its socket: pending
       // requests to it would wait for their whole timeout.
-      dispatcher.failRequests(previous);
+      dispatcher.failRequests(previousConnection);
     }
     links.get(peer.id)?.handleOpened();
-    if (previous === undefined) {
+    if (previousConnection === undefined) {
       peerChangeEmitter.fire({peer: peer.id, isOpen: true});
     }
     return connection;
@@ -148,37 +154,43 @@
     });
   }
 
-  /** Closes idle connections that were opened on demand. */
+  /**
+   * Closes idle connections that were opened on demand; connections that the
+   * peer opened, after twice the idle time.
+   */
   function closeIdleConnections() {
     const now = clock.now();
     for (const connection of connections.values()) {
-      const isWanted = links.get(connection.peer)?.isWanted === true;
+      const isPersistent = links.get(connection.peer)?.isPersistent === true;
       const idleLimitMs = connection.isOutbound
         ? limits.idleTimeoutMs
         : 2 * limits.idleTimeoutMs;
-      if (!isWanted && now - connection.lastMessageAt() > idleLimitMs) {
+      if (!isPersistent && now - connection.lastMessageAt() > idleLimitMs) {
         connection.dispose();
       }
     }
   }
 
-  function waitForConnection(to: string, timeoutMs: number): Promise<boolean> {
-    if (connections.has(to)) {
+  function waitForConnection(
+    peerId: string,
+    timeoutMs: number,
+  ): Promise<boolean> {
+    if (connections.has(peerId)) {
       return Promise.resolve(true);
     }
-    const address = links.addressOf(to);
+    const address = links.addressOf(peerId);
     if (address === undefined) {
       return Promise.resolve(false);
     }
     return new Promise(resolve => {
       const timer = clock.after(timeoutMs, () => finish(false));
       const openSubscription = peerChangeEmitter.event(({peer, isOpen}) => {
-        if (peer === to && isOpen) {
+        if (peer === peerId && isOpen) {
           finish(true);
         }
       });
       const failureSubscription = dialFailureEmitter.event(id => {
-        if (id === to && links.get(to)?.isWanted !== true) {
+        if (id === peerId && links.get(peerId)?.isPersistent !== true) {
           finish(false);
         }
       });
@@ -192,12 +204,12 @@
     });
   }
 
-  function sendBytes(to: string, bytes: Buffer): boolean {
-    const connection = connections.get(to);
+  function sendBytes(peerId: string, bytes: Buffer): boolean {
+    const connection = connections.get(peerId);
     if (connection !== undefined) {
       return connection.send(bytes);
     }
-    const address = links.addressFromBook(to);
+    const address = links.addressFromBook(peerId);
     if (address !== undefined) {
       links.getOrCreate(address).dial();
     }
@@ -225,7 +237,7 @@
       disposables.add(listener);
       return {port: listener.port};
     },
-    setPeers: links.setWantedPeers,
+    setPeers: links.setPersistentPeers,
     setAddressBook: links.setAddressBook,
     dial(url) {
       return new Promise((resolve, reject) => {
@@ -244,29 +256,29 @@
       });
     },
     connectedPeers: () => [...connections.keys()],
-    send: (to, type, body) =>
-      sendBytes(to, dispatcher.encode({type, requestId: 0, body})),
-    broadcast(type, body, to) {
-      const receivers = to ?? [...connections.keys()];
+    send: (peerId, type, body) =>
+      sendBytes(peerId, dispatcher.encode({type, requestId: 0, body})),
+    broadcast(type, body, peerIds) {
+      const receivers = peerIds ?? [...connections.keys()];
       const bytes = dispatcher.encode(
         {type, requestId: 0, body},
         receivers.length,
       );
       return receivers.filter(id => sendBytes(id, bytes)).length;
     },
-    async request(to, type, body, timeoutMs) {
+    async request(peerId, type, body, timeoutMs) {
       const startedAt = clock.now();
-      if (!(await waitForConnection(to, timeoutMs))) {
-        throw notConnectedError(to);
+      if (!(await waitForConnection(peerId, timeoutMs))) {
+        throw notConnectedError(peerId);
       }
       const remainingMs = timeoutMs - (clock.now() - startedAt);
       return dispatcher.request(
-        to,
+        peerId,
         type,
         body,
         remainingMs,
-        bytes => sendBytes(to, bytes),
-        connections.get(to),
+        bytes => sendBytes(peerId, bytes),
+        connections.get(peerId),
       );
     },
     addHandler: (type, handler) =>
--- a/packages/protocol/src/test/compatibility.test.ts
+++ b/packages/protocol/src/test/compatibility.test.ts
@@ -41,7 +41,7 @@
 /** A peer of another release: a raw socket controlled by the test. */
 interface OtherReleasePeer {
   readonly socket: WebSocket;
-  readonly received: Frame[];
+  readonly receivedFrames: Frame[];
   send(frame: Frame): void;
 }
 
@@ -49,15 +49,15 @@
   const socket = new WebSocket(new URL('/peers', url), {
     headers: {authorization: `Bearer ${KEY}`},
   });
-  const received: Frame[] = [];
+  const receivedFrames: Frame[] = [];
   socket.on('open', () => socket.send(hello));
   socket.on('message', (data: RawData) =>
-    received.push(decodeFrame(data as Buffer)),
+    receivedFrames.push(decodeFrame(data as Buffer)),
   );
   socket.on('error', () => {});
   return {
     socket,
-    received,
+    receivedFrames,
     send: frame => socket.send(encodeFrame(frame)),
   };
 }
@@ -81,7 +81,10 @@
       () => a.network.connectedPeers().includes('x'),
       'x is connected',
     );
-    await until(() => otherPeer.received.length > 0, 'x received the hello');
+    await until(
+      () => otherPeer.receivedFrames.length > 0,
+      'x received the hello',
+    );
     return otherPeer;
   }
 
@@ -110,7 +113,7 @@
         () => otherPeer.socket.readyState === WebSocket.CLOSED,
         'x is closed',
       );
-      assert.deepEqual(otherPeer.received, []);
+      assert.deepEqual(otherPeer.receivedFrames, []);
       assert.equal(a.network.traffic().rejected, rejectedBefore + 1);
       assert.deepEqual(a.network.connectedPeers(), []);
     });
@@ -144,9 +147,12 @@
     const rejectedBefore = a.network.traffic().rejected;
     otherPeer.send({type: 'unknownMessage', requestId: 0, body: {a: 1}});
     otherPeer.send({type: 'unknownRequest', requestId: 7, body: {a: 1}});
-    await until(() => otherPeer.received.length === 2, 'the response arrives');
+    await until(
+      () => otherPeer.receivedFrames.length === 2,
+      'the response arrives',
+    );
     assert.equal(a.network.traffic().rejected, rejectedBefore + 2);
-    const {type, requestId: receivedId, body} = otherPeer.received[1]!;
+    const {type, requestId: receivedId, body} = otherPeer.receivedFrames[1]!;
     assert.deepEqual({type, receivedId}, {type: ERROR_FRAME, receivedId: 7});
     const {kind, run} = body as {kind: string; run: string};
     assert.deepEqual({kind, run}, {kind: 'protocol-violation', run: 'not-run'});
@@ -166,8 +172,11 @@
     const rejectedBefore = a.network.traffic().rejected;
     const body = {id: 'b', incarnation: 1, unknownField: [1, {nested: true}]};
     otherPeer.send({type: 'memberWord', requestId: 3, body});
-    await until(() => otherPeer.received.length === 2, 'the response arrives');
-    assert.deepEqual(otherPeer.received[1], {
+    await until(
+      () => otherPeer.receivedFrames.length === 2,
+      'the response arrives',
+    );
+    assert.deepEqual(otherPeer.receivedFrames[1], {
       type: RESPONSE_FRAME,
       requestId: 3,
       body: {heardAgoMs: 5},
--- a/packages/protocol/src/test/hostileInput.test.ts
+++ b/packages/protocol/src/test/hostileInput.test.ts
@@ -34,7 +34,7 @@
   readonly frames: readonly (Buffer | string)[];
 }
 
-/** Each client must be counted as rejected and disconnected. */
+/** Each of these clients must be counted as rejected and disconnected. */
 const CASES: readonly HostileCase[] = [
   {name: 'a wrong key', key: 'guessed', frames: []},
   {name: 'an empty key', key: '', frames: []},
@@ -87,7 +87,11 @@
   },
 ];
 
-function attack(url: string, hostileCase: HostileCase): Promise<void> {
+/** Connects, sends the frames and resolves when the connection closes. */
+function runHostileClient(
+  url: string,
+  hostileCase: HostileCase,
+): Promise<void> {
   return new Promise(resolve => {
     const socket = new WebSocket(new URL(hostileCase.path ?? '/peers', url), {
       headers: {authorization: `Bearer ${hostileCase.key ?? KEY}`},
@@ -124,7 +128,7 @@
   for (const hostileCase of CASES) {
     it(`disconnects on ${hostileCase.name} and keeps serving a valid peer`, async () => {
       const rejectedBefore = a.network.traffic().rejected;
-      await attack(a.address.url, hostileCase);
+      await runHostileClient(a.address.url, hostileCase);
       await until(
         () => a.network.traffic().rejected > rejectedBefore,
         'the rejection is counted',
--- a/packages/protocol/src/test/innerTls.test.ts
+++ b/packages/protocol/src/test/innerTls.test.ts
@@ -75,8 +75,8 @@
 
   it('uses renewed certificates and keeps connections open', async () => {
     // Certificates are renewed every few weeks. Without a reload, all entries
-    // lose their connections when the old certificates expire; with a restart
-    // or a reset, each renewal would interrupt requests in flight.
+    // lose their connections when the old certificates expire; if a reload
+    // closed connections, each renewal would interrupt requests in flight.
     const folder = createTlsFolder('first');
     const a = await startTlsPeer('a', folder);
     const b = await startTlsPeer('b', createTlsFolder('first'));
--- a/packages/protocol/src/test/peerNetwork.test.ts
+++ b/packages/protocol/src/test/peerNetwork.test.ts
@@ -44,13 +44,13 @@
       TIMEOUT_MS,
     );
     assert.deepEqual(response, {from: 'a', known: 0});
-    const received: string[] = [];
+    const receivedTexts: string[] = [];
     a.network.addHandler('moveCut', (from, body) => {
-      received.push(`${from}: ${body.why}`);
+      receivedTexts.push(`${from}: ${body.why}`);
     });
     assert.ok(b.network.send('a', 'moveCut', {move: 'm', why: 'slow'}));
-    await until(() => received.length > 0, 'the message arrives');
-    assert.deepEqual(received, ['b: slow']);
+    await until(() => receivedTexts.length > 0, 'the message arrives');
+    assert.deepEqual(receivedTexts, ['b: slow']);
   });
 
   it('returns the kind and run state of a failed handler', async () => {
@@ -100,8 +100,8 @@
   });
 
   it('fails a pending request when the peer dies, and reconnects', async () => {
-    // An entry is killed while a peer waits for its response; its replacement
-    // listens on the same address shortly after.
+    // `b` closes its connections while `a` waits for its response; a
+    // replacement of `b` listens on the same address shortly after.
     const {a, b} = await startPair();
     const port = Number(new URL(b.address.url).port);
     b.network.addHandler('recordsWanted', () => new Promise(() => {}));
--- a/packages/protocol/src/test/peers.ts
+++ b/packages/protocol/src/test/peers.ts
@@ -1,4 +1,4 @@
-/** Peer networks over real loopback sockets. */
+/** Starts peer networks that listen on loopback sockets, for tests. */
 import {
   seededRandom,
   createSilentLogger,
--- a/packages/protocol/src/test/replacedConnection.test.ts
+++ b/packages/protocol/src/test/replacedConnection.test.ts
@@ -18,7 +18,7 @@
 /** Connection of peer x as a raw socket controlled by the test. */
 interface RawConnection {
   readonly socket: WebSocket;
-  readonly received: Frame[];
+  readonly receivedFrames: Frame[];
 }
 
 describe('a connection replaced by a newer one', () => {
@@ -39,30 +39,30 @@
     const socket = new WebSocket(new URL('/peers', a.address.url), {
       headers: {authorization: `Bearer ${KEY}`},
     });
-    const received: Frame[] = [];
+    const receivedFrames: Frame[] = [];
     const body = {id: 'x', incarnation, protocolVersion: PROTOCOL_VERSION};
     socket.on('open', () =>
       socket.send(encodeFrame({type: HELLO_FRAME, requestId: 0, body})),
     );
     socket.on('message', (data: RawData) =>
-      received.push(decodeFrame(data as Buffer)),
+      receivedFrames.push(decodeFrame(data as Buffer)),
     );
     socket.on('error', () => {});
-    connections.push({socket, received});
-    await until(() => received.length > 0, 'x received the hello');
-    return {socket, received};
+    connections.push({socket, receivedFrames});
+    await until(() => receivedFrames.length > 0, 'x received the hello');
+    return {socket, receivedFrames};
   }
 
   /** Sends peer x a request and waits until the connection receives it. */
   async function requestOver(connection: RawConnection) {
     const outcome: {value?: unknown} = {};
-    const receivedBefore = connection.received.length;
+    const receivedBefore = connection.receivedFrames.length;
     a.network.request('x', 'memberWord', REQUEST_BODY, LONG_TIMEOUT_MS).then(
       response => (outcome.value = response),
       error => (outcome.value = error),
     );
     await until(
-      () => connection.received.length > receivedBefore,
+      () => connection.receivedFrames.length > receivedBefore,
       'the request arrives',
     );
     return outcome;
@@ -100,7 +100,7 @@
     const outcome = await requestOver(oldConnection);
     oldConnection.socket.pause();
     await connect(1);
-    const {requestId: receivedId} = oldConnection.received.at(-1)!;
+    const {requestId: receivedId} = oldConnection.receivedFrames.at(-1)!;
     const body = {heardAgoMs: 5};
     oldConnection.socket.send(
       encodeFrame({type: RESPONSE_FRAME, requestId: receivedId, body}),
@@ -121,7 +121,7 @@
     );
     oldConnection.socket.resume();
     await closed;
-    const {requestId: receivedId} = newerConnection.received.at(-1)!;
+    const {requestId: receivedId} = newerConnection.receivedFrames.at(-1)!;
     const body = {heardAgoMs: 5};
     newerConnection.socket.send(
       encodeFrame({type: RESPONSE_FRAME, requestId: receivedId, body}),
