--- a/packages/providers/src/callRateLimiter.ts
+++ b/packages/providers/src/callRateLimiter.ts
@@ -16,8 +16,9 @@
 /** Limits this process to its share of the platform's rate limit. */
 export interface CallRateLimiter extends Disposable {
   /**
-   * Waits for a token for one call. Throws `platform-unavailable` when no token
-   * is available before `deadlineAt`, in monotonic milliseconds.
+   * Waits for a token for one call. Throws `platform-unavailable` if no token
+   * is available before `deadlineAt`, in monotonic milliseconds; throws
+   * `cancelled` if the signal aborts or the limiter is disposed.
    */
   acquire(deadlineAt: number, signal?: AbortSignal): Promise<void>;
   /** Sets this process's share to the platform's rate divided by `count`. */
@@ -36,7 +37,7 @@
   readonly fail: (error: ServingError) => void;
 }
 
-/** Burst size: the calls permitted in this many seconds at the rate limit. */
+/** The burst size is `callsPerSecond * BURST_SECONDS` calls. */
 const BURST_SECONDS = 2;
 /** Minimum burst size in calls, however large the fleet. */
 const MIN_BURST_CALLS = 10;
--- a/packages/providers/src/circuitBreaker.ts
+++ b/packages/providers/src/circuitBreaker.ts
@@ -21,7 +21,7 @@
   state(): PlatformState;
   /** Throws `platform-unavailable` while the platform is down. */
   throwIfDown(): void;
-  /** Records any response of the platform, including errors. */
+  /** Records that the platform responded, with a result or an error. */
   recordResponse(): void;
   /** Records a call that got no response or found the platform unavailable. */
   recordFailure(): void;
--- a/packages/providers/src/contracts.ts
+++ b/packages/providers/src/contracts.ts
@@ -26,7 +26,7 @@
 
 /** Receives the events of a watch. */
 export interface WatchListener<T = unknown> {
-  /** Receives all objects of the kind, first and after missed changes. */
+  /** Called with all objects, at the start and after missed changes. */
   onDidList(listing: ObjectListing<T>): void;
   onDidPut(object: StoredObject<T>): void;
   onDidRemove(name: string, version: number): void;
@@ -81,7 +81,10 @@
     condition: WriteCondition,
     signal?: AbortSignal,
   ): Promise<void>;
-  /** Lists a kind, then follows changes; lists again after missed changes. */
+  /**
+   * Lists the objects of a kind, then delivers their changes; lists the objects
+   * again if changes were missed.
+   */
   watch<T>(kind: string, listener: WatchListener<T>): Disposable;
   state(): PlatformState;
   onDidChangeState(listener: (state: PlatformState) => void): Disposable;
@@ -89,7 +92,7 @@
 
 export type Market = 'reclaimable' | 'on-demand';
 
-/** A kind of host that the cloud offers, with its current price. */
+/** Machine class that the cloud offers in a domain and market, with price. */
 export interface Offer {
   readonly failureDomain: string;
   readonly machineClass: string;
--- a/packages/providers/src/deadline.ts
+++ b/packages/providers/src/deadline.ts
@@ -1,4 +1,4 @@
-/** Limits an operation by a deadline and the abort signal of its caller. */
+/** Ends an operation at a deadline or when its caller aborts it. */
 import {ServingError, type Clock} from '@skylarkfield/base';
 
 /**
--- a/packages/providers/src/httpCalls.ts
+++ b/packages/providers/src/httpCalls.ts
@@ -21,7 +21,7 @@
 
 export interface HttpClient extends Disposable {
   send(request: HttpRequest): Promise<HttpResponse>;
-  /** Reads a response of JSON lines until the response ends or is disposed. */
+  /** Reads JSON lines until the response ends or the result is disposed. */
   stream(path: string, listener: JsonLineListener): Disposable;
 }
 
--- a/packages/providers/src/memoryPlatform.ts
+++ b/packages/providers/src/memoryPlatform.ts
@@ -24,11 +24,14 @@
   TransportWatchListener,
 } from './objectTransport.js';
 
-/** Fault injection for one client or, at the platform, for all clients. */
+/** Injects faults into the calls of one client or of all clients. */
 export interface ObjectFaultControls {
   /** While down, calls fail at once without effect and watches end. */
   setDown(isDown: boolean): void;
-  /** Delays watch events and calls, half before and half after their effect. */
+  /**
+   * Delays watch events by `delayMs`, and calls by half of it before and half
+   * after they take effect.
+   */
   setDelay(delayMs: number): void;
   /** Loses the replies of the next `count` writes, which take effect. */
   loseReplies(count: number): void;
@@ -50,6 +53,7 @@
 export interface MemoryPlatform {
   /** The underlying table, to set up and inspect objects without a client. */
   readonly table: ObjectTable;
+  /** Injects faults into the calls of all clients. */
   readonly faults: ObjectFaultControls;
   /** Creates a client, which simulates a separate process. */
   createClient(name: string, settings?: MemoryClientSettings): MemoryClient;
@@ -62,7 +66,7 @@
   readonly clock?: Clock;
 }
 
-/** A client with fault injection for its own connection. */
+/** A client into whose calls faults can be injected. */
 export interface MemoryClient extends ObjectClient {
   readonly faults: ObjectFaultControls;
 }
@@ -72,7 +76,7 @@
   delayMs: number;
   repliesToLose: number;
   isRejectingWatches: boolean;
-  isStalled: boolean;
+  isStallingWatches: boolean;
 }
 
 interface WatchRequest {
@@ -198,10 +202,10 @@
       close();
       listener.onDidEnd(reason);
     }
-    /** Keeps the order of events: equal timers fire in creation order. */
+    /** Delivers events in order: equal timers fire in creation order. */
     function deliver(notify: () => void): void {
       const notifyUnlessStalled = () => {
-        if (!isClosed && !faults.some(fault => fault.isStalled)) {
+        if (!isClosed && !faults.some(fault => fault.isStallingWatches)) {
           notify();
         }
       };
@@ -257,7 +261,7 @@
 }
 
 /**
- * Creates the only client of a new memory platform.
+ * Creates a new memory platform and returns its only client.
  *
  * @example
  * const store = createMemoryObjectStore({clock: createVirtualClock()});
@@ -275,7 +279,7 @@
     delayMs: 0,
     repliesToLose: 0,
     isRejectingWatches: false,
-    isStalled: false,
+    isStallingWatches: false,
   };
 }
 
@@ -299,7 +303,7 @@
       endWatches();
     },
     setStallingWatches(isStalled) {
-      faults.isStalled = isStalled;
+      faults.isStallingWatches = isStalled;
     },
   };
 }
--- a/packages/providers/src/objectStore.ts
+++ b/packages/providers/src/objectStore.ts
@@ -20,7 +20,7 @@
 
 export type {CallType} from './storeCalls.js';
 
-/** Settings of a client; every field has a default. */
+/** Settings of an object store client; every field has a default. */
 export interface ObjectStoreSettings {
   /** Timeout of one call, in milliseconds. */
   readonly callDeadlineMs?: number;
@@ -32,7 +32,7 @@
   readonly liveEntries?: number;
 }
 
-/** State of a client in the state dump of the process. */
+/** State of an object store client, as included in the process's state dump. */
 export interface ObjectStoreDump {
   readonly state: string;
   readonly ratePerSecond: number;
@@ -48,7 +48,7 @@
   readonly unknownOutcomes: number;
 }
 
-/** The client with its runtime settings and state dump. */
+/** Object store client with an adjustable rate limit share and a state dump. */
 export interface ObjectClient extends ObjectStore {
   /** Sets the number of processes that share the platform's rate limit. */
   setLiveEntries(count: number): void;
@@ -62,7 +62,7 @@
 const DEFAULT_LIVE_ENTRIES = 7;
 
 /**
- * Creates a client; disposing it also disposes the transport.
+ * Creates an object store client; disposing it also disposes the transport.
  *
  * @example
  * const store = createObjectStore({transport, clock, random, writer: 'a1.7'});
@@ -100,7 +100,7 @@
   const stateEmitter = createEmitter<'up' | 'doubtful' | 'down'>();
   const watches = new Set<WatchLoop>();
   let writeCount = 0;
-  /** Highest store version seen; later writes are in the history after it. */
+  /** Highest store version received; every later write has a higher version. */
   let seenVersion = 0;
 
   circuitBreaker.onDidChange(state => {
--- a/packages/providers/src/objectTable.ts
+++ b/packages/providers/src/objectTable.ts
@@ -42,11 +42,20 @@
   version(): number;
   get(kind: string, name: string): StoredObject | undefined;
   list(kind: string): ObjectListing;
-  /** Throws `version-conflict` or `too-large`. */
+  /**
+   * Throws `version-conflict` if the condition is not met, `too-large` if the
+   * value exceeds `MAX_VALUE_BYTES`, `bad-request` if JSON cannot represent it.
+   */
   put(write: ObjectWrite, value: unknown): StoredObject;
-  /** Throws `version-conflict`; does nothing when the object does not exist. */
+  /**
+   * Does nothing if the object does not exist. Throws `version-conflict` if the
+   * condition is not met.
+   */
   remove(write: ObjectWrite): void;
-  /** Changes of a kind after a version; undefined when any was compacted. */
+  /**
+   * Returns the changes of objects of a kind after a version; undefined if the
+   * history after that version has been compacted.
+   */
   changesSince(
     kind: string,
     version: number,
@@ -62,7 +71,7 @@
 const DEFAULT_HISTORY_LIMIT = 10_000;
 
 /**
- * Creates an empty table that keeps at least `historyLimit` changes as history.
+ * Creates an empty table that keeps at least the last `historyLimit` changes.
  *
  * @example
  * const table = createObjectTable();
@@ -71,17 +80,17 @@
 export function createObjectTable(
   historyLimit = DEFAULT_HISTORY_LIMIT,
 ): ObjectTable {
-  const kinds = new Map<string, Map<string, StoredObject>>();
+  const objectsByKind = new Map<string, Map<string, StoredObject>>();
   const changeEmitter = createEmitter<ObjectChange>();
   let history: ObjectChange[] = [];
   let version = 0;
   let compactedVersion = 0;
 
   function getOrCreateObjects(kind: string): Map<string, StoredObject> {
-    let objects = kinds.get(kind);
+    let objects = objectsByKind.get(kind);
     if (objects === undefined) {
       objects = new Map();
-      kinds.set(kind, objects);
+      objectsByKind.set(kind, objects);
     }
     return objects;
   }
@@ -113,11 +122,11 @@
     },
     remove(write) {
       const objects = getOrCreateObjects(write.kind);
-      const current = objects.get(write.name);
-      if (current === undefined) {
+      const currentObject = objects.get(write.name);
+      if (currentObject === undefined) {
         return;
       }
-      checkCondition(write, current);
+      checkCondition(write, currentObject);
       version += 1;
       objects.delete(write.name);
       const {kind, name, writeId} = write;
@@ -164,13 +173,13 @@
 
 function checkCondition(
   write: ObjectWrite,
-  current: StoredObject | undefined,
+  currentObject: StoredObject | undefined,
 ): void {
-  if (isConditionMet(write.condition, current)) {
+  if (isConditionMet(write.condition, currentObject)) {
     return;
   }
   const actualState =
-    current === undefined ? 'absent' : `at ${current.version}`;
+    currentObject === undefined ? 'absent' : `at ${currentObject.version}`;
   throw new ServingError(
     'version-conflict',
     `${write.kind}/${write.name} is ${actualState}, the write requires ${describeCondition(write.condition)}`,
@@ -179,15 +188,15 @@
 
 function isConditionMet(
   condition: WriteCondition,
-  current: StoredObject | undefined,
+  currentObject: StoredObject | undefined,
 ): boolean {
   switch (condition.type) {
     case 'any':
       return true;
     case 'absent':
-      return current === undefined;
+      return currentObject === undefined;
     case 'version':
-      return current?.version === condition.version;
+      return currentObject?.version === condition.version;
   }
 }
 
--- a/packages/providers/src/reconnectingStream.ts
+++ b/packages/providers/src/reconnectingStream.ts
@@ -30,7 +30,7 @@
   const disposables = createDisposableStore();
   let stream: Disposable = toDisposable(() => {});
   let reconnectTimer: Disposable = toDisposable(() => {});
-  let attempts = 0;
+  let failedAttempts = 0;
 
   function open(): void {
     if (disposables.isDisposed) {
@@ -38,15 +38,15 @@
     }
     stream = client.stream(path, {
       onDidOpen() {
-        attempts = 0;
+        failedAttempts = 0;
       },
       onDidLine: options.onDidLine,
       onDidEnd(_status, retryAfterMs) {
         const delayMs = Math.min(
           MAX_BACKOFF_MS,
-          INITIAL_BACKOFF_MS * 2 ** attempts,
+          INITIAL_BACKOFF_MS * 2 ** failedAttempts,
         );
-        attempts += 1;
+        failedAttempts += 1;
         const jitteredMs = delayMs * (0.5 + random.next());
         reconnectTimer = clock.after(Math.max(retryAfterMs, jitteredMs), open);
       },
--- a/packages/providers/src/storeCalls.ts
+++ b/packages/providers/src/storeCalls.ts
@@ -30,7 +30,11 @@
     signal: AbortSignal | undefined,
     operation: (signal: AbortSignal) => Promise<T>,
   ): Promise<T>;
-  /** Waits until a watch may open, and counts it; a watch has no deadline. */
+  /**
+   * Waits until the rate limit allows a watch to open, and counts the watch.
+   * Throws `platform-unavailable` while the platform is down. An open watch has
+   * no deadline.
+   */
   admitWatch(): Promise<void>;
   counts(): {
     readonly calls: Readonly<Record<CallType, number>>;
--- a/packages/providers/src/storeWrites.ts
+++ b/packages/providers/src/storeWrites.ts
@@ -25,6 +25,8 @@
   /**
    * Sends a write until its outcome is known or the deadline passes. `toResult`
    * builds the result of a write that a lookup found to have taken effect.
+   * Throws `version-conflict` if the write can no longer take effect, and
+   * `outcome-unknown` if its outcome could not be determined.
    */
   execute<T>(
     callType: 'put' | 'remove',
@@ -55,14 +57,13 @@
   readonly random: Random;
   /** Timeout of a write including lookups of its outcome, in milliseconds. */
   readonly writeDeadlineMs: number;
-  /** Highest store version seen; later writes are in the history after it. */
+  /** Highest store version received; every later write has a higher version. */
   seenVersion(): number;
 }): StoreWrites {
   const {calls, transport, clock, random, writeDeadlineMs} = options;
   let lostReplies = 0;
   let unknownOutcomes = 0;
 
-  /** Sends a write until its outcome is known or the deadline passes. */
   async function execute<T>(
     callType: 'put' | 'remove',
     write: ObjectWrite,
--- a/packages/providers/src/test/objectStore.test.ts
+++ b/packages/providers/src/test/objectStore.test.ts
@@ -21,19 +21,19 @@
     const clock = createVirtualClock();
     const platform = createMemoryPlatform({clock});
     const store = platform.createClient('a');
-    const received: unknown[] = [];
+    const receivedValues: unknown[] = [];
     store.watch('thing', {
       ...noopListener,
-      onDidPut: object => received.push(object.value),
+      onDidPut: object => receivedValues.push(object.value),
     });
     await clock.advance(100);
     store.faults.setStallingWatches(true);
     await platform.createClient('b').put('thing', 'x', 1, {type: 'any'});
     await clock.advance(1000);
     store.faults.setStallingWatches(false);
-    assert.deepEqual(received, []);
+    assert.deepEqual(receivedValues, []);
     await clock.advance(20_000);
-    assert.deepEqual(received, [1]);
+    assert.deepEqual(receivedValues, [1]);
   });
 
   // When the platform recovers and every entry reopens its watches at the same
--- a/packages/providers/src/watchLoop.ts
+++ b/packages/providers/src/watchLoop.ts
@@ -35,7 +35,7 @@
 /** State of a watch, also shown in the dump. */
 export type WatchState = 'listing' | 'opening' | 'open' | 'waiting';
 
-/** Watch that reconnects until it is disposed. */
+/** Watch of one kind that is reopened until it is disposed. */
 export interface WatchLoop extends Disposable {
   readonly kind: string;
   state(): WatchState;
@@ -59,7 +59,7 @@
   let timer: Disposable = toDisposable(() => {});
   let watch: Disposable = toDisposable(() => {});
   let resumeVersion: number | undefined;
-  let attempts = 0;
+  let failedAttempts = 0;
   let isConnected = false;
 
   function setConnected(isNowConnected: boolean): void {
@@ -97,7 +97,7 @@
     watch.dispose();
     watch = transport.watch(kind, fromVersion, {
       onDidOpen() {
-        attempts = 0;
+        failedAttempts = 0;
         interpreter.send('opened');
         setConnected(true);
         resetIdleTimer();
@@ -144,9 +144,9 @@
     interpreter.send('lost');
     const delayMs = Math.min(
       MAX_BACKOFF_MS,
-      INITIAL_BACKOFF_MS * 2 ** attempts,
+      INITIAL_BACKOFF_MS * 2 ** failedAttempts,
     );
-    attempts += 1;
+    failedAttempts += 1;
     timer.dispose();
     timer = clock.after(
       Math.max(minDelayMs, delayMs * (0.5 + random.next())),
--- a/packages/providers/src/writeOutcome.ts
+++ b/packages/providers/src/writeOutcome.ts
@@ -45,9 +45,11 @@
   if (changes === undefined) {
     return {type: 'unknown'};
   }
-  const ownChange = changes.find(change => change.writeId === write.writeId);
-  if (ownChange !== undefined) {
-    return {type: 'applied', change: ownChange};
+  const matchingChange = changes.find(
+    change => change.writeId === write.writeId,
+  );
+  if (matchingChange !== undefined) {
+    return {type: 'applied', change: matchingChange};
   }
   return {type: canStillTakeEffect(write, object) ? 'pending' : 'superseded'};
 }
