--- a/packages/endpoints/src/contracts.ts
+++ b/packages/endpoints/src/contracts.ts
@@ -73,11 +73,11 @@
 export interface EndpointCommand {
   readonly id: string;
   readonly type: 'load-model' | 'load-adapter' | 'load-version' | 'set-role';
-  /** Desired model, adapter, version or role; orders are level-triggered. */
+  /** Desired model, adapter, version or role; commands are level-triggered. */
   readonly target: string;
   /** Fencing token of the issuer; some endpoints reject a stale token. */
   readonly fencing: number;
-  /** Wall-clock milliseconds after which the order must not be executed. */
+  /** Wall-clock milliseconds after which the command must not be executed. */
   readonly expiresAt: number;
 }
 
@@ -103,15 +103,15 @@
   load(signal?: AbortSignal): Promise<LoadReport>;
   /** Returns the events after a sequence number; -1 for the whole cache. */
   readCacheEvents(
-    after: number,
+    afterSequence: number,
     signal?: AbortSignal,
   ): Promise<readonly CacheEvent[]>;
   exportCache(attempt: string, signal?: AbortSignal): Promise<CacheExport>;
   importCache(
-    from: {readonly url: string; readonly handle: string},
+    source: {readonly url: string; readonly handle: string},
     signal?: AbortSignal,
   ): Promise<CacheExport>;
-  sendCommand(order: EndpointCommand, signal?: AbortSignal): Promise<void>;
+  sendCommand(command: EndpointCommand, signal?: AbortSignal): Promise<void>;
   /**
    * Returns the version, adapters and role that the endpoint runs; a new lease
    * holder reads them again.
--- a/packages/endpoints/src/engineSchemas.ts
+++ b/packages/endpoints/src/engineSchemas.ts
@@ -53,7 +53,7 @@
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
 
-/** Hand-written validators: zod is too slow for 10,000s of tokens a second. */
+/** Hand-written: zod is too slow for tens of thousands of tokens a second. */
 const eventValidators: Record<
   string,
   (event: Record<string, unknown>) => boolean
--- a/packages/endpoints/src/httpEngine.ts
+++ b/packages/endpoints/src/httpEngine.ts
@@ -120,20 +120,20 @@
     },
     load: signal =>
       call('GET', '/v1/load', loadReportSchema, undefined, signal),
-    readCacheEvents: (after, signal) =>
+    readCacheEvents: (afterSequence, signal) =>
       call(
         'GET',
-        `/v1/cache-events?after=${after}`,
+        `/v1/cache-events?after=${afterSequence}`,
         cacheEventsSchema,
         undefined,
         signal,
       ),
     exportCache: (attempt, signal) =>
       call('POST', '/v1/export', cacheExportSchema, {attempt}, signal),
-    importCache: (from, signal) =>
-      call('POST', '/v1/import', cacheExportSchema, from, signal),
-    async sendCommand(order, signal) {
-      await call('POST', '/v1/order', ignoredResponseSchema, order, signal);
+    importCache: (source, signal) =>
+      call('POST', '/v1/import', cacheExportSchema, source, signal),
+    async sendCommand(command, signal) {
+      await call('POST', '/v1/order', ignoredResponseSchema, command, signal);
     },
     readRunning: signal =>
       call('GET', '/v1/running', runningSchema, undefined, signal),
--- a/packages/endpoints/src/plainService.ts
+++ b/packages/endpoints/src/plainService.ts
@@ -132,7 +132,7 @@
   };
 }
 
-/** State of one call, from queuing to completion. */
+/** Handles the events of one call, from queuing to completion. */
 interface Exchange {
   readonly handler: Dispatcher.DispatchHandler;
   /** Fails a call that undici did not queue. */
@@ -228,14 +228,14 @@
 
 function unsentError(error: unknown): ServingError {
   if (error instanceof errors.InvalidArgumentError) {
-    return createError('bad-request', messageOf(error), 'not-run', error);
+    return createError('bad-request', toErrorMessage(error), 'not-run', error);
   }
-  const message = `could not send the call to the endpoint: ${messageOf(error)}`;
+  const message = `could not send the call to the endpoint: ${toErrorMessage(error)}`;
   return createError('endpoint-unavailable', message, 'not-run', error);
 }
 
 function sentError(error: unknown): ServingError {
-  const message = `the endpoint may have run the call: ${messageOf(error)}`;
+  const message = `the endpoint may have run the call: ${toErrorMessage(error)}`;
   return createError('outcome-unknown', message, 'may-have-run', error);
 }
 
@@ -252,6 +252,6 @@
   return new ServingError(kind, message, {run, cause});
 }
 
-function messageOf(error: unknown): string {
+function toErrorMessage(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
--- a/packages/endpoints/src/promptBlocks.ts
+++ b/packages/endpoints/src/promptBlocks.ts
@@ -31,19 +31,19 @@
 
 /**
  * Returns the hashes of a text's full blocks, given the hashes of its first
- * blocks, so that a growing history is not hashed from the start each time.
+ * blocks, so that a growing text is not hashed from the start each time.
  *
  * @example
  * const blocks = extendBlockHashes(hashPromptBlocks(tokens), [...tokens, ...answer]);
  */
 export function extendBlockHashes(
-  knownHashes: readonly string[],
+  prefixHashes: readonly string[],
   tokens: readonly string[],
 ): string[] {
-  const hashes = [...knownHashes];
+  const hashes = [...prefixHashes];
   let previousHash = hashes.at(-1) ?? '';
   for (
-    let start = knownHashes.length * TOKENS_PER_BLOCK;
+    let start = prefixHashes.length * TOKENS_PER_BLOCK;
     start + TOKENS_PER_BLOCK <= tokens.length;
     start += TOKENS_PER_BLOCK
   ) {
--- a/packages/endpoints/src/requestErrors.ts
+++ b/packages/endpoints/src/requestErrors.ts
@@ -1,4 +1,4 @@
-/** Conversion of HTTP client errors, with the run state that they imply. */
+/** Converts HTTP client errors to errors with the run state that they imply. */
 import {ServingError, isServingError} from '@skylarkfield/base';
 
 /** Codes of errors in establishing a connection: no byte was sent. */
--- a/packages/endpoints/src/test/promptBlocks.test.ts
+++ b/packages/endpoints/src/test/promptBlocks.test.ts
@@ -25,9 +25,9 @@
   });
 
   it('extends the hashes of a prefix to the hashes of the whole text', () => {
-    const knownHashes = hashPromptBlocks(createTokens(40));
+    const prefixHashes = hashPromptBlocks(createTokens(40));
     assert.deepEqual(
-      extendBlockHashes(knownHashes, createTokens(100)),
+      extendBlockHashes(prefixHashes, createTokens(100)),
       hashPromptBlocks(createTokens(100)),
     );
   });
