--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -38,7 +38,7 @@
     after: (delayMs, callback) =>
       delayMs < MIN_COALESCED_DELAY_MS
         ? arm(Math.max(0, delayMs), callback)
-        : wheel.at(now() + delayMs, callback),
+        : wheel.schedule(now() + delayMs, callback),
   };
 }
 
--- a/packages/base/src/decisionLog.ts
+++ b/packages/base/src/decisionLog.ts
@@ -21,7 +21,7 @@
 export interface DecisionLog {
   /** Adds a decision; drops the oldest decision when the log is full. */
   recordDecision(
-    by: string,
+    packageName: string,
     subject: string,
     what: string,
     why: string,
@@ -46,13 +46,20 @@
 ): DecisionLog {
   const decisions: Decision[] = [];
   return {
-    recordDecision(by, subject, what, why, figures = {}) {
-      const decision = {at: clock.wall(), by, what, why, subject, figures};
+    recordDecision(packageName, subject, what, why, figures = {}) {
+      const decision = {
+        at: clock.wall(),
+        by: packageName,
+        what,
+        why,
+        subject,
+        figures,
+      };
       decisions.push(decision);
       if (decisions.length > capacity) {
         decisions.shift();
       }
-      log.info({decision}, `${by}: ${what} (${subject}): ${why}`);
+      log.info({decision}, `${packageName}: ${what} (${subject}): ${why}`);
     },
     list: () => decisions,
   };
--- a/packages/base/src/dumps.ts
+++ b/packages/base/src/dumps.ts
@@ -1,9 +1,10 @@
 /** State dumps of the components of a process, for diagnosis. */
 import {toDisposable, type Disposable} from './disposables.js';
 
-/** Registry of state dumps by component. */
+/** Registry of the dump functions of components, by name. */
 export interface Dumps {
   add(name: string, dump: () => unknown): Disposable;
+  /** Calls all dump functions and returns their results by name. */
   collect(): Record<string, unknown>;
 }
 
--- a/packages/base/src/errors.ts
+++ b/packages/base/src/errors.ts
@@ -36,7 +36,7 @@
   | 'cancelled'
   | 'internal';
 
-/** Response to a caller whose request failed with an error of some kind. */
+/** Response to a caller whose request failed with an error of one kind. */
 export interface ErrorResponse {
   /** HTTP status code. */
   readonly status: number;
--- a/packages/base/src/test/timerWheel.test.ts
+++ b/packages/base/src/test/timerWheel.test.ts
@@ -23,7 +23,7 @@
     const {clock, wheel} = setUp();
     const delaysMs: number[] = [];
     for (const dueMs of [1, 49, 50, 51, 299, 1_000]) {
-      wheel.at(dueMs, () => delaysMs.push(clock.now() - dueMs));
+      wheel.schedule(dueMs, () => delaysMs.push(clock.now() - dueMs));
     }
     await clock.advance(2_000);
     assert.equal(delaysMs.length, 6);
@@ -37,7 +37,7 @@
     const {clock, wheel, getWakeUpCount} = setUp();
     let firedCount = 0;
     for (let dueMs = 101; dueMs <= 150; dueMs++) {
-      wheel.at(dueMs, () => (firedCount += 1));
+      wheel.schedule(dueMs, () => (firedCount += 1));
     }
     await clock.advance(1_000);
     assert.equal(firedCount, 50);
@@ -46,28 +46,28 @@
 
   it('does not call disposed timers, even in the slot that is firing', async () => {
     const {clock, wheel} = setUp();
-    const fired: string[] = [];
-    const second = {dispose: () => {}};
-    wheel.at(100, () => {
-      fired.push('first');
-      second.dispose();
+    const firedTimers: string[] = [];
+    const secondTimer = {dispose: () => {}};
+    wheel.schedule(100, () => {
+      firedTimers.push('first');
+      secondTimer.dispose();
     });
-    const timer = wheel.at(100, () => fired.push('second'));
-    second.dispose = () => timer.dispose();
-    wheel.at(200, () => fired.push('disposed')).dispose();
+    const timer = wheel.schedule(100, () => firedTimers.push('second'));
+    secondTimer.dispose = () => timer.dispose();
+    wheel.schedule(200, () => firedTimers.push('disposed')).dispose();
     await clock.advance(1_000);
-    assert.deepEqual(fired, ['first']);
+    assert.deepEqual(firedTimers, ['first']);
   });
 
   it('fires a timer that is due before the earliest scheduled timer', async () => {
     const {clock, wheel} = setUp();
-    const fired: number[] = [];
-    wheel.at(5_000, () => fired.push(5_000));
-    wheel.at(100, () => {
-      fired.push(clock.now());
-      wheel.at(clock.now() + 100, () => fired.push(clock.now()));
+    const firedAtMs: number[] = [];
+    wheel.schedule(5_000, () => firedAtMs.push(5_000));
+    wheel.schedule(100, () => {
+      firedAtMs.push(clock.now());
+      wheel.schedule(clock.now() + 100, () => firedAtMs.push(clock.now()));
     });
     await clock.advance(6_000);
-    assert.deepEqual(fired, [100, 200, 5_000]);
+    assert.deepEqual(firedAtMs, [100, 200, 5_000]);
   });
 });
--- a/packages/base/src/timerWheel.ts
+++ b/packages/base/src/timerWheel.ts
@@ -6,7 +6,7 @@
 
 export interface TimerWheel {
   /** Calls back in the first slot that starts at or after `dueMs`. */
-  at(dueMs: number, callback: () => void): Disposable;
+  schedule(dueMs: number, callback: () => void): Disposable;
 }
 
 /**
@@ -14,7 +14,7 @@
  *
  * @example
  * const wheel = createTimerWheel({slotMs: 50, now, arm});
- * const timer = wheel.at(now() + 300, sendDigest);
+ * const timer = wheel.schedule(now() + 300, sendDigest);
  */
 export function createTimerWheel(options: {
   readonly slotMs: number;
@@ -57,7 +57,7 @@
   }
 
   return {
-    at(dueMs, callback) {
+    schedule(dueMs, callback) {
       const slot = Math.ceil(dueMs / slotMs);
       const callbacks = slots.get(slot) ?? new Set();
       // The wrapper distinguishes two timers with the same function.
--- a/packages/base/src/virtualClock.ts
+++ b/packages/base/src/virtualClock.ts
@@ -3,7 +3,10 @@
 import {toDisposable} from './disposables.js';
 
 export interface VirtualClock extends Clock {
-  /** Runs due timers in order up to `spanMs`; settles promises after each. */
+  /**
+   * Advances time by `spanMs` and runs the timers that fall due, in order;
+   * settles promises after each timer.
+   */
   advance(spanMs: number): Promise<void>;
   /** Like `advance`, but without settling promises, for synchronous replays. */
   advanceSync(spanMs: number): void;
