--- a/packages/bench/src/test/outsideShapes.ts
+++ b/packages/bench/src/test/outsideShapes.ts
@@ -20,6 +20,13 @@
     'MembersResponse',
   ],
   'packages/protocol/src/messages/gatewayMessages.ts': ['MirrorSnapshot'],
+  // Values in `MirrorSnapshot`, whose own type is unknown.
+  'packages/traffic/src/contracts.ts': [
+    'TrafficPolicy',
+    'RegisteredEndpoint',
+    'Rollout',
+  ],
+  'packages/routing/src/crashEvidence.ts': ['CrashReport'],
   'packages/protocol/src/messages/recordMessages.ts': ['RecordDifference'],
   'packages/protocol/src/messages/moveMessages.ts': ['MoveState'],
   'packages/orders/src/shardRecord.ts': ['ShardRecord', 'LedgerEntry'],
