--- a/packages/admission/src/fairQueue.ts
+++ b/packages/admission/src/fairQueue.ts
@@ -125,7 +125,7 @@
   }
 
   /** Removes the newest item of the flow with the most weighted cost queued. */
-  function evictNewest(level: UrgencyLevel<T>): T | undefined {
+  function evictFromLargestFlow(level: UrgencyLevel<T>): T | undefined {
     const flow = largestFlow(level);
     return flow && removeAt(level, flow, flow.items.length - 1);
   }
@@ -203,7 +203,7 @@
           break;
         }
         if (level.size > 0) {
-          return evictNewest(level);
+          return evictFromLargestFlow(level);
         }
       }
       const largest = largestFlow(incomingLevel);
@@ -215,12 +215,12 @@
         return undefined;
       }
       return weightedQueuedCost(largest) > weightedCustomerCost
-        ? evictNewest(incomingLevel)
+        ? evictFromLargestFlow(incomingLevel)
         : undefined;
     },
     evictLowestPriority() {
       const level = levels.findLast(candidate => candidate.size > 0);
-      return level && evictNewest(level);
+      return level && evictFromLargestFlow(level);
     },
     costOfMoreUrgent(urgency) {
       let cost = 0;
--- a/packages/bench/src/isolation.ts
+++ b/packages/bench/src/isolation.ts
@@ -43,7 +43,8 @@
 ];
 
 /**
- * Measures each gate under each disturbance.
+ * Measures the latency and success rate of the undisturbed services with each
+ * gate under each disturbance.
  *
  * @example
  * const report = await measureIsolation({seed: 1000});
--- a/packages/bench/src/moves.ts
+++ b/packages/bench/src/moves.ts
@@ -47,7 +47,8 @@
   readonly isFinished: boolean;
   /** Requests to the new version on routes on which its fault is active. */
   readonly badRequests: number;
-  readonly why: string;
+  /** Reason for the last phase of the move or for the canary's rollback. */
+  readonly reason: string;
 }
 
 /** `ours`: the move controller; `canary`: the canary with fixed thresholds. */
@@ -130,8 +131,9 @@
       mix: name,
       good: goodVerdicts.length,
       goodMovedIn: fractionOf(goodVerdicts, ({isFinished}) => isFinished),
-      falseAlarms: goodVerdicts.filter(({why}) => why.includes('incumbent'))
-        .length,
+      falseAlarms: goodVerdicts.filter(({reason}) =>
+        reason.includes('incumbent'),
+      ).length,
       bad: badVerdicts.length,
       badTakenBack: fractionOf(badVerdicts, ({isFinished}) => !isFinished),
       badServedMedian: quantile(badRequestCounts, 0.5),
@@ -162,7 +164,7 @@
 function listMisjudged(verdicts: readonly Verdict[]) {
   return verdicts
     .filter(({isFinished, version}) => isFinished === version.isBad)
-    .map(({mix, version, why, badRequests}) => ({
+    .map(({mix, version, reason, badRequests}) => ({
       mix,
       kind: version.kind,
       errorFactor: version.errorFactor,
@@ -170,7 +172,7 @@
       onset: version.onset,
       route: version.route ?? '',
       badRequests,
-      why,
+      why: reason,
     }));
 }
 
@@ -218,7 +220,7 @@
     version,
     isFinished,
     badRequests,
-    why: state?.why ?? '',
+    reason: state?.why ?? '',
   };
 }
 
@@ -250,6 +252,6 @@
     canary.addEvidence(tick.sums);
   }
   const isFinished = !canary.isRolledBack();
-  const why = isFinished ? '' : 'worse than the incumbent';
-  return {mix: mix.name, version, isFinished, badRequests, why};
+  const reason = isFinished ? '' : 'worse than the incumbent';
+  return {mix: mix.name, version, isFinished, badRequests, reason};
 }
--- a/packages/bench/src/orders.ts
+++ b/packages/bench/src/orders.ts
@@ -233,8 +233,11 @@
   };
 }
 
-function quantileOfSorted(sorted: readonly number[], fraction: number): number {
-  return sorted[Math.floor(sorted.length * fraction)] ?? 0;
+function quantileOfSorted(
+  sortedValues: readonly number[],
+  fraction: number,
+): number {
+  return sortedValues[Math.floor(sortedValues.length * fraction)] ?? 0;
 }
 
 function roundToHundredths(value: number): number {
--- a/packages/bench/src/overload.ts
+++ b/packages/bench/src/overload.ts
@@ -51,7 +51,7 @@
 };
 
 /**
- * Measures each gate at each load.
+ * Measures goodput, latency and wasted work with each gate at each load.
  *
  * @example
  * const report = await measureOverload({seed: 1000});
--- a/packages/bench/src/reclaim/fleet.ts
+++ b/packages/bench/src/reclaim/fleet.ts
@@ -33,7 +33,7 @@
 export const RECLAIMED_DOMAIN = 'b';
 
 /**
- * Creates the endpoints of the fleet.
+ * Creates endpoints with simulated engines, spread over the failure domains.
  *
  * @example
  * const fleet = createEngineFleet(clock, 1);
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -321,11 +321,13 @@
 }
 
 function isWrong({request, tokens, isDone}: StreamState): boolean {
-  const expected = generateAnswerTokens(
+  const expectedTokens = generateAnswerTokens(
     request.prompt,
     request.seed,
     request.maxTokens,
   );
-  const expectedSoFar = isDone ? expected : expected.slice(0, tokens.length);
+  const expectedSoFar = isDone
+    ? expectedTokens
+    : expectedTokens.slice(0, tokens.length);
   return expectedSoFar.join('') !== tokens.join('');
 }
--- a/packages/bench/src/replay/admissionReplay.ts
+++ b/packages/bench/src/replay/admissionReplay.ts
@@ -120,10 +120,14 @@
  * quantile([1, 2, 3, 4], 0.5); // 3
  */
 export function quantile(values: readonly number[], fraction: number): number {
-  const sorted = [...values].sort((a, b) => a - b);
+  const sortedValues = [...values].sort((a, b) => a - b);
   return (
-    sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ??
-    NaN
+    sortedValues[
+      Math.min(
+        sortedValues.length - 1,
+        Math.floor(sortedValues.length * fraction),
+      )
+    ] ?? NaN
   );
 }
 
--- a/packages/bench/src/replay/replayService.ts
+++ b/packages/bench/src/replay/replayService.ts
@@ -4,8 +4,10 @@
 export type ServiceFault = 'none' | 'hung' | 'slow' | 'failing';
 
 export interface ReplayService {
-  /** Starts or queues a job; calls `done` once unless the job is cancelled. */
-  run(cost: number, done: (isOk: boolean) => void): {cancel(): void};
+  /**
+   * Starts or queues a job; calls `onDone` once unless the job is cancelled.
+   */
+  run(cost: number, onDone: (isOk: boolean) => void): {cancel(): void};
   setFault(fault: ServiceFault): void;
   setSlots(slots: number): void;
   slots(): number;
@@ -17,7 +19,7 @@
 
 interface Job {
   readonly cost: number;
-  readonly done: (isOk: boolean) => void;
+  readonly onDone: (isOk: boolean) => void;
   isCancelled: boolean;
 }
 
@@ -88,15 +90,15 @@
       if (job.isCancelled) {
         wastedMs += serviceTimeMs;
       } else {
-        job.done(isOk);
+        job.onDone(isOk);
       }
       startWaitingJobs();
     });
   }
 
   return {
-    run(cost, done) {
-      const job: Job = {cost, done, isCancelled: false};
+    run(cost, onDone) {
+      const job: Job = {cost, onDone, isCancelled: false};
       waitingJobs.push(job);
       startWaitingJobs();
       return {cancel: () => (job.isCancelled = true)};
@@ -109,7 +111,7 @@
       for (const job of hungJobs.splice(0)) {
         runningCount -= 1;
         if (!job.isCancelled) {
-          job.done(false);
+          job.onDone(false);
         }
       }
       startWaitingJobs();
--- a/packages/bench/src/routing.ts
+++ b/packages/bench/src/routing.ts
@@ -72,7 +72,7 @@
 }
 
 function summarize(result: RoutingReplayResult): PolicyFigures {
-  const sorted = [...result.firstTokenMs].sort((a, b) => a - b);
+  const sortedFirstTokenMs = [...result.firstTokenMs].sort((a, b) => a - b);
   const cachedTokens = result.promptTokens - result.prefilledTokens;
   const maxCachedTokens = result.promptTokens - result.boundTokens;
   return {
@@ -80,8 +80,8 @@
     prefilledTokens: result.prefilledTokens,
     recomputedTokens: result.prefilledTokens - result.boundTokens,
     shareOfBound: round(cachedTokens / maxCachedTokens, 4),
-    firstTokenP50Ms: round(quantileSorted(sorted, 0.5), 1),
-    firstTokenP95Ms: round(quantileSorted(sorted, 0.95), 1),
+    firstTokenP50Ms: round(quantileSorted(sortedFirstTokenMs, 0.5), 1),
+    firstTokenP95Ms: round(quantileSorted(sortedFirstTokenMs, 0.95), 1),
     busiest: round(result.busiest, 2),
   };
 }
--- a/packages/bench/src/slopes/heap.ts
+++ b/packages/bench/src/slopes/heap.ts
@@ -9,7 +9,7 @@
  * Collects garbage and returns the used heap in bytes.
  *
  * @example
- * const before = measureHeapBytes();
+ * const heapBytesBefore = measureHeapBytes();
  */
 export function measureHeapBytes(): number {
   collectGarbage();
@@ -20,7 +20,7 @@
  * Collects garbage and returns the resident set size in bytes.
  *
  * @example
- * const before = measureResidentBytes();
+ * const residentBytesBefore = measureResidentBytes();
  */
 export function measureResidentBytes(): number {
   collectGarbage();
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -67,15 +67,18 @@
 
 async function measureSteadyState(cluster: MemberCluster) {
   const {net, clock, members} = cluster;
-  const before = net.totalTraffic();
+  const trafficBefore = net.totalTraffic();
   const cpuBefore = process.cpuUsage();
   await clock.advance(STEADY_MS);
   const usedCpu = process.cpuUsage(cpuBefore);
-  const after = net.totalTraffic();
+  const trafficAfter = net.totalTraffic();
   const entrySeconds = members.size * (STEADY_MS / 1000);
   return {
-    messages: (2 * (after.messagesSent - before.messagesSent)) / entrySeconds,
-    bytes: (2 * (after.bytesSent - before.bytesSent)) / entrySeconds,
+    messages:
+      (2 * (trafficAfter.messagesSent - trafficBefore.messagesSent)) /
+      entrySeconds,
+    bytes:
+      (2 * (trafficAfter.bytesSent - trafficBefore.bytesSent)) / entrySeconds,
     cpuMicros: (usedCpu.user + usedCpu.system) / entrySeconds,
   };
 }
@@ -87,13 +90,14 @@
 ) {
   const {net, clock, members} = cluster;
   const id = cluster.random.pick([...members.keys()])!;
-  const before = net.totalTraffic().bytesSent;
+  const bytesBefore = net.totalTraffic().bytesSent;
   cluster.crash(id);
   const detection = await measureDetectionTimes(cluster, new Set([id]));
   await clock.advance(CHANGE_WINDOW_MS - detection.lastNoticeMs);
   cluster.start(id);
   await clock.advance(CHANGE_WINDOW_MS);
-  const bytes = (2 * (net.totalTraffic().bytesSent - before)) / members.size;
+  const bytes =
+    (2 * (net.totalTraffic().bytesSent - bytesBefore)) / members.size;
   const expectedBytes = (steadyBytesPerSecond * 2 * CHANGE_WINDOW_MS) / 1000;
   return {...detection, bytesPerChange: Math.max(0, bytes - expectedBytes)};
 }
@@ -120,7 +124,9 @@
 }
 
 /**
- * Measures a cluster with the given number of entries.
+ * Measures the membership protocol for the given number of entries: messages,
+ * bytes, processor time and heap per entry in the steady state; for the crash
+ * and restart of one entry, the detection times and the additional bytes.
  *
  * @example
  * const slope = await measureMembers(1, 100);
@@ -133,14 +139,14 @@
   const cluster = createMemberCluster(seed, entries);
   await waitForConvergence(cluster);
   const heapBytesPerEntry = (measureHeapBytes() - heapBefore) / entries;
-  const steady = await measureSteadyState(cluster);
-  const change = await measureChange(cluster, steady.bytes);
+  const steadyState = await measureSteadyState(cluster);
+  const change = await measureChange(cluster, steadyState.bytes);
   return {
     entries,
     neighbours: roundToTenths(meanNeighbours(cluster)),
-    messages: roundToTenths(steady.messages),
-    bytes: roundToTenths(steady.bytes),
-    cpuMicros: roundToTenths(steady.cpuMicros),
+    messages: roundToTenths(steadyState.messages),
+    bytes: roundToTenths(steadyState.bytes),
+    cpuMicros: roundToTenths(steadyState.cpuMicros),
     heapBytes: Math.round(heapBytesPerEntry),
     bytesPerChange: Math.round(change.bytesPerChange),
     firstNoticeMs: change.firstNoticeMs,
@@ -167,9 +173,9 @@
   let detectedMs = -1;
   let seconds = 0;
   for (; seconds < 90 && detectedMs < 0; seconds++) {
-    const before = cluster.net.totalTraffic().bytesSent;
+    const bytesBefore = cluster.net.totalTraffic().bytesSent;
     await cluster.clock.advance(1_000);
-    const sentBytes = cluster.net.totalTraffic().bytesSent - before;
+    const sentBytes = cluster.net.totalTraffic().bytesSent - bytesBefore;
     busiestBytes = Math.max(
       busiestBytes,
       (2 * sentBytes) / cluster.members.size,
--- a/packages/bench/src/slopes/orderOwner.ts
+++ b/packages/bench/src/slopes/orderOwner.ts
@@ -30,7 +30,8 @@
 const BODY_BYTES = 200;
 
 /**
- * Measures the owner of the shard at each order rate.
+ * Measures the messages, platform writes, memory and processor time of a
+ * shard's owner at each order rate.
  *
  * @example
  * const {owners} = await measureOrderOwners({seed: 1});
@@ -70,7 +71,7 @@
     rate,
     DEDUPE_WINDOW_SECONDS,
   );
-  const before = {
+  const countersBefore = {
     writes: memoryPlatform.callCounts().writes,
     bytes: writeCounter.bytes,
     traffic: fleet.traffic(),
@@ -83,7 +84,7 @@
     rate,
     MEASURED_SECONDS,
   );
-  const cpu = process.cpuUsage(before.cpu);
+  const cpu = process.cpuUsage(countersBefore.cpu);
   const traffic = fleet.traffic();
   const owner = fleet.ledgers().find(isOwner);
   const result = {
@@ -92,12 +93,14 @@
     stateBytes: owner === undefined ? 0 : shardOf(owner).bytes,
     entries: owner === undefined ? 0 : shardOf(owner).entries,
     // Bytes sent by both entries equal those sent and received by the owner.
-    messages: perSecond(traffic.messagesSent - before.traffic.messagesSent),
-    bytes: perSecond(traffic.bytesSent - before.traffic.bytesSent),
+    messages: perSecond(
+      traffic.messagesSent - countersBefore.traffic.messagesSent,
+    ),
+    bytes: perSecond(traffic.bytesSent - countersBefore.traffic.bytesSent),
     platformWrites: perSecond(
-      memoryPlatform.callCounts().writes - before.writes,
+      memoryPlatform.callCounts().writes - countersBefore.writes,
     ),
-    platformBytes: perSecond(writeCounter.bytes - before.bytes),
+    platformBytes: perSecond(writeCounter.bytes - countersBefore.bytes),
     cpuMicros: perSecond(cpu.user + cpu.system),
   };
   fleet.dispose();
@@ -116,7 +119,7 @@
   clock: VirtualClock,
   platform: MemoryPlatform,
 ): Promise<number> {
-  const before = measureHeapBytes();
+  const heapBytesBefore = measureHeapBytes();
   const fleet = startLedgers({
     clock,
     random: seededRandom(1),
@@ -128,7 +131,7 @@
   const lastOrder = fleet.submit('last', 0, TIMEOUT_MS);
   await clock.advance(TIMEOUT_MS);
   await lastOrder;
-  const heapBytes = measureHeapBytes() - before;
+  const heapBytes = measureHeapBytes() - heapBytesBefore;
   fleet.dispose();
   return heapBytes;
 }
--- a/packages/bench/src/slopes/replicaSlopes.ts
+++ b/packages/bench/src/slopes/replicaSlopes.ts
@@ -64,11 +64,11 @@
     await directEngine.load();
     await proxiedEngine.load();
   }
-  const before = countingProxy.bytes();
+  const bytesBefore = countingProxy.bytes();
   for (let poll = 0; poll < POLL_COUNT; poll++) {
     await proxiedEngine.load();
   }
-  const bytes = countingProxy.bytes() - before;
+  const bytes = countingProxy.bytes() - bytesBefore;
   const cpuBefore = process.cpuUsage();
   for (let poll = 0; poll < POLL_COUNT; poll++) {
     await directEngine.load();
--- a/packages/bench/src/spread.ts
+++ b/packages/bench/src/spread.ts
@@ -207,35 +207,35 @@
 
 async function measureIdle(clock: Clock, fleet: SpreadFleet) {
   const {platform, net, entries} = fleet;
-  const before = {
+  const countersBefore = {
     callCounts: platform.callCounts(),
     traffic: net.totalTraffic(),
   };
   const startMs = clock.now();
   await sleep(clock, IDLE_SECONDS * 1000);
   const seconds = (clock.now() - startMs) / 1000;
-  const after = {
+  const countersAfter = {
     callCounts: platform.callCounts(),
     traffic: net.totalTraffic(),
   };
   const calls =
-    after.callCounts.reads -
-    before.callCounts.reads +
-    after.callCounts.writes -
-    before.callCounts.writes +
-    after.callCounts.watchCalls -
-    before.callCounts.watchCalls;
-  const {openWatches} = after.callCounts;
+    countersAfter.callCounts.reads -
+    countersBefore.callCounts.reads +
+    countersAfter.callCounts.writes -
+    countersBefore.callCounts.writes +
+    countersAfter.callCounts.watchCalls -
+    countersBefore.callCounts.watchCalls;
+  const {openWatches} = countersAfter.callCounts;
   const perEntryPerSecond = (difference: number) =>
     roundToHundredths(difference / seconds / entries.length);
   return {
     openWatches,
     platformCallsPerSecond: roundToHundredths(calls / seconds + openWatches),
     messagesPerEntryPerSecond: perEntryPerSecond(
-      after.traffic.messagesSent - before.traffic.messagesSent,
+      countersAfter.traffic.messagesSent - countersBefore.traffic.messagesSent,
     ),
     bytesPerEntryPerSecond: perEntryPerSecond(
-      after.traffic.bytesSent - before.traffic.bytesSent,
+      countersAfter.traffic.bytesSent - countersBefore.traffic.bytesSent,
     ),
   };
 }
@@ -293,8 +293,8 @@
 }
 
 function median(values: readonly number[]): number {
-  const sorted = [...values].sort((a, b) => a - b);
-  return Math.round(sorted[Math.floor(sorted.length / 2)] ?? 0);
+  const sortedValues = [...values].sort((a, b) => a - b);
+  return Math.round(sortedValues[Math.floor(sortedValues.length / 2)] ?? 0);
 }
 
 function roundToHundredths(value: number): number {
--- a/packages/bench/src/test/hostileCallers.test.ts
+++ b/packages/bench/src/test/hostileCallers.test.ts
@@ -9,7 +9,7 @@
 } from '../processes/trialFleet.js';
 import {waitUntil, waitUntilServing} from '../processes/waitUntilServing.js';
 
-const KEY_HEADERS = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
+const CUSTOMER_AUTH_HEADERS = {authorization: `Bearer ${TRIAL_CUSTOMER_KEY}`};
 const MODEL_PATH = '/v1/chat/completions';
 const MAX_BODY_BYTES = 65_536;
 const HEADER_TIMEOUT_MS = 500;
@@ -24,7 +24,7 @@
 
 function post(
   body: string,
-  headers: Record<string, string> = KEY_HEADERS,
+  headers: Record<string, string> = CUSTOMER_AUTH_HEADERS,
 ): RequestInit {
   return {method: 'POST', headers, body};
 }
@@ -75,14 +75,14 @@
   {
     title: 'a service that does not exist',
     path: '/services/nowhere/x',
-    init: {headers: KEY_HEADERS},
+    init: {headers: CUSTOMER_AUTH_HEADERS},
     status: 404,
     kind: 'unknown-service',
   },
   {
     title: 'a service name of the object prototype',
     path: '/services/__proto__/x',
-    init: {headers: KEY_HEADERS},
+    init: {headers: CUSTOMER_AUTH_HEADERS},
     status: 404,
     kind: 'unknown-service',
   },
@@ -98,21 +98,24 @@
   {
     title: 'an overlong idempotency key',
     path: '/services/booking/bookings',
-    init: post('{}', {...KEY_HEADERS, 'idempotency-key': 'k'.repeat(300)}),
+    init: post('{}', {
+      ...CUSTOMER_AUTH_HEADERS,
+      'idempotency-key': 'k'.repeat(300),
+    }),
     status: 400,
     kind: 'bad-request',
   },
   {
     title: 'a timeout that is not a number',
     path: '/services/booking/availability',
-    init: {headers: {...KEY_HEADERS, 'x-request-timeout-ms': 'soon'}},
+    init: {headers: {...CUSTOMER_AUTH_HEADERS, 'x-request-timeout-ms': 'soon'}},
     status: 400,
     kind: 'bad-request',
   },
   {
     title: 'an unknown path',
     path: '/v2/nothing',
-    init: {headers: KEY_HEADERS},
+    init: {headers: CUSTOMER_AUTH_HEADERS},
     status: 404,
     kind: 'not-found',
   },
@@ -215,7 +218,7 @@
 
   it('still serves after all hostile requests, with no request in flight', async () => {
     const response = await fetch(`${entryUrl}/services/booking/availability`, {
-      headers: KEY_HEADERS,
+      headers: CUSTOMER_AUTH_HEADERS,
     });
     assert.equal(response.status, 200);
     await response.text();
@@ -230,7 +233,7 @@
     for (const path of ['/dump', '/metrics', '/decisions']) {
       assert.equal((await fetch(`${admin}${path}`)).status, 401);
       const wrongKeyResponse = await fetch(`${admin}${path}`, {
-        headers: KEY_HEADERS,
+        headers: CUSTOMER_AUTH_HEADERS,
       });
       assert.equal(wrongKeyResponse.status, 401);
     }
@@ -266,7 +269,7 @@
     );
     await waitUntil('the key is refused', async () => {
       const response = await fetch(`${entryUrl}/v1/entries`, {
-        headers: KEY_HEADERS,
+        headers: CUSTOMER_AUTH_HEADERS,
       });
       await response.text();
       return response.status === 401;
--- a/packages/duties/src/leaseElection.ts
+++ b/packages/duties/src/leaseElection.ts
@@ -48,6 +48,10 @@
   resign(): Promise<void>;
   dump(): {
     readonly state: LeaseElectionState;
+    /**
+     * Fencing token of the held lease, or else of the lease that this process
+     * last read or wrote; 0 if there is none.
+     */
     readonly fencing: number;
     /** Milliseconds until the lease expires; 0 if it is not held. */
     readonly validForMs: number;
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -146,9 +146,10 @@
   }
 
   /**
-   * Counts the running hosts of a service outside the failure domain with the
-   * most of them. This is the demand of an earlier plan without its spare
-   * hosts.
+   * Counts the running hosts of a service, except those in the failure domain
+   * with the most of them. Plans over several domains add spare hosts so that
+   * the demand is met after the loss of any one domain, unless `maxReplicas`
+   * limits them. The count thus estimates the demand of an earlier plan.
    */
   function countRunningHostsWithoutSpares(service: string): number {
     const hostsPerDomain = new Map<string, number>();
--- a/packages/gateway/src/mirrorReader.ts
+++ b/packages/gateway/src/mirrorReader.ts
@@ -31,6 +31,7 @@
   readonly firstListing: Freshness;
 }
 
+/** Reads objects of one kind from the platform and applies them to a mirror. */
 export interface MirrorReader extends Disposable {
   /** Whether this entry reads and its last call succeeded recently. */
   isReading(): boolean;
@@ -55,7 +56,7 @@
 const READ_CHECK_INTERVAL_MS = 200;
 
 /**
- * Starts the reader.
+ * Starts reading from `source` into `mirror`, while `shouldRead` returns true.
  *
  * @example
  * const reader = startMirrorReader({mirror, source, clock, random, log,
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -87,7 +87,11 @@
   digest: Digest;
   /** Latest engine measurements; not every digest contains them. */
   capacity: CapacityStats;
-  /** Sum of the increases; does not fall if a reporter restarts or changes. */
+  /**
+   * Accumulated quota usage of the origin by customer: the sum of the increases
+   * between digests. Unlike the usage in a digest, it does not fall if the
+   * origin's reporter restarts or is replaced.
+   */
   readonly used: Record<string, number>;
 }
 
--- a/packages/protocol/src/messages/moveMessages.ts
+++ b/packages/protocol/src/messages/moveMessages.ts
@@ -41,7 +41,11 @@
   readonly to?: string;
   /** Wall-clock milliseconds at which the candidate first received traffic. */
   readonly startedAt?: number;
-  /** Evidence so far, from which a new holder of the duty continues. */
+  /**
+   * Evidence collected so far on whether the candidate is worse than the
+   * incumbent. A new holder of the duty that decides moves of traffic between
+   * versions continues from it.
+   */
   readonly proof?: readonly RouteProof[];
 }
 
--- a/packages/records/src/test/configuration.fuzz.test.ts
+++ b/packages/records/src/test/configuration.fuzz.test.ts
@@ -42,18 +42,19 @@
 ];
 
 /**
- * Events of a schedule; a handler gets two entry ids and a size from 0 to 1, of
- * which it uses some.
+ * Events of a schedule. A handler gets two entry ids and a random fraction from
+ * 0 to 1, of which it uses some. The fraction scales a fault or a time span, or
+ * selects a write.
  */
 const eventHandlers = {
-  advance: (simulation, _id, _other, size) =>
-    simulation.advance(20 + size * 6000),
-  write(simulation, _id, _other, size) {
-    const [kind, name, value] = pickWrite(size);
+  advance: (simulation, _id, _other, fraction) =>
+    simulation.advance(20 + fraction * 6000),
+  write(simulation, _id, _other, fraction) {
+    const [kind, name, value] = pickWrite(fraction);
     simulation.write(kind, name, value);
   },
-  remove(simulation, _id, _other, size) {
-    const [kind, name] = pickWrite(size);
+  remove(simulation, _id, _other, fraction) {
+    const [kind, name] = pickWrite(fraction);
     simulation.remove(kind, name);
   },
   accept: (simulation, id) => simulation.startAcceptor(id),
@@ -63,9 +64,12 @@
   resume: (simulation, id) => simulation.net.resume(id),
   cut: (simulation, id, other) => simulation.net.partition(id, other),
   healCuts: simulation => simulation.net.healAll(),
-  loss: (simulation, _id, _other, size) => simulation.net.setLoss(size / 2),
-  loseReplies: (simulation, id, _other, size) =>
-    simulation.entries.get(id)?.store.faults.loseReplies(Math.ceil(size * 3)),
+  loss: (simulation, _id, _other, fraction) =>
+    simulation.net.setLoss(fraction / 2),
+  loseReplies: (simulation, id, _other, fraction) =>
+    simulation.entries
+      .get(id)
+      ?.store.faults.loseReplies(Math.ceil(fraction * 3)),
   cutPlatform: (simulation, id) =>
     simulation.entries.get(id)?.store.faults.setDown(true),
   healPlatform: (simulation, id) =>
@@ -74,16 +78,24 @@
     simulation.entries.get(id)?.store.faults.setStallingWatches(true),
   platformDown: simulation => simulation.platform.faults.setDown(true),
   platformUp: simulation => simulation.platform.faults.setDown(false),
-  slow: (simulation, _id, _other, size) =>
-    simulation.platform.faults.setDelay(2 + size * 3000),
+  slow: (simulation, _id, _other, fraction) =>
+    simulation.platform.faults.setDelay(2 + fraction * 3000),
   compact: simulation => simulation.platform.table.compact(),
 } satisfies Record<
   string,
-  (simulation: Simulation, id: string, other: string, size: number) => unknown
+  (
+    simulation: Simulation,
+    id: string,
+    other: string,
+    fraction: number,
+  ) => unknown
 >;
 
-function pickWrite(size: number) {
-  const index = Math.min(writes.length - 1, Math.floor(size * writes.length));
+function pickWrite(fraction: number) {
+  const index = Math.min(
+    writes.length - 1,
+    Math.floor(fraction * writes.length),
+  );
   return writes[index] as (typeof writes)[number];
 }
 
@@ -97,7 +109,7 @@
   ),
   id: fc.constantFrom(...ENTRY_IDS),
   other: fc.constantFrom(...ENTRY_IDS),
-  size: fc.integer({min: 0, max: 100}).map(percent => percent / 100),
+  fraction: fc.integer({min: 0, max: 100}).map(percent => percent / 100),
 });
 
 /**
@@ -166,8 +178,8 @@
           });
           simulation.startAcceptor('a1');
           simulation.startAcceptor('b1');
-          for (const {eventName, id, other, size} of schedule) {
-            await eventHandlers[eventName](simulation, id, other, size);
+          for (const {eventName, id, other, fraction} of schedule) {
+            await eventHandlers[eventName](simulation, id, other, fraction);
           }
           await simulation.heal();
           checkAgreement(simulation);
--- a/packages/routing/src/rateLimits.ts
+++ b/packages/routing/src/rateLimits.ts
@@ -16,7 +16,8 @@
 /** Rate limit from an endpoint's response, as entries gossip it. */
 export interface RateLimitReport {
   /**
-   * Requests per second of all entries; absent if the endpoint set no limit.
+   * Maximum requests per second from all entries together, as set in the
+   * endpoint's responses; absent if they set no limit.
    */
   readonly perSecond?: number;
   /** Milliseconds since the response arrived. */
