--- a/packages/base/src/clock.ts
+++ b/packages/base/src/clock.ts
@@ -59,9 +59,9 @@
  * previous one returns, so calls never overlap.
  *
  * @example
- * store.add(every(clock, 500, sendHeartbeats));
+ * store.add(scheduleRepeatedly(clock, 500, sendHeartbeats));
  */
-export function every(
+export function scheduleRepeatedly(
   clock: Clock,
   intervalMs: number,
   callback: () => void,
--- a/packages/base/src/dumps.ts
+++ b/packages/base/src/dumps.ts
@@ -2,7 +2,7 @@
 import {toDisposable, type Disposable} from './disposables.js';
 
 /** Registry of the dump functions of components, by name. */
-export interface Dumps {
+export interface DumpRegistry {
   add(name: string, dump: () => unknown): Disposable;
   /** Calls all dump functions and returns their results by name. */
   collect(): Record<string, unknown>;
@@ -13,10 +13,10 @@
  * so that the other components are still dumped.
  *
  * @example
- * const dumps = createDumps();
+ * const dumps = createDumpRegistry();
  * dumps.add('router', () => router.dump());
  */
-export function createDumps(): Dumps {
+export function createDumpRegistry(): DumpRegistry {
   const dumpFunctions = new Map<string, () => unknown>();
   return {
     add(name, dump) {
--- a/packages/base/src/test/virtualClock.test.ts
+++ b/packages/base/src/test/virtualClock.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {every, sleep, createVirtualClock} from '../index.js';
+import {scheduleRepeatedly, sleep, createVirtualClock} from '../index.js';
 
 describe('virtual clock', () => {
   it('runs timers in order of their due time', async () => {
@@ -16,7 +16,7 @@
   it('repeats an interval timer until it is disposed', async () => {
     const clock = createVirtualClock();
     let calls = 0;
-    const timer = every(clock, 10, () => (calls += 1));
+    const timer = scheduleRepeatedly(clock, 10, () => (calls += 1));
     await clock.advance(35);
     timer.dispose();
     await clock.advance(100);
--- a/packages/bench/src/engines/engineReplay.ts
+++ b/packages/bench/src/engines/engineReplay.ts
@@ -1,6 +1,6 @@
 /** Replays requests through entries to engines on a virtual clock. */
 import {
-  every,
+  scheduleRepeatedly,
   seededRandom,
   createVirtualClock,
   type Clock,
@@ -173,7 +173,11 @@
     engine.submit(request);
   }
 
-  const digestTimer = every(clock, DIGEST_INTERVAL_MS, exchangeDigests);
+  const digestTimer = scheduleRepeatedly(
+    clock,
+    DIGEST_INTERVAL_MS,
+    exchangeDigests,
+  );
   const saturatingRatePerMs = computeSaturatingRatePerMs(options, kinds);
   const arrivalsPerMs = () =>
     saturatingRatePerMs * options.loadAt(clock.now() / SECOND_MS);
--- a/packages/bench/src/engines/replayEntry.ts
+++ b/packages/bench/src/engines/replayEntry.ts
@@ -130,8 +130,8 @@
       capacity: estimates.model.stats(),
     }),
     acceptDigest(peer, digest) {
-      if (reports.accept(peer, digest) !== undefined) {
-        router.reportEntryLoads(peer, digest.loads);
+      if (reports.acceptDigest(peer, digest) !== undefined) {
+        router.recordEntryLoads(peer, digest.loads);
       }
     },
   };
--- a/packages/bench/src/reclaim/replay.ts
+++ b/packages/bench/src/reclaim/replay.ts
@@ -1,7 +1,7 @@
 /** Replays streams during a reclaim on a virtual clock. */
 import {
   createDecisionLog,
-  every,
+  scheduleRepeatedly,
   seededRandom,
   createSilentLogger,
   toServingError,
@@ -104,7 +104,7 @@
       self: `e${index}`,
     });
     router.setEndpoints(fleet.map(({candidate}) => candidate));
-    every(clock, POLL_MS, () => void pollLoads(router));
+    scheduleRepeatedly(clock, POLL_MS, () => void pollLoads(router));
     const maxAttempts = policy === 'plain' ? 1 : undefined;
     const runner = createStreamRunner({
       clock,
@@ -118,7 +118,7 @@
       const timeoutController = new AbortController();
       clock.after(POLL_MS, () => timeoutController.abort());
       engine.load(timeoutController.signal).then(
-        report => router.reportLoad(candidate.id, report),
+        report => router.recordLoadReport(candidate.id, report),
         () => {},
       );
     }
--- a/packages/bench/src/replay/admissionReplay.ts
+++ b/packages/bench/src/replay/admissionReplay.ts
@@ -1,5 +1,5 @@
 /** Seeded replay of callers, entries with admission gates, and services. */
-import {every, seededRandom} from '@skylarkfield/base';
+import {scheduleRepeatedly, seededRandom} from '@skylarkfield/base';
 import type {Service} from '@skylarkfield/records';
 import {gateFactories, type GateType} from './gates.js';
 import {createReplayClock, type ReplayClock} from './replayClock.js';
@@ -72,7 +72,7 @@
       entryCount: ENTRY_COUNT,
     }),
   );
-  every(clock, REPORT_INTERVAL_MS, () => {
+  scheduleRepeatedly(clock, REPORT_INTERVAL_MS, () => {
     for (const {record, reportedSlots} of options.services) {
       const name = record.name;
       const service = services.get(name) as ReplayService;
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -119,7 +119,7 @@
       }
       return choice;
     },
-    reportLoad: (endpoint, report) => router.reportLoad(endpoint, report),
+    reportLoad: (endpoint, report) => router.recordLoadReport(endpoint, report),
     reportCache: (endpoint, events) =>
       router.applyCacheEvents(endpoint, events),
   };
--- a/packages/bench/src/routing/replay.ts
+++ b/packages/bench/src/routing/replay.ts
@@ -1,6 +1,6 @@
 /** Replays a workload against simulated engines on a virtual clock. */
 import {
-  every,
+  scheduleRepeatedly,
   seededRandom,
   createVirtualClock,
   type Random,
@@ -311,10 +311,10 @@
       }
     }
     clock.after(phaseFraction * LOAD_POLL_MS, () => {
-      every(clock, LOAD_POLL_MS, pollLoad);
+      scheduleRepeatedly(clock, LOAD_POLL_MS, pollLoad);
     });
     clock.after(phaseFraction * CACHE_POLL_MS, () => {
-      every(clock, CACHE_POLL_MS, pollCache);
+      scheduleRepeatedly(clock, CACHE_POLL_MS, pollCache);
     });
   });
 }
--- a/packages/bench/src/slopes/memberSlopes.ts
+++ b/packages/bench/src/slopes/memberSlopes.ts
@@ -210,7 +210,7 @@
       wronglyGone += state === 'gone' ? 1 : 0;
     });
   }
-  cluster.net.setLoss(0.1);
+  cluster.net.setLossProbability(0.1);
   const minutes = 2;
   for (let second = 0; second < minutes * 60; second++) {
     const id = cluster.random.pick([...cluster.members.keys()])!;
--- a/packages/bench/src/spreadFleet.ts
+++ b/packages/bench/src/spreadFleet.ts
@@ -5,10 +5,10 @@
   type Clock,
   type Disposable,
 } from '@skylarkfield/base';
-import {neighboursOf} from '@skylarkfield/members';
+import {neighbourIdsOf} from '@skylarkfield/members';
 import {
   createMemoryPlatform,
-  type MemoryClient,
+  type MemoryObjectStoreClient,
   type MemoryPlatform,
 } from '@skylarkfield/providers';
 import {
@@ -25,7 +25,7 @@
 /** Simulated entry that has only a platform client and its configuration. */
 export interface SpreadEntry {
   readonly id: string;
-  readonly store: MemoryClient;
+  readonly store: MemoryObjectStoreClient;
   readonly configuration: ConfigurationClient;
 }
 
@@ -78,7 +78,7 @@
     return {self, network, store};
   });
   const entries = startedMembers.map(({self, network, store}) => {
-    const neighbours = new Set(neighboursOf(self.id, members));
+    const neighbours = new Set(neighbourIdsOf(self.id, members));
     network.setPeers(peers.filter(peer => neighbours.has(peer.id)));
     network.setAddressBook(peers);
     const configuration = createConfiguration({
--- a/packages/duties/src/test/duties.test.ts
+++ b/packages/duties/src/test/duties.test.ts
@@ -9,7 +9,7 @@
 import {
   createMemoryPlatform,
   type Freshness,
-  type MemoryClient,
+  type MemoryObjectStoreClient,
   type StoredObject,
 } from '@skylarkfield/providers';
 import type {DutyTerm} from '../contracts.js';
@@ -27,7 +27,7 @@
   function start(
     id: string,
     mayHold = () => true,
-    wrapStore = (client: MemoryClient) => client,
+    wrapStore = (client: MemoryObjectStoreClient) => client,
   ) {
     const clock = createPausableClock(commonClock);
     const store = wrapStore(platform.createClient(id, {clock}));
@@ -60,7 +60,9 @@
 /**
  * Makes all `recent` reads of an object return the result of the first read.
  */
-function withStaleReads(client: MemoryClient): MemoryClient {
+function withStaleReads(
+  client: MemoryObjectStoreClient,
+): MemoryObjectStoreClient {
   const firstReads = new Map<string, StoredObject | undefined>();
   return {
     ...client,
--- a/packages/duties/src/test/dutySimulation.ts
+++ b/packages/duties/src/test/dutySimulation.ts
@@ -7,14 +7,17 @@
   createVirtualClock,
   type PausableClock,
 } from '@skylarkfield/base';
-import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
+import {
+  createMemoryPlatform,
+  type MemoryObjectStoreClient,
+} from '@skylarkfield/providers';
 import type {DutyElections, DutyTerm} from '../contracts.js';
 import {createDutyElections} from '../duties.js';
 
 export interface SimulatedProcess {
   readonly id: string;
   readonly clock: PausableClock;
-  readonly store: MemoryClient;
+  readonly store: MemoryObjectStoreClient;
   readonly dutyElections: DutyElections;
 }
 
--- a/packages/endpoints/src/contracts.ts
+++ b/packages/endpoints/src/contracts.ts
@@ -116,7 +116,7 @@
    * Returns the version, adapters and role that the endpoint runs; a new lease
    * holder reads them again.
    */
-  readRunning(signal?: AbortSignal): Promise<{
+  readRunningState(signal?: AbortSignal): Promise<{
     readonly version: string;
     readonly adapters: readonly string[];
     readonly role: string;
--- a/packages/endpoints/src/engineSchemas.ts
+++ b/packages/endpoints/src/engineSchemas.ts
@@ -29,7 +29,7 @@
   bytes: nonNegativeInteger,
 });
 
-export const runningSchema = z.object({
+export const runningStateSchema = z.object({
   version: z.string(),
   adapters: z.array(z.string()),
   role: z.string(),
--- a/packages/endpoints/src/httpEngine.ts
+++ b/packages/endpoints/src/httpEngine.ts
@@ -15,7 +15,7 @@
   loadReportSchema,
   parseGenerationEvent,
   errorResponseSchema,
-  runningSchema,
+  runningStateSchema,
 } from './engineSchemas.js';
 import {toRequestError} from './requestErrors.js';
 
@@ -135,8 +135,8 @@
     async sendCommand(command, signal) {
       await call('POST', '/v1/order', ignoredResponseSchema, command, signal);
     },
-    readRunning: signal =>
-      call('GET', '/v1/running', runningSchema, undefined, signal),
+    readRunningState: signal =>
+      call('GET', '/v1/running', runningStateSchema, undefined, signal),
     dispose() {
       void pool.destroy();
     },
--- a/packages/entry/src/admin/adminServer.ts
+++ b/packages/entry/src/admin/adminServer.ts
@@ -5,7 +5,7 @@
   ServingError,
   toServingError,
   type DecisionLog,
-  type Dumps,
+  type DumpRegistry,
   type Metrics,
 } from '@skylarkfield/base';
 import {isSameKey} from '@skylarkfield/protocol';
@@ -16,7 +16,7 @@
 interface AdminServerOptions {
   readonly server: HttpServer;
   readonly key: string;
-  readonly dumps: Dumps;
+  readonly dumps: DumpRegistry;
   readonly decisions: DecisionLog;
   readonly metrics: Metrics;
 }
--- a/packages/entry/src/components/endpointPolling.ts
+++ b/packages/entry/src/components/endpointPolling.ts
@@ -53,11 +53,11 @@
     try {
       const report = await client?.load(signal);
       if (report !== undefined) {
-        router.reportLoad(id, report);
+        router.recordLoadReport(id, report);
       }
     } catch (error) {
       if (isServingError(error, 'endpoint-unavailable')) {
-        router.reportUnreachable(id);
+        router.recordUnreachable(id);
       }
       throw error;
     }
--- a/packages/entry/src/components/fleetComponent.ts
+++ b/packages/entry/src/components/fleetComponent.ts
@@ -1,7 +1,7 @@
 /** Fleet duty of this entry: host scaling and endpoint repair. */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   type Disposable,
 } from '@skylarkfield/base';
 import {createCommandGate, type DutyElections} from '@skylarkfield/duties';
@@ -66,7 +66,9 @@
       }),
     });
     let isRepairing = false;
-    disposables.add(every(clock, REPAIR_INTERVAL_MS, () => void runRepair()));
+    disposables.add(
+      scheduleRepeatedly(clock, REPAIR_INTERVAL_MS, () => void runRepair()),
+    );
     disposables.add(dumps.add('fleet', () => duty.dump()));
     return disposables;
 
--- a/packages/entry/src/components/leavingComponent.ts
+++ b/packages/entry/src/components/leavingComponent.ts
@@ -1,7 +1,7 @@
 /** Tracking of leaving endpoints, and a host list that marks them. */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   type Disposable,
 } from '@skylarkfield/base';
 import {
@@ -50,7 +50,7 @@
     }),
   );
   disposables.add(
-    every(clock, READER_CHECK_INTERVAL_MS, () =>
+    scheduleRepeatedly(clock, READER_CHECK_INTERVAL_MS, () =>
       tracker.setIsNoticeReader(
         isReader(membership.liveMembers(), membership.self, 'notices'),
       ),
--- a/packages/entry/src/components/loadReportAggregator.ts
+++ b/packages/entry/src/components/loadReportAggregator.ts
@@ -1,6 +1,10 @@
 /** Aggregates endpoints' load reports for admission and the fleet duty. */
 import type {AdmissionController} from '@skylarkfield/admission';
-import {every, type Clock, type Disposable} from '@skylarkfield/base';
+import {
+  scheduleRepeatedly,
+  type Clock,
+  type Disposable,
+} from '@skylarkfield/base';
 import type {LoadReport} from '@skylarkfield/endpoints';
 import type {Configuration} from '@skylarkfield/records';
 import type {Router} from '@skylarkfield/routing';
@@ -38,7 +42,7 @@
 }
 
 export interface LoadReportAggregator {
-  /** Router that forwards all calls and records the reports of `reportLoad`. */
+  /** Router that forwards all calls and records the reports of `recordLoadReport`. */
   readonly router: Router;
   /** Returns the latest fresh reports of a service's endpoints. */
   freshReports(service: string): readonly LoadReport[];
@@ -134,15 +138,17 @@
   return {
     router: {
       ...router,
-      reportLoad(id, report) {
+      recordLoadReport(id, report) {
         reports.set(id, {report, receivedAt: clock.now()});
-        router.reportLoad(id, report);
+        router.recordLoadReport(id, report);
       },
     },
     freshReports: freshReportsOf,
     start(endpoints) {
       pool = endpoints;
-      return every(clock, PUBLISH_INTERVAL_MS, () => publishLoad(endpoints));
+      return scheduleRepeatedly(clock, PUBLISH_INTERVAL_MS, () =>
+        publishLoad(endpoints),
+      );
     },
   };
 }
--- a/packages/entry/src/components/movesComponent.ts
+++ b/packages/entry/src/components/movesComponent.ts
@@ -1,7 +1,7 @@
 /** Version moves of this entry: traffic split, move follower and move duty. */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   type Disposable,
 } from '@skylarkfield/base';
 import type {DutyElections} from '@skylarkfield/duties';
@@ -84,7 +84,11 @@
     }),
   );
   disposables.add(
-    every(clock, AVAILABILITY_UPDATE_INTERVAL_MS, updateAvailableVersions),
+    scheduleRepeatedly(
+      clock,
+      AVAILABILITY_UPDATE_INTERVAL_MS,
+      updateAvailableVersions,
+    ),
   );
   disposables.add(
     duties.compete('moves', term =>
--- a/packages/entry/src/components/peerFallbackHostList.ts
+++ b/packages/entry/src/components/peerFallbackHostList.ts
@@ -1,7 +1,7 @@
 /** Host list of the platform, or of a peer until the platform responds. */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   toDisposable,
   type Clock,
   type Disposable,
@@ -70,7 +70,11 @@
     })),
   );
   const requestTimer = disposables.add(
-    every(clock, PEER_REQUEST_INTERVAL_MS, () => void requestListFromPeer()),
+    scheduleRepeatedly(
+      clock,
+      PEER_REQUEST_INTERVAL_MS,
+      () => void requestListFromPeer(),
+    ),
   );
   disposables.add(toDisposable(() => (currentList = undefined)));
   return disposables;
--- a/packages/entry/src/components/platformComponent.ts
+++ b/packages/entry/src/components/platformComponent.ts
@@ -6,13 +6,13 @@
   createHttpWeightStore,
   type Cloud,
   type HostList,
-  type ObjectClient,
+  type ObjectStoreClient,
   type WeightStore,
 } from '@skylarkfield/providers';
 import type {EntryContext} from '../context.js';
 
 export interface PlatformComponent {
-  readonly objectStore: ObjectClient;
+  readonly objectStore: ObjectStoreClient;
   readonly cloud: Cloud;
   readonly hostList: HostList;
   readonly weightStore: WeightStore;
--- a/packages/entry/src/context.ts
+++ b/packages/entry/src/context.ts
@@ -2,7 +2,7 @@
 import type {
   Clock,
   DecisionLog,
-  Dumps,
+  DumpRegistry,
   Logger,
   Meter,
   Random,
@@ -16,5 +16,5 @@
   readonly log: Logger;
   readonly decisions: DecisionLog;
   readonly meter: Meter;
-  readonly dumps: Dumps;
+  readonly dumps: DumpRegistry;
 }
--- a/packages/entry/src/entryProcess.ts
+++ b/packages/entry/src/entryProcess.ts
@@ -1,7 +1,7 @@
 /** An entry process: its ports, startup order and graceful shutdown. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {
-  createDumps,
+  createDumpRegistry,
   createInFlightCounter,
   createLogger,
   createMetrics,
@@ -227,7 +227,7 @@
 ): EntryContext {
   const clock = systemClock();
   const log = createLogger(settings.log.level, {entry: settings.id});
-  const dumps = createDumps();
+  const dumps = createDumpRegistry();
   const decisions = createDecisionLog(clock, log);
   dumps.add('decisions', () => decisions.list());
   return {
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -5,7 +5,7 @@
 import type {AddressInfo} from 'node:net';
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   ServingError,
   toDisposable,
   type Clock,
@@ -155,7 +155,7 @@
   log: Logger,
 ): Disposable {
   let loadedModificationTimes = readModificationTimes(files);
-  return every(clock, CERTIFICATE_CHECK_INTERVAL_MS, () => {
+  return scheduleRepeatedly(clock, CERTIFICATE_CHECK_INTERVAL_MS, () => {
     const currentModificationTimes = readModificationTimes(files);
     if (currentModificationTimes === loadedModificationTimes) {
       return;
--- a/packages/entry/src/test/loadReportAggregator.test.ts
+++ b/packages/entry/src/test/loadReportAggregator.test.ts
@@ -23,7 +23,7 @@
     assignedEndpoints: () =>
       ids.slice(0, polledCount).map(id => ({id}) as never),
     slots: () => listedCount * 8,
-    reportLoad: () => {},
+    recordLoadReport: () => {},
   };
   const admission: Partial<AdmissionController> = {
     recordReportedSlots: (_service, _slots, busySlots) =>
@@ -47,7 +47,7 @@
     get: () => undefined,
   });
   for (const id of ids.slice(0, reportingCount)) {
-    aggregator.router.reportLoad(id, {
+    aggregator.router.recordLoadReport(id, {
       sequence: 1,
       running: 3,
       waiting: 1,
--- a/packages/fleet/src/capacityPools.ts
+++ b/packages/fleet/src/capacityPools.ts
@@ -17,7 +17,7 @@
    * Decays older observations, and adds the time since the last call for each
    * running reclaimable host to the host hours of its pool; called every round.
    */
-  observe(hosts: readonly Host[]): void;
+  recordHosts(hosts: readonly Host[]): void;
   recordReclaim(failureDomain: string, machineClass: string): void;
   recordRejection(
     failureDomain: string,
@@ -29,7 +29,7 @@
     machineClass: string,
     market: Market,
   ): void;
-  list(): readonly CapacityPool[];
+  listPools(): readonly CapacityPool[];
 }
 
 interface PoolStats {
@@ -85,7 +85,7 @@
   }
 
   return {
-    observe(hosts) {
+    recordHosts(hosts) {
       const elapsedMs = clock.now() - lastObservedAt;
       lastObservedAt = clock.now();
       decayObservations(elapsedMs);
@@ -113,7 +113,7 @@
     recordStart(failureDomain, machineClass, market) {
       getOrCreatePool(failureDomain, machineClass).rejections.delete(market);
     },
-    list: () =>
+    listPools: () =>
       [...pools.values()].map(pool => ({
         failureDomain: pool.failureDomain,
         machineClass: pool.machineClass,
--- a/packages/fleet/src/endpointRepair.ts
+++ b/packages/fleet/src/endpointRepair.ts
@@ -122,7 +122,7 @@
     endpoint: ManagedEndpoint,
   ): Promise<string | undefined> {
     try {
-      return (await endpoint.engine.readRunning(term.signal)).version;
+      return (await endpoint.engine.readRunningState(term.signal)).version;
     } catch {
       // Routing handles endpoints that do not respond; a reload would not help.
       return undefined;
--- a/packages/fleet/src/fleetDuty.ts
+++ b/packages/fleet/src/fleetDuty.ts
@@ -1,7 +1,7 @@
 /** Fleet duty: its holder starts and stops hosts according to host plans. */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   isServingError,
   toDisposable,
   toServingError,
@@ -71,7 +71,9 @@
   let startSequence = 0;
   let isReconciling = false;
 
-  disposables.add(every(clock, RECONCILE_INTERVAL_MS, () => void reconcile()));
+  disposables.add(
+    scheduleRepeatedly(clock, RECONCILE_INTERVAL_MS, () => void reconcile()),
+  );
   disposables.add(
     cloud.watchNotices(notice => {
       const host = hosts.find(item => item.id === notice.host);
@@ -92,7 +94,7 @@
       plans: [...plans].map(([service, plan]) => ({service, ...plan})),
       hosts,
       openStarts: unconfirmedStarts.length,
-      supplies: capacityPools.list().map(pool => ({
+      supplies: capacityPools.listPools().map(pool => ({
         ...pool,
         isRefused: {
           reclaimable: pool.isRefused('reclaimable'),
@@ -127,7 +129,7 @@
     }
     const offers = await cloud.listOffers(term.signal);
     hosts = await cloud.listHosts(term.signal);
-    capacityPools.observe(hosts);
+    capacityPools.recordHosts(hosts);
     plans = new Map(
       managedServices.map(service => {
         const demand = demandEstimator.updateDemand(
@@ -135,7 +137,7 @@
           options.reports(service.name),
           countRunningHostsWithoutSpares(service.name),
         );
-        return [service.name, plan(demand, offers, capacityPools.list())];
+        return [service.name, plan(demand, offers, capacityPools.listPools())];
       }),
     );
     await retryUnconfirmedStarts();
@@ -197,7 +199,7 @@
   /** Returns whether a start is in backoff; rejections in this round count. */
   function isInBackoff(action: UnconfirmedStart['action']): boolean {
     return capacityPools
-      .list()
+      .listPools()
       .some(
         pool =>
           pool.failureDomain === action.failureDomain &&
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -2,7 +2,7 @@
 import type {
   Clock,
   DecisionLog,
-  Dumps,
+  DumpRegistry,
   InFlightCounter,
   Logger,
   ProcessLifecycle,
@@ -25,7 +25,7 @@
   readonly random: Random;
   readonly log: Logger;
   readonly decisions: DecisionLog;
-  readonly dumps: Dumps;
+  readonly dumps: DumpRegistry;
   readonly metrics: RequestMetrics;
   readonly lifecycle: ProcessLifecycle;
   readonly inFlight: InFlightCounter;
--- a/packages/gateway/src/contracts.ts
+++ b/packages/gateway/src/contracts.ts
@@ -44,11 +44,11 @@
   readonly urgency: number | undefined;
   readonly lastEventId: string | undefined;
   /** KV cache from which the endpoint resumes the request, if migrated. */
-  readonly kvCache: KvCacheRef | undefined;
+  readonly kvCache: KvCacheReference | undefined;
 }
 
 /** Reference to the KV cache of a request that was migrated between engines. */
-export interface KvCacheRef {
+export interface KvCacheReference {
   /** `IP:port` of the engine that ran the request before the migration. */
   readonly source: string;
   /** Id of the KV cache at the source engine. */
@@ -58,11 +58,11 @@
 /** Result of migrating a request. */
 export type MigrationResult =
   /** The request was stopped and its KV cache copied to the target. */
-  | {readonly type: 'moved'; readonly kvCache: KvCacheRef}
+  | {readonly type: 'moved'; readonly kvCache: KvCacheReference}
   /**
    * The request was stopped, but its KV cache was not copied from the source.
    */
-  | {readonly type: 'stopped'; readonly kvCache: KvCacheRef}
+  | {readonly type: 'stopped'; readonly kvCache: KvCacheReference}
   /** The request still runs at its source, or has already ended. */
   | {readonly type: 'refused'}
   /** The call failed, so it is unknown whether the request still runs. */
@@ -219,11 +219,11 @@
 export interface Platform {
   readonly callFormat: CallFormat;
   readonly lookupFormat: LookupFormat;
-  readonly policy: ObjectSource<TrafficPolicy>;
-  readonly endpoints: ObjectSource<RegisteredEndpoint>;
-  readonly rollouts: ObjectSource<Rollout>;
+  readonly policySource: ObjectSource<TrafficPolicy>;
+  readonly endpointSource: ObjectSource<RegisteredEndpoint>;
+  readonly rolloutSource: ObjectSource<Rollout>;
   /** Objects that the gateway writes: members, leases, usage, crashes. */
-  readonly objects: ObjectTransport;
+  readonly objectTransport: ObjectTransport;
   /**
    * Returns the objects of one kind in `objects` as a source; `read` decodes a
    * value and throws if the value is invalid.
--- a/packages/gateway/src/coordination.ts
+++ b/packages/gateway/src/coordination.ts
@@ -70,7 +70,7 @@
   await network.listen(settings.inner);
   const store = disposables.add(
     createObjectStore({
-      transport: platform.objects,
+      transport: platform.objectTransport,
       clock,
       random,
       writer: settings.id,
--- a/packages/gateway/src/crashPersistence.ts
+++ b/packages/gateway/src/crashPersistence.ts
@@ -7,7 +7,7 @@
  */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   toServingError,
   type Clock,
   type Disposable,
@@ -197,7 +197,9 @@
     isDirty = true;
     void flush();
   });
-  disposables.add(every(clock, CLEANUP_INTERVAL_MS, removeExpired));
+  disposables.add(
+    scheduleRepeatedly(clock, CLEANUP_INTERVAL_MS, removeExpired),
+  );
   disposables.add({dispose: () => (isDisposed = true)});
   return disposables;
 }
--- a/packages/gateway/src/digests.ts
+++ b/packages/gateway/src/digests.ts
@@ -4,7 +4,7 @@
  */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   type Clock,
   type Disposable,
 } from '@skylarkfield/base';
@@ -204,7 +204,7 @@
   }
 
   disposables.add(network.addHandler('digest', receiveDigest));
-  disposables.add(every(clock, DIGEST_INTERVAL_MS, sendDigests));
+  disposables.add(scheduleRepeatedly(clock, DIGEST_INTERVAL_MS, sendDigests));
   return {
     commonWallMs() {
       const offsets = [
--- a/packages/gateway/src/engineCapacityStore.ts
+++ b/packages/gateway/src/engineCapacityStore.ts
@@ -6,7 +6,7 @@
  * served, scaling and routing would use prior estimates only.
  */
 import {
-  every,
+  scheduleRepeatedly,
   toServingError,
   type Clock,
   type Disposable,
@@ -166,7 +166,7 @@
       );
     },
     startPersisting: stats =>
-      every(clock, WRITE_INTERVAL_MS, () => void write(stats())),
+      scheduleRepeatedly(clock, WRITE_INTERVAL_MS, () => void write(stats())),
     dispose() {
       isDisposed = true;
     },
--- a/packages/gateway/src/engineEstimates.ts
+++ b/packages/gateway/src/engineEstimates.ts
@@ -156,7 +156,7 @@
 
   function workRate(service: string): WorkRate {
     const ownRate = work.rates()[service] ?? ZERO_WORK;
-    return addWork(ownRate, reports.workOf(service));
+    return addWork(ownRate, reports.peerWorkRate(service));
   }
 
   function lateFraction(service: string): number {
--- a/packages/gateway/src/fleetDuty.ts
+++ b/packages/gateway/src/fleetDuty.ts
@@ -1,6 +1,6 @@
 /** Scales each service's endpoints to its demand while the duty is held. */
 import {
-  every,
+  scheduleRepeatedly,
   toServingError,
   type Clock,
   type Disposable,
@@ -354,5 +354,9 @@
     }
   }
 
-  return every(clock, PLAN_INTERVAL_MS, () => void scaleAllServices());
+  return scheduleRepeatedly(
+    clock,
+    PLAN_INTERVAL_MS,
+    () => void scaleAllServices(),
+  );
 }
--- a/packages/gateway/src/forwarding.ts
+++ b/packages/gateway/src/forwarding.ts
@@ -260,7 +260,7 @@
       return;
     }
     loadReportCount += 1;
-    router.reportLoad(endpoint, {
+    router.recordLoadReport(endpoint, {
       sequence: loadReportCount,
       ...load,
       waitingPromptTokens: 0,
--- a/packages/gateway/src/gatewayProcess.ts
+++ b/packages/gateway/src/gatewayProcess.ts
@@ -1,6 +1,6 @@
 /** Startup and graceful shutdown of a gateway process. */
 import {
-  createDumps,
+  createDumpRegistry,
   createInFlightCounter,
   createLogger,
   createMetrics,
@@ -103,7 +103,7 @@
     random: processRandom(),
     log,
     decisions: createDecisionLog(clock, log),
-    dumps: createDumps(),
+    dumps: createDumpRegistry(),
     metrics: createRequestMetrics(() => createMetrics('skylarkfield'), log),
     lifecycle: createProcessLifecycle(),
     inFlight: createInFlightCounter(clock),
--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -60,7 +60,7 @@
 
 export interface PeerReports {
   /** Applies a digest; undefined if its origin has another active reporter. */
-  accept(peer: string, digest: Digest): AcceptedReport | undefined;
+  acceptDigest(peer: string, digest: Digest): AcceptedReport | undefined;
   /**
    * Returns this entry's report combined with the reports of all origins from
    * which the receiver gets no other reports.
@@ -71,9 +71,9 @@
     ownReport: AggregateReport,
   ): AggregateReport;
   /** Returns the number of other entries whose reports are not overdue. */
-  visiblePeers(): number;
+  visiblePeerCount(): number;
   /** Returns the work rate of a service, summed over the reports of peers. */
-  workOf(service: string): WorkRate;
+  peerWorkRate(service: string): WorkRate;
   /** Returns the engine measurements of each origin. */
   capacity(): readonly CapacityStats[];
   /** Returns the counts of all and of late requests, for each origin. */
@@ -114,7 +114,7 @@
  *
  * @example
  * const accepted = reports.accept('a2', digest);
- * if (accepted) { quotas.addPeerUsage(accepted.increase); }
+ * if (accepted) { quotas.recordPeerUsage(accepted.increase); }
  */
 export function createPeerReports(options: {
   readonly clock: Clock;
@@ -209,7 +209,7 @@
   }
 
   return {
-    accept(peer, digest) {
+    acceptDigest(peer, digest) {
       const originName = originOf(peer, digest);
       const increase = recordUsageIncrease(peer, digest);
       const origin = origins.get(originName);
@@ -271,11 +271,11 @@
         capacity: addCapacityStats([ownReport.capacity, ...freshCapacities]),
       };
     },
-    visiblePeers: () =>
+    visiblePeerCount: () =>
       [...origins.values()]
         .filter(origin => !isOverdue(origin))
         .reduce((sum, {digest}) => sum + (digest.entries ?? 1), 0),
-    workOf: service =>
+    peerWorkRate: service =>
       freshOrigins().reduce(
         (sum, {digest}) => addWork(sum, digest.work[service] ?? ZERO_WORK),
         ZERO_WORK,
--- a/packages/gateway/src/peerVisibility.ts
+++ b/packages/gateway/src/peerVisibility.ts
@@ -37,7 +37,7 @@
 export function createPeerVisibility(options: {
   readonly clock: Clock;
   readonly membership: {entryCount(): number | undefined};
-  readonly reports: {visiblePeers(): number};
+  readonly reports: {visiblePeerCount(): number};
   /**
    * Called with the fraction of peers that report, 0 to 1, and the number of
    * entries, including this one.
@@ -52,7 +52,7 @@
   function refresh(): void {
     refreshedAt = clock.now();
     const peerCount = (membership.entryCount() ?? 1) - 1;
-    const visibleCount = reports.visiblePeers();
+    const visibleCount = reports.visiblePeerCount();
     const visibleFraction =
       peerCount <= 0 ? 1 : Math.min(1, visibleCount / peerCount);
     options.onDidRefresh(visibleFraction, peerCount + 1);
--- a/packages/gateway/src/platformView.ts
+++ b/packages/gateway/src/platformView.ts
@@ -238,9 +238,9 @@
   disposables.add(
     network.addHandler('mirrorWanted', (_, {kind}) => mirrors[kind].copy()),
   );
-  startReader(mirrors.policy, platform.policy);
-  startReader(mirrors.endpoints, platform.endpoints);
-  startReader(mirrors.rollouts, platform.rollouts);
+  startReader(mirrors.policy, platform.policySource);
+  startReader(mirrors.endpoints, platform.endpointSource);
+  startReader(mirrors.rollouts, platform.rolloutSource);
   startReader(mirrors.crashes, options.crashReports);
 
   return {
--- a/packages/gateway/src/rolloutController.ts
+++ b/packages/gateway/src/rolloutController.ts
@@ -1,7 +1,7 @@
 /** Splits traffic between versions during rollouts; publishes their state. */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   toServingError,
   type Disposable,
 } from '@skylarkfield/base';
@@ -204,7 +204,9 @@
       controller: moveController,
     }),
   );
-  disposables.add(every(clock, AVAILABILITY_INTERVAL_MS, updateAvailability));
+  disposables.add(
+    scheduleRepeatedly(clock, AVAILABILITY_INTERVAL_MS, updateAvailability),
+  );
   disposables.add(
     dutyElections.compete('moves', term =>
       createMoveDuty({
--- a/packages/gateway/src/statusPages.ts
+++ b/packages/gateway/src/statusPages.ts
@@ -1,13 +1,13 @@
 /**
  * Pages of the status port: metrics, state dump and decision log for operators.
  */
-import type {DecisionLog, Dumps} from '@skylarkfield/base';
+import type {DecisionLog, DumpRegistry} from '@skylarkfield/base';
 import type {RequestHandler} from './listeners.js';
 import type {RequestMetrics} from './requestMetrics.js';
 
 interface StatusSources {
   readonly metrics: RequestMetrics;
-  readonly dumps: Dumps;
+  readonly dumps: DumpRegistry;
   readonly decisions: DecisionLog;
 }
 
--- a/packages/gateway/src/streamMigration.ts
+++ b/packages/gateway/src/streamMigration.ts
@@ -13,13 +13,13 @@
   type Logger,
 } from '@skylarkfield/base';
 import type {Choice} from '@skylarkfield/routing';
-import type {RequestMigrator, KvCacheRef} from './contracts.js';
+import type {RequestMigrator, KvCacheReference} from './contracts.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
 /** Target of a migrated stream. */
 export interface Continuation {
   readonly choice: Choice;
-  readonly kvCache: KvCacheRef;
+  readonly kvCache: KvCacheReference;
 }
 
 /** A stream while it runs at one endpoint. */
--- a/packages/gateway/src/test/peerVisibility.test.ts
+++ b/packages/gateway/src/test/peerVisibility.test.ts
@@ -14,7 +14,7 @@
   const visibility = createPeerVisibility({
     clock,
     membership: {entryCount: () => peers.entryCount},
-    reports: {visiblePeers: () => peers.visible},
+    reports: {visiblePeerCount: () => peers.visible},
     onDidRefresh: (visibleFraction, entryCount) => {
       lastRefresh = [visibleFraction, entryCount];
     },
--- a/packages/gateway/src/test/quotaPartition.test.ts
+++ b/packages/gateway/src/test/quotaPartition.test.ts
@@ -86,8 +86,11 @@
         const isReached =
           !isPartitioned || sender.index % 2 === receiver.index % 2;
         if (receiver !== sender && isReached) {
-          const acceptedReport = receiver.reports.accept(sender.id, digest);
-          receiver.quotas.addPeerUsage(acceptedReport?.increase ?? {});
+          const acceptedReport = receiver.reports.acceptDigest(
+            sender.id,
+            digest,
+          );
+          receiver.quotas.recordPeerUsage(acceptedReport?.increase ?? {});
         }
       }
     }
--- a/packages/gateway/src/test/relays.test.ts
+++ b/packages/gateway/src/test/relays.test.ts
@@ -129,7 +129,10 @@
     for (const {request} of digest.crashes?.crashes ?? []) {
       receiver.receivedCrashes.add(request);
     }
-    const acceptedReport = receiver.reports.accept(sender.node.id, digest);
+    const acceptedReport = receiver.reports.acceptDigest(
+      sender.node.id,
+      digest,
+    );
     if (acceptedReport !== undefined) {
       const used = receiver.usedByOthers.get(acceptedReport.origin) ?? 0;
       receiver.usedByOthers.set(
@@ -226,8 +229,8 @@
     fleet.runRounds(5);
     for (const [id, entry] of fleet.entries) {
       const {coordinatorIds, relayIds} = planRelays(entry.node, nodes);
-      assert.equal(entry.reports.visiblePeers(), 76, id);
-      assert.equal(entry.reports.workOf('chat').ownTokens, 76 * 5, id);
+      assert.equal(entry.reports.visiblePeerCount(), 76, id);
+      assert.equal(entry.reports.peerWorkRate('chat').ownTokens, 76 * 5, id);
       assert.equal(usedByOthersTotal(entry), 76 * 10, id);
       if (relayIds.length === 0) {
         assert.ok(coordinatorIds.includes(id));
@@ -256,7 +259,10 @@
     fleet.runRounds(5);
     const receivedUsage = usedByOthersTotal(fleet.entries.get(nonRelay.id)!);
     assert.equal(receivedUsage, 39 * 10 + 38);
-    assert.equal(fleet.entries.get(nonRelay.id)!.reports.visiblePeers(), 38);
+    assert.equal(
+      fleet.entries.get(nonRelay.id)!.reports.visiblePeerCount(),
+      38,
+    );
   });
 
   it('charges a customer for its usage at other entries', () => {
@@ -280,8 +286,8 @@
         ...fleet.digestFrom('entry-1', 'entry-0'),
         used: {chain: used},
       };
-      const acceptedReport = reports.accept('entry-1', digest)!;
-      quotas.addPeerUsage(acceptedReport.increase);
+      const acceptedReport = reports.acceptDigest('entry-1', digest)!;
+      quotas.recordPeerUsage(acceptedReport.increase);
     }
     assert.ok(!quotas.tryConsume(customer, 1));
   });
--- a/packages/gateway/src/trafficPipeline.ts
+++ b/packages/gateway/src/trafficPipeline.ts
@@ -245,10 +245,10 @@
         }
         platformView.recordSyncStatuses(peer, digest.mirrors, timestamp);
         recordUsage(peer, digest);
-        const acceptedReport = peerReports.accept(peer, digest);
+        const acceptedReport = peerReports.acceptDigest(peer, digest);
         if (acceptedReport !== undefined) {
-          quotas.addPeerUsage(acceptedReport.increase);
-          router.reportEntryLoads(acceptedReport.origin, digest.loads);
+          quotas.recordPeerUsage(acceptedReport.increase);
+          router.recordEntryLoads(acceptedReport.origin, digest.loads);
         }
       },
     }),
--- a/packages/gateway/src/usageDuty.ts
+++ b/packages/gateway/src/usageDuty.ts
@@ -8,7 +8,7 @@
  * the same counts again.
  */
 import {
-  every,
+  scheduleRepeatedly,
   isServingError,
   toServingError,
   type Clock,
@@ -162,5 +162,9 @@
     }
   }
 
-  return every(clock, CHECK_INTERVAL_MS, () => void reportDueWindow());
+  return scheduleRepeatedly(
+    clock,
+    CHECK_INTERVAL_MS,
+    () => void reportDueWindow(),
+  );
 }
--- a/packages/members/src/leavingEndpointTracker.ts
+++ b/packages/members/src/leavingEndpointTracker.ts
@@ -8,7 +8,7 @@
 import {
   createDisposableStore,
   createEmitter,
-  every,
+  scheduleRepeatedly,
   type Clock,
   type DecisionLog,
   type Disposable,
@@ -413,7 +413,7 @@
     }),
   );
   disposables.add(options.hostList.watch(handleHostList));
-  disposables.add(every(clock, EXPIRY_INTERVAL_MS, expireHosts));
+  disposables.add(scheduleRepeatedly(clock, EXPIRY_INTERVAL_MS, expireHosts));
   setIsNoticeReader(true);
 
   return {
--- a/packages/members/src/membership.ts
+++ b/packages/members/src/membership.ts
@@ -2,7 +2,7 @@
 import {
   createDisposableStore,
   createEmitter,
-  every,
+  scheduleRepeatedly,
   type Clock,
   type DecisionLog,
   type Logger,
@@ -258,7 +258,9 @@
   disposables.add(
     clock.after(random.next() * timing.heartbeatIntervalMs, () => {
       tick();
-      disposables.add(every(clock, timing.heartbeatIntervalMs, tick));
+      disposables.add(
+        scheduleRepeatedly(clock, timing.heartbeatIntervalMs, tick),
+      );
     }),
   );
   const startedAt = clock.now();
--- a/packages/members/src/neighbours.ts
+++ b/packages/members/src/neighbours.ts
@@ -30,9 +30,9 @@
  * domains, which detect the loss.
  *
  * @example
- * const ids = neighboursOf('a1', members);
+ * const ids = neighbourIdsOf('a1', members);
  */
-export function neighboursOf(
+export function neighbourIdsOf(
   self: string,
   members: readonly NeighbourCandidate[],
 ): string[] {
--- a/packages/members/src/peerDirectory.ts
+++ b/packages/members/src/peerDirectory.ts
@@ -4,7 +4,7 @@
  */
 import type {MemberUpdate, PeerNetwork} from '@skylarkfield/protocol';
 import type {KnownMember, MemberTable} from './memberTable.js';
-import {neighboursOf} from './neighbours.js';
+import {neighbourIdsOf} from './neighbours.js';
 
 /** Neighbours and peer addresses, derived from the member table. */
 export interface PeerDirectory {
@@ -72,7 +72,7 @@
       const members = table
         .presentMembers()
         .map(knownMember => knownMember.update);
-      neighbourIds = neighboursOf(localUpdate.id, [localUpdate, ...members]);
+      neighbourIds = neighbourIdsOf(localUpdate.id, [localUpdate, ...members]);
       updateNetwork();
     },
     addContact(id, url) {
--- a/packages/members/src/test/membership.fuzz.test.ts
+++ b/packages/members/src/test/membership.fuzz.test.ts
@@ -125,7 +125,8 @@
   },
   healAll: cluster => cluster.net.healAll(),
   platform: (cluster, _, {isDown}) => cluster.platform.faults.setDown(isDown),
-  loss: (cluster, _, {probability}) => cluster.net.setLoss(probability),
+  loss: (cluster, _, {probability}) =>
+    cluster.net.setLossProbability(probability),
   wait: (cluster, _, {ms}) => cluster.clock.advance(ms),
 } satisfies Handlers as Handlers;
 
@@ -156,7 +157,7 @@
 async function repairAndSettle(cluster: Cluster, oracle: Oracle) {
   [...oracle.pausedAtById.keys()].forEach(id => resume(cluster, oracle, id));
   cluster.net.healAll();
-  cluster.net.setLoss(0);
+  cluster.net.setLossProbability(0);
   cluster.platform.faults.setDown(false);
   await cluster.clock.advance(SETTLE_MS);
 }
--- a/packages/members/src/test/membership.test.ts
+++ b/packages/members/src/test/membership.test.ts
@@ -179,11 +179,11 @@
     // An update is sent to each neighbour only once. If the update is lost, an
     // entry would keep listing a crashed member or never list a new one.
     const {cluster, ids} = await createSettledCluster(40);
-    cluster.net.setLoss(0.7);
+    cluster.net.setLossProbability(0.7);
     cluster.crash('m3');
     cluster.start('m40');
     await cluster.clock.advance(DETECTION_MS);
-    cluster.net.setLoss(0);
+    cluster.net.setLossProbability(0);
     await cluster.clock.advance(2 * DETECTION_MS);
     assertAllList(
       cluster,
--- a/packages/members/src/test/neighbours.test.ts
+++ b/packages/members/src/test/neighbours.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {neighboursOf, type NeighbourCandidate} from '../index.js';
+import {neighbourIdsOf, type NeighbourCandidate} from '../index.js';
 
 interface Fleet {
   readonly name: string;
@@ -29,13 +29,13 @@
 function neighboursById(
   members: readonly NeighbourCandidate[],
 ): Map<string, string[]> {
-  return new Map(members.map(({id}) => [id, neighboursOf(id, members)]));
+  return new Map(members.map(({id}) => [id, neighbourIdsOf(id, members)]));
 }
 
 describe('neighbours', () => {
   it('are all other members in a small cluster', () => {
     const members = createMembers({...FLEETS[2]!, count: 24});
-    assert.equal(neighboursOf('m0', members).length, 23);
+    assert.equal(neighbourIdsOf('m0', members).length, 23);
   });
 
   for (const fleet of FLEETS) {
--- a/packages/moves/src/moveDuty.ts
+++ b/packages/moves/src/moveDuty.ts
@@ -1,7 +1,7 @@
 /** Duty `moves`: its holder advances every move and stores its state. */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   isServingError,
   toServingError,
   type Clock,
@@ -209,7 +209,7 @@
       .finally(() => (isAdvancing = false));
   }
 
-  disposables.add(every(clock, ADVANCE_INTERVAL_MS, startRound));
+  disposables.add(scheduleRepeatedly(clock, ADVANCE_INTERVAL_MS, startRound));
   startRound();
   return disposables;
 }
--- a/packages/moves/src/moveFollower.ts
+++ b/packages/moves/src/moveFollower.ts
@@ -4,7 +4,7 @@
  */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   type Clock,
   type Disposable,
 } from '@skylarkfield/base';
@@ -194,7 +194,9 @@
       }
     }),
   );
-  disposables.add(every(clock, BROADCAST_INTERVAL_MS, broadcastEvidence));
+  disposables.add(
+    scheduleRepeatedly(clock, BROADCAST_INTERVAL_MS, broadcastEvidence),
+  );
   updateMoves();
   return disposables;
 }
--- a/packages/orders/src/ledger.ts
+++ b/packages/orders/src/ledger.ts
@@ -1,7 +1,7 @@
 /** Ledger of one process: submission of orders, hand-over, peer messages. */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   ServingError,
   sleep,
 } from '@skylarkfield/base';
@@ -255,7 +255,11 @@
     }),
   );
   disposables.add(
-    every(clock, OUTCOME_SEND_INTERVAL_MS, () => void outcomeSender.send()),
+    scheduleRepeatedly(
+      clock,
+      OUTCOME_SEND_INTERVAL_MS,
+      () => void outcomeSender.send(),
+    ),
   );
   disposables.add(
     store.onDidChangeState(state => {
--- a/packages/orders/src/outcomeSender.ts
+++ b/packages/orders/src/outcomeSender.ts
@@ -31,7 +31,7 @@
  * Creates the sender; it runs one delivery round at a time.
  *
  * @example
- * every(clock, 250, () => void sender.send());
+ * scheduleRepeatedly(clock, 250, () => void sender.send());
  */
 export function createOutcomeSender(
   options: OutcomeSenderOptions,
--- a/packages/orders/src/test/cluster.ts
+++ b/packages/orders/src/test/cluster.ts
@@ -12,7 +12,10 @@
   type Clock,
   type RunState,
 } from '@skylarkfield/base';
-import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
+import {
+  createMemoryPlatform,
+  type MemoryObjectStoreClient,
+} from '@skylarkfield/providers';
 import {
   createLedger,
   type Dispatch,
@@ -55,7 +58,7 @@
   readonly id: string;
   readonly process: SimulatedProcess;
   readonly ledger: Ledger;
-  readonly client: MemoryClient;
+  readonly client: MemoryObjectStoreClient;
   /** Ids of the entries that this entry considers dead. */
   readonly suspects: Set<string>;
   isLeaving: boolean;
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -1,7 +1,7 @@
 /** Open WebSocket connection to a peer, after the handshake. */
 import type {WebSocket, RawData} from 'ws';
 import {
-  every,
+  scheduleRepeatedly,
   toDisposable,
   type Clock,
   type Disposable,
@@ -117,7 +117,11 @@
     }
   }
 
-  const livenessCheck = every(clock, limits.pingIntervalMs, checkLiveness);
+  const livenessCheck = scheduleRepeatedly(
+    clock,
+    limits.pingIntervalMs,
+    checkLiveness,
+  );
   const closeCleanup = toDisposable(() => {
     livenessCheck.dispose();
     options.onClose(connection);
--- a/packages/protocol/src/innerTls.ts
+++ b/packages/protocol/src/innerTls.ts
@@ -3,7 +3,7 @@
 import {
   ServingError,
   createEmitter,
-  every,
+  scheduleRepeatedly,
   type Clock,
   type Disposable,
   type Logger,
@@ -67,7 +67,7 @@
     log.info('reloaded the TLS certificate and key of the inner port');
   }
 
-  const checkTimer = every(
+  const checkTimer = scheduleRepeatedly(
     clock,
     options.checkIntervalMs ?? CHECK_INTERVAL_MS,
     () => {
--- a/packages/protocol/src/memoryNetwork.ts
+++ b/packages/protocol/src/memoryNetwork.ts
@@ -42,7 +42,7 @@
   heal(from: string, to: string): void;
   healAll(): void;
   /** Sets the probability with which each message is lost. */
-  setLoss(probability: number): void;
+  setLossProbability(probability: number): void;
   /** Sum of the traffic counters of all processes. */
   totalTraffic(): NetworkTraffic;
 }
@@ -322,7 +322,7 @@
     partition: (from, to) => partitions.add(partitionKey(from, to)),
     heal: (from, to) => partitions.delete(partitionKey(from, to)),
     healAll: () => partitions.clear(),
-    setLoss(probability) {
+    setLossProbability(probability) {
       lossProbability = probability;
     },
     totalTraffic() {
--- a/packages/protocol/src/peerNetwork.ts
+++ b/packages/protocol/src/peerNetwork.ts
@@ -3,7 +3,7 @@
 import {
   createDisposableStore,
   createEmitter,
-  every,
+  scheduleRepeatedly,
   type Clock,
   type Logger,
   type Random,
@@ -216,7 +216,9 @@
     return false;
   }
 
-  disposables.add(every(clock, limits.idleTimeoutMs, closeIdleConnections));
+  disposables.add(
+    scheduleRepeatedly(clock, limits.idleTimeoutMs, closeIdleConnections),
+  );
 
   return {
     async listen({host, port}) {
--- a/packages/providers/src/httpObjectStore.ts
+++ b/packages/providers/src/httpObjectStore.ts
@@ -19,7 +19,7 @@
 } from './httpCalls.js';
 import {
   createObjectStore,
-  type ObjectClient,
+  type ObjectStoreClient,
   type ObjectStoreSettings,
 } from './objectStore.js';
 import {
@@ -73,7 +73,7 @@
     readonly clock?: Clock;
     readonly random?: Random;
   } & ObjectStoreSettings,
-): ObjectClient {
+): ObjectStoreClient {
   const {
     clock = systemClock(),
     random = processRandom(),
--- a/packages/providers/src/memoryPlatform.ts
+++ b/packages/providers/src/memoryPlatform.ts
@@ -15,7 +15,7 @@
 } from '@skylarkfield/base';
 import {
   createObjectStore,
-  type ObjectClient,
+  type ObjectStoreClient,
   type ObjectStoreSettings,
 } from './objectStore.js';
 import {createObjectTable, type ObjectTable} from './objectTable.js';
@@ -56,7 +56,10 @@
   /** Injects faults into the calls of all clients. */
   readonly faults: ObjectFaultControls;
   /** Creates a client, which simulates a separate process. */
-  createClient(name: string, settings?: MemoryClientSettings): MemoryClient;
+  createClient(
+    name: string,
+    settings?: MemoryClientSettings,
+  ): MemoryObjectStoreClient;
   callCounts(): PlatformCallCounts;
 }
 
@@ -67,7 +70,7 @@
 }
 
 /** A client into whose calls faults can be injected. */
-export interface MemoryClient extends ObjectClient {
+export interface MemoryObjectStoreClient extends ObjectStoreClient {
   readonly faults: ObjectFaultControls;
 }
 
@@ -269,7 +272,7 @@
 export function createMemoryObjectStore(options: {
   readonly clock: Clock;
   readonly random?: Random;
-}): MemoryClient {
+}): MemoryObjectStoreClient {
   return createMemoryPlatform(options).createClient('only');
 }
 
--- a/packages/providers/src/objectStore.ts
+++ b/packages/providers/src/objectStore.ts
@@ -49,7 +49,7 @@
 }
 
 /** Object store client with an adjustable rate limit share and a state dump. */
-export interface ObjectClient extends ObjectStore {
+export interface ObjectStoreClient extends ObjectStore {
   /** Sets the number of processes that share the platform's rate limit. */
   setLiveEntries(count: number): void;
   dump(): ObjectStoreDump;
@@ -76,7 +76,7 @@
     /** Identifies this process in its write ids. */
     readonly writer: string;
   } & ObjectStoreSettings,
-): ObjectClient {
+): ObjectStoreClient {
   const {transport, clock, random} = options;
   const writerId = createWriterId(options.writer, clock, random);
   const calls = createStoreCalls({
--- a/packages/records/src/acceptance.ts
+++ b/packages/records/src/acceptance.ts
@@ -8,7 +8,7 @@
  */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   isServingError,
   sleep,
   type Clock,
@@ -336,10 +336,16 @@
 
   void loadStatuses();
   disposables.add(
-    every(clock, CONFIRMATION_CHECK_INTERVAL_MS, runPeriodicChecks),
+    scheduleRepeatedly(
+      clock,
+      CONFIRMATION_CHECK_INTERVAL_MS,
+      runPeriodicChecks,
+    ),
   );
   disposables.add(
-    every(clock, MOVE_RECHECK_INTERVAL_MS, () => markDirty(cache.moveKeys())),
+    scheduleRepeatedly(clock, MOVE_RECHECK_INTERVAL_MS, () =>
+      markDirty(cache.moveKeys()),
+    ),
   );
   return {
     dump: () => ({
--- a/packages/records/src/configuration.ts
+++ b/packages/records/src/configuration.ts
@@ -6,7 +6,7 @@
 import {
   createDisposableStore,
   createEmitter,
-  every,
+  scheduleRepeatedly,
   toDisposable,
   type Clock,
   type Disposable,
@@ -249,7 +249,9 @@
       }
     }),
   );
-  disposables.add(every(clock, SOURCE_UPDATE_INTERVAL_MS, updateSources));
+  disposables.add(
+    scheduleRepeatedly(clock, SOURCE_UPDATE_INTERVAL_MS, updateSources),
+  );
   disposables.add(toDisposable(() => watchSubscription?.dispose()));
   disposables.add(changeEmitter);
   updateSources();
--- a/packages/records/src/recordGossip.ts
+++ b/packages/records/src/recordGossip.ts
@@ -8,7 +8,7 @@
  */
 import {
   createDisposableStore,
-  every,
+  scheduleRepeatedly,
   type Clock,
   type Disposable,
   type Random,
@@ -209,7 +209,9 @@
   disposables.add(
     clock.after(DIGEST_INTERVAL_MS * random.next(), () => {
       sendDigests();
-      disposables.add(every(clock, DIGEST_INTERVAL_MS, sendDigests));
+      disposables.add(
+        scheduleRepeatedly(clock, DIGEST_INTERVAL_MS, sendDigests),
+      );
     }),
   );
 
--- a/packages/records/src/test/configuration.fuzz.test.ts
+++ b/packages/records/src/test/configuration.fuzz.test.ts
@@ -65,7 +65,7 @@
   cut: (simulation, id, other) => simulation.net.partition(id, other),
   healCuts: simulation => simulation.net.healAll(),
   loss: (simulation, _id, _other, fraction) =>
-    simulation.net.setLoss(fraction / 2),
+    simulation.net.setLossProbability(fraction / 2),
   loseReplies: (simulation, id, _other, fraction) =>
     simulation.entries
       .get(id)
--- a/packages/records/src/test/recordSimulation.ts
+++ b/packages/records/src/test/recordSimulation.ts
@@ -10,7 +10,10 @@
   createVirtualClock,
   type Clock,
 } from '@skylarkfield/base';
-import {createMemoryPlatform, type MemoryClient} from '@skylarkfield/providers';
+import {
+  createMemoryPlatform,
+  type MemoryObjectStoreClient,
+} from '@skylarkfield/providers';
 import {createMemoryNetwork, MEMORY_URL_PREFIX} from '@skylarkfield/protocol';
 import {
   createAcceptanceController,
@@ -30,7 +33,7 @@
 export interface SimulatedEntry {
   readonly id: string;
   readonly clock: Clock;
-  readonly store: MemoryClient;
+  readonly store: MemoryObjectStoreClient;
   readonly configuration: ConfigurationClient;
   readonly startedAt: number;
   acceptance: AcceptanceController | undefined;
@@ -304,7 +307,7 @@
       platform.faults.loseReplies(0);
       platform.faults.setRejectingWatches(false);
       platform.faults.setStallingWatches(false);
-      net.setLoss(0);
+      net.setLossProbability(0);
       net.healAll();
       for (const id of options.ids) {
         const entry = entries.get(id) ?? start(id);
--- a/packages/routing/src/contracts.ts
+++ b/packages/routing/src/contracts.ts
@@ -104,19 +104,19 @@
     blocks: readonly string[],
   ): number;
   /** Records an endpoint's answer to a load poll. */
-  reportLoad(endpoint: string, report: LoadReport): void;
+  recordLoadReport(endpoint: string, report: LoadReport): void;
   /** Returns this entry's load by endpoint, to be sent to the other entries. */
   ownLoads(): Readonly<Record<string, EntryLoad>>;
   /**
    * Replaces the loads reported by another entry. Reports from endpoints lag
    * and count requests only; reports from entries give the load in tokens.
    */
-  reportEntryLoads(
+  recordEntryLoads(
     entry: string,
     loads: Readonly<Record<string, EntryLoad>>,
   ): void;
   /** Records that a load poll could not reach the endpoint. */
-  reportUnreachable(endpoint: string): void;
+  recordUnreachable(endpoint: string): void;
   /**
    * Applies cache events of an endpoint. Returns the sequence number after
    * which to poll for events; -1 to poll for the whole cache content.
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -405,7 +405,7 @@
         .map(({cache}) => cache.expectedCachedTokens(blocks));
       return Math.max(0, ...cachedTokenCounts);
     },
-    reportLoad(endpoint, report) {
+    recordLoadReport(endpoint, report) {
       const pooledEndpoint = pools.get(endpoint);
       pooledEndpoint?.load.recordReport(report);
       pooledEndpoint?.health.recordReport();
@@ -417,12 +417,12 @@
           .filter(({load}) => load.ownRequestCount > 0)
           .map(({candidate, load}) => [candidate.id, load.ownLoad()]),
       ),
-    reportEntryLoads(entry, loads) {
+    recordEntryLoads(entry, loads) {
       for (const {candidate, load} of pools.all()) {
         load.recordEntryLoad(entry, loads[candidate.id]);
       }
     },
-    reportUnreachable(endpoint) {
+    recordUnreachable(endpoint) {
       const pooledEndpoint = pools.get(endpoint);
       if (pooledEndpoint?.health.state === 'live') {
         pooledEndpoint.health.recordOutcome('unreachable', 1);
--- a/packages/routing/src/test/ejection.test.ts
+++ b/packages/routing/src/test/ejection.test.ts
@@ -51,7 +51,7 @@
         slots: 8,
         attempts: undefined,
       });
-      router.reportLoad(id, fullReport);
+      router.recordLoadReport(id, fullReport);
     }
     sendRequests(100, id => (id === 'r3' ? 'failed' : 'ok'));
     assert.equal(healthOf('r3'), 'live');
--- a/packages/routing/src/test/router.test.ts
+++ b/packages/routing/src/test/router.test.ts
@@ -21,7 +21,10 @@
     const {router} = createRig(candidates);
     const busyEndpoints = ['a', 'b', 'd'];
     for (const id of busyEndpoints) {
-      router.reportLoad(id, loadReport({running: 3, attempts: ['e2-1#1']}));
+      router.recordLoadReport(
+        id,
+        loadReport({running: 3, attempts: ['e2-1#1']}),
+      );
     }
     router.applyCacheEvents('a', [{sequence: 1, type: 'stored', blocks}]);
     const choice = router.choose({...longRequest, isSuspected: true});
@@ -32,8 +35,11 @@
     const {router} = createRig([candidate('a'), candidate('b')]);
     // The delayed report counts three requests of this entry that have ended.
     const attempts = ['e1-1#1', 'e1-2#1', 'e1-3#1'];
-    router.reportLoad('a', loadReport({running: 3, attempts}));
-    router.reportLoad('b', loadReport({running: 1, attempts: ['e2-1#1']}));
+    router.recordLoadReport('a', loadReport({running: 3, attempts}));
+    router.recordLoadReport(
+      'b',
+      loadReport({running: 1, attempts: ['e2-1#1']}),
+    );
     assert.equal(router.choose(routingRequest())?.endpoint, 'a');
   });
 
@@ -46,7 +52,10 @@
     assert.equal(choice?.endpoint, 'c');
     assert.equal(choice?.cachedTokens, 960);
     choice?.finish({outcome: 'ok', latencyMs: 30});
-    router.reportLoad('c', loadReport({running: 8, waiting: 30, sequence: 2}));
+    router.recordLoadReport(
+      'c',
+      loadReport({running: 8, waiting: 30, sequence: 2}),
+    );
     assert.notEqual(router.choose(longRequest)?.endpoint, 'c');
   });
 
@@ -149,15 +158,17 @@
 
   it('ejects an endpoint after two failed load polls', () => {
     const {router, sendRequests, healthOf} = createRig(candidates);
-    router.reportUnreachable('b');
-    router.reportUnreachable('b');
+    router.recordUnreachable('b');
+    router.recordUnreachable('b');
     assert.equal(healthOf('b'), 'ejected');
     assert.equal(sendRequests(40, () => 'ok').has('b'), false);
   });
 
   it('does not count the slots of leaving endpoints', () => {
     const {router} = createRig(candidates);
-    candidates.forEach(({id}) => router.reportLoad(id, loadReport({slots: 6})));
+    candidates.forEach(({id}) =>
+      router.recordLoadReport(id, loadReport({slots: 6})),
+    );
     router.markLeaving('d');
     assert.equal(router.slots('s'), 18);
   });
--- a/packages/standins/src/engine/localEngine.ts
+++ b/packages/standins/src/engine/localEngine.ts
@@ -111,7 +111,7 @@
       throwIfDown();
       simulatedEngine.executeCommand(order);
     },
-    async readRunning() {
+    async readRunningState() {
       throwIfDown();
       return simulatedEngine.running();
     },
--- a/packages/standins/src/test/engineStandin.test.ts
+++ b/packages/standins/src/test/engineStandin.test.ts
@@ -77,7 +77,7 @@
         fencing: 1,
         expiresAt: Date.now() + 60_000,
       });
-      assert.equal((await engine.readRunning()).version, 'v2');
+      assert.equal((await engine.readRunningState()).version, 'v2');
     });
   });
 
--- a/packages/standins/src/test/objectApiFixtures.ts
+++ b/packages/standins/src/test/objectApiFixtures.ts
@@ -4,7 +4,7 @@
 import {
   createHttpObjectStore,
   createMemoryPlatform,
-  type ObjectClient,
+  type ObjectStoreClient,
   type ObjectFaultControls,
   type ObjectStoreSettings,
   type ObjectTable,
@@ -15,7 +15,7 @@
 export interface ObjectApiFixture {
   readonly table: ObjectTable;
   readonly faults: ObjectFaultControls;
-  client(writer: string, settings?: ObjectStoreSettings): ObjectClient;
+  client(writer: string, settings?: ObjectStoreSettings): ObjectStoreClient;
   stop(): Promise<void>;
 }
 
--- a/packages/standins/src/test/objectStore.test.ts
+++ b/packages/standins/src/test/objectStore.test.ts
@@ -3,7 +3,7 @@
 import {describe, it} from 'node:test';
 import {isServingError, type ErrorKind} from '@skylarkfield/base';
 import type {
-  ObjectClient,
+  ObjectStoreClient,
   ObjectStoreSettings,
   StoredObject,
 } from '@skylarkfield/providers';
@@ -19,7 +19,7 @@
 /** Initial state of a test: an object API that stores one object. */
 interface Scenario {
   readonly fixture: ObjectApiFixture;
-  readonly store: ObjectClient;
+  readonly store: ObjectStoreClient;
   readonly initialObject: StoredObject<string>;
 }
 
--- a/packages/streams/src/test/fakeEngine.ts
+++ b/packages/streams/src/test/fakeEngine.ts
@@ -167,7 +167,11 @@
       return {handle, tokens: 90, bytes: 9e6};
     },
     sendCommand: async () => {},
-    readRunning: async () => ({version: 'v1', adapters: [], role: 'serving'}),
+    readRunningState: async () => ({
+      version: 'v1',
+      adapters: [],
+      role: 'serving',
+    }),
   };
   return engine;
 }
--- a/packages/traffic/src/quotas.ts
+++ b/packages/traffic/src/quotas.ts
@@ -33,7 +33,7 @@
   /** Returns the usage at this entry since its start, to report to peers. */
   totalOwnUsage(): UsageByCustomer;
   /** Adds the increase of usage at peers since their last report. */
-  addPeerUsage(increase: UsageByCustomer): void;
+  recordPeerUsage(increase: UsageByCustomer): void;
   /**
    * Sets the fraction of peers with a recent report, 0 to 1, and the number of
    * entries including this one. `silentMs` is the time without a report after
@@ -265,7 +265,7 @@
       return Math.max(0, retryAtMs - nowMs);
     },
     totalOwnUsage: () => ownUsage,
-    addPeerUsage(increase) {
+    recordPeerUsage(increase) {
       for (const [name, amount] of Object.entries(increase)) {
         const account = accounts.get(name);
         if (account !== undefined) {
--- a/packages/traffic/src/test/quotas.test.ts
+++ b/packages/traffic/src/test/quotas.test.ts
@@ -119,7 +119,7 @@
       for (const receiver of joined.filter(process => process !== sender)) {
         const reportedUsage =
           receiver.lastReports.get(sender.name) ?? (isNew ? {} : usage);
-        receiver.quotas.addPeerUsage(usageIncrease(reportedUsage, usage));
+        receiver.quotas.recordPeerUsage(usageIncrease(reportedUsage, usage));
         receiver.lastReports.set(sender.name, usage);
       }
     }
@@ -175,7 +175,7 @@
     lastReportedUsage.set(sender, usage);
     entries
       .filter(entry => entry !== sender)
-      .forEach(receiver => receiver.addPeerUsage(increase));
+      .forEach(receiver => receiver.recordPeerUsage(increase));
   }
 }
 
