--- a/packages/gateway/src/peerReports.ts
+++ b/packages/gateway/src/peerReports.ts
@@ -113,7 +113,7 @@
  * Creates the peer reports of one entry.
  *
  * @example
- * const accepted = reports.accept('a2', digest);
+ * const accepted = reports.acceptDigest('a2', digest);
  * if (accepted) { quotas.recordPeerUsage(accepted.increase); }
  */
 export function createPeerReports(options: {
